--- /dev/null
+++ b/internal/lab/histories/golden_race_test.go
@@ -0,0 +1,6 @@
+//go:build race
+
+package histories
+
+// digestStep is the distance between the digests that are played.
+const digestStep = 5
--- /dev/null
+++ b/internal/membership/etcd/golden_test.go
@@ -0,0 +1,37 @@
+package etcd
+
+import (
+	"encoding/json"
+	"os"
+	"testing"
+
+	"birchfork/internal/store"
+	"birchfork/rules"
+)
+
+// A worker's value under its key has the form of earlier builds. The file is written where UPDATE_GOLDEN is set.
+func TestValue_KeepsItsForm(t *testing.T) {
+	const path = "testdata/golden/value.json"
+	cell := 7
+	raw, err := json.Marshal(Value{SchemaVersion, "127.0.0.1:5001", "zone-a", "kind-b", &cell, 2.5, Draining, 1700000000001})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if os.Getenv("UPDATE_GOLDEN") != "" {
+		if err := os.WriteFile(path, raw, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	golden, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if string(raw) != string(golden) {
+		t.Errorf("%s, want %s", raw, golden)
+	}
+	entry, err := Decode("w-1", golden)
+	want := store.Entry{Name: "w-1", Address: "127.0.0.1:5001", Zone: "zone-a", Kind: "kind-b", Cell: 7, State: rules.Draining, Weight: 2.5, Since: 1700000000001}
+	if err != nil || entry != want {
+		t.Errorf("%+v, %v; want %+v", entry, err, want)
+	}
+}
--- /dev/null
+++ b/internal/membership/golden_test.go
@@ -0,0 +1,52 @@
+package membership
+
+import (
+	"net/http/httptest"
+	"os"
+	"strings"
+	"testing"
+	"testing/synctest"
+
+	"birchfork/internal/store"
+	"birchfork/rules"
+)
+
+// The answers to dispatchers, whole and after a change, and to operators are those of earlier builds, byte for byte. The file is written
+// where UPDATE_GOLDEN is set.
+func TestFront_KeepsItsAnswers(t *testing.T) {
+	const path = "testdata/golden/answers.txt"
+	var text strings.Builder
+	synctest.Test(t, func(t *testing.T) {
+		f := NewFront(Config{Sources: 1})
+		defer f.Close()
+		get := func(target string) {
+			w := httptest.NewRecorder()
+			f.ServeHTTP(w, httptest.NewRequest("GET", target, nil))
+			text.WriteString(target + "\n" + w.Result().Status + "\n" + w.Body.String() + "\n")
+		}
+		get("/discovery/hosts")
+		get("/elsewhere")
+		get("/discovery/hosts?follow=1&since=x")
+		full := func(name string, state rules.State, at int64) store.Entry {
+			return store.Entry{Name: name, Address: "127.0.0.1:500" + name, Zone: "zone-" + name, Kind: "kind-" + name, Cell: int(at),
+				State: state, Weight: 0.5 + float64(at), Since: 1700000000000 + at}
+		}
+		f.Tell(0, News{Whole: true, Entries: []store.Entry{full("1", rules.Ready, 1), full("2", rules.Draining, 2), full("3", rules.Gone, 3)}})
+		get("/discovery/hosts")
+		get("/status")
+		f.Tell(0, News{Entries: []store.Entry{full("2", rules.Ready, 4)}})
+		get("/discovery/hosts")
+	})
+	if os.Getenv("UPDATE_GOLDEN") != "" {
+		if err := os.WriteFile(path, []byte(text.String()), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	golden, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if text.String() != string(golden) {
+		t.Errorf("the answers have changed:\n%s\nwant:\n%s", text.String(), golden)
+	}
+}
