--- /dev/null
+++ b/internal/agree/golden_test.go
@@ -0,0 +1,323 @@
+package agree
+
+import (
+	"bytes"
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/sirupsen/logrus"
+	"go.etcd.io/bbolt"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+)
+
+// The golden files hold each form in which this package stores or sends anything, as written by an earlier build. A difference means
+// that members of two builds, or one member before and after an upgrade, would not understand each other. UPDATE_GOLDEN=1 writes the
+// files anew.
+
+const goldenDir = "testdata/golden"
+
+// compareGolden compares bytes with a golden file.
+func compareGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join(goldenDir, name)
+	if os.Getenv("UPDATE_GOLDEN") != "" {
+		if err := os.MkdirAll(goldenDir, 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s has changed:\n got %s\nwant %s", path, got, want)
+	}
+}
+
+var (
+	goldenIdentity = Identity{Format: 1, Group: "group-1", Founded: "founding-2", Name: "member-3", Life: "life-4", ID: 5, Heard: true}
+	goldenHard     = &raftpb.HardState{Term: proto.Uint64(6), Vote: proto.Uint64(7), Commit: proto.Uint64(8)}
+	goldenConf     = &raftpb.ConfState{
+		Voters: []uint64{5, 11}, Learners: []uint64{12}, VotersOutgoing: []uint64{13}, LearnersNext: []uint64{14}, AutoLeave: proto.Bool(true),
+	}
+	goldenState = []byte(`{"state":"of the machine"}`)
+)
+
+// goldenEntries are those of a log, one of each type.
+func goldenEntries(t *testing.T) []*raftpb.Entry {
+	t.Helper()
+	add, remove := raftpb.ConfChangeAddLearnerNode, raftpb.ConfChangeRemoveNode
+	auto := raftpb.ConfChangeTransitionAuto
+	marshal := func(m proto.Message) []byte {
+		raw, err := proto.Marshal(m)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return raw
+	}
+	one := marshal(&raftpb.ConfChange{Type: &add, NodeId: proto.Uint64(15), Context: []byte("context one"), Id: proto.Uint64(16)})
+	two := marshal(&raftpb.ConfChangeV2{
+		Transition: &auto, Context: []byte("context two"), Changes: []*raftpb.ConfChangeSingle{
+			{Type: &add, NodeId: proto.Uint64(17)}, {Type: &remove, NodeId: proto.Uint64(18)},
+		},
+	})
+	normal, change, changeV2 := raftpb.EntryNormal, raftpb.EntryConfChange, raftpb.EntryConfChangeV2
+	var all []*raftpb.Entry
+	for i, e := range []*raftpb.Entry{
+		{Type: &normal, Data: []byte("in the snapshot")}, {Type: &normal, Data: []byte("in the snapshot too")},
+		{Type: &normal, Data: []byte(`{"kind":"a command"}`)}, {Type: &change, Data: one}, {Type: &changeV2, Data: two}, {Type: &normal},
+	} {
+		e.Index, e.Term = proto.Uint64(uint64(i)+2), proto.Uint64(uint64(i)/2+4)
+		all = append(all, e)
+	}
+	return all
+}
+
+// writeGoldenDisk writes a disk that has something of everything.
+func writeGoldenDisk(t *testing.T, folder string) {
+	t.Helper()
+	fresh := goldenIdentity
+	fresh.Founded, fresh.Heard = "", false
+	d, err := OpenDisk(folder, fresh)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, step := range []func() error{
+		func() error { return Found(d, goldenIdentity.Founded, []byte("of the founding")) },
+		func() error { return d.save(goldenHard, goldenEntries(t), nil) },
+		func() error { return d.snapshot(3, goldenConf, goldenState) },
+		d.Hear,
+		d.Close,
+	} {
+		if err := step(); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// content is all that a bbolt file has, a line for each value.
+func content(t *testing.T, path string) []byte {
+	t.Helper()
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	var out bytes.Buffer
+	err = db.View(func(tx *bbolt.Tx) error {
+		return tx.ForEach(func(name []byte, b *bbolt.Bucket) error {
+			fmt.Fprintf(&out, "bucket %q\n", name)
+			return b.ForEach(func(k, v []byte) error {
+				fmt.Fprintf(&out, "  %q = %s\n", k, hex.EncodeToString(v))
+				return nil
+			})
+		})
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return out.Bytes()
+}
+
+// The file of a disk has the same buckets, keys and values as before.
+func TestGolden_DiskContent(t *testing.T) {
+	folder := t.TempDir()
+	writeGoldenDisk(t, folder)
+	compareGolden(t, "group.db.txt", content(t, filepath.Join(folder, "group.db")))
+}
+
+// A file that an earlier build wrote is read in full.
+func TestGolden_ReadsDisk(t *testing.T) {
+	old := filepath.Join(goldenDir, "group.db")
+	if os.Getenv("UPDATE_GOLDEN") != "" {
+		folder := t.TempDir()
+		writeGoldenDisk(t, folder)
+		raw, err := os.ReadFile(filepath.Join(folder, "group.db"))
+		if err == nil {
+			err = os.WriteFile(old, raw, 0o644)
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	compareGolden(t, "group.db.txt", content(t, old))
+	raw, err := os.ReadFile(old)
+	if err != nil {
+		t.Fatal(err)
+	}
+	folder := t.TempDir()
+	if err := os.WriteFile(filepath.Join(folder, "group.db"), raw, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	d, err := OpenDisk(folder, Identity{Group: "group-1", Name: "member-3", Life: "another", ID: 99})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer d.Close()
+	if d.Unreadable != nil {
+		t.Fatal(d.Unreadable)
+	}
+	if d.Who() != goldenIdentity {
+		t.Errorf("identity %+v, want %+v", d.Who(), goldenIdentity)
+	}
+	if want := (Mark{Term: 6, Last: 7, LastTerm: 6}); d.Mark() != want || d.Empty() || !d.Kept() {
+		t.Errorf("position %+v, want %+v", d.Mark(), want)
+	}
+	hard, conf, err := d.cache.InitialState()
+	if err != nil || !proto.Equal(hard, goldenHard) || !proto.Equal(conf, goldenConf) {
+		t.Errorf("hard state %v, membership %v, %v", hard, conf, err)
+	}
+	snap, err := d.cache.Snapshot()
+	if err != nil || !bytes.Equal(snap.GetData(), goldenState) || snap.GetMetadata().GetIndex() != 3 || snap.GetMetadata().GetTerm() != 4 ||
+		!proto.Equal(snap.GetMetadata().GetConfState(), goldenConf) {
+		t.Errorf("snapshot %v, %v", snap, err)
+	}
+	entries, err := d.cache.Entries(4, 8, 1<<20)
+	want := goldenEntries(t)[2:]
+	same := func(a, b *raftpb.Entry) bool { return proto.Equal(a, b) }
+	if err != nil || !slices.EqualFunc(entries, want, same) {
+		t.Errorf("entries %v, want %v, %v", entries, want, err)
+	}
+}
+
+// The identity and the position, which travels between members too, have the same JSON as before.
+func TestGolden_JSON(t *testing.T) {
+	mark := Mark{Term: 21, Last: 22, LastTerm: 23}
+	for name, v := range map[string]any{"identity.json": &goldenIdentity, "position.json": &mark} {
+		raw, err := json.Marshal(v)
+		if err != nil {
+			t.Fatal(err)
+		}
+		compareGolden(t, name, raw)
+		old, err := os.ReadFile(filepath.Join(goldenDir, name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		back := reflect.New(reflect.TypeOf(v).Elem()).Interface()
+		if err := json.Unmarshal(old, back); err != nil || !reflect.DeepEqual(back, v) {
+			t.Errorf("%s: %+v, want %+v, %v", name, back, v, err)
+		}
+	}
+}
+
+// The file beside the disk that tells how far it had come has the same bytes as before, and one of an earlier build is understood.
+func TestGolden_BootMarker(t *testing.T) {
+	const boot = "01234567-89ab-cdef-0123-456789abcdef"
+	mark := Mark{Term: 31, Last: 32, LastTerm: 33}
+	path := filepath.Join(t.TempDir(), "group.mark")
+	open := func() *Witness {
+		w, err := OpenWitness(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { w.Close() })
+		w.boot = boot
+		return w
+	}
+	if err := open().saw("life-4", mark); err != nil {
+		t.Fatal(err)
+	}
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	compareGolden(t, "group.mark", raw)
+	old, err := os.ReadFile(filepath.Join(goldenDir, "group.mark"))
+	if err == nil {
+		err = os.WriteFile(path, old, 0o600)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	if is, ok := open().Knows("life-4"); !ok || is != mark {
+		t.Errorf("%+v, %t, want %+v", is, ok, mark)
+	}
+}
+
+// recorder is a state machine that keeps what it is given.
+type recorder struct{ lines []string }
+
+func (r *recorder) Apply(index uint64, data []byte) {
+	r.lines = append(r.lines, fmt.Sprintf("%d=%s", index, data))
+}
+func (r *recorder) Snapshot() ([]byte, error) { return []byte(strings.Join(r.lines, "\n")), nil }
+func (r *recorder) Restore(data []byte) error {
+	r.lines = strings.Split(string(data), "\n")
+	return nil
+}
+
+// The messages of a group of two, from its founding to a confirmed read, are the same in their bytes and their order.
+func TestGolden_RaftMessages(t *testing.T) {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	var out bytes.Buffer
+	cores, machines := map[uint64]*Core{}, map[uint64]*recorder{}
+	var queue []*raftpb.Message
+	for id := uint64(1); id <= 2; id++ {
+		d, err := OpenDisk("", Identity{Group: "g", Name: fmt.Sprint("d", id), Life: "l", ID: id})
+		if err == nil && id == 1 {
+			err = Found(d, "f", []byte("founded"))
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		machines[id] = &recorder{}
+		cores[id], err = NewCore(Options{Disk: d, Machine: machines[id], Log: log, Send: func(to uint64, raw []byte, snapshot bool) {
+			m := &raftpb.Message{}
+			if err := proto.Unmarshal(raw, m); err != nil {
+				t.Fatal(err)
+			}
+			fmt.Fprintf(&out, "%d to %d, snapshot %t: %x\n", id, to, snapshot, raw)
+			queue = append(queue, m)
+		}}, 1000*id)
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	run := func(ticks int) {
+		for range ticks {
+			cores[1].Tick(true)
+			cores[2].Tick(true)
+			for len(queue) > 0 {
+				m := queue[0]
+				queue = queue[1:]
+				cores[m.GetTo()].Step(m)
+			}
+		}
+	}
+	change := func(kind raftpb.ConfChangeType, data []byte) {
+		t.Helper()
+		if err := cores[1].Change([]*raftpb.ConfChangeSingle{{Type: &kind, NodeId: proto.Uint64(2)}}, data); err != nil {
+			t.Fatal(err)
+		}
+		run(2 * election)
+	}
+	cores[1].Campaign()
+	run(1)
+	change(raftpb.ConfChangeAddLearnerNode, []byte("joins"))
+	fmt.Fprintf(&out, "caught up: %v\n", cores[1].Caught())
+	change(raftpb.ConfChangeAddNode, nil)
+	if err := cores[1].Propose([]byte("entry")); err != nil {
+		t.Fatal(err)
+	}
+	cores[2].Read(func(index uint64, err error) { fmt.Fprintf(&out, "read: %d, %v\n", index, err) })
+	run(5)
+	for id := uint64(1); id <= 2; id++ {
+		s := cores[id].Status()
+		fmt.Fprintf(&out, "member %d: leader %d %t, applied %d, term %d, last %d of term %d, voters %v, learners %v: %q\n", id,
+			s.Leader, s.Leads, s.Applied, s.Term, s.Last, s.LastTerm, s.Voters, s.Follow, machines[id].lines)
+	}
+	compareGolden(t, "raft-messages.txt", out.Bytes())
+}
--- /dev/null
+++ b/internal/council/golden_test.go
@@ -0,0 +1,426 @@
+package council
+
+import (
+	"bytes"
+	"context"
+	"encoding/binary"
+	"encoding/json"
+	"fmt"
+	"io"
+	"maps"
+	"net/http"
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"go.etcd.io/bbolt"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"birchfork/internal/agree"
+	"birchfork/internal/config"
+	"birchfork/internal/group"
+	"birchfork/internal/keep"
+	"birchfork/internal/outage"
+)
+
+// The golden files hold each form in which this package stores or sends anything, as written by an earlier build. A difference means
+// that members of two builds, or an operator's scripts, would not understand each other. UPDATE_GOLDEN=1 writes the files anew.
+
+const goldenDir = "testdata/golden"
+
+// compareGolden compares bytes with a golden file.
+func compareGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join(goldenDir, name)
+	if os.Getenv("UPDATE_GOLDEN") != "" {
+		if err := os.MkdirAll(goldenDir, 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s has changed:\n got %s\nwant %s", path, got, want)
+	}
+}
+
+// fill sets all fields below a value, each to another value that is not zero.
+func fill(v reflect.Value, n *int) {
+	*n++
+	switch v.Kind() {
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		fill(v.Elem(), n)
+	case reflect.Struct:
+		for i := range v.NumField() {
+			fill(v.Field(i), n)
+		}
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
+		for i := range v.Len() {
+			fill(v.Index(i), n)
+		}
+	case reflect.Map:
+		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+		fill(key, n)
+		fill(value, n)
+		v.Set(reflect.MakeMap(v.Type()))
+		v.SetMapIndex(key, value)
+	case reflect.String:
+		v.SetString(fmt.Sprint("text-", *n))
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Int, reflect.Int64:
+		v.SetInt(int64(*n))
+	case reflect.Uint64:
+		v.SetUint(uint64(*n))
+	case reflect.Float64:
+		v.SetFloat(float64(*n) + 0.5)
+	default:
+		panic("a field of kind " + v.Kind().String())
+	}
+}
+
+// filled is a value of a type with all fields set.
+func filled[T any]() *T {
+	v, n := new(T), 0
+	fill(reflect.ValueOf(v).Elem(), &n)
+	return v
+}
+
+// Messages between members, operators' calls and replies, and entries of the log have the same JSON as before, and what an earlier
+// build wrote is read in full.
+func TestGolden_JSON(t *testing.T) {
+	state := filled[outage.State]()
+	state.Level = outage.Level // a higher one is of a newer build
+	command := filled[outage.Command]()
+	raw, err := entry(command) // sets the level that the command needs
+	if err != nil {
+		t.Fatal(err)
+	}
+	compareGolden(t, "entry.json", raw)
+	for name, v := range map[string]any{
+		"join-request.json":  filled[joining](),
+		"join-reply.json":    filled[joined](),
+		"status-report.json": filled[report](),
+		"lease-grant.json":   filled[grant](),
+		"recall.json":        filled[agree.Mark](),
+		"operator-call.json": filled[Call](),
+		"operator-reply.json": func() *Reply {
+			r := filled[Reply]()
+			r.Status.Links = map[string]int64{"sent": 1, "lost": 2}
+			return r
+		}(),
+		"entry.json":    command,
+		"snapshot.json": state,
+	} {
+		raw, err := json.Marshal(v)
+		if err != nil {
+			t.Fatal(err)
+		}
+		compareGolden(t, name, raw)
+		old, err := os.ReadFile(filepath.Join(goldenDir, name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		back := reflect.New(reflect.TypeOf(v).Elem()).Interface()
+		if err := json.Unmarshal(old, back); err != nil || !reflect.DeepEqual(back, v) {
+			t.Errorf("%s: %+v, want %+v, %v", name, back, v, err)
+		}
+	}
+	c := alone()
+	old, err := os.ReadFile(filepath.Join(goldenDir, "snapshot.json"))
+	if err == nil {
+		err = c.Restore(old)
+	}
+	if err != nil || !reflect.DeepEqual(c.state, state) {
+		t.Errorf("a snapshot of before: %+v, want %+v, %v", c.state, state, err)
+	}
+	if raw, err := c.Snapshot(); err != nil || !bytes.Equal(raw, old) {
+		t.Errorf("a snapshot of before is written as %s, %v", raw, err)
+	}
+}
+
+// alone is a member of two without links and loops.
+func alone() *Council {
+	return &Council{
+		o: Options{
+			Group:      &config.Group{Name: "g", Plans: true, Lease: time.Second, Peers: []group.Peer{{Name: "d0", Zone: "z0"}, {Name: "d1", Zone: "z1"}}},
+			Self:       "d0",
+			Dispatcher: &hand{},
+			Log:        quiet(),
+		},
+		state: outage.New(), words: map[string]heard{}, changed: make(chan struct{}),
+	}
+}
+
+// Texts that a member of another build compares, or that an operator is shown, are the same as before.
+func TestGolden_Texts(t *testing.T) {
+	var out bytes.Buffer
+	for _, v := range []any{
+		forgotText, outsideText, NotSettled, doubtText, errOutside, errNotLead, errWaits, errBound, errStranger,
+		agree.ErrNoLeader, agree.ErrStopped, agree.ErrBusy,
+	} {
+		fmt.Fprintln(&out, v)
+	}
+	c := alone()
+	for _, name := range []string{"d0", "d1"} {
+		c.state.Members[name] = &outage.Member{Name: name}
+	}
+	answer := func(what string, call Call) {
+		reply := &Reply{Text: "(needs an entry)"}
+		if r := c.before(&call); r != nil {
+			reply = r
+		}
+		fmt.Fprintf(&out, "%s: %d %q\n", what, reply.Code, reply.Text)
+	}
+	command := func(kind outage.Kind, change func(*outage.Command)) Call {
+		cmd := &outage.Command{ID: "id", Kind: kind, Name: "p", Machine: "m"}
+		if change != nil {
+			change(cmd)
+		}
+		return Call{Command: cmd}
+	}
+	plan := func(machines ...outage.Machine) func(*outage.Command) {
+		return func(cmd *outage.Command) {
+			cmd.Plan = &outage.Plan{Name: "p", Out: 1, Overdue: outage.Wait, Machines: machines}
+		}
+	}
+	apply := func(cmd outage.Command) {
+		raw, err := json.Marshal(cmd)
+		if err != nil {
+			t.Fatal(err)
+		}
+		c.state.Apply(c.state.Index+1, raw)
+	}
+	byName, byHost := outage.Machine{Name: "m", Runners: []string{"r1"}}, outage.Machine{Name: "m", Host: "h1"}
+
+	answer("without an id", command(outage.Start, func(cmd *outage.Command) { cmd.ID = "" }))
+	answer("silent members", command(outage.HandIn, plan(byHost)))
+	answer("start, silent members", command(outage.Start, nil))
+	c.words["d0"], c.words["d1"] = heard{report: report{Level: 1}}, heard{report: report{Level: 1, Plans: true}}
+	answer("older members", command(outage.HandIn, plan(byHost)))
+	answer("start, without plans", command(outage.Start, nil))
+	c.words["d0"], c.words["d1"] = heard{report: report{Level: 2, Plans: true}}, heard{report: report{Level: 2, Plans: true}}
+	answer("start", command(outage.Start, nil))
+	c.state.Doubt = true
+	answer("start, doubt", command(outage.Start, nil))
+	c.state.Doubt = false
+	answer("join", command(outage.Join, nil))
+	answer("advance", command(outage.Proceed, nil))
+	answer("no plan", command(outage.HandIn, nil))
+	answer("unfit", command(outage.HandIn, plan(
+		outage.Machine{Name: "a", Host: "nowhere"}, outage.Machine{Name: "b", Runners: []string{"nobody"}},
+		outage.Machine{Name: "c", Host: "h2"}, outage.Machine{Name: "d", Runners: []string{"r2"}},
+	)))
+	check := command(outage.HandIn, plan(byName))
+	check.Check = true
+	answer("check", check)
+	answer("hand in", command(outage.HandIn, plan(byName)))
+	apply(outage.Command{ID: "first", Kind: outage.HandIn, Plan: &outage.Plan{Name: "p", Out: 1, Overdue: outage.Wait, Machines: []outage.Machine{byName}}})
+	answer("again", command(outage.HandIn, func(cmd *outage.Command) { cmd.ID = "first" }))
+	other := func(m outage.Machine) func(*outage.Command) {
+		return func(cmd *outage.Command) {
+			plan(m)(cmd)
+			cmd.Plan.Name = "q"
+		}
+	}
+	answer("elsewhere by host", command(outage.HandIn, other(byHost)))
+	answer("wait", command(outage.Take, nil))
+	answer("pause", command(outage.Halt, nil))
+	delete(c.state.Members, "d1")
+	answer("start, not all in", command(outage.Start, nil))
+	compareGolden(t, "texts.txt", out.Bytes())
+}
+
+// The status of a member, and the names of its counters in logs and in the status, are the same as before.
+func TestGolden_Status(t *testing.T) {
+	c := alone()
+	c.o.Dispatcher.(*hand).hand = true
+	c.state.Index, c.state.Bound = 7, 8*time.Second
+	c.state.Members["d0"] = &outage.Member{Name: "d0", Life: "l0", ID: 1, Voter: true}
+	c.state.Members["d1"] = &outage.Member{Name: "d1", Life: "l1", ID: 2, Voter: true}
+	raw, err := json.Marshal(outage.Command{Kind: outage.HandIn, Plan: thePlan})
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.state.Apply(8, raw)
+	c.attempt = 9 * time.Second
+	c.voice = &voice{links: group.Open(group.Options{Group: "g", Self: "d0", Who: c.who, Old: c.old, Lost: c.lost})}
+	defer c.voice.links.Close()
+	for _, settled := range []bool{false, true} {
+		raw, err := json.MarshalIndent(c.status(settled), "", " ")
+		if err != nil {
+			t.Fatal(err)
+		}
+		compareGolden(t, fmt.Sprintf("status-%t.json", settled), raw)
+	}
+	names := slices.Sorted(maps.Keys(c.Fields()))
+	compareGolden(t, "counters.txt", []byte(strings.Join(names, "\n")+"\n"))
+}
+
+// What an answer has of the time, and of the words of the standard library.
+var (
+	timed   = regexp.MustCompile(`-?[0-9]+|true|false`)
+	foreign = regexp.MustCompile(`invalid character .*`)
+)
+
+// The paths between members and for operators, what they take and what they answer, are the same as before; numbers that depend on
+// time are left out. So is the entry by which a member joins.
+func TestGolden_Exchanges(t *testing.T) {
+	r := newRoom(t)
+	defer r.close()
+	r.group.Peers = r.group.Peers[:2]
+	r.group.Peers[1].Voter = false // it is never there, and must not come to vote
+	d, err := agree.OpenDisk(r.folders[0], agree.Identity{Group: "g", Name: "d0", Life: "l0", ID: 7})
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := outage.New()
+	s.Index = 1
+	s.Members["d0"] = &outage.Member{Name: "d0", Life: "l0", ID: 7, Voter: true}
+	raw, err := s.Encode()
+	if err == nil {
+		err = agree.Found(d, "f0", raw)
+	}
+	if err == nil {
+		err = d.Close()
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	c := r.start(0)
+	for end := time.Now().Add(20 * time.Second); !c.leads(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("it does not lead")
+		}
+		if c.agreement() == nil {
+			post(t, r.at[0], "/group/staff", `{"vouch":true}`, nil) // nothing else tells whether its disk is the last one
+		}
+	}
+	r.until("it has a lease", func() bool { _, _, runs, _ := r.hands[0].see(); return runs })
+	from := map[string]string{
+		"X-Birchfork-Group": "g", "X-Birchfork-Founded": "f0", "X-Birchfork-From": "d1", "X-Birchfork-Life": "l1", "X-Birchfork-To": "d0",
+	}
+	var out bytes.Buffer
+	for _, e := range []struct {
+		path, body string
+		numbers    bool // that depend on time
+	}{
+		{"/group/join", `{"name":"d1","life":"l1","id":9}`, false},
+		{"/group/relay/group/join", `{"name":"d1","life":"l1","id":9}`, false},
+		{"/group/join", `{"name":"d9","life":"l1","id":9}`, false},
+		{"/group/join", `{"name":"d1"}`, false},
+		{"/group/join", `no JSON`, false},
+		{"/group/report", `{"name":"d1","life":"l1","applied":1,"alone":true,"bound":1,"warm":1,"plans":true,"level":2}`, true},
+		{"/group/relay/group/report", `{"name":"d1","life":"l1","applied":1,"alone":true,"bound":1,"warm":1,"plans":true,"level":2}`, true},
+		{"/group/report", `{"name":"d1","life":"l1","bound":9000000000000}`, false},
+		{"/group/report", `{"name":"d1","life":"l9"}`, false},
+		{"/group/report", `no JSON`, false},
+		{"/group/recall", `{"term":9,"last":9,"last_term":9}`, true},
+		{"/group/recall", `no JSON`, false},
+		{"/group/call", `{"command":{"id":"1","kind":"retire","name":"nobody"}}`, false},
+		{"/group/relay/group/call", `{"command":{"id":"2","kind":"retire","name":"nobody"}}`, false},
+		{"/group/call", `{}`, false},
+		{"/group/call", `no JSON`, false},
+		{"/group/raft", ``, false},
+	} {
+		status, answer := post(t, r.at[0], e.path, e.body, from)
+		if e.numbers {
+			answer = timed.ReplaceAllString(answer, "#")
+		}
+		answer = foreign.ReplaceAllString(answer, "...")
+		fmt.Fprintf(&out, "%s %s\n  %d %s\n", e.path, e.body, status, answer)
+	}
+	for _, body := range []string{
+		`{"found":true}`, `{"vouch":true}`, `no JSON`, `{"command":{"id":"3","kind":"retire","name":"nobody"}}`,
+		`{"command":{"id":"3","kind":"pause","name":"p"}}`, `{}`, `{"command":{"id":"4","kind":"start","name":"p"}}`,
+	} {
+		status, answer := post(t, r.at[0], "/group/staff", body, nil)
+		answer = foreign.ReplaceAllString(answer, "...")
+		fmt.Fprintf(&out, "/group/staff %s\n  %d %s\n", body, status, answer)
+	}
+	for _, body := range []string{`{"status":true}`, `{"status":true,"local":true}`} {
+		status, answer := post(t, r.at[0], "/group/staff", body, nil)
+		answer = timed.ReplaceAllString(answer, "#")
+		fmt.Fprintf(&out, "/group/staff %s\n  %d %s\n", body, status, answer)
+	}
+	compareGolden(t, "exchanges.txt", out.Bytes())
+	r.close()
+	r.all[0] = nil
+	compareGolden(t, "join-entry.json", joinEntry(t, filepath.Join(r.folders[0], "group.db")))
+}
+
+// post sends a message and returns the status and the body of the answer.
+func post(t *testing.T, at, path, body string, header map[string]string) (int, string) {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at+path, strings.NewReader(body))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for k, v := range header {
+		req.Header.Set(k, v)
+	}
+	res, err := http.DefaultClient.Do(req)
+	if err != nil {
+		return 0, err.Error()
+	}
+	defer res.Body.Close()
+	raw, err := io.ReadAll(res.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return res.StatusCode, strings.TrimSpace(string(raw))
+}
+
+// joinEntry is the command of the first change of the group's membership in a log.
+func joinEntry(t *testing.T, path string) []byte {
+	t.Helper()
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: time.Second})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	var found []byte
+	err = db.View(func(tx *bbolt.Tx) error {
+		return tx.Bucket([]byte("log")).ForEach(func(k, v []byte) error {
+			raw, err := keep.Unseal(v)
+			if err != nil {
+				return err
+			}
+			var e raftpb.Entry
+			if err := proto.Unmarshal(raw, &e); err != nil {
+				return err
+			}
+			if e.GetIndex() != binary.BigEndian.Uint64(k) {
+				t.Errorf("entry %d is at %x", e.GetIndex(), k)
+			}
+			if e.GetType() != raftpb.EntryConfChangeV2 || found != nil {
+				return nil
+			}
+			var change raftpb.ConfChangeV2
+			if err := proto.Unmarshal(e.GetData(), &change); err != nil {
+				return err
+			}
+			found = bytes.Clone(change.GetContext())
+			return nil
+		})
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return found
+}
