--- /dev/null
+++ b/internal/store/golden_test.go
@@ -0,0 +1,439 @@
+package store_test
+
+import (
+	"bufio"
+	"cmp"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strconv"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"birchfork/internal/limits"
+	"birchfork/internal/routes"
+	"birchfork/internal/settings"
+	"birchfork/internal/store"
+	"birchfork/internal/wire"
+	"birchfork/rules"
+)
+
+// compareGolden compares text with a file in testdata/golden. The files hold what operators and clients have read since before the
+// identifiers of this package were renamed; UPDATE_GOLDEN=1 in the environment writes them anew, which only a wanted change of what
+// is read may do.
+func compareGolden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if os.Getenv("UPDATE_GOLDEN") == "1" {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s differs from what was read before.\n got:\n%s\nwant:\n%s", path, got, want)
+	}
+}
+
+// fieldText is one sorted line for each log field, with its value.
+func fieldText(f logrus.Fields) string {
+	var lines []string
+	for name, value := range f {
+		lines = append(lines, fmt.Sprintf("%s %v\n", name, value))
+	}
+	slices.Sort(lines)
+	return strings.Join(lines, "")
+}
+
+// TestCounters_LogFieldsGolden sets every counter to a value of its own, so that a field that swapped its name shows.
+func TestCounters_LogFieldsGolden(t *testing.T) {
+	var c store.Counters
+	next := int64(100)
+	set := func(counters ...*atomic.Int64) {
+		for _, counter := range counters {
+			counter.Store(next)
+			next++
+		}
+	}
+	// The order of the values: it must not change.
+	set(&c.Taken, &c.Served, &c.Refused, &c.Failed, &c.Gone, &c.GoneEarly)
+	set(&c.BadRequests, &c.BadHeads, &c.BadFraming, &c.BadSizes, &c.BadBodies, &c.BadClasses, &c.BadMethods, &c.BadIDs)
+	set(&c.Rejected, &c.Unreadable, &c.TurnedAway, &c.Warnings, &c.Overdue, &c.Unwritten)
+	set(&c.Sent, &c.Dials, &c.Reused, &c.StaleConns, &c.NoDescriptor, &c.ClientConns, &c.ClientsCut)
+	set(&c.BadRunnerLines, &c.BadNews, &c.News, &c.WatchBroke, &c.ListBusy, &c.ListMoves)
+	set(&c.Reloads, &c.BadReloads, &c.Stalls, &c.Panics, &c.Faults, &c.Unspoken)
+	for _, result := range []rules.Result{
+		rules.OK, rules.Failed, rules.Full, rules.TimedOut, rules.Unreachable, rules.Disconnected, rules.Cancelled, rules.NotSent,
+		rules.UnknownResult,
+	} {
+		set(&c.Outcomes[result])
+	}
+	var unset func(v reflect.Value, path string)
+	unset = func(v reflect.Value, path string) {
+		switch {
+		case v.Type() == reflect.TypeFor[atomic.Int64]():
+			if v.Addr().Interface().(*atomic.Int64).Load() == 0 {
+				t.Errorf("this test sets no value for %s", path)
+			}
+		case v.Kind() == reflect.Array:
+			for i := range v.Len() {
+				unset(v.Index(i), fmt.Sprint(path, "[", i, "]"))
+			}
+		default:
+			t.Errorf("%s is no counter", path)
+		}
+	}
+	v := reflect.ValueOf(&c).Elem()
+	for i := range v.NumField() {
+		unset(v.Field(i), v.Type().Field(i).Name)
+	}
+	fields := c.Fields()
+	if want := int(next - 100); len(fields) != want {
+		t.Errorf("%d fields for %d counters", len(fields), want)
+	}
+	compareGolden(t, "counters.txt", fieldText(fields))
+}
+
+// decide is a decision module that does what a test says.
+type decide func(e *rules.Event) []rules.Action
+
+func (d decide) Handle(_ rules.Time, e *rules.Event, out []rules.Action) []rules.Action {
+	if d == nil {
+		return out
+	}
+	return append(out, d(e)...)
+}
+
+const goldenSettings = `{"classes":[{"name":"search","deadline":5,"aim":0.4,"effect":"free"}],"zones":["a"],"zone":"a",
+	"machine_types":["big"],"customers":[{"name":"acme","quota_rps":9},{"name":"other","quota_rps":9}],
+	"policy_limits":{"attempts_cap":3,"retry_after":true,"max_retry_after":2}}`
+
+// newGolden returns what is tested, with a module that does as told, and its classes.
+func newGolden(t *testing.T, maxOpen int, module decide) (*store.Store, []rules.Class) {
+	t.Helper()
+	names := settings.NewNames()
+	decoded, _, err := settings.DecodeJSON([]byte(goldenSettings), names)
+	if err != nil {
+		t.Fatal(err)
+	}
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	s, err := store.New(store.Options{Settings: decoded, Names: names, Seed: 1, MostOpen: maxOpen, Log: log, Module: module})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(s.Close)
+	return s, decoded.Classes
+}
+
+// limitedRoutes has a route for each limit, and a rest with no limit of its own. All may have 20 requests open.
+func limitedRoutes(t *testing.T) (*routes.Table, limits.Config) {
+	t.Helper()
+	var all []routes.Route
+	for _, limit := range []limits.Route{
+		{Name: "by-rate", Limited: true, Rate: 0.001, Burst: 1, ComeBack: 20 * time.Millisecond, Priority: limits.Top},
+		{Name: "by-concurrency", Concurrent: 1, ComeBack: 30 * time.Millisecond, Priority: limits.Top},
+		{Name: "by-queue", Queue: 1, ComeBack: 40 * time.Millisecond, Priority: limits.Top},
+		{Name: "by-budget", Budgeted: true, ComeBack: 1250 * time.Millisecond, Priority: limits.Top},
+		{Name: "low"},
+	} {
+		all = append(all, routes.Route{
+			Name: limit.Name, Match: routes.Match{Path: "/search/" + limit.Name}, Limit: limit, Fallback: -1,
+		})
+	}
+	rest := limits.Route{Name: "rest", Priority: limits.Top, ComeBack: 70 * time.Millisecond}
+	table, err := routes.New(all, routes.Route{Name: "rest", Limit: rest})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return table, limits.Config{
+		Routes: table.Limits(), Tenants: []limits.Tenant{{Name: "acme", Weight: 1}, {Name: "other", Weight: 1}}, Open: 20, Keys: 10,
+	}
+}
+
+// limitedRequest is a kind of request that comes again and again.
+type limitedRequest struct {
+	path, tenant string
+	retry        bool
+	admitted     int // so many are opened ...
+	rejected     int // ... and then so many turned away
+}
+
+// limitedRequests end for each of the reasons, if they come in this order.
+var limitedRequests = []limitedRequest{
+	{path: "/search/by-rate", tenant: "acme", admitted: 1, rejected: 2},
+	{path: "/search/by-concurrency", tenant: "acme", admitted: 1, rejected: 3},
+	{path: "/search/by-queue", tenant: "acme", admitted: 1, rejected: 8},
+	{path: "/search/by-budget", tenant: "acme", retry: true, rejected: 4},
+	{path: "/search/x", tenant: "other", admitted: 1},
+	{path: "/search/x", tenant: "acme", admitted: 10},
+	{path: "/search/low", rejected: 6},
+	{path: "/search/x", admitted: 1},
+	{path: "/search/x", tenant: "acme", rejected: 5},
+	{path: "/search/x", admitted: 5, rejected: 7},
+}
+
+// TestLimits_LogFieldsGolden turns requests away for each reason, another number of times for each.
+func TestLimits_LogFieldsGolden(t *testing.T) {
+	s, classes := newGolden(t, 0, nil)
+	if f := s.LimitFields(); f != nil {
+		t.Errorf("fields without limits: %v", f)
+	}
+	table, config := limitedRoutes(t)
+	s.Limit(table, config, classes)
+	id := 0
+	var last, spare *store.Request
+	texts := ""
+	for _, c := range limitedRequests {
+		for i := range c.admitted + c.rejected {
+			id++
+			r, err := s.Open(store.Job{
+				ID: strconv.Itoa(id), Class: "search", Tenant: c.tenant, Left: time.Hour, Slots: 1, Retry: c.retry, Path: c.path,
+			})
+			if (err == nil) != (i < c.admitted) {
+				t.Fatalf("%+v, number %d: %v", c, i, err)
+			}
+			if err == nil {
+				last, spare = r, last
+			} else if i == c.admitted {
+				texts += err.Error() + "\n"
+			}
+		}
+	}
+	last.Leave()
+	spare.Leave()
+	if _, err := s.Open(store.Job{ID: "again", Class: "search", Left: time.Hour, Slots: 1, Path: "/search/x"}); err != nil {
+		t.Fatal(err)
+	}
+	compareGolden(t, "limit_counters.txt", fieldText(s.LimitFields()))
+	compareGolden(t, "limit_errors.txt", texts)
+}
+
+// oneAnswer is a worker that answers every request with one text, until the test ends.
+func oneAnswer(t *testing.T, answer string) (address string) {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	go func() {
+		for {
+			conn, err := l.Accept()
+			if err != nil {
+				return
+			}
+			if r, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
+				io.Copy(io.Discard, r.Body)
+				io.WriteString(conn, answer)
+			}
+			conn.Close()
+		}
+	}()
+	return l.Addr().String()
+}
+
+// goldenCase is one request by HTTP and what comes before it.
+type goldenCase struct {
+	name    string
+	class   string // empty: the one of the settings
+	path    string // empty: one that no route names
+	headers string // further ones, each with its line end
+	maxOpen int
+	limited bool
+	before  []limitedRequest // come first, and stay open
+	same    bool             // one of the same id is open
+	module  decide
+	worker  string // what the worker answers; empty: there is none
+}
+
+// serve serves clients by HTTP until the test ends, and returns where.
+func serve(t *testing.T, s *store.Store) (address string) {
+	t.Helper()
+	dialer := net.Dialer{Timeout: time.Second}
+	dial := func(ctx context.Context, address string) (net.Conn, error) {
+		return dialer.DialContext(ctx, "tcp", address)
+	}
+	pool := store.NewPool(dial, &s.Counters, 8, time.Minute)
+	t.Cleanup(pool.Close)
+	clients := &wire.Clients{Most: 50, Counters: &s.Counters}
+	front := wire.NewFront(s, &wire.Runners{Pool: pool, Counters: &s.Counters}, clients)
+	front.Advise(200*time.Millisecond, 2*time.Second)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	server := front.Server()
+	go server.Serve(clients.Listen(listener))
+	t.Cleanup(func() { server.Close() })
+	return listener.Addr().String()
+}
+
+// prepare brings about what is there before the request of the case.
+func (c *goldenCase) prepare(t *testing.T) *store.Store {
+	t.Helper()
+	s, classes := newGolden(t, c.maxOpen, c.module)
+	if c.limited {
+		table, config := limitedRoutes(t)
+		s.Limit(table, config, classes)
+	}
+	if c.worker != "" {
+		s.News(store.List{Index: 1, Whole: true, Entries: []store.Entry{{
+			Name: "w", Address: oneAnswer(t, c.worker), Zone: "a", Kind: "big", Cell: -1, State: rules.Ready,
+		}}})
+	}
+	jobs := []store.Job{}
+	for i, before := range c.before {
+		for j := range before.admitted {
+			jobs = append(jobs, store.Job{
+				ID: fmt.Sprint("before-", i, "-", j), Tenant: before.tenant, Retry: before.retry, Path: before.path,
+			})
+		}
+	}
+	if c.same {
+		jobs = append(jobs, store.Job{ID: "id-1"})
+	}
+	for _, job := range jobs {
+		job.Class, job.Left, job.Slots = "search", time.Hour, 1
+		if _, err := s.Open(job); err != nil {
+			t.Fatalf("%s: %v", c.name, err)
+		}
+	}
+	return s
+}
+
+// do has a request answered, and returns all bytes of the answer but the line of the date, and the counters that it moved.
+func (c *goldenCase) do(t *testing.T) string {
+	t.Helper()
+	s := c.prepare(t)
+	address := serve(t, s)
+	was := s.Counters.Fields()
+	conn, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(10 * time.Second))
+	class := cmp.Or(c.class, "search")
+	_, err = io.WriteString(conn, "POST "+cmp.Or(c.path, "/"+class+"/x")+" HTTP/1.1\r\nHost: golden\r\nX-Request-Id: id-1\r\n"+
+		"X-Deadline-Ms: 5000\r\nX-Class: "+class+"\r\n"+c.headers+"Content-Length: 1\r\n\r\nb")
+	if err != nil {
+		t.Fatal(err)
+	}
+	answer, err := readAnswer(bufio.NewReader(conn))
+	if err != nil {
+		t.Fatalf("%s: %v", c.name, err)
+	}
+	return "== " + c.name + "\n" + answer + "== counted:" + moved(was, s.Counters.Fields()) + "\n\n"
+}
+
+// readAnswer reads one answer, and shows the ends of its head's lines; the date is left out.
+func readAnswer(in *bufio.Reader) (answer string, err error) {
+	length := 0
+	for line := ""; line != "\r\n"; {
+		if line, err = in.ReadString('\n'); err != nil {
+			return "", err
+		}
+		if value, ok := strings.CutPrefix(line, "Content-Length: "); ok {
+			length, err = strconv.Atoi(strings.TrimSpace(value))
+			if err != nil {
+				return "", err
+			}
+		}
+		if !strings.HasPrefix(line, "Date: ") {
+			answer += strings.Replace(line, "\r\n", "\\r\\n\n", 1)
+		}
+	}
+	body := make([]byte, length)
+	_, err = io.ReadFull(in, body)
+	return answer + strings.ReplaceAll(string(body), "\n", "\\n\n"), err
+}
+
+// moved are the names of the counters that differ, but for those of connections and attempts, sorted, each behind a space.
+func moved(was, now logrus.Fields) string {
+	var names []string
+	for name, value := range now {
+		ofAttempt := strings.HasPrefix(name, "ended_") || name == "sent" || name == "dials" || name == "client_conns"
+		if value != was[name] && !ofAttempt {
+			names = append(names, " "+name)
+		}
+	}
+	slices.Sort(names)
+	return strings.Join(names, "")
+}
+
+// once answers every arrival with one action.
+func once(a rules.Action) decide {
+	return func(e *rules.Event) []rules.Action {
+		if e.Kind != rules.Arrived {
+			return nil
+		}
+		one := a
+		one.Request = e.Request
+		return []rules.Action{one}
+	}
+}
+
+// sendOnce sends every request to the one worker, once.
+var sendOnce = once(rules.Action{Kind: rules.Send})
+
+// goldenCases are all answers that the module, the limits and the checks of a request lead to.
+func goldenCases() []goldenCase {
+	all := []goldenCase{
+		{name: "an unknown class", class: "other"},
+		{name: "an unknown tenant", headers: "X-Tenant: nobody\r\n"},
+		{name: "an id that is open", same: true},
+		{name: "too many open", maxOpen: 2, before: []limitedRequest{{path: "/search/x", admitted: 2}}},
+		{name: "refused by the module", module: once(rules.Action{Kind: rules.Refuse})},
+		{name: "refused by the module until later", module: once(rules.Action{Kind: rules.Refuse, Wait: 1500 * rules.Millisecond})},
+		{name: "given up by the module", module: once(rules.Action{Kind: rules.GiveUp})},
+		{name: "refused by the module, on a route that says when to come back", limited: true, path: "/search/by-concurrency",
+			module: once(rules.Action{Kind: rules.Refuse})},
+		{name: "served", module: sendOnce, worker: "HTTP/1.1 200 OK\r\nContent-Length: 62\r\n\r\n" +
+			`{"id":"id-1","from":"w","state":"done","result":"the result"}` + "\n"},
+		{name: "a worker cannot use it", module: sendOnce, worker: "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"},
+	}
+	// Each limit in its turn, with all before it in place.
+	for i, c := range limitedRequests {
+		if c.rejected == 0 {
+			continue
+		}
+		headers := ""
+		if c.tenant != "" {
+			headers += "X-Tenant: " + c.tenant + "\r\n"
+		}
+		if c.retry {
+			headers += "X-Retry: 1\r\n"
+		}
+		all = append(all, goldenCase{
+			name: fmt.Sprintf("limited: %s for tenant %q after %d kinds", c.path, c.tenant, i+1), path: c.path, headers: headers,
+			limited: true, before: limitedRequests[:i+1],
+		})
+	}
+	return all
+}
+
+// TestAnswers_HTTPGolden has each of the errors and orders of this package answered by HTTP.
+func TestAnswers_HTTPGolden(t *testing.T) {
+	got := ""
+	for _, c := range goldenCases() {
+		got += c.do(t)
+	}
+	compareGolden(t, "http_answers.txt", got)
+}
