--- /dev/null
+++ b/internal/wire/golden_discovery_test.go
@@ -0,0 +1,155 @@
+package wire
+
+import (
+	"bufio"
+	"bytes"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"birchfork/internal/store"
+	"birchfork/rules"
+)
+
+// describeList writes a list in words that do not depend on the names of its fields.
+func describeList(l store.List) string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "  index %d, whole %t, stale %t\n", l.Index, l.Whole, l.Stale)
+	for _, e := range l.Entries {
+		state := map[rules.State]string{rules.Ready: "up", rules.Draining: "draining", rules.Gone: "removed"}[e.State]
+		fmt.Fprintf(&b, "  name %q, address %q, zone %q, type %q, group %d, state %s, weight %v, since %d\n",
+			e.Name, e.Address, e.Zone, e.Kind, e.Cell, state, e.Weight, e.Since)
+	}
+	return b.String()
+}
+
+// TestGoldenListEncoding records the bytes of lists as they are written, which have to decode to the same lists.
+func TestGoldenListEncoding(t *testing.T) {
+	entries := []store.Entry{
+		{Name: "s-1", Address: "127.0.0.1:5000", Zone: "a", Kind: "big", Cell: 3, Weight: 1.5, State: rules.Ready, Since: 1764600000123},
+		{Name: "s-2", Address: "[::1]:80", Zone: "b", Kind: "small", Cell: 0, Weight: 0.25, State: rules.Draining, Since: 7},
+		{Name: "s-3 <&>\"é", Cell: -1, State: rules.Gone},
+		{Name: "s-4", Cell: -1, State: rules.Draining, Since: 1e14},
+	}
+	var b strings.Builder
+	for _, in := range []store.List{
+		{Index: 9, Whole: true, Entries: entries},
+		{Index: 1<<64 - 1, Whole: false, Entries: entries[:1]},
+		{Index: 0, Whole: true, Entries: []store.Entry{}},
+	} {
+		raw, err := EncodeList(in)
+		if err != nil {
+			t.Fatal(err)
+		}
+		out, bad, err := DecodeList(raw)
+		if err != nil || bad != 0 || describeList(out) != describeList(in) {
+			t.Errorf("%s\n%s, %d bad, %v", raw, describeList(out), bad, err)
+		}
+		fmt.Fprintf(&b, "%s\n%s", raw, describeList(in))
+	}
+	checkGolden(t, "discovery-encoded.txt", []byte(b.String()))
+}
+
+// TestGoldenListDecoding records what messages of discovery are decoded to, odd ones among them.
+func TestGoldenListDecoding(t *testing.T) {
+	const entry = `{"name":"s-1","address":"127.0.0.1:5000","zone":"a","type":"big","group":3,"status":"up","weight":1.5,"since_ms":12}`
+	var b strings.Builder
+	for _, raw := range []string{
+		`{"index":41,"snapshot":true,"endpoints":[` + entry + `,{"name":"s-2","address":"127.0.0.1:5001","status":"draining"},` +
+			`{"name":"s-3","address":"","status":"removed","since_ms":1.8e12}]}`,
+		`{"index":42,"endpoints":[` + entry + `]}`,
+		`{"index":18446744073709551615,"snapshot":false,"endpoints":[]}`,
+		"{\n  \"endpoints\": [\n" + entry + "\n],\n \"index\": 8, \"more\": {}\n}\n",
+		`{}`,
+		`null`,
+		`{"endpoints":[{"name":"a","address":"h:1","status":"resting"}]}`,
+		`{"endpoints":[{"name":"a","address":"h:1"}]}`,
+		`{"endpoints":[{"name":"a","address":"h:1","status":"UP"}]}`,
+		`{"endpoints":[{"name":"a","address":"nowhere","status":"up"}]}`,
+		`{"endpoints":[{"name":"a","address":"","status":"up"}]}`,
+		`{"endpoints":[{"name":"a","address":"nowhere","status":"draining"}]}`,
+		`{"endpoints":[{"name":"a","address":"h:1","status":"up","weight":-3,"since_ms":-9,"group":-7}]}`,
+		`{"endpoints":[{"name":"a","address":"h:1","status":"up","weight":1e300,"since_ms":1e300,"group":null}]}`,
+		`{"endpoints":[{"name":"a","address":"h:1","status":"up","since_ms":12.9}]}`,
+		`{"endpoints":[{"address":"h:1","status":"up"}]}`,
+		`{"endpoints":[{"name":"","address":"h:1","status":"up"}]}`,
+		`{"endpoints":[{"name":7,"address":"h:1","status":"up"}]}`,
+		`{"endpoints":[{"name":"a","address":"h:1","status":"up","group":"left"}]}`,
+		`{"endpoints":[{"name":"a","address":"h:1","status":"up","since_ms":"1"}]}`,
+		`{"endpoints":[17,null,"a",[],` + entry + `]}`,
+		``, `[]`, `{"index":-1}`, `{"index":1.5}`, `{"index":1`, `{"index":1,"endpoints":{}}`, `{"index":"1"}`, `{"snapshot":"yes"}`,
+	} {
+		l, bad, err := DecodeList([]byte(raw))
+		if err != nil {
+			fmt.Fprintf(&b, "%q\n  not understood\n", raw)
+			continue
+		}
+		fmt.Fprintf(&b, "%q\n%s  bad entries %d\n", raw, describeList(l), bad)
+	}
+	checkGolden(t, "discovery-decoded.txt", []byte(b.String()))
+}
+
+// TestGoldenDiscoveryRequests records the bytes of each request to discovery: for the whole list, for the watch from its version,
+// for the watch from a list that is known, and for the whole list that proves this version.
+func TestGoldenDiscoveryRequests(t *testing.T) {
+	whole := okHead + chunk(`{"index":12,"snapshot":true,"endpoints":[]}`+"\n") + "0\r\n\r\n"
+	changes := okHead + chunk(`{"index":18446744073709551614,"snapshot":false,"endpoints":[]}`+"\n")
+	var b strings.Builder
+	for _, c := range []struct {
+		name    string
+		config  Source
+		answers []string // in turn; the connection of the last one stays open
+	}{
+		{"at the first start", Source{Fleet: 1}, []string{whole, changes}},
+		{"with a list that is known", Source{Fleet: 1, Known: true, Index: 18446744073709551613},
+			[]string{changes, strings.Replace(whole, "12", "18446744073709551614", 1)}},
+		{"of an agent that lists are pushed to", Source{Fleet: 1, Pushed: true}, []string{whole, changes}},
+	} {
+		addr, received := recordingDiscovery(t, c.answers)
+		c.config.Address = addr
+		NewDiscovery(t.Context(), newStore(t, 0), quiet(), c.config)
+		fmt.Fprintf(&b, "== %s\n", c.name)
+		for range c.answers {
+			b.WriteString(quoteLines(strings.ReplaceAll(<-received, addr, "HOST")))
+		}
+	}
+	checkGolden(t, "discovery-requests.txt", []byte(b.String()))
+}
+
+// recordingDiscovery starts a discovery that gives each call its answer in turn and hands over the bytes of each request. Its
+// connections live, with an empty line now and then, until the test ends.
+func recordingDiscovery(t *testing.T, answers []string) (addr string, received <-chan string) {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	requests := make(chan string, len(answers))
+	serve := func(c net.Conn, answer string) {
+		defer c.Close()
+		var seen bytes.Buffer
+		if _, err := http.ReadRequest(bufio.NewReader(io.TeeReader(c, &seen))); err != nil {
+			return
+		}
+		requests <- seen.String()
+		_, err := io.WriteString(c, answer)
+		for ; err == nil && !strings.HasSuffix(answer, "0\r\n\r\n"); _, err = io.WriteString(c, chunk("\n")) {
+			time.Sleep(100 * time.Millisecond)
+		}
+	}
+	go func() {
+		for _, answer := range answers {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go serve(c, answer)
+		}
+	}()
+	return l.Addr().String(), requests
+}
