--- /dev/null
+++ b/internal/group/golden_test.go
@@ -0,0 +1,120 @@
+package group
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"birchfork/internal/group/peertest"
+)
+
+// The golden files hold what members of earlier builds send and answer. UPDATE_GOLDEN=1 writes them.
+
+// goldenLinks are member a's of the group g, whose member b has the address; they serve.
+func goldenLinks(t *testing.T, b string) (l *Links, address string) {
+	t.Helper()
+	on, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	address = on.Addr().String()
+	l = Open(Options{
+		Group: "g", Self: "a", Peers: []Peer{{Name: "a", Link: address}, {Name: "b", Link: b}}, Log: logrus.New(),
+		Who:  func() Sender { return Sender{Name: "a", Life: "l", Founded: "f"} },
+		Old:  func(name, life string) bool { return name == "b" && life == "0" },
+		Lost: func(string) {},
+	})
+	t.Cleanup(l.Close)
+	l.Handle("/group/x", func(_ context.Context, from Sender, body []byte) ([]byte, error) {
+		switch string(body) {
+		case "reject":
+			return nil, &Refused{Text: "rejected, as requested"}
+		case "fail":
+			return nil, errors.New("failed, as requested")
+		}
+		return fmt.Appendf(nil, "%s of %s, %s in %s", body, from.Name, from.Life, from.Founded), nil
+	})
+	l.HandleStaff("/group/y", func(_ context.Context, _ Sender, body []byte) ([]byte, error) {
+		return append([]byte("operator: "), body...), nil
+	})
+	l.Serve(on)
+	return l, address
+}
+
+// Requests of a member and of an operator keep method, path, headers and body.
+func TestGolden_Requests(t *testing.T) {
+	b := peertest.NewRecorder(t, func(string, []byte) []byte { return []byte(`"yes"`) })
+	l, _ := goldenLinks(t, b.Address())
+	if out, err := l.Ask(context.Background(), "b", "/group/x", []byte("request")); err != nil || string(out) != `"yes"` {
+		t.Errorf("%q, %v", out, err)
+	}
+	l.Post("b", "/group/x", []byte("queued"))
+	for end := time.Now().Add(10 * time.Second); l.Counters.Sent.Load() < 1 && time.Now().Before(end); {
+		time.Sleep(time.Millisecond)
+	}
+	var answer string
+	if err := Staff(context.Background(), b.Address(), "/group/y", map[string]string{"from": "operator"}, &answer); err != nil || answer != "yes" {
+		t.Errorf("%q, %v", answer, err)
+	}
+	peertest.Golden(t, "requests.txt", b.Text())
+}
+
+// Answers keep status, content type and text, also of each kind of rejection.
+func TestGolden_Answers(t *testing.T) {
+	_, address := goldenLinks(t, "127.0.0.1:1")
+	var out strings.Builder
+	for _, c := range []struct{ name, header, value, path, body string }{
+		{name: "accepted", path: "/group/x", body: "m"},
+		{name: "rejected by the handler", path: "/group/x", body: "reject"},
+		{name: "failed", path: "/group/x", body: "fail"},
+		{name: "sender without a cluster", header: "X-Birchfork-Founded", path: "/group/x", body: "m"},
+		{name: "another group", header: "X-Birchfork-Group", value: "h", path: "/group/x", body: "m"},
+		{name: "for another member", header: "X-Birchfork-To", value: "c", path: "/group/x", body: "m"},
+		{name: "from no member", header: "X-Birchfork-From", value: "z", path: "/group/x", body: "m"},
+		{name: "another cluster", header: "X-Birchfork-Founded", value: "e", path: "/group/x", body: "m"},
+		{name: "an earlier incarnation", header: "X-Birchfork-Life", value: "0", path: "/group/x", body: "m"},
+		{name: "too long", path: "/group/x", body: strings.Repeat("m", 8<<20+1)},
+		{name: "no such path", path: "/group/z", body: "m"},
+		{name: "from an operator", header: "X-Birchfork-Group", value: "any", path: "/group/y", body: "m"},
+	} {
+		headers := maps.Clone(peertest.Headers())
+		if c.header != "" {
+			headers[c.header] = c.value
+		}
+		fmt.Fprintf(&out, "%s: %s----\n", c.name, peertest.Post(t, address, c.path, headers, []byte(c.body)))
+	}
+	peertest.Golden(t, "answers.txt", []byte(out.String()))
+}
+
+// Callers get the same result or error for each answer.
+func TestGolden_Errors(t *testing.T) {
+	l, address := goldenLinks(t, "127.0.0.1:1")
+	_, other := goldenLinks(t, "127.0.0.1:1")
+	l.o.Peers[1].Link = other
+	var out strings.Builder
+	for _, to := range []string{"a", "b", "c"} {
+		for _, body := range []string{"m", "reject", "fail"} {
+			answer, err := l.Ask(context.Background(), to, "/group/x", []byte(body))
+			var no *Refused
+			fmt.Fprintf(&out, "%s to %s: %q, %v, rejected %t\n", body, to, answer, err, errors.As(err, &no))
+		}
+	}
+	var text json.RawMessage
+	err := Staff(context.Background(), address, "/group/y", "m", &text)
+	fmt.Fprintf(&out, "operator: %s\n", strings.ReplaceAll(fmt.Sprint(err), address, "HOST"))
+	peertest.Golden(t, "errors.txt", []byte(out.String()))
+}
+
+// Counters keep the names that log and status show.
+func TestGolden_Counters(t *testing.T) {
+	var c Counters
+	peertest.GoldenCounters(t, "counters.txt", c.All())
+}
--- /dev/null
+++ b/internal/group/peertest/peertest.go
@@ -0,0 +1,188 @@
+// Package peertest supports tests of what members of a group send to each other: golden files, a stand-in for a member that
+// records requests, and requests that are sent as an older build would send them.
+package peertest
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"maps"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+)
+
+// updateVariable is the environment variable that makes Golden and GoldenJSON write the golden files in place of comparing.
+const updateVariable = "UPDATE_GOLDEN"
+
+// goldenDir is where a package's golden files are, relative to its source.
+var goldenDir = filepath.Join("testdata", "golden")
+
+// Updating reports whether golden files are to be written by this run.
+func Updating() bool { return os.Getenv(updateVariable) == "1" }
+
+// GoldenPath returns the path of a golden file of the package under test.
+func GoldenPath(name string) string { return filepath.Join(goldenDir, name) }
+
+// Golden fails the test where got differs from the golden file, or writes the file if Updating.
+func Golden(t testing.TB, name string, got []byte) {
+	t.Helper()
+	path := GoldenPath(name)
+	if Updating() {
+		if err := os.MkdirAll(goldenDir, 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s differs:\n got %s\nwant %s", path, got, want)
+	}
+}
+
+// GoldenJSON compares the JSON encoding of value with the golden file, and value with what the file decodes to. It fails the test
+// where a field of value is zero: an omitted field would prove nothing.
+func GoldenJSON[T any](t testing.TB, name string, value T) {
+	t.Helper()
+	requireNonZero(t, name, reflect.ValueOf(value))
+	raw, err := json.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	Golden(t, name, append(raw, '\n'))
+	file, err := os.ReadFile(GoldenPath(name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var decoded T
+	if err := json.Unmarshal(file, &decoded); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(decoded, value) {
+		t.Errorf("%s decodes to %+v, want %+v", name, decoded, value)
+	}
+}
+
+// requireNonZero fails the test for each exported field below v that has its zero value.
+func requireNonZero(t testing.TB, path string, v reflect.Value) {
+	t.Helper()
+	if !v.IsValid() || v.IsZero() {
+		t.Errorf("%s is zero", path)
+		return
+	}
+	switch v.Kind() {
+	case reflect.Pointer, reflect.Interface:
+		requireNonZero(t, path, v.Elem())
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if f := v.Type().Field(i); f.IsExported() {
+				requireNonZero(t, path+"."+f.Name, v.Field(i))
+			}
+		}
+	case reflect.Slice:
+		for i := range v.Len() {
+			if v.Index(i).Kind() == reflect.Struct {
+				requireNonZero(t, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
+			}
+		}
+	}
+}
+
+// GoldenCounters compares the names of counters, sorted, with the golden file.
+func GoldenCounters(t testing.TB, name string, counters map[string]int64) {
+	t.Helper()
+	Golden(t, name, []byte(strings.Join(slices.Sorted(maps.Keys(counters)), "\n")+"\n"))
+}
+
+// Recorder is an HTTP server in place of a member. It is safe for concurrent use.
+type Recorder struct {
+	server *httptest.Server
+
+	mu       sync.Mutex
+	requests []string
+}
+
+// NewRecorder starts a server that answers each request with what answer returns. The test's cleanup closes it.
+func NewRecorder(t testing.TB, answer func(path string, body []byte) []byte) *Recorder {
+	r := &Recorder{}
+	r.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		body, err := io.ReadAll(req.Body)
+		if err != nil {
+			t.Errorf("%s: %v", req.URL, err)
+		}
+		r.record(req, body)
+		if _, err := w.Write(answer(req.URL.Path, body)); err != nil {
+			t.Errorf("%s: %v", req.URL, err)
+		}
+	}))
+	t.Cleanup(r.server.Close)
+	return r
+}
+
+func (r *Recorder) record(req *http.Request, body []byte) {
+	var text strings.Builder
+	fmt.Fprintf(&text, "%s %s %s\n", req.Method, req.URL, req.Proto)
+	for _, name := range slices.Sorted(maps.Keys(req.Header)) {
+		fmt.Fprintf(&text, "%s: %s\n", name, strings.Join(req.Header[name], " | "))
+	}
+	fmt.Fprintf(&text, "\n%s\n", body)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.requests = append(r.requests, text.String())
+}
+
+// Address returns host:port of the server.
+func (r *Recorder) Address() string { return r.server.Listener.Addr().String() }
+
+// Requests returns the requests so far, as text without the host.
+func (r *Recorder) Requests() []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.requests)
+}
+
+// Text returns all requests so far, with a line between them.
+func (r *Recorder) Text() []byte { return []byte(strings.Join(r.Requests(), "----\n")) }
+
+// Headers are those of a message from member b to member a of group g.
+func Headers() map[string]string {
+	return map[string]string{
+		"X-Birchfork-Group": "g", "X-Birchfork-Founded": "f", "X-Birchfork-From": "b", "X-Birchfork-Life": "1", "X-Birchfork-To": "a",
+	}
+}
+
+// Post sends a message to a member and returns status, content type and body of the answer as text.
+func Post(t testing.TB, address, path string, headers map[string]string, body []byte) string {
+	t.Helper()
+	req, err := http.NewRequest(http.MethodPost, "http://"+address+path, bytes.NewReader(body))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, value := range headers {
+		req.Header.Set(name, value)
+	}
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+	res, err := client.Do(req)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer res.Body.Close()
+	answer, err := io.ReadAll(res.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return fmt.Sprintf("%s\n%s\n%s\n", res.Status, res.Header.Get("Content-Type"), bytes.TrimSuffix(answer, []byte("\n")))
+}
