--- /dev/null
+++ b/internal/keep/golden_test.go
@@ -0,0 +1,185 @@
+package keep
+
+import (
+	"bytes"
+	"encoding/hex"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+
+	"go.etcd.io/bbolt"
+)
+
+// golden compares bytes with a file in testdata/golden; UPDATE_GOLDEN=1 writes it anew.
+func golden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if os.Getenv("UPDATE_GOLDEN") == "1" {
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s: got\n%s\nwant\n%s", name, got, want)
+	}
+}
+
+// TestGolden_SealedValues holds values with their checksums, as they stand in files, and that each is read back.
+func TestGolden_SealedValues(t *testing.T) {
+	var b bytes.Buffer
+	for _, raw := range []string{"", "a", `{"format":1,"group":"edge"}`, strings.Repeat("value ", 20)} {
+		fmt.Fprintf(&b, "%q %s\n", raw, hex.EncodeToString(Seal([]byte(raw))))
+	}
+	golden(t, "sealed.txt", b.Bytes())
+	stored, err := os.ReadFile(filepath.Join("testdata", "golden", "sealed.txt"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for line := range strings.Lines(string(stored)) {
+		var want, sealed string
+		if _, err := fmt.Sscanf(line, "%q %s", &want, &sealed); err != nil {
+			t.Fatal(err)
+		}
+		raw, err := hex.DecodeString(sealed)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got, err := Unseal(raw); err != nil || string(got) != want {
+			t.Errorf("%s reads back as %q, %v", line, got, err)
+		}
+	}
+}
+
+// TestUnseal_RefusesChangedBytes flips each bit and cuts at each byte.
+func TestUnseal_RefusesChangedBytes(t *testing.T) {
+	sealed := Seal([]byte("value"))
+	for i := range len(sealed) * 8 {
+		changed := bytes.Clone(sealed)
+		changed[i/8] ^= 1 << (i % 8)
+		if _, err := Unseal(changed); err == nil {
+			t.Errorf("bit %d changed: taken", i)
+		}
+	}
+	for i := range sealed {
+		if _, err := Unseal(sealed[:i]); err == nil {
+			t.Errorf("cut to %d bytes: taken", i)
+		}
+	}
+}
+
+// count is a load function that notes its calls and makes a bucket.
+func count(calls *int) func(*bbolt.DB) error {
+	return func(db *bbolt.DB) error {
+		*calls++
+		return db.Update(func(tx *bbolt.Tx) error {
+			_, err := tx.CreateBucketIfNotExists([]byte("meta"))
+			return err
+		})
+	}
+}
+
+// TestOpen_LockedFile reports a file that another process has.
+func TestOpen_LockedFile(t *testing.T) {
+	folder, calls := t.TempDir(), 0
+	db, unreadable, err := Open(folder, "f.db", count(&calls))
+	if err != nil || unreadable != nil || calls != 1 {
+		t.Fatalf("%v, %v after %d calls", unreadable, err, calls)
+	}
+	defer db.Close()
+	if _, _, err := Open(folder, "f.db", count(&calls)); !errors.Is(err, ErrTaken) {
+		t.Errorf("a file that is open: %v", err)
+	}
+	if info, err := os.Stat(filepath.Join(folder, "f.db")); err != nil || info.Mode().Perm() != 0o600 {
+		t.Errorf("the file: %v, %v", info, err)
+	}
+}
+
+// TestOpen_UnreadableFile sets a file aside that cannot be read, and begins another.
+func TestOpen_UnreadableFile(t *testing.T) {
+	errLoad := errors.New("it makes no sense")
+	for name, prepare := range map[string]func(path string) (load func(*bbolt.DB) error){
+		"no bbolt file": func(path string) func(*bbolt.DB) error {
+			if err := os.WriteFile(path, bytes.Repeat([]byte("x"), 1<<16), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			return func(*bbolt.DB) error { return nil }
+		},
+		"load returns an error": func(string) func(*bbolt.DB) error {
+			calls := 0
+			return func(*bbolt.DB) error {
+				if calls++; calls == 1 {
+					return errLoad
+				}
+				return nil
+			}
+		},
+		"load panics": func(string) func(*bbolt.DB) error {
+			calls := 0
+			return func(*bbolt.DB) error {
+				if calls++; calls == 1 {
+					panic("page 7")
+				}
+				return nil
+			}
+		},
+	} {
+		folder := t.TempDir()
+		path := filepath.Join(folder, "f.db")
+		db, unreadable, err := Open(folder, "f.db", prepare(path))
+		if err != nil || unreadable == nil {
+			t.Errorf("%s: %v, %v", name, unreadable, err)
+			continue
+		}
+		db.Close()
+		if _, err := os.Stat(path + ".unreadable"); err != nil {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+}
+
+// TestOpen_FileStays leaves a file in its place that is another's, or that the system refuses.
+func TestOpen_FileStays(t *testing.T) {
+	for _, cause := range []error{ErrForeign, syscall.EIO} {
+		folder := t.TempDir()
+		db, unreadable, err := Open(folder, "f.db", func(*bbolt.DB) error { return fmt.Errorf("group x: %w", cause) })
+		if !errors.Is(err, cause) || db != nil || unreadable != nil {
+			t.Errorf("%v: %v, %v, %v", cause, db, unreadable, err)
+		}
+		if _, err := os.Stat(filepath.Join(folder, "f.db")); err != nil {
+			t.Errorf("%v: %v", cause, err)
+		}
+	}
+}
+
+// TestOpen_KeepsWhatIsThere reads a file again that was closed in order.
+func TestOpen_KeepsWhatIsThere(t *testing.T) {
+	folder := t.TempDir()
+	for i := range 2 {
+		db, unreadable, err := Open(folder, "f.db", func(db *bbolt.DB) error {
+			return db.Update(func(tx *bbolt.Tx) error {
+				b, err := tx.CreateBucketIfNotExists([]byte("meta"))
+				if err != nil {
+					return err
+				}
+				if got := b.Get([]byte("k")); (got != nil) != (i == 1) {
+					return fmt.Errorf("open %d finds %q", i, got)
+				}
+				return b.Put([]byte("k"), []byte("v"))
+			})
+		})
+		if err != nil || unreadable != nil {
+			t.Fatalf("open %d: %v, %v", i, unreadable, err)
+		}
+		if err := db.Close(); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
