--- /dev/null
+++ b/cmd/benchlink/golden_test.go
@@ -0,0 +1,348 @@
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"fmt"
+	"hash/fnv"
+	"io"
+	"maps"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// Files in testdata/golden hold conversations between a drawn simulator and this program: one whole, of the others the
+// digests of both directions. They prove that the same seed brings the same decisions. UPDATE_GOLDEN=1 writes them.
+
+// simulator draws events for a few dispatchers and answers what they do.
+type simulator struct {
+	t         *testing.T
+	r         *rand.Rand
+	toRun     io.Writer
+	fromRun   *bufio.Reader
+	in, out   io.Writer // copies of what is sent and what is answered
+	nowMicros int64
+	queries   int
+	peers     []*peer
+}
+
+// peer is the simulator's view of one dispatcher.
+type peer struct {
+	timer    int64 // microseconds; 0: none
+	requests []*simRequest
+	notes    []string // DATAGRAM lines for the next batch
+	version  int
+	asked    bool // for the list
+}
+
+type simRequest struct {
+	id       string
+	attempts []simAttempt
+	final    bool
+}
+
+type simAttempt struct {
+	worker   string
+	sentAt   int64
+	out      bool
+	started  bool
+	answered bool
+}
+
+const simPeers = 3
+
+// settingsOf draws the settings of one dispatcher.
+func (s *simulator) settingsOf(i int) string {
+	pick := func(of ...string) string { return of[s.r.IntN(len(of))] }
+	pairs := []string{
+		"classes.count=3",
+		"classes.0.name=search", "classes.0.aim=" + pick("0.4", "1.5", "2.5"), "classes.0.deadline=5", "classes.0.effect=free", "classes.0.worth=5", "classes.0.late_worth=0.2",
+		"classes.1.name=book", "classes.1.aim=1.75", "classes.1.deadline=4", "classes.1.effect=guarded", "classes.1.group=" + pick("all", "zone", "cell"), "classes.1.window=2.5", "classes.1.worth=3",
+		"classes.2.name=pay", "classes.2.aim=2", "classes.2.deadline=3", "classes.2.effect=single_shot", "classes.2.worth=8",
+		"customers.count=2", "customers.0.name=acme", "customers.0.quota_rps=30", "customers.1.name=umbrella", "customers.1.quota_rps=10", "over_share_worth=0.2",
+		"extra.class_stretch=1.75,2.0,2.0", "extra.class_kind=-1," + pick("-1", "0") + ",-1", "extra.report_x1=free_slots", "extra.tells_start=" + pick("true", "false"), "extra.progress=" + pick("0", "0.1"),
+		"machine_types=small,big", "zones=a,b", "zone=" + pick("a", "b"), "tick=0.001", "registry_mode=" + pick("automatic", "subscribe"), "weight_kind=" + pick("off", "nominal", "rough", "live"),
+		fmt.Sprintf("group_size=%d", simPeers), fmt.Sprintf("ordinal=%d", i),
+		"policy_limits.peers=" + pick("true", "false"), "policy_limits.attempts_cap=" + pick("1", "3", "6"), "policy_limits.cancel=" + pick("true", "false"),
+		"policy_limits.second_copies=" + pick("true", "false"), "policy_limits.retry_after=" + pick("true", "false"), "policy_limits.max_retry_after=2", "policy_limits.connect_timeout=0.25", "policy_limits.idle_close=4",
+		"safety.ask_within=" + pick("1", "10"), "safety.stop_sending_within=0.5", "safety.cold_from=0.12", "safety.warm_within=" + pick("0", "5"), "safety.fall_multiple=2.5", "safety.fall=1",
+		"prices.waste=" + pick("0", "0.05", "0.5"), "prices.origin=" + pick("0", "0.1"), "prices.late_fail=0.3", "prices.cross_zone=" + pick("0", "0.02"),
+	}
+	return fmt.Sprintf("POWER_ON\t%d\t%s\n", s.r.Uint64(), strings.Join(pairs, "\t"))
+}
+
+func simWorker(i int) string { return fmt.Sprintf("10.0.%d.%d:80", i%3, i) }
+
+const simWorkers = 12
+
+// pool draws a list of workers.
+func (s *simulator) pool(page, first, count int) string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "POOL\t%d\t%d\n", page, count)
+	for i := first; i < first+count; i++ {
+		mode, ready := "healthy", "-"
+		if k := s.r.IntN(40); k == 0 {
+			mode = "cordoned"
+		} else if k == 1 {
+			mode = "deregistered"
+		}
+		if s.r.IntN(20) == 0 {
+			ready = fmt.Sprintf("%d.5", s.nowMicros/1e6)
+		}
+		fmt.Fprintf(&b, "ROW\t%s\t%s\t%s\t%d\t%s\t%d\t%s\n", simWorker(i), []string{"a", "b"}[i%2], []string{"small", "big"}[i%3/2], i%4, mode, 1+i%3, ready)
+	}
+	return b.String()
+}
+
+// batch sends one batch of events, and takes the reply in.
+func (s *simulator) batch() {
+	s.nowMicros += int64(1+s.r.IntN(40)) * 1000
+	var b strings.Builder
+	fmt.Fprintf(&b, "BATCH\t%d.%06d\n", s.nowMicros/1e6, s.nowMicros%1e6)
+	for i := range s.peers {
+		fmt.Fprintf(&b, "ON\t%d\n", i)
+		s.eventsOf(&b, i)
+	}
+	b.WriteString("FLUSH\n")
+	s.exchange(b.String())
+}
+
+func (s *simulator) eventsOf(b *strings.Builder, i int) {
+	p := s.peers[i]
+	if p == nil || s.r.IntN(400) == 0 {
+		if p != nil {
+			b.WriteString("CRASH_NOW\n")
+		}
+		p = &peer{version: 1}
+		s.peers[i] = p
+		b.WriteString(s.settingsOf(i))
+		b.WriteString(s.pool(i, 0, simWorkers))
+		fmt.Fprintf(b, "MEMBERSHIP\t%s\t%d\t1\n", []string{"whole", "stale_copy"}[s.r.IntN(2)], i)
+	}
+	p.requests = slices.DeleteFunc(p.requests, func(q *simRequest) bool {
+		return q.final && !slices.ContainsFunc(q.attempts, func(a simAttempt) bool { return a.out })
+	})
+	for _, note := range p.notes {
+		b.WriteString(note)
+	}
+	p.notes = nil
+	if p.timer != 0 && p.timer <= s.nowMicros {
+		p.timer = 0
+		b.WriteString("WAKEUP\tt\n")
+	}
+	switch k := s.r.IntN(60); {
+	case k == 0 || p.asked && k < 40:
+		p.asked = false
+		p.version++
+		fmt.Fprintf(b, "%sMEMBERSHIP\twhole\t%d\t%d\n", s.pool(i, 0, simWorkers), i, p.version)
+	case k == 1:
+		p.version++
+		fmt.Fprintf(b, "%sMEMBERSHIP\tpatch\t%d\t%d\n", s.pool(8+i, s.r.IntN(simWorkers-2), 1+s.r.IntN(2)), 8+i, p.version)
+	case k == 2:
+		fmt.Fprintf(b, "MEMBERSHIP\tbroken\t-\t-\n")
+	}
+	for _, q := range p.requests {
+		s.eventsOfRequest(b, q)
+	}
+	for range s.r.IntN(5) / 2 {
+		s.queries++
+		q := &simRequest{id: fmt.Sprintf("r-%d", s.queries)}
+		p.requests = append(p.requests, q)
+		one := func(of ...string) string { return of[s.r.IntN(len(of))] }
+		fmt.Fprintf(b, "QUERY\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t0\t0\t%s\t%s\n", q.id, s.r.IntN(2), one("acme", "umbrella", "-"), one("search", "search", "book", "pay"),
+			one("-", "0.05", "0.2"), one("0.8", "2.5", "3"), one("-", "1", "7"), one("-", "0.5"), one("-", "1", "2"))
+	}
+}
+
+func (s *simulator) eventsOfRequest(b *strings.Builder, q *simRequest) {
+	for i := range q.attempts {
+		a := &q.attempts[i]
+		if !a.out {
+			continue
+		}
+		age := s.nowMicros - a.sentAt
+		switch k := s.r.IntN(10); {
+		case !a.started && k < 9:
+			a.started = true
+			fmt.Fprintf(b, "CHANGE\t%s\t1\t%s\t%d\t-\n", q.id, a.worker, i)
+		case k == 1:
+			fmt.Fprintf(b, "CHANGE\t%s\t2\t%s\t%d\t0.5\n", q.id, a.worker, i)
+		case k == 2 && !a.answered && !q.final:
+			a.answered = true
+			fmt.Fprintf(b, "FIRST_BYTE\t%s\t%d\t%d.%06d\t%s\n", q.id, i, age/1e6, age%1e6, a.worker)
+		case k < 8 && age > 0:
+			code := 0
+			if s.r.IntN(8) == 0 {
+				code = 1 + s.r.IntN(8)
+			}
+			a.out = false
+			q.final = q.final || code == 0
+			closed := 0
+			if q.final {
+				closed = 1
+			}
+			report := "-"
+			if s.r.IntN(2) == 0 {
+				report = fmt.Sprintf("x1:%d,pending:%d", s.r.IntN(4), s.r.IntN(6))
+			}
+			fmt.Fprintf(b, "CLOSED_ATTEMPT\t%s\t%d\t%s\t%d\t%d.%06d\t%d\t-\t%s\n", q.id, i, a.worker, code, age/1e6, age%1e6, closed, report)
+		}
+	}
+	if !q.final && s.r.IntN(60) == 0 {
+		q.final = true
+		fmt.Fprintf(b, "GONE\t%s\n", q.id)
+	}
+}
+
+func (s *simulator) exchange(batch string) {
+	s.t.Helper()
+	if _, err := io.WriteString(io.MultiWriter(s.in, s.toRun), batch); err != nil {
+		s.t.Fatal(err)
+	}
+	by := -1
+	for {
+		line, err := s.fromRun.ReadString('\n')
+		if err != nil {
+			s.t.Fatal(err)
+		}
+		if _, err := io.WriteString(s.out, line); err != nil {
+			s.t.Fatal(err)
+		}
+		v := strings.Split(strings.TrimSuffix(line, "\n"), "\t")
+		switch v[0] {
+		case "EOR":
+			return
+		case "BY":
+			by = int(micros(s.t, v[1]) / 1e6)
+		default:
+			s.reply(by, v)
+		}
+	}
+}
+
+func (s *simulator) reply(by int, v []string) {
+	p := s.peers[by]
+	find := func(id string) *simRequest {
+		i := slices.IndexFunc(p.requests, func(q *simRequest) bool { return q.id == id })
+		if i < 0 {
+			s.t.Fatalf("%q names a request that is not open", v)
+		}
+		return p.requests[i]
+	}
+	switch v[0] {
+	case "CALL_OUT":
+		q := find(v[1])
+		q.attempts = append(q.attempts, simAttempt{worker: v[2], sentAt: s.nowMicros, out: true})
+	case "RETRACT":
+		find(v[1])
+	case "REFUSE", "GIVE_UP":
+		find(v[1]).final = true
+	case "ARM":
+		p.timer = s.nowMicros + micros(s.t, v[2])
+	case "WATCH", "LOOKUP":
+		p.asked = true
+	case "WRITE_PEER":
+		to := s.peers[int(micros(s.t, v[1])/1e6)]
+		to.notes = append(to.notes, fmt.Sprintf("DATAGRAM\t%d\t%s\n", by, v[2]))
+	default:
+		s.t.Fatalf("unknown reply %q", v)
+	}
+}
+
+// micros reads seconds as microseconds.
+func micros(t *testing.T, seconds string) int64 {
+	t.Helper()
+	var n float64
+	if _, err := fmt.Sscanf(seconds, "%g", &n); err != nil {
+		t.Fatalf("%q: %v", seconds, err)
+	}
+	return int64(n*1e6 + 0.5)
+}
+
+// converse plays a drawn conversation with run, and copies both directions.
+func converse(t *testing.T, seed uint64, batches int, in, out io.Writer) {
+	t.Helper()
+	fromSim, toRun := io.Pipe()
+	fromRun, toSim := io.Pipe()
+	ended := make(chan error, 1)
+	go func() {
+		err := run(fromSim, toSim)
+		toSim.CloseWithError(err)
+		ended <- err
+	}()
+	s := &simulator{t: t, r: rand.New(rand.NewPCG(seed, 1)), toRun: toRun, fromRun: bufio.NewReader(fromRun), in: in, out: out, nowMicros: 1e6, peers: make([]*peer, simPeers)}
+	for range batches {
+		s.batch()
+	}
+	toRun.Close()
+	if err := <-ended; err != nil {
+		t.Fatal(err)
+	}
+}
+
+func TestGolden_Conversation(t *testing.T) {
+	var in, out, replayed bytes.Buffer
+	converse(t, 7, 60, &in, &out)
+	compareGolden(t, "conversation.in", in.Bytes())
+	compareGolden(t, "conversation.out", out.Bytes())
+	recorded, err := os.ReadFile(filepath.Join("testdata", "golden", "conversation.in"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := run(bytes.NewReader(recorded), &replayed); err != nil {
+		t.Fatal(err)
+	}
+	compareGolden(t, "conversation.out", replayed.Bytes())
+}
+
+func TestGolden_Conversations(t *testing.T) {
+	var digests bytes.Buffer
+	verbs := map[string]int{}
+	for seed := range uint64(40) {
+		in, out := fnv.New64a(), fnv.New64a()
+		var text bytes.Buffer
+		converse(t, seed, 200, in, io.MultiWriter(out, &text))
+		fmt.Fprintf(&digests, "seed %d: input %016x, output %016x\n", seed, in.Sum64(), out.Sum64())
+		for line := range strings.Lines(text.String()) {
+			verb, _, _ := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
+			verbs[verb]++
+		}
+	}
+	for _, verb := range slices.Sorted(maps.Keys(verbs)) {
+		fmt.Fprintf(&digests, "%d of %s\n", verbs[verb], verb)
+	}
+	compareGolden(t, "conversations.txt", digests.Bytes())
+}
+
+// compareGolden compares got with testdata/golden/name. With UPDATE_GOLDEN=1 in the environment it writes the file instead.
+func compareGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if os.Getenv("UPDATE_GOLDEN") == "1" {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatalf("%v: UPDATE_GOLDEN=1 writes it", err)
+	}
+	if bytes.Equal(got, want) {
+		return
+	}
+	gotLines, wantLines := strings.Split(string(got), "\n"), strings.Split(string(want), "\n")
+	for i := range min(len(gotLines), len(wantLines)) {
+		if gotLines[i] != wantLines[i] {
+			t.Fatalf("%s:%d: got\n%s\nwant\n%s", path, i+1, gotLines[i], wantLines[i])
+		}
+	}
+	t.Fatalf("%s: got %d lines, want %d", path, len(gotLines), len(wantLines))
+}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -65,10 +65,13 @@
 	}
 }
 
-// Each planted fault is refused by its line, its key and plain words.
-func TestUnlawfulFilesAreRefused(t *testing.T) {
+// faultyFile is an operator's file with a fault, and what its message contains.
+type faultyFile struct{ file, want string }
+
+// faultyFiles returns a file for each kind of fault.
+func faultyFiles() []faultyFile {
 	r := func(s string) string { return "[[route]]\nname = \"r\"\n" + s }
-	for _, c := range []struct{ file, want string }{
+	return []faultyFile{
 		{r("class = \"ticket-issue\"\nsecond_copies = true"), "f:4: route[0].second_copies: ticket-issue, which goes by route r, must never run twice"},
 		{r("second_copies = true"), "f:3: route[0].second_copies: ticket-issue, which goes by route r, must never run twice"},
 		{r("path = \"/\"\nsecond_copies = true"), "f:4: route[0].second_copies: ticket-issue"},
@@ -134,7 +137,12 @@
 		{"[[class]]\nname='ticket'", `class[0].name: the platform has no class "ticket"`},
 		{"[[tenant]]\nname='navetta-lago'\nweight=0", "tenant[0].weight: 0 is not above 0"},
 		{r("") + "\n" + r("class='booking'"), `route[1].name: "r" stands twice`},
-	} {
+	}
+}
+
+// Each planted fault is refused by its line, its key and plain words.
+func TestUnlawfulFilesAreRefused(t *testing.T) {
+	for _, c := range faultyFiles() {
 		plan, err := Decode("f", []byte(c.file), platform())
 		if err == nil || plan != nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s\n  gives: %v\n  not: %s", strings.ReplaceAll(c.file, "\n", "; "), err, c.want)
--- a/internal/config/group_test.go
+++ b/internal/config/group_test.go
@@ -26,6 +26,17 @@
 voter = true
 `
 
+// faultyGroup is a [group] with every fault that can stand beside the others.
+func faultyGroup() string {
+	return strings.NewReplacer(`"valdora"`, `""`, `"/var/lib`, `"var/lib`, `"d2"`, `"d1"`, `"10.0.0.3:9700"`, `"10.0.0.1:9700"`,
+		"plans = true", fmt.Sprintf("plans = true\nlease = %q", 90*time.Minute)).Replace(goodGroup) + `
+[[group.member]]
+name = ""
+link = "nowhere"
+voter = true
+`
+}
+
 // Every fault of [group] at once, each by its key; a good one as it says, and none where there is none.
 func TestGroup(t *testing.T) {
 	p := platform()
@@ -41,14 +52,7 @@
 		t.Errorf("%+v, %v", plan.Group, err)
 	}
 	p.Name = "stranger"
-	bad := strings.NewReplacer(`"valdora"`, `""`, `"/var/lib`, `"var/lib`, `"d2"`, `"d1"`, `"10.0.0.3:9700"`, `"10.0.0.1:9700"`,
-		"plans = true", fmt.Sprintf("plans = true\nlease = %q", 90*time.Minute)).Replace(goodGroup) + `
-[[group.member]]
-name = ""
-link = "nowhere"
-voter = true
-`
-	_, err = Decode("f", []byte(bad), p)
+	_, err = Decode("f", []byte(faultyGroup()), p)
 	for _, want := range []string{
 		"group.name: it is missing", "group.lease: 1h30m0s", "group.folder:", `group.member[2].name: "d1" is member[1] already`,
 		`group.member[2].link: "10.0.0.1:9700" is that of member[0] already`, "group.member[3].name: it is missing",
--- /dev/null
+++ b/internal/settings/golden_test.go
@@ -0,0 +1,225 @@
+package settings
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"maps"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"birchfork/rules"
+)
+
+// Files in testdata/golden hold what the platform's settings decode to, the text of each fault, and the numbers that names
+// get: some of these are sent to other dispatchers. UPDATE_GOLDEN=1 writes them.
+
+// writeSettings writes each field under a name that no renaming of the field changes.
+func writeSettings(w io.Writer, s *rules.Settings) {
+	for _, c := range s.Classes {
+		fmt.Fprintf(w, "class: aim %d, stretch %v, deadline %d, worth %v, late worth %v, effect %d, group %d, window %d, kind %d\n",
+			c.Aim, c.Stretch, c.Deadline, c.Worth, c.LateWorth, c.Effect, c.Group, c.Window, c.Kind)
+	}
+	for _, c := range s.Tenants {
+		fmt.Fprintf(w, "tenant: quota %v\n", c.Quota)
+	}
+	fmt.Fprintf(w, "over share worth %v, zones %d, kinds %d, zone %d, group size %d, ordinal %d, can tell %v, tick %d\n",
+		s.OverShareWorth, s.Zones, s.Kinds, s.Zone, s.GroupSize, s.Ordinal, s.CanTell, s.Tick)
+	fmt.Fprintf(w, "max attempts %d, can cancel %v, second copies %v, retry after %v, max retry after %d, connect timeout %d\n",
+		s.MaxAttempts, s.CanCancel, s.SecondCopies, s.RetryAfter, s.MaxRetryAfter, s.ConnectTimeout)
+	fmt.Fprintf(w, "list on request %v, sized %v, weights move %v, tells start %v, progress %d\n",
+		s.ListOnRequest, s.Sized, s.WeightsMove, s.TellsStart, s.Progress)
+	fmt.Fprintf(w, "ask within %d, drain grace %d, cold from %v, warm within %d, fall multiple %v, fall window %d\n",
+		s.AskWithin, s.DrainGrace, s.ColdFrom, s.WarmWithin, s.FallMultiple, s.FallWindow)
+	fmt.Fprintf(w, "price of waste %v, of a fetch %v, of a late failure %v, of a crossing %v, idle close %d\n",
+		s.PriceWaste, s.PriceFetch, s.PriceLateFail, s.PriceCross, s.IdleClose)
+}
+
+func writeNames(w io.Writer, n *Names) {
+	fmt.Fprintf(w, "classes %q, tenants %q, has tenants %v\n", n.Classes(), n.Tenants(), n.HasTenants())
+	for _, name := range []string{"north", "south_end", "west_side", "south end", "small", "big_box", "x"} {
+		fmt.Fprintf(w, "%q: zone %d, kind %d\n", name, n.Zone(name), n.Kind(name))
+	}
+}
+
+func everyKey(t *testing.T) string {
+	t.Helper()
+	raw, err := os.ReadFile("testdata/every-key.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(raw)
+}
+
+func TestGolden_Settings(t *testing.T) {
+	var out bytes.Buffer
+	text := everyKey(t)
+	set := map[string]bool{}
+	for _, weights := range []string{"rough", "nominal", "live", "off"} {
+		names := NewNames()
+		s, pairs, err := DecodeJSON([]byte(strings.Replace(text, `"rough"`, `"`+weights+`"`, 1)), names)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintln(&out, "weights", weights)
+		writeSettings(&out, &s)
+		writeNames(&out, names)
+		v := reflect.ValueOf(s)
+		for i := range v.NumField() {
+			set[v.Type().Field(i).Name] = set[v.Type().Field(i).Name] || !v.Field(i).IsZero()
+		}
+		if weights == "rough" {
+			var wire []string
+			for _, key := range slices.Sorted(maps.Keys(pairs.m)) {
+				wire = append(wire, key+"="+pairs.m[key])
+			}
+			compareGolden(t, "pairs.txt", []byte(strings.Join(wire, "\n")+"\n"))
+			again, err := ParsePairs([]byte(strings.Join(wire, "\t")))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if sent, err := Decode(again, NewNames()); err != nil || !reflect.DeepEqual(sent, s) {
+				t.Errorf("pairs decode to %+v, %v; want %+v", sent, err, s)
+			}
+		}
+	}
+	for name, ok := range set {
+		if !ok {
+			t.Errorf("every-key.json does not set %s", name)
+		}
+	}
+	s, _, err := DecodeJSON([]byte("{}"), NewNames())
+	if err != nil {
+		t.Fatal(err)
+	}
+	fmt.Fprintln(&out, "nothing set")
+	writeSettings(&out, &s)
+	compareGolden(t, "settings.txt", out.Bytes())
+}
+
+func TestGolden_Faults(t *testing.T) {
+	var out bytes.Buffer
+	for _, text := range []string{
+		``, `7`, `[]`, `{"a":1} {"b":2}`, `{"a":`,
+		`{"tick":"soon"}`, `{"tick":1e12}`, `{"tick":-0.5}`, `{"tick":"0x10"}`, `{"tick":true}`, `{"tick":null}`, `{"prices":{"waste":"1_000"}}`,
+		`{"group_size":1.5}`, `{"group_size":2000000000}`, `{"ordinal":"x"}`, `{"ordinal":-3}`,
+		`{"policy_limits":{"peers":3,"cancel":"yes","second_copies":"1","retry_after":0}}`,
+		`{"registry_mode":"odd"}`, `{"classes":[{"effect":"odd"},{"group":"odd"}]}`, `{"classes":{"count":10001}}`, `{"customers":{"count":-1}}`, `{"customers":{"count":"x"}}`,
+		`{"extra":{"class_stretch":["a"],"class_kind":[1e12]},"classes":[{}]}`, `{"extra":{"class_kind":[]},"classes":[{},{}]}`,
+		`{"zones":["a",{"b":1}]}`, `{"zones":"a b"}`, `{"zones":[]}`, `{"zones":[[1,2],3]}`,
+		strings.Repeat(`{"a":`, 20) + "1" + strings.Repeat(`}`, 20),
+		`{"tick":"soon","classes":[{"effect":"odd","aim":"x"}],"policy_limits":{"peers":3}}`,
+	} {
+		s, pairs, err := DecodeJSON([]byte(text), NewNames())
+		fmt.Fprintf(&out, "%s\n\tpairs %v, tick %d, error: %q\n", text, pairs != nil, s.Tick, fmt.Sprint(err))
+	}
+	for _, wire := range []string{"", "a=1", "a", "=1", "-", "tick=-\tzone=", "tick=x", "classes.count=99999"} {
+		p, err := ParsePairs([]byte(wire))
+		if err == nil {
+			_, err = Decode(p, NewNames())
+		}
+		fmt.Fprintf(&out, "%q\n\t%q\n", wire, fmt.Sprint(err))
+	}
+	n := NewNames()
+	_, errClass := n.Class([]byte("nap"))
+	_, errTenant := n.Tenant([]byte("emca"))
+	_, _ = n.Open([]byte("r-1"))
+	_, errTwice := n.Open([]byte("r-1"))
+	fmt.Fprintf(&out, "%v\n%v\n%v\n", errClass, errTenant, errTwice)
+	compareGolden(t, "faults.txt", out.Bytes())
+}
+
+func TestGolden_Names(t *testing.T) {
+	var out bytes.Buffer
+	n := NewNames()
+	for _, name := range []string{"10.0.0.1:7", "10.0.0.2:7", "worker-3.example:8080", "", "10.0.0.1:7"} {
+		id := n.Worker(name)
+		fmt.Fprintf(&out, "worker %q: id %d, tag %d, key %d\n", n.WorkerName(id), id, n.WorkerTag(id), Key(name))
+	}
+	fmt.Fprintf(&out, "plain %q, %q\n", Plain("a b,c d"), Plain("a_b"))
+	// Ids of requests are used again in an order that the decisions depend on.
+	r := rand.New(rand.NewPCG(1, 1))
+	var open []rules.RequestID
+	for i := range 200 {
+		switch r.IntN(5) {
+		case 0, 1:
+			id, err := n.Open(fmt.Appendf(nil, "r-%d", i))
+			if err != nil {
+				t.Fatal(err)
+			}
+			open = append(open, id)
+			fmt.Fprintf(&out, "open r-%d: %d\n", i, id)
+		case 2:
+			if len(open) > 0 {
+				id := open[r.IntN(len(open))]
+				n.NoteSend(id)
+				fmt.Fprintf(&out, "send %d %q\n", id, n.RequestName(id))
+			}
+		case 3:
+			if len(open) > 0 {
+				id, final := open[r.IntN(len(open))], r.IntN(2) == 0
+				n.NoteEnd(id, final)
+				fmt.Fprintf(&out, "end %d, final %v: %q\n", id, final, n.RequestName(id))
+			}
+		case 4:
+			if len(open) > 0 {
+				id := open[r.IntN(len(open))]
+				n.NoteFinal(id)
+				fmt.Fprintf(&out, "final %d: %q\n", id, n.RequestName(id))
+			}
+		}
+	}
+	var s rules.Settings
+	old, fresh := NewNames(), NewNames()
+	for _, d := range []struct {
+		n    *Names
+		text string
+	}{
+		{old, `{"classes":[{"name":"a"},{"name":"b"}],"customers":[{"name":"x"}],"zones":["z1","z2"],"machine_types":["m1","m2"]}`},
+		{fresh, `{"classes":[{"name":"c"},{"name":"a"}],"customers":[{"name":"y"},{"name":"x"}],"zones":["z3","z1"],"zone":"z3","machine_types":["m3","m2"],"extra":{"class_kind":[0,1]}}`},
+	} {
+		var err error
+		if s, _, err = DecodeJSON([]byte(d.text), d.n); err != nil {
+			t.Fatal(err)
+		}
+	}
+	classes, tenants := old.Adopt(fresh, &s)
+	fmt.Fprintf(&out, "adopted: classes %v, tenants %v\n", classes, tenants)
+	writeSettings(&out, &s)
+	writeNames(&out, old)
+	compareGolden(t, "names.txt", out.Bytes())
+}
+
+// compareGolden compares got with testdata/golden/name. With UPDATE_GOLDEN=1 in the environment it writes the file instead.
+func compareGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if os.Getenv("UPDATE_GOLDEN") == "1" {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatalf("%v: UPDATE_GOLDEN=1 writes it", err)
+	}
+	if bytes.Equal(got, want) {
+		return
+	}
+	gotLines, wantLines := strings.Split(string(got), "\n"), strings.Split(string(want), "\n")
+	for i := range min(len(gotLines), len(wantLines)) {
+		if gotLines[i] != wantLines[i] {
+			t.Fatalf("%s:%d: got\n%s\nwant\n%s", path, i+1, gotLines[i], wantLines[i])
+		}
+	}
+	t.Fatalf("%s: got %d lines, want %d", path, len(gotLines), len(wantLines))
+}
--- /dev/null
+++ b/internal/simwire/golden_test.go
@@ -0,0 +1,210 @@
+package simwire
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"birchfork/internal/settings"
+	"birchfork/rules"
+)
+
+// Files in testdata/golden hold the simulator's protocol: each message as it is read, each reply as it is written, and the
+// text of each fault. UPDATE_GOLDEN=1 writes them.
+
+// goldenInput has each message with all its values set, and the values that stand for none.
+func goldenInput() []string {
+	const query = "QUERY\tr-%d\t1\tacme\tbook\t0.25\t4.5\t77\t1\t1\t1.5\t2\n"
+	lines := []string{
+		"BATCH\t100.5\n", "ON\t3\n", powerOn,
+		"POOL\t15\t4\n" +
+			"ROW\t10.0.0.1:7\ta\tbig\t3\thealthy\t1.5\t98.25\n" +
+			"ROW\t10.0.0.2:7\tb\tbig\t4\tcordoned\t2.5\t99.5\n" +
+			"ROW\t10.0.0.3:7\tnew\tnew\t5\tderegistered\t3.5\t100.125\n" +
+			"ROW\t10.0.0.4:7\t-\t-\t-\thealthy\t-\t-\n",
+		"MEMBERSHIP\twhole\t15\t7\n", "MEMBERSHIP\tstale_copy\t15\t8\n", "MEMBERSHIP\tpatch\t15\t9\n", "MEMBERSHIP\tbroken\t15\t10\n",
+		"MEMBERSHIP\tbroken\t-\t-\n",
+	}
+	for i := range 3 {
+		lines = append(lines, fmt.Sprintf(query, i))
+	}
+	lines = append(lines,
+		"QUERY\tr-3\t0\t-\tsearch\t-\t4.5\t-\t-\t-\t-\t-\n", "QUERY\tr-4\t0\t0\tsearch\t0\t4.5\t0\t0\t0\t0\t0\n",
+		"CHANGE\tr-1\t1\t10.0.0.2:7\t2\t0.5\n", "CHANGE\tr-1\t2\t10.0.0.3:7\t1\t0.75\n", "CHANGE\tr-1\t3\t10.0.0.3:7\t1\t0.75\n",
+		"CHANGE\tunknown\t1\t10.0.0.2:7\t2\t0.5\n", "FIRST_BYTE\tr-1\t1\t0.5\t10.0.0.3:7\n", "FIRST_BYTE\tunknown\t1\t0.5\t10.0.0.3:7\n")
+	for code := range 11 {
+		lines = append(lines, fmt.Sprintf("CLOSED_ATTEMPT\tr-1\t%d\t10.0.0.2:7\t%d\t0.0185\t0\tremark\tx1:3,pending:4.5,x0:9,new:1\n", code, code))
+	}
+	return append(lines,
+		"CLOSED_ATTEMPT\tr-2\t0\tx:1\t0\t-\t1\t-\t-\n", "CLOSED_ATTEMPT\tr-1\t0\tx:1\t0\t1\t1\t-\tx1:-3,pending:-1\n", "CLOSED_ATTEMPT\tr-1\t0\tx:1\t0\t1\t1\t-\t\n",
+		"GONE\tr-0\n", "GONE\tr-0\n", "WAKEUP\tsweep\n", "PROBE_DONE\t0.5\t2\t10.0.0.9:7\tx1:3\n",
+		"DATAGRAM\t4\tAP7cupgA\n", "DATAGRAM\t5\tAQAAAE0U\n", "DATAGRAM\t6\tAgAAAAn/\n", "DATAGRAM\t7\tAwAAAAEA\n", "DATAGRAM\t8\tBAAAAAEA\n", "DATAGRAM\t9\taGkgNw==\n",
+		"ON\t4\n", strings.Replace(powerOn, "report_x1", "report_x0", 1), "MEMBERSHIP\twhole\t15\t7\n", "QUERY\tr-1\t0\tacme\tsearch\t-\t1\t-\t0\t0\t-\t1\n",
+		"CLOSED_ATTEMPT\tr-1\t0\tx:1\t0\t1\t1\t-\tx1:3,x0:9\n", "CRASH_NOW\n", powerOn, "FLUSH\n")
+}
+
+var eventNames = map[rules.EventKind]string{
+	rules.ListSnapshot: "list snapshot", rules.ListChange: "list change", rules.ListLost: "list lost", rules.Arrived: "arrived", rules.Started: "started",
+	rules.Progressed: "progressed", rules.AnswerBegan: "answer began", rules.Ended: "ended", rules.ClientGone: "client gone", rules.TimerFired: "timer fired",
+	rules.Heard: "note received",
+}
+
+// writeMessage writes each field under a name that no renaming of the field changes.
+func writeMessage(w io.Writer, m *Msg) {
+	switch m.Kind {
+	case BatchBegin:
+		fmt.Fprintf(w, "\tbatch: now %d\n", m.Now)
+	case BatchEnd:
+		fmt.Fprintf(w, "\tend of the batch\n")
+	case InstanceStart:
+		fmt.Fprintf(w, "\tstart of %d: seed %d, %d classes, %d tenants\n", m.Instance, m.Seed, len(m.Settings.Classes), len(m.Settings.Tenants))
+	case InstanceStop:
+		fmt.Fprintf(w, "\tstop of %d\n", m.Instance)
+	case InstanceEvent:
+		e := m.Event
+		fmt.Fprintf(w, "\tevent of %d: %s: request %d, attempt %d, worker %d, result %d, final %v, elapsed %d, done %v\n",
+			m.Instance, eventNames[e.Kind], e.Request, e.Attempt, e.Worker, e.Result, e.Final, e.Elapsed, e.Done)
+		fmt.Fprintf(w, "\t\tclass %d, tenant %d, work %d, left %d, slots %d, memory %v, retry %v, key %d, version %d, stale %v\n",
+			e.Class, e.Tenant, e.Work, e.Left, e.Slots, e.Memory, e.Retry, e.Key, e.Version, e.Stale)
+		fmt.Fprintf(w, "\t\treport: known %v, free slots %v, queue %v; peer %d, note: kind %d, tag %d, slots %v\n",
+			e.Report.Known, e.Report.FreeSlots, e.Report.Queue, e.Peer, e.Note.Kind, e.Note.Tag, e.Note.Slots)
+		for _, x := range e.Workers {
+			fmt.Fprintf(w, "\t\tworker %d: zone %d, kind %d, cell %d, state %d, started at %d, tag %d, weight %v\n",
+				x.ID, x.Zone, x.Kind, x.Cell, x.State, x.StartedAt, x.Tag, x.Weight)
+		}
+	default:
+		fmt.Fprintf(w, "\tkind %d\n", m.Kind)
+	}
+}
+
+func TestGolden_Messages(t *testing.T) {
+	input, next := goldenInput(), 0
+	var out bytes.Buffer
+	r := NewReader(strings.NewReader(strings.Join(input, "")))
+	lines := 0
+	for {
+		var m Msg
+		err := r.Read(&m)
+		for next < len(input) && lines < r.Line() {
+			lines += strings.Count(input[next], "\n")
+			out.WriteString(input[next])
+			next++
+		}
+		if errors.Is(err, io.EOF) {
+			break
+		}
+		if err != nil {
+			t.Fatalf("line %d: %v", r.Line(), err)
+		}
+		writeMessage(&out, &m)
+		if m.Kind != InstanceStart {
+			continue
+		}
+		_, rest, _ := strings.Cut(strings.TrimPrefix(strings.TrimSuffix(input[next-1], "\n"), "POWER_ON\t"), "\t")
+		pairs, err := settings.ParsePairs([]byte(rest))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if want, err := settings.Decode(pairs, settings.NewNames()); err != nil || !reflect.DeepEqual(m.Settings, want) {
+			t.Errorf("settings %+v, want %+v, %v", m.Settings, want, err)
+		}
+	}
+	for _, id := range []int{3, 4} {
+		n := r.Names(id)
+		fmt.Fprintf(&out, "instance %d: classes %q, tenants %q\n", id, n.Classes(), n.Tenants())
+	}
+	compareGolden(t, "messages.txt", out.Bytes())
+}
+
+func TestGolden_Replies(t *testing.T) {
+	n := settings.NewNames()
+	for _, name := range []string{"r-0", "r-1", "r-2"} {
+		if _, err := n.Open([]byte(name)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	n.Worker("10.0.0.1:7")
+	n.Worker("10.0.0.2:7")
+	var out bytes.Buffer
+	w := NewWriter(&out)
+	err := w.Actions(3, n, []rules.Action{
+		{Kind: rules.Send, Request: 1, Attempt: 2, Worker: 1, Wait: 80 * rules.Millisecond, By: 99},
+		{Kind: rules.Send, Request: 1, Worker: 0},
+		{Kind: rules.Cancel, Request: 1, Attempt: 2},
+		{Kind: rules.SetTimer, Wait: 1}, {Kind: rules.SetTimer, Wait: 3 * rules.Second}, {Kind: rules.SetTimer, Wait: -1500 * rules.Millisecond},
+		{Kind: rules.WatchList}, {Kind: rules.FetchList},
+		{Kind: rules.Tell, Peer: 12, Note: rules.Note{Kind: rules.Ask, Tag: 0xfedcba98}},
+		{Kind: rules.Tell, Peer: 13, Note: rules.Note{Kind: rules.Load, Tag: 77, Slots: 2.5}},
+		{Kind: rules.Tell, Peer: 14, Note: rules.Note{Kind: rules.Use, Tag: 9, Slots: 31.875}},
+		{Kind: rules.Tell, Peer: 15, Note: rules.Note{Kind: rules.Crowded, Tag: 1, Slots: -1}},
+		{Kind: rules.Tell, Peer: 16, Note: rules.Note{Kind: rules.Use, Tag: 1 << 40, Slots: 1e9}},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := w.Actions(4, n, []rules.Action{
+		{Kind: rules.Refuse, Request: 0, Wait: 1234567}, {Kind: rules.GiveUp, Request: 2},
+	}); err != nil {
+		t.Fatal(err)
+	}
+	w.Die(5, "it\nbroke")
+	if err := w.Flush(); err != nil {
+		t.Fatal(err)
+	}
+	if err := w.Actions(5, n, []rules.Action{{Kind: rules.WatchList}}); err != nil {
+		t.Fatal(err)
+	}
+	if err := w.Flush(); err != nil {
+		t.Fatal(err)
+	}
+	if err := w.Actions(5, n, []rules.Action{{Kind: 99}}); err != nil {
+		fmt.Fprintf(&out, "error: %v\n", err)
+	} else {
+		t.Error("an unknown action was written")
+	}
+	compareGolden(t, "replies.txt", out.Bytes())
+}
+
+func TestGolden_Faults(t *testing.T) {
+	var out bytes.Buffer
+	for _, c := range malformedInputs() {
+		_, r, err := readAll(c.in)
+		fmt.Fprintf(&out, "%.120q\n\tline %d: %v\n", strings.ReplaceAll(c.in, powerOn, "POWER_ON...\n"), r.Line(), err)
+	}
+	compareGolden(t, "faults.txt", out.Bytes())
+}
+
+// compareGolden compares got with testdata/golden/name. With UPDATE_GOLDEN=1 in the environment it writes the file instead.
+func compareGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if os.Getenv("UPDATE_GOLDEN") == "1" {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatalf("%v: UPDATE_GOLDEN=1 writes it", err)
+	}
+	if bytes.Equal(got, want) {
+		return
+	}
+	gotLines, wantLines := strings.Split(string(got), "\n"), strings.Split(string(want), "\n")
+	for i := range min(len(gotLines), len(wantLines)) {
+		if gotLines[i] != wantLines[i] {
+			t.Fatalf("%s:%d: got\n%s\nwant\n%s", path, i+1, gotLines[i], wantLines[i])
+		}
+	}
+	t.Fatalf("%s: got %d lines, want %d", path, len(gotLines), len(wantLines))
+}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -174,13 +174,17 @@
 	}
 }
 
-func TestMalformedInput(t *testing.T) {
+// malformedInput is an input with a fault in a line, and what the message says of it.
+type malformedInput struct {
+	name, in string
+	line     int
+	say      string
+}
+
+// malformedInputs returns an input for each kind of fault.
+func malformedInputs() []malformedInput {
 	q := "QUERY\tr-1\t0\tacme\tsearch\t-\t1\t-\t0\t0\t-\t1\n"
-	for _, c := range []struct {
-		name, in string
-		line     int
-		say      string
-	}{
+	return []malformedInput{
 		{"outside a batch", "ON\t0\n", 1, "outside a batch"},
 		{"unknown message", batch("WHAT\t1\n"), 3, "no instance|not started|unknown"},
 		{"unknown message of a started one", batch(powerOn, "WHAT\t1\n"), 4, "unknown"},
@@ -212,7 +216,11 @@
 		{"negative time", batch(powerOn, strings.Replace(q, "\t1\t-\t0", "\t-5\t-\t0", 1)), 4, "left"},
 		{"bad report", batch(powerOn, q, "CLOSED_ATTEMPT\tr-1\t0\tx:1\t0\t1\t1\t-\tx0=4\n"), 5, "server_stats"},
 		{"empty line", batch(powerOn, "\n"), 4, "unknown"},
-	} {
+	}
+}
+
+func TestMalformedInput(t *testing.T) {
+	for _, c := range malformedInputs() {
 		t.Run(c.name, func(t *testing.T) {
 			_, r, err := readAll(c.in)
 			if err == nil {
--- /dev/null
+++ b/internal/tomlfile/golden_test.go
@@ -0,0 +1,98 @@
+package tomlfile
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Files in testdata/golden hold the text of every fault: operators and their scripts read it. UPDATE_GOLDEN=1 writes them.
+
+// goldenSample has a field of each kind that Read supports.
+type goldenSample struct {
+	Text     string         `toml:"text"`
+	Switch   bool           `toml:"switch"`
+	Whole    int            `toml:"whole"`
+	Number   float64        `toml:"number"`
+	Length   time.Duration  `toml:"length"`
+	List     []string       `toml:"list"`
+	Part     goldenPart     `toml:"part"`
+	Items    []goldenPart   `toml:"item"`
+	Untagged map[string]int // left alone
+	goldenEmbedded
+}
+
+type goldenPart struct {
+	Name  string `toml:"name"`
+	Whole int64  `toml:"whole"`
+}
+
+type goldenEmbedded struct {
+	Deep int `toml:"deep"`
+}
+
+func TestGolden_Faults(t *testing.T) {
+	var out bytes.Buffer
+	for _, raw := range []string{
+		"text = 1", "text = true", "text = 1.5", "text = ['a']", "text = {name = 'x'}", "text = 2026-01-02",
+		"switch = 1", "switch = 'true'", "whole = 1.5", "whole = '7'", "whole = false", "whole = 99999999999999999999",
+		"number = 'x'", "number = nan", "number = inf", "number = [1, 2]",
+		"length = 3", "length = '3'", "length = 'soon'", "length = true",
+		"list = 'a'", "list = [1, 'b', {name = 'c'}]", "part = 1", "part = 'x'", "[[part]]\nname = 'x'", "item = {name = 'x'}", "item = [1]",
+		"txt = 'a'", "Text = 'a'", "zzzzzzzzzzzz = 1", "untagged = 1", "deep = 'x'", "deap = 1", "[part]\nwhle = 1", "[prt]\nwhole = 1",
+		"[[item]]\nname = 1\n[[item]]\nwhole = 'x'\nnam = 'y'", "part.whole = 'x'\npart.other = 1",
+		"text = '" + strings.Repeat("long", 30) + "'\nwhole = '" + strings.Repeat("long", 30) + "'",
+		"text = \nwhole = 1", "text = 'a'\n[part", "text = 'a'\ntext = 'b'", "= 1", "text = 'a", "[part]\n[part]",
+		strings.Repeat("#", SizeMost+1),
+	} {
+		var v goldenSample
+		d := Read("dir/file.toml", []byte(raw), &v)
+		if len(d.Faults()) == 0 {
+			t.Errorf("no fault in %q", raw)
+		}
+		fmt.Fprintf(&out, "%.200q\n", raw)
+		for _, f := range d.Faults() {
+			fmt.Fprintf(&out, "\t%d %q: %s\n", f.Line, f.Key, f.Error())
+		}
+		fmt.Fprintf(&out, "\tjoined: %q\n", d.Err().Error())
+	}
+	d := Read("f", []byte("[part]\nwhole = 1\n[[item]]\nname = 'x'\n"), &goldenSample{})
+	d.Fault("item[0].name", "%q is not what is wanted", "x")
+	d.Fault("part.name", "it is missing")
+	d.Fault("", "the file as a whole")
+	fmt.Fprintf(&out, "faults of a caller\n\t%s\n", strings.ReplaceAll(d.Err().Error(), "\n", "\n\t"))
+	compareGolden(t, "faults.txt", out.Bytes())
+}
+
+// compareGolden compares got with testdata/golden/name. With UPDATE_GOLDEN=1 in the environment it writes the file instead.
+func compareGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if os.Getenv("UPDATE_GOLDEN") == "1" {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatalf("%v: UPDATE_GOLDEN=1 writes it", err)
+	}
+	if bytes.Equal(got, want) {
+		return
+	}
+	gotLines, wantLines := strings.Split(string(got), "\n"), strings.Split(string(want), "\n")
+	for i := range min(len(gotLines), len(wantLines)) {
+		if gotLines[i] != wantLines[i] {
+			t.Fatalf("%s:%d: got\n%s\nwant\n%s", path, i+1, gotLines[i], wantLines[i])
+		}
+	}
+	t.Fatalf("%s: got %d lines, want %d", path, len(gotLines), len(wantLines))
+}
