--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -10,8 +10,8 @@
 	"os"
 	"runtime/debug"
 
+	"birchfork/dispatch"
 	"birchfork/internal/simwire"
-	"birchfork/rules"
 )
 
 func main() {
@@ -25,10 +25,12 @@
 
 // dispatcher is what the host needs of a decision module.
 type dispatcher interface {
-	Handle(now rules.Time, e *rules.Event, out []rules.Action) []rules.Action
+	Handle(now dispatch.Time, e *dispatch.Event, out []dispatch.Action) []dispatch.Action
 }
 
-func newDispatcher(s rules.Settings, seed uint64) (dispatcher, error) { return rules.New(s, seed) }
+func newDispatcher(s dispatch.Settings, seed uint64) (dispatcher, error) {
+	return dispatch.New(s, seed)
+}
 
 func run(in io.Reader, out io.Writer) error {
 	h := host{
@@ -51,10 +53,10 @@
 	reader    *simwire.Reader
 	writer    *simwire.Writer
 	instances map[int]dispatcher
-	start     func(rules.Settings, uint64) (dispatcher, error)
-	now       rules.Time
+	start     func(dispatch.Settings, uint64) (dispatcher, error)
+	now       dispatch.Time
 	msg       simwire.Msg
-	actions   []rules.Action
+	actions   []dispatch.Action
 }
 
 func (h *host) step() error {
--- a/cmd/benchlink/main_test.go
+++ b/cmd/benchlink/main_test.go
@@ -5,8 +5,8 @@
 	"strings"
 	"testing"
 
+	"birchfork/dispatch"
 	"birchfork/internal/simwire"
-	"birchfork/rules"
 )
 
 const start = "POWER_ON\t42\tclasses.count=1\tclasses.0.aim=0.4\tclasses.0.deadline=5\tclasses.0.effect=free\t" +
@@ -44,13 +44,15 @@
 // faulty breaks at its first event.
 type faulty struct{}
 
-func (faulty) Handle(rules.Time, *rules.Event, []rules.Action) []rules.Action { panic("no such thing") }
+func (faulty) Handle(dispatch.Time, *dispatch.Event, []dispatch.Action) []dispatch.Action {
+	panic("no such thing")
+}
 
 func TestPanicBecomesDie(t *testing.T) {
 	in := "BATCH\t2\nON\t4\n" + start + list + query + "FLUSH\n"
 	var out bytes.Buffer
 	h := host{reader: simwire.NewReader(strings.NewReader(in)), writer: simwire.NewWriter(&out),
-		instances: map[int]dispatcher{}, start: func(rules.Settings, uint64) (dispatcher, error) { return faulty{}, nil }}
+		instances: map[int]dispatcher{}, start: func(dispatch.Settings, uint64) (dispatcher, error) { return faulty{}, nil }}
 	for {
 		if err := h.step(); err != nil {
 			break
--- a/cmd/birchfork-members/main.go
+++ b/cmd/birchfork-members/main.go
@@ -19,9 +19,9 @@
 	"github.com/sirupsen/logrus"
 	clientv3 "go.etcd.io/etcd/client/v3"
 
+	"birchfork/dispatch"
 	"birchfork/internal/members"
 	"birchfork/internal/membership/etcd"
-	"birchfork/rules"
 )
 
 type commands struct {
@@ -263,7 +263,7 @@
 		return fmt.Sprintf("%-20s unusable: %v", name, err)
 	}
 	state := etcd.Up
-	if e.State != rules.Ready {
+	if e.State != dispatch.Ready {
 		state = etcd.Draining
 	}
 	return fmt.Sprintf("%-20s %-9s %-22s zone %q, kind %q", name, state, e.Address, e.Zone, e.Kind)
--- a/rules/rules_test.go
+++ b/dispatch/rules_test.go
@@ -1,4 +1,4 @@
-package rules
+package dispatch
 
 import (
 	"bytes"
@@ -868,7 +868,7 @@
 
 // The module's size is part of its contract.
 func TestModuleSize(t *testing.T) {
-	text, err := os.ReadFile("rules.go")
+	text, err := os.ReadFile("dispatch.go")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -884,13 +884,13 @@
 	if lines > 650 {
 		t.Errorf("%d non-blank lines, want 650 at most", lines)
 	}
-	if head, _, _ := bytes.Cut(text, []byte("package")); !bytes.Contains(head, []byte("rules/interface.go")) {
-		t.Error("the top of the module does not name rules/interface.go")
+	if head, _, _ := bytes.Cut(text, []byte("package")); !bytes.Contains(head, []byte("dispatch/interface.go")) {
+		t.Error("the top of the module does not name dispatch/interface.go")
 	}
 }
 
 func TestNothingButDecisionsIsImported(t *testing.T) {
-	for _, f := range []string{"rules.go", "state.go", "interface.go"} {
+	for _, f := range []string{"dispatch.go", "state.go", "interface.go"} {
 		text, err := os.ReadFile(f)
 		if err != nil {
 			t.Fatal(err)
--- a/rules/shape_test.go
+++ b/dispatch/shape_test.go
@@ -1,4 +1,4 @@
-package rules
+package dispatch
 
 import (
 	"slices"
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -7,10 +7,10 @@
 	"strings"
 	"time"
 
+	"birchfork/dispatch"
 	"birchfork/internal/limits"
 	"birchfork/internal/routes"
 	"birchfork/internal/tomlfile"
-	"birchfork/rules"
 )
 
 // Whose rate a rate is, in the file.
@@ -199,8 +199,8 @@
 	}
 }
 
-// platform narrows the rules' figures and refuses to widen them.
-func (c *checker) platform(s *rules.Settings) {
+// platform narrows the dispatch' figures and refuses to widen them.
+func (c *checker) platform(s *dispatch.Settings) {
 	f := &c.file.Platform
 	if c.doc.Has("platform.drain_grace") {
 		if v := routes.Micro(f.DrainGrace); v > s.DrainGrace || v < 0 {
@@ -376,7 +376,7 @@
 	return out
 }
 
-// lawful checks figures in force against the rules of the classes that they hold for. who is named in the message.
+// lawful checks figures in force against the dispatch of the classes that they hold for. who is named in the message.
 func (c *checker) lawful(e *effective, classes []int, who string) {
 	s := &c.p.Settings
 	connect := time.Duration(s.ConnectTimeout) * time.Microsecond
@@ -449,19 +449,19 @@
 	if e.Hold > patience {
 		c.once(e.key("hold"), "%v is longer than clients of %s wait, %v", e.Hold, name, patience)
 	}
-	if e.SecondCopies && class.Effect != rules.Safe {
+	if e.SecondCopies && class.Effect != dispatch.Safe {
 		c.once(e.key("second_copies"), "%s, which goes by %s, %s: it gets no second copies; name the class in the route, or leave the key to routes of safe classes", name, who, effectWord(class.Effect))
 	}
-	if e.set("hedge_after") && class.Effect != rules.Safe && !(e.set("second_copies") && !e.SecondCopies) {
+	if e.set("hedge_after") && class.Effect != dispatch.Safe && !(e.set("second_copies") && !e.SecondCopies) {
 		c.once(e.key("hedge_after"), "%s, which goes by %s, %s: it gets no second copies, so there is nothing to delay", name, who, effectWord(class.Effect))
 	}
-	if e.Repeat == RepeatAny && class.Effect != rules.Safe {
+	if e.Repeat == RepeatAny && class.Effect != dispatch.Safe {
 		c.once(e.key("repeat"), "%s, which goes by %s, %s: what may have run is not sent again; write %q or %q", name, who, effectWord(class.Effect), RepeatLawful, RepeatUnrun)
 	}
-	if e.set("repeat_within") && class.Effect != rules.Keyed && len(e.from) > 0 {
+	if e.set("repeat_within") && class.Effect != dispatch.Keyed && len(e.from) > 0 {
 		c.once(e.key("repeat_within"), "%s, which goes by %s, is not keyed: there is no window of repeats", name, who)
 	}
-	if window := time.Duration(class.Window) * time.Microsecond; class.Effect == rules.Keyed && e.RepeatWithin > window {
+	if window := time.Duration(class.Window) * time.Microsecond; class.Effect == dispatch.Keyed && e.RepeatWithin > window {
 		c.once(e.key("repeat_within"), "%v is past the window of %s, %v, in which workers drop repeats", e.RepeatWithin, name, window)
 	}
 }
@@ -480,7 +480,7 @@
 // compile turns figures in force into a route.
 func (c *checker) compile(name string, m routes.Match, e *effective, classes []int) routes.Route {
 	r := routes.Route{Name: name, Match: m, Fallback: -1}
-	r.Narrow = rules.Narrow{
+	r.Narrow = dispatch.Narrow{
 		Within: routes.Micro(e.Timeout), Wait: routes.Micro(e.AttemptTimeout), Hold: routes.Micro(e.Hold), Attempts: e.Attempts,
 		Single: e.set("second_copies") && !e.SecondCopies, Race: routes.Micro(e.HedgeAfter), Strict: e.Repeat == RepeatUnrun,
 		Window: routes.Micro(e.RepeatWithin), Pause: routes.Micro(e.Backoff), MaxPause: routes.Micro(e.BackoffMost), Jitter: e.Jitter,
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
 // Package config reads the operator's file: what an operator wishes beside the platform's configuration. It can narrow
-// what the rules and the platform allow and never widens it; a file that tries is refused whole, with every fault named.
+// what the dispatch and the platform allow and never widens it; a file that tries is refused whole, with every fault named.
 // The platform's figures come from its own JSON, see internal/node.
 package config
 
@@ -14,10 +14,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"birchfork/dispatch"
 	"birchfork/internal/limits"
 	"birchfork/internal/routes"
 	"birchfork/internal/tomlfile"
-	"birchfork/rules"
 )
 
 // Figures are what can be set by default, class, tenant and route. Which of them were set is told by the layers.
@@ -96,7 +96,7 @@
 // Platform is what the platform's configuration says, as far as the operator's file has to agree with it.
 type Platform struct {
 	Name     string // of this dispatcher
-	Settings rules.Settings
+	Settings dispatch.Settings
 	Classes  []string // their names, by their number
 	Tenants  []string
 	Clients  int   // connections from clients that requests can be taken from
@@ -108,10 +108,10 @@
 	Path     string
 	Table    *routes.Table
 	Limits   limits.Config
-	Settings rules.Settings // the platform's, narrowed
-	Lines    []Line         // what is in force, for people
-	Group    *Group         // nil: it is in none
-	Digest   string         // of the file's text
+	Settings dispatch.Settings // the platform's, narrowed
+	Lines    []Line            // what is in force, for people
+	Group    *Group            // nil: it is in none
+	Digest   string            // of the file's text
 }
 
 // Line is one figure in force.
@@ -218,7 +218,7 @@
 }
 
 // lines are the figures in force for people.
-func (e *effective) lines(route string, p *Platform, class *rules.Class) (out []Line) {
+func (e *effective) lines(route string, p *Platform, class *dispatch.Class) (out []Line) {
 	v := reflect.ValueOf(&e.Figures).Elem()
 	for i, key := range figureKeys {
 		from := e.from[key]
@@ -235,12 +235,12 @@
 		case "attempts":
 			word = fmt.Sprint(p.Settings.MaxAttempts)
 		case "second_copies":
-			word = fmt.Sprint(p.Settings.SecondCopies && class.Effect == rules.Safe)
+			word = fmt.Sprint(p.Settings.SecondCopies && class.Effect == dispatch.Safe)
 		case "repeat":
 			word = RepeatLawful + ": " + effectWord(class.Effect)
 		case "repeat_within":
 			word = "-"
-			if class.Effect == rules.Keyed {
+			if class.Effect == dispatch.Keyed {
 				word = micro(class.Window)
 			}
 		case "hold":
@@ -255,11 +255,11 @@
 	return out
 }
 
-func effectWord(e rules.Effect) string {
+func effectWord(e dispatch.Effect) string {
 	return [...]string{"safe to repeat", "keyed: repeats are dropped within its group and window", "must never run twice"}[e]
 }
 
-func micro(t rules.Time) string { return (time.Duration(t) * time.Microsecond).String() }
+func micro(t dispatch.Time) string { return (time.Duration(t) * time.Microsecond).String() }
 
 // Explain prints what is in force, and where each figure comes from.
 func (p *Plan) Explain(w io.Writer) error {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,24 +9,24 @@
 
 	"pgregory.net/rapid"
 
+	"birchfork/dispatch"
 	"birchfork/internal/routes"
 	"birchfork/internal/tomlfile"
-	"birchfork/rules"
 )
 
 // platform has a safe class, one that must never run twice, and a keyed one.
 func platform() Platform {
 	return Platform{
-		Settings: rules.Settings{
-			Classes: []rules.Class{
-				{Aim: 400 * rules.Millisecond, Stretch: 1.75, Deadline: 10 * rules.Second, Worth: 5, Effect: rules.Safe, Kind: -1},
-				{Aim: 400 * rules.Millisecond, Stretch: 2, Deadline: 5 * rules.Second, Worth: 3, Effect: rules.Unsafe, Kind: -1},
-				{Aim: 400 * rules.Millisecond, Deadline: 8 * rules.Second, Worth: 1, Effect: rules.Keyed, Window: 5 * rules.Second, Kind: -1},
+		Settings: dispatch.Settings{
+			Classes: []dispatch.Class{
+				{Aim: 400 * dispatch.Millisecond, Stretch: 1.75, Deadline: 10 * dispatch.Second, Worth: 5, Effect: dispatch.Safe, Kind: -1},
+				{Aim: 400 * dispatch.Millisecond, Stretch: 2, Deadline: 5 * dispatch.Second, Worth: 3, Effect: dispatch.Unsafe, Kind: -1},
+				{Aim: 400 * dispatch.Millisecond, Deadline: 8 * dispatch.Second, Worth: 1, Effect: dispatch.Keyed, Window: 5 * dispatch.Second, Kind: -1},
 			},
-			Tenants:   make([]rules.Tenant, 4),
-			GroupSize: 1, Zone: -1, MaxAttempts: 6, SecondCopies: true, CanCancel: true, RetryAfter: true, MaxRetryAfter: 2 * rules.Second, TellsStart: true,
-			ConnectTimeout: 250 * rules.Millisecond, DrainGrace: 500 * rules.Millisecond, ColdFrom: 0.12,
-			WarmWithin: 24 * rules.Second, FallMultiple: 2.5, FallWindow: rules.Second, Tick: rules.Millisecond,
+			Tenants:   make([]dispatch.Tenant, 4),
+			GroupSize: 1, Zone: -1, MaxAttempts: 6, SecondCopies: true, CanCancel: true, RetryAfter: true, MaxRetryAfter: 2 * dispatch.Second, TellsStart: true,
+			ConnectTimeout: 250 * dispatch.Millisecond, DrainGrace: 500 * dispatch.Millisecond, ColdFrom: 0.12,
+			WarmWithin: 24 * dispatch.Second, FallMultiple: 2.5, FallWindow: dispatch.Second, Tick: dispatch.Millisecond,
 		},
 		Classes: []string{"journey-search", "ticket-issue", "booking"},
 		Tenants: []string{"linee-urbane", "bus-provincia", "ferrovia-valle", "navetta-lago"},
@@ -49,7 +49,7 @@
 	if r := at("journey-search", "navetta-lago"); r.Name != "lake-search" || !r.Narrow.Single || r.Narrow.Attempts != 2 || r.Limit.Rate != 20 || !r.Limit.Budgeted {
 		t.Errorf("lake searches go by %+v", r)
 	}
-	if r := at("ticket-issue", "navetta-lago"); r.Name != "class ticket-issue" || r.Narrow.Within != 4500*rules.Millisecond || r.Limit.Priority != 9 {
+	if r := at("ticket-issue", "navetta-lago"); r.Name != "class ticket-issue" || r.Narrow.Within != 4500*dispatch.Millisecond || r.Limit.Priority != 9 {
 		t.Errorf("tickets go by %+v", r)
 	}
 	var out strings.Builder
@@ -204,7 +204,7 @@
 }
 
 // The check is sound: whatever file passes, the module driven through it by random events sends no class more than its
-// rules allow.
+// dispatch allow.
 func TestWhatPassesBreaksNoRule(t *testing.T) {
 	passed := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -214,29 +214,29 @@
 			return
 		}
 		passed++
-		d, err := rules.New(plan.Settings, rapid.Uint64().Draw(t, "seed"))
+		d, err := dispatch.New(plan.Settings, rapid.Uint64().Draw(t, "seed"))
 		if err != nil {
 			t.Fatalf("the module does not take the settings of a file that passed: %v", err)
 		}
 		type sent struct {
-			at, ended  rules.Time
+			at, ended  dispatch.Time
 			out, never bool
 		}
 		type request struct {
 			class, final int
-			began, end   rules.Time
-			narrow       rules.Narrow
+			began, end   dispatch.Time
+			narrow       dispatch.Narrow
 			sent         []sent
 		}
 		var all []*request
-		now, timer := rules.Time(1_000_000), rules.Time(0)
-		feed := func(e rules.Event) {
+		now, timer := dispatch.Time(1_000_000), dispatch.Time(0)
+		feed := func(e dispatch.Event) {
 			for _, a := range d.Handle(now, &e, nil) {
-				if a.Kind == rules.SetTimer {
+				if a.Kind == dispatch.SetTimer {
 					timer = now + a.Wait
 					continue
 				}
-				if a.Kind != rules.Send && a.Kind != rules.Refuse && a.Kind != rules.GiveUp {
+				if a.Kind != dispatch.Send && a.Kind != dispatch.Refuse && a.Kind != dispatch.GiveUp {
 					continue
 				}
 				r := all[a.Request]
@@ -251,14 +251,14 @@
 				switch {
 				case r.final > 0:
 					t.Fatalf("an action after the final answer: %+v", a)
-				case a.Kind != rules.Send:
+				case a.Kind != dispatch.Send:
 					r.final++
-					if a.Kind == rules.Refuse && effect == rules.Unsafe && mayHaveRun {
+					if a.Kind == dispatch.Refuse && effect == dispatch.Unsafe && mayHaveRun {
 						t.Fatal("refused what may have run")
 					}
-				case effect == rules.Unsafe && mayHaveRun, n.Strict && mayHaveRun:
+				case effect == dispatch.Unsafe && mayHaveRun, n.Strict && mayHaveRun:
 					t.Fatalf("sent again what may have run: class %d, %+v", r.class, n)
-				case out > 0 && (n.Single || effect != rules.Safe && effect != rules.Keyed), out > 1:
+				case out > 0 && (n.Single || effect != dispatch.Safe && effect != dispatch.Keyed), out > 1:
 					t.Fatalf("%d out already: class %d, %+v", out, r.class, n)
 				case out > 0 && now < r.sent[0].at+n.Race:
 					t.Fatalf("a second copy after %v, not before %v", now-r.sent[0].at, n.Race)
@@ -278,17 +278,17 @@
 				}
 			}
 		}
-		var workers []rules.Worker
+		var workers []dispatch.Worker
 		for i := range 4 {
-			workers = append(workers, rules.Worker{ID: rules.WorkerID(i), Kind: -1, Zone: -1, Tag: uint64(i)})
+			workers = append(workers, dispatch.Worker{ID: dispatch.WorkerID(i), Kind: -1, Zone: -1, Tag: uint64(i)})
 		}
-		feed(rules.Event{Kind: rules.ListSnapshot, Version: 1, Workers: workers})
+		feed(dispatch.Event{Kind: dispatch.ListSnapshot, Version: 1, Workers: workers})
 		for range rapid.IntRange(10, 80).Draw(t, "steps") {
-			now += rules.Time(rapid.IntRange(1, 150).Draw(t, "ms")) * rules.Millisecond
+			now += dispatch.Time(rapid.IntRange(1, 150).Draw(t, "ms")) * dispatch.Millisecond
 			for timer != 0 && timer <= now {
 				at := now
 				now, timer = timer, 0
-				feed(rules.Event{Kind: rules.TimerFired})
+				feed(dispatch.Event{Kind: dispatch.TimerFired})
 				now = at
 			}
 			if rapid.IntRange(0, 2).Draw(t, "what") == 0 {
@@ -297,7 +297,7 @@
 				i := table.Find(&routes.Request{Class: p.Classes[k], Path: "/" + p.Classes[k] + "/a", Method: "POST"})
 				r := &request{class: k, began: now, end: now + p.Settings.Classes[k].Deadline, narrow: table.Narrow(i, p.Settings.MaxAttempts)}
 				all = append(all, r)
-				feed(rules.Event{Kind: rules.Arrived, Request: rules.RequestID(len(all) - 1), Class: k, Tenant: -1, Left: p.Settings.Classes[k].Deadline, Slots: 1, Narrow: r.narrow})
+				feed(dispatch.Event{Kind: dispatch.Arrived, Request: dispatch.RequestID(len(all) - 1), Class: k, Tenant: -1, Left: p.Settings.Classes[k].Deadline, Slots: 1, Narrow: r.narrow})
 				continue
 			}
 			for id, r := range all {
@@ -305,11 +305,11 @@
 					if !r.sent[i].out || rapid.Bool().Draw(t, "stays") {
 						continue
 					}
-					e := rules.Event{Kind: rules.Ended, Request: rules.RequestID(id), Attempt: i, Report: rules.Report{FreeSlots: -1, Queue: -1},
-						Result: rapid.SampledFrom([]rules.Result{rules.OK, rules.Failed, rules.Full, rules.TimedOut, rules.Unreachable, rules.Disconnected}).Draw(t, "result")}
+					e := dispatch.Event{Kind: dispatch.Ended, Request: dispatch.RequestID(id), Attempt: i, Report: dispatch.Report{FreeSlots: -1, Queue: -1},
+						Result: rapid.SampledFrom([]dispatch.Result{dispatch.OK, dispatch.Failed, dispatch.Full, dispatch.TimedOut, dispatch.Unreachable, dispatch.Disconnected}).Draw(t, "result")}
 					r.sent[i].out, r.sent[i].ended = false, now
-					r.sent[i].never = e.Result == rules.Full || e.Result == rules.Unreachable
-					if e.Result == rules.OK && r.final == 0 {
+					r.sent[i].never = e.Result == dispatch.Full || e.Result == dispatch.Unreachable
+					if e.Result == dispatch.OK && r.final == 0 {
 						r.final++
 					}
 					e.Final = r.final > 0
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"birchfork/rules"
+	"birchfork/dispatch"
 )
 
 // Files in testdata/golden hold what an operator's file comes to, as `check --explain` prints it and as the settings that
@@ -87,7 +87,7 @@
 	}
 }
 
-func writeRouteLimits(w io.Writer, what string, n rules.Narrow) {
+func writeRouteLimits(w io.Writer, what string, n dispatch.Narrow) {
 	fmt.Fprintf(w, "\t%s: timeout %d, attempt timeout %d, hold %d, attempts %d, single %v, hedge after %d, strict %v, window %d, backoff %d, backoff at most %d, jitter %v\n",
 		what, n.Within, n.Wait, n.Hold, n.Attempts, n.Single, n.Race, n.Strict, n.Window, n.Pause, n.MaxPause, n.Jitter)
 }
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -1,5 +1,5 @@
 // Package baseline holds plain policies that the lab measures the mechanism against. They stand behind the same store as
-// the decision module and keep the four rules, but hold nothing back and learn nothing: a request goes out at once, to a
+// the decision module and keep the four dispatch, but hold nothing back and learn nothing: a request goes out at once, to a
 // worker drawn at random, the next in turn, or the one with the fewest of our own requests. They serve nobody else.
 package baseline
 
@@ -10,7 +10,7 @@
 	"slices"
 	"strings"
 
-	"birchfork/rules"
+	"birchfork/dispatch"
 )
 
 // The policies.
@@ -25,39 +25,39 @@
 
 // Times of a baseline.
 const (
-	endSpare = 5 * rules.Millisecond  // an answer is given so long before the client's time is up
-	holdTick = 10 * rules.Millisecond // without a ready worker a request is tried again after this
-	drawMost = 16                     // draws until a warm enough worker is found
+	endSpare = 5 * dispatch.Millisecond  // an answer is given so long before the client's time is up
+	holdTick = 10 * dispatch.Millisecond // without a ready worker a request is tried again after this
+	drawMost = 16                        // draws until a warm enough worker is found
 )
 
 // Decider decides by one plain policy.
 type Decider struct {
-	s       rules.Settings
+	s       dispatch.Settings
 	policy  string
 	r       *rand.Rand
-	now     rules.Time
+	now     dispatch.Time
 	workers []worker
 	ready   []int // indexes of ready workers
 	next    int
-	jobs    map[rules.RequestID]*job
+	jobs    map[dispatch.RequestID]*job
 	ends    ends
 	held    []*job
-	armed   rules.Time
-	out     []rules.Action
+	armed   dispatch.Time
+	out     []dispatch.Action
 }
 
 type worker struct {
 	kind    int
-	state   rules.State
+	state   dispatch.State
 	known   bool
-	started rules.Time
+	started dispatch.Time
 	open    int // our requests there
 }
 
 type job struct {
-	id       rules.RequestID
-	class    *rules.Class
-	end      rules.Time
+	id       dispatch.RequestID
+	class    *dispatch.Class
+	end      dispatch.Time
 	attempts []attempt
 	open     bool
 	waits    bool
@@ -70,20 +70,20 @@
 }
 
 // New returns a policy by its name.
-func New(policy string, s rules.Settings, seed uint64) (*Decider, error) {
+func New(policy string, s dispatch.Settings, seed uint64) (*Decider, error) {
 	if !slices.Contains(Policies, policy) {
 		return nil, fmt.Errorf("no policy %q; there are %s", policy, strings.Join(Policies, ", "))
 	}
-	return &Decider{s: s, policy: policy, r: rand.New(rand.NewPCG(seed, 1)), jobs: map[rules.RequestID]*job{}}, nil
+	return &Decider{s: s, policy: policy, r: rand.New(rand.NewPCG(seed, 1)), jobs: map[dispatch.RequestID]*job{}}, nil
 }
 
 // Handle takes one event and returns what is to be done.
-func (d *Decider) Handle(now rules.Time, e *rules.Event, out []rules.Action) []rules.Action {
+func (d *Decider) Handle(now dispatch.Time, e *dispatch.Event, out []dispatch.Action) []dispatch.Action {
 	d.now, d.out = now, out
 	switch e.Kind {
-	case rules.ListSnapshot, rules.ListChange:
+	case dispatch.ListSnapshot, dispatch.ListChange:
 		d.news(e)
-	case rules.Arrived:
+	case dispatch.Arrived:
 		if e.Class < 0 || e.Class >= len(d.s.Classes) {
 			break
 		}
@@ -91,36 +91,36 @@
 		d.jobs[j.id] = j
 		heap.Push(&d.ends, j)
 		d.place(j)
-	case rules.Ended:
+	case dispatch.Ended:
 		d.ended(e)
-	case rules.ClientGone:
+	case dispatch.ClientGone:
 		if j := d.jobs[e.Request]; j != nil {
 			d.close(j)
 		}
-	case rules.TimerFired:
+	case dispatch.TimerFired:
 		d.armed = 0
-	case rules.Retuned: // jobs under way point to their class, which stays
+	case dispatch.Retuned: // jobs under way point to their class, which stays
 		d.s = *e.Settings
 	}
 	d.due()
 	return d.out
 }
 
-func (d *Decider) news(e *rules.Event) {
-	if e.Kind == rules.ListSnapshot {
+func (d *Decider) news(e *dispatch.Event) {
+	if e.Kind == dispatch.ListSnapshot {
 		for i := range d.workers {
-			d.workers[i].state = rules.Gone
+			d.workers[i].state = dispatch.Gone
 		}
 	}
 	for _, w := range e.Workers {
 		for int(w.ID) >= len(d.workers) {
-			d.workers = append(d.workers, worker{state: rules.Gone})
+			d.workers = append(d.workers, worker{state: dispatch.Gone})
 		}
 		d.workers[w.ID].state, d.workers[w.ID].started, d.workers[w.ID].known, d.workers[w.ID].kind = w.State, w.StartedAt, true, w.Kind
 	}
 	d.ready = d.ready[:0]
 	for i, w := range d.workers {
-		if w.known && w.state == rules.Ready {
+		if w.known && w.state == dispatch.Ready {
 			d.ready = append(d.ready, i)
 		}
 	}
@@ -142,7 +142,7 @@
 }
 
 // choose returns a ready worker that runs the class, or -1. A cold one is taken as seldom as it is cold.
-func (d *Decider) choose(c *rules.Class) int {
+func (d *Decider) choose(c *dispatch.Class) int {
 	if len(d.ready) == 0 {
 		return -1
 	}
@@ -194,11 +194,11 @@
 	}
 	d.workers[i].open++
 	j.attempts = append(j.attempts, attempt{worker: i, out: true})
-	d.out = append(d.out, rules.Action{Kind: rules.Send, Request: j.id, Worker: rules.WorkerID(i)})
+	d.out = append(d.out, dispatch.Action{Kind: dispatch.Send, Request: j.id, Worker: dispatch.WorkerID(i)})
 }
 
 // ended takes an outcome, and tries elsewhere where that can have no second effect.
-func (d *Decider) ended(e *rules.Event) {
+func (d *Decider) ended(e *dispatch.Event) {
 	j := d.jobs[e.Request]
 	if j == nil || e.Attempt < 0 || e.Attempt >= len(j.attempts) || !j.attempts[e.Attempt].out {
 		return
@@ -206,14 +206,14 @@
 	a := &j.attempts[e.Attempt]
 	a.out = false
 	switch e.Result {
-	case rules.Full, rules.Unreachable, rules.NotSent:
+	case dispatch.Full, dispatch.Unreachable, dispatch.NotSent:
 		a.neverRan = true
 	}
 	d.workers[a.worker].open--
 	switch {
-	case e.Final || e.Result == rules.OK:
+	case e.Final || e.Result == dispatch.OK:
 		d.close(j)
-	case j.open && (a.neverRan || j.class.Effect == rules.Safe):
+	case j.open && (a.neverRan || j.class.Effect == dispatch.Safe):
 		d.place(j)
 	case j.open:
 		d.finish(j)
@@ -223,13 +223,13 @@
 
 // finish answers: a refusal where asking again is harmless, else a failure.
 func (d *Decider) finish(j *job) {
-	kind := rules.Refuse
+	kind := dispatch.Refuse
 	for _, a := range j.attempts {
-		if !a.neverRan && j.class.Effect != rules.Safe {
-			kind = rules.GiveUp
+		if !a.neverRan && j.class.Effect != dispatch.Safe {
+			kind = dispatch.GiveUp
 		}
 	}
-	d.out = append(d.out, rules.Action{Kind: kind, Request: j.id})
+	d.out = append(d.out, dispatch.Action{Kind: kind, Request: j.id})
 	d.close(j)
 }
 
@@ -241,7 +241,7 @@
 	j.open = false
 	for i, a := range j.attempts {
 		if a.out && d.s.CanCancel {
-			d.out = append(d.out, rules.Action{Kind: rules.Cancel, Request: j.id, Attempt: i})
+			d.out = append(d.out, dispatch.Action{Kind: dispatch.Cancel, Request: j.id, Attempt: i})
 		}
 	}
 	d.held = slices.DeleteFunc(d.held, func(h *job) bool { return h == j })
@@ -268,7 +268,7 @@
 		j.waits = false
 		d.place(j)
 	}
-	at := rules.Time(0)
+	at := dispatch.Time(0)
 	if len(d.ends) > 0 {
 		at = d.ends[0].end
 	}
@@ -277,7 +277,7 @@
 	}
 	if at > 0 && (d.armed == 0 || at < d.armed) {
 		d.armed = at
-		d.out = append(d.out, rules.Action{Kind: rules.SetTimer, Wait: max(at-d.now, rules.Millisecond)})
+		d.out = append(d.out, dispatch.Action{Kind: dispatch.SetTimer, Wait: max(at-d.now, dispatch.Millisecond)})
 	}
 }
 
--- a/internal/lab/baseline/baseline_test.go
+++ b/internal/lab/baseline/baseline_test.go
@@ -5,16 +5,16 @@
 
 	"pgregory.net/rapid"
 
-	"birchfork/rules"
+	"birchfork/dispatch"
 )
 
 // Whatever comes, a baseline keeps what a dispatcher can keep by itself: one final answer in time, nothing sent after,
 // nothing unsafe again that may have run, no refusal of it, nothing to a worker that is not ready.
 func TestBaselinesKeepTheRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := rules.Settings{
-			Classes:     []rules.Class{{Effect: rules.Safe, Kind: -1}, {Effect: rules.Unsafe, Kind: 1}},
-			MaxAttempts: 3, CanCancel: true, ColdFrom: 0.1, WarmWithin: 10 * rules.Second,
+		s := dispatch.Settings{
+			Classes:     []dispatch.Class{{Effect: dispatch.Safe, Kind: -1}, {Effect: dispatch.Unsafe, Kind: 1}},
+			MaxAttempts: 3, CanCancel: true, ColdFrom: 0.1, WarmWithin: 10 * dispatch.Second,
 		}
 		d, err := New(rapid.SampledFrom(Policies).Draw(t, "policy"), s, rapid.Uint64().Draw(t, "seed"))
 		if err != nil {
@@ -27,18 +27,18 @@
 		}
 		type request struct {
 			class, final int
-			end          rules.Time
+			end          dispatch.Time
 			sent         []sent
 		}
 		var all []*request
-		states := make([]rules.State, 4)
+		states := make([]dispatch.State, 4)
 		for i := range states {
-			states[i] = rules.Gone
+			states[i] = dispatch.Gone
 		}
-		now, timer := rules.Time(1000), rules.Time(0)
-		feed := func(e rules.Event) {
+		now, timer := dispatch.Time(1000), dispatch.Time(0)
+		feed := func(e dispatch.Event) {
 			for _, a := range d.Handle(now, &e, nil) {
-				if a.Kind == rules.SetTimer {
+				if a.Kind == dispatch.SetTimer {
 					if timer == 0 || now+a.Wait < timer {
 						timer = now + a.Wait
 					}
@@ -46,8 +46,8 @@
 				}
 				r := all[a.Request]
 				switch a.Kind {
-				case rules.Send:
-					if r.final > 0 || now >= r.end || states[a.Worker] != rules.Ready || len(r.sent) >= s.MaxAttempts ||
+				case dispatch.Send:
+					if r.final > 0 || now >= r.end || states[a.Worker] != dispatch.Ready || len(r.sent) >= s.MaxAttempts ||
 						r.class == 1 && a.Worker%2 != 1 {
 						t.Fatalf("a send that must not be: %+v, %+v", a, r)
 					}
@@ -57,13 +57,13 @@
 						}
 					}
 					r.sent = append(r.sent, sent{worker: int(a.Worker), out: true})
-				case rules.Refuse, rules.GiveUp:
+				case dispatch.Refuse, dispatch.GiveUp:
 					r.final++
 					if r.final > 1 || now > r.end {
 						t.Fatalf("answered %d times, at %d of %d", r.final, now, r.end)
 					}
 					for _, o := range r.sent {
-						if a.Kind == rules.Refuse && r.class == 1 && !o.never {
+						if a.Kind == dispatch.Refuse && r.class == 1 && !o.never {
 							t.Fatalf("refused what may have run: %+v", r)
 						}
 					}
@@ -71,22 +71,22 @@
 			}
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			now += rules.Time(rapid.IntRange(0, 200).Draw(t, "ms")) * rules.Millisecond
+			now += dispatch.Time(rapid.IntRange(0, 200).Draw(t, "ms")) * dispatch.Millisecond
 			for timer != 0 && timer <= now {
 				late := now
 				now, timer = timer, 0
-				feed(rules.Event{Kind: rules.TimerFired})
+				feed(dispatch.Event{Kind: dispatch.TimerFired})
 				now = late
 			}
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
 				w := rapid.IntRange(0, 3).Draw(t, "worker")
-				states[w] = rapid.SampledFrom([]rules.State{rules.Ready, rules.Ready, rules.Draining, rules.Gone}).Draw(t, "state")
-				feed(rules.Event{Kind: rules.ListChange, Workers: []rules.Worker{{ID: rules.WorkerID(w), State: states[w], Kind: w % 2}}})
+				states[w] = rapid.SampledFrom([]dispatch.State{dispatch.Ready, dispatch.Ready, dispatch.Draining, dispatch.Gone}).Draw(t, "state")
+				feed(dispatch.Event{Kind: dispatch.ListChange, Workers: []dispatch.Worker{{ID: dispatch.WorkerID(w), State: states[w], Kind: w % 2}}})
 			case 1, 2:
-				left := rules.Time(rapid.IntRange(50, 2000).Draw(t, "left")) * rules.Millisecond
+				left := dispatch.Time(rapid.IntRange(50, 2000).Draw(t, "left")) * dispatch.Millisecond
 				all = append(all, &request{class: rapid.IntRange(0, 1).Draw(t, "class"), end: now + left})
-				feed(rules.Event{Kind: rules.Arrived, Request: rules.RequestID(len(all) - 1), Class: all[len(all)-1].class, Left: left})
+				feed(dispatch.Event{Kind: dispatch.Arrived, Request: dispatch.RequestID(len(all) - 1), Class: all[len(all)-1].class, Left: left})
 			case 3:
 				for id, r := range all {
 					for k := range r.sent {
@@ -94,10 +94,10 @@
 							continue
 						}
 						r.sent[k].out = false
-						e := rules.Event{Kind: rules.Ended, Request: rules.RequestID(id), Attempt: k, Worker: rules.WorkerID(r.sent[k].worker)}
-						e.Result = rapid.SampledFrom([]rules.Result{rules.OK, rules.Failed, rules.Full, rules.Unreachable, rules.Disconnected}).Draw(t, "result")
-						r.sent[k].never = e.Result == rules.Full || e.Result == rules.Unreachable
-						if e.Result == rules.OK && r.final == 0 {
+						e := dispatch.Event{Kind: dispatch.Ended, Request: dispatch.RequestID(id), Attempt: k, Worker: dispatch.WorkerID(r.sent[k].worker)}
+						e.Result = rapid.SampledFrom([]dispatch.Result{dispatch.OK, dispatch.Failed, dispatch.Full, dispatch.Unreachable, dispatch.Disconnected}).Draw(t, "result")
+						r.sent[k].never = e.Result == dispatch.Full || e.Result == dispatch.Unreachable
+						if e.Result == dispatch.OK && r.final == 0 {
 							r.final = 1
 						}
 						e.Final = r.final > 0
@@ -112,7 +112,7 @@
 				break
 			}
 			now, timer = timer, 0
-			feed(rules.Event{Kind: rules.TimerFired})
+			feed(dispatch.Event{Kind: dispatch.TimerFired})
 		}
 		for id, r := range all {
 			if r.final != 1 {
--- a/internal/membership/etcd/etcd.go
+++ b/internal/membership/etcd/etcd.go
@@ -19,9 +19,9 @@
 	"go.etcd.io/etcd/api/v3/v3rpc/rpctypes"
 	clientv3 "go.etcd.io/etcd/client/v3"
 
+	"birchfork/dispatch"
 	"birchfork/internal/membership"
 	"birchfork/internal/store"
-	"birchfork/rules"
 )
 
 // SchemaVersion is that of a worker's value.
@@ -58,7 +58,7 @@
 
 // Decode reads a worker. A value that cannot be used is an error, and what comes back drains: it is not known to want jobs.
 func Decode(name string, raw []byte) (store.Entry, error) {
-	bad := store.Entry{Name: name, Cell: -1, State: rules.Draining}
+	bad := store.Entry{Name: name, Cell: -1, State: dispatch.Draining}
 	if len(raw) > valueMost {
 		return bad, fmt.Errorf("its value has %d bytes, more than %d", len(raw), valueMost)
 	}
@@ -79,7 +79,7 @@
 	switch v.State {
 	case "", Up:
 	case Draining:
-		e.State = rules.Draining
+		e.State = dispatch.Draining
 	default:
 		return bad, fmt.Errorf("its state %q is neither up nor draining", v.State)
 	}
@@ -200,7 +200,7 @@
 			e := events[0]
 			events = events[1:]
 			if e.Type == clientv3.EventTypeDelete {
-				n.Entries = append(n.Entries, store.Entry{Name: s.name(e.Kv), Cell: -1, State: rules.Gone})
+				n.Entries = append(n.Entries, store.Entry{Name: s.name(e.Kv), Cell: -1, State: dispatch.Gone})
 			} else {
 				n.Entries = append(n.Entries, s.entry(e.Kv))
 			}
--- a/internal/membership/etcd/etcd_test.go
+++ b/internal/membership/etcd/etcd_test.go
@@ -16,9 +16,9 @@
 	"go.uber.org/goleak"
 	"go.uber.org/zap"
 
+	"birchfork/dispatch"
 	"birchfork/internal/etcdstub"
 	"birchfork/internal/membership"
-	"birchfork/rules"
 )
 
 // gapRounds is how often the watch is broken: go test ./internal/membership/etcd -run Gaps -gap-rounds 1000
@@ -82,7 +82,7 @@
 	defer w.mu.Unlock()
 	for _, l := range w.view.Tell(time.Since(w.start), 0, n) {
 		for _, e := range l.Entries {
-			if e.State != rules.Ready {
+			if e.State != dispatch.Ready {
 				w.drained[key(e.Name, e.Since)] = true
 			} else if w.drained[key(e.Name, e.Since)] {
 				w.broken = append(w.broken, key(e.Name, e.Since))
@@ -91,13 +91,13 @@
 	}
 }
 
-func (w *world) state(name string) rules.State {
+func (w *world) state(name string) dispatch.State {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if e, ok := w.view.Workers()[name]; ok {
 		return e.State
 	}
-	return rules.Gone
+	return dispatch.Gone
 }
 
 // await waits as long as it takes; a test that hangs is ended by its own time-out.
@@ -134,7 +134,7 @@
 			name := fmt.Sprint("w", r.IntN(4))
 			since++
 			w.put(name, Up, since)
-			w.await("up", func() bool { return w.state(name) == rules.Ready })
+			w.await("up", func() bool { return w.state(name) == dispatch.Ready })
 			w.etcd.DropWatches()
 			ends := r.IntN(3)
 			switch ends {
@@ -155,12 +155,12 @@
 			if r.IntN(3) == 0 {
 				w.etcd.DropWatches()
 			}
-			want := [...]rules.State{rules.Draining, rules.Gone, rules.Ready}[ends]
+			want := [...]dispatch.State{dispatch.Draining, dispatch.Gone, dispatch.Ready}[ends]
 			w.await(fmt.Sprintf("round %d: %v", i, want), func() bool {
 				w.mu.Lock()
 				defer w.mu.Unlock()
 				e, ok := w.view.Workers()[name]
-				return !ok && want == rules.Gone || ok && e.State == want && e.Since == since
+				return !ok && want == dispatch.Gone || ok && e.State == want && e.Since == since
 			})
 		}
 		if len(w.broken) > 0 {
@@ -176,7 +176,7 @@
 func TestCompactedResumeIsRebuilt(t *testing.T) {
 	w := newWorld(t)
 	w.put("a", Up, 1)
-	w.await("up", func() bool { return w.state("a") == rules.Ready })
+	w.await("up", func() bool { return w.state("a") == dispatch.Ready })
 	w.etcd.Refuse(true) // no watch comes up
 	w.await("the watch is gone", func() bool { return w.etcd.Watches() == 0 })
 	w.etcd.Refuse(false)
@@ -190,7 +190,7 @@
 	time.Sleep(20 * time.Millisecond)
 	w.etcd.Hang(false)
 	<-stop
-	w.await("draining", func() bool { return w.state("a") == rules.Draining })
+	w.await("draining", func() bool { return w.state("a") == dispatch.Draining })
 	if len(w.broken) > 0 {
 		t.Errorf("offered again: %v", w.broken)
 	}
@@ -200,21 +200,21 @@
 func TestRestoredStore(t *testing.T) {
 	w := newWorld(t)
 	w.put("a", Up, 1)
-	w.await("up", func() bool { return w.state("a") == rules.Ready })
+	w.await("up", func() bool { return w.state("a") == dispatch.Ready })
 	old := w.etcd.Copy()
 	w.put("a", Draining, 1)
 	w.put("b", Up, 1)
-	w.await("b", func() bool { return w.state("b") == rules.Ready && w.state("a") == rules.Draining })
+	w.await("b", func() bool { return w.state("b") == dispatch.Ready && w.state("a") == dispatch.Draining })
 	w.etcd.Restore(old)
-	w.await("the restore is seen", func() bool { return w.state("b") == rules.Gone })
-	if w.state("a") != rules.Draining || len(w.broken) > 0 {
+	w.await("the restore is seen", func() bool { return w.state("b") == dispatch.Gone })
+	if w.state("a") != dispatch.Draining || len(w.broken) > 0 {
 		t.Errorf("after the restore a is %v; %v", w.state("a"), w.broken)
 	}
 	if n := w.src.Counters.Restored.Load(); n != 1 {
 		t.Errorf("%d restores were counted", n)
 	}
 	w.put("c", Up, 1)
-	w.await("c", func() bool { return w.state("c") == rules.Ready })
+	w.await("c", func() bool { return w.state("c") == dispatch.Ready })
 	if n := w.src.Counters.Reads.Load(); n > 4 {
 		t.Errorf("the range was read %d times", n)
 	}
@@ -232,17 +232,17 @@
 	if _, err := w.cli.Put(ctx, "/workers/leased", value, clientv3.WithLease(lease.ID)); err != nil {
 		t.Fatal(err)
 	}
-	w.await("leased", func() bool { return w.state("leased") == rules.Ready })
+	w.await("leased", func() bool { return w.state("leased") == dispatch.Ready })
 	if _, err := w.cli.Txn(ctx).Then(clientv3.OpPut("/workers/new", value), clientv3.OpDelete("/workers/leased")).Commit(); err != nil {
 		t.Fatal(err)
 	}
-	w.await("the transaction", func() bool { return w.state("new") == rules.Ready && w.state("leased") == rules.Gone })
+	w.await("the transaction", func() bool { return w.state("new") == dispatch.Ready && w.state("leased") == dispatch.Gone })
 	if _, err := w.cli.Put(ctx, "/workers/leased", value, clientv3.WithLease(lease.ID)); err != nil {
 		t.Fatal(err)
 	}
-	w.await("leased again", func() bool { return w.state("leased") == rules.Ready })
+	w.await("leased again", func() bool { return w.state("leased") == dispatch.Ready })
 	w.etcd.Expire(int64(lease.ID))
-	w.await("the lease's end", func() bool { return w.state("leased") == rules.Gone })
+	w.await("the lease's end", func() bool { return w.state("leased") == dispatch.Gone })
 	for i := range 2000 {
 		w.put(fmt.Sprint("b", i%500), [...]string{Up, Draining}[i/1000%2], int64(i/1000+1))
 	}
@@ -251,7 +251,7 @@
 		defer w.mu.Unlock()
 		n := 0
 		for _, e := range w.view.Workers() {
-			if e.State == rules.Draining && e.Since == 2 {
+			if e.State == dispatch.Draining && e.Since == 2 {
 				n++
 			}
 		}
@@ -263,19 +263,19 @@
 func TestSilentSourceKeepsItsList(t *testing.T) {
 	w := newWorld(t)
 	w.put("a", Up, 1)
-	w.await("up", func() bool { return w.state("a") == rules.Ready })
+	w.await("up", func() bool { return w.state("a") == dispatch.Ready })
 	w.etcd.Refuse(true)
 	w.await("lost", func() bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		return w.lost > 0 || w.etcd.Watches() == 0
 	})
-	if w.state("a") != rules.Ready {
+	if w.state("a") != dispatch.Ready {
 		t.Error("a source without a leader emptied the list")
 	}
 	w.etcd.Refuse(false)
 	w.put("b", Up, 1)
-	w.await("b", func() bool { return w.state("b") == rules.Ready })
+	w.await("b", func() bool { return w.state("b") == dispatch.Ready })
 }
 
 func TestDecode(t *testing.T) {
@@ -284,7 +284,7 @@
 		`{"v":1,"address":"h"}`: "host:port", `{"v":1,"address":":9"}`: "host:port", `{"v":1,"address":"h:0"}`: "host:port", `{"v":1,"address":"h:1","state":"gone"}`: "neither up",
 	} {
 		e, err := Decode("w", []byte(raw))
-		if (err == nil) != (want == "") || err != nil && e.State == rules.Ready {
+		if (err == nil) != (want == "") || err != nil && e.State == dispatch.Ready {
 			t.Errorf("%s: %+v, %v", raw, e, err)
 		}
 	}
@@ -294,7 +294,7 @@
 	f.Add([]byte(`{"v":1,"address":"127.0.0.1:9","state":"draining","cell":3,"weight":-1,"since_ms":-5}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		e, err := Decode("w", raw)
-		if err != nil && e.State == rules.Ready || err == nil && (e.Address == "" || e.Weight < 0 || e.Since < 0) || e.Name != "w" {
+		if err != nil && e.State == dispatch.Ready || err == nil && (e.Address == "" || e.Weight < 0 || e.Since < 0) || e.Name != "w" {
 			t.Fatalf("%+v, %v", e, err)
 		}
 	})
--- a/internal/membership/file/file.go
+++ b/internal/membership/file/file.go
@@ -14,10 +14,10 @@
 	"github.com/fsnotify/fsnotify"
 	"github.com/sirupsen/logrus"
 
+	"birchfork/dispatch"
 	"birchfork/internal/membership"
 	"birchfork/internal/store"
 	"birchfork/internal/tomlfile"
-	"birchfork/rules"
 )
 
 // settleTime lets an editor finish: several events of one save become one reading.
@@ -69,7 +69,7 @@
 		switch w.State {
 		case "", "up":
 		case "draining":
-			e.State = rules.Draining
+			e.State = dispatch.Draining
 		default:
 			d.Fault(at+"state", "%q is neither up nor draining", w.State)
 		}
--- a/internal/membership/file/file_test.go
+++ b/internal/membership/file/file_test.go
@@ -11,15 +11,15 @@
 
 	"github.com/sirupsen/logrus"
 
+	"birchfork/dispatch"
 	"birchfork/internal/membership"
-	"birchfork/rules"
 )
 
 const two = "[[worker]]\nname='a'\naddress='127.0.0.1:1'\n[[worker]]\nname='b'\naddress='127.0.0.1:2'\nstate='draining'\n"
 
 func TestDecodeNamesEveryFault(t *testing.T) {
 	l, err := Decode("f", []byte(two))
-	if err != nil || len(l) != 2 || l[0].State != rules.Ready || l[0].Cell != -1 || l[1].State != rules.Draining {
+	if err != nil || len(l) != 2 || l[0].State != dispatch.Ready || l[0].Cell != -1 || l[1].State != dispatch.Draining {
 		t.Fatalf("%+v, %v", l, err)
 	}
 	_, err = Decode("f", []byte("[[worker]]\nname='a'\naddress='x'\nstate='on'\nweight=-1\n[[worker]]\nname='a'\naddress='127.0.0.1:1'\n"))
--- a/internal/membership/front.go
+++ b/internal/membership/front.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
+	"birchfork/dispatch"
 	"birchfork/internal/store"
-	"birchfork/rules"
 )
 
 // Front tells a View's list to dispatchers in discovery's own words, so that a dispatcher needs nothing new: its discovery
@@ -75,7 +75,7 @@
 	for _, l := range step(time.Since(f.start)) {
 		for _, e := range l.Entries {
 			f.index++
-			if e.State == rules.Gone {
+			if e.State == dispatch.Gone {
 				delete(f.list, e.Name)
 			} else {
 				f.list[e.Name] = e
@@ -133,7 +133,7 @@
 	Endpoints []endpoint `json:"endpoints"`
 }
 
-var statusOf = map[rules.State]string{rules.Ready: "up", rules.Draining: "draining", rules.Gone: "removed"}
+var statusOf = map[dispatch.State]string{dispatch.Ready: "up", dispatch.Draining: "draining", dispatch.Gone: "removed"}
 
 func wordsOf(e *store.Entry) endpoint {
 	return endpoint{e.Name, e.Address, e.Zone, e.Kind, e.Cell, statusOf[e.State], e.Weight, e.Since}
--- a/internal/membership/front_test.go
+++ b/internal/membership/front_test.go
@@ -10,9 +10,9 @@
 	"testing/synctest"
 	"time"
 
+	"birchfork/dispatch"
 	"birchfork/internal/store"
 	"birchfork/internal/wire"
-	"birchfork/rules"
 )
 
 // What a dispatcher's own decoder makes of the front's words, whole and as a watch, is the view's list; many changes of one
@@ -33,7 +33,7 @@
 	if res := get("/discovery/hosts"); res.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("with nothing told: %d, and an empty list would count", res.StatusCode)
 	}
-	f.Tell(0, News{Whole: true, Entries: []store.Entry{entry("a", rules.Ready, 1), entry("b", rules.Draining, 2)}})
+	f.Tell(0, News{Whole: true, Entries: []store.Entry{entry("a", dispatch.Ready, 1), entry("b", dispatch.Draining, 2)}})
 	res := get("/discovery/hosts")
 	var raw json.RawMessage
 	if err := json.NewDecoder(res.Body).Decode(&raw); err != nil {
@@ -45,9 +45,9 @@
 		t.Fatalf("%+v, %d bad, %v", l, bad, err)
 	}
 	for i := range 1000 {
-		f.Tell(0, News{Entries: []store.Entry{entry("a", [...]rules.State{rules.Ready, rules.Draining}[i%2], int64(i))}})
+		f.Tell(0, News{Entries: []store.Entry{entry("a", [...]dispatch.State{dispatch.Ready, dispatch.Draining}[i%2], int64(i))}})
 	}
-	f.Tell(0, News{Entries: []store.Entry{entry("b", rules.Gone, 0)}})
+	f.Tell(0, News{Entries: []store.Entry{entry("b", dispatch.Gone, 0)}})
 	res = get(fmt.Sprintf("/discovery/hosts?follow=1&since=%d", l.Index))
 	defer res.Body.Close()
 	line, err := bufio.NewReader(res.Body).ReadBytes('\n')
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	l, bad, err = wire.DecodeList(line)
-	if err != nil || bad != 0 || l.Whole || len(l.Entries) != 2 || l.Entries[0].Since != 999 || l.Entries[0].State != rules.Draining || l.Entries[1].State != rules.Gone {
+	if err != nil || bad != 0 || l.Whole || len(l.Entries) != 2 || l.Entries[0].Since != 999 || l.Entries[0].State != dispatch.Draining || l.Entries[1].State != dispatch.Gone {
 		t.Errorf("the watch's first line: %+v, %v", l, err)
 	}
 	if res := get("/discovery/hosts?follow=1&since=x"); res.StatusCode != http.StatusBadRequest {
@@ -71,8 +71,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := NewFront(Config{Sources: 2, ChangeOver: 5 * time.Second, ChangeBack: 3 * time.Second, EmptyGuard: 10 * time.Second})
 		defer f.Close()
-		f.Tell(0, News{Whole: true, Entries: []store.Entry{entry("a", rules.Ready, 1)}})
-		f.Tell(1, News{Whole: true, Entries: []store.Entry{entry("b", rules.Ready, 1)}})
+		f.Tell(0, News{Whole: true, Entries: []store.Entry{entry("a", dispatch.Ready, 1)}})
+		f.Tell(1, News{Whole: true, Entries: []store.Entry{entry("b", dispatch.Ready, 1)}})
 		f.Lost(0)
 		time.Sleep(4 * time.Second)
 		if s := f.Status(); s.Source != 0 {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
+	"birchfork/dispatch"
 	"birchfork/internal/store"
-	"birchfork/rules"
 )
 
 // News is what a source tells.
@@ -138,7 +138,7 @@
 	s.empty = false
 	fresh := map[string]known{}
 	for _, e := range n.Entries {
-		if e.State != rules.Gone {
+		if e.State != dispatch.Gone {
 			fresh[e.Name] = s.newer(known{Entry: e}, n.Revision < s.revision)
 		}
 	}
@@ -151,7 +151,7 @@
 		return
 	}
 	for _, e := range n.Entries {
-		if e.State == rules.Gone {
+		if e.State == dispatch.Gone {
 			delete(s.entries, e.Name)
 			continue
 		}
@@ -166,7 +166,7 @@
 // once more is no change: without held the second reading would bring the worker back.
 func (s *source) newer(e known, restored bool) known {
 	old, ok := s.entries[e.Name]
-	if ok && (restored || old.held) && old.State != rules.Ready && e.State == rules.Ready && old.Since == e.Since && old.Address == e.Address {
+	if ok && (restored || old.held) && old.State != dispatch.Ready && e.State == dispatch.Ready && old.Since == e.Since && old.Address == e.Address {
 		e.State, e.held = old.State, true
 	}
 	return e
@@ -187,7 +187,7 @@
 	l := store.List{}
 	for name, old := range v.told {
 		if _, ok := want[name]; !ok {
-			old.State = rules.Gone
+			old.State = dispatch.Gone
 			l.Entries = append(l.Entries, old)
 			delete(v.told, name)
 		}
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -7,100 +7,100 @@
 
 	"pgregory.net/rapid"
 
+	"birchfork/dispatch"
 	"birchfork/internal/store"
-	"birchfork/rules"
 )
 
-func entry(name string, state rules.State, since int64) store.Entry {
+func entry(name string, state dispatch.State, since int64) store.Entry {
 	return store.Entry{Name: name, Address: "127.0.0.1:1", State: state, Since: since}
 }
 
-func stateOf(v *View, name string) rules.State {
+func stateOf(v *View, name string) dispatch.State {
 	if e, ok := v.Workers()[name]; ok {
 		return e.State
 	}
-	return rules.Gone
+	return dispatch.Gone
 }
 
 func TestWorkerThatDrainedInTheGap(t *testing.T) {
 	v := NewView(Config{Sources: 1})
-	v.Tell(0, 0, News{Whole: true, Revision: 10, Entries: []store.Entry{entry("a", rules.Ready, 1), entry("b", rules.Ready, 1)}})
+	v.Tell(0, 0, News{Whole: true, Revision: 10, Entries: []store.Entry{entry("a", dispatch.Ready, 1), entry("b", dispatch.Ready, 1)}})
 	v.Lost(time.Second, 0)
-	if stateOf(v, "a") != rules.Ready {
+	if stateOf(v, "a") != dispatch.Ready {
 		t.Fatal("a silent source emptied the list")
 	}
-	out := v.Tell(2*time.Second, 0, News{Whole: true, Revision: 90, Entries: []store.Entry{entry("a", rules.Draining, 1)}})
-	if len(out) != 1 || len(out[0].Entries) != 2 || stateOf(v, "a") != rules.Draining || stateOf(v, "b") != rules.Gone {
+	out := v.Tell(2*time.Second, 0, News{Whole: true, Revision: 90, Entries: []store.Entry{entry("a", dispatch.Draining, 1)}})
+	if len(out) != 1 || len(out[0].Entries) != 2 || stateOf(v, "a") != dispatch.Draining || stateOf(v, "b") != dispatch.Gone {
 		t.Errorf("after the rebuild: %+v", out)
 	}
 	// Late and repeated words of before the gap.
-	if out := v.Tell(3*time.Second, 0, News{Revision: 50, Entries: []store.Entry{entry("a", rules.Ready, 1)}}); out != nil {
+	if out := v.Tell(3*time.Second, 0, News{Revision: 50, Entries: []store.Entry{entry("a", dispatch.Ready, 1)}}); out != nil {
 		t.Errorf("an old word was taken for news: %+v", out)
 	}
 	// A restored store is older: what drained stays so, a new start counts.
-	v.Tell(4*time.Second, 0, News{Whole: true, Revision: 20, Entries: []store.Entry{entry("a", rules.Ready, 1), entry("c", rules.Ready, 1)}})
-	if stateOf(v, "a") != rules.Draining || stateOf(v, "c") != rules.Ready {
+	v.Tell(4*time.Second, 0, News{Whole: true, Revision: 20, Entries: []store.Entry{entry("a", dispatch.Ready, 1), entry("c", dispatch.Ready, 1)}})
+	if stateOf(v, "a") != dispatch.Draining || stateOf(v, "c") != dispatch.Ready {
 		t.Errorf("after a restore: a %v, c %v", stateOf(v, "a"), stateOf(v, "c"))
 	}
 	// The restored list read again, as after a broken watch, is no newer word.
 	v.Lost(4*time.Second, 0)
-	v.Tell(4*time.Second, 0, News{Whole: true, Revision: 20, Entries: []store.Entry{entry("a", rules.Ready, 1), entry("c", rules.Ready, 1)}})
-	v.Tell(4*time.Second, 0, News{Whole: true, Revision: 25, Entries: []store.Entry{entry("a", rules.Ready, 1), entry("c", rules.Ready, 1)}})
-	if stateOf(v, "a") != rules.Draining {
+	v.Tell(4*time.Second, 0, News{Whole: true, Revision: 20, Entries: []store.Entry{entry("a", dispatch.Ready, 1), entry("c", dispatch.Ready, 1)}})
+	v.Tell(4*time.Second, 0, News{Whole: true, Revision: 25, Entries: []store.Entry{entry("a", dispatch.Ready, 1), entry("c", dispatch.Ready, 1)}})
+	if stateOf(v, "a") != dispatch.Draining {
 		t.Error("a restored list read twice brought a drained worker back")
 	}
-	v.Tell(5*time.Second, 0, News{Revision: 26, Entries: []store.Entry{entry("a", rules.Ready, 7)}})
-	if stateOf(v, "a") != rules.Ready {
+	v.Tell(5*time.Second, 0, News{Revision: 26, Entries: []store.Entry{entry("a", dispatch.Ready, 7)}})
+	if stateOf(v, "a") != dispatch.Ready {
 		t.Error("a worker that started again is not taken")
 	}
 }
 
 func TestEmptyListHasToLast(t *testing.T) {
 	v := NewView(Config{Sources: 1, EmptyGuard: 10 * time.Second})
-	v.Tell(0, 0, News{Whole: true, Entries: []store.Entry{entry("a", rules.Ready, 1)}})
+	v.Tell(0, 0, News{Whole: true, Entries: []store.Entry{entry("a", dispatch.Ready, 1)}})
 	if out := v.Tell(time.Second, 0, News{Whole: true}); out != nil {
 		t.Fatalf("an empty list counted at once: %+v", out)
 	}
 	if at, ok := v.Next(); !ok || at != 11*time.Second {
 		t.Errorf("due at %v, %v", at, ok)
 	}
-	if v.Tick(10*time.Second) != nil || len(v.Tick(11*time.Second)) != 1 || stateOf(v, "a") != rules.Gone {
+	if v.Tick(10*time.Second) != nil || len(v.Tick(11*time.Second)) != 1 || stateOf(v, "a") != dispatch.Gone {
 		t.Error("a real removal of all was not followed after the guard")
 	}
 	// One by one is no empty list: it is followed at once.
-	v.Tell(12*time.Second, 0, News{Whole: true, Entries: []store.Entry{entry("b", rules.Ready, 1)}})
-	if out := v.Tell(13*time.Second, 0, News{Entries: []store.Entry{entry("b", rules.Gone, 1)}}); len(out) != 1 || stateOf(v, "b") != rules.Gone {
+	v.Tell(12*time.Second, 0, News{Whole: true, Entries: []store.Entry{entry("b", dispatch.Ready, 1)}})
+	if out := v.Tell(13*time.Second, 0, News{Entries: []store.Entry{entry("b", dispatch.Gone, 1)}}); len(out) != 1 || stateOf(v, "b") != dispatch.Gone {
 		t.Errorf("a removal was held back: %+v", out)
 	}
 }
 
 func TestChangeOverAndBack(t *testing.T) {
 	v := NewView(Config{Sources: 2, ChangeOver: 5 * time.Second, ChangeBack: 3 * time.Second})
-	second := []store.Entry{entry("b", rules.Ready, 1)}
+	second := []store.Entry{entry("b", dispatch.Ready, 1)}
 	v.Tell(0, 1, News{Whole: true, Entries: second})
-	if stateOf(v, "b") != rules.Ready {
+	if stateOf(v, "b") != dispatch.Ready {
 		t.Fatal("the fallback's list does not count though nobody else has told one")
 	}
-	v.Tell(time.Second, 0, News{Whole: true, Entries: []store.Entry{entry("a", rules.Ready, 1)}})
-	if stateOf(v, "a") != rules.Gone {
+	v.Tell(time.Second, 0, News{Whole: true, Entries: []store.Entry{entry("a", dispatch.Ready, 1)}})
+	if stateOf(v, "a") != dispatch.Gone {
 		t.Error("the preferred source took over before it was well for a while")
 	}
 	v.Tick(4 * time.Second)
-	if stateOf(v, "a") != rules.Ready || stateOf(v, "b") != rules.Gone {
+	if stateOf(v, "a") != dispatch.Ready || stateOf(v, "b") != dispatch.Gone {
 		t.Error("the preferred source did not take over")
 	}
 	v.Lost(10*time.Second, 0)
 	v.Tick(14 * time.Second)
-	if stateOf(v, "a") != rules.Ready {
+	if stateOf(v, "a") != dispatch.Ready {
 		t.Error("changed over too early")
 	}
 	v.Tick(15 * time.Second)
-	if active, _ := v.Active(); active != 1 || stateOf(v, "b") != rules.Ready || stateOf(v, "a") != rules.Gone {
+	if active, _ := v.Active(); active != 1 || stateOf(v, "b") != dispatch.Ready || stateOf(v, "a") != dispatch.Gone {
 		t.Error("did not change over")
 	}
 	v.Lost(16*time.Second, 1)
 	v.Tick(time.Hour)
-	if active, age := v.Active(); active != 1 || stateOf(v, "b") != rules.Ready || age < time.Minute {
+	if active, age := v.Active(); active != 1 || stateOf(v, "b") != dispatch.Ready || age < time.Minute {
 		t.Errorf("with all lost the last list goes on: %d, %v", active, age)
 	}
 }
@@ -121,7 +121,7 @@
 		take := func(lists []store.List) {
 			for _, l := range lists {
 				for _, e := range l.Entries {
-					if e.State == rules.Gone {
+					if e.State == dispatch.Gone {
 						delete(offered, e.Name)
 					} else {
 						offered[e.Name] = e
@@ -139,7 +139,7 @@
 		}
 		whole()
 		watching := true
-		told := map[string]rules.State{} // the newest told state of each worker's start
+		told := map[string]dispatch.State{} // the newest told state of each worker's start
 		key := func(e store.Entry) string { return fmt.Sprint(e.Name, e.Since) }
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Second
@@ -147,8 +147,8 @@
 			case 0, 1, 2: // a put or a delete
 				name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
 				rev++
-				e := entry(name, rapid.SampledFrom([]rules.State{rules.Ready, rules.Draining, rules.Gone}).Draw(t, "state"), int64(rapid.IntRange(1, 2).Draw(t, "since")))
-				if e.State == rules.Gone {
+				e := entry(name, rapid.SampledFrom([]dispatch.State{dispatch.Ready, dispatch.Draining, dispatch.Gone}).Draw(t, "state"), int64(rapid.IntRange(1, 2).Draw(t, "since")))
+				if e.State == dispatch.Gone {
 					delete(content, name)
 				} else {
 					content[name] = e
@@ -183,7 +183,7 @@
 				}
 			}
 			for _, e := range offered {
-				if s, ok := told[key(e)]; ok && e.State == rules.Ready && s != rules.Ready {
+				if s, ok := told[key(e)]; ok && e.State == dispatch.Ready && s != dispatch.Ready {
 					t.Fatalf("%s is offered though its newest word is %v", e.Name, s)
 				}
 			}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -13,11 +13,11 @@
 	"strings"
 	"time"
 
+	"birchfork/dispatch"
 	"birchfork/internal/config"
 	"birchfork/internal/settings"
 	"birchfork/internal/store"
 	"birchfork/internal/wire"
-	"birchfork/rules"
 )
 
 // Limits are what the platform leaves us.
@@ -38,7 +38,7 @@
 	Seed                    uint64
 	Limits                  Limits
 	Known                   store.List
-	Settings                rules.Settings
+	Settings                dispatch.Settings
 	Names                   *settings.Names
 	MostOpen                int
 	Operator                *config.Plan // nil: the operator wishes nothing
@@ -268,7 +268,7 @@
 	c.Pushed = !s.ListOnRequest
 	s.CanTell, s.ListOnRequest = false, false
 	c.Settings = s
-	_, err = rules.New(s, 0)
+	_, err = dispatch.New(s, 0)
 	return err
 }
 
--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -14,12 +14,12 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/sirupsen/logrus"
 
+	"birchfork/dispatch"
 	"birchfork/internal/council"
 	"birchfork/internal/roster"
 	"birchfork/internal/spread"
 	"birchfork/internal/store"
 	"birchfork/internal/warning"
-	"birchfork/rules"
 )
 
 // groupsLinked says that this build has what groups need.
@@ -84,7 +84,7 @@
 const goneTold = 15 * time.Minute
 
 // states are those of the list, in roster's order.
-var states = map[rules.State]roster.State{rules.Ready: roster.Up, rules.Draining: roster.Draining, rules.Gone: roster.Gone}
+var states = map[dispatch.State]roster.State{dispatch.Ready: roster.Up, dispatch.Draining: roster.Draining, dispatch.Gone: roster.Gone}
 
 func (l lists) Facts() (all []roster.Fact, fresh bool) {
 	known, fresh := l.Known(goneTold)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -22,11 +22,11 @@
 	"github.com/sirupsen/logrus"
 	"golang.org/x/sys/unix"
 
+	"birchfork/dispatch"
 	"birchfork/internal/admin"
 	"birchfork/internal/handover"
 	"birchfork/internal/store"
 	"birchfork/internal/wire"
-	"birchfork/rules"
 )
 
 // How memory and descriptors are shared out.
@@ -310,7 +310,7 @@
 }
 
 // idleLife is how long a connection to a worker may stand idle with us.
-func idleLife(s rules.Settings) time.Duration {
+func idleLife(s dispatch.Settings) time.Duration {
 	if s.IdleClose <= 0 {
 		return idleMost
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -18,7 +18,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"birchfork/rules"
+	"birchfork/dispatch"
 )
 
 // config is a good configuration; a test replaces parts of it.
@@ -489,12 +489,12 @@
 }
 
 func TestGraceEndsBeforeThePlatformKills(t *testing.T) {
-	for deadline, kill := range map[rules.Time]time.Duration{
-		10 * rules.Second:       3700 * time.Millisecond,
-		500 * rules.Millisecond: 1200 * time.Millisecond,
-		100 * rules.Millisecond: 800 * time.Millisecond,
+	for deadline, kill := range map[dispatch.Time]time.Duration{
+		10 * dispatch.Second:       3700 * time.Millisecond,
+		500 * dispatch.Millisecond: 1200 * time.Millisecond,
+		100 * dispatch.Millisecond: 800 * time.Millisecond,
 	} {
-		n := &node{config: &Config{Settings: rules.Settings{Classes: []rules.Class{{Deadline: deadline}}}}}
+		n := &node{config: &Config{Settings: dispatch.Settings{Classes: []dispatch.Class{{Deadline: deadline}}}}}
 		if end := max(n.grace(), acceptLeast) + closeWithin; end >= kill || end < kill/2 {
 			t.Errorf("deadline %v us: we end after %v, the platform kills after %v", deadline, end, kill)
 		}
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -12,8 +12,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"birchfork/dispatch"
 	"birchfork/internal/store"
-	"birchfork/rules"
 )
 
 // inForce is the configuration that is served by: the one of the start, or the last good one that was read again.
@@ -71,7 +71,7 @@
 }
 
 // advise tells the front what clients may be told on when to come back.
-func (n *node) advise(s rules.Settings) {
+func (n *node) advise(s dispatch.Settings) {
 	most := time.Duration(0)
 	if s.RetryAfter {
 		most = time.Duration(s.MaxRetryAfter) * time.Microsecond
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -16,9 +16,9 @@
 	"github.com/sirupsen/logrus"
 	"golang.org/x/sys/unix"
 
+	"birchfork/dispatch"
 	"birchfork/internal/config"
 	"birchfork/internal/store"
-	"birchfork/rules"
 )
 
 const tuned = `{"name":"n","listen":"l","limits":{"cores":1},"known":{"index":1},"seed":"s","settings":{
@@ -190,7 +190,7 @@
 	}
 	defer l.Close()
 	c := &Config{}
-	c.Settings.Classes = []rules.Class{{Deadline: 5 * rules.Second}, {Deadline: 3 * rules.Second}}
+	c.Settings.Classes = []dispatch.Class{{Deadline: 5 * dispatch.Second}, {Deadline: 3 * dispatch.Second}}
 	for _, g := range []*config.Group{nil, {}} {
 		c.Operator = &config.Plan{Group: g}
 		conn, err := c.dialer()(context.Background(), l.Addr().String())
--- a/internal/routes/golden_test.go
+++ b/internal/routes/golden_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"birchfork/rules"
+	"birchfork/dispatch"
 )
 
 // Files in testdata/golden hold what drawn tables find and allow. UPDATE_GOLDEN=1 writes them.
@@ -21,14 +21,14 @@
 func writeDrawn(w io.Writer, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 1))
 	one := func(of ...string) string { return of[r.IntN(len(of))] }
-	length := func() rules.Time { return rules.Time(r.IntN(3)) * rules.Time(1+r.IntN(1000000)) }
+	length := func() dispatch.Time { return dispatch.Time(r.IntN(3)) * dispatch.Time(1+r.IntN(1000000)) }
 	var list []Route
 	for i := range r.IntN(6) {
 		list = append(list, Route{
 			Name:     fmt.Sprint("r", i),
 			Match:    Match{Class: one("", "", "a", "b"), Path: one("", "/a", "/a/x", "/a/xy", "/b"), Tenant: one("", "", "t", "u"), Method: one("", "", "", "POST")},
 			Fallback: r.IntN(7) - 1,
-			Narrow: rules.Narrow{Within: length(), Wait: length(), Hold: length(), Attempts: r.IntN(5), Single: r.IntN(2) == 0, Race: length(),
+			Narrow: dispatch.Narrow{Within: length(), Wait: length(), Hold: length(), Attempts: r.IntN(5), Single: r.IntN(2) == 0, Race: length(),
 				Strict: r.IntN(2) == 0, Window: length(), Pause: length(), MaxPause: length(), Jitter: r.Float64()},
 		})
 	}
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
+	"birchfork/dispatch"
 	"birchfork/internal/limits"
-	"birchfork/rules"
 )
 
 // Match is what a route asks of a request. Empty fields match anything.
@@ -26,7 +26,7 @@
 type Route struct {
 	Name     string
 	Match    Match
-	Narrow   rules.Narrow
+	Narrow   dispatch.Narrow
 	Limit    limits.Route
 	Fallback int // where a request goes on that finds no room here, or has used up its attempts; -1: nowhere
 }
@@ -142,7 +142,7 @@
 
 // Narrow is what a request is allowed that begins on a route: its own figures, and the attempts of the fallbacks besides.
 // most is what the platform allows.
-func (t *Table) Narrow(i, most int) rules.Narrow {
+func (t *Table) Narrow(i, most int) dispatch.Narrow {
 	n := t.routes[i].Narrow
 	for _, k := range t.Chain(i)[1:] {
 		o := &t.routes[k].Narrow
@@ -153,7 +153,7 @@
 	return n
 }
 
-func attempts(n rules.Narrow, most int) int {
+func attempts(n dispatch.Narrow, most int) int {
 	if n.Attempts > 0 {
 		return min(n.Attempts, most)
 	}
@@ -161,7 +161,7 @@
 }
 
 // wider is the longer of two times of which 0 is without end.
-func wider(a, b rules.Time) rules.Time {
+func wider(a, b dispatch.Time) dispatch.Time {
 	if a == 0 || b == 0 {
 		return 0
 	}
@@ -169,4 +169,4 @@
 }
 
 // Micro is a length of time as the module has it.
-func Micro(d time.Duration) rules.Time { return rules.Time(d.Microseconds()) }
+func Micro(d time.Duration) dispatch.Time { return dispatch.Time(d.Microseconds()) }
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -13,14 +13,14 @@
 	"strings"
 	"testing"
 
-	"birchfork/rules"
+	"birchfork/dispatch"
 )
 
 // Files in testdata/golden hold what the platform's settings decode to, the text of each fault, and the numbers that names
 // get: some of these are sent to other dispatchers. UPDATE_GOLDEN=1 writes them.
 
 // writeSettings writes each field under a name that no renaming of the field changes.
-func writeSettings(w io.Writer, s *rules.Settings) {
+func writeSettings(w io.Writer, s *dispatch.Settings) {
 	for _, c := range s.Classes {
 		fmt.Fprintf(w, "class: aim %d, stretch %v, deadline %d, worth %v, late worth %v, effect %d, group %d, window %d, kind %d\n",
 			c.Aim, c.Stretch, c.Deadline, c.Worth, c.LateWorth, c.Effect, c.Group, c.Window, c.Kind)
@@ -144,7 +144,7 @@
 	fmt.Fprintf(&out, "plain %q, %q\n", Plain("a b,c d"), Plain("a_b"))
 	// Ids of requests are used again in an order that the decisions depend on.
 	r := rand.New(rand.NewPCG(1, 1))
-	var open []rules.RequestID
+	var open []dispatch.RequestID
 	for i := range 200 {
 		switch r.IntN(5) {
 		case 0, 1:
@@ -174,7 +174,7 @@
 			}
 		}
 	}
-	var s rules.Settings
+	var s dispatch.Settings
 	old, fresh := NewNames(), NewNames()
 	for _, d := range []struct {
 		n    *Names
--- a/internal/settings/json.go
+++ b/internal/settings/json.go
@@ -9,14 +9,14 @@
 	"strconv"
 	"strings"
 
-	"birchfork/rules"
+	"birchfork/dispatch"
 )
 
 // maxDepth bounds the nesting of settings.
 const maxDepth = 16
 
 // DecodeJSON reads one dispatcher's settings as nested JSON and interns their names. The pairs are those that it read.
-func DecodeJSON(raw []byte, n *Names) (s rules.Settings, p *Pairs, err error) {
+func DecodeJSON(raw []byte, n *Names) (s dispatch.Settings, p *Pairs, err error) {
 	if p, err = Flatten(raw); err != nil {
 		return s, nil, err
 	}
--- a/internal/settings/names.go
+++ b/internal/settings/names.go
@@ -7,20 +7,20 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"birchfork/rules"
+	"birchfork/dispatch"
 )
 
 // Names turns the names that one dispatcher meets into dense ids, and back.
 type Names struct {
 	classes, tenants, zones, kinds map[string]int
 
-	workers     map[string]rules.WorkerID
+	workers     map[string]dispatch.WorkerID
 	workerNames []string
 	workerTags  []uint64 // hashes of the names: the same at every dispatcher
 
-	requests map[string]rules.RequestID
+	requests map[string]dispatch.RequestID
 	slots    []slot
-	free     []rules.RequestID
+	free     []dispatch.RequestID
 }
 
 // slot is the state of one request id. An id is free for the next request once its request has had its final answer
@@ -35,13 +35,13 @@
 func NewNames() *Names {
 	return &Names{
 		classes: map[string]int{}, tenants: map[string]int{}, zones: map[string]int{}, kinds: map[string]int{},
-		workers: map[string]rules.WorkerID{}, requests: map[string]rules.RequestID{},
+		workers: map[string]dispatch.WorkerID{}, requests: map[string]dispatch.RequestID{},
 	}
 }
 
 // Adopt takes over the classes and tenants of other settings, decoded with fresh names, and adds their zones and kinds to
 // those that are known: these keep their ids, in s too. It returns the old id of each class and tenant, -1 for new ones.
-func (n *Names) Adopt(fresh *Names, s *rules.Settings) (classes, tenants []int) {
+func (n *Names) Adopt(fresh *Names, s *dispatch.Settings) (classes, tenants []int) {
 	classes, tenants = carry(n.classes, fresh.Classes()), carry(n.tenants, fresh.Tenants())
 	var zones, kinds []int
 	zones, s.Zones = add(n.zones, byID(fresh.zones))
@@ -128,10 +128,10 @@
 }
 
 // Worker is the id of a worker, a new one for a new name.
-func (n *Names) Worker(v string) rules.WorkerID {
+func (n *Names) Worker(v string) dispatch.WorkerID {
 	id, ok := n.workers[v]
 	if !ok {
-		id = rules.WorkerID(len(n.workerNames))
+		id = dispatch.WorkerID(len(n.workerNames))
 		n.workers[v] = id
 		n.workerNames = append(n.workerNames, v)
 		h := fnv.New32a()
@@ -142,13 +142,13 @@
 }
 
 // FindWorker is the id of a worker whose name has been met.
-func (n *Names) FindWorker(v string) (rules.WorkerID, bool) {
+func (n *Names) FindWorker(v string) (dispatch.WorkerID, bool) {
 	id, ok := n.workers[v]
 	return id, ok
 }
 
 // KnownWorker is Worker without an allocation for names that are known.
-func (n *Names) KnownWorker(v []byte) rules.WorkerID {
+func (n *Names) KnownWorker(v []byte) dispatch.WorkerID {
 	if id, ok := n.workers[string(v)]; ok {
 		return id
 	}
@@ -156,10 +156,10 @@
 }
 
 // WorkerName is the name behind an id.
-func (n *Names) WorkerName(id rules.WorkerID) string { return n.workerNames[id] }
+func (n *Names) WorkerName(id dispatch.WorkerID) string { return n.workerNames[id] }
 
 // WorkerTag is a number for a worker that is the same at every dispatcher.
-func (n *Names) WorkerTag(id rules.WorkerID) uint64 { return n.workerTags[id] }
+func (n *Names) WorkerTag(id dispatch.WorkerID) uint64 { return n.workerTags[id] }
 
 // Key is a number for what a request is about: the same at every dispatcher, and 0 for none.
 func Key(v string) uint64 {
@@ -170,18 +170,18 @@
 }
 
 // Open gives a request an id.
-func (n *Names) Open(v []byte) (rules.RequestID, error) {
+func (n *Names) Open(v []byte) (dispatch.RequestID, error) {
 	if _, ok := n.requests[string(v)]; ok {
 		return 0, fmt.Errorf("request %q is open already", v)
 	}
 	s := slot{name: string(v)}
-	var id rules.RequestID
+	var id dispatch.RequestID
 	if k := len(n.free); k > 0 {
 		id = n.free[k-1]
 		n.free = n.free[:k-1]
 		n.slots[id] = s
 	} else {
-		id = rules.RequestID(len(n.slots))
+		id = dispatch.RequestID(len(n.slots))
 		n.slots = append(n.slots, s)
 	}
 	n.requests[s.name] = id
@@ -189,25 +189,25 @@
 }
 
 // Request is the id of an open request.
-func (n *Names) Request(v []byte) (rules.RequestID, bool) {
+func (n *Names) Request(v []byte) (dispatch.RequestID, bool) {
 	id, ok := n.requests[string(v)]
 	return id, ok
 }
 
 // RequestName is the name behind an id; it is empty for an id that is free.
-func (n *Names) RequestName(id rules.RequestID) string { return n.slots[id].name }
+func (n *Names) RequestName(id dispatch.RequestID) string { return n.slots[id].name }
 
 // NoteFinal says that a request has had its final answer.
-func (n *Names) NoteFinal(id rules.RequestID) {
+func (n *Names) NoteFinal(id dispatch.RequestID) {
 	n.slots[id].final = true
 	n.release(id)
 }
 
 // NoteSend says that an attempt went out.
-func (n *Names) NoteSend(id rules.RequestID) { n.slots[id].out++ }
+func (n *Names) NoteSend(id dispatch.RequestID) { n.slots[id].out++ }
 
 // NoteEnd says that an attempt has ended, and whether its request has.
-func (n *Names) NoteEnd(id rules.RequestID, final bool) {
+func (n *Names) NoteEnd(id dispatch.RequestID, final bool) {
 	s := &n.slots[id]
 	if s.out > 0 {
 		s.out--
@@ -216,7 +216,7 @@
 	n.release(id)
 }
 
-func (n *Names) release(id rules.RequestID) {
+func (n *Names) release(id dispatch.RequestID) {
 	s := &n.slots[id]
 	if s.final && s.out == 0 && s.name != "" {
 		delete(n.requests, s.name)
--- a/internal/settings/number.go
+++ b/internal/settings/number.go
@@ -4,14 +4,14 @@
 	"math"
 	"strconv"
 
-	"birchfork/rules"
+	"birchfork/dispatch"
 )
 
 // MaxSeconds keeps times far from the ends of their type, so that sums of a few of them stay in it.
 const MaxSeconds = 1e11
 
 // Seconds turns seconds into the module's unit.
-func Seconds(s float64) rules.Time { return rules.Time(math.Round(s * 1e6)) }
+func Seconds(s float64) dispatch.Time { return dispatch.Time(math.Round(s * 1e6)) }
 
 // Absent tells whether a value of the wire is the mark for none.
 func Absent(v []byte) bool { return len(v) == 1 && v[0] == '-' }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"strconv"
 
-	"birchfork/rules"
+	"birchfork/dispatch"
 )
 
 // Pairs are settings as path=value. Unknown paths stay unread.
@@ -75,8 +75,8 @@
 	return n
 }
 
-func (p *Pairs) time(key string, def rules.Time) rules.Time {
-	return Seconds(p.Number(key, float64(def)/float64(rules.Second)))
+func (p *Pairs) time(key string, def dispatch.Time) dispatch.Time {
+	return Seconds(p.Number(key, float64(def)/float64(dispatch.Second)))
 }
 
 // Whole returns a whole number, or def where it is missing.
@@ -150,11 +150,11 @@
 }
 
 // Decode reads one dispatcher's settings and interns their names. Its error names every fault.
-func Decode(p *Pairs, n *Names) (rules.Settings, error) {
+func Decode(p *Pairs, n *Names) (dispatch.Settings, error) {
 	zones, kinds := p.list("zones"), p.list("machine_types")
 	intern(n.zones, zones)
 	intern(n.kinds, kinds)
-	s := rules.Settings{
+	s := dispatch.Settings{
 		OverShareWorth: p.Number("over_share_worth", 1),
 		Zones:          len(zones),
 		Kinds:          len(kinds),
@@ -162,7 +162,7 @@
 		GroupSize:      p.Whole("group_size", 1),
 		Ordinal:        p.Whole("ordinal", 0),
 		CanTell:        p.Flag("policy_limits.peers", false),
-		Tick:           p.time("tick", rules.Millisecond),
+		Tick:           p.time("tick", dispatch.Millisecond),
 		MaxAttempts:    p.Whole("policy_limits.attempts_cap", 1),
 		CanCancel:      p.Flag("policy_limits.cancel", false),
 		SecondCopies:   p.Flag("policy_limits.second_copies", false),
@@ -174,7 +174,7 @@
 		WeightsMove:    p.Text("weight_kind", "off") == "live",
 		TellsStart:     p.Flag("extra.tells_start", false),
 		Progress:       p.time("extra.progress", 0),
-		AskWithin:      p.time("safety.ask_within", 10*rules.Second),
+		AskWithin:      p.time("safety.ask_within", 10*dispatch.Second),
 		DrainGrace:     p.time("safety.stop_sending_within", 0),
 		ColdFrom:       p.Number("safety.cold_from", 1),
 		WarmWithin:     p.time("safety.warm_within", 0),
@@ -192,14 +192,14 @@
 	stretch, kind := p.list("extra.class_stretch"), p.list("extra.class_kind")
 	for i := range p.count("classes.count") {
 		at := "classes." + strconv.Itoa(i) + "."
-		c := rules.Class{
+		c := dispatch.Class{
 			Aim:       p.time(at+"aim", 0),
 			Stretch:   p.Number(at+"aim_stretch", p.item("extra.class_stretch", stretch, i, 0)),
 			Deadline:  p.time(at+"deadline", 0),
 			Worth:     p.Number(at+"worth", 1),
 			LateWorth: p.Number(at+"late_worth", 0),
-			Effect:    rules.Effect(p.choice(at+"effect", "single_shot", "free", "guarded", "single_shot")),
-			Group:     rules.Group(p.choice(at+"group", "cell", "all", "zone", "cell")),
+			Effect:    dispatch.Effect(p.choice(at+"effect", "single_shot", "free", "guarded", "single_shot")),
+			Group:     dispatch.Group(p.choice(at+"group", "cell", "all", "zone", "cell")),
 			Window:    p.time(at+"window", 0),
 			Kind:      int(p.item("extra.class_kind", kind, i, -1)),
 		}
@@ -209,7 +209,7 @@
 	for i := range p.count("customers.count") {
 		at := "customers." + strconv.Itoa(i) + "."
 		n.tenants[p.Text(at+"name", strconv.Itoa(i))] = i
-		s.Tenants = append(s.Tenants, rules.Tenant{Quota: p.Number(at+"quota_rps", 0)})
+		s.Tenants = append(s.Tenants, dispatch.Tenant{Quota: p.Number(at+"quota_rps", 0)})
 	}
 	return s, p.Err()
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"birchfork/rules"
+	"birchfork/dispatch"
 )
 
 // A request id is used again only when nothing can name the old request any more.
@@ -78,14 +78,14 @@
 		t.Fatal(err)
 	}
 	c := s.Classes[0]
-	if c.Effect != rules.Unsafe || c.Group != rules.GroupCell || c.Window != 0 {
+	if c.Effect != dispatch.Unsafe || c.Group != dispatch.GroupCell || c.Window != 0 {
 		t.Errorf("a class may be repeated more than never: %+v", c)
 	}
 	if s.MaxAttempts != 1 || s.SecondCopies || s.CanCancel || s.CanTell || s.RetryAfter || s.Sized || s.TellsStart || s.DrainGrace != 0 {
 		t.Errorf("more is allowed than was told: %+v", s)
 	}
-	want := rules.Settings{ // every figure that stands in for a missing one
-		Classes: s.Classes, OverShareWorth: 1, Zone: -1, GroupSize: 1, Tick: rules.Millisecond, MaxAttempts: 1, AskWithin: 10 * rules.Second,
+	want := dispatch.Settings{ // every figure that stands in for a missing one
+		Classes: s.Classes, OverShareWorth: 1, Zone: -1, GroupSize: 1, Tick: dispatch.Millisecond, MaxAttempts: 1, AskWithin: 10 * dispatch.Second,
 		ColdFrom: 1, FallMultiple: 1,
 	}
 	if !reflect.DeepEqual(s, want) {
@@ -125,7 +125,7 @@
 
 // Other settings number their names in their own way: what is known keeps its number.
 func TestAdoptKeepsTheNumbersOfZonesAndKinds(t *testing.T) {
-	decode := func(js string) (rules.Settings, *Names) {
+	decode := func(js string) (dispatch.Settings, *Names) {
 		t.Helper()
 		n := NewNames()
 		s, _, err := DecodeJSON([]byte(js), n)
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -11,8 +11,8 @@
 	"strings"
 	"testing"
 
+	"birchfork/dispatch"
 	"birchfork/internal/settings"
-	"birchfork/rules"
 )
 
 // Files in testdata/golden hold the simulator's protocol: each message as it is read, each reply as it is written, and the
@@ -49,10 +49,10 @@
 		"CLOSED_ATTEMPT\tr-1\t0\tx:1\t0\t1\t1\t-\tx1:3,x0:9\n", "CRASH_NOW\n", powerOn, "FLUSH\n")
 }
 
-var eventNames = map[rules.EventKind]string{
-	rules.ListSnapshot: "list snapshot", rules.ListChange: "list change", rules.ListLost: "list lost", rules.Arrived: "arrived", rules.Started: "started",
-	rules.Progressed: "progressed", rules.AnswerBegan: "answer began", rules.Ended: "ended", rules.ClientGone: "client gone", rules.TimerFired: "timer fired",
-	rules.Heard: "note received",
+var eventNames = map[dispatch.EventKind]string{
+	dispatch.ListSnapshot: "list snapshot", dispatch.ListChange: "list change", dispatch.ListLost: "list lost", dispatch.Arrived: "arrived", dispatch.Started: "started",
+	dispatch.Progressed: "progressed", dispatch.AnswerBegan: "answer began", dispatch.Ended: "ended", dispatch.ClientGone: "client gone", dispatch.TimerFired: "timer fired",
+	dispatch.Heard: "note received",
 }
 
 // writeMessage writes each field under a name that no renaming of the field changes.
@@ -133,23 +133,23 @@
 	n.Worker("10.0.0.2:7")
 	var out bytes.Buffer
 	w := NewWriter(&out)
-	err := w.Actions(3, n, []rules.Action{
-		{Kind: rules.Send, Request: 1, Attempt: 2, Worker: 1, Wait: 80 * rules.Millisecond, By: 99},
-		{Kind: rules.Send, Request: 1, Worker: 0},
-		{Kind: rules.Cancel, Request: 1, Attempt: 2},
-		{Kind: rules.SetTimer, Wait: 1}, {Kind: rules.SetTimer, Wait: 3 * rules.Second}, {Kind: rules.SetTimer, Wait: -1500 * rules.Millisecond},
-		{Kind: rules.WatchList}, {Kind: rules.FetchList},
-		{Kind: rules.Tell, Peer: 12, Note: rules.Note{Kind: rules.Ask, Tag: 0xfedcba98}},
-		{Kind: rules.Tell, Peer: 13, Note: rules.Note{Kind: rules.Load, Tag: 77, Slots: 2.5}},
-		{Kind: rules.Tell, Peer: 14, Note: rules.Note{Kind: rules.Use, Tag: 9, Slots: 31.875}},
-		{Kind: rules.Tell, Peer: 15, Note: rules.Note{Kind: rules.Crowded, Tag: 1, Slots: -1}},
-		{Kind: rules.Tell, Peer: 16, Note: rules.Note{Kind: rules.Use, Tag: 1 << 40, Slots: 1e9}},
+	err := w.Actions(3, n, []dispatch.Action{
+		{Kind: dispatch.Send, Request: 1, Attempt: 2, Worker: 1, Wait: 80 * dispatch.Millisecond, By: 99},
+		{Kind: dispatch.Send, Request: 1, Worker: 0},
+		{Kind: dispatch.Cancel, Request: 1, Attempt: 2},
+		{Kind: dispatch.SetTimer, Wait: 1}, {Kind: dispatch.SetTimer, Wait: 3 * dispatch.Second}, {Kind: dispatch.SetTimer, Wait: -1500 * dispatch.Millisecond},
+		{Kind: dispatch.WatchList}, {Kind: dispatch.FetchList},
+		{Kind: dispatch.Tell, Peer: 12, Note: dispatch.Note{Kind: dispatch.Ask, Tag: 0xfedcba98}},
+		{Kind: dispatch.Tell, Peer: 13, Note: dispatch.Note{Kind: dispatch.Load, Tag: 77, Slots: 2.5}},
+		{Kind: dispatch.Tell, Peer: 14, Note: dispatch.Note{Kind: dispatch.Use, Tag: 9, Slots: 31.875}},
+		{Kind: dispatch.Tell, Peer: 15, Note: dispatch.Note{Kind: dispatch.Crowded, Tag: 1, Slots: -1}},
+		{Kind: dispatch.Tell, Peer: 16, Note: dispatch.Note{Kind: dispatch.Use, Tag: 1 << 40, Slots: 1e9}},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := w.Actions(4, n, []rules.Action{
-		{Kind: rules.Refuse, Request: 0, Wait: 1234567}, {Kind: rules.GiveUp, Request: 2},
+	if err := w.Actions(4, n, []dispatch.Action{
+		{Kind: dispatch.Refuse, Request: 0, Wait: 1234567}, {Kind: dispatch.GiveUp, Request: 2},
 	}); err != nil {
 		t.Fatal(err)
 	}
@@ -157,13 +157,13 @@
 	if err := w.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.Actions(5, n, []rules.Action{{Kind: rules.WatchList}}); err != nil {
+	if err := w.Actions(5, n, []dispatch.Action{{Kind: dispatch.WatchList}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := w.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.Actions(5, n, []rules.Action{{Kind: 99}}); err != nil {
+	if err := w.Actions(5, n, []dispatch.Action{{Kind: 99}}); err != nil {
 		fmt.Fprintf(&out, "error: %v\n", err)
 	} else {
 		t.Error("an unknown action was written")
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
+	"birchfork/dispatch"
 	"birchfork/internal/settings"
-	"birchfork/rules"
 )
 
 const powerOn = "POWER_ON\t42\tclasses.count=2\tclasses.0.aim=0.4\tclasses.0.deadline=10.0\tclasses.0.effect=free\t" +
@@ -39,7 +39,7 @@
 		}
 		if m.Event != nil {
 			e := *m.Event
-			e.Workers = append([]rules.Worker(nil), e.Workers...)
+			e.Workers = append([]dispatch.Worker(nil), e.Workers...)
 			m.Event = &e
 		}
 		out = append(out, m)
@@ -57,8 +57,8 @@
 		t.Fatalf("got %+v", m)
 	}
 	c := s.Classes[1]
-	if c.Effect != rules.Keyed || c.Group != rules.GroupZone || c.Window != 2500*rules.Millisecond || c.Kind != 0 ||
-		c.Stretch != 2 || s.Classes[0].Kind != -1 || !s.ListOnRequest || s.Tick != 2*rules.Millisecond {
+	if c.Effect != dispatch.Keyed || c.Group != dispatch.GroupZone || c.Window != 2500*dispatch.Millisecond || c.Kind != 0 ||
+		c.Stretch != 2 || s.Classes[0].Kind != -1 || !s.ListOnRequest || s.Tick != 2*dispatch.Millisecond {
 		t.Fatalf("got %+v", s)
 	}
 }
@@ -68,31 +68,31 @@
 	for _, c := range []struct {
 		name  string
 		lines []string
-		want  rules.Event
+		want  dispatch.Event
 	}{
-		{"query", []string{q}, rules.Event{Kind: rules.Arrived, Class: 1, Work: 250 * rules.Millisecond, Retry: true,
-			Left: 4500 * rules.Millisecond, Slots: 2, Memory: 1.5}},
+		{"query", []string{q}, dispatch.Event{Kind: dispatch.Arrived, Class: 1, Work: 250 * dispatch.Millisecond, Retry: true,
+			Left: 4500 * dispatch.Millisecond, Slots: 2, Memory: 1.5}},
 		{"query with key 0", []string{"QUERY\tr-1\t0\t-\tsearch\t-\t4.5\t0\t-\t-\t-\t-\n"},
-			rules.Event{Kind: rules.Arrived, Tenant: -1, Left: 4500 * rules.Millisecond, Slots: 1, Key: 1}},
+			dispatch.Event{Kind: dispatch.Arrived, Tenant: -1, Left: 4500 * dispatch.Millisecond, Slots: 1, Key: 1}},
 		{"query without hint, tenant, slots", []string{"QUERY\tr-1\t0\t-\tsearch\t-\t4.5\t-\t-\t-\t-\t-\n"},
-			rules.Event{Kind: rules.Arrived, Tenant: -1, Left: 4500 * rules.Millisecond, Slots: 1}},
+			dispatch.Event{Kind: dispatch.Arrived, Tenant: -1, Left: 4500 * dispatch.Millisecond, Slots: 1}},
 		{"start", []string{pool, "MEMBERSHIP\twhole\t0\t7\n", q, "CHANGE\tr-1\t1\t10.0.0.2:7\t0\t-\n"},
-			rules.Event{Kind: rules.Started, Worker: 1, Tenant: -1}},
+			dispatch.Event{Kind: dispatch.Started, Worker: 1, Tenant: -1}},
 		{"progress", []string{q, "CHANGE\tr-1\t2\tx:1\t1\t0.5\n"},
-			rules.Event{Kind: rules.Progressed, Attempt: 1, Done: 0.5, Tenant: -1}},
+			dispatch.Event{Kind: dispatch.Progressed, Attempt: 1, Done: 0.5, Tenant: -1}},
 		{"outcome with report", []string{q, "CLOSED_ATTEMPT\tr-1\t0\tx:1\t2\t0.0185\t0\t-\tx1:3,pending:4.5,new:1\n"},
-			rules.Event{Kind: rules.Ended, Result: rules.Full, Elapsed: 18500, Tenant: -1,
-				Report: rules.Report{Known: true, FreeSlots: 3, Queue: 4.5}}},
+			dispatch.Event{Kind: dispatch.Ended, Result: dispatch.Full, Elapsed: 18500, Tenant: -1,
+				Report: dispatch.Report{Known: true, FreeSlots: 3, Queue: 4.5}}},
 		{"unknown outcome", []string{q, "CLOSED_ATTEMPT\tr-1\t0\tx:1\t77\t1\t0\t-\t-\n"},
-			rules.Event{Kind: rules.Ended, Result: rules.UnknownResult, Elapsed: rules.Second, Tenant: -1,
-				Report: rules.Report{FreeSlots: -1, Queue: -1}}},
+			dispatch.Event{Kind: dispatch.Ended, Result: dispatch.UnknownResult, Elapsed: dispatch.Second, Tenant: -1,
+				Report: dispatch.Report{FreeSlots: -1, Queue: -1}}},
 		{"stream", []string{q, "FIRST_BYTE\tr-1\t0\t0.5\tx:1\n"},
-			rules.Event{Kind: rules.AnswerBegan, Elapsed: 500 * rules.Millisecond, Tenant: -1}},
+			dispatch.Event{Kind: dispatch.AnswerBegan, Elapsed: 500 * dispatch.Millisecond, Tenant: -1}},
 		{"a probe's end is passed over", []string{"PROBE_DONE\t0.5\t0\tx:1\t-\n", q, "GONE\tr-1\n"},
-			rules.Event{Kind: rules.ClientGone, Tenant: -1}},
-		{"gone", []string{q, "GONE\tr-1\n"}, rules.Event{Kind: rules.ClientGone, Tenant: -1}},
-		{"timer", []string{"WAKEUP\tsweep\n"}, rules.Event{Kind: rules.TimerFired, Tenant: -1}},
-		{"list lost", []string{"MEMBERSHIP\tbroken\t0\t9\n"}, rules.Event{Kind: rules.ListLost, Version: 9, Tenant: -1}},
+			dispatch.Event{Kind: dispatch.ClientGone, Tenant: -1}},
+		{"gone", []string{q, "GONE\tr-1\n"}, dispatch.Event{Kind: dispatch.ClientGone, Tenant: -1}},
+		{"timer", []string{"WAKEUP\tsweep\n"}, dispatch.Event{Kind: dispatch.TimerFired, Tenant: -1}},
+		{"list lost", []string{"MEMBERSHIP\tbroken\t0\t9\n"}, dispatch.Event{Kind: dispatch.ListLost, Version: 9, Tenant: -1}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			msgs, _, err := readAll(batch(append([]string{powerOn}, c.lines...)...))
@@ -118,15 +118,15 @@
 		t.Fatal(err)
 	}
 	first, next := msgs[2].Event, msgs[3].Event
-	if first.Kind != rules.ListSnapshot || !first.Stale || first.Version != 3 || len(first.Workers) != 2 {
+	if first.Kind != dispatch.ListSnapshot || !first.Stale || first.Version != 3 || len(first.Workers) != 2 {
 		t.Fatalf("first list: %+v", first)
 	}
 	w := first.Workers[1]
-	if w.ID != 1 || w.Zone != 1 || w.Cell != -1 || w.State != rules.Draining || w.StartedAt != 99500*rules.Millisecond {
+	if w.ID != 1 || w.Zone != 1 || w.Cell != -1 || w.State != dispatch.Draining || w.StartedAt != 99500*dispatch.Millisecond {
 		t.Fatalf("worker %+v", w)
 	}
-	if next.Kind != rules.ListChange || len(next.Workers) != 1 || next.Workers[0].ID != 2 ||
-		next.Workers[0].Kind != -1 || next.Workers[0].State != rules.Gone {
+	if next.Kind != dispatch.ListChange || len(next.Workers) != 1 || next.Workers[0].ID != 2 ||
+		next.Workers[0].Kind != -1 || next.Workers[0].State != dispatch.Gone {
 		t.Fatalf("second list: %+v", next)
 	}
 }
@@ -140,13 +140,13 @@
 	var out bytes.Buffer
 	w := NewWriter(&out)
 	n := r.Names(0)
-	err = w.Actions(0, n, []rules.Action{
-		{Kind: rules.Send, Request: 0, Worker: 1, Wait: 80 * rules.Millisecond},
-		{Kind: rules.Cancel, Request: 0},
-		{Kind: rules.Refuse, Request: 0, Wait: 1234567},
-		{Kind: rules.GiveUp, Request: 1},
-		{Kind: rules.SetTimer, Wait: 500},
-		{Kind: rules.WatchList}, {Kind: rules.FetchList},
+	err = w.Actions(0, n, []dispatch.Action{
+		{Kind: dispatch.Send, Request: 0, Worker: 1, Wait: 80 * dispatch.Millisecond},
+		{Kind: dispatch.Cancel, Request: 0},
+		{Kind: dispatch.Refuse, Request: 0, Wait: 1234567},
+		{Kind: dispatch.GiveUp, Request: 1},
+		{Kind: dispatch.SetTimer, Wait: 500},
+		{Kind: dispatch.WatchList}, {Kind: dispatch.FetchList},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -160,13 +160,13 @@
 	if out.String() != want {
 		t.Fatalf("got\n%swant\n%s", out.String(), want)
 	}
-	if err := w.Actions(0, n, []rules.Action{{Kind: 99}}); err == nil {
+	if err := w.Actions(0, n, []dispatch.Action{{Kind: 99}}); err == nil {
 		t.Fatal("an unknown action passed")
 	}
 }
 
 func TestTimesRoundTrip(t *testing.T) {
-	for _, us := range []rules.Time{0, 1, 10, 999999, 1000000, 1000001, 123456789, 457526232643} {
+	for _, us := range []dispatch.Time{0, 1, 10, 999999, 1000000, 1000001, 123456789, 457526232643} {
 		got, ok := settings.ParseNumber(appendTime(nil, us))
 		if !ok || settings.Seconds(got) != us {
 			t.Errorf("%d us: written %s, read %v", us, appendTime(nil, us), got)
@@ -262,17 +262,17 @@
 }
 
 func TestNotesRoundTrip(t *testing.T) {
-	for _, n := range []rules.Note{
-		{Kind: rules.Ask, Tag: 0xfedcba98},
-		{Kind: rules.Load, Tag: 1, Slots: 2.5},
-		{Kind: rules.Use, Tag: 77, Slots: 31.875},
+	for _, n := range []dispatch.Note{
+		{Kind: dispatch.Ask, Tag: 0xfedcba98},
+		{Kind: dispatch.Load, Tag: 1, Slots: 2.5},
+		{Kind: dispatch.Use, Tag: 77, Slots: 31.875},
 	} {
 		got, known := readNote(appendNote(nil, n))
 		if !known || got != n {
 			t.Errorf("got %+v, %v, want %+v", got, known, n)
 		}
 	}
-	if n, _ := readNote(appendNote(nil, rules.Note{Kind: rules.Use, Slots: 1e9})); n.Slots != 255.0/8 {
+	if n, _ := readNote(appendNote(nil, dispatch.Note{Kind: dispatch.Use, Slots: 1e9})); n.Slots != 255.0/8 {
 		t.Errorf("more slots than a note holds became %v", n.Slots)
 	}
 	for _, raw := range []string{"", "-", "aGkgNw==", "/////////w==", "not base64!", "AAAAAAAAAAAAAAAAAAAAAAAAAAAA"} {
@@ -283,24 +283,24 @@
 }
 
 func TestNotesOnTheWire(t *testing.T) {
-	note := string(appendNote(nil, rules.Note{Kind: rules.Load, Tag: 9, Slots: 3}))
+	note := string(appendNote(nil, dispatch.Note{Kind: dispatch.Load, Tag: 9, Slots: 3}))
 	msgs, _, err := readAll(batch(powerOn, "DATAGRAM\t4\t"+note+"\n", "DATAGRAM\t5\taGkgNw==\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var heard []rules.Event
+	var heard []dispatch.Event
 	for _, m := range msgs {
-		if m.Kind == InstanceEvent && m.Event.Kind == rules.Heard {
+		if m.Kind == InstanceEvent && m.Event.Kind == dispatch.Heard {
 			heard = append(heard, *m.Event)
 		}
 	}
-	want := rules.Note{Kind: rules.Load, Tag: 9, Slots: 3}
+	want := dispatch.Note{Kind: dispatch.Load, Tag: 9, Slots: 3}
 	if len(heard) != 1 || heard[0].Peer != 4 || heard[0].Note != want {
 		t.Fatalf("got %+v, want one note from 4; what no peer of ours sends is passed over", heard)
 	}
 	var out bytes.Buffer
 	w := NewWriter(&out)
-	if err := w.Actions(3, settings.NewNames(), []rules.Action{{Kind: rules.Tell, Peer: 12, Note: want}}); err != nil {
+	if err := w.Actions(3, settings.NewNames(), []dispatch.Action{{Kind: dispatch.Tell, Peer: 12, Note: want}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := w.Flush(); err != nil {
--- a/internal/simwire/value.go
+++ b/internal/simwire/value.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"strconv"
 
+	"birchfork/dispatch"
 	"birchfork/internal/settings"
-	"birchfork/rules"
 )
 
 var (
@@ -89,7 +89,7 @@
 }
 
 // time returns a time given in seconds; an absent one is 0.
-func (f *fields) time(name string) rules.Time {
+func (f *fields) time(name string) dispatch.Time {
 	s := f.number(name, 0)
 	if s > settings.MaxSeconds {
 		f.fail(fmt.Errorf("%s: %v s is out of range", name, s))
@@ -101,13 +101,13 @@
 func (f *fields) flag(name string) bool { return f.whole(name, 0, 1, 0) == 1 }
 
 // appendTime writes a length of time in seconds.
-func appendTime(b []byte, t rules.Time) []byte {
+func appendTime(b []byte, t dispatch.Time) []byte {
 	if t < 0 {
 		b = append(b, '-')
 		t = -t
 	}
-	b = strconv.AppendInt(b, int64(t/rules.Second), 10)
-	us := int64(t % rules.Second)
+	b = strconv.AppendInt(b, int64(t/dispatch.Second), 10)
+	us := int64(t % dispatch.Second)
 	if us == 0 {
 		return b
 	}
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -12,8 +12,8 @@
 	"io"
 	"strconv"
 
+	"birchfork/dispatch"
 	"birchfork/internal/settings"
-	"birchfork/rules"
 )
 
 // MsgKind tells what a line of the input asks of the host.
@@ -31,11 +31,11 @@
 // Msg is one message for the host. Event and what it points to are valid until the next Read.
 type Msg struct {
 	Kind     MsgKind
-	Now      rules.Time
+	Now      dispatch.Time
 	Instance int
-	Settings rules.Settings
+	Settings dispatch.Settings
 	Seed     uint64
-	Event    *rules.Event
+	Event    *dispatch.Event
 }
 
 // pools is how many numbered worker lists the wire has.
@@ -45,8 +45,8 @@
 	worker, zone, kind string
 	cell               int
 	weight             float64
-	state              rules.State
-	startedAt          rules.Time
+	state              dispatch.State
+	startedAt          dispatch.Time
 }
 
 // Reader reads messages. It keeps the names of each instance, which Writer shares.
@@ -60,8 +60,8 @@
 	freeSlots map[int]string // the report value that tells free slots, by instance
 	pool      [pools][]poolRow
 	havePool  [pools]bool
-	event     rules.Event
-	list      []rules.Worker
+	event     dispatch.Event
+	list      []dispatch.Worker
 }
 
 // NewReader returns a Reader on in.
@@ -218,11 +218,11 @@
 		row.cell = int(rf.whole("group", -1, 1<<30, -1))
 		switch mode := rf.next("mode"); string(mode) {
 		case "healthy":
-			row.state = rules.Ready
+			row.state = dispatch.Ready
 		case "cordoned":
-			row.state = rules.Draining
+			row.state = dispatch.Draining
 		case "deregistered":
-			row.state = rules.Gone
+			row.state = dispatch.Gone
 		default:
 			rf.fail(fmt.Errorf("mode: %q is unknown", mode))
 		}
@@ -240,12 +240,12 @@
 // readEvent fills r.event. It reports false for events that no dispatcher here has a use for.
 func (r *Reader) readEvent(name []byte, f *fields, n *settings.Names) (bool, error) {
 	e := &r.event
-	*e = rules.Event{Tenant: -1, Workers: r.list[:0]}
+	*e = dispatch.Event{Tenant: -1, Workers: r.list[:0]}
 	switch string(name) {
 	case "QUERY":
 		return true, r.readQuery(f, n)
 	case "CLOSED_ATTEMPT":
-		e.Kind = rules.Ended
+		e.Kind = dispatch.Ended
 		known := r.request(f, n)
 		e.Attempt = int(f.whole("try", 0, 1<<20, -1))
 		e.Worker = n.KnownWorker(f.text("runner"))
@@ -264,27 +264,27 @@
 		e.Worker = n.KnownWorker(f.text("runner"))
 		e.Attempt = int(f.whole("try", 0, 1<<20, -1))
 		e.Done = f.number("level", 0)
-		e.Kind = rules.Started
+		e.Kind = dispatch.Started
 		if what == 2 {
-			e.Kind = rules.Progressed
+			e.Kind = dispatch.Progressed
 		}
 		return known && (what == 1 || what == 2), f.done()
 	case "FIRST_BYTE":
-		e.Kind = rules.AnswerBegan
+		e.Kind = dispatch.AnswerBegan
 		known := r.request(f, n)
 		e.Attempt = int(f.whole("try", 0, 1<<20, -1))
 		e.Elapsed = f.time("spent")
 		e.Worker = n.KnownWorker(f.text("runner"))
 		return known, f.done()
 	case "GONE":
-		e.Kind = rules.ClientGone
+		e.Kind = dispatch.ClientGone
 		known := r.request(f, n)
 		if f.done() == nil && known {
 			n.NoteFinal(e.Request)
 		}
 		return known, f.err
 	case "WAKEUP":
-		e.Kind = rules.TimerFired
+		e.Kind = dispatch.TimerFired
 		f.text("handle")
 		return true, f.done()
 	case "PROBE_DONE":
@@ -296,7 +296,7 @@
 	case "MEMBERSHIP":
 		return true, r.readMembership(f, n)
 	case "DATAGRAM":
-		e.Kind = rules.Heard
+		e.Kind = dispatch.Heard
 		e.Peer = int(f.whole("src_peer", 0, 1<<30, -1))
 		raw := f.next("raw")
 		if err := f.done(); err != nil {
@@ -316,16 +316,16 @@
 	return ok
 }
 
-func result(code int64) rules.Result {
-	if code >= int64(rules.UnknownResult) {
-		return rules.UnknownResult
+func result(code int64) dispatch.Result {
+	if code >= int64(dispatch.UnknownResult) {
+		return dispatch.UnknownResult
 	}
-	return rules.Result(code) // the wire numbers them alike
+	return dispatch.Result(code) // the wire numbers them alike
 }
 
 func (r *Reader) readQuery(f *fields, n *settings.Names) error {
 	e := &r.event
-	e.Kind = rules.Arrived
+	e.Kind = dispatch.Arrived
 	tid := f.text("tid")
 	e.Retry = f.flag("resent")
 	tenant, class := f.next("billing"), f.text("kind")
@@ -367,13 +367,13 @@
 	}
 	switch string(mode) {
 	case "whole":
-		e.Kind = rules.ListSnapshot
+		e.Kind = dispatch.ListSnapshot
 	case "stale_copy":
-		e.Kind, e.Stale = rules.ListSnapshot, true
+		e.Kind, e.Stale = dispatch.ListSnapshot, true
 	case "patch":
-		e.Kind = rules.ListChange
+		e.Kind = dispatch.ListChange
 	case "broken":
-		e.Kind = rules.ListLost
+		e.Kind = dispatch.ListLost
 		return nil
 	default:
 		return fmt.Errorf("mode: %q is unknown", mode)
@@ -382,7 +382,7 @@
 		return fmt.Errorf("page: list %d has not been sent", page)
 	}
 	for _, row := range r.pool[page] {
-		w := rules.Worker{
+		w := dispatch.Worker{
 			ID: n.Worker(row.worker), Cell: row.cell, State: row.state, StartedAt: row.startedAt, Weight: row.weight,
 		}
 		w.Tag = n.WorkerTag(w.ID)
@@ -396,7 +396,7 @@
 // report reads a load report: name:value pairs set apart by commas.
 func (r *Reader) report(f *fields) {
 	rep := &r.event.Report
-	*rep = rules.Report{FreeSlots: -1, Queue: -1}
+	*rep = dispatch.Report{FreeSlots: -1, Queue: -1}
 	v := f.next("server_stats")
 	if f.err != nil || len(v) == 0 || settings.Absent(v) {
 		return
@@ -427,21 +427,21 @@
 const noteSize = 6
 
 // readNote reads a peer's note; it reports false for what no peer of this version sends.
-func readNote(raw []byte) (n rules.Note, known bool) {
+func readNote(raw []byte) (n dispatch.Note, known bool) {
 	var b [2 * noteSize]byte
 	if base64.StdEncoding.DecodedLen(len(raw)) > len(b) {
 		return n, false
 	}
 	k, err := base64.StdEncoding.Decode(b[:], raw)
-	if err != nil || k != noteSize || b[0] > byte(rules.Crowded) {
+	if err != nil || k != noteSize || b[0] > byte(dispatch.Crowded) {
 		return n, false
 	}
-	n = rules.Note{Kind: rules.NoteKind(b[0]), Tag: uint64(binary.BigEndian.Uint32(b[1:])), Slots: float64(b[5]) / 8}
+	n = dispatch.Note{Kind: dispatch.NoteKind(b[0]), Tag: uint64(binary.BigEndian.Uint32(b[1:])), Slots: float64(b[5]) / 8}
 	return n, true
 }
 
 // appendNote writes a note.
-func appendNote(buf []byte, n rules.Note) []byte {
+func appendNote(buf []byte, n dispatch.Note) []byte {
 	var b [noteSize]byte
 	b[0] = byte(n.Kind)
 	binary.BigEndian.PutUint32(b[1:], uint32(n.Tag))
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -6,8 +6,8 @@
 	"io"
 	"strconv"
 
+	"birchfork/dispatch"
 	"birchfork/internal/settings"
-	"birchfork/rules"
 )
 
 // Writer writes replies: the actions of one batch, flushed at its end.
@@ -30,7 +30,7 @@
 }
 
 // Actions adds the actions of one instance.
-func (w *Writer) Actions(instance int, n *settings.Names, actions []rules.Action) error {
+func (w *Writer) Actions(instance int, n *settings.Names, actions []dispatch.Action) error {
 	for i := range actions {
 		if err := w.action(instance, n, &actions[i]); err != nil {
 			return err
@@ -39,31 +39,31 @@
 	return nil
 }
 
-func (w *Writer) action(instance int, n *settings.Names, a *rules.Action) error {
+func (w *Writer) action(instance int, n *settings.Names, a *dispatch.Action) error {
 	w.by(instance)
 	switch a.Kind {
-	case rules.Send:
+	case dispatch.Send:
 		w.request("CALL_OUT", n, a.Request)
 		w.buf = append(append(w.buf, '\t'), n.WorkerName(a.Worker)...)
 		w.buf = appendTime(append(w.buf, '\t'), a.Wait)
 		n.NoteSend(a.Request)
-	case rules.Cancel:
+	case dispatch.Cancel:
 		w.request("RETRACT", n, a.Request)
 		w.buf = strconv.AppendInt(append(w.buf, '\t'), int64(a.Attempt), 10)
-	case rules.Refuse:
+	case dispatch.Refuse:
 		w.request("REFUSE", n, a.Request)
 		w.buf = appendTime(append(w.buf, '\t'), a.Wait)
 		n.NoteFinal(a.Request)
-	case rules.GiveUp:
+	case dispatch.GiveUp:
 		w.request("GIVE_UP", n, a.Request)
 		n.NoteFinal(a.Request)
-	case rules.SetTimer:
+	case dispatch.SetTimer:
 		w.buf = appendTime(append(w.buf, "ARM\tt\t"...), a.Wait)
-	case rules.WatchList:
+	case dispatch.WatchList:
 		w.buf = append(w.buf, "WATCH\t1"...)
-	case rules.FetchList:
+	case dispatch.FetchList:
 		w.buf = append(w.buf, "LOOKUP"...)
-	case rules.Tell:
+	case dispatch.Tell:
 		w.buf = strconv.AppendInt(append(w.buf, "WRITE_PEER\t"...), int64(a.Peer), 10)
 		w.buf = appendNote(append(w.buf, '\t'), a.Note)
 	default:
@@ -73,7 +73,7 @@
 	return nil
 }
 
-func (w *Writer) request(verb string, n *settings.Names, id rules.RequestID) {
+func (w *Writer) request(verb string, n *settings.Names, id dispatch.RequestID) {
 	w.buf = append(append(w.buf, verb...), '\t')
 	w.buf = append(w.buf, n.RequestName(id)...)
 }
--- a/internal/store/admit.go
+++ b/internal/store/admit.go
@@ -6,10 +6,10 @@
 
 	"github.com/sirupsen/logrus"
 
+	"birchfork/dispatch"
 	"birchfork/internal/limits"
 	"birchfork/internal/routes"
 	"birchfork/internal/settings"
-	"birchfork/rules"
 )
 
 // Limited says that the operator's limits leave a request no place.
@@ -28,28 +28,28 @@
 	table   *routes.Table
 	gate    *limits.Gate
 	most    int // attempts that the platform allows
-	classes []rules.Class
-	narrow  []rules.Narrow // by route, with what fallbacks add
+	classes []dispatch.Class
+	narrow  []dispatch.Narrow // by route, with what fallbacks add
 }
 
 // hold is what an open request holds of the operator's limits; the zero hold is nothing. It is given back once.
 type hold struct {
 	gate     *limits.Gate
 	slot     limits.Slot
-	class    *rules.Class
-	landed   rules.Time
+	class    *dispatch.Class
+	landed   dispatch.Time
 	comeBack time.Duration
 }
 
 // Limit sets the operator's routes and limits, or others in their place. Open requests keep what they hold and what they
 // were allowed; buckets and counts go on where a route keeps its name.
-func (s *Store) Limit(t *routes.Table, c limits.Config, classes []rules.Class) {
+func (s *Store) Limit(t *routes.Table, c limits.Config, classes []dispatch.Class) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limit(t, c, classes)
 }
 
-func (s *Store) limit(t *routes.Table, c limits.Config, classes []rules.Class) {
+func (s *Store) limit(t *routes.Table, c limits.Config, classes []dispatch.Class) {
 	a := &admitter{table: t, most: s.attempts, classes: classes}
 	for i := range t.Len() {
 		a.narrow = append(a.narrow, t.Narrow(i, s.attempts))
@@ -78,13 +78,13 @@
 }
 
 // since is a moment of the module's clock as the gate takes it.
-func since(t rules.Time) time.Duration { return time.Duration(t) * time.Microsecond }
+func since(t dispatch.Time) time.Duration { return time.Duration(t) * time.Microsecond }
 
 // admit asks the operator's limits, along the fallbacks of the request's route. The lock is held.
-func (s *Store) admit(now rules.Time, j *Job, class, tenant int) (hold, rules.Narrow, error) {
+func (s *Store) admit(now dispatch.Time, j *Job, class, tenant int) (hold, dispatch.Narrow, error) {
 	a := s.admitter
 	if a == nil {
-		return hold{}, rules.Narrow{}, nil
+		return hold{}, dispatch.Narrow{}, nil
 	}
 	first := a.table.Find(&routes.Request{Class: settings.Plain(j.Class), Path: j.Path, Tenant: settings.Plain(j.Tenant), Method: j.Method})
 	var no *Limited
@@ -98,11 +98,11 @@
 			no = &Limited{Reason: v.Reason, Route: a.table.Route(i).Name, ComeBack: v.Wait}
 		}
 	}
-	return hold{}, rules.Narrow{}, no
+	return hold{}, dispatch.Narrow{}, no
 }
 
 // release gives back what a request holds.
-func (h *hold) release(now rules.Time, end limits.End) {
+func (h *hold) release(now dispatch.Time, end limits.End) {
 	if h.gate != nil {
 		h.gate.Done(since(now), h.slot, end)
 		h.gate = nil
@@ -124,7 +124,7 @@
 	}
 	now, end := r.s.now(), limits.Late
 	if k == Served {
-		run := rules.Time(0)
+		run := dispatch.Time(0)
 		for _, a := range r.attempts {
 			if a.began > 0 {
 				run = max(run, now-a.began)
--- a/internal/store/admit_test.go
+++ b/internal/store/admit_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
+	"birchfork/dispatch"
 	"birchfork/internal/limits"
 	"birchfork/internal/routes"
-	"birchfork/rules"
 )
 
 // tableOf is one route for the class, and what is left.
@@ -27,17 +27,17 @@
 func TestEveryEndGivesThePlaceBack(t *testing.T) {
 	m := &script{}
 	s := newStore(t, m)
-	table, c := tableOf(t, routes.Route{Limit: limits.Route{Concurrent: 1, ComeBack: 70 * time.Millisecond}, Narrow: rules.Narrow{Attempts: 2}})
-	s.Limit(table, c, []rules.Class{{Aim: rules.Second, Deadline: rules.Second}})
-	s.News(listOf(rules.Ready, "127.0.0.1:9", 0))
+	table, c := tableOf(t, routes.Route{Limit: limits.Route{Concurrent: 1, ComeBack: 70 * time.Millisecond}, Narrow: dispatch.Narrow{Attempts: 2}})
+	s.Limit(table, c, []dispatch.Class{{Aim: dispatch.Second, Deadline: dispatch.Second}})
+	s.News(listOf(dispatch.Ready, "127.0.0.1:9", 0))
 	for i, end := range []func(r *Request){
 		func(r *Request) { r.Leave() },
 		func(r *Request) { r.Fail(); r.Leave() },
-		func(r *Request) { (<-r.Orders()).Attempt.Ended(rules.OK, []byte("x")); <-r.Orders(); r.Leave() },
+		func(r *Request) { (<-r.Orders()).Attempt.Ended(dispatch.OK, []byte("x")); <-r.Orders(); r.Leave() },
 		func(r *Request) { (<-r.Orders()).Attempt.Rejected(); <-r.Orders(); r.Leave() },
 	} {
-		m.on = func(e *rules.Event) []rules.Action {
-			if e.Kind == rules.Arrived {
+		m.on = func(e *dispatch.Event) []dispatch.Action {
+			if e.Kind == dispatch.Arrived {
 				if e.Narrow.Attempts != 2 {
 					t.Errorf("the module is told %+v", e.Narrow)
 				}
@@ -46,13 +46,13 @@
 			return nil
 		}
 		r := mustOpen(t, s, string(rune('a'+2*i)))
-		arrived := len(m.of(rules.Arrived))
+		arrived := len(m.of(dispatch.Arrived))
 		_, err := s.Open(one(string(rune('b' + 2*i))))
 		var limited *Limited
 		if !errors.As(err, &limited) || limited.Reason != limits.Concurrent || limited.ComeBack != 70*time.Millisecond || limited.Route != "r" {
 			t.Fatalf("the second request: %v", err)
 		}
-		if len(m.of(rules.Arrived)) != arrived {
+		if len(m.of(dispatch.Arrived)) != arrived {
 			t.Error("the module heard of a request that the limits refused")
 		}
 		end(r)
@@ -77,7 +77,7 @@
 	s := newStore(t, m)
 	set := func(n int) {
 		table, c := tableOf(t, routes.Route{Limit: limits.Route{Concurrent: n}})
-		s.Limit(table, c, []rules.Class{{Aim: rules.Second}})
+		s.Limit(table, c, []dispatch.Class{{Aim: dispatch.Second}})
 	}
 	set(3)
 	a, b := mustOpen(t, s, "a"), mustOpen(t, s, "b")
@@ -108,7 +108,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Limit(table, limits.Config{Routes: table.Limits()}, []rules.Class{{}})
+	s.Limit(table, limits.Config{Routes: table.Limits()}, []dispatch.Class{{}})
 	open := func(id string) error {
 		j := one(id)
 		j.Path = "/search"
--- a/internal/store/counters.go
+++ b/internal/store/counters.go
@@ -5,7 +5,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"birchfork/rules"
+	"birchfork/dispatch"
 )
 
 // Counters count what comes in, what goes out and how it ends. Every field may be read and changed at any time.
@@ -29,7 +29,7 @@
 	Unwritten               atomic.Int64 // answers that could not be written whole
 
 	Sent     atomic.Int64 // attempts ordered
-	Outcomes [rules.UnknownResult + 1]atomic.Int64
+	Outcomes [dispatch.UnknownResult + 1]atomic.Int64
 
 	Dials, Reused  atomic.Int64 // connections to workers: set up, used again
 	StaleConns     atomic.Int64 // found closed before they were used again
@@ -51,9 +51,9 @@
 
 // resultNames are the words for outcomes in the log.
 var resultNames = [...]string{
-	rules.OK: "ok", rules.Failed: "failed", rules.Full: "full", rules.TimedOut: "timed_out",
-	rules.Unreachable: "unreachable", rules.Disconnected: "disconnected", rules.Cancelled: "cancelled",
-	rules.NotSent: "not_sent", rules.UnknownResult: "unknown",
+	dispatch.OK: "ok", dispatch.Failed: "failed", dispatch.Full: "full", dispatch.TimedOut: "timed_out",
+	dispatch.Unreachable: "unreachable", dispatch.Disconnected: "disconnected", dispatch.Cancelled: "cancelled",
+	dispatch.NotSent: "not_sent", dispatch.UnknownResult: "unknown",
 }
 
 func (c *Counters) answered(k OrderKind) {
@@ -67,7 +67,7 @@
 	}
 }
 
-func (c *Counters) ended(r rules.Result) { c.Outcomes[min(r, rules.UnknownResult)].Add(1) }
+func (c *Counters) ended(r dispatch.Result) { c.Outcomes[min(r, dispatch.UnknownResult)].Add(1) }
 
 // Fields are all counters under the names that the on-call page uses.
 func (c *Counters) Fields() logrus.Fields {
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -20,12 +20,12 @@
 
 	"github.com/sirupsen/logrus"
 
+	"birchfork/dispatch"
 	"birchfork/internal/limits"
 	"birchfork/internal/routes"
 	"birchfork/internal/settings"
 	"birchfork/internal/store"
 	"birchfork/internal/wire"
-	"birchfork/rules"
 )
 
 // compareGolden compares text with a file in testdata/golden. The files hold what operators and clients have read since before the
@@ -78,9 +78,9 @@
 	set(&c.Sent, &c.Dials, &c.Reused, &c.StaleConns, &c.NoDescriptor, &c.ClientConns, &c.ClientsCut)
 	set(&c.BadRunnerLines, &c.BadNews, &c.News, &c.WatchBroke, &c.ListBusy, &c.ListMoves)
 	set(&c.Reloads, &c.BadReloads, &c.Stalls, &c.Panics, &c.Faults, &c.Unspoken)
-	for _, result := range []rules.Result{
-		rules.OK, rules.Failed, rules.Full, rules.TimedOut, rules.Unreachable, rules.Disconnected, rules.Cancelled, rules.NotSent,
-		rules.UnknownResult,
+	for _, result := range []dispatch.Result{
+		dispatch.OK, dispatch.Failed, dispatch.Full, dispatch.TimedOut, dispatch.Unreachable, dispatch.Disconnected, dispatch.Cancelled, dispatch.NotSent,
+		dispatch.UnknownResult,
 	} {
 		set(&c.Outcomes[result])
 	}
@@ -111,9 +111,9 @@
 }
 
 // decide is a decision module that does what a test says.
-type decide func(e *rules.Event) []rules.Action
+type decide func(e *dispatch.Event) []dispatch.Action
 
-func (d decide) Handle(_ rules.Time, e *rules.Event, out []rules.Action) []rules.Action {
+func (d decide) Handle(_ dispatch.Time, e *dispatch.Event, out []dispatch.Action) []dispatch.Action {
 	if d == nil {
 		return out
 	}
@@ -125,7 +125,7 @@
 	"policy_limits":{"attempts_cap":3,"retry_after":true,"max_retry_after":2}}`
 
 // newGolden returns what is tested, with a module that does as told, and its classes.
-func newGolden(t *testing.T, maxOpen int, module decide) (*store.Store, []rules.Class) {
+func newGolden(t *testing.T, maxOpen int, module decide) (*store.Store, []dispatch.Class) {
 	t.Helper()
 	names := settings.NewNames()
 	decoded, _, err := settings.DecodeJSON([]byte(goldenSettings), names)
@@ -295,7 +295,7 @@
 	}
 	if c.worker != "" {
 		s.News(store.List{Index: 1, Whole: true, Entries: []store.Entry{{
-			Name: "w", Address: oneAnswer(t, c.worker), Zone: "a", Kind: "big", Cell: -1, State: rules.Ready,
+			Name: "w", Address: oneAnswer(t, c.worker), Zone: "a", Kind: "big", Cell: -1, State: dispatch.Ready,
 		}}})
 	}
 	jobs := []store.Job{}
@@ -379,19 +379,19 @@
 }
 
 // once answers every arrival with one action.
-func once(a rules.Action) decide {
-	return func(e *rules.Event) []rules.Action {
-		if e.Kind != rules.Arrived {
+func once(a dispatch.Action) decide {
+	return func(e *dispatch.Event) []dispatch.Action {
+		if e.Kind != dispatch.Arrived {
 			return nil
 		}
 		one := a
 		one.Request = e.Request
-		return []rules.Action{one}
+		return []dispatch.Action{one}
 	}
 }
 
 // sendOnce sends every request to the one worker, once.
-var sendOnce = once(rules.Action{Kind: rules.Send})
+var sendOnce = once(dispatch.Action{Kind: dispatch.Send})
 
 // goldenCases are all answers that the module, the limits and the checks of a request lead to.
 func goldenCases() []goldenCase {
@@ -400,11 +400,11 @@
 		{name: "an unknown tenant", headers: "X-Tenant: nobody\r\n"},
 		{name: "an id that is open", same: true},
 		{name: "too many open", maxOpen: 2, before: []limitedRequest{{path: "/search/x", admitted: 2}}},
-		{name: "refused by the module", module: once(rules.Action{Kind: rules.Refuse})},
-		{name: "refused by the module until later", module: once(rules.Action{Kind: rules.Refuse, Wait: 1500 * rules.Millisecond})},
-		{name: "given up by the module", module: once(rules.Action{Kind: rules.GiveUp})},
+		{name: "refused by the module", module: once(dispatch.Action{Kind: dispatch.Refuse})},
+		{name: "refused by the module until later", module: once(dispatch.Action{Kind: dispatch.Refuse, Wait: 1500 * dispatch.Millisecond})},
+		{name: "given up by the module", module: once(dispatch.Action{Kind: dispatch.GiveUp})},
 		{name: "refused by the module, on a route that says when to come back", limited: true, path: "/search/by-concurrency",
-			module: once(rules.Action{Kind: rules.Refuse})},
+			module: once(dispatch.Action{Kind: dispatch.Refuse})},
 		{name: "served", module: sendOnce, worker: "HTTP/1.1 200 OK\r\nContent-Length: 62\r\n\r\n" +
 			`{"id":"id-1","from":"w","state":"done","result":"the result"}` + "\n"},
 		{name: "a worker cannot use it", module: sendOnce, worker: "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"},
--- a/internal/store/guard.go
+++ b/internal/store/guard.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"birchfork/dispatch"
 	"birchfork/internal/plant"
-	"birchfork/rules"
 )
 
 // Guard is what a group of dispatchers has settled on workers, by name or by host, as far as it binds this one. It takes away
@@ -56,7 +56,7 @@
 }
 
 // pick are the workers of these names and at these hosts. The lock is held.
-func (s *Store) pick(names, hosts map[string]bool) (ids []rules.WorkerID) {
+func (s *Store) pick(names, hosts map[string]bool) (ids []dispatch.WorkerID) {
 	for _, name := range slices.Sorted(maps.Keys(names)) {
 		id := s.names.Worker(name)
 		s.viewOf(id)
@@ -64,7 +64,7 @@
 	}
 	for i := range s.workers {
 		if w := &s.workers[i].entry; hosts[hostOf(w.Address)] && !names[w.Name] {
-			ids = append(ids, rules.WorkerID(i))
+			ids = append(ids, dispatch.WorkerID(i))
 		}
 	}
 	return ids
@@ -117,7 +117,7 @@
 	}
 	s.barred = false
 	for i := range s.workers {
-		w, id := &s.workers[i], rules.WorkerID(i)
+		w, id := &s.workers[i], dispatch.WorkerID(i)
 		switch may := s.mayLease(w); {
 		case may && w.out&noLease != 0:
 			s.letIn(id, noLease, 0)
@@ -130,14 +130,14 @@
 
 // landed notes the end of an attempt. Where it does not tell that the job is over, the job may run up to its deadline. The
 // lock is held.
-func (s *Store) landed(a *Attempt, result rules.Result) {
+func (s *Store) landed(a *Attempt, result dispatch.Result) {
 	if int(a.worker) >= len(s.workers) {
 		return
 	}
 	w := &s.workers[a.worker]
 	w.flying--
 	switch result {
-	case rules.TimedOut, rules.Cancelled, rules.Disconnected, rules.UnknownResult:
+	case dispatch.TimedOut, dispatch.Cancelled, dispatch.Disconnected, dispatch.UnknownResult:
 		if end, ok := a.ctx.Deadline(); ok && end.Add(runSlack).After(w.mayRun) {
 			w.mayRun = end.Add(runSlack)
 		}
@@ -162,7 +162,7 @@
 		if !w.leased && w.out&byPlan == 0 {
 			continue
 		}
-		names = append(names, s.names.WorkerName(rules.WorkerID(id)))
+		names = append(names, s.names.WorkerName(dispatch.WorkerID(id)))
 		if host := hostOf(w.entry.Address); host != "" {
 			hosts = append(hosts, host)
 		}
@@ -192,14 +192,14 @@
 	for i := range s.workers {
 		w := &s.workers[i]
 		e := &w.entry
-		if e.Name == "" || e.State == rules.Gone && now-w.left > rules.Time(gone.Microseconds()) {
+		if e.Name == "" || e.State == dispatch.Gone && now-w.left > dispatch.Time(gone.Microseconds()) {
 			continue
 		}
 		since := max(w.started, w.back)
 		all = append(all, Seen{
-			Name: e.Name, Zone: e.Zone, Kind: e.Kind, Host: hostOf(e.Address), Weight: e.Weight, Down: e.State != rules.Ready,
-			Gone: e.State == rules.Gone,
-			Cold: since > 0 && now-since < rules.Time(cold.Microseconds()), Hand: w.out&byHand != 0,
+			Name: e.Name, Zone: e.Zone, Kind: e.Kind, Host: hostOf(e.Address), Weight: e.Weight, Down: e.State != dispatch.Ready,
+			Gone: e.State == dispatch.Gone,
+			Cold: since > 0 && now-since < dispatch.Time(cold.Microseconds()), Hand: w.out&byHand != 0,
 		})
 	}
 	return all
--- a/internal/store/guard_test.go
+++ b/internal/store/guard_test.go
@@ -5,15 +5,15 @@
 	"testing"
 	"time"
 
-	"birchfork/rules"
+	"birchfork/dispatch"
 )
 
 // The group's word and its lease, right before the first byte, whatever the module has ordered before.
 func TestGuardAndLease(t *testing.T) {
 	m := &script{on: sends}
 	s := newStore(t, m)
-	s.News(listOf(rules.Ready, "a:1", 0))
-	name := listOf(rules.Ready, "a:1", 0).Entries[0].Name
+	s.News(listOf(dispatch.Ready, "a:1", 0))
+	name := listOf(dispatch.Ready, "a:1", 0).Entries[0].Name
 	all := map[string]bool{name: true}
 	attempt := func(id string) *Attempt { return (<-mustOpen(t, s, id).Orders()).Attempt }
 	check := func(what string, a *Attempt, clear, leased bool) {
@@ -26,7 +26,7 @@
 	check("no group", a, true, false)
 	s.Guard(Guard{Leased: all})
 	check("no lease", a, false, true)
-	if e := m.of(rules.TakenOut); len(e) != 1 {
+	if e := m.of(dispatch.TakenOut); len(e) != 1 {
 		t.Errorf("the module was told %d times that it may not send there", len(e))
 	}
 	s.Lease(time.Now().Add(time.Hour))
@@ -66,7 +66,7 @@
 	} {
 		m := &script{}
 		s := newStore(t, m)
-		l := listOf(rules.Ready, "a:1", time.Now().Add(-c.since).UnixMilli())
+		l := listOf(dispatch.Ready, "a:1", time.Now().Add(-c.since).UnixMilli())
 		s.News(l)
 		name := l.Entries[0].Name
 		s.Guard(Guard{Leased: map[string]bool{name: true}})
@@ -75,7 +75,7 @@
 			s.Hand(map[string]Hand{name: {At: time.Now()}})
 		}
 		s.Lease(time.Now().Add(time.Hour))
-		e := m.of(rules.PutBack)
+		e := m.of(dispatch.PutBack)
 		if len(e) != 1 {
 			t.Fatalf("%s: put back %d times", c.name, len(e))
 		}
@@ -96,7 +96,7 @@
 	m := &script{on: sends}
 	s := newStore(t, m)
 	entry := func(name, address string) Entry {
-		return Entry{Name: name, Address: address, Zone: "a", Kind: "big", State: rules.Ready}
+		return Entry{Name: name, Address: address, Zone: "a", Kind: "big", State: dispatch.Ready}
 	}
 	s.News(List{Index: 1, Whole: true, Entries: []Entry{entry("old", "h0:1")}})
 	s.Guard(Guard{LeasedAt: map[string]bool{"h0": true}})
@@ -114,12 +114,12 @@
 	if names, hosts := s.Busy(); fmt.Sprint(names, hosts) != "[old] [h0 h1]" {
 		t.Errorf("busy are %v at %v", names, hosts)
 	}
-	out := map[rules.WorkerID]bool{}
+	out := map[dispatch.WorkerID]bool{}
 	for _, e := range m.events {
 		switch e.Kind {
-		case rules.TakenOut:
+		case dispatch.TakenOut:
 			out[e.Worker] = true
-		case rules.PutBack:
+		case dispatch.PutBack:
 			delete(out, e.Worker)
 		}
 	}
@@ -131,14 +131,14 @@
 
 // What runs, or may run still, at a worker of a plan is told; what is known to be over is not.
 func TestBusy(t *testing.T) {
-	for result, busy := range map[rules.Result]bool{
-		rules.OK: false, rules.Failed: false, rules.Full: false, rules.NotSent: false, rules.Unreachable: false,
-		rules.TimedOut: true, rules.Cancelled: true, rules.Disconnected: true,
+	for result, busy := range map[dispatch.Result]bool{
+		dispatch.OK: false, dispatch.Failed: false, dispatch.Full: false, dispatch.NotSent: false, dispatch.Unreachable: false,
+		dispatch.TimedOut: true, dispatch.Cancelled: true, dispatch.Disconnected: true,
 	} {
 		m := &script{on: sends}
 		s := newStore(t, m)
-		s.News(listOf(rules.Ready, "a:1", 0))
-		name := listOf(rules.Ready, "a:1", 0).Entries[0].Name
+		s.News(listOf(dispatch.Ready, "a:1", 0))
+		name := listOf(dispatch.Ready, "a:1", 0).Entries[0].Name
 		a := (<-mustOpen(t, s, "a").Orders()).Attempt
 		if len(busyNames(s)) != 0 {
 			t.Error("a worker of no plan is told of")
@@ -160,15 +160,15 @@
 	m := &script{}
 	s := newStore(t, m)
 	s.Blind(true)
-	s.News(listOf(rules.Ready, "a:1", 0))
-	if len(m.events) < 2 || m.events[0].Kind != rules.TakenOut || m.events[1].Kind != rules.ListChange {
+	s.News(listOf(dispatch.Ready, "a:1", 0))
+	if len(m.events) < 2 || m.events[0].Kind != dispatch.TakenOut || m.events[1].Kind != dispatch.ListChange {
 		t.Errorf("it heard %+v", m.events)
 	}
 	s.Lease(time.Now().Add(2 * time.Millisecond))
-	was := len(m.of(rules.TakenOut))
+	was := len(m.of(dispatch.TakenOut))
 	time.Sleep(3 * time.Millisecond)
 	s.Beat()
-	if n := len(m.of(rules.TakenOut)); n != was+1 {
+	if n := len(m.of(dispatch.TakenOut)); n != was+1 {
 		t.Errorf("told %d times of a lease that has run out", n-was)
 	}
 }
@@ -176,7 +176,7 @@
 // What other members are told of workers.
 func TestFleet(t *testing.T) {
 	s := newStore(t, &script{})
-	entry := func(name string, state rules.State, ago time.Duration) Entry {
+	entry := func(name string, state dispatch.State, ago time.Duration) Entry {
 		e := Entry{Name: name, Address: name + ":1", Zone: "a", Kind: "big", State: state, Weight: 2}
 		if ago > 0 {
 			e.Since = time.Now().Add(-ago).UnixMilli()
@@ -184,10 +184,10 @@
 		return e
 	}
 	s.News(List{Index: 1, Whole: true, Entries: []Entry{
-		entry("cold", rules.Ready, time.Second), entry("warm", rules.Ready, time.Hour), entry("drains", rules.Draining, 0),
-		entry("gone", rules.Ready, 0), entry("hand", rules.Ready, 0), entry("back", rules.Ready, 0),
+		entry("cold", dispatch.Ready, time.Second), entry("warm", dispatch.Ready, time.Hour), entry("drains", dispatch.Draining, 0),
+		entry("gone", dispatch.Ready, 0), entry("hand", dispatch.Ready, 0), entry("back", dispatch.Ready, 0),
 	}})
-	s.News(List{Index: 2, Entries: []Entry{entry("gone", rules.Gone, 0)}})
+	s.News(List{Index: 2, Entries: []Entry{entry("gone", dispatch.Gone, 0)}})
 	s.Hand(map[string]Hand{"hand": {Out: true, At: time.Now()}, "back": {Out: true, At: time.Now().Add(-time.Second)}})
 	s.Hand(map[string]Hand{"back": {At: time.Now()}})
 	got := map[string]string{}
@@ -217,7 +217,7 @@
 func TestAttemptsMost(t *testing.T) {
 	m := &script{on: sends}
 	s := newStore(t, m)
-	s.News(listOf(rules.Ready, "a:1", 0))
+	s.News(listOf(dispatch.Ready, "a:1", 0))
 	for i, c := range []struct{ left, most, want time.Duration }{
 		{time.Hour, 0, time.Hour}, {time.Hour, time.Minute, time.Minute}, {time.Second, time.Minute, time.Second},
 	} {
--- a/internal/store/hand.go
+++ b/internal/store/hand.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"birchfork/rules"
+	"birchfork/dispatch"
 )
 
 // ErrWorker says that no worker of a name has been listed.
@@ -19,7 +19,7 @@
 }
 
 // viewOf is the view of a worker. The lock is held.
-func (s *Store) viewOf(id rules.WorkerID) *workerView {
+func (s *Store) viewOf(id dispatch.WorkerID) *workerView {
 	for int(id) >= len(s.workers) {
 		s.workers = append(s.workers, workerView{})
 	}
@@ -57,7 +57,7 @@
 	if h.Out {
 		s.leaveOut(id, byHand)
 	} else {
-		s.letIn(id, byHand, rules.Time(max(0, time.Since(h.At)).Microseconds()))
+		s.letIn(id, byHand, dispatch.Time(max(0, time.Since(h.At)).Microseconds()))
 	}
 }
 
@@ -75,7 +75,7 @@
 )
 
 // leaveOut keeps everything away from a worker, for one more cause. The lock is held.
-func (s *Store) leaveOut(id rules.WorkerID, c cause) {
+func (s *Store) leaveOut(id dispatch.WorkerID, c cause) {
 	w := &s.workers[id]
 	if c != noLease {
 		w.hand++
@@ -84,12 +84,12 @@
 		s.onNews(WorkerNews{w.entry.Address}) // what is open leads to a process that ends, or has ended
 	}
 	w.out |= c
-	s.handle(s.now(), &rules.Event{Kind: rules.TakenOut, Worker: id})
+	s.handle(s.now(), &dispatch.Event{Kind: dispatch.TakenOut, Worker: id})
 }
 
 // letIn ends one cause, since so long ago. The worker serves again where no other holds, as one that was started when it was
 // put back last, or for want of a lease alone, when the list says, if that is later: a cold one stays cold. The lock is held.
-func (s *Store) letIn(id rules.WorkerID, c cause, ago rules.Time) {
+func (s *Store) letIn(id dispatch.WorkerID, c cause, ago dispatch.Time) {
 	w, now := &s.workers[id], s.now()
 	was := w.out
 	if c&byWord != 0 {
@@ -105,7 +105,7 @@
 	if c&byWord == 0 {
 		since = max(since, w.started)
 	}
-	s.handle(now, &rules.Event{Kind: rules.PutBack, Worker: id, Elapsed: now - since})
+	s.handle(now, &dispatch.Event{Kind: dispatch.PutBack, Worker: id, Elapsed: now - since})
 }
 
 // Out are the names of the workers that are out by hand, sorted.
@@ -114,7 +114,7 @@
 	defer s.mu.Unlock()
 	for id := range s.workers {
 		if s.workers[id].out&byHand != 0 {
-			names = append(names, s.names.WorkerName(rules.WorkerID(id)))
+			names = append(names, s.names.WorkerName(dispatch.WorkerID(id)))
 		}
 	}
 	slices.Sort(names)
--- a/internal/store/hand_test.go
+++ b/internal/store/hand_test.go
@@ -6,7 +6,7 @@
 	"testing/synctest"
 	"time"
 
-	"birchfork/rules"
+	"birchfork/dispatch"
 )
 
 func out(name string, at time.Time) map[string]Hand {
@@ -20,7 +20,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := &script{on: sends}
 		s := newStore(t, m)
-		s.News(listOf(rules.Ready, "a:1", 0))
+		s.News(listOf(dispatch.Ready, "a:1", 0))
 		var dropped []string
 		s.OnNews(func(w WorkerNews) { dropped = append(dropped, w.Address) })
 		a := (<-mustOpen(t, s, "a").Orders()).Attempt
@@ -36,12 +36,12 @@
 		if late.Clear() { // whatever a module orders
 			t.Fatal("one that is ordered meanwhile goes out")
 		}
-		late.Ended(rules.NotSent, nil)
+		late.Ended(dispatch.NotSent, nil)
 		c.Leave()
 		if some, _ := s.Ready(); some {
 			t.Fatal("a worker is ready though the only one is out")
 		}
-		s.News(listOf(rules.Ready, "a:1", 0))
+		s.News(listOf(dispatch.Ready, "a:1", 0))
 		time.Sleep(time.Second)
 		s.Hand(back("w", time.Now()))
 		if a.Clear() {
@@ -50,11 +50,11 @@
 		if want := []string{"a:1", "a:1"}; !slices.Equal(dropped, want) {
 			t.Fatalf("connections dropped: %v, want %v", dropped, want)
 		}
-		a.Ended(rules.NotSent, nil)
+		a.Ended(dispatch.NotSent, nil)
 		if b := (<-mustOpen(t, s, "b").Orders()).Attempt; !b.Clear() {
 			t.Fatal("nothing goes out after the call back")
 		}
-		if o, p := m.of(rules.TakenOut), m.of(rules.PutBack); len(o) != 1 || len(p) != 1 || o[0].Worker != 0 {
+		if o, p := m.of(dispatch.TakenOut), m.of(dispatch.PutBack); len(o) != 1 || len(p) != 1 || o[0].Worker != 0 {
 			t.Fatalf("the module heard %v and %v", o, p)
 		}
 	})
@@ -74,8 +74,8 @@
 			t.Fatalf("out: %v", got)
 		}
 		s.Hand(back("w", began.Add(2500*time.Millisecond)))
-		p := m.of(rules.PutBack)
-		if len(s.Out()) != 0 || len(m.of(rules.TakenOut)) != 1 || len(p) != 1 || p[0].Elapsed != 500*rules.Millisecond {
+		p := m.of(dispatch.PutBack)
+		if len(s.Out()) != 0 || len(m.of(dispatch.TakenOut)) != 1 || len(p) != 1 || p[0].Elapsed != 500*dispatch.Millisecond {
 			t.Fatalf("out: %v, put back: %+v", s.Out(), p)
 		}
 	})
@@ -86,7 +86,7 @@
 	if s.Knows("w") || s.Knows("v") {
 		t.Fatal("known before any list")
 	}
-	s.News(listOf(rules.Gone, "a:1", 0))
+	s.News(listOf(dispatch.Gone, "a:1", 0))
 	s.Hand(out("v", time.Now()))
 	if !s.Knows("w") || !s.Knows("v") || s.Knows("") {
 		t.Fatal("not known")
@@ -100,21 +100,21 @@
 		m := &script{on: sends}
 		s := newStore(t, m)
 		began := time.Now()
-		s.News(listOf(rules.Ready, "a:1", began.UnixMilli()))
+		s.News(listOf(dispatch.Ready, "a:1", began.UnixMilli()))
 		a := (<-mustOpen(t, s, "a").Orders()).Attempt
 		s.Heed([]string{"w", "unknown"})
 		if some, _ := s.Ready(); some || a.Clear() || s.Knows("unknown") {
 			t.Fatal("it is in use still, or a name from another was taken for a worker's")
 		}
-		a.Ended(rules.NotSent, nil)
+		a.Ended(dispatch.NotSent, nil)
 		time.Sleep(time.Second)
 		s.Heed(nil)
 		s.Heed(nil)
-		if p := m.of(rules.PutBack); len(p) != 1 || p[0].Elapsed != rules.Second {
+		if p := m.of(dispatch.PutBack); len(p) != 1 || p[0].Elapsed != dispatch.Second {
 			t.Fatalf("put back: %+v", p)
 		}
-		s.News(listOf(rules.Draining, "a:1", 0))
-		if all, fresh := s.Known(time.Hour); !fresh || len(all) != 1 || all[0] != (Known{"w", began.UnixMilli(), rules.Draining}) {
+		s.News(listOf(dispatch.Draining, "a:1", 0))
+		if all, fresh := s.Known(time.Hour); !fresh || len(all) != 1 || all[0] != (Known{"w", began.UnixMilli(), dispatch.Draining}) {
 			t.Fatalf("%+v", all)
 		}
 	})
--- a/internal/store/list.go
+++ b/internal/store/list.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
+	"birchfork/dispatch"
 	"birchfork/internal/settings"
-	"birchfork/rules"
 )
 
 // List is news of the workers, as a discovery front has decoded it.
@@ -21,29 +21,29 @@
 	Name, Address, Zone, Kind string
 	Cell                      int
 	Weight                    float64
-	State                     rules.State
+	State                     dispatch.State
 	Since                     int64 // when it last started, Unix time in milliseconds; 0: long ago
 }
 
 // workerView is what the store itself remembers of a worker.
 type workerView struct {
-	entry    Entry      // as it was told last
-	started  rules.Time // since on the module's clock
-	out      cause      // why nothing goes there, whatever the list says
-	handAt   time.Time  // when the operators spoke of it last
-	left     rules.Time // when the list told that it has gone
-	back     rules.Time // when it was put back last, by hand or by the group
-	hand     int        // how often it was left out: what was ordered before does not go out after
-	leased   bool       // of a plan under way: sent to only under the group's lease
-	latest   int64      // start that the list has told of it, Unix time in milliseconds
-	flying   int        // attempts that have not ended
-	mayRun   time.Time  // until then one may run there that we know nothing of any more
-	failures int        // of jobs, in a row
-	moved    []string   // hosts that it was at when something of ours ran there
+	entry    Entry         // as it was told last
+	started  dispatch.Time // since on the module's clock
+	out      cause         // why nothing goes there, whatever the list says
+	handAt   time.Time     // when the operators spoke of it last
+	left     dispatch.Time // when the list told that it has gone
+	back     dispatch.Time // when it was put back last, by hand or by the group
+	hand     int           // how often it was left out: what was ordered before does not go out after
+	leased   bool          // of a plan under way: sent to only under the group's lease
+	latest   int64         // start that the list has told of it, Unix time in milliseconds
+	flying   int           // attempts that have not ended
+	mayRun   time.Time     // until then one may run there that we know nothing of any more
+	failures int           // of jobs, in a row
+	moved    []string      // hosts that it was at when something of ours ran there
 }
 
 // ready says whether something may be sent there, by the list alone.
-func (w *workerView) ready() bool { return w.entry.State == rules.Ready && w.entry.Address != "" }
+func (w *workerView) ready() bool { return w.entry.State == dispatch.Ready && w.entry.Address != "" }
 
 // WorkerNews says that connections to an address are of no use any more: its worker has moved, restarted or is leaving.
 type WorkerNews struct{ Address string }
@@ -117,31 +117,31 @@
 	s.index = l.Index
 	s.fresh = s.fresh || !l.Stale
 	s.Counters.News.Add(1)
-	e := rules.Event{Kind: rules.ListChange, Version: s.news, Stale: l.Stale}
+	e := dispatch.Event{Kind: dispatch.ListChange, Version: s.news, Stale: l.Stale}
 	if l.Whole {
-		e.Kind = rules.ListSnapshot
+		e.Kind = dispatch.ListSnapshot
 	}
-	told := make(map[rules.WorkerID]bool, len(l.Entries))
+	told := make(map[dispatch.WorkerID]bool, len(l.Entries))
 	for i := range l.Entries {
 		n := &l.Entries[i]
 		id := s.names.Worker(n.Name)
 		told[id] = true
-		e.Workers = append(e.Workers, rules.Worker{
+		e.Workers = append(e.Workers, dispatch.Worker{
 			ID: id, Zone: s.names.Zone(settings.Plain(n.Zone)), Kind: s.names.Kind(settings.Plain(n.Kind)),
 			Cell: n.Cell, State: n.State, StartedAt: s.view(id, n), Tag: s.names.WorkerTag(id), Weight: n.Weight,
 		})
 	}
 	if l.Whole {
 		for id := range s.workers {
-			if told[rules.WorkerID(id)] {
+			if told[dispatch.WorkerID(id)] {
 				continue
 			}
 			w := &s.workers[id] // who is missing has left
 			was := w.ready()
-			if w.entry.State != rules.Gone {
+			if w.entry.State != dispatch.Gone {
 				w.left = s.now()
 			}
-			if w.entry.State = rules.Gone; was {
+			if w.entry.State = dispatch.Gone; was {
 				s.onNews(WorkerNews{w.entry.Address})
 			}
 		}
@@ -159,7 +159,7 @@
 	defer s.mu.Unlock()
 	l = List{Index: s.index, Whole: true, Stale: !s.fresh}
 	for i := range s.workers {
-		if e := &s.workers[i].entry; e.Name != "" && e.State != rules.Gone {
+		if e := &s.workers[i].entry; e.Name != "" && e.State != dispatch.Gone {
 			l.Entries = append(l.Entries, *e)
 		}
 	}
@@ -170,7 +170,7 @@
 type Known struct {
 	Name  string
 	Start int64 // the latest that was told, Unix time in milliseconds; 0: long ago
-	State rules.State
+	State dispatch.State
 }
 
 // Known are all workers of our list, those too that have left it for no longer than gone; fresh tells that discovery has told it
@@ -180,7 +180,7 @@
 	defer s.mu.Unlock()
 	for i := range s.workers {
 		w := &s.workers[i]
-		if w.entry.Name != "" && (w.entry.State != rules.Gone || s.now()-w.left < rules.Time(gone.Microseconds())) {
+		if w.entry.Name != "" && (w.entry.State != dispatch.Gone || s.now()-w.left < dispatch.Time(gone.Microseconds())) {
 			all = append(all, Known{w.entry.Name, w.latest, w.entry.State})
 		}
 	}
@@ -191,14 +191,14 @@
 func (s *Store) Heed(names []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held := map[rules.WorkerID]bool{}
+	held := map[dispatch.WorkerID]bool{}
 	for _, name := range names {
 		if id, ok := s.names.FindWorker(name); ok {
 			held[id] = true
 		}
 	}
 	for i := range s.workers {
-		switch w, id := &s.workers[i], rules.WorkerID(i); {
+		switch w, id := &s.workers[i], dispatch.WorkerID(i); {
 		case held[id] && w.out&byPeers == 0:
 			s.leaveOut(id, byPeers)
 		case !held[id] && w.out&byPeers != 0:
@@ -238,20 +238,20 @@
 
 // view remembers one entry and returns its start on the module's clock. A start is converted once: another reading of
 // the wall clock would move it, and a moved start is a restart to the module.
-func (s *Store) view(id rules.WorkerID, n *Entry) rules.Time {
+func (s *Store) view(id dispatch.WorkerID, n *Entry) dispatch.Time {
 	w := s.viewOf(id)
 	old := w.entry
-	if old.Address != "" && (old.Address != n.Address || old.Since != n.Since || w.ready() && n.State != rules.Ready) {
+	if old.Address != "" && (old.Address != n.Address || old.Since != n.Since || w.ready() && n.State != dispatch.Ready) {
 		s.onNews(WorkerNews{old.Address})
 	}
 	if old.Since != n.Since {
 		w.started = 0
 		if n.Since > 0 {
 			now := time.Now()
-			w.started = max(s.at(now)-rules.Time(now.UnixMicro()-n.Since*1000), 0)
+			w.started = max(s.at(now)-dispatch.Time(now.UnixMicro()-n.Since*1000), 0)
 		}
 	}
-	if n.State == rules.Gone && old.State != rules.Gone {
+	if n.State == dispatch.Gone && old.State != dispatch.Gone {
 		w.left = s.now()
 	}
 	if host := hostOf(old.Address); host != hostOf(n.Address) {
--- a/internal/store/request.go
+++ b/internal/store/request.go
@@ -5,9 +5,9 @@
 	"errors"
 	"time"
 
+	"birchfork/dispatch"
 	"birchfork/internal/limits"
 	"birchfork/internal/settings"
-	"birchfork/rules"
 )
 
 // Job is a request as a front has decoded it.
@@ -55,7 +55,7 @@
 // Request is one open request. Its front takes orders until one ends it, and calls Leave at the end in any case.
 type Request struct {
 	s        *Store
-	id       rules.RequestID
+	id       dispatch.RequestID
 	until    time.Time // when its client stops waiting
 	orders   chan Order
 	attempts []*Attempt
@@ -104,8 +104,8 @@
 	s.requests[id] = r
 	s.open++
 	s.Counters.Taken.Add(1)
-	s.handle(now, &rules.Event{
-		Kind: rules.Arrived, Request: id, Class: class, Tenant: tenant, Left: rules.Time(j.Left.Microseconds()),
+	s.handle(now, &dispatch.Event{
+		Kind: dispatch.Arrived, Request: id, Class: class, Tenant: tenant, Left: dispatch.Time(j.Left.Microseconds()),
 		Slots: max(j.Slots, 1), Memory: j.Memory, Retry: j.Retry, Narrow: narrow, Key: settings.Key(j.Key),
 	})
 	return r, nil
@@ -150,7 +150,7 @@
 	r.final = true
 	r.s.open--
 	r.hold.release(r.s.now(), limits.Neither)
-	r.s.handle(r.s.now(), &rules.Event{Kind: rules.ClientGone, Request: r.id})
+	r.s.handle(r.s.now(), &dispatch.Event{Kind: dispatch.ClientGone, Request: r.id})
 	r.s.names.NoteFinal(r.id)
 	r.s.free(r)
 }
@@ -162,7 +162,7 @@
 		select {
 		case o := <-r.orders:
 			if o.Attempt != nil {
-				o.Attempt.ended(rules.NotSent, nil)
+				o.Attempt.ended(dispatch.NotSent, nil)
 			} else {
 				final = o
 			}
@@ -207,13 +207,13 @@
 type Attempt struct {
 	r      *Request
 	number int
-	worker rules.WorkerID
+	worker dispatch.WorkerID
 	addr   string
 	since  int64 // the worker's start, as the list told it
 	hand   int   // see workerView
-	sentAt rules.Time
-	by     rules.Time // its first byte goes out before, or it does not go out; 0: no bound
-	began  rules.Time // when the job's start was told; 0: it was not
+	sentAt dispatch.Time
+	by     dispatch.Time // its first byte goes out before, or it does not go out; 0: no bound
+	began  dispatch.Time // when the job's start was told; 0: it was not
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	stop   context.CancelFunc
@@ -222,7 +222,7 @@
 	neverRan bool // by its outcome
 }
 
-func (r *Request) send(now rules.Time, a *rules.Action) {
+func (r *Request) send(now dispatch.Time, a *dispatch.Action) {
 	end := r.until
 	if a.Wait > 0 {
 		if e := time.Now().Add(time.Duration(a.Wait) * time.Microsecond); e.Before(end) {
@@ -289,12 +289,14 @@
 }
 
 // Started reports that the job began to run.
-func (a *Attempt) Started() { a.sign(rules.Event{Kind: rules.Started}) }
+func (a *Attempt) Started() { a.sign(dispatch.Event{Kind: dispatch.Started}) }
 
 // Progressed reports the share that is done.
-func (a *Attempt) Progressed(share float64) { a.sign(rules.Event{Kind: rules.Progressed, Done: share}) }
+func (a *Attempt) Progressed(share float64) {
+	a.sign(dispatch.Event{Kind: dispatch.Progressed, Done: share})
+}
 
-func (a *Attempt) sign(e rules.Event) {
+func (a *Attempt) sign(e dispatch.Event) {
 	s := a.r.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -303,7 +305,7 @@
 	}
 	e.Request, e.Attempt, e.Worker = a.r.id, a.number, a.worker
 	now := s.now()
-	if e.Kind == rules.Started && a.began == 0 {
+	if e.Kind == dispatch.Started && a.began == 0 {
 		a.began = now
 	}
 	s.handle(now, &e)
@@ -319,35 +321,35 @@
 		r.orders <- Order{Kind: TurnedDown}
 		r.abandon()
 	}
-	a.ended(rules.NotSent, nil)
+	a.ended(dispatch.NotSent, nil)
 }
 
 // Ended reports the attempt's outcome; answer is the worker's result where it was served. Only the first call counts.
-func (a *Attempt) Ended(result rules.Result, answer []byte) {
+func (a *Attempt) Ended(result dispatch.Result, answer []byte) {
 	a.r.s.mu.Lock()
 	defer a.r.s.mu.Unlock()
 	a.ended(result, answer)
 }
 
-func (a *Attempt) ended(result rules.Result, answer []byte) {
+func (a *Attempt) ended(result dispatch.Result, answer []byte) {
 	if a.done {
 		return
 	}
 	a.done = true
-	a.neverRan = result == rules.Full || result == rules.NotSent || result == rules.Unreachable
+	a.neverRan = result == dispatch.Full || result == dispatch.NotSent || result == dispatch.Unreachable
 	a.stop()
 	a.cancel(errEnded)
 	r, s := a.r, a.r.s
 	s.Counters.ended(result)
 	s.landed(a, result)
 	s.failedInARow(a.worker, result)
-	if result == rules.OK {
+	if result == dispatch.OK {
 		r.end(Order{Kind: Served, Result: answer})
 	}
 	now := s.now()
-	s.handle(now, &rules.Event{
-		Kind: rules.Ended, Request: r.id, Attempt: a.number, Worker: a.worker, Result: result, Final: r.final,
-		Elapsed: now - a.sentAt, Report: rules.Report{FreeSlots: -1, Queue: -1},
+	s.handle(now, &dispatch.Event{
+		Kind: dispatch.Ended, Request: r.id, Attempt: a.number, Worker: a.worker, Result: result, Final: r.final,
+		Elapsed: now - a.sentAt, Report: dispatch.Report{FreeSlots: -1, Queue: -1},
 	})
 	s.names.NoteEnd(r.id, r.final)
 	s.free(r)
--- a/internal/store/retune_test.go
+++ b/internal/store/retune_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"birchfork/rules"
+	"birchfork/dispatch"
 )
 
 func (s *Store) retuneTo(t *testing.T, js string) {
@@ -18,7 +18,7 @@
 func TestRetuneLeavesWhatIsOpen(t *testing.T) {
 	m := &script{on: sends}
 	s := newStore(t, m)
-	s.News(listOf(rules.Ready, "a:1", 0))
+	s.News(listOf(dispatch.Ready, "a:1", 0))
 	r := mustOpen(t, s, "a")
 	a := (<-r.Orders()).Attempt
 	s.retuneTo(t, strings.Replace(basic, `"name":"search"`, `"name":"find"`, 1))
@@ -33,11 +33,11 @@
 	if !a.Clear() {
 		t.Error("what was ordered before may not go out")
 	}
-	a.Ended(rules.OK, []byte("r"))
+	a.Ended(dispatch.OK, []byte("r"))
 	if o := <-r.Orders(); o.Kind != Served || string(o.Result) != "r" {
 		t.Errorf("%+v", o)
 	}
-	if e := m.of(rules.Retuned); len(e) != 1 || len(e[0].Classes) != 1 || e[0].Classes[0] != -1 || len(e[0].Tenants) != 1 || e[0].Tenants[0] != 0 {
+	if e := m.of(dispatch.Retuned); len(e) != 1 || len(e[0].Classes) != 1 || e[0].Classes[0] != -1 || len(e[0].Tenants) != 1 || e[0].Tenants[0] != 0 {
 		t.Errorf("%+v", e)
 	}
 }
@@ -46,19 +46,19 @@
 func TestRetuneToMoreAttemptsHoldsNobodyUp(t *testing.T) {
 	m := &script{}
 	s := newStore(t, m)
-	s.News(listOf(rules.Ready, "a:1", 0))
+	s.News(listOf(dispatch.Ready, "a:1", 0))
 	r := mustOpen(t, s, "a")
 	s.retuneTo(t, strings.Replace(basic, `"attempts_cap":3`, `"attempts_cap":30`, 1))
-	m.on = func(e *rules.Event) (all []rules.Action) {
-		if e.Kind == rules.TimerFired {
+	m.on = func(e *dispatch.Event) (all []dispatch.Action) {
+		if e.Kind == dispatch.TimerFired {
 			for range 20 {
-				all = append(all, rules.Action{Kind: rules.Send, Request: r.id})
+				all = append(all, dispatch.Action{Kind: dispatch.Send, Request: r.id})
 			}
 		}
 		return all
 	}
 	s.mu.Lock()
-	s.handle(s.now(), &rules.Event{Kind: rules.TimerFired})
+	s.handle(s.now(), &dispatch.Event{Kind: dispatch.TimerFired})
 	s.mu.Unlock()
 	if len(r.attempts) != 3 || s.Counters.Faults.Load() != 17 {
 		t.Errorf("%d attempts, %d faults, want 3 and 17", len(r.attempts), s.Counters.Faults.Load())
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -12,10 +12,10 @@
 
 	"github.com/sirupsen/logrus"
 
+	"birchfork/dispatch"
 	"birchfork/internal/limits"
 	"birchfork/internal/routes"
 	"birchfork/internal/settings"
-	"birchfork/rules"
 )
 
 // mostAttempts bounds the attempts of one request whatever the settings say, so that its orders fit into a channel.
@@ -23,12 +23,12 @@
 
 // Decider is what the store needs of the decision module.
 type Decider interface {
-	Handle(now rules.Time, e *rules.Event, out []rules.Action) []rules.Action
+	Handle(now dispatch.Time, e *dispatch.Event, out []dispatch.Action) []dispatch.Action
 }
 
 // Options is all that a Store is made of.
 type Options struct {
-	Settings rules.Settings
+	Settings dispatch.Settings
 	Names    *settings.Names
 	Seed     uint64
 	MostOpen int // requests held open at a time; 0: no limit
@@ -52,15 +52,15 @@
 	open     int        // requests that are owed an answer
 	lately   lately     // their ids, and those of requests before them
 	workers  []workerView
-	index    uint64     // the list's version, as discovery told it
-	news     uint64     // our own count of the list's news: what the module takes for its version
-	fresh    bool       // the list has been told since our start
-	watched  time.Time  // since when the watch on it stands; zero: it does not
-	origin   time.Time  // our start ...
-	epoch    rules.Time // ... and what the module's clock read then
+	index    uint64        // the list's version, as discovery told it
+	news     uint64        // our own count of the list's news: what the module takes for its version
+	fresh    bool          // the list has been told since our start
+	watched  time.Time     // since when the watch on it stands; zero: it does not
+	origin   time.Time     // our start ...
+	epoch    dispatch.Time // ... and what the module's clock read then
 	timer    *time.Timer
-	armed    rules.Time // when the timer is due, 0: not set
-	actions  []rules.Action
+	armed    dispatch.Time // when the timer is due, 0: not set
+	actions  []dispatch.Action
 	admitter *admitter // nil: the operator has set no limits
 
 	beat      time.Time // when the process last showed that it runs; zero: nobody tells
@@ -68,13 +68,13 @@
 
 	guard       Guard // the group's settled word
 	onWarn      func(worker string)
-	leased      []rules.WorkerID // workers of plans under way
-	away        []rules.WorkerID // ... and those that are taken out
-	leaseUntil  time.Time        // of the group's lease
-	attemptMost time.Duration    // an attempt ends so long after it was ordered, at the latest; 0: no bound
-	underLease  atomic.Bool      // some worker may be sent to under the lease only: read without the lock
-	blind       bool             // nothing is sent anywhere without the lease
-	barred      bool             // some worker is left out for want of the lease
+	leased      []dispatch.WorkerID // workers of plans under way
+	away        []dispatch.WorkerID // ... and those that are taken out
+	leaseUntil  time.Time           // of the group's lease
+	attemptMost time.Duration       // an attempt ends so long after it was ordered, at the latest; 0: no bound
+	underLease  atomic.Bool         // some worker may be sent to under the lease only: read without the lock
+	blind       bool                // nothing is sent anywhere without the lease
+	barred      bool                // some worker is left out for want of the lease
 
 	onNews func(w WorkerNews)
 }
@@ -84,7 +84,7 @@
 	o.Settings.MaxAttempts = min(o.Settings.MaxAttempts, mostAttempts)
 	module := o.Module
 	if module == nil {
-		d, err := rules.New(o.Settings, o.Seed)
+		d, err := dispatch.New(o.Settings, o.Seed)
 		if err != nil {
 			return nil, err
 		}
@@ -94,7 +94,7 @@
 		log: o.Log, mostOpen: o.MostOpen, attempts: o.Settings.MaxAttempts,
 		module: module, names: o.Names, origin: time.Now(), onNews: func(WorkerNews) {},
 	}
-	s.epoch = rules.Time(s.origin.UnixMicro())
+	s.epoch = dispatch.Time(s.origin.UnixMicro())
 	s.timer = time.AfterFunc(time.Hour, s.timerFired)
 	s.timer.Stop()
 	return s, nil
@@ -102,7 +102,7 @@
 
 // Retuning is all that other settings bring.
 type Retuning struct {
-	Settings rules.Settings
+	Settings dispatch.Settings
 	Names    *settings.Names // of the settings alone; the Store's own keep workers and requests
 	MostOpen int
 	Table    *routes.Table // nil: the operator has no file
@@ -116,7 +116,7 @@
 	defer s.mu.Unlock()
 	set := r.Settings
 	set.MaxAttempts = min(set.MaxAttempts, mostAttempts)
-	e := rules.Event{Kind: rules.Retuned, Settings: &set}
+	e := dispatch.Event{Kind: dispatch.Retuned, Settings: &set}
 	e.Classes, e.Tenants = s.names.Adopt(r.Names, &set)
 	s.attempts, s.mostOpen = set.MaxAttempts, r.MostOpen
 	if r.Table != nil {
@@ -141,14 +141,14 @@
 
 // now is the module's clock: the wall clock at our start, from where it goes on monotonically, so that a step of the
 // wall clock moves no deadline.
-func (s *Store) now() rules.Time { return s.at(time.Now()) }
+func (s *Store) now() dispatch.Time { return s.at(time.Now()) }
 
-func (s *Store) at(t time.Time) rules.Time {
-	return s.epoch + rules.Time(t.Sub(s.origin).Microseconds())
+func (s *Store) at(t time.Time) dispatch.Time {
+	return s.epoch + dispatch.Time(t.Sub(s.origin).Microseconds())
 }
 
 // handle lets the module decide on one event and carries its actions out. The lock is held.
-func (s *Store) handle(now rules.Time, e *rules.Event) {
+func (s *Store) handle(now dispatch.Time, e *dispatch.Event) {
 	s.decide(now, e)
 	for i := range s.actions {
 		s.carryOut(now, &s.actions[i])
@@ -157,7 +157,7 @@
 
 // decide guards the process against a panic in the module: one decision is lost, and the deadline of the request that
 // it was for answers it.
-func (s *Store) decide(now rules.Time, e *rules.Event) {
+func (s *Store) decide(now dispatch.Time, e *dispatch.Event) {
 	defer func() {
 		if p := recover(); p != nil {
 			s.actions = s.actions[:0]
@@ -168,12 +168,12 @@
 	s.actions = s.module.Handle(now, e, s.actions[:0])
 }
 
-func (s *Store) carryOut(now rules.Time, a *rules.Action) {
+func (s *Store) carryOut(now dispatch.Time, a *dispatch.Action) {
 	switch a.Kind {
-	case rules.SetTimer:
+	case dispatch.SetTimer:
 		s.arm(now, now+max(a.Wait, 0))
 		return
-	case rules.Send, rules.Cancel, rules.Refuse, rules.GiveUp:
+	case dispatch.Send, dispatch.Cancel, dispatch.Refuse, dispatch.GiveUp:
 	default: // nothing else can be spoken on sockets yet; the settings that we give the module ask for none of it
 		s.Counters.Unspoken.Add(1)
 		return
@@ -187,19 +187,19 @@
 		return
 	}
 	switch a.Kind {
-	case rules.Send:
+	case dispatch.Send:
 		if r.final || len(r.attempts) >= min(r.most, s.attempts) {
 			s.fault("a send for a request that has ended")
 			return
 		}
 		r.send(now, a)
-	case rules.Cancel:
+	case dispatch.Cancel:
 		if a.Attempt >= 0 && a.Attempt < len(r.attempts) {
 			r.attempts[a.Attempt].cancel(errCancelled)
 		}
-	case rules.Refuse:
+	case dispatch.Refuse:
 		r.end(Order{Kind: Refused, RetryAfter: time.Duration(a.Wait) * time.Microsecond})
-	case rules.GiveUp:
+	case dispatch.GiveUp:
 		r.end(Order{Kind: GivenUp})
 	}
 }
@@ -211,7 +211,7 @@
 }
 
 // arm sets the one timer. The module asks for a further one only where it is due earlier.
-func (s *Store) arm(now, at rules.Time) {
+func (s *Store) arm(now, at dispatch.Time) {
 	if s.armed != 0 && s.armed <= at {
 		return
 	}
@@ -229,5 +229,5 @@
 	// that came too early and never ask for a timer again.
 	now := max(s.now(), s.armed)
 	s.armed = 0
-	s.handle(now, &rules.Event{Kind: rules.TimerFired})
+	s.handle(now, &dispatch.Event{Kind: dispatch.TimerFired})
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -9,18 +9,18 @@
 
 	"github.com/sirupsen/logrus"
 
+	"birchfork/dispatch"
 	"birchfork/internal/settings"
-	"birchfork/rules"
 )
 
 // script is a module that notes its events and answers them as a test says.
 type script struct {
-	events []rules.Event
-	times  []rules.Time
-	on     func(e *rules.Event) []rules.Action
+	events []dispatch.Event
+	times  []dispatch.Time
+	on     func(e *dispatch.Event) []dispatch.Action
 }
 
-func (m *script) Handle(now rules.Time, e *rules.Event, out []rules.Action) []rules.Action {
+func (m *script) Handle(now dispatch.Time, e *dispatch.Event, out []dispatch.Action) []dispatch.Action {
 	m.events, m.times = append(m.events, *e), append(m.times, now)
 	if m.on == nil {
 		return out
@@ -29,7 +29,7 @@
 }
 
 // of are the events of one kind.
-func (m *script) of(k rules.EventKind) (all []rules.Event) {
+func (m *script) of(k dispatch.EventKind) (all []dispatch.Event) {
 	for _, e := range m.events {
 		if e.Kind == k {
 			all = append(all, e)
@@ -41,7 +41,7 @@
 const basic = `{"classes":[{"name":"search","deadline":5,"aim":0.4,"effect":"free"}],"zones":["a"],"zone":"a",
 	"machine_types":["big"],"customers":[{"name":"acme","quota_rps":9}],"policy_limits":{"attempts_cap":3}}`
 
-func decoded(t *testing.T, js string) (rules.Settings, *settings.Names) {
+func decoded(t *testing.T, js string) (dispatch.Settings, *settings.Names) {
 	t.Helper()
 	names := settings.NewNames()
 	set, _, err := settings.DecodeJSON([]byte(js), names)
@@ -71,14 +71,14 @@
 	return Job{ID: id, Class: "search", Tenant: "acme", Left: 5 * time.Second, Slots: 1}
 }
 
-func listOf(state rules.State, addr string, since int64) List {
+func listOf(state dispatch.State, addr string, since int64) List {
 	return List{Index: 1, Entries: []Entry{{Name: "w", Address: addr, Zone: "a", Kind: "big", State: state, Since: since}}}
 }
 
 // sends answers every arrival with one attempt at worker 0.
-func sends(e *rules.Event) []rules.Action {
-	if e.Kind == rules.Arrived {
-		return []rules.Action{{Kind: rules.Send, Request: e.Request}}
+func sends(e *dispatch.Event) []dispatch.Action {
+	if e.Kind == dispatch.Arrived {
+		return []dispatch.Action{{Kind: dispatch.Send, Request: e.Request}}
 	}
 	return nil
 }
@@ -116,7 +116,7 @@
 	if _, err := s.Open(one("c")); err != ErrMany {
 		t.Errorf("a request over the limit: %v", err)
 	}
-	if n := len(m.of(rules.Arrived)); n != 2 {
+	if n := len(m.of(dispatch.Arrived)); n != 2 {
 		t.Fatalf("%d requests reached the module, want 2", n)
 	}
 }
@@ -124,23 +124,23 @@
 func TestServedRequestGetsOneAnswerAndItsIDIsFreeAgain(t *testing.T) {
 	m := &script{on: sends}
 	s := newStore(t, m)
-	s.News(listOf(rules.Ready, "127.0.0.1:1", 0))
+	s.News(listOf(dispatch.Ready, "127.0.0.1:1", 0))
 	r := mustOpen(t, s, "a")
 	a := (<-r.Orders()).Attempt
 	a.Started()
 	a.Progressed(0.5)
-	a.Ended(rules.OK, []byte("x"))
-	a.Ended(rules.Failed, nil) // only the first end counts
+	a.Ended(dispatch.OK, []byte("x"))
+	a.Ended(dispatch.Failed, nil) // only the first end counts
 	o := <-r.Orders()
 	if o.Kind != Served || string(o.Result) != "x" {
 		t.Fatalf("order %+v", o)
 	}
 	r.Leave()
-	ends := m.of(rules.Ended)
-	if len(ends) != 1 || !ends[0].Final || ends[0].Result != rules.OK {
+	ends := m.of(dispatch.Ended)
+	if len(ends) != 1 || !ends[0].Final || ends[0].Result != dispatch.OK {
 		t.Fatalf("ends %+v", ends)
 	}
-	if len(m.of(rules.ClientGone)) != 0 || len(m.of(rules.Started)) != 1 || m.of(rules.Progressed)[0].Done != 0.5 {
+	if len(m.of(dispatch.ClientGone)) != 0 || len(m.of(dispatch.Started)) != 1 || m.of(dispatch.Progressed)[0].Done != 0.5 {
 		t.Fatalf("events %+v", m.events)
 	}
 	if got := mustOpen(t, s, "b"); got.id != r.id {
@@ -153,15 +153,15 @@
 func TestOrderThatNobodyTakesEndsUnsent(t *testing.T) {
 	m := &script{on: sends}
 	s := newStore(t, m)
-	s.News(listOf(rules.Ready, "127.0.0.1:1", 0))
+	s.News(listOf(dispatch.Ready, "127.0.0.1:1", 0))
 	r := mustOpen(t, s, "a")
 	r.Leave()
 	r.Leave()
-	if n := len(m.of(rules.ClientGone)); n != 1 {
+	if n := len(m.of(dispatch.ClientGone)); n != 1 {
 		t.Fatalf("the client went %d times", n)
 	}
-	ends := m.of(rules.Ended)
-	if len(ends) != 1 || ends[0].Result != rules.NotSent || !ends[0].Final {
+	ends := m.of(dispatch.Ended)
+	if len(ends) != 1 || ends[0].Result != dispatch.NotSent || !ends[0].Final {
 		t.Fatalf("ends %+v", ends)
 	}
 	if s.requests[r.id] != nil || s.Pending() != 0 {
@@ -173,9 +173,9 @@
 func TestFailGivesTheModulesAnswerWhereThereIsOne(t *testing.T) {
 	m := &script{on: sends}
 	s := newStore(t, m)
-	s.News(listOf(rules.Ready, "127.0.0.1:1", 0))
+	s.News(listOf(dispatch.Ready, "127.0.0.1:1", 0))
 	r := mustOpen(t, s, "a")
-	(<-r.Orders()).Attempt.Ended(rules.OK, []byte("x"))
+	(<-r.Orders()).Attempt.Ended(dispatch.OK, []byte("x"))
 	if o := r.Fail(); o.Kind != Served || string(o.Result) != "x" {
 		t.Fatalf("order %+v", o)
 	}
@@ -186,24 +186,24 @@
 	}
 	r.Leave()
 	c := &s.Counters
-	if c.Served.Load() != 1 || c.Overdue.Load() != 1 || c.Gone.Load() != 0 || len(m.of(rules.ClientGone)) != 1 {
+	if c.Served.Load() != 1 || c.Overdue.Load() != 1 || c.Gone.Load() != 0 || len(m.of(dispatch.ClientGone)) != 1 {
 		t.Fatal(c.Fields())
 	}
-	if e := m.of(rules.Ended); len(e) != 2 || e[1].Result != rules.NotSent || s.Pending() != 0 {
+	if e := m.of(dispatch.Ended); len(e) != 2 || e[1].Result != dispatch.NotSent || s.Pending() != 0 {
 		t.Fatalf("ends %+v, %d pending", e, s.Pending())
 	}
 	for _, end := range []struct {
 		name   string
-		result rules.Result
+		result dispatch.Result
 		out    bool
 		want   OrderKind
 	}{
 		{"an attempt that is out", 0, true, GivenUp},
-		{"one that broke off", rules.Disconnected, false, GivenUp},
-		{"one that failed", rules.Failed, false, GivenUp},
-		{"one of an unknown end", rules.UnknownResult, false, GivenUp},
-		{"one that was turned away", rules.Full, false, Refused},
-		{"one that got no connection", rules.Unreachable, false, Refused},
+		{"one that broke off", dispatch.Disconnected, false, GivenUp},
+		{"one that failed", dispatch.Failed, false, GivenUp},
+		{"one of an unknown end", dispatch.UnknownResult, false, GivenUp},
+		{"one that was turned away", dispatch.Full, false, Refused},
+		{"one that got no connection", dispatch.Unreachable, false, Refused},
 	} {
 		r := mustOpen(t, s, end.name)
 		a := (<-r.Orders()).Attempt
@@ -214,7 +214,7 @@
 			t.Errorf("after %s: order %+v", end.name, o)
 		}
 		r.Leave()
-		a.Ended(rules.TimedOut, nil)
+		a.Ended(dispatch.TimedOut, nil)
 	}
 }
 
@@ -239,14 +239,14 @@
 func TestRejectedRequestEndsAndBlamesNobody(t *testing.T) {
 	m := &script{on: sends}
 	s := newStore(t, m)
-	s.News(listOf(rules.Ready, "127.0.0.1:1", 0))
+	s.News(listOf(dispatch.Ready, "127.0.0.1:1", 0))
 	r := mustOpen(t, s, "a")
 	(<-r.Orders()).Attempt.Rejected()
 	if o := <-r.Orders(); o.Kind != TurnedDown {
 		t.Fatalf("order %+v", o)
 	}
 	r.Leave()
-	if e := m.of(rules.Ended); len(e) != 1 || e[0].Result != rules.NotSent || !e[0].Final || len(m.of(rules.ClientGone)) != 1 {
+	if e := m.of(dispatch.Ended); len(e) != 1 || e[0].Result != dispatch.NotSent || !e[0].Final || len(m.of(dispatch.ClientGone)) != 1 {
 		t.Fatalf("events %+v", m.events)
 	}
 	if s.Pending() != 0 || s.requests[r.id] != nil || s.Counters.Gone.Load() != 0 {
@@ -264,7 +264,7 @@
 	if b := mustOpen(t, s, "b"); b.id == r.id {
 		t.Fatal("the id was used again")
 	}
-	a.Ended(rules.TimedOut, nil)
+	a.Ended(dispatch.TimedOut, nil)
 	if s.requests[r.id] != nil {
 		t.Fatal("the request is still kept")
 	}
@@ -272,17 +272,17 @@
 
 func TestFinalOrders(t *testing.T) {
 	for _, c := range []struct {
-		action rules.Action
+		action dispatch.Action
 		kind   OrderKind
 		retry  time.Duration
 	}{
-		{rules.Action{Kind: rules.Refuse, Wait: 1500 * rules.Millisecond}, Refused, 1500 * time.Millisecond},
-		{rules.Action{Kind: rules.GiveUp}, GivenUp, 0},
+		{dispatch.Action{Kind: dispatch.Refuse, Wait: 1500 * dispatch.Millisecond}, Refused, 1500 * time.Millisecond},
+		{dispatch.Action{Kind: dispatch.GiveUp}, GivenUp, 0},
 	} {
-		m := &script{on: func(e *rules.Event) []rules.Action {
+		m := &script{on: func(e *dispatch.Event) []dispatch.Action {
 			a := c.action
 			a.Request = e.Request
-			return []rules.Action{a, a, {Kind: rules.Send, Request: e.Request}} // nothing may follow a final answer
+			return []dispatch.Action{a, a, {Kind: dispatch.Send, Request: e.Request}} // nothing may follow a final answer
 		}}
 		s := newStore(t, m)
 		r := mustOpen(t, s, "a")
@@ -295,7 +295,7 @@
 		default:
 		}
 		r.Leave()
-		if len(m.of(rules.ClientGone)) != 0 || s.Counters.Sent.Load() != 0 || s.Counters.Faults.Load() == 0 {
+		if len(m.of(dispatch.ClientGone)) != 0 || s.Counters.Sent.Load() != 0 || s.Counters.Faults.Load() == 0 {
 			t.Errorf("events %+v, faults %d", m.events, s.Counters.Faults.Load())
 		}
 	}
@@ -309,11 +309,11 @@
 		clear bool
 	}{
 		{"nothing", func(*Store, *Request) {}, true},
-		{"drain", func(s *Store, _ *Request) { s.News(listOf(rules.Draining, addr, 7)) }, false},
-		{"gone", func(s *Store, _ *Request) { s.News(listOf(rules.Gone, addr, 7)) }, false},
+		{"drain", func(s *Store, _ *Request) { s.News(listOf(dispatch.Draining, addr, 7)) }, false},
+		{"gone", func(s *Store, _ *Request) { s.News(listOf(dispatch.Gone, addr, 7)) }, false},
 		{"left out of a whole list", func(s *Store, _ *Request) { s.News(List{Index: 2, Whole: true}) }, false},
-		{"moved", func(s *Store, _ *Request) { s.News(listOf(rules.Ready, "127.0.0.1:2", 7)) }, false},
-		{"restarted", func(s *Store, _ *Request) { s.News(listOf(rules.Ready, addr, 8)) }, false},
+		{"moved", func(s *Store, _ *Request) { s.News(listOf(dispatch.Ready, "127.0.0.1:2", 7)) }, false},
+		{"restarted", func(s *Store, _ *Request) { s.News(listOf(dispatch.Ready, addr, 8)) }, false},
 		{"answered", func(_ *Store, r *Request) { r.Leave() }, false},
 		{"overdue", func(*Store, *Request) { time.Sleep(6 * time.Second) }, false},
 		{"before the time in which it is dropped is over", func(*Store, *Request) { time.Sleep(999 * time.Millisecond) }, true},
@@ -321,21 +321,21 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			var s *Store
-			s = newStore(t, &script{on: func(e *rules.Event) []rules.Action {
+			s = newStore(t, &script{on: func(e *dispatch.Event) []dispatch.Action {
 				acts := sends(e)
 				for i := range acts {
-					acts[i].By = s.now() + rules.Second
+					acts[i].By = s.now() + dispatch.Second
 				}
 				return acts
 			}})
-			s.News(listOf(rules.Ready, addr, 7))
+			s.News(listOf(dispatch.Ready, addr, 7))
 			r := mustOpen(t, s, "a")
 			a := (<-r.Orders()).Attempt
 			c.spoil(s, r)
 			if got := a.Clear(); got != c.clear {
 				t.Errorf("%s: clear is %v", c.name, got)
 			}
-			a.Ended(rules.NotSent, nil)
+			a.Ended(dispatch.NotSent, nil)
 		})
 	}
 }
@@ -346,7 +346,7 @@
 	for _, beaten := range []bool{false, true} { // whether the beat or the attempt is the first to run again
 		synctest.Test(t, func(t *testing.T) {
 			s := newStore(t, &script{on: sends})
-			s.News(listOf(rules.Ready, "127.0.0.1:1", 7))
+			s.News(listOf(dispatch.Ready, "127.0.0.1:1", 7))
 			s.Beat()
 			mustOpen(t, s, "quick").Leave()
 			r := mustOpen(t, s, "a")
@@ -361,24 +361,24 @@
 			}
 			go func() {
 				time.Sleep(10 * time.Millisecond)
-				s.News(listOf(rules.Draining, "127.0.0.1:1", 7))
+				s.News(listOf(dispatch.Draining, "127.0.0.1:1", 7))
 			}()
 			if a.Clear() || s.Counters.Stalls.Load() != 1 {
 				t.Errorf("beaten %v: clear to send, %d stalls", beaten, s.Counters.Stalls.Load())
 			}
-			a.Ended(rules.NotSent, nil)
+			a.Ended(dispatch.NotSent, nil)
 		})
 	}
 }
 
 func TestCancelAndTimeOutEndAnAttemptsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &script{on: func(e *rules.Event) []rules.Action {
+		m := &script{on: func(e *dispatch.Event) []dispatch.Action {
 			switch e.Kind {
-			case rules.Arrived:
-				return []rules.Action{{Kind: rules.Send, Request: e.Request, Wait: rules.Second}, {Kind: rules.Send, Request: e.Request}}
-			case rules.Started:
-				return []rules.Action{{Kind: rules.Cancel, Request: e.Request, Attempt: 1}, {Kind: rules.Cancel, Request: e.Request, Attempt: 9}}
+			case dispatch.Arrived:
+				return []dispatch.Action{{Kind: dispatch.Send, Request: e.Request, Wait: dispatch.Second}, {Kind: dispatch.Send, Request: e.Request}}
+			case dispatch.Started:
+				return []dispatch.Action{{Kind: dispatch.Cancel, Request: e.Request, Attempt: 1}, {Kind: dispatch.Cancel, Request: e.Request, Attempt: 9}}
 			}
 			return nil
 		}}
@@ -393,8 +393,8 @@
 		if a.Context().Err() == nil || a.Cancelled() {
 			t.Fatal("the first attempt did not time out")
 		}
-		a.Ended(rules.TimedOut, nil)
-		b.Ended(rules.Cancelled, nil)
+		a.Ended(dispatch.TimedOut, nil)
+		b.Ended(dispatch.Cancelled, nil)
 		r.Leave()
 	})
 }
@@ -402,23 +402,23 @@
 // The module takes a timer's event that reads earlier than it asked for as no answer to its call, and never asks again.
 func TestTimerNeverFiresEarlyOnTheModulesClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var asked rules.Time
+		var asked dispatch.Time
 		m := &script{}
 		s := newStore(t, m)
-		m.on = func(e *rules.Event) []rules.Action {
-			if e.Kind != rules.Arrived {
+		m.on = func(e *dispatch.Event) []dispatch.Action {
+			if e.Kind != dispatch.Arrived {
 				return nil
 			}
 			asked = m.times[len(m.times)-1] + 700
-			return []rules.Action{{Kind: rules.SetTimer, Wait: rules.Second}, {Kind: rules.SetTimer, Wait: 700}}
+			return []dispatch.Action{{Kind: dispatch.SetTimer, Wait: dispatch.Second}, {Kind: dispatch.SetTimer, Wait: 700}}
 		}
 		mustOpen(t, s, "a")
 		s.mu.Lock()
-		s.epoch -= rules.Millisecond // the clock reads a millisecond less than the timer waited
+		s.epoch -= dispatch.Millisecond // the clock reads a millisecond less than the timer waited
 		s.mu.Unlock()
 		time.Sleep(2 * time.Millisecond)
 		synctest.Wait()
-		fired := m.of(rules.TimerFired)
+		fired := m.of(dispatch.TimerFired)
 		if len(fired) != 1 || m.times[len(m.times)-1] < asked {
 			t.Fatalf("fired %d times, at %v, asked for %v", len(fired), m.times[len(m.times)-1], asked)
 		}
@@ -426,8 +426,8 @@
 }
 
 func TestPanicInTheModuleCostsOneDecision(t *testing.T) {
-	m := &script{on: func(e *rules.Event) []rules.Action {
-		if e.Kind == rules.Arrived {
+	m := &script{on: func(e *dispatch.Event) []dispatch.Action {
+		if e.Kind == dispatch.Arrived {
 			panic("no such thing")
 		}
 		return nil
@@ -435,7 +435,7 @@
 	s := newStore(t, m)
 	r := mustOpen(t, s, "a")
 	r.Leave()
-	if s.Counters.Panics.Load() != 1 || len(m.of(rules.ClientGone)) != 1 || s.Pending() != 0 {
+	if s.Counters.Panics.Load() != 1 || len(m.of(dispatch.ClientGone)) != 1 || s.Pending() != 0 {
 		t.Fatalf("panics %d, events %+v", s.Counters.Panics.Load(), m.events)
 	}
 }
@@ -446,13 +446,13 @@
 		m := &script{}
 		s := newStore(t, m)
 		since := time.Now().Add(-3 * time.Second).UnixMilli()
-		s.News(listOf(rules.Ready, "127.0.0.1:1", since))
-		s.epoch += 3600 * rules.Second // as if the wall clock had been set
-		s.News(listOf(rules.Ready, "127.0.0.1:1", since))
-		s.News(listOf(rules.Ready, "127.0.0.1:1", 0))
-		e := m.of(rules.ListChange)
+		s.News(listOf(dispatch.Ready, "127.0.0.1:1", since))
+		s.epoch += 3600 * dispatch.Second // as if the wall clock had been set
+		s.News(listOf(dispatch.Ready, "127.0.0.1:1", since))
+		s.News(listOf(dispatch.Ready, "127.0.0.1:1", 0))
+		e := m.of(dispatch.ListChange)
 		age := m.times[0] - e[0].Workers[0].StartedAt
-		if age < 3*rules.Second || age > 3*rules.Second+2*rules.Millisecond {
+		if age < 3*dispatch.Second || age > 3*dispatch.Second+2*dispatch.Millisecond {
 			t.Errorf("a worker started 3 s ago counts as started %v us ago", age)
 		}
 		if e[0].Workers[0].StartedAt != e[1].Workers[0].StartedAt || e[2].Workers[0].StartedAt != 0 {
@@ -465,15 +465,15 @@
 	s := newStore(t, &script{})
 	var dropped []string
 	s.OnNews(func(w WorkerNews) { dropped = append(dropped, w.Address) })
-	s.News(listOf(rules.Ready, "h:1", 5))
-	s.News(listOf(rules.Ready, "h:1", 5))
+	s.News(listOf(dispatch.Ready, "h:1", 5))
+	s.News(listOf(dispatch.Ready, "h:1", 5))
 	if len(dropped) != 0 {
 		t.Fatalf("dropped %v for no change", dropped)
 	}
-	s.News(listOf(rules.Ready, "h:1", 6))    // restarted
-	s.News(listOf(rules.Ready, "h:2", 6))    // moved
-	s.News(listOf(rules.Draining, "h:2", 6)) // drains
-	s.News(listOf(rules.Ready, "h:3", 6))
+	s.News(listOf(dispatch.Ready, "h:1", 6))    // restarted
+	s.News(listOf(dispatch.Ready, "h:2", 6))    // moved
+	s.News(listOf(dispatch.Draining, "h:2", 6)) // drains
+	s.News(listOf(dispatch.Ready, "h:3", 6))
 	s.News(List{Whole: true}) // left
 	if got := len(dropped); got != 5 || dropped[4] != "h:3" {
 		t.Fatalf("dropped %v", dropped)
@@ -492,7 +492,7 @@
 		t.Fatal("an old list passed for news")
 	}
 	s.News(List{Index: 3, Whole: true})
-	e := m.of(rules.ListSnapshot)
+	e := m.of(dispatch.ListSnapshot)
 	if len(e) != 2 || e[1].Version <= e[0].Version || !e[0].Stale || e[1].Stale {
 		t.Fatalf("events %+v", e)
 	}
@@ -504,10 +504,10 @@
 		s := newStore(t, nil)
 		l := List{Index: 1, Whole: true}
 		for _, n := range []string{"u", "v", "w"} {
-			l.Entries = append(l.Entries, Entry{Name: n, Address: n + ":1", Zone: "a", Kind: "big", State: rules.Ready})
+			l.Entries = append(l.Entries, Entry{Name: n, Address: n + ":1", Zone: "a", Kind: "big", State: dispatch.Ready})
 		}
 		s.News(l)
-		results := []rules.Result{rules.OK, rules.Failed, rules.Unreachable, rules.Full, rules.Disconnected, rules.NotSent}
+		results := []dispatch.Result{dispatch.OK, dispatch.Failed, dispatch.Unreachable, dispatch.Full, dispatch.Disconnected, dispatch.NotSent}
 		next := 0
 		served := 0
 		for i := range 60 {
--- a/internal/store/warn.go
+++ b/internal/store/warn.go
@@ -1,8 +1,8 @@
 package store
 
 import (
+	"birchfork/dispatch"
 	"birchfork/internal/plant"
-	"birchfork/rules"
 )
 
 // warnFrom is how many jobs in a row have to fail at a worker for others to hear of it. One would be told with every chance
@@ -28,20 +28,20 @@
 			s.leaveOut(id, byHand)
 			return
 		}
-		s.handle(s.now(), &rules.Event{Kind: rules.Warned, Worker: id})
+		s.handle(s.now(), &dispatch.Event{Kind: dispatch.Warned, Worker: id})
 	}
 }
 
 // failedInARow counts. The lock is held.
-func (s *Store) failedInARow(id rules.WorkerID, result rules.Result) {
+func (s *Store) failedInARow(id dispatch.WorkerID, result dispatch.Result) {
 	if s.onWarn == nil || int(id) >= len(s.workers) {
 		return
 	}
 	w := &s.workers[id]
 	switch result {
-	case rules.OK:
+	case dispatch.OK:
 		w.failures = 0
-	case rules.Failed, rules.Disconnected:
+	case dispatch.Failed, dispatch.Disconnected:
 		if w.failures++; w.failures >= warnFrom {
 			s.onWarn(s.names.WorkerName(id))
 		}
--- a/internal/wire/discovery.go
+++ b/internal/wire/discovery.go
@@ -17,8 +17,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"birchfork/dispatch"
 	"birchfork/internal/store"
-	"birchfork/rules"
 )
 
 // toldWithin is the platform's word on silence and on calls that came to nothing: whatever became of a call, and however a watch
@@ -107,17 +107,17 @@
 		}
 		switch e.Status {
 		case "up":
-			n.State = rules.Ready
+			n.State = dispatch.Ready
 		case "removed":
-			n.State = rules.Gone
+			n.State = dispatch.Gone
 		case "draining":
-			n.State = rules.Draining
+			n.State = dispatch.Draining
 		default: // whatever it is, it is not known to want jobs
-			n.State = rules.Draining
+			n.State = dispatch.Draining
 			bad++
 		}
-		if _, _, err := net.SplitHostPort(e.Address); err != nil && n.State == rules.Ready {
-			n.State, n.Address = rules.Draining, "" // nothing can be sent there
+		if _, _, err := net.SplitHostPort(e.Address); err != nil && n.State == dispatch.Ready {
+			n.State, n.Address = dispatch.Draining, "" // nothing can be sent there
 			bad++
 		}
 		l.Entries = append(l.Entries, n)
@@ -131,7 +131,7 @@
 	for _, n := range l.Entries {
 		e := endpoint{
 			Name: n.Name, Address: n.Address, Zone: n.Zone, Type: n.Kind, Weight: n.Weight, SinceMs: float64(n.Since),
-			Status: map[rules.State]string{rules.Ready: "up", rules.Draining: "draining", rules.Gone: "removed"}[n.State],
+			Status: map[dispatch.State]string{dispatch.Ready: "up", dispatch.Draining: "draining", dispatch.Gone: "removed"}[n.State],
 		}
 		if n.Cell >= 0 {
 			e.Group = &n.Cell
--- a/internal/wire/discovery_test.go
+++ b/internal/wire/discovery_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
+	"birchfork/dispatch"
 	"birchfork/internal/store"
-	"birchfork/rules"
 )
 
 const entryUp = `{"name":"s-1","address":"127.0.0.1:5000","zone":"a","type":"big","group":3,"status":"up","weight":1.5,"since_ms":12}`
@@ -27,10 +27,10 @@
 	}
 	e := l.Entries[0]
 	if e.Name != "s-1" || e.Address != "127.0.0.1:5000" || e.Zone != "a" || e.Kind != "big" || e.Cell != 3 ||
-		e.State != rules.Ready || e.Weight != 1.5 || e.Since != 12 {
+		e.State != dispatch.Ready || e.Weight != 1.5 || e.Since != 12 {
 		t.Fatalf("%+v", e)
 	}
-	if l.Entries[1].State != rules.Draining || l.Entries[1].Cell != -1 || l.Entries[2].State != rules.Gone ||
+	if l.Entries[1].State != dispatch.Draining || l.Entries[1].Cell != -1 || l.Entries[2].State != dispatch.Gone ||
 		l.Entries[2].Since != 1800000000000 {
 		t.Fatalf("%+v", l.Entries[1:])
 	}
@@ -51,7 +51,7 @@
 		if err != nil || bad != 1 || len(l.Entries) != kept {
 			t.Errorf("%s: %+v, %d, %v", raw, l, bad, err)
 		}
-		if kept == 1 && l.Entries[0].State == rules.Ready {
+		if kept == 1 && l.Entries[0].State == dispatch.Ready {
 			t.Errorf("%s counts as ready", raw)
 		}
 	}
@@ -71,7 +71,7 @@
 			return
 		}
 		for _, e := range l.Entries {
-			if e.Name == "" || e.Since < 0 || !(e.Weight >= 0) || e.State == rules.Ready && e.Address == "" {
+			if e.Name == "" || e.Since < 0 || !(e.Weight >= 0) || e.State == dispatch.Ready && e.Address == "" {
 				t.Fatalf("%+v", e)
 			}
 		}
--- a/internal/wire/endings_test.go
+++ b/internal/wire/endings_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
+	"birchfork/dispatch"
 	"birchfork/internal/store"
-	"birchfork/rules"
 )
 
 // Crossings at an end, each forced on real sockets: docs/endings.md names the end that each belongs to.
@@ -134,7 +134,7 @@
 	g := newRig(t, w.addr, 0)
 	_, a := attemptOf(t, g.store, "search", 5*time.Second)
 	(&Runners{Pool: g.pool, Counters: &g.store.Counters}).attempt(a, &call{method: "POST", target: "/search", id: "id-1", client: goneClient(t)})
-	if g.store.Counters.Outcomes[rules.NotSent].Load() != 1 || w.requests() != 0 {
+	if g.store.Counters.Outcomes[dispatch.NotSent].Load() != 1 || w.requests() != 0 {
 		t.Fatalf("%d requests at the worker, %v", w.requests(), g.store.Counters.Fields())
 	}
 }
@@ -301,7 +301,7 @@
 	if dials.Load() < 2 || w.requests() != 1 || status == 200 {
 		t.Fatalf("status %d, %d requests at workers, %d dials", status, w.requests(), dials.Load())
 	}
-	if s.Counters.Outcomes[rules.NotSent].Load() != 1 {
+	if s.Counters.Outcomes[dispatch.NotSent].Load() != 1 {
 		t.Fatal(s.Counters.Fields())
 	}
 }
--- a/internal/wire/front_test.go
+++ b/internal/wire/front_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
+	"birchfork/dispatch"
 	"birchfork/internal/store"
-	"birchfork/rules"
 )
 
 func TestBadRequestsNeverReachTheModule(t *testing.T) {
@@ -202,7 +202,7 @@
 	until(t, "the client counts as gone", func() bool { return g.store.Counters.Gone.Load() == 1 })
 	close(release)
 	g.settled(t) // the attempt still ends in order
-	if g.store.Counters.Served.Load() != 0 || g.store.Counters.Outcomes[rules.OK].Load() != 1 {
+	if g.store.Counters.Served.Load() != 0 || g.store.Counters.Outcomes[dispatch.OK].Load() != 1 {
 		t.Fatal(g.store.Counters.Fields())
 	}
 }
--- a/internal/wire/golden_discovery_test.go
+++ b/internal/wire/golden_discovery_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"birchfork/dispatch"
 	"birchfork/internal/store"
-	"birchfork/rules"
 )
 
 // describeList writes a list in words that do not depend on the names of its fields.
@@ -20,7 +20,7 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "  index %d, whole %t, stale %t\n", l.Index, l.Whole, l.Stale)
 	for _, e := range l.Entries {
-		state := map[rules.State]string{rules.Ready: "up", rules.Draining: "draining", rules.Gone: "removed"}[e.State]
+		state := map[dispatch.State]string{dispatch.Ready: "up", dispatch.Draining: "draining", dispatch.Gone: "removed"}[e.State]
 		fmt.Fprintf(&b, "  name %q, address %q, zone %q, type %q, group %d, state %s, weight %v, since %d\n",
 			e.Name, e.Address, e.Zone, e.Kind, e.Cell, state, e.Weight, e.Since)
 	}
@@ -30,10 +30,10 @@
 // TestGoldenListEncoding records the bytes of lists as they are written, which have to decode to the same lists.
 func TestGoldenListEncoding(t *testing.T) {
 	entries := []store.Entry{
-		{Name: "s-1", Address: "127.0.0.1:5000", Zone: "a", Kind: "big", Cell: 3, Weight: 1.5, State: rules.Ready, Since: 1764600000123},
-		{Name: "s-2", Address: "[::1]:80", Zone: "b", Kind: "small", Cell: 0, Weight: 0.25, State: rules.Draining, Since: 7},
-		{Name: "s-3 <&>\"é", Cell: -1, State: rules.Gone},
-		{Name: "s-4", Cell: -1, State: rules.Draining, Since: 1e14},
+		{Name: "s-1", Address: "127.0.0.1:5000", Zone: "a", Kind: "big", Cell: 3, Weight: 1.5, State: dispatch.Ready, Since: 1764600000123},
+		{Name: "s-2", Address: "[::1]:80", Zone: "b", Kind: "small", Cell: 0, Weight: 0.25, State: dispatch.Draining, Since: 7},
+		{Name: "s-3 <&>\"é", Cell: -1, State: dispatch.Gone},
+		{Name: "s-4", Cell: -1, State: dispatch.Draining, Since: 1e14},
 	}
 	var b strings.Builder
 	for _, in := range []store.List{
--- a/internal/wire/golden_frontend_test.go
+++ b/internal/wire/golden_frontend_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
+	"birchfork/dispatch"
 	"birchfork/internal/limits"
 	"birchfork/internal/routes"
-	"birchfork/rules"
 )
 
 // goldenCounters names the counters that the golden files of clients record.
@@ -144,7 +144,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.store.Limit(table, limits.Config{Routes: table.Limits()}, make([]rules.Class, 3))
+	g.store.Limit(table, limits.Config{Routes: table.Limits()}, make([]dispatch.Class, 3))
 }
 
 // TestGoldenOverLimit records the answers to requests that a limit leaves no place for.
--- a/internal/wire/runner.go
+++ b/internal/wire/runner.go
@@ -12,8 +12,8 @@
 	"strconv"
 	"time"
 
+	"birchfork/dispatch"
 	"birchfork/internal/store"
-	"birchfork/rules"
 )
 
 // Bounds on what a worker may say.
@@ -112,7 +112,7 @@
 
 // ending is how an attempt ended, and what is left of the answer that said so; rest is nil where nothing whole is left.
 type ending struct {
-	result rules.Result
+	result dispatch.Result
 	answer []byte
 	rest   func(*store.Conn) bool
 	silent bool // nothing came back for long
@@ -126,9 +126,9 @@
 	ctx := a.Context()
 	conn, err := x.Pool.Get(ctx, a.Address())
 	if err != nil {
-		result := rules.Unreachable
+		result := dispatch.Unreachable
 		if errors.Is(err, store.ErrNoDescriptor) || ctx.Err() != nil { // our own limit or time: no fault of the worker's
-			result = rules.NotSent
+			result = dispatch.NotSent
 		}
 		a.Ended(result, nil)
 		return
@@ -136,7 +136,7 @@
 	// Guards against a drain, a deadline or the client's leaving that came during the dial.
 	if !a.Clear() || c.client.gone() {
 		x.Pool.Put(conn)
-		a.Ended(rules.NotSent, nil)
+		a.Ended(dispatch.NotSent, nil)
 		return
 	}
 	// The end of ctx, a time-out or a cancel, breaks off whatever the connection is at.
@@ -176,7 +176,7 @@
 			return unsent(a)
 		}
 		if !a.Clear() {
-			return ending{result: rules.NotSent}
+			return ending{result: dispatch.NotSent}
 		}
 		msg = msg[len(msg)-1:]
 	}
@@ -223,13 +223,13 @@
 		case "running":
 			a.Progressed(n.Share)
 		case "done":
-			return ending{result: rules.OK, answer: result, rest: rest}
+			return ending{result: dispatch.OK, answer: result, rest: rest}
 		case "failed":
-			return ending{result: rules.Failed, rest: rest}
+			return ending{result: dispatch.Failed, rest: rest}
 		case "returned":
-			return ending{result: rules.Full, rest: rest}
+			return ending{result: dispatch.Full, rest: rest}
 		case "lost":
-			return ending{result: rules.Disconnected, rest: rest}
+			return ending{result: dispatch.Disconnected, rest: rest}
 		}
 	}
 }
@@ -237,30 +237,30 @@
 // unsent is the outcome of a request that could not be written whole.
 func unsent(a *store.Attempt) ending {
 	if a.Cancelled() {
-		return ending{result: rules.NotSent}
+		return ending{result: dispatch.NotSent}
 	}
-	return ending{result: rules.Unreachable}
+	return ending{result: dispatch.Unreachable}
 }
 
 // broken is the outcome of an answer that did not come whole.
-func broken(a *store.Attempt) rules.Result {
+func broken(a *store.Attempt) dispatch.Result {
 	switch {
 	case a.Cancelled():
-		return rules.Cancelled
+		return dispatch.Cancelled
 	case a.Context().Err() != nil:
-		return rules.TimedOut
+		return dispatch.TimedOut
 	default:
-		return rules.Disconnected
+		return dispatch.Disconnected
 	}
 }
 
 // outcome is what a status other than 200 says.
-func outcome(res *http.Response) rules.Result {
+func outcome(res *http.Response) dispatch.Result {
 	turnedAway := res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusGatewayTimeout
 	if turnedAway && res.Header.Get("X-Not-Run") == "1" {
-		return rules.Full
+		return dispatch.Full
 	}
-	return rules.Failed
+	return dispatch.Failed
 }
 
 // readRest reads what is left of an answer whose outcome is known. Only a connection whose answer ended in order, and
--- a/internal/wire/runner_test.go
+++ b/internal/wire/runner_test.go
@@ -14,8 +14,8 @@
 	"testing/synctest"
 	"time"
 
+	"birchfork/dispatch"
 	"birchfork/internal/store"
-	"birchfork/rules"
 )
 
 func TestJobGoesOnUnchangedAndItsResultComesBack(t *testing.T) {
@@ -54,40 +54,40 @@
 		name   string
 		answer string // to the request ID
 		keep   bool   // the worker leaves the connection open
-		want   rules.Result
+		want   dispatch.Result
 		reused bool
 		bad    int64
 	}{
-		{"done", okHead + chunk(line("ID", "done", `,"result":"r"`)) + "0\r\n\r\n", true, rules.OK, true, 0},
-		{"done, then closed", okHead + chunk(line("ID", "done", `,"result":""`)), false, rules.OK, false, 0},
-		{"done without a chunked form", "HTTP/1.1 200 OK\r\n\r\n" + line("ID", "done", `,"result":"r"`), false, rules.OK, false, 0},
+		{"done", okHead + chunk(line("ID", "done", `,"result":"r"`)) + "0\r\n\r\n", true, dispatch.OK, true, 0},
+		{"done, then closed", okHead + chunk(line("ID", "done", `,"result":""`)), false, dispatch.OK, false, 0},
+		{"done without a chunked form", "HTTP/1.1 200 OK\r\n\r\n" + line("ID", "done", `,"result":"r"`), false, dispatch.OK, false, 0},
 		{"done, told to close", "HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n" +
-			chunk(line("ID", "done", `,"result":"r"`)) + "0\r\n\r\n", true, rules.OK, false, 0},
-		{"failed", okHead + chunk(line("ID", "failed", "")) + "0\r\n\r\n", true, rules.Failed, true, 0},
-		{"returned", okHead + chunk(line("ID", "returned", "")) + "0\r\n\r\n", true, rules.Full, true, 0},
-		{"lost", okHead + chunk(line("ID", "lost", "")) + "0\r\n\r\n", true, rules.Disconnected, true, 0},
-		{"500", "HTTP/1.1 500 x\r\nContent-Length: 2\r\n\r\nno", true, rules.Failed, true, 0},
-		{"503 not run", "HTTP/1.1 503 x\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true, rules.Full, true, 0},
-		{"504 not run", "HTTP/1.1 504 x\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true, rules.Full, true, 0},
-		{"503 that may have run", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", true, rules.Failed, true, 0},
-		{"500 not run", "HTTP/1.1 500 x\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true, rules.Failed, true, 0},
-		{"400", "HTTP/1.1 400 x\r\nContent-Length: 0\r\n\r\n", true, rules.NotSent, true, 0},
-		{"404", "HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n", true, rules.NotSent, true, 0},
-		{"closed at once", "", false, rules.Disconnected, false, 0},
-		{"half a head", "HTTP/1.1 200 OK\r\nTransf", false, rules.Disconnected, false, 1},
-		{"ended before the last line", okHead + chunk(line("ID", "started", "")) + "0\r\n\r\n", true, rules.Disconnected, false, 0},
-		{"broke after a start", okHead + chunk(line("ID", "started", "")), false, rules.Disconnected, false, 0},
-		{"a cut chunk", okHead + "ff\r\n" + `{"id":"ID","state":"done","result":"r"}`, false, rules.Disconnected, false, 0},
-		{"half a last line", okHead + chunk(`{"id":"ID","state":"done","resu`) + "0\r\n\r\n", true, rules.Disconnected, false, 1},
-		{"no HTTP", "hello\r\n\r\n", true, rules.Disconnected, false, 1},
-		{"an endless head", "HTTP/1.1 200 OK\r\nX: " + long, true, rules.Disconnected, false, 1},
-		{"an endless line", okHead + chunk(long), true, rules.Disconnected, false, 1},
-		{"another's id", okHead + chunk(line("other", "done", `,"result":"r"`)) + "0\r\n\r\n", true, rules.Disconnected, false, 1},
-		{"an unknown state", okHead + chunk(line("ID", "resting", "")) + "0\r\n\r\n", true, rules.Disconnected, false, 1},
-		{"no result", okHead + chunk(line("ID", "done", "")) + "0\r\n\r\n", true, rules.Disconnected, false, 1},
-		{"a share beyond 1", okHead + chunk(line("ID", "running", `,"share":1.5`)) + "0\r\n\r\n", true, rules.Disconnected, false, 1},
-		{"a bad chunk size", okHead + "zz\r\n", true, rules.Disconnected, false, 1},
-		{"empty lines between", okHead + chunk("\n\r\n"+line("ID", "done", `,"result":"r"`)+"\n") + "0\r\n\r\n", true, rules.OK, true, 0},
+			chunk(line("ID", "done", `,"result":"r"`)) + "0\r\n\r\n", true, dispatch.OK, false, 0},
+		{"failed", okHead + chunk(line("ID", "failed", "")) + "0\r\n\r\n", true, dispatch.Failed, true, 0},
+		{"returned", okHead + chunk(line("ID", "returned", "")) + "0\r\n\r\n", true, dispatch.Full, true, 0},
+		{"lost", okHead + chunk(line("ID", "lost", "")) + "0\r\n\r\n", true, dispatch.Disconnected, true, 0},
+		{"500", "HTTP/1.1 500 x\r\nContent-Length: 2\r\n\r\nno", true, dispatch.Failed, true, 0},
+		{"503 not run", "HTTP/1.1 503 x\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true, dispatch.Full, true, 0},
+		{"504 not run", "HTTP/1.1 504 x\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true, dispatch.Full, true, 0},
+		{"503 that may have run", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", true, dispatch.Failed, true, 0},
+		{"500 not run", "HTTP/1.1 500 x\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true, dispatch.Failed, true, 0},
+		{"400", "HTTP/1.1 400 x\r\nContent-Length: 0\r\n\r\n", true, dispatch.NotSent, true, 0},
+		{"404", "HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n", true, dispatch.NotSent, true, 0},
+		{"closed at once", "", false, dispatch.Disconnected, false, 0},
+		{"half a head", "HTTP/1.1 200 OK\r\nTransf", false, dispatch.Disconnected, false, 1},
+		{"ended before the last line", okHead + chunk(line("ID", "started", "")) + "0\r\n\r\n", true, dispatch.Disconnected, false, 0},
+		{"broke after a start", okHead + chunk(line("ID", "started", "")), false, dispatch.Disconnected, false, 0},
+		{"a cut chunk", okHead + "ff\r\n" + `{"id":"ID","state":"done","result":"r"}`, false, dispatch.Disconnected, false, 0},
+		{"half a last line", okHead + chunk(`{"id":"ID","state":"done","resu`) + "0\r\n\r\n", true, dispatch.Disconnected, false, 1},
+		{"no HTTP", "hello\r\n\r\n", true, dispatch.Disconnected, false, 1},
+		{"an endless head", "HTTP/1.1 200 OK\r\nX: " + long, true, dispatch.Disconnected, false, 1},
+		{"an endless line", okHead + chunk(long), true, dispatch.Disconnected, false, 1},
+		{"another's id", okHead + chunk(line("other", "done", `,"result":"r"`)) + "0\r\n\r\n", true, dispatch.Disconnected, false, 1},
+		{"an unknown state", okHead + chunk(line("ID", "resting", "")) + "0\r\n\r\n", true, dispatch.Disconnected, false, 1},
+		{"no result", okHead + chunk(line("ID", "done", "")) + "0\r\n\r\n", true, dispatch.Disconnected, false, 1},
+		{"a share beyond 1", okHead + chunk(line("ID", "running", `,"share":1.5`)) + "0\r\n\r\n", true, dispatch.Disconnected, false, 1},
+		{"a bad chunk size", okHead + "zz\r\n", true, dispatch.Disconnected, false, 1},
+		{"empty lines between", okHead + chunk("\n\r\n"+line("ID", "done", `,"result":"r"`)+"\n") + "0\r\n\r\n", true, dispatch.OK, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := runner(t, func(conn net.Conn, r *http.Request) bool {
@@ -100,10 +100,10 @@
 			if got := g.store.Counters.Outcomes[c.want].Load(); got != 1 {
 				t.Fatalf("no outcome %d: %v", c.want, g.store.Counters.Fields())
 			}
-			if (status == 200) != (c.want == rules.OK) || (status == 400) != (c.want == rules.NotSent) {
+			if (status == 200) != (c.want == dispatch.OK) || (status == 400) != (c.want == dispatch.NotSent) {
 				t.Errorf("status %d", status)
 			}
-			if refused := status == 503 || status == 429; refused != (c.want == rules.Full) {
+			if refused := status == 503 || status == 429; refused != (c.want == dispatch.Full) {
 				t.Errorf("status %d for a job that may have run", status)
 			}
 			if _, idle := g.pool.Open(); (idle == 1) != c.reused {
@@ -126,7 +126,7 @@
 	if status, _, _ := do(t, request(t, g.url, "book", "id-1", "")); status != 503 {
 		t.Fatalf("status %d, want a refusal", status)
 	}
-	if g.settled(t); g.store.Counters.Outcomes[rules.Unreachable].Load() != 1 {
+	if g.settled(t); g.store.Counters.Outcomes[dispatch.Unreachable].Load() != 1 {
 		t.Fatal(g.store.Counters.Fields())
 	}
 }
@@ -178,11 +178,11 @@
 		near, far := net.Pipe()
 		go io.Copy(io.Discard, far)
 		early, linger := false, -1
-		spy := closeSpy{near, func() { early = early || s.Counters.Outcomes[rules.TimedOut].Load() == 0 }, &linger}
+		spy := closeSpy{near, func() { early = early || s.Counters.Outcomes[dispatch.TimedOut].Load() == 0 }, &linger}
 		x := piped(s, func(context.Context, string) (net.Conn, error) { return spy, nil })
 		_, a := attemptOf(t, s, "quick", 60*time.Millisecond)
 		x.attempt(a, &call{method: "POST", target: "/search", id: "id-1"})
-		if s.Counters.Outcomes[rules.TimedOut].Load() != 1 {
+		if s.Counters.Outcomes[dispatch.TimedOut].Load() != 1 {
 			t.Fatal(s.Counters.Fields())
 		}
 		if open, _ := x.Pool.Open(); open != 0 || !early || linger != 0 {
@@ -232,7 +232,7 @@
 	x := piped(s, func(context.Context, string) (net.Conn, error) { return near, nil })
 	_, a := attemptOf(t, s, "search", 5*time.Second)
 	x.attempt(a, &call{method: "POST", target: "/search", id: "id-1", body: make([]byte, 1000)})
-	if s.Counters.Outcomes[rules.Unreachable].Load() != 1 {
+	if s.Counters.Outcomes[dispatch.Unreachable].Load() != 1 {
 		t.Fatal(s.Counters.Fields())
 	}
 }
@@ -244,13 +244,13 @@
 	near, far := net.Pipe()
 	x := piped(s, func(context.Context, string) (net.Conn, error) {
 		l := upAt("127.0.0.1:1")
-		l.Entries[0].State = rules.Draining
+		l.Entries[0].State = dispatch.Draining
 		s.News(l)
 		return near, nil
 	})
 	r, a := attemptOf(t, s, "search", 5*time.Second)
 	x.attempt(a, &call{method: "POST", target: "/search", id: "id-1"})
-	if s.Counters.Outcomes[rules.NotSent].Load() != 1 {
+	if s.Counters.Outcomes[dispatch.NotSent].Load() != 1 {
 		t.Fatal(s.Counters.Fields())
 	}
 	far.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
@@ -265,13 +265,13 @@
 	for _, c := range []struct {
 		name string
 		dial store.Dial
-		want rules.Result
+		want dispatch.Result
 	}{
-		{"by its own time-out", func(context.Context, string) (net.Conn, error) { return nil, os.ErrDeadlineExceeded }, rules.Unreachable},
+		{"by its own time-out", func(context.Context, string) (net.Conn, error) { return nil, os.ErrDeadlineExceeded }, dispatch.Unreachable},
 		{"by the request's deadline", func(ctx context.Context, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
-		}, rules.NotSent},
+		}, dispatch.NotSent},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			s := newStore(t, 0)
@@ -292,7 +292,7 @@
 	x := &Runners{Pool: store.NewPool(nil, &s.Counters, 0, time.Minute), Counters: &s.Counters}
 	_, a := attemptOf(t, s, "search", 5*time.Second)
 	x.attempt(a, &call{})
-	if s.Counters.Outcomes[rules.NotSent].Load() != 1 || s.Counters.NoDescriptor.Load() != 1 {
+	if s.Counters.Outcomes[dispatch.NotSent].Load() != 1 || s.Counters.NoDescriptor.Load() != 1 {
 		t.Fatal(s.Counters.Fields())
 	}
 }
@@ -418,7 +418,7 @@
 		}
 		mu.Unlock()
 	}
-	if n := g.store.Counters.Outcomes[rules.NotSent].Load(); n != 1 {
+	if n := g.store.Counters.Outcomes[dispatch.NotSent].Load(); n != 1 {
 		t.Errorf("%d attempts count as not sent", n)
 	}
 }
--- a/internal/wire/shared_test.go
+++ b/internal/wire/shared_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
+	"birchfork/dispatch"
 	"birchfork/internal/store"
-	"birchfork/rules"
 )
 
 // What the kernel has accepted for a listener that finishes is taken, all of it; what comes later is the other's.
@@ -97,8 +97,8 @@
 // A list that is left for another process means the same there.
 func TestListIsEncodedAsItIsDecoded(t *testing.T) {
 	in := store.List{Index: 9, Whole: true, Entries: []store.Entry{
-		{Name: "s-1", Address: "127.0.0.1:5000", Zone: "a", Kind: "big", Cell: 3, Weight: 1.5, State: rules.Ready, Since: 1764600000123},
-		{Name: "s-2", Cell: -1, State: rules.Draining},
+		{Name: "s-1", Address: "127.0.0.1:5000", Zone: "a", Kind: "big", Cell: 3, Weight: 1.5, State: dispatch.Ready, Since: 1764600000123},
+		{Name: "s-2", Cell: -1, State: dispatch.Draining},
 	}}
 	raw, err := EncodeList(in)
 	if err != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -15,9 +15,9 @@
 
 	"github.com/sirupsen/logrus"
 
+	"birchfork/dispatch"
 	"birchfork/internal/settings"
 	"birchfork/internal/store"
-	"birchfork/rules"
 )
 
 const basic = `{"classes":[{"name":"search","deadline":5,"aim":0.4,"effect":"free"},
@@ -178,7 +178,7 @@
 
 func upAt(addr string) store.List {
 	return store.List{Index: 1, Whole: true, Entries: []store.Entry{
-		{Name: "w", Address: addr, Zone: "a", Kind: "big", Cell: -1, State: rules.Ready}}}
+		{Name: "w", Address: addr, Zone: "a", Kind: "big", Cell: -1, State: dispatch.Ready}}}
 }
 
 func request(t testing.TB, url, class, id, body string) *http.Request {
