--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"birchfork/internal/store"
+	"birchfork/internal/engine"
 )
 
 // Bounds on callers.
@@ -202,7 +202,7 @@
 	if err != nil {
 		return false
 	}
-	n, err := store.Peek(raw)
+	n, err := engine.Peek(raw)
 	return err == nil && n > 0
 }
 
--- a/internal/council/council.go
+++ b/internal/council/council.go
@@ -21,11 +21,11 @@
 
 	"birchfork/internal/agree"
 	"birchfork/internal/config"
+	"birchfork/internal/engine"
 	"birchfork/internal/group"
 	"birchfork/internal/keep"
 	"birchfork/internal/outage"
 	"birchfork/internal/plant"
-	"birchfork/internal/store"
 )
 
 // Times of a member.
@@ -45,12 +45,12 @@
 
 // Dispatcher is what a council needs of the dispatcher: store.Store has it.
 type Dispatcher interface {
-	Guard(store.Guard)
+	Guard(engine.Guard)
 	AttemptsMost(time.Duration)
 	Lease(until time.Time)
 	Blind(bool)
 	Busy() (names, hosts []string)
-	Fleet(gone, cold time.Duration) []store.Seen
+	Fleet(gone, cold time.Duration) []engine.Seen
 }
 
 // Options is all that a Council is made of.
@@ -621,9 +621,9 @@
 }
 
 // guardOf is what a state binds a dispatcher to.
-func guardOf(s *outage.State) store.Guard {
+func guardOf(s *outage.State) engine.Guard {
 	away, leased := s.Away(), s.Leased()
-	return store.Guard{Away: away.Runners, AwayAt: away.Hosts, Leased: leased.Runners, LeasedAt: leased.Hosts}
+	return engine.Guard{Away: away.Runners, AwayAt: away.Hosts, Leased: leased.Runners, LeasedAt: leased.Hosts}
 }
 
 // Apply puts a settled entry in force; agree calls it.
@@ -646,7 +646,7 @@
 }
 
 // carryOut changes the state by an entry. It panics at one of a newer build, and the agreement's loop ends our part then.
-func (c *Council) carryOut(index uint64, data []byte) ([]outage.Event, store.Guard) {
+func (c *Council) carryOut(index uint64, data []byte) ([]outage.Event, engine.Guard) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	was := c.state.Seq
--- a/internal/council/council_test.go
+++ b/internal/council/council_test.go
@@ -22,15 +22,15 @@
 
 	"birchfork/internal/agree"
 	"birchfork/internal/config"
+	"birchfork/internal/engine"
 	"birchfork/internal/group"
 	"birchfork/internal/outage"
-	"birchfork/internal/store"
 )
 
 // hand is a dispatcher that notes what it is told.
 type hand struct {
 	mu    sync.Mutex
-	guard store.Guard
+	guard engine.Guard
 	lease time.Time
 	blind []bool        // each word on it
 	most  time.Duration // that an attempt may run
@@ -39,18 +39,18 @@
 	newer bool          // ... and whether one came after this one
 }
 
-func (h *hand) Guard(g store.Guard)          { h.mu.Lock(); h.guard = g; h.mu.Unlock() }
+func (h *hand) Guard(g engine.Guard)         { h.mu.Lock(); h.guard = g; h.mu.Unlock() }
 func (h *hand) Lease(t time.Time)            { h.mu.Lock(); h.lease = t; h.mu.Unlock() }
 func (h *hand) Blind(b bool)                 { h.mu.Lock(); h.blind = append(h.blind, b); h.mu.Unlock() }
 func (h *hand) AttemptsMost(d time.Duration) { h.mu.Lock(); h.most = d; h.mu.Unlock() }
 
 func (h *hand) Busy() (names, hosts []string) { return nil, nil }
 
-func (h *hand) Fleet(_, _ time.Duration) (all []store.Seen) {
+func (h *hand) Fleet(_, _ time.Duration) (all []engine.Seen) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for i := range 3 {
-		all = append(all, store.Seen{Name: fmt.Sprint("r", i), Host: fmt.Sprint("h", i), Zone: "z", Kind: "k", Weight: 1, Hand: h.hand && i == 0})
+		all = append(all, engine.Seen{Name: fmt.Sprint("r", i), Host: fmt.Sprint("h", i), Zone: "z", Kind: "k", Weight: 1, Hand: h.hand && i == 0})
 	}
 	return all
 }
--- a/internal/store/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -1,4 +1,4 @@
-package store_test
+package engine_test
 
 import (
 	"bufio"
@@ -21,10 +21,10 @@
 	"github.com/sirupsen/logrus"
 
 	"birchfork/dispatch"
+	"birchfork/internal/engine"
 	"birchfork/internal/limits"
 	"birchfork/internal/routes"
 	"birchfork/internal/settings"
-	"birchfork/internal/store"
 	"birchfork/internal/wire"
 )
 
@@ -63,7 +63,7 @@
 
 // TestCounters_LogFieldsGolden sets every counter to a value of its own, so that a field that swapped its name shows.
 func TestCounters_LogFieldsGolden(t *testing.T) {
-	var c store.Counters
+	var c engine.Counters
 	next := int64(100)
 	set := func(counters ...*atomic.Int64) {
 		for _, counter := range counters {
@@ -125,7 +125,7 @@
 	"policy_limits":{"attempts_cap":3,"retry_after":true,"max_retry_after":2}}`
 
 // newGolden returns what is tested, with a module that does as told, and its classes.
-func newGolden(t *testing.T, maxOpen int, module decide) (*store.Store, []dispatch.Class) {
+func newGolden(t *testing.T, maxOpen int, module decide) (*engine.Store, []dispatch.Class) {
 	t.Helper()
 	names := settings.NewNames()
 	decoded, _, err := settings.DecodeJSON([]byte(goldenSettings), names)
@@ -134,7 +134,7 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	s, err := store.New(store.Options{Settings: decoded, Names: names, Seed: 1, MostOpen: maxOpen, Log: log, Module: module})
+	s, err := engine.New(engine.Options{Settings: decoded, Names: names, Seed: 1, MostOpen: maxOpen, Log: log, Module: module})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -198,12 +198,12 @@
 	table, config := limitedRoutes(t)
 	s.Limit(table, config, classes)
 	id := 0
-	var last, spare *store.Request
+	var last, spare *engine.Request
 	texts := ""
 	for _, c := range limitedRequests {
 		for i := range c.admitted + c.rejected {
 			id++
-			r, err := s.Open(store.Job{
+			r, err := s.Open(engine.Job{
 				ID: strconv.Itoa(id), Class: "search", Tenant: c.tenant, Left: time.Hour, Slots: 1, Retry: c.retry, Path: c.path,
 			})
 			if (err == nil) != (i < c.admitted) {
@@ -218,7 +218,7 @@
 	}
 	last.Leave()
 	spare.Leave()
-	if _, err := s.Open(store.Job{ID: "again", Class: "search", Left: time.Hour, Slots: 1, Path: "/search/x"}); err != nil {
+	if _, err := s.Open(engine.Job{ID: "again", Class: "search", Left: time.Hour, Slots: 1, Path: "/search/x"}); err != nil {
 		t.Fatal(err)
 	}
 	compareGolden(t, "limit_counters.txt", fieldText(s.LimitFields()))
@@ -264,13 +264,13 @@
 }
 
 // serve serves clients by HTTP until the test ends, and returns where.
-func serve(t *testing.T, s *store.Store) (address string) {
+func serve(t *testing.T, s *engine.Store) (address string) {
 	t.Helper()
 	dialer := net.Dialer{Timeout: time.Second}
 	dial := func(ctx context.Context, address string) (net.Conn, error) {
 		return dialer.DialContext(ctx, "tcp", address)
 	}
-	pool := store.NewPool(dial, &s.Counters, 8, time.Minute)
+	pool := engine.NewPool(dial, &s.Counters, 8, time.Minute)
 	t.Cleanup(pool.Close)
 	clients := &wire.Clients{Most: 50, Counters: &s.Counters}
 	front := wire.NewFront(s, &wire.Runners{Pool: pool, Counters: &s.Counters}, clients)
@@ -286,7 +286,7 @@
 }
 
 // prepare brings about what is there before the request of the case.
-func (c *goldenCase) prepare(t *testing.T) *store.Store {
+func (c *goldenCase) prepare(t *testing.T) *engine.Store {
 	t.Helper()
 	s, classes := newGolden(t, c.maxOpen, c.module)
 	if c.limited {
@@ -294,20 +294,20 @@
 		s.Limit(table, config, classes)
 	}
 	if c.worker != "" {
-		s.News(store.List{Index: 1, Whole: true, Entries: []store.Entry{{
+		s.News(engine.List{Index: 1, Whole: true, Entries: []engine.Entry{{
 			Name: "w", Address: oneAnswer(t, c.worker), Zone: "a", Kind: "big", Cell: -1, State: dispatch.Ready,
 		}}})
 	}
-	jobs := []store.Job{}
+	jobs := []engine.Job{}
 	for i, before := range c.before {
 		for j := range before.admitted {
-			jobs = append(jobs, store.Job{
+			jobs = append(jobs, engine.Job{
 				ID: fmt.Sprint("before-", i, "-", j), Tenant: before.tenant, Retry: before.retry, Path: before.path,
 			})
 		}
 	}
 	if c.same {
-		jobs = append(jobs, store.Job{ID: "id-1"})
+		jobs = append(jobs, engine.Job{ID: "id-1"})
 	}
 	for _, job := range jobs {
 		job.Class, job.Left, job.Slots = "search", time.Hour, 1
--- a/internal/store/lately.go
+++ b/internal/engine/lately.go
@@ -1,4 +1,4 @@
-package store
+package engine
 
 // latelyMost is how many ids are remembered at the least; twice as many at the most.
 const latelyMost = 4096
--- a/internal/store/store.go
+++ b/internal/engine/store.go
@@ -1,7 +1,7 @@
-// Package store keeps what one dispatcher holds in memory: the decision module, open requests and their attempts,
+// Package engine keeps what one dispatcher holds in memory: the decision module, open requests and their attempts,
 // the view of the worker list, the connections to workers, and the counters. It speaks no protocol: a front brings
 // requests and carries attempts out, and any front can use it.
-package store
+package engine
 
 import (
 	"fmt"
--- a/internal/store/warn_test.go
+++ b/internal/engine/warn_test.go
@@ -1,4 +1,4 @@
-package store
+package engine
 
 import (
 	"testing"
--- a/internal/membership/file/file.go
+++ b/internal/membership/file/file.go
@@ -15,8 +15,8 @@
 	"github.com/sirupsen/logrus"
 
 	"birchfork/dispatch"
+	"birchfork/internal/engine"
 	"birchfork/internal/membership"
-	"birchfork/internal/store"
 	"birchfork/internal/tomlfile"
 )
 
@@ -42,14 +42,14 @@
 }
 
 // Decode reads a list. Its error names every fault.
-func Decode(name string, raw []byte) ([]store.Entry, error) {
+func Decode(name string, raw []byte) ([]engine.Entry, error) {
 	var l list
 	d := tomlfile.Read(name, raw, &l)
 	if len(d.Faults()) > 0 {
 		return nil, d.Err()
 	}
 	seen := map[string]bool{}
-	var out []store.Entry
+	var out []engine.Entry
 	for i, w := range l.Workers {
 		at := fmt.Sprintf("worker[%d].", i)
 		if w.Name == "" || seen[w.Name] {
@@ -59,7 +59,7 @@
 		if host, port, err := net.SplitHostPort(w.Address); err != nil || host == "" || port == "" || port == "0" {
 			d.Fault(at+"address", "%q is not host:port", w.Address)
 		}
-		e := store.Entry{Name: w.Name, Address: w.Address, Zone: w.Zone, Kind: w.Kind, Cell: -1, Weight: w.Weight, Since: int64(w.SinceMs)}
+		e := engine.Entry{Name: w.Name, Address: w.Address, Zone: w.Zone, Kind: w.Kind, Cell: -1, Weight: w.Weight, Since: int64(w.SinceMs)}
 		if d.Has(at + "cell") {
 			e.Cell = w.Cell
 		}
@@ -138,7 +138,7 @@
 	if err == nil && string(raw) == s.last && s.bad == "" {
 		return
 	}
-	var entries []store.Entry
+	var entries []engine.Entry
 	if err == nil {
 		entries, err = Decode(s.Path, raw)
 	}
--- a/internal/membership/front.go
+++ b/internal/membership/front.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"birchfork/dispatch"
-	"birchfork/internal/store"
+	"birchfork/internal/engine"
 )
 
 // Front tells a View's list to dispatchers in discovery's own words, so that a dispatcher needs nothing new: its discovery
@@ -19,7 +19,7 @@
 	start   time.Time
 	timer   *time.Timer
 	index   uint64
-	list    map[string]store.Entry
+	list    map[string]engine.Entry
 	changes []change
 	wake    chan struct{}
 	closed  bool
@@ -28,7 +28,7 @@
 // change is one entry's news with its index.
 type change struct {
 	index uint64
-	entry store.Entry
+	entry engine.Entry
 }
 
 // Bounds and times of the front.
@@ -39,7 +39,7 @@
 
 // NewFront returns a front with nothing to tell.
 func NewFront(c Config) *Front {
-	f := &Front{view: NewView(c), start: time.Now(), list: map[string]store.Entry{}, wake: make(chan struct{})}
+	f := &Front{view: NewView(c), start: time.Now(), list: map[string]engine.Entry{}, wake: make(chan struct{})}
 	f.timer = time.AfterFunc(time.Hour, f.tick)
 	f.timer.Stop()
 	return f
@@ -56,17 +56,17 @@
 
 // Tell takes a source's news.
 func (f *Front) Tell(source int, n News) {
-	f.do(func(now time.Duration) []store.List { return f.view.Tell(now, source, n) })
+	f.do(func(now time.Duration) []engine.List { return f.view.Tell(now, source, n) })
 }
 
 // Lost says that a source is lost.
 func (f *Front) Lost(source int) {
-	f.do(func(now time.Duration) []store.List { return f.view.Lost(now, source) })
+	f.do(func(now time.Duration) []engine.List { return f.view.Lost(now, source) })
 }
 
 func (f *Front) tick() { f.do(f.view.Tick) }
 
-func (f *Front) do(step func(now time.Duration) []store.List) {
+func (f *Front) do(step func(now time.Duration) []engine.List) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed {
@@ -135,7 +135,7 @@
 
 var statusOf = map[dispatch.State]string{dispatch.Ready: "up", dispatch.Draining: "draining", dispatch.Gone: "removed"}
 
-func wordsOf(e *store.Entry) endpoint {
+func wordsOf(e *engine.Entry) endpoint {
 	return endpoint{e.Name, e.Address, e.Zone, e.Kind, e.Cell, statusOf[e.State], e.Weight, e.Since}
 }
 
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -10,14 +10,14 @@
 	"time"
 
 	"birchfork/dispatch"
-	"birchfork/internal/store"
+	"birchfork/internal/engine"
 )
 
 // News is what a source tells.
 type News struct {
 	Whole    bool   // all its workers, not only those that changed
 	Revision uint64 // of the source's own store; 0: it has none, and what it tells last is newest
-	Entries  []store.Entry
+	Entries  []engine.Entry
 }
 
 // Config is how a View behaves.
@@ -33,8 +33,8 @@
 	c       Config
 	now     time.Duration
 	sources []source
-	active  int                    // whose list counts; -1: none has told one yet
-	told    map[string]store.Entry // what was told to the store, but for workers that are gone
+	active  int                     // whose list counts; -1: none has told one yet
+	told    map[string]engine.Entry // what was told to the store, but for workers that are gone
 }
 
 // source is what one source has told.
@@ -51,13 +51,13 @@
 
 // known is an entry as its source told it.
 type known struct {
-	store.Entry
+	engine.Entry
 	held bool // it drains by our own memory: a restored store has it back as up
 }
 
 // NewView returns a View that knows nobody.
 func NewView(c Config) *View {
-	v := &View{c: c, active: -1, told: map[string]store.Entry{}}
+	v := &View{c: c, active: -1, told: map[string]engine.Entry{}}
 	for range c.Sources {
 		v.sources = append(v.sources, source{entries: map[string]known{}})
 	}
@@ -65,7 +65,7 @@
 }
 
 // Tell takes a source's news and returns what the store has to be told, if anything.
-func (v *View) Tell(now time.Duration, from int, n News) []store.List {
+func (v *View) Tell(now time.Duration, from int, n News) []engine.List {
 	v.advance(now)
 	s := &v.sources[from]
 	if !s.well {
@@ -81,7 +81,7 @@
 }
 
 // Lost says that a source has fallen silent or broken off. What it told last stays.
-func (v *View) Lost(now time.Duration, from int) []store.List {
+func (v *View) Lost(now time.Duration, from int) []engine.List {
 	v.advance(now)
 	if s := &v.sources[from]; s.well {
 		s.well, s.since = false, v.now
@@ -90,7 +90,7 @@
 }
 
 // Tick does what time has made due. Next says when that is.
-func (v *View) Tick(now time.Duration) []store.List {
+func (v *View) Tick(now time.Duration) []engine.List {
 	v.advance(now)
 	return v.settle()
 }
@@ -173,7 +173,7 @@
 }
 
 // settle chooses whose list counts and returns what differs from what the store was told.
-func (v *View) settle() []store.List {
+func (v *View) settle() []engine.List {
 	for i := range v.sources {
 		if s := &v.sources[i]; s.empty && v.now >= s.emptied+v.c.EmptyGuard {
 			s.empty, s.entries = false, map[string]known{}
@@ -184,7 +184,7 @@
 		return nil
 	}
 	want := v.sources[v.active].entries
-	l := store.List{}
+	l := engine.List{}
 	for name, old := range v.told {
 		if _, ok := want[name]; !ok {
 			old.State = dispatch.Gone
@@ -202,8 +202,8 @@
 		return nil
 	}
 	// In one order whatever the maps': the same news gives the same list.
-	slices.SortFunc(l.Entries, func(a, b store.Entry) int { return cmp.Compare(a.Name, b.Name) })
-	return []store.List{l}
+	slices.SortFunc(l.Entries, func(a, b engine.Entry) int { return cmp.Compare(a.Name, b.Name) })
+	return []engine.List{l}
 }
 
 // choose changes over and back. The first source that has told its list and is well, or not lost for long, counts; where
@@ -223,4 +223,4 @@
 }
 
 // Workers are the workers as the store was told, by name.
-func (v *View) Workers() map[string]store.Entry { return maps.Clone(v.told) }
+func (v *View) Workers() map[string]engine.Entry { return maps.Clone(v.told) }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -15,8 +15,8 @@
 
 	"birchfork/dispatch"
 	"birchfork/internal/config"
+	"birchfork/internal/engine"
 	"birchfork/internal/settings"
-	"birchfork/internal/store"
 	"birchfork/internal/wire"
 )
 
@@ -37,7 +37,7 @@
 	Admin                   string // the operators' door; empty: there is none
 	Seed                    uint64
 	Limits                  Limits
-	Known                   store.List
+	Known                   engine.List
 	Settings                dispatch.Settings
 	Names                   *settings.Names
 	MostOpen                int
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"birchfork/internal/store"
+	"birchfork/internal/engine"
 )
 
 // updateGolden tells that the files of testdata/golden are to be written, by UPDATE_GOLDEN=1 in the environment. Do so only where a
@@ -453,7 +453,7 @@
 	older := strings.Replace(strings.Replace(raw, `"index":41`, `"index":40`, 1), `"name":"w"`, `"name":"other"`, 1)
 	n := startWith(t, older, func(*Config) {})
 	l, _ := n.store.List()
-	want := []store.Entry{{Name: "w", Address: "127.0.0.1:9", Zone: "a", Kind: "big", Weight: 1}}
+	want := []engine.Entry{{Name: "w", Address: "127.0.0.1:9", Zone: "a", Kind: "big", Weight: 1}}
 	if l.Index != 41 || !l.Stale || !slices.Equal(l.Entries, want) {
 		t.Errorf("it begins with %+v, want %+v", l, want)
 	}
--- a/internal/node/group.go
+++ b/internal/node/group.go
@@ -16,9 +16,9 @@
 
 	"birchfork/dispatch"
 	"birchfork/internal/council"
+	"birchfork/internal/engine"
 	"birchfork/internal/roster"
 	"birchfork/internal/spread"
-	"birchfork/internal/store"
 	"birchfork/internal/warning"
 )
 
@@ -78,7 +78,7 @@
 }
 
 // lists are the store's list as roster wants it.
-type lists struct{ *store.Store }
+type lists struct{ *engine.Store }
 
 // goneTold is how long others are told that a worker has gone: one that was away for longer has a list by then.
 const goneTold = 15 * time.Minute
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -24,8 +24,8 @@
 
 	"birchfork/dispatch"
 	"birchfork/internal/admin"
+	"birchfork/internal/engine"
 	"birchfork/internal/handover"
-	"birchfork/internal/store"
 	"birchfork/internal/wire"
 )
 
@@ -66,7 +66,7 @@
 
 // Run serves until a signal ends it. Signals are heard during a drain too. A module that is not nil decides in place of
 // the decision module: a baseline of the lab's.
-func Run(c *Config, log *logrus.Logger, module store.Decider) error {
+func Run(c *Config, log *logrus.Logger, module engine.Decider) error {
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
 	defer signal.Stop(signals)
@@ -111,8 +111,8 @@
 	began     time.Time
 	tuned     atomic.Pointer[Config] // what was taken over since the start; nil: nothing
 	log       logrus.FieldLogger
-	store     *store.Store
-	pool      *store.Pool
+	store     *engine.Store
+	pool      *engine.Pool
 	front     *wire.Front
 	discovery *wire.Discovery
 	server    *http.Server
@@ -152,13 +152,13 @@
 
 // start brings a dispatcher up. It serves when start returns, unless another process of this dispatcher does: then it
 // listens for clients once it can serve as well.
-func start(c *Config, log logrus.FieldLogger, module store.Decider) (*node, error) {
+func start(c *Config, log logrus.FieldLogger, module engine.Decider) (*node, error) {
 	n := &node{config: c, began: time.Now(), log: log, served: make(chan error, 1), listening: make(chan struct{}), process: &handover.Process{}}
 	n.claim()
 	n.beside.Store(int32(n.process.Others().Alive))
 	seed := n.seed()
 	var err error
-	n.store, err = store.New(store.Options{
+	n.store, err = engine.New(engine.Options{
 		Settings: c.Settings, Names: c.Names, Seed: seed, MostOpen: c.MostOpen, Log: log, Module: module,
 	})
 	if err != nil {
@@ -168,8 +168,8 @@
 	if c.Operator != nil {
 		n.store.Limit(c.Operator.Table, c.Operator.Limits, c.Settings.Classes)
 	}
-	n.pool = store.NewPool(c.dialer(), &n.store.Counters, 0, idleLife(c.Settings))
-	n.store.OnNews(func(w store.WorkerNews) { n.pool.Drop(w.Address) })
+	n.pool = engine.NewPool(c.dialer(), &n.store.Counters, 0, idleLife(c.Settings))
+	n.store.OnNews(func(w engine.WorkerNews) { n.pool.Drop(w.Address) })
 	// Before any list: where plans are in use nothing is sent before the group is heard of.
 	if err := n.takePart(); err != nil {
 		n.store.Close()
@@ -289,7 +289,7 @@
 }
 
 // dialer opens connections to workers in the time that the settings allow.
-func (c *Config) dialer() store.Dial {
+func (c *Config) dialer() engine.Dial {
 	d := net.Dialer{Timeout: time.Duration(c.Settings.ConnectTimeout) * time.Microsecond, KeepAlive: -1}
 	if c.group() != nil {
 		d.Control = c.givesUp
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -13,7 +13,7 @@
 	"github.com/sirupsen/logrus"
 
 	"birchfork/dispatch"
-	"birchfork/internal/store"
+	"birchfork/internal/engine"
 )
 
 // inForce is the configuration that is served by: the one of the start, or the last good one that was read again.
@@ -45,7 +45,7 @@
 		return
 	}
 	n.store.Counters.Reloads.Add(1)
-	r := store.Retuning{Settings: c.Settings, Names: c.Names, MostOpen: c.MostOpen}
+	r := engine.Retuning{Settings: c.Settings, Names: c.Names, MostOpen: c.MostOpen}
 	if c.Operator != nil {
 		r.Table, r.Limits = c.Operator.Table, c.Operator.Limits
 	}
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -18,7 +18,7 @@
 
 	"birchfork/dispatch"
 	"birchfork/internal/config"
-	"birchfork/internal/store"
+	"birchfork/internal/engine"
 )
 
 const tuned = `{"name":"n","listen":"l","limits":{"cores":1},"known":{"index":1},"seed":"s","settings":{
@@ -166,8 +166,8 @@
 
 func (f *fakePart) Stretch(deadline, arrive, _ time.Duration) {
 	if f.told++; f.told == 1 {
-		_, err := f.n.store.Open(store.Job{ID: "early", Class: "find", Left: time.Second})
-		f.late = !errors.Is(err, store.ErrClass) || deadline != 5*time.Second || arrive <= 5*time.Second
+		_, err := f.n.store.Open(engine.Job{ID: "early", Class: "find", Left: time.Second})
+		f.late = !errors.Is(err, engine.ErrClass) || deadline != 5*time.Second || arrive <= 5*time.Second
 	}
 }
 
--- a/internal/node/share.go
+++ b/internal/node/share.go
@@ -8,8 +8,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"birchfork/internal/engine"
 	"birchfork/internal/handover"
-	"birchfork/internal/store"
 	"birchfork/internal/wire"
 )
 
@@ -36,7 +36,7 @@
 
 // known is the list to begin with: what another process left, or the configuration's. The newer one is the better;
 // versions tell, where no process beside us has followed the list to this moment.
-func (n *node) known() store.List {
+func (n *node) known() engine.List {
 	c := n.config
 	raw, err := n.process.List()
 	if raw == nil {
@@ -102,10 +102,10 @@
 	return word.At
 }
 
-func hands(words handover.Words) map[string]store.Hand {
-	all := make(map[string]store.Hand, len(words))
+func hands(words handover.Words) map[string]engine.Hand {
+	all := make(map[string]engine.Hand, len(words))
 	for name, w := range words {
-		all[name] = store.Hand{Out: w.Out, At: time.UnixMicro(w.At)}
+		all[name] = engine.Hand{Out: w.Out, At: time.UnixMicro(w.At)}
 	}
 	return all
 }
--- a/internal/wire/clients.go
+++ b/internal/wire/clients.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"birchfork/internal/store"
+	"birchfork/internal/engine"
 )
 
 // Clients owns the connections from clients and keeps their number. Connections are always accepted, since one that
@@ -17,7 +17,7 @@
 type Clients struct {
 	Most     int // connections up to which all requests are taken
 	Hard     int // connections up to which those wait that have something to say; 0: no limit
-	Counters *store.Counters
+	Counters *engine.Counters
 
 	mu   sync.Mutex
 	open map[*clientConn]bool
@@ -381,7 +381,7 @@
 	if c.raw == nil {
 		return false
 	}
-	n, err := store.Peek(c.raw)
+	n, err := engine.Peek(c.raw)
 	return err == nil && n > 0
 }
 
@@ -391,7 +391,7 @@
 	if c == nil || c.raw == nil {
 		return false
 	}
-	n, err := store.Peek(c.raw)
+	n, err := engine.Peek(c.raw)
 	return n == 0 && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
 }
 
@@ -451,7 +451,7 @@
 func (c *clientConn) linger() {
 	defer c.release()
 	c.raw.Read(func(fd uintptr) bool {
-		n, err := store.PeekAt(fd)
+		n, err := engine.PeekAt(fd)
 		return n <= 0 && !errors.Is(err, syscall.EAGAIN)
 	})
 	c.raw.Control(func(fd uintptr) {
--- a/internal/wire/clients_test.go
+++ b/internal/wire/clients_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"birchfork/internal/store"
+	"birchfork/internal/engine"
 )
 
 // joined is a client's connection and its far end.
@@ -32,7 +32,7 @@
 
 // A limit that sinks closes those at once that are too many and are owed nothing.
 func TestClientsFollowTheirLimit(t *testing.T) {
-	c := &Clients{Most: 9, Hard: 9, Counters: &store.Counters{}}
+	c := &Clients{Most: 9, Hard: 9, Counters: &engine.Counters{}}
 	for i := range 6 {
 		k, _ := joined(t, c)
 		k.proper, k.taken = true, i < 3
@@ -52,7 +52,7 @@
 // dispatcher's time belongs to those that are served.
 func TestACrowdCostsAConnectionAlone(t *testing.T) {
 	for _, most := range []int{10, 1000} {
-		c := &Clients{Most: most, Counters: new(store.Counters)}
+		c := &Clients{Most: most, Counters: new(engine.Counters)}
 		for range most {
 			near, far := net.Pipe()
 			defer far.Close()
@@ -83,7 +83,7 @@
 // Of those that may go the one goes first that is least of use, and of these the longest silent.
 func TestWhoGoesFirst(t *testing.T) {
 	now := time.Now()
-	c := &Clients{Counters: new(store.Counters)}
+	c := &Clients{Counters: new(engine.Counters)}
 	c.open = map[*clientConn]bool{}
 	add := func(change func(*clientConn)) *clientConn {
 		near, far := net.Pipe()
@@ -119,7 +119,7 @@
 }
 
 func TestOwingIsWhatMayStillHaveToBeAnswered(t *testing.T) {
-	c := &Clients{Most: 9, Hard: 9, Counters: &store.Counters{}}
+	c := &Clients{Most: 9, Hard: 9, Counters: &engine.Counters{}}
 	idle, _ := joined(t, c)
 	idle.proper = true
 	strange, _ := joined(t, c)
--- a/internal/wire/discovery.go
+++ b/internal/wire/discovery.go
@@ -18,7 +18,7 @@
 	"github.com/sirupsen/logrus"
 
 	"birchfork/dispatch"
-	"birchfork/internal/store"
+	"birchfork/internal/engine"
 )
 
 // toldWithin is the platform's word on silence and on calls that came to nothing: whatever became of a call, and however a watch
@@ -86,19 +86,19 @@
 
 // DecodeList decodes one message of discovery. Entries that make no sense are left out and counted in bad; err is set
 // where nothing could be read.
-func DecodeList(raw []byte) (l store.List, bad int, err error) {
+func DecodeList(raw []byte) (l engine.List, bad int, err error) {
 	var h hosts
 	if err := json.Unmarshal(raw, &h); err != nil {
 		return l, 0, fmt.Errorf("the list is not as discovery words it: %w", err)
 	}
-	l = store.List{Index: h.Index, Whole: h.Snapshot, Entries: make([]store.Entry, 0, len(h.Endpoints))}
+	l = engine.List{Index: h.Index, Whole: h.Snapshot, Entries: make([]engine.Entry, 0, len(h.Endpoints))}
 	for _, r := range h.Endpoints {
 		var e endpoint
 		if json.Unmarshal(r, &e) != nil || e.Name == "" {
 			bad++
 			continue
 		}
-		n := store.Entry{
+		n := engine.Entry{
 			Name: e.Name, Address: e.Address, Zone: e.Zone, Kind: e.Type, Cell: -1,
 			Weight: max(e.Weight, 0), Since: int64(min(max(e.SinceMs, 0), sinceMost)),
 		}
@@ -126,7 +126,7 @@
 }
 
 // EncodeList words a list as discovery does.
-func EncodeList(l store.List) (json.RawMessage, error) {
+func EncodeList(l engine.List) (json.RawMessage, error) {
 	h := hosts{Index: l.Index, Snapshot: l.Whole, Endpoints: make([]json.RawMessage, 0, len(l.Entries))}
 	for _, n := range l.Entries {
 		e := endpoint{
@@ -152,7 +152,7 @@
 // Discovery follows the list at one address, and moves to another without a gap: the old address is watched until the
 // new one has told its whole list. It is the watches' one owner; they end with its context.
 type Discovery struct {
-	Store *store.Store
+	Store *engine.Store
 	Log   logrus.FieldLogger
 
 	ctx    context.Context
@@ -185,7 +185,7 @@
 }
 
 // NewDiscovery follows the list at a source until ctx ends.
-func NewDiscovery(ctx context.Context, s *store.Store, log logrus.FieldLogger, from Source) *Discovery {
+func NewDiscovery(ctx context.Context, s *engine.Store, log logrus.FieldLogger, from Source) *Discovery {
 	d := &Discovery{Store: s, Log: log, ctx: ctx, fleet: max(from.Fleet, 1), pushed: from.Pushed, source: rand.New(rand.NewPCG(from.Seed, 2))}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -228,7 +228,7 @@
 
 // take takes what a watch was told, if its word counts. An agent that has been told nothing itself has an empty list,
 // which must not take the place of a good one.
-func (d *Discovery) take(w *watch, l store.List) error {
+func (d *Discovery) take(w *watch, l engine.List) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if w == d.next && l.Whole && len(l.Entries) > 0 {
@@ -374,7 +374,7 @@
 	target := "/discovery/hosts?follow=1&since=" + strconv.FormatUint(w.index, 10)
 	w.mu.Unlock()
 	first := true
-	err = w.ask(ctx, target, false, func(l store.List) error {
+	err = w.ask(ctx, target, false, func(l engine.List) error {
 		if first && resumed && !l.Whole {
 			checks.Go(func() { w.check(ctx, stop) })
 		}
@@ -387,7 +387,7 @@
 
 // whole asks for the whole list; it tells whether one was taken. Where anew is set it counts whatever its version is.
 func (w *watch) whole(ctx context.Context, anew bool) (told bool, err error) {
-	err = w.ask(ctx, "/discovery/hosts", true, func(l store.List) error {
+	err = w.ask(ctx, "/discovery/hosts", true, func(l engine.List) error {
 		l.Whole = true
 		if anew {
 			w.mu.Lock()
@@ -402,7 +402,7 @@
 }
 
 // take takes a line over. Where it is older than the newest and has to go on from it, the versions meant nothing.
-func (w *watch) take(l store.List, first bool) error {
+func (w *watch) take(l engine.List, first bool) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if l.Index < w.index {
@@ -442,7 +442,7 @@
 // ask sends one request and hands each list of the answer over, until one cannot be read or no line has come for as long as the watch
 // may be quiet; an answer that is one list alone has to be there within the time of a call. It returns an error in any case: io.EOF
 // where the answer ended in order.
-func (w *watch) ask(ctx context.Context, target string, one bool, take func(store.List) error) error {
+func (w *watch) ask(ctx context.Context, target string, one bool, take func(engine.List) error) error {
 	by := time.Now().Add(w.call)
 	d := net.Dialer{Deadline: by, KeepAlive: -1}
 	conn, err := d.DialContext(ctx, "tcp", w.address)
--- a/internal/wire/discovery_test.go
+++ b/internal/wire/discovery_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"birchfork/dispatch"
-	"birchfork/internal/store"
+	"birchfork/internal/engine"
 )
 
 const entryUp = `{"name":"s-1","address":"127.0.0.1:5000","zone":"a","type":"big","group":3,"status":"up","weight":1.5,"since_ms":12}`
@@ -115,7 +115,7 @@
 func draining(entry string) string { return strings.Replace(entry, `"up"`, `"draining"`, 1) }
 
 // follow starts a Discovery that ends with the test.
-func follow(t *testing.T, s *store.Store, addr string) *Discovery {
+func follow(t *testing.T, s *engine.Store, addr string) *Discovery {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
@@ -424,7 +424,7 @@
 	w := &watch{}
 	d := &Discovery{Store: s, Log: quiet(), now: w}
 	before := s.Watched()
-	if err := d.take(w, store.List{Whole: true}); err != nil {
+	if err := d.take(w, engine.List{Whole: true}); err != nil {
 		t.Fatal(err)
 	}
 	d.broke(&watch{})
--- a/internal/wire/endings_test.go
+++ b/internal/wire/endings_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"birchfork/dispatch"
-	"birchfork/internal/store"
+	"birchfork/internal/engine"
 )
 
 // Crossings at an end, each forced on real sockets: docs/endings.md names the end that each belongs to.
@@ -119,7 +119,7 @@
 // goneClient is the front's side of a connection whose client has left, and nobody has read that.
 func goneClient(t *testing.T) *clientConn {
 	t.Helper()
-	c, far := joined(t, &Clients{Counters: new(store.Counters)})
+	c, far := joined(t, &Clients{Counters: new(engine.Counters)})
 	if c.gone() {
 		t.Fatal("a client that is there counts as gone")
 	}
@@ -289,7 +289,7 @@
 	s.News(l)
 	g := newRig(t, "", 0)
 	var dials atomic.Int32
-	pool := store.NewPool(func(ctx context.Context, a string) (net.Conn, error) {
+	pool := engine.NewPool(func(ctx context.Context, a string) (net.Conn, error) {
 		if dials.Add(1) == 2 { // the repeat's connection comes up when its window is over
 			time.Sleep(250 * time.Millisecond)
 		}
--- a/internal/wire/front.go
+++ b/internal/wire/front.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"birchfork/internal/store"
+	"birchfork/internal/engine"
 )
 
 // Bounds on what a client may send, and times.
@@ -39,7 +39,7 @@
 
 // Front serves clients. It is an http.Handler.
 type Front struct {
-	Store   *store.Store
+	Store   *engine.Store
 	Runners *Runners
 	Clients *Clients
 	Bodies  Budget // for what bodies hold in memory
@@ -53,7 +53,7 @@
 }
 
 // NewFront returns a front for the requests of s.
-func NewFront(s *store.Store, r *Runners, c *Clients) *Front {
+func NewFront(s *engine.Store, r *Runners, c *Clients) *Front {
 	return &Front{Store: s, Runners: r, Clients: c, born: time.Now(), hurry: make(chan struct{})}
 }
 
@@ -148,7 +148,7 @@
 	overdue := time.NewTimer(time.Until(end) + answerSpare)
 	defer overdue.Stop()
 	for {
-		var o store.Order
+		var o engine.Order
 		// First what ends the request: of several that are ready the next select takes any, and nothing is sent on past its end.
 		select {
 		case <-r.Context().Done():
@@ -167,21 +167,21 @@
 			}
 		}
 		switch o.Kind {
-		case store.SendOut:
+		case engine.SendOut:
 			c.hold()
 			go func() {
 				defer c.release()
 				f.Runners.attempt(o.Attempt, c)
 			}()
 			continue
-		case store.Served:
+		case engine.Served:
 			f.answer(w, r, http.StatusOK, o.Result)
-		case store.Refused:
+		case engine.Refused:
 			retryAfter(w, o.RetryAfter)
 			f.answer(w, r, http.StatusServiceUnavailable, []byte("refused\n"))
-		case store.GivenUp:
+		case engine.GivenUp:
 			f.answer(w, r, http.StatusInternalServerError, []byte("failed\n"))
-		case store.TurnedDown:
+		case engine.TurnedDown:
 			f.turnDown(w, r, &badRequest{http.StatusBadRequest, "a worker cannot use it", &f.Store.Counters.Rejected})
 		}
 		return
@@ -217,10 +217,10 @@
 func (f *Front) turnDown(w http.ResponseWriter, r *http.Request, err error) {
 	c := &f.Store.Counters
 	var bad *badRequest
-	var limited *store.Limited
+	var limited *engine.Limited
 	switch {
 	case errors.As(err, &bad):
-	case errors.Is(err, errNoPlace), errors.Is(err, store.ErrMany):
+	case errors.Is(err, errNoPlace), errors.Is(err, engine.ErrMany):
 		c.TurnedAway.Add(1)
 		retryAfter(w, time.Duration(f.comeBack.Load()))
 		f.reply(w, r, http.StatusServiceUnavailable, []byte("no place left\n"), true)
@@ -229,9 +229,9 @@
 		retryAfter(w, min(limited.ComeBack, time.Duration(f.mostAdvice.Load())))
 		f.reply(w, r, http.StatusServiceUnavailable, []byte(err.Error()+"\n"), false)
 		return
-	case errors.Is(err, store.ErrClass):
+	case errors.Is(err, engine.ErrClass):
 		bad = &badRequest{http.StatusNotFound, err.Error(), &c.BadClasses}
-	case errors.Is(err, store.ErrTwice):
+	case errors.Is(err, engine.ErrTwice):
 		bad = &badRequest{http.StatusBadRequest, err.Error(), &c.BadIDs}
 	default:
 		bad = &badRequest{http.StatusBadRequest, err.Error(), &c.BadHeads}
@@ -269,7 +269,7 @@
 var passedOn = []string{"Content-Type", "Idempotency-Key", "X-Class", "X-Tenant", "X-Key"}
 
 // readJob reads a whole request and decodes it. The call that it returns is to be released.
-func (f *Front) readJob(r *http.Request) (job store.Job, c *call, err error) {
+func (f *Front) readJob(r *http.Request) (job engine.Job, c *call, err error) {
 	counters := &f.Store.Counters
 	job, err = readHead(r)
 	if err != nil {
@@ -316,7 +316,7 @@
 }
 
 // readHead decodes a request's head.
-func readHead(r *http.Request) (job store.Job, err error) {
+func readHead(r *http.Request) (job engine.Job, err error) {
 	one := func(name string, needed bool) string {
 		v := r.Header.Values(name)
 		if err == nil && (len(v) > 1 || needed && (len(v) == 0 || v[0] == "")) {
@@ -348,7 +348,7 @@
 }
 
 // readExtras reads the further figures that a job has. Those that nothing here uses are passed over.
-func readExtras(job *store.Job, extras string) error {
+func readExtras(job *engine.Job, extras string) error {
 	job.Slots = 1
 	if extras == "" {
 		return nil
--- a/internal/wire/front_test.go
+++ b/internal/wire/front_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"birchfork/dispatch"
-	"birchfork/internal/store"
+	"birchfork/internal/engine"
 )
 
 func TestBadRequestsNeverReachTheModule(t *testing.T) {
@@ -69,7 +69,7 @@
 	r.Header.Set("X-Retry", "1")
 	r.Header.Set("X-Extras", "slots=4, memory=2.5,other=7")
 	job, err := readHead(r)
-	want := store.Job{ID: "a", Class: "search", Tenant: "acme", Left: 5 * time.Second, Slots: 4, Memory: 2.5, Retry: true}
+	want := engine.Job{ID: "a", Class: "search", Tenant: "acme", Left: 5 * time.Second, Slots: 4, Memory: 2.5, Retry: true}
 	if err != nil || job != want {
 		t.Fatalf("%+v, %v", job, err)
 	}
--- a/internal/wire/golden_discovery_test.go
+++ b/internal/wire/golden_discovery_test.go
@@ -12,11 +12,11 @@
 	"time"
 
 	"birchfork/dispatch"
-	"birchfork/internal/store"
+	"birchfork/internal/engine"
 )
 
 // describeList writes a list in words that do not depend on the names of its fields.
-func describeList(l store.List) string {
+func describeList(l engine.List) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "  index %d, whole %t, stale %t\n", l.Index, l.Whole, l.Stale)
 	for _, e := range l.Entries {
@@ -29,17 +29,17 @@
 
 // TestGoldenListEncoding records the bytes of lists as they are written, which have to decode to the same lists.
 func TestGoldenListEncoding(t *testing.T) {
-	entries := []store.Entry{
+	entries := []engine.Entry{
 		{Name: "s-1", Address: "127.0.0.1:5000", Zone: "a", Kind: "big", Cell: 3, Weight: 1.5, State: dispatch.Ready, Since: 1764600000123},
 		{Name: "s-2", Address: "[::1]:80", Zone: "b", Kind: "small", Cell: 0, Weight: 0.25, State: dispatch.Draining, Since: 7},
 		{Name: "s-3 <&>\"é", Cell: -1, State: dispatch.Gone},
 		{Name: "s-4", Cell: -1, State: dispatch.Draining, Since: 1e14},
 	}
 	var b strings.Builder
-	for _, in := range []store.List{
+	for _, in := range []engine.List{
 		{Index: 9, Whole: true, Entries: entries},
 		{Index: 1<<64 - 1, Whole: false, Entries: entries[:1]},
-		{Index: 0, Whole: true, Entries: []store.Entry{}},
+		{Index: 0, Whole: true, Entries: []engine.Entry{}},
 	} {
 		raw, err := EncodeList(in)
 		if err != nil {
--- a/internal/wire/runner.go
+++ b/internal/wire/runner.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"birchfork/dispatch"
-	"birchfork/internal/store"
+	"birchfork/internal/engine"
 )
 
 // Bounds on what a worker may say.
@@ -106,15 +106,15 @@
 
 // Runners carries attempts out at workers.
 type Runners struct {
-	Pool     *store.Pool
-	Counters *store.Counters
+	Pool     *engine.Pool
+	Counters *engine.Counters
 }
 
 // ending is how an attempt ended, and what is left of the answer that said so; rest is nil where nothing whole is left.
 type ending struct {
 	result dispatch.Result
 	answer []byte
-	rest   func(*store.Conn) bool
+	rest   func(*engine.Conn) bool
 	silent bool // nothing came back for long
 
 	rejected bool // the worker cannot use the request
@@ -122,12 +122,12 @@
 
 // attempt carries one attempt out, from its connection to its end. It is the connection's one owner: the connection
 // goes back to the pool after a whole answer and is closed in every other case.
-func (x *Runners) attempt(a *store.Attempt, c *call) {
+func (x *Runners) attempt(a *engine.Attempt, c *call) {
 	ctx := a.Context()
 	conn, err := x.Pool.Get(ctx, a.Address())
 	if err != nil {
 		result := dispatch.Unreachable
-		if errors.Is(err, store.ErrNoDescriptor) || ctx.Err() != nil { // our own limit or time: no fault of the worker's
+		if errors.Is(err, engine.ErrNoDescriptor) || ctx.Err() != nil { // our own limit or time: no fault of the worker's
 			result = dispatch.NotSent
 		}
 		a.Ended(result, nil)
@@ -166,7 +166,7 @@
 }
 
 // exchange writes the request and reads the answer up to its outcome.
-func (x *Runners) exchange(a *store.Attempt, c *call, conn *store.Conn) ending {
+func (x *Runners) exchange(a *engine.Attempt, c *call, conn *engine.Conn) ending {
 	end, _ := a.Context().Deadline()
 	msg := c.appendTo(make([]byte, 0, 512+len(c.body)), a.Address(), time.Until(end))
 	if a.Leased() {
@@ -192,9 +192,9 @@
 		}
 		return ending{result: broken(a), silent: time.Since(written) >= silentFrom}
 	}
-	conn.Limit(store.Unbounded)
+	conn.Limit(engine.Unbounded)
 	lines := bufio.NewReader(res.Body)
-	rest := func(conn *store.Conn) bool { return readRest(conn, res, lines) }
+	rest := func(conn *engine.Conn) bool { return readRest(conn, res, lines) }
 	if res.StatusCode != http.StatusOK {
 		// Guards against judging workers, and trying one after the other, by requests that are none: with the id of
 		// another's, say, that is open at another dispatcher.
@@ -235,7 +235,7 @@
 }
 
 // unsent is the outcome of a request that could not be written whole.
-func unsent(a *store.Attempt) ending {
+func unsent(a *engine.Attempt) ending {
 	if a.Cancelled() {
 		return ending{result: dispatch.NotSent}
 	}
@@ -243,7 +243,7 @@
 }
 
 // broken is the outcome of an answer that did not come whole.
-func broken(a *store.Attempt) dispatch.Result {
+func broken(a *engine.Attempt) dispatch.Result {
 	switch {
 	case a.Cancelled():
 		return dispatch.Cancelled
@@ -265,7 +265,7 @@
 
 // readRest reads what is left of an answer whose outcome is known. Only a connection whose answer ended in order, and
 // soon, is used again.
-func readRest(conn *store.Conn, res *http.Response, r io.Reader) bool {
+func readRest(conn *engine.Conn, res *http.Response, r io.Reader) bool {
 	defer res.Body.Close()
 	if res.Close || res.ContentLength < 0 && len(res.TransferEncoding) == 0 {
 		return false
--- a/internal/wire/runner_test.go
+++ b/internal/wire/runner_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"birchfork/dispatch"
-	"birchfork/internal/store"
+	"birchfork/internal/engine"
 )
 
 func TestJobGoesOnUnchangedAndItsResultComesBack(t *testing.T) {
@@ -132,9 +132,9 @@
 }
 
 // attemptOf opens a request and returns its first attempt.
-func attemptOf(t *testing.T, s *store.Store, class string, left time.Duration) (*store.Request, *store.Attempt) {
+func attemptOf(t *testing.T, s *engine.Store, class string, left time.Duration) (*engine.Request, *engine.Attempt) {
 	t.Helper()
-	r, err := s.Open(store.Job{ID: "id-1", Class: class, Left: left})
+	r, err := s.Open(engine.Job{ID: "id-1", Class: class, Left: left})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -147,8 +147,8 @@
 }
 
 // piped is a Runners whose connections are the given ones.
-func piped(s *store.Store, dial store.Dial) *Runners {
-	return &Runners{Pool: store.NewPool(dial, &s.Counters, 8, time.Minute), Counters: &s.Counters}
+func piped(s *engine.Store, dial engine.Dial) *Runners {
+	return &Runners{Pool: engine.NewPool(dial, &s.Counters, 8, time.Minute), Counters: &s.Counters}
 }
 
 // closeSpy tells when a connection is closed.
@@ -201,7 +201,7 @@
 			go io.Copy(io.Discard, far)
 			return near, nil
 		})
-		var idle []*store.Conn
+		var idle []*engine.Conn
 		for range 2 {
 			c, err := x.Pool.Get(t.Context(), "127.0.0.1:1")
 			if err != nil {
@@ -264,7 +264,7 @@
 func TestDialThatEnds(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		dial store.Dial
+		dial engine.Dial
 		want dispatch.Result
 	}{
 		{"by its own time-out", func(context.Context, string) (net.Conn, error) { return nil, os.ErrDeadlineExceeded }, dispatch.Unreachable},
@@ -289,7 +289,7 @@
 func TestNoDescriptorIsNoFaultOfTheWorkers(t *testing.T) {
 	s := newStore(t, 0)
 	s.News(upAt("127.0.0.1:1"))
-	x := &Runners{Pool: store.NewPool(nil, &s.Counters, 0, time.Minute), Counters: &s.Counters}
+	x := &Runners{Pool: engine.NewPool(nil, &s.Counters, 0, time.Minute), Counters: &s.Counters}
 	_, a := attemptOf(t, s, "search", 5*time.Second)
 	x.attempt(a, &call{})
 	if s.Counters.Outcomes[dispatch.NotSent].Load() != 1 || s.Counters.NoDescriptor.Load() != 1 {
@@ -357,7 +357,7 @@
 			far.Close()
 		}()
 		x := piped(s, func(context.Context, string) (net.Conn, error) { return near, nil })
-		r, err := s.Open(store.Job{ID: "id-1", Class: "search", Left: 5 * time.Second})
+		r, err := s.Open(engine.Job{ID: "id-1", Class: "search", Left: 5 * time.Second})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -404,7 +404,7 @@
 			}
 		}}, err
 	}, time.Minute)
-	g.store.Guard(store.Guard{Leased: map[string]bool{"w": true}})
+	g.store.Guard(engine.Guard{Leased: map[string]bool{"w": true}})
 	for id, want := range map[string]int{"A": 503, "B": 200} {
 		g.store.Lease(time.Now().Add(time.Hour))
 		mu.Lock()
--- a/internal/wire/shared_test.go
+++ b/internal/wire/shared_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"birchfork/dispatch"
-	"birchfork/internal/store"
+	"birchfork/internal/engine"
 )
 
 // What the kernel has accepted for a listener that finishes is taken, all of it; what comes later is the other's.
@@ -96,7 +96,7 @@
 
 // A list that is left for another process means the same there.
 func TestListIsEncodedAsItIsDecoded(t *testing.T) {
-	in := store.List{Index: 9, Whole: true, Entries: []store.Entry{
+	in := engine.List{Index: 9, Whole: true, Entries: []engine.Entry{
 		{Name: "s-1", Address: "127.0.0.1:5000", Zone: "a", Kind: "big", Cell: 3, Weight: 1.5, State: dispatch.Ready, Since: 1764600000123},
 		{Name: "s-2", Cell: -1, State: dispatch.Draining},
 	}}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -16,8 +16,8 @@
 	"github.com/sirupsen/logrus"
 
 	"birchfork/dispatch"
+	"birchfork/internal/engine"
 	"birchfork/internal/settings"
-	"birchfork/internal/store"
 )
 
 const basic = `{"classes":[{"name":"search","deadline":5,"aim":0.4,"effect":"free"},
@@ -31,19 +31,19 @@
 	return l
 }
 
-func newStore(t testing.TB, mostOpen int) *store.Store {
+func newStore(t testing.TB, mostOpen int) *engine.Store {
 	t.Helper()
 	return newStoreOf(t, mostOpen, basic)
 }
 
-func newStoreOf(t testing.TB, mostOpen int, text string) *store.Store {
+func newStoreOf(t testing.TB, mostOpen int, text string) *engine.Store {
 	t.Helper()
 	names := settings.NewNames()
 	set, _, err := settings.DecodeJSON([]byte(text), names)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := store.New(store.Options{Settings: set, Names: names, Seed: 1, MostOpen: mostOpen, Log: quiet()})
+	s, err := engine.New(engine.Options{Settings: set, Names: names, Seed: 1, MostOpen: mostOpen, Log: quiet()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,8 +142,8 @@
 
 // rig is a front with its store and one worker.
 type rig struct {
-	store *store.Store
-	pool  *store.Pool
+	store *engine.Store
+	pool  *engine.Pool
 	front *Front
 	url   string
 
@@ -154,9 +154,9 @@
 	t.Helper()
 	g := &rig{store: newStore(t, most)}
 	d := net.Dialer{Timeout: 250 * time.Millisecond}
-	g.pool = store.NewPool(func(ctx context.Context, a string) (net.Conn, error) { return d.DialContext(ctx, "tcp", a) },
+	g.pool = engine.NewPool(func(ctx context.Context, a string) (net.Conn, error) { return d.DialContext(ctx, "tcp", a) },
 		&g.store.Counters, 8, time.Minute)
-	g.store.OnNews(func(w store.WorkerNews) { g.pool.Drop(w.Address) })
+	g.store.OnNews(func(w engine.WorkerNews) { g.pool.Drop(w.Address) })
 	if worker != "" {
 		g.store.News(upAt(worker))
 	}
@@ -176,8 +176,8 @@
 	return g
 }
 
-func upAt(addr string) store.List {
-	return store.List{Index: 1, Whole: true, Entries: []store.Entry{
+func upAt(addr string) engine.List {
+	return engine.List{Index: 1, Whole: true, Entries: []engine.Entry{
 		{Name: "w", Address: addr, Zone: "a", Kind: "big", Cell: -1, State: dispatch.Ready}}}
 }
 
