--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -22,10 +22,10 @@
 
 	"birchfork/dispatch"
 	"birchfork/internal/engine"
+	"birchfork/internal/frontend"
 	"birchfork/internal/limits"
 	"birchfork/internal/routes"
 	"birchfork/internal/settings"
-	"birchfork/internal/wire"
 )
 
 // compareGolden compares text with a file in testdata/golden. The files hold what operators and clients have read since before the
@@ -272,8 +272,8 @@
 	}
 	pool := engine.NewPool(dial, &s.Counters, 8, time.Minute)
 	t.Cleanup(pool.Close)
-	clients := &wire.Clients{Most: 50, Counters: &s.Counters}
-	front := wire.NewFront(s, &wire.Runners{Pool: pool, Counters: &s.Counters}, clients)
+	clients := &frontend.Clients{Most: 50, Counters: &s.Counters}
+	front := frontend.NewFront(s, &frontend.Runners{Pool: pool, Counters: &s.Counters}, clients)
 	front.Advise(200*time.Millisecond, 2*time.Second)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/wire/front.go
+++ b/internal/frontend/front.go
@@ -1,6 +1,6 @@
-// Package wire speaks the platform's protocol: HTTP from clients, to workers and to discovery. Each message becomes a
+// Package frontend speaks the platform's protocol: HTTP from clients, to workers and to discovery. Each message becomes a
 // small typed value once. It decides nothing: what is sent where, repeated or refused comes as orders from the store.
-package wire
+package frontend
 
 import (
 	"errors"
--- a/internal/wire/golden_file_test.go
+++ b/internal/frontend/golden_file_test.go
@@ -1,4 +1,4 @@
-package wire
+package frontend
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 // checkGolden compares got with testdata/golden/name. The golden files hold what earlier builds sent and understood, so a
 // difference means that the protocol has changed. With UPDATE_GOLDEN=1 in the environment the test writes the file instead:
 //
-//	UPDATE_GOLDEN=1 go test -run TestGolden ./internal/wire
+//	UPDATE_GOLDEN=1 go test -run TestGolden ./internal/frontend
 func checkGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
--- a/internal/wire/runner.go
+++ b/internal/frontend/runner.go
@@ -1,4 +1,4 @@
-package wire
+package frontend
 
 import (
 	"bufio"
--- a/internal/membership/front_test.go
+++ b/internal/membership/front_test.go
@@ -12,7 +12,7 @@
 
 	"birchfork/dispatch"
 	"birchfork/internal/engine"
-	"birchfork/internal/wire"
+	"birchfork/internal/frontend"
 )
 
 // What a dispatcher's own decoder makes of the front's words, whole and as a watch, is the view's list; many changes of one
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	res.Body.Close()
-	l, bad, err := wire.DecodeList(raw)
+	l, bad, err := frontend.DecodeList(raw)
 	if err != nil || bad != 0 || !l.Whole || len(l.Entries) != 2 {
 		t.Fatalf("%+v, %d bad, %v", l, bad, err)
 	}
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, bad, err = wire.DecodeList(line)
+	l, bad, err = frontend.DecodeList(line)
 	if err != nil || bad != 0 || l.Whole || len(l.Entries) != 2 || l.Entries[0].Since != 999 || l.Entries[0].State != dispatch.Draining || l.Entries[1].State != dispatch.Gone {
 		t.Errorf("the watch's first line: %+v, %v", l, err)
 	}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -16,8 +16,8 @@
 	"birchfork/dispatch"
 	"birchfork/internal/config"
 	"birchfork/internal/engine"
+	"birchfork/internal/frontend"
 	"birchfork/internal/settings"
-	"birchfork/internal/wire"
 )
 
 // Limits are what the platform leaves us.
@@ -219,7 +219,7 @@
 		fault("limits.sockets: %d is less than %d", f.Limits.Sockets, leastSockets)
 	}
 	if known := bytes.TrimSpace(f.Known); len(known) > 0 && !bytes.Equal(known, []byte("null")) {
-		l, bad, err := wire.DecodeList(known)
+		l, bad, err := frontend.DecodeList(known)
 		if err != nil {
 			fault("known: %w", err)
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -25,8 +25,8 @@
 	"birchfork/dispatch"
 	"birchfork/internal/admin"
 	"birchfork/internal/engine"
+	"birchfork/internal/frontend"
 	"birchfork/internal/handover"
-	"birchfork/internal/wire"
 )
 
 // How memory and descriptors are shared out.
@@ -113,8 +113,8 @@
 	log       logrus.FieldLogger
 	store     *engine.Store
 	pool      *engine.Pool
-	front     *wire.Front
-	discovery *wire.Discovery
+	front     *frontend.Front
+	discovery *frontend.Discovery
 	server    *http.Server
 	served    chan error
 	address   net.Addr
@@ -124,7 +124,7 @@
 	counts    []func() map[string]int64 // further counters of the group, for the log
 	quit      context.CancelFunc        // ends the watch, the ticking and the sharing
 	listening chan struct{}             // closed once clients can connect
-	listener  *wire.SharedListener      // nil: nobody may listen beside us
+	listener  *frontend.SharedListener  // nil: nobody may listen beside us
 	sharing   sync.WaitGroup
 
 	process  *handover.Process // what other processes of this dispatcher know of us, and we of them
@@ -181,8 +181,8 @@
 	if len(known.Entries) > 0 {
 		n.store.News(known)
 	}
-	clients := &wire.Clients{Counters: &n.store.Counters}
-	n.front = wire.NewFront(n.store, &wire.Runners{Pool: n.pool, Counters: &n.store.Counters}, clients)
+	clients := &frontend.Clients{Counters: &n.store.Counters}
+	n.front = frontend.NewFront(n.store, &frontend.Runners{Pool: n.pool, Counters: &n.store.Counters}, clients)
 	n.shareOut()
 	n.advise(c.Settings)
 	n.server = n.front.Server()
@@ -196,7 +196,7 @@
 		n.process.Close()
 		return nil, err
 	}
-	n.discovery = wire.NewDiscovery(ctx, n.store, log, wire.Source{
+	n.discovery = frontend.NewDiscovery(ctx, n.store, log, frontend.Source{
 		Address: c.Discovery, Pushed: c.Pushed, Fleet: c.Settings.GroupSize, Known: len(known.Entries) > 0, Index: known.Index, Seed: seed,
 	})
 	go n.tick(ctx)
@@ -243,7 +243,7 @@
 	var l net.Listener
 	var err error
 	if n.config.Admin != "" {
-		if n.listener, err = wire.ListenShared(n.config.Listen); err == nil {
+		if n.listener, err = frontend.ListenShared(n.config.Listen); err == nil {
 			l = n.listener
 		}
 	} else {
--- a/internal/node/share.go
+++ b/internal/node/share.go
@@ -9,8 +9,8 @@
 	"github.com/sirupsen/logrus"
 
 	"birchfork/internal/engine"
+	"birchfork/internal/frontend"
 	"birchfork/internal/handover"
-	"birchfork/internal/wire"
 )
 
 // Times of sharing with other processes of this dispatcher.
@@ -45,7 +45,7 @@
 		}
 		return c.Known
 	}
-	l, _, err := wire.DecodeList(raw)
+	l, _, err := frontend.DecodeList(raw)
 	switch {
 	case err != nil:
 		n.log.WithError(err).Warn("a list that is left from before is passed over")
@@ -116,7 +116,7 @@
 		return
 	}
 	l, news := n.store.List()
-	raw, err := wire.EncodeList(l)
+	raw, err := frontend.EncodeList(l)
 	if err == nil {
 		err = n.process.KeepList(raw)
 	}
