--- a/cmd/birchfork/lab.go
+++ b/cmd/birchfork/lab.go
@@ -25,7 +25,7 @@
 	"birchfork/internal/lab/planted"
 	"birchfork/internal/lab/report"
 	"birchfork/internal/lab/scenario"
-	"birchfork/internal/node"
+	"birchfork/internal/server"
 )
 
 // LabPart is the lab on the command line; a lean build leaves it out.
@@ -229,7 +229,7 @@
 	if l.Plant != "" {
 		return planted.Run(l.Config, l.Plant)
 	}
-	c, err := node.Load(l.Config, "")
+	c, err := server.Load(l.Config, "")
 	if err != nil {
 		return err
 	}
@@ -239,7 +239,7 @@
 	}
 	log := logrus.New()
 	log.SetOutput(out.err)
-	return node.Run(c, log, module)
+	return server.Run(c, log, module)
 }
 
 type labList struct{}
--- a/cmd/birchfork/labgroup.go
+++ b/cmd/birchfork/labgroup.go
@@ -24,8 +24,8 @@
 
 	"birchfork/internal/lab/groups"
 	"birchfork/internal/lab/histories"
-	"birchfork/internal/node"
 	"birchfork/internal/plant"
+	"birchfork/internal/server"
 )
 
 // labGroup plays groups.
@@ -269,12 +269,12 @@
 		return errors.New("--plant: there is no such fault")
 	}
 	plant.Set(l.Plant)
-	c, err := node.LoadAll(l.Config, l.Operator, os.Getenv("EDGE_OPERATOR"))
+	c, err := server.LoadAll(l.Config, l.Operator, os.Getenv("EDGE_OPERATOR"))
 	if err != nil {
 		return err
 	}
 	log := logrus.New()
 	log.SetOutput(out.err)
 	log.SetLevel(logrus.WarnLevel)
-	return node.Run(c, log, nil)
+	return server.Run(c, log, nil)
 }
--- a/cmd/birchfork/main.go
+++ b/cmd/birchfork/main.go
@@ -13,7 +13,7 @@
 	"github.com/alecthomas/kong"
 	"github.com/sirupsen/logrus"
 
-	"birchfork/internal/node"
+	"birchfork/internal/server"
 )
 
 // commands is the command line.
@@ -35,7 +35,7 @@
 
 // Run serves. Whatever is wrong with the configuration comes as one plain message.
 func (s *serve) Run(out output) error {
-	c, err := node.LoadAll(s.Config, s.Operator, s.Admin)
+	c, err := server.LoadAll(s.Config, s.Operator, s.Admin)
 	if err != nil {
 		return fmt.Errorf("%s: %s", s.Config, strings.ReplaceAll(err.Error(), "\n", "; "))
 	}
@@ -57,7 +57,7 @@
 		}
 		defer pprof.StopCPUProfile()
 	}
-	return node.Run(c, log, nil)
+	return server.Run(c, log, nil)
 }
 
 type check struct {
@@ -70,7 +70,7 @@
 
 // Run names every fault, a line each.
 func (c *check) Run(out output) error {
-	cfg, err := node.LoadAll(c.Config, c.Operator, c.Admin)
+	cfg, err := server.LoadAll(c.Config, c.Operator, c.Admin)
 	if err != nil {
 		fmt.Fprintln(out.std, err)
 		return fmt.Errorf("%s is not fit to serve by", strings.TrimSuffix(c.Config+" with "+c.Operator, " with "))
--- a/internal/lab/groups/groups_test.go
+++ b/internal/lab/groups/groups_test.go
@@ -12,8 +12,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"birchfork/internal/node"
 	"birchfork/internal/plant"
+	"birchfork/internal/server"
 )
 
 // asMember in the environment makes this test's own binary a member, with the fault that it names.
@@ -29,7 +29,7 @@
 	if who != sound {
 		plant.Set(who)
 	}
-	c, err := node.LoadAll(os.Args[1], os.Args[2], os.Getenv("EDGE_OPERATOR"))
+	c, err := server.LoadAll(os.Args[1], os.Args[2], os.Getenv("EDGE_OPERATOR"))
 	if err == nil {
 		log := logrus.New()
 		if dir := os.Getenv("GROUPS_TEST_LOGS"); dir != "" { // to look into a failure
@@ -39,7 +39,7 @@
 				log.SetOutput(f)
 			}
 		}
-		err = node.Run(c, log, nil)
+		err = server.Run(c, log, nil)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -21,7 +21,7 @@
 	"birchfork/internal/lab/planted"
 	"birchfork/internal/lab/report"
 	"birchfork/internal/lab/scenario"
-	"birchfork/internal/node"
+	"birchfork/internal/server"
 )
 
 // asDispatcher in the environment makes this program a dispatcher: the decider, or plant: and a fault.
@@ -42,19 +42,19 @@
 	if fault, ok := strings.CutPrefix(who, "plant:"); ok {
 		return planted.Run(path, fault)
 	}
-	c, err := node.Load(path, "")
+	c, err := server.Load(path, "")
 	if err != nil {
 		return err
 	}
 	log := logrus.New()
 	if who == PolicyRules {
-		return node.Run(c, log, nil)
+		return server.Run(c, log, nil)
 	}
 	module, err := baseline.New(who, c.Settings, c.Seed)
 	if err != nil {
 		return err
 	}
-	return node.Run(c, log, module)
+	return server.Run(c, log, module)
 }
 
 func launchTest(who string) Launch {
--- a/internal/node/group.go
+++ b/internal/server/group.go
@@ -1,6 +1,6 @@
 //go:build !lean
 
-package node
+package server
 
 import (
 	"encoding/json"
--- a/internal/node/node.go
+++ b/internal/server/node.go
@@ -1,5 +1,5 @@
-// Package node starts and stops a dispatcher: its configuration, limits, signals and drain.
-package node
+// Package server starts and stops a dispatcher: its configuration, limits, signals and drain.
+package server
 
 import (
 	"context"
--- a/internal/node/shape_test.go
+++ b/internal/server/shape_test.go
@@ -1,4 +1,4 @@
-package node
+package server
 
 import (
 	"bufio"
