--- a/internal/handover/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"bytes"
--- a/internal/handover/handover.go
+++ b/internal/hotrestart/handover.go
@@ -1,7 +1,7 @@
-// Package handover is what two processes of one dispatcher share while one takes the other's place: who is alive and
+// Package hotrestart is what two processes of one dispatcher share while one takes the other's place: who is alive and
 // serves, which runners the operators left out by hand, and the newest list. It is a few small files in one folder, each
 // written whole and renamed. It owns these files; it decides nothing, and knows no signals and no sockets.
-package handover
+package hotrestart
 
 import (
 	"encoding/json"
--- a/internal/server/door.go
+++ b/internal/server/door.go
@@ -5,7 +5,7 @@
 	"net"
 
 	"birchfork/internal/admin"
-	"birchfork/internal/handover"
+	"birchfork/internal/hotrestart"
 )
 
 // openDoor opens the operators' door, if the configuration has one.
@@ -54,7 +54,7 @@
 		log.WithError(err).Error("what the operators said of a runner is not kept yet; it is tried again")
 	}
 	if word.At > 0 {
-		n.store.Hand(hands(handover.Words{id: word}))
+		n.store.Hand(hands(hotrestart.Words{id: word}))
 	}
 	if n.copies != nil {
 		if note, err = n.copies.Say(id, out, word.At); err != nil {
--- a/internal/server/door_test.go
+++ b/internal/server/door_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"birchfork/internal/handover"
+	"birchfork/internal/hotrestart"
 )
 
 // withDoor starts a dispatcher with an operators' door.
@@ -55,9 +55,9 @@
 	f.said = fmt.Sprint(runner, out, at > 0)
 	return "a note", f.full
 }
-func (f *fakeCopies) Local(words handover.Words) { f.local += len(words) }
-func (f *fakeCopies) CaughtUp() bool             { return !f.behind }
-func (f *fakeCopies) Close()                     {}
+func (f *fakeCopies) Local(words hotrestart.Words) { f.local += len(words) }
+func (f *fakeCopies) CaughtUp() bool               { return !f.behind }
+func (f *fakeCopies) Close()                       {}
 
 // In a group a word goes to the others too, and a start waits for theirs.
 func TestWordsGoToTheGroup(t *testing.T) {
--- a/internal/server/node.go
+++ b/internal/server/node.go
@@ -26,7 +26,7 @@
 	"birchfork/internal/admin"
 	"birchfork/internal/engine"
 	"birchfork/internal/frontend"
-	"birchfork/internal/handover"
+	"birchfork/internal/hotrestart"
 )
 
 // How memory and descriptors are shared out.
@@ -127,18 +127,18 @@
 	listener  *frontend.SharedListener  // nil: nobody may listen beside us
 	sharing   sync.WaitGroup
 
-	process  *handover.Process // what other processes of this dispatcher know of us, and we of them
-	beside   atomic.Int32      // others that were alive when we looked last
-	newer    atomic.Bool       // one of them came after us
-	kept     uint64            // the news of the list that was left for others last
-	troubled string            // what went wrong with sharing last: said once
+	process  *hotrestart.Process // what other processes of this dispatcher know of us, and we of them
+	beside   atomic.Int32        // others that were alive when we looked last
+	newer    atomic.Bool         // one of them came after us
+	kept     uint64              // the news of the list that was left for others last
+	troubled string              // what went wrong with sharing last: said once
 }
 
 // copies are what the members of a group keep in common: staff's words on runners.
 type copies interface {
 	Say(runner string, out bool, at int64) (note string, err error)
-	Local(handover.Words) // what this dispatcher's processes were told
-	CaughtUp() bool       // with the others, or it has waited long enough
+	Local(hotrestart.Words) // what this dispatcher's processes were told
+	CaughtUp() bool         // with the others, or it has waited long enough
 	Close()
 }
 
@@ -153,7 +153,7 @@
 // start brings a dispatcher up. It serves when start returns, unless another process of this dispatcher does: then it
 // listens for clients once it can serve as well.
 func start(c *Config, log logrus.FieldLogger, module engine.Decider) (*node, error) {
-	n := &node{config: c, began: time.Now(), log: log, served: make(chan error, 1), listening: make(chan struct{}), process: &handover.Process{}}
+	n := &node{config: c, began: time.Now(), log: log, served: make(chan error, 1), listening: make(chan struct{}), process: &hotrestart.Process{}}
 	n.claim()
 	n.beside.Store(int32(n.process.Others().Alive))
 	seed := n.seed()
--- a/internal/server/share.go
+++ b/internal/server/share.go
@@ -10,7 +10,7 @@
 
 	"birchfork/internal/engine"
 	"birchfork/internal/frontend"
-	"birchfork/internal/handover"
+	"birchfork/internal/hotrestart"
 )
 
 // Times of sharing with other processes of this dispatcher.
@@ -25,7 +25,7 @@
 	if n.config.Admin == "" && n.config.group() == nil {
 		return
 	}
-	p, err := handover.Open(os.Getenv("TMPDIR"), n.config.Name)
+	p, err := hotrestart.Open(os.Getenv("TMPDIR"), n.config.Name)
 	if err != nil {
 		n.log.WithError(err).Error("nothing can be shared with other processes of this dispatcher: " +
 			"runners that are out by hand come back with an upgrade, and an upgrade counts as a restart")
@@ -96,13 +96,13 @@
 	word, err := n.process.Say(runner, out)
 	n.trouble(err)
 	if word.At > 0 {
-		n.store.Hand(hands(handover.Words{runner: word}))
+		n.store.Hand(hands(hotrestart.Words{runner: word}))
 	}
 	n.log.WithFields(logrus.Fields{"runner": runner, "out": out}).Info("the group has a word on a runner")
 	return word.At
 }
 
-func hands(words handover.Words) map[string]engine.Hand {
+func hands(words hotrestart.Words) map[string]engine.Hand {
 	all := make(map[string]engine.Hand, len(words))
 	for name, w := range words {
 		all[name] = engine.Hand{Out: w.Out, At: time.UnixMicro(w.At)}
--- a/internal/server/upgrade_test.go
+++ b/internal/server/upgrade_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"birchfork/internal/handover"
+	"birchfork/internal/hotrestart"
 )
 
 // asSuccessor changes a configuration into that of a process beside n.
@@ -165,7 +165,7 @@
 	w := newWorld(t)
 	old := w.withDoor(t)
 	await(t, "it can serve", func() bool { s, _ := old.call(t, "GET", "/-/ready"); return s == 200 })
-	dead, err := handover.Open(t.TempDir(), "other") // not of this dispatcher
+	dead, err := hotrestart.Open(t.TempDir(), "other") // not of this dispatcher
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -18,7 +18,7 @@
 	"github.com/sirupsen/logrus"
 
 	"birchfork/internal/group"
-	"birchfork/internal/handover"
+	"birchfork/internal/hotrestart"
 	"birchfork/internal/keep"
 	"birchfork/internal/plant"
 	"birchfork/internal/replica"
@@ -310,7 +310,7 @@
 
 // Local hears all words of this dispatcher's processes, now and then: what another one was told goes into the copy. Those from
 // before count where the copy knows nothing of a runner, once the others had time to tell.
-func (s *Spread) Local(words handover.Words) {
+func (s *Spread) Local(words hotrestart.Words) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.copy == nil {
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -17,7 +17,7 @@
 	"go.uber.org/goleak"
 
 	"birchfork/internal/group"
-	"birchfork/internal/handover"
+	"birchfork/internal/hotrestart"
 	"birchfork/internal/replica"
 )
 
@@ -266,7 +266,7 @@
 	if _, err := s.copy.Say(replica.Entry{Kind: replica.Word, Name: "known", Out: true, Member: "b"}); err != nil {
 		t.Fatal(err)
 	}
-	before := handover.Words{"known": {Out: false, At: 3}, "lost": {Out: true, At: 3}, "back": {Out: false, At: 3}}
+	before := hotrestart.Words{"known": {Out: false, At: 3}, "lost": {Out: true, At: 3}, "back": {Out: false, At: 3}}
 	s.Local(before)
 	if !at.is("known") || s.copy.Len() != 1 {
 		t.Errorf("known is out: %t; %d entries", at.is("known"), s.copy.Len())
@@ -281,17 +281,17 @@
 	if !s.CaughtUp() {
 		t.Error("the others are waited for for ever")
 	}
-	before["known"] = handover.Word{Out: true, At: s.known["known"]}
+	before["known"] = hotrestart.Word{Out: true, At: s.known["known"]}
 	s.Local(before)
 	if s.copy.Len() != 2 || !s.out("lost") {
 		t.Errorf("%d entries, lost is out: %t", s.copy.Len(), s.out("lost"))
 	}
-	before["lost"] = handover.Word{Out: false, At: before["lost"].At} // a file that was not written yet
+	before["lost"] = hotrestart.Word{Out: false, At: before["lost"].At} // a file that was not written yet
 	s.Local(before)
 	if !s.out("lost") {
 		t.Error("an old word was said again")
 	}
-	before["known"] = handover.Word{Out: false, At: 99} // said to the process beside us
+	before["known"] = hotrestart.Word{Out: false, At: 99} // said to the process beside us
 	s.Local(before)
 	s.Local(before)
 	if all := s.copy.Get(replica.Word, "known"); len(all) != 1 || all[0].Out || !all[0].Saw.Has(replica.Dot{Life: all[0].Life, Count: 1}) {
