--- a/cmd/birchfork/outage.go
+++ b/cmd/birchfork/outage.go
@@ -14,7 +14,7 @@
 	"text/tabwriter"
 	"time"
 
-	"birchfork/internal/council"
+	"birchfork/internal/coordinator"
 	"birchfork/internal/outage"
 	"birchfork/internal/spread"
 	"birchfork/internal/tomlfile"
@@ -85,11 +85,11 @@
 }
 
 // ask makes a call until it is answered.
-func (m *members) ask(call council.Call) (*council.Reply, error) {
+func (m *members) ask(call coordinator.Call) (*coordinator.Reply, error) {
 	if err := m.check(); err != nil {
 		return nil, err
 	}
-	return (&council.Client{At: m.At}).Ask(context.Background(), call)
+	return (&coordinator.Client{At: m.At}).Ask(context.Background(), call)
 }
 
 // print prints an answer as JSON where that was asked for.
@@ -105,7 +105,7 @@
 }
 
 // tell prints an answer and turns it into the exit status.
-func (m *members) tell(out output, r *council.Reply) error {
+func (m *members) tell(out output, r *coordinator.Reply) error {
 	if err := m.print(out, r); err != nil {
 		return err
 	}
@@ -120,7 +120,7 @@
 	return nil
 }
 
-func (m *members) do(out output, call council.Call) error {
+func (m *members) do(out output, call coordinator.Call) error {
 	r, err := m.ask(call)
 	if err != nil {
 		return err
@@ -129,7 +129,7 @@
 }
 
 func (m *members) command(out output, c outage.Command) error {
-	return m.do(out, council.Call{Command: &c})
+	return m.do(out, coordinator.Call{Command: &c})
 }
 
 type groupFound struct {
@@ -139,7 +139,7 @@
 
 // Run founds the group.
 func (g *groupFound) Run(out output) error {
-	return g.do(out, council.Call{Found: true, Again: g.Again})
+	return g.do(out, coordinator.Call{Found: true, Again: g.Again})
 }
 
 type groupVouch struct{ members }
@@ -149,7 +149,7 @@
 	if len(g.At) > 1 {
 		return errors.New("--at: one member is vouched for at a time")
 	}
-	return g.do(out, council.Call{Vouch: true})
+	return g.do(out, coordinator.Call{Vouch: true})
 }
 
 type groupTrust struct{ members }
@@ -174,19 +174,19 @@
 
 // Run prints how the group stands.
 func (g *groupStatus) Run(out output) error {
-	r, err := g.ask(council.Call{Status: true, Local: g.Local})
+	r, err := g.ask(coordinator.Call{Status: true, Local: g.Local})
 	if err != nil {
 		return err
 	}
 	copies, failed := g.words(spread.Call{})
 	if g.JSON {
 		if err := g.print(out, struct {
-			*council.Reply
+			*coordinator.Reply
 			Copies *spread.Reply `json:"copies,omitempty"`
 		}{r, copies}); err != nil {
 			return err
 		}
-		return (&members{}).tell(out, &council.Reply{Code: r.Code, Text: r.Text})
+		return (&members{}).tell(out, &coordinator.Reply{Code: r.Code, Text: r.Text})
 	}
 	if r.Status != nil {
 		printGroup(out.std, r.Status)
@@ -282,7 +282,7 @@
 	if err != nil {
 		return err
 	}
-	r, err := m.ask(council.Call{Command: &outage.Command{Kind: outage.HandIn, Plan: p}, Check: check})
+	r, err := m.ask(coordinator.Call{Command: &outage.Command{Kind: outage.HandIn, Plan: p}, Check: check})
 	if err == nil && r.Code == outage.Wrong && !m.JSON {
 		return byLine(d, strings.Split(r.Text, "\n"))
 	}
@@ -360,7 +360,7 @@
 		end = time.Now().Add(o.For)
 	}
 	for {
-		r, err := o.ask(council.Call{Command: &outage.Command{Kind: outage.Take, Name: o.Plan, Machine: o.Machine}})
+		r, err := o.ask(coordinator.Call{Command: &outage.Command{Kind: outage.Take, Name: o.Plan, Machine: o.Machine}})
 		if err != nil {
 			return err
 		}
@@ -394,7 +394,7 @@
 // Run prints how plans stand.
 func (o *outageStatus) Run(out output) error {
 	for {
-		r, err := o.ask(council.Call{Status: true})
+		r, err := o.ask(coordinator.Call{Status: true})
 		if err == nil {
 			if !o.JSON && r.Status != nil {
 				printPlans(out.std, r.Status)
@@ -411,7 +411,7 @@
 	}
 }
 
-func printGroup(w io.Writer, s *council.Status) {
+func printGroup(w io.Writer, s *coordinator.Status) {
 	fmt.Fprintf(w, "told by %s; leader %s, term %d, entry %d\n", s.Told, orNone(s.Leader), s.Term, s.Index)
 	fmt.Fprintf(w, "lease %v, attempts run for %v at the longest, a silent member is waited for %v\n",
 		s.Bounds.Lease, s.Bounds.Attempt, s.Bounds.Settled)
@@ -438,7 +438,7 @@
 	return s
 }
 
-func printPlans(w io.Writer, s *council.Status) {
+func printPlans(w io.Writer, s *coordinator.Status) {
 	if len(s.Plans) == 0 {
 		fmt.Fprintln(w, "no plan was handed in")
 	}
--- a/internal/council/council.go
+++ b/internal/coordinator/council.go
@@ -1,7 +1,7 @@
-// Package council is one member's part in a group of dispatchers: it joins, renews the lease, puts what is settled in force
+// Package coordinator is one member's part in a group of dispatchers: it joins, renews the lease, puts what is settled in force
 // at its own dispatcher, and while it leads, has the plans go on. What is decided stands in internal/outage, agreement in
 // internal/agree; here they meet the links and the dispatcher.
-package council
+package coordinator
 
 import (
 	"context"
--- a/internal/council/member.go
+++ b/internal/coordinator/member.go
@@ -1,4 +1,4 @@
-package council
+package coordinator
 
 import (
 	"context"
--- a/internal/lab/groups/groups.go
+++ b/internal/lab/groups/groups.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"birchfork/internal/council"
+	"birchfork/internal/coordinator"
 	"birchfork/internal/lab"
 	"birchfork/internal/lab/fleet"
 	"birchfork/internal/lab/report"
@@ -151,7 +151,7 @@
 // seen is an answer on how things stand.
 type seen struct {
 	asked, came time.Duration
-	status      council.Status
+	status      coordinator.Status
 }
 
 // Run plays a day with a group.
@@ -475,7 +475,7 @@
 func (g *rig) used(ctx context.Context) (cpu time.Duration, messages, bytes int64) {
 	for i := range g.real {
 		cpu += g.stage.CPU(i)
-		if r, err := (&council.Client{At: g.real[i : i+1]}).Ask(ctx, council.Call{Status: true, Local: true}); err == nil && r.Status != nil {
+		if r, err := (&coordinator.Client{At: g.real[i : i+1]}).Ask(ctx, coordinator.Call{Status: true, Local: true}); err == nil && r.Status != nil {
 			messages, bytes = messages+r.Status.Links["taken"], bytes+r.Status.Links["bytes_in"]
 		}
 	}
@@ -529,12 +529,12 @@
 }
 
 // at are the members in an order that begins with one.
-func (g *rig) at(first int) *council.Client {
-	return &council.Client{At: append(slices.Clone(g.real[first:]), g.real[:first]...)}
+func (g *rig) at(first int) *coordinator.Client {
+	return &coordinator.Client{At: append(slices.Clone(g.real[first:]), g.real[:first]...)}
 }
 
 // call makes a call of staff at any member.
-func (g *rig) call(ctx context.Context, c council.Call) (*council.Reply, error) {
+func (g *rig) call(ctx context.Context, c coordinator.Call) (*coordinator.Reply, error) {
 	r, err := g.at(rand.IntN(len(g.real))).Ask(ctx, c)
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -549,7 +549,7 @@
 func (g *rig) found(ctx context.Context) error {
 	last := ""
 	for ; ctx.Err() == nil; sleep(ctx, 50*time.Millisecond) {
-		r, err := g.at(0).Ask(ctx, council.Call{Found: true})
+		r, err := g.at(0).Ask(ctx, coordinator.Call{Found: true})
 		if err != nil {
 			return err
 		}
@@ -559,7 +559,7 @@
 		break
 	}
 	for ; ctx.Err() == nil; sleep(ctx, 50*time.Millisecond) {
-		r, err := g.at(0).Ask(ctx, council.Call{Status: true})
+		r, err := g.at(0).Ask(ctx, coordinator.Call{Status: true})
 		if err != nil {
 			return err
 		}
@@ -619,7 +619,7 @@
 		}
 	}
 	for ; ctx.Err() == nil; sleep(ctx, 50*time.Millisecond) {
-		r, err := g.at(0).Ask(ctx, council.Call{Status: true})
+		r, err := g.at(0).Ask(ctx, coordinator.Call{Status: true})
 		if err == nil && g.plansAre(r.Status, outage.Running) {
 			return true
 		}
@@ -636,17 +636,17 @@
 }
 
 // plansAre tells whether all of staff's plans are known to be in a phase.
-func (g *rig) plansAre(s *council.Status, phase outage.Phase) bool {
+func (g *rig) plansAre(s *coordinator.Status, phase outage.Phase) bool {
 	if s == nil || len(s.Plans) < max(g.o.Plans, 1) {
 		return false
 	}
-	return !slices.ContainsFunc(s.Plans, func(p council.PlanStatus) bool { return p.Phase != phase })
+	return !slices.ContainsFunc(s.Plans, func(p coordinator.PlanStatus) bool { return p.Phase != phase })
 }
 
 // surely makes a call until it is answered with yes; a lost answer's call is made again under its id.
 func (g *rig) surely(ctx context.Context, c *outage.Command) bool {
 	for ; ctx.Err() == nil; sleep(ctx, 100*time.Millisecond) {
-		r, err := g.call(ctx, council.Call{Command: c})
+		r, err := g.call(ctx, coordinator.Call{Command: c})
 		if err == nil && r.Code == outage.Yes {
 			return true
 		}
@@ -696,11 +696,11 @@
 // look asks a member now and then how things stand.
 func (g *rig) look(ctx context.Context, member int) {
 	l := g.stage.Ledger()
-	c := &council.Client{At: []string{g.real[member]}}
+	c := &coordinator.Client{At: []string{g.real[member]}}
 	for i := 0; ctx.Err() == nil; i++ {
 		sleep(ctx, 100*time.Millisecond)
 		asked := l.Now()
-		r, err := c.Ask(ctx, council.Call{Status: true, Local: i%2 == 0})
+		r, err := c.Ask(ctx, coordinator.Call{Status: true, Local: i%2 == 0})
 		if err != nil || r.Status == nil {
 			continue
 		}
@@ -849,7 +849,7 @@
 // vouch has staff say that the disk of a member that came down with its machine is its last one, once it has waited for long.
 func (g *rig) vouch(ctx context.Context, f Fault) {
 	for sleep(ctx, f.For+vouchAfter); ctx.Err() == nil; sleep(ctx, time.Second) {
-		(&council.Client{At: g.real[f.Member : f.Member+1]}).Ask(ctx, council.Call{Vouch: true})
+		(&coordinator.Client{At: g.real[f.Member : f.Member+1]}).Ask(ctx, coordinator.Call{Vouch: true})
 	}
 }
 
--- a/internal/lab/groups/judge.go
+++ b/internal/lab/groups/judge.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"birchfork/internal/council"
+	"birchfork/internal/coordinator"
 	"birchfork/internal/lab"
 	"birchfork/internal/lab/judge"
 	"birchfork/internal/lab/scenario"
@@ -48,7 +48,7 @@
 	}
 	joiner := fmt.Sprintf("d%d", g.o.Joins)
 	joined := func(s seen) bool {
-		return s.status.Settled && slices.ContainsFunc(s.status.Members, func(m council.MemberStatus) bool { return m.Name == joiner })
+		return s.status.Settled && slices.ContainsFunc(s.status.Members, func(m coordinator.MemberStatus) bool { return m.Name == joiner })
 	}
 	if g.o.Joins > 0 && !slices.ContainsFunc(g.seen, joined) {
 		out = append(out, judge.Breach{Rule: GoesOnRule, Kind: "not joined", At: s.Ledger().Now(), Who: g.o.Joins})
--- a/internal/lab/groups/plain.go
+++ b/internal/lab/groups/plain.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"birchfork/internal/council"
+	"birchfork/internal/coordinator"
 	"birchfork/internal/lab"
 	"birchfork/internal/outage"
 )
@@ -50,8 +50,8 @@
 		return cmd
 	}
 	o.Beside = func(ctx context.Context, _ *lab.Stage) {
-		for c := (&council.Client{At: links[:1]}); ctx.Err() == nil; sleep(ctx, 100*time.Millisecond) {
-			if r, err := c.Ask(ctx, council.Call{Found: true}); err == nil && r.Code == outage.Yes {
+		for c := (&coordinator.Client{At: links[:1]}); ctx.Err() == nil; sleep(ctx, 100*time.Millisecond) {
+			if r, err := c.Ask(ctx, coordinator.Call{Found: true}); err == nil && r.Code == outage.Yes {
 				return
 			}
 		}
--- a/internal/server/group.go
+++ b/internal/server/group.go
@@ -15,7 +15,7 @@
 	"github.com/sirupsen/logrus"
 
 	"birchfork/dispatch"
-	"birchfork/internal/council"
+	"birchfork/internal/coordinator"
 	"birchfork/internal/engine"
 	"birchfork/internal/roster"
 	"birchfork/internal/spread"
@@ -74,7 +74,7 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	return council.Check(council.Options{Group: g, Self: c.Name, Log: log})
+	return coordinator.Check(coordinator.Options{Group: g, Self: c.Name, Log: log})
 }
 
 // lists are the store's list as roster wants it.
@@ -104,7 +104,7 @@
 	if g == nil {
 		return nil
 	}
-	o := council.Options{
+	o := coordinator.Options{
 		Group: g, Self: n.config.Name, Dispatcher: n.store, Deadline: n.config.longest(), Arrive: n.config.arrive(),
 		Warm: n.config.warm(), Log: n.log.WithField("part", "group"),
 		Beside: func() (int, bool) { return int(n.beside.Load()), n.newer.Load() }, // as of the last look: see share
@@ -113,7 +113,7 @@
 		o.Witness = filepath.Join(dir, "group.mark")
 	}
 	if n.beside.Load() == 0 {
-		if err := council.Check(o); err != nil {
+		if err := coordinator.Check(o); err != nil {
 			return err
 		}
 	}
@@ -133,8 +133,8 @@
 	w := warning.New(others, n.store.Warned)
 	n.store.OnWarn(w.Warn)
 	list := roster.NewTeller(others, lists{n.store}, n.log.WithField("part", "group"))
-	n.copies, o.Guests = s, []council.Guest{s, w, list}
+	n.copies, o.Guests = s, []coordinator.Guest{s, w, list}
 	n.counts = []func() map[string]int64{s.Fields, w.Fields, list.Fields}
-	n.part = council.Start(o)
+	n.part = coordinator.Start(o)
 	return nil
 }
