--- a/internal/agree/agree.go
+++ b/internal/consensus/agree.go
@@ -1,7 +1,7 @@
-// Package agree is the loop round raft: it ticks it, keeps what it wants kept, carries its messages and hands settled
+// Package consensus is the loop round raft: it ticks it, keeps what it wants kept, carries its messages and hands settled
 // entries to a state machine in their one order. The algorithm is go.etcd.io/raft's. The loop's goroutine owns raft and the
 // disk.
-package agree
+package consensus
 
 import (
 	"context"
--- a/internal/agree/core.go
+++ b/internal/consensus/core.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"encoding/binary"
--- a/internal/coordinator/council.go
+++ b/internal/coordinator/council.go
@@ -1,6 +1,6 @@
 // Package coordinator is one member's part in a group of dispatchers: it joins, renews the lease, puts what is settled in force
 // at its own dispatcher, and while it leads, has the plans go on. What is decided stands in internal/outage, agreement in
-// internal/agree; here they meet the links and the dispatcher.
+// internal/consensus; here they meet the links and the dispatcher.
 package coordinator
 
 import (
@@ -19,8 +19,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"birchfork/internal/agree"
 	"birchfork/internal/config"
+	"birchfork/internal/consensus"
 	"birchfork/internal/engine"
 	"birchfork/internal/group"
 	"birchfork/internal/keep"
@@ -85,12 +85,12 @@
 	at      time.Time     // since when the state has its Seq
 	changed chan struct{} // closed when something more is in force
 	words   map[string]heard
-	heard   bool                  // noted on the disk: the loop that renews has it
-	heardOf map[uint64]string     // raft ids by the messages that came
-	marks   map[string]agree.Mark // how far lives of others have come, by what they said
-	attempt time.Duration         // the longest from an attempt's order until it runs no more
-	warm    time.Duration         // until a started runner is warm
-	voice   *voice                // nil: another process of this dispatcher has it, or we are not in yet
+	heard   bool                      // noted on the disk: the loop that renews has it
+	heardOf map[uint64]string         // raft ids by the messages that came
+	marks   map[string]consensus.Mark // how far lives of others have come, by what they said
+	attempt time.Duration             // the longest from an attempt's order until it runs no more
+	warm    time.Duration             // until a started runner is warm
+	voice   *voice                    // nil: another process of this dispatcher has it, or we are not in yet
 }
 
 // heard is what a member told last.
@@ -102,14 +102,14 @@
 // voice is this process's place in the group.
 type voice struct {
 	links *group.Links
-	who   agree.Identity
-	agree *agree.Agree // nil: outside of the group
+	who   consensus.Identity
+	agree *consensus.Agree // nil: outside of the group
 	began time.Time
 
-	founding chan bool     // staff's word to begin the group here, and whether there was one before
-	strange  chan struct{} // the group does not know this life: another is to be begun
-	vouched  chan struct{} // staff's word that the disk is its last one
-	mark     agree.Mark    // that the disk had at the start
+	founding chan bool      // staff's word to begin the group here, and whether there was one before
+	strange  chan struct{}  // the group does not know this life: another is to be begun
+	vouched  chan struct{}  // staff's word that the disk is its last one
+	mark     consensus.Mark // that the disk had at the start
 }
 
 // report is a member's word to the leader.
@@ -144,7 +144,7 @@
 func Start(o Options) *Council {
 	ctx, quit := context.WithCancel(context.Background())
 	c := &Council{o: o, quit: quit, done: make(chan struct{}), state: outage.New(), at: time.Now(), changed: make(chan struct{}), words: map[string]heard{},
-		heardOf: map[uint64]string{}, marks: map[string]agree.Mark{}, attempt: o.Deadline + o.Arrive, warm: o.Warm}
+		heardOf: map[uint64]string{}, marks: map[string]consensus.Mark{}, attempt: o.Deadline + o.Arrive, warm: o.Warm}
 	o.Dispatcher.AttemptsMost(o.Deadline)
 	o.Dispatcher.Blind(o.Group.Plans && !plant.On(plant.SeesAnyway))
 	go c.run(ctx)
@@ -278,27 +278,27 @@
 
 // openDisk opens our folder, or begins one with a new life. Where the system refuses the folder we keep nothing, and take part
 // all the same: without a place in the group this dispatcher would send nothing.
-func (c *Council) openDisk() (*agree.Disk, error) {
+func (c *Council) openDisk() (*consensus.Disk, error) {
 	who, err := newLife(&c.o)
 	if err != nil {
 		return nil, err
 	}
-	d, err := agree.OpenDisk(c.o.Group.Folder, who)
+	d, err := consensus.OpenDisk(c.o.Group.Folder, who)
 	if err == nil || errors.Is(err, keep.ErrTaken) || errors.Is(err, keep.ErrForeign) {
 		return d, err
 	}
 	c.o.Log.WithError(err).Error("the group's folder cannot be used: what is settled is not kept over a restart of this member")
-	return agree.OpenDisk("", who)
+	return consensus.OpenDisk("", who)
 }
 
-func tellUnreadable(log logrus.FieldLogger, d *agree.Disk) {
+func tellUnreadable(log logrus.FieldLogger, d *consensus.Disk) {
 	log.WithError(d.Unreadable).Error("what this member kept cannot be read: it begins another life")
 }
 
 // newLife is who we are if our folder is empty.
-func newLife(o *Options) (agree.Identity, error) {
+func newLife(o *Options) (consensus.Identity, error) {
 	id, err := rand.Int(rand.Reader, new(big.Int).SetUint64(1<<62))
-	return agree.Identity{Group: o.Group.Name, Name: o.Self, Life: rand.Text()[:10], ID: id.Uint64() + 1}, err
+	return consensus.Identity{Group: o.Group.Name, Name: o.Self, Life: rand.Text()[:10], ID: id.Uint64() + 1}, err
 }
 
 // Check tells, by key of the operator's file, why a process that is alone cannot take part: its link's address is in use, or its
@@ -320,7 +320,7 @@
 	if err != nil {
 		return err
 	}
-	switch d, err := agree.OpenDisk(o.Group.Folder, who); {
+	switch d, err := consensus.OpenDisk(o.Group.Folder, who); {
 	case err == nil:
 		if d.Unreadable != nil {
 			tellUnreadable(o.Log, d)
@@ -333,11 +333,11 @@
 }
 
 // witness opens the note beside the disk; nil where there is none.
-func (c *Council) witness() *agree.Witness {
+func (c *Council) witness() *consensus.Witness {
 	if c.o.Witness == "" {
 		return nil
 	}
-	w, err := agree.OpenWitness(c.o.Witness)
+	w, err := consensus.OpenWitness(c.o.Witness)
 	if err != nil {
 		c.o.Log.WithError(err).Warn("after a restart this member will have to ask the others whether its disk is the last one")
 	}
@@ -347,7 +347,7 @@
 // goOnWith takes part by what the disk has, once it is known not to be one of before: that would vote as if it remembered, and its
 // plans are not all. A note beside it tells, or enough others do: of those that settled an entry with this life, or elected somebody,
 // at least one is among any so many. What they have bounds what it may have said and forgotten.
-func (c *Council) goOnWith(ctx context.Context, v *voice, disk *agree.Disk) {
+func (c *Council) goOnWith(ctx context.Context, v *voice, disk *consensus.Disk) {
 	w := c.witness()
 	was, known := w.Knows(v.who.Life)
 	if plant.On(plant.TrustsDisk) {
@@ -375,7 +375,7 @@
 			c.begin(v, disk, w, nil, known)
 			return
 		case len(others) >= need:
-			bound := agree.Mark{}
+			bound := consensus.Mark{}
 			for _, m := range others {
 				bound = bound.Cover(m)
 			}
@@ -401,9 +401,9 @@
 
 // begin takes part in the agreement by what the disk has. bound is what it may have said and forgotten; proven tells that there is no
 // such thing.
-func (c *Council) begin(v *voice, disk *agree.Disk, w *agree.Witness, bound *agree.Mark, proven bool) {
+func (c *Council) begin(v *voice, disk *consensus.Disk, w *consensus.Witness, bound *consensus.Mark, proven bool) {
 	who := disk.Who() // from the start on the disk is the loop's
-	a, err := agree.Start(agree.Options{Disk: disk, Witness: w, Bound: bound, Machine: c, Send: c.send, Log: c.o.Log})
+	a, err := consensus.Start(consensus.Options{Disk: disk, Witness: w, Bound: bound, Machine: c, Send: c.send, Log: c.o.Log})
 	if err != nil {
 		c.o.Log.WithError(err).Error("this member takes no part in the group's agreement; it serves on")
 		return
@@ -420,8 +420,8 @@
 
 // recall asks the others whether our disk is older than what this life has said to them, and how far they are: voters' answers, by
 // name.
-func (c *Council) recall(ctx context.Context, v *voice) (others map[string]agree.Mark, forgot bool) {
-	others = map[string]agree.Mark{}
+func (c *Council) recall(ctx context.Context, v *voice) (others map[string]consensus.Mark, forgot bool) {
+	others = map[string]consensus.Mark{}
 	ask, err := json.Marshal(v.mark)
 	if err != nil {
 		return others, false
@@ -437,7 +437,7 @@
 		all.Go(func() {
 			raw, err := c.ask(ctx, v, p.Name, pathRecall, ask)
 			var no *group.Refused
-			var its agree.Mark
+			var its consensus.Mark
 			mu.Lock()
 			defer mu.Unlock()
 			forgot = forgot || errors.As(err, &no) && no.Text == forgotText
@@ -451,7 +451,7 @@
 }
 
 // enter asks the others to be taken in, until it is.
-func (c *Council) enter(ctx context.Context, v *voice, disk *agree.Disk) {
+func (c *Council) enter(ctx context.Context, v *voice, disk *consensus.Disk) {
 	ask, err := json.Marshal(joining{Name: c.o.Self, Life: v.who.Life, ID: v.who.ID})
 	if err != nil {
 		return
@@ -543,7 +543,7 @@
 }
 
 // agreement is our part in it; nil where we have none.
-func (c *Council) agreement() *agree.Agree {
+func (c *Council) agreement() *consensus.Agree {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.voice == nil {
--- a/internal/coordinator/council_test.go
+++ b/internal/coordinator/council_test.go
@@ -20,8 +20,8 @@
 	"github.com/sirupsen/logrus/hooks/test"
 	"go.uber.org/goleak"
 
-	"birchfork/internal/agree"
 	"birchfork/internal/config"
+	"birchfork/internal/consensus"
 	"birchfork/internal/engine"
 	"birchfork/internal/group"
 	"birchfork/internal/outage"
@@ -533,9 +533,9 @@
 		g := config.Group{Name: "g", Plans: true, Lease: time.Second, Folder: t.TempDir(), Peers: []group.Peer{
 			{Name: "d0", Link: "127.83.8.1:0", Voter: true}, {Name: "d1", Link: "127.83.8.2:1"},
 		}}
-		d, err := agree.OpenDisk(g.Folder, agree.Identity{Group: "g", Name: "d0", Life: "l", ID: 7})
+		d, err := consensus.OpenDisk(g.Folder, consensus.Identity{Group: "g", Name: "d0", Life: "l", ID: 7})
 		if err == nil {
-			err = agree.Found(d, "f", []byte(`{"seq":3}`))
+			err = consensus.Found(d, "f", []byte(`{"seq":3}`))
 		}
 		if err == nil && heard {
 			err = d.Hear()
--- a/internal/coordinator/golden_test.go
+++ b/internal/coordinator/golden_test.go
@@ -22,8 +22,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"birchfork/internal/agree"
 	"birchfork/internal/config"
+	"birchfork/internal/consensus"
 	"birchfork/internal/group"
 	"birchfork/internal/keep"
 	"birchfork/internal/outage"
@@ -115,7 +115,7 @@
 		"join-reply.json":    filled[joined](),
 		"status-report.json": filled[report](),
 		"lease-grant.json":   filled[grant](),
-		"recall.json":        filled[agree.Mark](),
+		"recall.json":        filled[consensus.Mark](),
 		"operator-call.json": filled[Call](),
 		"operator-reply.json": func() *Reply {
 			r := filled[Reply]()
@@ -170,7 +170,7 @@
 	var out bytes.Buffer
 	for _, v := range []any{
 		forgotText, outsideText, NotSettled, doubtText, errOutside, errNotLead, errWaits, errBound, errStranger,
-		agree.ErrNoLeader, agree.ErrStopped, agree.ErrBusy,
+		consensus.ErrNoLeader, consensus.ErrStopped, consensus.ErrBusy,
 	} {
 		fmt.Fprintln(&out, v)
 	}
@@ -283,7 +283,7 @@
 	defer r.close()
 	r.group.Peers = r.group.Peers[:2]
 	r.group.Peers[1].Voter = false // it is never there, and must not come to vote
-	d, err := agree.OpenDisk(r.folders[0], agree.Identity{Group: "g", Name: "d0", Life: "l0", ID: 7})
+	d, err := consensus.OpenDisk(r.folders[0], consensus.Identity{Group: "g", Name: "d0", Life: "l0", ID: 7})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -292,7 +292,7 @@
 	s.Members["d0"] = &outage.Member{Name: "d0", Life: "l0", ID: 7, Voter: true}
 	raw, err := s.Encode()
 	if err == nil {
-		err = agree.Found(d, "f0", raw)
+		err = consensus.Found(d, "f0", raw)
 	}
 	if err == nil {
 		err = d.Close()
--- a/internal/coordinator/member.go
+++ b/internal/coordinator/member.go
@@ -10,7 +10,7 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"birchfork/internal/agree"
+	"birchfork/internal/consensus"
 	"birchfork/internal/group"
 	"birchfork/internal/outage"
 	"birchfork/internal/plant"
@@ -62,7 +62,7 @@
 		return nil, err
 	})
 	l.Handle(pathRecall, func(_ context.Context, from group.Sender, body []byte) ([]byte, error) {
-		var has agree.Mark
+		var has consensus.Mark
 		if err := json.Unmarshal(body, &has); err != nil {
 			return nil, &group.Refused{Text: "no mark: " + err.Error()}
 		}
@@ -381,7 +381,7 @@
 }
 
 // goOn proposes what has been heard, where that settles anything.
-func (c *Council) goOn(ctx context.Context, a *agree.Agree) {
+func (c *Council) goOn(ctx context.Context, a *consensus.Agree) {
 	c.mu.Lock()
 	adv := c.advance()
 	if silent, older := c.lacking(2); len(silent)+len(older) == 0 {
@@ -447,7 +447,7 @@
 func (c *Council) sightLasts() time.Duration { return max(c.state.Bound, sightWords*idleEvery) }
 
 // tend keeps who votes as the file has it: one settled change at a time.
-func (c *Council) tend(ctx context.Context, a *agree.Agree) {
+func (c *Council) tend(ctx context.Context, a *consensus.Agree) {
 	s := a.Status()
 	caught := a.Caught(ctx)
 	var changes []*raftpb.ConfChangeSingle
--- a/internal/coordinator/staff.go
+++ b/internal/coordinator/staff.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"birchfork/internal/agree"
+	"birchfork/internal/consensus"
 	"birchfork/internal/group"
 	"birchfork/internal/outage"
 	"birchfork/internal/plant"
@@ -299,7 +299,7 @@
 }
 
 // settle proposes a command and waits for its answer.
-func (c *Council) settle(ctx context.Context, a *agree.Agree, cmd *outage.Command) ([]byte, error) {
+func (c *Council) settle(ctx context.Context, a *consensus.Agree, cmd *outage.Command) ([]byte, error) {
 	raw, err := entry(cmd)
 	if err != nil {
 		return nil, err
@@ -425,7 +425,7 @@
 }
 
 // foundHere begins the group on our disk.
-func (c *Council) foundHere(v *voice, disk *agree.Disk, again bool) error {
+func (c *Council) foundHere(v *voice, disk *consensus.Disk, again bool) error {
 	if !disk.Empty() {
 		return errors.New("the group's folder is not empty")
 	}
@@ -437,7 +437,7 @@
 	if err != nil {
 		return err
 	}
-	if err := agree.Found(disk, rand.Text()[:10], raw); err != nil {
+	if err := consensus.Found(disk, rand.Text()[:10], raw); err != nil {
 		return err
 	}
 	c.begin(v, disk, c.witness(), nil, true)
--- a/internal/lab/histories/histories.go
+++ b/internal/lab/histories/histories.go
@@ -19,7 +19,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"birchfork/internal/agree"
+	"birchfork/internal/consensus"
 	"birchfork/internal/outage"
 )
 
@@ -156,8 +156,8 @@
 	index   int
 	id      uint64
 	life    string
-	disk    *agree.Disk
-	core    *agree.Core // nil: it is down
+	disk    *consensus.Disk
+	core    *consensus.Core // nil: it is down
 	state   *outage.State
 	had     time.Duration // since when the state has its Seq, on its own clock
 	since   time.Duration // of this process
@@ -279,7 +279,7 @@
 	m.id, m.life = w.next, fmt.Sprintf("life%d", w.next)
 	w.ids[m.id] = m.index
 	var err error
-	if m.disk, err = agree.OpenDisk("", agree.Identity{Name: fmt.Sprint(m.index), Life: m.life, ID: m.id}); err != nil {
+	if m.disk, err = consensus.OpenDisk("", consensus.Identity{Name: fmt.Sprint(m.index), Life: m.life, ID: m.id}); err != nil {
 		return err
 	}
 	if found {
@@ -290,7 +290,7 @@
 		if err != nil {
 			return err
 		}
-		if err := agree.Found(m.disk, "f", raw); err != nil {
+		if err := consensus.Found(m.disk, "f", raw); err != nil {
 			return err
 		}
 	}
@@ -303,7 +303,7 @@
 	m.state, m.had, m.since, m.until, m.words, m.heard = outage.New(), m.clock(), w.now, 0, map[string]outage.Word{}, w.ticks
 	m.knows = m.disk.Who().Heard
 	m.wait = silence + w.r.IntN(silence)
-	m.core, err = agree.NewCore(agree.Options{Disk: m.disk, Machine: m, Log: nobody, Send: func(to uint64, raw []byte, _ bool) {
+	m.core, err = consensus.NewCore(consensus.Options{Disk: m.disk, Machine: m, Log: nobody, Send: func(to uint64, raw []byte, _ bool) {
 		msg := &raftpb.Message{}
 		if err := proto.Unmarshal(raw, msg); err != nil {
 			panic(err)
@@ -363,7 +363,7 @@
 }
 
 // safely carries out what may panic: a core that finds what cannot be takes part no more.
-func (m *member) safely(f func(*agree.Core)) {
+func (m *member) safely(f func(*consensus.Core)) {
 	if m.core == nil {
 		return
 	}
@@ -392,12 +392,12 @@
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
 		m.heard = w.ticks
 	}
-	m.safely(func(c *agree.Core) { c.Step(p.raft) })
+	m.safely(func(c *consensus.Core) { c.Step(p.raft) })
 }
 
 // member lets a member do what is due.
 func (w *world) member(m *member) {
-	m.safely(func(c *agree.Core) { c.Tick(true) })
+	m.safely(func(c *consensus.Core) { c.Tick(true) })
 	if m.core == nil {
 		return
 	}
@@ -416,7 +416,7 @@
 		w.lead(m)
 	} else if w.ticks-m.heard > m.wait && m.joined && slices.Contains(s.Voters, m.id) {
 		m.heard, m.wait = w.ticks, silence+w.r.IntN(silence)
-		m.safely((*agree.Core).Campaign)
+		m.safely((*consensus.Core).Campaign)
 	}
 	if w.ticks-m.asked >= int(renew/tick) {
 		m.asked = w.ticks
@@ -494,7 +494,7 @@
 		grant(0, nil)
 		return
 	}
-	l.safely(func(c *agree.Core) { c.Read(grant) })
+	l.safely(func(c *consensus.Core) { c.Read(grant) })
 }
 
 // take takes a member in as a follower.
@@ -507,7 +507,7 @@
 	}
 	m.joined = true
 	learner := raftpb.ConfChangeAddLearnerNode
-	l.safely(func(c *agree.Core) { c.Change([]*raftpb.ConfChangeSingle{{Type: &learner, NodeId: &m.id}}, raw) })
+	l.safely(func(c *consensus.Core) { c.Change([]*raftpb.ConfChangeSingle{{Type: &learner, NodeId: &m.id}}, raw) })
 }
 
 // lead proposes what has been heard, and who votes.
@@ -542,7 +542,7 @@
 				changes = append(changes, &raftpb.ConfChangeSingle{Type: &remove, NodeId: &o.ID})
 			}
 		}
-		m.safely(func(c *agree.Core) { c.Change(changes, nil) })
+		m.safely(func(c *consensus.Core) { c.Change(changes, nil) })
 		return
 	}
 }
@@ -627,7 +627,7 @@
 	}
 	w.result.Cost[m.index].Proposed += len(raw)
 	w.offered[string(raw)] = w.now
-	m.safely(func(k *agree.Core) { k.Propose(raw) })
+	m.safely(func(k *consensus.Core) { k.Propose(raw) })
 }
 
 // sends has a member send to machines, as its lease lets it, and judges each send.
@@ -774,7 +774,7 @@
 		var err error
 		switch {
 		case lost && w.o.Fault == Forgets:
-			if m.disk, err = agree.OpenDisk("", m.disk.Who()); err == nil {
+			if m.disk, err = consensus.OpenDisk("", m.disk.Who()); err == nil {
 				err = w.start(m)
 			}
 		case lost:
