--- a/cmd/birchfork/outage.go
+++ b/cmd/birchfork/outage.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"birchfork/internal/coordinator"
-	"birchfork/internal/outage"
+	"birchfork/internal/maintenance"
 	"birchfork/internal/spread"
 	"birchfork/internal/tomlfile"
 )
@@ -110,9 +110,9 @@
 		return err
 	}
 	switch {
-	case r.Code == outage.NotNow:
+	case r.Code == maintenance.NotNow:
 		return &notNow{r.Text}
-	case r.Code != outage.Yes:
+	case r.Code != maintenance.Yes:
 		return errors.New(r.Text)
 	case !m.JSON && r.Text != "":
 		fmt.Fprintln(out.std, r.Text)
@@ -128,7 +128,7 @@
 	return m.tell(out, r)
 }
 
-func (m *members) command(out output, c outage.Command) error {
+func (m *members) command(out output, c maintenance.Command) error {
 	return m.do(out, coordinator.Call{Command: &c})
 }
 
@@ -155,7 +155,9 @@
 type groupTrust struct{ members }
 
 // Run lets plans begin after the group was founded again.
-func (g *groupTrust) Run(out output) error { return g.command(out, outage.Command{Kind: outage.Trust}) }
+func (g *groupTrust) Run(out output) error {
+	return g.command(out, maintenance.Command{Kind: maintenance.Trust})
+}
 
 type groupRetire struct {
 	members
@@ -164,7 +166,7 @@
 
 // Run retires a member.
 func (g *groupRetire) Run(out output) error {
-	return g.command(out, outage.Command{Kind: outage.Retire, Name: g.Name})
+	return g.command(out, maintenance.Command{Kind: maintenance.Retire, Name: g.Name})
 }
 
 type groupStatus struct {
@@ -247,24 +249,24 @@
 }
 
 // loadPlan reads a plan; the error names every fault that the file alone shows.
-func loadPlan(path string) (*outage.Plan, *tomlfile.Doc, error) {
+func loadPlan(path string) (*maintenance.Plan, *tomlfile.Doc, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, fmt.Errorf("reading the plan: %w", err)
 	}
-	f := planFile{Out: 1, Overdue: outage.Wait}
+	f := planFile{Out: 1, Overdue: maintenance.Wait}
 	d := tomlfile.Read(path, raw, &f)
 	if len(d.Faults()) > 0 {
 		return nil, nil, d.Err()
 	}
-	p := &outage.Plan{
+	p := &maintenance.Plan{
 		Name: f.Name, Out: f.Out, ZoneOut: f.ZoneOut, KindOut: f.KindOut, Capacity: f.Capacity, Leave: f.Leave, Work: f.Work,
 		Back: f.Back, Overdue: f.Overdue,
 	}
 	for _, m := range f.Machines {
-		p.Machines = append(p.Machines, outage.Machine{Name: m.Name, Runners: m.Runners, Host: m.Host})
+		p.Machines = append(p.Machines, maintenance.Machine{Name: m.Name, Runners: m.Runners, Host: m.Host})
 	}
-	return p, d, byLine(d, outage.New().Faults(p))
+	return p, d, byLine(d, maintenance.New().Faults(p))
 }
 
 // byLine gives faults that a plan's keys begin the lines of the file.
@@ -282,8 +284,8 @@
 	if err != nil {
 		return err
 	}
-	r, err := m.ask(coordinator.Call{Command: &outage.Command{Kind: outage.HandIn, Plan: p}, Check: check})
-	if err == nil && r.Code == outage.Wrong && !m.JSON {
+	r, err := m.ask(coordinator.Call{Command: &maintenance.Command{Kind: maintenance.HandIn, Plan: p}, Check: check})
+	if err == nil && r.Code == maintenance.Wrong && !m.JSON {
 		return byLine(d, strings.Split(r.Text, "\n"))
 	}
 	if err != nil {
@@ -323,22 +325,22 @@
 
 // Run lets the plan begin.
 func (o *outageStart) Run(out output) error {
-	return o.command(out, outage.Command{Kind: outage.Start, Name: o.Name})
+	return o.command(out, maintenance.Command{Kind: maintenance.Start, Name: o.Name})
 }
 
 // Run pauses the plan.
 func (o *outagePause) Run(out output) error {
-	return o.command(out, outage.Command{Kind: outage.Halt, Name: o.Name})
+	return o.command(out, maintenance.Command{Kind: maintenance.Halt, Name: o.Name})
 }
 
 // Run resumes the plan.
 func (o *outageResume) Run(out output) error {
-	return o.command(out, outage.Command{Kind: outage.Resume, Name: o.Name})
+	return o.command(out, maintenance.Command{Kind: maintenance.Resume, Name: o.Name})
 }
 
 // Run aborts the plan.
 func (o *outageAbort) Run(out output) error {
-	return o.command(out, outage.Command{Kind: outage.Abort, Name: o.Name})
+	return o.command(out, maintenance.Command{Kind: maintenance.Abort, Name: o.Name})
 }
 
 // ofMachine is a call on one machine.
@@ -360,11 +362,11 @@
 		end = time.Now().Add(o.For)
 	}
 	for {
-		r, err := o.ask(coordinator.Call{Command: &outage.Command{Kind: outage.Take, Name: o.Plan, Machine: o.Machine}})
+		r, err := o.ask(coordinator.Call{Command: &maintenance.Command{Kind: maintenance.Take, Name: o.Plan, Machine: o.Machine}})
 		if err != nil {
 			return err
 		}
-		if r.Code != outage.NotNow || !end.IsZero() && time.Now().After(end) {
+		if r.Code != maintenance.NotNow || !end.IsZero() && time.Now().After(end) {
 			return o.tell(out, r)
 		}
 		time.Sleep(waitEvery)
@@ -378,12 +380,12 @@
 
 // Run gives a machine back.
 func (o *outageDone) Run(out output) error {
-	return o.command(out, outage.Command{Kind: outage.Return, Name: o.Plan, Machine: o.Machine})
+	return o.command(out, maintenance.Command{Kind: maintenance.Return, Name: o.Plan, Machine: o.Machine})
 }
 
 // Run leaves a machine out.
 func (o *outageSkip) Run(out output) error {
-	return o.command(out, outage.Command{Kind: outage.GiveUp, Name: o.Plan, Machine: o.Machine})
+	return o.command(out, maintenance.Command{Kind: maintenance.GiveUp, Name: o.Plan, Machine: o.Machine})
 }
 
 type outageStatus struct {
--- a/internal/coordinator/client.go
+++ b/internal/coordinator/client.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"birchfork/internal/group"
-	"birchfork/internal/outage"
+	"birchfork/internal/maintenance"
 )
 
 // Times of a call.
@@ -42,7 +42,7 @@
 		case err != nil && ctx.Err() != nil && i > 0: // our own time is up: what was wrong before tells more
 		case err != nil:
 			last = err
-		case r.Code == outage.NotNow && strings.HasPrefix(r.Text, NotSettled):
+		case r.Code == maintenance.NotNow && strings.HasPrefix(r.Text, NotSettled):
 			if last = errors.New(r.Text); r.Status != nil && i >= len(c.At)-1 {
 				return r, nil // what a member knew last
 			}
@@ -50,5 +50,5 @@
 			return r, nil
 		}
 	}
-	return &Reply{Code: outage.NotNow, Text: fmt.Sprintf("no member has settled it: %v", last)}, nil
+	return &Reply{Code: maintenance.NotNow, Text: fmt.Sprintf("no member has settled it: %v", last)}, nil
 }
--- a/internal/coordinator/council.go
+++ b/internal/coordinator/council.go
@@ -1,5 +1,5 @@
 // Package coordinator is one member's part in a group of dispatchers: it joins, renews the lease, puts what is settled in force
-// at its own dispatcher, and while it leads, has the plans go on. What is decided stands in internal/outage, agreement in
+// at its own dispatcher, and while it leads, has the plans go on. What is decided stands in internal/maintenance, agreement in
 // internal/consensus; here they meet the links and the dispatcher.
 package coordinator
 
@@ -24,7 +24,7 @@
 	"birchfork/internal/engine"
 	"birchfork/internal/group"
 	"birchfork/internal/keep"
-	"birchfork/internal/outage"
+	"birchfork/internal/maintenance"
 	"birchfork/internal/plant"
 )
 
@@ -81,7 +81,7 @@
 	closing atomic.Bool
 
 	mu      sync.Mutex
-	state   *outage.State
+	state   *maintenance.State
 	at      time.Time     // since when the state has its Seq
 	changed chan struct{} // closed when something more is in force
 	words   map[string]heard
@@ -115,7 +115,7 @@
 // report is a member's word to the leader.
 type report struct {
 	Name string `json:"name"`
-	outage.Word
+	maintenance.Word
 	Bound time.Duration `json:"bound"`
 	Warm  time.Duration `json:"warm"`
 	Plans bool          `json:"plans"`
@@ -143,7 +143,7 @@
 // Start takes part. It returns at once: until the group is heard of, the dispatcher is blind where plans are in use.
 func Start(o Options) *Council {
 	ctx, quit := context.WithCancel(context.Background())
-	c := &Council{o: o, quit: quit, done: make(chan struct{}), state: outage.New(), at: time.Now(), changed: make(chan struct{}), words: map[string]heard{},
+	c := &Council{o: o, quit: quit, done: make(chan struct{}), state: maintenance.New(), at: time.Now(), changed: make(chan struct{}), words: map[string]heard{},
 		heardOf: map[uint64]string{}, marks: map[string]consensus.Mark{}, attempt: o.Deadline + o.Arrive, warm: o.Warm}
 	o.Dispatcher.AttemptsMost(o.Deadline)
 	o.Dispatcher.Blind(o.Group.Plans && !plant.On(plant.SeesAnyway))
@@ -560,7 +560,7 @@
 		if m.ID == id {
 			return m.Name
 		}
-		if slices.ContainsFunc(m.Old, func(l outage.Life) bool { return l.ID == id }) {
+		if slices.ContainsFunc(m.Old, func(l maintenance.Life) bool { return l.ID == id }) {
 			return "" // nobody listens under that id any more
 		}
 	}
@@ -621,7 +621,7 @@
 }
 
 // guardOf is what a state binds a dispatcher to.
-func guardOf(s *outage.State) engine.Guard {
+func guardOf(s *maintenance.State) engine.Guard {
 	away, leased := s.Away(), s.Leased()
 	return engine.Guard{Away: away.Runners, AwayAt: away.Hosts, Leased: leased.Runners, LeasedAt: leased.Hosts}
 }
@@ -646,7 +646,7 @@
 }
 
 // carryOut changes the state by an entry. It panics at one of a newer build, and the agreement's loop ends our part then.
-func (c *Council) carryOut(index uint64, data []byte) ([]outage.Event, engine.Guard) {
+func (c *Council) carryOut(index uint64, data []byte) ([]maintenance.Event, engine.Guard) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	was := c.state.Seq
@@ -673,7 +673,7 @@
 
 // Restore takes a settled state over; agree calls it.
 func (c *Council) Restore(data []byte) error {
-	s, err := outage.Decode(data)
+	s, err := maintenance.Decode(data)
 	if err != nil {
 		return err
 	}
--- a/internal/coordinator/council_test.go
+++ b/internal/coordinator/council_test.go
@@ -24,7 +24,7 @@
 	"birchfork/internal/consensus"
 	"birchfork/internal/engine"
 	"birchfork/internal/group"
-	"birchfork/internal/outage"
+	"birchfork/internal/maintenance"
 )
 
 // hand is a dispatcher that notes what it is told.
@@ -135,7 +135,7 @@
 // found founds the group, all being there.
 func (r *room) found() {
 	r.t.Helper()
-	r.until("it is founded", func() bool { return r.call(0, -1, Call{Found: true}).Code == outage.Yes })
+	r.until("it is founded", func() bool { return r.call(0, -1, Call{Found: true}).Code == maintenance.Yes })
 	r.until("all vote and have a lease", func() bool {
 		s := r.call(0, -1, Call{Status: true}).Status
 		votes := 0
@@ -177,7 +177,7 @@
 	}
 }
 
-func (r *room) step(machine string) (step outage.Step, why string) {
+func (r *room) step(machine string) (step maintenance.Step, why string) {
 	s := r.call(1, -1, Call{Status: true}).Status
 	if s == nil || len(s.Plans) == 0 {
 		return "", ""
@@ -190,7 +190,7 @@
 	return "", ""
 }
 
-var thePlan = &outage.Plan{Name: "p", Out: 1, Overdue: outage.Wait, Machines: []outage.Machine{{Name: "m1", Runners: []string{"r1"}}}}
+var thePlan = &maintenance.Plan{Name: "p", Out: 1, Overdue: maintenance.Wait, Machines: []maintenance.Machine{{Name: "m1", Runners: []string{"r1"}}}}
 
 // Three members in one process: any takes calls, what is settled is in force at each, a word at one door counts against the
 // budget of all, and nothing is left behind.
@@ -203,7 +203,7 @@
 	// One that does not answer may be in the group: it is not founded, and nobody takes it that there are no plans.
 	r.until("it is told who does not answer", func() bool {
 		a := r.call(0, -1, Call{Found: true})
-		return a.Code == outage.NotNow && strings.Contains(a.Text, "d2: ")
+		return a.Code == maintenance.NotNow && strings.Contains(a.Text, "d2: ")
 	})
 	time.Sleep(2 * joinEvery)
 	if _, _, _, blind := r.hands[0].see(); !blind {
@@ -215,16 +215,16 @@
 	r.hands[2].set(func() { r.hands[2].hand = true })
 	r.hands[1].set(func() { r.hands[1].alive = 1 })
 	unfit := *thePlan
-	unfit.Machines = []outage.Machine{{Name: "m", Runners: []string{"nobody", "r1"}}, {Name: "h", Host: "h1"}, {Name: "k", Host: "nowhere"}}
-	told := r.call(1, outage.Wrong, Call{Command: &outage.Command{Kind: outage.HandIn, Plan: &unfit}})
+	unfit.Machines = []maintenance.Machine{{Name: "m", Runners: []string{"nobody", "r1"}}, {Name: "h", Host: "h1"}, {Name: "k", Host: "nowhere"}}
+	told := r.call(1, maintenance.Wrong, Call{Command: &maintenance.Command{Kind: maintenance.HandIn, Plan: &unfit}})
 	for _, want := range []string{`machine[0].runners: "nobody"`, `"r1" is at the host of machine[1]`, `machine[2].host: no runner is listed at "nowhere"`} {
 		if !strings.Contains(told.Text, want) {
 			t.Errorf("%q is not in %q", want, told.Text)
 		}
 	}
-	r.call(1, outage.Yes, Call{Command: &outage.Command{Kind: outage.HandIn, Plan: thePlan}, Check: true})
-	r.call(1, outage.Yes, Call{Command: &outage.Command{Kind: outage.HandIn, Plan: thePlan}})
-	r.call(2, outage.Yes, Call{Command: &outage.Command{Kind: outage.Start, Name: "p"}})
+	r.call(1, maintenance.Yes, Call{Command: &maintenance.Command{Kind: maintenance.HandIn, Plan: thePlan}, Check: true})
+	r.call(1, maintenance.Yes, Call{Command: &maintenance.Command{Kind: maintenance.HandIn, Plan: thePlan}})
+	r.call(2, maintenance.Yes, Call{Command: &maintenance.Command{Kind: maintenance.Start, Name: "p"}})
 	r.until("it waits for one with two processes", func() bool {
 		s := r.call(0, -1, Call{Status: true}).Status
 		return s != nil && s.Plans[0].Why == "waits until members have it in force: [d1]"
@@ -236,14 +236,14 @@
 	})
 	r.hands[2].set(func() { r.hands[2].hand = false })
 	r.until("it is clear", func() bool {
-		return r.call(2, -1, Call{Command: &outage.Command{Kind: outage.Take, Machine: "m1"}}).Code == outage.Yes
+		return r.call(2, -1, Call{Command: &maintenance.Command{Kind: maintenance.Take, Machine: "m1"}}).Code == maintenance.Yes
 	})
 	for i, h := range r.hands {
 		if away, leased, _, _ := h.see(); away != 1 || leased != 1 {
 			t.Errorf("at member %d: %d away, %d under the lease", i, away, leased)
 		}
 	}
-	r.call(0, outage.Yes, Call{Command: &outage.Command{Kind: outage.Return, Machine: "m1"}})
+	r.call(0, maintenance.Yes, Call{Command: &maintenance.Command{Kind: maintenance.Return, Machine: "m1"}})
 	r.until("the plan is through", func() bool { _, leased, _, _ := r.hands[1].see(); return leased == 0 })
 }
 
@@ -354,21 +354,21 @@
 func TestWhatKeepsAPlan(t *testing.T) {
 	d := &hand{}
 	c := &Council{o: Options{Group: &config.Group{Plans: true, Peers: []group.Peer{{Name: "d0"}, {Name: "d1"}}}, Dispatcher: d},
-		state: outage.New(), words: map[string]heard{}}
-	apply := func(cmd outage.Command) {
+		state: maintenance.New(), words: map[string]heard{}}
+	apply := func(cmd maintenance.Command) {
 		raw, err := json.Marshal(cmd)
 		if err != nil {
 			t.Fatal(err)
 		}
 		c.state.Apply(c.state.Index+1, raw)
 	}
-	plan := func(name string, m outage.Machine) *outage.Plan {
+	plan := func(name string, m maintenance.Machine) *maintenance.Plan {
 		m.Name = "m"
-		return &outage.Plan{Name: name, Out: 1, Overdue: outage.Wait, Machines: []outage.Machine{m}}
+		return &maintenance.Plan{Name: name, Out: 1, Overdue: maintenance.Wait, Machines: []maintenance.Machine{m}}
 	}
-	apply(outage.Command{Kind: outage.HandIn, Plan: plan("hosts", outage.Machine{Host: "h1"})})
-	apply(outage.Command{Kind: outage.HandIn, Plan: plan("names", outage.Machine{Runners: []string{"r0"}})})
-	for want, m := range map[string]outage.Machine{
+	apply(maintenance.Command{Kind: maintenance.HandIn, Plan: plan("hosts", maintenance.Machine{Host: "h1"})})
+	apply(maintenance.Command{Kind: maintenance.HandIn, Plan: plan("names", maintenance.Machine{Runners: []string{"r0"}})})
+	for want, m := range map[string]maintenance.Machine{
 		`"r1" is at host h1, which is in plan "hosts"`: {Runners: []string{"r1"}},
 		`"r0", which is there, is in plan "names"`:     {Host: "h0"},
 	} {
@@ -381,15 +381,15 @@
 // While one member's build knows less of entries, or may, none that needs more is settled; what was settled already is.
 func TestOlderBuilds(t *testing.T) {
 	c := &Council{o: Options{Dispatcher: &hand{}, Group: &config.Group{Plans: true, Peers: []group.Peer{{Name: "d0"}, {Name: "d1"}}}},
-		state: outage.New(), words: map[string]heard{}}
+		state: maintenance.New(), words: map[string]heard{}}
 	for _, name := range []string{"d0", "d1"} {
-		c.state.Members[name] = &outage.Member{Name: name}
+		c.state.Members[name] = &maintenance.Member{Name: name}
 	}
 	level := func(n int) heard { return heard{report: report{Plans: true, Level: n}} }
 	c.words["d0"] = level(2)
-	ask := func(m outage.Machine) string {
+	ask := func(m maintenance.Machine) string {
 		m.Name = "m"
-		cmd := &outage.Command{ID: "1", Kind: outage.HandIn, Plan: &outage.Plan{Name: "p", Out: 1, Overdue: outage.Wait, Machines: []outage.Machine{m}}}
+		cmd := &maintenance.Command{ID: "1", Kind: maintenance.HandIn, Plan: &maintenance.Plan{Name: "p", Out: 1, Overdue: maintenance.Wait, Machines: []maintenance.Machine{m}}}
 		if r := c.before(&Call{Command: cmd}); r != nil {
 			return r.Text
 		}
@@ -405,10 +405,10 @@
 		{func() { c.words["d1"], c.state.Level = level(1), 2 }, "yes"}, // it cannot be in force there: see outage.Apply
 	} {
 		step.change()
-		if got := ask(outage.Machine{Host: "h1"}); got != step.host {
+		if got := ask(maintenance.Machine{Host: "h1"}); got != step.host {
 			t.Errorf("a plan by host: %q, want %q", got, step.host)
 		}
-		if got := ask(outage.Machine{Runners: []string{"r1"}}); got != "yes" {
+		if got := ask(maintenance.Machine{Runners: []string{"r1"}}); got != "yes" {
 			t.Errorf("a plan by name: %q", got)
 		}
 	}
@@ -426,7 +426,7 @@
 	r.group.Peers = slices.Clone(r.group.Peers)
 	r.group.Peers[0].Link = "127.83.7.9:1" // nobody is there
 	r.start(2)
-	r.until("it is founded", func() bool { return r.call(0, -1, Call{Found: true}).Code == outage.Yes })
+	r.until("it is founded", func() bool { return r.call(0, -1, Call{Found: true}).Code == maintenance.Yes })
 	r.until("the third is answered by the first", func() bool {
 		s := r.call(2, -1, Call{Status: true}).Status
 		return s != nil && s.Settled && s.Told == "d0" && len(s.Members) == 3
@@ -486,7 +486,7 @@
 	}
 	r.start(2)
 	r.until("it is back", func() bool { _, _, runs, _ := r.hands[2].see(); return runs })
-	r.call(0, outage.Yes, Call{Command: &outage.Command{Kind: outage.HandIn, Plan: thePlan}})
+	r.call(0, maintenance.Yes, Call{Command: &maintenance.Command{Kind: maintenance.HandIn, Plan: thePlan}})
 	r.until("it has heard of the plan", func() bool {
 		s := r.call(2, -1, Call{Status: true, Local: true}).Status
 		return s != nil && len(s.Plans) == 1
@@ -513,15 +513,15 @@
 	}
 	for i := range r.all {
 		if r.all[i].leads() {
-			raw, _ := json.Marshal(report{Name: "d2", Word: outage.Word{Life: was}})
+			raw, _ := json.Marshal(report{Name: "d2", Word: maintenance.Word{Life: was}})
 			if _, err := r.all[i].onReport(context.Background(), group.Sender{}, raw); !errors.Is(err, errStranger) {
 				t.Errorf("its earlier life: %v", err)
 			}
 		}
 	}
 	r.all[2].Close()
-	r.call(0, outage.Yes, Call{Command: &outage.Command{Kind: outage.Retire, Name: "d2"}})
-	if a := r.call(1, outage.NotNow, Call{Command: &outage.Command{Kind: outage.Start, Name: "p"}}); a.Text != "not in the group yet: d2" {
+	r.call(0, maintenance.Yes, Call{Command: &maintenance.Command{Kind: maintenance.Retire, Name: "d2"}})
+	if a := r.call(1, maintenance.NotNow, Call{Command: &maintenance.Command{Kind: maintenance.Start, Name: "p"}}); a.Text != "not in the group yet: d2" {
 		t.Errorf("a start without a member of the file: %+v", a)
 	}
 }
@@ -549,7 +549,7 @@
 		})
 		vouched := false // nobody else can tell whether the disk is its last one
 		for end := time.Now().Add(10 * time.Second); c.agreement() == nil && time.Now().Before(end); {
-			vouched = vouched || c.vouch().Code == outage.Yes
+			vouched = vouched || c.vouch().Code == maintenance.Yes
 			time.Sleep(time.Millisecond)
 		}
 		c.Close() // from here nothing changes
--- a/internal/coordinator/golden_test.go
+++ b/internal/coordinator/golden_test.go
@@ -26,7 +26,7 @@
 	"birchfork/internal/consensus"
 	"birchfork/internal/group"
 	"birchfork/internal/keep"
-	"birchfork/internal/outage"
+	"birchfork/internal/maintenance"
 )
 
 // The golden files hold each form in which this package stores or sends anything, as written by an earlier build. A difference means
@@ -102,9 +102,9 @@
 // Messages between members, operators' calls and replies, and entries of the log have the same JSON as before, and what an earlier
 // build wrote is read in full.
 func TestGolden_JSON(t *testing.T) {
-	state := filled[outage.State]()
-	state.Level = outage.Level // a higher one is of a newer build
-	command := filled[outage.Command]()
+	state := filled[maintenance.State]()
+	state.Level = maintenance.Level // a higher one is of a newer build
+	command := filled[maintenance.Command]()
 	raw, err := entry(command) // sets the level that the command needs
 	if err != nil {
 		t.Fatal(err)
@@ -161,7 +161,7 @@
 			Dispatcher: &hand{},
 			Log:        quiet(),
 		},
-		state: outage.New(), words: map[string]heard{}, changed: make(chan struct{}),
+		state: maintenance.New(), words: map[string]heard{}, changed: make(chan struct{}),
 	}
 }
 
@@ -176,7 +176,7 @@
 	}
 	c := alone()
 	for _, name := range []string{"d0", "d1"} {
-		c.state.Members[name] = &outage.Member{Name: name}
+		c.state.Members[name] = &maintenance.Member{Name: name}
 	}
 	answer := func(what string, call Call) {
 		reply := &Reply{Text: "(needs an entry)"}
@@ -185,62 +185,62 @@
 		}
 		fmt.Fprintf(&out, "%s: %d %q\n", what, reply.Code, reply.Text)
 	}
-	command := func(kind outage.Kind, change func(*outage.Command)) Call {
-		cmd := &outage.Command{ID: "id", Kind: kind, Name: "p", Machine: "m"}
+	command := func(kind maintenance.Kind, change func(*maintenance.Command)) Call {
+		cmd := &maintenance.Command{ID: "id", Kind: kind, Name: "p", Machine: "m"}
 		if change != nil {
 			change(cmd)
 		}
 		return Call{Command: cmd}
 	}
-	plan := func(machines ...outage.Machine) func(*outage.Command) {
-		return func(cmd *outage.Command) {
-			cmd.Plan = &outage.Plan{Name: "p", Out: 1, Overdue: outage.Wait, Machines: machines}
+	plan := func(machines ...maintenance.Machine) func(*maintenance.Command) {
+		return func(cmd *maintenance.Command) {
+			cmd.Plan = &maintenance.Plan{Name: "p", Out: 1, Overdue: maintenance.Wait, Machines: machines}
 		}
 	}
-	apply := func(cmd outage.Command) {
+	apply := func(cmd maintenance.Command) {
 		raw, err := json.Marshal(cmd)
 		if err != nil {
 			t.Fatal(err)
 		}
 		c.state.Apply(c.state.Index+1, raw)
 	}
-	byName, byHost := outage.Machine{Name: "m", Runners: []string{"r1"}}, outage.Machine{Name: "m", Host: "h1"}
+	byName, byHost := maintenance.Machine{Name: "m", Runners: []string{"r1"}}, maintenance.Machine{Name: "m", Host: "h1"}
 
-	answer("without an id", command(outage.Start, func(cmd *outage.Command) { cmd.ID = "" }))
-	answer("silent members", command(outage.HandIn, plan(byHost)))
-	answer("start, silent members", command(outage.Start, nil))
+	answer("without an id", command(maintenance.Start, func(cmd *maintenance.Command) { cmd.ID = "" }))
+	answer("silent members", command(maintenance.HandIn, plan(byHost)))
+	answer("start, silent members", command(maintenance.Start, nil))
 	c.words["d0"], c.words["d1"] = heard{report: report{Level: 1}}, heard{report: report{Level: 1, Plans: true}}
-	answer("older members", command(outage.HandIn, plan(byHost)))
-	answer("start, without plans", command(outage.Start, nil))
+	answer("older members", command(maintenance.HandIn, plan(byHost)))
+	answer("start, without plans", command(maintenance.Start, nil))
 	c.words["d0"], c.words["d1"] = heard{report: report{Level: 2, Plans: true}}, heard{report: report{Level: 2, Plans: true}}
-	answer("start", command(outage.Start, nil))
+	answer("start", command(maintenance.Start, nil))
 	c.state.Doubt = true
-	answer("start, doubt", command(outage.Start, nil))
+	answer("start, doubt", command(maintenance.Start, nil))
 	c.state.Doubt = false
-	answer("join", command(outage.Join, nil))
-	answer("advance", command(outage.Proceed, nil))
-	answer("no plan", command(outage.HandIn, nil))
-	answer("unfit", command(outage.HandIn, plan(
-		outage.Machine{Name: "a", Host: "nowhere"}, outage.Machine{Name: "b", Runners: []string{"nobody"}},
-		outage.Machine{Name: "c", Host: "h2"}, outage.Machine{Name: "d", Runners: []string{"r2"}},
+	answer("join", command(maintenance.Join, nil))
+	answer("advance", command(maintenance.Proceed, nil))
+	answer("no plan", command(maintenance.HandIn, nil))
+	answer("unfit", command(maintenance.HandIn, plan(
+		maintenance.Machine{Name: "a", Host: "nowhere"}, maintenance.Machine{Name: "b", Runners: []string{"nobody"}},
+		maintenance.Machine{Name: "c", Host: "h2"}, maintenance.Machine{Name: "d", Runners: []string{"r2"}},
 	)))
-	check := command(outage.HandIn, plan(byName))
+	check := command(maintenance.HandIn, plan(byName))
 	check.Check = true
 	answer("check", check)
-	answer("hand in", command(outage.HandIn, plan(byName)))
-	apply(outage.Command{ID: "first", Kind: outage.HandIn, Plan: &outage.Plan{Name: "p", Out: 1, Overdue: outage.Wait, Machines: []outage.Machine{byName}}})
-	answer("again", command(outage.HandIn, func(cmd *outage.Command) { cmd.ID = "first" }))
-	other := func(m outage.Machine) func(*outage.Command) {
-		return func(cmd *outage.Command) {
+	answer("hand in", command(maintenance.HandIn, plan(byName)))
+	apply(maintenance.Command{ID: "first", Kind: maintenance.HandIn, Plan: &maintenance.Plan{Name: "p", Out: 1, Overdue: maintenance.Wait, Machines: []maintenance.Machine{byName}}})
+	answer("again", command(maintenance.HandIn, func(cmd *maintenance.Command) { cmd.ID = "first" }))
+	other := func(m maintenance.Machine) func(*maintenance.Command) {
+		return func(cmd *maintenance.Command) {
 			plan(m)(cmd)
 			cmd.Plan.Name = "q"
 		}
 	}
-	answer("elsewhere by host", command(outage.HandIn, other(byHost)))
-	answer("wait", command(outage.Take, nil))
-	answer("pause", command(outage.Halt, nil))
+	answer("elsewhere by host", command(maintenance.HandIn, other(byHost)))
+	answer("wait", command(maintenance.Take, nil))
+	answer("pause", command(maintenance.Halt, nil))
 	delete(c.state.Members, "d1")
-	answer("start, not all in", command(outage.Start, nil))
+	answer("start, not all in", command(maintenance.Start, nil))
 	compareGolden(t, "texts.txt", out.Bytes())
 }
 
@@ -249,9 +249,9 @@
 	c := alone()
 	c.o.Dispatcher.(*hand).hand = true
 	c.state.Index, c.state.Bound = 7, 8*time.Second
-	c.state.Members["d0"] = &outage.Member{Name: "d0", Life: "l0", ID: 1, Voter: true}
-	c.state.Members["d1"] = &outage.Member{Name: "d1", Life: "l1", ID: 2, Voter: true}
-	raw, err := json.Marshal(outage.Command{Kind: outage.HandIn, Plan: thePlan})
+	c.state.Members["d0"] = &maintenance.Member{Name: "d0", Life: "l0", ID: 1, Voter: true}
+	c.state.Members["d1"] = &maintenance.Member{Name: "d1", Life: "l1", ID: 2, Voter: true}
+	raw, err := json.Marshal(maintenance.Command{Kind: maintenance.HandIn, Plan: thePlan})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -287,9 +287,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := outage.New()
+	s := maintenance.New()
 	s.Index = 1
-	s.Members["d0"] = &outage.Member{Name: "d0", Life: "l0", ID: 7, Voter: true}
+	s.Members["d0"] = &maintenance.Member{Name: "d0", Life: "l0", ID: 7, Voter: true}
 	raw, err := s.Encode()
 	if err == nil {
 		err = consensus.Found(d, "f0", raw)
--- a/internal/coordinator/member.go
+++ b/internal/coordinator/member.go
@@ -12,7 +12,7 @@
 
 	"birchfork/internal/consensus"
 	"birchfork/internal/group"
-	"birchfork/internal/outage"
+	"birchfork/internal/maintenance"
 	"birchfork/internal/plant"
 )
 
@@ -187,7 +187,7 @@
 		return nil, &group.Refused{Text: "an earlier life of " + j.Name}
 	}
 	if m == nil || m.Life != j.Life {
-		entry, err := json.Marshal(outage.Command{Kind: outage.Join, Member: &outage.Member{
+		entry, err := json.Marshal(maintenance.Command{Kind: maintenance.Join, Member: &maintenance.Member{
 			Name: j.Name, Life: j.Life, ID: j.ID, Voter: c.o.Group.Peers[i].Voter,
 		}})
 		if err != nil {
@@ -197,7 +197,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if err := c.until(ctx, func(s *outage.State) bool { m := s.Members[j.Name]; return m != nil && m.Life == j.Life }); err != nil {
+		if err := c.until(ctx, func(s *maintenance.State) bool { m := s.Members[j.Name]; return m != nil && m.Life == j.Life }); err != nil {
 			return nil, err
 		}
 	}
@@ -209,7 +209,7 @@
 }
 
 // until waits for a state.
-func (c *Council) until(ctx context.Context, ok func(*outage.State) bool) error {
+func (c *Council) until(ctx context.Context, ok func(*maintenance.State) bool) error {
 	for {
 		c.mu.Lock()
 		yes, changed := ok(c.state), c.changed
@@ -234,7 +234,7 @@
 		}
 		every := idleEvery
 		c.mu.Lock()
-		if err != nil || slices.ContainsFunc(c.state.Plans, func(u *outage.Under) bool { return u.Phase != outage.Ended }) {
+		if err != nil || slices.ContainsFunc(c.state.Plans, func(u *maintenance.Under) bool { return u.Phase != maintenance.Ended }) {
 			every = c.o.Group.Lease / renewPart
 		}
 		changed := c.changed
@@ -312,7 +312,7 @@
 	a := c.agreement()
 	c.mu.Lock()
 	v := c.voice
-	r := report{Name: c.o.Self, Bound: c.bound(), Warm: c.warm, Plans: c.o.Group.Plans, Level: outage.Knows()}
+	r := report{Name: c.o.Self, Bound: c.bound(), Warm: c.warm, Plans: c.o.Group.Plans, Level: maintenance.Knows()}
 	attempt := c.attempt
 	c.mu.Unlock()
 	if a == nil || v == nil {
@@ -392,7 +392,7 @@
 	if !useful {
 		return
 	}
-	raw, err := entry(&outage.Command{Kind: outage.Proceed, Advance: adv})
+	raw, err := entry(&maintenance.Command{Kind: maintenance.Proceed, Advance: adv})
 	if err == nil {
 		err = a.Propose(ctx, raw)
 	}
@@ -402,22 +402,22 @@
 }
 
 // entry is a command as it is settled.
-func entry(c *outage.Command) ([]byte, error) {
+func entry(c *maintenance.Command) ([]byte, error) {
 	c.Needs = c.Requires()
 	return json.Marshal(c)
 }
 
 // advance is all that has been heard. The lock is held.
-func (c *Council) advance() *outage.Advance {
-	adv := &outage.Advance{
+func (c *Council) advance() *maintenance.Advance {
+	adv := &maintenance.Advance{
 		Seq: c.state.Seq, Waited: time.Since(c.at), Bound: c.bound(), Warm: c.warm,
-		Words: map[string]outage.Word{}, Fleet: map[string]outage.Runner{},
+		Words: map[string]maintenance.Word{}, Fleet: map[string]maintenance.Runner{},
 	}
 	for _, w := range c.o.Dispatcher.Fleet(goneCounts, c.warm) {
-		adv.Fleet[w.Name] = outage.Runner{Zone: w.Zone, Kind: w.Kind, Host: w.Host, Weight: w.Weight, Down: w.Down, Gone: w.Gone, Cold: w.Cold,
+		adv.Fleet[w.Name] = maintenance.Runner{Zone: w.Zone, Kind: w.Kind, Host: w.Host, Weight: w.Weight, Down: w.Down, Gone: w.Gone, Cold: w.Cold,
 			Hand: w.Hand}
 	}
-	mark := func(names []string, f func(*outage.Runner)) {
+	mark := func(names []string, f func(*maintenance.Runner)) {
 		for _, name := range names {
 			if r, ok := adv.Fleet[name]; ok {
 				f(&r)
@@ -434,10 +434,10 @@
 		adv.Bound, adv.Warm = max(adv.Bound, h.Bound), max(adv.Warm, h.Warm)
 		// What staff said stays; what one that fell silent saw last is old by then, and would keep a plan for ever.
 		if time.Since(h.at) < c.sightLasts() {
-			mark(h.Down, func(r *outage.Runner) { r.Down = true })
-			mark(h.Cold, func(r *outage.Runner) { r.Cold = true })
+			mark(h.Down, func(r *maintenance.Runner) { r.Down = true })
+			mark(h.Cold, func(r *maintenance.Runner) { r.Cold = true })
 		}
-		mark(h.Hand, func(r *outage.Runner) { r.Hand = true })
+		mark(h.Hand, func(r *maintenance.Runner) { r.Hand = true })
 	}
 	return adv
 }
@@ -486,7 +486,7 @@
 func (c *Council) lifeWaits(id uint64) bool {
 	s := c.voice.agree.Status()
 	for _, m := range c.state.Members {
-		if slices.ContainsFunc(m.Old, func(l outage.Life) bool { return l.ID == id }) {
+		if slices.ContainsFunc(m.Old, func(l maintenance.Life) bool { return l.ID == id }) {
 			return m.Voter && slices.Contains(s.Voters, id) && !slices.Contains(s.Voters, m.ID)
 		}
 	}
--- a/internal/coordinator/staff.go
+++ b/internal/coordinator/staff.go
@@ -13,19 +13,19 @@
 
 	"birchfork/internal/consensus"
 	"birchfork/internal/group"
-	"birchfork/internal/outage"
+	"birchfork/internal/maintenance"
 	"birchfork/internal/plant"
 )
 
 // Call is what staff ask for. A Command's ID makes it act once however often it comes.
 type Call struct {
-	Command *outage.Command `json:"command,omitempty"`
-	Check   bool            `json:"check,omitempty"`  // only look whether a plan could be handed in
-	Found   bool            `json:"found,omitempty"`  // begin the group here
-	Again   bool            `json:"again,omitempty"`  // ... which had a history that is lost: no plan begins before Trust
-	Vouch   bool            `json:"vouch,omitempty"`  // this member's disk is the last one that it had
-	Status  bool            `json:"status,omitempty"` // tell how things stand
-	Local   bool            `json:"local,omitempty"`  // ... by what this member knows
+	Command *maintenance.Command `json:"command,omitempty"`
+	Check   bool                 `json:"check,omitempty"`  // only look whether a plan could be handed in
+	Found   bool                 `json:"found,omitempty"`  // begin the group here
+	Again   bool                 `json:"again,omitempty"`  // ... which had a history that is lost: no plan begins before Trust
+	Vouch   bool                 `json:"vouch,omitempty"`  // this member's disk is the last one that it had
+	Status  bool                 `json:"status,omitempty"` // tell how things stand
+	Local   bool                 `json:"local,omitempty"`  // ... by what this member knows
 }
 
 // Reply is the answer to a Call.
@@ -70,19 +70,19 @@
 
 // PlanStatus is one plan.
 type PlanStatus struct {
-	Name     string          `json:"name"`
-	Phase    outage.Phase    `json:"phase"`
-	Why      string          `json:"why,omitempty"` // what all of it waits for
-	Machines []MachineStatus `json:"machines"`
+	Name     string            `json:"name"`
+	Phase    maintenance.Phase `json:"phase"`
+	Why      string            `json:"why,omitempty"` // what all of it waits for
+	Machines []MachineStatus   `json:"machines"`
 }
 
 // MachineStatus is one machine.
 type MachineStatus struct {
-	Name    string        `json:"name"`
-	Step    outage.Step   `json:"step"`
-	For     time.Duration `json:"for"` // on the group's clock, up to the last entry
-	Overdue bool          `json:"overdue,omitempty"`
-	Why     string        `json:"why,omitempty"` // what it waits for
+	Name    string           `json:"name"`
+	Step    maintenance.Step `json:"step"`
+	For     time.Duration    `json:"for"` // on the group's clock, up to the last entry
+	Overdue bool             `json:"overdue,omitempty"`
+	Why     string           `json:"why,omitempty"` // what it waits for
 }
 
 // NotSettled begins an answer where no leader could settle the call in time.
@@ -95,7 +95,7 @@
 func (c *Council) onStaff(ctx context.Context, _ group.Sender, body []byte) ([]byte, error) {
 	var call Call
 	if err := json.Unmarshal(body, &call); err != nil {
-		return json.Marshal(Reply{Code: outage.Wrong, Text: "no call: " + err.Error()})
+		return json.Marshal(Reply{Code: maintenance.Wrong, Text: "no call: " + err.Error()})
 	}
 	if call.Found {
 		return json.Marshal(c.found(ctx, call.Again))
@@ -114,7 +114,7 @@
 	if err == nil {
 		return out, nil
 	}
-	r := Reply{Code: outage.NotNow, Text: fmt.Sprintf("%s (%v)", NotSettled, err)}
+	r := Reply{Code: maintenance.NotNow, Text: fmt.Sprintf("%s (%v)", NotSettled, err)}
 	if call.Status {
 		c.mu.Lock()
 		r.Status = c.status(false)
@@ -163,45 +163,45 @@
 func (c *Council) before(call *Call) *Reply {
 	cmd := call.Command
 	if cmd.ID == "" {
-		return &Reply{Code: outage.Wrong, Text: "a call without an id"}
+		return &Reply{Code: maintenance.Wrong, Text: "a call without an id"}
 	}
 	if was, ok := c.state.Answer(cmd.ID); ok && !plant.On(plant.ActsTwice) {
 		return &Reply{Code: was.Code, Text: was.Text}
 	}
 	if silent, older := c.lacking(cmd.Requires()); len(older) > 0 {
-		return &Reply{Code: outage.NotNow, Text: "of a build that does not know this call: " + strings.Join(older, ", ")}
+		return &Reply{Code: maintenance.NotNow, Text: "of a build that does not know this call: " + strings.Join(older, ", ")}
 	} else if len(silent) > 0 {
-		return &Reply{Code: outage.NotNow, Text: "not heard of yet by this leader, and may be of a build that does not know this call: " + strings.Join(silent, ", ")}
+		return &Reply{Code: maintenance.NotNow, Text: "not heard of yet by this leader, and may be of a build that does not know this call: " + strings.Join(silent, ", ")}
 	}
 	switch cmd.Kind {
-	case outage.Join, outage.Proceed:
-		return &Reply{Code: outage.Wrong, Text: "no call of staff"}
-	case outage.HandIn:
+	case maintenance.Join, maintenance.Proceed:
+		return &Reply{Code: maintenance.Wrong, Text: "no call of staff"}
+	case maintenance.HandIn:
 		if cmd.Plan == nil {
-			return &Reply{Code: outage.Wrong, Text: "there is no plan in the call"}
+			return &Reply{Code: maintenance.Wrong, Text: "there is no plan in the call"}
 		}
 		faults := append(c.state.Faults(cmd.Plan), c.unfit(cmd.Plan)...)
 		if len(faults) > 0 {
-			return &Reply{Code: outage.Wrong, Text: strings.Join(faults, "\n")}
+			return &Reply{Code: maintenance.Wrong, Text: strings.Join(faults, "\n")}
 		}
 		if call.Check {
 			return &Reply{Text: "good"}
 		}
-	case outage.Start:
+	case maintenance.Start:
 		if text := c.absent(); text != "" {
-			return &Reply{Code: outage.NotNow, Text: text}
+			return &Reply{Code: maintenance.NotNow, Text: text}
 		}
-	case outage.Take:
-		if u, p := c.state.Find(cmd.Name, cmd.Machine); p != nil && (p.Step == outage.Waiting || p.Step == outage.Leaving) {
+	case maintenance.Take:
+		if u, p := c.state.Find(cmd.Name, cmd.Machine); p != nil && (p.Step == maintenance.Waiting || p.Step == maintenance.Leaving) {
 			why := c.state.Why(u, c.advance())
-			return &Reply{Code: outage.NotNow, Text: strings.TrimSuffix(fmt.Sprintf("%s is %s: %s", p.Name, p.Step, why[p.Name]), ": ")}
+			return &Reply{Code: maintenance.NotNow, Text: strings.TrimSuffix(fmt.Sprintf("%s is %s: %s", p.Name, p.Step, why[p.Name]), ": ")}
 		}
 	}
 	return nil
 }
 
 // unfit is what of a plan does not fit the fleet as it is, by key. The lock is held.
-func (c *Council) unfit(p *outage.Plan) (out []string) {
+func (c *Council) unfit(p *maintenance.Plan) (out []string) {
 	fleet := c.advance().Fleet
 	at := map[string]int{} // hosts that are machines
 	for i, m := range p.Machines {
@@ -230,13 +230,13 @@
 
 // elsewhere are machines of a plan that another one has under the other of a runner's names, its own and its host's: they would
 // count twice against the budget. The lock is held.
-func (c *Council) elsewhere(p *outage.Plan, fleet map[string]outage.Runner) (out []string) {
+func (c *Council) elsewhere(p *maintenance.Plan, fleet map[string]maintenance.Runner) (out []string) {
 	for _, u := range c.state.Plans {
-		if u.Phase == outage.Ended {
+		if u.Phase == maintenance.Ended {
 			continue
 		}
 		for _, o := range u.Places {
-			if o.Step == outage.Done || o.Step == outage.Skipped {
+			if o.Step == maintenance.Done || o.Step == maintenance.Skipped {
 				continue
 			}
 			for i, m := range p.Machines {
@@ -299,20 +299,20 @@
 }
 
 // settle proposes a command and waits for its answer.
-func (c *Council) settle(ctx context.Context, a *consensus.Agree, cmd *outage.Command) ([]byte, error) {
+func (c *Council) settle(ctx context.Context, a *consensus.Agree, cmd *maintenance.Command) ([]byte, error) {
 	raw, err := entry(cmd)
 	if err != nil {
 		return nil, err
 	}
-	if plant.On(plant.SilentAnswer) && cmd.Kind == outage.Take {
+	if plant.On(plant.SilentAnswer) && cmd.Kind == maintenance.Take {
 		time.AfterFunc(time.Second, func() { a.Propose(context.Background(), raw) })
 		return json.Marshal(Reply{Text: "yes"})
 	}
 	if err := a.Propose(ctx, raw); err != nil {
 		return nil, err
 	}
-	var was outage.Answer
-	err = c.until(ctx, func(s *outage.State) (ok bool) {
+	var was maintenance.Answer
+	err = c.until(ctx, func(s *maintenance.State) (ok bool) {
 		was, ok = s.Answer(cmd.ID)
 		return ok
 	})
@@ -372,13 +372,13 @@
 	v := c.voice
 	c.mu.Unlock()
 	if v == nil {
-		return Reply{Code: outage.NotNow, Text: "this process does not speak for its dispatcher in the group"}
+		return Reply{Code: maintenance.NotNow, Text: "this process does not speak for its dispatcher in the group"}
 	}
 	select {
 	case v.vouched <- struct{}{}:
 		return Reply{Text: "taken"}
 	case <-time.After(joinEvery + askWait):
-		return Reply{Code: outage.NotNow, Text: "this member does not wait for a word on its disk"}
+		return Reply{Code: maintenance.NotNow, Text: "this member does not wait for a word on its disk"}
 	}
 }
 
@@ -388,14 +388,14 @@
 	v := c.voice
 	c.mu.Unlock()
 	if v == nil {
-		return Reply{Code: outage.NotNow, Text: "this process does not speak for its dispatcher in the group"}
+		return Reply{Code: maintenance.NotNow, Text: "this process does not speak for its dispatcher in the group"}
 	}
 	if f := c.who().Founded; f != "" {
 		return Reply{Text: "this member is in the group already, founded as " + f}
 	}
 	ask, err := json.Marshal(joining{Name: c.o.Self})
 	if err != nil {
-		return Reply{Code: outage.Wrong, Text: err.Error()}
+		return Reply{Code: maintenance.Wrong, Text: err.Error()}
 	}
 	silent := map[string]error{}
 	for _, p := range c.o.Group.Peers {
@@ -408,18 +408,18 @@
 	}
 	if len(silent) > 0 { // one of them may be in the group
 		name := slices.Min(slices.Collect(maps.Keys(silent)))
-		return Reply{Code: outage.NotNow, Text: fmt.Sprintf("each member has to say that it is in no group yet; %s: %v", name, silent[name])}
+		return Reply{Code: maintenance.NotNow, Text: fmt.Sprintf("each member has to say that it is in no group yet; %s: %v", name, silent[name])}
 	}
 	select {
 	case v.founding <- again:
 	case <-ctx.Done():
-		return Reply{Code: outage.NotNow, Text: NotSettled}
+		return Reply{Code: maintenance.NotNow, Text: NotSettled}
 	}
 	for ctx.Err() == nil && c.agreement() == nil {
 		pause(ctx, 5*time.Millisecond)
 	}
 	if c.agreement() == nil {
-		return Reply{Code: outage.NotNow, Text: NotSettled}
+		return Reply{Code: maintenance.NotNow, Text: NotSettled}
 	}
 	return Reply{Text: "founded"}
 }
@@ -430,9 +430,9 @@
 		return errors.New("the group's folder is not empty")
 	}
 	self, _ := c.self()
-	s := outage.New()
+	s := maintenance.New()
 	s.Index, s.Doubt = 1, again
-	s.Members[c.o.Self] = &outage.Member{Name: c.o.Self, Life: v.who.Life, ID: v.who.ID, Voter: self.Voter}
+	s.Members[c.o.Self] = &maintenance.Member{Name: c.o.Self, Life: v.who.Life, ID: v.who.ID, Voter: self.Voter}
 	raw, err := s.Encode()
 	if err != nil {
 		return err
--- a/internal/lab/groups/groups.go
+++ b/internal/lab/groups/groups.go
@@ -19,7 +19,7 @@
 	"birchfork/internal/lab/fleet"
 	"birchfork/internal/lab/report"
 	"birchfork/internal/lab/scenario"
-	"birchfork/internal/outage"
+	"birchfork/internal/maintenance"
 	"birchfork/internal/plant"
 	"birchfork/internal/spread"
 )
@@ -515,8 +515,8 @@
 
 // again has staff pause the plan and resume it, and then an answer of theirs count as lost: the first call comes again.
 func (g *rig) again(ctx context.Context) {
-	halt := &outage.Command{ID: fmt.Sprintf("halt-%d", g.o.Seed), Kind: outage.Halt, Name: "work"}
-	if g.surely(ctx, halt) && g.surely(ctx, &outage.Command{Kind: outage.Resume, Name: "work"}) {
+	halt := &maintenance.Command{ID: fmt.Sprintf("halt-%d", g.o.Seed), Kind: maintenance.Halt, Name: "work"}
+	if g.surely(ctx, halt) && g.surely(ctx, &maintenance.Command{Kind: maintenance.Resume, Name: "work"}) {
 		halt.ID = fmt.Sprintf("halt-%d", g.o.Seed)
 		g.surely(ctx, halt)
 	}
@@ -553,7 +553,7 @@
 		if err != nil {
 			return err
 		}
-		if last = r.Text; r.Code != outage.Yes {
+		if last = r.Text; r.Code != maintenance.Yes {
 			continue
 		}
 		break
@@ -599,20 +599,20 @@
 // begin has staff hand a plan in and start it, and waits until it runs; false: it does not.
 func (g *rig) begin(ctx context.Context) bool {
 	day := g.stage.Day()
-	plans := make([]*outage.Plan, max(g.o.Plans, 1))
+	plans := make([]*maintenance.Plan, max(g.o.Plans, 1))
 	for i := range plans {
-		plans[i] = &outage.Plan{Name: planName(i), Out: g.o.Out, Overdue: outage.Wait}
+		plans[i] = &maintenance.Plan{Name: planName(i), Out: g.o.Out, Overdue: maintenance.Wait}
 	}
 	for i := range g.o.Machines {
 		p := plans[i%len(plans)]
-		m := outage.Machine{Name: machine(i), Runners: []string{day.Workers[worker(day, i)].Name}}
+		m := maintenance.Machine{Name: machine(i), Runners: []string{day.Workers[worker(day, i)].Name}}
 		if g.o.Hosts {
 			m.Runners, m.Host = nil, g.stage.Fleet().Workers[worker(day, i)].Host()
 		}
 		p.Machines = append(p.Machines, m)
 	}
 	for _, p := range plans {
-		for _, c := range []*outage.Command{{Kind: outage.HandIn, Plan: p}, {Kind: outage.Start, Name: p.Name}} {
+		for _, c := range []*maintenance.Command{{Kind: maintenance.HandIn, Plan: p}, {Kind: maintenance.Start, Name: p.Name}} {
 			if !g.surely(ctx, c) {
 				return false
 			}
@@ -620,7 +620,7 @@
 	}
 	for ; ctx.Err() == nil; sleep(ctx, 50*time.Millisecond) {
 		r, err := g.at(0).Ask(ctx, coordinator.Call{Status: true})
-		if err == nil && g.plansAre(r.Status, outage.Running) {
+		if err == nil && g.plansAre(r.Status, maintenance.Running) {
 			return true
 		}
 	}
@@ -636,7 +636,7 @@
 }
 
 // plansAre tells whether all of staff's plans are known to be in a phase.
-func (g *rig) plansAre(s *coordinator.Status, phase outage.Phase) bool {
+func (g *rig) plansAre(s *coordinator.Status, phase maintenance.Phase) bool {
 	if s == nil || len(s.Plans) < max(g.o.Plans, 1) {
 		return false
 	}
@@ -644,14 +644,14 @@
 }
 
 // surely makes a call until it is answered with yes; a lost answer's call is made again under its id.
-func (g *rig) surely(ctx context.Context, c *outage.Command) bool {
+func (g *rig) surely(ctx context.Context, c *maintenance.Command) bool {
 	for ; ctx.Err() == nil; sleep(ctx, 100*time.Millisecond) {
 		r, err := g.call(ctx, coordinator.Call{Command: c})
-		if err == nil && r.Code == outage.Yes {
+		if err == nil && r.Code == maintenance.Yes {
 			return true
 		}
 		if err == nil && !strings.HasPrefix(r.Text, "no member has settled") {
-			if c.ID = ""; r.Code == outage.Wrong {
+			if c.ID = ""; r.Code == maintenance.Wrong {
 				g.note(fmt.Sprintf("%s: %s", c.Kind, r.Text))
 				return false
 			}
@@ -663,7 +663,7 @@
 // work waits for one machine, works on it, starts its runner anew and gives it back.
 func (g *rig) work(ctx context.Context, i int) {
 	l := g.stage.Ledger()
-	if !g.surely(ctx, &outage.Command{Kind: outage.Take, Machine: machine(i)}) {
+	if !g.surely(ctx, &maintenance.Command{Kind: maintenance.Take, Machine: machine(i)}) {
 		return
 	}
 	g.mu.Lock()
@@ -690,7 +690,7 @@
 	g.stage.Fleet().Down(w)
 	sleep(ctx, restarts)
 	g.stage.Fleet().Up(w)
-	g.surely(ctx, &outage.Command{Kind: outage.Return, Machine: machine(i)})
+	g.surely(ctx, &maintenance.Command{Kind: maintenance.Return, Machine: machine(i)})
 }
 
 // look asks a member now and then how things stand.
@@ -708,7 +708,7 @@
 		g.seen = append(g.seen, seen{asked, l.Now(), *r.Status})
 		if s := r.Status; s.Settled && len(s.Plans) > 0 && g.result.Ended == 0 {
 			g.result.Last = fmt.Sprintf("%+v", s.Plans[0])
-			if g.plansAre(s, outage.Ended) {
+			if g.plansAre(s, maintenance.Ended) {
 				g.result.Ended = l.Now()
 			}
 		}
--- a/internal/lab/groups/judge.go
+++ b/internal/lab/groups/judge.go
@@ -10,7 +10,7 @@
 	"birchfork/internal/lab"
 	"birchfork/internal/lab/judge"
 	"birchfork/internal/lab/scenario"
-	"birchfork/internal/outage"
+	"birchfork/internal/maintenance"
 )
 
 // The dispatch of a group, beside the four.
@@ -177,7 +177,7 @@
 	for _, s := range g.seen {
 		for _, p := range s.status.Plans {
 			for _, m := range p.Machines {
-				if s.status.Settled && m.Name == machine && m.Step == outage.Waiting {
+				if s.status.Settled && m.Name == machine && m.Step == maintenance.Waiting {
 					last = max(last, s.asked)
 				}
 			}
@@ -251,7 +251,7 @@
 			}
 			for _, p := range s.status.Plans {
 				for _, m := range p.Machines {
-					if m.Name == w.Machine && (m.Step == outage.Waiting || m.Step == outage.Leaving || m.Step == outage.Clear) {
+					if m.Name == w.Machine && (m.Step == maintenance.Waiting || m.Step == maintenance.Leaving || m.Step == maintenance.Clear) {
 						return []judge.Breach{{Rule: OrderRule, Kind: "undone", At: s.came, Who: -1, Lines: []string{
 							fmt.Sprintf("%s was told to be clear at %.3fs; an answer asked for at %.3fs has it as %s", w.Machine,
 								w.Told.Seconds(), s.asked.Seconds(), m.Step)}}}
--- a/internal/lab/groups/plain.go
+++ b/internal/lab/groups/plain.go
@@ -12,7 +12,7 @@
 
 	"birchfork/internal/coordinator"
 	"birchfork/internal/lab"
-	"birchfork/internal/outage"
+	"birchfork/internal/maintenance"
 )
 
 // Plain makes a day's dispatchers a group, with no faults between them, until close is called.
@@ -51,7 +51,7 @@
 	}
 	o.Beside = func(ctx context.Context, _ *lab.Stage) {
 		for c := (&coordinator.Client{At: links[:1]}); ctx.Err() == nil; sleep(ctx, 100*time.Millisecond) {
-			if r, err := c.Ask(ctx, coordinator.Call{Found: true}); err == nil && r.Code == outage.Yes {
+			if r, err := c.Ask(ctx, coordinator.Call{Found: true}); err == nil && r.Code == maintenance.Yes {
 				return
 			}
 		}
--- a/internal/lab/histories/histories.go
+++ b/internal/lab/histories/histories.go
@@ -20,7 +20,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"birchfork/internal/consensus"
-	"birchfork/internal/outage"
+	"birchfork/internal/maintenance"
 )
 
 // Times of a history, on the world's clock.
@@ -158,7 +158,7 @@
 	life    string
 	disk    *consensus.Disk
 	core    *consensus.Core // nil: it is down
-	state   *outage.State
+	state   *maintenance.State
 	had     time.Duration // since when the state has its Seq, on its own clock
 	since   time.Duration // of this process
 	until   time.Duration // of the lease, on its own clock
@@ -166,7 +166,7 @@
 	stopped int           // stands still until this tick
 	heard   int           // the tick of a leader's last word
 	wait    int           // ticks of silence until it campaigns
-	words   map[string]outage.Word
+	words   map[string]maintenance.Word
 	asked   int // the tick of its last report
 	knows   bool
 	joined  bool
@@ -198,7 +198,7 @@
 func (m *member) Snapshot() ([]byte, error) { return m.state.Encode() }
 
 func (m *member) Restore(data []byte) error {
-	s, err := outage.Decode(data)
+	s, err := maintenance.Decode(data)
 	if err == nil {
 		m.state, m.had = s, m.clock()
 	}
@@ -261,7 +261,7 @@
 	for i := range w.o.Machines {
 		through := false
 		for _, m := range w.members {
-			if _, p := m.state.Find("", machine(i)); p != nil && p.Step == outage.Done {
+			if _, p := m.state.Find("", machine(i)); p != nil && p.Step == maintenance.Done {
 				through = true
 			}
 		}
@@ -283,9 +283,9 @@
 		return err
 	}
 	if found {
-		s := outage.New()
+		s := maintenance.New()
 		s.Index = 1
-		s.Members["0"] = &outage.Member{Name: "0", Life: m.life, ID: m.id, Voter: true}
+		s.Members["0"] = &maintenance.Member{Name: "0", Life: m.life, ID: m.id, Voter: true}
 		raw, err := s.Encode()
 		if err != nil {
 			return err
@@ -300,7 +300,7 @@
 
 // start starts a member's process on its disk.
 func (w *world) start(m *member) (err error) {
-	m.state, m.had, m.since, m.until, m.words, m.heard = outage.New(), m.clock(), w.now, 0, map[string]outage.Word{}, w.ticks
+	m.state, m.had, m.since, m.until, m.words, m.heard = maintenance.New(), m.clock(), w.now, 0, map[string]maintenance.Word{}, w.ticks
 	m.knows = m.disk.Who().Heard
 	m.wait = silence + w.r.IntN(silence)
 	m.core, err = consensus.NewCore(consensus.Options{Disk: m.disk, Machine: m, Log: nobody, Send: func(to uint64, raw []byte, _ bool) {
@@ -426,8 +426,8 @@
 }
 
 // word is what a member tells of itself.
-func (m *member) word() outage.Word {
-	word := outage.Word{Life: m.life, Applied: m.state.Index, Alone: m.w.now-m.since > attempt}
+func (m *member) word() maintenance.Word {
+	word := maintenance.Word{Life: m.life, Applied: m.state.Index, Alone: m.w.now-m.since > attempt}
 	for _, a := range m.w.runs {
 		if a.member == m.index && !slices.Contains(word.Busy, a.name) {
 			word.Busy, word.BusyAt = append(word.Busy, a.name), append(word.BusyAt, host(a.machine))
@@ -475,7 +475,7 @@
 }
 
 // reported is a member's report at one that takes itself for the leader.
-func (w *world) reported(l, m *member, life string, word outage.Word, answer func(uint64)) {
+func (w *world) reported(l, m *member, life string, word maintenance.Word, answer func(uint64)) {
 	name := fmt.Sprint(m.index)
 	grant := func(index uint64, err error) {
 		if err != nil || l.core == nil || l.core.Status().Applied < index {
@@ -499,7 +499,7 @@
 
 // take takes a member in as a follower.
 func (w *world) take(l, m *member) {
-	raw, err := json.Marshal(outage.Command{Kind: outage.Join, Member: &outage.Member{
+	raw, err := json.Marshal(maintenance.Command{Kind: maintenance.Join, Member: &maintenance.Member{
 		Name: fmt.Sprint(m.index), Life: m.life, ID: m.id, Voter: m.index < w.o.Voters,
 	}})
 	if err != nil {
@@ -514,9 +514,9 @@
 func (w *world) lead(m *member) {
 	s := m.core.Status()
 	m.words[fmt.Sprint(m.index)] = m.word()
-	adv := &outage.Advance{
+	adv := &maintenance.Advance{
 		Seq: m.state.Seq, Waited: m.clock() - m.had, Bound: (lease + attempt) * (drift + 1) / drift, Warm: warm,
-		Words: m.words, Fleet: map[string]outage.Runner{},
+		Words: m.words, Fleet: map[string]maintenance.Runner{},
 	}
 	switch w.o.Fault {
 	case FewWords:
@@ -527,7 +527,7 @@
 	w.fleet(m, adv.Fleet)
 	adv = m.state.Brief(adv)
 	if m.state.Would(adv) {
-		w.propose(m, outage.Command{Kind: outage.Proceed, Advance: adv})
+		w.propose(m, maintenance.Command{Kind: maintenance.Proceed, Advance: adv})
 	}
 	caught := m.core.Caught()
 	for _, name := range m.state.Names() {
@@ -566,9 +566,9 @@
 }
 
 // fleet is the list as a member has it.
-func (w *world) fleet(m *member, all map[string]outage.Runner) {
+func (w *world) fleet(m *member, all map[string]maintenance.Runner) {
 	for i := range w.o.Machines {
-		r := outage.Runner{Zone: fmt.Sprint(i % w.o.Zones), Kind: "k", Host: host(i), Weight: float64(1 + i%5)}
+		r := maintenance.Runner{Zone: fmt.Sprint(i % w.o.Zones), Kind: "k", Host: host(i), Weight: float64(1 + i%5)}
 		now := m.name(i)
 		for _, c := range w.names[i] {
 			if c.name == now {
@@ -590,10 +590,10 @@
 // taken judges each choice of a machine when it is first seen to be settled: with those that plans have, and those that had been
 // away by themselves for so long that all had heard of it when it was proposed, no more than the plan allows. A choice that one
 // leader proposed may be settled by the next one, seconds later.
-func (w *world) taken(s *outage.State, proposed int) {
+func (w *world) taken(s *maintenance.State, proposed int) {
 	for _, u := range s.Plans {
 		for at, p := range u.Places {
-			if p.Step != outage.Leaving || w.began[p.Name] {
+			if p.Step != maintenance.Leaving || w.began[p.Name] {
 				continue
 			}
 			w.began[p.Name] = true
@@ -603,7 +603,7 @@
 					return d.machine == i && d.from+listLag+known < proposed && w.ticks < d.until
 				})
 				switch {
-				case o.Step != outage.Waiting && o.Step != outage.Warm && o.Step != outage.Done && o.Step != outage.Skipped:
+				case o.Step != maintenance.Waiting && o.Step != maintenance.Warm && o.Step != maintenance.Done && o.Step != maintenance.Skipped:
 					away++
 				case by && i != at:
 					away++
@@ -620,7 +620,7 @@
 // known is how many ticks a report may be on its way to the leader, and be counted, after the list has told its sender.
 const known = 60
 
-func (w *world) propose(m *member, c outage.Command) {
+func (w *world) propose(m *member, c maintenance.Command) {
 	raw, err := json.Marshal(c)
 	if err != nil {
 		panic(err)
@@ -636,7 +636,7 @@
 		return
 	}
 	leased, away := m.state.Leased(), m.state.Away()
-	in := func(b outage.Bound, name string, i int) bool {
+	in := func(b maintenance.Bound, name string, i int) bool {
 		return b.Runners[name] || b.Hosts[host(i)] && w.o.Fault != NamesAlone
 	}
 	for range 2 {
@@ -672,9 +672,9 @@
 		return
 	}
 	if len(l.state.Plans) == 0 {
-		p := &outage.Plan{Name: "p", Out: usualOut, ZoneOut: 1, Overdue: outage.Wait}
+		p := &maintenance.Plan{Name: "p", Out: usualOut, ZoneOut: 1, Overdue: maintenance.Wait}
 		for i := range w.o.Machines {
-			m := outage.Machine{Name: machine(i)}
+			m := maintenance.Machine{Name: machine(i)}
 			if i%2 == 0 {
 				m.Runners = []string{runner(i)}
 			} else {
@@ -685,29 +685,29 @@
 		if w.o.Fault == NoBudget {
 			p.Out, p.ZoneOut = w.o.Machines, 0
 		}
-		w.propose(l, outage.Command{ID: "hand", Kind: outage.HandIn, Plan: p})
-		w.propose(l, outage.Command{ID: "start", Kind: outage.Start, Name: "p"})
+		w.propose(l, maintenance.Command{ID: "hand", Kind: maintenance.HandIn, Plan: p})
+		w.propose(l, maintenance.Command{ID: "start", Kind: maintenance.Start, Name: "p"})
 		return
 	}
 	u := l.state.Plans[0]
-	if w.result.Started == 0 && u.Phase != outage.HandedIn {
+	if w.result.Started == 0 && u.Phase != maintenance.HandedIn {
 		w.result.Started = w.now
 		clear(w.result.Cost)
 	}
-	if w.result.Ended == 0 && u.Phase == outage.Ended {
+	if w.result.Ended == 0 && u.Phase == maintenance.Ended {
 		w.result.Ended = w.now
 	}
 	for i, p := range u.Places {
 		since, out := w.out[p.Name]
 		switch {
-		case p.Step == outage.Clear && w.r.IntN(4) == 0:
+		case p.Step == maintenance.Clear && w.r.IntN(4) == 0:
 			if w.result.Clear == 0 {
 				w.result.Clear = w.now
 			}
-			w.propose(l, outage.Command{ID: fmt.Sprint("take", p.Name), Kind: outage.Take, Machine: p.Name})
-		case p.Step == outage.Out && w.given[p.Name]: // the answer may have been lost
-			w.propose(l, outage.Command{ID: fmt.Sprint("done", p.Name), Kind: outage.Return, Machine: p.Name})
-		case p.Step == outage.Out && !out:
+			w.propose(l, maintenance.Command{ID: fmt.Sprint("take", p.Name), Kind: maintenance.Take, Machine: p.Name})
+		case p.Step == maintenance.Out && w.given[p.Name]: // the answer may have been lost
+			w.propose(l, maintenance.Command{ID: fmt.Sprint("done", p.Name), Kind: maintenance.Return, Machine: p.Name})
+		case p.Step == maintenance.Out && !out:
 			w.tell("%s is clear, says member %d", p.Name, l.index)
 			w.out[p.Name] = w.now
 			if len(w.out) > usualOut {
--- a/internal/lab/histories/measure.go
+++ b/internal/lab/histories/measure.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 	"time"
 
-	"birchfork/internal/outage"
+	"birchfork/internal/maintenance"
 )
 
 // The plan that is measured, and the day it is measured on.
@@ -122,7 +122,7 @@
 		part(1 << 60)
 		for i := 0; i < n; {
 			for range 64 { // a tick's worth
-				v.propose(lead, outage.Command{ID: fmt.Sprint(i), Kind: outage.Halt, Name: "none"})
+				v.propose(lead, maintenance.Command{ID: fmt.Sprint(i), Kind: maintenance.Halt, Name: "none"})
 				i++
 			}
 			step()
--- a/internal/outage/advance.go
+++ b/internal/maintenance/advance.go
@@ -1,4 +1,4 @@
-package outage
+package maintenance
 
 import (
 	"fmt"
--- a/internal/outage/outage.go
+++ b/internal/maintenance/outage.go
@@ -1,7 +1,7 @@
-// Package outage decides in which order machines are taken out for work, by settled entries alone: it has no I/O, no clock
+// Package maintenance decides in which order machines are taken out for work, by settled entries alone: it has no I/O, no clock
 // and no goroutine. The same entries give the same state at each member, byte by byte. What members know of the fleet, and
 // the time that has gone by, come with the entries.
-package outage
+package maintenance
 
 import (
 	"encoding/json"
