--- a/internal/lab/histories/copies.go
+++ b/internal/lab/histories/copies.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"birchfork/internal/replica"
+	"birchfork/internal/replication"
 )
 
 // CopiesOptions is what a history of copies is drawn by: words of staff that members tell each other, as internal/spread does.
@@ -61,11 +61,11 @@
 // copier is one member.
 type copier struct {
 	index  int
-	copy   *replica.Copy
+	copy   *replication.Copy
 	lives  int
 	asking map[int]bool
-	pulls  map[int]*replica.Pull
-	heard  map[int]replica.Seen
+	pulls  map[int]*replication.Pull
+	heard  map[int]replication.Seen
 	cut    time.Duration // nothing passes until then
 	since  time.Duration // of this process
 	first  time.Duration // when another one was first heard of; 0: not yet
@@ -158,8 +158,8 @@
 func (c *copies) begin(m *copier) {
 	m.lives++
 	m.since, m.first, m.caught = c.now, 0, map[int]bool{}
-	m.copy = replica.New(fmt.Sprintf("m%d-%d", m.index, m.lives))
-	m.asking, m.pulls, m.heard = map[int]bool{}, map[int]*replica.Pull{}, map[int]replica.Seen{}
+	m.copy = replication.New(fmt.Sprintf("m%d-%d", m.index, m.lives))
+	m.asking, m.pulls, m.heard = map[int]bool{}, map[int]*replication.Pull{}, map[int]replication.Seen{}
 }
 
 // one tells whether all copies are the same.
@@ -172,7 +172,7 @@
 	if c.o.Runners > 0 {
 		out = c.r.IntN(2) == 0
 	}
-	if _, err := m.copy.Say(replica.Entry{Kind: replica.Word, Name: name, Out: out, Member: fmt.Sprint(m.index)}); err != nil {
+	if _, err := m.copy.Say(replication.Entry{Kind: replication.Word, Name: name, Out: out, Member: fmt.Sprint(m.index)}); err != nil {
 		c.broken("a word was not taken: %v", err)
 	}
 	c.said[name], c.last = c.now, max(c.last, c.now)
@@ -204,7 +204,7 @@
 	if len(m.heard) < len(c.members)-1 {
 		return
 	}
-	var all []replica.Seen
+	var all []replication.Seen
 	for i := range c.members { // in one order, so that the history is one
 		if i != m.index {
 			all = append(all, m.heard[i])
@@ -294,10 +294,10 @@
 			dots, at := m.copy.Dots(m.copy.Differ(its.Sums)), m.copy.Seen().Sum()
 			c.ask(m, to, dots, func() any {
 				if to.copy.Seen().Sum() != at {
-					return []replica.Dot(nil)
+					return []replication.Dot(nil)
 				}
 				return to.copy.Gone(dots)
-			}, func(out any) { m.copy.Drop(out.([]replica.Dot)); m.caught[to.index] = true; done() }, func() {})
+			}, func(out any) { m.copy.Drop(out.([]replication.Dot)); m.caught[to.index] = true; done() }, func() {})
 		default:
 			c.pull(m, to, again)
 		}
@@ -308,12 +308,12 @@
 func (c *copies) pull(m, to *copier, again bool) {
 	p := m.pulls[to.index]
 	if p == nil {
-		p = &replica.Pull{}
+		p = &replication.Pull{}
 		m.pulls[to.index] = p
 	}
 	type ask struct {
-		Seen replica.Seen
-		From replica.Mark
+		Seen replication.Seen
+		From replication.Mark
 	}
 	in := ask{m.copy.Seen(), p.Mark}
 	c.ask(m, to, in, func() any {
@@ -322,7 +322,7 @@
 		}
 		return to.copy.News(in.Seen, in.From, copiesPiece)
 	}, func(out any) {
-		piece, ok := out.(replica.Piece)
+		piece, ok := out.(replication.Piece)
 		if !ok {
 			delete(m.asking, to.index)
 			return
@@ -358,9 +358,9 @@
 // remembered tells whether a member took a word "out" that one who has seen it go could have told it of, all the time since the
 // process began that told it: while all those are out of reach, an old disk's words count.
 func (c *copies) remembered(m, from *copier, name string) bool {
-	all := m.copy.Get(replica.Word, name)
-	return replica.Out(all) && slices.ContainsFunc(c.members, func(o *copier) bool {
-		return o != from && max(o.since, o.cut) < from.since && o.copy.Seen().Has(all[0].Dot) && len(o.copy.Get(replica.Word, name)) == 0
+	all := m.copy.Get(replication.Word, name)
+	return replication.Out(all) && slices.ContainsFunc(c.members, func(o *copier) bool {
+		return o != from && max(o.since, o.cut) < from.since && o.copy.Seen().Has(all[0].Dot) && len(o.copy.Get(replication.Word, name)) == 0
 	})
 }
 
@@ -374,7 +374,7 @@
 	case kind == 3:
 		c.begin(m)
 	case kind == 2:
-		old := m.copy.News(replica.Seen{}, replica.Mark{}, replica.WordsMost)
+		old := m.copy.News(replication.Seen{}, replication.Mark{}, replication.WordsMost)
 		c.last = max(c.last, c.now+length)
 		c.after(length, func() {
 			if slices.ContainsFunc(c.members, func(o *copier) bool { return o != m && o.copy.Seen().Covers(m.copy.Seen()) }) {
@@ -389,7 +389,7 @@
 	}
 	c.last = max(c.last, m.cut, c.now)
 	for name := range c.said {
-		if !slices.ContainsFunc(c.members, func(m *copier) bool { return len(m.copy.Get(replica.Word, name)) > 0 }) {
+		if !slices.ContainsFunc(c.members, func(m *copier) bool { return len(m.copy.Get(replication.Word, name)) > 0 }) {
 			c.gone[name] = c.now
 		}
 	}
--- a/internal/replica/golden_test.go
+++ b/internal/replication/golden_test.go
@@ -1,4 +1,4 @@
-package replica
+package replication
 
 import (
 	"bytes"
--- a/internal/replica/replica.go
+++ b/internal/replication/replica.go
@@ -1,7 +1,7 @@
-// Package replica is what dispatchers of a group keep in common without agreement: entries that each member takes, keeps and
+// Package replication is what dispatchers of a group keep in common without agreement: entries that each member takes, keeps and
 // uses while it is cut off, and merges that make copies equal afterwards. It has no I/O, no clock and no goroutine; what was
 // weighed stands in docs/replica-design.md.
-package replica
+package replication
 
 import (
 	"cmp"
--- a/internal/spread/disk.go
+++ b/internal/spread/disk.go
@@ -13,7 +13,7 @@
 
 	"birchfork/internal/keep"
 	"birchfork/internal/plant"
-	"birchfork/internal/replica"
+	"birchfork/internal/replication"
 )
 
 // The file's parts.
@@ -52,18 +52,18 @@
 // batch is what is written in one synced step.
 type batch struct {
 	seen    []byte
-	entries map[replica.Ref][]byte // nil: there is none any more
-	tried   chan struct{}          // closed once err is known
+	entries map[replication.Ref][]byte // nil: there is none any more
+	tried   chan struct{}              // closed once err is known
 	err     error
 }
 
 // openDisk opens the file and gives what it has to a copy; with no folder nothing is kept.
-func openDisk(folder, group string, to *replica.Copy, told func(*disk, *batch)) (d *disk, unreadable, err error) {
+func openDisk(folder, group string, to *replication.Copy, told func(*disk, *batch)) (d *disk, unreadable, err error) {
 	if folder == "" {
 		return nil, nil, nil
 	}
-	var seen replica.Seen
-	var entries []replica.Entry
+	var seen replication.Seen
+	var entries []replication.Entry
 	db, unreadable, err := keep.Open(folder, diskFile, func(db *bbolt.DB) error {
 		seen, entries = nil, nil
 		return db.Update(func(tx *bbolt.Tx) error {
@@ -90,7 +90,7 @@
 	return d, unreadable, nil
 }
 
-func read(meta, all *bbolt.Bucket, ours identity, seen *replica.Seen, entries *[]replica.Entry) error {
+func read(meta, all *bbolt.Bucket, ours identity, seen *replication.Seen, entries *[]replication.Entry) error {
 	raw := meta.Get(identKey)
 	if raw == nil {
 		raw, err := json.Marshal(ours)
@@ -109,7 +109,7 @@
 		}
 	}
 	return all.ForEach(func(k, v []byte) error {
-		var e []replica.Entry
+		var e []replication.Entry
 		if err := unseal(v, &e); err != nil {
 			return fmt.Errorf("entry %q: %w", k, err)
 		}
@@ -132,12 +132,12 @@
 }
 
 // put hands over some of what a copy has, and what it has seen, behind what waits already.
-func (d *disk) put(c *replica.Copy, some map[replica.Ref]bool) (*batch, error) {
+func (d *disk) put(c *replication.Copy, some map[replication.Ref]bool) (*batch, error) {
 	seen, err := seal(c.Seen())
 	if err != nil {
 		return nil, err
 	}
-	entries := map[replica.Ref][]byte{}
+	entries := map[replication.Ref][]byte{}
 	for what := range some {
 		entries[what] = nil
 		if all := c.Get(what.Kind, what.Name); len(all) > 0 {
@@ -149,7 +149,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.next == nil {
-		d.next = &batch{entries: map[replica.Ref][]byte{}, tried: make(chan struct{})}
+		d.next = &batch{entries: map[replication.Ref][]byte{}, tried: make(chan struct{})}
 	}
 	d.next.seen = seen
 	maps.Copy(d.next.entries, entries)
@@ -210,8 +210,8 @@
 }
 
 // diskKey is where entries stand: words by their name, as in files of before there were other kinds.
-func diskKey(what replica.Ref) []byte {
-	if what.Kind == replica.Word {
+func diskKey(what replication.Ref) []byte {
+	if what.Kind == replication.Word {
 		return []byte(what.Name)
 	}
 	return []byte("\x00" + string(what.Kind) + "\x00" + what.Name)
--- a/internal/spread/golden_test.go
+++ b/internal/spread/golden_test.go
@@ -16,7 +16,7 @@
 
 	"birchfork/internal/group"
 	"birchfork/internal/group/peertest"
-	"birchfork/internal/replica"
+	"birchfork/internal/replication"
 )
 
 // The golden files hold what earlier builds have stored, sent and answered. UPDATE_GOLDEN=1 writes them.
@@ -25,30 +25,30 @@
 var goldenStarted = time.Date(2024, 5, 6, 7, 8, 9, 10, time.UTC)
 
 // goldenCopy has an override that replaced another one, two in conflict, and an entry of a kind that this build does not know.
-func goldenCopy(t *testing.T) *replica.Copy {
+func goldenCopy(t *testing.T) *replication.Copy {
 	t.Helper()
-	mine, theirs := replica.New("life-a"), replica.New("life-b")
-	say := func(c *replica.Copy, e replica.Entry) {
+	mine, theirs := replication.New("life-a"), replication.New("life-b")
+	say := func(c *replication.Copy, e replication.Entry) {
 		if _, err := c.Say(e); err != nil {
 			t.Fatal(err)
 		}
 	}
-	say(theirs, replica.Entry{Kind: replica.Word, Name: "w1", Out: true, Member: "b", At: 1700000000001})
-	if _, err := mine.Take(&replica.Pull{}, theirs.News(nil, replica.Mark{}, 9)); err != nil {
+	say(theirs, replication.Entry{Kind: replication.Word, Name: "w1", Out: true, Member: "b", At: 1700000000001})
+	if _, err := mine.Take(&replication.Pull{}, theirs.News(nil, replication.Mark{}, 9)); err != nil {
 		t.Fatal(err)
 	}
-	say(mine, replica.Entry{Kind: replica.Word, Name: "w1", Out: true, Member: "a", At: 1700000000002})
-	say(mine, replica.Entry{Kind: replica.Word, Name: "w2", Member: "a", At: 1700000000003})
-	say(theirs, replica.Entry{Kind: replica.Word, Name: "w2", Out: true, Member: "b", At: 1700000000004})
-	say(theirs, replica.Entry{Kind: "later", Name: "w3", Member: "b", At: 1700000000005, Data: json.RawMessage(`{"x":1}`)})
-	if _, err := mine.Take(&replica.Pull{}, theirs.News(mine.Seen(), replica.Mark{}, 9)); err != nil {
+	say(mine, replication.Entry{Kind: replication.Word, Name: "w1", Out: true, Member: "a", At: 1700000000002})
+	say(mine, replication.Entry{Kind: replication.Word, Name: "w2", Member: "a", At: 1700000000003})
+	say(theirs, replication.Entry{Kind: replication.Word, Name: "w2", Out: true, Member: "b", At: 1700000000004})
+	say(theirs, replication.Entry{Kind: "later", Name: "w3", Member: "b", At: 1700000000005, Data: json.RawMessage(`{"x":1}`)})
+	if _, err := mine.Take(&replication.Pull{}, theirs.News(mine.Seen(), replication.Mark{}, 9)); err != nil {
 		t.Fatal(err)
 	}
 	return mine
 }
 
 // goldenRefs are all entries of goldenCopy.
-var goldenRefs = map[replica.Ref]bool{{Kind: replica.Word, Name: "w1"}: true, {Kind: replica.Word, Name: "w2"}: true, {Kind: "later", Name: "w3"}: true}
+var goldenRefs = map[replication.Ref]bool{{Kind: replication.Word, Name: "w1"}: true, {Kind: replication.Word, Name: "w2"}: true, {Kind: "later", Name: "w3"}: true}
 
 // dump is the logical content of a bbolt file: buckets, keys and values.
 func dump(t *testing.T, db *bbolt.DB) []byte {
@@ -73,7 +73,7 @@
 func TestGolden_Disk(t *testing.T) {
 	want := goldenCopy(t)
 	dir := t.TempDir()
-	d, _, err := openDisk(dir, "g", replica.New("life-c"), func(*disk, *batch) {})
+	d, _, err := openDisk(dir, "g", replication.New("life-c"), func(*disk, *batch) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,15 +120,15 @@
 
 // Each message and each reply keeps its encoding, with all fields.
 func TestGolden_Messages(t *testing.T) {
-	dots := []replica.Dot{{Life: "life-a", Count: 1}, {Life: "life-b", Count: 2}}
+	dots := []replication.Dot{{Life: "life-a", Count: 1}, {Life: "life-b", Count: 2}}
 	about := About{Version: "v", Settings: "s", Operator: "o", Started: goldenStarted}
 	peertest.GoldenJSON(t, "hello.json", hello{Seen: 1 << 63, Sum: 2, Sums: []uint64{3, 1<<64 - 1}, Count: 4, Held: 5, About: about})
-	peertest.GoldenJSON(t, "pull.json", pull{Seen: replica.Seen{"life-a": 1, "life-b": 2}, From: replica.Mark{Kind: replica.Word, Name: "w1"}})
+	peertest.GoldenJSON(t, "pull.json", pull{Seen: replication.Seen{"life-a": 1, "life-b": 2}, From: replication.Mark{Kind: replication.Word, Name: "w1"}})
 	peertest.GoldenJSON(t, "gone.json", gone{Seen: 1 << 62, Dots: dots})
-	peertest.GoldenJSON(t, "piece.json", replica.Piece{
-		Life: "life-a", From: replica.Mark{Kind: replica.Word, Name: "w1"}, Last: replica.Mark{Kind: "later", Name: "w2"}, Done: true,
-		Seen: replica.Seen{"life-a": 3}, Entries: []replica.Entry{{
-			Kind: "later", Name: "w2", Dot: dots[1], Saw: replica.Seen{"life-a": 1}, Member: "b", At: 1700000000001, Out: true,
+	peertest.GoldenJSON(t, "piece.json", replication.Piece{
+		Life: "life-a", From: replication.Mark{Kind: replication.Word, Name: "w1"}, Last: replication.Mark{Kind: "later", Name: "w2"}, Done: true,
+		Seen: replication.Seen{"life-a": 3}, Entries: []replication.Entry{{
+			Kind: "later", Name: "w2", Dot: dots[1], Saw: replication.Seen{"life-a": 1}, Member: "b", At: 1700000000001, Out: true,
 			Data: json.RawMessage(`{"x":1}`),
 		}},
 	})
@@ -257,9 +257,9 @@
 
 // What a member sends to one that has something else keeps paths and bodies: hello, pull in two chunks, hello, gone.
 func TestGolden_Requests(t *testing.T) {
-	theirs := replica.New("life-d")
+	theirs := replication.New("life-d")
 	for _, name := range []string{"w4", "w5"} {
-		if _, err := theirs.Say(replica.Entry{Kind: replica.Word, Name: name, Out: true, Member: "b", At: 1700000000006}); err != nil {
+		if _, err := theirs.Say(replication.Entry{Kind: replication.Word, Name: name, Out: true, Member: "b", At: 1700000000006}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -268,9 +268,9 @@
 	answer := func(path string, body []byte) []byte {
 		var out any
 		var in struct {
-			Seen json.RawMessage `json:"seen"`
-			From replica.Mark    `json:"from"`
-			Dots []replica.Dot   `json:"dots"`
+			Seen json.RawMessage   `json:"seen"`
+			From replication.Mark  `json:"from"`
+			Dots []replication.Dot `json:"dots"`
 		}
 		if err := json.Unmarshal(body, &in); err != nil {
 			t.Error(err)
@@ -283,7 +283,7 @@
 				out = json.RawMessage(fmt.Sprintf(`{"seen":%s,"sum":2,"sums":[%s],"count":2,"held":2}`, in.Seen, strings.Join(slices.Repeat([]string{"0"}, 64), ",")))
 			}
 		case "/group/copies/pull":
-			out = theirs.News(replica.Seen{}, in.From, 1)
+			out = theirs.News(replication.Seen{}, in.From, 1)
 		case "/group/copies/gone":
 			out = json.RawMessage(fmt.Sprintf(`{"seen":%s,"dots":[{"life":"life-d","count":1}]}`, in.Seen))
 		}
@@ -307,13 +307,13 @@
 	if err := json.Unmarshal([]byte(last), &g); err != nil {
 		t.Fatal(err)
 	}
-	slices.SortFunc(g.Dots, func(a, b replica.Dot) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) })
+	slices.SortFunc(g.Dots, func(a, b replication.Dot) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) })
 	raw, err := json.Marshal(g)
 	if err != nil {
 		t.Fatal(err)
 	}
 	peertest.Golden(t, "requests.txt", append([]byte(strings.TrimSuffix(string(text), last)), append(raw, '\n')...))
-	if names := s.copy.Names(replica.Word); !slices.Equal(names, []string{"w1", "w2", "w5"}) {
+	if names := s.copy.Names(replication.Word); !slices.Equal(names, []string{"w1", "w2", "w5"}) {
 		t.Errorf("it has %v", names)
 	}
 	s.mu.Lock()
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -1,5 +1,5 @@
 // Package spread carries one member's copy of what is replicated to the others of its group, and keeps it on disk. What copies come
-// to stands in internal/replica; how messages travel in internal/group.
+// to stands in internal/replication; how messages travel in internal/group.
 package spread
 
 import (
@@ -21,7 +21,7 @@
 	"birchfork/internal/hotrestart"
 	"birchfork/internal/keep"
 	"birchfork/internal/plant"
-	"birchfork/internal/replica"
+	"birchfork/internal/replication"
 )
 
 // Times and bounds of a member.
@@ -90,15 +90,15 @@
 	patience time.Duration // syncWait, but in tests
 
 	mu      sync.Mutex
-	copy    *replica.Copy // nil: another process of this dispatcher has it
+	copy    *replication.Copy // nil: another process of this dispatcher has it
 	disk    *disk
-	dirty   map[replica.Ref]bool // what the disk was not given, or did not take
-	given   uint64               // what was seen, as the disk was given it
-	refused bool                 // it did not take that
-	last    *batch               // that it was given
-	unkept  error                // why the disk may not have them
-	heard   map[string]replica.Seen
-	pulls   map[string]*replica.Pull
+	dirty   map[replication.Ref]bool // what the disk was not given, or did not take
+	given   uint64                   // what was seen, as the disk was given it
+	refused bool                     // it did not take that
+	last    *batch                   // that it was given
+	unkept  error                    // why the disk may not have them
+	heard   map[string]replication.Seen
+	pulls   map[string]*replication.Pull
 	asking  map[string]bool
 	caught  map[string]bool // members that have told all they had
 	first   time.Time       // when another member was first heard of by this copy
@@ -133,7 +133,7 @@
 	if plant.On(plant.CountAgain) {
 		life = s.o.Self
 	}
-	c := replica.New(life)
+	c := replication.New(life)
 	d, unreadable, err := openDisk(s.o.Folder, s.o.Group, c, s.wrote)
 	if errors.Is(err, keep.ErrTaken) || errors.Is(err, keep.ErrForeign) {
 		return err
@@ -145,12 +145,12 @@
 		s.unkept = err
 		s.o.Log.WithError(err).Error("the group's folder cannot be used: words are not kept over a restart of this member")
 	}
-	s.copy, s.disk, s.dirty, s.given, s.refused = c, d, map[replica.Ref]bool{}, c.Seen().Sum(), false
+	s.copy, s.disk, s.dirty, s.given, s.refused = c, d, map[replication.Ref]bool{}, c.Seen().Sum(), false
 	s.last = nil
-	s.heard, s.pulls, s.asking, s.caught = map[string]replica.Seen{}, map[string]*replica.Pull{}, map[string]bool{}, map[string]bool{}
+	s.heard, s.pulls, s.asking, s.caught = map[string]replication.Seen{}, map[string]*replication.Pull{}, map[string]bool{}, map[string]bool{}
 	s.first = time.Time{}
 	s.known, s.before, s.settled = map[string]int64{}, map[string]bool{}, false
-	for _, name := range c.Names(replica.Word) {
+	for _, name := range c.Names(replication.Word) {
 		if out := s.out(name); out {
 			s.known[name] = s.o.Changed(name, out)
 		}
@@ -159,7 +159,7 @@
 }
 
 // out is what staff's words on a runner come to. The lock is held.
-func (s *Spread) out(name string) bool { return replica.Out(s.copy.Get(replica.Word, name)) }
+func (s *Spread) out(name string) bool { return replication.Out(s.copy.Get(replication.Word, name)) }
 
 // Enter takes part by the links of a place in the group, before they serve.
 func (s *Spread) Enter(l *group.Links) {
@@ -218,7 +218,7 @@
 		s.fails(err)
 		return
 	}
-	s.dirty, s.given, s.refused, s.last = map[replica.Ref]bool{}, sum, false, b
+	s.dirty, s.given, s.refused, s.last = map[replication.Ref]bool{}, sum, false, b
 }
 
 // wrote hears what became of a batch: what the disk did not take it is given again.
@@ -282,18 +282,18 @@
 func (s *Spread) say(runner string, out bool, at int64) error {
 	s.known[runner] = at
 	delete(s.before, runner)
-	all := s.copy.Get(replica.Word, runner)
-	if replica.Out(all) != out || replica.Conflict(all) || out && len(all) == 0 {
-		if _, err := s.copy.Say(replica.Entry{Kind: replica.Word, Name: runner, Out: out, Member: s.o.Self, At: time.Now().Add(plant.Skew(s.o.Self)).UnixMilli()}); err != nil {
+	all := s.copy.Get(replication.Word, runner)
+	if replication.Out(all) != out || replication.Conflict(all) || out && len(all) == 0 {
+		if _, err := s.copy.Say(replication.Entry{Kind: replication.Word, Name: runner, Out: out, Member: s.o.Self, At: time.Now().Add(plant.Skew(s.o.Self)).UnixMilli()}); err != nil {
 			return fmt.Errorf("it binds here alone: %w", err)
 		}
-		s.dirty[replica.Ref{Kind: replica.Word, Name: runner}] = true
+		s.dirty[replication.Ref{Kind: replication.Word, Name: runner}] = true
 		if plant.On(plant.NewerWords) {
-			e, err := s.copy.Say(replica.Entry{Kind: "later", Name: runner, Member: s.o.Self, Data: []byte(`{"of":"a newer build"}`)})
+			e, err := s.copy.Say(replication.Entry{Kind: "later", Name: runner, Member: s.o.Self, Data: []byte(`{"of":"a newer build"}`)})
 			if err != nil {
 				return err
 			}
-			s.dirty[replica.Ref{Kind: e.Kind, Name: e.Name}] = true
+			s.dirty[replication.Ref{Kind: e.Kind, Name: e.Name}] = true
 		}
 	}
 	s.keep()
@@ -322,22 +322,22 @@
 			continue
 		}
 		s.known[name] = w.At
-		all := s.copy.Get(replica.Word, name)
+		all := s.copy.Get(replication.Word, name)
 		switch {
 		case s.settled:
-			if replica.Out(all) != w.Out {
+			if replication.Out(all) != w.Out {
 				s.say(name, w.Out, w.At)
 			}
 		case len(all) == 0 && w.Out:
 			s.before[name] = true
-		case replica.Out(all) != w.Out:
+		case replication.Out(all) != w.Out:
 			s.known[name] = s.o.Changed(name, !w.Out)
 		}
 	}
 	s.settled = true
 	if len(s.before) > 0 && s.caughtUp() {
 		for _, name := range slices.Sorted(maps.Keys(s.before)) {
-			if len(s.copy.Get(replica.Word, name)) == 0 {
+			if len(s.copy.Get(replication.Word, name)) == 0 {
 				s.say(name, true, s.known[name])
 			}
 		}
@@ -358,9 +358,9 @@
 func (s *Spread) caughtEnough() bool { return len(s.caught) >= min(caughtFrom, len(s.o.Peers)) }
 
 // put has what may mean something else now be in force and on disk. The lock is held.
-func (s *Spread) put(changed []replica.Ref) {
+func (s *Spread) put(changed []replication.Ref) {
 	for _, what := range changed {
-		if s.dirty[what] = true; what.Kind != replica.Word { // of a newer build: passed on alone
+		if s.dirty[what] = true; what.Kind != replication.Word { // of a newer build: passed on alone
 			continue
 		}
 		delete(s.before, what.Name)
@@ -436,7 +436,7 @@
 	if s.copy == nil {
 		return
 	}
-	var members []replica.Seen
+	var members []replication.Seen
 	for _, name := range s.o.Peers {
 		seen, ok := s.heard[name]
 		if !ok {
@@ -485,13 +485,13 @@
 }
 
 type pull struct {
-	Seen replica.Seen `json:"seen"`
-	From replica.Mark `json:"from"`
+	Seen replication.Seen `json:"seen"`
+	From replication.Mark `json:"from"`
 }
 
 type gone struct {
-	Seen uint64        `json:"seen"`
-	Dots []replica.Dot `json:"dots"`
+	Seen uint64            `json:"seen"`
+	Dots []replication.Dot `json:"dots"`
 }
 
 var (
@@ -559,15 +559,15 @@
 		}
 		p := s.pulls[name]
 		if p == nil {
-			p = &replica.Pull{}
+			p = &replication.Pull{}
 			s.pulls[name] = p
 			if plant.On(plant.Overwrites) {
-				s.copy = replica.New(rand.Text()[:16])
+				s.copy = replication.New(rand.Text()[:16])
 			}
 		}
 		ask := pull{s.copy.Seen(), p.Mark}
 		s.mu.Unlock()
-		var piece replica.Piece
+		var piece replication.Piece
 		if err := s.ask(ctx, name, pathPull, ask, &piece); err != nil {
 			return err
 		}
@@ -684,12 +684,12 @@
 }
 
 func (s *Spread) onPull(_ context.Context, _ group.Sender, body []byte) ([]byte, error) {
-	return answer(s, body, func(p *pull) (replica.Piece, error) {
+	return answer(s, body, func(p *pull) (replication.Piece, error) {
 		// Guards against a disk of before: one that has lost its own would take from it what all others have forgotten.
 		if s.caughtEnough() || !s.first.IsZero() && time.Since(s.first) > caughtWait {
 			return s.copy.News(p.Seen, p.From, pieceMost), nil
 		}
-		return replica.Piece{}, errStarted
+		return replication.Piece{}, errStarted
 	})
 }
 
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -18,7 +18,7 @@
 
 	"birchfork/internal/group"
 	"birchfork/internal/hotrestart"
-	"birchfork/internal/replica"
+	"birchfork/internal/replication"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -142,7 +142,7 @@
 		return len(all) == 1 && string(all[0].Data) == data
 	}
 	c.mu.Lock()
-	if _, err := c.copy.Say(replica.Entry{Kind: "later", Name: "r", Member: "c", Data: []byte(data)}); err != nil {
+	if _, err := c.copy.Say(replication.Entry{Kind: "later", Name: "r", Member: "c", Data: []byte(data)}); err != nil {
 		t.Error(err)
 	}
 	c.mu.Unlock()
@@ -168,7 +168,7 @@
 	await(t, "nothing is left of it", func() bool {
 		for _, s := range []*Spread{again, b, c2} {
 			s.mu.Lock()
-			n := len(s.copy.Names(replica.Word))
+			n := len(s.copy.Names(replication.Word))
 			s.mu.Unlock()
 			if n > 0 || atB.is("r") {
 				return false
@@ -180,7 +180,7 @@
 	seen := again.copy.Seen()
 	again.mu.Unlock()
 	again.Close()
-	kept := replica.New("z")
+	kept := replication.New("z")
 	if d, _, err := openDisk(folder, "g", kept, nil); err != nil || kept.Seen().Sum() != seen.Sum() {
 		t.Errorf("%v; its disk has seen %v, not %v", err, kept.Seen(), seen)
 	} else {
@@ -227,10 +227,10 @@
 func TestGoneNeedsTheSameSight(t *testing.T) {
 	s, _ := start(t, "a", "")
 	s.Say("r", true, 1)
-	old := s.copy.Get(replica.Word, "r")[0].Dot
+	old := s.copy.Get(replication.Word, "r")[0].Dot
 	s.Say("r", false, 2)
-	for seen, want := range map[uint64]bool{s.copy.Seen().Sum(): true, replica.Seen{old.Life: 1}.Sum(): false} {
-		body, err := json.Marshal(gone{seen, []replica.Dot{old}})
+	for seen, want := range map[uint64]bool{s.copy.Seen().Sum(): true, replication.Seen{old.Life: 1}.Sum(): false} {
+		body, err := json.Marshal(gone{seen, []replication.Dot{old}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -244,10 +244,10 @@
 // A word ends a conflict, also the one that counts already.
 func TestAWordEndsAConflict(t *testing.T) {
 	s, _ := start(t, "a", "")
-	other := replica.New("other")
-	other.Say(replica.Entry{Kind: replica.Word, Name: "r", Member: "b"})
+	other := replication.New("other")
+	other.Say(replication.Entry{Kind: replication.Word, Name: "r", Member: "b"})
 	s.Say("r", true, 1)
-	if _, err := s.copy.Take(&replica.Pull{}, other.News(nil, replica.Mark{}, 9)); err != nil {
+	if _, err := s.copy.Take(&replication.Pull{}, other.News(nil, replication.Mark{}, 9)); err != nil {
 		t.Fatal(err)
 	}
 	if r := s.status(); len(r.Words) != 1 || !r.Words[0].Conflict || !r.Words[0].Out {
@@ -263,7 +263,7 @@
 // of a runner and the others had their time.
 func TestLocalWords(t *testing.T) {
 	s, at := start(t, "a", "", "b")
-	if _, err := s.copy.Say(replica.Entry{Kind: replica.Word, Name: "known", Out: true, Member: "b"}); err != nil {
+	if _, err := s.copy.Say(replication.Entry{Kind: replication.Word, Name: "known", Out: true, Member: "b"}); err != nil {
 		t.Fatal(err)
 	}
 	before := hotrestart.Words{"known": {Out: false, At: 3}, "lost": {Out: true, At: 3}, "back": {Out: false, At: 3}}
@@ -294,7 +294,7 @@
 	before["known"] = hotrestart.Word{Out: false, At: 99} // said to the process beside us
 	s.Local(before)
 	s.Local(before)
-	if all := s.copy.Get(replica.Word, "known"); len(all) != 1 || all[0].Out || !all[0].Saw.Has(replica.Dot{Life: all[0].Life, Count: 1}) {
+	if all := s.copy.Get(replication.Word, "known"); len(all) != 1 || all[0].Out || !all[0].Saw.Has(replication.Dot{Life: all[0].Life, Count: 1}) {
 		t.Errorf("%+v", all)
 	}
 }
@@ -352,7 +352,7 @@
 		t.Errorf("a disk that fails: %q, %v", note, err)
 	}
 	s.mu.Lock()
-	if !s.refused || !s.dirty[replica.Ref{Kind: replica.Word, Name: "r"}] {
+	if !s.refused || !s.dirty[replication.Ref{Kind: replication.Word, Name: "r"}] {
 		t.Error("what the disk did not take is not given to it again")
 	}
 	s.mu.Unlock()
@@ -365,7 +365,7 @@
 // Messages that make no sense are refused by name, and nothing of them is taken.
 func TestHostileMessages(t *testing.T) {
 	s, _ := start(t, "a", "", "b")
-	long := strings.Repeat("x", replica.NameMost+1)
+	long := strings.Repeat("x", replication.NameMost+1)
 	for _, body := range []string{"", "{", "[]", `{"seen":"x"}`, `{"seen":-1}`} {
 		for _, h := range []group.Handler{s.onHello, s.onPull, s.onGone} {
 			if out, err := h(context.Background(), group.Sender{Name: "b"}, []byte(body)); err == nil && len(out) > 4096 {
@@ -376,22 +376,22 @@
 	if n := s.Counters.Refused.Load(); n < 10 {
 		t.Errorf("%d counted", n)
 	}
-	good := replica.Entry{Kind: replica.Word, Name: "r", Dot: replica.Dot{Life: "l", Count: 1}}
-	for what, change := range map[string]func(*replica.Piece){
-		"kind": func(p *replica.Piece) { p.Entries[1].Kind = "" }, "long kind": func(p *replica.Piece) { p.Entries[1].Kind = replica.Kind(long) },
-		"data": func(p *replica.Piece) { p.Entries[1].Data = []byte(strings.Repeat("1", 2000)) }, "zero": func(p *replica.Piece) { p.Entries[1].Name = "a\x00b" },
-		"name":    func(p *replica.Piece) { p.Entries[1].Name = long },
-		"no name": func(p *replica.Piece) { p.Entries[1].Name = "" }, "count": func(p *replica.Piece) { p.Entries[1].Count = 0 },
-		"life": func(p *replica.Piece) { p.Life = "" }, "member": func(p *replica.Piece) { p.Entries[1].Member = long },
-		"from": func(p *replica.Piece) { p.From.Name = "z" },
+	good := replication.Entry{Kind: replication.Word, Name: "r", Dot: replication.Dot{Life: "l", Count: 1}}
+	for what, change := range map[string]func(*replication.Piece){
+		"kind": func(p *replication.Piece) { p.Entries[1].Kind = "" }, "long kind": func(p *replication.Piece) { p.Entries[1].Kind = replication.Kind(long) },
+		"data": func(p *replication.Piece) { p.Entries[1].Data = []byte(strings.Repeat("1", 2000)) }, "zero": func(p *replication.Piece) { p.Entries[1].Name = "a\x00b" },
+		"name":    func(p *replication.Piece) { p.Entries[1].Name = long },
+		"no name": func(p *replication.Piece) { p.Entries[1].Name = "" }, "count": func(p *replication.Piece) { p.Entries[1].Count = 0 },
+		"life": func(p *replication.Piece) { p.Life = "" }, "member": func(p *replication.Piece) { p.Entries[1].Member = long },
+		"from": func(p *replication.Piece) { p.From.Name = "z" },
 	} {
-		p := replica.Piece{Life: "l", Entries: []replica.Entry{good, good}, Done: true}
+		p := replication.Piece{Life: "l", Entries: []replication.Entry{good, good}, Done: true}
 		change(&p)
-		if _, err := s.copy.Take(&replica.Pull{}, p); err == nil || s.copy.Len() > 0 {
+		if _, err := s.copy.Take(&replication.Pull{}, p); err == nil || s.copy.Len() > 0 {
 			t.Errorf("%s: %v, %d entries", what, err, s.copy.Len())
 		}
 	}
-	if _, err := s.copy.Say(replica.Entry{Kind: replica.Word, Name: long}); err == nil {
+	if _, err := s.copy.Say(replication.Entry{Kind: replication.Word, Name: long}); err == nil {
 		t.Error("a name that is too long was said")
 	}
 }
--- a/internal/spread/staff.go
+++ b/internal/spread/staff.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"birchfork/internal/group"
-	"birchfork/internal/replica"
+	"birchfork/internal/replication"
 )
 
 // Call is what staff ask for at a member.
@@ -120,9 +120,9 @@
 		}
 		r.Members = append(r.Members, MemberStatus{name, m.about, ago(m.at), ago(m.same), behind, m.held, p.messages, p.out, p.in})
 	}
-	for _, name := range s.copy.Names(replica.Word) {
-		all := s.copy.Get(replica.Word, name)
-		w := WordStatus{Runner: name, Out: replica.Out(all), Conflict: replica.Conflict(all)}
+	for _, name := range s.copy.Names(replication.Word) {
+		all := s.copy.Get(replication.Word, name)
+		w := WordStatus{Runner: name, Out: replication.Out(all), Conflict: replication.Conflict(all)}
 		for _, e := range all {
 			w.Said = append(w.Said, Said{e.Out, e.Member, time.UnixMilli(e.At)})
 		}
