--- a/cmd/birchfork/outage.go
+++ b/cmd/birchfork/outage.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"birchfork/internal/coordinator"
+	"birchfork/internal/gossip"
 	"birchfork/internal/maintenance"
-	"birchfork/internal/spread"
 	"birchfork/internal/tomlfile"
 )
 
@@ -180,11 +180,11 @@
 	if err != nil {
 		return err
 	}
-	copies, failed := g.words(spread.Call{})
+	copies, failed := g.words(gossip.Call{})
 	if g.JSON {
 		if err := g.print(out, struct {
 			*coordinator.Reply
-			Copies *spread.Reply `json:"copies,omitempty"`
+			Copies *gossip.Reply `json:"copies,omitempty"`
 		}{r, copies}); err != nil {
 			return err
 		}
@@ -200,7 +200,7 @@
 }
 
 // printCopies prints what members run and how far behind their words are, side by side.
-func printCopies(w io.Writer, r *spread.Reply) {
+func printCopies(w io.Writer, r *gossip.Reply) {
 	conflicts := 0
 	for _, word := range r.Words {
 		if word.Conflict {
--- a/cmd/birchfork/words.go
+++ b/cmd/birchfork/words.go
@@ -13,14 +13,14 @@
 	"text/tabwriter"
 	"time"
 
-	"birchfork/internal/spread"
+	"birchfork/internal/gossip"
 )
 
 type groupWords struct{ members }
 
 // Run prints what staff have said of runners, as one member has it.
 func (g *groupWords) Run(out output) error {
-	r, err := g.words(spread.Call{})
+	r, err := g.words(gossip.Call{})
 	if err != nil {
 		return err
 	}
@@ -35,7 +35,7 @@
 
 // Run says a word that has seen all others that one member knows of.
 func (g *groupResolve) Run(out output) error {
-	r, err := g.words(spread.Call{Runner: g.Runner, Out: g.Word == "out"})
+	r, err := g.words(gossip.Call{Runner: g.Runner, Out: g.Word == "out"})
 	if err != nil {
 		return err
 	}
@@ -44,19 +44,19 @@
 
 // words asks one member after the other until one answers. A word that was not answered may count all the same: said again it
 // changes nothing.
-func (m *members) words(c spread.Call) (r *spread.Reply, err error) {
+func (m *members) words(c gossip.Call) (r *gossip.Reply, err error) {
 	if err := m.check(); err != nil {
 		return nil, err
 	}
 	for _, at := range m.At {
-		if r, err = spread.Ask(context.Background(), at, c); err == nil {
+		if r, err = gossip.Ask(context.Background(), at, c); err == nil {
 			return r, nil
 		}
 	}
 	return nil, &notNow{fmt.Sprintf("no member answers, ask again (%v)", err)}
 }
 
-func (m *members) tellWords(out output, r *spread.Reply) error {
+func (m *members) tellWords(out output, r *gossip.Reply) error {
 	if err := m.print(out, r); err != nil {
 		return err
 	}
@@ -71,7 +71,7 @@
 	return nil
 }
 
-func printWords(w io.Writer, r *spread.Reply) {
+func printWords(w io.Writer, r *gossip.Reply) {
 	fmt.Fprintf(w, "told by %s, digest %s\n", r.Told, r.Digest)
 	if !r.CaughtUp {
 		fmt.Fprintln(w, "it has just started and has not heard of enough others")
@@ -111,7 +111,7 @@
 	has := map[string]map[string]string{} // by runner, then by member
 	var all, silent []string
 	for _, at := range g.At {
-		r, err := spread.Ask(context.Background(), at, spread.Call{})
+		r, err := gossip.Ask(context.Background(), at, gossip.Call{})
 		if err != nil {
 			silent = append(silent, at)
 			continue
--- a/internal/spread/spread.go
+++ b/internal/gossip/spread.go
@@ -1,6 +1,6 @@
-// Package spread carries one member's copy of what is replicated to the others of its group, and keeps it on disk. What copies come
+// Package gossip carries one member's copy of what is replicated to the others of its group, and keeps it on disk. What copies come
 // to stands in internal/replication; how messages travel in internal/group.
-package spread
+package gossip
 
 import (
 	"context"
--- a/internal/spread/staff.go
+++ b/internal/gossip/staff.go
@@ -1,4 +1,4 @@
-package spread
+package gossip
 
 import (
 	"context"
--- a/internal/lab/groups/groups.go
+++ b/internal/lab/groups/groups.go
@@ -15,13 +15,13 @@
 	"time"
 
 	"birchfork/internal/coordinator"
+	"birchfork/internal/gossip"
 	"birchfork/internal/lab"
 	"birchfork/internal/lab/fleet"
 	"birchfork/internal/lab/report"
 	"birchfork/internal/lab/scenario"
 	"birchfork/internal/maintenance"
 	"birchfork/internal/plant"
-	"birchfork/internal/spread"
 )
 
 // Options is what a run is made of.
@@ -487,7 +487,7 @@
 	say := func(w int, out bool) {
 		for i := range g.real {
 			for ctx.Err() == nil {
-				if r, err := spread.Ask(ctx, g.real[i], spread.Call{Runner: g.stage.Day().Workers[w].Name, Out: out}); err == nil && !r.Wrong {
+				if r, err := gossip.Ask(ctx, g.real[i], gossip.Call{Runner: g.stage.Day().Workers[w].Name, Out: out}); err == nil && !r.Wrong {
 					break
 				}
 				sleep(ctx, 100*time.Millisecond)
--- a/internal/lab/groups/words.go
+++ b/internal/lab/groups/words.go
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
+	"birchfork/internal/gossip"
 	"birchfork/internal/lab"
 	"birchfork/internal/lab/judge"
-	"birchfork/internal/spread"
 )
 
 // WordsRule is broken when a word of staff does not bind, is lost, or members do not become one again.
@@ -45,7 +45,7 @@
 	l := g.stage.Ledger()
 	s := spoken{Word: w, name: g.stage.Day().Workers[w.Worker].Name, asked: l.Now()}
 	for ; ctx.Err() == nil; sleep(ctx, 100*time.Millisecond) {
-		r, err := spread.Ask(ctx, g.real[w.Member], spread.Call{Runner: s.name, Out: w.Out})
+		r, err := gossip.Ask(ctx, g.real[w.Member], gossip.Call{Runner: s.name, Out: w.Out})
 		if err != nil || r.Wrong {
 			continue // not there just now
 		}
@@ -65,7 +65,7 @@
 	}
 	for ; ctx.Err() == nil; sleep(ctx, every) {
 		asked := g.stage.Ledger().Now()
-		if r, err := spread.Ask(ctx, g.real[member], spread.Call{}); err == nil {
+		if r, err := gossip.Ask(ctx, g.real[member], gossip.Call{}); err == nil {
 			g.mu.Lock()
 			g.told[member] = told{asked, r}
 			g.reached(member, r)
@@ -75,7 +75,7 @@
 }
 
 // reached notes the words "out" that a member has, when it tells of them first. The lock is held.
-func (g *rig) reached(member int, r *spread.Reply) {
+func (g *rig) reached(member int, r *gossip.Reply) {
 	for _, w := range r.Words {
 		for i := range g.spoken {
 			s := &g.spoken[i]
@@ -95,7 +95,7 @@
 // told is a member's answer on its words.
 type told struct {
 	asked time.Duration
-	reply *spread.Reply
+	reply *gossip.Reply
 }
 
 // calm is the first moment from one on at which nothing was wrong for as long as a word may take.
@@ -188,7 +188,7 @@
 			if last == nil || !sure || losable[worker] {
 				continue
 			}
-			is := slices.ContainsFunc(t.reply.Words, func(w spread.WordStatus) bool { return w.Runner == last.name && w.Out })
+			is := slices.ContainsFunc(t.reply.Words, func(w gossip.WordStatus) bool { return w.Runner == last.name && w.Out })
 			if is != last.Out {
 				breach("not the last", t.asked, i, "%s: out %t was said last, at dispatcher %d; it has %s", last.name, last.Out, last.Member, wordsOf(t.reply))
 			}
@@ -220,7 +220,7 @@
 	return last, true
 }
 
-func wordsOf(r *spread.Reply) string {
+func wordsOf(r *gossip.Reply) string {
 	var all []string
 	for _, w := range r.Words {
 		all = append(all, fmt.Sprintf("%s out %t conflict %t", w.Runner, w.Out, w.Conflict))
--- a/internal/lab/histories/copies.go
+++ b/internal/lab/histories/copies.go
@@ -12,7 +12,7 @@
 	"birchfork/internal/replication"
 )
 
-// CopiesOptions is what a history of copies is drawn by: words of staff that members tell each other, as internal/spread does.
+// CopiesOptions is what a history of copies is drawn by: words of staff that members tell each other, as internal/gossip does.
 type CopiesOptions struct {
 	Seed    uint64
 	Members int
@@ -34,7 +34,7 @@
 	Digest   uint64
 }
 
-// Times of the protocol: internal/spread's.
+// Times of the protocol: internal/gossip's.
 const (
 	copiesRound  = time.Second
 	copiesWait   = time.Second
@@ -252,7 +252,7 @@
 	})
 }
 
-// hello, as internal/spread has it.
+// hello, as internal/gossip has it.
 type hello struct {
 	Seen uint64   `json:"seen"`
 	Sum  uint64   `json:"sum"`
--- a/internal/server/group.go
+++ b/internal/server/group.go
@@ -17,8 +17,8 @@
 	"birchfork/dispatch"
 	"birchfork/internal/coordinator"
 	"birchfork/internal/engine"
+	"birchfork/internal/gossip"
 	"birchfork/internal/roster"
-	"birchfork/internal/spread"
 	"birchfork/internal/warning"
 )
 
@@ -26,9 +26,9 @@
 const groupsLinked = true
 
 // about is what the others are told of this process.
-func (n *node) about() spread.About {
+func (n *node) about() gossip.About {
 	c := n.inForce()
-	return spread.About{Version: version(), Settings: c.digest, Operator: c.Operator.Digest, Started: n.began}
+	return gossip.About{Version: version(), Settings: c.digest, Operator: c.Operator.Digest, Started: n.began}
 }
 
 // version is the revision that this program was built from, as far as the build has noted it.
@@ -123,7 +123,7 @@
 			others = append(others, p.Name)
 		}
 	}
-	s, err := spread.New(spread.Options{
+	s, err := gossip.New(gossip.Options{
 		Group: g.Name, Self: n.config.Name, Folder: g.Folder, Peers: others, Changed: n.bySpread, Say: n.byHand, About: n.about,
 		Log: n.log.WithField("part", "group"),
 	})
