--- a/internal/roster/golden_test.go
+++ b/internal/gossip/endpoints/golden_test.go
@@ -1,4 +1,4 @@
-package roster
+package endpoints
 
 import (
 	"context"
--- a/internal/roster/roster.go
+++ b/internal/gossip/endpoints/roster.go
@@ -1,6 +1,6 @@
-// Package roster tells the other members of a group how far workers have come by our own list, and leaves out those that others
+// Package endpoints tells the other members of a group how far workers have come by our own list, and leaves out those that others
 // know to have come further. Nothing is kept over a restart. Roster decides, and has no I/O, clock or goroutine; Teller carries.
-package roster
+package endpoints
 
 import (
 	"cmp"
--- a/internal/server/group.go
+++ b/internal/server/group.go
@@ -18,7 +18,7 @@
 	"birchfork/internal/coordinator"
 	"birchfork/internal/engine"
 	"birchfork/internal/gossip"
-	"birchfork/internal/roster"
+	"birchfork/internal/gossip/endpoints"
 	"birchfork/internal/warning"
 )
 
@@ -84,12 +84,12 @@
 const goneTold = 15 * time.Minute
 
 // states are those of the list, in roster's order.
-var states = map[dispatch.State]roster.State{dispatch.Ready: roster.Up, dispatch.Draining: roster.Draining, dispatch.Gone: roster.Gone}
+var states = map[dispatch.State]endpoints.State{dispatch.Ready: endpoints.Up, dispatch.Draining: endpoints.Draining, dispatch.Gone: endpoints.Gone}
 
-func (l lists) Facts() (all []roster.Fact, fresh bool) {
+func (l lists) Facts() (all []endpoints.Fact, fresh bool) {
 	known, fresh := l.Known(goneTold)
 	for _, k := range known {
-		all = append(all, roster.Fact{Name: k.Name, Start: k.Start, State: states[k.State]})
+		all = append(all, endpoints.Fact{Name: k.Name, Start: k.Start, State: states[k.State]})
 	}
 	return all, fresh
 }
@@ -132,7 +132,7 @@
 	}
 	w := warning.New(others, n.store.Warned)
 	n.store.OnWarn(w.Warn)
-	list := roster.NewTeller(others, lists{n.store}, n.log.WithField("part", "group"))
+	list := endpoints.NewTeller(others, lists{n.store}, n.log.WithField("part", "group"))
 	n.copies, o.Guests = s, []coordinator.Guest{s, w, list}
 	n.counts = []func() map[string]int64{s.Fields, w.Fields, list.Fields}
 	n.part = coordinator.Start(o)
