--- a/internal/warning/golden_test.go
+++ b/internal/gossip/outliers/golden_test.go
@@ -1,4 +1,4 @@
-package warning
+package outliers
 
 import (
 	"context"
--- a/internal/warning/warning.go
+++ b/internal/gossip/outliers/warning.go
@@ -1,6 +1,6 @@
-// Package warning tells the other members of a group of workers at which jobs fail, and hears of theirs. Nothing is kept and
+// Package outliers tells the other members of a group of workers at which jobs fail, and hears of theirs. Nothing is kept and
 // nothing is sure to arrive: what a warning is worth is the module's to say.
-package warning
+package outliers
 
 import (
 	"context"
--- a/internal/server/group.go
+++ b/internal/server/group.go
@@ -19,7 +19,7 @@
 	"birchfork/internal/engine"
 	"birchfork/internal/gossip"
 	"birchfork/internal/gossip/endpoints"
-	"birchfork/internal/warning"
+	"birchfork/internal/gossip/outliers"
 )
 
 // groupsLinked says that this build has what groups need.
@@ -130,7 +130,7 @@
 	if err != nil {
 		return fmt.Errorf("group.folder: %w", err)
 	}
-	w := warning.New(others, n.store.Warned)
+	w := outliers.New(others, n.store.Warned)
 	n.store.OnWarn(w.Warn)
 	list := endpoints.NewTeller(others, lists{n.store}, n.log.WithField("part", "group"))
 	n.copies, o.Guests = s, []coordinator.Guest{s, w, list}
