--- a/internal/config/group.go
+++ b/internal/config/group.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"birchfork/internal/group"
+	"birchfork/internal/peer"
 )
 
 // Group is what the operator says of the group that this dispatcher is in.
@@ -16,7 +16,7 @@
 	Plans  bool          // plans of machines to be taken out are in use
 	Lease  time.Duration // how long a member may send to machines of a plan without a word of the group
 	Folder string        // where what was settled is kept; empty: nothing is
-	Peers  []group.Peer  // all members, ourselves too
+	Peers  []peer.Peer   // all members, ourselves too
 }
 
 // groupPart is the section as it is written.
@@ -84,7 +84,7 @@
 		if m.Voter {
 			voters++
 		}
-		g.Peers = append(g.Peers, group.Peer{Name: m.Name, Link: m.Link, Zone: m.Zone, Voter: m.Voter})
+		g.Peers = append(g.Peers, peer.Peer{Name: m.Name, Link: m.Link, Zone: m.Zone, Voter: m.Voter})
 	}
 	if _, ok := names[c.p.Name]; !ok {
 		c.fault("group.member", "%q, which is this dispatcher, is not among them", c.p.Name)
--- a/internal/coordinator/client.go
+++ b/internal/coordinator/client.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"birchfork/internal/group"
 	"birchfork/internal/maintenance"
+	"birchfork/internal/peer"
 )
 
 // Times of a call.
@@ -37,7 +37,7 @@
 			pause(ctx, clientAgain)
 		}
 		r := &Reply{}
-		err := group.Staff(ctx, c.At[i%len(c.At)], PathStaff, call, r)
+		err := peer.Staff(ctx, c.At[i%len(c.At)], PathStaff, call, r)
 		switch {
 		case err != nil && ctx.Err() != nil && i > 0: // our own time is up: what was wrong before tells more
 		case err != nil:
--- a/internal/coordinator/council.go
+++ b/internal/coordinator/council.go
@@ -22,9 +22,9 @@
 	"birchfork/internal/config"
 	"birchfork/internal/consensus"
 	"birchfork/internal/engine"
-	"birchfork/internal/group"
 	"birchfork/internal/keep"
 	"birchfork/internal/maintenance"
+	"birchfork/internal/peer"
 	"birchfork/internal/plant"
 )
 
@@ -69,8 +69,8 @@
 
 // Guest has the links of this process's place in the group beside us.
 type Guest interface {
-	Enter(*group.Links) // they are open and serve soon
-	Leave()             // they close
+	Enter(*peer.Links) // they are open and serve soon
+	Leave()            // they close
 }
 
 // Council is one member's part, until Close.
@@ -101,7 +101,7 @@
 
 // voice is this process's place in the group.
 type voice struct {
-	links *group.Links
+	links *peer.Links
 	who   consensus.Identity
 	agree *consensus.Agree // nil: outside of the group
 	began time.Time
@@ -213,7 +213,7 @@
 	c.heard = disk.Who().Heard // nobody renews yet
 	v := &voice{who: disk.Who(), began: time.Now(), founding: make(chan bool), strange: make(chan struct{}, 1),
 		vouched: make(chan struct{}), mark: disk.Mark()}
-	v.links = group.Open(group.Options{
+	v.links = peer.Open(peer.Options{
 		Group: c.o.Group.Name, Self: c.o.Self, Peers: c.o.Group.Peers, Who: c.who, Old: c.old, Lost: c.lost, Log: c.o.Log,
 	})
 	c.handle(v.links)
@@ -436,7 +436,7 @@
 		}
 		all.Go(func() {
 			raw, err := c.ask(ctx, v, p.Name, pathRecall, ask)
-			var no *group.Refused
+			var no *peer.Refused
 			var its consensus.Mark
 			mu.Lock()
 			defer mu.Unlock()
@@ -475,7 +475,7 @@
 				continue
 			}
 			raw, err := c.ask(ctx, v, p.Name, pathJoin, ask)
-			var no *group.Refused
+			var no *peer.Refused
 			if errors.As(err, &no) && no.Text == outsideText {
 				outside++
 			}
@@ -504,20 +504,20 @@
 	return v.links.Ask(ctx, to, path, body)
 }
 
-func (c *Council) self() (group.Peer, bool) {
+func (c *Council) self() (peer.Peer, bool) {
 	for _, p := range c.o.Group.Peers {
 		if p.Name == c.o.Self {
 			return p, true
 		}
 	}
-	return group.Peer{}, false
+	return peer.Peer{}, false
 }
 
 // who says whose our messages are.
-func (c *Council) who() group.Sender {
+func (c *Council) who() peer.Sender {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := group.Sender{Name: c.o.Self}
+	s := peer.Sender{Name: c.o.Self}
 	if c.voice != nil {
 		s.Life, s.Founded = c.voice.who.Life, c.voice.who.Founded
 	}
--- a/internal/coordinator/council_test.go
+++ b/internal/coordinator/council_test.go
@@ -23,8 +23,8 @@
 	"birchfork/internal/config"
 	"birchfork/internal/consensus"
 	"birchfork/internal/engine"
-	"birchfork/internal/group"
 	"birchfork/internal/maintenance"
+	"birchfork/internal/peer"
 )
 
 // hand is a dispatcher that notes what it is told.
@@ -91,8 +91,8 @@
 // guest counts its comings and goings.
 type guest struct{ in, out atomic.Int32 }
 
-func (g *guest) Enter(*group.Links) { g.in.Add(1) }
-func (g *guest) Leave()             { g.out.Add(1) }
+func (g *guest) Enter(*peer.Links) { g.in.Add(1) }
+func (g *guest) Leave()            { g.out.Add(1) }
 
 func newRoom(t *testing.T) *room {
 	r := &room{t: t, group: config.Group{Name: "g", Plans: true, Lease: time.Second}, all: make([]*Council, 3)}
@@ -103,7 +103,7 @@
 		}
 		r.at = append(r.at, l.Addr().String())
 		l.Close()
-		r.group.Peers = append(r.group.Peers, group.Peer{Name: fmt.Sprint("d", i), Link: r.at[i], Voter: true})
+		r.group.Peers = append(r.group.Peers, peer.Peer{Name: fmt.Sprint("d", i), Link: r.at[i], Voter: true})
 		r.folders, r.marks = append(r.folders, t.TempDir()), append(r.marks, filepath.Join(t.TempDir(), "mark"))
 		r.hands, r.guests = append(r.hands, &hand{}), append(r.guests, &guest{})
 	}
@@ -311,7 +311,7 @@
 	}
 	ctx, cancel = context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
-	if out, err := c.onReport(ctx, group.Sender{}, raw); err == nil {
+	if out, err := c.onReport(ctx, peer.Sender{}, raw); err == nil {
 		t.Errorf("granted without a quorum: %s", out)
 	}
 	c.Close()
@@ -353,7 +353,7 @@
 // A plan is not handed in, or does not start, where others could not keep it.
 func TestWhatKeepsAPlan(t *testing.T) {
 	d := &hand{}
-	c := &Council{o: Options{Group: &config.Group{Plans: true, Peers: []group.Peer{{Name: "d0"}, {Name: "d1"}}}, Dispatcher: d},
+	c := &Council{o: Options{Group: &config.Group{Plans: true, Peers: []peer.Peer{{Name: "d0"}, {Name: "d1"}}}, Dispatcher: d},
 		state: maintenance.New(), words: map[string]heard{}}
 	apply := func(cmd maintenance.Command) {
 		raw, err := json.Marshal(cmd)
@@ -380,7 +380,7 @@
 
 // While one member's build knows less of entries, or may, none that needs more is settled; what was settled already is.
 func TestOlderBuilds(t *testing.T) {
-	c := &Council{o: Options{Dispatcher: &hand{}, Group: &config.Group{Plans: true, Peers: []group.Peer{{Name: "d0"}, {Name: "d1"}}}},
+	c := &Council{o: Options{Dispatcher: &hand{}, Group: &config.Group{Plans: true, Peers: []peer.Peer{{Name: "d0"}, {Name: "d1"}}}},
 		state: maintenance.New(), words: map[string]heard{}}
 	for _, name := range []string{"d0", "d1"} {
 		c.state.Members[name] = &maintenance.Member{Name: name}
@@ -514,7 +514,7 @@
 	for i := range r.all {
 		if r.all[i].leads() {
 			raw, _ := json.Marshal(report{Name: "d2", Word: maintenance.Word{Life: was}})
-			if _, err := r.all[i].onReport(context.Background(), group.Sender{}, raw); !errors.Is(err, errStranger) {
+			if _, err := r.all[i].onReport(context.Background(), peer.Sender{}, raw); !errors.Is(err, errStranger) {
 				t.Errorf("its earlier life: %v", err)
 			}
 		}
@@ -530,7 +530,7 @@
 // missed what it was taken in for.
 func TestADiskIsTrustedOnceTheGroupHasSpoken(t *testing.T) {
 	for _, heard := range []bool{false, true} {
-		g := config.Group{Name: "g", Plans: true, Lease: time.Second, Folder: t.TempDir(), Peers: []group.Peer{
+		g := config.Group{Name: "g", Plans: true, Lease: time.Second, Folder: t.TempDir(), Peers: []peer.Peer{
 			{Name: "d0", Link: "127.83.8.1:0", Voter: true}, {Name: "d1", Link: "127.83.8.2:1"},
 		}}
 		d, err := consensus.OpenDisk(g.Folder, consensus.Identity{Group: "g", Name: "d0", Life: "l", ID: 7})
--- a/internal/coordinator/golden_test.go
+++ b/internal/coordinator/golden_test.go
@@ -24,9 +24,9 @@
 
 	"birchfork/internal/config"
 	"birchfork/internal/consensus"
-	"birchfork/internal/group"
 	"birchfork/internal/keep"
 	"birchfork/internal/maintenance"
+	"birchfork/internal/peer"
 )
 
 // The golden files hold each form in which this package stores or sends anything, as written by an earlier build. A difference means
@@ -156,7 +156,7 @@
 func alone() *Council {
 	return &Council{
 		o: Options{
-			Group:      &config.Group{Name: "g", Plans: true, Lease: time.Second, Peers: []group.Peer{{Name: "d0", Zone: "z0"}, {Name: "d1", Zone: "z1"}}},
+			Group:      &config.Group{Name: "g", Plans: true, Lease: time.Second, Peers: []peer.Peer{{Name: "d0", Zone: "z0"}, {Name: "d1", Zone: "z1"}}},
 			Self:       "d0",
 			Dispatcher: &hand{},
 			Log:        quiet(),
@@ -257,7 +257,7 @@
 	}
 	c.state.Apply(8, raw)
 	c.attempt = 9 * time.Second
-	c.voice = &voice{links: group.Open(group.Options{Group: "g", Self: "d0", Who: c.who, Old: c.old, Lost: c.lost})}
+	c.voice = &voice{links: peer.Open(peer.Options{Group: "g", Self: "d0", Who: c.who, Old: c.old, Lost: c.lost})}
 	defer c.voice.links.Close()
 	for _, settled := range []bool{false, true} {
 		raw, err := json.MarshalIndent(c.status(settled), "", " ")
--- a/internal/coordinator/member.go
+++ b/internal/coordinator/member.go
@@ -11,8 +11,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 
 	"birchfork/internal/consensus"
-	"birchfork/internal/group"
 	"birchfork/internal/maintenance"
+	"birchfork/internal/peer"
 	"birchfork/internal/plant"
 )
 
@@ -37,17 +37,17 @@
 	errNotLead  = errors.New("no leader can be reached")
 	errWaits    = errors.New("this member does not know yet whether its disk is its last one")
 	errBound    = errors.New("attempts may run for longer than what is settled; that is settled first")
-	errStranger = &group.Refused{Text: "no member under this life: ask to be taken in"}
+	errStranger = &peer.Refused{Text: "no member under this life: ask to be taken in"}
 )
 
 // toLeader are the handlers of what only a leader can answer, by path.
-func (c *Council) toLeader() map[string]group.Handler {
-	return map[string]group.Handler{pathJoin: c.onJoin, pathReport: c.onReport, pathCall: c.onCall}
+func (c *Council) toLeader() map[string]peer.Handler {
+	return map[string]peer.Handler{pathJoin: c.onJoin, pathReport: c.onReport, pathCall: c.onCall}
 }
 
 // handle says what comes by the links.
-func (c *Council) handle(l *group.Links) {
-	l.Handle(pathRaft, func(_ context.Context, from group.Sender, body []byte) ([]byte, error) {
+func (c *Council) handle(l *peer.Links) {
+	l.Handle(pathRaft, func(_ context.Context, from peer.Sender, body []byte) ([]byte, error) {
 		a := c.agreement()
 		if a == nil {
 			return nil, errOutside
@@ -61,18 +61,18 @@
 		}
 		return nil, err
 	})
-	l.Handle(pathRecall, func(_ context.Context, from group.Sender, body []byte) ([]byte, error) {
+	l.Handle(pathRecall, func(_ context.Context, from peer.Sender, body []byte) ([]byte, error) {
 		var has consensus.Mark
 		if err := json.Unmarshal(body, &has); err != nil {
-			return nil, &group.Refused{Text: "no mark: " + err.Error()}
+			return nil, &peer.Refused{Text: "no mark: " + err.Error()}
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if said := c.marks[from.Life]; has.Behind(said) {
-			return nil, &group.Refused{Text: forgotText}
+			return nil, &peer.Refused{Text: forgotText}
 		}
 		if c.voice == nil || c.voice.who.Founded == "" {
-			return nil, &group.Refused{Text: outsideText}
+			return nil, &peer.Refused{Text: outsideText}
 		}
 		if c.voice.agree != nil {
 			return json.Marshal(c.voice.agree.Status().Mark)
@@ -80,13 +80,13 @@
 		return json.Marshal(c.voice.mark)
 	})
 	for path, h := range c.toLeader() {
-		l.Handle(path, func(ctx context.Context, from group.Sender, body []byte) ([]byte, error) {
+		l.Handle(path, func(ctx context.Context, from peer.Sender, body []byte) ([]byte, error) {
 			if c.leads() {
 				return h(ctx, from, body)
 			}
 			return c.onwards(ctx, path, body)
 		})
-		l.Handle(pathRelay+path, func(ctx context.Context, from group.Sender, body []byte) ([]byte, error) {
+		l.Handle(pathRelay+path, func(ctx context.Context, from peer.Sender, body []byte) ([]byte, error) {
 			if c.leads() {
 				return h(ctx, from, body)
 			}
@@ -116,7 +116,7 @@
 	v := c.voice
 	c.mu.Unlock()
 	if v == nil || c.agreement() == nil && c.who().Founded == "" {
-		return nil, &group.Refused{Text: outsideText}
+		return nil, &peer.Refused{Text: outsideText}
 	}
 	if c.agreement() == nil { // who is in a group and waits must not be taken for one that knows of no plan
 		return nil, errWaits
@@ -157,24 +157,24 @@
 }
 
 func refused(err error) bool {
-	var no *group.Refused
+	var no *peer.Refused
 	return errors.As(err, &no)
 }
 
 func isOutside(err error) bool {
-	var no *group.Refused
+	var no *peer.Refused
 	return errors.As(err, &no) && no.Text == outsideText
 }
 
 // onJoin takes a member in, at the leader.
-func (c *Council) onJoin(ctx context.Context, _ group.Sender, body []byte) ([]byte, error) {
+func (c *Council) onJoin(ctx context.Context, _ peer.Sender, body []byte) ([]byte, error) {
 	var j joining
 	if err := json.Unmarshal(body, &j); err != nil {
-		return nil, &group.Refused{Text: "no call to be taken in: " + err.Error()}
+		return nil, &peer.Refused{Text: "no call to be taken in: " + err.Error()}
 	}
-	i := slices.IndexFunc(c.o.Group.Peers, func(p group.Peer) bool { return p.Name == j.Name })
+	i := slices.IndexFunc(c.o.Group.Peers, func(p peer.Peer) bool { return p.Name == j.Name })
 	if i < 0 || j.ID == 0 || j.Life == "" {
-		return nil, &group.Refused{Text: "no member by our file: " + j.Name}
+		return nil, &peer.Refused{Text: "no member by our file: " + j.Name}
 	}
 	a, founded := c.agreement(), c.who().Founded
 	if a == nil { // our place has just gone to another process
@@ -184,7 +184,7 @@
 	m := c.state.Members[j.Name]
 	c.mu.Unlock()
 	if m != nil && m.Was(j.Life) {
-		return nil, &group.Refused{Text: "an earlier life of " + j.Name}
+		return nil, &peer.Refused{Text: "an earlier life of " + j.Name}
 	}
 	if m == nil || m.Life != j.Life {
 		entry, err := json.Marshal(maintenance.Command{Kind: maintenance.Join, Member: &maintenance.Member{
@@ -262,7 +262,7 @@
 		return err
 	}
 	raw, err := c.askLeader(ctx, pathReport, body)
-	var no *group.Refused
+	var no *peer.Refused
 	if errors.As(err, &no) && no.Text == errStranger.Text {
 		c.mu.Lock()
 		if c.voice != nil {
@@ -338,10 +338,10 @@
 }
 
 // onReport takes a member's word and grants it a lease, at the leader.
-func (c *Council) onReport(ctx context.Context, _ group.Sender, body []byte) ([]byte, error) {
+func (c *Council) onReport(ctx context.Context, _ peer.Sender, body []byte) ([]byte, error) {
 	var r report
 	if err := json.Unmarshal(body, &r); err != nil {
-		return nil, &group.Refused{Text: "no report: " + err.Error()}
+		return nil, &peer.Refused{Text: "no report: " + err.Error()}
 	}
 	a := c.agreement()
 	if a == nil {
--- a/internal/coordinator/staff.go
+++ b/internal/coordinator/staff.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"birchfork/internal/consensus"
-	"birchfork/internal/group"
 	"birchfork/internal/maintenance"
+	"birchfork/internal/peer"
 	"birchfork/internal/plant"
 )
 
@@ -92,7 +92,7 @@
 const doubtText = "machines may be with staff by a plan that was forgotten when the group was founded again; once none is: birchfork group trust"
 
 // onStaff takes a call of staff at any member.
-func (c *Council) onStaff(ctx context.Context, _ group.Sender, body []byte) ([]byte, error) {
+func (c *Council) onStaff(ctx context.Context, _ peer.Sender, body []byte) ([]byte, error) {
 	var call Call
 	if err := json.Unmarshal(body, &call); err != nil {
 		return json.Marshal(Reply{Code: maintenance.Wrong, Text: "no call: " + err.Error()})
@@ -124,10 +124,10 @@
 }
 
 // onCall takes a call at the leader.
-func (c *Council) onCall(ctx context.Context, _ group.Sender, body []byte) ([]byte, error) {
+func (c *Council) onCall(ctx context.Context, _ peer.Sender, body []byte) ([]byte, error) {
 	var call Call
 	if err := json.Unmarshal(body, &call); err != nil {
-		return nil, &group.Refused{Text: "no call: " + err.Error()}
+		return nil, &peer.Refused{Text: "no call: " + err.Error()}
 	}
 	ctx, cancel := context.WithTimeout(ctx, settleWait)
 	defer cancel()
@@ -148,7 +148,7 @@
 		return json.Marshal(Reply{Status: c.status(true)})
 	}
 	if call.Command == nil {
-		return nil, &group.Refused{Text: "a call for nothing"}
+		return nil, &peer.Refused{Text: "a call for nothing"}
 	}
 	c.mu.Lock()
 	reply := c.before(&call)
--- a/internal/gossip/endpoints/golden_test.go
+++ b/internal/gossip/endpoints/golden_test.go
@@ -9,20 +9,20 @@
 
 	"github.com/sirupsen/logrus"
 
-	"birchfork/internal/group"
-	"birchfork/internal/group/peertest"
+	"birchfork/internal/peer"
+	"birchfork/internal/peer/peertest"
 )
 
 // goldenLinks are member a's of the group g, whose member b has the address.
-func goldenLinks(t *testing.T, b string) (l *group.Links, on net.Listener) {
+func goldenLinks(t *testing.T, b string) (l *peer.Links, on net.Listener) {
 	t.Helper()
 	on, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l = group.Open(group.Options{
-		Group: "g", Self: "a", Peers: []group.Peer{{Name: "a", Link: on.Addr().String()}, {Name: "b", Link: b}}, Log: logrus.New(),
-		Who: func() group.Sender { return group.Sender{Name: "a", Life: "l", Founded: "f"} }, Old: func(string, string) bool { return false },
+	l = peer.Open(peer.Options{
+		Group: "g", Self: "a", Peers: []peer.Peer{{Name: "a", Link: on.Addr().String()}, {Name: "b", Link: b}}, Log: logrus.New(),
+		Who: func() peer.Sender { return peer.Sender{Name: "a", Life: "l", Founded: "f"} }, Old: func(string, string) bool { return false },
 		Lost: func(string) {},
 	})
 	t.Cleanup(l.Close)
--- a/internal/gossip/endpoints/teller.go
+++ b/internal/gossip/endpoints/teller.go
@@ -10,7 +10,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"birchfork/internal/group"
+	"birchfork/internal/peer"
 	"birchfork/internal/plant"
 )
 
@@ -66,8 +66,8 @@
 }
 
 // Enter takes part by the links of a place in the group, before they serve.
-func (t *Teller) Enter(l *group.Links) {
-	l.Handle(pathNews, func(_ context.Context, _ group.Sender, body []byte) ([]byte, error) {
+func (t *Teller) Enter(l *peer.Links) {
+	l.Handle(pathNews, func(_ context.Context, _ peer.Sender, body []byte) ([]byte, error) {
 		facts, err := decode(body)
 		if err != nil {
 			t.Refused.Add(1)
@@ -76,12 +76,12 @@
 		t.tell(l, t.hear(facts))
 		return nil, nil
 	})
-	l.Handle(pathAll, func(context.Context, group.Sender, []byte) ([]byte, error) {
+	l.Handle(pathAll, func(context.Context, peer.Sender, []byte) ([]byte, error) {
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		all, fresh := t.roster.All()
 		if !fresh || plant.On(plant.ListUntold) {
-			return nil, &group.Refused{Text: "this member's own discovery has told nothing yet"}
+			return nil, &peer.Refused{Text: "this member's own discovery has told nothing yet"}
 		}
 		return json.Marshal(all)
 	})
@@ -108,7 +108,7 @@
 
 func decode(body []byte) (facts []Fact, err error) {
 	if err := json.Unmarshal(body, &facts); err != nil {
-		return nil, &group.Refused{Text: "no facts of a list: " + err.Error()}
+		return nil, &peer.Refused{Text: "no facts of a list: " + err.Error()}
 	}
 	return facts, nil
 }
@@ -137,7 +137,7 @@
 }
 
 // look follows our own list.
-func (t *Teller) look(ctx context.Context, l *group.Links) {
+func (t *Teller) look(ctx context.Context, l *peer.Links) {
 	every := time.NewTicker(lookEvery)
 	defer every.Stop()
 	for ctx.Err() == nil {
@@ -164,7 +164,7 @@
 }
 
 // tell has some members hear what was news here. It does not wait.
-func (t *Teller) tell(l *group.Links, news []Fact) {
+func (t *Teller) tell(l *peer.Links, news []Fact) {
 	if plant.On(plant.ListUntold) {
 		return
 	}
@@ -181,7 +181,7 @@
 }
 
 // ask asks some members for all they know, until so many have told.
-func (t *Teller) ask(ctx context.Context, l *group.Links) {
+func (t *Teller) ask(ctx context.Context, l *peer.Links) {
 	told := map[string]bool{}
 	for ctx.Err() == nil && len(told) < min(askFrom, len(t.peers)) {
 		for _, i := range rand.Perm(len(t.peers)) {
--- a/internal/gossip/outliers/warning.go
+++ b/internal/gossip/outliers/warning.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"birchfork/internal/group"
+	"birchfork/internal/peer"
 	"birchfork/internal/plant"
 )
 
@@ -56,7 +56,7 @@
 }
 
 // Enter takes part by the links of a place in the group, before they serve.
-func (w *Warner) Enter(l *group.Links) {
+func (w *Warner) Enter(l *peer.Links) {
 	l.Handle(path, w.hear)
 	ctx, quit := context.WithCancel(context.Background())
 	w.quit = quit
@@ -74,7 +74,7 @@
 	return map[string]int64{"warnings_told": w.Told.Load(), "warnings_refused": w.Refused.Load()}
 }
 
-func (w *Warner) tell(ctx context.Context, l *group.Links) {
+func (w *Warner) tell(ctx context.Context, l *peer.Links) {
 	last := map[string]time.Time{}
 	for {
 		var worker string
@@ -101,11 +101,11 @@
 	}
 }
 
-func (w *Warner) hear(_ context.Context, _ group.Sender, body []byte) ([]byte, error) {
+func (w *Warner) hear(_ context.Context, _ peer.Sender, body []byte) ([]byte, error) {
 	var m message
 	if err := json.Unmarshal(body, &m); err != nil || m.Worker == "" || len(m.Worker) > nameMost {
 		w.Refused.Add(1)
-		return nil, &group.Refused{Text: "no warning"}
+		return nil, &peer.Refused{Text: "no warning"}
 	}
 	w.warned(m.Worker)
 	return nil, nil
--- a/internal/gossip/spread.go
+++ b/internal/gossip/spread.go
@@ -1,5 +1,5 @@
 // Package gossip carries one member's copy of what is replicated to the others of its group, and keeps it on disk. What copies come
-// to stands in internal/replication; how messages travel in internal/group.
+// to stands in internal/replication; how messages travel in internal/peer.
 package gossip
 
 import (
@@ -17,9 +17,9 @@
 
 	"github.com/sirupsen/logrus"
 
-	"birchfork/internal/group"
 	"birchfork/internal/hotrestart"
 	"birchfork/internal/keep"
+	"birchfork/internal/peer"
 	"birchfork/internal/plant"
 	"birchfork/internal/replication"
 )
@@ -108,7 +108,7 @@
 	before  map[string]bool  // runners that were out before, of which the copy knew nothing
 	settled bool             // words from before are told apart from new ones
 
-	links *group.Links // nil: this process has no place in the group
+	links *peer.Links // nil: this process has no place in the group
 	quit  context.CancelFunc
 	done  chan struct{}
 	news  chan struct{}
@@ -162,7 +162,7 @@
 func (s *Spread) out(name string) bool { return replication.Out(s.copy.Get(replication.Word, name)) }
 
 // Enter takes part by the links of a place in the group, before they serve.
-func (s *Spread) Enter(l *group.Links) {
+func (s *Spread) Enter(l *peer.Links) {
 	s.mu.Lock()
 	if s.copy == nil {
 		if err := s.open(); err != nil {
@@ -495,8 +495,8 @@
 }
 
 var (
-	errOutside = &group.Refused{Text: "this process has no copy"}
-	errStarted = &group.Refused{Text: "this process has just started: it has to hear of others first what its disk is worth"}
+	errOutside = &peer.Refused{Text: "this process has no copy"}
+	errStarted = &peer.Refused{Text: "this process has just started: it has to hear of others first what its disk is worth"}
 )
 
 // visit takes all that a member has and we have not, and lets go of what it has seen go.
@@ -650,7 +650,7 @@
 	var in In
 	if err := json.Unmarshal(body, &in); err != nil {
 		s.Counters.Refused.Add(1)
-		return nil, &group.Refused{Text: "no message about copies: " + err.Error()}
+		return nil, &peer.Refused{Text: "no message about copies: " + err.Error()}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -664,7 +664,7 @@
 	return json.Marshal(out)
 }
 
-func (s *Spread) onHello(_ context.Context, from group.Sender, body []byte) ([]byte, error) {
+func (s *Spread) onHello(_ context.Context, from peer.Sender, body []byte) ([]byte, error) {
 	return answer(s, body, func(its *hello) (hello, error) {
 		is := s.hello()
 		s.meets(from.Name, its, its.Seen == is.Seen && its.Sum == is.Sum)
@@ -683,7 +683,7 @@
 	})
 }
 
-func (s *Spread) onPull(_ context.Context, _ group.Sender, body []byte) ([]byte, error) {
+func (s *Spread) onPull(_ context.Context, _ peer.Sender, body []byte) ([]byte, error) {
 	return answer(s, body, func(p *pull) (replication.Piece, error) {
 		// Guards against a disk of before: one that has lost its own would take from it what all others have forgotten.
 		if s.caughtEnough() || !s.first.IsZero() && time.Since(s.first) > caughtWait {
@@ -693,11 +693,11 @@
 	})
 }
 
-func (s *Spread) onGone(_ context.Context, _ group.Sender, body []byte) ([]byte, error) {
+func (s *Spread) onGone(_ context.Context, _ peer.Sender, body []byte) ([]byte, error) {
 	return answer(s, body, func(g *gone) (gone, error) {
 		// Guards against one that has seen less: what we let go of may be replaced by what it has not.
 		if g.Seen != s.copy.Seen().Sum() {
-			return gone{}, &group.Refused{Text: "not the same was seen here"}
+			return gone{}, &peer.Refused{Text: "not the same was seen here"}
 		}
 		return gone{g.Seen, s.copy.Gone(g.Dots)}, nil
 	})
--- a/internal/gossip/spread_test.go
+++ b/internal/gossip/spread_test.go
@@ -16,8 +16,8 @@
 	"github.com/sirupsen/logrus"
 	"go.uber.org/goleak"
 
-	"birchfork/internal/group"
 	"birchfork/internal/hotrestart"
+	"birchfork/internal/peer"
 	"birchfork/internal/replication"
 )
 
@@ -62,7 +62,7 @@
 func TestWhoHasJustStartedTellsNothing(t *testing.T) {
 	s, _ := start(t, "a", t.TempDir(), "b", "c")
 	ask := func() error {
-		_, err := s.onPull(context.Background(), group.Sender{Name: "b"}, []byte("{}"))
+		_, err := s.onPull(context.Background(), peer.Sender{Name: "b"}, []byte("{}"))
 		return err
 	}
 	if err := ask(); err != errStarted {
@@ -85,19 +85,19 @@
 func join(t *testing.T, all ...*Spread) (part func()) {
 	t.Helper()
 	var on []net.Listener
-	var peers []group.Peer
+	var peers []peer.Peer
 	for _, s := range all {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		on, peers = append(on, l), append(peers, group.Peer{Name: s.o.Self, Link: l.Addr().String()})
+		on, peers = append(on, l), append(peers, peer.Peer{Name: s.o.Self, Link: l.Addr().String()})
 	}
-	var links []*group.Links
+	var links []*peer.Links
 	for i, s := range all {
-		l := group.Open(group.Options{
+		l := peer.Open(peer.Options{
 			Group: "g", Self: s.o.Self, Peers: peers, Log: s.o.Log, Lost: func(string) {}, Old: func(string, string) bool { return false },
-			Who: func() group.Sender { return group.Sender{Name: s.o.Self, Life: "1"} },
+			Who: func() peer.Sender { return peer.Sender{Name: s.o.Self, Life: "1"} },
 		})
 		s.Enter(l)
 		l.Serve(on[i])
@@ -234,7 +234,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		out, err := s.onGone(context.Background(), group.Sender{Name: "b"}, body)
+		out, err := s.onGone(context.Background(), peer.Sender{Name: "b"}, body)
 		if told := strings.Contains(string(out), old.Life); told != want || (err == nil) != want {
 			t.Errorf("%s, %v; want it told: %t", out, err, want)
 		}
@@ -367,8 +367,8 @@
 	s, _ := start(t, "a", "", "b")
 	long := strings.Repeat("x", replication.NameMost+1)
 	for _, body := range []string{"", "{", "[]", `{"seen":"x"}`, `{"seen":-1}`} {
-		for _, h := range []group.Handler{s.onHello, s.onPull, s.onGone} {
-			if out, err := h(context.Background(), group.Sender{Name: "b"}, []byte(body)); err == nil && len(out) > 4096 {
+		for _, h := range []peer.Handler{s.onHello, s.onPull, s.onGone} {
+			if out, err := h(context.Background(), peer.Sender{Name: "b"}, []byte(body)); err == nil && len(out) > 4096 {
 				t.Errorf("%q: %d bytes", body, len(out))
 			}
 		}
--- a/internal/gossip/staff.go
+++ b/internal/gossip/staff.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"birchfork/internal/group"
+	"birchfork/internal/peer"
 	"birchfork/internal/replication"
 )
 
@@ -62,13 +62,13 @@
 // Ask makes a call of staff at one member: that one's words are told, and it takes a word.
 func Ask(ctx context.Context, at string, c Call) (*Reply, error) {
 	r := &Reply{}
-	if err := group.Staff(ctx, at, PathStaff, c, r); err != nil {
+	if err := peer.Staff(ctx, at, PathStaff, c, r); err != nil {
 		return nil, fmt.Errorf("%s: %w", at, err)
 	}
 	return r, nil
 }
 
-func (s *Spread) onStaff(_ context.Context, _ group.Sender, body []byte) ([]byte, error) {
+func (s *Spread) onStaff(_ context.Context, _ peer.Sender, body []byte) ([]byte, error) {
 	var c Call
 	if err := json.Unmarshal(body, &c); err != nil {
 		return json.Marshal(Reply{Wrong: true, Text: "no call: " + err.Error()})
--- a/internal/group/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -1,4 +1,4 @@
-package group
+package peer
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"birchfork/internal/group/peertest"
+	"birchfork/internal/peer/peertest"
 )
 
 // The golden files hold what members of earlier builds send and answer. UPDATE_GOLDEN=1 writes them.
--- a/internal/group/links.go
+++ b/internal/peer/links.go
@@ -1,6 +1,6 @@
-// Package group is who the dispatchers of a group are and what passes between them: HTTP/1.1 of net/http on a listener of
+// Package peer is who the dispatchers of a group are and what passes between them: HTTP/1.1 of net/http on a listener of
 // its own, a bounded queue for each peer. It carries messages for others and knows none of them.
-package group
+package peer
 
 import (
 	"bytes"
--- a/internal/group/links_test.go
+++ b/internal/peer/links_test.go
@@ -1,4 +1,4 @@
-package group
+package peer
 
 import (
 	"context"
