--- a/internal/keep/golden_test.go
+++ b/internal/boltstore/golden_test.go
@@ -1,4 +1,4 @@
-package keep
+package boltstore
 
 import (
 	"bytes"
--- a/internal/keep/keep.go
+++ b/internal/boltstore/keep.go
@@ -1,6 +1,6 @@
-// Package keep opens a member's files: bbolt with the care that it needs where pages may be torn, and values with checksums of
+// Package boltstore opens a member's files: bbolt with the care that it needs where pages may be torn, and values with checksums of
 // their own, as the file's cover its root alone.
-package keep
+package boltstore
 
 import (
 	"encoding/binary"
--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -14,7 +14,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"birchfork/internal/keep"
+	"birchfork/internal/boltstore"
 	"birchfork/internal/plant"
 )
 
@@ -65,7 +65,7 @@
 	}
 	var err error
 	d.path = filepath.Join(folder, diskFile)
-	d.db, d.Unreadable, err = keep.Open(folder, diskFile, func(db *bbolt.DB) error {
+	d.db, d.Unreadable, err = boltstore.Open(folder, diskFile, func(db *bbolt.DB) error {
 		d.db, d.who, d.cache = db, fresh, raft.NewMemoryStorage()
 		return d.load()
 	})
@@ -106,11 +106,11 @@
 	raw := meta.Get(identKey)
 	var who Identity
 	if err := json.Unmarshal(raw, &who); err != nil {
-		return fmt.Errorf("%w: who it belongs to: %w", keep.ErrForeign, err)
+		return fmt.Errorf("%w: who it belongs to: %w", boltstore.ErrForeign, err)
 	}
 	if who.Format != format || who.Group != d.who.Group || who.Name != d.who.Name {
 		return fmt.Errorf("%w: it is of format %d, group %q, member %q, not %d, %q, %q",
-			keep.ErrForeign, who.Format, who.Group, who.Name, format, d.who.Group, d.who.Name)
+			boltstore.ErrForeign, who.Format, who.Group, who.Name, format, d.who.Group, d.who.Name)
 	}
 	d.who = who
 	snap, hard := &raftpb.Snapshot{}, &raftpb.HardState{}
@@ -275,11 +275,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return keep.Seal(raw), nil
+	return boltstore.Seal(raw), nil
 }
 
 func unseal(sealed []byte, m proto.Message) error {
-	raw, err := keep.Unseal(sealed)
+	raw, err := boltstore.Unseal(sealed)
 	if err != nil {
 		return err
 	}
--- a/internal/consensus/disk_test.go
+++ b/internal/consensus/disk_test.go
@@ -12,7 +12,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"birchfork/internal/keep"
+	"birchfork/internal/boltstore"
 )
 
 var whoever = Identity{Group: "g", Name: "a", Life: "first", ID: 7}
@@ -55,12 +55,12 @@
 	if d.Who().Life != "first" || d.Who().Founded != "f" || d.Mark() != (Mark{Term: 3, Last: 4, LastTerm: 3}) || hard.GetVote() != 9 || d.Empty() {
 		t.Errorf("%+v, mark %+v, %v", d.Who(), d.Mark(), hard)
 	}
-	if _, err := OpenDisk(folder, whoever); !errors.Is(err, keep.ErrTaken) {
+	if _, err := OpenDisk(folder, whoever); !errors.Is(err, boltstore.ErrTaken) {
 		t.Errorf("a second owner: %v", err)
 	}
 	d.Close()
 	for _, other := range []Identity{{Group: "h", Name: "a"}, {Group: "g", Name: "b"}} {
-		if _, err := OpenDisk(folder, other); !errors.Is(err, keep.ErrForeign) {
+		if _, err := OpenDisk(folder, other); !errors.Is(err, boltstore.ErrForeign) {
 			t.Errorf("%+v: %v", other, err)
 		}
 	}
@@ -81,7 +81,7 @@
 		}
 		d, err := OpenDisk(folder, Identity{Group: "g", Name: "a", Life: "second", ID: 8})
 		switch {
-		case errors.Is(err, keep.ErrForeign): // its name has the flipped bit
+		case errors.Is(err, boltstore.ErrForeign): // its name has the flipped bit
 			return
 		case err != nil:
 			t.Errorf("%s at %d: %v", what, at, err)
--- a/internal/coordinator/council.go
+++ b/internal/coordinator/council.go
@@ -19,10 +19,10 @@
 
 	"github.com/sirupsen/logrus"
 
+	"birchfork/internal/boltstore"
 	"birchfork/internal/config"
 	"birchfork/internal/consensus"
 	"birchfork/internal/engine"
-	"birchfork/internal/keep"
 	"birchfork/internal/maintenance"
 	"birchfork/internal/peer"
 	"birchfork/internal/plant"
@@ -284,7 +284,7 @@
 		return nil, err
 	}
 	d, err := consensus.OpenDisk(c.o.Group.Folder, who)
-	if err == nil || errors.Is(err, keep.ErrTaken) || errors.Is(err, keep.ErrForeign) {
+	if err == nil || errors.Is(err, boltstore.ErrTaken) || errors.Is(err, boltstore.ErrForeign) {
 		return d, err
 	}
 	c.o.Log.WithError(err).Error("the group's folder cannot be used: what is settled is not kept over a restart of this member")
@@ -326,7 +326,7 @@
 			tellUnreadable(o.Log, d)
 		}
 		d.Close()
-	case errors.Is(err, keep.ErrForeign), errors.Is(err, keep.ErrTaken):
+	case errors.Is(err, boltstore.ErrForeign), errors.Is(err, boltstore.ErrTaken):
 		errs = append(errs, fmt.Errorf("group.folder: %w", err))
 	}
 	return errors.Join(errs...)
--- a/internal/coordinator/golden_test.go
+++ b/internal/coordinator/golden_test.go
@@ -22,9 +22,9 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
+	"birchfork/internal/boltstore"
 	"birchfork/internal/config"
 	"birchfork/internal/consensus"
-	"birchfork/internal/keep"
 	"birchfork/internal/maintenance"
 	"birchfork/internal/peer"
 )
@@ -397,7 +397,7 @@
 	var found []byte
 	err = db.View(func(tx *bbolt.Tx) error {
 		return tx.Bucket([]byte("log")).ForEach(func(k, v []byte) error {
-			raw, err := keep.Unseal(v)
+			raw, err := boltstore.Unseal(v)
 			if err != nil {
 				return err
 			}
--- a/internal/gossip/disk.go
+++ b/internal/gossip/disk.go
@@ -11,7 +11,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"birchfork/internal/keep"
+	"birchfork/internal/boltstore"
 	"birchfork/internal/plant"
 	"birchfork/internal/replication"
 )
@@ -64,7 +64,7 @@
 	}
 	var seen replication.Seen
 	var entries []replication.Entry
-	db, unreadable, err := keep.Open(folder, diskFile, func(db *bbolt.DB) error {
+	db, unreadable, err := boltstore.Open(folder, diskFile, func(db *bbolt.DB) error {
 		seen, entries = nil, nil
 		return db.Update(func(tx *bbolt.Tx) error {
 			meta, err := tx.CreateBucketIfNotExists(metaBucket)
@@ -101,7 +101,7 @@
 	}
 	var is identity
 	if err := json.Unmarshal(raw, &is); err != nil || is != ours {
-		return fmt.Errorf("%w: its words are of format %d, group %q, not %d, %q", keep.ErrForeign, is.Format, is.Group, ours.Format, ours.Group)
+		return fmt.Errorf("%w: its words are of format %d, group %q, not %d, %q", boltstore.ErrForeign, is.Format, is.Group, ours.Format, ours.Group)
 	}
 	if raw := meta.Get(seenKey); raw != nil {
 		if err := unseal(raw, seen); err != nil {
@@ -119,7 +119,7 @@
 }
 
 func unseal(sealed []byte, into any) error {
-	raw, err := keep.Unseal(sealed)
+	raw, err := boltstore.Unseal(sealed)
 	if err != nil {
 		return err
 	}
@@ -128,7 +128,7 @@
 
 func seal(v any) ([]byte, error) {
 	raw, err := json.Marshal(v)
-	return keep.Seal(raw), err
+	return boltstore.Seal(raw), err
 }
 
 // put hands over some of what a copy has, and what it has seen, behind what waits already.
--- a/internal/gossip/spread.go
+++ b/internal/gossip/spread.go
@@ -17,8 +17,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"birchfork/internal/boltstore"
 	"birchfork/internal/hotrestart"
-	"birchfork/internal/keep"
 	"birchfork/internal/peer"
 	"birchfork/internal/plant"
 	"birchfork/internal/replication"
@@ -121,7 +121,7 @@
 	s := &Spread{o: o, began: time.Now(), patience: syncWait, others: map[string]met{}, passed: map[string]passed{}, news: make(chan struct{}, 1), meet: make(chan string, 16)}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.open(); err != nil && !errors.Is(err, keep.ErrTaken) {
+	if err := s.open(); err != nil && !errors.Is(err, boltstore.ErrTaken) {
 		return nil, err
 	}
 	return s, nil
@@ -135,7 +135,7 @@
 	}
 	c := replication.New(life)
 	d, unreadable, err := openDisk(s.o.Folder, s.o.Group, c, s.wrote)
-	if errors.Is(err, keep.ErrTaken) || errors.Is(err, keep.ErrForeign) {
+	if errors.Is(err, boltstore.ErrTaken) || errors.Is(err, boltstore.ErrForeign) {
 		return err
 	}
 	if unreadable != nil {
