--- a/cmd/birchfork/labgroup.go
+++ b/cmd/birchfork/labgroup.go
@@ -22,9 +22,9 @@
 
 	"github.com/sirupsen/logrus"
 
+	"birchfork/internal/failpoint"
 	"birchfork/internal/lab/groups"
 	"birchfork/internal/lab/histories"
-	"birchfork/internal/plant"
 	"birchfork/internal/server"
 )
 
@@ -55,8 +55,8 @@
 
 // load returns the scenarios with what the flags put in place of theirs.
 func (l *labGroupPlay) load() ([]groups.Scenario, error) {
-	if l.Plant != "" && !slices.Contains(plant.Names, l.Plant) {
-		return nil, fmt.Errorf("--plant: %q is none of %s", l.Plant, strings.Join(plant.Names, ", "))
+	if l.Plant != "" && !slices.Contains(failpoint.Names, l.Plant) {
+		return nil, fmt.Errorf("--plant: %q is none of %s", l.Plant, strings.Join(failpoint.Names, ", "))
 	}
 	name := l.Scenario
 	if name == "" && l.Plant != "" {
@@ -162,7 +162,7 @@
 	for _, s := range all {
 		fmt.Fprintf(t, "%s\t%s\n", s.Name, s.About)
 	}
-	fmt.Fprintf(t, "\nfaults\t%s\nplanted\t%s\nrules\t%s\n", strings.Join(groups.Kinds, ", "), strings.Join(plant.Names, ", "), strings.Join(groups.Rules, ", "))
+	fmt.Fprintf(t, "\nfaults\t%s\nplanted\t%s\nrules\t%s\n", strings.Join(groups.Kinds, ", "), strings.Join(failpoint.Names, ", "), strings.Join(groups.Rules, ", "))
 	return t.Flush()
 }
 
@@ -265,10 +265,10 @@
 
 // Run serves with the fault.
 func (l *labMember) Run(out output) error {
-	if !slices.Contains(append([]string{plant.DiskFails, plant.DiskStalls, plant.NewerWords, plant.Older, plant.ClocksApart}, plant.Names...), l.Plant) {
+	if !slices.Contains(append([]string{failpoint.DiskFails, failpoint.DiskStalls, failpoint.NewerWords, failpoint.Older, failpoint.ClocksApart}, failpoint.Names...), l.Plant) {
 		return errors.New("--plant: there is no such fault")
 	}
-	plant.Set(l.Plant)
+	failpoint.Set(l.Plant)
 	c, err := server.LoadAll(l.Config, l.Operator, os.Getenv("EDGE_OPERATOR"))
 	if err != nil {
 		return err
--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -15,7 +15,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"birchfork/internal/boltstore"
-	"birchfork/internal/plant"
+	"birchfork/internal/failpoint"
 )
 
 // Identity is who a disk belongs to.
@@ -208,7 +208,7 @@
 	if hard == nil && snap == nil && len(entries) == 0 {
 		return nil
 	}
-	if err := plant.Write(d.opened); err != nil {
+	if err := failpoint.Write(d.opened); err != nil {
 		return err
 	}
 	if d.db != nil {
--- a/internal/coordinator/council.go
+++ b/internal/coordinator/council.go
@@ -23,9 +23,9 @@
 	"birchfork/internal/config"
 	"birchfork/internal/consensus"
 	"birchfork/internal/engine"
+	"birchfork/internal/failpoint"
 	"birchfork/internal/maintenance"
 	"birchfork/internal/peer"
-	"birchfork/internal/plant"
 )
 
 // Times of a member.
@@ -146,7 +146,7 @@
 	c := &Council{o: o, quit: quit, done: make(chan struct{}), state: maintenance.New(), at: time.Now(), changed: make(chan struct{}), words: map[string]heard{},
 		heardOf: map[uint64]string{}, marks: map[string]consensus.Mark{}, attempt: o.Deadline + o.Arrive, warm: o.Warm}
 	o.Dispatcher.AttemptsMost(o.Deadline)
-	o.Dispatcher.Blind(o.Group.Plans && !plant.On(plant.SeesAnyway))
+	o.Dispatcher.Blind(o.Group.Plans && !failpoint.On(failpoint.SeesAnyway))
 	go c.run(ctx)
 	return c
 }
@@ -350,7 +350,7 @@
 func (c *Council) goOnWith(ctx context.Context, v *voice, disk *consensus.Disk) {
 	w := c.witness()
 	was, known := w.Knows(v.who.Life)
-	if plant.On(plant.TrustsDisk) {
+	if failpoint.On(failpoint.TrustsDisk) {
 		c.begin(v, disk, w, nil, true)
 		return
 	}
@@ -690,7 +690,7 @@
 
 // forgets tells whether a planted fault passes over what is settled already at the start.
 func (c *Council) forgets() bool {
-	if !plant.On(plant.ForgetsOut) {
+	if !failpoint.On(failpoint.ForgetsOut) {
 		return false
 	}
 	c.mu.Lock()
--- a/internal/coordinator/member.go
+++ b/internal/coordinator/member.go
@@ -11,9 +11,9 @@
 	"go.etcd.io/raft/v3/raftpb"
 
 	"birchfork/internal/consensus"
+	"birchfork/internal/failpoint"
 	"birchfork/internal/maintenance"
 	"birchfork/internal/peer"
-	"birchfork/internal/plant"
 )
 
 // The paths of the links. What comes by a relay was passed on once already.
@@ -288,7 +288,7 @@
 	if err := c.inForce(ctx, g.Index); err != nil {
 		return err
 	}
-	if plant.On(plant.LongLease) {
+	if failpoint.On(failpoint.LongLease) {
 		began = began.Add(time.Minute)
 	}
 	if a := c.agreement(); a != nil && !c.heard {
--- a/internal/coordinator/staff.go
+++ b/internal/coordinator/staff.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"birchfork/internal/consensus"
+	"birchfork/internal/failpoint"
 	"birchfork/internal/maintenance"
 	"birchfork/internal/peer"
-	"birchfork/internal/plant"
 )
 
 // Call is what staff ask for. A Command's ID makes it act once however often it comes.
@@ -165,7 +165,7 @@
 	if cmd.ID == "" {
 		return &Reply{Code: maintenance.Wrong, Text: "a call without an id"}
 	}
-	if was, ok := c.state.Answer(cmd.ID); ok && !plant.On(plant.ActsTwice) {
+	if was, ok := c.state.Answer(cmd.ID); ok && !failpoint.On(failpoint.ActsTwice) {
 		return &Reply{Code: was.Code, Text: was.Text}
 	}
 	if silent, older := c.lacking(cmd.Requires()); len(older) > 0 {
@@ -304,7 +304,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if plant.On(plant.SilentAnswer) && cmd.Kind == maintenance.Take {
+	if failpoint.On(failpoint.SilentAnswer) && cmd.Kind == maintenance.Take {
 		time.AfterFunc(time.Second, func() { a.Propose(context.Background(), raw) })
 		return json.Marshal(Reply{Text: "yes"})
 	}
--- a/internal/engine/guard.go
+++ b/internal/engine/guard.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"birchfork/dispatch"
-	"birchfork/internal/plant"
+	"birchfork/internal/failpoint"
 )
 
 // Guard is what a group of dispatchers has settled on workers, by name or by host, as far as it binds this one. It takes away
@@ -102,7 +102,7 @@
 
 // mayLease tells whether the lease lets us send to a worker at this moment. The lock is held.
 func (s *Store) mayLease(w *workerView) bool {
-	if plant.On(plant.NoLease) {
+	if failpoint.On(failpoint.NoLease) {
 		return true
 	}
 	return !w.leased && !s.blind || time.Now().Before(s.leaseUntil)
@@ -150,7 +150,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if plant.On(plant.IgnoresBusy) {
+	if failpoint.On(failpoint.IgnoresBusy) {
 		return nil, nil
 	}
 	for id := range s.workers {
--- a/internal/engine/warn.go
+++ b/internal/engine/warn.go
@@ -2,7 +2,7 @@
 
 import (
 	"birchfork/dispatch"
-	"birchfork/internal/plant"
+	"birchfork/internal/failpoint"
 )
 
 // warnFrom is how many jobs in a row have to fail at a worker for others to hear of it. One would be told with every chance
@@ -24,7 +24,7 @@
 	defer s.mu.Unlock()
 	if id, ok := s.names.FindWorker(name); ok {
 		s.Counters.Warnings.Add(1)
-		if plant.On(plant.LeavesAlone) {
+		if failpoint.On(failpoint.LeavesAlone) {
 			s.leaveOut(id, byHand)
 			return
 		}
--- a/internal/plant/lean.go
+++ b/internal/failpoint/lean.go
@@ -1,7 +1,7 @@
 //go:build lean
 
-// Package plant is left out of this build: no fault can be switched on.
-package plant
+// Package failpoint is left out of this build: no fault can be switched on.
+package failpoint
 
 import "time"
 
--- a/internal/plant/lean_test.go
+++ b/internal/failpoint/lean_test.go
@@ -1,6 +1,6 @@
 //go:build lean
 
-package plant
+package failpoint
 
 import (
 	"testing"
--- a/internal/plant/plant.go
+++ b/internal/failpoint/plant.go
@@ -1,8 +1,8 @@
 //go:build !lean
 
-// Package plant switches faults on in the program itself, to prove that the lab's judge of a group sees them. Nothing but the
+// Package failpoint switches faults on in the program itself, to prove that the lab's judge of a group sees them. Nothing but the
 // lab's own command sets one; a lean build has none of it.
-package plant
+package failpoint
 
 import (
 	"fmt"
--- a/internal/gossip/disk.go
+++ b/internal/gossip/disk.go
@@ -12,7 +12,7 @@
 	"go.etcd.io/bbolt"
 
 	"birchfork/internal/boltstore"
-	"birchfork/internal/plant"
+	"birchfork/internal/failpoint"
 	"birchfork/internal/replication"
 )
 
@@ -188,7 +188,7 @@
 			err = fmt.Errorf("the group's disk: %w", err)
 		}
 	}()
-	if err := plant.Write(d.opened); err != nil {
+	if err := failpoint.Write(d.opened); err != nil {
 		return err
 	}
 	return d.db.Update(func(tx *bbolt.Tx) error {
--- a/internal/gossip/endpoints/teller.go
+++ b/internal/gossip/endpoints/teller.go
@@ -10,8 +10,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"birchfork/internal/failpoint"
 	"birchfork/internal/peer"
-	"birchfork/internal/plant"
 )
 
 // Times and bounds of telling.
@@ -80,7 +80,7 @@
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		all, fresh := t.roster.All()
-		if !fresh || plant.On(plant.ListUntold) {
+		if !fresh || failpoint.On(failpoint.ListUntold) {
 			return nil, &peer.Refused{Text: "this member's own discovery has told nothing yet"}
 		}
 		return json.Marshal(all)
@@ -165,7 +165,7 @@
 
 // tell has some members hear what was news here. It does not wait.
 func (t *Teller) tell(l *peer.Links, news []Fact) {
-	if plant.On(plant.ListUntold) {
+	if failpoint.On(failpoint.ListUntold) {
 		return
 	}
 	for ; len(news) > 0; news = news[min(pieceMost, len(news)):] {
--- a/internal/gossip/outliers/warning.go
+++ b/internal/gossip/outliers/warning.go
@@ -10,8 +10,8 @@
 	"sync/atomic"
 	"time"
 
+	"birchfork/internal/failpoint"
 	"birchfork/internal/peer"
-	"birchfork/internal/plant"
 )
 
 // Bounds on warnings.
@@ -83,7 +83,7 @@
 			return
 		case worker = <-w.wait:
 		}
-		if time.Since(last[worker]) < every || plant.On(plant.KeepsMum) {
+		if time.Since(last[worker]) < every || failpoint.On(failpoint.KeepsMum) {
 			continue
 		}
 		if len(last) >= keptMost {
--- a/internal/gossip/spread.go
+++ b/internal/gossip/spread.go
@@ -18,9 +18,9 @@
 	"github.com/sirupsen/logrus"
 
 	"birchfork/internal/boltstore"
+	"birchfork/internal/failpoint"
 	"birchfork/internal/hotrestart"
 	"birchfork/internal/peer"
-	"birchfork/internal/plant"
 	"birchfork/internal/replication"
 )
 
@@ -130,7 +130,7 @@
 // open begins a copy by what the disk has. The lock is held.
 func (s *Spread) open() error {
 	life := rand.Text()[:16] // of its own: no count of it was ever used
-	if plant.On(plant.CountAgain) {
+	if failpoint.On(failpoint.CountAgain) {
 		life = s.o.Self
 	}
 	c := replication.New(life)
@@ -207,7 +207,7 @@
 // keep has the disk write what it may not have; it is tried again with each round. The lock is held.
 func (s *Spread) keep() {
 	sum := s.copy.Seen().Sum()
-	if plant.On(plant.EarlyYes) && time.Since(s.began) < 8*time.Second {
+	if failpoint.On(failpoint.EarlyYes) && time.Since(s.began) < 8*time.Second {
 		return
 	}
 	if len(s.dirty) == 0 && sum == s.given && !s.refused || s.disk == nil {
@@ -284,11 +284,11 @@
 	delete(s.before, runner)
 	all := s.copy.Get(replication.Word, runner)
 	if replication.Out(all) != out || replication.Conflict(all) || out && len(all) == 0 {
-		if _, err := s.copy.Say(replication.Entry{Kind: replication.Word, Name: runner, Out: out, Member: s.o.Self, At: time.Now().Add(plant.Skew(s.o.Self)).UnixMilli()}); err != nil {
+		if _, err := s.copy.Say(replication.Entry{Kind: replication.Word, Name: runner, Out: out, Member: s.o.Self, At: time.Now().Add(failpoint.Skew(s.o.Self)).UnixMilli()}); err != nil {
 			return fmt.Errorf("it binds here alone: %w", err)
 		}
 		s.dirty[replication.Ref{Kind: replication.Word, Name: runner}] = true
-		if plant.On(plant.NewerWords) {
+		if failpoint.On(failpoint.NewerWords) {
 			e, err := s.copy.Say(replication.Entry{Kind: "later", Name: runner, Member: s.o.Self, Data: []byte(`{"of":"a newer build"}`)})
 			if err != nil {
 				return err
@@ -385,7 +385,7 @@
 			s.asking[name] = true
 		}
 		s.mu.Unlock()
-		if !free || plant.On(plant.WordsStay) {
+		if !free || failpoint.On(failpoint.WordsStay) {
 			return
 		}
 		all.Go(func() {
@@ -561,7 +561,7 @@
 		if p == nil {
 			p = &replication.Pull{}
 			s.pulls[name] = p
-			if plant.On(plant.Overwrites) {
+			if failpoint.On(failpoint.Overwrites) {
 				s.copy = replication.New(rand.Text()[:16])
 			}
 		}
--- a/internal/lab/groups/groups.go
+++ b/internal/lab/groups/groups.go
@@ -15,13 +15,13 @@
 	"time"
 
 	"birchfork/internal/coordinator"
+	"birchfork/internal/failpoint"
 	"birchfork/internal/gossip"
 	"birchfork/internal/lab"
 	"birchfork/internal/lab/fleet"
 	"birchfork/internal/lab/report"
 	"birchfork/internal/lab/scenario"
 	"birchfork/internal/maintenance"
-	"birchfork/internal/plant"
 )
 
 // Options is what a run is made of.
@@ -189,14 +189,14 @@
 		Launch: func(config string) *exec.Cmd {
 			name := strings.TrimSuffix(filepath.Base(config), ".json")
 			fault := o.Plant
-			for its, member := range map[string]int{plant.DiskFails: o.Failing, plant.DiskStalls: o.Stalling, plant.NewerWords: o.Newer} {
+			for its, member := range map[string]int{failpoint.DiskFails: o.Failing, failpoint.DiskStalls: o.Stalling, failpoint.NewerWords: o.Newer} {
 				if member > 0 && name == fmt.Sprintf("d%d", member) {
 					fault = its
 				}
 			}
 			g.mu.Lock()
 			if g.starts[name]++; o.Older > 0 && name == fmt.Sprintf("d%d", o.Older) && g.starts[name] == 1 {
-				fault = plant.Older
+				fault = failpoint.Older
 			}
 			g.mu.Unlock()
 			cmd := o.Launch(fault, config, g.operator(name))
--- a/internal/lab/groups/groups_test.go
+++ b/internal/lab/groups/groups_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"birchfork/internal/plant"
+	"birchfork/internal/failpoint"
 	"birchfork/internal/server"
 )
 
@@ -27,7 +27,7 @@
 		os.Exit(m.Run())
 	}
 	if who != sound {
-		plant.Set(who)
+		failpoint.Set(who)
 	}
 	c, err := server.LoadAll(os.Args[1], os.Args[2], os.Getenv("EDGE_OPERATOR"))
 	if err == nil {
@@ -63,7 +63,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, name := range plant.Names {
+	for _, name := range failpoint.Names {
 		if !slices.ContainsFunc(all, func(s Scenario) bool { return s.Plant == name && s.Caught != "" }) {
 			t.Errorf("no scenario catches %s", name)
 		}
--- a/internal/lab/groups/scenarios.go
+++ b/internal/lab/groups/scenarios.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"birchfork/internal/plant"
+	"birchfork/internal/failpoint"
 	"birchfork/internal/tomlfile"
 )
 
@@ -95,8 +95,8 @@
 	if s.Joins != 0 && (s.Joins < voters(s.Members) || s.Joins >= max(s.Members, 1)) {
 		fault("joins", "%d is no member that follows: the first %d vote", s.Joins, voters(s.Members))
 	}
-	if s.Plant != "" && s.Plant != plant.ClocksApart && !slices.Contains(plant.Names, s.Plant) {
-		fault("plant", "%q is none of %s", s.Plant, strings.Join(plant.Names, ", "))
+	if s.Plant != "" && s.Plant != failpoint.ClocksApart && !slices.Contains(failpoint.Names, s.Plant) {
+		fault("plant", "%q is none of %s", s.Plant, strings.Join(failpoint.Names, ", "))
 	}
 	if s.Caught != "" && !slices.Contains(Rules, s.Caught) {
 		fault("caught", "%q is none of %s", s.Caught, strings.Join(Rules, ", "))
--- a/internal/lab/histories/copies_test.go
+++ b/internal/lab/histories/copies_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"birchfork/internal/plant"
+	"birchfork/internal/failpoint"
 )
 
 // Copies of words with cuts, lost and old disks: all become one, and nothing that was forgotten comes back.
@@ -23,8 +23,8 @@
 
 // Where what was seen to go is taken again, copies do not become one, or have what all had forgotten.
 func TestCopiesThatForgetNothing(t *testing.T) {
-	plant.Set(plant.Reappears)
-	defer plant.Set("")
+	failpoint.Set(failpoint.Reappears)
+	defer failpoint.Set("")
 	for seed := range uint64(60) {
 		if r := PlayCopies(CopiesOptions{Seed: seed, Members: 3, Words: 30, Runners: 6, Say: 20 * time.Second, Faults: 10}); len(r.Broken) > 0 {
 			t.Log(r.Broken)
--- a/internal/maintenance/advance.go
+++ b/internal/maintenance/advance.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"birchfork/internal/plant"
+	"birchfork/internal/failpoint"
 )
 
 // advance goes on by what the leader has heard: machines that are clear, back, warm or overdue, plans that may begin, and
@@ -102,7 +102,7 @@
 // held are the members because of whom a machine that leaves is not clear yet, sorted.
 func (s *State) held(p *Place, a *Advance) []string {
 	out := s.unheard(p.At, a)
-	if plant.On(plant.FewWords) {
+	if failpoint.On(failpoint.FewWords) {
 		return nil
 	}
 	for _, name := range s.Names() {
@@ -123,7 +123,7 @@
 	switch p.Step {
 	case Leaving:
 		// Nobody's lease from before the entry runs any more after Bound, nor any attempt that was begun under it.
-		if took >= r.Bound && r.Bound > 0 && !plant.On(plant.NeverClear) || len(r.held(p, a)) == 0 {
+		if took >= r.Bound && r.Bound > 0 && !failpoint.On(failpoint.NeverClear) || len(r.held(p, a)) == 0 {
 			r.step(u, p, Clear)
 		} else if r.overdue(u, p, took, u.Leave) && u.Overdue == Skip {
 			r.putBack(u, p)
@@ -239,7 +239,7 @@
 			n = &unit{runners: []string{name}}
 			out["runner "+name] = n
 		}
-		n.away = n.away || r.away() && !plant.On(plant.DeadUncounted)
+		n.away = n.away || r.away() && !failpoint.On(failpoint.DeadUncounted)
 	}
 	return out
 }
@@ -260,7 +260,7 @@
 			continue
 		}
 		rank := [3]float64{1, weight(a, p.Runners), 0}
-		if plant.On(plant.OwnOrder) {
+		if failpoint.On(failpoint.OwnOrder) {
 			rank[1] = float64(rand.Int())
 		}
 		if rank[1] == 0 {
@@ -329,7 +329,7 @@
 			kinds[k]++
 		}
 	}
-	if plant.On(plant.NoBudget) {
+	if failpoint.On(failpoint.NoBudget) {
 		return ""
 	}
 	if fleet > u.Out && broken {
--- a/internal/maintenance/golden_test.go
+++ b/internal/maintenance/golden_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"birchfork/internal/plant"
+	"birchfork/internal/failpoint"
 )
 
 // The files in testdata/golden hold the stored and sent forms as earlier builds wrote them. UPDATE_GOLDEN=1 writes them anew: only
@@ -225,8 +225,8 @@
 func TestGolden_HistoryDigests(t *testing.T) {
 	var b bytes.Buffer
 	play := func(fault string, seed uint64) {
-		plant.Set(fault)
-		defer plant.Set("")
+		failpoint.Set(fault)
+		defer failpoint.Set("")
 		h := newHistory(seed)
 		for i := range 120 {
 			h.step()
@@ -239,7 +239,7 @@
 	for seed := range uint64(90) {
 		play("", seed)
 	}
-	for _, fault := range []string{plant.FewWords, plant.NoBudget, plant.DeadUncounted, plant.NeverClear, plant.ActsTwice} {
+	for _, fault := range []string{failpoint.FewWords, failpoint.NoBudget, failpoint.DeadUncounted, failpoint.NeverClear, failpoint.ActsTwice} {
 		for seed := range uint64(5) {
 			play(fault, seed)
 		}
--- a/internal/maintenance/outage.go
+++ b/internal/maintenance/outage.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"birchfork/internal/plant"
+	"birchfork/internal/failpoint"
 )
 
 // Step is where a machine of a plan stands.
@@ -135,7 +135,7 @@
 
 // Knows is Level, or one less where a build of before is played.
 func Knows() int {
-	if plant.On(plant.Older) {
+	if failpoint.On(failpoint.Older) {
 		return Level - 1
 	}
 	return Level
@@ -308,7 +308,7 @@
 	}
 	s.Index, s.Level = index, max(s.Level, c.Needs)
 	if c.ID != "" {
-		if _, ok := s.Answer(c.ID); ok && !plant.On(plant.ActsTwice) {
+		if _, ok := s.Answer(c.ID); ok && !failpoint.On(failpoint.ActsTwice) {
 			return nil
 		}
 	}
--- a/internal/replication/golden_test.go
+++ b/internal/replication/golden_test.go
@@ -14,7 +14,7 @@
 	"strings"
 	"testing"
 
-	"birchfork/internal/plant"
+	"birchfork/internal/failpoint"
 )
 
 // The files in testdata/golden hold the stored and sent forms as earlier builds wrote them. UPDATE_GOLDEN=1 writes them anew: only
@@ -143,8 +143,8 @@
 func TestGolden_HistoryDigests(t *testing.T) {
 	var b bytes.Buffer
 	play := func(fault string, seed uint64) {
-		plant.Set(fault)
-		defer plant.Set("")
+		failpoint.Set(fault)
+		defer failpoint.Set("")
 		h := newHistory(seed)
 		for range 150 {
 			h.step()
@@ -154,7 +154,7 @@
 	for seed := range uint64(150) {
 		play("", seed)
 	}
-	for _, fault := range []string{plant.InWins, plant.Reappears, plant.ClockWins} {
+	for _, fault := range []string{failpoint.InWins, failpoint.Reappears, failpoint.ClockWins} {
 		for seed := range uint64(10) {
 			play(fault, seed)
 		}
--- a/internal/replication/news.go
+++ b/internal/replication/news.go
@@ -6,7 +6,7 @@
 	"maps"
 	"slices"
 
-	"birchfork/internal/plant"
+	"birchfork/internal/failpoint"
 )
 
 // Mark is how far a reader has come with one writer's entries: they come in the order of kinds and names.
@@ -82,7 +82,7 @@
 	}
 	for _, e := range p.Entries {
 		// What has been seen and is not here was replaced or forgotten.
-		if (!c.seen.Has(e.Dot) || plant.On(plant.Reappears)) && c.put(&e) {
+		if (!c.seen.Has(e.Dot) || failpoint.On(failpoint.Reappears)) && c.put(&e) {
 			changed = append(changed, e.ref())
 		}
 	}
@@ -118,7 +118,7 @@
 // Gone are those dots that were seen here and are held no more: replaced, or forgotten.
 func (c *Copy) Gone(dots []Dot) (gone []Dot) {
 	for _, d := range dots {
-		if c.seen.Has(d) && c.find(d) == nil && !plant.On(plant.Reappears) {
+		if c.seen.Has(d) && c.find(d) == nil && !failpoint.On(failpoint.Reappears) {
 			gone = append(gone, d)
 		}
 	}
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -15,7 +15,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"birchfork/internal/plant"
+	"birchfork/internal/failpoint"
 )
 
 // Kind is what an entry is about. All kinds have one rule: an entry counts until another one of its kind and name is written by
@@ -171,7 +171,7 @@
 
 // Out is what entries come to: of words that did not see each other "out" counts.
 func Out(all []Entry) bool {
-	if plant.On(plant.InWins) {
+	if failpoint.On(failpoint.InWins) {
 		return len(all) > 0 && !slices.ContainsFunc(all, func(e Entry) bool { return !e.Out })
 	}
 	return slices.ContainsFunc(all, func(e Entry) bool { return e.Out })
@@ -223,12 +223,12 @@
 	k := e.ref()
 	all := c.held[k]
 	for _, o := range all {
-		if o.Dot == e.Dot || o.Saw.Has(e.Dot) || plant.On(plant.ClockWins) && o.At > e.At {
+		if o.Dot == e.Dot || o.Saw.Has(e.Dot) || failpoint.On(failpoint.ClockWins) && o.At > e.At {
 			return false
 		}
 	}
 	for _, o := range slices.Clone(all) {
-		if e.Saw.Has(o.Dot) || plant.On(plant.ClockWins) {
+		if e.Saw.Has(o.Dot) || failpoint.On(failpoint.ClockWins) {
 			c.remove(o)
 		}
 	}
