--- a/cmd/birchfork-members/main.go
+++ b/cmd/birchfork-members/main.go
@@ -20,8 +20,8 @@
 	clientv3 "go.etcd.io/etcd/client/v3"
 
 	"birchfork/dispatch"
+	"birchfork/internal/endpointsource/etcd"
 	"birchfork/internal/members"
-	"birchfork/internal/membership/etcd"
 )
 
 type commands struct {
--- a/internal/membership/etcd/etcd.go
+++ b/internal/endpointsource/etcd/etcd.go
@@ -20,8 +20,8 @@
 	clientv3 "go.etcd.io/etcd/client/v3"
 
 	"birchfork/dispatch"
+	"birchfork/internal/endpointsource"
 	"birchfork/internal/engine"
-	"birchfork/internal/membership"
 )
 
 // SchemaVersion is that of a worker's value.
@@ -101,7 +101,7 @@
 	Client *clientv3.Client
 	Prefix string
 	Log    logrus.FieldLogger
-	Tell   func(membership.News)
+	Tell   func(endpointsource.News)
 	Lost   func()
 
 	Counters Counters
@@ -146,7 +146,7 @@
 		s.Counters.Restored.Add(1)
 		s.Log.WithFields(logrus.Fields{"revision": res.Header.Revision, "seen": s.seen}).Warn("etcd's revisions went backwards: it was restored from an older copy")
 	}
-	n := membership.News{Whole: true, Revision: uint64(res.Header.Revision)}
+	n := endpointsource.News{Whole: true, Revision: uint64(res.Header.Revision)}
 	for _, kv := range res.Kvs {
 		n.Entries = append(n.Entries, s.entry(kv))
 	}
@@ -195,7 +195,7 @@
 func (s *Source) tell(events []*clientv3.Event) {
 	for len(events) > 0 {
 		rev := events[0].Kv.ModRevision
-		n := membership.News{Revision: uint64(rev)}
+		n := endpointsource.News{Revision: uint64(rev)}
 		for len(events) > 0 && events[0].Kv.ModRevision == rev {
 			e := events[0]
 			events = events[1:]
--- a/internal/membership/etcd/etcd_test.go
+++ b/internal/endpointsource/etcd/etcd_test.go
@@ -17,11 +17,11 @@
 	"go.uber.org/zap"
 
 	"birchfork/dispatch"
+	"birchfork/internal/endpointsource"
 	"birchfork/internal/etcdstub"
-	"birchfork/internal/membership"
 )
 
-// gapRounds is how often the watch is broken: go test ./internal/membership/etcd -run Gaps -gap-rounds 1000
+// gapRounds is how often the watch is broken: go test ./internal/endpointsource/etcd -run Gaps -gap-rounds 1000
 var gapRounds = flag.Int("gap-rounds", 60, "how often the watch is broken")
 
 // world is a stand-in, a source that follows it, and a view that hears all.
@@ -32,7 +32,7 @@
 	src  *Source
 
 	mu      sync.Mutex
-	view    *membership.View
+	view    *endpointsource.View
 	start   time.Time
 	drained map[string]bool // name and start, told to drain or gone
 	broken  []string        // what was offered though it had been told to drain
@@ -54,7 +54,7 @@
 		}
 		return c
 	}
-	w := &world{t: t, etcd: e, cli: client(), view: membership.NewView(membership.Config{Sources: 1}), start: time.Now(), drained: map[string]bool{}}
+	w := &world{t: t, etcd: e, cli: client(), view: endpointsource.NewView(endpointsource.Config{Sources: 1}), start: time.Now(), drained: map[string]bool{}}
 	w.src = &Source{Client: client(), Prefix: "/workers/", Log: log, Tell: w.tell, Lost: func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -77,7 +77,7 @@
 
 func key(name string, since int64) string { return fmt.Sprint(name, "/", since) }
 
-func (w *world) tell(n membership.News) {
+func (w *world) tell(n endpointsource.News) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, l := range w.view.Tell(time.Since(w.start), 0, n) {
--- a/internal/membership/file/file.go
+++ b/internal/endpointsource/file/file.go
@@ -15,8 +15,8 @@
 	"github.com/sirupsen/logrus"
 
 	"birchfork/dispatch"
+	"birchfork/internal/endpointsource"
 	"birchfork/internal/engine"
-	"birchfork/internal/membership"
 	"birchfork/internal/tomlfile"
 )
 
@@ -85,7 +85,7 @@
 type Source struct {
 	Path string
 	Log  logrus.FieldLogger
-	Tell func(membership.News)
+	Tell func(endpointsource.News)
 	Lost func()
 
 	last string
@@ -151,5 +151,5 @@
 		return
 	}
 	s.last, s.bad = string(raw), ""
-	s.Tell(membership.News{Whole: true, Entries: entries})
+	s.Tell(endpointsource.News{Whole: true, Entries: entries})
 }
--- a/internal/membership/file/file_test.go
+++ b/internal/endpointsource/file/file_test.go
@@ -12,7 +12,7 @@
 	"github.com/sirupsen/logrus"
 
 	"birchfork/dispatch"
-	"birchfork/internal/membership"
+	"birchfork/internal/endpointsource"
 )
 
 const two = "[[worker]]\nname='a'\naddress='127.0.0.1:1'\n[[worker]]\nname='b'\naddress='127.0.0.1:2'\nstate='draining'\n"
@@ -43,9 +43,9 @@
 	write(two)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	told := make(chan membership.News, 16)
+	told := make(chan endpointsource.News, 16)
 	var lost atomic.Int64
-	s := &Source{Path: path, Log: log, Tell: func(n membership.News) { told <- n }, Lost: func() { lost.Add(1) }}
+	s := &Source{Path: path, Log: log, Tell: func(n endpointsource.News) { told <- n }, Lost: func() { lost.Add(1) }}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); s.Run(ctx) }()
--- a/internal/membership/view.go
+++ b/internal/endpointsource/view.go
@@ -1,7 +1,7 @@
-// Package membership says who the workers are. Sources tell whole lists and changes in their own words; a View merges
+// Package endpointsource says who the workers are. Sources tell whole lists and changes in their own words; a View merges
 // them into one list, keeps order, rebuilds after a gap, and never takes an old word for news. It does no I/O, has no
 // clock and starts no goroutine; Keeper gives it both.
-package membership
+package endpointsource
 
 import (
 	"cmp"
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -20,9 +20,9 @@
 	clientv3 "go.etcd.io/etcd/client/v3"
 	"go.uber.org/zap"
 
-	"birchfork/internal/membership"
-	"birchfork/internal/membership/etcd"
-	"birchfork/internal/membership/file"
+	"birchfork/internal/endpointsource"
+	"birchfork/internal/endpointsource/etcd"
+	"birchfork/internal/endpointsource/file"
 	"birchfork/internal/tomlfile"
 )
 
@@ -177,7 +177,7 @@
 func Serve(ctx context.Context, c *Config, log logrus.FieldLogger, ready func(addr string)) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	front := membership.NewFront(membership.Config{
+	front := endpointsource.NewFront(endpointsource.Config{
 		Sources: len(c.Sources), ChangeOver: c.ChangeOver, ChangeBack: c.ChangeBack, EmptyGuard: c.EmptyGuard,
 	})
 	var sources sync.WaitGroup
@@ -185,7 +185,7 @@
 	defer stop()
 	for i := range c.Sources {
 		s := &c.Sources[i]
-		tell, lost := func(n membership.News) { front.Tell(i, n) }, func() { front.Lost(i) }
+		tell, lost := func(n endpointsource.News) { front.Tell(i, n) }, func() { front.Lost(i) }
 		run := (&file.Source{Path: s.Path, Log: log, Tell: tell, Lost: lost}).Run
 		if s.Kind == KindEtcd {
 			client, err := s.Client()
