--- a/cmd/birchfork-members/main.go
+++ b/cmd/birchfork-members/main.go
@@ -20,8 +20,8 @@
 	clientv3 "go.etcd.io/etcd/client/v3"
 
 	"birchfork/dispatch"
+	"birchfork/internal/discoveryagent"
 	"birchfork/internal/endpointsource/etcd"
-	"birchfork/internal/members"
 )
 
 type commands struct {
@@ -42,13 +42,13 @@
 
 // Run serves.
 func (serve) Run(ctx context.Context, c *commands, out output) error {
-	cfg, err := members.Load(c.Config)
+	cfg, err := discoveryagent.Load(c.Config)
 	if err != nil {
 		return err
 	}
 	log := logrus.New()
 	log.SetOutput(out.err)
-	return members.Serve(ctx, cfg, log, func(addr string) {
+	return discoveryagent.Serve(ctx, cfg, log, func(addr string) {
 		log.WithFields(logrus.Fields{"listen": addr, "sources": len(cfg.Sources)}).Info("serving")
 	})
 }
@@ -57,7 +57,7 @@
 
 // Run names every fault.
 func (check) Run(c *commands, out output) error {
-	cfg, err := members.Load(c.Config)
+	cfg, err := discoveryagent.Load(c.Config)
 	if err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 
 // store opens the first etcd source.
 func (c *commands) store() (*clientv3.Client, string, error) {
-	cfg, err := members.Load(c.Config)
+	cfg, err := discoveryagent.Load(c.Config)
 	if err != nil {
 		return nil, "", err
 	}
--- a/cmd/birchfork-members/main_test.go
+++ b/cmd/birchfork-members/main_test.go
@@ -14,8 +14,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"birchfork/internal/discoveryagent"
 	"birchfork/internal/etcdstub"
-	"birchfork/internal/members"
 )
 
 // buffer may be written and read at once.
@@ -66,7 +66,7 @@
 	t.Setenv("BIRCHFORK_MEMBERS", path)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	cfg, err := members.Load(path)
+	cfg, err := discoveryagent.Load(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +74,7 @@
 	log := logrus.New()
 	log.SetOutput(&buffer{})
 	served := make(chan error, 1)
-	go func() { served <- members.Serve(ctx, cfg, log, func(a string) { addr <- a }) }()
+	go func() { served <- discoveryagent.Serve(ctx, cfg, log, func(a string) { addr <- a }) }()
 	base := "http://" + <-addr
 	status := func() string { // of w1, as dispatchers hear it
 		res, err := http.Get(base + "/discovery/hosts")
--- a/internal/members/members.go
+++ b/internal/discoveryagent/members.go
@@ -1,6 +1,6 @@
-// Package members runs the agent: sources of workers, merged into one list, told to the dispatchers on this machine in
+// Package discoveryagent runs the agent: sources of workers, merged into one list, told to the dispatchers on this machine in
 // discovery's own words. It is a process of its own, as etcd's client would cost every dispatcher 10 MB.
-package members
+package discoveryagent
 
 import (
 	"context"
