--- a/cmd/birchfork-members/main_test.go
+++ b/cmd/birchfork-members/main_test.go
@@ -15,7 +15,7 @@
 	"github.com/sirupsen/logrus"
 
 	"birchfork/internal/discoveryagent"
-	"birchfork/internal/etcdstub"
+	"birchfork/internal/etcdtest"
 )
 
 // buffer may be written and read at once.
@@ -53,7 +53,7 @@
 
 // A worker registers, is listed and told to dispatchers, drains by command, drains and leaves on its end.
 func TestWorkersLife(t *testing.T) {
-	e, err := etcdstub.Start()
+	e, err := etcdtest.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/endpointsource/etcd/etcd_test.go
+++ b/internal/endpointsource/etcd/etcd_test.go
@@ -18,7 +18,7 @@
 
 	"birchfork/dispatch"
 	"birchfork/internal/endpointsource"
-	"birchfork/internal/etcdstub"
+	"birchfork/internal/etcdtest"
 )
 
 // gapRounds is how often the watch is broken: go test ./internal/endpointsource/etcd -run Gaps -gap-rounds 1000
@@ -27,7 +27,7 @@
 // world is a stand-in, a source that follows it, and a view that hears all.
 type world struct {
 	t    *testing.T
-	etcd *etcdstub.Server
+	etcd *etcdtest.Server
 	cli  *clientv3.Client // the workers' own
 	src  *Source
 
@@ -41,7 +41,7 @@
 
 func newWorld(t *testing.T) *world {
 	t.Helper()
-	e, err := etcdstub.Start()
+	e, err := etcdtest.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/etcdstub/etcdstub.go
+++ b/internal/etcdtest/etcdstub.go
@@ -1,7 +1,7 @@
-// Package etcdstub is a small etcd of our own, by etcd's published gRPC API: key-value with revisions and history, watch,
+// Package etcdtest is a small etcd of our own, by etcd's published gRPC API: key-value with revisions and history, watch,
 // leases and compaction, as far as a list of workers needs them. It can be broken on command. It stands in for etcd in
 // tests and in the lab, in one process, on loopback; it keeps nothing on disk and is no store for anything else.
-package etcdstub
+package etcdtest
 
 import (
 	"bytes"
