--- a/internal/limits/limits.go
+++ b/internal/admission/limits.go
@@ -1,11 +1,11 @@
-// Package limits decides on admission: which request a dispatcher takes at all, before the decision module decides on
+// Package admission decides on admission: which request a dispatcher takes at all, before the decision module decides on
 // workers, repeats and refusals. Rates, concurrency by route, retry budgets, shares of tenants while short, and a limit on
 // all that is open which follows measured service.
 //
 // The package does no I/O, starts no goroutine and reads no clock. The caller hands in the time, asks for each request,
 // and gives each slot back once. The same configuration and calls give the same answers. A Gate is for one goroutine at a
 // time.
-package limits
+package admission
 
 import (
 	"math"
--- a/internal/limits/limits_test.go
+++ b/internal/admission/limits_test.go
@@ -1,4 +1,4 @@
-package limits
+package admission
 
 import (
 	"fmt"
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"birchfork/dispatch"
-	"birchfork/internal/limits"
+	"birchfork/internal/admission"
 	"birchfork/internal/routes"
 	"birchfork/internal/tomlfile"
 )
@@ -77,7 +77,7 @@
 	c.chains(table)
 	plan.Limits.Routes = table.Limits()
 	for _, n := range c.p.Tenants {
-		t := limits.Tenant{Name: n, Weight: 1}
+		t := admission.Tenant{Name: n, Weight: 1}
 		for _, o := range f.Tenants {
 			if o.Name == n && o.Weight > 0 {
 				t.Weight = o.Weight
@@ -233,7 +233,7 @@
 }
 
 // total checks what holds over all routes.
-func (c *checker) total(l *limits.Config) {
+func (c *checker) total(l *admission.Config) {
 	t := &c.file.Total
 	l.Open, l.Adaptive, l.Least, l.Keys = t.Concurrent, t.Adaptive, t.Least, t.Keys
 	if c.doc.Has("total.concurrent") && t.Concurrent < 1 {
@@ -303,7 +303,7 @@
 	number("burst", float64(f.Burst), 1, 1e6)
 	number("concurrent", float64(f.Concurrent), 1, 1e6)
 	number("queue", float64(f.Queue), 1, 1e6)
-	number("priority", float64(f.Priority), 0, limits.Top)
+	number("priority", float64(f.Priority), 0, admission.Top)
 	number("retry_floor", f.RetryFloor, 0, 1e6)
 	if has("retry_budget") && !(f.RetryBudget >= 0 && f.RetryBudget <= mostBudget) {
 		c.fault(at+".retry_budget", "%v is not from 0 to %v: more repeats than that keep a storm alive by themselves", f.RetryBudget, mostBudget)
@@ -485,14 +485,14 @@
 		Single: e.set("second_copies") && !e.SecondCopies, Race: routes.Micro(e.HedgeAfter), Strict: e.Repeat == RepeatUnrun,
 		Window: routes.Micro(e.RepeatWithin), Pause: routes.Micro(e.Backoff), MaxPause: routes.Micro(e.BackoffMost), Jitter: e.Jitter,
 	}
-	r.Limit = limits.Route{
+	r.Limit = admission.Route{
 		Name: name, Limited: e.set("rate"), Rate: e.Rate, Burst: max(e.Burst, 1), Concurrent: e.Concurrent, Queue: e.Queue, Budgeted: e.set("retry_budget"),
 		Budget: e.RetryBudget, Floor: e.RetryFloor, Priority: e.Priority, ComeBack: e.RetryAfter,
 	}
 	if !e.set("priority") {
-		r.Limit.Priority = limits.Top
+		r.Limit.Priority = admission.Top
 	}
-	r.Limit.By = map[string]limits.By{byTenant: limits.ByTenant, byKey: limits.ByKey}[e.RateBy]
+	r.Limit.By = map[string]admission.By{byTenant: admission.ByTenant, byKey: admission.ByKey}[e.RateBy]
 	return r
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -15,7 +15,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"birchfork/dispatch"
-	"birchfork/internal/limits"
+	"birchfork/internal/admission"
 	"birchfork/internal/routes"
 	"birchfork/internal/tomlfile"
 )
@@ -107,7 +107,7 @@
 type Plan struct {
 	Path     string
 	Table    *routes.Table
-	Limits   limits.Config
+	Limits   admission.Config
 	Settings dispatch.Settings // the platform's, narrowed
 	Lines    []Line            // what is in force, for people
 	Group    *Group            // nil: it is in none
--- a/internal/engine/admit.go
+++ b/internal/engine/admit.go
@@ -7,14 +7,14 @@
 	"github.com/sirupsen/logrus"
 
 	"birchfork/dispatch"
-	"birchfork/internal/limits"
+	"birchfork/internal/admission"
 	"birchfork/internal/routes"
 	"birchfork/internal/settings"
 )
 
 // Limited says that the operator's limits leave a request no place.
 type Limited struct {
-	Reason   limits.Reason
+	Reason   admission.Reason
 	Route    string
 	ComeBack time.Duration // at the least; 0: no word
 }
@@ -26,7 +26,7 @@
 // admitter is the operator's routes and limits. It is used under the store's lock.
 type admitter struct {
 	table   *routes.Table
-	gate    *limits.Gate
+	gate    *admission.Gate
 	most    int // attempts that the platform allows
 	classes []dispatch.Class
 	narrow  []dispatch.Narrow // by route, with what fallbacks add
@@ -34,8 +34,8 @@
 
 // hold is what an open request holds of the operator's limits; the zero hold is nothing. It is given back once.
 type hold struct {
-	gate     *limits.Gate
-	slot     limits.Slot
+	gate     *admission.Gate
+	slot     admission.Slot
 	class    *dispatch.Class
 	landed   dispatch.Time
 	comeBack time.Duration
@@ -43,13 +43,13 @@
 
 // Limit sets the operator's routes and limits, or others in their place. Open requests keep what they hold and what they
 // were allowed; buckets and counts go on where a route keeps its name.
-func (s *Store) Limit(t *routes.Table, c limits.Config, classes []dispatch.Class) {
+func (s *Store) Limit(t *routes.Table, c admission.Config, classes []dispatch.Class) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limit(t, c, classes)
 }
 
-func (s *Store) limit(t *routes.Table, c limits.Config, classes []dispatch.Class) {
+func (s *Store) limit(t *routes.Table, c admission.Config, classes []dispatch.Class) {
 	a := &admitter{table: t, most: s.attempts, classes: classes}
 	for i := range t.Len() {
 		a.narrow = append(a.narrow, t.Narrow(i, s.attempts))
@@ -58,7 +58,7 @@
 		a.gate = s.admitter.gate
 		a.gate.Swap(since(s.now()), c)
 	} else {
-		a.gate = limits.New(c)
+		a.gate = admission.New(c)
 	}
 	s.admitter = a
 }
@@ -72,7 +72,7 @@
 	}
 	f := logrus.Fields{"limit_held": s.admitter.gate.Open(), "limit_now": s.admitter.gate.Limit()}
 	for reason, n := range s.admitter.gate.Counts() {
-		f["limit_"+limits.Reason(reason).String()] = n
+		f["limit_"+admission.Reason(reason).String()] = n
 	}
 	return f
 }
@@ -89,8 +89,8 @@
 	first := a.table.Find(&routes.Request{Class: settings.Plain(j.Class), Path: j.Path, Tenant: settings.Plain(j.Tenant), Method: j.Method})
 	var no *Limited
 	for _, i := range a.table.Chain(first) {
-		v := a.gate.Ask(since(now), limits.Ask{Route: i, Tenant: tenant, Key: settings.Key(j.Key), Retry: j.Retry})
-		if v.Reason == limits.Admitted {
+		v := a.gate.Ask(since(now), admission.Ask{Route: i, Tenant: tenant, Key: settings.Key(j.Key), Retry: j.Retry})
+		if v.Reason == admission.Admitted {
 			h := hold{gate: a.gate, slot: v.Slot, class: &a.classes[class], landed: now, comeBack: a.table.Route(i).Limit.ComeBack}
 			return h, a.narrow[i], nil
 		}
@@ -102,7 +102,7 @@
 }
 
 // release gives back what a request holds.
-func (h *hold) release(now dispatch.Time, end limits.End) {
+func (h *hold) release(now dispatch.Time, end admission.End) {
 	if h.gate != nil {
 		h.gate.Done(since(now), h.slot, end)
 		h.gate = nil
@@ -122,7 +122,7 @@
 	if h.gate == nil {
 		return
 	}
-	now, end := r.s.now(), limits.Late
+	now, end := r.s.now(), admission.Late
 	if k == Served {
 		run := dispatch.Time(0)
 		for _, a := range r.attempts {
@@ -131,7 +131,7 @@
 			}
 		}
 		if float64(now-h.landed) <= float64(h.class.Aim)+h.class.Stretch*float64(run) {
-			end = limits.Timely
+			end = admission.Timely
 		}
 	}
 	h.release(now, end)
--- a/internal/engine/admit_test.go
+++ b/internal/engine/admit_test.go
@@ -6,20 +6,20 @@
 	"time"
 
 	"birchfork/dispatch"
-	"birchfork/internal/limits"
+	"birchfork/internal/admission"
 	"birchfork/internal/routes"
 )
 
 // tableOf is one route for the class, and what is left.
-func tableOf(t *testing.T, r routes.Route) (*routes.Table, limits.Config) {
+func tableOf(t *testing.T, r routes.Route) (*routes.Table, admission.Config) {
 	t.Helper()
 	r.Name, r.Limit.Name, r.Match.Class, r.Fallback = "r", "r", "search", -1
-	r.Limit.Priority = limits.Top
+	r.Limit.Priority = admission.Top
 	table, err := routes.New([]routes.Route{r}, routes.Route{Name: "rest"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return table, limits.Config{Routes: table.Limits()}
+	return table, admission.Config{Routes: table.Limits()}
 }
 
 // The operator's limit refuses with its reason before the module hears of it, and each way that a request ends gives its
@@ -27,7 +27,7 @@
 func TestEveryEndGivesThePlaceBack(t *testing.T) {
 	m := &script{}
 	s := newStore(t, m)
-	table, c := tableOf(t, routes.Route{Limit: limits.Route{Concurrent: 1, ComeBack: 70 * time.Millisecond}, Narrow: dispatch.Narrow{Attempts: 2}})
+	table, c := tableOf(t, routes.Route{Limit: admission.Route{Concurrent: 1, ComeBack: 70 * time.Millisecond}, Narrow: dispatch.Narrow{Attempts: 2}})
 	s.Limit(table, c, []dispatch.Class{{Aim: dispatch.Second, Deadline: dispatch.Second}})
 	s.News(listOf(dispatch.Ready, "127.0.0.1:9", 0))
 	for i, end := range []func(r *Request){
@@ -49,7 +49,7 @@
 		arrived := len(m.of(dispatch.Arrived))
 		_, err := s.Open(one(string(rune('b' + 2*i))))
 		var limited *Limited
-		if !errors.As(err, &limited) || limited.Reason != limits.Concurrent || limited.ComeBack != 70*time.Millisecond || limited.Route != "r" {
+		if !errors.As(err, &limited) || limited.Reason != admission.Concurrent || limited.ComeBack != 70*time.Millisecond || limited.Route != "r" {
 			t.Fatalf("the second request: %v", err)
 		}
 		if len(m.of(dispatch.Arrived)) != arrived {
@@ -61,7 +61,7 @@
 		}
 	}
 	r := mustOpen(t, s, "z")
-	r.hold.release(s.now(), limits.Timely)
+	r.hold.release(s.now(), admission.Timely)
 	r.Leave() // releases again, which counts for nothing
 	if f := s.LimitFields(); f["limit_held"] != 0 {
 		t.Errorf("%v places are taken after one was given back twice", f["limit_held"])
@@ -76,7 +76,7 @@
 	m := &script{}
 	s := newStore(t, m)
 	set := func(n int) {
-		table, c := tableOf(t, routes.Route{Limit: limits.Route{Concurrent: n}})
+		table, c := tableOf(t, routes.Route{Limit: admission.Route{Concurrent: n}})
 		s.Limit(table, c, []dispatch.Class{{Aim: dispatch.Second}})
 	}
 	set(3)
@@ -101,14 +101,14 @@
 	s := newStore(t, &script{})
 	s.mostOpen = 0
 	list := []routes.Route{
-		{Name: "first", Match: routes.Match{Class: "search", Path: "/"}, Limit: limits.Route{Name: "first", Concurrent: 1, Priority: limits.Top}, Fallback: 1},
-		{Name: "second", Match: routes.Match{Class: "search"}, Limit: limits.Route{Name: "second", Limited: true, Rate: 0.001, Burst: 1, Priority: limits.Top}, Fallback: -1},
+		{Name: "first", Match: routes.Match{Class: "search", Path: "/"}, Limit: admission.Route{Name: "first", Concurrent: 1, Priority: admission.Top}, Fallback: 1},
+		{Name: "second", Match: routes.Match{Class: "search"}, Limit: admission.Route{Name: "second", Limited: true, Rate: 0.001, Burst: 1, Priority: admission.Top}, Fallback: -1},
 	}
 	table, err := routes.New(list, routes.Route{Name: "rest"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Limit(table, limits.Config{Routes: table.Limits()}, []dispatch.Class{{}})
+	s.Limit(table, admission.Config{Routes: table.Limits()}, []dispatch.Class{{}})
 	open := func(id string) error {
 		j := one(id)
 		j.Path = "/search"
@@ -119,7 +119,7 @@
 	if err := errors.Join(open("a"), open("b")); err != nil {
 		t.Fatal(err)
 	}
-	if err := open("c"); !errors.As(err, &limited) || limited.Route != "first" || limited.Reason != limits.Concurrent {
+	if err := open("c"); !errors.As(err, &limited) || limited.Route != "first" || limited.Reason != admission.Concurrent {
 		t.Errorf("with no room anywhere: %v", err)
 	}
 }
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -21,9 +21,9 @@
 	"github.com/sirupsen/logrus"
 
 	"birchfork/dispatch"
+	"birchfork/internal/admission"
 	"birchfork/internal/engine"
 	"birchfork/internal/frontend"
-	"birchfork/internal/limits"
 	"birchfork/internal/routes"
 	"birchfork/internal/settings"
 )
@@ -143,27 +143,27 @@
 }
 
 // limitedRoutes has a route for each limit, and a rest with no limit of its own. All may have 20 requests open.
-func limitedRoutes(t *testing.T) (*routes.Table, limits.Config) {
+func limitedRoutes(t *testing.T) (*routes.Table, admission.Config) {
 	t.Helper()
 	var all []routes.Route
-	for _, limit := range []limits.Route{
-		{Name: "by-rate", Limited: true, Rate: 0.001, Burst: 1, ComeBack: 20 * time.Millisecond, Priority: limits.Top},
-		{Name: "by-concurrency", Concurrent: 1, ComeBack: 30 * time.Millisecond, Priority: limits.Top},
-		{Name: "by-queue", Queue: 1, ComeBack: 40 * time.Millisecond, Priority: limits.Top},
-		{Name: "by-budget", Budgeted: true, ComeBack: 1250 * time.Millisecond, Priority: limits.Top},
+	for _, limit := range []admission.Route{
+		{Name: "by-rate", Limited: true, Rate: 0.001, Burst: 1, ComeBack: 20 * time.Millisecond, Priority: admission.Top},
+		{Name: "by-concurrency", Concurrent: 1, ComeBack: 30 * time.Millisecond, Priority: admission.Top},
+		{Name: "by-queue", Queue: 1, ComeBack: 40 * time.Millisecond, Priority: admission.Top},
+		{Name: "by-budget", Budgeted: true, ComeBack: 1250 * time.Millisecond, Priority: admission.Top},
 		{Name: "low"},
 	} {
 		all = append(all, routes.Route{
 			Name: limit.Name, Match: routes.Match{Path: "/search/" + limit.Name}, Limit: limit, Fallback: -1,
 		})
 	}
-	rest := limits.Route{Name: "rest", Priority: limits.Top, ComeBack: 70 * time.Millisecond}
+	rest := admission.Route{Name: "rest", Priority: admission.Top, ComeBack: 70 * time.Millisecond}
 	table, err := routes.New(all, routes.Route{Name: "rest", Limit: rest})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return table, limits.Config{
-		Routes: table.Limits(), Tenants: []limits.Tenant{{Name: "acme", Weight: 1}, {Name: "other", Weight: 1}}, Open: 20, Keys: 10,
+	return table, admission.Config{
+		Routes: table.Limits(), Tenants: []admission.Tenant{{Name: "acme", Weight: 1}, {Name: "other", Weight: 1}}, Open: 20, Keys: 10,
 	}
 }
 
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"birchfork/dispatch"
-	"birchfork/internal/limits"
+	"birchfork/internal/admission"
 	"birchfork/internal/settings"
 )
 
@@ -93,7 +93,7 @@
 	}
 	id, err := s.names.Open([]byte(j.ID))
 	if err != nil {
-		held.release(now, limits.Neither)
+		held.release(now, admission.Neither)
 		return nil, ErrTwice
 	}
 	s.lately.add(j.ID)
@@ -149,7 +149,7 @@
 func (r *Request) abandon() {
 	r.final = true
 	r.s.open--
-	r.hold.release(r.s.now(), limits.Neither)
+	r.hold.release(r.s.now(), admission.Neither)
 	r.s.handle(r.s.now(), &dispatch.Event{Kind: dispatch.ClientGone, Request: r.id})
 	r.s.names.NoteFinal(r.id)
 	r.s.free(r)
--- a/internal/engine/store.go
+++ b/internal/engine/store.go
@@ -13,7 +13,7 @@
 	"github.com/sirupsen/logrus"
 
 	"birchfork/dispatch"
-	"birchfork/internal/limits"
+	"birchfork/internal/admission"
 	"birchfork/internal/routes"
 	"birchfork/internal/settings"
 )
@@ -106,7 +106,7 @@
 	Names    *settings.Names // of the settings alone; the Store's own keep workers and requests
 	MostOpen int
 	Table    *routes.Table // nil: the operator has no file
-	Limits   limits.Config
+	Limits   admission.Config
 }
 
 // Retune takes other settings over, which are to be checked: all of them, for requests that come from now on. What is open
--- a/internal/frontend/golden_frontend_test.go
+++ b/internal/frontend/golden_frontend_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"birchfork/dispatch"
-	"birchfork/internal/limits"
+	"birchfork/internal/admission"
 	"birchfork/internal/routes"
 )
 
@@ -118,7 +118,7 @@
 		{"failed by the worker's status", answer("HTTP/1.1 500 x\r\n" + empty), nil, nil},
 		{"rejected, as the worker did not run it", answer("HTTP/1.1 503 x\r\nX-Not-Run: 1\r\n" + empty), nil, nil},
 		{"rejected, with the route's Retry-After", answer("HTTP/1.1 503 x\r\nX-Not-Run: 1\r\n" + empty), nil, func(g *rig) {
-			limitSearch(t, g, limits.Route{Concurrent: 9, ComeBack: 750 * time.Millisecond})
+			limitSearch(t, g, admission.Route{Concurrent: 9, ComeBack: 750 * time.Millisecond})
 		}},
 		{"found unusable by the worker", answer("HTTP/1.1 400 x\r\n" + empty), nil, nil},
 		{"ended by the process's end", func(net.Conn, *http.Request) bool { return false }, nil, func(g *rig) { g.front.Hurry() }},
@@ -136,15 +136,15 @@
 }
 
 // limitSearch puts the operator's limits of one route in force, which takes all requests of class search.
-func limitSearch(t *testing.T, g *rig, limit limits.Route) {
+func limitSearch(t *testing.T, g *rig, limit admission.Route) {
 	t.Helper()
-	limit.Name, limit.Priority = "gold", limits.Top
+	limit.Name, limit.Priority = "gold", admission.Top
 	table, err := routes.New([]routes.Route{{Name: "gold", Match: routes.Match{Class: "search"}, Limit: limit, Fallback: -1}},
 		routes.Route{Name: "rest"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.store.Limit(table, limits.Config{Routes: table.Limits()}, make([]dispatch.Class, 3))
+	g.store.Limit(table, admission.Config{Routes: table.Limits()}, make([]dispatch.Class, 3))
 }
 
 // TestGoldenOverLimit records the answers to requests that a limit leaves no place for.
@@ -176,7 +176,7 @@
 	for _, most := range []time.Duration{0, 200 * time.Millisecond, time.Minute} {
 		worker, open := gate(t)
 		g := newRig(t, worker.addr, 0)
-		limitSearch(t, g, limits.Route{Concurrent: 1, ComeBack: 750 * time.Millisecond})
+		limitSearch(t, g, admission.Route{Concurrent: 1, ComeBack: 750 * time.Millisecond})
 		raw(t, g, rawRequest("POST /search", nil, ""))
 		until(t, "the first request is open", func() bool { return g.store.Pending() == 1 })
 		g.front.Advise(0, most)
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"birchfork/dispatch"
-	"birchfork/internal/limits"
+	"birchfork/internal/admission"
 )
 
 // Match is what a route asks of a request. Empty fields match anything.
@@ -27,7 +27,7 @@
 	Name     string
 	Match    Match
 	Narrow   dispatch.Narrow
-	Limit    limits.Route
+	Limit    admission.Route
 	Fallback int // where a request goes on that finds no room here, or has used up its attempts; -1: nowhere
 }
 
@@ -118,8 +118,8 @@
 }
 
 // Limits are the routes' limits, for a Gate, in their order.
-func (t *Table) Limits() []limits.Route {
-	out := make([]limits.Route, len(t.routes))
+func (t *Table) Limits() []admission.Route {
+	out := make([]admission.Route, len(t.routes))
 	for i := range t.routes {
 		out[i] = t.routes[i].Limit
 	}
