--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -11,7 +11,7 @@
 	"runtime/debug"
 
 	"birchfork/dispatch"
-	"birchfork/internal/simwire"
+	"birchfork/internal/simprotocol"
 )
 
 func main() {
@@ -34,7 +34,7 @@
 
 func run(in io.Reader, out io.Writer) error {
 	h := host{
-		reader: simwire.NewReader(in), writer: simwire.NewWriter(out),
+		reader: simprotocol.NewReader(in), writer: simprotocol.NewWriter(out),
 		instances: map[int]dispatcher{}, start: newDispatcher,
 	}
 	for {
@@ -50,12 +50,12 @@
 
 // host runs many dispatchers, which share nothing but this process.
 type host struct {
-	reader    *simwire.Reader
-	writer    *simwire.Writer
+	reader    *simprotocol.Reader
+	writer    *simprotocol.Writer
 	instances map[int]dispatcher
 	start     func(dispatch.Settings, uint64) (dispatcher, error)
 	now       dispatch.Time
-	msg       simwire.Msg
+	msg       simprotocol.Msg
 	actions   []dispatch.Action
 }
 
@@ -65,26 +65,26 @@
 		return err
 	}
 	switch m.Kind {
-	case simwire.BatchBegin:
+	case simprotocol.BatchBegin:
 		h.now = m.Now
-	case simwire.BatchEnd:
+	case simprotocol.BatchEnd:
 		return h.writer.Flush()
-	case simwire.InstanceStart:
+	case simprotocol.InstanceStart:
 		d, err := h.start(m.Settings, m.Seed)
 		if err != nil {
 			return fmt.Errorf("settings of instance %d: %w", m.Instance, err)
 		}
 		h.instances[m.Instance] = d
-	case simwire.InstanceStop:
+	case simprotocol.InstanceStop:
 		delete(h.instances, m.Instance)
-	case simwire.InstanceEvent:
+	case simprotocol.InstanceEvent:
 		return h.event(m)
 	}
 	return nil
 }
 
 // event lets one dispatcher decide. A panic in it ends that dispatcher with a plain report, not the process.
-func (h *host) event(m *simwire.Msg) (err error) {
+func (h *host) event(m *simprotocol.Msg) (err error) {
 	d := h.instances[m.Instance]
 	if d == nil {
 		return nil // it broke earlier
--- a/cmd/benchlink/main_test.go
+++ b/cmd/benchlink/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"birchfork/dispatch"
-	"birchfork/internal/simwire"
+	"birchfork/internal/simprotocol"
 )
 
 const start = "POWER_ON\t42\tclasses.count=1\tclasses.0.aim=0.4\tclasses.0.deadline=5\tclasses.0.effect=free\t" +
@@ -51,7 +51,7 @@
 func TestPanicBecomesDie(t *testing.T) {
 	in := "BATCH\t2\nON\t4\n" + start + list + query + "FLUSH\n"
 	var out bytes.Buffer
-	h := host{reader: simwire.NewReader(strings.NewReader(in)), writer: simwire.NewWriter(&out),
+	h := host{reader: simprotocol.NewReader(strings.NewReader(in)), writer: simprotocol.NewWriter(&out),
 		instances: map[int]dispatcher{}, start: func(dispatch.Settings, uint64) (dispatcher, error) { return faulty{}, nil }}
 	for {
 		if err := h.step(); err != nil {
--- a/internal/simwire/wire.go
+++ b/internal/simprotocol/wire.go
@@ -1,6 +1,6 @@
-// Package simwire is the codec of the bench's wire: it reads batches of events for many dispatchers, turns names into
+// Package simprotocol is the codec of the bench's wire: it reads batches of events for many dispatchers, turns names into
 // ids, and writes the actions back. It decides nothing.
-package simwire
+package simprotocol
 
 import (
 	"bufio"
