--- a/cmd/birchfork/lab.go
+++ b/cmd/birchfork/lab.go
@@ -19,13 +19,13 @@
 	"github.com/schollz/progressbar/v3"
 	"github.com/sirupsen/logrus"
 
-	"birchfork/internal/lab"
-	"birchfork/internal/lab/baseline"
-	"birchfork/internal/lab/groups"
-	"birchfork/internal/lab/planted"
-	"birchfork/internal/lab/report"
-	"birchfork/internal/lab/scenario"
 	"birchfork/internal/server"
+	"birchfork/internal/testbed"
+	"birchfork/internal/testbed/baseline"
+	"birchfork/internal/testbed/groups"
+	"birchfork/internal/testbed/planted"
+	"birchfork/internal/testbed/report"
+	"birchfork/internal/testbed/scenario"
 )
 
 // LabPart is the lab on the command line; a lean build leaves it out.
@@ -110,9 +110,9 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	o := lab.Options{Scenario: s, Seed: l.Seed, Storm: l.Storm, Policy: l.Policy, Planted: l.Plant, Launch: launch, Ceiling: l.Ceiling}
+	o := testbed.Options{Scenario: s, Seed: l.Seed, Storm: l.Storm, Policy: l.Policy, Planted: l.Plant, Launch: launch, Ceiling: l.Ceiling}
 	if l.Group {
-		if l.Operator != "" || l.Policy != lab.PolicyRules || l.Plant != "" {
+		if l.Operator != "" || l.Policy != testbed.PolicyRules || l.Plant != "" {
 			return errors.New("--group makes an operator's file of its own: it goes with none of --operator, --policy and --plant")
 		}
 		done, err := groups.Plain(&o)
@@ -122,7 +122,7 @@
 		defer done()
 	}
 	bar := progress(out.err, &o)
-	r, err := lab.Run(ctx, o)
+	r, err := testbed.Run(ctx, o)
 	bar()
 	if err != nil {
 		return err
@@ -137,7 +137,7 @@
 }
 
 // progress shows a bar on a terminal; the function that it returns takes it away.
-func progress(w io.Writer, o *lab.Options) func() {
+func progress(w io.Writer, o *testbed.Options) func() {
 	f, ok := w.(*os.File)
 	if !ok {
 		return func() {}
@@ -169,7 +169,7 @@
 var self = os.Executable
 
 // launcher returns how dispatchers are started: this program, as it would serve, or as one with another decider.
-func launcher(policy, plant string) (lab.Launch, error) {
+func launcher(policy, plant string) (testbed.Launch, error) {
 	exe, err := self()
 	if err != nil {
 		return nil, fmt.Errorf("finding this program: %w", err)
@@ -181,20 +181,20 @@
 			return nil, err
 		}
 		args = []string{"lab", "dispatcher", "--plant", plant}
-	case policy == lab.PolicyRules:
+	case policy == testbed.PolicyRules:
 		args = []string{"serve"}
 	case !slices.Contains(baseline.Policies, policy):
-		return nil, fmt.Errorf("--policy: %q is not one of %s, %s", policy, lab.PolicyRules, strings.Join(baseline.Policies, ", "))
+		return nil, fmt.Errorf("--policy: %q is not one of %s, %s", policy, testbed.PolicyRules, strings.Join(baseline.Policies, ", "))
 	}
 	return binary(exe, args...), nil
 }
 
 // withOperator lets dispatchers serve by an operator's file.
-func withOperator(launch lab.Launch, file, policy string) (lab.Launch, error) {
+func withOperator(launch testbed.Launch, file, policy string) (testbed.Launch, error) {
 	switch {
 	case file == "":
 		return launch, nil
-	case policy != lab.PolicyRules:
+	case policy != testbed.PolicyRules:
 		return nil, errors.New("--operator narrows the mechanism: it goes with --policy dispatch")
 	}
 	file, err := filepath.Abs(file)
@@ -212,7 +212,7 @@
 }
 
 // binary starts dispatchers of one program.
-func binary(exe string, args ...string) lab.Launch {
+func binary(exe string, args ...string) testbed.Launch {
 	return func(config string) *exec.Cmd {
 		return exec.Command(exe, append(slices.Clone(args), "--config", config)...)
 	}
@@ -321,7 +321,7 @@
 	if len(l.Results) != 0 {
 		return errors.New("--against and --operator play days themselves: name no kept results beside them")
 	}
-	mine, err := launcher(lab.PolicyRules, "")
+	mine, err := launcher(testbed.PolicyRules, "")
 	if err != nil {
 		return err
 	}
@@ -334,7 +334,7 @@
 	}
 	if l.Operator != "" {
 		first = "with the file"
-		if mine, err = withOperator(mine, l.Operator, lab.PolicyRules); err != nil {
+		if mine, err = withOperator(mine, l.Operator, testbed.PolicyRules); err != nil {
 			return err
 		}
 	}
@@ -344,13 +344,13 @@
 	broken := false
 	for _, seed := range l.Seeds {
 		var pair [2]*report.Report
-		for k, launch := range []lab.Launch{mine, other} {
+		for k, launch := range []testbed.Launch{mine, other} {
 			d := day{Scenario: l.Day, For: l.For}
 			s, err := d.load()
 			if err != nil {
 				return err
 			}
-			if pair[k], err = lab.Run(ctx, lab.Options{Scenario: s, Seed: seed, Policy: lab.PolicyRules, Launch: launch}); err != nil {
+			if pair[k], err = testbed.Run(ctx, testbed.Options{Scenario: s, Seed: seed, Policy: testbed.PolicyRules, Launch: launch}); err != nil {
 				return err
 			}
 			broken = broken || pair[k].Broken()
@@ -385,7 +385,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	var cells []lab.Cell
+	var cells []testbed.Cell
 	for _, n := range names {
 		for _, p := range l.Policies {
 			for _, seed := range l.Seeds {
@@ -398,11 +398,11 @@
 				if err != nil {
 					return err
 				}
-				cells = append(cells, lab.Cell{Row: n, Column: p, Options: lab.Options{Scenario: s, Seed: seed, Policy: p, Launch: launch}})
+				cells = append(cells, testbed.Cell{Row: n, Column: p, Options: testbed.Options{Scenario: s, Seed: seed, Policy: p, Launch: launch}})
 			}
 		}
 	}
-	broken, err := lab.Table(ctx, out.std, cells, l.Side)
+	broken, err := testbed.Table(ctx, out.std, cells, l.Side)
 	if err == nil && broken {
 		err = errBroken
 	}
@@ -418,13 +418,13 @@
 
 // Run measures what a dispatcher adds.
 func (l *labOverhead) Run(out output) error {
-	launch, err := launcher(lab.PolicyRules, "")
+	launch, err := launcher(testbed.PolicyRules, "")
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	return lab.Overhead(ctx, out.std, lab.OverheadOptions{Launch: launch, Clients: l.Clients, Length: l.For, Rounds: l.Rounds, Profile: l.Profile})
+	return testbed.Overhead(ctx, out.std, testbed.OverheadOptions{Launch: launch, Clients: l.Clients, Length: l.For, Rounds: l.Rounds, Profile: l.Profile})
 }
 
 type labScale struct {
@@ -437,13 +437,13 @@
 
 // Run measures how cost grows.
 func (l *labScale) Run(out output) error {
-	launch, err := launcher(lab.PolicyRules, "")
+	launch, err := launcher(testbed.PolicyRules, "")
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	var cells []lab.Cell
+	var cells []testbed.Cell
 	for _, w := range l.Workers {
 		for _, n := range l.Dispatchers {
 			d := day{Scenario: "calm", Rate: l.Rate * float64(w), For: l.For, Workers: w, Dispatchers: n}
@@ -451,11 +451,11 @@
 			if err != nil {
 				return err
 			}
-			cells = append(cells, lab.Cell{Row: fmt.Sprintf("%d workers", w), Column: fmt.Sprintf("%d dispatchers", n),
-				Options: lab.Options{Scenario: s, Seed: l.Seed, Policy: lab.PolicyRules, Launch: launch}})
+			cells = append(cells, testbed.Cell{Row: fmt.Sprintf("%d workers", w), Column: fmt.Sprintf("%d dispatchers", n),
+				Options: testbed.Options{Scenario: s, Seed: l.Seed, Policy: testbed.PolicyRules, Launch: launch}})
 		}
 	}
-	broken, err := lab.Table(ctx, out.std, cells, 1)
+	broken, err := testbed.Table(ctx, out.std, cells, 1)
 	if err == nil && broken {
 		err = errBroken
 	}
--- a/cmd/birchfork/labcopies.go
+++ b/cmd/birchfork/labcopies.go
@@ -11,8 +11,8 @@
 	"text/tabwriter"
 	"time"
 
-	"birchfork/internal/lab/histories"
 	"birchfork/internal/replication"
+	"birchfork/internal/testbed/histories"
 )
 
 // labCopies plays simulated copies of staff's words.
--- a/cmd/birchfork/labgroup.go
+++ b/cmd/birchfork/labgroup.go
@@ -23,9 +23,9 @@
 	"github.com/sirupsen/logrus"
 
 	"birchfork/internal/failpoint"
-	"birchfork/internal/lab/groups"
-	"birchfork/internal/lab/histories"
 	"birchfork/internal/server"
+	"birchfork/internal/testbed/groups"
+	"birchfork/internal/testbed/histories"
 )
 
 // labGroup plays groups.
--- a/internal/lab/config.go
+++ b/internal/testbed/config.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"birchfork/internal/lab/scenario"
+	"birchfork/internal/testbed/scenario"
 )
 
 // effects are the platform's words for the effects of a class.
--- a/internal/lab/fleet/discovery.go
+++ b/internal/testbed/fleet/discovery.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"birchfork/internal/lab/judge"
+	"birchfork/internal/testbed/judge"
 )
 
 // Times of discovery.
--- a/internal/lab/fleet/discovery_test.go
+++ b/internal/testbed/fleet/discovery_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"birchfork/internal/lab/judge"
+	"birchfork/internal/testbed/judge"
 )
 
 // News that comes a moment after other news arrives behind it: a worker that goes and comes back at once is there.
--- a/internal/lab/fleet/fleet.go
+++ b/internal/testbed/fleet/fleet.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"birchfork/internal/lab/judge"
-	"birchfork/internal/lab/scenario"
+	"birchfork/internal/testbed/judge"
+	"birchfork/internal/testbed/scenario"
 )
 
 func closedContext() context.Context {
--- a/internal/lab/fleet/worker.go
+++ b/internal/testbed/fleet/worker.go
@@ -12,7 +12,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"birchfork/internal/lab/judge"
+	"birchfork/internal/testbed/judge"
 )
 
 // Order is what a client asked for, as its worker has to find it.
--- a/internal/lab/groups/groups.go
+++ b/internal/testbed/groups/groups.go
@@ -17,11 +17,11 @@
 	"birchfork/internal/coordinator"
 	"birchfork/internal/failpoint"
 	"birchfork/internal/gossip"
-	"birchfork/internal/lab"
-	"birchfork/internal/lab/fleet"
-	"birchfork/internal/lab/report"
-	"birchfork/internal/lab/scenario"
 	"birchfork/internal/maintenance"
+	"birchfork/internal/testbed"
+	"birchfork/internal/testbed/fleet"
+	"birchfork/internal/testbed/report"
+	"birchfork/internal/testbed/scenario"
 )
 
 // Options is what a run is made of.
@@ -119,7 +119,7 @@
 	dir   string
 	real  []string // where each member listens for the others
 	links map[[2]int]*link
-	stage *lab.Stage
+	stage *testbed.Stage
 
 	mu     sync.Mutex
 	outer  []outer // to workers and discovery, in runs with faults there
@@ -181,8 +181,8 @@
 	}
 	g.result.Faults = append(slices.Clone(o.Faults), g.draw()...)
 	g.o.Words = append(slices.Clone(g.o.Words), g.drawWords()...)
-	rep, err := lab.Run(ctx, lab.Options{
-		Scenario: g.day, Seed: o.Seed, Policy: lab.PolicyRules, Beside: g.play, Judge: g.judge, WorkerAt: g.by(Far), ListAt: g.by(Unlist),
+	rep, err := testbed.Run(ctx, testbed.Options{
+		Scenario: g.day, Seed: o.Seed, Policy: testbed.PolicyRules, Beside: g.play, Judge: g.judge, WorkerAt: g.by(Far), ListAt: g.by(Unlist),
 		UpWithin: o.For, // without a majority a member without its disk sends nothing, and so does not serve
 		Told:     g.terms,
 		OldLists: o.OldLists, Logs: o.Logs,
@@ -242,7 +242,7 @@
 func (g *rig) lay() error {
 	n := g.o.Members
 	var err error
-	if g.real, err = lab.FreeAddresses(n); err != nil {
+	if g.real, err = testbed.FreeAddresses(n); err != nil {
 		return err
 	}
 	for from := range n {
@@ -414,7 +414,7 @@
 }
 
 // play has staff and faults play beside the day.
-func (g *rig) play(ctx context.Context, s *lab.Stage) {
+func (g *rig) play(ctx context.Context, s *testbed.Stage) {
 	g.stage = s
 	var all sync.WaitGroup
 	defer all.Wait()
--- a/internal/lab/groups/judge.go
+++ b/internal/testbed/groups/judge.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"birchfork/internal/coordinator"
-	"birchfork/internal/lab"
-	"birchfork/internal/lab/judge"
-	"birchfork/internal/lab/scenario"
 	"birchfork/internal/maintenance"
+	"birchfork/internal/testbed"
+	"birchfork/internal/testbed/judge"
+	"birchfork/internal/testbed/scenario"
 )
 
 // The dispatch of a group, beside the four.
@@ -28,7 +28,7 @@
 var Rules = []string{ClearRule, BudgetRule, OrderRule, GoesOnRule, WordsRule, WarnedRule, ListRule, UseRule}
 
 // judge judges the group's dispatch by what workers and staff saw.
-func (g *rig) judge(s *lab.Stage) []judge.Breach {
+func (g *rig) judge(s *testbed.Stage) []judge.Breach {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out := clearBreaches(s.Ledger().Attempts(), g.works)
@@ -60,7 +60,7 @@
 }
 
 // listBreaches are jobs at a worker that some other member was told to be draining so long ago that all could have heard.
-func (g *rig) listBreaches(s *lab.Stage) (out []judge.Breach) {
+func (g *rig) listBreaches(s *testbed.Stage) (out []judge.Breach) {
 	for _, t := range s.Ledger().Tellings() {
 		if t.State != judge.Draining || t.Written == 0 {
 			continue
@@ -88,7 +88,7 @@
 const heardWithin = time.Second
 
 // warnedBreaches are jobs that may not be repeated, at the first worker, after some member has seen two fail in a row there.
-func warnedBreaches(s *lab.Stage, from, to time.Duration) (out []judge.Breach) {
+func warnedBreaches(s *testbed.Stage, from, to time.Duration) (out []judge.Breach) {
 	class := map[string]int{}
 	for _, t := range s.Ledger().Tries() {
 		class[t.ID] = t.Class
--- a/internal/lab/groups/plain.go
+++ b/internal/testbed/groups/plain.go
@@ -11,12 +11,12 @@
 	"time"
 
 	"birchfork/internal/coordinator"
-	"birchfork/internal/lab"
 	"birchfork/internal/maintenance"
+	"birchfork/internal/testbed"
 )
 
 // Plain makes a day's dispatchers a group, with no faults between them, until close is called.
-func Plain(o *lab.Options) (done func(), err error) {
+func Plain(o *testbed.Options) (done func(), err error) {
 	n := o.Scenario.Dispatchers
 	if n < membersLeast {
 		return nil, fmt.Errorf("%d dispatchers are no group; at least %d", n, membersLeast)
@@ -26,7 +26,7 @@
 		return nil, fmt.Errorf("a folder for the members: %w", err)
 	}
 	done = func() { os.RemoveAll(dir) }
-	links, err := lab.FreeAddresses(n)
+	links, err := testbed.FreeAddresses(n)
 	if err != nil {
 		return nil, errors.Join(err, os.RemoveAll(dir))
 	}
@@ -49,7 +49,7 @@
 		cmd.Env = append(cmd.Env, "TMPDIR="+dir)
 		return cmd
 	}
-	o.Beside = func(ctx context.Context, _ *lab.Stage) {
+	o.Beside = func(ctx context.Context, _ *testbed.Stage) {
 		for c := (&coordinator.Client{At: links[:1]}); ctx.Err() == nil; sleep(ctx, 100*time.Millisecond) {
 			if r, err := c.Ask(ctx, coordinator.Call{Found: true}); err == nil && r.Code == maintenance.Yes {
 				return
--- a/internal/lab/groups/result.go
+++ b/internal/testbed/groups/result.go
@@ -10,8 +10,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"birchfork/internal/lab/judge"
-	"birchfork/internal/lab/scenario"
+	"birchfork/internal/testbed/judge"
+	"birchfork/internal/testbed/scenario"
 )
 
 // day is a usual day for so many members: short jobs, quick lists, no trouble of its own.
--- a/internal/lab/groups/words.go
+++ b/internal/testbed/groups/words.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"birchfork/internal/gossip"
-	"birchfork/internal/lab"
-	"birchfork/internal/lab/judge"
+	"birchfork/internal/testbed"
+	"birchfork/internal/testbed/judge"
 )
 
 // WordsRule is broken when a word of staff does not bind, is lost, or members do not become one again.
@@ -128,7 +128,7 @@
 }
 
 // wordBreaches judges by what workers saw, and by what members tell at the end. The lock is held.
-func (g *rig) wordBreaches(s *lab.Stage) (out []judge.Breach) {
+func (g *rig) wordBreaches(s *testbed.Stage) (out []judge.Breach) {
 	if len(g.o.Words) == 0 {
 		return nil
 	}
--- a/internal/lab/lab.go
+++ b/internal/testbed/lab.go
@@ -1,7 +1,7 @@
-// Package lab plays a whole deployment on loopback: stand-in workers, discovery and clients round real dispatchers that
+// Package testbed plays a whole deployment on loopback: stand-in workers, discovery and clients round real dispatchers that
 // run as processes of their own. It breaks things by a timetable, judges the four dispatch by what clients, workers and
 // discovery saw, and reports.
-package lab
+package testbed
 
 import (
 	"context"
@@ -15,11 +15,11 @@
 	"syscall"
 	"time"
 
-	"birchfork/internal/lab/fleet"
-	"birchfork/internal/lab/judge"
-	"birchfork/internal/lab/load"
-	"birchfork/internal/lab/report"
-	"birchfork/internal/lab/scenario"
+	"birchfork/internal/testbed/fleet"
+	"birchfork/internal/testbed/judge"
+	"birchfork/internal/testbed/load"
+	"birchfork/internal/testbed/report"
+	"birchfork/internal/testbed/scenario"
 )
 
 // PolicyRules is the decision module; the others are the baselines'.
--- a/internal/lab/lab_test.go
+++ b/internal/testbed/lab_test.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -16,12 +16,12 @@
 	"github.com/sirupsen/logrus"
 	"go.uber.org/goleak"
 
-	"birchfork/internal/lab/baseline"
-	"birchfork/internal/lab/judge"
-	"birchfork/internal/lab/planted"
-	"birchfork/internal/lab/report"
-	"birchfork/internal/lab/scenario"
 	"birchfork/internal/server"
+	"birchfork/internal/testbed/baseline"
+	"birchfork/internal/testbed/judge"
+	"birchfork/internal/testbed/planted"
+	"birchfork/internal/testbed/report"
+	"birchfork/internal/testbed/scenario"
 )
 
 // asDispatcher in the environment makes this program a dispatcher: the decider, or plant: and a fault.
--- a/internal/lab/load/closed.go
+++ b/internal/testbed/load/closed.go
@@ -10,7 +10,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/cespare/xxhash/v2"
 
-	"birchfork/internal/lab/fleet"
+	"birchfork/internal/testbed/fleet"
 )
 
 // Book takes any request of the closed loop: all are alike.
--- a/internal/lab/load/load.go
+++ b/internal/testbed/load/load.go
@@ -11,9 +11,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"birchfork/internal/lab/fleet"
-	"birchfork/internal/lab/judge"
-	"birchfork/internal/lab/scenario"
+	"birchfork/internal/testbed/fleet"
+	"birchfork/internal/testbed/judge"
+	"birchfork/internal/testbed/scenario"
 )
 
 // Times of clients.
--- a/internal/lab/overhead.go
+++ b/internal/testbed/overhead.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -11,11 +11,11 @@
 	"text/tabwriter"
 	"time"
 
-	"birchfork/internal/lab/fleet"
-	"birchfork/internal/lab/judge"
-	"birchfork/internal/lab/load"
-	"birchfork/internal/lab/report"
-	"birchfork/internal/lab/scenario"
+	"birchfork/internal/testbed/fleet"
+	"birchfork/internal/testbed/judge"
+	"birchfork/internal/testbed/load"
+	"birchfork/internal/testbed/report"
+	"birchfork/internal/testbed/scenario"
 )
 
 // OverheadOptions is what is measured.
--- a/internal/lab/process.go
+++ b/internal/testbed/process.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"bytes"
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"birchfork/internal/lab/judge"
+	"birchfork/internal/testbed/judge"
 )
 
 // Launch returns the command that runs one dispatcher by a configuration file.
--- a/internal/lab/report/report.go
+++ b/internal/testbed/report/report.go
@@ -16,7 +16,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"birchfork/internal/lab/judge"
+	"birchfork/internal/testbed/judge"
 )
 
 // Version is that of the JSON form; a file of another one is turned down.
--- a/internal/lab/stage.go
+++ b/internal/testbed/stage.go
@@ -1,13 +1,13 @@
-package lab
+package testbed
 
 import (
 	"context"
 	"syscall"
 	"time"
 
-	"birchfork/internal/lab/fleet"
-	"birchfork/internal/lab/judge"
-	"birchfork/internal/lab/scenario"
+	"birchfork/internal/testbed/fleet"
+	"birchfork/internal/testbed/judge"
+	"birchfork/internal/testbed/scenario"
 )
 
 // Stage is a run that is under way, for what plays beside the day's own troubles.
--- a/internal/lab/started.go
+++ b/internal/testbed/started.go
@@ -1,10 +1,10 @@
-package lab
+package testbed
 
 import (
 	"time"
 
-	"birchfork/internal/lab/judge"
-	"birchfork/internal/lab/report"
+	"birchfork/internal/testbed/judge"
+	"birchfork/internal/testbed/report"
 )
 
 // freshFor is how long a dispatcher counts as just started.
--- a/internal/lab/table.go
+++ b/internal/testbed/table.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"sync"
 	"text/tabwriter"
 
-	"birchfork/internal/lab/report"
+	"birchfork/internal/testbed/report"
 )
 
 // Cell is one run of a table.
--- a/internal/lab/trouble.go
+++ b/internal/testbed/trouble.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 	"sync"
 	"time"
 
-	"birchfork/internal/lab/judge"
-	"birchfork/internal/lab/load"
-	"birchfork/internal/lab/scenario"
+	"birchfork/internal/testbed/judge"
+	"birchfork/internal/testbed/load"
+	"birchfork/internal/testbed/scenario"
 )
 
 // troubles carries the timetable out. Several may hit the same worker at once: what holds there is worked out anew from
