--- a/cmd/birchfork/lab.go
+++ b/cmd/birchfork/lab.go
@@ -22,7 +22,7 @@
 	"birchfork/internal/server"
 	"birchfork/internal/testbed"
 	"birchfork/internal/testbed/baseline"
-	"birchfork/internal/testbed/groups"
+	"birchfork/internal/testbed/cluster"
 	"birchfork/internal/testbed/planted"
 	"birchfork/internal/testbed/report"
 	"birchfork/internal/testbed/scenario"
@@ -115,7 +115,7 @@
 		if l.Operator != "" || l.Policy != testbed.PolicyRules || l.Plant != "" {
 			return errors.New("--group makes an operator's file of its own: it goes with none of --operator, --policy and --plant")
 		}
-		done, err := groups.Plain(&o)
+		done, err := cluster.Plain(&o)
 		if err != nil {
 			return fmt.Errorf("--group: %w", err)
 		}
--- a/cmd/birchfork/labgroup.go
+++ b/cmd/birchfork/labgroup.go
@@ -24,7 +24,7 @@
 
 	"birchfork/internal/failpoint"
 	"birchfork/internal/server"
-	"birchfork/internal/testbed/groups"
+	"birchfork/internal/testbed/cluster"
 	"birchfork/internal/testbed/histories"
 )
 
@@ -54,7 +54,7 @@
 }
 
 // load returns the scenarios with what the flags put in place of theirs.
-func (l *labGroupPlay) load() ([]groups.Scenario, error) {
+func (l *labGroupPlay) load() ([]cluster.Scenario, error) {
 	if l.Plant != "" && !slices.Contains(failpoint.Names, l.Plant) {
 		return nil, fmt.Errorf("--plant: %q is none of %s", l.Plant, strings.Join(failpoint.Names, ", "))
 	}
@@ -62,11 +62,11 @@
 	if name == "" && l.Plant != "" {
 		name = "proof-" + l.Plant
 	}
-	all := []groups.Scenario{groups.Usual()}
+	all := []cluster.Scenario{cluster.Usual()}
 	all[0].Name, all[0].Storm = "storm", 4
 	if name != "" {
 		var err error
-		if all, err = groups.Load(name); err != nil {
+		if all, err = cluster.Load(name); err != nil {
 			return nil, err
 		}
 	}
@@ -101,7 +101,7 @@
 	if err != nil {
 		return fmt.Errorf("finding this program: %w", err)
 	}
-	o := groups.Options{Logs: l.Logs, Launch: func(fault, config, operator string) *exec.Cmd {
+	o := cluster.Options{Logs: l.Logs, Launch: func(fault, config, operator string) *exec.Cmd {
 		if fault != "" {
 			return exec.Command(exe, "lab", "member", "--plant", fault, "--config", config, "--operator", operator)
 		}
@@ -109,11 +109,11 @@
 	}}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	var sum groups.Sum
+	var sum cluster.Sum
 	for i := 0; i < l.Runs && ctx.Err() == nil; i++ {
 		o.Seed = l.Seed + uint64(i)
 		for _, o.Scenario = range all {
-			r, err := groups.Run(ctx, o)
+			r, err := cluster.Run(ctx, o)
 			if err != nil {
 				return fmt.Errorf("seed %d: %w", o.Seed, err)
 			}
@@ -151,10 +151,10 @@
 // Run lists what there is.
 func (l *labGroupList) Run(out output) error {
 	if l.Text {
-		_, err := fmt.Fprint(out.std, groups.Shipped())
+		_, err := fmt.Fprint(out.std, cluster.Shipped())
 		return err
 	}
-	all, err := groups.Decode("shipped.toml", []byte(groups.Shipped()))
+	all, err := cluster.Decode("shipped.toml", []byte(cluster.Shipped()))
 	if err != nil {
 		return err
 	}
@@ -162,7 +162,7 @@
 	for _, s := range all {
 		fmt.Fprintf(t, "%s\t%s\n", s.Name, s.About)
 	}
-	fmt.Fprintf(t, "\nfaults\t%s\nplanted\t%s\nrules\t%s\n", strings.Join(groups.Kinds, ", "), strings.Join(failpoint.Names, ", "), strings.Join(groups.Rules, ", "))
+	fmt.Fprintf(t, "\nfaults\t%s\nplanted\t%s\nrules\t%s\n", strings.Join(cluster.Kinds, ", "), strings.Join(failpoint.Names, ", "), strings.Join(cluster.Rules, ", "))
 	return t.Flush()
 }
 
--- a/internal/testbed/groups/groups_test.go
+++ b/internal/testbed/cluster/groups_test.go
@@ -1,4 +1,4 @@
-package groups
+package cluster
 
 import (
 	"context"
--- a/internal/testbed/groups/link.go
+++ b/internal/testbed/cluster/link.go
@@ -1,6 +1,6 @@
-// Package groups plays a group of dispatchers: processes of the program with a forwarder on each directed link between two
+// Package cluster plays a group of dispatchers: processes of the program with a forwarder on each directed link between two
 // of them, staff that hand in plans and work, faults by a timetable, and a judge of what the group promised.
-package groups
+package cluster
 
 import (
 	"fmt"
