--- a/cmd/birchfork/labcopies.go
+++ b/cmd/birchfork/labcopies.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"birchfork/internal/replication"
-	"birchfork/internal/testbed/histories"
+	"birchfork/internal/testbed/simulation"
 )
 
 // labCopies plays simulated copies of staff's words.
@@ -68,13 +68,13 @@
 	return nil
 }
 
-func (l *labCopies) play(members int) []*histories.CopiesResult {
-	all := make([]*histories.CopiesResult, l.Runs)
+func (l *labCopies) play(members int) []*simulation.CopiesResult {
+	all := make([]*simulation.CopiesResult, l.Runs)
 	var done sync.WaitGroup
 	for core := range runtime.GOMAXPROCS(0) {
 		done.Go(func() {
 			for i := core; i < l.Runs; i += runtime.GOMAXPROCS(0) {
-				all[i] = histories.PlayCopies(histories.CopiesOptions{
+				all[i] = simulation.PlayCopies(simulation.CopiesOptions{
 					Seed: l.Seed + uint64(i), Members: members, Words: l.Words, Runners: l.Runners, Say: l.Say, Cut: l.Cut, Faults: l.Faults, Idle: l.Idle,
 				})
 			}
--- a/cmd/birchfork/labgroup.go
+++ b/cmd/birchfork/labgroup.go
@@ -25,7 +25,7 @@
 	"birchfork/internal/failpoint"
 	"birchfork/internal/server"
 	"birchfork/internal/testbed/cluster"
-	"birchfork/internal/testbed/histories"
+	"birchfork/internal/testbed/simulation"
 )
 
 // labGroup plays groups.
@@ -182,21 +182,21 @@
 
 // Run plays them on all cores; the same seeds give the same histories. What they leave behind is cheap to keep for a while.
 func (l *labHistories) Run(out output) error {
-	if l.Fault != "" && !slices.Contains(histories.Faults, l.Fault) {
-		return fmt.Errorf("--fault: %q is none of: %s", l.Fault, strings.Join(histories.Faults, "; "))
+	if l.Fault != "" && !slices.Contains(simulation.Faults, l.Fault) {
+		return fmt.Errorf("--fault: %q is none of: %s", l.Fault, strings.Join(simulation.Faults, "; "))
 	}
 	if len(l.Behind) > 0 {
-		return histories.CatchUp(out.std, l.Behind)
+		return simulation.CatchUp(out.std, l.Behind)
 	}
 	if len(l.Measure) > 0 {
 		sizes := l.Measure
 		if slices.Contains(sizes, 0) {
-			sizes = histories.Sizes
+			sizes = simulation.Sizes
 		}
 		if slices.Min(sizes) < 3 {
 			return errors.New("--measure: fewer than 3 members are no group")
 		}
-		return histories.Measure(out.std, sizes, min(l.Runs, measuredRuns))
+		return simulation.Measure(out.std, sizes, min(l.Runs, measuredRuns))
 	}
 	if l.Members < 1 || l.Voters < 1 || l.Voters > l.Members || l.Runs < 1 || l.Ticks < 1 || l.Calm < 1 {
 		return errors.New("--members, --voters, --runs, --ticks and --calm are above 0, and no more vote than there are")
@@ -207,15 +207,15 @@
 	var all sync.WaitGroup
 	var failed error
 	broken, done := 0, 0
-	var first *histories.Options
+	var first *simulation.Options
 	for range runtime.GOMAXPROCS(0) {
 		all.Go(func() {
 			for i := next.Add(1) - 1; i < int64(l.Runs); i = next.Add(1) - 1 {
-				o := histories.Options{Seed: l.Seed + uint64(i), Members: l.Members, Voters: l.Voters, Ticks: l.Ticks, Calm: l.Calm, Fault: l.Fault}
+				o := simulation.Options{Seed: l.Seed + uint64(i), Members: l.Members, Voters: l.Voters, Ticks: l.Ticks, Calm: l.Calm, Fault: l.Fault}
 				if l.Story && l.Runs == 1 {
 					o.Story = out.std
 				}
-				r, err := histories.Play(o)
+				r, err := simulation.Play(o)
 				mu.Lock()
 				if failed = errors.Join(failed, err); err == nil {
 					if done += r.Done; len(r.Broken) > 0 {
@@ -243,14 +243,14 @@
 const measuredRuns = 5
 
 // tell tells the story of a history that breaks a rule, cut down as far as it goes.
-func (l *labHistories) tell(out output, o histories.Options) error {
-	less, r, err := histories.CutDown(o)
+func (l *labHistories) tell(out output, o simulation.Options) error {
+	less, r, err := simulation.CutDown(o)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(out.std, "seed %d, cut down to %d ticks and %d troubles:\n", less.Seed, less.Ticks, len(less.Troubles))
 	less.Story = out.std
-	if r, err = histories.Play(less); err == nil {
+	if r, err = simulation.Play(less); err == nil {
 		fmt.Fprintln(out.std, r.Line(less.Seed))
 	}
 	return err
--- a/internal/testbed/histories/golden_race_test.go
+++ b/internal/testbed/simulation/golden_race_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package histories
+package simulation
 
 // digestStep is the distance between the digests that are played.
 const digestStep = 5
--- a/internal/testbed/histories/histories.go
+++ b/internal/testbed/simulation/histories.go
@@ -1,7 +1,7 @@
-// Package histories plays a group's cores in virtual time: raft with its disk, the settled plans and the lease, with links that
+// Package simulation plays a group's cores in virtual time: raft with its disk, the settled plans and the lease, with links that
 // lose and hold messages, members that stop, die, forget and come back, and clocks that drift. One seed gives one history, to
 // the byte, on any machine. It is simulated: real processes are played by internal/testbed/cluster.
-package histories
+package simulation
 
 import (
 	"cmp"
--- a/internal/testbed/histories/histories_test.go
+++ b/internal/testbed/simulation/histories_test.go
@@ -1,4 +1,4 @@
-package histories
+package simulation
 
 import "testing"
 
