--- a/cmd/birchfork/lab.go
+++ b/cmd/birchfork/lab.go
@@ -23,7 +23,7 @@
 	"birchfork/internal/testbed"
 	"birchfork/internal/testbed/baseline"
 	"birchfork/internal/testbed/cluster"
-	"birchfork/internal/testbed/planted"
+	"birchfork/internal/testbed/mutant"
 	"birchfork/internal/testbed/report"
 	"birchfork/internal/testbed/scenario"
 )
@@ -177,7 +177,7 @@
 	args := []string{"lab", "dispatcher", "--policy", policy}
 	switch {
 	case plant != "":
-		if _, err := planted.Find(plant); err != nil {
+		if _, err := mutant.Find(plant); err != nil {
 			return nil, err
 		}
 		args = []string{"lab", "dispatcher", "--plant", plant}
@@ -227,7 +227,7 @@
 // Run serves like serve, by another decider.
 func (l *labDispatcher) Run(out output) error {
 	if l.Plant != "" {
-		return planted.Run(l.Config, l.Plant)
+		return mutant.Run(l.Config, l.Plant)
 	}
 	c, err := server.Load(l.Config, "")
 	if err != nil {
@@ -259,7 +259,7 @@
 		fmt.Fprintf(out.std, "  %-16s %s\n", k.Kind, k.About)
 	}
 	fmt.Fprintln(out.std, "faults that can be planted:")
-	for _, f := range planted.Faults {
+	for _, f := range mutant.Faults {
 		fmt.Fprintf(out.std, "  %-16s %s\n", f.Name, f.About)
 	}
 	return nil
--- a/internal/testbed/lab_test.go
+++ b/internal/testbed/lab_test.go
@@ -19,7 +19,7 @@
 	"birchfork/internal/server"
 	"birchfork/internal/testbed/baseline"
 	"birchfork/internal/testbed/judge"
-	"birchfork/internal/testbed/planted"
+	"birchfork/internal/testbed/mutant"
 	"birchfork/internal/testbed/report"
 	"birchfork/internal/testbed/scenario"
 )
@@ -40,7 +40,7 @@
 
 func dispatch(who, path string) error {
 	if fault, ok := strings.CutPrefix(who, "plant:"); ok {
-		return planted.Run(path, fault)
+		return mutant.Run(path, fault)
 	}
 	c, err := server.Load(path, "")
 	if err != nil {
@@ -111,7 +111,7 @@
 	s := loadDay(t, "proof", 0)
 	var all sync.WaitGroup
 	side := make(chan struct{}, 5) // days at a time
-	for _, f := range planted.Faults {
+	for _, f := range mutant.Faults {
 		all.Add(1)
 		go func() {
 			defer all.Done()
--- a/internal/testbed/planted/planted.go
+++ b/internal/testbed/mutant/planted.go
@@ -1,6 +1,6 @@
-// Package planted is a small dispatcher with one fault of your choice: the lab shows with it that its judge sees. It
+// Package mutant is a small dispatcher with one fault of your choice: the lab shows with it that its judge sees. It
 // shares no code with the real one, so that no guard of that one stands in a fault's way.
-package planted
+package mutant
 
 import (
 	"bufio"
