--- a/internal/testbed/cluster/judge.go
+++ b/internal/testbed/cluster/judge.go
@@ -9,7 +9,7 @@
 	"birchfork/internal/coordinator"
 	"birchfork/internal/maintenance"
 	"birchfork/internal/testbed"
-	"birchfork/internal/testbed/judge"
+	"birchfork/internal/testbed/invariant"
 	"birchfork/internal/testbed/scenario"
 )
 
@@ -28,7 +28,7 @@
 var Rules = []string{ClearRule, BudgetRule, OrderRule, GoesOnRule, WordsRule, WarnedRule, ListRule, UseRule}
 
 // judge judges the group's dispatch by what workers and staff saw.
-func (g *rig) judge(s *testbed.Stage) []judge.Breach {
+func (g *rig) judge(s *testbed.Stage) []invariant.Breach {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out := clearBreaches(s.Ledger().Attempts(), g.works)
@@ -51,18 +51,18 @@
 		return s.status.Settled && slices.ContainsFunc(s.status.Members, func(m coordinator.MemberStatus) bool { return m.Name == joiner })
 	}
 	if g.o.Joins > 0 && !slices.ContainsFunc(g.seen, joined) {
-		out = append(out, judge.Breach{Rule: GoesOnRule, Kind: "not joined", At: s.Ledger().Now(), Who: g.o.Joins})
+		out = append(out, invariant.Breach{Rule: GoesOnRule, Kind: "not joined", At: s.Ledger().Now(), Who: g.o.Joins})
 	}
 	if g.o.Machines > 0 && g.result.Ended == 0 {
-		out = append(out, judge.Breach{Rule: GoesOnRule, Kind: "not through", At: s.Ledger().Now(), Who: -1, Lines: []string{g.result.Last}})
+		out = append(out, invariant.Breach{Rule: GoesOnRule, Kind: "not through", At: s.Ledger().Now(), Who: -1, Lines: []string{g.result.Last}})
 	}
 	return out
 }
 
 // listBreaches are jobs at a worker that some other member was told to be draining so long ago that all could have heard.
-func (g *rig) listBreaches(s *testbed.Stage) (out []judge.Breach) {
+func (g *rig) listBreaches(s *testbed.Stage) (out []invariant.Breach) {
 	for _, t := range s.Ledger().Tellings() {
-		if t.State != judge.Draining || t.Written == 0 {
+		if t.State != invariant.Draining || t.Written == 0 {
 			continue
 		}
 		heard := g.calm(t.Written) + spreadWithin
@@ -70,13 +70,13 @@
 			if a.Worker != t.Worker || a.Dispatcher == t.Dispatcher || a.First <= heard {
 				continue
 			}
-			own := slices.ContainsFunc(s.Ledger().Tellings(), func(o *judge.Telling) bool { // its own discovery has told it since
+			own := slices.ContainsFunc(s.Ledger().Tellings(), func(o *invariant.Telling) bool { // its own discovery has told it since
 				newer := o.Life > t.Life || o.Life == t.Life && o.Has >= t.Has
-				heard := o.Written > 0 && o.Written <= a.First || o.State == judge.Up && o.Has <= a.First // by its configuration
+				heard := o.Written > 0 && o.Written <= a.First || o.State == invariant.Up && o.Has <= a.First // by its configuration
 				return o.Dispatcher == a.Dispatcher && o.Worker == t.Worker && newer && heard
 			})
 			if !own {
-				out = append(out, judge.Breach{Rule: ListRule, Kind: "sent", At: a.First, Who: a.Dispatcher, ID: a.ID, Lines: []string{
+				out = append(out, invariant.Breach{Rule: ListRule, Kind: "sent", At: a.First, Who: a.Dispatcher, ID: a.ID, Lines: []string{
 					fmt.Sprintf("dispatcher %d was told at %.3fs that the worker drains", t.Dispatcher, t.Written.Seconds())}})
 			}
 		}
@@ -88,14 +88,14 @@
 const heardWithin = time.Second
 
 // warnedBreaches are jobs that may not be repeated, at the first worker, after some member has seen two fail in a row there.
-func warnedBreaches(s *testbed.Stage, from, to time.Duration) (out []judge.Breach) {
+func warnedBreaches(s *testbed.Stage, from, to time.Duration) (out []invariant.Breach) {
 	class := map[string]int{}
 	for _, t := range s.Ledger().Tries() {
 		class[t.ID] = t.Class
 	}
 	failed, second := map[int]int{}, to
 	for _, a := range s.Ledger().Attempts() {
-		if a.Worker == 0 && a.End == judge.Errored && a.Ended >= from {
+		if a.Worker == 0 && a.End == invariant.Errored && a.Ended >= from {
 			if failed[a.Dispatcher]++; failed[a.Dispatcher] >= 2 {
 				second = min(second, a.Ended)
 			}
@@ -103,7 +103,7 @@
 	}
 	for _, a := range s.Ledger().Attempts() {
 		if a.Worker == 0 && a.Last > second+heardWithin && a.Last < to && s.Day().Scenario.Classes[class[a.ID]].Effect == scenario.Unsafe {
-			out = append(out, judge.Breach{Rule: WarnedRule, Kind: "lost", At: a.Last, Who: a.Dispatcher, ID: a.ID, Lines: []string{
+			out = append(out, invariant.Breach{Rule: WarnedRule, Kind: "lost", At: a.Last, Who: a.Dispatcher, ID: a.ID, Lines: []string{
 				fmt.Sprintf("a member had seen two jobs fail at the worker by %.3fs", second.Seconds())}})
 		}
 	}
@@ -118,7 +118,7 @@
 )
 
 // useBreaches are members that leave the first worker alone, as it fails for another one.
-func useBreaches(attempts []*judge.Attempt, spoilt int, from, to time.Duration) (out []judge.Breach) {
+func useBreaches(attempts []*invariant.Attempt, spoilt int, from, to time.Duration) (out []invariant.Breach) {
 	all, there := map[int]int{}, map[int]int{}
 	workers := map[int]bool{}
 	for _, a := range attempts {
@@ -132,7 +132,7 @@
 	}
 	for d, n := range all {
 		if mean := float64(n) / float64(len(workers)); float64(there[d]) < useful*mean {
-			out = append(out, judge.Breach{Rule: UseRule, Kind: "left alone", At: to, Who: d, Lines: []string{
+			out = append(out, invariant.Breach{Rule: UseRule, Kind: "left alone", At: to, Who: d, Lines: []string{
 				fmt.Sprintf("%d jobs went to the worker that fails for dispatcher %d alone, %.1f to the mean one", there[d], spoilt, mean)}})
 		}
 	}
@@ -140,7 +140,7 @@
 }
 
 // clearBreaches are attempts at machines that staff had.
-func clearBreaches(attempts []*judge.Attempt, works []Work) (out []judge.Breach) {
+func clearBreaches(attempts []*invariant.Attempt, works []Work) (out []invariant.Breach) {
 	for _, w := range works {
 		for _, a := range attempts {
 			if !slices.Contains(w.Runners, a.Worker) {
@@ -154,11 +154,11 @@
 			switch {
 			case a.Last >= w.Told && a.Last < back:
 				kind = "begun"
-			case a.Last < w.Told && (a.End == judge.Open || a.Ended > w.Told) && a.Last > 0:
+			case a.Last < w.Told && (a.End == invariant.Open || a.Ended > w.Told) && a.Last > 0:
 				kind = "runs"
 			}
 			if kind != "" {
-				out = append(out, judge.Breach{Rule: ClearRule, Kind: kind, At: a.Last, Who: a.Dispatcher, ID: a.ID, Lines: []string{
+				out = append(out, invariant.Breach{Rule: ClearRule, Kind: kind, At: a.Last, Who: a.Dispatcher, ID: a.ID, Lines: []string{
 					fmt.Sprintf("%s was told to be clear at %.3fs, put back at %.3fs", w.Machine, w.Told.Seconds(), w.Back.Seconds()),
 					fmt.Sprintf("the attempt's last byte came at %.3fs, it ended (%s) at %.3fs", a.Last.Seconds(), a.End, a.Ended.Seconds()),
 				}})
@@ -188,7 +188,7 @@
 
 // budgetBreaches are moments at which staff got one more machine than may be away: with those that they had, those given back
 // that were not warm yet, and those that had long been away by themselves.
-func budgetBreaches(works []Work, downs []down, waited func(machine string) time.Duration, most int, warm time.Duration) (out []judge.Breach) {
+func budgetBreaches(works []Work, downs []down, waited func(machine string) time.Duration, most int, warm time.Duration) (out []invariant.Breach) {
 	for _, w := range works {
 		away := 0
 		for _, o := range works {
@@ -202,7 +202,7 @@
 			}
 		}
 		if away > most {
-			out = append(out, judge.Breach{Rule: BudgetRule, Kind: "over", At: w.Told, Who: -1, Lines: []string{
+			out = append(out, invariant.Breach{Rule: BudgetRule, Kind: "over", At: w.Told, Who: -1, Lines: []string{
 				fmt.Sprintf("%d machines away when %s was told to be clear, %d may be", away, w.Machine, most)}})
 		}
 	}
@@ -210,10 +210,10 @@
 }
 
 // orderBreaches are answers that tell two histories: two states at one entry, or one that was settled and then was not.
-func orderBreaches(all []seen) (out []judge.Breach) {
+func orderBreaches(all []seen) (out []invariant.Breach) {
 	at := map[uint64]string{}
 	breach := func(kind string, s seen, lines ...string) {
-		out = append(out, judge.Breach{Rule: OrderRule, Kind: kind, At: s.came, Who: -1, Lines: lines})
+		out = append(out, invariant.Breach{Rule: OrderRule, Kind: kind, At: s.came, Who: -1, Lines: lines})
 	}
 	for _, s := range all {
 		steps := map[string]string{}
@@ -243,7 +243,7 @@
 }
 
 // undoneBreaches are settled answers that do not know what staff were told before they were asked for.
-func undoneBreaches(all []seen, works []Work) (out []judge.Breach) {
+func undoneBreaches(all []seen, works []Work) (out []invariant.Breach) {
 	for _, s := range all {
 		for _, w := range works {
 			if !s.status.Settled || s.asked < w.Told {
@@ -252,7 +252,7 @@
 			for _, p := range s.status.Plans {
 				for _, m := range p.Machines {
 					if m.Name == w.Machine && (m.Step == maintenance.Waiting || m.Step == maintenance.Leaving || m.Step == maintenance.Clear) {
-						return []judge.Breach{{Rule: OrderRule, Kind: "undone", At: s.came, Who: -1, Lines: []string{
+						return []invariant.Breach{{Rule: OrderRule, Kind: "undone", At: s.came, Who: -1, Lines: []string{
 							fmt.Sprintf("%s was told to be clear at %.3fs; an answer asked for at %.3fs has it as %s", w.Machine,
 								w.Told.Seconds(), s.asked.Seconds(), m.Step)}}}
 					}
--- a/internal/testbed/cluster/result.go
+++ b/internal/testbed/cluster/result.go
@@ -10,7 +10,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"birchfork/internal/testbed/judge"
+	"birchfork/internal/testbed/invariant"
 	"birchfork/internal/testbed/scenario"
 )
 
@@ -50,7 +50,7 @@
 func (r *Result) Line(seed uint64) string {
 	var broken []string
 	all := r.broken()
-	for _, rule := range slices.Concat(Rules, judge.Rules, []string{"crash"}) {
+	for _, rule := range slices.Concat(Rules, invariant.Rules, []string{"crash"}) {
 		if n := all[rule]; n > 0 {
 			broken = append(broken, fmt.Sprintf("%s %d", rule, n))
 		}
--- a/internal/testbed/cluster/words.go
+++ b/internal/testbed/cluster/words.go
@@ -10,7 +10,7 @@
 
 	"birchfork/internal/gossip"
 	"birchfork/internal/testbed"
-	"birchfork/internal/testbed/judge"
+	"birchfork/internal/testbed/invariant"
 )
 
 // WordsRule is broken when a word of staff does not bind, is lost, or members do not become one again.
@@ -128,12 +128,12 @@
 }
 
 // wordBreaches judges by what workers saw, and by what members tell at the end. The lock is held.
-func (g *rig) wordBreaches(s *testbed.Stage) (out []judge.Breach) {
+func (g *rig) wordBreaches(s *testbed.Stage) (out []invariant.Breach) {
 	if len(g.o.Words) == 0 {
 		return nil
 	}
 	breach := func(kind string, at time.Duration, who int, format string, v ...any) {
-		out = append(out, judge.Breach{Rule: WordsRule, Kind: kind, At: at, Who: who, Lines: []string{fmt.Sprintf(format, v...)}})
+		out = append(out, invariant.Breach{Rule: WordsRule, Kind: kind, At: at, Who: who, Lines: []string{fmt.Sprintf(format, v...)}})
 	}
 	if len(g.spoken) < len(g.o.Words) {
 		breach("not taken", s.Ledger().Now(), -1, "%d of %d words were answered yes", len(g.spoken), len(g.o.Words))
--- a/internal/testbed/fleet/discovery.go
+++ b/internal/testbed/fleet/discovery.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"birchfork/internal/testbed/judge"
+	"birchfork/internal/testbed/invariant"
 )
 
 // Times of discovery.
@@ -38,7 +38,7 @@
 	StatusRemoved  = "removed"
 )
 
-var stateOf = map[string]judge.State{StatusUp: judge.Up, StatusDraining: judge.Draining, StatusRemoved: judge.Removed}
+var stateOf = map[string]invariant.State{StatusUp: invariant.Up, StatusDraining: invariant.Draining, StatusRemoved: invariant.Removed}
 
 // News is one change: Endpoint as each dispatcher gets it.
 type News struct {
@@ -53,7 +53,7 @@
 }
 
 // NewDiscovery starts so many agents. lag draws how long a change is on its way to an agent.
-func NewDiscovery(l *judge.Ledger, dispatchers, keep int, lag, jitter time.Duration, r *rand.Rand) (*Discovery, error) {
+func NewDiscovery(l *invariant.Ledger, dispatchers, keep int, lag, jitter time.Duration, r *rand.Rand) (*Discovery, error) {
 	d := &Discovery{}
 	for i := range dispatchers {
 		a := &Agent{
@@ -85,7 +85,7 @@
 
 // Agent is what one dispatcher asks.
 type Agent struct {
-	ledger      *judge.Ledger
+	ledger      *invariant.Ledger
 	dispatcher  int
 	keep        int
 	lag, jitter time.Duration
@@ -114,7 +114,7 @@
 	index   uint64
 	worker  int
 	life    int
-	telling *judge.Telling
+	telling *invariant.Telling
 }
 
 // listen opens a new address.
@@ -231,7 +231,7 @@
 	a.index++
 	e.index = a.index
 	if e.worker >= 0 {
-		e.telling = &judge.Telling{
+		e.telling = &invariant.Telling{
 			Dispatcher: a.dispatcher, Worker: e.worker, Life: e.life, State: stateOf[e.Status], Has: a.ledger.Now(),
 		}
 		a.ledger.Telling(e.telling)
@@ -306,7 +306,7 @@
 			continue
 		}
 		if again {
-			a.ledger.Telling(&judge.Telling{Dispatcher: t.Dispatcher, Worker: t.Worker, Life: t.Life, State: t.State, Has: now, Written: now})
+			a.ledger.Telling(&invariant.Telling{Dispatcher: t.Dispatcher, Worker: t.Worker, Life: t.Life, State: t.State, Has: now, Written: now})
 			continue
 		}
 		a.ledger.Do(func() {
--- a/internal/testbed/fleet/discovery_test.go
+++ b/internal/testbed/fleet/discovery_test.go
@@ -5,12 +5,12 @@
 	"testing"
 	"time"
 
-	"birchfork/internal/testbed/judge"
+	"birchfork/internal/testbed/invariant"
 )
 
 // News that comes a moment after other news arrives behind it: a worker that goes and comes back at once is there.
 func TestNewsKeepsItsOrder(t *testing.T) {
-	d, err := NewDiscovery(judge.NewLedger(), 1, 10, time.Millisecond, 0, rand.New(rand.NewPCG(1, 2)))
+	d, err := NewDiscovery(invariant.NewLedger(), 1, 10, time.Millisecond, 0, rand.New(rand.NewPCG(1, 2)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/fleet/fleet.go
+++ b/internal/testbed/fleet/fleet.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"birchfork/internal/testbed/judge"
+	"birchfork/internal/testbed/invariant"
 	"birchfork/internal/testbed/scenario"
 )
 
@@ -28,7 +28,7 @@
 	Discovery *Discovery
 
 	day    *scenario.Day
-	ledger *judge.Ledger
+	ledger *invariant.Ledger
 	at     func(dispatcher int, address string) string
 
 	mu      sync.Mutex
@@ -40,7 +40,7 @@
 
 // New starts the fleet of a day. All workers are up and listed at once; at is by which address a dispatcher reaches one of a
 // worker, nil: by itself.
-func New(day *scenario.Day, l *judge.Ledger, book Book, at func(dispatcher int, address string) string) (*Fleet, error) {
+func New(day *scenario.Day, l *invariant.Ledger, book Book, at func(dispatcher int, address string) string) (*Fleet, error) {
 	t := &day.Scenario.Terms
 	r := scenario.Rand(day.Seed, scenario.StreamErr)
 	var mu sync.Mutex
--- a/internal/testbed/fleet/worker.go
+++ b/internal/testbed/fleet/worker.go
@@ -12,7 +12,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"birchfork/internal/testbed/judge"
+	"birchfork/internal/testbed/invariant"
 )
 
 // Order is what a client asked for, as its worker has to find it.
@@ -32,7 +32,7 @@
 
 // Config is what all workers of a fleet share.
 type Config struct {
-	Ledger      *judge.Ledger
+	Ledger      *invariant.Ledger
 	Book        Book
 	Dispatchers int
 	Notes       bool          // workers tell of starts and progress
@@ -146,7 +146,7 @@
 		k.listener.Close()
 		k.heal()
 		for c := range k.conns {
-			c.reset(judge.Died)
+			c.reset(invariant.Died)
 		}
 	}
 }
@@ -188,9 +188,9 @@
 		for c := range k.conns {
 			if c.job != nil && !c.attempt.Ran {
 				w.machine.Drop(c.job)
-				c.last(`"state":"returned"`, judge.Returned)
+				c.last(`"state":"returned"`, invariant.Returned)
 			} else if c.job != nil {
-				c.last(`"state":"lost"`, judge.Died)
+				c.last(`"state":"lost"`, invariant.Died)
 			}
 			c.flush()
 		}
@@ -239,7 +239,7 @@
 	defer w.mu.Unlock()
 	k.heal()
 	for c := range k.conns {
-		c.reset(judge.Died)
+		c.reset(invariant.Died)
 	}
 }
 
@@ -281,7 +281,7 @@
 	for _, n := range notes {
 		if n.Kind == Fell {
 			w.falls++
-			w.cfg.Ledger.Fall(judge.Fall{Worker: w.Index, Life: w.life, At: w.cfg.Ledger.Now(), Sent: n.Sent, Bears: n.Bears, Warmth: n.Warmth})
+			w.cfg.Ledger.Fall(invariant.Fall{Worker: w.Index, Life: w.life, At: w.cfg.Ledger.Now(), Sent: n.Sent, Bears: n.Bears, Warmth: n.Warmth})
 			w.kill() // and it stays down
 			if w.cfg.Fell != nil {
 				go w.cfg.Fell(w.Index)
@@ -307,7 +307,7 @@
 			w.did += c.work
 			c.done()
 		case Failed:
-			c.last(`"state":"failed"`, judge.Errored)
+			c.last(`"state":"failed"`, invariant.Errored)
 		}
 		c.flush()
 	}
@@ -383,7 +383,7 @@
 	// Under the worker's lock.
 	id      string
 	job     *Job
-	attempt *judge.Attempt
+	attempt *invariant.Attempt
 	work    time.Duration
 	out     []byte
 	silent  bool // the link was cut meanwhile: nothing goes through any more
@@ -450,7 +450,7 @@
 
 func (w *Worker) odd(dispatcher int, what string) {
 	if !w.cfg.Mute {
-		w.cfg.Ledger.Odd(judge.Odd{Worker: w.Index, Dispatcher: dispatcher, At: w.cfg.Ledger.Now(), What: what})
+		w.cfg.Ledger.Odd(invariant.Odd{Worker: w.Index, Dispatcher: dispatcher, At: w.cfg.Ledger.Now(), What: what})
 	}
 }
 
@@ -460,7 +460,7 @@
 	defer w.mu.Unlock()
 	defer c.flush()
 	if w.machine == nil || w.life != c.k.life {
-		c.reset(judge.Died)
+		c.reset(invariant.Died)
 		return
 	}
 	if c.job != nil {
@@ -483,7 +483,7 @@
 		c.head(http.StatusBadRequest, "")
 		return
 	}
-	a := &judge.Attempt{ID: id, Worker: w.Index, Life: w.life, Dispatcher: c.k.dispatcher, First: c.first, Last: w.cfg.Ledger.Now()}
+	a := &invariant.Attempt{ID: id, Worker: w.Index, Life: w.life, Dispatcher: c.k.dispatcher, First: c.first, Last: w.cfg.Ledger.Now()}
 	switch {
 	case req.Method != http.MethodPost || req.RequestURI != order.Target:
 		a.Changed = fmt.Sprintf("%s %s came in place of POST %s", req.Method, req.RequestURI, order.Target)
@@ -521,11 +521,11 @@
 
 func (c *conn) turnAway() {
 	c.head(http.StatusServiceUnavailable, "X-Not-Run: 1\r\n")
-	c.over(judge.TurnedAway)
+	c.over(invariant.TurnedAway)
 }
 
 // over notes the end of the attempt that is out.
-func (c *conn) over(end judge.End) {
+func (c *conn) over(end invariant.End) {
 	if c.job != nil {
 		delete(c.k.jobs, c.job)
 		c.job = nil
@@ -544,7 +544,7 @@
 }
 
 // last is the last line.
-func (c *conn) last(what string, end judge.End) {
+func (c *conn) last(what string, end invariant.End) {
 	c.say(what)
 	c.out = append(c.out, "0\r\n\r\n"...)
 	c.over(end)
@@ -555,7 +555,7 @@
 	a := c.attempt
 	result := fmt.Sprintf("%s ran at %s, life %d, from %d", c.id, c.k.w.Name, a.Life, a.Last)
 	c.k.w.cfg.Ledger.Do(func() { a.Result = xxhash.Sum64String(result) })
-	c.last(`"state":"done","result":`+strconv.Quote(result), judge.Done)
+	c.last(`"state":"done","result":`+strconv.Quote(result), invariant.Done)
 }
 
 // flush writes what has been said. A dispatcher that does not read is cut off.
@@ -574,12 +574,12 @@
 
 // drop ends the connection: the dispatcher closed it, or broke the protocol. Work for it stops.
 func (c *conn) drop() {
-	c.end(judge.Dropped)
+	c.end(invariant.Dropped)
 	c.TCPConn.Close()
 }
 
 // reset breaks the connection.
-func (c *conn) reset(end judge.End) {
+func (c *conn) reset(end invariant.End) {
 	c.SetLinger(0)
 	c.end(end)
 	c.TCPConn.Close()
@@ -587,7 +587,7 @@
 
 // end ends what is out on the connection, once. The worker's lock is held. It may come back here: work that stops makes
 // room, what then begins may push the machine over, and that ends all connections.
-func (c *conn) end(end judge.End) {
+func (c *conn) end(end invariant.End) {
 	if c.ended {
 		return
 	}
--- a/internal/testbed/judge/judge_test.go
+++ b/internal/testbed/invariant/judge_test.go
@@ -1,4 +1,4 @@
-package judge
+package invariant
 
 import (
 	"slices"
--- a/internal/testbed/lab.go
+++ b/internal/testbed/lab.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"birchfork/internal/testbed/fleet"
-	"birchfork/internal/testbed/judge"
+	"birchfork/internal/testbed/invariant"
 	"birchfork/internal/testbed/load"
 	"birchfork/internal/testbed/report"
 	"birchfork/internal/testbed/scenario"
@@ -52,8 +52,8 @@
 	Launch   Launch
 	Ceiling  bool // measure the rig's own ceiling first
 
-	Beside func(context.Context, *Stage) // plays beside the day's troubles, from its start; its context ends with the day
-	Judge  func(*Stage) []judge.Breach   // what the dispatch are beside the four; both may be nil
+	Beside func(context.Context, *Stage)   // plays beside the day's troubles, from its start; its context ends with the day
+	Judge  func(*Stage) []invariant.Breach // what the dispatch are beside the four; both may be nil
 
 	// UpWithin is how long a dispatcher may take to serve, where that is longer than usual: it may have to wait for others.
 	UpWithin time.Duration
@@ -73,7 +73,7 @@
 // run is one run.
 type run struct {
 	day         *scenario.Day
-	ledger      *judge.Ledger
+	ledger      *invariant.Ledger
 	fleet       *fleet.Fleet
 	load        *load.Load
 	launch      Launch
@@ -93,7 +93,7 @@
 // Run plays a day. A run that ctx ends early is reported as far as it came. An error means that nothing could be played.
 func Run(ctx context.Context, o Options) (*report.Report, error) {
 	r := &run{
-		day: o.Scenario.Draw(o.Seed, o.Storm), ledger: judge.NewLedger(), launch: o.Launch, spawner: newSpawner(),
+		day: o.Scenario.Draw(o.Seed, o.Storm), ledger: invariant.NewLedger(), launch: o.Launch, spawner: newSpawner(),
 		lag: report.NewHistogram(), beats: report.NewHistogram(), beside: o.Beside,
 		listAt: o.ListAt, upWithin: o.UpWithin, told: o.Told, oldLists: o.OldLists, logs: o.Logs,
 	}
@@ -128,7 +128,7 @@
 		return nil, err
 	}
 	r.play(ctx, o.Progress)
-	v := judge.Judge(r.ledger, r.terms())
+	v := invariant.Judge(r.ledger, r.terms())
 	if o.Judge != nil {
 		v.Breaches = append(v.Breaches, o.Judge(&Stage{r})...)
 	}
@@ -256,19 +256,19 @@
 }
 
 // terms are the dispatch as the judge has to know them. What the rig itself was late is given to every time limit.
-func (r *run) terms() judge.Terms {
+func (r *run) terms() invariant.Terms {
 	s := r.day.Scenario
-	t := judge.Terms{
+	t := invariant.Terms{
 		Attempts: s.Terms.Attempts, DrainGrace: s.Terms.DrainGrace, ToldWithin: toldWithin,
-		Slack: judge.DefaultSlack + r.ownLag(),
+		Slack: invariant.DefaultSlack + r.ownLag(),
 	}
 	for _, c := range s.Classes {
-		t.Classes = append(t.Classes, judge.Class{
+		t.Classes = append(t.Classes, invariant.Class{
 			Name: c.Name, Safe: c.Effect == scenario.Safe, Keyed: c.Effect == scenario.Keyed, Group: c.Group, Window: c.Window,
 		})
 	}
 	for _, w := range r.day.Workers {
-		t.Workers = append(t.Workers, judge.Worker{Name: w.Name, Zone: w.Zone, Cell: w.Cell})
+		t.Workers = append(t.Workers, invariant.Worker{Name: w.Name, Zone: w.Zone, Cell: w.Cell})
 	}
 	return t
 }
@@ -279,7 +279,7 @@
 }
 
 // report counts the run up.
-func (r *run) report(v *judge.Verdict) *report.Report {
+func (r *run) report(v *invariant.Verdict) *report.Report {
 	s, origin := r.day.Scenario, r.load.Origin()
 	out := &report.Report{
 		Version: report.Version, Scenario: s.Name, About: s.About, Seed: r.day.Seed, Day: r.day.Digest(),
@@ -315,7 +315,7 @@
 			Sent: u.Sent.Load(), Answered: u.Answered.Load(), Ignored: u.Ignored.Load(), Served: u.Served.Load(), NoPlace: u.NoPlace.Load(),
 		}
 		if out.Rude.Served > 0 { // a job was made of what is none
-			out.Rules[judge.Answers] += int(out.Rude.Served)
+			out.Rules[invariant.Answers] += int(out.Rude.Served)
 		}
 	}
 	return out
@@ -389,14 +389,14 @@
 		worth := r.day.Worth(w)
 		good, inTime := 0.0, false
 		switch res.Outcome {
-		case judge.Served:
+		case invariant.Served:
 			out.Served++
 			good, inTime = worth*s.Classes[w.Class].Late, took <= r.day.Wanted(w)
 			if inTime {
 				good = worth
 				out.ServedInTime++
 			}
-		case judge.Refused:
+		case invariant.Refused:
 			out.Refused++
 		default:
 			out.Failed++
@@ -413,7 +413,7 @@
 			if inTime {
 				p.inTime++
 			}
-			if res.Outcome == judge.Served {
+			if res.Outcome == invariant.Served {
 				p.latency.Add(took)
 			}
 		}
@@ -446,7 +446,7 @@
 	for _, t := range r.ledger.Tries() {
 		out.Tries++
 		out.Outcomes[t.Outcome.String()]++
-		if t.Outcome == judge.Served {
+		if t.Outcome == invariant.Served {
 			served[t.ID] = t.Result
 		}
 	}
@@ -455,7 +455,7 @@
 		out.Attempts++
 		if a.Ran {
 			ran++
-			if want, ok := served[a.ID]; !ok || a.End != judge.Done || a.Result != want {
+			if want, ok := served[a.ID]; !ok || a.End != invariant.Done || a.Result != want {
 				wasted++
 			}
 		}
@@ -490,7 +490,7 @@
 
 // straight is one wide worker that nobody stands before.
 func straight(book fleet.Book) (*fleet.Worker, error) {
-	cfg := &fleet.Config{Ledger: judge.NewLedger(), Book: book, Dispatchers: 1, Notes: true, Fails: func() float64 { return 1 }, Mute: true}
+	cfg := &fleet.Config{Ledger: invariant.NewLedger(), Book: book, Dispatchers: 1, Notes: true, Fails: func() float64 { return 1 }, Mute: true}
 	w := fleet.NewWorker(cfg, "w1", 0, fleet.Spec{Cores: 1024, Speed: 1, Memory: 1 << 20, Queue: 1 << 20, WarmWithin: 1, FallMultiple: 100, FallWindow: time.Second})
 	return w, w.Start(true)
 }
--- a/internal/testbed/lab_test.go
+++ b/internal/testbed/lab_test.go
@@ -18,7 +18,7 @@
 
 	"birchfork/internal/server"
 	"birchfork/internal/testbed/baseline"
-	"birchfork/internal/testbed/judge"
+	"birchfork/internal/testbed/invariant"
 	"birchfork/internal/testbed/mutant"
 	"birchfork/internal/testbed/report"
 	"birchfork/internal/testbed/scenario"
@@ -137,7 +137,7 @@
 				if r.Crashes == 0 || !strings.Contains(strings.Join(r.CrashNotes, "\n"), f.Breach) {
 					t.Errorf("%s: no crash told as %q: %v", f.Name, f.Breach, r.CrashNotes)
 				}
-			case !slices.ContainsFunc(r.Breaches, func(b judge.Breach) bool { return b.Rule == f.Rule && b.Kind == f.Breach }):
+			case !slices.ContainsFunc(r.Breaches, func(b invariant.Breach) bool { return b.Rule == f.Rule && b.Kind == f.Breach }):
 				t.Errorf("%s: no breach %s/%s: %v", f.Name, f.Rule, f.Breach, r.Rules)
 			case r.Rules[f.Rule] == 0:
 				t.Errorf("%s: the rule %s counts no breach", f.Name, f.Rule)
--- a/internal/testbed/load/load.go
+++ b/internal/testbed/load/load.go
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"birchfork/internal/testbed/fleet"
-	"birchfork/internal/testbed/judge"
+	"birchfork/internal/testbed/invariant"
 	"birchfork/internal/testbed/scenario"
 )
 
@@ -26,15 +26,15 @@
 // Result is what became of a wish.
 type Result struct {
 	Tries   int
-	Outcome judge.Outcome // of the last try
-	Ended   time.Duration // since the run's start; when its last try ended
-	Asked   bool          // it was begun before the run was broken off
+	Outcome invariant.Outcome // of the last try
+	Ended   time.Duration     // since the run's start; when its last try ended
+	Asked   bool              // it was begun before the run was broken off
 }
 
 // Load plays the day's clients.
 type Load struct {
 	day    *scenario.Day
-	ledger *judge.Ledger
+	ledger *invariant.Ledger
 	fronts []*Front
 	pad    []byte
 
@@ -58,7 +58,7 @@
 func (f *Front) Down(on bool) { f.down.Store(on) }
 
 // New returns the clients of a day.
-func New(day *scenario.Day, l *judge.Ledger, addresses []string) *Load {
+func New(day *scenario.Day, l *invariant.Ledger, addresses []string) *Load {
 	x := &Load{day: day, ledger: l, results: make([]Result, len(day.Wishes)), Lag: func(time.Duration) {}}
 	for _, a := range addresses {
 		x.fronts = append(x.fronts, &Front{Address: a})
@@ -151,7 +151,7 @@
 			continue
 		}
 		res.Tries, res.Outcome, res.Ended = n+1, t.Outcome, t.Ended
-		if t.Outcome == judge.Served || t.Outcome == judge.Left || n >= clients.Retries || !asksAgain(class, t) || ctx.Err() != nil {
+		if t.Outcome == invariant.Served || t.Outcome == invariant.Left || n >= clients.Retries || !asksAgain(class, t) || ctx.Err() != nil {
 			return
 		}
 		wait := clients.RetryWait
@@ -170,8 +170,8 @@
 }
 
 // crossed tells whether a kept connection was closed on a request that nobody has read.
-func (x *Load) crossed(t *judge.Try) bool {
-	if t.Outcome != judge.Closed || t.Fresh {
+func (x *Load) crossed(t *invariant.Try) bool {
+	if t.Outcome != invariant.Closed || t.Fresh {
 		return false
 	}
 	b, ok := x.book.Load(t.ID)
@@ -179,12 +179,12 @@
 }
 
 // asksAgain tells whether a client asks again by itself.
-func asksAgain(c *scenario.Class, t *judge.Try) bool {
+func asksAgain(c *scenario.Class, t *invariant.Try) bool {
 	switch c.Retry {
 	case scenario.RetryNone:
 		return false
 	case scenario.RetryRefused:
-		return t.Outcome == judge.Refused || t.Outcome == judge.Unsent
+		return t.Outcome == invariant.Refused || t.Outcome == invariant.Unsent
 	default:
 		return true
 	}
@@ -201,11 +201,11 @@
 }
 
 // try sends one request and waits for its answer.
-func (x *Load) try(wish, n, crossed int, end time.Duration) (*judge.Try, Answer) {
+func (x *Load) try(wish, n, crossed int, end time.Duration) (*invariant.Try, Answer) {
 	w := &x.day.Wishes[wish]
 	class := &x.day.Scenario.Classes[w.Class]
 	id := fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprintf("%d/%d/%d/%d", x.day.Seed, wish, n, crossed)))
-	t := &judge.Try{ID: id, Wish: wish, Number: n, Class: w.Class}
+	t := &invariant.Try{ID: id, Wish: wish, Number: n, Class: w.Class}
 	q := &Request{
 		ID: id, Class: class.Name, Target: "/" + class.Name + "/lab?w=" + fmt.Sprint(wish), Retry: n > 0 && x.day.Scenario.Clients.Mark,
 		Body: x.pad[wish%1024:][:w.Body],
@@ -222,10 +222,10 @@
 	x.book.Store(id, &booked{Order: fleet.Order{Work: w.Work, Slots: class.Slots, Memory: class.Memory, Kind: class.Kind, Target: q.Target, Body: xxhash.Sum64(q.Body)}})
 	x.ledger.Try(t)
 	var a Answer
-	settle := func(o judge.Outcome) {
+	settle := func(o invariant.Outcome) {
 		x.ledger.Do(func() {
 			t.Outcome, t.Status, t.Ended = o, a.Status, x.ledger.Now()
-			if o == judge.Served {
+			if o == invariant.Served {
 				t.Result = a.Hash()
 			}
 		})
@@ -238,7 +238,7 @@
 			var err error
 			if c, err = Dial(f.Address, dialWait); err != nil {
 				if hop++; hop >= 2*len(x.fronts) || x.ledger.Now()+elsewhere >= end {
-					settle(judge.Unsent)
+					settle(invariant.Unsent)
 					return t, a
 				}
 				time.Sleep(elsewhere)
@@ -248,7 +248,7 @@
 		q.Left = (end - x.ledger.Now()).Truncate(time.Millisecond)
 		if q.Left < time.Millisecond {
 			f.pool.put(c)
-			settle(judge.Unsent)
+			settle(invariant.Unsent)
 			return t, a
 		}
 		t.Fresh = c.fresh
@@ -265,7 +265,7 @@
 			a, again, err = c.Receive(time.Now().Add(stays - x.ledger.Now()))
 			if err != nil && going && x.ledger.Now() >= leaves {
 				c.Close()
-				settle(judge.Left)
+				settle(invariant.Left)
 				return t, a
 			}
 			if err == nil || errors.Is(err, errMore) {
@@ -286,25 +286,25 @@
 		var timeout interface{ Timeout() bool }
 		switch {
 		case errors.As(err, &timeout) && timeout.Timeout():
-			settle(judge.Unknown)
+			settle(invariant.Unknown)
 			return t, a
 		case t.Sent == 0:
-			settle(judge.Unsent)
+			settle(invariant.Unsent)
 		default:
-			settle(judge.Closed)
+			settle(invariant.Closed)
 		}
 		return t, a
 	}
 }
 
 // outcomeOf is what a status says.
-func outcomeOf(status int) judge.Outcome {
+func outcomeOf(status int) invariant.Outcome {
 	switch status {
 	case 200:
-		return judge.Served
+		return invariant.Served
 	case 429, 503:
-		return judge.Refused
+		return invariant.Refused
 	default:
-		return judge.Failed
+		return invariant.Failed
 	}
 }
--- a/internal/testbed/overhead.go
+++ b/internal/testbed/overhead.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"birchfork/internal/testbed/fleet"
-	"birchfork/internal/testbed/judge"
+	"birchfork/internal/testbed/invariant"
 	"birchfork/internal/testbed/load"
 	"birchfork/internal/testbed/report"
 	"birchfork/internal/testbed/scenario"
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	r := &run{day: s.Draw(1, false), ledger: judge.NewLedger(), launch: o.Launch, spawner: newSpawner()}
+	r := &run{day: s.Draw(1, false), ledger: invariant.NewLedger(), launch: o.Launch, spawner: newSpawner()}
 	if o.Profile != "" {
 		r.launch = func(config string) *exec.Cmd {
 			cmd := o.Launch(config)
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"birchfork/internal/testbed/judge"
+	"birchfork/internal/testbed/invariant"
 )
 
 // Launch returns the command that runs one dispatcher by a configuration file.
@@ -84,8 +84,8 @@
 type process struct {
 	cmd   *exec.Cmd
 	log   tail
-	done  chan struct{} // closed when it has ended
-	ended judge.What    // how an end that comes now counts
+	done  chan struct{}  // closed when it has ended
+	ended invariant.What // how an end that comes now counts
 }
 
 // usage is what dispatchers used.
@@ -169,7 +169,7 @@
 	if err := d.ready(ctx, p); err != nil {
 		return err
 	}
-	d.run.ledger.Moment(judge.Moment{Dispatcher: d.index, At: d.run.ledger.Now(), What: judge.Ready})
+	d.run.ledger.Moment(invariant.Moment{Dispatcher: d.index, At: d.run.ledger.Now(), What: invariant.Ready})
 	d.run.load.Front(d.index).Down(false)
 	return nil
 }
@@ -183,7 +183,7 @@
 	if err := d.configure(); err != nil {
 		return nil, err
 	}
-	p := &process{cmd: d.run.launch(d.path), done: make(chan struct{}), ended: judge.Crashed}
+	p := &process{cmd: d.run.launch(d.path), done: make(chan struct{}), ended: invariant.Crashed}
 	if d.run.logs != "" {
 		f, err := os.OpenFile(filepath.Join(d.run.logs, fmt.Sprintf("d%d.log", d.index)), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
@@ -196,7 +196,7 @@
 	}
 	p.cmd.Env = append(p.cmd.Env, endsAtOnce)
 	p.cmd.Stdout, p.cmd.Stderr = &p.log, &p.log
-	d.run.ledger.Moment(judge.Moment{Dispatcher: d.index, At: d.run.ledger.Now(), What: judge.Started})
+	d.run.ledger.Moment(invariant.Moment{Dispatcher: d.index, At: d.run.ledger.Now(), What: invariant.Started})
 	if err := d.run.spawner.start(p.cmd); err != nil {
 		return nil, fmt.Errorf("starting dispatcher %d: %w", d.index, err)
 	}
@@ -244,20 +244,20 @@
 		d.usage.cpu += s.UserTime() + s.SystemTime()
 	}
 	what, detail := p.ended, ""
-	if what == judge.Exited && err != nil {
-		what = judge.Crashed
+	if what == invariant.Exited && err != nil {
+		what = invariant.Crashed
 	}
-	if what == judge.Crashed {
+	if what == invariant.Crashed {
 		detail = fmt.Sprintf("%v: %s", p.cmd.ProcessState, p.log.last())
 	}
-	if what != judge.Killed { // that was taken down before the signal
-		d.run.ledger.Moment(judge.Moment{Dispatcher: d.index, At: now, What: what, Detail: detail})
+	if what != invariant.Killed { // that was taken down before the signal
+		d.run.ledger.Moment(invariant.Moment{Dispatcher: d.index, At: now, What: what, Detail: detail})
 	}
 	close(p.done)
 }
 
 // signal sends a signal; an end that follows counts as told.
-func (d *dispatcher) signal(sig syscall.Signal, moment judge.What, ends judge.What) *process {
+func (d *dispatcher) signal(sig syscall.Signal, moment invariant.What, ends invariant.What) *process {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	p := d.proc
@@ -269,8 +269,8 @@
 		return p
 	default:
 	}
-	d.run.ledger.Moment(judge.Moment{Dispatcher: d.index, At: d.run.ledger.Now(), What: moment})
-	if moment != judge.Reloaded {
+	d.run.ledger.Moment(invariant.Moment{Dispatcher: d.index, At: d.run.ledger.Now(), What: moment})
+	if moment != invariant.Reloaded {
 		p.ended = ends
 	}
 	p.cmd.Process.Signal(sig)
@@ -279,7 +279,7 @@
 
 // kill ends the process outright.
 func (d *dispatcher) kill() {
-	if p := d.signal(syscall.SIGKILL, judge.Killed, judge.Killed); p != nil {
+	if p := d.signal(syscall.SIGKILL, invariant.Killed, invariant.Killed); p != nil {
 		select {
 		case <-p.done:
 		case <-time.After(killWait):
@@ -289,7 +289,7 @@
 
 // terminate ends the process in order. One that has not ended when the platform would kill it is killed, which counts.
 func (d *dispatcher) terminate(within time.Duration) {
-	if p := d.signal(syscall.SIGTERM, judge.Terminated, judge.Exited); p != nil {
+	if p := d.signal(syscall.SIGTERM, invariant.Terminated, invariant.Exited); p != nil {
 		d.gone(p, within)
 	}
 }
@@ -309,7 +309,7 @@
 		}
 	}
 	d.mu.Lock()
-	p.ended = judge.Overstayed
+	p.ended = invariant.Overstayed
 	d.mu.Unlock()
 	p.cmd.Process.Kill()
 	<-p.done
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -16,7 +16,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"birchfork/internal/testbed/judge"
+	"birchfork/internal/testbed/invariant"
 )
 
 // Version is that of the JSON form; a file of another one is turned down.
@@ -51,10 +51,10 @@
 	InTrouble    float64 `json:"goodput_in_trouble"` // the same of what was asked for while a trouble was on; 0: there was none
 	Recovery     float64 `json:"recovery_s"`         // from the last trouble's end until service was as before; -1: not in this run
 
-	Rules      map[string]int `json:"dispatch"`
-	Breaches   []judge.Breach `json:"breaches,omitempty"` // the first ones
-	Crashes    int            `json:"crashes"`
-	CrashNotes []string       `json:"crash_notes,omitempty"`
+	Rules      map[string]int     `json:"dispatch"`
+	Breaches   []invariant.Breach `json:"breaches,omitempty"` // the first ones
+	Crashes    int                `json:"crashes"`
+	CrashNotes []string           `json:"crash_notes,omitempty"`
 
 	Latency           Latency `json:"latency_ms"`
 	RetriesPerRequest float64 `json:"retries_per_request"`
@@ -342,7 +342,7 @@
 	}
 	row("the rig", "late by %.1f ms at p99, %.1f at the most%s", r.Rig.LagP99, r.Rig.LagMax, ceiling)
 	var dispatch []string
-	for _, name := range judge.Rules {
+	for _, name := range invariant.Rules {
 		dispatch = append(dispatch, fmt.Sprintf("%s %d", name, r.Rules[name]))
 	}
 	row("dispatch broken", "%s; crashes %d", strings.Join(dispatch, ", "), r.Crashes)
--- a/internal/testbed/stage.go
+++ b/internal/testbed/stage.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"birchfork/internal/testbed/fleet"
-	"birchfork/internal/testbed/judge"
+	"birchfork/internal/testbed/invariant"
 	"birchfork/internal/testbed/scenario"
 )
 
@@ -14,7 +14,7 @@
 type Stage struct{ run *run }
 
 // Ledger is where all that is seen is taken down.
-func (s *Stage) Ledger() *judge.Ledger { return s.run.ledger }
+func (s *Stage) Ledger() *invariant.Ledger { return s.run.ledger }
 
 // Fleet is the workers with discovery.
 func (s *Stage) Fleet() *fleet.Fleet { return s.run.fleet }
@@ -36,10 +36,10 @@
 // Stop stops a dispatcher's process for a while, and wakes it in any case.
 func (s *Stage) Stop(ctx context.Context, dispatcher int, length time.Duration) {
 	d := s.run.dispatchers[dispatcher]
-	if d.signal(syscall.SIGSTOP, judge.Stopped, judge.Crashed) == nil {
+	if d.signal(syscall.SIGSTOP, invariant.Stopped, invariant.Crashed) == nil {
 		return
 	}
-	defer d.signal(syscall.SIGCONT, judge.Woken, judge.Crashed)
+	defer d.signal(syscall.SIGCONT, invariant.Woken, invariant.Crashed)
 	select {
 	case <-time.After(length):
 	case <-ctx.Done():
@@ -71,12 +71,12 @@
 	d.mu.Lock()
 	old := d.proc
 	d.mu.Unlock()
-	now := func(what judge.What, detail string) {
-		s.run.ledger.Moment(judge.Moment{Dispatcher: dispatcher, At: s.run.ledger.Now(), What: what, Detail: detail})
+	now := func(what invariant.What, detail string) {
+		s.run.ledger.Moment(invariant.Moment{Dispatcher: dispatcher, At: s.run.ledger.Now(), What: what, Detail: detail})
 	}
 	young, err := d.begin()
 	if err != nil {
-		now(judge.Crashed, err.Error())
+		now(invariant.Crashed, err.Error())
 		return
 	}
 	for by := time.Now().Add(readyWait); !young.log.has(servesText); {
@@ -88,14 +88,14 @@
 		case <-time.After(readyEvery):
 		}
 		if time.Now().After(by) {
-			now(judge.Crashed, "the process beside it did not serve in time: "+young.log.last())
+			now(invariant.Crashed, "the process beside it did not serve in time: "+young.log.last())
 			break
 		}
 	}
 	d.mu.Lock()
-	old.ended = judge.Exited
+	old.ended = invariant.Exited
 	d.mu.Unlock()
-	now(judge.Terminated, "")
+	now(invariant.Terminated, "")
 	old.cmd.Process.Signal(syscall.SIGTERM)
 	d.gone(old, s.run.stopWithin())
 }
@@ -122,6 +122,6 @@
 		return
 	}
 	if err := k.start(ctx); err != nil && ctx.Err() == nil {
-		r.ledger.Moment(judge.Moment{Dispatcher: dispatcher, At: r.ledger.Now(), What: judge.Crashed, Detail: err.Error()})
+		r.ledger.Moment(invariant.Moment{Dispatcher: dispatcher, At: r.ledger.Now(), What: invariant.Crashed, Detail: err.Error()})
 	}
 }
--- a/internal/testbed/started.go
+++ b/internal/testbed/started.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"birchfork/internal/testbed/judge"
+	"birchfork/internal/testbed/invariant"
 	"birchfork/internal/testbed/report"
 )
 
@@ -16,7 +16,7 @@
 	type span struct{ from, until time.Duration }
 	fresh := map[int][]span{}
 	for _, m := range r.ledger.Moments() {
-		if m.What == judge.Ready && m.At > r.load.Origin() {
+		if m.What == invariant.Ready && m.At > r.load.Origin() {
 			fresh[m.Dispatcher] = append(fresh[m.Dispatcher], span{m.At, m.At + freshFor})
 		}
 	}
@@ -34,7 +34,7 @@
 	out := &report.StartedLine{}
 	for _, t := range r.ledger.Tries() {
 		timely := 0
-		if t.Outcome == judge.Served && t.Ended <= t.Due {
+		if t.Outcome == invariant.Served && t.Ended <= t.Due {
 			timely = 1
 		}
 		if in(t.Dispatcher, t.Sent) {
--- a/internal/testbed/trouble.go
+++ b/internal/testbed/trouble.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"birchfork/internal/testbed/judge"
+	"birchfork/internal/testbed/invariant"
 	"birchfork/internal/testbed/load"
 	"birchfork/internal/testbed/scenario"
 )
@@ -161,7 +161,7 @@
 func (t *troubles) reload(d int) {
 	k := t.run.dispatchers[d]
 	if k.configure() == nil {
-		k.signal(sighup, judge.Reloaded, judge.Reloaded)
+		k.signal(sighup, invariant.Reloaded, invariant.Reloaded)
 	}
 }
 
