--- a/internal/testbed/lab.go
+++ b/internal/testbed/lab.go
@@ -17,7 +17,7 @@
 
 	"birchfork/internal/testbed/fleet"
 	"birchfork/internal/testbed/invariant"
-	"birchfork/internal/testbed/load"
+	"birchfork/internal/testbed/loadgen"
 	"birchfork/internal/testbed/report"
 	"birchfork/internal/testbed/scenario"
 )
@@ -75,7 +75,7 @@
 	day         *scenario.Day
 	ledger      *invariant.Ledger
 	fleet       *fleet.Fleet
-	load        *load.Load
+	load        *loadgen.Load
 	launch      Launch
 	spawner     *spawner
 	dispatchers []*dispatcher
@@ -113,7 +113,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.load = load.New(r.day, r.ledger, addresses)
+	r.load = loadgen.New(r.day, r.ledger, addresses)
 	if r.fleet, err = fleet.New(r.day, r.ledger, r.load, o.WorkerAt); err != nil {
 		return nil, fmt.Errorf("the fleet: %w", err)
 	}
@@ -479,13 +479,13 @@
 
 // Ceiling is how many requests a second the rig carries straight at a stand-in worker.
 func Ceiling(ctx context.Context) (float64, error) {
-	book := load.NewBook(time.Microsecond, 100)
+	book := loadgen.NewBook(time.Microsecond, 100)
 	w, err := straight(book)
 	if err != nil {
 		return 0, err
 	}
 	defer w.Kill()
-	return load.RunClosed(ctx, w.Address(0), "ceiling", ceilingConns, 100, ceilingTime).PerSecond(), nil
+	return loadgen.RunClosed(ctx, w.Address(0), "ceiling", ceilingConns, 100, ceilingTime).PerSecond(), nil
 }
 
 // straight is one wide worker that nobody stands before.
--- a/internal/testbed/load/client.go
+++ b/internal/testbed/loadgen/client.go
@@ -1,6 +1,6 @@
-// Package load plays the clients: an open loop whose arrivals wait for no answer, clients that ask again, rude ones, and
+// Package loadgen plays the clients: an open loop whose arrivals wait for no answer, clients that ask again, rude ones, and
 // a closed loop for measuring what a dispatcher adds.
-package load
+package loadgen
 
 import (
 	"bufio"
--- a/internal/testbed/load/closed.go
+++ b/internal/testbed/loadgen/closed.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"context"
--- a/internal/testbed/overhead.go
+++ b/internal/testbed/overhead.go
@@ -13,7 +13,7 @@
 
 	"birchfork/internal/testbed/fleet"
 	"birchfork/internal/testbed/invariant"
-	"birchfork/internal/testbed/load"
+	"birchfork/internal/testbed/loadgen"
 	"birchfork/internal/testbed/report"
 	"birchfork/internal/testbed/scenario"
 )
@@ -59,7 +59,7 @@
 
 // Overhead asks a stand-in worker straight and through a dispatcher, in turns, and prints what the dispatcher adds.
 func Overhead(ctx context.Context, w io.Writer, o OverheadOptions) error {
-	book := load.NewBook(overheadWork, overheadBody)
+	book := loadgen.NewBook(overheadWork, overheadBody)
 	direct, err := straight(book)
 	if err != nil {
 		return err
@@ -87,7 +87,7 @@
 	if err != nil {
 		return err
 	}
-	r.load = load.New(r.day, r.ledger, addresses)
+	r.load = loadgen.New(r.day, r.ledger, addresses)
 	if r.fleet, err = fleet.New(r.day, r.ledger, book, nil); err != nil {
 		return err
 	}
@@ -104,9 +104,9 @@
 		var sp50, tp50, tp99, srate, trate, cpu []float64
 		failed := int64(0)
 		for round := range o.Rounds {
-			a := load.RunClosed(ctx, direct.Address(0), fmt.Sprintf("s%d-%d", n, round), n, overheadBody, o.Length)
+			a := loadgen.RunClosed(ctx, direct.Address(0), fmt.Sprintf("s%d-%d", n, round), n, overheadBody, o.Length)
 			before := d.cpu()
-			b := load.RunClosed(ctx, d.listen, fmt.Sprintf("t%d-%d", n, round), n, overheadBody, o.Length)
+			b := loadgen.RunClosed(ctx, d.listen, fmt.Sprintf("t%d-%d", n, round), n, overheadBody, o.Length)
 			used := d.cpu() - before
 			if ctx.Err() != nil {
 				return ctx.Err()
--- a/internal/testbed/trouble.go
+++ b/internal/testbed/trouble.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"birchfork/internal/testbed/invariant"
-	"birchfork/internal/testbed/load"
+	"birchfork/internal/testbed/loadgen"
 	"birchfork/internal/testbed/scenario"
 )
 
@@ -15,7 +15,7 @@
 // all that are on.
 type troubles struct {
 	run  *run
-	rude load.Rude
+	rude loadgen.Rude
 
 	mu    sync.Mutex
 	on    []*scenario.Event
@@ -192,7 +192,7 @@
 				seed := scenario.Rand(t.run.day.Seed+uint64(d), scenario.StreamRude).Uint64()
 				t.rude.Play(ctx, addr, t.run.day.Scenario.Classes[0].Name, e.Count, seed)
 			} else {
-				load.Idle(ctx, addr, e.Count)
+				loadgen.Idle(ctx, addr, e.Count)
 			}
 		}()
 	}
