--- a/internal/testbed/cluster/groups.go
+++ b/internal/testbed/cluster/groups.go
@@ -19,7 +19,7 @@
 	"birchfork/internal/gossip"
 	"birchfork/internal/maintenance"
 	"birchfork/internal/testbed"
-	"birchfork/internal/testbed/fleet"
+	"birchfork/internal/testbed/fakes"
 	"birchfork/internal/testbed/report"
 	"birchfork/internal/testbed/scenario"
 )
@@ -250,7 +250,7 @@
 			if to == from {
 				continue
 			}
-			if g.links[[2]int{from, to}], err = newLink(fleet.Loopback(), g.real[to]); err != nil {
+			if g.links[[2]int{from, to}], err = newLink(fakes.Loopback(), g.real[to]); err != nil {
 				return err
 			}
 		}
--- a/internal/testbed/fleet/discovery_test.go
+++ b/internal/testbed/fakes/discovery_test.go
@@ -1,4 +1,4 @@
-package fleet
+package fakes
 
 import (
 	"math/rand/v2"
--- a/internal/testbed/fleet/machine.go
+++ b/internal/testbed/fakes/machine.go
@@ -1,6 +1,6 @@
-// Package fleet holds the lab's stand-ins: workers that speak the platform's protocol, and discovery with its agents.
+// Package fakes holds the lab's stand-ins: workers that speak the platform's protocol, and discovery with its agents.
 // They are written from the protocol's words alone and share no code with the dispatcher.
-package fleet
+package fakes
 
 import (
 	"math"
--- a/internal/testbed/lab.go
+++ b/internal/testbed/lab.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"birchfork/internal/testbed/fleet"
+	"birchfork/internal/testbed/fakes"
 	"birchfork/internal/testbed/invariant"
 	"birchfork/internal/testbed/loadgen"
 	"birchfork/internal/testbed/report"
@@ -74,7 +74,7 @@
 type run struct {
 	day         *scenario.Day
 	ledger      *invariant.Ledger
-	fleet       *fleet.Fleet
+	fleet       *fakes.Fleet
 	load        *loadgen.Load
 	launch      Launch
 	spawner     *spawner
@@ -114,7 +114,7 @@
 		return nil, err
 	}
 	r.load = loadgen.New(r.day, r.ledger, addresses)
-	if r.fleet, err = fleet.New(r.day, r.ledger, r.load, o.WorkerAt); err != nil {
+	if r.fleet, err = fakes.New(r.day, r.ledger, r.load, o.WorkerAt); err != nil {
 		return nil, fmt.Errorf("the fleet: %w", err)
 	}
 	defer r.fleet.Close()
@@ -489,8 +489,8 @@
 }
 
 // straight is one wide worker that nobody stands before.
-func straight(book fleet.Book) (*fleet.Worker, error) {
-	cfg := &fleet.Config{Ledger: invariant.NewLedger(), Book: book, Dispatchers: 1, Notes: true, Fails: func() float64 { return 1 }, Mute: true}
-	w := fleet.NewWorker(cfg, "w1", 0, fleet.Spec{Cores: 1024, Speed: 1, Memory: 1 << 20, Queue: 1 << 20, WarmWithin: 1, FallMultiple: 100, FallWindow: time.Second})
+func straight(book fakes.Book) (*fakes.Worker, error) {
+	cfg := &fakes.Config{Ledger: invariant.NewLedger(), Book: book, Dispatchers: 1, Notes: true, Fails: func() float64 { return 1 }, Mute: true}
+	w := fakes.NewWorker(cfg, "w1", 0, fakes.Spec{Cores: 1024, Speed: 1, Memory: 1 << 20, Queue: 1 << 20, WarmWithin: 1, FallMultiple: 100, FallWindow: time.Second})
 	return w, w.Start(true)
 }
--- a/internal/testbed/loadgen/closed.go
+++ b/internal/testbed/loadgen/closed.go
@@ -10,21 +10,21 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/cespare/xxhash/v2"
 
-	"birchfork/internal/testbed/fleet"
+	"birchfork/internal/testbed/fakes"
 )
 
 // Book takes any request of the closed loop: all are alike.
-type Book struct{ Order fleet.Order }
+type Book struct{ Order fakes.Order }
 
 // Find finds all.
-func (b Book) Find(string) (fleet.Order, bool) { return b.Order, true }
+func (b Book) Find(string) (fakes.Order, bool) { return b.Order, true }
 
 // closedTarget is what the closed loop asks for.
 const closedTarget = "/search/lab"
 
 // NewBook is the closed loop's book: jobs of so much work, with a body of so many bytes.
 func NewBook(work time.Duration, body int) Book {
-	return Book{fleet.Order{Work: work, Slots: 1, Target: closedTarget, Body: xxhash.Sum64(make([]byte, body))}}
+	return Book{fakes.Order{Work: work, Slots: 1, Target: closedTarget, Body: xxhash.Sum64(make([]byte, body))}}
 }
 
 // Closed is what a closed loop met.
--- a/internal/testbed/loadgen/load.go
+++ b/internal/testbed/loadgen/load.go
@@ -11,7 +11,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"birchfork/internal/testbed/fleet"
+	"birchfork/internal/testbed/fakes"
 	"birchfork/internal/testbed/invariant"
 	"birchfork/internal/testbed/scenario"
 )
@@ -75,10 +75,10 @@
 func (x *Load) Front(i int) *Front { return x.fronts[i] }
 
 // Find is the fleet's look into what clients sent.
-func (x *Load) Find(id string) (fleet.Order, bool) {
+func (x *Load) Find(id string) (fakes.Order, bool) {
 	o, ok := x.book.Load(id)
 	if !ok {
-		return fleet.Order{}, false
+		return fakes.Order{}, false
 	}
 	b := o.(*booked)
 	b.seen.Store(true)
@@ -87,7 +87,7 @@
 
 // booked is what a client asked for, and whether a worker has seen it.
 type booked struct {
-	fleet.Order
+	fakes.Order
 	seen atomic.Bool
 }
 
@@ -219,7 +219,7 @@
 	if class.Slots > 1 || class.Memory > 0 {
 		q.Extras = fmt.Sprintf("slots=%d,memory=%g", class.Slots, class.Memory)
 	}
-	x.book.Store(id, &booked{Order: fleet.Order{Work: w.Work, Slots: class.Slots, Memory: class.Memory, Kind: class.Kind, Target: q.Target, Body: xxhash.Sum64(q.Body)}})
+	x.book.Store(id, &booked{Order: fakes.Order{Work: w.Work, Slots: class.Slots, Memory: class.Memory, Kind: class.Kind, Target: q.Target, Body: xxhash.Sum64(q.Body)}})
 	x.ledger.Try(t)
 	var a Answer
 	settle := func(o invariant.Outcome) {
--- a/internal/testbed/overhead.go
+++ b/internal/testbed/overhead.go
@@ -11,7 +11,7 @@
 	"text/tabwriter"
 	"time"
 
-	"birchfork/internal/testbed/fleet"
+	"birchfork/internal/testbed/fakes"
 	"birchfork/internal/testbed/invariant"
 	"birchfork/internal/testbed/loadgen"
 	"birchfork/internal/testbed/report"
@@ -88,7 +88,7 @@
 		return err
 	}
 	r.load = loadgen.New(r.day, r.ledger, addresses)
-	if r.fleet, err = fleet.New(r.day, r.ledger, book, nil); err != nil {
+	if r.fleet, err = fakes.New(r.day, r.ledger, book, nil); err != nil {
 		return err
 	}
 	defer r.fleet.Close()
--- a/internal/testbed/stage.go
+++ b/internal/testbed/stage.go
@@ -5,7 +5,7 @@
 	"syscall"
 	"time"
 
-	"birchfork/internal/testbed/fleet"
+	"birchfork/internal/testbed/fakes"
 	"birchfork/internal/testbed/invariant"
 	"birchfork/internal/testbed/scenario"
 )
@@ -17,7 +17,7 @@
 func (s *Stage) Ledger() *invariant.Ledger { return s.run.ledger }
 
 // Fleet is the workers with discovery.
-func (s *Stage) Fleet() *fleet.Fleet { return s.run.fleet }
+func (s *Stage) Fleet() *fakes.Fleet { return s.run.fleet }
 
 // Day is the day as it was drawn.
 func (s *Stage) Day() *scenario.Day { return s.run.day }
