--- a/cmd/birchfork/lab.go
+++ b/cmd/birchfork/lab.go
@@ -35,7 +35,7 @@
 
 // labCommands are the lab's.
 type labCommands struct {
-	Run     labRun     `cmd:"" help:"Play a day on loopback, judge the four dispatch from outside, and say what it came to."`
+	Run     labRun     `cmd:"" help:"Play a day on loopback, judge the four rules from outside, and say what it came to."`
 	Compare labCompare `cmd:"" help:"Say how two results differ; or play the same days in turns on another build."`
 	List    labList    `cmd:"" help:"List the scenarios that come with the program, the troubles and the faults that can be planted."`
 	Show    labShow    `cmd:"" help:"Print a scenario that comes with the program, as a file to begin from."`
@@ -83,7 +83,7 @@
 
 type labRun struct {
 	day
-	Policy   string `help:"Who decides: dispatch (the mechanism), random, round-robin or least." default:"dispatch"`
+	Policy   string `help:"Who decides: rules (the mechanism), random, round-robin or least." default:"rules"`
 	Operator string `help:"The operator's file that the dispatchers serve by." placeholder:"FILE"`
 	Group    bool   `help:"The day's dispatchers are a group (docs/replication.md)."`
 	Plant    string `help:"Run a small dispatcher with this fault instead, to see the judge catch it." placeholder:"FAULT"`
@@ -195,7 +195,7 @@
 	case file == "":
 		return launch, nil
 	case policy != testbed.PolicyRules:
-		return nil, errors.New("--operator narrows the mechanism: it goes with --policy dispatch")
+		return nil, errors.New("--operator narrows the mechanism: it goes with --policy rules")
 	}
 	file, err := filepath.Abs(file)
 	if err != nil {
@@ -372,7 +372,7 @@
 type labTable struct {
 	Scenarios []string      `arg:"" optional:"" help:"Scenarios; none: all that come with the program."`
 	Seeds     []uint64      `help:"The days." default:"1,2,3"`
-	Policies  []string      `help:"Who decides." default:"dispatch,random,round-robin,least"`
+	Policies  []string      `help:"Who decides." default:"rules,random,round-robin,least"`
 	For       time.Duration `help:"Length in place of the scenarios'." placeholder:"TIME"`
 	Side      int           `help:"Runs side by side; each wants a core or two." default:"3"`
 }
--- a/dispatch/interface.go
+++ b/dispatch/interface.go
@@ -1,5 +1,5 @@
 // Package dispatch decides where a dispatcher sends each job. This file holds its interface: settings, events,
-// actions and the types they are made of. Every decision stands in dispatch.go.
+// actions and the types they are made of. Every decision stands in rules.go.
 //
 // The caller turns all names into dense ids (workers, zones, kinds, classes, tenants), hands events to
 // Dispatcher.Handle in the order they happened, and carries out the returned actions in their order. The package
@@ -170,7 +170,7 @@
 	Note    Note
 }
 
-// Narrow is what the operator allows for one request beside the settings. It narrows what the dispatch and the settings
+// Narrow is what the operator allows for one request beside the settings. It narrows what the rules and the settings
 // allow and never widens it. The zero Narrow narrows nothing; nor does a zero field.
 type Narrow struct {
 	Within   Time    // for the whole, from its arrival on
--- a/dispatch/random_test.go
+++ b/dispatch/random_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// watcher checks the four dispatch from outside, by the events handed over and the actions that came back.
+// watcher checks the four rules from outside, by the events handed over and the actions that came back.
 type watcher struct {
 	s       Settings
 	jobs    map[RequestID]*seen
@@ -144,7 +144,7 @@
 const slotsMost = 4
 
 // TestRulesHoldWhateverHappens feeds seeded random events, contradictory, late and duplicate ones among them, and
-// checks the four dispatch. It models no worker and measures nothing.
+// checks the four rules. It models no worker and measures nothing.
 func TestRulesHoldWhateverHappens(t *testing.T) {
 	total := 0
 	for seed := range uint64(90) {
--- a/dispatch/rules.go
+++ b/dispatch/rules.go
@@ -58,7 +58,7 @@
 	askTimes   = 3                 // asks within AskWithin at the least while there is no answer
 )
 
-// maySend says whether the dispatch allow an attempt. All sends pass send, all answers finish: the choke point.
+// maySend says whether the rules allow an attempt. All sends pass send, all answers finish: the choke point.
 func (d *Dispatcher) maySend(j *job, w *worker) bool {
 	return j.open && d.now < j.end && len(j.attempts) < d.most(j) && d.now >= j.pausedTo && // rule one
 		j.out() < 2 && d.mayRepeat(j, w) && // rule two
@@ -371,7 +371,7 @@
 	return w.kind.pace
 }
 
-// hasRoom says whether a job may go to w by the dispatch, by w's health and by its room.
+// hasRoom says whether a job may go to w by the rules, by w's health and by its room.
 func (d *Dispatcher) hasRoom(j *job, w *worker) bool {
 	if !d.maySend(j, w) || j.class.Kind >= 0 && w.Kind != j.class.Kind {
 		return false
@@ -509,7 +509,7 @@
 	}
 }
 
-// again holds a job for a further attempt where dispatch, budget and time allow one; it reports whether it does.
+// again holds a job for a further attempt where rules, budget and time allow one; it reports whether it does.
 func (d *Dispatcher) again(j *job, a *attempt) bool {
 	if d.now >= d.sendBy(j) || len(j.attempts) >= d.most(j) || j.narrow.Strict && j.mayHaveRun() {
 		return false
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -868,7 +868,7 @@
 
 // The module's size is part of its contract.
 func TestModuleSize(t *testing.T) {
-	text, err := os.ReadFile("dispatch.go")
+	text, err := os.ReadFile("rules.go")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -890,7 +890,7 @@
 }
 
 func TestNothingButDecisionsIsImported(t *testing.T) {
-	for _, f := range []string{"dispatch.go", "state.go", "interface.go"} {
+	for _, f := range []string{"rules.go", "state.go", "interface.go"} {
 		text, err := os.ReadFile(f)
 		if err != nil {
 			t.Fatal(err)
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -9,7 +9,7 @@
 	"slices"
 )
 
-// What a dispatcher remembers, and how events reach the decisions. Nothing here decides: see dispatch.go.
+// What a dispatcher remembers, and how events reach the decisions. Nothing here decides: see rules.go.
 
 // firstBase is taken for the quickest start of a zone until one is known.
 const firstBase = 50 * Millisecond
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -199,7 +199,7 @@
 	}
 }
 
-// platform narrows the dispatch' figures and refuses to widen them.
+// platform narrows the rules' figures and refuses to widen them.
 func (c *checker) platform(s *dispatch.Settings) {
 	f := &c.file.Platform
 	if c.doc.Has("platform.drain_grace") {
@@ -376,7 +376,7 @@
 	return out
 }
 
-// lawful checks figures in force against the dispatch of the classes that they hold for. who is named in the message.
+// lawful checks figures in force against the rules of the classes that they hold for. who is named in the message.
 func (c *checker) lawful(e *effective, classes []int, who string) {
 	s := &c.p.Settings
 	connect := time.Duration(s.ConnectTimeout) * time.Microsecond
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
 // Package config reads the operator's file: what an operator wishes beside the platform's configuration. It can narrow
-// what the dispatch and the platform allow and never widens it; a file that tries is refused whole, with every fault named.
+// what the rules and the platform allow and never widens it; a file that tries is refused whole, with every fault named.
 // The platform's figures come from its own JSON, see internal/server.
 package config
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -204,7 +204,7 @@
 }
 
 // The check is sound: whatever file passes, the module driven through it by random events sends no class more than its
-// dispatch allow.
+// rules allow.
 func TestWhatPassesBreaksNoRule(t *testing.T) {
 	passed := 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -1,5 +1,5 @@
 // Package baseline holds plain policies that the lab measures the mechanism against. They stand behind the same store as
-// the decision module and keep the four dispatch, but hold nothing back and learn nothing: a request goes out at once, to a
+// the decision module and keep the four rules, but hold nothing back and learn nothing: a request goes out at once, to a
 // worker drawn at random, the next in turn, or the one with the fewest of our own requests. They serve nobody else.
 package baseline
 
--- a/internal/testbed/cluster/groups_test.go
+++ b/internal/testbed/cluster/groups_test.go
@@ -56,7 +56,7 @@
 	return cmd
 }
 
-// Every scenario that comes with the program: real processes of it with faults between them. All dispatch hold and the plan goes
+// Every scenario that comes with the program: real processes of it with faults between them. All rules hold and the plan goes
 // through; a planted fault is caught by the name of its rule, and each fault has a scenario that catches it.
 func TestScenarios(t *testing.T) {
 	all, err := Decode("shipped.toml", shipped)
--- a/internal/testbed/cluster/judge.go
+++ b/internal/testbed/cluster/judge.go
@@ -13,7 +13,7 @@
 	"birchfork/internal/testbed/scenario"
 )
 
-// The dispatch of a group, beside the four.
+// The rules of a group, beside the four.
 const (
 	ClearRule  = "clear"   // nothing begins or runs at a machine from its "clear" until it is put back
 	BudgetRule = "budget"  // never more machines with staff, or not warm yet, than the plan allows
@@ -27,7 +27,7 @@
 // Rules are their names in their order.
 var Rules = []string{ClearRule, BudgetRule, OrderRule, GoesOnRule, WordsRule, WarnedRule, ListRule, UseRule}
 
-// judge judges the group's dispatch by what workers and staff saw.
+// judge judges the group's rules by what workers and staff saw.
 func (g *rig) judge(s *testbed.Stage) []invariant.Breach {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/testbed/invariant/judge.go
+++ b/internal/testbed/invariant/judge.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The dispatch, by the names that reports use.
+// The rules, by the names that reports use.
 const (
 	Answers = "answers" // one final answer per request in time, nothing sent after, none made up
 	Effects = "effects" // no effect twice, and no refusal of what may have run
@@ -33,7 +33,7 @@
 	Cell       int
 }
 
-// Terms are the dispatch in figures.
+// Terms are the rules in figures.
 type Terms struct {
 	Classes    []Class
 	Workers    []Worker
@@ -75,7 +75,7 @@
 	Excused  int // tries that were open when we killed their dispatcher, or that it closed unread
 }
 
-// Count is how many breaches each rule has; dispatch that hold have 0.
+// Count is how many breaches each rule has; rules that hold have 0.
 func (v *Verdict) Count() map[string]int {
 	out := map[string]int{}
 	for _, r := range Rules {
--- a/internal/testbed/invariant/ledger.go
+++ b/internal/testbed/invariant/ledger.go
@@ -1,4 +1,4 @@
-// Package invariant holds what clients, workers and discovery saw of a run, and judges the four dispatch by it. It never asks
+// Package invariant holds what clients, workers and discovery saw of a run, and judges the four rules by it. It never asks
 // a dispatcher. All times are on one clock, since the run's start.
 package invariant
 
--- a/internal/testbed/lab.go
+++ b/internal/testbed/lab.go
@@ -1,5 +1,5 @@
 // Package testbed plays a whole deployment on loopback: stand-in workers, discovery and clients round real dispatchers that
-// run as processes of their own. It breaks things by a timetable, judges the four dispatch by what clients, workers and
+// run as processes of their own. It breaks things by a timetable, judges the four rules by what clients, workers and
 // discovery saw, and reports.
 package testbed
 
@@ -23,7 +23,7 @@
 )
 
 // PolicyRules is the decision module; the others are the baselines'.
-const PolicyRules = "dispatch"
+const PolicyRules = "rules"
 
 const sighup = syscall.SIGHUP
 
@@ -53,7 +53,7 @@
 	Ceiling  bool // measure the rig's own ceiling first
 
 	Beside func(context.Context, *Stage)   // plays beside the day's troubles, from its start; its context ends with the day
-	Judge  func(*Stage) []invariant.Breach // what the dispatch are beside the four; both may be nil
+	Judge  func(*Stage) []invariant.Breach // what the rules are beside the four; both may be nil
 
 	// UpWithin is how long a dispatcher may take to serve, where that is longer than usual: it may have to wait for others.
 	UpWithin time.Duration
@@ -255,7 +255,7 @@
 	}
 }
 
-// terms are the dispatch as the judge has to know them. What the rig itself was late is given to every time limit.
+// terms are the rules as the judge has to know them. What the rig itself was late is given to every time limit.
 func (r *run) terms() invariant.Terms {
 	s := r.day.Scenario
 	t := invariant.Terms{
--- a/internal/testbed/lab_test.go
+++ b/internal/testbed/lab_test.go
@@ -106,7 +106,7 @@
 	return len(all)
 }
 
-// Each planted fault is caught by the name of its breach; the same dispatcher without one keeps all dispatch.
+// Each planted fault is caught by the name of its breach; the same dispatcher without one keeps all rules.
 func TestPlantedFaultsAreCaughtByName(t *testing.T) {
 	s := loadDay(t, "proof", 0)
 	var all sync.WaitGroup
@@ -118,7 +118,7 @@
 			side <- struct{}{}
 			defer func() { <-side }()
 			play := func() (*report.Report, error) {
-				return Run(t.Context(), Options{Scenario: s, Seed: 1, Policy: "dispatch", Planted: f.Name, Launch: launchTest("plant:" + f.Name)})
+				return Run(t.Context(), Options{Scenario: s, Seed: 1, Policy: "rules", Planted: f.Name, Launch: launchTest("plant:" + f.Name)})
 			}
 			r, err := play()
 			for again := 0; err == nil && r.RanLate && again < 3; again++ { // a day on which the rig itself had to wait says nothing
@@ -147,7 +147,7 @@
 	all.Wait()
 }
 
-// A day with troubles at once: counts agree with each other and with what was drawn, all dispatch are kept, and nothing is
+// A day with troubles at once: counts agree with each other and with what was drawn, all rules are kept, and nothing is
 // left behind.
 func TestDayLeavesNothingBehind(t *testing.T) {
 	leaks := goleak.IgnoreCurrent()
@@ -167,7 +167,7 @@
 		t.Errorf("%d requests (%d drawn): %d served, %d refused, %d failed", r.Requests, want, r.Served, r.Refused, r.Failed)
 	}
 	if r.Broken() || r.Interrupted || r.Lost != 0 {
-		t.Errorf("dispatch %v, crashes %v, interrupted %v, lost %d:\n%v", r.Rules, r.CrashNotes, r.Interrupted, r.Lost, r.Breaches)
+		t.Errorf("rules %v, crashes %v, interrupted %v, lost %d:\n%v", r.Rules, r.CrashNotes, r.Interrupted, r.Lost, r.Breaches)
 	}
 	if r.Served == 0 || r.Attempts < r.Served || r.CPUPerRequest <= 0 || r.RSSPeakMB <= 0 || r.Rude == nil || r.Rude.Served != 0 ||
 		r.Outcomes["left"] == 0 {
@@ -205,7 +205,7 @@
 		t.Fatal(err)
 	}
 	if !r.Interrupted || r.Requests <= 20 || r.Requests >= all || r.Broken() {
-		t.Errorf("interrupted %v with %d of %d requests, dispatch %v, %v", r.Interrupted, r.Requests, all, r.Rules, r.CrashNotes)
+		t.Errorf("interrupted %v with %d of %d requests, rules %v, %v", r.Interrupted, r.Requests, all, r.Rules, r.CrashNotes)
 	}
 	if left := children(t); len(left) != 0 {
 		t.Errorf("processes left: %v", left)
@@ -228,7 +228,7 @@
 	}
 }
 
-// Baselines serve behind the same store and keep the dispatch.
+// Baselines serve behind the same store and keep the rules.
 func TestTableOfBaselines(t *testing.T) {
 	var cells []Cell
 	for _, p := range baseline.Policies {
--- a/internal/testbed/mutant/planted.go
+++ b/internal/testbed/mutant/planted.go
@@ -30,7 +30,7 @@
 
 // Faults are all that can be planted. "none" is the same dispatcher without one.
 var Faults = []Fault{
-	{"none", "keeps all dispatch", "", ""},
+	{"none", "keeps all rules", "", ""},
 	{"unsafe-twice", "sends a never-twice job again after a failure", "effects", "sent-again"},
 	{"refuses-what-ran", "answers a failed never-twice job with a refusal", "effects", "refused-what-may-have-run"},
 	{"many-attempts", "sends safe jobs again without end", "effects", "too-many-attempts"},
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -31,7 +31,7 @@
 	{"retries a request", func(r *Report) float64 { return r.RetriesPerRequest }, "%.3f"},
 	{"CPU us a request", func(r *Report) float64 { return r.CPUPerRequest }, "%.0f"},
 	{"memory MB", func(r *Report) float64 { return r.RSSPeakMB }, "%.1f"},
-	{"dispatch broken", func(r *Report) float64 {
+	{"rules broken", func(r *Report) float64 {
 		n := 0
 		for _, v := range r.Rules {
 			n += v
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -51,7 +51,7 @@
 	InTrouble    float64 `json:"goodput_in_trouble"` // the same of what was asked for while a trouble was on; 0: there was none
 	Recovery     float64 `json:"recovery_s"`         // from the last trouble's end until service was as before; -1: not in this run
 
-	Rules      map[string]int     `json:"dispatch"`
+	Rules      map[string]int     `json:"rules"`
 	Breaches   []invariant.Breach `json:"breaches,omitempty"` // the first ones
 	Crashes    int                `json:"crashes"`
 	CrashNotes []string           `json:"crash_notes,omitempty"`
@@ -341,11 +341,11 @@
 		ceiling = fmt.Sprintf("; ceiling %.0f requests/s straight at a worker", r.Rig.Ceiling)
 	}
 	row("the rig", "late by %.1f ms at p99, %.1f at the most%s", r.Rig.LagP99, r.Rig.LagMax, ceiling)
-	var dispatch []string
+	var rules []string
 	for _, name := range invariant.Rules {
-		dispatch = append(dispatch, fmt.Sprintf("%s %d", name, r.Rules[name]))
+		rules = append(rules, fmt.Sprintf("%s %d", name, r.Rules[name]))
 	}
-	row("dispatch broken", "%s; crashes %d", strings.Join(dispatch, ", "), r.Crashes)
+	row("rules broken", "%s; crashes %d", strings.Join(rules, ", "), r.Crashes)
 	if err := t.Flush(); err != nil {
 		return err
 	}
@@ -365,7 +365,7 @@
 	if r.Interrupted {
 		fmt.Fprintln(w, "The run was broken off: the figures are of its first part.")
 	}
-	verdict := "All dispatch were kept."
+	verdict := "All rules were kept."
 	if r.Broken() {
 		verdict = "A rule was broken, or a dispatcher crashed."
 	}
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -61,7 +61,7 @@
 	Sockets  int     `toml:"sockets"`
 }
 
-// Terms are the dispatch in figures, and what the platform allows.
+// Terms are the rules in figures, and what the platform allows.
 type Terms struct {
 	Attempts       int           `toml:"attempts"`
 	DrainGrace     time.Duration `toml:"drain_grace"`
--- a/internal/testbed/simulation/histories.go
+++ b/internal/testbed/simulation/histories.go
@@ -79,7 +79,7 @@
 
 // Result is what a history came to.
 type Result struct {
-	Broken  []string // dispatch, with what proves them
+	Broken  []string // rules, with what proves them
 	Done    int      // machines that the plan was through with
 	Leaders int      // changes of the lead
 	Digest  uint64   // of all that happened
