--- a/dispatch/rules.go
+++ b/dispatch/rules.go
@@ -1,5 +1,6 @@
-// Every decision of the dispatcher. Its interface (settings, events, actions) stands in dispatch/interface.go,
-// what it remembers in dispatch/state.go; docs/design.md tells why, and when each exception to the design acts.
+// Every decision of the dispatcher. Its interface (settings, events, actions) stands in
+// dispatch/interface.go, what it remembers in dispatch/state.go; docs/design.md tells why, and when each
+// exception to the design acts.
 
 package dispatch
 
