--- a/cmd/birchfork/labgroup.go
+++ b/cmd/birchfork/labgroup.go
@@ -265,11 +265,11 @@
 
 // Run serves with the fault.
 func (l *labMember) Run(out output) error {
-	if !slices.Contains(append([]string{failpoint.DiskFails, failpoint.DiskStalls, failpoint.NewerWords, failpoint.Older, failpoint.ClocksApart}, failpoint.Names...), l.Plant) {
+	if !slices.Contains(append([]string{failpoint.DiskFull, failpoint.DiskStall, failpoint.NewerEntries, failpoint.OlderBuild, failpoint.ClockSkew}, failpoint.Names...), l.Plant) {
 		return errors.New("--plant: there is no such fault")
 	}
 	failpoint.Set(l.Plant)
-	c, err := server.LoadAll(l.Config, l.Operator, os.Getenv("EDGE_OPERATOR"))
+	c, err := server.LoadWithOperator(l.Config, l.Operator, os.Getenv("EDGE_OPERATOR"))
 	if err != nil {
 		return err
 	}
--- a/cmd/birchfork/main.go
+++ b/cmd/birchfork/main.go
@@ -35,7 +35,7 @@
 
 // Run serves. Whatever is wrong with the configuration comes as one plain message.
 func (s *serve) Run(out output) error {
-	c, err := server.LoadAll(s.Config, s.Operator, s.Admin)
+	c, err := server.LoadWithOperator(s.Config, s.Operator, s.Admin)
 	if err != nil {
 		return fmt.Errorf("%s: %s", s.Config, strings.ReplaceAll(err.Error(), "\n", "; "))
 	}
@@ -70,7 +70,7 @@
 
 // Run names every fault, a line each.
 func (c *check) Run(out output) error {
-	cfg, err := server.LoadAll(c.Config, c.Operator, c.Admin)
+	cfg, err := server.LoadWithOperator(c.Config, c.Operator, c.Admin)
 	if err != nil {
 		fmt.Fprintln(out.std, err)
 		return fmt.Errorf("%s is not fit to serve by", strings.TrimSuffix(c.Config+" with "+c.Operator, " with "))
@@ -79,22 +79,22 @@
 		return errors.New("--explain tells of the operator's file: name it with --operator")
 	}
 	if c.Free {
-		if err := cfg.Free(); err != nil {
+		if err := cfg.CheckAvailable(); err != nil {
 			fmt.Fprintln(out.std, err)
 			return fmt.Errorf("%s cannot be started now", c.Config)
 		}
 	}
 	fmt.Fprintf(out.std, "%s: good: %s on %s, %d classes, %d workers known\n",
-		c.Config, cfg.Name, cfg.Listen, len(cfg.Settings.Classes), len(cfg.Known.Entries))
-	for _, u := range cfg.Unspoken {
+		c.Config, cfg.Name, cfg.ListenAddress, len(cfg.Settings.Classes), len(cfg.KnownEndpoints.Endpoints))
+	for _, u := range cfg.Unsupported {
 		fmt.Fprintf(out.std, "%s: served without: %s\n", c.Config, u)
 	}
 	if cfg.Operator != nil {
-		fmt.Fprintf(out.std, "%s: good: %d routes\n", c.Operator, cfg.Operator.Table.Len())
+		fmt.Fprintf(out.std, "%s: good: %d routes\n", c.Operator, cfg.Operator.Routes.Len())
 	}
 	if cfg.Operator != nil && cfg.Operator.Group != nil {
 		g := cfg.Operator.Group
-		fmt.Fprintf(out.std, "%s: good: group %s, %d members, plans %t, lease %v\n", c.Operator, g.Name, len(g.Peers), g.Plans, g.Lease)
+		fmt.Fprintf(out.std, "%s: good: group %s, %d members, plans %t, lease %v\n", c.Operator, g.Name, len(g.Members), g.MaintenancePlans, g.LeaseDuration)
 	}
 	if c.Explain {
 		return cfg.Operator.Explain(out.std)
--- a/cmd/birchfork/outage.go
+++ b/cmd/birchfork/outage.go
@@ -89,7 +89,7 @@
 	if err := m.check(); err != nil {
 		return nil, err
 	}
-	return (&coordinator.Client{At: m.At}).Ask(context.Background(), call)
+	return (&coordinator.Client{Addresses: m.At}).Do(context.Background(), call)
 }
 
 // print prints an answer as JSON where that was asked for.
@@ -110,9 +110,9 @@
 		return err
 	}
 	switch {
-	case r.Code == maintenance.NotNow:
+	case r.Code == maintenance.CodeRetryLater:
 		return &notNow{r.Text}
-	case r.Code != maintenance.Yes:
+	case r.Code != maintenance.CodeOK:
 		return errors.New(r.Text)
 	case !m.JSON && r.Text != "":
 		fmt.Fprintln(out.std, r.Text)
@@ -139,7 +139,7 @@
 
 // Run founds the group.
 func (g *groupFound) Run(out output) error {
-	return g.do(out, coordinator.Call{Found: true, Again: g.Again})
+	return g.do(out, coordinator.Call{Bootstrap: true, AfterDataLoss: g.Again})
 }
 
 type groupVouch struct{ members }
@@ -149,14 +149,14 @@
 	if len(g.At) > 1 {
 		return errors.New("--at: one member is vouched for at a time")
 	}
-	return g.do(out, coordinator.Call{Vouch: true})
+	return g.do(out, coordinator.Call{ConfirmDisk: true})
 }
 
 type groupTrust struct{ members }
 
 // Run lets plans begin after the group was founded again.
 func (g *groupTrust) Run(out output) error {
-	return g.command(out, maintenance.Command{Kind: maintenance.Trust})
+	return g.command(out, maintenance.Command{Kind: maintenance.CommandTrustHistory})
 }
 
 type groupRetire struct {
@@ -166,7 +166,7 @@
 
 // Run retires a member.
 func (g *groupRetire) Run(out output) error {
-	return g.command(out, maintenance.Command{Kind: maintenance.Retire, Name: g.Name})
+	return g.command(out, maintenance.Command{Kind: maintenance.CommandRetireMember, Name: g.Name})
 }
 
 type groupStatus struct {
@@ -202,12 +202,12 @@
 // printCopies prints what members run and how far behind their words are, side by side.
 func printCopies(w io.Writer, r *gossip.Reply) {
 	conflicts := 0
-	for _, word := range r.Words {
+	for _, word := range r.Overrides {
 		if word.Conflict {
 			conflicts++
 		}
 	}
-	fmt.Fprintf(w, "words on %d runners, %d in conflict, as %s has them\n", len(r.Words), conflicts, r.Told)
+	fmt.Fprintf(w, "words on %d runners, %d in conflict, as %s has them\n", len(r.Overrides), conflicts, r.Member)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "MEMBER\tVERSION\tSETTINGS\tOPERATOR'S FILE\tSTARTED\tWORDS\tBEHIND\tSAME\tBYTES OUT, IN")
 	ago := func(d time.Duration) string {
@@ -217,15 +217,15 @@
 		return d.Round(100*time.Millisecond).String() + " ago"
 	}
 	for i, m := range r.Members {
-		started, same := "unknown", ago(m.Same)
-		if !m.Started.IsZero() {
-			started = m.Started.Format(time.DateTime)
+		started, same := "unknown", ago(m.LastInSync)
+		if !m.StartedAt.IsZero() {
+			started = m.StartedAt.Format(time.DateTime)
 		}
 		if i == 0 {
 			same = "-"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%.8s\t%.8s\t%s\t%d\t%d\t%s\t%d, %d\n", m.Name, orNone(m.Version), orNone(m.Settings), orNone(m.Operator),
-			started, m.Held, max(m.Behind, 0), same, m.BytesOut, m.BytesIn)
+		fmt.Fprintf(t, "%s\t%s\t%.8s\t%.8s\t%s\t%d\t%d\t%s\t%d, %d\n", m.Name, orNone(m.Version), orNone(m.SettingsDigest), orNone(m.OperatorDigest),
+			started, m.StoredEntries, max(m.MissingEntries, 0), same, m.BytesOut, m.BytesIn)
 	}
 	t.Flush()
 }
@@ -249,31 +249,31 @@
 }
 
 // loadPlan reads a plan; the error names every fault that the file alone shows.
-func loadPlan(path string) (*maintenance.Plan, *tomlfile.Doc, error) {
+func loadPlan(path string) (*maintenance.Plan, *tomlfile.Document, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, fmt.Errorf("reading the plan: %w", err)
 	}
-	f := planFile{Out: 1, Overdue: maintenance.Wait}
+	f := planFile{Out: 1, Overdue: maintenance.OverdueWait}
 	d := tomlfile.Read(path, raw, &f)
-	if len(d.Faults()) > 0 {
+	if len(d.Errors()) > 0 {
 		return nil, nil, d.Err()
 	}
 	p := &maintenance.Plan{
-		Name: f.Name, Out: f.Out, ZoneOut: f.ZoneOut, KindOut: f.KindOut, Capacity: f.Capacity, Leave: f.Leave, Work: f.Work,
-		Back: f.Back, Overdue: f.Overdue,
+		Name: f.Name, MaxUnavailable: f.Out, MaxUnavailablePerZone: f.ZoneOut, MaxUnavailablePerKind: f.KindOut, MinCapacity: f.Capacity, DrainTimeout: f.Leave, WorkTimeout: f.Work,
+		ReturnTimeout: f.Back, OnOverdue: f.Overdue,
 	}
 	for _, m := range f.Machines {
-		p.Machines = append(p.Machines, maintenance.Machine{Name: m.Name, Runners: m.Runners, Host: m.Host})
+		p.Machines = append(p.Machines, maintenance.Machine{Name: m.Name, Workers: m.Runners, Host: m.Host})
 	}
-	return p, d, byLine(d, maintenance.New().Faults(p))
+	return p, d, byLine(d, maintenance.New().ValidatePlan(p))
 }
 
 // byLine gives faults that a plan's keys begin the lines of the file.
-func byLine(d *tomlfile.Doc, faults []string) error {
+func byLine(d *tomlfile.Document, faults []string) error {
 	for _, fault := range faults {
 		key, what, _ := strings.Cut(fault, ": ")
-		d.Fault(key, "%s", what)
+		d.AddErrorf(key, "%s", what)
 	}
 	return d.Err()
 }
@@ -284,8 +284,8 @@
 	if err != nil {
 		return err
 	}
-	r, err := m.ask(coordinator.Call{Command: &maintenance.Command{Kind: maintenance.HandIn, Plan: p}, Check: check})
-	if err == nil && r.Code == maintenance.Wrong && !m.JSON {
+	r, err := m.ask(coordinator.Call{Command: &maintenance.Command{Kind: maintenance.CommandSubmitPlan, Plan: p}, Check: check})
+	if err == nil && r.Code == maintenance.CodeInvalid && !m.JSON {
 		return byLine(d, strings.Split(r.Text, "\n"))
 	}
 	if err != nil {
@@ -325,22 +325,22 @@
 
 // Run lets the plan begin.
 func (o *outageStart) Run(out output) error {
-	return o.command(out, maintenance.Command{Kind: maintenance.Start, Name: o.Name})
+	return o.command(out, maintenance.Command{Kind: maintenance.CommandStartPlan, Name: o.Name})
 }
 
 // Run pauses the plan.
 func (o *outagePause) Run(out output) error {
-	return o.command(out, maintenance.Command{Kind: maintenance.Halt, Name: o.Name})
+	return o.command(out, maintenance.Command{Kind: maintenance.CommandPausePlan, Name: o.Name})
 }
 
 // Run resumes the plan.
 func (o *outageResume) Run(out output) error {
-	return o.command(out, maintenance.Command{Kind: maintenance.Resume, Name: o.Name})
+	return o.command(out, maintenance.Command{Kind: maintenance.CommandResumePlan, Name: o.Name})
 }
 
 // Run aborts the plan.
 func (o *outageAbort) Run(out output) error {
-	return o.command(out, maintenance.Command{Kind: maintenance.Abort, Name: o.Name})
+	return o.command(out, maintenance.Command{Kind: maintenance.CommandAbortPlan, Name: o.Name})
 }
 
 // ofMachine is a call on one machine.
@@ -362,11 +362,11 @@
 		end = time.Now().Add(o.For)
 	}
 	for {
-		r, err := o.ask(coordinator.Call{Command: &maintenance.Command{Kind: maintenance.Take, Name: o.Plan, Machine: o.Machine}})
+		r, err := o.ask(coordinator.Call{Command: &maintenance.Command{Kind: maintenance.CommandClaimMachine, Name: o.Plan, Machine: o.Machine}})
 		if err != nil {
 			return err
 		}
-		if r.Code != maintenance.NotNow || !end.IsZero() && time.Now().After(end) {
+		if r.Code != maintenance.CodeRetryLater || !end.IsZero() && time.Now().After(end) {
 			return o.tell(out, r)
 		}
 		time.Sleep(waitEvery)
@@ -380,12 +380,12 @@
 
 // Run gives a machine back.
 func (o *outageDone) Run(out output) error {
-	return o.command(out, maintenance.Command{Kind: maintenance.Return, Name: o.Plan, Machine: o.Machine})
+	return o.command(out, maintenance.Command{Kind: maintenance.CommandReturnMachine, Name: o.Plan, Machine: o.Machine})
 }
 
 // Run leaves a machine out.
 func (o *outageSkip) Run(out output) error {
-	return o.command(out, maintenance.Command{Kind: maintenance.GiveUp, Name: o.Plan, Machine: o.Machine})
+	return o.command(out, maintenance.Command{Kind: maintenance.CommandSkipMachine, Name: o.Plan, Machine: o.Machine})
 }
 
 type outageStatus struct {
@@ -414,21 +414,21 @@
 }
 
 func printGroup(w io.Writer, s *coordinator.Status) {
-	fmt.Fprintf(w, "told by %s; leader %s, term %d, entry %d\n", s.Told, orNone(s.Leader), s.Term, s.Index)
+	fmt.Fprintf(w, "told by %s; leader %s, term %d, entry %d\n", s.Member, orNone(s.Leader), s.Term, s.AppliedIndex)
 	fmt.Fprintf(w, "lease %v, attempts run for %v at the longest, a silent member is waited for %v\n",
-		s.Bounds.Lease, s.Bounds.Attempt, s.Bounds.Settled)
+		s.Bounds.Lease, s.Bounds.MaxAttempt, s.Bounds.FenceTimeout)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "MEMBER\tZONE\tLIFE\tVOTES\tHEARD\tIN FORCE")
 	for _, m := range s.Members {
 		heard := "not by this leader"
-		if m.Heard >= 0 {
-			heard = m.Heard.Round(time.Millisecond).String() + " ago"
+		if m.LastReport >= 0 {
+			heard = m.LastReport.Round(time.Millisecond).String() + " ago"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%t\t%s\t%d\n", m.Name, orNone(m.Zone), m.Life, m.Votes, heard, m.Applied)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%t\t%s\t%d\n", m.Name, orNone(m.Zone), m.Incarnation, m.IsVoter, heard, m.Applied)
 	}
 	t.Flush()
 	if l := s.Links; len(l) > 0 {
-		fmt.Fprintf(w, "links of %s: %d messages out, %d lost, %d dropped, %d in, %d refused; %d bytes out, %d in\n", s.Told,
+		fmt.Fprintf(w, "links of %s: %d messages out, %d lost, %d dropped, %d in, %d refused; %d bytes out, %d in\n", s.Member,
 			l["sent"], l["lost"], l["dropped"], l["taken"], l["refused"], l["bytes_out"], l["bytes_in"])
 	}
 }
@@ -446,13 +446,13 @@
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, p := range s.Plans {
-		fmt.Fprintf(t, "%s\t%s\t\t%s\n", p.Name, p.Phase, p.Why)
+		fmt.Fprintf(t, "%s\t%s\t\t%s\n", p.Name, p.Phase, p.Reason)
 		for _, m := range p.Machines {
-			step := string(m.Step)
+			step := string(m.Phase)
 			if m.Overdue {
 				step += ", overdue"
 			}
-			fmt.Fprintf(t, "  %s\t%s\t%v\t%s\n", m.Name, step, m.For.Round(100*time.Millisecond), m.Why)
+			fmt.Fprintf(t, "  %s\t%s\t%v\t%s\n", m.Name, step, m.PhaseDuration.Round(100*time.Millisecond), m.Reason)
 		}
 	}
 	t.Flush()
--- a/cmd/birchfork/words.go
+++ b/cmd/birchfork/words.go
@@ -35,7 +35,7 @@
 
 // Run says a word that has seen all others that one member knows of.
 func (g *groupResolve) Run(out output) error {
-	r, err := g.words(gossip.Call{Runner: g.Runner, Out: g.Word == "out"})
+	r, err := g.words(gossip.Call{Worker: g.Runner, Disabled: g.Word == "out"})
 	if err != nil {
 		return err
 	}
@@ -49,7 +49,7 @@
 		return nil, err
 	}
 	for _, at := range m.At {
-		if r, err = gossip.Ask(context.Background(), at, c); err == nil {
+		if r, err = gossip.CallMember(context.Background(), at, c); err == nil {
 			return r, nil
 		}
 	}
@@ -61,7 +61,7 @@
 		return err
 	}
 	switch {
-	case r.Wrong:
+	case r.Invalid:
 		return errors.New(r.Text)
 	case !m.JSON && r.Text != "":
 		fmt.Fprintln(out.std, r.Text)
@@ -72,21 +72,21 @@
 }
 
 func printWords(w io.Writer, r *gossip.Reply) {
-	fmt.Fprintf(w, "told by %s, digest %s\n", r.Told, r.Digest)
+	fmt.Fprintf(w, "told by %s, digest %s\n", r.Member, r.Digest)
 	if !r.CaughtUp {
 		fmt.Fprintln(w, "it has just started and has not heard of enough others")
 	}
-	if r.Unkept != "" {
-		fmt.Fprintf(w, "it keeps nothing over a restart: %s\n", r.Unkept)
+	if r.NotPersisted != "" {
+		fmt.Fprintf(w, "it keeps nothing over a restart: %s\n", r.NotPersisted)
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "RUNNER\tWORD\tCONFLICT\tSAID AT, BY THAT MEMBER'S CLOCK")
-	for _, word := range r.Words {
+	for _, word := range r.Overrides {
 		var said []string
-		for _, s := range word.Said {
-			said = append(said, fmt.Sprintf("%s %s %s", s.Member, outOrBack(s.Out), s.At.Format(time.DateTime)))
+		for _, s := range word.Writes {
+			said = append(said, fmt.Sprintf("%s %s %s", s.Member, outOrBack(s.Disabled), s.At.Format(time.DateTime)))
 		}
-		fmt.Fprintf(t, "%s\t%s\t%t\t%s\n", word.Runner, outOrBack(word.Out), word.Conflict, strings.Join(said, ", "))
+		fmt.Fprintf(t, "%s\t%s\t%t\t%s\n", word.Worker, outOrBack(word.Disabled), word.Conflict, strings.Join(said, ", "))
 	}
 	t.Flush()
 }
@@ -111,24 +111,24 @@
 	has := map[string]map[string]string{} // by runner, then by member
 	var all, silent []string
 	for _, at := range g.At {
-		r, err := gossip.Ask(context.Background(), at, gossip.Call{})
+		r, err := gossip.CallMember(context.Background(), at, gossip.Call{})
 		if err != nil {
 			silent = append(silent, at)
 			continue
 		}
-		if len(g.Names) > 0 && !slices.Contains(g.Names, r.Told) {
+		if len(g.Names) > 0 && !slices.Contains(g.Names, r.Member) {
 			continue
 		}
-		all = append(all, r.Told)
-		for _, w := range r.Words {
-			if has[w.Runner] == nil {
-				has[w.Runner] = map[string]string{}
+		all = append(all, r.Member)
+		for _, w := range r.Overrides {
+			if has[w.Worker] == nil {
+				has[w.Worker] = map[string]string{}
 			}
 			var said []string
-			for _, s := range w.Said {
-				said = append(said, fmt.Sprintf("%s by %s", outOrBack(s.Out), s.Member))
+			for _, s := range w.Writes {
+				said = append(said, fmt.Sprintf("%s by %s", outOrBack(s.Disabled), s.Member))
 			}
-			has[w.Runner][r.Told] = strings.Join(said, " against ")
+			has[w.Worker][r.Member] = strings.Join(said, " against ")
 		}
 	}
 	for _, name := range g.Names {
