--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -21,69 +21,69 @@
 
 // Bounds on callers.
 const (
-	callWait   = 1500 * time.Millisecond // for a whole call, from connecting on: callers may hold theirs with none
-	answerWait = 1 * time.Second         // to take the answer
-	headMost   = 16 << 10
-	idMost     = 256
+	callTimeout      = 1500 * time.Millisecond // for a whole call, from connecting on: callers may hold theirs with none
+	answerTimeout    = 1 * time.Second         // to take the answer
+	maxHeaderBytes   = 16 << 10
+	maxWorkerIDBytes = 256
 )
 
 // Errors that a Service may answer with.
 var (
-	ErrUnknown = errors.New("no runner of this id is known")
-	ErrNotNow  = errors.New("not now")
+	ErrUnknownWorker = errors.New("no runner of this id is known")
+	ErrUnavailable   = errors.New("not now")
 )
 
 // Service is what stands behind the door. Its functions may be called at any time, several at once, and are to be quick.
 type Service struct {
-	Ready func() error                             // nil: this process can serve
-	Out   func(id string) (note string, err error) // the note is told beside yes
-	Back  func(id string) (note string, err error)
+	Ready   func() error                             // nil: this process can serve
+	Disable func(id string) (note string, err error) // the note is told beside yes
+	Enable  func(id string) (note string, err error)
 }
 
-// Door answers operators until Close. It is the one owner of its listener and connections.
-type Door struct {
-	server *http.Server
-	l      *listener
-	done   chan error
+// Server answers operators until Close. It is the one owner of its listener and connections.
+type Server struct {
+	httpServer *http.Server
+	listener   *limitedListener
+	serveErr   chan error
 }
 
-// Open answers operators on l, by at most so many connections at a time.
-func Open(l net.Listener, most int, s Service, errorLog *log.Logger) *Door {
-	d := &Door{l: &listener{Listener: l, most: max(most, 1)}, done: make(chan error, 1)}
-	d.server = &http.Server{
-		Handler: handler(s), ReadHeaderTimeout: callWait, ReadTimeout: callWait, WriteTimeout: callWait + answerWait,
-		MaxHeaderBytes: headMost, ErrorLog: errorLog, DisableGeneralOptionsHandler: true,
+// Start answers operators on l, by at most so many connections at a time.
+func Start(l net.Listener, maxConns int, service Service, errorLog *log.Logger) *Server {
+	server := &Server{listener: &limitedListener{Listener: l, maxConns: max(maxConns, 1)}, serveErr: make(chan error, 1)}
+	server.httpServer = &http.Server{
+		Handler: newHandler(service), ReadHeaderTimeout: callTimeout, ReadTimeout: callTimeout, WriteTimeout: callTimeout + answerTimeout,
+		MaxHeaderBytes: maxHeaderBytes, ErrorLog: errorLog, DisableGeneralOptionsHandler: true,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
 	}
-	d.server.SetKeepAlivesEnabled(false)
-	go func() { d.done <- d.server.Serve(d.l) }()
-	return d
+	server.httpServer.SetKeepAlivesEnabled(false)
+	go func() { server.serveErr <- server.httpServer.Serve(server.listener) }()
+	return server
 }
 
-// Address is where the door is.
-func (d *Door) Address() net.Addr { return d.l.Addr() }
+// Addr is where the door is.
+func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Close ends the door and all connections, once calls that came whole have their answers, or ctx ends.
-func (d *Door) Close(ctx context.Context) {
-	d.l.cutSilent()
-	d.server.Shutdown(ctx)
-	d.server.Close()
-	<-d.done
+// Shutdown ends the door and all connections, once calls that came whole have their answers, or ctx ends.
+func (s *Server) Shutdown(ctx context.Context) {
+	s.listener.closeIdle()
+	s.httpServer.Shutdown(ctx)
+	s.httpServer.Close()
+	<-s.serveErr
 }
 
-// call is what a path asks for.
-type call struct {
+// operation is what a path asks for.
+type operation struct {
 	method string
-	do     func() (note string, err error)
+	run    func() (note string, err error)
 }
 
-func handler(s Service) http.Handler {
+func newHandler(service Service) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c, ok := r.Context().Value(connKey{}).(*conn); ok {
-			c.owe(true)
-			defer c.owe(false)
+			c.setPending(true)
+			defer c.setPending(false)
 		}
-		status, text, allow := answer(s, r)
+		status, text, allow := execute(service, r)
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 		w.Header().Set("Content-Length", strconv.Itoa(len(text)+1))
 		w.Header().Set("Connection", "close")
@@ -96,94 +96,94 @@
 	})
 }
 
-// answer carries a call out and words its answer, one line; allow is the path's method where the call has another.
-func answer(s Service, r *http.Request) (status int, text, allow string) {
-	c, status, text := find(s, r.URL.EscapedPath())
+// execute carries a call out and words its answer, one line; allow is the path's method where the call has another.
+func execute(service Service, r *http.Request) (status int, text, allow string) {
+	op, status, text := route(service, r.URL.EscapedPath())
 	switch {
 	case status != 0:
 		return status, text, ""
-	case r.Method != c.method:
-		return http.StatusMethodNotAllowed, "this path takes " + c.method, c.method
+	case r.Method != op.method:
+		return http.StatusMethodNotAllowed, "this path takes " + op.method, op.method
 	}
-	switch note, err := c.do(); {
+	switch note, err := op.run(); {
 	case err == nil && note != "":
 		return http.StatusOK, "yes; " + strings.ReplaceAll(note, "\n", " "), ""
 	case err == nil:
 		return http.StatusOK, "yes", ""
-	case errors.Is(err, ErrUnknown):
+	case errors.Is(err, ErrUnknownWorker):
 		return http.StatusNotFound, err.Error(), ""
 	default:
 		return http.StatusServiceUnavailable, err.Error(), ""
 	}
 }
 
-// find reads a path; a status other than 0 says that it is none of ours.
-func find(s Service, path string) (c call, status int, text string) {
-	const unknown = "no such path; there are /-/ready, /-/runners/ID/disable and /-/runners/ID/enable"
+// route reads a path; a status other than 0 says that it is none of ours.
+func route(service Service, path string) (op operation, status int, text string) {
+	const unknownPath = "no such path; there are /-/ready, /-/runners/ID/disable and /-/runners/ID/enable"
 	if path == "/-/ready" {
-		return call{http.MethodGet, func() (string, error) { return "", s.Ready() }}, 0, ""
+		return operation{http.MethodGet, func() (string, error) { return "", service.Ready() }}, 0, ""
 	}
 	rest, ok := strings.CutPrefix(path, "/-/runners/")
-	raw, verb, two := strings.Cut(rest, "/")
-	do := map[string]func(string) (string, error){"disable": s.Out, "enable": s.Back}[verb]
-	if !ok || !two || do == nil {
-		return c, http.StatusNotFound, unknown
+	raw, verb, hasVerb := strings.Cut(rest, "/")
+	run := map[string]func(string) (string, error){"disable": service.Disable, "enable": service.Enable}[verb]
+	if !ok || !hasVerb || run == nil {
+		return op, http.StatusNotFound, unknownPath
 	}
 	id, err := url.PathUnescape(raw)
 	switch {
 	case err != nil || id == "":
-		return c, http.StatusBadRequest, "the runner's id is missing or badly escaped"
-	case len(id) > idMost:
-		return c, http.StatusBadRequest, fmt.Sprintf("the runner's id is longer than %d bytes", idMost)
+		return op, http.StatusBadRequest, "the runner's id is missing or badly escaped"
+	case len(id) > maxWorkerIDBytes:
+		return op, http.StatusBadRequest, fmt.Sprintf("the runner's id is longer than %d bytes", maxWorkerIDBytes)
 	}
-	return call{http.MethodPost, func() (string, error) { return do(id) }}, 0, ""
+	return operation{http.MethodPost, func() (string, error) { return run(id) }}, 0, ""
 }
 
-// listener keeps the number of connections. All are accepted: one that waits in the kernel would hold up those behind it.
+// limitedListener keeps the number of connections. All are accepted: one that waits in the kernel would hold up those behind it.
 // Where there are too many, the oldest goes that has sent no whole call.
-type listener struct {
+type limitedListener struct {
 	net.Listener
-	most int
+	maxConns int
 
 	mu    sync.Mutex
-	order []*conn // oldest first
+	conns []*conn // oldest first
 }
 
 type conn struct {
 	net.Conn
-	l    *listener
-	owed bool // has sent a whole call that is not answered yet
-	once sync.Once
+	listener  *limitedListener
+	pending   bool // has sent a whole call that is not answered yet
+	closeOnce sync.Once
 }
 
 type connKey struct{}
 
-func (l *listener) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	raw, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: raw, l: l}
+	c := &conn{Conn: raw, listener: l}
 	l.mu.Lock()
-	l.order = append(l.order, c)
-	var cut *conn
-	if len(l.order) > l.most {
-		cut = l.oldestSilent(c)
+	l.conns = append(l.conns, c)
+	var evicted *conn
+	if len(l.conns) > l.maxConns {
+		evicted = l.oldestIdle(c)
 	}
 	l.mu.Unlock()
-	if cut != nil {
-		cut.Close()
+	if evicted != nil {
+		evicted.Close()
 	}
 	return c, nil
 }
 
-// oldestSilent is the oldest connection that owes no answer, but for one; one on which something waits to be read goes
+// oldestIdle is the oldest connection that owes no answer, but for one; one on which something waits to be read goes
 // last, as that may be a whole call. The lock is held.
-func (l *listener) oldestSilent(but *conn) (oldest *conn) {
-	for _, c := range l.order {
+func (l *limitedListener) oldestIdle(except *conn) (oldest *conn) {
+	for _, c := range l.conns {
 		switch {
-		case c.owed || c == but:
-		case !c.waiting():
+		case c.pending || c == except:
+		case !c.hasUnread():
 			return c
 		case oldest == nil:
 			oldest = c
@@ -192,8 +192,8 @@
 	return oldest
 }
 
-// waiting tells whether bytes have come that nobody has read.
-func (c *conn) waiting() bool {
+// hasUnread tells whether bytes have come that nobody has read.
+func (c *conn) hasUnread() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -206,26 +206,26 @@
 	return err == nil && n > 0
 }
 
-// cutSilent closes all that owe no answer.
-func (l *listener) cutSilent() {
+// closeIdle closes all that owe no answer.
+func (l *limitedListener) closeIdle() {
 	l.mu.Lock()
-	var cut []*conn
-	for _, c := range l.order {
-		if !c.owed {
-			cut = append(cut, c)
+	var idle []*conn
+	for _, c := range l.conns {
+		if !c.pending {
+			idle = append(idle, c)
 		}
 	}
 	l.mu.Unlock()
-	for _, c := range cut {
+	for _, c := range idle {
 		c.Close()
 	}
 }
 
-// owe says whether a whole call has come that is not answered.
-func (c *conn) owe(owed bool) {
-	c.l.mu.Lock()
-	c.owed = owed
-	c.l.mu.Unlock()
+// setPending says whether a whole call has come that is not answered.
+func (c *conn) setPending(pending bool) {
+	c.listener.mu.Lock()
+	c.pending = pending
+	c.listener.mu.Unlock()
 }
 
 // CloseWrite ends what we send, so that an answer is not lost with what the caller still sends.
@@ -238,16 +238,16 @@
 
 // Close closes the connection and forgets it, once.
 func (c *conn) Close() (err error) {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		err = c.Conn.Close()
-		c.l.mu.Lock()
-		for i, o := range c.l.order {
-			if o == c {
-				c.l.order = append(c.l.order[:i], c.l.order[i+1:]...)
+		c.listener.mu.Lock()
+		for i, other := range c.listener.conns {
+			if other == c {
+				c.listener.conns = append(c.listener.conns[:i], c.listener.conns[i+1:]...)
 				break
 			}
 		}
-		c.l.mu.Unlock()
+		c.listener.mu.Unlock()
 	})
 	return err
 }
--- a/internal/admission/limits.go
+++ b/internal/admission/limits.go
@@ -17,369 +17,369 @@
 
 // The reasons. Each has a counter of its own.
 const (
-	Admitted   Reason = iota
-	Rate              // the route's rate, or its caller's
-	Concurrent        // the route has as many open as it may
-	Budget            // repeats beyond the route's budget
-	Share             // its tenant has its share while all is short
-	Priority          // what is left is kept for routes that come first
-	Open              // as many are open as may be
-	Queue             // as many of the route wait for a worker as may
-	Reasons           // how many there are
+	Admitted             Reason = iota
+	RateExceeded                // the route's rate, or its caller's
+	ConcurrencyExceeded         // the route has as many open as it may
+	RetryBudgetExhausted        // repeats beyond the route's budget
+	TenantQuotaExceeded         // its tenant has its share while all is short
+	PriorityShed                // what is left is kept for routes that come first
+	OpenLimitReached            // as many are open as may be
+	QueueFull                   // as many of the route wait for a worker as may
+	NumReasons                  // how many there are
 )
 
-var reasonNames = [Reasons]string{"admitted", "rate", "concurrent", "retry_budget", "tenant_share", "priority", "open", "queue"}
+var reasonNames = [NumReasons]string{"admitted", "rate", "concurrent", "retry_budget", "tenant_share", "priority", "open", "queue"}
 
-func (r Reason) String() string { return reasonNames[min(r, Reasons-1)] }
+func (r Reason) String() string { return reasonNames[min(r, NumReasons-1)] }
 
-// By says whose rate a route's rate is.
-type By uint8
+// RateScope says whose rate a route's rate is.
+type RateScope uint8
 
 // Whose rate it is.
 const (
-	ByRoute  By = iota // of all that comes on the route
-	ByTenant           // of each tenant
-	ByKey              // of each key
+	PerRoute  RateScope = iota // of all that comes on the route
+	PerTenant                  // of each tenant
+	PerKey                     // of each key
 )
 
-// Top is the highest priority.
-const Top = 9
-
-// Route is what one route allows. Zero values allow everything.
-type Route struct {
-	Name       string
-	Limited    bool    // Rate counts; a rate of 0 lets nothing through
-	Rate       float64 // requests a second
-	Burst      int     // requests that may come at once, from 1
-	By         By
-	Concurrent int  // requests open at a time; 0: no limit
-	Queue      int  // of them so many that no worker has been sent yet; 0: no limit
-	Budgeted   bool // Budget and Floor count
-	Budget     float64
-	Floor      float64       // repeats a second that are allowed whatever else comes
-	Priority   int           // 0 to Top
-	ComeBack   time.Duration // the least advice on when to come back
+// MaxPriority is the highest priority.
+const MaxPriority = 9
+
+// RouteConfig is what one route allows. Zero values allow everything.
+type RouteConfig struct {
+	Name                string
+	RateLimited         bool    // Rate counts; a rate of 0 lets nothing through
+	Rate                float64 // requests a second
+	Burst               int     // requests that may come at once, from 1
+	RateScope           RateScope
+	MaxConcurrent       int  // requests open at a time; 0: no limit
+	MaxQueued           int  // of them so many that no worker has been sent yet; 0: no limit
+	RetryBudgeted       bool // Budget and Floor count
+	RetryBudget         float64
+	MinRetriesPerSecond float64       // repeats a second that are allowed whatever else comes
+	Priority            int           // 0 to Top
+	RetryAfter          time.Duration // the least advice on when to come back
 }
 
-// Tenant is a customer's part while short.
-type Tenant struct {
+// TenantConfig is a customer's part while short.
+type TenantConfig struct {
 	Name   string
 	Weight float64 // against the other active tenants' weights
 }
 
 // Config is all that a Gate is made of.
 type Config struct {
-	Routes   []Route
-	Tenants  []Tenant
-	Open     int // requests open at a time over all routes; 0: no limit
-	Adaptive bool
-	Least    int // the adaptive limit does not go below this
-	Keys     int // rates by key or tenant that are remembered; the longest idle are forgotten
+	Routes     []RouteConfig
+	Tenants    []TenantConfig
+	MaxOpen    int // requests open at a time over all routes; 0: no limit
+	Adaptive   bool
+	MinOpen    int // the adaptive limit does not go below this
+	MaxBuckets int // rates by key or tenant that are remembered; the longest idle are forgotten
 }
 
 // How shares and the adaptive limit work.
 const (
-	shortFrom   = 0.75                   // of the limit, from which tenants keep to their shares
-	kept        = 0.3                    // of the limit, that the lowest priority leaves to the highest
-	activeFor   = 2 * time.Second        // a tenant counts as active so long after it asked
-	window      = 250 * time.Millisecond // the adaptive limit changes once in this
-	windowLeast = 5                      // answers in a window that tell anything
-	lateMost    = 0.1                    // part of the answers that may be late
-	decrease    = 0.9                    // factor on the limit where more are
-	increase    = 0.04                   // part of the configured limit that it grows by where none are, and it is used
-	budgetMost  = 10 * time.Second       // of a usual stream's budget may be saved up
-	maxRate     = 1e9                    // requests a second: above, no limit is felt
-	forever     = time.Duration(math.MaxInt64 / 4)
+	contentionThreshold = 0.75                   // of the limit, from which tenants keep to their shares
+	priorityReserve     = 0.3                    // of the limit, that the lowest priority leaves to the highest
+	tenantActiveFor     = 2 * time.Second        // a tenant counts as active so long after it asked
+	adaptWindow         = 250 * time.Millisecond // the adaptive limit changes once in this
+	minSamples          = 5                      // answers in a window that tell anything
+	maxLateFraction     = 0.1                    // part of the answers that may be late
+	decreaseFactor      = 0.9                    // factor on the limit where more are
+	increaseFraction    = 0.04                   // part of the configured limit that it grows by where none are, and it is used
+	maxSavedBudget      = 10 * time.Second       // of a usual stream's budget may be saved up
+	unlimitedRate       = 1e9                    // requests a second: above, no limit is felt
+	maxWait             = time.Duration(math.MaxInt64 / 4)
 )
 
-// Ask is a request that wants to be taken.
-type Ask struct {
+// Request is a request that wants to be taken.
+type Request struct {
 	Route  int
 	Tenant int // -1: none
 	Key    uint64
 	Retry  bool // its client repeats an earlier one
 }
 
-// Slot is what an admitted request holds until Done. The zero Slot holds nothing.
-type Slot struct {
+// Permit is what an admitted request holds until Done. The zero Slot holds nothing.
+type Permit struct {
 	route  *routeState
 	tenant *tenantState
 	sent   bool
 }
 
-// Held tells whether the slot holds anything.
-func (s Slot) Held() bool { return s.route != nil }
+// Valid tells whether the slot holds anything.
+func (p Permit) Valid() bool { return p.route != nil }
 
-// Verdict is the answer to an Ask.
-type Verdict struct {
-	Reason Reason
-	Wait   time.Duration // when to come back, at the least; 0: no word
-	Slot   Slot          // to be given back with Done; only where Admitted
+// Decision is the answer to an Ask.
+type Decision struct {
+	Reason     Reason
+	RetryAfter time.Duration // when to come back, at the least; 0: no word
+	Permit     Permit        // to be given back with Done; only where Admitted
 }
 
-// End is how an admitted request ended, for the adaptive limit.
-type End uint8
+// Outcome is how an admitted request ended, for the adaptive limit.
+type Outcome uint8
 
 // The ends.
 const (
-	Timely  End = iota // answered within the wanted time
-	Late               // answered too late, refused or failed for want of room
-	Neither            // tells nothing: its client left, or it was at fault itself
+	Timely  Outcome = iota // answered within the wanted time
+	Late                   // answered too late, refused or failed for want of room
+	Ignored                // tells nothing: its client left, or it was at fault itself
 )
 
 type routeState struct {
-	Route
-	open   int
-	queued int     // of them, not sent yet
-	bucket bucket  // of ByRoute
-	budget float64 // repeats that may come
-	at     time.Duration
+	RouteConfig
+	open        int
+	queued      int         // of them, not sent yet
+	tokens      tokenBucket // of ByRoute
+	retryTokens float64     // repeats that may come
+	refilledAt  time.Duration
 }
 
 type tenantState struct {
-	Tenant
-	open  int
-	asked time.Duration
-	ever  bool
+	TenantConfig
+	open          int
+	lastRequestAt time.Duration
+	everActive    bool
 }
 
-// Gate decides on admission.
-type Gate struct {
-	c       Config
-	now     time.Duration
-	routes  []*routeState
-	tenants []*tenantState
-	keys    *keyed
-	open    int
-	limit   float64 // the adaptive one; Config.Open at the most
-	window  time.Duration
-	timely  int
-	late    int
-	used    int // most open within the window
-	counts  [Reasons]int64
+// Limiter decides on admission.
+type Limiter struct {
+	config      Config
+	now         time.Duration
+	routes      []*routeState
+	tenants     []*tenantState
+	buckets     *bucketCache
+	open        int
+	limit       float64 // the adaptive one; Config.Open at the most
+	windowStart time.Duration
+	timely      int
+	late        int
+	peakOpen    int // most open within the window
+	counts      [NumReasons]int64
 }
 
 // New returns a Gate that has nothing open.
-func New(c Config) *Gate {
-	g := &Gate{}
-	g.Swap(0, c)
-	return g
+func New(config Config) *Limiter {
+	limiter := &Limiter{}
+	limiter.Reconfigure(0, config)
+	return limiter
 }
 
-// Swap goes over to another configuration. What is open keeps its slots; a route or tenant that goes by the same name
+// Reconfigure goes over to another configuration. What is open keeps its slots; a route or tenant that goes by the same name
 // keeps its buckets and its count.
-func (g *Gate) Swap(now time.Duration, c Config) {
-	g.advance(now)
-	routes, tenants := map[string]*routeState{}, map[string]*tenantState{}
-	for _, r := range g.routes {
-		routes[r.Name] = r
+func (l *Limiter) Reconfigure(now time.Duration, config Config) {
+	l.advance(now)
+	oldRoutes, oldTenants := map[string]*routeState{}, map[string]*tenantState{}
+	for _, route := range l.routes {
+		oldRoutes[route.Name] = route
 	}
-	for _, t := range g.tenants {
-		tenants[t.Name] = t
+	for _, tenant := range l.tenants {
+		oldTenants[tenant.Name] = tenant
 	}
-	g.routes, g.tenants = nil, nil
-	for _, r := range c.Routes {
-		s := routes[r.Name]
-		if s == nil {
-			s = &routeState{budget: r.Floor, at: g.now}
+	l.routes, l.tenants = nil, nil
+	for _, route := range config.Routes {
+		state := oldRoutes[route.Name]
+		if state == nil {
+			state = &routeState{retryTokens: route.MinRetriesPerSecond, refilledAt: l.now}
 		}
-		r.Burst = max(r.Burst, 1)
-		s.Route = r
-		s.budget = min(s.budget, g.budgetCap(s))
-		g.routes = append(g.routes, s)
+		route.Burst = max(route.Burst, 1)
+		state.RouteConfig = route
+		state.retryTokens = min(state.retryTokens, l.maxRetryTokens(state))
+		l.routes = append(l.routes, state)
 	}
-	for _, t := range c.Tenants {
-		s := tenants[t.Name]
-		if s == nil {
-			s = &tenantState{}
+	for _, tenant := range config.Tenants {
+		state := oldTenants[tenant.Name]
+		if state == nil {
+			state = &tenantState{}
 		}
-		s.Tenant = t
-		g.tenants = append(g.tenants, s)
+		state.TenantConfig = tenant
+		l.tenants = append(l.tenants, state)
 	}
-	before := g.c.Open
-	g.c = c
-	if g.limit == 0 || before != c.Open || !c.Adaptive {
-		g.limit = float64(c.Open)
+	oldMaxOpen := l.config.MaxOpen
+	l.config = config
+	if l.limit == 0 || oldMaxOpen != config.MaxOpen || !config.Adaptive {
+		l.limit = float64(config.MaxOpen)
 	}
-	if g.keys == nil || g.keys.most != c.Keys {
-		g.keys = newKeyed(c.Keys)
+	if l.buckets == nil || l.buckets.maxSize != config.MaxBuckets {
+		l.buckets = newBucketCache(config.MaxBuckets)
 	}
 }
 
 // advance goes on to a moment. A clock that goes back stands still here until it is past again.
-func (g *Gate) advance(now time.Duration) { g.now = max(g.now, now) }
+func (l *Limiter) advance(now time.Duration) { l.now = max(l.now, now) }
 
-// Open is how many requests are open.
-func (g *Gate) Open() int { return g.open }
+// OpenRequests is how many requests are open.
+func (l *Limiter) OpenRequests() int { return l.open }
 
-// Limit is how many may be open now; 0: no limit.
-func (g *Gate) Limit() int { return int(g.limit) }
+// CurrentLimit is how many may be open now; 0: no limit.
+func (l *Limiter) CurrentLimit() int { return int(l.limit) }
 
 // Counts are how many asks ended for each reason.
-func (g *Gate) Counts() [Reasons]int64 { return g.counts }
-
-// RouteOpen is how many requests are open on a route.
-func (g *Gate) RouteOpen(route int) int { return g.routes[route].open }
-
-// Ask decides on one request. Nothing is used up by a request that is not taken.
-func (g *Gate) Ask(now time.Duration, a Ask) Verdict {
-	g.advance(now)
-	g.adapt()
-	r := g.routes[a.Route]
-	var t *tenantState
-	if a.Tenant >= 0 && a.Tenant < len(g.tenants) {
-		t = g.tenants[a.Tenant]
-		t.asked, t.ever = g.now, true
+func (l *Limiter) Counts() [NumReasons]int64 { return l.counts }
+
+// OpenOnRoute is how many requests are open on a route.
+func (l *Limiter) OpenOnRoute(route int) int { return l.routes[route].open }
+
+// Admit decides on one request. Nothing is used up by a request that is not taken.
+func (l *Limiter) Admit(now time.Duration, request Request) Decision {
+	l.advance(now)
+	l.adaptLimit()
+	route := l.routes[request.Route]
+	var tenant *tenantState
+	if request.Tenant >= 0 && request.Tenant < len(l.tenants) {
+		tenant = l.tenants[request.Tenant]
+		tenant.lastRequestAt, tenant.everActive = l.now, true
 	}
-	v := g.judge(r, t, a)
-	g.counts[v.Reason]++
-	if v.Reason != Admitted {
-		v.Wait = max(v.Wait, r.ComeBack)
-		return v
+	decision := l.decide(route, tenant, request)
+	l.counts[decision.Reason]++
+	if decision.Reason != Admitted {
+		decision.RetryAfter = max(decision.RetryAfter, route.RetryAfter)
+		return decision
 	}
-	r.open++
-	r.queued++
-	g.open++
-	g.used = max(g.used, g.open)
-	if t != nil {
-		t.open++
+	route.open++
+	route.queued++
+	l.open++
+	l.peakOpen = max(l.peakOpen, l.open)
+	if tenant != nil {
+		tenant.open++
 	}
-	v.Slot = Slot{route: r, tenant: t}
-	return v
+	decision.Permit = Permit{route: route, tenant: tenant}
+	return decision
 }
 
-// judge looks at one limit after the other; the one that takes something comes last.
-func (g *Gate) judge(r *routeState, t *tenantState, a Ask) Verdict {
-	if r.Concurrent > 0 && r.open >= r.Concurrent {
-		return Verdict{Reason: Concurrent}
+// decide looks at one limit after the other; the one that takes something comes last.
+func (l *Limiter) decide(route *routeState, tenant *tenantState, request Request) Decision {
+	if route.MaxConcurrent > 0 && route.open >= route.MaxConcurrent {
+		return Decision{Reason: ConcurrencyExceeded}
 	}
-	if r.Queue > 0 && r.queued >= r.Queue {
-		return Verdict{Reason: Queue}
+	if route.MaxQueued > 0 && route.queued >= route.MaxQueued {
+		return Decision{Reason: QueueFull}
 	}
-	if g.limit > 0 {
-		open := float64(g.open)
-		if open >= math.Floor(g.limit) {
-			return Verdict{Reason: Open}
+	if l.limit > 0 {
+		open := float64(l.open)
+		if open >= math.Floor(l.limit) {
+			return Decision{Reason: OpenLimitReached}
 		}
-		if mine := g.limit * (1 - kept*float64(Top-r.Priority)/Top); open >= mine {
-			return Verdict{Reason: Priority}
+		if priorityLimit := l.limit * (1 - priorityReserve*float64(MaxPriority-route.Priority)/MaxPriority); open >= priorityLimit {
+			return Decision{Reason: PriorityShed}
 		}
 		// Guards against one tenant that takes all: what it may have is its part of the limit among those that ask.
-		if t != nil && open >= shortFrom*g.limit && float64(t.open) >= g.share(t) {
-			return Verdict{Reason: Share}
+		if tenant != nil && open >= contentionThreshold*l.limit && float64(tenant.open) >= l.tenantQuota(tenant) {
+			return Decision{Reason: TenantQuotaExceeded}
 		}
 	}
-	g.refill(r)
-	if a.Retry && r.Budgeted && r.budget < 1 {
-		return Verdict{Reason: Budget, Wait: g.budgetWait(r)}
+	l.refillRetryTokens(route)
+	if request.Retry && route.RetryBudgeted && route.retryTokens < 1 {
+		return Decision{Reason: RetryBudgetExhausted, RetryAfter: l.retryTokenWait(route)}
 	}
-	if r.Limited {
-		if wait := g.bucketOf(r, a).take(g.now, r.Rate, r.Burst); wait > 0 {
-			return Verdict{Reason: Rate, Wait: min(wait, forever)}
+	if route.RateLimited {
+		if wait := l.tokenBucketFor(route, request).take(l.now, route.Rate, route.Burst); wait > 0 {
+			return Decision{Reason: RateExceeded, RetryAfter: min(wait, maxWait)}
 		}
 	}
-	if r.Budgeted {
-		if a.Retry {
-			r.budget--
+	if route.RetryBudgeted {
+		if request.Retry {
+			route.retryTokens--
 		} else {
-			r.budget = min(r.budget+r.Budget, g.budgetCap(r))
+			route.retryTokens = min(route.retryTokens+route.RetryBudget, l.maxRetryTokens(route))
 		}
 	}
-	return Verdict{}
+	return Decision{}
 }
 
-// share is how many requests a tenant may have open while short.
-func (g *Gate) share(t *tenantState) float64 {
-	sum := 0.0
-	for _, o := range g.tenants {
-		if o.open > 0 || o.ever && g.now-o.asked < activeFor {
-			sum += o.Weight
+// tenantQuota is how many requests a tenant may have open while short.
+func (l *Limiter) tenantQuota(tenant *tenantState) float64 {
+	activeWeight := 0.0
+	for _, other := range l.tenants {
+		if other.open > 0 || other.everActive && l.now-other.lastRequestAt < tenantActiveFor {
+			activeWeight += other.Weight
 		}
 	}
-	if sum <= 0 {
+	if activeWeight <= 0 {
 		return math.Inf(1)
 	}
-	return max(1, g.limit*t.Weight/sum)
+	return max(1, l.limit*tenant.Weight/activeWeight)
 }
 
-// budgetCap bounds the repeats that may be saved up: a quiet hour buys no storm.
-func (g *Gate) budgetCap(r *routeState) float64 {
-	return max(1, r.Floor, r.Floor*budgetMost.Seconds(), r.Budget*100)
+// maxRetryTokens bounds the repeats that may be saved up: a quiet hour buys no storm.
+func (l *Limiter) maxRetryTokens(route *routeState) float64 {
+	return max(1, route.MinRetriesPerSecond, route.MinRetriesPerSecond*maxSavedBudget.Seconds(), route.RetryBudget*100)
 }
 
-// refill gives a route the repeats that are allowed whatever else comes.
-func (g *Gate) refill(r *routeState) {
-	if r.Budgeted {
-		r.budget = min(r.budget+r.Floor*(g.now-r.at).Seconds(), g.budgetCap(r))
+// refillRetryTokens gives a route the repeats that are allowed whatever else comes.
+func (l *Limiter) refillRetryTokens(route *routeState) {
+	if route.RetryBudgeted {
+		route.retryTokens = min(route.retryTokens+route.MinRetriesPerSecond*(l.now-route.refilledAt).Seconds(), l.maxRetryTokens(route))
 	}
-	r.at = g.now
+	route.refilledAt = l.now
 }
 
-// budgetWait is when the floor alone has brought one more repeat.
-func (g *Gate) budgetWait(r *routeState) time.Duration {
-	if r.Floor <= 0 {
+// retryTokenWait is when the floor alone has brought one more repeat.
+func (l *Limiter) retryTokenWait(route *routeState) time.Duration {
+	if route.MinRetriesPerSecond <= 0 {
 		return time.Second
 	}
-	return time.Duration(min((1-r.budget)/r.Floor, 3600) * float64(time.Second))
+	return time.Duration(min((1-route.retryTokens)/route.MinRetriesPerSecond, 3600) * float64(time.Second))
 }
 
-func (g *Gate) bucketOf(r *routeState, a Ask) *bucket {
+func (l *Limiter) tokenBucketFor(route *routeState, request Request) *tokenBucket {
 	switch {
-	case r.By == ByTenant && a.Tenant >= 0:
-		return g.keys.get(r.Name, uint64(a.Tenant))
-	case r.By == ByKey:
-		return g.keys.get(r.Name, a.Key)
+	case route.RateScope == PerTenant && request.Tenant >= 0:
+		return l.buckets.get(route.Name, uint64(request.Tenant))
+	case route.RateScope == PerKey:
+		return l.buckets.get(route.Name, request.Key)
 	default:
-		return &r.bucket
+		return &route.tokens
 	}
 }
 
-// Sent says that a request has been sent to a worker for the first time.
-func (g *Gate) Sent(s *Slot) {
-	if s.Held() && !s.sent {
-		s.sent = true
-		s.route.queued--
+// MarkSent says that a request has been sent to a worker for the first time.
+func (l *Limiter) MarkSent(permit *Permit) {
+	if permit.Valid() && !permit.sent {
+		permit.sent = true
+		permit.route.queued--
 	}
 }
 
-// Done gives a slot back, once.
-func (g *Gate) Done(now time.Duration, s Slot, end End) {
-	if !s.Held() {
+// Release gives a slot back, once.
+func (l *Limiter) Release(now time.Duration, permit Permit, outcome Outcome) {
+	if !permit.Valid() {
 		return
 	}
-	g.advance(now)
-	g.Sent(&s)
-	s.route.open--
-	g.open--
-	if s.tenant != nil {
-		s.tenant.open--
+	l.advance(now)
+	l.MarkSent(&permit)
+	permit.route.open--
+	l.open--
+	if permit.tenant != nil {
+		permit.tenant.open--
 	}
-	switch end {
+	switch outcome {
 	case Timely:
-		g.timely++
+		l.timely++
 	case Late:
-		g.late++
+		l.late++
 	}
-	g.adapt()
+	l.adaptLimit()
 }
 
-// adapt lets the limit follow measured service: additive increase, multiplicative decrease, once in a window. It never
+// adaptLimit lets the limit follow measured service: additive increase, multiplicative decrease, once in a window. It never
 // goes over what is configured.
-func (g *Gate) adapt() {
-	if !g.c.Adaptive || g.c.Open == 0 || g.now < g.window+window {
+func (l *Limiter) adaptLimit() {
+	if !l.config.Adaptive || l.config.MaxOpen == 0 || l.now < l.windowStart+adaptWindow {
 		return
 	}
-	if n := g.timely + g.late; n >= windowLeast {
-		most := float64(g.c.Open)
+	if samples := l.timely + l.late; samples >= minSamples {
+		maxOpen := float64(l.config.MaxOpen)
 		switch {
-		case float64(g.late) > lateMost*float64(n):
+		case float64(l.late) > maxLateFraction*float64(samples):
 			// From what was in use: a limit far above it would be lowered for long without any effect.
-			g.limit = max(float64(min(g.c.Least, g.c.Open)), min(g.limit, float64(g.used))*decrease, 1)
-		case float64(g.used) >= shortFrom*g.limit:
-			g.limit = min(most, g.limit+max(1, increase*most))
+			l.limit = max(float64(min(l.config.MinOpen, l.config.MaxOpen)), min(l.limit, float64(l.peakOpen))*decreaseFactor, 1)
+		case float64(l.peakOpen) >= contentionThreshold*l.limit:
+			l.limit = min(maxOpen, l.limit+max(1, increaseFraction*maxOpen))
 		}
-	} else if g.open == 0 {
-		g.limit = float64(g.c.Open) // nothing is open, so nothing is short
+	} else if l.open == 0 {
+		l.limit = float64(l.config.MaxOpen) // nothing is open, so nothing is short
 	}
-	g.window, g.timely, g.late, g.used = g.now, 0, 0, g.open
+	l.windowStart, l.timely, l.late, l.peakOpen = l.now, 0, 0, l.open
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -20,44 +20,44 @@
 	"birchfork/internal/tomlfile"
 )
 
-// Figures are what can be set by default, class, tenant and route. Which of them were set is told by the layers.
-type Figures struct {
-	Timeout        time.Duration `toml:"timeout"`
-	AttemptTimeout time.Duration `toml:"attempt_timeout"`
-	Hold           time.Duration `toml:"hold"`
-	Attempts       int           `toml:"attempts"`
-	SecondCopies   bool          `toml:"second_copies"`
-	HedgeAfter     time.Duration `toml:"hedge_after"`
-	Repeat         string        `toml:"repeat"`
-	RepeatWithin   time.Duration `toml:"repeat_within"`
-	Backoff        time.Duration `toml:"backoff"`
-	BackoffMost    time.Duration `toml:"backoff_most"`
-	Jitter         float64       `toml:"jitter"`
-	RetryBudget    float64       `toml:"retry_budget"`
-	RetryFloor     float64       `toml:"retry_floor"`
-	Concurrent     int           `toml:"concurrent"`
-	Queue          int           `toml:"queue"`
-	Rate           float64       `toml:"rate"`
-	Burst          int           `toml:"burst"`
-	RateBy         string        `toml:"rate_by"`
-	Priority       int           `toml:"priority"`
-	RetryAfter     time.Duration `toml:"retry_after"`
+// Policy are what can be set by default, class, tenant and route. Which of them were set is told by the layers.
+type Policy struct {
+	Timeout             time.Duration `toml:"timeout"`
+	AttemptTimeout      time.Duration `toml:"attempt_timeout"`
+	QueueTimeout        time.Duration `toml:"hold"`
+	MaxAttempts         int           `toml:"attempts"`
+	Hedging             bool          `toml:"second_copies"`
+	HedgeDelay          time.Duration `toml:"hedge_after"`
+	RetryMode           string        `toml:"repeat"`
+	RetryWindow         time.Duration `toml:"repeat_within"`
+	Backoff             time.Duration `toml:"backoff"`
+	MaxBackoff          time.Duration `toml:"backoff_most"`
+	Jitter              float64       `toml:"jitter"`
+	RetryBudget         float64       `toml:"retry_budget"`
+	MinRetriesPerSecond float64       `toml:"retry_floor"`
+	MaxConcurrent       int           `toml:"concurrent"`
+	MaxQueued           int           `toml:"queue"`
+	Rate                float64       `toml:"rate"`
+	Burst               int           `toml:"burst"`
+	RateScope           string        `toml:"rate_by"`
+	Priority            int           `toml:"priority"`
+	RetryAfter          time.Duration `toml:"retry_after"`
 }
 
 // What may be sent again.
 const (
-	RepeatLawful = "lawful" // whatever the class allows
-	RepeatUnrun  = "unrun"  // only what is known not to have run
-	RepeatAny    = "any"    // also what may have run: for safe classes the same as lawful
+	RetryAllowed = "lawful" // whatever the class allows
+	RetryNotRun  = "unrun"  // only what is known not to have run
+	RetryAny     = "any"    // also what may have run: for safe classes the same as lawful
 )
 
-// file is the operator's file as it is written.
-type file struct {
+// operatorFile is the operator's file as it is written.
+type operatorFile struct {
 	Total struct {
-		Concurrent int  `toml:"concurrent"`
-		Adaptive   bool `toml:"adaptive"`
-		Least      int  `toml:"least"`
-		Keys       int  `toml:"keys"`
+		MaxConcurrent int  `toml:"concurrent"`
+		Adaptive      bool `toml:"adaptive"`
+		MinConcurrent int  `toml:"least"`
+		MaxKeys       int  `toml:"keys"`
 	} `toml:"total"`
 	Platform struct {
 		DrainGrace   time.Duration `toml:"drain_grace"`
@@ -65,220 +65,220 @@
 		FallMultiple float64       `toml:"fall_multiple"`
 		ColdFrom     float64       `toml:"cold_from"`
 	} `toml:"platform"`
-	Group   groupPart `toml:"group"`
-	Default Figures   `toml:"default"`
-	Classes []class   `toml:"class"`
-	Tenants []tenant  `toml:"tenant"`
-	Routes  []route   `toml:"route"`
+	Group   groupSection    `toml:"group"`
+	Default Policy          `toml:"default"`
+	Classes []classSection  `toml:"class"`
+	Tenants []tenantSection `toml:"tenant"`
+	Routes  []routeSection  `toml:"route"`
 }
 
-type class struct {
+type classSection struct {
 	Name string `toml:"name"`
-	Figures
+	Policy
 }
 
-type tenant struct {
+type tenantSection struct {
 	Name   string  `toml:"name"`
 	Weight float64 `toml:"weight"`
-	Figures
+	Policy
 }
 
-type route struct {
+type routeSection struct {
 	Name     string `toml:"name"`
 	Class    string `toml:"class"`
 	Path     string `toml:"path"`
 	Tenant   string `toml:"tenant"`
 	Method   string `toml:"method"`
 	Fallback string `toml:"fallback"`
-	Figures
+	Policy
 }
 
 // Platform is what the platform's configuration says, as far as the operator's file has to agree with it.
 type Platform struct {
-	Name     string // of this dispatcher
-	Settings dispatch.Settings
-	Classes  []string // their names, by their number
-	Tenants  []string
-	Clients  int   // connections from clients that requests can be taken from
-	Memory   int64 // bytes
+	Name                 string // of this dispatcher
+	Settings             dispatch.Settings
+	ClassNames           []string // their names, by their number
+	TenantNames          []string
+	MaxClientConnections int   // connections from clients that requests can be taken from
+	MemoryBytes          int64 // bytes
 }
 
-// Plan is a file that has passed all checks.
-type Plan struct {
-	Path     string
-	Table    *routes.Table
-	Limits   admission.Config
-	Settings dispatch.Settings // the platform's, narrowed
-	Lines    []Line            // what is in force, for people
-	Group    *Group            // nil: it is in none
-	Digest   string            // of the file's text
+// OperatorConfig is a file that has passed all checks.
+type OperatorConfig struct {
+	Path        string
+	Routes      *routes.Table
+	Admission   admission.Config
+	Settings    dispatch.Settings // the platform's, narrowed
+	Explanation []ExplainedValue  // what is in force, for people
+	Group       *Group            // nil: it is in none
+	Digest      string            // of the file's text
 }
 
-// Line is one figure in force.
-type Line struct {
-	Route, Key, Value, From string
+// ExplainedValue is one figure in force.
+type ExplainedValue struct {
+	Route, Key, Value, Source string
 }
 
 // Names of the layers.
 const (
-	fromPlatform = "platform"
-	restName     = "rest" // the route for what no other matches
+	sourcePlatform   = "platform"
+	defaultRouteName = "rest" // the route for what no other matches
 )
 
 // Load reads and checks an operator's file. Its error names every fault, a line each.
-func Load(path string, p Platform) (*Plan, error) {
-	f, err := os.Open(path)
+func Load(path string, platform Platform) (*OperatorConfig, error) {
+	file, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("reading the operator's file: %w", err)
 	}
-	defer f.Close()
-	raw, err := io.ReadAll(io.LimitReader(f, tomlfile.SizeMost+1))
+	defer file.Close()
+	raw, err := io.ReadAll(io.LimitReader(file, tomlfile.MaxSize+1))
 	if err != nil {
 		return nil, fmt.Errorf("reading the operator's file: %w", err)
 	}
-	plan, err := Decode(path, raw, p)
+	config, err := Decode(path, raw, platform)
 	if err != nil {
 		return nil, err
 	}
-	plan.Path, plan.Digest = path, fmt.Sprintf("%016x", xxhash.Sum64(raw))
-	return plan, nil
+	config.Path, config.Digest = path, fmt.Sprintf("%016x", xxhash.Sum64(raw))
+	return config, nil
 }
 
 // Decode reads and checks an operator's file.
-func Decode(name string, raw []byte, p Platform) (*Plan, error) {
-	var f file
-	d := tomlfile.Read(name, raw, &f)
-	if len(d.Faults()) > 0 {
-		return nil, d.Err() // what could not be read would look missing
+func Decode(path string, raw []byte, platform Platform) (*OperatorConfig, error) {
+	var file operatorFile
+	doc := tomlfile.Read(path, raw, &file)
+	if len(doc.Errors()) > 0 {
+		return nil, doc.Err() // what could not be read would look missing
 	}
-	c := &checker{doc: d, file: &f, p: p}
-	plan := c.plan()
-	if err := d.Err(); err != nil {
+	c := &checker{doc: doc, file: &file, platform: platform}
+	config := c.build()
+	if err := doc.Err(); err != nil {
 		return nil, err
 	}
-	return plan, nil
+	return config, nil
 }
 
-// layer is one place where figures can be set.
-type layer struct {
-	key     string // in the file, such as route[0]; empty: none
-	name    string // for people
-	figures *Figures
+// policyLayer is one place where figures can be set.
+type policyLayer struct {
+	key    string // in the file, such as route[0]; empty: none
+	source string // for people
+	policy *Policy
 }
 
-// value is a figure in force with where it comes from.
-type value struct {
-	layer layer
-	set   bool
+// origin is a figure in force with where it comes from.
+type origin struct {
+	layer policyLayer
+	isSet bool
 }
 
-// effective are the figures in force for one kind of request.
-type effective struct {
-	Figures
-	from map[string]value // by key
+// effectivePolicy are the figures in force for one kind of request.
+type effectivePolicy struct {
+	Policy
+	origins map[string]origin // by key
 }
 
-// key is where a figure stands in the file, to name it in a fault.
-func (e *effective) key(name string) string {
-	if v := e.from[name]; v.set {
-		return v.layer.key + "." + name
+// keyPath is where a figure stands in the file, to name it in a fault.
+func (e *effectivePolicy) keyPath(name string) string {
+	if origin := e.origins[name]; origin.isSet {
+		return origin.layer.key + "." + name
 	}
 	return name
 }
 
-// set tells whether anybody set a figure.
-func (e *effective) set(name string) bool { return e.from[name].set }
+// isSet tells whether anybody set a figure.
+func (e *effectivePolicy) isSet(name string) bool { return e.origins[name].isSet }
 
-// figureKeys are the keys of Figures in their order.
-var figureKeys = func() (out []string) {
-	t := reflect.TypeFor[Figures]()
+// policyKeys are the keys of Figures in their order.
+var policyKeys = func() (keys []string) {
+	t := reflect.TypeFor[Policy]()
 	for i := range t.NumField() {
-		out = append(out, t.Field(i).Tag.Get("toml"))
+		keys = append(keys, t.Field(i).Tag.Get("toml"))
 	}
-	return out
+	return keys
 }()
 
-// over lays layers over each other, the last one on top.
-func (c *checker) over(layers ...layer) *effective {
-	e := &effective{from: map[string]value{}}
-	out := reflect.ValueOf(&e.Figures).Elem()
-	for _, l := range layers {
-		if l.figures == nil {
+// overlay lays layers over each other, the last one on top.
+func (c *checker) overlay(layers ...policyLayer) *effectivePolicy {
+	policy := &effectivePolicy{origins: map[string]origin{}}
+	target := reflect.ValueOf(&policy.Policy).Elem()
+	for _, layer := range layers {
+		if layer.policy == nil {
 			continue
 		}
-		in := reflect.ValueOf(l.figures).Elem()
-		for i, key := range figureKeys {
-			if c.doc.Has(l.key + "." + key) {
-				out.Field(i).Set(in.Field(i))
-				e.from[key] = value{l, true}
+		source := reflect.ValueOf(layer.policy).Elem()
+		for i, key := range policyKeys {
+			if c.doc.Has(layer.key + "." + key) {
+				target.Field(i).Set(source.Field(i))
+				policy.origins[key] = origin{layer, true}
 			}
 		}
 	}
-	return e
+	return policy
 }
 
-// lines are the figures in force for people.
-func (e *effective) lines(route string, p *Platform, class *dispatch.Class) (out []Line) {
-	v := reflect.ValueOf(&e.Figures).Elem()
-	for i, key := range figureKeys {
-		from := e.from[key]
-		if from.set {
-			out = append(out, Line{route, key, fmt.Sprint(v.Field(i).Interface()), from.layer.name})
+// explain are the figures in force for people.
+func (e *effectivePolicy) explain(route string, platform *Platform, class *dispatch.Class) (lines []ExplainedValue) {
+	values := reflect.ValueOf(&e.Policy).Elem()
+	for i, key := range policyKeys {
+		origin := e.origins[key]
+		if origin.isSet {
+			lines = append(lines, ExplainedValue{route, key, fmt.Sprint(values.Field(i).Interface()), origin.layer.source})
 			continue
 		}
-		word := "no limit"
+		value := "no limit"
 		switch key {
 		case "timeout":
-			word = "the client's own, " + micro(class.Deadline) + " at the most"
+			value = "the client's own, " + formatMicros(class.Deadline) + " at the most"
 		case "attempt_timeout":
-			word = "as long as the client waits"
+			value = "as long as the client waits"
 		case "attempts":
-			word = fmt.Sprint(p.Settings.MaxAttempts)
+			value = fmt.Sprint(platform.Settings.MaxAttempts)
 		case "second_copies":
-			word = fmt.Sprint(p.Settings.SecondCopies && class.Effect == dispatch.Safe)
+			value = fmt.Sprint(platform.Settings.CanHedge && class.Idempotency == dispatch.Idempotent)
 		case "repeat":
-			word = RepeatLawful + ": " + effectWord(class.Effect)
+			value = RetryAllowed + ": " + describeEffect(class.Idempotency)
 		case "repeat_within":
-			word = "-"
-			if class.Effect == dispatch.Keyed {
-				word = micro(class.Window)
+			value = "-"
+			if class.Idempotency == dispatch.Deduplicated {
+				value = formatMicros(class.DedupWindow)
 			}
 		case "hold":
-			word = "as long as the answer can be in time"
+			value = "as long as the answer can be in time"
 		case "hedge_after", "backoff", "backoff_most", "jitter", "priority", "burst", "retry_after":
-			word = "0"
+			value = "0"
 		case "rate_by":
-			word = byRoute
+			value = rateByRoute
 		}
-		out = append(out, Line{route, key, word, fromPlatform})
+		lines = append(lines, ExplainedValue{route, key, value, sourcePlatform})
 	}
-	return out
+	return lines
 }
 
-func effectWord(e dispatch.Effect) string {
-	return [...]string{"safe to repeat", "keyed: repeats are dropped within its group and window", "must never run twice"}[e]
+func describeEffect(effect dispatch.Idempotency) string {
+	return [...]string{"safe to repeat", "keyed: repeats are dropped within its group and window", "must never run twice"}[effect]
 }
 
-func micro(t dispatch.Time) string { return (time.Duration(t) * time.Microsecond).String() }
+func formatMicros(t dispatch.Time) string { return (time.Duration(t) * time.Microsecond).String() }
 
 // Explain prints what is in force, and where each figure comes from.
-func (p *Plan) Explain(w io.Writer) error {
-	last := ""
+func (c *OperatorConfig) Explain(w io.Writer) error {
+	lastRoute := ""
 	var errs []error
-	for _, l := range p.Lines {
-		if l.Route != last {
-			_, err := fmt.Fprintf(w, "%s\n", l.Route)
+	for _, line := range c.Explanation {
+		if line.Route != lastRoute {
+			_, err := fmt.Fprintf(w, "%s\n", line.Route)
 			errs = append(errs, err)
-			last = l.Route
+			lastRoute = line.Route
 		}
-		_, err := fmt.Fprintf(w, "  %-16s %-44s %s\n", l.Key, l.Value, l.From)
+		_, err := fmt.Fprintf(w, "  %-16s %-44s %s\n", line.Key, line.Value, line.Source)
 		errs = append(errs, err)
 	}
 	return errors.Join(errs...)
 }
 
-// quoted lists names for a message.
-func quoted(names []string) string {
+// joinNames lists names for a message.
+func joinNames(names []string) string {
 	if len(names) == 0 {
 		return "there are none"
 	}
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -16,141 +16,143 @@
 // one call is under way at a time. It panics where its disk fails, or where raft finds something that cannot be: then it must
 // not be called any more.
 type Core struct {
-	o       Options
-	rn      *raft.RawNode
-	conf    *raftpb.ConfState
-	applied uint64
-	cutAt   uint64
-	reads   []read // that wait for a confirmation
-	asked   uint64 // the number of the read that raft was asked for last; 0: none is out
-	mark    Mark   // as the witness has it
-	ticks   int
-	beats   map[uint64]int // when a follower got its last heartbeat
-	askedAt int            // ticks ago
-	number  uint64
+	options           Options
+	rawNode           *raft.RawNode
+	confState         *raftpb.ConfState
+	applied           uint64
+	snapshotIndex     uint64
+	pendingReads      []pendingRead // that wait for a confirmation
+	activeReadRound   uint64        // the number of the read that raft was asked for last; 0: none is out
+	recordedPosition  Position      // as the witness has it
+	ticks             int
+	learnerHeartbeats map[uint64]int // when a follower got its last heartbeat
+	ticksSinceRead    int            // ticks ago
+	lastReadRound     uint64
 }
 
-type read struct {
-	after uint64 // confirmed by a read of this number or a later one
-	done  func(index uint64, err error)
+type pendingRead struct {
+	minRound uint64 // confirmed by a read of this number or a later one
+	done     func(index uint64, err error)
 }
 
 // NewCore goes on from what the disk has. Where that is empty it waits to be taken into the group. seed tells its reads apart
 // from those of a process before.
-func NewCore(o Options, seed uint64) (*Core, error) {
-	if o.Bound != nil {
-		if err := o.Disk.raise(o.Bound.Term); err != nil {
+func NewCore(options Options, seed uint64) (*Core, error) {
+	if options.MaxPromised != nil {
+		if err := options.Storage.raiseTerm(options.MaxPromised.Term); err != nil {
 			return nil, err
 		}
 	}
-	_, conf, err := o.Disk.cache.InitialState()
+	_, confState, err := options.Storage.memory.InitialState()
 	if err != nil {
 		return nil, err
 	}
-	c := &Core{o: o, conf: conf, number: seed >> 1, beats: map[uint64]int{}}
-	snap, err := o.Disk.cache.Snapshot()
+	core := &Core{options: options, confState: confState, lastReadRound: seed >> 1, learnerHeartbeats: map[uint64]int{}}
+	snapshot, err := options.Storage.memory.Snapshot()
 	if err != nil {
 		return nil, err
 	}
-	if !raft.IsEmptySnap(snap) {
-		if err := o.Machine.Restore(snap.GetData()); err != nil {
+	if !raft.IsEmptySnap(snapshot) {
+		if err := options.StateMachine.Restore(snapshot.GetData()); err != nil {
 			return nil, fmt.Errorf("the snapshot: %w", err)
 		}
-		c.applied = snap.GetMetadata().GetIndex()
-		c.cutAt = c.applied
+		core.applied = snapshot.GetMetadata().GetIndex()
+		core.snapshotIndex = core.applied
 	}
-	c.rn, err = raft.NewRawNode(&raft.Config{
-		ID: o.Disk.who.ID, ElectionTick: election, HeartbeatTick: heartbeat, Storage: storage{o.Disk.cache, c}, Applied: c.applied,
-		MaxSizePerMsg: bytesMost, MaxCommittedSizePerReady: bytesMost, MaxUncommittedEntriesSize: uncommitted, MaxInflightMsgs: 64,
+	core.rawNode, err = raft.NewRawNode(&raft.Config{
+		ID: options.Storage.identity.RaftID, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: raftStorage{options.Storage.memory, core}, Applied: core.applied,
+		MaxSizePerMsg: maxMessageBytes, MaxCommittedSizePerReady: maxMessageBytes, MaxUncommittedEntriesSize: maxUncommittedBytes, MaxInflightMsgs: 64,
 		CheckQuorum: true, PreVote: true, ReadOnlyOption: raft.ReadOnlySafe, DisableProposalForwarding: true, StepDownOnRemoval: true,
-		Logger: quiet{o.Log},
+		Logger: raftLogger{options.Log},
 	})
-	return c, err
+	return core, err
 }
 
 // Tick lets one tick go by. Where the caller drives elections, a member that does not lead campaigns at Campaign alone.
-func (c *Core) Tick(byHand bool) {
-	c.askedAt++
+func (c *Core) Tick(manualElections bool) {
+	c.ticksSinceRead++
 	c.ticks++
-	if (byHand || c.short()) && c.rn.BasicStatus().RaftState != raft.StateLeader {
-		c.rn.TickQuiesced()
+	if (manualElections || c.lacksPromised()) && c.rawNode.BasicStatus().RaftState != raft.StateLeader {
+		c.rawNode.TickQuiesced()
 	} else {
-		c.rn.Tick()
+		c.rawNode.Tick()
 	}
-	c.settle()
+	c.process()
 }
 
 // Campaign asks for votes.
 func (c *Core) Campaign() {
-	if err := c.rn.Campaign(); err != nil {
-		c.o.Log.WithError(err).Debug("no campaign")
+	if err := c.rawNode.Campaign(); err != nil {
+		c.options.Log.WithError(err).Debug("no campaign")
 	}
-	c.settle()
+	c.process()
 }
 
 // Step takes messages of other members, all with one synced write.
-func (c *Core) Step(all ...*raftpb.Message) {
-	for _, m := range all {
-		if c.bars(m) {
+func (c *Core) Step(messages ...*raftpb.Message) {
+	for _, message := range messages {
+		if c.rejectsVoteRequest(message) {
 			continue
 		}
-		if err := c.rn.Step(m); err != nil {
-			c.o.Log.WithError(err).Debug("a message of the group's was passed over")
+		if err := c.rawNode.Step(message); err != nil {
+			c.options.Log.WithError(err).Debug("a message of the group's was passed over")
 		}
 	}
-	c.settle()
+	c.process()
 }
 
-// short tells whether our log has less than we may have acknowledged and forgotten: then we ask for no votes.
-func (c *Core) short() bool { return c.o.Bound != nil && c.o.Disk.Mark().shorter(*c.o.Bound) }
+// lacksPromised tells whether our log has less than we may have acknowledged and forgotten: then we ask for no votes.
+func (c *Core) lacksPromised() bool {
+	return c.options.MaxPromised != nil && c.options.Storage.Position().logOlderThan(*c.options.MaxPromised)
+}
 
-// bars tells whether a call for our vote is to be passed over: in a term in which we may have voted, or for a log that may lack what we
+// rejectsVoteRequest tells whether a call for our vote is to be passed over: in a term in which we may have voted, or for a log that may lack what we
 // have acknowledged. Guards against a disk of before, which votes as if it remembered.
-func (c *Core) bars(m *raftpb.Message) bool {
-	if c.o.Bound == nil || m.GetType() != raftpb.MsgVote && m.GetType() != raftpb.MsgPreVote {
+func (c *Core) rejectsVoteRequest(message *raftpb.Message) bool {
+	if c.options.MaxPromised == nil || message.GetType() != raftpb.MsgVote && message.GetType() != raftpb.MsgPreVote {
 		return false
 	}
-	return m.GetTerm() <= c.o.Bound.Term || Mark{Last: m.GetIndex(), LastTerm: m.GetLogTerm()}.shorter(*c.o.Bound)
+	return message.GetTerm() <= c.options.MaxPromised.Term || Position{LastIndex: message.GetIndex(), LastTerm: message.GetLogTerm()}.logOlderThan(*c.options.MaxPromised)
 }
 
 // Propose offers an entry, at the leader.
 func (c *Core) Propose(data []byte) error {
-	defer c.settle()
-	return dropped(c.rn.Propose(data))
+	defer c.process()
+	return proposalError(c.rawNode.Propose(data))
 }
 
-// Change offers a change of who is in the group, with an entry for the state machine.
-func (c *Core) Change(changes []*raftpb.ConfChangeSingle, data []byte) error {
-	defer c.settle()
+// ProposeConfChange offers a change of who is in the group, with an entry for the state machine.
+func (c *Core) ProposeConfChange(changes []*raftpb.ConfChangeSingle, data []byte) error {
+	defer c.process()
 	auto := raftpb.ConfChangeTransitionAuto
-	return dropped(c.rn.ProposeConfChange(&raftpb.ConfChangeV2{Transition: &auto, Changes: changes, Context: data}))
+	return proposalError(c.rawNode.ProposeConfChange(&raftpb.ConfChangeV2{Transition: &auto, Changes: changes, Context: data}))
 }
 
-func dropped(err error) error {
+func proposalError(err error) error {
 	if errors.Is(err, raft.ErrProposalDropped) {
 		return ErrNoLeader
 	}
 	return err
 }
 
-// Read has done called with an index such that all that was settled before the call is at or below it: a quorum has confirmed
+// ReadIndex has done called with an index such that all that was settled before the call is at or below it: a quorum has confirmed
 // by then, since the call, that this member leads, or its leader does. It may never be called.
-func (c *Core) Read(done func(index uint64, err error)) {
-	if len(c.reads) >= messagesMost {
+func (c *Core) ReadIndex(done func(index uint64, err error)) {
+	if len(c.pendingReads) >= maxPending {
 		done(0, ErrBusy)
 		return
 	}
-	c.reads = append(c.reads, read{after: c.number + 1, done: done}) // the one that is out was asked for before us
-	c.settle()
+	c.pendingReads = append(c.pendingReads, pendingRead{minRound: c.lastReadRound + 1, done: done}) // the one that is out was asked for before us
+	c.process()
 }
 
-// Caught are those followers that have nearly all that is settled and were heard of lately; nil where we do not lead.
-func (c *Core) Caught() (ids []uint64) {
-	if c.rn.BasicStatus().RaftState != raft.StateLeader {
+// CaughtUp are those followers that have nearly all that is settled and were heard of lately; nil where we do not lead.
+func (c *Core) CaughtUp() (ids []uint64) {
+	if c.rawNode.BasicStatus().RaftState != raft.StateLeader {
 		return nil
 	}
-	c.rn.WithProgress(func(id uint64, _ raft.ProgressType, p tracker.Progress) {
-		if p.RecentActive && p.Match > 0 && p.Match+kept >= c.applied {
+	c.rawNode.WithProgress(func(id uint64, _ raft.ProgressType, progress tracker.Progress) {
+		if progress.RecentActive && progress.Match > 0 && progress.Match+trailingEntries >= c.applied {
 			ids = append(ids, id)
 		}
 	})
@@ -159,180 +161,180 @@
 
 // Status is how things stand.
 func (c *Core) Status() Status {
-	b := c.rn.BasicStatus()
+	basic := c.rawNode.BasicStatus()
 	return Status{
-		Leader: b.Lead, Leads: b.RaftState == raft.StateLeader, Applied: c.applied, Mark: c.o.Disk.Mark(),
-		Voters: c.conf.GetVoters(), Follow: c.conf.GetLearners(),
+		LeaderID: basic.Lead, IsLeader: basic.RaftState == raft.StateLeader, Applied: c.applied, Position: c.options.Storage.Position(),
+		Voters: c.confState.GetVoters(), Learners: c.confState.GetLearners(),
 	}
 }
 
-// settle carries out what the last event brought.
-func (c *Core) settle() {
-	c.ask()
-	c.work()
+// process carries out what the last event brought.
+func (c *Core) process() {
+	c.startReadRound()
+	c.processReady()
 }
 
-// ask has the reads that wait confirmed, one round for all.
-func (c *Core) ask() {
-	if c.asked != 0 && c.askedAt < readAgain || len(c.reads) == 0 {
+// startReadRound has the reads that wait confirmed, one round for all.
+func (c *Core) startReadRound() {
+	if c.activeReadRound != 0 && c.ticksSinceRead < readRetryTicks || len(c.pendingReads) == 0 {
 		return
 	}
-	c.number++
-	c.asked, c.askedAt = c.number, 0
-	c.rn.ReadIndex(binary.BigEndian.AppendUint64(nil, c.number))
+	c.lastReadRound++
+	c.activeReadRound, c.ticksSinceRead = c.lastReadRound, 0
+	c.rawNode.ReadIndex(binary.BigEndian.AppendUint64(nil, c.lastReadRound))
 }
 
-// work carries out what raft wants done, in its order: kept and synced, then sent, then applied.
-func (c *Core) work() {
-	for c.rn.HasReady() {
-		rd := c.rn.Ready()
-		if err := c.o.Disk.save(rd.HardState, rd.Entries, rd.Snapshot); err != nil {
+// processReady carries out what raft wants done, in its order: kept and synced, then sent, then applied.
+func (c *Core) processReady() {
+	for c.rawNode.HasReady() {
+		ready := c.rawNode.Ready()
+		if err := c.options.Storage.save(ready.HardState, ready.Entries, ready.Snapshot); err != nil {
 			panic(err) // nothing that rests on it may leave; see Agree.guard
 		}
-		c.noted()
-		for _, m := range rd.Messages {
-			c.send(m)
+		c.recordPosition()
+		for _, message := range ready.Messages {
+			c.send(message)
 		}
-		if !raft.IsEmptySnap(rd.Snapshot) {
-			if err := c.o.Machine.Restore(rd.Snapshot.GetData()); err != nil {
+		if !raft.IsEmptySnap(ready.Snapshot) {
+			if err := c.options.StateMachine.Restore(ready.Snapshot.GetData()); err != nil {
 				panic(err)
 			}
-			c.conf, c.applied = rd.Snapshot.GetMetadata().GetConfState(), rd.Snapshot.GetMetadata().GetIndex()
-			c.cutAt = c.applied
+			c.confState, c.applied = ready.Snapshot.GetMetadata().GetConfState(), ready.Snapshot.GetMetadata().GetIndex()
+			c.snapshotIndex = c.applied
 		}
-		for _, e := range rd.CommittedEntries {
-			c.apply(e)
+		for _, entry := range ready.CommittedEntries {
+			c.apply(entry)
 		}
-		for _, s := range rd.ReadStates {
-			c.confirmed(s)
+		for _, readState := range ready.ReadStates {
+			c.completeReads(readState)
 		}
-		c.rn.Advance(rd)
+		c.rawNode.Advance(ready)
 	}
-	c.cut()
+	c.compactLog()
 }
 
-// noted has the witness note what the disk has. One that cannot be written is taken away.
-func (c *Core) noted() {
-	m := c.o.Disk.Mark()
-	if m == c.mark {
+// recordPosition has the witness note what the disk has. One that cannot be written is taken away.
+func (c *Core) recordPosition() {
+	position := c.options.Storage.Position()
+	if position == c.recordedPosition {
 		return
 	}
-	c.mark = m
-	if err := c.o.Witness.saw(c.o.Disk.who.Life, m); err != nil {
-		c.o.Log.WithError(errors.Join(err, c.o.Witness.drop())).Error("after a restart this member will have to ask the others whether its disk is the last one")
-		c.o.Witness = nil
+	c.recordedPosition = position
+	if err := c.options.BootMarker.record(c.options.Storage.identity.Incarnation, position); err != nil {
+		c.options.Log.WithError(errors.Join(err, c.options.BootMarker.erase())).Error("after a restart this member will have to ask the others whether its disk is the last one")
+		c.options.BootMarker = nil
 	}
 }
 
-func (c *Core) send(m *raftpb.Message) {
-	if m.GetType() == raftpb.MsgHeartbeat && !c.beat(m) {
+func (c *Core) send(message *raftpb.Message) {
+	if message.GetType() == raftpb.MsgHeartbeat && !c.heartbeatDue(message) {
 		return
 	}
-	raw, err := proto.Marshal(m)
+	raw, err := proto.Marshal(message)
 	if err != nil {
 		panic(err)
 	}
-	snap := m.GetType() == raftpb.MsgSnap
-	c.o.Send(m.GetTo(), raw, snap)
-	if snap {
-		c.rn.ReportSnapshot(m.GetTo(), raft.SnapshotFinish) // one that is lost shows by what the member says next
+	isSnapshot := message.GetType() == raftpb.MsgSnap
+	c.options.Send(message.GetTo(), raw, isSnapshot)
+	if isSnapshot {
+		c.rawNode.ReportSnapshot(message.GetTo(), raft.SnapshotFinish) // one that is lost shows by what the member says next
 	}
 }
 
-// beat tells whether a heartbeat is to be sent. Followers have no vote to lose and no quorum to confirm: one now and then tells them
+// heartbeatDue tells whether a heartbeat is to be sent. Followers have no vote to lose and no quorum to confirm: one now and then tells them
 // what they missed. To hundreds of them all would be most of what the leader sends.
-func (c *Core) beat(m *raftpb.Message) bool {
-	if !slices.Contains(c.conf.GetLearners(), m.GetTo()) {
+func (c *Core) heartbeatDue(message *raftpb.Message) bool {
+	if !slices.Contains(c.confState.GetLearners(), message.GetTo()) {
 		return true
 	}
-	if last, ok := c.beats[m.GetTo()]; ok && c.ticks-last < followerBeat {
+	if last, ok := c.learnerHeartbeats[message.GetTo()]; ok && c.ticks-last < learnerHeartbeatTicks {
 		return false // also one that confirms a read: all do while some read waits
 	}
-	c.beats[m.GetTo()] = c.ticks
+	c.learnerHeartbeats[message.GetTo()] = c.ticks
 	return true
 }
 
-func (c *Core) apply(e *raftpb.Entry) {
-	data := e.GetData()
-	switch e.GetType() {
+func (c *Core) apply(entry *raftpb.Entry) {
+	data := entry.GetData()
+	switch entry.GetType() {
 	case raftpb.EntryConfChange:
-		var cc raftpb.ConfChange
-		if err := proto.Unmarshal(data, &cc); err != nil {
+		var change raftpb.ConfChange
+		if err := proto.Unmarshal(data, &change); err != nil {
 			panic(err)
 		}
-		c.conf, data = c.rn.ApplyConfChange(&cc), cc.GetContext()
+		c.confState, data = c.rawNode.ApplyConfChange(&change), change.GetContext()
 	case raftpb.EntryConfChangeV2:
-		var cc raftpb.ConfChangeV2
-		if err := proto.Unmarshal(data, &cc); err != nil {
+		var change raftpb.ConfChangeV2
+		if err := proto.Unmarshal(data, &change); err != nil {
 			panic(err)
 		}
-		c.conf, data = c.rn.ApplyConfChange(&cc), cc.GetContext()
+		c.confState, data = c.rawNode.ApplyConfChange(&change), change.GetContext()
 	}
 	if len(data) > 0 {
-		c.o.Machine.Apply(e.GetIndex(), data)
+		c.options.StateMachine.Apply(entry.GetIndex(), data)
 	}
-	c.applied = e.GetIndex()
+	c.applied = entry.GetIndex()
 }
 
-// confirmed ends the reads that one round of raft's confirms.
-func (c *Core) confirmed(s raft.ReadState) {
-	n := binary.BigEndian.Uint64(s.RequestCtx)
-	if n == c.asked {
-		c.asked = 0
-	}
-	var left []read
-	was := c.reads
-	c.reads = nil
-	for _, r := range was {
-		if r.after <= n {
-			r.done(s.Index, nil)
+// completeReads ends the reads that one round of raft's confirms.
+func (c *Core) completeReads(readState raft.ReadState) {
+	round := binary.BigEndian.Uint64(readState.RequestCtx)
+	if round == c.activeReadRound {
+		c.activeReadRound = 0
+	}
+	var remaining []pendingRead
+	pending := c.pendingReads
+	c.pendingReads = nil
+	for _, read := range pending {
+		if read.minRound <= round {
+			read.done(readState.Index, nil)
 		} else {
-			left = append(left, r)
+			remaining = append(remaining, read)
 		}
 	}
-	c.reads = append(left, c.reads...)
+	c.pendingReads = append(remaining, c.pendingReads...)
 }
 
-// cut keeps the log short.
-func (c *Core) cut() {
-	if c.applied-c.cutAt < snapshotAfter {
+// compactLog keeps the log short.
+func (c *Core) compactLog() {
+	if c.applied-c.snapshotIndex < snapshotThreshold {
 		return
 	}
 	if err := c.snapshot(); err != nil {
 		panic(err)
 	}
-	if err := c.o.Disk.compact(c.applied - kept); err != nil {
+	if err := c.options.Storage.compact(c.applied - trailingEntries); err != nil {
 		panic(err)
 	}
 }
 
 // snapshot keeps all that is settled, with who is in the group now.
 func (c *Core) snapshot() error {
-	if c.cutAt == c.applied {
+	if c.snapshotIndex == c.applied {
 		return nil
 	}
-	data, err := c.o.Machine.Snapshot()
+	data, err := c.options.StateMachine.Snapshot()
 	if err != nil {
 		return err
 	}
-	if err := c.o.Disk.snapshot(c.applied, c.conf, data); err != nil {
+	if err := c.options.Storage.saveSnapshot(c.applied, c.confState, data); err != nil {
 		return err
 	}
-	c.cutAt = c.applied
+	c.snapshotIndex = c.applied
 	return nil
 }
 
-// storage is what raft reads. A snapshot for a follower is made when it is asked for: one from before the follower came would
+// raftStorage is what raft reads. A snapshot for a follower is made when it is asked for: one from before the follower came would
 // not have it in.
-type storage struct {
+type raftStorage struct {
 	*raft.MemoryStorage
-	c *Core
+	core *Core
 }
 
 // Snapshot makes a snapshot of the present; the loop's goroutine asks for it.
-func (s storage) Snapshot() (*raftpb.Snapshot, error) {
-	if err := s.c.snapshot(); err != nil {
-		s.c.o.Log.WithError(err).Error("no snapshot can be made for a member that is behind")
+func (s raftStorage) Snapshot() (*raftpb.Snapshot, error) {
+	if err := s.core.snapshot(); err != nil {
+		s.core.options.Log.WithError(err).Error("no snapshot can be made for a member that is behind")
 		return nil, raft.ErrSnapshotTemporarilyUnavailable
 	}
 	return s.MemoryStorage.Snapshot()
