--- a/internal/coordinator/member.go
+++ b/internal/coordinator/member.go
@@ -18,203 +18,206 @@
 
 // The paths of the links. What comes by a relay was passed on once already.
 const (
-	pathRaft   = "/group/raft"
-	pathJoin   = "/group/join"
-	pathReport = "/group/report"
-	pathRecall = "/group/recall"
-	pathCall   = "/group/call"
-	pathRelay  = "/group/relay" // and the path that it is for
-	PathStaff  = "/group/staff"
+	pathRaft     = "/group/raft"
+	pathJoin     = "/group/join"
+	pathReport   = "/group/report"
+	pathPosition = "/group/recall"
+	pathCall     = "/group/call"
+	pathRelay    = "/group/relay" // and the path that it is for
+	PathOperator = "/group/staff"
 )
 
-const forgotText = "that disk has forgotten what this life has said"
+const staleDiskText = "that disk has forgotten what this life has said"
 
-const outsideText = "this member is in no group yet"
+const outsideGroupText = "this member is in no group yet"
 
 // Errors of a member.
 var (
-	errOutside  = errors.New(outsideText)
-	errNotLead  = errors.New("no leader can be reached")
-	errWaits    = errors.New("this member does not know yet whether its disk is its last one")
-	errBound    = errors.New("attempts may run for longer than what is settled; that is settled first")
-	errStranger = &peer.Refused{Text: "no member under this life: ask to be taken in"}
+	errOutsideGroup       = errors.New(outsideGroupText)
+	errNoLeader           = errors.New("no leader can be reached")
+	errDiskUnconfirmed    = errors.New("this member does not know yet whether its disk is its last one")
+	errFenceTimeout       = errors.New("attempts may run for longer than what is settled; that is settled first")
+	errUnknownIncarnation = &peer.RejectedError{Reason: "no member under this life: ask to be taken in"}
 )
 
-// toLeader are the handlers of what only a leader can answer, by path.
-func (c *Council) toLeader() map[string]peer.Handler {
-	return map[string]peer.Handler{pathJoin: c.onJoin, pathReport: c.onReport, pathCall: c.onCall}
+// leaderHandlers are the handlers of what only a leader can answer, by path.
+func (c *Coordinator) leaderHandlers() map[string]peer.Handler {
+	return map[string]peer.Handler{pathJoin: c.handleJoin, pathReport: c.handleReport, pathCall: c.handleCall}
 }
 
-// handle says what comes by the links.
-func (c *Council) handle(l *peer.Links) {
-	l.Handle(pathRaft, func(_ context.Context, from peer.Sender, body []byte) ([]byte, error) {
-		a := c.agreement()
-		if a == nil {
-			return nil, errOutside
+// registerHandlers says what comes by the links.
+func (c *Coordinator) registerHandlers(transport *peer.Transport) {
+	transport.Handle(pathRaft, func(_ context.Context, from peer.Sender, body []byte) ([]byte, error) {
+		node := c.node()
+		if node == nil {
+			return nil, errOutsideGroup
 		}
-		id, mark, err := a.Receive(body)
+		id, position, err := node.Receive(body)
 		if id != 0 {
 			c.mu.Lock()
-			c.heardOf[id] = from.Name
-			c.marks[from.Life] = c.marks[from.Life].Join(mark)
+			c.observedNames[id] = from.Name
+			c.observedPositions[from.Incarnation] = c.observedPositions[from.Incarnation].Merge(position)
 			c.mu.Unlock()
 		}
 		return nil, err
 	})
-	l.Handle(pathRecall, func(_ context.Context, from peer.Sender, body []byte) ([]byte, error) {
-		var has consensus.Mark
-		if err := json.Unmarshal(body, &has); err != nil {
-			return nil, &peer.Refused{Text: "no mark: " + err.Error()}
+	transport.Handle(pathPosition, func(_ context.Context, from peer.Sender, body []byte) ([]byte, error) {
+		var position consensus.Position
+		if err := json.Unmarshal(body, &position); err != nil {
+			return nil, &peer.RejectedError{Reason: "no mark: " + err.Error()}
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if said := c.marks[from.Life]; has.Behind(said) {
-			return nil, &peer.Refused{Text: forgotText}
+		if promised := c.observedPositions[from.Incarnation]; position.Misses(promised) {
+			return nil, &peer.RejectedError{Reason: staleDiskText}
 		}
-		if c.voice == nil || c.voice.who.Founded == "" {
-			return nil, &peer.Refused{Text: outsideText}
+		if c.membership == nil || c.membership.identity.ClusterID == "" {
+			return nil, &peer.RejectedError{Reason: outsideGroupText}
 		}
-		if c.voice.agree != nil {
-			return json.Marshal(c.voice.agree.Status().Mark)
+		if c.membership.node != nil {
+			return json.Marshal(c.membership.node.Status().Position)
 		}
-		return json.Marshal(c.voice.mark)
+		return json.Marshal(c.membership.startPosition)
 	})
-	for path, h := range c.toLeader() {
-		l.Handle(path, func(ctx context.Context, from peer.Sender, body []byte) ([]byte, error) {
-			if c.leads() {
-				return h(ctx, from, body)
+	for path, handler := range c.leaderHandlers() {
+		transport.Handle(path, func(ctx context.Context, from peer.Sender, body []byte) ([]byte, error) {
+			if c.isLeader() {
+				return handler(ctx, from, body)
 			}
-			return c.onwards(ctx, path, body)
+			return c.forwardToLeader(ctx, path, body)
 		})
-		l.Handle(pathRelay+path, func(ctx context.Context, from peer.Sender, body []byte) ([]byte, error) {
-			if c.leads() {
-				return h(ctx, from, body)
+		transport.Handle(pathRelay+path, func(ctx context.Context, from peer.Sender, body []byte) ([]byte, error) {
+			if c.isLeader() {
+				return handler(ctx, from, body)
 			}
-			return nil, errNotLead
+			return nil, errNoLeader
 		})
 	}
-	l.HandleStaff(PathStaff, c.onStaff)
+	transport.HandleOperator(PathOperator, c.handleOperatorCall)
 }
 
-func (c *Council) leads() bool {
-	a := c.agreement()
-	return a != nil && a.Status().Leads
+func (c *Coordinator) isLeader() bool {
+	a := c.node()
+	return a != nil && a.Status().IsLeader
 }
 
-// leader is the leader's name; empty where none is known.
-func (c *Council) leader() string {
-	a := c.agreement()
-	if a == nil {
+// leaderName is the leader's name; empty where none is known.
+func (c *Coordinator) leaderName() string {
+	node := c.node()
+	if node == nil {
 		return ""
 	}
-	return c.name(a.Status().Leader)
+	return c.memberName(node.Status().LeaderID)
 }
 
-// onwards passes a message on to the leader, for one that cannot reach it.
-func (c *Council) onwards(ctx context.Context, path string, body []byte) ([]byte, error) {
+// forwardToLeader passes a message on to the leader, for one that cannot reach it.
+func (c *Coordinator) forwardToLeader(ctx context.Context, path string, body []byte) ([]byte, error) {
 	c.mu.Lock()
-	v := c.voice
+	current := c.membership
 	c.mu.Unlock()
-	if v == nil || c.agreement() == nil && c.who().Founded == "" {
-		return nil, &peer.Refused{Text: outsideText}
+	if current == nil || c.node() == nil && c.sender().ClusterID == "" {
+		return nil, &peer.RejectedError{Reason: outsideGroupText}
 	}
-	if c.agreement() == nil { // who is in a group and waits must not be taken for one that knows of no plan
-		return nil, errWaits
+	if c.node() == nil { // who is in a group and waits must not be taken for one that knows of no plan
+		return nil, errDiskUnconfirmed
 	}
-	to := c.leader()
-	if to == "" || to == c.o.Self {
-		return nil, errNotLead
+	leader := c.leaderName()
+	if leader == "" || leader == c.options.Self {
+		return nil, errNoLeader
 	}
-	return c.ask(ctx, v, to, pathRelay+path, body)
+	return c.request(ctx, current, leader, pathRelay+path, body)
 }
 
-// askLeader asks the leader: itself, or by way of another member where the leader cannot be reached from here.
-func (c *Council) askLeader(ctx context.Context, path string, body []byte) ([]byte, error) {
-	if c.leads() {
-		return c.toLeader()[path](ctx, c.who(), body)
+// requestLeader asks the leader: itself, or by way of another member where the leader cannot be reached from here.
+func (c *Coordinator) requestLeader(ctx context.Context, path string, body []byte) ([]byte, error) {
+	if c.isLeader() {
+		return c.leaderHandlers()[path](ctx, c.sender(), body)
 	}
-	out, err := c.onwards(ctx, path, body)
-	if err == nil || refused(err) {
-		return out, err
+	reply, err := c.forwardToLeader(ctx, path, body)
+	if err == nil || isRejected(err) {
+		return reply, err
 	}
 	c.mu.Lock()
-	v := c.voice
+	current := c.membership
 	c.mu.Unlock()
-	leader := c.leader()
-	for _, i := range rand.Perm(len(c.o.Group.Peers)) {
-		p := c.o.Group.Peers[i]
-		if v == nil || p.Name == c.o.Self || p.Name == leader || ctx.Err() != nil {
+	leader := c.leaderName()
+	for _, i := range rand.Perm(len(c.options.Group.Members)) {
+		member := c.options.Group.Members[i]
+		if current == nil || member.Name == c.options.Self || member.Name == leader || ctx.Err() != nil {
 			continue
 		}
-		if out, err = c.ask(ctx, v, p.Name, path, body); err == nil || refused(err) && !isOutside(err) {
-			return out, err
+		if reply, err = c.request(ctx, current, member.Name, path, body); err == nil || isRejected(err) && !isOutsideGroup(err) {
+			return reply, err
 		}
 	}
 	if err == nil {
-		err = errNotLead
+		err = errNoLeader
 	}
 	return nil, err
 }
 
-func refused(err error) bool {
-	var no *peer.Refused
-	return errors.As(err, &no)
+func isRejected(err error) bool {
+	var rejected *peer.RejectedError
+	return errors.As(err, &rejected)
 }
 
-func isOutside(err error) bool {
-	var no *peer.Refused
-	return errors.As(err, &no) && no.Text == outsideText
+func isOutsideGroup(err error) bool {
+	var rejected *peer.RejectedError
+	return errors.As(err, &rejected) && rejected.Reason == outsideGroupText
 }
 
-// onJoin takes a member in, at the leader.
-func (c *Council) onJoin(ctx context.Context, _ peer.Sender, body []byte) ([]byte, error) {
-	var j joining
-	if err := json.Unmarshal(body, &j); err != nil {
-		return nil, &peer.Refused{Text: "no call to be taken in: " + err.Error()}
+// handleJoin takes a member in, at the leader.
+func (c *Coordinator) handleJoin(ctx context.Context, _ peer.Sender, body []byte) ([]byte, error) {
+	var request joinRequest
+	if err := json.Unmarshal(body, &request); err != nil {
+		return nil, &peer.RejectedError{Reason: "no call to be taken in: " + err.Error()}
 	}
-	i := slices.IndexFunc(c.o.Group.Peers, func(p peer.Peer) bool { return p.Name == j.Name })
-	if i < 0 || j.ID == 0 || j.Life == "" {
-		return nil, &peer.Refused{Text: "no member by our file: " + j.Name}
+	i := slices.IndexFunc(c.options.Group.Members, func(listed peer.Member) bool { return listed.Name == request.Name })
+	if i < 0 || request.RaftID == 0 || request.Incarnation == "" {
+		return nil, &peer.RejectedError{Reason: "no member by our file: " + request.Name}
 	}
-	a, founded := c.agreement(), c.who().Founded
-	if a == nil { // our place has just gone to another process
-		return nil, errOutside
+	node, clusterID := c.node(), c.sender().ClusterID
+	if node == nil { // our place has just gone to another process
+		return nil, errOutsideGroup
 	}
 	c.mu.Lock()
-	m := c.state.Members[j.Name]
+	member := c.state.Members[request.Name]
 	c.mu.Unlock()
-	if m != nil && m.Was(j.Life) {
-		return nil, &peer.Refused{Text: "an earlier life of " + j.Name}
+	if member != nil && member.HadIncarnation(request.Incarnation) {
+		return nil, &peer.RejectedError{Reason: "an earlier life of " + request.Name}
 	}
-	if m == nil || m.Life != j.Life {
-		entry, err := json.Marshal(maintenance.Command{Kind: maintenance.Join, Member: &maintenance.Member{
-			Name: j.Name, Life: j.Life, ID: j.ID, Voter: c.o.Group.Peers[i].Voter,
+	if member == nil || member.Incarnation != request.Incarnation {
+		entry, err := json.Marshal(maintenance.Command{Kind: maintenance.CommandJoinMember, Member: &maintenance.Member{
+			Name: request.Name, Incarnation: request.Incarnation, RaftID: request.RaftID, Voter: c.options.Group.Members[i].Voter,
 		}})
 		if err != nil {
 			return nil, err
 		}
-		err = a.Change(ctx, []*raftpb.ConfChangeSingle{change(raftpb.ConfChangeAddLearnerNode, j.ID)}, entry)
+		err = node.ProposeConfChange(ctx, []*raftpb.ConfChangeSingle{confChange(raftpb.ConfChangeAddLearnerNode, request.RaftID)}, entry)
 		if err != nil {
 			return nil, err
 		}
-		if err := c.until(ctx, func(s *maintenance.State) bool { m := s.Members[j.Name]; return m != nil && m.Life == j.Life }); err != nil {
+		if err := c.waitForState(ctx, func(s *maintenance.State) bool {
+			member := s.Members[request.Name]
+			return member != nil && member.Incarnation == request.Incarnation
+		}); err != nil {
 			return nil, err
 		}
 	}
-	return json.Marshal(joined{Founded: founded})
+	return json.Marshal(joinReply{ClusterID: clusterID})
 }
 
-func change(kind raftpb.ConfChangeType, id uint64) *raftpb.ConfChangeSingle {
+func confChange(kind raftpb.ConfChangeType, id uint64) *raftpb.ConfChangeSingle {
 	return &raftpb.ConfChangeSingle{Type: &kind, NodeId: &id}
 }
 
-// until waits for a state.
-func (c *Council) until(ctx context.Context, ok func(*maintenance.State) bool) error {
+// waitForState waits for a state.
+func (c *Coordinator) waitForState(ctx context.Context, condition func(*maintenance.State) bool) error {
 	for {
 		c.mu.Lock()
-		yes, changed := ok(c.state), c.changed
+		met, changed := condition(c.state), c.changed
 		c.mu.Unlock()
-		if yes {
+		if met {
 			return nil
 		}
 		select {
@@ -225,49 +228,49 @@
 	}
 }
 
-// renew renews the lease again and again.
-func (c *Council) renew(ctx context.Context) {
+// renewLoop renews the lease again and again.
+func (c *Coordinator) renewLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		err := c.renewOnce(ctx)
+		err := c.renewLease(ctx)
 		if err != nil && ctx.Err() == nil {
-			c.o.Log.WithError(err).Debug("the group's lease was not renewed")
+			c.options.Log.WithError(err).Debug("the group's lease was not renewed")
 		}
-		every := idleEvery
+		interval := idleReportInterval
 		c.mu.Lock()
-		if err != nil || slices.ContainsFunc(c.state.Plans, func(u *maintenance.Under) bool { return u.Phase != maintenance.Ended }) {
-			every = c.o.Group.Lease / renewPart
+		if err != nil || slices.ContainsFunc(c.state.Plans, func(plan *maintenance.PlanState) bool { return plan.Phase != maintenance.PlanEnded }) {
+			interval = c.options.Group.LeaseDuration / renewalsPerLease
 		}
 		changed := c.changed
 		c.mu.Unlock()
 		select {
-		case <-time.After(every):
+		case <-time.After(interval):
 		case <-changed: // what has just been put in force is told soon
-			pause(ctx, min(every, leadEvery))
+			sleep(ctx, min(interval, leaderInterval))
 		case <-ctx.Done():
 		}
 	}
 }
 
-// renewOnce tells the leader how things are here, and takes the lease that its answer grants.
-func (c *Council) renewOnce(ctx context.Context) error {
-	if c.agreement() == nil {
-		return errOutside
+// renewLease tells the leader how things are here, and takes the lease that its answer grants.
+func (c *Coordinator) renewLease(ctx context.Context) error {
+	if c.node() == nil {
+		return errOutsideGroup
 	}
-	ctx, cancel := context.WithTimeout(ctx, max(askWait, c.o.Group.Lease/2))
+	ctx, cancel := context.WithTimeout(ctx, max(requestTimeout, c.options.Group.LeaseDuration/2))
 	defer cancel()
-	began := time.Now() // the lease counts from before we ask
-	told := c.report()
-	body, err := json.Marshal(told)
+	startedAt := time.Now() // the lease counts from before we ask
+	sent := c.statusReport()
+	body, err := json.Marshal(sent)
 	if err != nil {
 		return err
 	}
-	raw, err := c.askLeader(ctx, pathReport, body)
-	var no *peer.Refused
-	if errors.As(err, &no) && no.Text == errStranger.Text {
+	raw, err := c.requestLeader(ctx, pathReport, body)
+	var rejected *peer.RejectedError
+	if errors.As(err, &rejected) && rejected.Reason == errUnknownIncarnation.Reason {
 		c.mu.Lock()
-		if c.voice != nil {
+		if c.membership != nil {
 			select {
-			case c.voice.strange <- struct{}{}:
+			case c.membership.unknownIncarnation <- struct{}{}:
 			default:
 			}
 		}
@@ -276,198 +279,200 @@
 	if err != nil {
 		return err
 	}
-	var g grant
-	if err := json.Unmarshal(raw, &g); err != nil {
+	var grant leaseGrant
+	if err := json.Unmarshal(raw, &grant); err != nil {
 		return err
 	}
-	return c.hold(ctx, told, began, g)
+	return c.acceptLease(ctx, sent, startedAt, grant)
 }
 
-// hold takes a lease that was asked for with a word, at a moment, once all that it rests on is in force here.
-func (c *Council) hold(ctx context.Context, told report, began time.Time, g grant) error {
-	if err := c.inForce(ctx, g.Index); err != nil {
+// acceptLease takes a lease that was asked for with a word, at a moment, once all that it rests on is in force here.
+func (c *Coordinator) acceptLease(ctx context.Context, sent statusReport, startedAt time.Time, grant leaseGrant) error {
+	if err := c.waitApplied(ctx, grant.Index); err != nil {
 		return err
 	}
-	if failpoint.On(failpoint.LongLease) {
-		began = began.Add(time.Minute)
+	if failpoint.Enabled(failpoint.OverlongLease) {
+		startedAt = startedAt.Add(time.Minute)
 	}
-	if a := c.agreement(); a != nil && !c.heard {
-		if err := a.Hear(ctx); err != nil {
+	if node := c.node(); node != nil && !c.confirmed {
+		if err := node.MarkConfirmed(ctx); err != nil {
 			return err
 		}
-		c.heard = true
+		c.confirmed = true
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.bound() != told.Bound { // attempts may run for longer since: that is told first
-		return errBound
+	if c.fenceTimeout() != sent.FenceTimeout { // attempts may run for longer since: that is told first
+		return errFenceTimeout
 	}
-	c.o.Dispatcher.Lease(began.Add(c.o.Group.Lease))
-	c.o.Dispatcher.Blind(false)
+	c.options.Dispatcher.SetLeaseExpiry(startedAt.Add(c.options.Group.LeaseDuration))
+	c.options.Dispatcher.SetPlansUnknown(false)
 	return nil
 }
 
-// report is our word. What is in force is read first: what is busy is then seen after it bound.
-func (c *Council) report() report {
-	a := c.agreement()
+// statusReport is our word. What is in force is read first: what is busy is then seen after it bound.
+func (c *Coordinator) statusReport() statusReport {
+	node := c.node()
 	c.mu.Lock()
-	v := c.voice
-	r := report{Name: c.o.Self, Bound: c.bound(), Warm: c.warm, Plans: c.o.Group.Plans, Level: maintenance.Knows()}
-	attempt := c.attempt
+	current := c.membership
+	report := statusReport{Name: c.options.Self, FenceTimeout: c.fenceTimeout(), WarmUp: c.warmUp, Plans: c.options.Group.MaintenancePlans, Level: maintenance.SupportedLevel()}
+	maxAttempt := c.maxAttempt
 	c.mu.Unlock()
-	if a == nil || v == nil {
-		return r
+	if node == nil || current == nil {
+		return report
 	}
-	alive, _ := c.o.Beside()
-	r.Life, r.Applied = v.who.Life, a.Status().Applied
+	alive, _ := c.options.Siblings()
+	report.Incarnation, report.Applied = current.identity.Incarnation, node.Status().Applied
 	// A process of ours that ended may have left attempts behind; one that lives may send by what it knew.
-	r.Alone = alive == 0 && time.Since(v.began) > attempt
-	r.Busy, r.BusyAt = c.o.Dispatcher.Busy()
-	for _, w := range c.o.Dispatcher.Fleet(goneCounts, r.Warm) {
-		if w.Down {
-			r.Down = append(r.Down, w.Name)
+	report.SoleProcess = alive == 0 && time.Since(current.startedAt) > maxAttempt
+	report.BusyWorkers, report.BusyHosts = c.options.Dispatcher.BusyWorkers()
+	for _, worker := range c.options.Dispatcher.WorkerStatuses(goneWorkerRetention, report.WarmUp) {
+		if worker.Unavailable {
+			report.Unavailable = append(report.Unavailable, worker.Name)
 		}
-		if w.Cold {
-			r.Cold = append(r.Cold, w.Name)
+		if worker.WarmingUp {
+			report.WarmingUp = append(report.WarmingUp, worker.Name)
 		}
-		if w.Hand {
-			r.Hand = append(r.Hand, w.Name)
+		if worker.Disabled {
+			report.Disabled = append(report.Disabled, worker.Name)
 		}
 	}
-	return r
+	return report
 }
 
-// onReport takes a member's word and grants it a lease, at the leader.
-func (c *Council) onReport(ctx context.Context, _ peer.Sender, body []byte) ([]byte, error) {
-	var r report
-	if err := json.Unmarshal(body, &r); err != nil {
-		return nil, &peer.Refused{Text: "no report: " + err.Error()}
+// handleReport takes a member's word and grants it a lease, at the leader.
+func (c *Coordinator) handleReport(ctx context.Context, _ peer.Sender, body []byte) ([]byte, error) {
+	var report statusReport
+	if err := json.Unmarshal(body, &report); err != nil {
+		return nil, &peer.RejectedError{Reason: "no report: " + err.Error()}
 	}
-	a := c.agreement()
-	if a == nil {
-		return nil, errOutside
+	node := c.node()
+	if node == nil {
+		return nil, errOutsideGroup
 	}
-	index, err := a.Read(ctx) // a quorum confirms that we lead still, after the member asked
+	index, err := node.ReadIndex(ctx) // a quorum confirms that we lead still, after the member asked
 	if err != nil {
 		return nil, err
 	}
-	if err := c.inForce(ctx, index); err != nil {
+	if err := c.waitApplied(ctx, index); err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	m := c.state.Members[r.Name]
-	if m == nil || m.Life != r.Life {
-		return nil, errStranger
+	member := c.state.Members[report.Name]
+	if member == nil || member.Incarnation != report.Incarnation {
+		return nil, errUnknownIncarnation
 	}
-	c.words[r.Name] = heard{r, time.Now()}
+	c.lastReports[report.Name] = receivedReport{report, time.Now()}
 	// Guards against a member with a longer lease than the group waits for.
-	if c.state.Bound < r.Bound {
-		return nil, errBound
+	if c.state.FenceTimeout < report.FenceTimeout {
+		return nil, errFenceTimeout
 	}
-	return json.Marshal(grant{Index: index})
+	return json.Marshal(leaseGrant{Index: index})
 }
 
-// lead has plans go on while we lead.
-func (c *Council) lead(ctx context.Context) {
-	for ; ctx.Err() == nil; pause(ctx, leadEvery) {
-		a := c.agreement()
-		if a == nil || !a.Status().Leads {
+// leaderLoop has plans go on while we lead.
+func (c *Coordinator) leaderLoop(ctx context.Context) {
+	for ; ctx.Err() == nil; sleep(ctx, leaderInterval) {
+		node := c.node()
+		if node == nil || !node.Status().IsLeader {
 			continue
 		}
-		c.goOn(ctx, a)
-		c.tend(ctx, a)
+		c.proposeAdvance(ctx, node)
+		c.reconcileVoters(ctx, node)
 	}
 }
 
-// goOn proposes what has been heard, where that settles anything.
-func (c *Council) goOn(ctx context.Context, a *consensus.Agree) {
+// proposeAdvance proposes what has been heard, where that settles anything.
+func (c *Coordinator) proposeAdvance(ctx context.Context, node *consensus.Node) {
 	c.mu.Lock()
-	adv := c.advance()
-	if silent, older := c.lacking(2); len(silent)+len(older) == 0 {
-		adv = c.state.Brief(adv)
+	advance := c.collectAdvance()
+	if silent, older := c.membersBelowLevel(2); len(silent)+len(older) == 0 {
+		advance = c.state.Compact(advance)
 	}
-	useful := c.state.Would(adv)
+	useful := c.state.WouldChange(advance)
 	c.mu.Unlock()
 	if !useful {
 		return
 	}
-	raw, err := entry(&maintenance.Command{Kind: maintenance.Proceed, Advance: adv})
+	raw, err := encodeEntry(&maintenance.Command{Kind: maintenance.CommandAdvance, Advance: advance})
 	if err == nil {
-		err = a.Propose(ctx, raw)
+		err = node.Propose(ctx, raw)
 	}
 	if err != nil {
-		c.o.Log.WithError(err).Debug("what was heard could not be proposed")
+		c.options.Log.WithError(err).Debug("what was heard could not be proposed")
 	}
 }
 
-// entry is a command as it is settled.
-func entry(c *maintenance.Command) ([]byte, error) {
-	c.Needs = c.Requires()
-	return json.Marshal(c)
+// encodeEntry is a command as it is settled.
+func encodeEntry(command *maintenance.Command) ([]byte, error) {
+	command.Level = command.RequiredLevel()
+	return json.Marshal(command)
 }
 
-// advance is all that has been heard. The lock is held.
-func (c *Council) advance() *maintenance.Advance {
-	adv := &maintenance.Advance{
-		Seq: c.state.Seq, Waited: time.Since(c.at), Bound: c.bound(), Warm: c.warm,
-		Words: map[string]maintenance.Word{}, Fleet: map[string]maintenance.Runner{},
+// collectAdvance is all that has been heard. The lock is held.
+func (c *Coordinator) collectAdvance() *maintenance.Advance {
+	advance := &maintenance.Advance{
+		StateSeq: c.state.Seq, Elapsed: time.Since(c.seqSince), FenceTimeout: c.fenceTimeout(), WarmUp: c.warmUp,
+		Reports: map[string]maintenance.MemberReport{}, Fleet: map[string]maintenance.Worker{},
 	}
-	for _, w := range c.o.Dispatcher.Fleet(goneCounts, c.warm) {
-		adv.Fleet[w.Name] = maintenance.Runner{Zone: w.Zone, Kind: w.Kind, Host: w.Host, Weight: w.Weight, Down: w.Down, Gone: w.Gone, Cold: w.Cold,
-			Hand: w.Hand}
+	for _, status := range c.options.Dispatcher.WorkerStatuses(goneWorkerRetention, c.warmUp) {
+		advance.Fleet[status.Name] = maintenance.Worker{Zone: status.Zone, Kind: status.Kind, Host: status.Host, Weight: status.Weight, Unavailable: status.Unavailable, Gone: status.Gone, WarmingUp: status.WarmingUp,
+			Disabled: status.Disabled}
 	}
-	mark := func(names []string, f func(*maintenance.Runner)) {
+	markWorkers := func(names []string, set func(*maintenance.Worker)) {
 		for _, name := range names {
-			if r, ok := adv.Fleet[name]; ok {
-				f(&r)
-				adv.Fleet[name] = r
+			if worker, ok := advance.Fleet[name]; ok {
+				set(&worker)
+				advance.Fleet[name] = worker
 			}
 		}
 	}
-	for name, h := range c.words {
+	for name, report := range c.lastReports {
 		if c.state.Members[name] == nil {
-			delete(c.words, name)
+			delete(c.lastReports, name)
 			continue
 		}
-		adv.Words[name] = h.Word
-		adv.Bound, adv.Warm = max(adv.Bound, h.Bound), max(adv.Warm, h.Warm)
+		advance.Reports[name] = report.MemberReport
+		advance.FenceTimeout, advance.WarmUp = max(advance.FenceTimeout, report.FenceTimeout), max(advance.WarmUp, report.WarmUp)
 		// What staff said stays; what one that fell silent saw last is old by then, and would keep a plan for ever.
-		if time.Since(h.at) < c.sightLasts() {
-			mark(h.Down, func(r *maintenance.Runner) { r.Down = true })
-			mark(h.Cold, func(r *maintenance.Runner) { r.Cold = true })
+		if time.Since(report.receivedAt) < c.observationLifetime() {
+			markWorkers(report.Unavailable, func(worker *maintenance.Worker) { worker.Unavailable = true })
+			markWorkers(report.WarmingUp, func(worker *maintenance.Worker) { worker.WarmingUp = true })
 		}
-		mark(h.Hand, func(r *maintenance.Runner) { r.Hand = true })
+		markWorkers(report.Disabled, func(worker *maintenance.Worker) { worker.Disabled = true })
 	}
-	return adv
+	return advance
 }
 
-// sightLasts is how long what a member has seen of runners counts: as long as a silent one is waited for, and some words at least.
+// observationLifetime is how long what a member has seen of runners counts: as long as a silent one is waited for, and some words at least.
 // The lock is held.
-func (c *Council) sightLasts() time.Duration { return max(c.state.Bound, sightWords*idleEvery) }
+func (c *Coordinator) observationLifetime() time.Duration {
+	return max(c.state.FenceTimeout, minObservationReports*idleReportInterval)
+}
 
-// tend keeps who votes as the file has it: one settled change at a time.
-func (c *Council) tend(ctx context.Context, a *consensus.Agree) {
-	s := a.Status()
-	caught := a.Caught(ctx)
+// reconcileVoters keeps who votes as the file has it: one settled change at a time.
+func (c *Coordinator) reconcileVoters(ctx context.Context, node *consensus.Node) {
+	status := node.Status()
+	caughtUp := node.CaughtUp(ctx)
 	var changes []*raftpb.ConfChangeSingle
 	c.mu.Lock()
 	known := map[uint64]bool{}
-	for _, m := range c.state.Members {
-		known[m.ID] = true
-		if m.Voter && slices.Contains(s.Follow, m.ID) && slices.Contains(caught, m.ID) && changes == nil {
-			changes = append(changes, change(raftpb.ConfChangeAddNode, m.ID))
-			for _, o := range m.Old { // its vote passes to the present life in the same change
-				if slices.Contains(s.Voters, o.ID) {
-					changes = append(changes, change(raftpb.ConfChangeRemoveNode, o.ID))
+	for _, member := range c.state.Members {
+		known[member.RaftID] = true
+		if member.Voter && slices.Contains(status.Learners, member.RaftID) && slices.Contains(caughtUp, member.RaftID) && changes == nil {
+			changes = append(changes, confChange(raftpb.ConfChangeAddNode, member.RaftID))
+			for _, past := range member.PastIncarnations { // its vote passes to the present life in the same change
+				if slices.Contains(status.Voters, past.RaftID) {
+					changes = append(changes, confChange(raftpb.ConfChangeRemoveNode, past.RaftID))
 				}
 			}
 		}
 	}
 	if changes == nil {
-		for _, id := range slices.Concat(s.Follow, s.Voters) {
-			if !known[id] && !c.lifeWaits(id) {
-				changes = append(changes, change(raftpb.ConfChangeRemoveNode, id))
+		for _, id := range slices.Concat(status.Learners, status.Voters) {
+			if !known[id] && !c.holdsVoteForSuccessor(id) {
+				changes = append(changes, confChange(raftpb.ConfChangeRemoveNode, id))
 				break
 			}
 		}
@@ -476,18 +481,18 @@
 	if changes == nil {
 		return
 	}
-	if err := a.Change(ctx, changes, nil); err != nil {
-		c.o.Log.WithError(err).Debug("a change of who votes could not be proposed")
+	if err := node.ProposeConfChange(ctx, changes, nil); err != nil {
+		c.options.Log.WithError(err).Debug("a change of who votes could not be proposed")
 	}
 }
 
-// lifeWaits tells whether an id is that of an earlier life of a voter, whose present one does not vote yet: the vote is kept
+// holdsVoteForSuccessor tells whether an id is that of an earlier life of a voter, whose present one does not vote yet: the vote is kept
 // until it can pass. The lock is held.
-func (c *Council) lifeWaits(id uint64) bool {
-	s := c.voice.agree.Status()
-	for _, m := range c.state.Members {
-		if slices.ContainsFunc(m.Old, func(l maintenance.Life) bool { return l.ID == id }) {
-			return m.Voter && slices.Contains(s.Voters, id) && !slices.Contains(s.Voters, m.ID)
+func (c *Coordinator) holdsVoteForSuccessor(id uint64) bool {
+	status := c.membership.node.Status()
+	for _, member := range c.state.Members {
+		if slices.ContainsFunc(member.PastIncarnations, func(past maintenance.PastIncarnation) bool { return past.RaftID == id }) {
+			return member.Voter && slices.Contains(status.Voters, id) && !slices.Contains(status.Voters, member.RaftID)
 		}
 	}
 	return false
--- a/internal/coordinator/staff.go
+++ b/internal/coordinator/staff.go
@@ -19,13 +19,13 @@
 
 // Call is what staff ask for. A Command's ID makes it act once however often it comes.
 type Call struct {
-	Command *maintenance.Command `json:"command,omitempty"`
-	Check   bool                 `json:"check,omitempty"`  // only look whether a plan could be handed in
-	Found   bool                 `json:"found,omitempty"`  // begin the group here
-	Again   bool                 `json:"again,omitempty"`  // ... which had a history that is lost: no plan begins before Trust
-	Vouch   bool                 `json:"vouch,omitempty"`  // this member's disk is the last one that it had
-	Status  bool                 `json:"status,omitempty"` // tell how things stand
-	Local   bool                 `json:"local,omitempty"`  // ... by what this member knows
+	Command       *maintenance.Command `json:"command,omitempty"`
+	Check         bool                 `json:"check,omitempty"`  // only look whether a plan could be handed in
+	Bootstrap     bool                 `json:"found,omitempty"`  // begin the group here
+	AfterDataLoss bool                 `json:"again,omitempty"`  // ... which had a history that is lost: no plan begins before Trust
+	ConfirmDisk   bool                 `json:"vouch,omitempty"`  // this member's disk is the last one that it had
+	Status        bool                 `json:"status,omitempty"` // tell how things stand
+	Local         bool                 `json:"local,omitempty"`  // ... by what this member knows
 }
 
 // Reply is the answer to a Call.
@@ -37,107 +37,107 @@
 
 // Status is how things stand.
 type Status struct {
-	Told    string         `json:"told"`    // by which member
-	Settled bool           `json:"settled"` // a quorum has confirmed it; else it is what this member knew last
-	Leader  string         `json:"leader"`
-	Term    uint64         `json:"term"`
-	Index   uint64         `json:"index"`
-	Failed  string         `json:"failed,omitempty"` // why this member takes no part
-	Bounds  Bounds         `json:"bounds"`
-	Members []MemberStatus `json:"members"`
-	Plans   []PlanStatus   `json:"plans"`
+	Member       string         `json:"told"`    // by which member
+	Confirmed    bool           `json:"settled"` // a quorum has confirmed it; else it is what this member knew last
+	Leader       string         `json:"leader"`
+	Term         uint64         `json:"term"`
+	AppliedIndex uint64         `json:"index"`
+	Failure      string         `json:"failed,omitempty"` // why this member takes no part
+	Bounds       Bounds         `json:"bounds"`
+	Members      []MemberStatus `json:"members"`
+	Plans        []PlanStatus   `json:"plans"`
 
 	Links map[string]int64 `json:"links"` // what has passed on the links of the member that tells
 }
 
 // Bounds are the times that a machine's clear rests on.
 type Bounds struct {
-	Lease   time.Duration `json:"lease"`   // this member's
-	Attempt time.Duration `json:"attempt"` // the longest that one may run
-	Settled time.Duration `json:"settled"` // how long the group waits for a silent member
+	Lease        time.Duration `json:"lease"`   // this member's
+	MaxAttempt   time.Duration `json:"attempt"` // the longest that one may run
+	FenceTimeout time.Duration `json:"settled"` // how long the group waits for a silent member
 }
 
 // MemberStatus is one member.
 type MemberStatus struct {
-	Name    string        `json:"name"`
-	Zone    string        `json:"zone"` // by the file of the member that tells
-	Life    string        `json:"life"`
-	Votes   bool          `json:"votes"`
-	Heard   time.Duration `json:"heard"` // ago, by the leader; below 0: never
-	Applied uint64        `json:"applied"`
-	Alone   bool          `json:"alone"`
+	Name        string        `json:"name"`
+	Zone        string        `json:"zone"` // by the file of the member that tells
+	Incarnation string        `json:"life"`
+	IsVoter     bool          `json:"votes"`
+	LastReport  time.Duration `json:"heard"` // ago, by the leader; below 0: never
+	Applied     uint64        `json:"applied"`
+	SoleProcess bool          `json:"alone"`
 }
 
 // PlanStatus is one plan.
 type PlanStatus struct {
-	Name     string            `json:"name"`
-	Phase    maintenance.Phase `json:"phase"`
-	Why      string            `json:"why,omitempty"` // what all of it waits for
-	Machines []MachineStatus   `json:"machines"`
+	Name     string                `json:"name"`
+	Phase    maintenance.PlanPhase `json:"phase"`
+	Reason   string                `json:"why,omitempty"` // what all of it waits for
+	Machines []MachineStatus       `json:"machines"`
 }
 
 // MachineStatus is one machine.
 type MachineStatus struct {
-	Name    string           `json:"name"`
-	Step    maintenance.Step `json:"step"`
-	For     time.Duration    `json:"for"` // on the group's clock, up to the last entry
-	Overdue bool             `json:"overdue,omitempty"`
-	Why     string           `json:"why,omitempty"` // what it waits for
+	Name          string                   `json:"name"`
+	Phase         maintenance.MachinePhase `json:"step"`
+	PhaseDuration time.Duration            `json:"for"` // on the group's clock, up to the last entry
+	Overdue       bool                     `json:"overdue,omitempty"`
+	Reason        string                   `json:"why,omitempty"` // what it waits for
 }
 
-// NotSettled begins an answer where no leader could settle the call in time.
-const NotSettled = "not settled yet, ask again"
+// NotCommittedText begins an answer where no leader could settle the call in time.
+const NotCommittedText = "not settled yet, ask again"
 
 // doubtText says why no plan begins after a group was founded again.
 const doubtText = "machines may be with staff by a plan that was forgotten when the group was founded again; once none is: birchfork group trust"
 
-// onStaff takes a call of staff at any member.
-func (c *Council) onStaff(ctx context.Context, _ peer.Sender, body []byte) ([]byte, error) {
+// handleOperatorCall takes a call of staff at any member.
+func (c *Coordinator) handleOperatorCall(ctx context.Context, _ peer.Sender, body []byte) ([]byte, error) {
 	var call Call
 	if err := json.Unmarshal(body, &call); err != nil {
-		return json.Marshal(Reply{Code: maintenance.Wrong, Text: "no call: " + err.Error()})
+		return json.Marshal(Reply{Code: maintenance.CodeInvalid, Text: "no call: " + err.Error()})
 	}
-	if call.Found {
-		return json.Marshal(c.found(ctx, call.Again))
+	if call.Bootstrap {
+		return json.Marshal(c.bootstrap(ctx, call.AfterDataLoss))
 	}
-	if call.Vouch {
-		return json.Marshal(c.vouch())
+	if call.ConfirmDisk {
+		return json.Marshal(c.confirmDisk())
 	}
 	if call.Status && call.Local {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return json.Marshal(Reply{Status: c.status(false)})
 	}
-	ctx, cancel := context.WithTimeout(ctx, settleWait)
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	out, err := c.askLeader(ctx, pathCall, body)
+	out, err := c.requestLeader(ctx, pathCall, body)
 	if err == nil {
 		return out, nil
 	}
-	r := Reply{Code: maintenance.NotNow, Text: fmt.Sprintf("%s (%v)", NotSettled, err)}
+	reply := Reply{Code: maintenance.CodeRetryLater, Text: fmt.Sprintf("%s (%v)", NotCommittedText, err)}
 	if call.Status {
 		c.mu.Lock()
-		r.Status = c.status(false)
+		reply.Status = c.status(false)
 		c.mu.Unlock()
 	}
-	return json.Marshal(r)
+	return json.Marshal(reply)
 }
 
-// onCall takes a call at the leader.
-func (c *Council) onCall(ctx context.Context, _ peer.Sender, body []byte) ([]byte, error) {
+// handleCall takes a call at the leader.
+func (c *Coordinator) handleCall(ctx context.Context, _ peer.Sender, body []byte) ([]byte, error) {
 	var call Call
 	if err := json.Unmarshal(body, &call); err != nil {
-		return nil, &peer.Refused{Text: "no call: " + err.Error()}
+		return nil, &peer.RejectedError{Reason: "no call: " + err.Error()}
 	}
-	ctx, cancel := context.WithTimeout(ctx, settleWait)
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	a := c.agreement()
-	if a == nil {
-		return nil, errOutside
+	node := c.node()
+	if node == nil {
+		return nil, errOutsideGroup
 	}
-	index, err := a.Read(ctx)
+	index, err := node.ReadIndex(ctx)
 	if err == nil {
-		err = c.inForce(ctx, index)
+		err = c.waitApplied(ctx, index)
 	}
 	if err != nil {
 		return nil, err
@@ -148,298 +148,298 @@
 		return json.Marshal(Reply{Status: c.status(true)})
 	}
 	if call.Command == nil {
-		return nil, &peer.Refused{Text: "a call for nothing"}
+		return nil, &peer.RejectedError{Reason: "a call for nothing"}
 	}
 	c.mu.Lock()
-	reply := c.before(&call)
+	reply := c.precheck(&call)
 	c.mu.Unlock()
 	if reply != nil {
 		return json.Marshal(reply)
 	}
-	return c.settle(ctx, a, call.Command)
+	return c.commit(ctx, node, call.Command)
 }
 
-// before answers what needs no entry; nil: it needs one. The lock is held.
-func (c *Council) before(call *Call) *Reply {
-	cmd := call.Command
-	if cmd.ID == "" {
-		return &Reply{Code: maintenance.Wrong, Text: "a call without an id"}
+// precheck answers what needs no entry; nil: it needs one. The lock is held.
+func (c *Coordinator) precheck(call *Call) *Reply {
+	command := call.Command
+	if command.ID == "" {
+		return &Reply{Code: maintenance.CodeInvalid, Text: "a call without an id"}
 	}
-	if was, ok := c.state.Answer(cmd.ID); ok && !failpoint.On(failpoint.ActsTwice) {
-		return &Reply{Code: was.Code, Text: was.Text}
+	if previous, ok := c.state.Result(command.ID); ok && !failpoint.Enabled(failpoint.RepeatCommands) {
+		return &Reply{Code: previous.Code, Text: previous.Text}
 	}
-	if silent, older := c.lacking(cmd.Requires()); len(older) > 0 {
-		return &Reply{Code: maintenance.NotNow, Text: "of a build that does not know this call: " + strings.Join(older, ", ")}
+	if silent, older := c.membersBelowLevel(command.RequiredLevel()); len(older) > 0 {
+		return &Reply{Code: maintenance.CodeRetryLater, Text: "of a build that does not know this call: " + strings.Join(older, ", ")}
 	} else if len(silent) > 0 {
-		return &Reply{Code: maintenance.NotNow, Text: "not heard of yet by this leader, and may be of a build that does not know this call: " + strings.Join(silent, ", ")}
-	}
-	switch cmd.Kind {
-	case maintenance.Join, maintenance.Proceed:
-		return &Reply{Code: maintenance.Wrong, Text: "no call of staff"}
-	case maintenance.HandIn:
-		if cmd.Plan == nil {
-			return &Reply{Code: maintenance.Wrong, Text: "there is no plan in the call"}
+		return &Reply{Code: maintenance.CodeRetryLater, Text: "not heard of yet by this leader, and may be of a build that does not know this call: " + strings.Join(silent, ", ")}
+	}
+	switch command.Kind {
+	case maintenance.CommandJoinMember, maintenance.CommandAdvance:
+		return &Reply{Code: maintenance.CodeInvalid, Text: "no call of staff"}
+	case maintenance.CommandSubmitPlan:
+		if command.Plan == nil {
+			return &Reply{Code: maintenance.CodeInvalid, Text: "there is no plan in the call"}
 		}
-		faults := append(c.state.Faults(cmd.Plan), c.unfit(cmd.Plan)...)
-		if len(faults) > 0 {
-			return &Reply{Code: maintenance.Wrong, Text: strings.Join(faults, "\n")}
+		problems := append(c.state.ValidatePlan(command.Plan), c.fleetMismatches(command.Plan)...)
+		if len(problems) > 0 {
+			return &Reply{Code: maintenance.CodeInvalid, Text: strings.Join(problems, "\n")}
 		}
 		if call.Check {
 			return &Reply{Text: "good"}
 		}
-	case maintenance.Start:
-		if text := c.absent(); text != "" {
-			return &Reply{Code: maintenance.NotNow, Text: text}
+	case maintenance.CommandStartPlan:
+		if reason := c.startObstacle(); reason != "" {
+			return &Reply{Code: maintenance.CodeRetryLater, Text: reason}
 		}
-	case maintenance.Take:
-		if u, p := c.state.Find(cmd.Name, cmd.Machine); p != nil && (p.Step == maintenance.Waiting || p.Step == maintenance.Leaving) {
-			why := c.state.Why(u, c.advance())
-			return &Reply{Code: maintenance.NotNow, Text: strings.TrimSuffix(fmt.Sprintf("%s is %s: %s", p.Name, p.Step, why[p.Name]), ": ")}
+	case maintenance.CommandClaimMachine:
+		if plan, machine := c.state.FindMachine(command.Name, command.Machine); machine != nil && (machine.Phase == maintenance.MachineWaiting || machine.Phase == maintenance.MachineDraining) {
+			reasons := c.state.WaitReasons(plan, c.collectAdvance())
+			return &Reply{Code: maintenance.CodeRetryLater, Text: strings.TrimSuffix(fmt.Sprintf("%s is %s: %s", machine.Name, machine.Phase, reasons[machine.Name]), ": ")}
 		}
 	}
 	return nil
 }
 
-// unfit is what of a plan does not fit the fleet as it is, by key. The lock is held.
-func (c *Council) unfit(p *maintenance.Plan) (out []string) {
-	fleet := c.advance().Fleet
-	at := map[string]int{} // hosts that are machines
-	for i, m := range p.Machines {
-		if m.Host == "" {
+// fleetMismatches is what of a plan does not fit the fleet as it is, by key. The lock is held.
+func (c *Coordinator) fleetMismatches(plan *maintenance.Plan) (problems []string) {
+	fleet := c.collectAdvance().Fleet
+	machineAtHost := map[string]int{} // hosts that are machines
+	for i, machine := range plan.Machines {
+		if machine.Host == "" {
 			continue
 		}
-		at[m.Host] = i
-		there := func(name string) bool { return fleet[name].Host == m.Host && !fleet[name].Gone }
-		if !slices.ContainsFunc(slices.Collect(maps.Keys(fleet)), there) {
-			out = append(out, fmt.Sprintf("machine[%d].host: no runner is listed at %q; hosts are as in the list's addresses", i, m.Host))
+		machineAtHost[machine.Host] = i
+		isListedThere := func(name string) bool { return fleet[name].Host == machine.Host && !fleet[name].Gone }
+		if !slices.ContainsFunc(slices.Collect(maps.Keys(fleet)), isListedThere) {
+			problems = append(problems, fmt.Sprintf("machine[%d].host: no runner is listed at %q; hosts are as in the list's addresses", i, machine.Host))
 		}
 	}
-	out = append(out, c.elsewhere(p, fleet)...)
-	for i, m := range p.Machines {
-		for _, r := range m.Runners {
-			w, ok := fleet[r]
+	problems = append(problems, c.overlaps(plan, fleet)...)
+	for i, machine := range plan.Machines {
+		for _, name := range machine.Workers {
+			worker, ok := fleet[name]
 			if !ok {
-				out = append(out, fmt.Sprintf("machine[%d].runners: %q is not on the list", i, r))
-			} else if j, both := at[w.Host]; both {
-				out = append(out, fmt.Sprintf("machine[%d].runners: %q is at the host of machine[%d]", i, r, j))
+				problems = append(problems, fmt.Sprintf("machine[%d].runners: %q is not on the list", i, name))
+			} else if j, both := machineAtHost[worker.Host]; both {
+				problems = append(problems, fmt.Sprintf("machine[%d].runners: %q is at the host of machine[%d]", i, name, j))
 			}
 		}
 	}
-	return out
+	return problems
 }
 
-// elsewhere are machines of a plan that another one has under the other of a runner's names, its own and its host's: they would
+// overlaps are machines of a plan that another one has under the other of a runner's names, its own and its host's: they would
 // count twice against the budget. The lock is held.
-func (c *Council) elsewhere(p *maintenance.Plan, fleet map[string]maintenance.Runner) (out []string) {
-	for _, u := range c.state.Plans {
-		if u.Phase == maintenance.Ended {
+func (c *Coordinator) overlaps(plan *maintenance.Plan, fleet map[string]maintenance.Worker) (problems []string) {
+	for _, otherPlan := range c.state.Plans {
+		if otherPlan.Phase == maintenance.PlanEnded {
 			continue
 		}
-		for _, o := range u.Places {
-			if o.Step == maintenance.Done || o.Step == maintenance.Skipped {
+		for _, other := range otherPlan.MachineStates {
+			if other.Phase == maintenance.MachineDone || other.Phase == maintenance.MachineSkipped {
 				continue
 			}
-			for i, m := range p.Machines {
-				for _, r := range m.Runners {
-					if o.Host != "" && fleet[r].Host == o.Host {
-						out = append(out, fmt.Sprintf("machine[%d].runners: %q is at host %s, which is in plan %q", i, r, o.Host, u.Name))
+			for i, machine := range plan.Machines {
+				for _, worker := range machine.Workers {
+					if other.Host != "" && fleet[worker].Host == other.Host {
+						problems = append(problems, fmt.Sprintf("machine[%d].runners: %q is at host %s, which is in plan %q", i, worker, other.Host, otherPlan.Name))
 					}
 				}
-				for _, r := range o.Runners {
-					if m.Host != "" && o.Host == "" && fleet[r].Host == m.Host {
-						out = append(out, fmt.Sprintf("machine[%d].host: %q, which is there, is in plan %q", i, r, u.Name))
+				for _, worker := range other.Workers {
+					if machine.Host != "" && other.Host == "" && fleet[worker].Host == machine.Host {
+						problems = append(problems, fmt.Sprintf("machine[%d].host: %q, which is there, is in plan %q", i, worker, otherPlan.Name))
 					}
 				}
 			}
 		}
 	}
-	return out
+	return problems
 }
 
-// lacking are the members that may not know a level of entries, where nothing that is settled needs it yet: those that this leader
+// membersBelowLevel are the members that may not know a level of entries, where nothing that is settled needs it yet: those that this leader
 // has not heard of, and those whose build is older. The lock is held.
-func (c *Council) lacking(level int) (silent, older []string) {
+func (c *Coordinator) membersBelowLevel(level int) (silent, older []string) {
 	if level <= max(c.state.Level, 1) {
 		return nil, nil
 	}
-	for _, name := range c.state.Names() {
-		if h, ok := c.words[name]; !ok {
+	for _, name := range c.state.MemberNames() {
+		if report, ok := c.lastReports[name]; !ok {
 			silent = append(silent, name)
-		} else if h.Level < level {
+		} else if report.Level < level {
 			older = append(older, name)
 		}
 	}
 	return silent, older
 }
 
-// absent says why no plan may start: each member by our file has to be in, and in use of plans, as one that knows of no group
+// startObstacle says why no plan may start: each member by our file has to be in, and in use of plans, as one that knows of no group
 // sends where it likes. The lock is held.
-func (c *Council) absent() string {
-	var out, silent, without []string
-	for _, p := range c.o.Group.Peers {
-		if c.state.Members[p.Name] == nil {
-			out = append(out, p.Name)
-		} else if h, ok := c.words[p.Name]; !ok {
-			silent = append(silent, p.Name)
-		} else if !h.Plans {
-			without = append(without, p.Name)
+func (c *Coordinator) startObstacle() string {
+	var missing, silent, withoutPlans []string
+	for _, member := range c.options.Group.Members {
+		if c.state.Members[member.Name] == nil {
+			missing = append(missing, member.Name)
+		} else if report, ok := c.lastReports[member.Name]; !ok {
+			silent = append(silent, member.Name)
+		} else if !report.Plans {
+			withoutPlans = append(withoutPlans, member.Name)
 		}
 	}
 	switch {
-	case len(out) > 0:
-		return "not in the group yet: " + strings.Join(out, ", ")
+	case len(missing) > 0:
+		return "not in the group yet: " + strings.Join(missing, ", ")
 	case len(silent) > 0:
 		return "not heard of yet by this leader: " + strings.Join(silent, ", ")
-	case c.state.Doubt:
+	case c.state.HistoryLost:
 		return doubtText
-	case len(without) > 0 || !c.o.Group.Plans:
-		return "without plans = true in [group]: " + strings.Join(without, ", ")
+	case len(withoutPlans) > 0 || !c.options.Group.MaintenancePlans:
+		return "without plans = true in [group]: " + strings.Join(withoutPlans, ", ")
 	}
 	return ""
 }
 
-// settle proposes a command and waits for its answer.
-func (c *Council) settle(ctx context.Context, a *consensus.Agree, cmd *maintenance.Command) ([]byte, error) {
-	raw, err := entry(cmd)
+// commit proposes a command and waits for its answer.
+func (c *Coordinator) commit(ctx context.Context, node *consensus.Node, command *maintenance.Command) ([]byte, error) {
+	raw, err := encodeEntry(command)
 	if err != nil {
 		return nil, err
 	}
-	if failpoint.On(failpoint.SilentAnswer) && cmd.Kind == maintenance.Take {
-		time.AfterFunc(time.Second, func() { a.Propose(context.Background(), raw) })
+	if failpoint.Enabled(failpoint.AnswerBeforeCommit) && command.Kind == maintenance.CommandClaimMachine {
+		time.AfterFunc(time.Second, func() { node.Propose(context.Background(), raw) })
 		return json.Marshal(Reply{Text: "yes"})
 	}
-	if err := a.Propose(ctx, raw); err != nil {
+	if err := node.Propose(ctx, raw); err != nil {
 		return nil, err
 	}
-	var was maintenance.Answer
-	err = c.until(ctx, func(s *maintenance.State) (ok bool) {
-		was, ok = s.Answer(cmd.ID)
+	var answer maintenance.Result
+	err = c.waitForState(ctx, func(s *maintenance.State) (ok bool) {
+		answer, ok = s.Result(command.ID)
 		return ok
 	})
 	if err != nil {
 		return nil, err
 	}
-	return json.Marshal(Reply{Code: was.Code, Text: was.Text})
+	return json.Marshal(Reply{Code: answer.Code, Text: answer.Text})
 }
 
 // status is how things stand. The lock is held.
-func (c *Council) status(settled bool) *Status {
-	s := &Status{Told: c.o.Self, Settled: settled, Index: c.state.Index, Bounds: Bounds{c.o.Group.Lease, c.attempt, c.state.Bound}}
+func (c *Coordinator) status(confirmed bool) *Status {
+	status := &Status{Member: c.options.Self, Confirmed: confirmed, AppliedIndex: c.state.AppliedIndex, Bounds: Bounds{c.options.Group.LeaseDuration, c.maxAttempt, c.state.FenceTimeout}}
 	var voters []uint64
-	if c.voice != nil {
-		s.Links = c.voice.links.Counters.All()
+	if c.membership != nil {
+		status.Links = c.membership.transport.Counters.Values()
 	}
-	if c.voice != nil && c.voice.agree != nil {
-		a := c.voice.agree.Status()
-		s.Term, s.Failed, voters = a.Term, a.Failed, a.Voters
+	if c.membership != nil && c.membership.node != nil {
+		nodeStatus := c.membership.node.Status()
+		status.Term, status.Failure, voters = nodeStatus.Term, nodeStatus.Failure, nodeStatus.Voters
 		for _, m := range c.state.Members {
-			if m.ID == a.Leader {
-				s.Leader = m.Name
+			if m.RaftID == nodeStatus.LeaderID {
+				status.Leader = m.Name
 			}
 		}
 	}
-	for _, name := range c.state.Names() {
+	for _, name := range c.state.MemberNames() {
 		m := c.state.Members[name]
-		is := MemberStatus{Name: name, Life: m.Life, Votes: slices.Contains(voters, m.ID), Heard: -1}
-		for _, p := range c.o.Group.Peers {
-			if p.Name == name {
-				is.Zone = p.Zone
+		memberStatus := MemberStatus{Name: name, Incarnation: m.Incarnation, IsVoter: slices.Contains(voters, m.RaftID), LastReport: -1}
+		for _, planStatus := range c.options.Group.Members {
+			if planStatus.Name == name {
+				memberStatus.Zone = planStatus.Zone
 			}
 		}
-		if h, ok := c.words[name]; ok {
-			is.Heard, is.Applied, is.Alone = time.Since(h.at), h.Applied, h.Alone
+		if report, ok := c.lastReports[name]; ok {
+			memberStatus.LastReport, memberStatus.Applied, memberStatus.SoleProcess = time.Since(report.receivedAt), report.Applied, report.SoleProcess
 		}
-		s.Members = append(s.Members, is)
+		status.Members = append(status.Members, memberStatus)
 	}
-	adv := c.advance()
-	for _, u := range c.state.Plans {
-		why := map[string]string{}
-		if settled {
-			why = c.state.Why(u, adv)
+	advance := c.collectAdvance()
+	for _, plan := range c.state.Plans {
+		reasons := map[string]string{}
+		if confirmed {
+			reasons = c.state.WaitReasons(plan, advance)
 		}
-		p := PlanStatus{Name: u.Name, Phase: u.Phase, Why: why[""]}
-		for _, m := range u.Places {
-			p.Machines = append(p.Machines, MachineStatus{m.Name, m.Step, c.state.Clock - m.Since, m.Overdue, why[m.Name]})
+		planStatus := PlanStatus{Name: plan.Name, Phase: plan.Phase, Reason: reasons[""]}
+		for _, m := range plan.MachineStates {
+			planStatus.Machines = append(planStatus.Machines, MachineStatus{m.Name, m.Phase, c.state.Clock - m.PhaseStart, m.Overdue, reasons[m.Name]})
 		}
-		s.Plans = append(s.Plans, p)
+		status.Plans = append(status.Plans, planStatus)
 	}
-	return s
+	return status
 }
 
-// vouch takes staff's word that our disk is the last one that we had.
-func (c *Council) vouch() Reply {
+// confirmDisk takes staff's word that our disk is the last one that we had.
+func (c *Coordinator) confirmDisk() Reply {
 	c.mu.Lock()
-	v := c.voice
+	current := c.membership
 	c.mu.Unlock()
-	if v == nil {
-		return Reply{Code: maintenance.NotNow, Text: "this process does not speak for its dispatcher in the group"}
+	if current == nil {
+		return Reply{Code: maintenance.CodeRetryLater, Text: "this process does not speak for its dispatcher in the group"}
 	}
 	select {
-	case v.vouched <- struct{}{}:
+	case current.diskConfirmed <- struct{}{}:
 		return Reply{Text: "taken"}
-	case <-time.After(joinEvery + askWait):
-		return Reply{Code: maintenance.NotNow, Text: "this member does not wait for a word on its disk"}
+	case <-time.After(joinInterval + requestTimeout):
+		return Reply{Code: maintenance.CodeRetryLater, Text: "this member does not wait for a word on its disk"}
 	}
 }
 
-// found begins the group at this member. The others join it.
-func (c *Council) found(ctx context.Context, again bool) Reply {
+// bootstrap begins the group at this member. The others join it.
+func (c *Coordinator) bootstrap(ctx context.Context, afterDataLoss bool) Reply {
 	c.mu.Lock()
-	v := c.voice
+	current := c.membership
 	c.mu.Unlock()
-	if v == nil {
-		return Reply{Code: maintenance.NotNow, Text: "this process does not speak for its dispatcher in the group"}
+	if current == nil {
+		return Reply{Code: maintenance.CodeRetryLater, Text: "this process does not speak for its dispatcher in the group"}
 	}
-	if f := c.who().Founded; f != "" {
-		return Reply{Text: "this member is in the group already, founded as " + f}
+	if clusterID := c.sender().ClusterID; clusterID != "" {
+		return Reply{Text: "this member is in the group already, founded as " + clusterID}
 	}
-	ask, err := json.Marshal(joining{Name: c.o.Self})
+	request, err := json.Marshal(joinRequest{Name: c.options.Self})
 	if err != nil {
-		return Reply{Code: maintenance.Wrong, Text: err.Error()}
+		return Reply{Code: maintenance.CodeInvalid, Text: err.Error()}
 	}
 	silent := map[string]error{}
-	for _, p := range c.o.Group.Peers {
-		if p.Name == c.o.Self {
+	for _, member := range c.options.Group.Members {
+		if member.Name == c.options.Self {
 			continue
 		}
-		if _, err := c.ask(ctx, v, p.Name, pathJoin, ask); !isOutside(err) {
-			silent[p.Name] = err
+		if _, err := c.request(ctx, current, member.Name, pathJoin, request); !isOutsideGroup(err) {
+			silent[member.Name] = err
 		}
 	}
 	if len(silent) > 0 { // one of them may be in the group
 		name := slices.Min(slices.Collect(maps.Keys(silent)))
-		return Reply{Code: maintenance.NotNow, Text: fmt.Sprintf("each member has to say that it is in no group yet; %s: %v", name, silent[name])}
+		return Reply{Code: maintenance.CodeRetryLater, Text: fmt.Sprintf("each member has to say that it is in no group yet; %s: %v", name, silent[name])}
 	}
 	select {
-	case v.founding <- again:
+	case current.bootstrap <- afterDataLoss:
 	case <-ctx.Done():
-		return Reply{Code: maintenance.NotNow, Text: NotSettled}
+		return Reply{Code: maintenance.CodeRetryLater, Text: NotCommittedText}
 	}
-	for ctx.Err() == nil && c.agreement() == nil {
-		pause(ctx, 5*time.Millisecond)
+	for ctx.Err() == nil && c.node() == nil {
+		sleep(ctx, 5*time.Millisecond)
 	}
-	if c.agreement() == nil {
-		return Reply{Code: maintenance.NotNow, Text: NotSettled}
+	if c.node() == nil {
+		return Reply{Code: maintenance.CodeRetryLater, Text: NotCommittedText}
 	}
 	return Reply{Text: "founded"}
 }
 
-// foundHere begins the group on our disk.
-func (c *Council) foundHere(v *voice, disk *consensus.Disk, again bool) error {
-	if !disk.Empty() {
+// bootstrapStorage begins the group on our disk.
+func (c *Coordinator) bootstrapStorage(current *membership, storage *consensus.Storage, afterDataLoss bool) error {
+	if !storage.IsEmpty() {
 		return errors.New("the group's folder is not empty")
 	}
 	self, _ := c.self()
-	s := maintenance.New()
-	s.Index, s.Doubt = 1, again
-	s.Members[c.o.Self] = &maintenance.Member{Name: c.o.Self, Life: v.who.Life, ID: v.who.ID, Voter: self.Voter}
-	raw, err := s.Encode()
+	state := maintenance.New()
+	state.AppliedIndex, state.HistoryLost = 1, afterDataLoss
+	state.Members[c.options.Self] = &maintenance.Member{Name: c.options.Self, Incarnation: current.identity.Incarnation, RaftID: current.identity.RaftID, Voter: self.Voter}
+	raw, err := state.Encode()
 	if err != nil {
 		return err
 	}
-	if err := consensus.Found(disk, rand.Text()[:10], raw); err != nil {
+	if err := consensus.Bootstrap(storage, rand.Text()[:10], raw); err != nil {
 		return err
 	}
-	c.begin(v, disk, c.witness(), nil, true)
+	c.startNode(current, storage, c.openBootMarker(), nil, true)
 	return nil
 }
--- a/internal/discoveryagent/members.go
+++ b/internal/discoveryagent/members.go
@@ -61,7 +61,7 @@
 		return nil, fmt.Errorf("reading the agent's file: %w", err)
 	}
 	defer f.Close()
-	raw, err := io.ReadAll(io.LimitReader(f, tomlfile.SizeMost+1))
+	raw, err := io.ReadAll(io.LimitReader(f, tomlfile.MaxSize+1))
 	if err != nil {
 		return nil, fmt.Errorf("reading the agent's file: %w", err)
 	}
@@ -72,50 +72,50 @@
 func Decode(name string, raw []byte) (*Config, error) {
 	c := &Config{Listen: "127.0.0.1:8500", ChangeOver: 10 * time.Second, ChangeBack: 10 * time.Second, EmptyGuard: 30 * time.Second}
 	d := tomlfile.Read(name, raw, c)
-	if len(d.Faults()) > 0 {
+	if len(d.Errors()) > 0 {
 		return nil, d.Err()
 	}
 	if host, port, err := net.SplitHostPort(c.Listen); err != nil || port == "" || !loopback(host) {
-		d.Fault("listen", "%q is no host:port on this machine, such as 127.0.0.1:8500: the agent serves the dispatchers beside it", c.Listen)
+		d.AddErrorf("listen", "%q is no host:port on this machine, such as 127.0.0.1:8500: the agent serves the dispatchers beside it", c.Listen)
 	}
 	for _, t := range []struct {
 		key string
 		v   time.Duration
 	}{{"change_over", c.ChangeOver}, {"change_back", c.ChangeBack}, {"empty_guard", c.EmptyGuard}} {
 		if t.v < 0 || t.v > time.Hour {
-			d.Fault(t.key, "%v is not from 0s to 1h", t.v)
+			d.AddErrorf(t.key, "%v is not from 0s to 1h", t.v)
 		}
 	}
 	if len(c.Sources) == 0 {
-		d.Fault("source", "there is none: write one [[source]] at least")
+		d.AddErrorf("source", "there is none: write one [[source]] at least")
 	}
 	for i, s := range c.Sources {
 		at := fmt.Sprintf("source[%d].", i)
 		switch s.Kind {
 		case KindFile:
 			if s.Path == "" {
-				d.Fault(at+"path", "a file source needs its path")
+				d.AddErrorf(at+"path", "a file source needs its path")
 			}
 		case KindEtcd:
 			if len(s.Endpoints) == 0 {
-				d.Fault(at+"endpoints", "an etcd source needs one endpoint at least, host:port")
+				d.AddErrorf(at+"endpoints", "an etcd source needs one endpoint at least, host:port")
 			}
 			for k, e := range s.Endpoints {
 				if _, port, err := net.SplitHostPort(e); err != nil || port == "" {
-					d.Fault(fmt.Sprintf("%sendpoints[%d]", at, k), "%q is not host:port", e)
+					d.AddErrorf(fmt.Sprintf("%sendpoints[%d]", at, k), "%q is not host:port", e)
 				}
 			}
 			if !strings.HasPrefix(s.Prefix, "/") || !strings.HasSuffix(s.Prefix, "/") || s.Prefix == "/" {
-				d.Fault(at+"prefix", "%q does not begin and end with /, such as /birchfork/workers/", s.Prefix)
+				d.AddErrorf(at+"prefix", "%q does not begin and end with /, such as /birchfork/workers/", s.Prefix)
 			}
 			if (s.User == "") != (s.PasswordFile == "") {
-				d.Fault(at+"user", "user and password_file go together")
+				d.AddErrorf(at+"user", "user and password_file go together")
 			}
 			if (s.Cert == "") != (s.Key == "") || s.Cert != "" && s.CA == "" {
-				d.Fault(at+"cert", "cert and key go together, with ca")
+				d.AddErrorf(at+"cert", "cert and key go together, with ca")
 			}
 		default:
-			d.Fault(at+"kind", "%q is neither %s nor %s", s.Kind, KindEtcd, KindFile)
+			d.AddErrorf(at+"kind", "%q is neither %s nor %s", s.Kind, KindEtcd, KindFile)
 		}
 	}
 	if err := d.Err(); err != nil {
--- a/internal/endpointsource/etcd/etcd.go
+++ b/internal/endpointsource/etcd/etcd.go
@@ -57,8 +57,8 @@
 )
 
 // Decode reads a worker. A value that cannot be used is an error, and what comes back drains: it is not known to want jobs.
-func Decode(name string, raw []byte) (engine.Entry, error) {
-	bad := engine.Entry{Name: name, Cell: -1, State: dispatch.Draining}
+func Decode(name string, raw []byte) (engine.Endpoint, error) {
+	bad := engine.Endpoint{Name: name, Cell: -1, State: dispatch.Draining}
 	if len(raw) > valueMost {
 		return bad, fmt.Errorf("its value has %d bytes, more than %d", len(raw), valueMost)
 	}
@@ -69,7 +69,7 @@
 	if v.V != SchemaVersion {
 		return bad, fmt.Errorf("its value is of version %d, not %d", v.V, SchemaVersion)
 	}
-	e := engine.Entry{Name: name, Address: v.Address, Zone: v.Zone, Kind: v.Kind, Cell: -1, Weight: max(v.Weight, 0), Since: min(max(v.SinceMs, 0), sinceMost)}
+	e := engine.Endpoint{Name: name, Address: v.Address, Zone: v.Zone, Kind: v.Kind, Cell: -1, Weight: max(v.Weight, 0), StartedAtMillis: min(max(v.SinceMs, 0), sinceMost)}
 	if v.Cell != nil {
 		e.Cell = *v.Cell
 	}
@@ -200,7 +200,7 @@
 			e := events[0]
 			events = events[1:]
 			if e.Type == clientv3.EventTypeDelete {
-				n.Entries = append(n.Entries, engine.Entry{Name: s.name(e.Kv), Cell: -1, State: dispatch.Gone})
+				n.Entries = append(n.Entries, engine.Endpoint{Name: s.name(e.Kv), Cell: -1, State: dispatch.Gone})
 			} else {
 				n.Entries = append(n.Entries, s.entry(e.Kv))
 			}
@@ -218,7 +218,7 @@
 	return strings.TrimPrefix(string(kv.Key), s.Prefix)
 }
 
-func (s *Source) entry(kv *mvccpb.KeyValue) engine.Entry {
+func (s *Source) entry(kv *mvccpb.KeyValue) engine.Endpoint {
 	e, err := Decode(s.name(kv), kv.Value)
 	if err != nil {
 		s.Counters.BadValues.Add(1)
--- a/internal/endpointsource/file/file.go
+++ b/internal/endpointsource/file/file.go
@@ -42,36 +42,36 @@
 }
 
 // Decode reads a list. Its error names every fault.
-func Decode(name string, raw []byte) ([]engine.Entry, error) {
+func Decode(name string, raw []byte) ([]engine.Endpoint, error) {
 	var l list
 	d := tomlfile.Read(name, raw, &l)
-	if len(d.Faults()) > 0 {
+	if len(d.Errors()) > 0 {
 		return nil, d.Err()
 	}
 	seen := map[string]bool{}
-	var out []engine.Entry
+	var out []engine.Endpoint
 	for i, w := range l.Workers {
 		at := fmt.Sprintf("worker[%d].", i)
 		if w.Name == "" || seen[w.Name] {
-			d.Fault(at+"name", "%q is missing or stands twice", w.Name)
+			d.AddErrorf(at+"name", "%q is missing or stands twice", w.Name)
 		}
 		seen[w.Name] = true
 		if host, port, err := net.SplitHostPort(w.Address); err != nil || host == "" || port == "" || port == "0" {
-			d.Fault(at+"address", "%q is not host:port", w.Address)
+			d.AddErrorf(at+"address", "%q is not host:port", w.Address)
 		}
-		e := engine.Entry{Name: w.Name, Address: w.Address, Zone: w.Zone, Kind: w.Kind, Cell: -1, Weight: w.Weight, Since: int64(w.SinceMs)}
+		e := engine.Endpoint{Name: w.Name, Address: w.Address, Zone: w.Zone, Kind: w.Kind, Cell: -1, Weight: w.Weight, StartedAtMillis: int64(w.SinceMs)}
 		if d.Has(at + "cell") {
 			e.Cell = w.Cell
 		}
 		if !(w.Weight >= 0) || w.SinceMs < 0 {
-			d.Fault(at+"weight", "weight and since_ms are not below 0")
+			d.AddErrorf(at+"weight", "weight and since_ms are not below 0")
 		}
 		switch w.State {
 		case "", "up":
 		case "draining":
 			e.State = dispatch.Draining
 		default:
-			d.Fault(at+"state", "%q is neither up nor draining", w.State)
+			d.AddErrorf(at+"state", "%q is neither up nor draining", w.State)
 		}
 		out = append(out, e)
 	}
@@ -132,13 +132,13 @@
 	f, err := os.Open(s.Path)
 	var raw []byte
 	if err == nil {
-		raw, err = io.ReadAll(io.LimitReader(f, tomlfile.SizeMost+1))
+		raw, err = io.ReadAll(io.LimitReader(f, tomlfile.MaxSize+1))
 		f.Close()
 	}
 	if err == nil && string(raw) == s.last && s.bad == "" {
 		return
 	}
-	var entries []engine.Entry
+	var entries []engine.Endpoint
 	if err == nil {
 		entries, err = Decode(s.Path, raw)
 	}
--- a/internal/endpointsource/front.go
+++ b/internal/endpointsource/front.go
@@ -19,7 +19,7 @@
 	start   time.Time
 	timer   *time.Timer
 	index   uint64
-	list    map[string]engine.Entry
+	list    map[string]engine.Endpoint
 	changes []change
 	wake    chan struct{}
 	closed  bool
@@ -28,7 +28,7 @@
 // change is one entry's news with its index.
 type change struct {
 	index uint64
-	entry engine.Entry
+	entry engine.Endpoint
 }
 
 // Bounds and times of the front.
@@ -39,7 +39,7 @@
 
 // NewFront returns a front with nothing to tell.
 func NewFront(c Config) *Front {
-	f := &Front{view: NewView(c), start: time.Now(), list: map[string]engine.Entry{}, wake: make(chan struct{})}
+	f := &Front{view: NewView(c), start: time.Now(), list: map[string]engine.Endpoint{}, wake: make(chan struct{})}
 	f.timer = time.AfterFunc(time.Hour, f.tick)
 	f.timer.Stop()
 	return f
@@ -56,24 +56,24 @@
 
 // Tell takes a source's news.
 func (f *Front) Tell(source int, n News) {
-	f.do(func(now time.Duration) []engine.List { return f.view.Tell(now, source, n) })
+	f.do(func(now time.Duration) []engine.EndpointList { return f.view.Tell(now, source, n) })
 }
 
 // Lost says that a source is lost.
 func (f *Front) Lost(source int) {
-	f.do(func(now time.Duration) []engine.List { return f.view.Lost(now, source) })
+	f.do(func(now time.Duration) []engine.EndpointList { return f.view.Lost(now, source) })
 }
 
 func (f *Front) tick() { f.do(f.view.Tick) }
 
-func (f *Front) do(step func(now time.Duration) []engine.List) {
+func (f *Front) do(step func(now time.Duration) []engine.EndpointList) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed {
 		return
 	}
 	for _, l := range step(time.Since(f.start)) {
-		for _, e := range l.Entries {
+		for _, e := range l.Endpoints {
 			f.index++
 			if e.State == dispatch.Gone {
 				delete(f.list, e.Name)
@@ -133,10 +133,10 @@
 	Endpoints []endpoint `json:"endpoints"`
 }
 
-var statusOf = map[dispatch.State]string{dispatch.Ready: "up", dispatch.Draining: "draining", dispatch.Gone: "removed"}
+var statusOf = map[dispatch.WorkerState]string{dispatch.Ready: "up", dispatch.Draining: "draining", dispatch.Gone: "removed"}
 
-func wordsOf(e *engine.Entry) endpoint {
-	return endpoint{e.Name, e.Address, e.Zone, e.Kind, e.Cell, statusOf[e.State], e.Weight, e.Since}
+func wordsOf(e *engine.Endpoint) endpoint {
+	return endpoint{e.Name, e.Address, e.Zone, e.Kind, e.Cell, statusOf[e.State], e.Weight, e.StartedAtMillis}
 }
 
 // since is what has changed after an index, or the whole list. Several changes of one worker become its last. The lock
--- a/internal/endpointsource/view.go
+++ b/internal/endpointsource/view.go
@@ -17,7 +17,7 @@
 type News struct {
 	Whole    bool   // all its workers, not only those that changed
 	Revision uint64 // of the source's own store; 0: it has none, and what it tells last is newest
-	Entries  []engine.Entry
+	Entries  []engine.Endpoint
 }
 
 // Config is how a View behaves.
@@ -33,8 +33,8 @@
 	c       Config
 	now     time.Duration
 	sources []source
-	active  int                     // whose list counts; -1: none has told one yet
-	told    map[string]engine.Entry // what was told to the store, but for workers that are gone
+	active  int                        // whose list counts; -1: none has told one yet
+	told    map[string]engine.Endpoint // what was told to the store, but for workers that are gone
 }
 
 // source is what one source has told.
@@ -51,13 +51,13 @@
 
 // known is an entry as its source told it.
 type known struct {
-	engine.Entry
+	engine.Endpoint
 	held bool // it drains by our own memory: a restored store has it back as up
 }
 
 // NewView returns a View that knows nobody.
 func NewView(c Config) *View {
-	v := &View{c: c, active: -1, told: map[string]engine.Entry{}}
+	v := &View{c: c, active: -1, told: map[string]engine.Endpoint{}}
 	for range c.Sources {
 		v.sources = append(v.sources, source{entries: map[string]known{}})
 	}
@@ -65,7 +65,7 @@
 }
 
 // Tell takes a source's news and returns what the store has to be told, if anything.
-func (v *View) Tell(now time.Duration, from int, n News) []engine.List {
+func (v *View) Tell(now time.Duration, from int, n News) []engine.EndpointList {
 	v.advance(now)
 	s := &v.sources[from]
 	if !s.well {
@@ -81,7 +81,7 @@
 }
 
 // Lost says that a source has fallen silent or broken off. What it told last stays.
-func (v *View) Lost(now time.Duration, from int) []engine.List {
+func (v *View) Lost(now time.Duration, from int) []engine.EndpointList {
 	v.advance(now)
 	if s := &v.sources[from]; s.well {
 		s.well, s.since = false, v.now
@@ -90,7 +90,7 @@
 }
 
 // Tick does what time has made due. Next says when that is.
-func (v *View) Tick(now time.Duration) []engine.List {
+func (v *View) Tick(now time.Duration) []engine.EndpointList {
 	v.advance(now)
 	return v.settle()
 }
@@ -139,7 +139,7 @@
 	fresh := map[string]known{}
 	for _, e := range n.Entries {
 		if e.State != dispatch.Gone {
-			fresh[e.Name] = s.newer(known{Entry: e}, n.Revision < s.revision)
+			fresh[e.Name] = s.newer(known{Endpoint: e}, n.Revision < s.revision)
 		}
 	}
 	s.entries, s.revision, s.told = fresh, n.Revision, true
@@ -155,7 +155,7 @@
 			delete(s.entries, e.Name)
 			continue
 		}
-		s.entries[e.Name] = known{Entry: e}
+		s.entries[e.Name] = known{Endpoint: e}
 		s.empty = false
 	}
 	s.revision = max(s.revision, n.Revision)
@@ -166,14 +166,14 @@
 // once more is no change: without held the second reading would bring the worker back.
 func (s *source) newer(e known, restored bool) known {
 	old, ok := s.entries[e.Name]
-	if ok && (restored || old.held) && old.State != dispatch.Ready && e.State == dispatch.Ready && old.Since == e.Since && old.Address == e.Address {
+	if ok && (restored || old.held) && old.State != dispatch.Ready && e.State == dispatch.Ready && old.StartedAtMillis == e.StartedAtMillis && old.Address == e.Address {
 		e.State, e.held = old.State, true
 	}
 	return e
 }
 
 // settle chooses whose list counts and returns what differs from what the store was told.
-func (v *View) settle() []engine.List {
+func (v *View) settle() []engine.EndpointList {
 	for i := range v.sources {
 		if s := &v.sources[i]; s.empty && v.now >= s.emptied+v.c.EmptyGuard {
 			s.empty, s.entries = false, map[string]known{}
@@ -184,26 +184,26 @@
 		return nil
 	}
 	want := v.sources[v.active].entries
-	l := engine.List{}
+	l := engine.EndpointList{}
 	for name, old := range v.told {
 		if _, ok := want[name]; !ok {
 			old.State = dispatch.Gone
-			l.Entries = append(l.Entries, old)
+			l.Endpoints = append(l.Endpoints, old)
 			delete(v.told, name)
 		}
 	}
 	for name, e := range want {
-		if old, ok := v.told[name]; !ok || old != e.Entry {
-			l.Entries = append(l.Entries, e.Entry)
-			v.told[name] = e.Entry
+		if old, ok := v.told[name]; !ok || old != e.Endpoint {
+			l.Endpoints = append(l.Endpoints, e.Endpoint)
+			v.told[name] = e.Endpoint
 		}
 	}
-	if len(l.Entries) == 0 {
+	if len(l.Endpoints) == 0 {
 		return nil
 	}
 	// In one order whatever the maps': the same news gives the same list.
-	slices.SortFunc(l.Entries, func(a, b engine.Entry) int { return cmp.Compare(a.Name, b.Name) })
-	return []engine.List{l}
+	slices.SortFunc(l.Endpoints, func(a, b engine.Endpoint) int { return cmp.Compare(a.Name, b.Name) })
+	return []engine.EndpointList{l}
 }
 
 // choose changes over and back. The first source that has told its list and is well, or not lost for long, counts; where
@@ -223,4 +223,4 @@
 }
 
 // Workers are the workers as the store was told, by name.
-func (v *View) Workers() map[string]engine.Entry { return maps.Clone(v.told) }
+func (v *View) Workers() map[string]engine.Endpoint { return maps.Clone(v.told) }
