--- a/internal/engine/guard.go
+++ b/internal/engine/guard.go
@@ -10,60 +10,60 @@
 	"birchfork/internal/failpoint"
 )
 
-// Guard is what a group of dispatchers has settled on workers, by name or by host, as far as it binds this one. It takes away
+// Restrictions is what a group of dispatchers has settled on workers, by name or by host, as far as it binds this one. It takes away
 // only.
-type Guard struct {
-	Away, AwayAt     map[string]bool // taken out for work: nothing goes there
-	Leased, LeasedAt map[string]bool // of plans under way: sent to only while the lease runs
+type Restrictions struct {
+	MaintenanceWorkers, MaintenanceHosts map[string]bool // taken out for work: nothing goes there
+	LeasedWorkers, LeasedHosts           map[string]bool // of plans under way: sent to only while the lease runs
 }
 
-// runSlack is how much later than its deadline a job may end at a worker that has been told the time left when the last
+// runtimeSlack is how much later than its deadline a job may end at a worker that has been told the time left when the last
 // byte came: the way there, and the worker's own timer.
-const runSlack = 250 * time.Millisecond
+const runtimeSlack = 250 * time.Millisecond
 
-// Guard takes the group's settled word over, in place of the one before. From its return on nothing is sent to workers that
+// SetRestrictions takes the group's settled word over, in place of the one before. From its return on nothing is sent to workers that
 // are away, and to those under the lease only while that runs. One that comes back has been started anew meanwhile.
-func (s *Store) Guard(g Guard) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.guard = g
-	s.bind()
+func (e *Engine) SetRestrictions(restrictions Restrictions) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.restrictions = restrictions
+	e.applyRestrictions()
 }
 
-// bind puts the guard in force for the workers as they are listed now: at a host that is taken out one may be listed under
+// applyRestrictions puts the guard in force for the workers as they are listed now: at a host that is taken out one may be listed under
 // another name. The lock is held.
-func (s *Store) bind() {
-	for _, id := range s.leased {
-		s.workers[id].leased = false
+func (e *Engine) applyRestrictions() {
+	for _, id := range e.leasedWorkers {
+		e.workers[id].needsLease = false
 	}
-	s.leased = s.pick(s.guard.Leased, s.guard.LeasedAt)
-	for _, id := range s.leased {
-		s.workers[id].leased = true
+	e.leasedWorkers = e.findWorkers(e.restrictions.LeasedWorkers, e.restrictions.LeasedHosts)
+	for _, id := range e.leasedWorkers {
+		e.workers[id].needsLease = true
 	}
-	away := s.pick(s.guard.Away, s.guard.AwayAt)
-	for _, id := range away {
-		if s.workers[id].out&byPlan == 0 {
-			s.leaveOut(id, byPlan)
+	maintenance := e.findWorkers(e.restrictions.MaintenanceWorkers, e.restrictions.MaintenanceHosts)
+	for _, id := range maintenance {
+		if e.workers[id].exclusions&excludedByMaintenance == 0 {
+			e.exclude(id, excludedByMaintenance)
 		}
 	}
-	for _, id := range s.away {
-		if !slices.Contains(away, id) {
-			s.letIn(id, byPlan, 0)
+	for _, id := range e.maintenanceWorkers {
+		if !slices.Contains(maintenance, id) {
+			e.include(id, excludedByMaintenance, 0)
 		}
 	}
-	s.away = away
-	s.bar()
+	e.maintenanceWorkers = maintenance
+	e.updateLeaseExclusions()
 }
 
-// pick are the workers of these names and at these hosts. The lock is held.
-func (s *Store) pick(names, hosts map[string]bool) (ids []dispatch.WorkerID) {
+// findWorkers are the workers of these names and at these hosts. The lock is held.
+func (e *Engine) findWorkers(names, hosts map[string]bool) (ids []dispatch.WorkerID) {
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		id := s.names.Worker(name)
-		s.viewOf(id)
+		id := e.names.InternWorker(name)
+		e.workerOf(id)
 		ids = append(ids, id)
 	}
-	for i := range s.workers {
-		if w := &s.workers[i].entry; hosts[hostOf(w.Address)] && !names[w.Name] {
+	for i := range e.workers {
+		if endpoint := &e.workers[i].endpoint; hosts[hostOf(endpoint.Address)] && !names[endpoint.Name] {
 			ids = append(ids, dispatch.WorkerID(i))
 		}
 	}
@@ -76,94 +76,94 @@
 	return host
 }
 
-// AttemptsMost bounds attempts that are ordered from now on, whatever time their clients give: a group that waits for a silent
+// SetMaxAttemptDuration bounds attempts that are ordered from now on, whatever time their clients give: a group that waits for a silent
 // member has to know for how long something of that may run. 0 sets no bound.
-func (s *Store) AttemptsMost(d time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.attemptMost = d
+func (e *Engine) SetMaxAttemptDuration(d time.Duration) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.maxAttemptDuration = d
 }
 
-// Lease says until when the group's lease runs; a moment before the present one says that it runs no more.
-func (s *Store) Lease(until time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.leaseUntil = until
-	s.bar()
+// SetLeaseExpiry says until when the group's lease runs; a moment before the present one says that it runs no more.
+func (e *Engine) SetLeaseExpiry(expiry time.Time) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.leaseExpiry = expiry
+	e.updateLeaseExclusions()
 }
 
-// Blind says whether we know nothing of the group's plans: then every worker may be in pieces, and counts as under the lease.
-func (s *Store) Blind(blind bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.blind = blind
-	s.bar()
+// SetPlansUnknown says whether we know nothing of the group's plans: then every worker may be in pieces, and counts as under the lease.
+func (e *Engine) SetPlansUnknown(unknown bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.plansUnknown = unknown
+	e.updateLeaseExclusions()
 }
 
-// mayLease tells whether the lease lets us send to a worker at this moment. The lock is held.
-func (s *Store) mayLease(w *workerView) bool {
-	if failpoint.On(failpoint.NoLease) {
+// leaseAllows tells whether the lease lets us send to a worker at this moment. The lock is held.
+func (e *Engine) leaseAllows(worker *workerState) bool {
+	if failpoint.Enabled(failpoint.SendWithoutLease) {
 		return true
 	}
-	return !w.leased && !s.blind || time.Now().Before(s.leaseUntil)
+	return !worker.needsLease && !e.plansUnknown || time.Now().Before(e.leaseExpiry)
 }
 
-// bar tells the module which workers have no lease, so that it draws others. A worker whose lease comes back started when
+// updateLeaseExclusions tells the module which workers have no lease, so that it draws others. A worker whose lease comes back started when
 // the list says. The lock is held.
-func (s *Store) bar() {
-	s.underLease.Store(s.blind || len(s.leased) > 0)
-	if !s.blind && len(s.leased) == 0 && !s.barred {
+func (e *Engine) updateLeaseExclusions() {
+	e.leaseInUse.Store(e.plansUnknown || len(e.leasedWorkers) > 0)
+	if !e.plansUnknown && len(e.leasedWorkers) == 0 && !e.anyWithoutLease {
 		return
 	}
-	s.barred = false
-	for i := range s.workers {
-		w, id := &s.workers[i], dispatch.WorkerID(i)
-		switch may := s.mayLease(w); {
-		case may && w.out&noLease != 0:
-			s.letIn(id, noLease, 0)
-		case !may && w.out&noLease == 0:
-			s.leaveOut(id, noLease)
+	e.anyWithoutLease = false
+	for i := range e.workers {
+		worker, id := &e.workers[i], dispatch.WorkerID(i)
+		switch allowed := e.leaseAllows(worker); {
+		case allowed && worker.exclusions&excludedWithoutLease != 0:
+			e.include(id, excludedWithoutLease, 0)
+		case !allowed && worker.exclusions&excludedWithoutLease == 0:
+			e.exclude(id, excludedWithoutLease)
 		}
-		s.barred = s.barred || s.workers[i].out&noLease != 0
+		e.anyWithoutLease = e.anyWithoutLease || e.workers[i].exclusions&excludedWithoutLease != 0
 	}
 }
 
-// landed notes the end of an attempt. Where it does not tell that the job is over, the job may run up to its deadline. The
+// noteAttemptEnd notes the end of an attempt. Where it does not tell that the job is over, the job may run up to its deadline. The
 // lock is held.
-func (s *Store) landed(a *Attempt, result dispatch.Result) {
-	if int(a.worker) >= len(s.workers) {
+func (e *Engine) noteAttemptEnd(attempt *Attempt, result dispatch.Result) {
+	if int(attempt.worker) >= len(e.workers) {
 		return
 	}
-	w := &s.workers[a.worker]
-	w.flying--
+	worker := &e.workers[attempt.worker]
+	worker.inFlight--
 	switch result {
-	case dispatch.TimedOut, dispatch.Cancelled, dispatch.Disconnected, dispatch.UnknownResult:
-		if end, ok := a.ctx.Deadline(); ok && end.Add(runSlack).After(w.mayRun) {
-			w.mayRun = end.Add(runSlack)
+	case dispatch.ResultTimedOut, dispatch.ResultCancelled, dispatch.ResultDisconnected, dispatch.ResultUnknown:
+		if deadline, ok := attempt.ctx.Deadline(); ok && deadline.Add(runtimeSlack).After(worker.mayRunUntil) {
+			worker.mayRunUntil = deadline.Add(runtimeSlack)
 		}
 	}
 }
 
-// Busy are the names of those workers under the lease, or away, where something of ours runs or may run, and their hosts,
+// BusyWorkers are the names of those workers under the lease, or away, where something of ours runs or may run, and their hosts,
 // sorted.
-func (s *Store) Busy() (names, hosts []string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (e *Engine) BusyWorkers() (names, hosts []string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	now := time.Now()
-	if failpoint.On(failpoint.IgnoresBusy) {
+	if failpoint.Enabled(failpoint.IgnoreBusyWorkers) {
 		return nil, nil
 	}
-	for id := range s.workers {
-		w := &s.workers[id]
-		if w.flying == 0 && !now.Before(w.mayRun) {
+	for id := range e.workers {
+		worker := &e.workers[id]
+		if worker.inFlight == 0 && !now.Before(worker.mayRunUntil) {
 			continue
 		}
-		hosts = append(hosts, w.moved...) // what runs may run where it was
-		if !w.leased && w.out&byPlan == 0 {
+		hosts = append(hosts, worker.formerHosts...) // what runs may run where it was
+		if !worker.needsLease && worker.exclusions&excludedByMaintenance == 0 {
 			continue
 		}
-		names = append(names, s.names.WorkerName(dispatch.WorkerID(id)))
-		if host := hostOf(w.entry.Address); host != "" {
+		names = append(names, e.names.WorkerName(dispatch.WorkerID(id)))
+		if host := hostOf(worker.endpoint.Address); host != "" {
 			hosts = append(hosts, host)
 		}
 	}
@@ -172,35 +172,35 @@
 	return names, slices.Compact(hosts)
 }
 
-// Seen is what this dispatcher knows of a worker.
-type Seen struct {
+// WorkerStatus is what this dispatcher knows of a worker.
+type WorkerStatus struct {
 	Name, Zone, Kind string
 	Host             string
 	Weight           float64
-	Down             bool // draining, or gone for no longer than was asked
+	Unavailable      bool // draining, or gone for no longer than was asked
 	Gone             bool
-	Cold             bool // started, or put back, for no longer than was asked
-	Hand             bool // left out by hand
+	WarmingUp        bool // started, or put back, for no longer than was asked
+	Disabled         bool // left out by hand
 }
 
-// Fleet is what this dispatcher knows of all workers: those that have left are told for a while, and started ones are cold
+// WorkerStatuses is what this dispatcher knows of all workers: those that have left are told for a while, and started ones are cold
 // for a while.
-func (s *Store) Fleet(gone, cold time.Duration) (all []Seen) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now := s.now()
-	for i := range s.workers {
-		w := &s.workers[i]
-		e := &w.entry
-		if e.Name == "" || e.State == dispatch.Gone && now-w.left > dispatch.Time(gone.Microseconds()) {
+func (e *Engine) WorkerStatuses(goneFor, warmUp time.Duration) (statuses []WorkerStatus) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	now := e.now()
+	for i := range e.workers {
+		worker := &e.workers[i]
+		endpoint := &worker.endpoint
+		if endpoint.Name == "" || endpoint.State == dispatch.Gone && now-worker.goneAt > dispatch.Time(goneFor.Microseconds()) {
 			continue
 		}
-		since := max(w.started, w.back)
-		all = append(all, Seen{
-			Name: e.Name, Zone: e.Zone, Kind: e.Kind, Host: hostOf(e.Address), Weight: e.Weight, Down: e.State != dispatch.Ready,
-			Gone: e.State == dispatch.Gone,
-			Cold: since > 0 && now-since < dispatch.Time(cold.Microseconds()), Hand: w.out&byHand != 0,
+		servingSince := max(worker.startedAt, worker.includedAt)
+		statuses = append(statuses, WorkerStatus{
+			Name: endpoint.Name, Zone: endpoint.Zone, Kind: endpoint.Kind, Host: hostOf(endpoint.Address), Weight: endpoint.Weight, Unavailable: endpoint.State != dispatch.Ready,
+			Gone:      endpoint.State == dispatch.Gone,
+			WarmingUp: servingSince > 0 && now-servingSince < dispatch.Time(warmUp.Microseconds()), Disabled: worker.exclusions&excludedByOperator != 0,
 		})
 	}
-	return all
+	return statuses
 }
--- a/internal/engine/lately.go
+++ b/internal/engine/lately.go
@@ -1,20 +1,20 @@
 package engine
 
-// latelyMost is how many ids are remembered at the least; twice as many at the most.
-const latelyMost = 4096
+// recentIDsPerGeneration is how many ids are remembered at the least; twice as many at the most.
+const recentIDsPerGeneration = 4096
 
-// lately remembers the newest ids: in two halves, of which the older is dropped when the newer is full.
-type lately struct{ newer, older map[string]struct{} }
+// recentIDs remembers the newest ids: in two halves, of which the older is dropped when the newer is full.
+type recentIDs struct{ current, previous map[string]struct{} }
 
-func (l *lately) has(id string) bool {
-	_, newer := l.newer[id]
-	_, older := l.older[id]
-	return newer || older
+func (r *recentIDs) contains(id string) bool {
+	_, inCurrent := r.current[id]
+	_, inPrevious := r.previous[id]
+	return inCurrent || inPrevious
 }
 
-func (l *lately) add(id string) {
-	if l.newer == nil || len(l.newer) >= latelyMost {
-		l.newer, l.older = make(map[string]struct{}), l.newer
+func (r *recentIDs) add(id string) {
+	if r.current == nil || len(r.current) >= recentIDsPerGeneration {
+		r.current, r.previous = make(map[string]struct{}), r.current
 	}
-	l.newer[id] = struct{}{}
+	r.current[id] = struct{}{}
 }
--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -8,260 +8,262 @@
 	"birchfork/internal/settings"
 )
 
-// List is news of the workers, as a discovery front has decoded it.
-type List struct {
-	Index   uint64
-	Whole   bool // all workers, not only those that changed
-	Stale   bool // a copy kept from before our start
-	Entries []Entry
+// EndpointList is news of the workers, as a discovery front has decoded it.
+type EndpointList struct {
+	Version   uint64
+	Snapshot  bool // all workers, not only those that changed
+	Stale     bool // a copy kept from before our start
+	Endpoints []Endpoint
 }
 
-// Entry is one worker of a List.
-type Entry struct {
+// Endpoint is one worker of a List.
+type Endpoint struct {
 	Name, Address, Zone, Kind string
 	Cell                      int
 	Weight                    float64
-	State                     dispatch.State
-	Since                     int64 // when it last started, Unix time in milliseconds; 0: long ago
+	State                     dispatch.WorkerState
+	StartedAtMillis           int64 // when it last started, Unix time in milliseconds; 0: long ago
 }
 
-// workerView is what the store itself remembers of a worker.
-type workerView struct {
-	entry    Entry         // as it was told last
-	started  dispatch.Time // since on the module's clock
-	out      cause         // why nothing goes there, whatever the list says
-	handAt   time.Time     // when the operators spoke of it last
-	left     dispatch.Time // when the list told that it has gone
-	back     dispatch.Time // when it was put back last, by hand or by the group
-	hand     int           // how often it was left out: what was ordered before does not go out after
-	leased   bool          // of a plan under way: sent to only under the group's lease
-	latest   int64         // start that the list has told of it, Unix time in milliseconds
-	flying   int           // attempts that have not ended
-	mayRun   time.Time     // until then one may run there that we know nothing of any more
-	failures int           // of jobs, in a row
-	moved    []string      // hosts that it was at when something of ours ran there
+// workerState is what the store itself remembers of a worker.
+type workerState struct {
+	endpoint            Endpoint      // as it was told last
+	startedAt           dispatch.Time // since on the module's clock
+	exclusions          exclusion     // why nothing goes there, whatever the list says
+	overrideAt          time.Time     // when the operators spoke of it last
+	goneAt              dispatch.Time // when the list told that it has gone
+	includedAt          dispatch.Time // when it was put back last, by hand or by the group
+	generation          int           // how often it was left out: what was ordered before does not go out after
+	needsLease          bool          // of a plan under way: sent to only under the group's lease
+	latestStartMillis   int64         // start that the list has told of it, Unix time in milliseconds
+	inFlight            int           // attempts that have not ended
+	mayRunUntil         time.Time     // until then one may run there that we know nothing of any more
+	consecutiveFailures int           // of jobs, in a row
+	formerHosts         []string      // hosts that it was at when something of ours ran there
 }
 
 // ready says whether something may be sent there, by the list alone.
-func (w *workerView) ready() bool { return w.entry.State == dispatch.Ready && w.entry.Address != "" }
+func (w *workerState) ready() bool {
+	return w.endpoint.State == dispatch.Ready && w.endpoint.Address != ""
+}
 
-// WorkerNews says that connections to an address are of no use any more: its worker has moved, restarted or is leaving.
-type WorkerNews struct{ Address string }
+// RetiredEndpoint says that connections to an address are of no use any more: its worker has moved, restarted or is leaving.
+type RetiredEndpoint struct{ Address string }
 
-// OnNews sets who hears that connections are of no use. It is called with the store's lock held and must not call back.
-func (s *Store) OnNews(f func(WorkerNews)) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.onNews = f
+// OnEndpointRetired sets who hears that connections are of no use. It is called with the store's lock held and must not call back.
+func (e *Engine) OnEndpointRetired(f func(RetiredEndpoint)) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.onEndpointRetired = f
 }
 
 // Ready tells whether there is a worker to send to, and whether the list has been told since our start.
-func (s *Store) Ready() (some, fresh bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for i := range s.workers {
-		if s.workers[i].ready() && s.workers[i].out == 0 {
-			return true, s.fresh
+func (e *Engine) Ready() (available, synced bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for i := range e.workers {
+		if e.workers[i].ready() && e.workers[i].exclusions == 0 {
+			return true, e.synced
 		}
 	}
-	return false, s.fresh
+	return false, e.synced
 }
 
 // How a stall of the whole process is met.
 const (
-	stallFrom = 250 * time.Millisecond // without a beat for longer: we stood still
-	stallRest = 30 * time.Millisecond  // for the watch to read what came meanwhile
+	stallThreshold = 250 * time.Millisecond // without a beat for longer: we stood still
+	stallPause     = 30 * time.Millisecond  // for the watch to read what came meanwhile
 )
 
-// Beat says that the process runs; it is to be called every few dozen milliseconds.
-func (s *Store) Beat() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.noteBeat(time.Now())
-	s.bar()
+// Heartbeat says that the process runs; it is to be called every few dozen milliseconds.
+func (e *Engine) Heartbeat() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.recordHeartbeat(time.Now())
+	e.updateLeaseExclusions()
 }
 
-// noteBeat notes a beat, and how long sends have to wait where it comes late. The lock is held.
-func (s *Store) noteBeat(now time.Time) {
-	if !s.beat.IsZero() && now.Sub(s.beat) > stallFrom {
-		s.restUntil = now.Add(stallRest)
-		s.Counters.Stalls.Add(1)
+// recordHeartbeat notes a beat, and how long sends have to wait where it comes late. The lock is held.
+func (e *Engine) recordHeartbeat(now time.Time) {
+	if !e.lastHeartbeat.IsZero() && now.Sub(e.lastHeartbeat) > stallThreshold {
+		e.pausedUntil = now.Add(stallPause)
+		e.Counters.Stalls.Add(1)
 	}
-	s.beat = now
+	e.lastHeartbeat = now
 }
 
-// catchUp waits after a stall. Guards against sends to a worker that was told to drain while we stood still: the news
+// waitAfterStall waits after a stall. Guards against sends to a worker that was told to drain while we stood still: the news
 // counts as told, though the watch has not read it yet.
-func (s *Store) catchUp(ctx context.Context) {
-	s.mu.Lock()
+func (e *Engine) waitAfterStall(ctx context.Context) {
+	e.mu.Lock()
 	now := time.Now()
-	if !s.beat.IsZero() {
-		s.noteBeat(now) // an attempt may be the first to run again
+	if !e.lastHeartbeat.IsZero() {
+		e.recordHeartbeat(now) // an attempt may be the first to run again
 	}
-	rest := s.restUntil.Sub(now)
-	s.mu.Unlock()
-	if rest > 0 {
+	pause := e.pausedUntil.Sub(now)
+	e.mu.Unlock()
+	if pause > 0 {
 		select {
 		case <-ctx.Done():
-		case <-time.After(rest):
+		case <-time.After(pause):
 		}
 	}
 }
 
-// News takes news of the list over. News comes in order; the module's version is our own count of it, since
+// UpdateEndpoints takes news of the list over. News comes in order; the module's version is our own count of it, since
 // discovery's may start again from a lower figure.
-func (s *Store) News(l List) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.news++
-	s.index = l.Index
-	s.fresh = s.fresh || !l.Stale
-	s.Counters.News.Add(1)
-	e := dispatch.Event{Kind: dispatch.ListChange, Version: s.news, Stale: l.Stale}
-	if l.Whole {
-		e.Kind = dispatch.ListSnapshot
+func (e *Engine) UpdateEndpoints(list EndpointList) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.revision++
+	e.listVersion = list.Version
+	e.synced = e.synced || !list.Stale
+	e.Counters.EndpointUpdates.Add(1)
+	event := dispatch.Event{Kind: dispatch.EndpointUpdate, Version: e.revision, Stale: list.Stale}
+	if list.Snapshot {
+		event.Kind = dispatch.EndpointSnapshot
 	}
-	told := make(map[dispatch.WorkerID]bool, len(l.Entries))
-	for i := range l.Entries {
-		n := &l.Entries[i]
-		id := s.names.Worker(n.Name)
-		told[id] = true
-		e.Workers = append(e.Workers, dispatch.Worker{
-			ID: id, Zone: s.names.Zone(settings.Plain(n.Zone)), Kind: s.names.Kind(settings.Plain(n.Kind)),
-			Cell: n.Cell, State: n.State, StartedAt: s.view(id, n), Tag: s.names.WorkerTag(id), Weight: n.Weight,
+	listed := make(map[dispatch.WorkerID]bool, len(list.Endpoints))
+	for i := range list.Endpoints {
+		endpoint := &list.Endpoints[i]
+		id := e.names.InternWorker(endpoint.Name)
+		listed[id] = true
+		event.Workers = append(event.Workers, dispatch.Worker{
+			ID: id, Zone: e.names.ZoneID(settings.NormalizeName(endpoint.Zone)), Kind: e.names.KindID(settings.NormalizeName(endpoint.Kind)),
+			Cell: endpoint.Cell, State: endpoint.State, StartedAt: e.updateWorker(id, endpoint), Tag: e.names.WorkerTag(id), Weight: endpoint.Weight,
 		})
 	}
-	if l.Whole {
-		for id := range s.workers {
-			if told[dispatch.WorkerID(id)] {
+	if list.Snapshot {
+		for id := range e.workers {
+			if listed[dispatch.WorkerID(id)] {
 				continue
 			}
-			w := &s.workers[id] // who is missing has left
-			was := w.ready()
-			if w.entry.State != dispatch.Gone {
-				w.left = s.now()
+			worker := &e.workers[id] // who is missing has left
+			wasReady := worker.ready()
+			if worker.endpoint.State != dispatch.Gone {
+				worker.goneAt = e.now()
 			}
-			if w.entry.State = dispatch.Gone; was {
-				s.onNews(WorkerNews{w.entry.Address})
+			if worker.endpoint.State = dispatch.Gone; wasReady {
+				e.onEndpointRetired(RetiredEndpoint{worker.endpoint.Address})
 			}
 		}
 	}
-	if len(s.guard.AwayAt)+len(s.guard.LeasedAt) > 0 {
-		s.bind()
+	if len(e.restrictions.MaintenanceHosts)+len(e.restrictions.LeasedHosts) > 0 {
+		e.applyRestrictions()
 	}
-	s.bar() // before the module hears of a worker that it may not use yet
-	s.handle(s.now(), &e)
+	e.updateLeaseExclusions() // before the module hears of a worker that it may not use yet
+	e.handle(e.now(), &event)
 }
 
-// List is the whole list as it stands, and the count of news that it has had: it is another list when that has changed.
-func (s *Store) List() (l List, news uint64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	l = List{Index: s.index, Whole: true, Stale: !s.fresh}
-	for i := range s.workers {
-		if e := &s.workers[i].entry; e.Name != "" && e.State != dispatch.Gone {
-			l.Entries = append(l.Entries, *e)
+// Endpoints is the whole list as it stands, and the count of news that it has had: it is another list when that has changed.
+func (e *Engine) Endpoints() (list EndpointList, revision uint64) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	list = EndpointList{Version: e.listVersion, Snapshot: true, Stale: !e.synced}
+	for i := range e.workers {
+		if endpoint := &e.workers[i].endpoint; endpoint.Name != "" && endpoint.State != dispatch.Gone {
+			list.Endpoints = append(list.Endpoints, *endpoint)
 		}
 	}
-	return l, s.news
+	return list, e.revision
 }
 
-// Known is how far a worker has come, by our own list.
-type Known struct {
-	Name  string
-	Start int64 // the latest that was told, Unix time in milliseconds; 0: long ago
-	State dispatch.State
+// ListedWorker is how far a worker has come, by our own list.
+type ListedWorker struct {
+	Name            string
+	StartedAtMillis int64 // the latest that was told, Unix time in milliseconds; 0: long ago
+	State           dispatch.WorkerState
 }
 
-// Known are all workers of our list, those too that have left it for no longer than gone; fresh tells that discovery has told it
+// ListedWorkers are all workers of our list, those too that have left it for no longer than gone; fresh tells that discovery has told it
 // since our start.
-func (s *Store) Known(gone time.Duration) (all []Known, fresh bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for i := range s.workers {
-		w := &s.workers[i]
-		if w.entry.Name != "" && (w.entry.State != dispatch.Gone || s.now()-w.left < dispatch.Time(gone.Microseconds())) {
-			all = append(all, Known{w.entry.Name, w.latest, w.entry.State})
+func (e *Engine) ListedWorkers(goneFor time.Duration) (workers []ListedWorker, synced bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for i := range e.workers {
+		worker := &e.workers[i]
+		if worker.endpoint.Name != "" && (worker.endpoint.State != dispatch.Gone || e.now()-worker.goneAt < dispatch.Time(goneFor.Microseconds())) {
+			workers = append(workers, ListedWorker{worker.endpoint.Name, worker.latestStartMillis, worker.endpoint.State})
 		}
 	}
-	return all, s.fresh
+	return workers, e.synced
 }
 
-// Heed leaves out workers that other members of a group know to have come further than our list has them, in place of those before.
-func (s *Store) Heed(names []string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	held := map[dispatch.WorkerID]bool{}
+// ExcludeOutdated leaves out workers that other members of a group know to have come further than our list has them, in place of those before.
+func (e *Engine) ExcludeOutdated(names []string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	outdated := map[dispatch.WorkerID]bool{}
 	for _, name := range names {
-		if id, ok := s.names.FindWorker(name); ok {
-			held[id] = true
+		if id, ok := e.names.FindWorker(name); ok {
+			outdated[id] = true
 		}
 	}
-	for i := range s.workers {
-		switch w, id := &s.workers[i], dispatch.WorkerID(i); {
-		case held[id] && w.out&byPeers == 0:
-			s.leaveOut(id, byPeers)
-		case !held[id] && w.out&byPeers != 0:
-			s.letIn(id, byPeers, 0)
+	for i := range e.workers {
+		switch worker, id := &e.workers[i], dispatch.WorkerID(i); {
+		case outdated[id] && worker.exclusions&excludedByPeers == 0:
+			e.exclude(id, excludedByPeers)
+		case !outdated[id] && worker.exclusions&excludedByPeers != 0:
+			e.include(id, excludedByPeers, 0)
 		}
 	}
 }
 
-// Watching says whether the watch on discovery has told its list and still stands.
-func (s *Store) Watching(stands bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// SetWatching says whether the watch on discovery has told its list and still stands.
+func (e *Engine) SetWatching(watching bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	switch {
-	case !stands:
-		s.watched = time.Time{}
-	case s.watched.IsZero():
-		s.watched = time.Now()
+	case !watching:
+		e.watchingSince = time.Time{}
+	case e.watchingSince.IsZero():
+		e.watchingSince = time.Now()
 	}
 }
 
-// Watched is for how long it has, without a break; below 0: it does not.
-func (s *Store) Watched() time.Duration {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.watched.IsZero() {
+// WatchingFor is for how long it has, without a break; below 0: it does not.
+func (e *Engine) WatchingFor() time.Duration {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.watchingSince.IsZero() {
 		return -1
 	}
-	return time.Since(s.watched)
+	return time.Since(e.watchingSince)
 }
 
-// NewsCount is how much news of the list there has been.
-func (s *Store) NewsCount() uint64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.news
+// EndpointsRevision is how much news of the list there has been.
+func (e *Engine) EndpointsRevision() uint64 {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.revision
 }
 
-// view remembers one entry and returns its start on the module's clock. A start is converted once: another reading of
+// updateWorker remembers one entry and returns its start on the module's clock. A start is converted once: another reading of
 // the wall clock would move it, and a moved start is a restart to the module.
-func (s *Store) view(id dispatch.WorkerID, n *Entry) dispatch.Time {
-	w := s.viewOf(id)
-	old := w.entry
-	if old.Address != "" && (old.Address != n.Address || old.Since != n.Since || w.ready() && n.State != dispatch.Ready) {
-		s.onNews(WorkerNews{old.Address})
+func (e *Engine) updateWorker(id dispatch.WorkerID, endpoint *Endpoint) dispatch.Time {
+	worker := e.workerOf(id)
+	old := worker.endpoint
+	if old.Address != "" && (old.Address != endpoint.Address || old.StartedAtMillis != endpoint.StartedAtMillis || worker.ready() && endpoint.State != dispatch.Ready) {
+		e.onEndpointRetired(RetiredEndpoint{old.Address})
 	}
-	if old.Since != n.Since {
-		w.started = 0
-		if n.Since > 0 {
+	if old.StartedAtMillis != endpoint.StartedAtMillis {
+		worker.startedAt = 0
+		if endpoint.StartedAtMillis > 0 {
 			now := time.Now()
-			w.started = max(s.at(now)-dispatch.Time(now.UnixMicro()-n.Since*1000), 0)
+			worker.startedAt = max(e.at(now)-dispatch.Time(now.UnixMicro()-endpoint.StartedAtMillis*1000), 0)
 		}
 	}
-	if n.State == dispatch.Gone && old.State != dispatch.Gone {
-		w.left = s.now()
+	if endpoint.State == dispatch.Gone && old.State != dispatch.Gone {
+		worker.goneAt = e.now()
 	}
-	if host := hostOf(old.Address); host != hostOf(n.Address) {
-		if w.flying > 0 || time.Now().Before(w.mayRun) {
-			w.moved = append(w.moved, host)
+	if host := hostOf(old.Address); host != hostOf(endpoint.Address) {
+		if worker.inFlight > 0 || time.Now().Before(worker.mayRunUntil) {
+			worker.formerHosts = append(worker.formerHosts, host)
 		} else {
-			w.moved = nil
+			worker.formerHosts = nil
 		}
 	}
-	w.latest = max(w.latest, n.Since) // a word that it leaves need not have its start
-	w.entry = *n
-	return w.started
+	worker.latestStartMillis = max(worker.latestStartMillis, endpoint.StartedAtMillis) // a word that it leaves need not have its start
+	worker.endpoint = *endpoint
+	return worker.startedAt
 }
--- a/internal/failpoint/lean.go
+++ b/internal/failpoint/lean.go
@@ -7,41 +7,41 @@
 
 // The faults' names, for those who ask.
 const (
-	NoLease       = ""
-	LongLease     = ""
-	FewWords      = ""
-	NoBudget      = ""
-	DeadUncounted = ""
-	OwnOrder      = ""
-	ActsTwice     = ""
-	ForgetsOut    = ""
-	SeesAnyway    = ""
-	NeverClear    = ""
-	SilentAnswer  = ""
-	IgnoresBusy   = ""
-	WordsStay     = ""
-	InWins        = ""
-	Reappears     = ""
-	LeavesAlone   = ""
-	KeepsMum      = ""
-	Older         = ""
-	TrustsDisk    = ""
-	ListUntold    = ""
-	CountAgain    = ""
-	ClockWins     = ""
-	ClocksApart   = ""
-	EarlyYes      = ""
-	Overwrites    = ""
-	NewerWords    = ""
-	DiskFails     = ""
-	DiskStalls    = ""
+	SendWithoutLease    = ""
+	OverlongLease       = ""
+	IgnoreMemberReports = ""
+	IgnoreBudget        = ""
+	IgnoreUnavailable   = ""
+	RandomMachineOrder  = ""
+	RepeatCommands      = ""
+	IgnoreRestoredState = ""
+	SendBeforeJoin      = ""
+	WaitForLostMembers  = ""
+	AnswerBeforeCommit  = ""
+	IgnoreBusyWorkers   = ""
+	NoOverrideExchange  = ""
+	EnabledWins         = ""
+	ResurrectEntries    = ""
+	EjectOnPeerReport   = ""
+	NoOutlierReports    = ""
+	OlderBuild          = ""
+	TrustDisk           = ""
+	NoEndpointExchange  = ""
+	ReuseDots           = ""
+	LastWriteWins       = ""
+	ClockSkew           = ""
+	AnswerBeforeSync    = ""
+	OverwriteReplica    = ""
+	NewerEntries        = ""
+	DiskFull            = ""
+	DiskStall           = ""
 )
 
-// Skew is how far a member's wall clock is off: it never is.
-func Skew(string) time.Duration { return 0 }
+// ClockOffset is how far a member's wall clock is off: it never is.
+func ClockOffset(string) time.Duration { return 0 }
 
-// On tells whether a fault is switched on: none ever is.
-func On(string) bool { return false }
+// Enabled tells whether a fault is switched on: none ever is.
+func Enabled(string) bool { return false }
 
-// Write is what becomes of a synced write by plan: nothing.
-func Write(time.Time) error { return nil }
+// BeforeSyncedWrite is what becomes of a synced write by plan: nothing.
+func BeforeSyncedWrite(time.Time) error { return nil }
--- a/internal/frontend/call.go
+++ b/internal/frontend/call.go
@@ -7,71 +7,71 @@
 	"sync/atomic"
 )
 
-// Budget bounds the bytes that bodies hold together. The zero Budget has none to spare.
-type Budget struct{ all, left atomic.Int64 }
+// MemoryBudget bounds the bytes that bodies hold together. The zero Budget has none to spare.
+type MemoryBudget struct{ limit, available atomic.Int64 }
 
-// Set sets how much there is in all; what is taken stays taken.
-func (b *Budget) Set(n int64) { b.left.Add(n - b.all.Swap(n)) }
+// SetLimit sets how much there is in all; what is taken stays taken.
+func (b *MemoryBudget) SetLimit(n int64) { b.available.Add(n - b.limit.Swap(n)) }
 
-func (b *Budget) take(n int64) bool {
-	if b.left.Add(-n) >= 0 {
+func (b *MemoryBudget) reserve(n int64) bool {
+	if b.available.Add(-n) >= 0 {
 		return true
 	}
-	b.left.Add(n)
+	b.available.Add(n)
 	return false
 }
 
-// call is what goes to a worker for one request, the same in all its attempts. It is held by the request and by each
+// upstreamRequest is what goes to a worker for one request, the same in all its attempts. It is held by the request and by each
 // attempt; the last to release it gives its place back.
-type call struct {
+type upstreamRequest struct {
 	method, target string // as the client sent them
 	id             string
 	headers        []byte // further ones that go on, each with its line end
 	body           []byte
-	client         *clientConn // that it came on; nil: none that can be looked at
+	clientConn     *clientConn // that it came on; nil: none that can be looked at
 
-	budget *Budget
-	place  int64 // bytes of the budget that the body holds
-	held   atomic.Int32
+	budget     *MemoryBudget
+	reserved   int64 // bytes of the budget that the body holds
+	references atomic.Int32
 }
 
-func (c *call) hold() { c.held.Add(1) }
+func (r *upstreamRequest) retain() { r.references.Add(1) }
 
-func (c *call) release() {
-	if c.held.Add(-1) == 0 {
-		c.budget.left.Add(c.place)
+func (r *upstreamRequest) release() {
+	if r.references.Add(-1) == 0 {
+		r.budget.available.Add(r.reserved)
 	}
 }
 
-var errLongBody = errors.New("the body is over 64 KiB")
+var errBodyTooLong = errors.New("the body is over 64 KiB")
 
 // readBody reads the body. Memory is taken as bytes come, not as a client announces them; a small body needs no place,
 // so that clients with huge ones do not crowd out the usual ones.
-func (c *call) readBody(r *http.Request) error {
-	if r.ContentLength > bodyMost { // answered before it is read
-		return errLongBody
+func (r *upstreamRequest) readBody(httpRequest *http.Request) error {
+	if httpRequest.ContentLength > maxBodyBytes { // answered before it is read
+		return errBodyTooLong
 	}
-	size := int64(512)
-	if r.ContentLength >= 0 {
-		size = min(r.ContentLength, bodyFree) + 1 // room to read the end
+	initialCapacity := int64(512)
+	if httpRequest.ContentLength >= 0 {
+		initialCapacity = min(httpRequest.ContentLength, unbudgetedBodyBytes) + 1 // room to read the end
 	}
-	c.body = make([]byte, 0, size)
+	r.body = make([]byte, 0, initialCapacity)
 	for {
-		if len(c.body) == cap(c.body) {
-			grown := min(2*int64(cap(c.body)), bodyMost+1)
-			if more := grown - c.place; grown > bodyFree+1 {
-				if !c.budget.take(more) {
-					return errNoPlace
+		if len(r.body) == cap(r.body) {
+			newCapacity := min(2*int64(cap(r.body)), maxBodyBytes+1)
+			if additional := newCapacity - r.reserved; newCapacity > unbudgetedBodyBytes+1 {
+				if !r.budget.reserve(additional) {
+					return errOverLimit
 				}
-				c.place = grown
+				r.reserved = newCapacity
 			}
-			c.body = append(make([]byte, 0, grown), c.body...)
+			r.body = append(make([]byte, 0, newCapacity), r.body...)
 		}
-		n, err := r.Body.Read(c.body[len(c.body):cap(c.body)])
-		c.body = c.body[:len(c.body)+n]
+		n, err := httpRequest.Body.Read(r.body[len(r.body):cap(r.body)])
+		r.body = r.body[:len(r.body)+n]
 		switch {
-		case len(c.body) > bodyMost:
-			return errLongBody
+		case len(r.body) > maxBodyBytes:
+			return errBodyTooLong
 		case errors.Is(err, io.EOF):
 			return nil
 		case err != nil:
--- a/internal/frontend/clients.go
+++ b/internal/frontend/clients.go
@@ -12,261 +12,263 @@
 	"birchfork/internal/engine"
 )
 
-// Clients owns the connections from clients and keeps their number. Connections are always accepted, since one that
+// ConnTracker owns the connections from clients and keeps their number. Connections are always accepted, since one that
 // waits in the kernel counts as ours: where there are too many, one is closed that owes nothing.
-type Clients struct {
-	Most     int // connections up to which all requests are taken
-	Hard     int // connections up to which those wait that have something to say; 0: no limit
-	Counters *engine.Counters
+type ConnTracker struct {
+	SoftLimit int // connections up to which all requests are taken
+	HardLimit int // connections up to which those wait that have something to say; 0: no limit
+	Counters  *engine.Counters
 
-	mu   sync.Mutex
-	open map[*clientConn]bool
+	mu    sync.Mutex
+	conns map[*clientConn]bool
 }
 
-// Listen makes l's connections known.
-func (c *Clients) Listen(l net.Listener) net.Listener { return &clientListener{l, c} }
+// WrapListener makes l's connections known.
+func (t *ConnTracker) WrapListener(listener net.Listener) net.Listener {
+	return &trackingListener{listener, t}
+}
 
-type clientListener struct {
+type trackingListener struct {
 	net.Listener
-	clients *Clients
+	tracker *ConnTracker
 }
 
-func (l *clientListener) Accept() (net.Conn, error) {
+func (l *trackingListener) Accept() (net.Conn, error) {
 	raw, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return l.clients.add(raw), nil
+	return l.tracker.track(raw), nil
 }
 
-func (c *Clients) add(raw net.Conn) *clientConn {
-	conn := &clientConn{Conn: raw, clients: c, since: time.Now()}
+func (t *ConnTracker) track(raw net.Conn) *clientConn {
+	conn := &clientConn{Conn: raw, tracker: t, since: time.Now()}
 	if sc, ok := raw.(syscall.Conn); ok {
-		conn.raw, _ = sc.SyscallConn()
+		conn.rawConn, _ = sc.SyscallConn()
 	}
-	c.Counters.ClientConns.Add(1)
-	c.mu.Lock()
-	if c.open == nil {
-		c.open = map[*clientConn]bool{}
+	t.Counters.ClientConns.Add(1)
+	t.mu.Lock()
+	if t.conns == nil {
+		t.conns = map[*clientConn]bool{}
 	}
-	c.open[conn] = true
-	cut := c.choose(conn)
-	c.mu.Unlock()
-	for _, k := range cut {
-		c.Counters.ClientsCut.Add(1)
-		k.release() // returns when the descriptor is free
+	t.conns[conn] = true
+	evicted := t.evictExcess(conn)
+	t.mu.Unlock()
+	for _, victim := range evicted {
+		t.Counters.ClientConnsClosed.Add(1)
+		victim.closeNow() // returns when the descriptor is free
 	}
 	return conn
 }
 
-// choose marks connections to be closed as there are too many, but for the newest. The lock is held. One look at each finds the next to
+// evictExcess marks connections to be closed as there are too many, but for the newest. The lock is held. One look at each finds the next to
 // go: a crowd that comes over the limit costs a descriptor a connection, and must not cost those that are served their time.
-func (c *Clients) choose(newest *clientConn) (cut []*clientConn) {
-	if len(c.open) <= c.Most {
+func (t *ConnTracker) evictExcess(newest *clientConn) (evicted []*clientConn) {
+	if len(t.conns) <= t.SoftLimit {
 		return nil
 	}
-	var passed map[*clientConn]bool // not to be closed yet
-	for _, evenSpeaking := range []bool{false, true} {
-		most := c.Most
-		if evenSpeaking {
-			most = c.Hard
+	var skipped map[*clientConn]bool // not to be closed yet
+	for _, includeUnread := range []bool{false, true} {
+		limit := t.SoftLimit
+		if includeUnread {
+			limit = t.HardLimit
 		}
-		clear(passed)
-		for most > 0 && len(c.open) > most {
-			k := c.first(newest, passed)
-			if k == nil {
+		clear(skipped)
+		for limit > 0 && len(t.conns) > limit {
+			candidate := t.nextToEvict(newest, skipped)
+			if candidate == nil {
 				break
 			}
-			if k.mark(evenSpeaking) {
-				delete(c.open, k)
-				cut = append(cut, k)
+			if candidate.evict(includeUnread) {
+				delete(t.conns, candidate)
+				evicted = append(evicted, candidate)
 				continue
 			}
-			if passed == nil {
-				passed = map[*clientConn]bool{}
+			if skipped == nil {
+				skipped = map[*clientConn]bool{}
 			}
-			passed[k] = true
+			skipped[candidate] = true
 		}
 	}
-	return cut
+	return evicted
 }
 
-// first is the connection that goes first of those that may, but for the newest and those passed over; nil where there is none. The
+// nextToEvict is the connection that goes first of those that may, but for the newest and those passed over; nil where there is none. The
 // lock is held.
-func (c *Clients) first(newest *clientConn, passed map[*clientConn]bool) (best *clientConn) {
-	now, least, oldest := time.Now(), needed, time.Time{}
-	for k := range c.open {
-		if k == newest || passed[k] {
+func (t *ConnTracker) nextToEvict(newest *clientConn, skipped map[*clientConn]bool) (best *clientConn) {
+	now, lowest, oldest := time.Now(), evictNever, time.Time{}
+	for conn := range t.conns {
+		if conn == newest || skipped[conn] {
 			continue
 		}
-		if rank, since := k.spare(now); rank < least || rank == least && rank != needed && since.Before(oldest) {
-			best, least, oldest = k, rank, since
+		if class, since := conn.evictionClass(now); class < lowest || class == lowest && class != evictNever && since.Before(oldest) {
+			best, lowest, oldest = conn, class, since
 		}
 	}
 	return best
 }
 
-// SetMost sets how many connections there may be; those go that are too many now and are owed nothing.
-func (c *Clients) SetMost(most, hard int) {
-	c.mu.Lock()
-	c.Most, c.Hard = most, hard
-	cut := c.choose(nil)
-	c.mu.Unlock()
-	for _, k := range cut {
-		c.Counters.ClientsCut.Add(1)
-		k.release()
+// SetLimits sets how many connections there may be; those go that are too many now and are owed nothing.
+func (t *ConnTracker) SetLimits(soft, hard int) {
+	t.mu.Lock()
+	t.SoftLimit, t.HardLimit = soft, hard
+	evicted := t.evictExcess(nil)
+	t.mu.Unlock()
+	for _, victim := range evicted {
+		t.Counters.ClientConnsClosed.Add(1)
+		victim.closeNow()
 	}
 }
 
-// Owing is how many connections are owed something, or may have something to say yet.
-func (c *Clients) Owing() (n int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for k := range c.open {
-		if k.owing() {
+// Pending is how many connections are owed something, or may have something to say yet.
+func (t *ConnTracker) Pending() (n int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for conn := range t.conns {
+		if conn.pending() {
 			n++
 		}
 	}
 	return n
 }
 
-// Wait waits until no connection is left, or ctx ends.
-func (c *Clients) Wait(ctx context.Context) {
-	t := time.NewTicker(waitEvery)
-	defer t.Stop()
-	for ctx.Err() == nil && c.Open() > 0 {
+// WaitClosed waits until no connection is left, or ctx ends.
+func (t *ConnTracker) WaitClosed(ctx context.Context) {
+	ticker := time.NewTicker(waitInterval)
+	defer ticker.Stop()
+	for ctx.Err() == nil && t.Count() > 0 {
 		select {
 		case <-ctx.Done():
-		case <-t.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// waitEvery is a part of what is waited for: a client's close, some milliseconds after our own.
-const waitEvery = time.Millisecond
+// waitInterval is a part of what is waited for: a client's close, some milliseconds after our own.
+const waitInterval = time.Millisecond
 
-// Open is how many connections there are.
-func (c *Clients) Open() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return len(c.open)
+// Count is how many connections there are.
+func (t *ConnTracker) Count() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.conns)
 }
 
-// CutIdle closes the connections that stand idle after an answer.
-func (c *Clients) CutIdle() {
-	c.mu.Lock()
-	var cut []*clientConn
+// CloseIdle closes the connections that stand idle after an answer.
+func (t *ConnTracker) CloseIdle() {
+	t.mu.Lock()
+	var idle []*clientConn
 	now := time.Now()
-	for k := range c.open {
-		if rank, _ := k.spare(now); rank == kept && k.mark(false) {
-			delete(c.open, k)
-			cut = append(cut, k)
+	for conn := range t.conns {
+		if class, _ := conn.evictionClass(now); class == evictIdle && conn.evict(false) {
+			delete(t.conns, conn)
+			idle = append(idle, conn)
 		}
 	}
-	c.mu.Unlock()
-	for _, k := range cut {
-		k.release()
+	t.mu.Unlock()
+	for _, conn := range idle {
+		conn.closeNow()
 	}
 }
 
-// Over tells whether there are more connections than requests can be taken from.
-func (c *Clients) Over() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return len(c.open) > c.Most
+// OverLimit tells whether there are more connections than requests can be taken from.
+func (t *ConnTracker) OverLimit() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.conns) > t.SoftLimit
 }
 
 // The order in which connections are closed where there are too many.
 const (
-	leaving = iota // has had its last answer
-	strange        // has never had a proper request answered, and time enough to send one
-	kept           // a client's that comes again
-	fresh          // has just come
-	needed         // never closed: it is owed an answer
+	evictClosing  = iota // has had its last answer
+	evictUnproven        // has never had a proper request answered, and time enough to send one
+	evictIdle            // a client's that comes again
+	evictNew             // has just come
+	evictNever           // never closed: it is owed an answer
 )
 
-// freshFor is how long a connection may take to say something before it counts as one that says nothing.
-const freshFor = 50 * time.Millisecond
+// newConnPeriod is how long a connection may take to say something before it counts as one that says nothing.
+const newConnPeriod = 50 * time.Millisecond
 
 // clientConn is a connection from a client. It sees all that net/http reads, so it knows what net/http does not tell:
 // whether anything of a request has come, how the request was framed, and whether more came than the request.
 type clientConn struct {
 	net.Conn
-	raw     syscall.RawConn // nil: the connection has no descriptor
-	clients *Clients
-	once    sync.Once // of Close
-	free    sync.Once // of release
-
-	mu        sync.Mutex
-	cut       bool // closed by us: nothing is read any more
-	since     time.Time
-	proper    bool // a proper request has been answered
-	taken     bool // a whole request has come, its answer is not begun
-	behind    int  // bytes that came behind it and were dropped
-	answering bool // its answer is being written; what comes now is a next request
-	last      bool // no further request is read
-	replied   bool // what was said last on it is an answer of ours
-	ended     bool // our sending has ended
-
-	head  headScan
-	began bool  // something of the request has come
-	left  int64 // of its body
-	extra bool  // more has come than the request
-}
-
-// behindMost is how much may come behind a request that has not been answered: clients send one request at a time, and whoever sends
+	rawConn     syscall.RawConn // nil: the connection has no descriptor
+	tracker     *ConnTracker
+	closeOnce   sync.Once // of Close
+	releaseOnce sync.Once // of release
+
+	mu               sync.Mutex
+	evicted          bool // closed by us: nothing is read any more
+	since            time.Time
+	proven           bool // a proper request has been answered
+	awaitingResponse bool // a whole request has come, its answer is not begun
+	surplusBytes     int  // bytes that came behind it and were dropped
+	responding       bool // its answer is being written; what comes now is a next request
+	noMoreRequests   bool // no further request is read
+	responded        bool // what was said last on it is an answer of ours
+	writeClosed      bool // our sending has ended
+
+	head           headScanner
+	requestStarted bool  // something of the request has come
+	bodyLeft       int64 // of its body
+	surplus        bool  // more has come than the request
+}
+
+// maxSurplusBytes is how much may come behind a request that has not been answered: clients send one request at a time, and whoever sends
 // more than a whole one on top waits for nothing that could be answered in order.
-const behindMost = headerMost + bodyMost
+const maxSurplusBytes = maxHeaderBytes + maxBodyBytes
 
-var errBehind = errors.New("too much came behind a request that is not answered yet")
+var errTooMuchSurplus = errors.New("too much came behind a request that is not answered yet")
 
 // Read reads and notes. A connection that is being closed by us gives nothing any more: marking and reading exclude each
 // other, so that no request is read from it and then lost. What comes behind a request while that waits for its answer is dropped, as
 // the answer is the connection's last one then: net/http would stop looking at the first such byte, and not see the client leave.
 func (c *clientConn) Read(p []byte) (n int, err error) {
-	if c.raw == nil || len(p) == 0 {
+	if c.rawConn == nil || len(p) == 0 {
 		n, err = c.Conn.Read(p)
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.note(p[:n])
+		c.trackFraming(p[:n])
 		return n, err
 	}
-	outer := c.raw.Read(func(fd uintptr) bool {
+	rawErr := c.rawConn.Read(func(fd uintptr) bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.cut {
+		if c.evicted {
 			err = net.ErrClosed
 			return true
 		}
-		var drop [4 << 10]byte
+		var discard [4 << 10]byte
 		for {
-			into := p
-			if c.taken {
-				into = drop[:]
+			buffer := p
+			if c.awaitingResponse {
+				buffer = discard[:]
 			}
-			n, err = syscall.Read(int(fd), into)
+			n, err = syscall.Read(int(fd), buffer)
 			switch {
 			case errors.Is(err, syscall.EINTR):
 			case errors.Is(err, syscall.EAGAIN):
 				return false
-			case c.taken && n > 0:
-				c.extra, c.behind = true, c.behind+n
-				if c.behind > behindMost {
-					n, err = 0, errBehind
+			case c.awaitingResponse && n > 0:
+				c.surplus, c.surplusBytes = true, c.surplusBytes+n
+				if c.surplusBytes > maxSurplusBytes {
+					n, err = 0, errTooMuchSurplus
 					return true
 				}
 			default:
-				c.note(p[:max(n, 0)])
+				c.trackFraming(p[:max(n, 0)])
 				return true
 			}
 		}
 	})
 	var timeout net.Error
 	switch {
-	case errors.As(outer, &timeout) && timeout.Timeout():
-		return 0, outer
-	case outer != nil:
-		return 0, &net.OpError{Op: "read", Net: "tcp", Err: outer}
+	case errors.As(rawErr, &timeout) && timeout.Timeout():
+		return 0, rawErr
+	case rawErr != nil:
+		return 0, &net.OpError{Op: "read", Net: "tcp", Err: rawErr}
 	case err != nil:
 		return 0, &net.OpError{Op: "read", Net: "tcp", Err: err}
 	case n == 0:
@@ -275,135 +277,135 @@
 	return n, nil
 }
 
-// note follows the framing of what has been read. The lock is held.
-func (c *clientConn) note(b []byte) {
-	if len(b) == 0 {
+// trackFraming follows the framing of what has been read. The lock is held.
+func (c *clientConn) trackFraming(data []byte) {
+	if len(data) == 0 {
 		return
 	}
-	if c.taken {
-		c.extra = true
+	if c.awaitingResponse {
+		c.surplus = true
 		return
 	}
-	c.began = true
+	c.requestStarted = true
 	if !c.head.done {
-		b = b[c.head.scan(b):]
+		data = data[c.head.scan(data):]
 		if !c.head.done {
 			return
 		}
-		c.left = c.head.length
+		c.bodyLeft = c.head.length
 	}
-	c.left -= int64(len(b))
-	if c.left < 0 && !c.head.coded {
-		c.extra = true
+	c.bodyLeft -= int64(len(data))
+	if c.bodyLeft < 0 && !c.head.hasTransferEncoding {
+		c.surplus = true
 	}
 }
 
-// misframed tells whether the request's length was given in two ways: what another reader takes for its end may be
+// ambiguousLength tells whether the request's length was given in two ways: what another reader takes for its end may be
 // another place, behind which a request of its own is hidden.
-func (c *clientConn) misframed() bool {
+func (c *clientConn) ambiguousLength() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.head.odd || c.head.coded && c.head.sized
+	return c.head.invalidLength || c.head.hasTransferEncoding && c.head.hasLength
 }
 
-// take says that a whole request has come. It returns false where more has come than that: clients send one at a time,
+// completeRequest says that a whole request has come. It returns false where more has come than that: clients send one at a time,
 // so its length was wrong.
-func (c *clientConn) take() bool {
+func (c *clientConn) completeRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.cut || c.extra || c.waiting() {
-		c.extra = true
+	if c.evicted || c.surplus || c.hasUnread() {
+		c.surplus = true
 		return false
 	}
-	c.taken = true
+	c.awaitingResponse = true
 	return true
 }
 
-// answer says that the answer begins. It returns whether that has to be the last one on the connection.
-func (c *clientConn) answer(last bool) bool {
+// beginResponse says that the answer begins. It returns whether that has to be the last one on the connection.
+func (c *clientConn) beginResponse(final bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last = last || c.extra || c.head.coded // a coded body's end is not known here, so neither is what is behind it
-	c.proper = c.proper || c.taken
-	c.taken, c.answering, c.behind = false, true, 0
-	c.began, c.left, c.head = false, 0, headScan{line: c.head.line[:0]}
-	return c.last
+	c.noMoreRequests = final || c.surplus || c.head.hasTransferEncoding // a coded body's end is not known here, so neither is what is behind it
+	c.proven = c.proven || c.awaitingResponse
+	c.awaitingResponse, c.responding, c.surplusBytes = false, true, 0
+	c.requestStarted, c.bodyLeft, c.head = false, 0, headScanner{line: c.head.line[:0]}
+	return c.noMoreRequests
 }
 
-// answered says that the answer is written.
-func (c *clientConn) answered() {
+// endResponse says that the answer is written.
+func (c *clientConn) endResponse() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answering, c.since, c.replied = false, time.Now(), true
+	c.responding, c.since, c.responded = false, time.Now(), true
 }
 
-// stays tells that the connection must not be closed for want of room, or is already. The lock is held.
-func (c *clientConn) stays() bool { return c.taken || c.answering || c.cut }
+// mustKeep tells that the connection must not be closed for want of room, or is already. The lock is held.
+func (c *clientConn) mustKeep() bool { return c.awaitingResponse || c.responding || c.evicted }
 
-// spare tells when the connection may be closed, and how long it has said nothing whole.
-func (c *clientConn) spare(now time.Time) (rank int, since time.Time) {
+// evictionClass tells when the connection may be closed, and how long it has said nothing whole.
+func (c *clientConn) evictionClass(now time.Time) (class int, since time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.stays():
-		return needed, c.since
-	case c.last:
-		return leaving, c.since
-	case !c.proper && now.Sub(c.since) < freshFor:
-		return fresh, c.since
-	case !c.proper:
-		return strange, c.since
+	case c.mustKeep():
+		return evictNever, c.since
+	case c.noMoreRequests:
+		return evictClosing, c.since
+	case !c.proven && now.Sub(c.since) < newConnPeriod:
+		return evictNew, c.since
+	case !c.proven:
+		return evictUnproven, c.since
 	}
-	return kept, c.since
+	return evictIdle, c.since
 }
 
-// owing tells whether something is owed on the connection, has begun to come, or may come at once.
-func (c *clientConn) owing() bool {
+// pending tells whether something is owed on the connection, has begun to come, or may come at once.
+func (c *clientConn) pending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.taken || c.answering || !c.cut && !c.last && (c.began || c.waiting() || !c.proper && time.Since(c.since) < freshFor)
+	return c.awaitingResponse || c.responding || !c.evicted && !c.noMoreRequests && (c.requestStarted || c.hasUnread() || !c.proven && time.Since(c.since) < newConnPeriod)
 }
 
-// mark marks the connection as closed by us, unless it is owed something or, where evenSpeaking is false, a request that
+// evict marks the connection as closed by us, unless it is owed something or, where evenSpeaking is false, a request that
 // nobody has read yet waits on it.
-func (c *clientConn) mark(evenSpeaking bool) bool {
+func (c *clientConn) evict(includeUnread bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.stays() || !evenSpeaking && !c.last && !c.began && c.waiting() {
+	if c.mustKeep() || !includeUnread && !c.noMoreRequests && !c.requestStarted && c.hasUnread() {
 		return false
 	}
-	c.cut = true
+	c.evicted = true
 	return true
 }
 
-// waiting tells whether bytes have come that nobody has read. The lock is held.
-func (c *clientConn) waiting() bool {
-	if c.raw == nil {
+// hasUnread tells whether bytes have come that nobody has read. The lock is held.
+func (c *clientConn) hasUnread() bool {
+	if c.rawConn == nil {
 		return false
 	}
-	n, err := engine.Peek(c.raw)
+	n, err := engine.Peek(c.rawConn)
 	return err == nil && n > 0
 }
 
-// gone tells whether the client has ended its sending, by a look at what has come and nobody has read. Guards against a request that
+// clientGone tells whether the client has ended its sending, by a look at what has come and nobody has read. Guards against a request that
 // is sent on though its client left before we came to read that, as after a stall: net/http tells it once it has read it.
-func (c *clientConn) gone() bool {
-	if c == nil || c.raw == nil {
+func (c *clientConn) clientGone() bool {
+	if c == nil || c.rawConn == nil {
 		return false
 	}
-	n, err := engine.Peek(c.raw)
+	n, err := engine.Peek(c.rawConn)
 	return n == 0 && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
 }
 
 // CloseWrite ends what we send: net/http does so before it closes a connection whose client is still sending, and waits itself then.
 func (c *clientConn) CloseWrite() error {
-	c.leave()
-	return c.endSending()
+	c.endReads()
+	return c.endWrites()
 }
 
-func (c *clientConn) endSending() error {
+func (c *clientConn) endWrites() error {
 	c.mu.Lock()
-	c.ended = true
+	c.writeClosed = true
 	c.mu.Unlock()
 	if w, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return w.CloseWrite()
@@ -411,76 +413,78 @@
 	return nil
 }
 
-// leave notes that nothing is read any more, and counts a request that has begun and is not ours to answer: net/http
+// endReads notes that nothing is read any more, and counts a request that has begun and is not ours to answer: net/http
 // has turned it down, or it did not come whole.
-func (c *clientConn) leave() {
+func (c *clientConn) endReads() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.began && !c.last && !c.cut {
-		c.clients.Counters.Unreadable.Add(1)
+	if c.requestStarted && !c.noMoreRequests && !c.evicted {
+		c.tracker.Counters.Unreadable.Add(1)
 	}
-	c.last = true
+	c.noMoreRequests = true
 }
 
-// lingerMost is for a client to take its last answer and close: a round trip of the longest ways that platforms have between a client
+// lingerTimeout is for a client to take its last answer and close: a round trip of the longest ways that platforms have between a client
 // and a dispatcher beside it, many times over. Until then the connection is the first to go where there are too many.
-const lingerMost = 250 * time.Millisecond
+const lingerTimeout = 250 * time.Millisecond
 
 // Close ends the connection, once. Where its last answer has just been written it ends our sending alone, and leaves the rest to the
 // client's close, for a bounded time: closed at once over bytes that nobody has read, or that come a moment later, the connection is
 // reset, and an answer that the client has not read is lost with it.
 func (c *clientConn) Close() (err error) {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		c.mu.Lock()
-		linger := c.raw != nil && c.replied && time.Since(c.since) < lingerMost && !c.ended && !c.cut
+		lingers := c.rawConn != nil && c.responded && time.Since(c.since) < lingerTimeout && !c.writeClosed && !c.evicted
 		c.mu.Unlock()
-		c.leave()
-		if !linger {
-			err = c.release()
+		c.endReads()
+		if !lingers {
+			err = c.closeNow()
 			return
 		}
-		c.SetReadDeadline(time.Now().Add(lingerMost))
-		err = c.endSending()
-		go c.linger()
+		c.SetReadDeadline(time.Now().Add(lingerTimeout))
+		err = c.endWrites()
+		go c.lingeringClose()
 	})
 	return err
 }
 
-// linger waits for the client's close. What comes meanwhile is no request of ours: it is dropped at the end, as a close over it would
+// lingeringClose waits for the client's close. What comes meanwhile is no request of ours: it is dropped at the end, as a close over it would
 // reset the connection and take with it what the kernel still has of the answer.
-func (c *clientConn) linger() {
-	defer c.release()
-	c.raw.Read(func(fd uintptr) bool {
-		n, err := engine.PeekAt(fd)
+func (c *clientConn) lingeringClose() {
+	defer c.closeNow()
+	c.rawConn.Read(func(fd uintptr) bool {
+		n, err := engine.PeekFD(fd)
 		return n <= 0 && !errors.Is(err, syscall.EAGAIN)
 	})
-	c.raw.Control(func(fd uintptr) {
-		var drop [4 << 10]byte
-		for range behindMost / len(drop) {
-			if n, err := syscall.Read(int(fd), drop[:]); n <= 0 && !errors.Is(err, syscall.EINTR) {
+	c.rawConn.Control(func(fd uintptr) {
+		var discard [4 << 10]byte
+		for range maxSurplusBytes / len(discard) {
+			if n, err := syscall.Read(int(fd), discard[:]); n <= 0 && !errors.Is(err, syscall.EINTR) {
 				return
 			}
 		}
 	})
 }
 
-// release closes the connection at once and forgets it.
-func (c *clientConn) release() (err error) {
-	c.free.Do(func() {
-		c.leave()
+// closeNow closes the connection at once and forgets it.
+func (c *clientConn) closeNow() (err error) {
+	c.releaseOnce.Do(func() {
+		c.endReads()
 		err = c.Conn.Close()
-		c.clients.mu.Lock()
-		delete(c.clients.open, c)
-		c.clients.mu.Unlock()
+		c.tracker.mu.Lock()
+		delete(c.tracker.conns, c)
+		c.tracker.mu.Unlock()
 	})
 	return err
 }
 
-// connKey is where a request's context has its connection.
-type connKey struct{}
+// connContextKey is where a request's context has its connection.
+type connContextKey struct{}
 
-func withConn(ctx context.Context, conn net.Conn) context.Context {
-	return context.WithValue(ctx, connKey{}, conn)
+func contextWithConn(ctx context.Context, conn net.Conn) context.Context {
+	return context.WithValue(ctx, connContextKey{}, conn)
 }
 
-func connOf(ctx context.Context) *clientConn { return ctx.Value(connKey{}).(*clientConn) }
+func connFromContext(ctx context.Context) *clientConn {
+	return ctx.Value(connContextKey{}).(*clientConn)
+}
