--- a/internal/frontend/front.go
+++ b/internal/frontend/front.go
@@ -16,358 +16,358 @@
 
 // Bounds on what a client may send, and times.
 const (
-	bodyMost     = 64 << 10
-	bodyFree     = 4 << 10 // of a body that need no place: connections bound them
-	headerMost   = 8 << 10
-	idMost       = 256
-	targetMost   = 4 << 10
-	valueMost    = 1 << 10
-	deadlineMost = time.Hour
-	slotsMost    = 1 << 20
-	answerSpare  = 3 * time.Millisecond // kept for the answer's way to the client, whose time runs since it sent
-	freshWait    = 1 * time.Second      // for discovery's first word, before we serve by the old list
+	maxBodyBytes         = 64 << 10
+	unbudgetedBodyBytes  = 4 << 10 // of a body that need no place: connections bound them
+	maxHeaderBytes       = 8 << 10
+	maxIDLength          = 256
+	maxTargetLength      = 4 << 10
+	maxHeaderValueLength = 1 << 10
+	maxDeadline          = time.Hour
+	maxSlots             = 1 << 20
+	responseMargin       = 3 * time.Millisecond // kept for the answer's way to the client, whose time runs since it sent
+	firstListTimeout     = 1 * time.Second      // for discovery's first word, before we serve by the old list
 )
 
 // What a client may take; tests shorten it.
 var (
-	writeWait   = 2 * time.Second         // to take its answer
-	requestWait = 2500 * time.Millisecond // to send a request, from connecting or its first byte on, however it drips
+	writeTimeout   = 2 * time.Second         // to take its answer
+	requestTimeout = 2500 * time.Millisecond // to send a request, from connecting or its first byte on, however it drips
 )
 
-// idleWait is for a client's next request.
-const idleWait = 5 * time.Minute
+// idleTimeout is for a client's next request.
+const idleTimeout = 5 * time.Minute
 
-// Front serves clients. It is an http.Handler.
-type Front struct {
-	Store   *engine.Store
-	Runners *Runners
-	Clients *Clients
-	Bodies  Budget // for what bodies hold in memory
+// Handler serves clients. It is an http.Handler.
+type Handler struct {
+	Engine     *engine.Engine
+	Transport  *Transport
+	Conns      *ConnTracker
+	BodyBudget MemoryBudget // for what bodies hold in memory
 
-	comeBack   atomic.Int64 // see Advise
-	mostAdvice atomic.Int64
-	born       time.Time
-	leaving    atomic.Bool
-	stopping   atomic.Bool
-	hurry      chan struct{} // closed when all that is open has to end
+	retryAfter         atomic.Int64 // see Advise
+	maxRetryAfter      atomic.Int64
+	startedAt          time.Time
+	failHealthChecks   atomic.Bool
+	keepAlivesDisabled atomic.Bool
+	forceClose         chan struct{} // closed when all that is open has to end
 }
 
-// NewFront returns a front for the requests of s.
-func NewFront(s *engine.Store, r *Runners, c *Clients) *Front {
-	return &Front{Store: s, Runners: r, Clients: c, born: time.Now(), hurry: make(chan struct{})}
+// NewHandler returns a front for the requests of s.
+func NewHandler(e *engine.Engine, transport *Transport, conns *ConnTracker) *Handler {
+	return &Handler{Engine: e, Transport: transport, Conns: conns, startedAt: time.Now(), forceClose: make(chan struct{})}
 }
 
-// Advise sets when one may come back whom a limit has left no place, and the longest advice that the settings allow; 0
+// SetRetryAfter sets when one may come back whom a limit has left no place, and the longest advice that the settings allow; 0
 // where they allow none.
-func (f *Front) Advise(comeBack, most time.Duration) {
-	f.comeBack.Store(int64(min(comeBack, most)))
-	f.mostAdvice.Store(int64(most))
+func (h *Handler) SetRetryAfter(delay, maxDelay time.Duration) {
+	h.retryAfter.Store(int64(min(delay, maxDelay)))
+	h.maxRetryAfter.Store(int64(maxDelay))
 }
 
-// Server returns the HTTP server that the front stands on, for connections that Clients knows.
-func (f *Front) Server() *http.Server {
+// HTTPServer returns the HTTP server that the front stands on, for connections that Clients knows.
+func (h *Handler) HTTPServer() *http.Server {
 	return &http.Server{
-		Handler: f, ConnContext: withConn, ReadHeaderTimeout: requestWait, ReadTimeout: requestWait, IdleTimeout: idleWait,
-		MaxHeaderBytes: headerMost, DisableGeneralOptionsHandler: true, // else net/http answers some by itself and keeps them
+		Handler: h, ConnContext: contextWithConn, ReadHeaderTimeout: requestTimeout, ReadTimeout: requestTimeout, IdleTimeout: idleTimeout,
+		MaxHeaderBytes: maxHeaderBytes, DisableGeneralOptionsHandler: true, // else net/http answers some by itself and keeps them
 	}
 }
 
-// Leave makes the front say that it is not up any more; it serves as before.
-func (f *Front) Leave() { f.leaving.Store(true) }
+// FailHealthChecks makes the front say that it is not up any more; it serves as before.
+func (h *Handler) FailHealthChecks() { h.failHealthChecks.Store(true) }
 
-// Stop makes the front keep no connection any more.
-func (f *Front) Stop() {
-	f.Leave()
-	f.stopping.Store(true)
+// DisableKeepAlives makes the front keep no connection any more.
+func (h *Handler) DisableKeepAlives() {
+	h.FailHealthChecks()
+	h.keepAlivesDisabled.Store(true)
 }
 
-// Stopping tells whether it does.
-func (f *Front) Stopping() bool { return f.stopping.Load() }
+// KeepAlivesDisabled tells whether it does.
+func (h *Handler) KeepAlivesDisabled() bool { return h.keepAlivesDisabled.Load() }
 
-// Hurry ends all that is open with a failure.
-func (f *Front) Hurry() { close(f.hurry) }
+// ForceClose ends all that is open with a failure.
+func (h *Handler) ForceClose() { close(h.forceClose) }
 
 // Up tells whether we can serve: some worker is up, and discovery has told so since our start. Where discovery is
 // silent the list kept from before has to do after a while.
-func (f *Front) Up() bool {
-	some, _ := f.Store.Ready()
-	return some && f.Ready()
+func (h *Handler) Up() bool {
+	available, _ := h.Engine.Ready()
+	return available && h.Ready()
 }
 
 // Ready tells whether this process can serve: it knows the workers, from discovery or from before, and does not leave.
 // Unlike Up it does not ask whether one of them is up.
-func (f *Front) Ready() bool {
-	_, fresh := f.Store.Ready()
-	return (fresh || time.Since(f.born) > freshWait) && !f.leaving.Load()
+func (h *Handler) Ready() bool {
+	_, synced := h.Engine.Ready()
+	return (synced || time.Since(h.startedAt) > firstListTimeout) && !h.failHealthChecks.Load()
 }
 
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	counters := &f.Store.Counters
+func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	counters := &h.Engine.Counters
 	switch {
-	case connOf(r.Context()).misframed():
-		f.turnDown(w, r, &badRequest{http.StatusBadRequest, "its length is given in two ways", &counters.BadFraming})
+	case connFromContext(r.Context()).ambiguousLength():
+		h.reject(w, r, &requestError{http.StatusBadRequest, "its length is given in two ways", &counters.BadFraming})
 	case r.URL.Path == "/up" && (r.Method == http.MethodGet || r.Method == http.MethodHead):
 		status := http.StatusOK
-		if !f.Up() {
+		if !h.Up() {
 			status = http.StatusServiceUnavailable
 		}
-		f.reply(w, r, status, nil, false)
+		h.writeResponse(w, r, status, nil, false)
 	case r.Method != http.MethodPost:
-		f.turnDown(w, r, &badRequest{http.StatusMethodNotAllowed, "jobs come by POST", &counters.BadMethods})
+		h.reject(w, r, &requestError{http.StatusMethodNotAllowed, "jobs come by POST", &counters.BadMethods})
 	default:
-		f.serveJob(w, r)
+		h.serveRequest(w, r)
 	}
 }
 
-// serveJob is the life of one request, from its body to its release.
-func (f *Front) serveJob(w http.ResponseWriter, r *http.Request) {
-	came := time.Now()
-	job, c, err := f.readJob(r)
+// serveRequest is the life of one request, from its body to its release.
+func (h *Handler) serveRequest(w http.ResponseWriter, r *http.Request) {
+	receivedAt := time.Now()
+	spec, outgoing, err := h.readRequest(r)
 	if err != nil {
-		f.turnDown(w, r, err)
+		h.reject(w, r, err)
 		return
 	}
-	defer c.release()
-	end := came.Add(job.Left - answerSpare)
-	job.Left = time.Until(end)
+	defer outgoing.release()
+	deadline := receivedAt.Add(spec.TimeLeft - responseMargin)
+	spec.TimeLeft = time.Until(deadline)
 	switch {
-	case c.client.gone():
-		f.Store.Counters.GoneEarly.Add(1)
-		leave()
-	case f.Clients.Over():
-		f.turnDown(w, r, errNoPlace)
+	case outgoing.clientConn.clientGone():
+		h.Engine.Counters.ClientsGoneEarly.Add(1)
+		abortConnection()
+	case h.Conns.OverLimit():
+		h.reject(w, r, errOverLimit)
 		return
 	}
-	req, err := f.Store.Open(job)
+	request, err := h.Engine.Open(spec)
 	if err != nil {
-		f.turnDown(w, r, err)
+		h.reject(w, r, err)
 		return
 	}
-	defer req.Leave()
+	defer request.Close()
 	// Guards against an answer that the module owes and does not give; it ends requests a little earlier by itself.
-	overdue := time.NewTimer(time.Until(end) + answerSpare)
+	overdue := time.NewTimer(time.Until(deadline) + responseMargin)
 	defer overdue.Stop()
 	for {
-		var o engine.Order
+		var decision engine.Decision
 		// First what ends the request: of several that are ready the next select takes any, and nothing is sent on past its end.
 		select {
 		case <-r.Context().Done():
-			leave()
-		case <-f.hurry:
-			o = req.Fail()
+			abortConnection()
+		case <-h.forceClose:
+			decision = request.Abort()
 		default:
 			select {
-			case o = <-req.Orders():
+			case decision = <-request.Decisions():
 			case <-r.Context().Done():
-				leave()
-			case <-f.hurry:
-				o = req.Fail()
+				abortConnection()
+			case <-h.forceClose:
+				decision = request.Abort()
 			case <-overdue.C:
-				o = req.Fail()
+				decision = request.Abort()
 			}
 		}
-		switch o.Kind {
-		case engine.SendOut:
-			c.hold()
+		switch decision.Kind {
+		case engine.DecisionSend:
+			outgoing.retain()
 			go func() {
-				defer c.release()
-				f.Runners.attempt(o.Attempt, c)
+				defer outgoing.release()
+				h.Transport.do(decision.Attempt, outgoing)
 			}()
 			continue
-		case engine.Served:
-			f.answer(w, r, http.StatusOK, o.Result)
-		case engine.Refused:
-			retryAfter(w, o.RetryAfter)
-			f.answer(w, r, http.StatusServiceUnavailable, []byte("refused\n"))
-		case engine.GivenUp:
-			f.answer(w, r, http.StatusInternalServerError, []byte("failed\n"))
-		case engine.TurnedDown:
-			f.turnDown(w, r, &badRequest{http.StatusBadRequest, "a worker cannot use it", &f.Store.Counters.Rejected})
+		case engine.DecisionServe:
+			h.respond(w, r, http.StatusOK, decision.Result)
+		case engine.DecisionShed:
+			setRetryAfter(w, decision.RetryAfter)
+			h.respond(w, r, http.StatusServiceUnavailable, []byte("refused\n"))
+		case engine.DecisionFail:
+			h.respond(w, r, http.StatusInternalServerError, []byte("failed\n"))
+		case engine.DecisionInvalid:
+			h.reject(w, r, &requestError{http.StatusBadRequest, "a worker cannot use it", &h.Engine.Counters.RejectedByWorkers})
 		}
 		return
 	}
 }
 
-// leave ends the service of a request whose client has gone: the connection is closed with nothing written. Guards against the empty
+// abortConnection ends the service of a request whose client has gone: the connection is closed with nothing written. Guards against the empty
 // answer with status 200 that net/http writes for a handler that wrote none: a client that has ended its sending alone would take it
 // for a result.
-func leave() { panic(http.ErrAbortHandler) }
+func abortConnection() { panic(http.ErrAbortHandler) }
 
-// answer writes a final answer.
-func (f *Front) answer(w http.ResponseWriter, r *http.Request, status int, body []byte) {
-	if f.reply(w, r, status, body, false) != nil {
-		f.Store.Counters.Unwritten.Add(1)
+// respond writes a final answer.
+func (h *Handler) respond(w http.ResponseWriter, r *http.Request, status int, body []byte) {
+	if h.writeResponse(w, r, status, body, false) != nil {
+		h.Engine.Counters.WriteFailures.Add(1)
 	}
 }
 
-// badRequest says what is wrong with a request, and where that is counted.
-type badRequest struct {
-	status int
-	why    string
-	count  *atomic.Int64
+// requestError says what is wrong with a request, and where that is counted.
+type requestError struct {
+	status  int
+	reason  string
+	counter *atomic.Int64
 }
 
-func (b *badRequest) Error() string { return b.why }
+func (e *requestError) Error() string { return e.reason }
 
-// errNoPlace refuses a request that a limit leaves no place for.
-var errNoPlace = errors.New("no place left")
+// errOverLimit refuses a request that a limit leaves no place for.
+var errOverLimit = errors.New("no place left")
 
-// turnDown answers what never ran. The connection is closed, as what is behind a request that cannot be read is no next
+// reject answers what never ran. The connection is closed, as what is behind a request that cannot be read is no next
 // request, and nobody asks again at once on the same one.
-func (f *Front) turnDown(w http.ResponseWriter, r *http.Request, err error) {
-	c := &f.Store.Counters
-	var bad *badRequest
-	var limited *engine.Limited
+func (h *Handler) reject(w http.ResponseWriter, r *http.Request, err error) {
+	counters := &h.Engine.Counters
+	var bad *requestError
+	var limited *engine.LimitError
 	switch {
 	case errors.As(err, &bad):
-	case errors.Is(err, errNoPlace), errors.Is(err, engine.ErrMany):
-		c.TurnedAway.Add(1)
-		retryAfter(w, time.Duration(f.comeBack.Load()))
-		f.reply(w, r, http.StatusServiceUnavailable, []byte("no place left\n"), true)
+	case errors.Is(err, errOverLimit), errors.Is(err, engine.ErrTooManyOpen):
+		counters.RejectedOverLimit.Add(1)
+		setRetryAfter(w, time.Duration(h.retryAfter.Load()))
+		h.writeResponse(w, r, http.StatusServiceUnavailable, []byte("no place left\n"), true)
 		return
 	case errors.As(err, &limited): // its connection stays: it has done nothing wrong, and asks again on it
-		retryAfter(w, min(limited.ComeBack, time.Duration(f.mostAdvice.Load())))
-		f.reply(w, r, http.StatusServiceUnavailable, []byte(err.Error()+"\n"), false)
+		setRetryAfter(w, min(limited.RetryAfter, time.Duration(h.maxRetryAfter.Load())))
+		h.writeResponse(w, r, http.StatusServiceUnavailable, []byte(err.Error()+"\n"), false)
 		return
-	case errors.Is(err, engine.ErrClass):
-		bad = &badRequest{http.StatusNotFound, err.Error(), &c.BadClasses}
-	case errors.Is(err, engine.ErrTwice):
-		bad = &badRequest{http.StatusBadRequest, err.Error(), &c.BadIDs}
+	case errors.Is(err, engine.ErrUnknownClass):
+		bad = &requestError{http.StatusNotFound, err.Error(), &counters.BadClasses}
+	case errors.Is(err, engine.ErrDuplicateID):
+		bad = &requestError{http.StatusBadRequest, err.Error(), &counters.BadIDs}
 	default:
-		bad = &badRequest{http.StatusBadRequest, err.Error(), &c.BadHeads}
+		bad = &requestError{http.StatusBadRequest, err.Error(), &counters.BadHeaders}
 	}
-	c.BadRequests.Add(1)
-	bad.count.Add(1)
-	f.reply(w, r, bad.status, []byte(bad.why+"\n"), true)
+	counters.BadRequests.Add(1)
+	bad.counter.Add(1)
+	h.writeResponse(w, r, bad.status, []byte(bad.reason+"\n"), true)
 }
 
-func retryAfter(w http.ResponseWriter, d time.Duration) {
-	if d > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(d.Seconds(), 'f', 3, 64))
+func setRetryAfter(w http.ResponseWriter, delay time.Duration) {
+	if delay > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(delay.Seconds(), 'f', 3, 64))
 	}
 }
 
-// reply writes an answer. A client that does not take it holds its connection for a bounded time only.
-func (f *Front) reply(w http.ResponseWriter, r *http.Request, status int, body []byte, last bool) error {
-	conn := connOf(r.Context())
-	if conn.answer(last || f.stopping.Load()) {
+// writeResponse writes an answer. A client that does not take it holds its connection for a bounded time only.
+func (h *Handler) writeResponse(w http.ResponseWriter, r *http.Request, status int, body []byte, final bool) error {
+	conn := connFromContext(r.Context())
+	if conn.beginResponse(final || h.keepAlivesDisabled.Load()) {
 		w.Header().Set("Connection", "close")
 	}
-	defer conn.answered()
-	control := http.NewResponseController(w)
-	control.SetWriteDeadline(time.Now().Add(writeWait))
+	defer conn.endResponse()
+	controller := http.NewResponseController(w)
+	controller.SetWriteDeadline(time.Now().Add(writeTimeout))
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
 	if _, err := w.Write(body); err != nil {
 		return err
 	}
-	return control.Flush() // else what goes wrong with a short answer would show after our return
+	return controller.Flush() // else what goes wrong with a short answer would show after our return
 }
 
-// passedOn are the headers of a client that go on to workers as they came, beside the id. Idempotency-Key is the standard name of what
+// forwardedHeaders are the headers of a client that go on to workers as they came, beside the id. Idempotency-Key is the standard name of what
 // workers drop repeats of a guarded class by: without it a repeat would be another job to them.
-var passedOn = []string{"Content-Type", "Idempotency-Key", "X-Class", "X-Tenant", "X-Key"}
+var forwardedHeaders = []string{"Content-Type", "Idempotency-Key", "X-Class", "X-Tenant", "X-Key"}
 
-// readJob reads a whole request and decodes it. The call that it returns is to be released.
-func (f *Front) readJob(r *http.Request) (job engine.Job, c *call, err error) {
-	counters := &f.Store.Counters
-	job, err = readHead(r)
+// readRequest reads a whole request and decodes it. The call that it returns is to be released.
+func (h *Handler) readRequest(r *http.Request) (spec engine.RequestSpec, outgoing *upstreamRequest, err error) {
+	counters := &h.Engine.Counters
+	spec, err = decodeHead(r)
 	if err != nil {
-		return job, nil, err
+		return spec, nil, err
 	}
-	job.Method, job.Path, job.Key = r.Method, r.URL.Path, r.Header.Get("X-Key")
+	spec.Method, spec.Path, spec.Key = r.Method, r.URL.Path, r.Header.Get("X-Key")
 	target := r.RequestURI
 	if !strings.HasPrefix(target, "/") {
 		target = r.URL.RequestURI()
 	}
-	if !plain(target, targetMost) {
-		return job, nil, errors.New("the path is no plain word of 4096 characters at most")
+	if !isPlainText(target, maxTargetLength) {
+		return spec, nil, errors.New("the path is no plain word of 4096 characters at most")
 	}
-	c = &call{method: r.Method, target: target, id: job.ID, client: connOf(r.Context()), budget: &f.Bodies}
-	for _, name := range passedOn {
-		if v := r.Header.Get(name); v != "" {
-			if !plain(strings.ReplaceAll(v, " ", "_"), valueMost) {
-				return job, nil, errors.New(name + ": it is no plain text of 1024 characters at most")
+	outgoing = &upstreamRequest{method: r.Method, target: target, id: spec.ID, clientConn: connFromContext(r.Context()), budget: &h.BodyBudget}
+	for _, name := range forwardedHeaders {
+		if value := r.Header.Get(name); value != "" {
+			if !isPlainText(strings.ReplaceAll(value, " ", "_"), maxHeaderValueLength) {
+				return spec, nil, errors.New(name + ": it is no plain text of 1024 characters at most")
 			}
-			c.headers = append(append(append(append(c.headers, name...), ": "...), v...), "\r\n"...)
+			outgoing.headers = append(append(append(append(outgoing.headers, name...), ": "...), value...), "\r\n"...)
 		}
 	}
-	c.hold()
-	if err := c.readBody(r); err != nil {
-		c.release()
+	outgoing.retain()
+	if err := outgoing.readBody(r); err != nil {
+		outgoing.release()
 		switch {
-		case errors.Is(err, errLongBody):
-			err = &badRequest{http.StatusRequestEntityTooLarge, err.Error(), &counters.BadSizes}
-		case !errors.Is(err, errNoPlace):
-			err = &badRequest{http.StatusBadRequest, "the body did not come whole", &counters.BadBodies}
+		case errors.Is(err, errBodyTooLong):
+			err = &requestError{http.StatusRequestEntityTooLarge, err.Error(), &counters.BadSizes}
+		case !errors.Is(err, errOverLimit):
+			err = &requestError{http.StatusBadRequest, "the body did not come whole", &counters.BadBodies}
 		}
-		return job, nil, err
+		return spec, nil, err
 	}
-	if !connOf(r.Context()).take() {
-		c.release()
-		return job, nil, &badRequest{http.StatusBadRequest, "more came than its length", &counters.BadFraming}
+	if !connFromContext(r.Context()).completeRequest() {
+		outgoing.release()
+		return spec, nil, &requestError{http.StatusBadRequest, "more came than its length", &counters.BadFraming}
 	}
-	return job, c, nil
+	return spec, outgoing, nil
 }
 
-// plain tells whether a text is safe to hand on in a head: a worker ends the connection on what it cannot read.
-func plain(v string, most int) bool {
-	return len(v) <= most && !strings.ContainsFunc(v, func(c rune) bool { return c <= ' ' || c > '~' })
+// isPlainText tells whether a text is safe to hand on in a head: a worker ends the connection on what it cannot read.
+func isPlainText(text string, maxLength int) bool {
+	return len(text) <= maxLength && !strings.ContainsFunc(text, func(c rune) bool { return c <= ' ' || c > '~' })
 }
 
-// readHead decodes a request's head.
-func readHead(r *http.Request) (job engine.Job, err error) {
-	one := func(name string, needed bool) string {
-		v := r.Header.Values(name)
-		if err == nil && (len(v) > 1 || needed && (len(v) == 0 || v[0] == "")) {
+// decodeHead decodes a request's head.
+func decodeHead(r *http.Request) (spec engine.RequestSpec, err error) {
+	singleValue := func(name string, required bool) string {
+		values := r.Header.Values(name)
+		if err == nil && (len(values) > 1 || required && (len(values) == 0 || values[0] == "")) {
 			err = errors.New(name + ": one value is needed")
 		}
-		if len(v) == 0 {
+		if len(values) == 0 {
 			return ""
 		}
-		return v[0]
+		return values[0]
 	}
-	job.ID, job.Class, job.Tenant = one("X-Request-Id", true), one("X-Class", true), one("X-Tenant", false)
-	ms, extras := one("X-Deadline-Ms", true), one("X-Extras", false)
-	job.Retry = one("X-Retry", false) == "1"
+	spec.ID, spec.Class, spec.Tenant = singleValue("X-Request-Id", true), singleValue("X-Class", true), singleValue("X-Tenant", false)
+	deadlineText, extras := singleValue("X-Deadline-Ms", true), singleValue("X-Extras", false)
+	spec.Retry = singleValue("X-Retry", false) == "1"
 	if err != nil {
-		return job, err
+		return spec, err
 	}
-	if !plain(job.ID, idMost) {
-		return job, errors.New("X-Request-Id: it is no plain word of 256 characters at most")
+	if !isPlainText(spec.ID, maxIDLength) {
+		return spec, errors.New("X-Request-Id: it is no plain word of 256 characters at most")
 	}
-	if first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/"); first != job.Class {
-		return job, errors.New("the path does not begin with the class")
+	if firstSegment, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/"); firstSegment != spec.Class {
+		return spec, errors.New("the path does not begin with the class")
 	}
-	n, err := strconv.ParseUint(ms, 10, 32)
-	if err != nil || n < 1 || n > uint64(deadlineMost.Milliseconds()) {
-		return job, errors.New("X-Deadline-Ms: it is not a number of milliseconds from 1 to an hour")
+	milliseconds, err := strconv.ParseUint(deadlineText, 10, 32)
+	if err != nil || milliseconds < 1 || milliseconds > uint64(maxDeadline.Milliseconds()) {
+		return spec, errors.New("X-Deadline-Ms: it is not a number of milliseconds from 1 to an hour")
 	}
-	job.Left = time.Duration(n) * time.Millisecond
-	return job, readExtras(&job, extras)
+	spec.TimeLeft = time.Duration(milliseconds) * time.Millisecond
+	return spec, decodeExtras(&spec, extras)
 }
 
-// readExtras reads the further figures that a job has. Those that nothing here uses are passed over.
-func readExtras(job *engine.Job, extras string) error {
-	job.Slots = 1
+// decodeExtras reads the further figures that a job has. Those that nothing here uses are passed over.
+func decodeExtras(spec *engine.RequestSpec, extras string) error {
+	spec.Slots = 1
 	if extras == "" {
 		return nil
 	}
-	for one := range strings.SplitSeq(extras, ",") {
-		name, value, ok := strings.Cut(strings.TrimSpace(one), "=")
-		v, err := strconv.ParseFloat(value, 64)
-		if !ok || err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
+	for pair := range strings.SplitSeq(extras, ",") {
+		name, text, ok := strings.Cut(strings.TrimSpace(pair), "=")
+		number, err := strconv.ParseFloat(text, 64)
+		if !ok || err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
 			return errors.New("X-Extras: it is not name=value,name=value")
 		}
 		switch {
-		case name == "slots" && (v < 1 || v > slotsMost || v != math.Trunc(v)):
+		case name == "slots" && (number < 1 || number > maxSlots || number != math.Trunc(number)):
 			return errors.New("X-Extras: slots is not a whole number from 1")
-		case name == "memory" && (v < 0 || v > slotsMost):
+		case name == "memory" && (number < 0 || number > maxSlots):
 			return errors.New("X-Extras: memory is out of range")
 		case name == "slots":
-			job.Slots = int(v)
+			spec.Slots = int(number)
 		case name == "memory":
-			job.Memory = v
+			spec.Memory = number
 		}
 	}
 	return nil
--- a/internal/frontend/shared.go
+++ b/internal/frontend/shared.go
@@ -17,54 +17,54 @@
 // SharedListener is a listener beside which another process may listen at the same address.
 type SharedListener struct {
 	*net.TCPListener
-	finishing atomic.Bool
-	once      sync.Once
-	done      chan struct{} // closed by Close
+	draining atomic.Bool
+	once     sync.Once
+	done     chan struct{} // closed by Close
 }
 
 // ListenShared listens at an address that other processes of this dispatcher listen at, or will.
 func ListenShared(address string) (*SharedListener, error) {
-	c := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) (err error) {
-		outer := raw.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
-		return errors.Join(outer, err)
+	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) (err error) {
+		controlErr := raw.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
+		return errors.Join(controlErr, err)
 	}}
-	l, err := c.Listen(context.Background(), "tcp", address)
+	listener, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	t, ok := l.(*net.TCPListener)
+	tcpListener, ok := listener.(*net.TCPListener)
 	if !ok {
-		l.Close()
+		listener.Close()
 		return nil, fmt.Errorf("%s is no TCP address", address)
 	}
-	return &SharedListener{TCPListener: t, done: make(chan struct{})}, nil
+	return &SharedListener{TCPListener: tcpListener, done: make(chan struct{})}, nil
 }
 
-// Finish makes Accept take what the kernel has accepted for us already, and then end the listening: from there on all new
+// Drain makes Accept take what the kernel has accepted for us already, and then end the listening: from there on all new
 // connections are the other process's.
-func (l *SharedListener) Finish() {
-	l.finishing.Store(true)
+func (l *SharedListener) Drain() {
+	l.draining.Store(true)
 	l.SetDeadline(time.Unix(1, 0)) // wakes an Accept that waits
 }
 
 // Accept takes the next connection. After the last one it waits for Close, as a server takes an error for a fault.
 func (l *SharedListener) Accept() (net.Conn, error) {
-	if !l.finishing.Load() {
-		c, err := l.TCPListener.Accept()
-		if err == nil || !l.finishing.Load() || !errors.Is(err, os.ErrDeadlineExceeded) {
-			return c, err
+	if !l.draining.Load() {
+		conn, err := l.TCPListener.Accept()
+		if err == nil || !l.draining.Load() || !errors.Is(err, os.ErrDeadlineExceeded) {
+			return conn, err
 		}
 	}
-	if c := l.left(); c != nil {
-		return c, nil
+	if conn := l.acceptPending(); conn != nil {
+		return conn, nil
 	}
 	l.TCPListener.Close() // at once: what comes between the last look and this is lost
 	<-l.done
 	return nil, net.ErrClosed
 }
 
-// left takes a connection that waits in the kernel; nil where there is none, or the listener is closed.
-func (l *SharedListener) left() net.Conn {
+// acceptPending takes a connection that waits in the kernel; nil where there is none, or the listener is closed.
+func (l *SharedListener) acceptPending() net.Conn {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return nil
@@ -72,7 +72,9 @@
 	for {
 		var fd int
 		var err error
-		if outer := raw.Control(func(s uintptr) { fd, _, err = unix.Accept4(int(s), unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC) }); outer != nil {
+		if controlErr := raw.Control(func(listenerFD uintptr) {
+			fd, _, err = unix.Accept4(int(listenerFD), unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+		}); controlErr != nil {
 			return nil
 		}
 		switch {
@@ -84,13 +86,13 @@
 		case err != nil:
 			return nil
 		}
-		f := os.NewFile(uintptr(fd), "")
-		c, err := net.FileConn(f) // has a descriptor of its own
-		f.Close()
+		file := os.NewFile(uintptr(fd), "")
+		conn, err := net.FileConn(file) // has a descriptor of its own
+		file.Close()
 		if err != nil {
 			return nil
 		}
-		return c
+		return conn
 	}
 }
 
--- a/internal/gossip/endpoints/roster.go
+++ b/internal/gossip/endpoints/roster.go
@@ -19,110 +19,112 @@
 	Gone
 )
 
-// Fact is how far a worker has come, as discovery has told some member. Of two on one worker the further one holds: a later start,
+// Status is how far a worker has come, as discovery has told some member. Of two on one worker the further one holds: a later start,
 // or of one start the later state. So facts become one in any order.
-type Fact struct {
-	Name  string `json:"name"`
-	Start int64  `json:"start,omitempty"` // Unix time in milliseconds, by discovery's clock; 0: long ago
-	State State  `json:"state,omitempty"`
+type Status struct {
+	Name      string `json:"name"`
+	StartedAt int64  `json:"start,omitempty"` // Unix time in milliseconds, by discovery's clock; 0: long ago
+	State     State  `json:"state,omitempty"`
 }
 
-// further tells whether a fact holds against another one on the same worker.
-func (f Fact) further(o Fact) bool {
-	return cmp.Or(cmp.Compare(f.Start, o.Start), cmp.Compare(f.State, o.State)) > 0
+// supersedes tells whether a fact holds against another one on the same worker.
+func (s Status) supersedes(other Status) bool {
+	return cmp.Or(cmp.Compare(s.StartedAt, other.StartedAt), cmp.Compare(s.State, other.State)) > 0
 }
 
 // Bounds on facts.
 const (
-	nameMost  = 256    // bytes
-	factsMost = 20_000 // of others, that our list does not have
+	maxNameBytes      = 256    // bytes
+	maxRemoteStatuses = 20_000 // of others, that our list does not have
 )
 
 // Times of facts.
 const (
-	// trustOwn is how long our own watch has to have been alive after a fact came until our list holds against it: discovery's news
+	// localTrustDelay is how long our own watch has to have been alive after a fact came until our list holds against it: discovery's news
 	// counts as told 6 s after it is there, and a watch that has fallen silent is seen after 5 s.
-	trustOwn = 6 * time.Second
-	// forget is how long a fact is known after it came, so that it is not told again and again.
-	forget = 15 * time.Minute
+	localTrustDelay = 6 * time.Second
+	// remoteLifetime is how long a fact is known after it came, so that it is not told again and again.
+	remoteLifetime = 15 * time.Minute
 )
 
-// Roster is what one member knows. Times are on its own monotonic clock.
-type Roster struct {
-	own    map[string]Fact
-	fresh  bool             // discovery has told it since our start
-	others map[string]heard // further than our own
+// Table is what one member knows. Times are on its own monotonic clock.
+type Table struct {
+	local      map[string]Status
+	localFresh bool                    // discovery has told it since our start
+	remote     map[string]remoteStatus // further than our own
 }
 
-type heard struct {
-	Fact
-	came   time.Duration
-	lapsed bool // our list has held against it since
+type remoteStatus struct {
+	Status
+	receivedAt time.Duration
+	overruled  bool // our list has held against it since
 }
 
-// New returns a Roster that knows nothing.
-func New() *Roster { return &Roster{own: map[string]Fact{}, others: map[string]heard{}} }
+// NewTable returns a Roster that knows nothing.
+func NewTable() *Table { return &Table{local: map[string]Status{}, remote: map[string]remoteStatus{}} }
 
-// Own takes our own list over; fresh tells that our discovery has told it, and not a list from before our start. It returns what
+// UpdateLocal takes our own list over; fresh tells that our discovery has told it, and not a list from before our start. It returns what
 // others are to hear, sorted: what has come further since the fresh list before, and that nobody told us.
-func (r *Roster) Own(all []Fact, fresh bool) (news []Fact) {
-	was := r.own
-	r.own = make(map[string]Fact, len(all))
-	for _, f := range all {
-		r.own[f.Name] = f
-		old, known := was[f.Name]
-		o, told := r.others[f.Name]
-		if r.fresh && (!known || f.further(old)) && !(told && !f.further(o.Fact)) {
-			news = append(news, f)
+func (t *Table) UpdateLocal(statuses []Status, fresh bool) (updates []Status) {
+	previous := t.local
+	t.local = make(map[string]Status, len(statuses))
+	for _, status := range statuses {
+		t.local[status.Name] = status
+		old, known := previous[status.Name]
+		reported, isReported := t.remote[status.Name]
+		if t.localFresh && (!known || status.supersedes(old)) && !(isReported && !status.supersedes(reported.Status)) {
+			updates = append(updates, status)
 		}
-		if told && !o.further(f) {
-			delete(r.others, f.Name)
+		if isReported && !reported.supersedes(status) {
+			delete(t.remote, status.Name)
 		}
 	}
-	r.fresh = fresh
-	slices.SortFunc(news, byName)
-	return news
+	t.localFresh = fresh
+	slices.SortFunc(updates, compareNames)
+	return updates
 }
 
-// All are the facts of our own list, for one that starts, sorted; false where our discovery has told nothing yet.
-func (r *Roster) All() ([]Fact, bool) { return slices.SortedFunc(maps.Values(r.own), byName), r.fresh }
+// Local are the facts of our own list, for one that starts, sorted; false where our discovery has told nothing yet.
+func (t *Table) Local() ([]Status, bool) {
+	return slices.SortedFunc(maps.Values(t.local), compareNames), t.localFresh
+}
 
-func byName(a, b Fact) int { return cmp.Compare(a.Name, b.Name) }
+func compareNames(a, b Status) int { return cmp.Compare(a.Name, b.Name) }
 
-// Hear takes facts of another member over and returns those that were news, for others again. What makes no sense, and what there
+// Merge takes facts of another member over and returns those that were news, for others again. What makes no sense, and what there
 // is no room for, is counted in refused.
-func (r *Roster) Hear(now time.Duration, facts []Fact) (news []Fact, refused int) {
-	for _, f := range facts {
-		if f.Name == "" || len(f.Name) > nameMost || f.Start < 0 || f.State < Up || f.State > Gone {
-			refused++
+func (t *Table) Merge(now time.Duration, statuses []Status) (updates []Status, rejected int) {
+	for _, status := range statuses {
+		if status.Name == "" || len(status.Name) > maxNameBytes || status.StartedAt < 0 || status.State < Up || status.State > Gone {
+			rejected++
 			continue
 		}
-		old, known := r.others[f.Name]
-		if known && !f.further(old.Fact) || !f.further(r.own[f.Name]) {
+		old, known := t.remote[status.Name]
+		if known && !status.supersedes(old.Status) || !status.supersedes(t.local[status.Name]) {
 			continue
 		}
-		if !known && len(r.others) >= factsMost {
-			refused++
+		if !known && len(t.remote) >= maxRemoteStatuses {
+			rejected++
 			continue
 		}
-		r.others[f.Name] = heard{Fact: f, came: now}
-		news = append(news, f)
+		t.remote[status.Name] = remoteStatus{Status: status, receivedAt: now}
+		updates = append(updates, status)
 	}
-	return news, refused
+	return updates, rejected
 }
 
-// Held are the workers to leave out now, sorted: those of our own list that others know to have come further. alive is how long our
+// Excluded are the workers to leave out now, sorted: those of our own list that others know to have come further. alive is how long our
 // own watch has told its list without a break; below 0: it does not.
-func (r *Roster) Held(now, alive time.Duration) (names []string) {
-	for name, o := range r.others {
-		if !o.lapsed && alive >= 0 && min(alive, now-o.came) >= trustOwn {
-			o.lapsed = true
-			r.others[name] = o
+func (t *Table) Excluded(now, watchUptime time.Duration) (names []string) {
+	for name, reported := range t.remote {
+		if !reported.overruled && watchUptime >= 0 && min(watchUptime, now-reported.receivedAt) >= localTrustDelay {
+			reported.overruled = true
+			t.remote[name] = reported
 		}
-		if now-o.came > forget && alive >= 0 {
-			delete(r.others, name)
+		if now-reported.receivedAt > remoteLifetime && watchUptime >= 0 {
+			delete(t.remote, name)
 		}
-		if own, listed := r.own[name]; listed && !o.lapsed && o.further(own) {
+		if local, listed := t.local[name]; listed && !reported.overruled && reported.supersedes(local) {
 			names = append(names, name)
 		}
 	}
--- a/internal/gossip/outliers/warning.go
+++ b/internal/gossip/outliers/warning.go
@@ -16,97 +16,97 @@
 
 // Bounds on warnings.
 const (
-	waitMost = 64                     // that wait to be told; what is over is not told
-	fan      = 32                     // members that hear of one
-	every    = 250 * time.Millisecond // of one worker, at the most: its failures go on until it is left alone
-	nameMost = 256                    // bytes of a worker's name
-	keptMost = 10_000                 // workers of which it is known when others were warned last
+	maxPending        = 64                     // that wait to be told; what is over is not told
+	fanout            = 32                     // members that hear of one
+	minReportInterval = 250 * time.Millisecond // of one worker, at the most: its failures go on until it is left alone
+	maxNameBytes      = 256                    // bytes of a worker's name
+	maxTrackedWorkers = 10_000                 // workers of which it is known when others were warned last
 )
 
-const path = "/group/warn"
+const reportPath = "/group/warn"
 
-// message says that jobs fail at a worker.
-type message struct {
+// report says that jobs fail at a worker.
+type report struct {
 	Worker string `json:"worker"`
 }
 
-// Warner is one member's part. It tells nothing before Enter and after Leave.
-type Warner struct {
-	Told, Refused atomic.Int64
+// Broadcaster is one member's part. It tells nothing before Enter and after Leave.
+type Broadcaster struct {
+	Sent, Rejected atomic.Int64
 
-	peers  []string
-	warned func(worker string)
-	wait   chan string
+	peers    []string
+	onReport func(worker string)
+	pending  chan string
 
-	quit context.CancelFunc
-	done sync.WaitGroup
+	cancel context.CancelFunc
+	loops  sync.WaitGroup
 }
 
 // New returns a Warner; warned hears of workers that others name.
-func New(peers []string, warned func(worker string)) *Warner {
-	return &Warner{peers: peers, warned: warned, wait: make(chan string, waitMost)}
+func New(peers []string, onReport func(worker string)) *Broadcaster {
+	return &Broadcaster{peers: peers, onReport: onReport, pending: make(chan string, maxPending)}
 }
 
-// Warn tells others that jobs fail at a worker here. It does not wait.
-func (w *Warner) Warn(worker string) {
+// Report tells others that jobs fail at a worker here. It does not wait.
+func (b *Broadcaster) Report(worker string) {
 	select {
-	case w.wait <- worker:
+	case b.pending <- worker:
 	default:
 	}
 }
 
-// Enter takes part by the links of a place in the group, before they serve.
-func (w *Warner) Enter(l *peer.Links) {
-	l.Handle(path, w.hear)
-	ctx, quit := context.WithCancel(context.Background())
-	w.quit = quit
-	w.done.Go(func() { w.tell(ctx, l) })
+// Attach takes part by the links of a place in the group, before they serve.
+func (b *Broadcaster) Attach(transport *peer.Transport) {
+	transport.Handle(reportPath, b.handleReport)
+	ctx, cancel := context.WithCancel(context.Background())
+	b.cancel = cancel
+	b.loops.Go(func() { b.sendLoop(ctx, transport) })
 }
 
-// Leave gives the place up.
-func (w *Warner) Leave() {
-	w.quit()
-	w.done.Wait()
+// Detach gives the place up.
+func (b *Broadcaster) Detach() {
+	b.cancel()
+	b.loops.Wait()
 }
 
 // Fields are the counters, for the log.
-func (w *Warner) Fields() map[string]int64 {
-	return map[string]int64{"warnings_told": w.Told.Load(), "warnings_refused": w.Refused.Load()}
+func (b *Broadcaster) Fields() map[string]int64 {
+	return map[string]int64{"warnings_told": b.Sent.Load(), "warnings_refused": b.Rejected.Load()}
 }
 
-func (w *Warner) tell(ctx context.Context, l *peer.Links) {
-	last := map[string]time.Time{}
+func (b *Broadcaster) sendLoop(ctx context.Context, transport *peer.Transport) {
+	lastSent := map[string]time.Time{}
 	for {
 		var worker string
 		select {
 		case <-ctx.Done():
 			return
-		case worker = <-w.wait:
+		case worker = <-b.pending:
 		}
-		if time.Since(last[worker]) < every || failpoint.On(failpoint.KeepsMum) {
+		if time.Since(lastSent[worker]) < minReportInterval || failpoint.Enabled(failpoint.NoOutlierReports) {
 			continue
 		}
-		if len(last) >= keptMost {
-			clear(last)
+		if len(lastSent) >= maxTrackedWorkers {
+			clear(lastSent)
 		}
-		last[worker] = time.Now()
-		raw, err := json.Marshal(message{worker})
+		lastSent[worker] = time.Now()
+		raw, err := json.Marshal(report{worker})
 		if err != nil {
 			continue
 		}
-		for _, i := range rand.Perm(len(w.peers))[:min(fan, len(w.peers))] {
-			l.Post(w.peers[i], path, raw)
+		for _, i := range rand.Perm(len(b.peers))[:min(fanout, len(b.peers))] {
+			transport.Send(b.peers[i], reportPath, raw)
 		}
-		w.Told.Add(1)
+		b.Sent.Add(1)
 	}
 }
 
-func (w *Warner) hear(_ context.Context, _ peer.Sender, body []byte) ([]byte, error) {
-	var m message
-	if err := json.Unmarshal(body, &m); err != nil || m.Worker == "" || len(m.Worker) > nameMost {
-		w.Refused.Add(1)
-		return nil, &peer.Refused{Text: "no warning"}
+func (b *Broadcaster) handleReport(_ context.Context, _ peer.Sender, body []byte) ([]byte, error) {
+	var m report
+	if err := json.Unmarshal(body, &m); err != nil || m.Worker == "" || len(m.Worker) > maxNameBytes {
+		b.Rejected.Add(1)
+		return nil, &peer.RejectedError{Reason: "no warning"}
 	}
-	w.warned(m.Worker)
+	b.onReport(m.Worker)
 	return nil, nil
 }
