--- a/internal/gossip/spread.go
+++ b/internal/gossip/spread.go
@@ -26,373 +26,379 @@
 
 // Times and bounds of a member.
 const (
-	roundEvery = time.Second     // between rounds while nothing is new
-	askWait    = time.Second     // for a member's answer
-	syncWait   = 3 * time.Second // for the disk to take a word: then staff hear that it has not yet
-	fan        = 3               // members that news goes to at once
-	pieceMost  = 200             // entries of a piece, some 40 kB
-	pullsMost  = 4               // members that are asked at a time
-	caughtWait = 2 * time.Second // a start waits for the others' words no longer than that
-	caughtFrom = 2               // ... or until so many have told all they had
+	roundInterval      = time.Second     // between rounds while nothing is new
+	requestTimeout     = time.Second     // for a member's answer
+	persistTimeout     = 3 * time.Second // for the disk to take a word: then staff hear that it has not yet
+	fanout             = 3               // members that news goes to at once
+	maxChunkEntries    = 200             // entries of a piece, some 40 kB
+	maxConcurrentPulls = 4               // members that are asked at a time
+	catchUpTimeout     = 2 * time.Second // a start waits for the others' words no longer than that
+	catchUpPeers       = 2               // ... or until so many have told all they had
 )
 
 // The paths of the links.
 const (
-	pathHello = "/group/copies/hello"
-	pathPull  = "/group/copies/pull"
-	pathGone  = "/group/copies/gone"
-	PathStaff = "/group/words"
+	digestPath    = "/group/copies/hello"
+	pullPath      = "/group/copies/pull"
+	removalsPath  = "/group/copies/gone"
+	OverridesPath = "/group/words"
 )
 
 // Options is all that a Spread is made of.
 type Options struct {
 	Group, Self string
-	Folder      string   // empty: nothing is kept over a restart
+	Dir         string   // empty: nothing is kept over a restart
 	Peers       []string // the other members
 	// Changed puts what staff's words on a runner come to now in force at this dispatcher, and returns which word that was there.
-	Changed func(runner string, out bool) int64
+	ApplyOverride func(runner string, out bool) int64
 	// Say says a word as the operators' door does.
-	Say   func(runner string, out bool) (note string, err error)
-	About func() About // this process, for the others and staff; nil: nothing is told
-	Log   logrus.FieldLogger
+	SetOverride func(runner string, out bool) (note string, err error)
+	Info        func() MemberInfo // this process, for the others and staff; nil: nothing is told
+	Log         logrus.FieldLogger
 }
 
-// About is what members tell of themselves, to be seen side by side.
-type About struct {
-	Version  string    `json:"version"`
-	Settings string    `json:"settings"` // a digest of the platform's, but for what is each dispatcher's own
-	Operator string    `json:"operator"` // ... of the operator's file
-	Started  time.Time `json:"started"`  // by that member's clock
+// MemberInfo is what members tell of themselves, to be seen side by side.
+type MemberInfo struct {
+	Version        string    `json:"version"`
+	SettingsDigest string    `json:"settings"` // a digest of the platform's, but for what is each dispatcher's own
+	OperatorDigest string    `json:"operator"` // ... of the operator's file
+	StartedAt      time.Time `json:"started"`  // by that member's clock
 }
 
-// met is what another member told last.
-type met struct {
-	about      About
-	at, same   time.Time // of its last word, and of the last one by which it had the same as we; zero: never
-	seen, held int       // entries that it has seen, and has
+// peerStatus is what another member told last.
+type peerStatus struct {
+	info                           MemberInfo
+	lastContact, lastInSync        time.Time // of its last word, and of the last one by which it had the same as we; zero: never
+	observedEntries, storedEntries int       // entries that it has seen, and has
 }
 
-// passed counts what has gone to a member and come from it.
-type passed struct{ messages, out, in int64 }
+// traffic counts what has gone to a member and come from it.
+type traffic struct{ messages, bytesOut, bytesIn int64 }
 
 // Counters count what passes.
 type Counters struct {
-	Rounds, Pieces, Taken, Dropped, Refused, Unkept atomic.Int64
+	Rounds, Chunks, Merged, Removed, Rejected, PersistFailures atomic.Int64
 }
 
-// Spread is one member's part, until Close.
-type Spread struct {
+// Node is one member's part, until Close.
+type Node struct {
 	Counters Counters
 
-	o     Options
-	began time.Time
-
-	patience time.Duration // syncWait, but in tests
-
-	mu      sync.Mutex
-	copy    *replication.Copy // nil: another process of this dispatcher has it
-	disk    *disk
-	dirty   map[replication.Ref]bool // what the disk was not given, or did not take
-	given   uint64                   // what was seen, as the disk was given it
-	refused bool                     // it did not take that
-	last    *batch                   // that it was given
-	unkept  error                    // why the disk may not have them
-	heard   map[string]replication.Seen
-	pulls   map[string]*replication.Pull
-	asking  map[string]bool
-	caught  map[string]bool // members that have told all they had
-	first   time.Time       // when another member was first heard of by this copy
-	others  map[string]met
-	passed  map[string]passed
-	known   map[string]int64 // words of this dispatcher's processes that are in the copy, or were before it
-	before  map[string]bool  // runners that were out before, of which the copy knew nothing
-	settled bool             // words from before are told apart from new ones
-
-	links *peer.Links // nil: this process has no place in the group
-	quit  context.CancelFunc
-	done  chan struct{}
-	news  chan struct{}
-	meet  chan string
+	options   Options
+	startedAt time.Time
+
+	persistTimeout time.Duration // syncWait, but in tests
+
+	mu            sync.Mutex
+	replica       *replication.Replica // nil: another process of this dispatcher has it
+	storage       *storage
+	dirty         map[replication.Key]bool // what the disk was not given, or did not take
+	submittedSum  uint64                   // what was seen, as the disk was given it
+	writeFailed   bool                     // it did not take that
+	lastBatch     *batch                   // that it was given
+	persistErr    error                    // why the disk may not have them
+	peerVersions  map[string]replication.VersionVector
+	pulls         map[string]*replication.PullProgress
+	syncing       map[string]bool
+	caughtUpWith  map[string]bool // members that have told all they had
+	firstContact  time.Time       // when another member was first heard of by this copy
+	peers         map[string]peerStatus
+	traffic       map[string]traffic
+	localVersions map[string]int64 // words of this dispatcher's processes that are in the copy, or were before it
+	inherited     map[string]bool  // runners that were out before, of which the copy knew nothing
+	localBaseline bool             // words from before are told apart from new ones
+
+	transport *peer.Transport // nil: this process has no place in the group
+	cancel    context.CancelFunc
+	done      chan struct{}
+	changed   chan struct{}
+	contacts  chan string
 }
 
 // New reads the disk, so that what it has binds before anything is sent. Where another process of this dispatcher has it that one
 // is to tell, until it leaves.
-func New(o Options) (*Spread, error) {
-	s := &Spread{o: o, began: time.Now(), patience: syncWait, others: map[string]met{}, passed: map[string]passed{}, news: make(chan struct{}, 1), meet: make(chan string, 16)}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if err := s.open(); err != nil && !errors.Is(err, boltstore.ErrTaken) {
+func New(options Options) (*Node, error) {
+	node := &Node{options: options, startedAt: time.Now(), persistTimeout: persistTimeout, peers: map[string]peerStatus{}, traffic: map[string]traffic{}, changed: make(chan struct{}, 1), contacts: make(chan string, 16)}
+	node.mu.Lock()
+	defer node.mu.Unlock()
+	if err := node.openReplica(); err != nil && !errors.Is(err, boltstore.ErrLocked) {
 		return nil, err
 	}
-	return s, nil
+	return node, nil
 }
 
-// open begins a copy by what the disk has. The lock is held.
-func (s *Spread) open() error {
-	life := rand.Text()[:16] // of its own: no count of it was ever used
-	if failpoint.On(failpoint.CountAgain) {
-		life = s.o.Self
+// openReplica begins a copy by what the disk has. The lock is held.
+func (n *Node) openReplica() error {
+	incarnation := rand.Text()[:16] // of its own: no count of it was ever used
+	if failpoint.Enabled(failpoint.ReuseDots) {
+		incarnation = n.options.Self
 	}
-	c := replication.New(life)
-	d, unreadable, err := openDisk(s.o.Folder, s.o.Group, c, s.wrote)
-	if errors.Is(err, boltstore.ErrTaken) || errors.Is(err, boltstore.ErrForeign) {
+	c := replication.New(incarnation)
+	d, unreadable, err := openStorage(n.options.Dir, n.options.Group, c, n.onBatchWritten)
+	if errors.Is(err, boltstore.ErrLocked) || errors.Is(err, boltstore.ErrForeign) {
 		return err
 	}
 	if unreadable != nil {
-		s.o.Log.WithError(unreadable).Error("the words that this member kept cannot be read; the others' are taken")
-	}
-	if s.unkept = nil; err != nil {
-		s.unkept = err
-		s.o.Log.WithError(err).Error("the group's folder cannot be used: words are not kept over a restart of this member")
-	}
-	s.copy, s.disk, s.dirty, s.given, s.refused = c, d, map[replication.Ref]bool{}, c.Seen().Sum(), false
-	s.last = nil
-	s.heard, s.pulls, s.asking, s.caught = map[string]replication.Seen{}, map[string]*replication.Pull{}, map[string]bool{}, map[string]bool{}
-	s.first = time.Time{}
-	s.known, s.before, s.settled = map[string]int64{}, map[string]bool{}, false
-	for _, name := range c.Names(replication.Word) {
-		if out := s.out(name); out {
-			s.known[name] = s.o.Changed(name, out)
+		n.options.Log.WithError(unreadable).Error("the words that this member kept cannot be read; the others' are taken")
+	}
+	if n.persistErr = nil; err != nil {
+		n.persistErr = err
+		n.options.Log.WithError(err).Error("the group's folder cannot be used: words are not kept over a restart of this member")
+	}
+	n.replica, n.storage, n.dirty, n.submittedSum, n.writeFailed = c, d, map[replication.Key]bool{}, c.Version().Digest(), false
+	n.lastBatch = nil
+	n.peerVersions, n.pulls, n.syncing, n.caughtUpWith = map[string]replication.VersionVector{}, map[string]*replication.PullProgress{}, map[string]bool{}, map[string]bool{}
+	n.firstContact = time.Time{}
+	n.localVersions, n.inherited, n.localBaseline = map[string]int64{}, map[string]bool{}, false
+	for _, name := range c.Names(replication.KindOverride) {
+		if out := n.isDisabled(name); out {
+			n.localVersions[name] = n.options.ApplyOverride(name, out)
 		}
 	}
 	return nil
 }
 
-// out is what staff's words on a runner come to. The lock is held.
-func (s *Spread) out(name string) bool { return replication.Out(s.copy.Get(replication.Word, name)) }
+// isDisabled is what staff's words on a runner come to. The lock is held.
+func (n *Node) isDisabled(name string) bool {
+	return replication.IsDisabled(n.replica.Get(replication.KindOverride, name))
+}
 
-// Enter takes part by the links of a place in the group, before they serve.
-func (s *Spread) Enter(l *peer.Links) {
-	s.mu.Lock()
-	if s.copy == nil {
-		if err := s.open(); err != nil {
-			s.o.Log.WithError(err).Error("this member takes no part in what is replicated")
+// Attach takes part by the links of a place in the group, before they serve.
+func (n *Node) Attach(transport *peer.Transport) {
+	n.mu.Lock()
+	if n.replica == nil {
+		if err := n.openReplica(); err != nil {
+			n.options.Log.WithError(err).Error("this member takes no part in what is replicated")
 		}
 	}
-	s.links = l
-	s.mu.Unlock()
-	l.Handle(pathHello, s.onHello)
-	l.Handle(pathPull, s.onPull)
-	l.Handle(pathGone, s.onGone)
-	l.HandleStaff(PathStaff, s.onStaff)
-	ctx, quit := context.WithCancel(context.Background())
-	s.quit, s.done = quit, make(chan struct{})
-	go s.run(ctx, s.done)
+	n.transport = transport
+	n.mu.Unlock()
+	transport.Handle(digestPath, n.handleDigest)
+	transport.Handle(pullPath, n.handlePull)
+	transport.Handle(removalsPath, n.handleRemovals)
+	transport.HandleOperator(OverridesPath, n.handleOperatorCall)
+	ctx, cancel := context.WithCancel(context.Background())
+	n.cancel, n.done = cancel, make(chan struct{})
+	go n.loop(ctx, n.done)
 }
 
-// Leave gives the place up: another process of this dispatcher has the copy from then on.
-func (s *Spread) Leave() {
-	s.quit()
-	<-s.done
-	s.Close()
+// Detach gives the place up: another process of this dispatcher has the copy from then on.
+func (n *Node) Detach() {
+	n.cancel()
+	<-n.done
+	n.Close()
 }
 
 // Close ends this member's part, after Leave if it has a place: it lets go of copy and disk.
-func (s *Spread) Close() {
-	s.mu.Lock()
-	s.links = nil
-	if s.copy == nil {
-		s.mu.Unlock()
+func (n *Node) Close() {
+	n.mu.Lock()
+	n.transport = nil
+	if n.replica == nil {
+		n.mu.Unlock()
 		return
 	}
-	s.keep()
-	d := s.disk
-	s.copy, s.disk = nil, nil
-	s.mu.Unlock() // the disk's loop may want it
+	n.persist()
+	d := n.storage
+	n.replica, n.storage = nil, nil
+	n.mu.Unlock() // the disk's loop may want it
 	if err := d.close(); err != nil {
-		s.o.Log.WithError(err).Warn("the group's words were not closed in order")
+		n.options.Log.WithError(err).Warn("the group's words were not closed in order")
 	}
 }
 
-// keep has the disk write what it may not have; it is tried again with each round. The lock is held.
-func (s *Spread) keep() {
-	sum := s.copy.Seen().Sum()
-	if failpoint.On(failpoint.EarlyYes) && time.Since(s.began) < 8*time.Second {
+// persist has the disk write what it may not have; it is tried again with each round. The lock is held.
+func (n *Node) persist() {
+	sum := n.replica.Version().Digest()
+	if failpoint.Enabled(failpoint.AnswerBeforeSync) && time.Since(n.startedAt) < 8*time.Second {
 		return
 	}
-	if len(s.dirty) == 0 && sum == s.given && !s.refused || s.disk == nil {
+	if len(n.dirty) == 0 && sum == n.submittedSum && !n.writeFailed || n.storage == nil {
 		return
 	}
-	b, err := s.disk.put(s.copy, s.dirty)
+	b, err := n.storage.enqueue(n.replica, n.dirty)
 	if err != nil {
-		s.fails(err)
+		n.persistFailed(err)
 		return
 	}
-	s.dirty, s.given, s.refused, s.last = map[replication.Ref]bool{}, sum, false, b
+	n.dirty, n.submittedSum, n.writeFailed, n.lastBatch = map[replication.Key]bool{}, sum, false, b
 }
 
-// wrote hears what became of a batch: what the disk did not take it is given again.
-func (s *Spread) wrote(d *disk, b *batch) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// onBatchWritten hears what became of a batch: what the disk did not take it is given again.
+func (n *Node) onBatchWritten(d *storage, b *batch) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	switch {
-	case s.disk != d: // it is closed just now
+	case n.storage != d: // it is closed just now
 	case b.err == nil:
-		s.unkept = nil
+		n.persistErr = nil
 	default:
-		s.refused = true
-		for what := range b.entries {
-			s.dirty[what] = true
+		n.writeFailed = true
+		for ref := range b.entries {
+			n.dirty[ref] = true
 		}
-		s.fails(b.err)
+		n.persistFailed(b.err)
 	}
 }
 
-// fails notes that words are not kept. The lock is held.
-func (s *Spread) fails(err error) {
-	s.Counters.Unkept.Add(1)
-	if s.unkept == nil {
-		s.o.Log.WithError(err).Error("words are not kept on this member's disk; it is tried again")
+// persistFailed notes that words are not kept. The lock is held.
+func (n *Node) persistFailed(err error) {
+	n.Counters.PersistFailures.Add(1)
+	if n.persistErr == nil {
+		n.options.Log.WithError(err).Error("words are not kept on this member's disk; it is tried again")
 	}
-	s.unkept = err
+	n.persistErr = err
 }
 
-// Say takes a word of staff that is in force here already, as the given word of this dispatcher's processes, and syncs it. The
+// SetOverride takes a word of staff that is in force here already, as the given word of this dispatcher's processes, and syncs it. The
 // note is for staff: what they should know beside that it was taken.
-func (s *Spread) Say(runner string, out bool, at int64) (note string, err error) {
-	s.mu.Lock()
-	if s.copy == nil {
-		s.mu.Unlock()
+func (n *Node) SetOverride(worker string, disabled bool, version int64) (note string, err error) {
+	n.mu.Lock()
+	if n.replica == nil {
+		n.mu.Unlock()
 		return "", nil // the process that has the copy hears it from this one's
 	}
-	err = s.say(runner, out, at)
-	b, unkept := s.last, s.unkept
-	if s.disk == nil && unkept == nil {
-		unkept = errNoFolder
+	err = n.setOverride(worker, disabled, version)
+	b, persistErr := n.lastBatch, n.persistErr
+	if n.storage == nil && persistErr == nil {
+		persistErr = errNoDir
 	}
-	s.mu.Unlock()
+	n.mu.Unlock()
 	if err != nil {
 		return "", err
 	}
 	if b != nil {
 		select {
-		case <-b.tried:
-			unkept = b.err
-		case <-time.After(s.patience):
-			unkept = errSlow
+		case <-b.done:
+			persistErr = b.err
+		case <-time.After(n.persistTimeout):
+			persistErr = errPersistTimeout
 		}
 	}
-	if unkept != nil {
-		note = fmt.Sprintf("this member does not keep it over a restart: %v", unkept)
+	if persistErr != nil {
+		note = fmt.Sprintf("this member does not keep it over a restart: %v", persistErr)
 	}
 	return note, nil
 }
 
-// say takes a word and hands it to the disk. The lock is held.
-func (s *Spread) say(runner string, out bool, at int64) error {
-	s.known[runner] = at
-	delete(s.before, runner)
-	all := s.copy.Get(replication.Word, runner)
-	if replication.Out(all) != out || replication.Conflict(all) || out && len(all) == 0 {
-		if _, err := s.copy.Say(replication.Entry{Kind: replication.Word, Name: runner, Out: out, Member: s.o.Self, At: time.Now().Add(failpoint.Skew(s.o.Self)).UnixMilli()}); err != nil {
+// setOverride takes a word and hands it to the disk. The lock is held.
+func (n *Node) setOverride(worker string, disabled bool, version int64) error {
+	n.localVersions[worker] = version
+	delete(n.inherited, worker)
+	entries := n.replica.Get(replication.KindOverride, worker)
+	if replication.IsDisabled(entries) != disabled || replication.InConflict(entries) || disabled && len(entries) == 0 {
+		if _, err := n.replica.Write(replication.Entry{Kind: replication.KindOverride, Name: worker, Disabled: disabled, Member: n.options.Self, WrittenAt: time.Now().Add(failpoint.ClockOffset(n.options.Self)).UnixMilli()}); err != nil {
 			return fmt.Errorf("it binds here alone: %w", err)
 		}
-		s.dirty[replication.Ref{Kind: replication.Word, Name: runner}] = true
-		if failpoint.On(failpoint.NewerWords) {
-			e, err := s.copy.Say(replication.Entry{Kind: "later", Name: runner, Member: s.o.Self, Data: []byte(`{"of":"a newer build"}`)})
+		n.dirty[replication.Key{Kind: replication.KindOverride, Name: worker}] = true
+		if failpoint.Enabled(failpoint.NewerEntries) {
+			e, err := n.replica.Write(replication.Entry{Kind: "later", Name: worker, Member: n.options.Self, Data: []byte(`{"of":"a newer build"}`)})
 			if err != nil {
 				return err
 			}
-			s.dirty[replication.Ref{Kind: e.Kind, Name: e.Name}] = true
+			n.dirty[replication.Key{Kind: e.Kind, Name: e.Name}] = true
 		}
 	}
-	s.keep()
-	s.poke()
+	n.persist()
+	n.wake()
 	return nil
 }
 
-func (s *Spread) poke() {
+func (n *Node) wake() {
 	select {
-	case s.news <- struct{}{}:
+	case n.changed <- struct{}{}:
 	default:
 	}
 }
 
-// Local hears all words of this dispatcher's processes, now and then: what another one was told goes into the copy. Those from
+// MergeLocalOverrides hears all words of this dispatcher's processes, now and then: what another one was told goes into the copy. Those from
 // before count where the copy knows nothing of a runner, once the others had time to tell.
-func (s *Spread) Local(words hotrestart.Words) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.copy == nil {
+func (n *Node) MergeLocalOverrides(overrides hotrestart.Overrides) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.replica == nil {
 		return
 	}
-	for _, name := range slices.Sorted(maps.Keys(words)) {
-		w := words[name]
-		if s.known[name] == w.At {
+	for _, worker := range slices.Sorted(maps.Keys(overrides)) {
+		override := overrides[worker]
+		if n.localVersions[worker] == override.At {
 			continue
 		}
-		s.known[name] = w.At
-		all := s.copy.Get(replication.Word, name)
+		n.localVersions[worker] = override.At
+		entries := n.replica.Get(replication.KindOverride, worker)
 		switch {
-		case s.settled:
-			if replication.Out(all) != w.Out {
-				s.say(name, w.Out, w.At)
+		case n.localBaseline:
+			if replication.IsDisabled(entries) != override.Disabled {
+				n.setOverride(worker, override.Disabled, override.At)
 			}
-		case len(all) == 0 && w.Out:
-			s.before[name] = true
-		case replication.Out(all) != w.Out:
-			s.known[name] = s.o.Changed(name, !w.Out)
+		case len(entries) == 0 && override.Disabled:
+			n.inherited[worker] = true
+		case replication.IsDisabled(entries) != override.Disabled:
+			n.localVersions[worker] = n.options.ApplyOverride(worker, !override.Disabled)
 		}
 	}
-	s.settled = true
-	if len(s.before) > 0 && s.caughtUp() {
-		for _, name := range slices.Sorted(maps.Keys(s.before)) {
-			if len(s.copy.Get(replication.Word, name)) == 0 {
-				s.say(name, true, s.known[name])
+	n.localBaseline = true
+	if len(n.inherited) > 0 && n.isCaughtUp() {
+		for _, worker := range slices.Sorted(maps.Keys(n.inherited)) {
+			if len(n.replica.Get(replication.KindOverride, worker)) == 0 {
+				n.setOverride(worker, true, n.localVersions[worker])
 			}
 		}
-		clear(s.before)
+		clear(n.inherited)
 	}
 }
 
 // CaughtUp tells whether this member has what others had at its start, or has waited for it long enough.
-func (s *Spread) CaughtUp() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.copy == nil || s.caughtUp()
+func (n *Node) CaughtUp() bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.replica == nil || n.isCaughtUp()
 }
 
-func (s *Spread) caughtUp() bool { return s.caughtEnough() || time.Since(s.began) > caughtWait }
+func (n *Node) isCaughtUp() bool {
+	return n.caughtUpWithEnough() || time.Since(n.startedAt) > catchUpTimeout
+}
 
-// caughtEnough tells whether enough others have told all they had. The lock is held.
-func (s *Spread) caughtEnough() bool { return len(s.caught) >= min(caughtFrom, len(s.o.Peers)) }
+// caughtUpWithEnough tells whether enough others have told all they had. The lock is held.
+func (n *Node) caughtUpWithEnough() bool {
+	return len(n.caughtUpWith) >= min(catchUpPeers, len(n.options.Peers))
+}
 
-// put has what may mean something else now be in force and on disk. The lock is held.
-func (s *Spread) put(changed []replication.Ref) {
-	for _, what := range changed {
-		if s.dirty[what] = true; what.Kind != replication.Word { // of a newer build: passed on alone
+// applyChanges has what may mean something else now be in force and on disk. The lock is held.
+func (n *Node) applyChanges(changed []replication.Key) {
+	for _, ref := range changed {
+		if n.dirty[ref] = true; ref.Kind != replication.KindOverride { // of a newer build: passed on alone
 			continue
 		}
-		delete(s.before, what.Name)
-		s.known[what.Name] = s.o.Changed(what.Name, s.out(what.Name))
+		delete(n.inherited, ref.Name)
+		n.localVersions[ref.Name] = n.options.ApplyOverride(ref.Name, n.isDisabled(ref.Name))
 	}
-	s.keep()
+	n.persist()
 	if len(changed) > 0 {
-		s.poke()
+		n.wake()
 	}
 }
 
-// run meets other members, round by round.
-func (s *Spread) run(ctx context.Context, done chan struct{}) {
+// loop meets other members, round by round.
+func (n *Node) loop(ctx context.Context, done chan struct{}) {
 	defer close(done)
-	var all sync.WaitGroup
-	defer all.Wait()
-	slots := make(chan struct{}, pullsMost)
-	to := func(name string) {
-		s.mu.Lock()
-		free := s.copy != nil && !s.asking[name]
+	var syncs sync.WaitGroup
+	defer syncs.Wait()
+	slots := make(chan struct{}, maxConcurrentPulls)
+	startSync := func(name string) {
+		n.mu.Lock()
+		free := n.replica != nil && !n.syncing[name]
 		if free {
-			s.asking[name] = true
+			n.syncing[name] = true
 		}
-		s.mu.Unlock()
-		if !free || failpoint.On(failpoint.WordsStay) {
+		n.mu.Unlock()
+		if !free || failpoint.Enabled(failpoint.NoOverrideExchange) {
 			return
 		}
-		all.Go(func() {
+		syncs.Go(func() {
 			defer func() {
-				s.mu.Lock()
-				delete(s.asking, name)
-				s.mu.Unlock()
+				n.mu.Lock()
+				delete(n.syncing, name)
+				n.mu.Unlock()
 			}()
 			select {
 			case slots <- struct{}{}:
@@ -400,242 +406,242 @@
 			case <-ctx.Done():
 				return
 			}
-			if err := s.visit(ctx, name); err != nil {
-				s.o.Log.WithError(err).WithField("member", name).Debug("a member's words could not be taken")
+			if err := n.syncWith(ctx, name); err != nil {
+				n.options.Log.WithError(err).WithField("member", name).Debug("a member's words could not be taken")
 			}
 		})
 	}
 	for first := true; ctx.Err() == nil; first = false {
-		n := 1
+		targets := 1
 		if !first {
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(roundEvery/2 + randv2.N(roundEvery)):
-			case <-s.news:
-				n = fan
-			case name := <-s.meet:
-				to(name)
+			case <-time.After(roundInterval/2 + randv2.N(roundInterval)):
+			case <-n.changed:
+				targets = fanout
+			case name := <-n.contacts:
+				startSync(name)
 				continue
 			}
 		} else {
-			n = fan
+			targets = fanout
 		}
-		s.Counters.Rounds.Add(1)
-		for _, i := range randv2.Perm(len(s.o.Peers))[:min(n, len(s.o.Peers))] {
-			to(s.o.Peers[i])
+		n.Counters.Rounds.Add(1)
+		for _, i := range randv2.Perm(len(n.options.Peers))[:min(targets, len(n.options.Peers))] {
+			startSync(n.options.Peers[i])
 		}
-		s.forget()
+		n.forgetTombstones()
 	}
 }
 
-// forget lets go of words "back" that all members have.
-func (s *Spread) forget() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.copy == nil {
+// forgetTombstones lets go of words "back" that all members have.
+func (n *Node) forgetTombstones() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.replica == nil {
 		return
 	}
-	var members []replication.Seen
-	for _, name := range s.o.Peers {
-		seen, ok := s.heard[name]
+	var members []replication.VersionVector
+	for _, name := range n.options.Peers {
+		version, ok := n.peerVersions[name]
 		if !ok {
-			s.keep()
+			n.persist()
 			return
 		}
-		members = append(members, seen)
+		members = append(members, version)
 	}
-	for _, what := range s.copy.Forget(members) {
-		s.dirty[what] = true
+	for _, ref := range n.replica.CollectGarbage(members) {
+		n.dirty[ref] = true
 	}
-	s.keep()
+	n.persist()
 }
 
-// hello is what a copy is like, in short.
-type hello struct {
-	Seen  uint64   `json:"seen"`
-	Sum   uint64   `json:"sum"`
-	Sums  []uint64 `json:"sums,omitempty"` // by bucket, where the same was seen and not the same is there
-	Count int      `json:"count"`          // entries that were seen, those that are gone too
-	Held  int      `json:"held"`
-	About About    `json:"about,omitzero"`
+// digest is what a copy is like, in short.
+type digest struct {
+	VersionSum      uint64     `json:"seen"`
+	EntrySum        uint64     `json:"sum"`
+	BucketSums      []uint64   `json:"sums,omitempty"` // by bucket, where the same was seen and not the same is there
+	ObservedEntries int        `json:"count"`          // entries that were seen, those that are gone too
+	StoredEntries   int        `json:"held"`
+	Info            MemberInfo `json:"about,omitzero"`
 }
 
-// hello is ours. The lock is held.
-func (s *Spread) hello() hello {
-	seen := s.copy.Seen()
-	h := hello{Seen: seen.Sum(), Sum: s.copy.Sum(), Count: seen.Count(), Held: s.copy.Len()}
-	if s.o.About != nil {
-		h.About = s.o.About()
+// localDigest is ours. The lock is held.
+func (n *Node) localDigest() digest {
+	versionVector := n.replica.Version()
+	ours := digest{VersionSum: versionVector.Digest(), EntrySum: n.replica.Digest(), ObservedEntries: versionVector.Total(), StoredEntries: n.replica.Len()}
+	if n.options.Info != nil {
+		ours.Info = n.options.Info()
 	}
-	return h
+	return ours
 }
 
-// meets notes another member's. The lock is held.
-func (s *Spread) meets(name string, its *hello, same bool) {
-	if s.first.IsZero() {
-		s.first = time.Now()
+// recordContact notes another member's. The lock is held.
+func (n *Node) recordContact(name string, theirs *digest, inSync bool) {
+	if n.firstContact.IsZero() {
+		n.firstContact = time.Now()
 	}
-	m := s.others[name]
-	m.about, m.at, m.seen, m.held = its.About, time.Now(), its.Count, its.Held
-	if same {
-		m.same = m.at
+	m := n.peers[name]
+	m.info, m.lastContact, m.observedEntries, m.storedEntries = theirs.Info, time.Now(), theirs.ObservedEntries, theirs.StoredEntries
+	if inSync {
+		m.lastInSync = m.lastContact
 	}
-	s.others[name] = m
+	n.peers[name] = m
 }
 
-type pull struct {
-	Seen replication.Seen `json:"seen"`
-	From replication.Mark `json:"from"`
+type pullRequest struct {
+	VersionVector replication.VersionVector `json:"seen"`
+	After         replication.Cursor        `json:"from"`
 }
 
-type gone struct {
-	Seen uint64            `json:"seen"`
-	Dots []replication.Dot `json:"dots"`
+type removals struct {
+	VersionSum uint64            `json:"seen"`
+	Dots       []replication.Dot `json:"dots"`
 }
 
 var (
-	errOutside = &peer.Refused{Text: "this process has no copy"}
-	errStarted = &peer.Refused{Text: "this process has just started: it has to hear of others first what its disk is worth"}
+	errNoReplica   = &peer.RejectedError{Reason: "this process has no copy"}
+	errNotCaughtUp = &peer.RejectedError{Reason: "this process has just started: it has to hear of others first what its disk is worth"}
 )
 
-// visit takes all that a member has and we have not, and lets go of what it has seen go.
-func (s *Spread) visit(ctx context.Context, name string) error {
-	for tries := 0; ; tries++ {
-		s.mu.Lock()
-		if s.copy == nil {
-			s.mu.Unlock()
-			return errOutside
+// syncWith takes all that a member has and we have not, and lets go of what it has seen go.
+func (n *Node) syncWith(ctx context.Context, name string) error {
+	for attempt := 0; ; attempt++ {
+		n.mu.Lock()
+		if n.replica == nil {
+			n.mu.Unlock()
+			return errNoReplica
 		}
-		is, seen := s.hello(), s.copy.Seen()
-		s.mu.Unlock()
-		var its hello
-		if err := s.ask(ctx, name, pathHello, is, &its); err != nil {
+		ours, versionVector := n.localDigest(), n.replica.Version()
+		n.mu.Unlock()
+		var theirs digest
+		if err := n.request(ctx, name, digestPath, ours, &theirs); err != nil {
 			return err
 		}
-		s.mu.Lock()
-		s.meets(name, &its, its.Seen == is.Seen && its.Sum == is.Sum)
-		s.mu.Unlock()
+		n.mu.Lock()
+		n.recordContact(name, &theirs, theirs.VersionSum == ours.VersionSum && theirs.EntrySum == ours.EntrySum)
+		n.mu.Unlock()
 		switch {
-		case its.Seen == is.Seen && its.Sum == is.Sum:
-			s.mu.Lock()
-			s.heard[name], s.caught[name] = seen, true
-			s.mu.Unlock()
+		case theirs.VersionSum == ours.VersionSum && theirs.EntrySum == ours.EntrySum:
+			n.mu.Lock()
+			n.peerVersions[name], n.caughtUpWith[name] = versionVector, true
+			n.mu.Unlock()
 			return nil
-		case its.Seen == is.Seen && len(its.Sums) > 0:
-			if err := s.mend(ctx, name, is, its); err != nil {
+		case theirs.VersionSum == ours.VersionSum && len(theirs.BucketSums) > 0:
+			if err := n.fetchRemovals(ctx, name, ours, theirs); err != nil {
 				return err
 			}
-			s.caughtBy(name)
+			n.markCaughtUp(name)
 		default:
-			if err := s.pull(ctx, name); err != nil {
+			if err := n.pullFrom(ctx, name); err != nil {
 				return err
 			}
-			if tries > 0 { // what it has seen go is gone here too
-				s.caughtBy(name)
+			if attempt > 0 { // what it has seen go is gone here too
+				n.markCaughtUp(name)
 			}
 		}
-		if tries > 0 { // the rest is the next round's
+		if attempt > 0 { // the rest is the next round's
 			return nil
 		}
 	}
 }
 
-func (s *Spread) caughtBy(name string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.copy != nil {
-		s.caught[name] = true
+func (n *Node) markCaughtUp(name string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.replica != nil {
+		n.caughtUpWith[name] = true
 	}
 }
 
-// pull takes pieces up to the last one; what is cut off goes on there.
-func (s *Spread) pull(ctx context.Context, name string) error {
+// pullFrom takes pieces up to the last one; what is cut off goes on there.
+func (n *Node) pullFrom(ctx context.Context, name string) error {
 	for {
-		s.mu.Lock()
-		if s.copy == nil {
-			s.mu.Unlock()
-			return errOutside
+		n.mu.Lock()
+		if n.replica == nil {
+			n.mu.Unlock()
+			return errNoReplica
 		}
-		p := s.pulls[name]
+		p := n.pulls[name]
 		if p == nil {
-			p = &replication.Pull{}
-			s.pulls[name] = p
-			if failpoint.On(failpoint.Overwrites) {
-				s.copy = replication.New(rand.Text()[:16])
+			p = &replication.PullProgress{}
+			n.pulls[name] = p
+			if failpoint.Enabled(failpoint.OverwriteReplica) {
+				n.replica = replication.New(rand.Text()[:16])
 			}
 		}
-		ask := pull{s.copy.Seen(), p.Mark}
-		s.mu.Unlock()
-		var piece replication.Piece
-		if err := s.ask(ctx, name, pathPull, ask, &piece); err != nil {
+		req := pullRequest{n.replica.Version(), p.Cursor}
+		n.mu.Unlock()
+		var piece replication.Chunk
+		if err := n.request(ctx, name, pullPath, req, &piece); err != nil {
 			return err
 		}
-		s.mu.Lock()
-		if s.copy == nil {
-			s.mu.Unlock()
-			return errOutside
+		n.mu.Lock()
+		if n.replica == nil {
+			n.mu.Unlock()
+			return errNoReplica
 		}
-		changed, err := s.copy.Take(p, piece)
+		changed, err := n.replica.Merge(p, piece)
 		if err != nil {
-			s.Counters.Refused.Add(1)
-			delete(s.pulls, name)
-			s.mu.Unlock()
+			n.Counters.Rejected.Add(1)
+			delete(n.pulls, name)
+			n.mu.Unlock()
 			return err
 		}
-		s.Counters.Pieces.Add(1)
-		s.Counters.Taken.Add(int64(len(changed)))
-		s.put(changed)
-		s.mu.Unlock()
+		n.Counters.Chunks.Add(1)
+		n.Counters.Merged.Add(int64(len(changed)))
+		n.applyChanges(changed)
+		n.mu.Unlock()
 		if piece.Done {
 			return nil
 		}
 	}
 }
 
-// mend lets go of entries that a member has seen go, where both have seen the same.
-func (s *Spread) mend(ctx context.Context, name string, is, its hello) error {
-	s.mu.Lock()
-	if s.copy == nil {
-		s.mu.Unlock()
-		return errOutside
-	}
-	ask := gone{is.Seen, s.copy.Dots(s.copy.Differ(its.Sums))}
-	s.mu.Unlock()
-	var out gone
-	if err := s.ask(ctx, name, pathGone, ask, &out); err != nil {
+// fetchRemovals lets go of entries that a member has seen go, where both have seen the same.
+func (n *Node) fetchRemovals(ctx context.Context, name string, ours, theirs digest) error {
+	n.mu.Lock()
+	if n.replica == nil {
+		n.mu.Unlock()
+		return errNoReplica
+	}
+	req := removals{ours.VersionSum, n.replica.DotsInBuckets(n.replica.DifferingBuckets(theirs.BucketSums))}
+	n.mu.Unlock()
+	var out removals
+	if err := n.request(ctx, name, removalsPath, req, &out); err != nil {
 		return err
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.copy == nil {
-		return errOutside
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.replica == nil {
+		return errNoReplica
 	}
-	changed := s.copy.Drop(out.Dots)
-	s.Counters.Dropped.Add(int64(len(changed)))
-	s.put(changed)
+	changed := n.replica.Discard(out.Dots)
+	n.Counters.Removed.Add(int64(len(changed)))
+	n.applyChanges(changed)
 	return nil
 }
 
-func (s *Spread) ask(ctx context.Context, to, path string, in, into any) error {
-	s.mu.Lock()
-	l := s.links
-	s.mu.Unlock()
+func (n *Node) request(ctx context.Context, to, path string, in, into any) error {
+	n.mu.Lock()
+	l := n.transport
+	n.mu.Unlock()
 	if l == nil {
-		return errOutside
+		return errNoReplica
 	}
 	raw, err := json.Marshal(in)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, askWait)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	out := len(raw)
-	raw, err = l.Ask(ctx, to, path, raw)
-	s.mu.Lock()
-	p := s.passed[to]
-	s.passed[to] = passed{p.messages + 1, p.out + int64(out), p.in + int64(len(raw))}
-	s.mu.Unlock()
+	raw, err = l.Request(ctx, to, path, raw)
+	n.mu.Lock()
+	p := n.traffic[to]
+	n.traffic[to] = traffic{p.messages + 1, p.bytesOut + int64(out), p.bytesIn + int64(len(raw))}
+	n.mu.Unlock()
 	if err != nil {
 		return err
 	}
@@ -645,17 +651,17 @@
 	return nil
 }
 
-// answer reads a member's message and answers it, under the lock.
-func answer[In, Out any](s *Spread, body []byte, do func(*In) (Out, error)) ([]byte, error) {
+// handle reads a member's message and answers it, under the lock.
+func handle[In, Out any](s *Node, body []byte, do func(*In) (Out, error)) ([]byte, error) {
 	var in In
 	if err := json.Unmarshal(body, &in); err != nil {
-		s.Counters.Refused.Add(1)
-		return nil, &peer.Refused{Text: "no message about copies: " + err.Error()}
+		s.Counters.Rejected.Add(1)
+		return nil, &peer.RejectedError{Reason: "no message about copies: " + err.Error()}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.copy == nil {
-		return nil, errOutside
+	if s.replica == nil {
+		return nil, errNoReplica
 	}
 	out, err := do(&in)
 	if err != nil {
@@ -664,41 +670,41 @@
 	return json.Marshal(out)
 }
 
-func (s *Spread) onHello(_ context.Context, from peer.Sender, body []byte) ([]byte, error) {
-	return answer(s, body, func(its *hello) (hello, error) {
-		is := s.hello()
-		s.meets(from.Name, its, its.Seen == is.Seen && its.Sum == is.Sum)
-		if its.Seen == is.Seen && its.Sum == is.Sum {
-			s.heard[from.Name] = s.copy.Seen()
+func (n *Node) handleDigest(_ context.Context, from peer.Sender, body []byte) ([]byte, error) {
+	return handle(n, body, func(its *digest) (digest, error) {
+		is := n.localDigest()
+		n.recordContact(from.Name, its, its.VersionSum == is.VersionSum && its.EntrySum == is.EntrySum)
+		if its.VersionSum == is.VersionSum && its.EntrySum == is.EntrySum {
+			n.peerVersions[from.Name] = n.replica.Version()
 			return is, nil
 		}
-		if its.Seen == is.Seen {
-			is.Sums = s.copy.Sums()
+		if its.VersionSum == is.VersionSum {
+			is.BucketSums = n.replica.BucketDigests()
 		}
 		select {
-		case s.meet <- from.Name: // it may have what we have not
+		case n.contacts <- from.Name: // it may have what we have not
 		default:
 		}
 		return is, nil
 	})
 }
 
-func (s *Spread) onPull(_ context.Context, _ peer.Sender, body []byte) ([]byte, error) {
-	return answer(s, body, func(p *pull) (replication.Piece, error) {
+func (n *Node) handlePull(_ context.Context, _ peer.Sender, body []byte) ([]byte, error) {
+	return handle(n, body, func(p *pullRequest) (replication.Chunk, error) {
 		// Guards against a disk of before: one that has lost its own would take from it what all others have forgotten.
-		if s.caughtEnough() || !s.first.IsZero() && time.Since(s.first) > caughtWait {
-			return s.copy.News(p.Seen, p.From, pieceMost), nil
+		if n.caughtUpWithEnough() || !n.firstContact.IsZero() && time.Since(n.firstContact) > catchUpTimeout {
+			return n.replica.NextChunk(p.VersionVector, p.After, maxChunkEntries), nil
 		}
-		return replication.Piece{}, errStarted
+		return replication.Chunk{}, errNotCaughtUp
 	})
 }
 
-func (s *Spread) onGone(_ context.Context, _ peer.Sender, body []byte) ([]byte, error) {
-	return answer(s, body, func(g *gone) (gone, error) {
+func (n *Node) handleRemovals(_ context.Context, _ peer.Sender, body []byte) ([]byte, error) {
+	return handle(n, body, func(g *removals) (removals, error) {
 		// Guards against one that has seen less: what we let go of may be replaced by what it has not.
-		if g.Seen != s.copy.Seen().Sum() {
-			return gone{}, &peer.Refused{Text: "not the same was seen here"}
+		if g.VersionSum != n.replica.Version().Digest() {
+			return removals{}, &peer.RejectedError{Reason: "not the same was seen here"}
 		}
-		return gone{g.Seen, s.copy.Gone(g.Dots)}, nil
+		return removals{g.VersionSum, n.replica.Removed(g.Dots)}, nil
 	})
 }
--- a/internal/maintenance/advance.go
+++ b/internal/maintenance/advance.go
@@ -13,299 +13,299 @@
 
 // advance goes on by what the leader has heard: machines that are clear, back, warm or overdue, plans that may begin, and
 // the next machine. It takes one machine an entry, so that each choice rests on the one before.
-func (r *run) advance(a *Advance) {
+func (a *applier) advance(proposal *Advance) {
 	// Guards against an entry of a leader that is none any more, or that was overtaken: its time would count twice.
-	if a == nil || a.Seq != r.Seq {
+	if proposal == nil || proposal.StateSeq != a.Seq {
 		return
 	}
-	if a.Waited > 0 { // and so that no later entry counts this time again
-		r.Clock += a.Waited
-		r.Seq++
+	if proposal.Elapsed > 0 { // and so that no later entry counts this time again
+		a.Clock += proposal.Elapsed
+		a.Seq++
 	}
-	if a.Bound > r.Bound {
-		r.Bound = a.Bound
-		r.tell("", "", "a member is waited for %v at the longest", r.Bound)
+	if proposal.FenceTimeout > a.FenceTimeout {
+		a.FenceTimeout = proposal.FenceTimeout
+		a.emit("", "", "a member is waited for %v at the longest", a.FenceTimeout)
 	}
-	r.Warm = max(r.Warm, a.Warm)
-	for _, u := range r.Plans {
-		if !u.Phase.open() {
+	a.WarmUp = max(a.WarmUp, proposal.WarmUp)
+	for _, plan := range a.Plans {
+		if !plan.Phase.active() {
 			continue
 		}
-		if u.Phase == Announced && len(r.unheard(u.At, a)) == 0 {
-			u.Phase = Running
-			r.tell(u.Name, "", "%s", Running)
+		if plan.Phase == PlanAnnounced && len(a.unconfirmedMembers(plan.AnnouncedIndex, proposal)) == 0 {
+			plan.Phase = PlanRunning
+			a.emit(plan.Name, "", "%s", PlanRunning)
 		}
-		for _, p := range u.Places {
-			r.populate(u, p, a)
-			r.place(u, p, a)
+		for _, machine := range plan.MachineStates {
+			a.refreshWorkers(plan, machine, proposal)
+			a.advanceMachine(plan, machine, proposal)
 		}
-		r.close(u)
+		a.endIfFinished(plan)
 	}
-	for _, u := range r.Plans {
-		if u.Phase != Running {
+	for _, plan := range a.Plans {
+		if plan.Phase != PlanRunning {
 			continue
 		}
-		if p, _ := r.Next(u, a); p != nil {
-			u.Zone = a.zone(p)
-			r.step(u, p, Leaving)
+		if machine, _ := a.NextMachine(plan, proposal); machine != nil {
+			plan.LastZone = proposal.zoneOf(machine)
+			a.setPhase(plan, machine, MachineDraining)
 			return
 		}
 	}
 }
 
-// populate has the runners of a machine that is a host: those that are there. While it is away further ones are added, as
+// refreshWorkers has the runners of a machine that is a host: those that are there. While it is away further ones are added, as
 // what was there may still run something; once it is put back those count that have come, whatever they are called now.
-func (r *run) populate(u *Under, p *Place, a *Advance) {
-	if p.Host == "" || p.Step.over() {
+func (a *applier) refreshWorkers(plan *PlanState, machine *MachineState, proposal *Advance) {
+	if machine.Host == "" || machine.Phase.finished() {
 		return
 	}
-	var now []string
-	for _, name := range slices.Sorted(maps.Keys(a.Fleet)) {
-		if w := a.Fleet[name]; w.Host == p.Host && !w.Gone {
-			now = append(now, name)
+	var listed []string
+	for _, name := range slices.Sorted(maps.Keys(proposal.Fleet)) {
+		if worker := proposal.Fleet[name]; worker.Host == machine.Host && !worker.Gone {
+			listed = append(listed, name)
 		}
 	}
-	if p.Step.away() {
-		now = append(now, p.Runners...)
-		slices.Sort(now)
-		now = slices.Compact(now)
-	} else if len(now) == 0 && p.Step != Waiting {
+	if machine.Phase.excluded() {
+		listed = append(listed, machine.Workers...)
+		slices.Sort(listed)
+		listed = slices.Compact(listed)
+	} else if len(listed) == 0 && machine.Phase != MachineWaiting {
 		return
 	}
-	if slices.Equal(now, p.Runners) {
+	if slices.Equal(listed, machine.Workers) {
 		return
 	}
-	p.Runners = now
-	r.tell(u.Name, p.Name, "its runners are %s", strings.Join(now, ", "))
+	machine.Workers = listed
+	a.emit(plan.Name, machine.Name, "its runners are %s", strings.Join(listed, ", "))
 }
 
-// Would tells whether an entry would settle anything.
-func (s *State) Would(a *Advance) bool {
-	if a.Bound <= s.Bound && !slices.ContainsFunc(s.Plans, func(u *Under) bool { return u.Phase.open() }) {
+// WouldChange tells whether an entry would settle anything.
+func (s *State) WouldChange(proposal *Advance) bool {
+	if proposal.FenceTimeout <= s.FenceTimeout && !slices.ContainsFunc(s.Plans, func(plan *PlanState) bool { return plan.Phase.active() }) {
 		return false // the usual case, asked often
 	}
-	r := &run{State: s.Clone()}
-	r.advance(a)
-	return len(r.events) > 0
+	trial := &applier{State: s.Clone()}
+	trial.advance(proposal)
+	return len(trial.events) > 0
 }
 
-// unheard are the members that do not have an entry in force, as far as is known, sorted.
-func (s *State) unheard(at uint64, a *Advance) (out []string) {
-	for _, name := range s.Names() {
-		if w := a.word(s, name); w.Life != s.Members[name].Life || w.Applied < at || !w.Alone {
-			out = append(out, name)
+// unconfirmedMembers are the members that do not have an entry in force, as far as is known, sorted.
+func (s *State) unconfirmedMembers(index uint64, proposal *Advance) (members []string) {
+	for _, name := range s.MemberNames() {
+		if report := proposal.reportOf(s, name); report.Incarnation != s.Members[name].Incarnation || report.Applied < index || !report.SoleProcess {
+			members = append(members, name)
 		}
 	}
-	return out
+	return members
 }
 
-// held are the members because of whom a machine that leaves is not clear yet, sorted.
-func (s *State) held(p *Place, a *Advance) []string {
-	out := s.unheard(p.At, a)
-	if failpoint.On(failpoint.FewWords) {
+// blockingMembers are the members because of whom a machine that leaves is not clear yet, sorted.
+func (s *State) blockingMembers(machine *MachineState, proposal *Advance) []string {
+	members := s.unconfirmedMembers(machine.PhaseIndex, proposal)
+	if failpoint.Enabled(failpoint.IgnoreMemberReports) {
 		return nil
 	}
-	for _, name := range s.Names() {
-		w := a.word(s, name)
-		busy := slices.ContainsFunc(p.Runners, func(r string) bool { return slices.Contains(w.Busy, r) })
-		busy = busy || p.Host != "" && slices.Contains(w.BusyAt, p.Host)
-		if busy && !slices.Contains(out, name) {
-			out = append(out, name)
+	for _, name := range s.MemberNames() {
+		report := proposal.reportOf(s, name)
+		busy := slices.ContainsFunc(machine.Workers, func(worker string) bool { return slices.Contains(report.BusyWorkers, worker) })
+		busy = busy || machine.Host != "" && slices.Contains(report.BusyHosts, machine.Host)
+		if busy && !slices.Contains(members, name) {
+			members = append(members, name)
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(members)
+	return members
 }
 
-// place moves one machine on, where what was heard allows it.
-func (r *run) place(u *Under, p *Place, a *Advance) {
-	took := r.Clock - p.Since
-	switch p.Step {
-	case Leaving:
+// advanceMachine moves one machine on, where what was heard allows it.
+func (a *applier) advanceMachine(plan *PlanState, machine *MachineState, proposal *Advance) {
+	elapsed := a.Clock - machine.PhaseStart
+	switch machine.Phase {
+	case MachineDraining:
 		// Nobody's lease from before the entry runs any more after Bound, nor any attempt that was begun under it.
-		if took >= r.Bound && r.Bound > 0 && !failpoint.On(failpoint.NeverClear) || len(r.held(p, a)) == 0 {
-			r.step(u, p, Clear)
-		} else if r.overdue(u, p, took, u.Leave) && u.Overdue == Skip {
-			r.putBack(u, p)
-		}
-	case Out:
-		r.overdue(u, p, took, u.Work)
-	case Returning:
-		if a.whole(p) && took >= r.Warm {
-			r.step(u, p, Warm)
-		} else if r.overdue(u, p, took, u.Back) && u.Overdue != Wait {
-			r.step(u, p, Failed)
-		}
-	case Failed:
-		if a.whole(p) {
-			r.step(u, p, Warm)
-		}
-	case Warm:
-		if p.Left {
-			r.step(u, p, Skipped)
+		if elapsed >= a.FenceTimeout && a.FenceTimeout > 0 && !failpoint.Enabled(failpoint.WaitForLostMembers) || len(a.blockingMembers(machine, proposal)) == 0 {
+			a.setPhase(plan, machine, MachineDrained)
+		} else if a.checkOverdue(plan, machine, elapsed, plan.DrainTimeout) && plan.OnOverdue == OverdueSkip {
+			a.withdraw(plan, machine)
+		}
+	case MachineInMaintenance:
+		a.checkOverdue(plan, machine, elapsed, plan.WorkTimeout)
+	case MachineReturning:
+		if proposal.inService(machine) && elapsed >= a.WarmUp {
+			a.setPhase(plan, machine, MachineWarm)
+		} else if a.checkOverdue(plan, machine, elapsed, plan.ReturnTimeout) && plan.OnOverdue != OverdueWait {
+			a.setPhase(plan, machine, MachineFailed)
+		}
+	case MachineFailed:
+		if proposal.inService(machine) {
+			a.setPhase(plan, machine, MachineWarm)
+		}
+	case MachineWarm:
+		if machine.Withdrawn {
+			a.setPhase(plan, machine, MachineSkipped)
 		} else {
-			r.step(u, p, Done)
+			a.setPhase(plan, machine, MachineDone)
 		}
 	}
 }
 
-// overdue notes a step that takes longer than it may, and pauses the plan where staff wished so.
-func (r *run) overdue(u *Under, p *Place, took, most time.Duration) bool {
-	if most <= 0 || took < most {
+// checkOverdue notes a step that takes longer than it may, and pauses the plan where staff wished so.
+func (a *applier) checkOverdue(plan *PlanState, machine *MachineState, elapsed, limit time.Duration) bool {
+	if limit <= 0 || elapsed < limit {
 		return false
 	}
-	if !p.Overdue {
-		p.Overdue = true
-		r.tell(u.Name, p.Name, "overdue: %s for longer than %v", p.Step, most)
-		if u.Overdue == Pause && (u.Phase == Running || u.Phase == Announced) {
-			u.Phase = Paused
-			r.tell(u.Name, "", "%s", Paused)
+	if !machine.Overdue {
+		machine.Overdue = true
+		a.emit(plan.Name, machine.Name, "overdue: %s for longer than %v", machine.Phase, limit)
+		if plan.OnOverdue == OverduePause && (plan.Phase == PlanRunning || plan.Phase == PlanAnnounced) {
+			plan.Phase = PlanPaused
+			a.emit(plan.Name, "", "%s", PlanPaused)
 		}
 	}
 	return true
 }
 
-// whole tells whether all runners of a machine are there and warm.
-func (a *Advance) whole(p *Place) bool { return len(a.lacks(p)) == 0 }
+// inService tells whether all runners of a machine are there and warm.
+func (a *Advance) inService(machine *MachineState) bool { return len(a.serviceObstacles(machine)) == 0 }
 
-// lacks says of a machine's runners what keeps them from their full part.
-func (a *Advance) lacks(p *Place) (out []string) {
-	for _, name := range p.Runners {
-		r, ok := a.Fleet[name]
+// serviceObstacles says of a machine's runners what keeps them from their full part.
+func (a *Advance) serviceObstacles(machine *MachineState) (obstacles []string) {
+	for _, name := range machine.Workers {
+		worker, ok := a.Fleet[name]
 		switch {
 		case !ok:
-			out = append(out, name+" is not on the list")
-		case r.Down:
-			out = append(out, name+" drains or has gone")
-		case r.Hand:
-			out = append(out, name+" is out by hand")
-		case r.Cold:
-			out = append(out, name+" is cold")
+			obstacles = append(obstacles, name+" is not on the list")
+		case worker.Unavailable:
+			obstacles = append(obstacles, name+" drains or has gone")
+		case worker.Disabled:
+			obstacles = append(obstacles, name+" is out by hand")
+		case worker.WarmingUp:
+			obstacles = append(obstacles, name+" is cold")
 		}
 	}
-	return out
+	return obstacles
 }
 
-// zone is where a machine's first listed runner is.
-func (a *Advance) zone(p *Place) string {
-	for _, name := range p.Runners {
-		if r, ok := a.Fleet[name]; ok {
-			return r.Zone
+// zoneOf is where a machine's first listed runner is.
+func (a *Advance) zoneOf(machine *MachineState) string {
+	for _, name := range machine.Workers {
+		if worker, ok := a.Fleet[name]; ok {
+			return worker.Zone
 		}
 	}
 	return ""
 }
 
-// unit is what counts once against a budget: a machine of a plan, or a runner that is in none.
-type unit struct {
-	runners []string
-	away    bool
-	taken   bool // by a plan
+// budgetUnit is what counts once against a budget: a machine of a plan, or a runner that is in none.
+type budgetUnit struct {
+	workers          []string
+	unavailable      bool
+	underMaintenance bool // by a plan
 }
 
-// units are all of the fleet, by name, with whether each is away: by a plan, by hand, by itself, or not warm yet.
-func (s *State) units(a *Advance) map[string]*unit {
-	out := map[string]*unit{}
-	of := map[string]*unit{}
-	back := map[string]*Place{} // machines that are hosts and were put back
-	for _, u := range s.Plans {
-		for _, p := range u.Places {
-			if p.Host != "" && p.Step != Waiting && !p.Step.away() {
-				back[p.Host] = p
+// budgetUnits are all of the fleet, by name, with whether each is away: by a plan, by hand, by itself, or not warm yet.
+func (s *State) budgetUnits(proposal *Advance) map[string]*budgetUnit {
+	units := map[string]*budgetUnit{}
+	unitOfWorker := map[string]*budgetUnit{}
+	returnedHosts := map[string]*MachineState{} // machines that are hosts and were put back
+	for _, plan := range s.Plans {
+		for _, machine := range plan.MachineStates {
+			if machine.Host != "" && machine.Phase != MachineWaiting && !machine.Phase.excluded() {
+				returnedHosts[machine.Host] = machine
 			}
 		}
-		if u.Phase == Ended {
+		if plan.Phase == PlanEnded {
 			continue
 		}
-		for _, p := range u.Places {
-			if p.Step.over() {
+		for _, machine := range plan.MachineStates {
+			if machine.Phase.finished() {
 				continue
 			}
-			taken := p.Step != Waiting && p.Step != Warm
-			n := &unit{runners: p.Runners, away: taken, taken: taken}
-			out["machine "+p.Name] = n
-			for _, r := range p.Runners {
-				of[r] = n
+			underMaintenance := machine.Phase != MachineWaiting && machine.Phase != MachineWarm
+			unit := &budgetUnit{workers: machine.Workers, unavailable: underMaintenance, underMaintenance: underMaintenance}
+			units["machine "+machine.Name] = unit
+			for _, worker := range machine.Workers {
+				unitOfWorker[worker] = unit
 			}
 		}
 	}
-	for name, r := range a.Fleet {
+	for name, worker := range proposal.Fleet {
 		// Guards against a name that went for good while its machine was with staff: what is there now has another.
-		if p := back[r.Host]; p != nil && r.Gone && !slices.Contains(p.Runners, name) {
+		if machine := returnedHosts[worker.Host]; machine != nil && worker.Gone && !slices.Contains(machine.Workers, name) {
 			continue
 		}
-		n := of[name]
-		if n == nil {
-			n = &unit{runners: []string{name}}
-			out["runner "+name] = n
+		unit := unitOfWorker[name]
+		if unit == nil {
+			unit = &budgetUnit{workers: []string{name}}
+			units["runner "+name] = unit
 		}
-		n.away = n.away || r.away() && !failpoint.On(failpoint.DeadUncounted)
+		unit.unavailable = unit.unavailable || worker.outOfService() && !failpoint.Enabled(failpoint.IgnoreUnavailable)
 	}
-	return out
+	return units
 }
 
-// Next is the machine that a plan takes next; nil, and why, where it takes none: what is broken already goes first, then
+// NextMachine is the machine that a plan takes next; nil, and why, where it takes none: what is broken already goes first, then
 // what costs least weight, another zone than the last one's first, then as the plan has them.
-func (s *State) Next(u *Under, a *Advance) (*Place, map[string]string) {
-	var best *Place
+func (s *State) NextMachine(plan *PlanState, proposal *Advance) (*MachineState, map[string]string) {
+	var best *MachineState
 	var bestRank [3]float64
-	why := map[string]string{}
-	units := s.units(a)
-	for _, p := range u.Places {
-		if p.Step != Waiting {
+	reasons := map[string]string{}
+	units := s.budgetUnits(proposal)
+	for _, machine := range plan.MachineStates {
+		if machine.Phase != MachineWaiting {
 			continue
 		}
-		if reason := s.forbids(u, p, a, units); reason != "" {
-			why[p.Name] = reason
+		if reason := s.budgetViolation(plan, machine, proposal, units); reason != "" {
+			reasons[machine.Name] = reason
 			continue
 		}
-		rank := [3]float64{1, weight(a, p.Runners), 0}
-		if failpoint.On(failpoint.OwnOrder) {
+		rank := [3]float64{1, weightInService(proposal, machine.Workers), 0}
+		if failpoint.Enabled(failpoint.RandomMachineOrder) {
 			rank[1] = float64(rand.Int())
 		}
 		if rank[1] == 0 {
 			rank[0] = 0
 		}
-		if a.zone(p) == u.Zone {
+		if proposal.zoneOf(machine) == plan.LastZone {
 			rank[2] = 1
 		}
 		if best == nil || slices.Compare(rank[:], bestRank[:]) < 0 {
-			best, bestRank = p, rank
+			best, bestRank = machine, rank
 		}
 	}
-	return best, why
+	return best, reasons
 }
 
-// weight is what runners that are not away bear together.
-func weight(a *Advance, runners []string) (sum float64) {
-	for _, name := range runners {
-		if r, ok := a.Fleet[name]; ok && !r.away() {
-			sum += r.Weight
+// weightInService is what runners that are not away bear together.
+func weightInService(proposal *Advance, workers []string) (sum float64) {
+	for _, name := range workers {
+		if worker, ok := proposal.Fleet[name]; ok && !worker.outOfService() {
+			sum += worker.Weight
 		}
 	}
 	return sum
 }
 
-// forbids says why a machine may not be taken now; empty where it may.
-func (s *State) forbids(u *Under, p *Place, a *Advance, units map[string]*unit) string {
+// budgetViolation says why a machine may not be taken now; empty where it may.
+func (s *State) budgetViolation(plan *PlanState, machine *MachineState, proposal *Advance, units map[string]*budgetUnit) string {
 	// What is away by itself costs nothing more when it is taken: then what plans have counts alone. Else two machines that died
 	// would stand in each other's way, and in the way of their repair.
-	key := "machine " + p.Name
-	broken := units[key].away
+	key := "machine " + machine.Name
+	broken := units[key].unavailable
 	var all, gone []string
 	fleet, total, stays := 0, 0.0, 0.0
 	zones, kinds := map[string]int{}, map[string]int{}
 	left := map[string]bool{} // zones and kinds that keep a runner
-	for _, g := range a.Rest {
+	for _, g := range proposal.UnnamedWorkers {
 		total, stays = total+g.Weight*float64(g.Count), stays+g.Weight*float64(g.Count)
 		left["zone "+g.Zone], left["kind "+g.Kind] = true, true
 	}
 	for _, name := range slices.Sorted(maps.Keys(units)) {
 		n := units[name]
-		away := n.away && (!broken || n.taken) || name == key
+		away := n.unavailable && (!broken || n.underMaintenance) || name == key
 		inZone, inKind := map[string]bool{}, map[string]bool{}
-		for _, w := range n.runners {
-			r, ok := a.Fleet[w]
+		for _, w := range n.workers {
+			r, ok := proposal.Fleet[w]
 			if !ok {
 				continue
 			}
@@ -329,24 +329,24 @@
 			kinds[k]++
 		}
 	}
-	if failpoint.On(failpoint.NoBudget) {
+	if failpoint.Enabled(failpoint.IgnoreBudget) {
 		return ""
 	}
-	if fleet > u.Out && broken {
-		return fmt.Sprintf("%d machines would be taken, %d may be%s", fleet, u.Out, others(gone))
+	if fleet > plan.MaxUnavailable && broken {
+		return fmt.Sprintf("%d machines would be taken, %d may be%s", fleet, plan.MaxUnavailable, listOthers(gone))
 	}
-	if fleet > u.Out {
-		return fmt.Sprintf("%d machines would be away, %d may be%s", fleet, u.Out, others(gone))
+	if fleet > plan.MaxUnavailable {
+		return fmt.Sprintf("%d machines would be away, %d may be%s", fleet, plan.MaxUnavailable, listOthers(gone))
 	}
-	for _, w := range p.Runners {
-		r, ok := a.Fleet[w]
+	for _, w := range machine.Workers {
+		r, ok := proposal.Fleet[w]
 		switch {
 		case !ok:
 			continue
-		case u.ZoneOut > 0 && zones[r.Zone] > u.ZoneOut:
-			return fmt.Sprintf("%d machines of zone %s would be away, %d may be", zones[r.Zone], r.Zone, u.ZoneOut)
-		case u.KindOut > 0 && kinds[r.Kind] > u.KindOut:
-			return fmt.Sprintf("%d machines of kind %s would be away, %d may be", kinds[r.Kind], r.Kind, u.KindOut)
+		case plan.MaxUnavailablePerZone > 0 && zones[r.Zone] > plan.MaxUnavailablePerZone:
+			return fmt.Sprintf("%d machines of zone %s would be away, %d may be", zones[r.Zone], r.Zone, plan.MaxUnavailablePerZone)
+		case plan.MaxUnavailablePerKind > 0 && kinds[r.Kind] > plan.MaxUnavailablePerKind:
+			return fmt.Sprintf("%d machines of kind %s would be away, %d may be", kinds[r.Kind], r.Kind, plan.MaxUnavailablePerKind)
 		case broken:
 		case !left["zone "+r.Zone]:
 			return fmt.Sprintf("it is the last of zone %s", r.Zone)
@@ -354,47 +354,47 @@
 			return fmt.Sprintf("it is the last of kind %s", r.Kind)
 		}
 	}
-	if stays < u.Capacity*total && !broken {
-		return fmt.Sprintf("%.0f%% of the capacity would stay, %.0f%% has to", 100*stays/total, 100*u.Capacity)
+	if stays < plan.MinCapacity*total && !broken {
+		return fmt.Sprintf("%.0f%% of the capacity would stay, %.0f%% has to", 100*stays/total, 100*plan.MinCapacity)
 	}
-	if len(all) == 0 && len(a.Rest) == 0 {
+	if len(all) == 0 && len(proposal.UnnamedWorkers) == 0 {
 		return "no runner is known"
 	}
 	return ""
 }
 
-// namesTold bounds the names in a reason.
-const namesTold = 5
+// maxNamesInReason bounds the names in a reason.
+const maxNamesInReason = 5
 
-// others names what is away already, for a reason.
-func others(names []string) string {
+// listOthers names what is away already, for a reason.
+func listOthers(names []string) string {
 	if len(names) == 0 {
 		return ""
 	}
 	more := ""
-	if len(names) > namesTold {
-		names, more = names[:namesTold], ", ..."
+	if len(names) > maxNamesInReason {
+		names, more = names[:maxNamesInReason], ", ..."
 	}
 	return ": " + strings.Join(names, ", ") + more
 }
 
-// Why says for each machine that does not go on what it waits for.
-func (s *State) Why(u *Under, a *Advance) map[string]string {
-	_, why := s.Next(u, a)
-	switch u.Phase {
-	case Announced:
-		why[""] = fmt.Sprintf("waits until members have it in force: %v", s.unheard(u.At, a))
-	case Running:
+// WaitReasons says for each machine that does not go on what it waits for.
+func (s *State) WaitReasons(plan *PlanState, proposal *Advance) map[string]string {
+	_, reasons := s.NextMachine(plan, proposal)
+	switch plan.Phase {
+	case PlanAnnounced:
+		reasons[""] = fmt.Sprintf("waits until members have it in force: %v", s.unconfirmedMembers(plan.AnnouncedIndex, proposal))
+	case PlanRunning:
 	default:
-		clear(why)
+		clear(reasons)
 	}
-	for _, p := range u.Places {
-		switch p.Step {
-		case Leaving:
-			why[p.Name] = fmt.Sprintf("waits for %v, at the longest %v more", s.held(p, a), max(0, s.Bound-(s.Clock-p.Since)))
-		case Returning, Failed:
-			why[p.Name] = strings.Join(a.lacks(p), ", ")
+	for _, machine := range plan.MachineStates {
+		switch machine.Phase {
+		case MachineDraining:
+			reasons[machine.Name] = fmt.Sprintf("waits for %v, at the longest %v more", s.blockingMembers(machine, proposal), max(0, s.FenceTimeout-(s.Clock-machine.PhaseStart)))
+		case MachineReturning, MachineFailed:
+			reasons[machine.Name] = strings.Join(proposal.serviceObstacles(machine), ", ")
 		}
 	}
-	return why
+	return reasons
 }
--- a/internal/maintenance/brief.go
+++ b/internal/maintenance/brief.go
@@ -5,81 +5,81 @@
 	"slices"
 )
 
-// Brief says the same as an Advance in fewer bytes, for a state as it is: each entry goes to each member, so that it must not grow
+// Compact says the same as an Advance in fewer bytes, for a state as it is: each entry goes to each member, so that it must not grow
 // with members and runners. By name stay those that the state's plans have to do with, and those that are in the way.
-func (s *State) Brief(a *Advance) *Advance {
-	b := *a
-	b.Words, b.Fleet, b.Rest = map[string]Word{}, map[string]Runner{}, nil
-	for _, u := range s.Plans {
-		if b.Agreed = max(b.Agreed, u.At); u.Phase == Ended {
+func (s *State) Compact(proposal *Advance) *Advance {
+	compact := *proposal
+	compact.Reports, compact.Fleet, compact.UnnamedWorkers = map[string]MemberReport{}, map[string]Worker{}, nil
+	for _, plan := range s.Plans {
+		if compact.DefaultApplied = max(compact.DefaultApplied, plan.AnnouncedIndex); plan.Phase == PlanEnded {
 			continue
 		}
-		for _, p := range u.Places {
-			b.Agreed = max(b.Agreed, p.At)
+		for _, machine := range plan.MachineStates {
+			compact.DefaultApplied = max(compact.DefaultApplied, machine.PhaseIndex)
 		}
 	}
-	for _, name := range s.Names() {
-		w := s.busyWhereItMatters(a.word(s, name))
-		if b.Agreed == 0 || w.Life != s.Members[name].Life || w.Applied < b.Agreed || !w.Alone || len(w.Busy)+len(w.BusyAt) > 0 {
-			b.Words[name] = w
+	for _, name := range s.MemberNames() {
+		report := s.relevantReport(proposal.reportOf(s, name))
+		if compact.DefaultApplied == 0 || report.Incarnation != s.Members[name].Incarnation || report.Applied < compact.DefaultApplied || !report.SoleProcess || len(report.BusyWorkers)+len(report.BusyHosts) > 0 {
+			compact.Reports[name] = report
 		}
 	}
-	in, at := map[string]bool{}, map[string]bool{}
-	for _, u := range s.Plans {
-		for _, p := range u.Places {
-			at[p.Host] = at[p.Host] || p.Host != ""
-			for _, r := range p.Runners {
-				in[r] = true
+	workersInPlans, hostsInPlans := map[string]bool{}, map[string]bool{}
+	for _, plan := range s.Plans {
+		for _, machine := range plan.MachineStates {
+			hostsInPlans[machine.Host] = hostsInPlans[machine.Host] || machine.Host != ""
+			for _, worker := range machine.Workers {
+				workersInPlans[worker] = true
 			}
 		}
 	}
-	rest := map[Group]int{}
-	for name, r := range a.Fleet {
-		if in[name] || at[r.Host] || r.away() || r.Gone {
-			b.Fleet[name] = r
+	groups := map[WorkerGroup]int{}
+	for name, worker := range proposal.Fleet {
+		if workersInPlans[name] || hostsInPlans[worker.Host] || worker.outOfService() || worker.Gone {
+			compact.Fleet[name] = worker
 		} else {
-			rest[Group{Zone: r.Zone, Kind: r.Kind, Weight: r.Weight}]++
+			groups[WorkerGroup{Zone: worker.Zone, Kind: worker.Kind, Weight: worker.Weight}]++
 		}
 	}
-	for _, g := range a.Rest {
-		rest[Group{Zone: g.Zone, Kind: g.Kind, Weight: g.Weight}] += g.Count
+	for _, group := range proposal.UnnamedWorkers {
+		groups[WorkerGroup{Zone: group.Zone, Kind: group.Kind, Weight: group.Weight}] += group.Count
 	}
-	for g, n := range rest {
-		g.Count = n
-		b.Rest = append(b.Rest, g)
+	for group, count := range groups {
+		group.Count = count
+		compact.UnnamedWorkers = append(compact.UnnamedWorkers, group)
 	}
-	slices.SortFunc(b.Rest, func(x, y Group) int {
+	slices.SortFunc(compact.UnnamedWorkers, func(x, y WorkerGroup) int {
 		return cmp.Or(cmp.Compare(x.Zone, y.Zone), cmp.Compare(x.Kind, y.Kind), cmp.Compare(x.Weight, y.Weight))
 	})
-	return &b
+	return &compact
 }
 
-// busyWhereItMatters leaves of a word's busy runners those of machines that are to get clear.
-func (s *State) busyWhereItMatters(w Word) Word {
-	var names, hosts []string
-	for _, u := range s.Plans {
-		for _, p := range u.Places {
-			if p.Step != Leaving {
+// relevantReport leaves of a word's busy runners those of machines that are to get clear.
+func (s *State) relevantReport(report MemberReport) MemberReport {
+	var workers, hosts []string
+	for _, plan := range s.Plans {
+		for _, machine := range plan.MachineStates {
+			if machine.Phase != MachineDraining {
 				continue
 			}
-			for _, r := range p.Runners {
-				if slices.Contains(w.Busy, r) {
-					names = append(names, r)
+			for _, worker := range machine.Workers {
+				if slices.Contains(report.BusyWorkers, worker) {
+					workers = append(workers, worker)
 				}
 			}
-			if p.Host != "" && slices.Contains(w.BusyAt, p.Host) {
-				hosts = append(hosts, p.Host)
+			if machine.Host != "" && slices.Contains(report.BusyHosts, machine.Host) {
+				hosts = append(hosts, machine.Host)
 			}
 		}
 	}
-	w.Busy, w.BusyAt = names, hosts
-	return w
+	report.BusyWorkers, report.BusyHosts = workers, hosts
+	return report
 }
 
-// word is what a member has told; one that is not named in a brief Advance has nothing in the way.
-func (a *Advance) word(s *State, name string) Word {
-	if w, ok := a.Words[name]; ok || a.Agreed == 0 {
-		return w
+// reportOf is what a member has told; one that is not named in a brief Advance has nothing in the way.
+func (a *Advance) reportOf(state *State, name string) MemberReport {
+	if report, ok := a.Reports[name]; ok || a.DefaultApplied == 0 {
+		return report
 	}
-	return Word{Life: s.Members[name].Life, Applied: a.Agreed, Alone: true}
+	return MemberReport{Incarnation: state.Members[name].Incarnation, Applied: a.DefaultApplied, SoleProcess: true}
 }
--- a/internal/maintenance/calls.go
+++ b/internal/maintenance/calls.go
@@ -7,254 +7,256 @@
 	"time"
 )
 
-// run carries one entry out.
-type run struct {
+// applier carries one entry out.
+type applier struct {
 	*State
 	events []Event
 }
 
-func (r *run) tell(plan, machine, format string, v ...any) {
-	r.events = append(r.events, Event{plan, machine, fmt.Sprintf(format, v...)})
+func (a *applier) emit(plan, machine, format string, args ...any) {
+	a.events = append(a.events, Event{plan, machine, fmt.Sprintf(format, args...)})
 }
 
-// do carries out a command; its answer is for staff.
-func (r *run) do(c *Command) (code int, text string) {
-	switch c.Kind {
-	case Join:
-		return r.join(c.Member)
-	case Retire:
-		if r.Members[c.Name] == nil {
-			return Wrong, fmt.Sprintf("no member is called %q", c.Name)
+// execute carries out a command; its answer is for staff.
+func (a *applier) execute(command *Command) (code int, text string) {
+	switch command.Kind {
+	case CommandJoinMember:
+		return a.joinMember(command.Member)
+	case CommandRetireMember:
+		if a.Members[command.Name] == nil {
+			return CodeInvalid, fmt.Sprintf("no member is called %q", command.Name)
 		}
-		delete(r.Members, c.Name)
-		r.tell("", "", "member %s is retired", c.Name)
-		return Yes, "retired"
-	case Trust:
-		if r.Doubt {
-			r.Doubt = false
-			r.tell("", "", "plans may begin: no machine is with staff by a plan that was forgotten")
+		delete(a.Members, command.Name)
+		a.emit("", "", "member %s is retired", command.Name)
+		return CodeOK, "retired"
+	case CommandTrustHistory:
+		if a.HistoryLost {
+			a.HistoryLost = false
+			a.emit("", "", "plans may begin: no machine is with staff by a plan that was forgotten")
 		}
-		return Yes, "plans may begin"
-	case HandIn:
-		return r.handIn(c.Plan)
-	case Proceed:
-		r.advance(c.Advance)
-		return Yes, ""
-	case Take, Return, GiveUp:
-		return r.machine(c)
-	case Start, Halt, Resume, Abort:
-		return r.plan(c)
+		return CodeOK, "plans may begin"
+	case CommandSubmitPlan:
+		return a.submitPlan(command.Plan)
+	case CommandAdvance:
+		a.advance(command.Advance)
+		return CodeOK, ""
+	case CommandClaimMachine, CommandReturnMachine, CommandSkipMachine:
+		return a.changeMachine(command)
+	case CommandStartPlan, CommandPausePlan, CommandResumePlan, CommandAbortPlan:
+		return a.changePlan(command)
 	}
-	return Wrong, fmt.Sprintf("%q is no call that this build knows", c.Kind)
+	return CodeInvalid, fmt.Sprintf("%q is no call that this build knows", command.Kind)
 }
 
-func (r *run) join(m *Member) (int, string) {
-	if m == nil || m.Name == "" {
-		return Wrong, "a member has a name"
+func (a *applier) joinMember(member *Member) (int, string) {
+	if member == nil || member.Name == "" {
+		return CodeInvalid, "a member has a name"
 	}
-	now := *m
-	if was := r.Members[m.Name]; was != nil {
-		now.Old = slices.Clone(was.Old)
-		if was.ID != m.ID {
-			now.Old = append(now.Old, Life{was.Life, was.ID})
+	joined := *member
+	if previous := a.Members[member.Name]; previous != nil {
+		joined.PastIncarnations = slices.Clone(previous.PastIncarnations)
+		if previous.RaftID != member.RaftID {
+			joined.PastIncarnations = append(joined.PastIncarnations, PastIncarnation{previous.Incarnation, previous.RaftID})
 		}
 	}
-	r.Members[m.Name] = &now
-	r.tell("", "", "member %s is in, life %s", m.Name, m.Life)
-	return Yes, "in"
+	a.Members[member.Name] = &joined
+	a.emit("", "", "member %s is in, life %s", member.Name, member.Incarnation)
+	return CodeOK, "in"
 }
 
-func (r *run) handIn(p *Plan) (int, string) {
-	if p == nil {
-		return Wrong, "there is no plan in the call"
+func (a *applier) submitPlan(plan *Plan) (int, string) {
+	if plan == nil {
+		return CodeInvalid, "there is no plan in the call"
 	}
-	if faults := r.Faults(p); len(faults) > 0 {
-		return Wrong, strings.Join(faults, "\n")
+	if problems := a.ValidatePlan(plan); len(problems) > 0 {
+		return CodeInvalid, strings.Join(problems, "\n")
 	}
-	u := &Under{Plan: *p, Phase: HandedIn}
-	for _, m := range p.Machines {
-		u.Places = append(u.Places, &Place{Machine: m, Step: Waiting})
+	state := &PlanState{Plan: *plan, Phase: PlanSubmitted}
+	for _, machine := range plan.Machines {
+		state.MachineStates = append(state.MachineStates, &MachineState{Machine: machine, Phase: MachineWaiting})
 	}
-	r.Plans = append(r.Plans, u)
-	for i := 0; len(r.Plans) > plansKept && i < len(r.Plans); {
-		if r.Plans[i].Phase == Ended {
-			r.Plans = slices.Delete(r.Plans, i, i+1)
+	a.Plans = append(a.Plans, state)
+	for i := 0; len(a.Plans) > maxPlans && i < len(a.Plans); {
+		if a.Plans[i].Phase == PlanEnded {
+			a.Plans = slices.Delete(a.Plans, i, i+1)
 		} else {
 			i++
 		}
 	}
-	r.tell(p.Name, "", "handed in, %d machines", len(p.Machines))
-	return Yes, "handed in"
+	a.emit(plan.Name, "", "handed in, %d machines", len(plan.Machines))
+	return CodeOK, "handed in"
 }
 
-// Faults is all that is wrong with a plan beside the plans that there are, by key.
-func (s *State) Faults(p *Plan) (out []string) {
-	fault := func(format string, v ...any) { out = append(out, fmt.Sprintf(format, v...)) }
+// ValidatePlan is all that is wrong with a plan beside the plans that there are, by key.
+func (s *State) ValidatePlan(p *Plan) (problems []string) {
+	report := func(format string, args ...any) { problems = append(problems, fmt.Sprintf(format, args...)) }
 	if p.Name == "" {
-		fault("name: it is missing")
-	} else if u := s.Plan(p.Name); u != nil && u.Phase != Ended {
-		fault("name: a plan %q is %s; it needs another name", p.Name, u.Phase)
+		report("name: it is missing")
+	} else if u := s.FindPlan(p.Name); u != nil && u.Phase != PlanEnded {
+		report("name: a plan %q is %s; it needs another name", p.Name, u.Phase)
 	}
-	if p.Out < 1 {
-		fault("out: %d machines away at a time are none; at least 1", p.Out)
+	if p.MaxUnavailable < 1 {
+		report("out: %d machines away at a time are none; at least 1", p.MaxUnavailable)
 	}
-	if p.ZoneOut < 0 {
-		fault("zone_out: %d is below 0; 0 sets no bound", p.ZoneOut)
+	if p.MaxUnavailablePerZone < 0 {
+		report("zone_out: %d is below 0; 0 sets no bound", p.MaxUnavailablePerZone)
 	}
-	if p.KindOut < 0 {
-		fault("kind_out: %d is below 0; 0 sets no bound", p.KindOut)
+	if p.MaxUnavailablePerKind < 0 {
+		report("kind_out: %d is below 0; 0 sets no bound", p.MaxUnavailablePerKind)
 	}
 	for _, d := range []struct {
 		key string
 		v   time.Duration
-	}{{"leave", p.Leave}, {"work", p.Work}, {"back", p.Back}} {
+	}{{"leave", p.DrainTimeout}, {"work", p.WorkTimeout}, {"back", p.ReturnTimeout}} {
 		if d.v < 0 {
-			fault("%s: %v is below 0; 0 sets no bound", d.key, d.v)
+			report("%s: %v is below 0; 0 sets no bound", d.key, d.v)
 		}
 	}
-	if !(p.Capacity >= 0 && p.Capacity <= 1) {
-		fault("capacity: %v is no share from 0 to 1", p.Capacity)
+	if !(p.MinCapacity >= 0 && p.MinCapacity <= 1) {
+		report("capacity: %v is no share from 0 to 1", p.MinCapacity)
 	}
-	if !slices.Contains([]string{Wait, Pause, Skip}, p.Overdue) {
-		fault("overdue: %q is none of %s, %s and %s", p.Overdue, Wait, Pause, Skip)
+	if !slices.Contains([]string{OverdueWait, OverduePause, OverdueSkip}, p.OnOverdue) {
+		report("overdue: %q is none of %s, %s and %s", p.OnOverdue, OverdueWait, OverduePause, OverdueSkip)
 	}
-	if len(p.Machines) == 0 || len(p.Machines) > MachineMost {
-		fault("machine: there are %d; from 1 to %d", len(p.Machines), MachineMost)
+	if len(p.Machines) == 0 || len(p.Machines) > MaxMachines {
+		report("machine: there are %d; from 1 to %d", len(p.Machines), MaxMachines)
 	}
 	names, runners, hosts := map[string]int{}, map[string]int{}, map[string]int{}
 	for i, m := range p.Machines {
 		if at, twice := names[m.Name]; twice || m.Name == "" {
-			fault("machine[%d].name: %q is empty or that of machine[%d]", i, m.Name, at)
+			report("machine[%d].name: %q is empty or that of machine[%d]", i, m.Name, at)
 		}
 		names[m.Name] = i
 		switch at, twice := hosts[m.Host]; {
-		case m.Host == "" && len(m.Runners) == 0:
-			fault("machine[%d].runners: there is none, and no host", i)
+		case m.Host == "" && len(m.Workers) == 0:
+			report("machine[%d].runners: there is none, and no host", i)
 		case m.Host == "":
-		case len(m.Runners) > 0:
-			fault("machine[%d].host: it names runners too; one of both", i)
+		case len(m.Workers) > 0:
+			report("machine[%d].host: it names runners too; one of both", i)
 		case twice:
-			fault("machine[%d].host: %q is that of machine[%d] already", i, m.Host, at)
+			report("machine[%d].host: %q is that of machine[%d] already", i, m.Host, at)
 		default:
 			hosts[m.Host] = i
 			for _, u := range s.Plans {
-				if u.Phase != Ended && slices.ContainsFunc(u.Places, func(p *Place) bool { return !p.Step.over() && p.Host == m.Host }) {
-					fault("machine[%d].host: %q is in plan %q, which is %s", i, m.Host, u.Name, u.Phase)
+				if u.Phase != PlanEnded && slices.ContainsFunc(u.MachineStates, func(p *MachineState) bool { return !p.Phase.finished() && p.Host == m.Host }) {
+					report("machine[%d].host: %q is in plan %q, which is %s", i, m.Host, u.Name, u.Phase)
 				}
 			}
 		}
-		for _, w := range m.Runners {
+		for _, w := range m.Workers {
 			if at, twice := runners[w]; twice {
-				fault("machine[%d].runners: %q is in machine[%d] already", i, w, at)
+				report("machine[%d].runners: %q is in machine[%d] already", i, w, at)
 			}
 			runners[w] = i
 			for _, u := range s.Plans {
-				if u.Phase != Ended && u.has(w) {
-					fault("machine[%d].runners: %q is in plan %q, which is %s", i, w, u.Name, u.Phase)
+				if u.Phase != PlanEnded && u.includesWorker(w) {
+					report("machine[%d].runners: %q is in plan %q, which is %s", i, w, u.Name, u.Phase)
 				}
 			}
 		}
 	}
-	return out
+	return problems
 }
 
-func (u *Under) has(runner string) bool {
-	return slices.ContainsFunc(u.Places, func(p *Place) bool { return !p.Step.over() && slices.Contains(p.Runners, runner) })
+func (p *PlanState) includesWorker(worker string) bool {
+	return slices.ContainsFunc(p.MachineStates, func(machine *MachineState) bool {
+		return !machine.Phase.finished() && slices.Contains(machine.Workers, worker)
+	})
 }
 
-// plan carries out a call on a whole plan.
-func (r *run) plan(c *Command) (int, string) {
-	u := r.Plan(c.Name)
-	if u == nil {
-		return Wrong, fmt.Sprintf("no plan is called %q", c.Name)
+// changePlan carries out a call on a whole plan.
+func (a *applier) changePlan(command *Command) (int, string) {
+	plan := a.FindPlan(command.Name)
+	if plan == nil {
+		return CodeInvalid, fmt.Sprintf("no plan is called %q", command.Name)
 	}
-	from := map[Kind][]Phase{
-		Start: {HandedIn}, Halt: {Running, Announced}, Resume: {Paused}, Abort: {HandedIn, Announced, Running, Paused},
-	}[c.Kind]
-	to := map[Kind]Phase{Start: Announced, Halt: Paused, Resume: Announced, Abort: Aborting}[c.Kind]
-	if u.Phase == to || c.Kind == Start && u.Phase == Running || c.Kind == Resume && u.Phase == Running {
-		return Yes, fmt.Sprintf("%s is %s already", u.Name, u.Phase)
+	from := map[CommandKind][]PlanPhase{
+		CommandStartPlan: {PlanSubmitted}, CommandPausePlan: {PlanRunning, PlanAnnounced}, CommandResumePlan: {PlanPaused}, CommandAbortPlan: {PlanSubmitted, PlanAnnounced, PlanRunning, PlanPaused},
+	}[command.Kind]
+	to := map[CommandKind]PlanPhase{CommandStartPlan: PlanAnnounced, CommandPausePlan: PlanPaused, CommandResumePlan: PlanAnnounced, CommandAbortPlan: PlanAborting}[command.Kind]
+	if plan.Phase == to || command.Kind == CommandStartPlan && plan.Phase == PlanRunning || command.Kind == CommandResumePlan && plan.Phase == PlanRunning {
+		return CodeOK, fmt.Sprintf("%s is %s already", plan.Name, plan.Phase)
 	}
-	if !slices.Contains(from, u.Phase) {
-		return Wrong, fmt.Sprintf("%s is %s", u.Name, u.Phase)
+	if !slices.Contains(from, plan.Phase) {
+		return CodeInvalid, fmt.Sprintf("%s is %s", plan.Name, plan.Phase)
 	}
-	if c.Kind == Start {
-		u.At = r.Index // members have to have it in force before it begins
+	if command.Kind == CommandStartPlan {
+		plan.AnnouncedIndex = a.AppliedIndex // members have to have it in force before it begins
 	}
-	u.Phase = to
-	if c.Kind == Abort {
-		for _, p := range u.Places {
-			switch p.Step {
-			case Waiting:
-				r.step(u, p, Skipped)
-			case Leaving, Clear: // nobody was told so
-				r.putBack(u, p)
+	plan.Phase = to
+	if command.Kind == CommandAbortPlan {
+		for _, machine := range plan.MachineStates {
+			switch machine.Phase {
+			case MachineWaiting:
+				a.setPhase(plan, machine, MachineSkipped)
+			case MachineDraining, MachineDrained: // nobody was told so
+				a.withdraw(plan, machine)
 			}
 		}
-		r.close(u)
+		a.endIfFinished(plan)
 	}
-	r.tell(u.Name, "", "%s", u.Phase)
-	return Yes, string(u.Phase)
+	a.emit(plan.Name, "", "%s", plan.Phase)
+	return CodeOK, string(plan.Phase)
 }
 
-// machine carries out a call on one machine.
-func (r *run) machine(c *Command) (int, string) {
-	u, p := r.Find(c.Name, c.Machine)
-	if p == nil {
-		return Wrong, fmt.Sprintf("no plan has a machine %q", c.Machine)
+// changeMachine carries out a call on one machine.
+func (a *applier) changeMachine(command *Command) (int, string) {
+	plan, machine := a.FindMachine(command.Name, command.Machine)
+	if machine == nil {
+		return CodeInvalid, fmt.Sprintf("no plan has a machine %q", command.Machine)
 	}
-	switch c.Kind {
-	case Take:
+	switch command.Kind {
+	case CommandClaimMachine:
 		switch {
-		case p.Step == Clear:
-			r.step(u, p, Out)
-		case p.Step.over() || p.Step == Returning || p.Step == Warm || p.Step == Failed:
-			return Wrong, fmt.Sprintf("%s is %s: it is not to be worked on", p.Name, p.Step)
-		case p.Step != Out:
-			return NotNow, fmt.Sprintf("%s is %s", p.Name, p.Step)
+		case machine.Phase == MachineDrained:
+			a.setPhase(plan, machine, MachineInMaintenance)
+		case machine.Phase.finished() || machine.Phase == MachineReturning || machine.Phase == MachineWarm || machine.Phase == MachineFailed:
+			return CodeInvalid, fmt.Sprintf("%s is %s: it is not to be worked on", machine.Name, machine.Phase)
+		case machine.Phase != MachineInMaintenance:
+			return CodeRetryLater, fmt.Sprintf("%s is %s", machine.Name, machine.Phase)
 		}
-		return Yes, fmt.Sprintf("%s is clear", p.Name)
-	case Return:
-		switch p.Step {
-		case Out, Clear:
-			r.step(u, p, Returning)
-		case Returning, Warm, Done:
+		return CodeOK, fmt.Sprintf("%s is clear", machine.Name)
+	case CommandReturnMachine:
+		switch machine.Phase {
+		case MachineInMaintenance, MachineDrained:
+			a.setPhase(plan, machine, MachineReturning)
+		case MachineReturning, MachineWarm, MachineDone:
 		default:
-			return Wrong, fmt.Sprintf("%s is %s: it was not out", p.Name, p.Step)
+			return CodeInvalid, fmt.Sprintf("%s is %s: it was not out", machine.Name, machine.Phase)
 		}
-		return Yes, fmt.Sprintf("%s is %s", p.Name, p.Step)
+		return CodeOK, fmt.Sprintf("%s is %s", machine.Name, machine.Phase)
 	}
-	switch p.Step { // GiveUp
-	case Waiting, Failed:
-		r.step(u, p, Skipped)
-	case Leaving, Clear:
-		r.putBack(u, p)
-	case Skipped:
-	case Out:
-		return Wrong, fmt.Sprintf("%s is %s: say done when it is whole", p.Name, p.Step)
+	switch machine.Phase { // GiveUp
+	case MachineWaiting, MachineFailed:
+		a.setPhase(plan, machine, MachineSkipped)
+	case MachineDraining, MachineDrained:
+		a.withdraw(plan, machine)
+	case MachineSkipped:
+	case MachineInMaintenance:
+		return CodeInvalid, fmt.Sprintf("%s is %s: say done when it is whole", machine.Name, machine.Phase)
 	default:
-		return Wrong, fmt.Sprintf("%s is %s", p.Name, p.Step)
+		return CodeInvalid, fmt.Sprintf("%s is %s", machine.Name, machine.Phase)
 	}
-	return Yes, fmt.Sprintf("%s is %s", p.Name, p.Step)
+	return CodeOK, fmt.Sprintf("%s is %s", machine.Name, machine.Phase)
 }
 
-// step moves a machine on.
-func (r *run) step(u *Under, p *Place, to Step) {
-	p.Step, p.At, p.Since, p.Overdue = to, r.Index, r.Clock, false
-	r.tell(u.Name, p.Name, "%s", to)
+// setPhase moves a machine on.
+func (a *applier) setPhase(plan *PlanState, machine *MachineState, to MachinePhase) {
+	machine.Phase, machine.PhaseIndex, machine.PhaseStart, machine.Overdue = to, a.AppliedIndex, a.Clock, false
+	a.emit(plan.Name, machine.Name, "%s", to)
 }
 
-// putBack has a machine come back that nobody was told to be clear.
-func (r *run) putBack(u *Under, p *Place) {
-	p.Left = true
-	r.step(u, p, Returning)
+// withdraw has a machine come back that nobody was told to be clear.
+func (a *applier) withdraw(plan *PlanState, machine *MachineState) {
+	machine.Withdrawn = true
+	a.setPhase(plan, machine, MachineReturning)
 }
 
-// close ends a plan that is through with all its machines.
-func (r *run) close(u *Under) {
-	if u.Phase == Ended || slices.ContainsFunc(u.Places, func(p *Place) bool { return !p.Step.over() }) {
+// endIfFinished ends a plan that is through with all its machines.
+func (a *applier) endIfFinished(plan *PlanState) {
+	if plan.Phase == PlanEnded || slices.ContainsFunc(plan.MachineStates, func(machine *MachineState) bool { return !machine.Phase.finished() }) {
 		return
 	}
-	u.Phase = Ended
-	r.tell(u.Name, "", "%s", Ended)
+	plan.Phase = PlanEnded
+	a.emit(plan.Name, "", "%s", PlanEnded)
 }
