--- a/internal/server/group.go
+++ b/internal/server/group.go
@@ -22,119 +22,119 @@
 	"birchfork/internal/gossip/outliers"
 )
 
-// groupsLinked says that this build has what groups need.
-const groupsLinked = true
+// groupsSupported says that this build has what groups need.
+const groupsSupported = true
 
-// about is what the others are told of this process.
-func (n *node) about() gossip.About {
-	c := n.inForce()
-	return gossip.About{Version: version(), Settings: c.digest, Operator: c.Operator.Digest, Started: n.began}
+// memberInfo is what the others are told of this process.
+func (s *Server) memberInfo() gossip.MemberInfo {
+	c := s.currentConfig()
+	return gossip.MemberInfo{Version: buildRevision(), SettingsDigest: c.settingsDigest, OperatorDigest: c.Operator.Digest, StartedAt: s.startedAt}
 }
 
-// version is the revision that this program was built from, as far as the build has noted it.
-var version = sync.OnceValue(func() string {
-	b, ok := debug.ReadBuildInfo()
+// buildRevision is the revision that this program was built from, as far as the build has noted it.
+var buildRevision = sync.OnceValue(func() string {
+	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return ""
 	}
-	for _, s := range b.Settings {
-		if s.Key == "vcs.revision" {
-			return s.Value[:min(len(s.Value), 12)]
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" {
+			return setting.Value[:min(len(setting.Value), 12)]
 		}
 	}
-	return b.Main.Version
+	return info.Main.Version
 })
 
-// ownKeys are the platform's settings that differ between dispatchers as they should.
-var ownKeys = []string{"zone", "ordinal"}
+// perMemberKeys are the platform's settings that differ between dispatchers as they should.
+var perMemberKeys = []string{"zone", "ordinal"}
 
 // settingsDigest is the same for dispatchers that the platform tells the same.
 func settingsDigest(raw json.RawMessage) string {
-	var f struct {
+	var platform struct {
 		Settings map[string]any `json:"settings"`
 	}
-	if json.Unmarshal(raw, &f) != nil {
+	if json.Unmarshal(raw, &platform) != nil {
 		return "" // Decode says so
 	}
-	for _, k := range ownKeys {
-		delete(f.Settings, k)
+	for _, key := range perMemberKeys {
+		delete(platform.Settings, key)
 	}
-	all, err := json.Marshal(f.Settings) // keys in order
+	canonical, err := json.Marshal(platform.Settings) // keys in order
 	if err != nil {
 		return ""
 	}
-	return fmt.Sprintf("%016x", xxhash.Sum64(all))
+	return fmt.Sprintf("%016x", xxhash.Sum64(canonical))
 }
 
-// free tells why this configuration's place in its group cannot be taken now.
-func (c *Config) free() error {
-	g := c.group()
-	if g == nil {
+// checkGroupAvailable tells why this configuration's place in its group cannot be taken now.
+func (c *Config) checkGroupAvailable() error {
+	group := c.group()
+	if group == nil {
 		return nil
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	return coordinator.Check(coordinator.Options{Group: g, Self: c.Name, Log: log})
+	return coordinator.Check(coordinator.Options{Group: group, Self: c.Name, Log: log})
 }
 
-// lists are the store's list as roster wants it.
-type lists struct{ *engine.Store }
+// endpointSource are the store's list as roster wants it.
+type endpointSource struct{ *engine.Engine }
 
-// goneTold is how long others are told that a worker has gone: one that was away for longer has a list by then.
-const goneTold = 15 * time.Minute
+// goneWorkerRetention is how long others are told that a worker has gone: one that was away for longer has a list by then.
+const goneWorkerRetention = 15 * time.Minute
 
-// states are those of the list, in roster's order.
-var states = map[dispatch.State]endpoints.State{dispatch.Ready: endpoints.Up, dispatch.Draining: endpoints.Draining, dispatch.Gone: endpoints.Gone}
+// gossipStates are those of the list, in roster's order.
+var gossipStates = map[dispatch.WorkerState]endpoints.State{dispatch.Ready: endpoints.Up, dispatch.Draining: endpoints.Draining, dispatch.Gone: endpoints.Gone}
 
-func (l lists) Facts() (all []endpoints.Fact, fresh bool) {
-	known, fresh := l.Known(goneTold)
-	for _, k := range known {
-		all = append(all, endpoints.Fact{Name: k.Name, Start: k.Start, State: states[k.State]})
+func (e endpointSource) Statuses() (all []endpoints.Status, fresh bool) {
+	workers, fresh := e.ListedWorkers(goneWorkerRetention)
+	for _, worker := range workers {
+		all = append(all, endpoints.Status{Name: worker.Name, StartedAt: worker.StartedAtMillis, State: gossipStates[worker.State]})
 	}
 	return all, fresh
 }
 
-func (l lists) Count() uint64        { return l.NewsCount() }
-func (l lists) Alive() time.Duration { return l.Watched() }
+func (e endpointSource) Revision() uint64           { return e.EndpointsRevision() }
+func (e endpointSource) WatchUptime() time.Duration { return e.WatchingFor() }
 
-// takePart takes part in the group, if there is one. Its address and folder have to be free, unless another process of this
+// joinGroup takes part in the group, if there is one. Its address and folder have to be free, unless another process of this
 // dispatcher may have them.
-func (n *node) takePart() error {
-	g := n.config.group()
-	if g == nil {
+func (s *Server) joinGroup() error {
+	group := s.config.group()
+	if group == nil {
 		return nil
 	}
-	o := coordinator.Options{
-		Group: g, Self: n.config.Name, Dispatcher: n.store, Deadline: n.config.longest(), Arrive: n.config.arrive(),
-		Warm: n.config.warm(), Log: n.log.WithField("part", "group"),
-		Beside: func() (int, bool) { return int(n.beside.Load()), n.newer.Load() }, // as of the last look: see share
+	options := coordinator.Options{
+		Group: group, Self: s.config.Name, Dispatcher: s.engine, MaxDeadline: s.config.maxDeadline(), MaxDelivery: s.config.maxDelivery(),
+		WarmUp: s.config.warmUp(), Log: s.log.WithField("part", "group"),
+		Siblings: func() (int, bool) { return int(s.siblings.Load()), s.newerSibling.Load() }, // as of the last look: see share
 	}
-	if dir := n.process.Folder(); dir != "" {
-		o.Witness = filepath.Join(dir, "group.mark")
+	if dir := s.process.Dir(); dir != "" {
+		options.BootMarkerPath = filepath.Join(dir, "group.mark")
 	}
-	if n.beside.Load() == 0 {
-		if err := coordinator.Check(o); err != nil {
+	if s.siblings.Load() == 0 {
+		if err := coordinator.Check(options); err != nil {
 			return err
 		}
 	}
 	var others []string
-	for _, p := range g.Peers {
-		if p.Name != n.config.Name {
-			others = append(others, p.Name)
+	for _, peer := range group.Members {
+		if peer.Name != s.config.Name {
+			others = append(others, peer.Name)
 		}
 	}
-	s, err := gossip.New(gossip.Options{
-		Group: g.Name, Self: n.config.Name, Folder: g.Folder, Peers: others, Changed: n.bySpread, Say: n.byHand, About: n.about,
-		Log: n.log.WithField("part", "group"),
+	overrides, err := gossip.New(gossip.Options{
+		Group: group.Name, Self: s.config.Name, Dir: group.DataDir, Peers: others, ApplyOverride: s.applyGroupOverride, SetOverride: s.setOverride, Info: s.memberInfo,
+		Log: s.log.WithField("part", "group"),
 	})
 	if err != nil {
 		return fmt.Errorf("group.folder: %w", err)
 	}
-	w := outliers.New(others, n.store.Warned)
-	n.store.OnWarn(w.Warn)
-	list := endpoints.NewTeller(others, lists{n.store}, n.log.WithField("part", "group"))
-	n.copies, o.Guests = s, []coordinator.Guest{s, w, list}
-	n.counts = []func() map[string]int64{s.Fields, w.Fields, list.Fields}
-	n.part = coordinator.Start(o)
+	outlierReports := outliers.New(others, s.engine.HandleOutlierReport)
+	s.engine.OnOutlier(outlierReports.Report)
+	endpointReports := endpoints.NewBroadcaster(others, endpointSource{s.engine}, s.log.WithField("part", "group"))
+	s.overrides, options.TransportUsers = overrides, []coordinator.TransportUser{overrides, outlierReports, endpointReports}
+	s.groupCounters = []func() map[string]int64{overrides.Fields, outlierReports.Fields, endpointReports.Fields}
+	s.coordinator = coordinator.Start(options)
 	return nil
 }
--- a/internal/server/share.go
+++ b/internal/server/share.go
@@ -15,133 +15,133 @@
 
 // Times of sharing with other processes of this dispatcher.
 const (
-	shareEvery = 100 * time.Millisecond // a word said to another binds here so much later: the grace of a drain is longer
-	keepEvery  = 5                      // rounds, at the least, from one list that is left for others to the next
+	syncInterval = 100 * time.Millisecond // a word said to another binds here so much later: the grace of a drain is longer
+	syncsPerSave = 5                      // rounds, at the least, from one list that is left for others to the next
 )
 
-// claim takes a place among the processes of this dispatcher. Where that cannot be done we are alone: nothing is shared,
+// claimProcess takes a place among the processes of this dispatcher. Where that cannot be done we are alone: nothing is shared,
 // and all else is as ever.
-func (n *node) claim() {
-	if n.config.Admin == "" && n.config.group() == nil {
+func (s *Server) claimProcess() {
+	if s.config.AdminAddress == "" && s.config.group() == nil {
 		return
 	}
-	p, err := hotrestart.Open(os.Getenv("TMPDIR"), n.config.Name)
+	process, err := hotrestart.Open(os.Getenv("TMPDIR"), s.config.Name)
 	if err != nil {
-		n.log.WithError(err).Error("nothing can be shared with other processes of this dispatcher: " +
+		s.log.WithError(err).Error("nothing can be shared with other processes of this dispatcher: " +
 			"runners that are out by hand come back with an upgrade, and an upgrade counts as a restart")
 		return
 	}
-	n.process = p
+	s.process = process
 }
 
-// known is the list to begin with: what another process left, or the configuration's. The newer one is the better;
+// initialEndpoints is the list to begin with: what another process left, or the configuration's. The newer one is the better;
 // versions tell, where no process beside us has followed the list to this moment.
-func (n *node) known() engine.List {
-	c := n.config
-	raw, err := n.process.List()
+func (s *Server) initialEndpoints() engine.EndpointList {
+	c := s.config
+	raw, err := s.process.Endpoints()
 	if raw == nil {
 		if err != nil {
-			n.log.WithError(err).Warn("a list that is left from before is passed over")
+			s.log.WithError(err).Warn("a list that is left from before is passed over")
 		}
-		return c.Known
+		return c.KnownEndpoints
 	}
-	l, _, err := frontend.DecodeList(raw)
+	list, _, err := frontend.DecodeList(raw)
 	switch {
 	case err != nil:
-		n.log.WithError(err).Warn("a list that is left from before is passed over")
-		return c.Known
-	case len(l.Entries) == 0, n.beside.Load() == 0 && l.Index <= c.Known.Index:
-		return c.Known
+		s.log.WithError(err).Warn("a list that is left from before is passed over")
+		return c.KnownEndpoints
+	case len(list.Endpoints) == 0, s.siblings.Load() == 0 && list.Version <= c.KnownEndpoints.Version:
+		return c.KnownEndpoints
 	}
-	l.Whole, l.Stale = true, true
-	return l
+	list.Snapshot, list.Stale = true, true
+	return list
 }
 
-// share exchanges what processes of this dispatcher share, every now and then.
-func (n *node) share(ctx context.Context) {
-	t := time.NewTicker(shareEvery)
-	defer t.Stop()
+// syncLoop exchanges what processes of this dispatcher share, every now and then.
+func (s *Server) syncLoop(ctx context.Context) {
+	ticker := time.NewTicker(syncInterval)
+	defer ticker.Stop()
 	for i := 0; ; i++ {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
-		n.exchange()
-		others := n.process.Others()
-		n.newer.Store(others.Newer)
-		if alive := int32(others.Alive); alive != n.beside.Load() {
-			n.log.WithField("beside", alive).Info("other processes of this dispatcher came or went: limits are shared anew")
-			n.beside.Store(alive)
-			n.shareOut()
+		s.syncOverrides()
+		siblings := s.process.Siblings()
+		s.newerSibling.Store(siblings.Newer)
+		if alive := int32(siblings.Alive); alive != s.siblings.Load() {
+			s.log.WithField("beside", alive).Info("other processes of this dispatcher came or went: limits are shared anew")
+			s.siblings.Store(alive)
+			s.applyBudgets()
 		}
-		if i%keepEvery == 0 {
-			n.keepList()
+		if i%syncsPerSave == 0 {
+			s.saveEndpoints()
 		}
 	}
 }
 
-// exchange exchanges the operators' words on runners.
-func (n *node) exchange() {
-	words, err := n.process.Sync()
-	n.trouble(err)
-	n.store.Hand(hands(words))
-	if n.copies != nil {
-		n.copies.Local(words)
+// syncOverrides exchanges the operators' words on runners.
+func (s *Server) syncOverrides() {
+	overrides, err := s.process.Sync()
+	s.logSyncError(err)
+	s.engine.ApplyOverrides(engineOverrides(overrides))
+	if s.overrides != nil {
+		s.overrides.MergeLocalOverrides(overrides)
 	}
 }
 
-// bySpread puts in force what staff's words on a runner come to in the group, and tells other processes of this dispatcher.
-func (n *node) bySpread(runner string, out bool) int64 {
-	word, err := n.process.Say(runner, out)
-	n.trouble(err)
-	if word.At > 0 {
-		n.store.Hand(hands(hotrestart.Words{runner: word}))
+// applyGroupOverride puts in force what staff's words on a runner come to in the group, and tells other processes of this dispatcher.
+func (s *Server) applyGroupOverride(worker string, disabled bool) int64 {
+	override, err := s.process.SetOverride(worker, disabled)
+	s.logSyncError(err)
+	if override.At > 0 {
+		s.engine.ApplyOverrides(engineOverrides(hotrestart.Overrides{worker: override}))
 	}
-	n.log.WithFields(logrus.Fields{"runner": runner, "out": out}).Info("the group has a word on a runner")
-	return word.At
+	s.log.WithFields(logrus.Fields{"runner": worker, "out": disabled}).Info("the group has a word on a runner")
+	return override.At
 }
 
-func hands(words hotrestart.Words) map[string]engine.Hand {
-	all := make(map[string]engine.Hand, len(words))
-	for name, w := range words {
-		all[name] = engine.Hand{Out: w.Out, At: time.UnixMicro(w.At)}
+func engineOverrides(overrides hotrestart.Overrides) map[string]engine.Override {
+	converted := make(map[string]engine.Override, len(overrides))
+	for name, override := range overrides {
+		converted[name] = engine.Override{Disabled: override.Disabled, At: time.UnixMicro(override.At)}
 	}
-	return all
+	return converted
 }
 
-// keepList leaves the newest list for a process that starts.
-func (n *node) keepList() {
-	if n.store.NewsCount() == n.kept {
+// saveEndpoints leaves the newest list for a process that starts.
+func (s *Server) saveEndpoints() {
+	if s.engine.EndpointsRevision() == s.savedRevision {
 		return
 	}
-	l, news := n.store.List()
-	raw, err := frontend.EncodeList(l)
+	list, revision := s.engine.Endpoints()
+	raw, err := frontend.EncodeList(list)
 	if err == nil {
-		err = n.process.KeepList(raw)
+		err = s.process.SaveEndpoints(raw)
 	}
-	if n.trouble(err); err == nil {
-		n.kept = news
+	if s.logSyncError(err); err == nil {
+		s.savedRevision = revision
 	}
 }
 
-// trouble logs what went wrong with sharing, once for each kind.
-func (n *node) trouble(err error) {
-	if err == nil || err.Error() == n.troubled {
+// logSyncError logs what went wrong with sharing, once for each kind.
+func (s *Server) logSyncError(err error) {
+	if err == nil || err.Error() == s.lastSyncError {
 		return
 	}
-	n.troubled = err.Error()
-	n.log.WithError(err).Error("other processes of this dispatcher may not hear of runners that are out by hand; it is tried again")
+	s.lastSyncError = err.Error()
+	s.log.WithError(err).Error("other processes of this dispatcher may not hear of runners that are out by hand; it is tried again")
 }
 
-// shareOut takes our part of what the platform leaves this dispatcher.
-func (n *node) shareOut() {
-	processes := int(n.beside.Load()) + 1
-	runners, clients, hard := n.config.share(processes)
-	n.pool.SetMost(runners)
-	n.front.Clients.SetMost(clients, hard)
-	n.front.Bodies.Set(n.config.Limits.memory(bodyShare) / int64(processes))
-	if n.process.Number() != 0 {
-		debug.SetMemoryLimit(n.config.Limits.memory(memoryShare) / int64(processes))
+// applyBudgets takes our part of what the platform leaves this dispatcher.
+func (s *Server) applyBudgets() {
+	processes := int(s.siblings.Load()) + 1
+	workers, clientsSoft, clientsHard := s.config.descriptorBudget(processes)
+	s.pool.SetMaxConns(workers)
+	s.handler.Conns.SetLimits(clientsSoft, clientsHard)
+	s.handler.BodyBudget.SetLimit(s.config.Limits.memoryBytes(bodyMemoryFraction) / int64(processes))
+	if s.process.ID() != 0 {
+		debug.SetMemoryLimit(s.config.Limits.memoryBytes(memoryLimitFraction) / int64(processes))
 	}
 }
--- a/internal/settings/number.go
+++ b/internal/settings/number.go
@@ -10,29 +10,29 @@
 // MaxSeconds keeps times far from the ends of their type, so that sums of a few of them stay in it.
 const MaxSeconds = 1e11
 
-// Seconds turns seconds into the module's unit.
-func Seconds(s float64) dispatch.Time { return dispatch.Time(math.Round(s * 1e6)) }
+// FromSeconds turns seconds into the module's unit.
+func FromSeconds(seconds float64) dispatch.Time { return dispatch.Time(math.Round(seconds * 1e6)) }
 
-// Absent tells whether a value of the wire is the mark for none.
-func Absent(v []byte) bool { return len(v) == 1 && v[0] == '-' }
+// IsAbsent tells whether a value of the wire is the mark for none.
+func IsAbsent(value []byte) bool { return len(value) == 1 && value[0] == '-' }
 
 // ParseInt reads a plain decimal whole number.
-func ParseInt(v []byte) (int64, bool) {
-	neg := len(v) > 0 && v[0] == '-'
-	if neg {
-		v = v[1:]
+func ParseInt(text []byte) (int64, bool) {
+	negative := len(text) > 0 && text[0] == '-'
+	if negative {
+		text = text[1:]
 	}
-	if len(v) == 0 || len(v) > 18 {
+	if len(text) == 0 || len(text) > 18 {
 		return 0, false
 	}
 	var n int64
-	for _, c := range v {
-		if c < '0' || c > '9' {
+	for _, digit := range text {
+		if digit < '0' || digit > '9' {
 			return 0, false
 		}
-		n = n*10 + int64(c-'0')
+		n = n*10 + int64(digit-'0')
 	}
-	if neg {
+	if negative {
 		n = -n
 	}
 	return n, true
@@ -40,22 +40,22 @@
 
 var pow10 = [...]float64{1, 1e1, 1e2, 1e3, 1e4, 1e5, 1e6, 1e7, 1e8, 1e9, 1e10, 1e11, 1e12, 1e13, 1e14, 1e15}
 
-// ParseNumber reads a finite decimal number. Plain ones of up to 15 digits, nearly all there are, cost no allocation.
-func ParseNumber(v []byte) (float64, bool) {
+// ParseDecimal reads a finite decimal number. Plain ones of up to 15 digits, nearly all there are, cost no allocation.
+func ParseDecimal(text []byte) (float64, bool) {
 	var n int64
 	digits, point := 0, -1
-	for i, c := range v {
+	for i, char := range text {
 		switch {
-		case c >= '0' && c <= '9':
-			n = n*10 + int64(c-'0')
+		case char >= '0' && char <= '9':
+			n = n*10 + int64(char-'0')
 			digits++
-		case c == '.' && point < 0:
+		case char == '.' && point < 0:
 			point = i
 		default:
-			return parseOdd(v)
+			return parseDecimalSlow(text)
 		}
 		if digits > 15 {
-			return parseOdd(v)
+			return parseDecimalSlow(text)
 		}
 	}
 	if digits == 0 {
@@ -64,15 +64,15 @@
 	if point < 0 {
 		return float64(n), true
 	}
-	return float64(n) / pow10[len(v)-point-1], true
+	return float64(n) / pow10[len(text)-point-1], true
 }
 
-func parseOdd(v []byte) (float64, bool) {
-	for _, c := range v {
-		if (c < '0' || c > '9') && c != '.' && c != '-' && c != '+' && c != 'e' && c != 'E' {
+func parseDecimalSlow(text []byte) (float64, bool) {
+	for _, char := range text {
+		if (char < '0' || char > '9') && char != '.' && char != '-' && char != '+' && char != 'e' && char != 'E' {
 			return 0, false // no hexadecimal, underscores, infinities
 		}
 	}
-	n, err := strconv.ParseFloat(string(v), 64)
+	n, err := strconv.ParseFloat(string(text), 64)
 	return n, err == nil && !math.IsInf(n, 0) && !math.IsNaN(n)
 }
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -48,7 +48,7 @@
 
 type worker struct {
 	kind    int
-	state   dispatch.State
+	state   dispatch.WorkerState
 	known   bool
 	started dispatch.Time
 	open    int // our requests there
@@ -81,25 +81,25 @@
 func (d *Decider) Handle(now dispatch.Time, e *dispatch.Event, out []dispatch.Action) []dispatch.Action {
 	d.now, d.out = now, out
 	switch e.Kind {
-	case dispatch.ListSnapshot, dispatch.ListChange:
+	case dispatch.EndpointSnapshot, dispatch.EndpointUpdate:
 		d.news(e)
-	case dispatch.Arrived:
+	case dispatch.RequestArrived:
 		if e.Class < 0 || e.Class >= len(d.s.Classes) {
 			break
 		}
-		j := &job{id: e.Request, class: &d.s.Classes[e.Class], end: now + e.Left - endSpare, open: true}
+		j := &job{id: e.Request, class: &d.s.Classes[e.Class], end: now + e.TimeLeft - endSpare, open: true}
 		d.jobs[j.id] = j
 		heap.Push(&d.ends, j)
 		d.place(j)
-	case dispatch.Ended:
+	case dispatch.AttemptEnded:
 		d.ended(e)
-	case dispatch.ClientGone:
+	case dispatch.RequestAbandoned:
 		if j := d.jobs[e.Request]; j != nil {
 			d.close(j)
 		}
 	case dispatch.TimerFired:
 		d.armed = 0
-	case dispatch.Retuned: // jobs under way point to their class, which stays
+	case dispatch.SettingsChanged: // jobs under way point to their class, which stays
 		d.s = *e.Settings
 	}
 	d.due()
@@ -107,7 +107,7 @@
 }
 
 func (d *Decider) news(e *dispatch.Event) {
-	if e.Kind == dispatch.ListSnapshot {
+	if e.Kind == dispatch.EndpointSnapshot {
 		for i := range d.workers {
 			d.workers[i].state = dispatch.Gone
 		}
@@ -135,10 +135,10 @@
 // warmth is the share of its capacity that a worker has at the least.
 func (d *Decider) warmth(w *worker) float64 {
 	age := max(0, d.now-w.started)
-	if w.started <= 0 || age >= d.s.WarmWithin {
+	if w.started <= 0 || age >= d.s.SlowStartWindow {
 		return 1
 	}
-	return d.s.ColdFrom + (1-d.s.ColdFrom)*float64(age)/float64(d.s.WarmWithin)
+	return d.s.SlowStartMinFactor + (1-d.s.SlowStartMinFactor)*float64(age)/float64(d.s.SlowStartWindow)
 }
 
 // choose returns a ready worker that runs the class, or -1. A cold one is taken as seldom as it is cold.
@@ -151,7 +151,7 @@
 		for _, i := range d.ready {
 			w := &d.workers[i]
 			warm := d.warmth(w)
-			if c.Kind >= 0 && w.kind != c.Kind || warm < 1 && d.r.Float64() >= warm {
+			if c.WorkerKind >= 0 && w.kind != c.WorkerKind || warm < 1 && d.r.Float64() >= warm {
 				continue
 			}
 			u := (float64(w.open) + d.r.Float64()/2) / warm // ties at random
@@ -167,7 +167,7 @@
 			d.next++
 			i = d.ready[d.next%len(d.ready)]
 		}
-		if c.Kind >= 0 && d.workers[i].kind != c.Kind {
+		if c.WorkerKind >= 0 && d.workers[i].kind != c.WorkerKind {
 			continue
 		}
 		if warm := d.warmth(&d.workers[i]); warm >= 1 || d.r.Float64() < warm {
@@ -206,14 +206,14 @@
 	a := &j.attempts[e.Attempt]
 	a.out = false
 	switch e.Result {
-	case dispatch.Full, dispatch.Unreachable, dispatch.NotSent:
+	case dispatch.ResultOverloaded, dispatch.ResultUnreachable, dispatch.ResultNotSent:
 		a.neverRan = true
 	}
 	d.workers[a.worker].open--
 	switch {
-	case e.Final || e.Result == dispatch.OK:
+	case e.Final || e.Result == dispatch.ResultOK:
 		d.close(j)
-	case j.open && (a.neverRan || j.class.Effect == dispatch.Safe):
+	case j.open && (a.neverRan || j.class.Idempotency == dispatch.Idempotent):
 		d.place(j)
 	case j.open:
 		d.finish(j)
@@ -223,10 +223,10 @@
 
 // finish answers: a refusal where asking again is harmless, else a failure.
 func (d *Decider) finish(j *job) {
-	kind := dispatch.Refuse
+	kind := dispatch.Reject
 	for _, a := range j.attempts {
-		if !a.neverRan && j.class.Effect != dispatch.Safe {
-			kind = dispatch.GiveUp
+		if !a.neverRan && j.class.Idempotency != dispatch.Idempotent {
+			kind = dispatch.Fail
 		}
 	}
 	d.out = append(d.out, dispatch.Action{Kind: kind, Request: j.id})
--- a/internal/testbed/cluster/groups.go
+++ b/internal/testbed/cluster/groups.go
@@ -189,14 +189,14 @@
 		Launch: func(config string) *exec.Cmd {
 			name := strings.TrimSuffix(filepath.Base(config), ".json")
 			fault := o.Plant
-			for its, member := range map[string]int{failpoint.DiskFails: o.Failing, failpoint.DiskStalls: o.Stalling, failpoint.NewerWords: o.Newer} {
+			for its, member := range map[string]int{failpoint.DiskFull: o.Failing, failpoint.DiskStall: o.Stalling, failpoint.NewerEntries: o.Newer} {
 				if member > 0 && name == fmt.Sprintf("d%d", member) {
 					fault = its
 				}
 			}
 			g.mu.Lock()
 			if g.starts[name]++; o.Older > 0 && name == fmt.Sprintf("d%d", o.Older) && g.starts[name] == 1 {
-				fault = failpoint.Older
+				fault = failpoint.OlderBuild
 			}
 			g.mu.Unlock()
 			cmd := o.Launch(fault, config, g.operator(name))
@@ -223,7 +223,7 @@
 	var last time.Duration
 	slices.SortFunc(g.seen, func(a, b seen) int { return int(a.came - b.came) })
 	for _, s := range g.seen {
-		if !s.status.Settled {
+		if !s.status.Confirmed {
 			continue
 		}
 		if last > 0 {
@@ -475,7 +475,7 @@
 func (g *rig) used(ctx context.Context) (cpu time.Duration, messages, bytes int64) {
 	for i := range g.real {
 		cpu += g.stage.CPU(i)
-		if r, err := (&coordinator.Client{At: g.real[i : i+1]}).Ask(ctx, coordinator.Call{Status: true, Local: true}); err == nil && r.Status != nil {
+		if r, err := (&coordinator.Client{Addresses: g.real[i : i+1]}).Do(ctx, coordinator.Call{Status: true, Local: true}); err == nil && r.Status != nil {
 			messages, bytes = messages+r.Status.Links["taken"], bytes+r.Status.Links["bytes_in"]
 		}
 	}
@@ -487,7 +487,7 @@
 	say := func(w int, out bool) {
 		for i := range g.real {
 			for ctx.Err() == nil {
-				if r, err := gossip.Ask(ctx, g.real[i], gossip.Call{Runner: g.stage.Day().Workers[w].Name, Out: out}); err == nil && !r.Wrong {
+				if r, err := gossip.CallMember(ctx, g.real[i], gossip.Call{Worker: g.stage.Day().Workers[w].Name, Disabled: out}); err == nil && !r.Invalid {
 					break
 				}
 				sleep(ctx, 100*time.Millisecond)
@@ -515,8 +515,8 @@
 
 // again has staff pause the plan and resume it, and then an answer of theirs count as lost: the first call comes again.
 func (g *rig) again(ctx context.Context) {
-	halt := &maintenance.Command{ID: fmt.Sprintf("halt-%d", g.o.Seed), Kind: maintenance.Halt, Name: "work"}
-	if g.surely(ctx, halt) && g.surely(ctx, &maintenance.Command{Kind: maintenance.Resume, Name: "work"}) {
+	halt := &maintenance.Command{ID: fmt.Sprintf("halt-%d", g.o.Seed), Kind: maintenance.CommandPausePlan, Name: "work"}
+	if g.surely(ctx, halt) && g.surely(ctx, &maintenance.Command{Kind: maintenance.CommandResumePlan, Name: "work"}) {
 		halt.ID = fmt.Sprintf("halt-%d", g.o.Seed)
 		g.surely(ctx, halt)
 	}
@@ -530,12 +530,12 @@
 
 // at are the members in an order that begins with one.
 func (g *rig) at(first int) *coordinator.Client {
-	return &coordinator.Client{At: append(slices.Clone(g.real[first:]), g.real[:first]...)}
+	return &coordinator.Client{Addresses: append(slices.Clone(g.real[first:]), g.real[:first]...)}
 }
 
 // call makes a call of staff at any member.
 func (g *rig) call(ctx context.Context, c coordinator.Call) (*coordinator.Reply, error) {
-	r, err := g.at(rand.IntN(len(g.real))).Ask(ctx, c)
+	r, err := g.at(rand.IntN(len(g.real))).Do(ctx, c)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.result.Calls++
@@ -549,17 +549,17 @@
 func (g *rig) found(ctx context.Context) error {
 	last := ""
 	for ; ctx.Err() == nil; sleep(ctx, 50*time.Millisecond) {
-		r, err := g.at(0).Ask(ctx, coordinator.Call{Found: true})
+		r, err := g.at(0).Do(ctx, coordinator.Call{Bootstrap: true})
 		if err != nil {
 			return err
 		}
-		if last = r.Text; r.Code != maintenance.Yes {
+		if last = r.Text; r.Code != maintenance.CodeOK {
 			continue
 		}
 		break
 	}
 	for ; ctx.Err() == nil; sleep(ctx, 50*time.Millisecond) {
-		r, err := g.at(0).Ask(ctx, coordinator.Call{Status: true})
+		r, err := g.at(0).Do(ctx, coordinator.Call{Status: true})
 		if err != nil {
 			return err
 		}
@@ -568,7 +568,7 @@
 			continue
 		}
 		for _, m := range r.Status.Members {
-			if m.Votes && m.Heard >= 0 {
+			if m.IsVoter && m.LastReport >= 0 {
 				votes++
 			}
 		}
@@ -601,26 +601,26 @@
 	day := g.stage.Day()
 	plans := make([]*maintenance.Plan, max(g.o.Plans, 1))
 	for i := range plans {
-		plans[i] = &maintenance.Plan{Name: planName(i), Out: g.o.Out, Overdue: maintenance.Wait}
+		plans[i] = &maintenance.Plan{Name: planName(i), MaxUnavailable: g.o.Out, OnOverdue: maintenance.OverdueWait}
 	}
 	for i := range g.o.Machines {
 		p := plans[i%len(plans)]
-		m := maintenance.Machine{Name: machine(i), Runners: []string{day.Workers[worker(day, i)].Name}}
+		m := maintenance.Machine{Name: machine(i), Workers: []string{day.Workers[worker(day, i)].Name}}
 		if g.o.Hosts {
-			m.Runners, m.Host = nil, g.stage.Fleet().Workers[worker(day, i)].Host()
+			m.Workers, m.Host = nil, g.stage.Fleet().Workers[worker(day, i)].Host()
 		}
 		p.Machines = append(p.Machines, m)
 	}
 	for _, p := range plans {
-		for _, c := range []*maintenance.Command{{Kind: maintenance.HandIn, Plan: p}, {Kind: maintenance.Start, Name: p.Name}} {
+		for _, c := range []*maintenance.Command{{Kind: maintenance.CommandSubmitPlan, Plan: p}, {Kind: maintenance.CommandStartPlan, Name: p.Name}} {
 			if !g.surely(ctx, c) {
 				return false
 			}
 		}
 	}
 	for ; ctx.Err() == nil; sleep(ctx, 50*time.Millisecond) {
-		r, err := g.at(0).Ask(ctx, coordinator.Call{Status: true})
-		if err == nil && g.plansAre(r.Status, maintenance.Running) {
+		r, err := g.at(0).Do(ctx, coordinator.Call{Status: true})
+		if err == nil && g.plansAre(r.Status, maintenance.PlanRunning) {
 			return true
 		}
 	}
@@ -636,7 +636,7 @@
 }
 
 // plansAre tells whether all of staff's plans are known to be in a phase.
-func (g *rig) plansAre(s *coordinator.Status, phase maintenance.Phase) bool {
+func (g *rig) plansAre(s *coordinator.Status, phase maintenance.PlanPhase) bool {
 	if s == nil || len(s.Plans) < max(g.o.Plans, 1) {
 		return false
 	}
@@ -647,11 +647,11 @@
 func (g *rig) surely(ctx context.Context, c *maintenance.Command) bool {
 	for ; ctx.Err() == nil; sleep(ctx, 100*time.Millisecond) {
 		r, err := g.call(ctx, coordinator.Call{Command: c})
-		if err == nil && r.Code == maintenance.Yes {
+		if err == nil && r.Code == maintenance.CodeOK {
 			return true
 		}
 		if err == nil && !strings.HasPrefix(r.Text, "no member has settled") {
-			if c.ID = ""; r.Code == maintenance.Wrong {
+			if c.ID = ""; r.Code == maintenance.CodeInvalid {
 				g.note(fmt.Sprintf("%s: %s", c.Kind, r.Text))
 				return false
 			}
@@ -663,7 +663,7 @@
 // work waits for one machine, works on it, starts its runner anew and gives it back.
 func (g *rig) work(ctx context.Context, i int) {
 	l := g.stage.Ledger()
-	if !g.surely(ctx, &maintenance.Command{Kind: maintenance.Take, Machine: machine(i)}) {
+	if !g.surely(ctx, &maintenance.Command{Kind: maintenance.CommandClaimMachine, Machine: machine(i)}) {
 		return
 	}
 	g.mu.Lock()
@@ -690,25 +690,25 @@
 	g.stage.Fleet().Down(w)
 	sleep(ctx, restarts)
 	g.stage.Fleet().Up(w)
-	g.surely(ctx, &maintenance.Command{Kind: maintenance.Return, Machine: machine(i)})
+	g.surely(ctx, &maintenance.Command{Kind: maintenance.CommandReturnMachine, Machine: machine(i)})
 }
 
 // look asks a member now and then how things stand.
 func (g *rig) look(ctx context.Context, member int) {
 	l := g.stage.Ledger()
-	c := &coordinator.Client{At: []string{g.real[member]}}
+	c := &coordinator.Client{Addresses: []string{g.real[member]}}
 	for i := 0; ctx.Err() == nil; i++ {
 		sleep(ctx, 100*time.Millisecond)
 		asked := l.Now()
-		r, err := c.Ask(ctx, coordinator.Call{Status: true, Local: i%2 == 0})
+		r, err := c.Do(ctx, coordinator.Call{Status: true, Local: i%2 == 0})
 		if err != nil || r.Status == nil {
 			continue
 		}
 		g.mu.Lock()
 		g.seen = append(g.seen, seen{asked, l.Now(), *r.Status})
-		if s := r.Status; s.Settled && len(s.Plans) > 0 && g.result.Ended == 0 {
+		if s := r.Status; s.Confirmed && len(s.Plans) > 0 && g.result.Ended == 0 {
 			g.result.Last = fmt.Sprintf("%+v", s.Plans[0])
-			if g.plansAre(s, maintenance.Ended) {
+			if g.plansAre(s, maintenance.PlanEnded) {
 				g.result.Ended = l.Now()
 			}
 		}
@@ -722,7 +722,7 @@
 	defer g.mu.Unlock()
 	for i := len(g.seen) - 1; i >= 0; i-- {
 		var n int
-		if _, err := fmt.Sscanf(g.seen[i].status.Leader, "d%d", &n); err == nil && g.seen[i].status.Settled {
+		if _, err := fmt.Sscanf(g.seen[i].status.Leader, "d%d", &n); err == nil && g.seen[i].status.Confirmed {
 			return n
 		}
 	}
@@ -849,7 +849,7 @@
 // vouch has staff say that the disk of a member that came down with its machine is its last one, once it has waited for long.
 func (g *rig) vouch(ctx context.Context, f Fault) {
 	for sleep(ctx, f.For+vouchAfter); ctx.Err() == nil; sleep(ctx, time.Second) {
-		(&coordinator.Client{At: g.real[f.Member : f.Member+1]}).Ask(ctx, coordinator.Call{Vouch: true})
+		(&coordinator.Client{Addresses: g.real[f.Member : f.Member+1]}).Do(ctx, coordinator.Call{ConfirmDisk: true})
 	}
 }
 
--- a/internal/testbed/cluster/plain.go
+++ b/internal/testbed/cluster/plain.go
@@ -50,8 +50,8 @@
 		return cmd
 	}
 	o.Beside = func(ctx context.Context, _ *testbed.Stage) {
-		for c := (&coordinator.Client{At: links[:1]}); ctx.Err() == nil; sleep(ctx, 100*time.Millisecond) {
-			if r, err := c.Ask(ctx, coordinator.Call{Found: true}); err == nil && r.Code == maintenance.Yes {
+		for c := (&coordinator.Client{Addresses: links[:1]}); ctx.Err() == nil; sleep(ctx, 100*time.Millisecond) {
+			if r, err := c.Do(ctx, coordinator.Call{Bootstrap: true}); err == nil && r.Code == maintenance.CodeOK {
 				return
 			}
 		}
--- a/internal/testbed/cluster/words.go
+++ b/internal/testbed/cluster/words.go
@@ -45,8 +45,8 @@
 	l := g.stage.Ledger()
 	s := spoken{Word: w, name: g.stage.Day().Workers[w.Worker].Name, asked: l.Now()}
 	for ; ctx.Err() == nil; sleep(ctx, 100*time.Millisecond) {
-		r, err := gossip.Ask(ctx, g.real[w.Member], gossip.Call{Runner: s.name, Out: w.Out})
-		if err != nil || r.Wrong {
+		r, err := gossip.CallMember(ctx, g.real[w.Member], gossip.Call{Worker: s.name, Disabled: w.Out})
+		if err != nil || r.Invalid {
 			continue // not there just now
 		}
 		s.came = l.Now()
@@ -65,7 +65,7 @@
 	}
 	for ; ctx.Err() == nil; sleep(ctx, every) {
 		asked := g.stage.Ledger().Now()
-		if r, err := gossip.Ask(ctx, g.real[member], gossip.Call{}); err == nil {
+		if r, err := gossip.CallMember(ctx, g.real[member], gossip.Call{}); err == nil {
 			g.mu.Lock()
 			g.told[member] = told{asked, r}
 			g.reached(member, r)
@@ -76,10 +76,10 @@
 
 // reached notes the words "out" that a member has, when it tells of them first. The lock is held.
 func (g *rig) reached(member int, r *gossip.Reply) {
-	for _, w := range r.Words {
+	for _, w := range r.Overrides {
 		for i := range g.spoken {
 			s := &g.spoken[i]
-			if s.name != w.Runner || !s.Out || !w.Out || s.by[member] {
+			if s.name != w.Worker || !s.Out || !w.Disabled || s.by[member] {
 				continue
 			}
 			if s.by == nil {
@@ -188,7 +188,7 @@
 			if last == nil || !sure || losable[worker] {
 				continue
 			}
-			is := slices.ContainsFunc(t.reply.Words, func(w gossip.WordStatus) bool { return w.Runner == last.name && w.Out })
+			is := slices.ContainsFunc(t.reply.Overrides, func(w gossip.OverrideStatus) bool { return w.Worker == last.name && w.Disabled })
 			if is != last.Out {
 				breach("not the last", t.asked, i, "%s: out %t was said last, at dispatcher %d; it has %s", last.name, last.Out, last.Member, wordsOf(t.reply))
 			}
@@ -222,8 +222,8 @@
 
 func wordsOf(r *gossip.Reply) string {
 	var all []string
-	for _, w := range r.Words {
-		all = append(all, fmt.Sprintf("%s out %t conflict %t", w.Runner, w.Out, w.Conflict))
+	for _, w := range r.Overrides {
+		all = append(all, fmt.Sprintf("%s out %t conflict %t", w.Worker, w.Disabled, w.Conflict))
 	}
 	return r.Digest + " (" + strings.Join(all, ", ") + ")"
 }
