--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -23,319 +23,319 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// SizeMost bounds a file, in bytes: what a person writes is far smaller.
-const SizeMost = 1 << 20
+// MaxSize bounds a file, in bytes: what a person writes is far smaller.
+const MaxSize = 1 << 20
 
-// Fault is one thing that is wrong with a file.
-type Fault struct {
-	File string
-	Line int    // from 1; 0: the file as a whole
-	Key  string // such as class[1].patience
-	What string
+// Error is one thing that is wrong with a file.
+type Error struct {
+	File   string
+	Line   int    // from 1; 0: the file as a whole
+	Key    string // such as class[1].patience
+	Reason string
 }
 
 // Error is the fault in one line.
-func (f Fault) Error() string {
-	var b strings.Builder
-	b.WriteString(f.File)
-	if f.Line > 0 {
-		b.WriteString(":" + strconv.Itoa(f.Line))
+func (e Error) Error() string {
+	var text strings.Builder
+	text.WriteString(e.File)
+	if e.Line > 0 {
+		text.WriteString(":" + strconv.Itoa(e.Line))
 	}
-	b.WriteString(": ")
-	if f.Key != "" {
-		b.WriteString(f.Key + ": ")
+	text.WriteString(": ")
+	if e.Key != "" {
+		text.WriteString(e.Key + ": ")
 	}
-	return b.String() + f.What
+	return text.String() + e.Reason
 }
 
-// Doc is a file that was read: where its keys stand, and what is wrong with it.
-type Doc struct {
+// Document is a file that was read: where its keys stand, and what is wrong with it.
+type Document struct {
 	file   string
 	lines  map[string]int
-	faults []Fault
+	errors []Error
 }
 
 // Read decodes raw into v, a pointer to a struct that may hold defaults. What is wrong is kept in the Doc; v holds what
 // could be read.
-func Read(file string, raw []byte, v any) *Doc {
-	d := &Doc{file: file, lines: map[string]int{}}
-	if len(raw) > SizeMost {
-		d.faults = append(d.faults, Fault{File: file, What: fmt.Sprintf("%d bytes are more than the %d that such a file may have", len(raw), SizeMost)})
-		return d
+func Read(file string, raw []byte, target any) *Document {
+	document := &Document{file: file, lines: map[string]int{}}
+	if len(raw) > MaxSize {
+		document.errors = append(document.errors, Error{File: file, Reason: fmt.Sprintf("%d bytes are more than the %d that such a file may have", len(raw), MaxSize)})
+		return document
 	}
 	var root map[string]any
 	if err := toml.Unmarshal(raw, &root); err != nil {
-		f := Fault{File: file, What: "this is no TOML: " + strings.TrimPrefix(err.Error(), "toml: ")}
-		var at *toml.DecodeError
-		if errors.As(err, &at) {
-			f.Line, _ = at.Position()
-			f.Key = strings.Join(at.Key(), ".")
+		syntaxError := Error{File: file, Reason: "this is no TOML: " + strings.TrimPrefix(err.Error(), "toml: ")}
+		var decodeError *toml.DecodeError
+		if errors.As(err, &decodeError) {
+			syntaxError.Line, _ = decodeError.Position()
+			syntaxError.Key = strings.Join(decodeError.Key(), ".")
 		}
-		d.faults = append(d.faults, f)
-		return d
+		document.errors = append(document.errors, syntaxError)
+		return document
 	}
-	d.findLines(raw)
-	d.table("", root, reflect.ValueOf(v).Elem())
-	return d
+	document.recordLines(raw)
+	document.decodeTable("", root, reflect.ValueOf(target).Elem())
+	return document
 }
 
 // Has tells whether the file gives the key.
-func (d *Doc) Has(key string) bool {
+func (d *Document) Has(key string) bool {
 	_, ok := d.lines[key]
 	return ok
 }
 
 // Line is where a key stands, or where the nearest table round it does; 0 where the file has neither.
-func (d *Doc) Line(key string) int {
+func (d *Document) Line(key string) int {
 	for {
-		if l, ok := d.lines[key]; ok {
-			return l
+		if line, ok := d.lines[key]; ok {
+			return line
 		}
-		at := strings.LastIndexAny(key, ".[")
-		if at < 0 {
+		end := strings.LastIndexAny(key, ".[")
+		if end < 0 {
 			return 0
 		}
-		key = key[:at]
+		key = key[:end]
 	}
 }
 
-// Fault notes a fault of a key.
-func (d *Doc) Fault(key, format string, v ...any) {
-	d.faults = append(d.faults, Fault{File: d.file, Line: d.Line(key), Key: key, What: fmt.Sprintf(format, v...)})
+// AddErrorf notes a fault of a key.
+func (d *Document) AddErrorf(key, format string, args ...any) {
+	d.errors = append(d.errors, Error{File: d.file, Line: d.Line(key), Key: key, Reason: fmt.Sprintf(format, args...)})
 }
 
-// Faults are all faults by line.
-func (d *Doc) Faults() []Fault {
-	out := slices.Clone(d.faults)
-	sort.SliceStable(out, func(i, j int) bool { return out[i].Line < out[j].Line })
-	return out
+// Errors are all faults by line.
+func (d *Document) Errors() []Error {
+	sorted := slices.Clone(d.errors)
+	sort.SliceStable(sorted, func(i, j int) bool { return sorted[i].Line < sorted[j].Line })
+	return sorted
 }
 
 // Err joins all faults, a line each; nil where there are none.
-func (d *Doc) Err() error {
+func (d *Document) Err() error {
 	var errs []error
-	for _, f := range d.Faults() {
-		errs = append(errs, f)
+	for _, e := range d.Errors() {
+		errs = append(errs, e)
 	}
 	return errors.Join(errs...)
 }
 
-// findLines notes the line of each key. The text is known to be TOML.
-func (d *Doc) findLines(raw []byte) {
-	p := unstable.Parser{}
-	p.Reset(raw)
+// recordLines notes the line of each key. The text is known to be TOML.
+func (d *Document) recordLines(raw []byte) {
+	parser := unstable.Parser{}
+	parser.Reset(raw)
 	counts := map[string]int{}
 	// in names a table; an array of tables on the way stands for its last table.
-	in := func(it unstable.Iterator) (at string, line int) {
-		for it.Next() {
-			n := it.Node()
-			at = join(at, string(n.Data))
+	tableAt := func(keys unstable.Iterator) (path string, line int) {
+		for keys.Next() {
+			node := keys.Node()
+			path = joinKey(path, string(node.Data))
 			if line == 0 {
-				line = p.Shape(n.Raw).Start.Line
+				line = parser.Shape(node.Raw).Start.Line
 			}
-			if it.IsLast() {
+			if keys.IsLast() {
 				break
 			}
-			if c := counts[at]; c > 0 {
-				at = item(at, c-1)
+			if count := counts[path]; count > 0 {
+				path = itemKey(path, count-1)
 			}
 		}
-		return at, line
+		return path, line
 	}
 	prefix := ""
-	for p.NextExpression() {
-		e := p.Expression()
-		switch e.Kind {
+	for parser.NextExpression() {
+		expression := parser.Expression()
+		switch expression.Kind {
 		case unstable.Table:
-			at, line := in(e.Key())
-			prefix = at
-			d.note(prefix, line)
+			path, line := tableAt(expression.Key())
+			prefix = path
+			d.setLine(prefix, line)
 		case unstable.ArrayTable:
-			at, line := in(e.Key())
-			d.note(at, line)
-			counts[at]++
-			prefix = item(at, counts[at]-1)
-			d.note(prefix, line)
+			path, line := tableAt(expression.Key())
+			d.setLine(path, line)
+			counts[path]++
+			prefix = itemKey(path, counts[path]-1)
+			d.setLine(prefix, line)
 		case unstable.KeyValue:
-			d.keyLines(&p, prefix, e)
+			d.recordKeyValue(&parser, prefix, expression)
 		}
 	}
 }
 
-func (d *Doc) keyLines(p *unstable.Parser, prefix string, e *unstable.Node) {
-	at, line := prefix, 0
-	for it := e.Key(); it.Next(); {
-		at = join(at, string(it.Node().Data))
-		line = p.Shape(it.Node().Raw).Start.Line
-		d.note(at, line)
+func (d *Document) recordKeyValue(parser *unstable.Parser, prefix string, expression *unstable.Node) {
+	path, line := prefix, 0
+	for keys := expression.Key(); keys.Next(); {
+		path = joinKey(path, string(keys.Node().Data))
+		line = parser.Shape(keys.Node().Raw).Start.Line
+		d.setLine(path, line)
 	}
-	d.valueLines(p, at, line, e.Value())
+	d.recordValue(parser, path, line, expression.Value())
 }
 
-func (d *Doc) valueLines(p *unstable.Parser, at string, line int, v *unstable.Node) {
-	switch v.Kind {
+func (d *Document) recordValue(parser *unstable.Parser, path string, line int, value *unstable.Node) {
+	switch value.Kind {
 	case unstable.InlineTable:
-		for it := v.Children(); it.Next(); {
-			d.keyLines(p, at, it.Node())
+		for children := value.Children(); children.Next(); {
+			d.recordKeyValue(parser, path, children.Node())
 		}
 	case unstable.Array:
 		i := 0
-		for it := v.Children(); it.Next(); i++ {
-			d.note(item(at, i), line)
-			d.valueLines(p, item(at, i), line, it.Node())
+		for children := value.Children(); children.Next(); i++ {
+			d.setLine(itemKey(path, i), line)
+			d.recordValue(parser, itemKey(path, i), line, children.Node())
 		}
 	}
 }
 
-func (d *Doc) note(at string, line int) {
-	if _, ok := d.lines[at]; !ok {
-		d.lines[at] = line
+func (d *Document) setLine(path string, line int) {
+	if _, ok := d.lines[path]; !ok {
+		d.lines[path] = line
 	}
 }
 
-func join(at, key string) string {
-	if at == "" {
+func joinKey(path, key string) string {
+	if path == "" {
 		return key
 	}
-	return at + "." + key
+	return path + "." + key
 }
 
-func item(at string, i int) string { return at + "[" + strconv.Itoa(i) + "]" }
+func itemKey(path string, i int) string { return path + "[" + strconv.Itoa(i) + "]" }
 
-// table decodes one table into a struct.
-func (d *Doc) table(at string, m map[string]any, v reflect.Value) {
+// decodeTable decodes one table into a struct.
+func (d *Document) decodeTable(path string, values map[string]any, target reflect.Value) {
 	fields := map[string]reflect.Value{}
 	var names []string
-	var collect func(v reflect.Value)
-	collect = func(v reflect.Value) {
-		for i := range v.NumField() {
-			f := v.Type().Field(i)
-			switch name := f.Tag.Get("toml"); {
+	var collect func(target reflect.Value)
+	collect = func(target reflect.Value) {
+		for i := range target.NumField() {
+			field := target.Type().Field(i)
+			switch name := field.Tag.Get("toml"); {
 			case name != "":
-				fields[name] = v.Field(i)
+				fields[name] = target.Field(i)
 				names = append(names, name)
-			case f.Anonymous && f.Type.Kind() == reflect.Struct:
-				collect(v.Field(i))
+			case field.Anonymous && field.Type.Kind() == reflect.Struct:
+				collect(target.Field(i))
 			}
 		}
 	}
-	collect(v)
-	keys := make([]string, 0, len(m))
-	for k := range m {
-		keys = append(keys, k)
+	collect(target)
+	keys := make([]string, 0, len(values))
+	for key := range values {
+		keys = append(keys, key)
 	}
 	sort.Strings(keys)
-	for _, k := range keys {
-		f, ok := fields[k]
+	for _, key := range keys {
+		field, ok := fields[key]
 		if !ok {
-			d.Fault(join(at, k), "no such key%s", nearest(k, names))
+			d.AddErrorf(joinKey(path, key), "no such key%s", suggestKey(key, names))
 			continue
 		}
-		d.value(join(at, k), m[k], f)
+		d.decodeValue(joinKey(path, key), values[key], field)
 	}
 }
 
-// nearest names the known key that one was probably meant to be, or all where none is near.
-func nearest(k string, names []string) string {
-	best, dist := "", 1+len(k)/2
-	for _, n := range names {
-		if x := levenshtein.ComputeDistance(strings.ToLower(k), n); x < dist {
-			best, dist = n, x
+// suggestKey names the known key that one was probably meant to be, or all where none is near.
+func suggestKey(key string, known []string) string {
+	best, bestDistance := "", 1+len(key)/2
+	for _, name := range known {
+		if distance := levenshtein.ComputeDistance(strings.ToLower(key), name); distance < bestDistance {
+			best, bestDistance = name, distance
 		}
 	}
 	if best != "" {
 		return fmt.Sprintf(": did you mean %s?", best)
 	}
-	return "; known here: " + strings.Join(names, ", ")
+	return "; known here: " + strings.Join(known, ", ")
 }
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// value decodes one value; a wrong one is a fault and changes nothing.
-func (d *Doc) value(at string, x any, v reflect.Value) {
-	if v.Type() == durationType {
-		s, ok := x.(string)
-		t, err := time.ParseDuration(s)
+// decodeValue decodes one value; a wrong one is a fault and changes nothing.
+func (d *Document) decodeValue(path string, raw any, target reflect.Value) {
+	if target.Type() == durationType {
+		text, ok := raw.(string)
+		duration, err := time.ParseDuration(text)
 		if !ok || err != nil {
-			d.Fault(at, `%v is no length of time: write a number with its unit in quotes, such as "500ms" or "1.5s"`, shown(x))
+			d.AddErrorf(path, `%v is no length of time: write a number with its unit in quotes, such as "500ms" or "1.5s"`, describe(raw))
 			return
 		}
-		v.SetInt(int64(t))
+		target.SetInt(int64(duration))
 		return
 	}
-	switch v.Kind() {
+	switch target.Kind() {
 	case reflect.String:
-		if s, ok := x.(string); ok {
-			v.SetString(s)
+		if text, ok := raw.(string); ok {
+			target.SetString(text)
 			return
 		}
-		d.Fault(at, "%s is no text: write it in quotes", shown(x))
+		d.AddErrorf(path, "%s is no text: write it in quotes", describe(raw))
 	case reflect.Bool:
-		if b, ok := x.(bool); ok {
-			v.SetBool(b)
+		if flag, ok := raw.(bool); ok {
+			target.SetBool(flag)
 			return
 		}
-		d.Fault(at, "%s is neither true nor false", shown(x))
+		d.AddErrorf(path, "%s is neither true nor false", describe(raw))
 	case reflect.Int, reflect.Int64:
-		if n, ok := x.(int64); ok {
-			v.SetInt(n)
+		if number, ok := raw.(int64); ok {
+			target.SetInt(number)
 			return
 		}
-		d.Fault(at, "%s is no whole number", shown(x))
+		d.AddErrorf(path, "%s is no whole number", describe(raw))
 	case reflect.Float64:
-		switch n := x.(type) {
+		switch number := raw.(type) {
 		case float64:
-			if !math.IsNaN(n) && !math.IsInf(n, 0) {
-				v.SetFloat(n)
+			if !math.IsNaN(number) && !math.IsInf(number, 0) {
+				target.SetFloat(number)
 				return
 			}
 		case int64:
-			v.SetFloat(float64(n))
+			target.SetFloat(float64(number))
 			return
 		}
-		d.Fault(at, "%s is no number", shown(x))
+		d.AddErrorf(path, "%s is no number", describe(raw))
 	case reflect.Slice:
-		list, ok := x.([]any)
+		list, ok := raw.([]any)
 		if !ok {
-			d.Fault(at, "%s is no list: write it in [brackets], tables as [[%s]]", shown(x), at)
+			d.AddErrorf(path, "%s is no list: write it in [brackets], tables as [[%s]]", describe(raw), path)
 			return
 		}
-		out := reflect.MakeSlice(v.Type(), len(list), len(list))
-		for i, e := range list {
-			d.value(item(at, i), e, out.Index(i))
+		items := reflect.MakeSlice(target.Type(), len(list), len(list))
+		for i, element := range list {
+			d.decodeValue(itemKey(path, i), element, items.Index(i))
 		}
-		v.Set(out)
+		target.Set(items)
 	case reflect.Struct:
-		m, ok := x.(map[string]any)
+		table, ok := raw.(map[string]any)
 		if !ok {
-			d.Fault(at, "%s is no table: write [%s] and its keys below", shown(x), at)
+			d.AddErrorf(path, "%s is no table: write [%s] and its keys below", describe(raw), path)
 			return
 		}
-		d.table(at, m, v)
+		d.decodeTable(path, table, target)
 	default:
-		panic("tomlfile: no way to read a " + v.Type().String())
+		panic("tomlfile: no way to read a " + target.Type().String())
 	}
 }
 
-// shown is a value as a message names it.
-func shown(x any) string {
-	switch x := x.(type) {
+// describe is a value as a message names it.
+func describe(value any) string {
+	switch value := value.(type) {
 	case string:
-		return strconv.Quote(cut(x))
+		return strconv.Quote(truncate(value))
 	case map[string]any:
 		return "a table"
 	case []any, []map[string]any:
 		return "a list"
 	default:
-		return cut(fmt.Sprint(x))
+		return truncate(fmt.Sprint(value))
 	}
 }
 
-// cut keeps a message in bounds.
-func cut(s string) string {
-	const most = 60
-	if len(s) > most {
-		return s[:most] + "..."
+// truncate keeps a message in bounds.
+func truncate(text string) string {
+	const maxLength = 60
+	if len(text) > maxLength {
+		return text[:maxLength] + "..."
 	}
-	return s
+	return text
 }
