--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"birchfork/internal/engine"
+	"birchfork/internal/upstream"
 )
 
 // Bounds on callers.
@@ -202,7 +202,7 @@
 	if err != nil {
 		return false
 	}
-	n, err := engine.Peek(raw)
+	n, err := upstream.Peek(raw)
 	return err == nil && n > 0
 }
 
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -26,6 +26,7 @@
 	"birchfork/internal/frontend"
 	"birchfork/internal/routes"
 	"birchfork/internal/settings"
+	"birchfork/internal/upstream"
 )
 
 // compareGolden compares text with a file in testdata/golden. The files hold what operators and clients have read since before the
@@ -270,7 +271,7 @@
 	dial := func(ctx context.Context, address string) (net.Conn, error) {
 		return dialer.DialContext(ctx, "tcp", address)
 	}
-	pool := engine.NewPool(dial, &e.Counters, 8, time.Minute)
+	pool := upstream.NewPool(dial, &e.Counters, 8, time.Minute)
 	t.Cleanup(pool.Close)
 	clients := &frontend.ConnTracker{SoftLimit: 50, Counters: &e.Counters}
 	server := frontend.NewHandler(e, &frontend.Transport{Pool: pool, Counters: &e.Counters}, clients)
--- a/internal/frontend/endings_test.go
+++ b/internal/frontend/endings_test.go
@@ -17,6 +17,7 @@
 
 	"birchfork/dispatch"
 	"birchfork/internal/engine"
+	"birchfork/internal/upstream"
 )
 
 // Crossings at an end, each forced on real sockets: docs/endings.md names the end that each belongs to.
@@ -289,7 +290,7 @@
 	e.UpdateEndpoints(l)
 	h := newHarness(t, "", 0)
 	var dials atomic.Int32
-	pool := engine.NewPool(func(ctx context.Context, a string) (net.Conn, error) {
+	pool := upstream.NewPool(func(ctx context.Context, a string) (net.Conn, error) {
 		if dials.Add(1) == 2 { // the repeat's connection comes up when its window is over
 			time.Sleep(250 * time.Millisecond)
 		}
--- a/internal/frontend/runner.go
+++ b/internal/frontend/runner.go
@@ -14,6 +14,7 @@
 
 	"birchfork/dispatch"
 	"birchfork/internal/engine"
+	"birchfork/internal/upstream"
 )
 
 // Bounds on what a worker may say.
@@ -106,7 +107,7 @@
 
 // Transport carries attempts out at workers.
 type Transport struct {
-	Pool     *engine.Pool
+	Pool     *upstream.Pool
 	Counters *engine.Counters
 }
 
@@ -114,7 +115,7 @@
 type exchangeOutcome struct {
 	result    dispatch.Result
 	jobResult []byte
-	drain     func(*engine.Conn) bool
+	drain     func(*upstream.Conn) bool
 	silent    bool // nothing came back for long
 
 	rejected bool // the worker cannot use the request
@@ -127,7 +128,7 @@
 	conn, err := t.Pool.Get(ctx, attempt.Address())
 	if err != nil {
 		result := dispatch.ResultUnreachable
-		if errors.Is(err, engine.ErrNoFileDescriptor) || ctx.Err() != nil { // our own limit or time: no fault of the worker's
+		if errors.Is(err, upstream.ErrNoFileDescriptor) || ctx.Err() != nil { // our own limit or time: no fault of the worker's
 			result = dispatch.ResultNotSent
 		}
 		attempt.Finish(result, nil)
@@ -166,7 +167,7 @@
 }
 
 // exchange writes the request and reads the answer up to its outcome.
-func (t *Transport) exchange(attempt *engine.Attempt, request *upstreamRequest, conn *engine.Conn) exchangeOutcome {
+func (t *Transport) exchange(attempt *engine.Attempt, request *upstreamRequest, conn *upstream.Conn) exchangeOutcome {
 	deadline, _ := attempt.Context().Deadline()
 	message := request.appendHTTP(make([]byte, 0, 512+len(request.body)), attempt.Address(), time.Until(deadline))
 	if attempt.NeedsLease() {
@@ -192,9 +193,9 @@
 		}
 		return exchangeOutcome{result: readFailed(attempt), silent: time.Since(writtenAt) >= silentAfter}
 	}
-	conn.SetReadLimit(engine.Unlimited)
+	conn.SetReadLimit(upstream.Unlimited)
 	lines := bufio.NewReader(response.Body)
-	drain := func(conn *engine.Conn) bool { return drainResponse(conn, response, lines) }
+	drain := func(conn *upstream.Conn) bool { return drainResponse(conn, response, lines) }
 	if response.StatusCode != http.StatusOK {
 		// Guards against judging workers, and trying one after the other, by requests that are none: with the id of
 		// another's, say, that is open at another dispatcher.
@@ -265,7 +266,7 @@
 
 // drainResponse reads what is left of an answer whose outcome is known. Only a connection whose answer ended in order, and
 // soon, is used again.
-func drainResponse(conn *engine.Conn, response *http.Response, r io.Reader) bool {
+func drainResponse(conn *upstream.Conn, response *http.Response, r io.Reader) bool {
 	defer response.Body.Close()
 	if response.Close || response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
 		return false
--- a/internal/frontend/runner_test.go
+++ b/internal/frontend/runner_test.go
@@ -16,6 +16,7 @@
 
 	"birchfork/dispatch"
 	"birchfork/internal/engine"
+	"birchfork/internal/upstream"
 )
 
 func TestTransport_ForwardsRequestAndResult(t *testing.T) {
@@ -147,8 +148,8 @@
 }
 
 // newTransport is a Runners whose connections are the given ones.
-func newTransport(e *engine.Engine, dial engine.DialFunc) *Transport {
-	return &Transport{Pool: engine.NewPool(dial, &e.Counters, 8, time.Minute), Counters: &e.Counters}
+func newTransport(e *engine.Engine, dial upstream.DialFunc) *Transport {
+	return &Transport{Pool: upstream.NewPool(dial, &e.Counters, 8, time.Minute), Counters: &e.Counters}
 }
 
 // closeSpy tells when a connection is closed.
@@ -201,7 +202,7 @@
 			go io.Copy(io.Discard, far)
 			return near, nil
 		})
-		var idle []*engine.Conn
+		var idle []*upstream.Conn
 		for range 2 {
 			c, err := transport.Pool.Get(t.Context(), "127.0.0.1:1")
 			if err != nil {
@@ -264,7 +265,7 @@
 func TestTransport_DialTimeouts(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		dial engine.DialFunc
+		dial upstream.DialFunc
 		want dispatch.Result
 	}{
 		{"by its own time-out", func(context.Context, string) (net.Conn, error) { return nil, os.ErrDeadlineExceeded }, dispatch.ResultUnreachable},
@@ -289,7 +290,7 @@
 func TestTransport_NoDescriptorLeft(t *testing.T) {
 	e := newEngine(t, 0)
 	e.UpdateEndpoints(listWithWorker("127.0.0.1:1"))
-	transport := &Transport{Pool: engine.NewPool(nil, &e.Counters, 0, time.Minute), Counters: &e.Counters}
+	transport := &Transport{Pool: upstream.NewPool(nil, &e.Counters, 0, time.Minute), Counters: &e.Counters}
 	_, a := openAttempt(t, e, "search", 5*time.Second)
 	transport.do(a, &upstreamRequest{})
 	if e.Counters.Outcomes[dispatch.ResultNotSent].Load() != 1 || e.Counters.NoFileDescriptor.Load() != 1 {
--- a/internal/frontend/wire_test.go
+++ b/internal/frontend/wire_test.go
@@ -18,6 +18,7 @@
 	"birchfork/dispatch"
 	"birchfork/internal/engine"
 	"birchfork/internal/settings"
+	"birchfork/internal/upstream"
 )
 
 const basicSettings = `{"classes":[{"name":"search","deadline":5,"aim":0.4,"effect":"free"},
@@ -143,7 +144,7 @@
 // harness is a front with its store and one worker.
 type harness struct {
 	engine  *engine.Engine
-	pool    *engine.Pool
+	pool    *upstream.Pool
 	handler *Handler
 	url     string
 
@@ -154,7 +155,7 @@
 	t.Helper()
 	h := &harness{engine: newEngine(t, maxOpen)}
 	d := net.Dialer{Timeout: 250 * time.Millisecond}
-	h.pool = engine.NewPool(func(ctx context.Context, a string) (net.Conn, error) { return d.DialContext(ctx, "tcp", a) },
+	h.pool = upstream.NewPool(func(ctx context.Context, a string) (net.Conn, error) { return d.DialContext(ctx, "tcp", a) },
 		&h.engine.Counters, 8, time.Minute)
 	h.engine.OnEndpointRetired(func(w engine.RetiredEndpoint) { h.pool.CloseIdleTo(w.Address) })
 	if worker != "" {
--- a/internal/server/node.go
+++ b/internal/server/node.go
@@ -27,6 +27,7 @@
 	"birchfork/internal/engine"
 	"birchfork/internal/frontend"
 	"birchfork/internal/hotrestart"
+	"birchfork/internal/upstream"
 )
 
 // How memory and descriptors are shared out.
@@ -112,7 +113,7 @@
 	reloaded       atomic.Pointer[Config] // what was taken over since the start; nil: nothing
 	log            logrus.FieldLogger
 	engine         *engine.Engine
-	pool           *engine.Pool
+	pool           *upstream.Pool
 	handler        *frontend.Handler
 	watcher        *frontend.Watcher
 	httpServer     *http.Server
@@ -168,7 +169,7 @@
 	if c.Operator != nil {
 		s.engine.SetLimits(c.Operator.Routes, c.Operator.Admission, c.Settings.Classes)
 	}
-	s.pool = engine.NewPool(c.dialer(), &s.engine.Counters, 0, idleTimeout(c.Settings))
+	s.pool = upstream.NewPool(c.dialer(), &s.engine.Counters, 0, idleTimeout(c.Settings))
 	s.engine.OnEndpointRetired(func(w engine.RetiredEndpoint) { s.pool.CloseIdleTo(w.Address) })
 	// Before any list: where plans are in use nothing is sent before the group is heard of.
 	if err := s.joinGroup(); err != nil {
@@ -291,7 +292,7 @@
 }
 
 // dialer opens connections to workers in the time that the settings allow.
-func (c *Config) dialer() engine.DialFunc {
+func (c *Config) dialer() upstream.DialFunc {
 	dialer := net.Dialer{Timeout: time.Duration(c.Settings.ConnectTimeout) * time.Microsecond, KeepAlive: -1}
 	if c.group() != nil {
 		dialer.Control = c.setSocketTimeouts
--- a/internal/engine/pool.go
+++ b/internal/upstream/pool.go
@@ -1,4 +1,5 @@
-package engine
+// Package upstream holds connections to workers.
+package upstream
 
 import (
 	"bufio"
@@ -10,6 +11,8 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"birchfork/internal/engine"
 )
 
 // ErrNoFileDescriptor says that no further connection may be opened: our own limit, no fault of the worker's.
@@ -21,7 +24,7 @@
 // Pool owns the connections to workers. A Conn that Get returned is its taker's until Put or Close.
 type Pool struct {
 	dial        DialFunc
-	counters    *Counters
+	counters    *engine.Counters
 	maxConns    int           // connections open at a time
 	idleTimeout time.Duration // idle ones are closed after this
 
@@ -33,7 +36,7 @@
 }
 
 // NewPool returns an empty pool.
-func NewPool(dial DialFunc, counters *Counters, maxConns int, idleTimeout time.Duration) *Pool {
+func NewPool(dial DialFunc, counters *engine.Counters, maxConns int, idleTimeout time.Duration) *Pool {
 	return &Pool{dial: dial, counters: counters, maxConns: maxConns, idleTimeout: idleTimeout}
 }
 
--- a/internal/engine/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -1,4 +1,4 @@
-package engine
+package upstream
 
 import (
 	"context"
@@ -10,6 +10,8 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"birchfork/internal/engine"
 )
 
 // pipeDialer is a Dial that keeps the far ends.
@@ -32,7 +34,7 @@
 
 func TestPool_ReusesIdleConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var counters Counters
+		var counters engine.Counters
 		pool := NewPool((&pipeDialer{}).dial, &counters, 9, time.Second)
 		first := mustGet(t, pool, "h:1")
 		pool.Put(first)
@@ -55,7 +57,7 @@
 }
 
 func TestPool_KeepsMaxConns(t *testing.T) {
-	var counters Counters
+	var counters engine.Counters
 	pool := NewPool((&pipeDialer{}).dial, &counters, 2, time.Minute)
 	first, second := mustGet(t, pool, "h:1"), mustGet(t, pool, "h:1")
 	if _, err := pool.Get(context.Background(), "h:2"); !errors.Is(err, ErrNoFileDescriptor) {
@@ -79,7 +81,7 @@
 }
 
 func TestPool_CloseIdleTo(t *testing.T) {
-	var counters Counters
+	var counters engine.Counters
 	pool := NewPool((&pipeDialer{}).dial, &counters, 9, time.Minute)
 	first, second, used := mustGet(t, pool, "h:1"), mustGet(t, pool, "h:2"), mustGet(t, pool, "h:1")
 	pool.Put(first)
@@ -111,7 +113,7 @@
 			t.Fatal(err)
 		}
 		var d net.Dialer
-		var c Counters
+		var c engine.Counters
 		pool := NewPool(func(ctx context.Context, addr string) (net.Conn, error) { return d.DialContext(ctx, "tcp", addr) },
 			&c, 9, time.Minute)
 		first := mustGet(t, pool, l.Addr().String())
@@ -142,7 +144,7 @@
 }
 
 func TestPool_FailedDialReleasesItsSlot(t *testing.T) {
-	var counters Counters
+	var counters engine.Counters
 	fail := error(syscall.ECONNREFUSED)
 	pool := NewPool(func(context.Context, string) (net.Conn, error) { return nil, fmt.Errorf("dial: %w", fail) }, &counters, 1, time.Minute)
 	for range 3 {
@@ -161,7 +163,7 @@
 
 // A limit that sinks closes idle connections at once, the longest idle first, and no more than are too many.
 func TestPool_SetMaxConnsClosesIdle(t *testing.T) {
-	var counters Counters
+	var counters engine.Counters
 	pool := NewPool((&pipeDialer{}).dial, &counters, 4, time.Minute)
 	first, second, third := mustGet(t, pool, "h:1"), mustGet(t, pool, "h:1"), mustGet(t, pool, "h:1")
 	pool.Put(first)
