--- a/internal/frontend/golden_discovery_test.go
+++ b/internal/discovery/golden_test.go
@@ -1,4 +1,4 @@
-package frontend
+package discovery
 
 import (
 	"bufio"
@@ -13,6 +13,8 @@
 
 	"birchfork/dispatch"
 	"birchfork/internal/engine"
+	"birchfork/internal/engine/enginetest"
+	"birchfork/internal/goldentest"
 )
 
 // describeList writes a list in words that do not depend on the names of its fields.
@@ -51,7 +53,7 @@
 		}
 		fmt.Fprintf(&b, "%s\n%s", raw, describeList(in))
 	}
-	checkGolden(t, "discovery-encoded.txt", []byte(b.String()))
+	goldentest.Check(t, "discovery-encoded.txt", []byte(b.String()))
 }
 
 // TestGoldenListDecoding records what messages of discovery are decoded to, odd ones among them.
@@ -90,7 +92,7 @@
 		}
 		fmt.Fprintf(&b, "%q\n%s  bad entries %d\n", raw, describeList(l), bad)
 	}
-	checkGolden(t, "discovery-decoded.txt", []byte(b.String()))
+	goldentest.Check(t, "discovery-decoded.txt", []byte(b.String()))
 }
 
 // TestGoldenDiscoveryRequests records the bytes of each request to discovery: for the whole list, for the watch from its version,
@@ -111,13 +113,13 @@
 	} {
 		addr, received := recordingDiscovery(t, c.answers)
 		c.config.Address = addr
-		NewWatcher(t.Context(), newEngine(t, 0), discardLogger(), c.config)
+		NewWatcher(t.Context(), enginetest.New(t, 0), enginetest.DiscardLogger(), c.config)
 		fmt.Fprintf(&b, "== %s\n", c.name)
 		for range c.answers {
-			b.WriteString(quoteLines(strings.ReplaceAll(<-received, addr, "HOST")))
+			b.WriteString(goldentest.QuoteLines(strings.ReplaceAll(<-received, addr, "HOST")))
 		}
 	}
-	checkGolden(t, "discovery-requests.txt", []byte(b.String()))
+	goldentest.Check(t, "discovery-requests.txt", []byte(b.String()))
 }
 
 // recordingDiscovery starts a discovery that gives each call its answer in turn and hands over the bytes of each request. Its
--- a/internal/frontend/discovery.go
+++ b/internal/discovery/watcher.go
@@ -1,4 +1,5 @@
-package frontend
+// Package discovery follows the list of endpoints that discovery serves: watch, poll and backoff.
+package discovery
 
 import (
 	"bufio"
@@ -60,12 +61,13 @@
 
 // Times and bounds of the watch.
 const (
-	initialRetryDelay = 50 * time.Millisecond
-	requestCost       = 200 * time.Millisecond // of discovery for one call, by which a fleet's calls are spread
-	minBusyWindow     = 1 * time.Second        // of that spread
-	maxBusyDoublings  = 2                      // times that the spread doubles at the most
-	maxListBytes      = 8 << 20                // bytes of one list
-	maxSinceMs        = 1e14                   // milliseconds: no start is that late
+	initialRetryDelay    = 50 * time.Millisecond
+	requestCost          = 200 * time.Millisecond // of discovery for one call, by which a fleet's calls are spread
+	minBusyWindow        = 1 * time.Second        // of that spread
+	maxBusyDoublings     = 2                      // times that the spread doubles at the most
+	maxListBytes         = 8 << 20                // bytes of one list
+	maxResponseHeadBytes = 64 << 10               // bytes of an answer\'s head
+	maxSinceMs           = 1e14                   // milliseconds: no start is that late
 )
 
 // listMessage is the list as discovery words it.
@@ -272,6 +274,8 @@
 
 var errStaleVersion = errors.New("a version older than the newest came")
 
+var errTooLong = errors.New("the line is too long")
+
 // errNoResponse is a call whose answer did not begin in time, or not at all.
 var errNoResponse = errors.New("the answer's head")
 
--- a/internal/frontend/discovery_test.go
+++ b/internal/discovery/watcher_test.go
@@ -1,4 +1,4 @@
-package frontend
+package discovery
 
 import (
 	"bufio"
@@ -14,6 +14,7 @@
 
 	"birchfork/dispatch"
 	"birchfork/internal/engine"
+	"birchfork/internal/engine/enginetest"
 )
 
 const entryUp = `{"name":"s-1","address":"127.0.0.1:5000","zone":"a","type":"big","group":3,"status":"up","weight":1.5,"since_ms":12}`
@@ -119,12 +120,12 @@
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	return NewWatcher(ctx, e, discardLogger(), Source{Address: addr, FleetSize: 1})
+	return NewWatcher(ctx, e, enginetest.DiscardLogger(), Source{Address: addr, FleetSize: 1})
 }
 
 // Each time a watch begins it takes the whole list first: the version that it had may mean nothing to a new agent.
 func TestWatch_FetchesSnapshotThenFollows(t *testing.T) {
-	e := newEngine(t, 0)
+	e := enginetest.New(t, 0)
 	stay := make(chan bool)
 	defer close(stay)
 	whole := func(index int) func(c net.Conn) {
@@ -159,7 +160,7 @@
 
 // The old address counts until the new one has told its whole list, and not any more afterwards.
 func TestWatcher_MoveToLeavesNoGap(t *testing.T) {
-	e := newEngine(t, 0)
+	e := enginetest.New(t, 0)
 	oldEvents, newEvents, stay := make(chan string), make(chan string), make(chan bool)
 	defer close(stay)
 	serve := func(events chan string) func(c net.Conn) {
@@ -216,11 +217,11 @@
 
 // A watch over a vanished link is open and silent for ever.
 func TestWatch_TimesOutWhenSilent(t *testing.T) {
-	e := newEngine(t, 0)
+	e := enginetest.New(t, 0)
 	release := make(chan bool)
 	defer close(release)
 	addr, _ := startDiscovery(t, func(c net.Conn) { io.WriteString(c, okHead); <-release })
-	w := &watch{address: addr, backoff: backoff{random: rand.Float64}, watcher: &Watcher{Engine: e, Log: discardLogger()},
+	w := &watch{address: addr, backoff: backoff{random: rand.Float64}, watcher: &Watcher{Engine: e, Log: enginetest.DiscardLogger()},
 		timing: timing{watchIdle: time.Minute, request: 30 * time.Millisecond}}
 	received, err := w.follow(context.Background())
 	if received || err == nil || !strings.Contains(err.Error(), "timeout") {
@@ -316,7 +317,7 @@
 
 // One call a start in place of two, and one later that shows that the version meant something.
 func TestWatch_ResumesFromKnownList(t *testing.T) {
-	e := newEngine(t, 0)
+	e := enginetest.New(t, 0)
 	stay := make(chan bool)
 	defer close(stay)
 	busy := func(c net.Conn) { io.WriteString(c, "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n") }
@@ -336,7 +337,7 @@
 		busy, // the check is not answered, and comes again
 		func(c net.Conn) { io.WriteString(c, okHead+updateChunk(9, true)+"0\r\n\r\n") },
 	)
-	NewWatcher(t.Context(), e, discardLogger(), Source{Address: addr, FleetSize: 1, HasList: true, Version: 7})
+	NewWatcher(t.Context(), e, enginetest.DiscardLogger(), Source{Address: addr, FleetSize: 1, HasList: true, Version: 7})
 	want := []string{"?follow=1&since=7", "?follow=1&since=7", "", ""}
 	for _, want := range want {
 		if got := <-requests; got != "GET /discovery/hosts"+want {
@@ -362,9 +363,9 @@
 		"by the check": {lasting(updateChunk(50, false)), whole}, // it tells nothing where it does not know the version
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := newEngine(t, 0)
+			e := enginetest.New(t, 0)
 			addr, requests := startDiscovery(t, append(watches, whole, lasting(updateChunk(3, false)))...)
-			NewWatcher(t.Context(), e, discardLogger(), Source{Address: addr, FleetSize: 1, HasList: true, Version: 50})
+			NewWatcher(t.Context(), e, enginetest.DiscardLogger(), Source{Address: addr, FleetSize: 1, HasList: true, Version: 50})
 			waitFor(t, "the whole list is taken", func() bool { available, _ := e.Ready(); return available })
 			waitFor(t, "the watch goes on from it", func() bool { return <-requests == "GET /discovery/hosts?follow=1&since=3" })
 		})
@@ -394,7 +395,7 @@
 		"a head that is no HTTP": func(c net.Conn) { io.WriteString(c, "SSH-2.0-agent\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := newEngine(t, 0)
+			e := enginetest.New(t, 0)
 			l, _, err := DecodeList([]byte(`{"index":5,"snapshot":true,"endpoints":[` + entryUp + `]}`))
 			if err != nil {
 				t.Fatal(err)
@@ -407,7 +408,7 @@
 				<-stay
 				io.WriteString(c, okHead+updateChunk(6, true, drainingEntry(entryUp))+"0\r\n\r\n")
 			})
-			NewWatcher(t.Context(), e, discardLogger(), Source{Address: addr, FleetSize: 1, HasList: true, Version: 5})
+			NewWatcher(t.Context(), e, enginetest.DiscardLogger(), Source{Address: addr, FleetSize: 1, HasList: true, Version: 5})
 			<-retried
 			if available, _ := e.Ready(); !available || e.Counters.WatchFailures.Load() != 2 {
 				t.Fatalf("after two bad answers: ready %v, %v", available, e.Counters.Fields())
@@ -420,9 +421,9 @@
 
 // Whether our own watch stands is known: others' words on workers hold while it does not.
 func TestWatcher_ReportsBrokenWatch(t *testing.T) {
-	e := newEngine(t, 0)
+	e := enginetest.New(t, 0)
 	w := &watch{}
-	watcher := &Watcher{Engine: e, Log: discardLogger(), current: w}
+	watcher := &Watcher{Engine: e, Log: enginetest.DiscardLogger(), current: w}
 	before := e.WatchingFor()
 	if err := watcher.apply(w, engine.EndpointList{Snapshot: true}); err != nil {
 		t.Fatal(err)
@@ -436,13 +437,13 @@
 
 // An agent of our own that says nothing is asked again and again, as what it has counts as told as soon as it speaks.
 func TestWatch_RetriesSilentAgentSoon(t *testing.T) {
-	e := newEngine(t, 0)
+	e := enginetest.New(t, 0)
 	stay := make(chan bool)
 	defer close(stay)
 	silent := func(net.Conn) { <-stay }
 	addr, requests := startDiscovery(t, silent, silent, silent, silent, func(c net.Conn) { io.WriteString(c, okHead+updateChunk(1, true, entryUp)+"0\r\n\r\n") })
 	began := time.Now()
-	NewWatcher(t.Context(), e, discardLogger(), Source{Address: addr, Pushed: true, FleetSize: 300})
+	NewWatcher(t.Context(), e, enginetest.DiscardLogger(), Source{Address: addr, Pushed: true, FleetSize: 300})
 	waitFor(t, "its list is taken", func() bool { available, _ := e.Ready(); return available })
 	for range 4 {
 		<-requests
@@ -502,7 +503,7 @@
 
 // A whole list that stops in the middle is given up in the time of a call, however its lines stand.
 func TestWatch_TimesOutOnStalledList(t *testing.T) {
-	e := newEngine(t, 0)
+	e := enginetest.New(t, 0)
 	stay := make(chan bool)
 	defer close(stay)
 	addr, _ := startDiscovery(t, func(c net.Conn) {
@@ -517,7 +518,7 @@
 			}
 		}
 	})
-	w := &watch{address: addr, backoff: backoff{random: rand.Float64}, watcher: &Watcher{Engine: e, Log: discardLogger()},
+	w := &watch{address: addr, backoff: backoff{random: rand.Float64}, watcher: &Watcher{Engine: e, Log: enginetest.DiscardLogger()},
 		timing: timing{watchIdle: time.Minute, request: 50 * time.Millisecond, listBody: 50 * time.Millisecond}}
 	received, err := w.follow(context.Background())
 	if received || err == nil || !strings.Contains(err.Error(), "timeout") {
@@ -532,3 +533,20 @@
 		t.Errorf("%q, %v", got, err)
 	}
 }
+
+// A list that is left for another process means the same there.
+func TestEncodeList_RoundTrip(t *testing.T) {
+	in := engine.EndpointList{Version: 9, Snapshot: true, Endpoints: []engine.Endpoint{
+		{Name: "s-1", Address: "127.0.0.1:5000", Zone: "a", Kind: "big", Cell: 3, Weight: 1.5, State: dispatch.Ready, StartedAtMillis: 1764600000123},
+		{Name: "s-2", Cell: -1, State: dispatch.Draining},
+	}}
+	raw, err := EncodeList(in)
+	if err != nil {
+		t.Fatal(err)
+	}
+	out, bad, err := DecodeList(raw)
+	if err != nil || bad != 0 || out.Version != 9 || !out.Snapshot || len(out.Endpoints) != 2 || out.Endpoints[0] != in.Endpoints[0] ||
+		out.Endpoints[1] != in.Endpoints[1] {
+		t.Fatalf("%s: %+v, %d, %v", raw, out, bad, err)
+	}
+}
--- a/internal/endpointsource/front_test.go
+++ b/internal/endpointsource/front_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"birchfork/dispatch"
+	"birchfork/internal/discovery"
 	"birchfork/internal/engine"
-	"birchfork/internal/frontend"
 )
 
 // What a dispatcher's own decoder makes of the front's words, whole and as a watch, is the view's list; many changes of one
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	res.Body.Close()
-	l, bad, err := frontend.DecodeList(raw)
+	l, bad, err := discovery.DecodeList(raw)
 	if err != nil || bad != 0 || !l.Snapshot || len(l.Endpoints) != 2 {
 		t.Fatalf("%+v, %d bad, %v", l, bad, err)
 	}
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, bad, err = frontend.DecodeList(line)
+	l, bad, err = discovery.DecodeList(line)
 	if err != nil || bad != 0 || l.Snapshot || len(l.Endpoints) != 2 || l.Endpoints[0].StartedAtMillis != 999 || l.Endpoints[0].State != dispatch.Draining || l.Endpoints[1].State != dispatch.Gone {
 		t.Errorf("the watch's first line: %+v, %v", l, err)
 	}
--- /dev/null
+++ b/internal/engine/enginetest/enginetest.go
@@ -0,0 +1,47 @@
+// Package enginetest makes engines for the tests of the packages that use one.
+package enginetest
+
+import (
+	"io"
+	"testing"
+
+	"github.com/sirupsen/logrus"
+
+	"birchfork/internal/engine"
+	"birchfork/internal/settings"
+)
+
+// Settings has three classes, one zone, one worker type and a tenant.
+const Settings = `{"classes":[{"name":"search","deadline":5,"aim":0.4,"effect":"free"},
+	{"name":"quick","deadline":0.06,"aim":0.05,"effect":"free"},{"name":"book","deadline":5,"aim":0.4,"effect":"single_shot"}],"zones":["a"],"zone":"a","machine_types":["big"],
+	"customers":[{"name":"acme","quota_rps":900}],
+	"policy_limits":{"attempts_cap":1,"connect_timeout":0.25,"retry_after":true,"max_retry_after":2}}`
+
+// DiscardLogger returns a logger that writes nothing.
+func DiscardLogger() *logrus.Logger {
+	logger := logrus.New()
+	logger.SetOutput(io.Discard)
+	return logger
+}
+
+// New returns an engine with Settings that knows no worker, until the test ends. maxOpen bounds its open requests; 0 does not.
+func New(t testing.TB, maxOpen int) *engine.Engine {
+	t.Helper()
+	return NewWith(t, maxOpen, Settings)
+}
+
+// NewWith is New with settings of its own, in the platform's JSON.
+func NewWith(t testing.TB, maxOpen int, text string) *engine.Engine {
+	t.Helper()
+	names := settings.NewNameTable()
+	dispatchSettings, _, err := settings.DecodeJSON([]byte(text), names)
+	if err != nil {
+		t.Fatal(err)
+	}
+	e, err := engine.New(engine.Options{Settings: dispatchSettings, Names: names, Seed: 1, MaxOpen: maxOpen, Log: DiscardLogger()})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(e.Close)
+	return e
+}
--- a/internal/frontend/endings_test.go
+++ b/internal/frontend/endings_test.go
@@ -17,6 +17,7 @@
 
 	"birchfork/dispatch"
 	"birchfork/internal/engine"
+	"birchfork/internal/engine/enginetest"
 	"birchfork/internal/upstream"
 )
 
@@ -265,7 +266,7 @@
 		return respondDone(c, r)
 	})
 	h := newHarness(t, w.addr, 0)
-	h.handler.Engine = newEngineWith(t, 0, strings.Replace(basicSettings, `"attempts_cap":1`, `"attempts_cap":3`, 1))
+	h.handler.Engine = enginetest.NewWith(t, 0, strings.Replace(enginetest.Settings, `"attempts_cap":1`, `"attempts_cap":3`, 1))
 	h.handler.Engine.UpdateEndpoints(listWithWorker(w.addr))
 	if status, _, _ := doRequest(t, newRequest(t, h.url, "search", "a", "")); status != 200 {
 		t.Fatalf("status %d", status)
@@ -278,8 +279,8 @@
 
 // The time in which repeats are dropped may end while a connection comes up.
 func TestTransport_RetryStaysWithinWindow(t *testing.T) {
-	e := newEngineWith(t, 0, strings.NewReplacer(`"attempts_cap":1`, `"attempts_cap":3`, `"name":"search","deadline":5,"aim":0.4,"effect":"free"`,
-		`"name":"search","deadline":5,"aim":4,"effect":"guarded","group":"all","window":0.2`).Replace(basicSettings))
+	e := enginetest.NewWith(t, 0, strings.NewReplacer(`"attempts_cap":1`, `"attempts_cap":3`, `"name":"search","deadline":5,"aim":0.4,"effect":"free"`,
+		`"name":"search","deadline":5,"aim":4,"effect":"guarded","group":"all","window":0.2`).Replace(enginetest.Settings))
 	w := startWorker(t, func(c net.Conn, r *http.Request) bool { // whichever is tried first fails
 		io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		return true
--- a/internal/frontend/golden_frontend_test.go
+++ b/internal/frontend/golden_frontend_test.go
@@ -17,6 +17,7 @@
 
 	"birchfork/dispatch"
 	"birchfork/internal/admission"
+	"birchfork/internal/goldentest"
 	"birchfork/internal/routes"
 )
 
@@ -72,7 +73,7 @@
 	if len(sent) > 4<<10 {
 		sent = sent[:200] + fmt.Sprintf("... %d bytes in all", len(sent))
 	}
-	return fmt.Sprintf("== %s\n> request\n%s< response\n%sclosed: %t\ncounted: %s\n\n", name, quoteLines(sent), quoteLines(answer), closed, counted)
+	return fmt.Sprintf("== %s\n> request\n%s< response\n%sclosed: %t\ncounted: %s\n\n", name, goldentest.QuoteLines(sent), goldentest.QuoteLines(answer), closed, counted)
 }
 
 // rawRequest is a client's request with the usual headers; change edits them, with an empty value for a header to be left out.
@@ -132,7 +133,7 @@
 		h.settled(t)
 		b.WriteString(formatExchange(t, c.name, sent, got, closed, h.countersText()))
 	}
-	checkGolden(t, "frontend-endings.txt", []byte(b.String()))
+	goldentest.Check(t, "frontend-endings.txt", []byte(b.String()))
 }
 
 // limitSearch puts the operator's limits of one route in force, which takes all requests of class search.
@@ -185,7 +186,7 @@
 		b.WriteString(formatExchange(t, fmt.Sprintf("the route's limit, Retry-After up to %v", maxRetryAfter), sent, got, closed, h.countersText()))
 		open()
 	}
-	checkGolden(t, "frontend-over-limit.txt", []byte(b.String()))
+	goldentest.Check(t, "frontend-over-limit.txt", []byte(b.String()))
 }
 
 // TestGoldenBadRequests records status and text of the answer to each kind of request that is no proper one.
@@ -250,7 +251,7 @@
 	sent := rawRequest("POST /search", nil, "")
 	got, closed := exchangeRaw(t, h, sent)
 	b.WriteString(formatExchange(t, "an id that is open", sent, got, closed, h.countersText()))
-	checkGolden(t, "frontend-bad-requests.txt", []byte(b.String()))
+	goldentest.Check(t, "frontend-bad-requests.txt", []byte(b.String()))
 }
 
 // maxGoldenText is longer than any text that the front takes.
@@ -280,9 +281,9 @@
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&b, "> request\n%sid: %q\nclass: %q\ntenant: %q\nleft: %v\nslots: %d\nmemory: %v\nretry: %t\n\n",
-			quoteLines(sent), spec.ID, spec.Class, spec.Tenant, spec.TimeLeft, spec.Slots, spec.Memory, spec.Retry)
+			goldentest.QuoteLines(sent), spec.ID, spec.Class, spec.Tenant, spec.TimeLeft, spec.Slots, spec.Memory, spec.Retry)
 	}
-	checkGolden(t, "frontend-head.txt", []byte(b.String()))
+	goldentest.Check(t, "frontend-head.txt", []byte(b.String()))
 }
 
 // TestGoldenUp records the answers to the platform's question whether the dispatcher is up.
@@ -311,5 +312,5 @@
 			b.WriteString(formatExchange(t, c.name, sent, got, closed, h.countersText()))
 		}
 	}
-	checkGolden(t, "frontend-up.txt", []byte(b.String()))
+	goldentest.Check(t, "frontend-up.txt", []byte(b.String()))
 }
--- a/internal/frontend/golden_upstream_test.go
+++ b/internal/frontend/golden_upstream_test.go
@@ -10,6 +10,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"birchfork/internal/goldentest"
 )
 
 // TestGoldenWorkerRequest records the bytes of a request as it is written to a worker.
@@ -26,9 +28,9 @@
 		{"w:1", 999 * time.Microsecond, &upstreamRequest{method: "POST", target: "/book", id: "id-3", body: []byte("x")}},
 		{"w:1", -time.Second, &upstreamRequest{method: "POST", target: "/book", id: "id-4"}},
 	} {
-		fmt.Fprintf(&b, "== %v left at %s\n%s\n", c.timeLeft, c.host, quoteLines(string(c.request.appendHTTP(nil, c.host, c.timeLeft))))
+		fmt.Fprintf(&b, "== %v left at %s\n%s\n", c.timeLeft, c.host, goldentest.QuoteLines(string(c.request.appendHTTP(nil, c.host, c.timeLeft))))
 	}
-	checkGolden(t, "upstream-request.txt", []byte(b.String()))
+	goldentest.Check(t, "upstream-request.txt", []byte(b.String()))
 }
 
 var (
@@ -56,9 +58,9 @@
 		got := <-received
 		got = hostHeader.ReplaceAllString(got, "\r\nHost: HOST\r\n")
 		got = deadlineHeader.ReplaceAllString(got, "\r\nX-Deadline-Ms: LEFT\r\n")
-		fmt.Fprintf(&b, "== %s\n> client\n%s> worker\n%s\n", c.name, quoteLines(c.sent), quoteLines(got))
+		fmt.Fprintf(&b, "== %s\n> client\n%s> worker\n%s\n", c.name, goldentest.QuoteLines(c.sent), goldentest.QuoteLines(got))
 	}
-	checkGolden(t, "upstream-forwarded.txt", []byte(b.String()))
+	goldentest.Check(t, "upstream-forwarded.txt", []byte(b.String()))
 }
 
 // recordingWorker starts a worker that answers one request well and hands over its bytes. It returns the worker's address.
@@ -132,7 +134,7 @@
 		}
 		fmt.Fprintf(&b, "%s\n  state %q, share %v, result %q\n", sent, update.State, update.Progress, result)
 	}
-	checkGolden(t, "upstream-lines.txt", []byte(b.String()))
+	goldentest.Check(t, "upstream-lines.txt", []byte(b.String()))
 }
 
 // TestGoldenWorkerAnswers records what becomes of a worker's whole answer: the bytes that the client gets, the outcome that is
@@ -186,7 +188,7 @@
 		h.settled(t)
 		_, idle := h.pool.Counts()
 		fmt.Fprintf(&b, "> worker, which closes: %t\n%s< client\n%sclosed: %t\ncounted: %s\nconnections to workers kept: %d\n\n",
-			!c.keep, quoteLines(c.answer), quoteLines(got), closed, h.countersText(), idle)
+			!c.keep, goldentest.QuoteLines(c.answer), goldentest.QuoteLines(got), closed, h.countersText(), idle)
 	}
-	checkGolden(t, "upstream-answers.txt", []byte(b.String()))
+	goldentest.Check(t, "upstream-answers.txt", []byte(b.String()))
 }
--- a/internal/frontend/runner_test.go
+++ b/internal/frontend/runner_test.go
@@ -16,6 +16,7 @@
 
 	"birchfork/dispatch"
 	"birchfork/internal/engine"
+	"birchfork/internal/engine/enginetest"
 	"birchfork/internal/upstream"
 )
 
@@ -174,7 +175,7 @@
 // request goes with it.
 func TestTransport_SilentWorkerTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := newEngine(t, 0)
+		e := enginetest.New(t, 0)
 		e.UpdateEndpoints(listWithWorker("127.0.0.1:1"))
 		near, far := net.Pipe()
 		go io.Copy(io.Discard, far)
@@ -195,7 +196,7 @@
 // The other idle connections of a machine that vanished would swallow further jobs; a new one tells that it is gone.
 func TestTransport_SilentWorkerLosesIdleConns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := newEngine(t, 0)
+		e := enginetest.New(t, 0)
 		e.UpdateEndpoints(listWithWorker("127.0.0.1:1"))
 		transport := newTransport(e, func(context.Context, string) (net.Conn, error) {
 			near, far := net.Pipe()
@@ -223,7 +224,7 @@
 
 // The request's last byte never left, so the job cannot have run: not even an unsafe one is lost.
 func TestTransport_PartialWriteNeverRan(t *testing.T) {
-	e := newEngine(t, 0)
+	e := enginetest.New(t, 0)
 	e.UpdateEndpoints(listWithWorker("127.0.0.1:1"))
 	near, far := net.Pipe()
 	go func() {
@@ -240,7 +241,7 @@
 
 // Nothing may go to a worker that was told to drain while the connection to it was set up.
 func TestTransport_DrainDuringDial(t *testing.T) {
-	e := newEngine(t, 0)
+	e := enginetest.New(t, 0)
 	e.UpdateEndpoints(listWithWorker("127.0.0.1:1"))
 	near, far := net.Pipe()
 	transport := newTransport(e, func(context.Context, string) (net.Conn, error) {
@@ -275,7 +276,7 @@
 		}, dispatch.ResultNotSent},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			e := newEngine(t, 0)
+			e := enginetest.New(t, 0)
 			e.UpdateEndpoints(listWithWorker("127.0.0.1:1"))
 			transport := newTransport(e, c.dial)
 			_, a := openAttempt(t, e, "quick", 60*time.Millisecond)
@@ -288,7 +289,7 @@
 }
 
 func TestTransport_NoDescriptorLeft(t *testing.T) {
-	e := newEngine(t, 0)
+	e := enginetest.New(t, 0)
 	e.UpdateEndpoints(listWithWorker("127.0.0.1:1"))
 	transport := &Transport{Pool: upstream.NewPool(nil, &e.Counters, 0, time.Minute), Counters: &e.Counters}
 	_, a := openAttempt(t, e, "search", 5*time.Second)
@@ -349,7 +350,7 @@
 	f.Add([]byte("HTTP/1.1 503 x\r\nX-Not-Run: 1\r\n\r\n"))
 	f.Add([]byte(okHead + "5\r\n{\"id\"\r\n"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		e := newEngine(t, 0)
+		e := enginetest.New(t, 0)
 		e.UpdateEndpoints(listWithWorker("127.0.0.1:1"))
 		near, far := net.Pipe()
 		go func() {
--- a/internal/frontend/shared_test.go
+++ b/internal/frontend/shared_test.go
@@ -5,9 +5,6 @@
 	"net"
 	"strings"
 	"testing"
-
-	"birchfork/dispatch"
-	"birchfork/internal/engine"
 )
 
 // What the kernel has accepted for a listener that finishes is taken, all of it; what comes later is the other's.
@@ -93,20 +90,3 @@
 		t.Fatalf("%v", err)
 	}
 }
-
-// A list that is left for another process means the same there.
-func TestEncodeList_RoundTrip(t *testing.T) {
-	in := engine.EndpointList{Version: 9, Snapshot: true, Endpoints: []engine.Endpoint{
-		{Name: "s-1", Address: "127.0.0.1:5000", Zone: "a", Kind: "big", Cell: 3, Weight: 1.5, State: dispatch.Ready, StartedAtMillis: 1764600000123},
-		{Name: "s-2", Cell: -1, State: dispatch.Draining},
-	}}
-	raw, err := EncodeList(in)
-	if err != nil {
-		t.Fatal(err)
-	}
-	out, bad, err := DecodeList(raw)
-	if err != nil || bad != 0 || out.Version != 9 || !out.Snapshot || len(out.Endpoints) != 2 || out.Endpoints[0] != in.Endpoints[0] ||
-		out.Endpoints[1] != in.Endpoints[1] {
-		t.Fatalf("%s: %+v, %d, %v", raw, out, bad, err)
-	}
-}
--- a/internal/frontend/wire_test.go
+++ b/internal/frontend/wire_test.go
@@ -13,45 +13,12 @@
 	"testing"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
 	"birchfork/dispatch"
 	"birchfork/internal/engine"
-	"birchfork/internal/settings"
+	"birchfork/internal/engine/enginetest"
 	"birchfork/internal/upstream"
 )
 
-const basicSettings = `{"classes":[{"name":"search","deadline":5,"aim":0.4,"effect":"free"},
-	{"name":"quick","deadline":0.06,"aim":0.05,"effect":"free"},{"name":"book","deadline":5,"aim":0.4,"effect":"single_shot"}],"zones":["a"],"zone":"a","machine_types":["big"],
-	"customers":[{"name":"acme","quota_rps":900}],
-	"policy_limits":{"attempts_cap":1,"connect_timeout":0.25,"retry_after":true,"max_retry_after":2}}`
-
-func discardLogger() *logrus.Logger {
-	l := logrus.New()
-	l.SetOutput(io.Discard)
-	return l
-}
-
-func newEngine(t testing.TB, maxOpen int) *engine.Engine {
-	t.Helper()
-	return newEngineWith(t, maxOpen, basicSettings)
-}
-
-func newEngineWith(t testing.TB, maxOpen int, text string) *engine.Engine {
-	t.Helper()
-	names := settings.NewNameTable()
-	dispatchSettings, _, err := settings.DecodeJSON([]byte(text), names)
-	if err != nil {
-		t.Fatal(err)
-	}
-	e, err := engine.New(engine.Options{Settings: dispatchSettings, Names: names, Seed: 1, MaxOpen: maxOpen, Log: discardLogger()})
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(e.Close)
-	return e
-}
-
 // fakeWorker is a worker whose answers a test writes by hand.
 type fakeWorker struct {
 	addr     string
@@ -153,7 +120,7 @@
 
 func newHarness(t testing.TB, worker string, maxOpen int) *harness {
 	t.Helper()
-	h := &harness{engine: newEngine(t, maxOpen)}
+	h := &harness{engine: enginetest.New(t, maxOpen)}
 	d := net.Dialer{Timeout: 250 * time.Millisecond}
 	h.pool = upstream.NewPool(func(ctx context.Context, a string) (net.Conn, error) { return d.DialContext(ctx, "tcp", a) },
 		&h.engine.Counters, 8, time.Minute)
--- a/internal/frontend/golden_file_test.go
+++ b/internal/goldentest/goldentest.go
@@ -1,4 +1,5 @@
-package frontend
+// Package goldentest compares what this build sends or stores with files that earlier builds wrote.
+package goldentest
 
 import (
 	"bytes"
@@ -9,11 +10,9 @@
 	"testing"
 )
 
-// checkGolden compares got with testdata/golden/name. The golden files hold what earlier builds sent and understood, so a
-// difference means that the protocol has changed. With UPDATE_GOLDEN=1 in the environment the test writes the file instead:
-//
-//	UPDATE_GOLDEN=1 go test -run TestGolden ./internal/frontend
-func checkGolden(t *testing.T, name string, got []byte) {
+// Check compares got with testdata/golden/name below the test's package. A difference means that a sent or stored form has changed. With
+// UPDATE_GOLDEN=1 in the environment it writes the file instead.
+func Check(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
 	if os.Getenv("UPDATE_GOLDEN") == "1" {
@@ -41,11 +40,11 @@
 	t.Fatalf("%s: got %d lines, want %d", path, len(gotLines), len(wantLines))
 }
 
-// quoteLines writes text as one quoted string per line, each with its line end, so that every byte can be seen.
-func quoteLines(text string) string {
-	var b strings.Builder
+// QuoteLines writes text as one quoted string a line, each with its line end, so that every byte can be seen.
+func QuoteLines(text string) string {
+	var quoted strings.Builder
 	for line := range strings.Lines(text) {
-		fmt.Fprintf(&b, "  %q\n", line)
+		fmt.Fprintf(&quoted, "  %q\n", line)
 	}
-	return b.String()
+	return quoted.String()
 }
--- a/internal/server/config.go
+++ b/internal/server/config.go
@@ -15,8 +15,8 @@
 
 	"birchfork/dispatch"
 	"birchfork/internal/config"
+	"birchfork/internal/discovery"
 	"birchfork/internal/engine"
-	"birchfork/internal/frontend"
 	"birchfork/internal/settings"
 )
 
@@ -223,7 +223,7 @@
 		addFault("limits.sockets: %d is less than %d", f.Limits.Sockets, minSockets)
 	}
 	if known := bytes.TrimSpace(f.Known); len(known) > 0 && !bytes.Equal(known, []byte("null")) {
-		endpoints, malformed, err := frontend.DecodeList(known)
+		endpoints, malformed, err := discovery.DecodeList(known)
 		if err != nil {
 			addFault("known: %w", err)
 		}
--- a/internal/server/node.go
+++ b/internal/server/node.go
@@ -24,6 +24,7 @@
 
 	"birchfork/dispatch"
 	"birchfork/internal/admin"
+	"birchfork/internal/discovery"
 	"birchfork/internal/engine"
 	"birchfork/internal/frontend"
 	"birchfork/internal/hotrestart"
@@ -115,7 +116,7 @@
 	engine         *engine.Engine
 	pool           *upstream.Pool
 	handler        *frontend.Handler
-	watcher        *frontend.Watcher
+	watcher        *discovery.Watcher
 	httpServer     *http.Server
 	serveErr       chan error
 	address        net.Addr
@@ -197,7 +198,7 @@
 		s.process.Close()
 		return nil, err
 	}
-	s.watcher = frontend.NewWatcher(ctx, s.engine, log, frontend.Source{
+	s.watcher = discovery.NewWatcher(ctx, s.engine, log, discovery.Source{
 		Address: c.DiscoveryAddress, Pushed: c.Pushed, FleetSize: c.Settings.GroupSize, HasList: len(endpoints.Endpoints) > 0, Version: endpoints.Version, Seed: seed,
 	})
 	go s.heartbeatLoop(ctx)
--- a/internal/server/share.go
+++ b/internal/server/share.go
@@ -8,8 +8,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"birchfork/internal/discovery"
 	"birchfork/internal/engine"
-	"birchfork/internal/frontend"
 	"birchfork/internal/hotrestart"
 )
 
@@ -45,7 +45,7 @@
 		}
 		return c.KnownEndpoints
 	}
-	list, _, err := frontend.DecodeList(raw)
+	list, _, err := discovery.DecodeList(raw)
 	switch {
 	case err != nil:
 		s.log.WithError(err).Warn("a list that is left from before is passed over")
@@ -116,7 +116,7 @@
 		return
 	}
 	list, revision := s.engine.Endpoints()
-	raw, err := frontend.EncodeList(list)
+	raw, err := discovery.EncodeList(list)
 	if err == nil {
 		err = s.process.SaveEndpoints(raw)
 	}
