--- a/cmd/birchfork/lean.go
+++ b/cmd/birchfork/lean.go
@@ -4,22 +4,22 @@
 
 import "errors"
 
-// LabPart says that the lab is left out: its libraries would cost a dispatcher that serves some MB of memory.
-type LabPart struct {
-	Lab noLab `cmd:"" help:"Left out of this build (tag lean)."`
+// TestbedCommands says that a lean build has no testbed: its libraries would cost a dispatcher in service some MB of memory.
+type TestbedCommands struct {
+	Testbed notInLeanBuild `cmd:"" help:"Not part of this build (tag lean)."`
 }
 
-// GroupPart says that groups of dispatchers are left out, for the same reason.
-type GroupPart struct {
-	Group  noLab `cmd:"" help:"Left out of this build (tag lean)."`
-	Outage noLab `cmd:"" help:"Left out of this build (tag lean)."`
+// GroupCommands says that a lean build has no groups of dispatchers, for the same reason.
+type GroupCommands struct {
+	Group       notInLeanBuild `cmd:"" help:"Not part of this build (tag lean)."`
+	Maintenance notInLeanBuild `cmd:"" help:"Not part of this build (tag lean)."`
 }
 
-type noLab struct {
+type notInLeanBuild struct {
 	Args []string `arg:"" optional:"" passthrough:""`
 }
 
 // Run says where they are.
-func (noLab) Run() error {
-	return errors.New("this build leaves lab, group and outage out: build without -tags lean, or go run ./cmd/birchfork")
+func (notInLeanBuild) Run() error {
+	return errors.New("this build has no testbed, group and maintenance: build without -tags lean, or go run ./cmd/birchfork")
 }
--- a/cmd/birchfork/main_test.go
+++ b/cmd/birchfork/main_test.go
@@ -24,14 +24,14 @@
 	return path
 }
 
-const good = `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1",
+const validConfig = `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1",
 	"settings":{"classes":[{"name":"search","deadline":5,"effect":"free"}]}}`
 
-func TestVersionAndCheck(t *testing.T) {
+func TestRun_VersionAndCheck(t *testing.T) {
 	if status, std, _ := call("version"); status != 0 || !strings.HasPrefix(std, "birchfork ") {
 		t.Errorf("version: %d, %q", status, std)
 	}
-	if status, std, err := call("check", write(t, good)); status != 0 || !strings.Contains(std, "good: n1") {
+	if status, std, err := call("check", write(t, validConfig)); status != 0 || !strings.Contains(std, "good: n1") {
 		t.Errorf("check: %d, %q, %q", status, std, err)
 	}
 	status, std, err := call("check", write(t, `{"listen":"x","discovery":"y","settings":{}}`))
@@ -41,54 +41,54 @@
 }
 
 // What a start would find in use is named by key, where that is asked for.
-func TestCheckLooksWhatIsFree(t *testing.T) {
+func TestCheck_FreeLooksAtAddresses(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	path := write(t, strings.ReplaceAll(good, `"listen":"127.0.0.1:0"`, fmt.Sprintf(`"listen":%q`, l.Addr())))
+	path := write(t, strings.ReplaceAll(validConfig, `"listen":"127.0.0.1:0"`, fmt.Sprintf(`"listen":%q`, l.Addr())))
 	if status, std, err := call("check", path); status != 0 {
 		t.Errorf("without a look: %d, %q, %q", status, std, err)
 	}
 	if status, std, err := call("check", path, "--free"); status != 1 || !strings.Contains(std, "listen: ") || !strings.Contains(err, "cannot be started now") {
 		t.Errorf("%d, %q, %q", status, std, err)
 	}
-	if status, std, err := call("check", write(t, good), "--free"); status != 0 {
+	if status, std, err := call("check", write(t, validConfig), "--free"); status != 0 {
 		t.Errorf("all free: %d, %q, %q", status, std, err)
 	}
 }
 
 const (
-	hub = `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"weight_kind":"live",
+	unsupportedConfig = `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"weight_kind":"live",
 		"report":{"how":"inline","names":["x0"]},"extra":{"report_x0":"free_slots"},"policy_limits":{"peers":true},
 		"classes":[{"name":"search","deadline":5,"effect":"free"}]}}`
-	mixed = `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"weight_kind":"live",
+	mixedConfig = `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"weight_kind":"live",
 		"prices":{"peer":0.01},"classes":[{"name":"search","deadline":5,"effect":"free"}]}}`
 )
 
-func TestCheckNamesWhatIsServedWithoutAndWhatIsMixed(t *testing.T) {
-	status, std, err := call("check", write(t, hub))
+func TestCheck_NamesUnsupportedAndMixedSettings(t *testing.T) {
+	status, std, err := call("check", write(t, unsupportedConfig))
 	if status != 0 || strings.Count(std, "served without: ") != 2 || !strings.Contains(std, "policy_limits.peers") {
 		t.Errorf("check of a new shape: %d, %q, %q", status, std, err)
 	}
-	if _, std, _ := call("check", write(t, good)); strings.Contains(std, "served without") {
+	if _, std, _ := call("check", write(t, validConfig)); strings.Contains(std, "served without") {
 		t.Errorf("check of the old shape: %q", std)
 	}
-	status, std, _ = call("check", write(t, mixed))
+	status, std, _ = call("check", write(t, mixedConfig))
 	if status != 1 || strings.Count(std, "\n") != 2 || !strings.Contains(std, "weight_kind: ") || !strings.Contains(std, "prices.peer: ") {
 		t.Errorf("check of a mixture: %d, %q", status, std)
 	}
 }
 
 // A bad configuration ends serve with one plain message and status 1.
-func TestServeNamesABadConfiguration(t *testing.T) {
+func TestServe_NamesInvalidConfiguration(t *testing.T) {
 	for _, args := range [][]string{
 		{"serve", "--config", write(t, "{")},
 		{"serve", "--config", write(t, `{"listen":"x","discovery":"y","settings":{}}`)},
 		{"serve", "--config", t.TempDir() + "/none"},
-		{"serve", "--config", write(t, mixed)},
-		{"serve", "--config", write(t, good), "--log-level", "loud"},
+		{"serve", "--config", write(t, mixedConfig)},
+		{"serve", "--config", write(t, validConfig), "--log-level", "loud"},
 		{"nonsense"},
 	} {
 		if status, std, err := call(args...); status != 1 || std != "" || strings.Count(err, "\n") != 1 {
--- a/cmd/birchfork/outage_test.go
+++ b/cmd/birchfork/maintenance_test.go
@@ -13,7 +13,7 @@
 )
 
 // A bad plan is told by file, line and key, all faults at once, before anybody is asked; exit status 1.
-func TestABadPlanIsToldAtOnce(t *testing.T) {
+func TestMaintenance_RejectsInvalidPlan(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.toml")
 	text := "name = \"\"\nout = 0\noverdue = \"never\"\n[[machine]]\nname = \"m\"\nrunners = [\"a\"]\n[[machine]]\nname = \"m\"\nrunners = [\"a\"]\n"
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -36,7 +36,7 @@
 }
 
 // What the group says of a plan stands by line too; exit status 1 is wrong, 2 is not now.
-func TestExitStatus(t *testing.T) {
+func TestRun_ExitStatus(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.toml")
 	if err := os.WriteFile(path, []byte("name = \"p\"\n[[machine]]\nname = \"m\"\nrunners = [\"a\"]\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -62,15 +62,15 @@
 		{[]string{"start", "--at", at, "p"}, `{"code":2,"text":"not in the group yet: d3"}`, 2, "not in the group yet: d3"},
 		{[]string{"wait", "--for", "1ms", "--at", at, "m"}, `{"code":2,"text":"m is waiting"}`, 2, "m is waiting"},
 		{[]string{"start", "--json", "--at", at, "p"}, `{"code":1,"text":"no plan"}`, 1, `{"code":1,"text":"no plan"}`},
-		{[]string{"words", "--at", at}, `{"told":"d1","words":[{"runner":"r","out":true,"conflict":true,"said":[{"member":"d0"}]}]}`, 0, "r       out   true      d0 back"},
+		{[]string{"words", "--at", at}, `{"told":"d1","words":[{"runner":"r","out":true,"conflict":true,"said":[{"member":"d0"}]}]}`, 0, "r       out       true      d0 back"},
 		{[]string{"words", "--at", "127.0.0.1:1"}, "", 2, "no member answers"},
 		{[]string{"resolve", "--at", at, "r", "back"}, `{"text":"yes; it is not kept"}`, 0, "yes; it is not kept"},
 		{[]string{"resolve", "--at", at, "r", "back"}, `{"wrong":true,"text":"no runner"}`, 1, "no runner"},
 		{[]string{"resolve", "--at", at, "r", "gone"}, "", 1, `must be one of "out","back"`},
-		{[]string{"diff", "--at", at}, `{"told":"d1"}`, 0, "d1 have the same words"},
+		{[]string{"diff", "--at", at}, `{"told":"d1"}`, 0, "d1 have the same overrides"},
 		{[]string{"diff", "--at", at, "d9"}, `{"told":"d1"}`, 1, `no member of --at is called "d9"`},
 		{[]string{"diff", "--at", at + "," + other}, `{"told":"d1","words":[{"runner":"r","said":[{"member":"d0"}]}]}`, 2, "r at d1: back by d0\nr at d2: nothing\n"},
-		{[]string{"diff", "--at", at + "," + other, "d2"}, `{"told":"d1","words":[{"runner":"r"}]}`, 0, "d2 have the same words"},
+		{[]string{"diff", "--at", at + "," + other, "d2"}, `{"told":"d1","words":[{"runner":"r"}]}`, 0, "d2 have the same overrides"},
 		{[]string{"words"}, "", 1, "BIRCHFORK_GROUP: no member is named"},
 		{[]string{"diff", "--at", at + ",127.0.0.1:1"}, `{"told":"d1"}`, 2, "127.0.0.1:1 did not answer"},
 		{[]string{"status", "--at", "nonsense"}, "", 1, `--at: "nonsense" is not host:port`},
--- /dev/null
+++ b/cmd/birchfork/plan_file.go
@@ -0,0 +1,78 @@
+//go:build !lean
+
+package main
+
+import (
+	"fmt"
+	"os"
+	"strings"
+	"time"
+
+	"birchfork/internal/coordinator"
+	"birchfork/internal/maintenance"
+	"birchfork/internal/tomlfile"
+)
+
+// planFile is a maintenance plan in its file.
+type planFile struct {
+	Name                  string        `toml:"name"`
+	MaxUnavailable        int           `toml:"out"`
+	MaxUnavailablePerZone int           `toml:"zone_out"`
+	MaxUnavailablePerKind int           `toml:"kind_out"`
+	MinCapacity           float64       `toml:"capacity"`
+	DrainTimeout          time.Duration `toml:"leave"`
+	WorkTimeout           time.Duration `toml:"work"`
+	ReturnTimeout         time.Duration `toml:"back"`
+	OnOverdue             string        `toml:"overdue"`
+	Machines              []struct {
+		Name    string   `toml:"name"`
+		Workers []string `toml:"runners"`
+		Host    string   `toml:"host"`
+	} `toml:"machine"`
+}
+
+// loadPlan reads a plan. The error names every fault that the file alone shows, by line and key.
+func loadPlan(path string) (*maintenance.Plan, *tomlfile.Document, error) {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return nil, nil, fmt.Errorf("reading the plan: %w", err)
+	}
+	file := planFile{MaxUnavailable: 1, OnOverdue: maintenance.OverdueWait}
+	document := tomlfile.Read(path, raw, &file)
+	if len(document.Errors()) > 0 {
+		return nil, nil, document.Err()
+	}
+	plan := &maintenance.Plan{
+		Name: file.Name, MaxUnavailable: file.MaxUnavailable, MaxUnavailablePerZone: file.MaxUnavailablePerZone, MaxUnavailablePerKind: file.MaxUnavailablePerKind, MinCapacity: file.MinCapacity, DrainTimeout: file.DrainTimeout, WorkTimeout: file.WorkTimeout,
+		ReturnTimeout: file.ReturnTimeout, OnOverdue: file.OnOverdue,
+	}
+	for _, machine := range file.Machines {
+		plan.Machines = append(plan.Machines, maintenance.Machine{Name: machine.Name, Workers: machine.Workers, Host: machine.Host})
+	}
+	return plan, document, faultsByLine(document, maintenance.New().ValidatePlan(plan))
+}
+
+// faultsByLine adds the line of the file to each fault, which begins with its key.
+func faultsByLine(document *tomlfile.Document, faults []string) error {
+	for _, fault := range faults {
+		key, reason, _ := strings.Cut(fault, ": ")
+		document.AddErrorf(key, "%s", reason)
+	}
+	return document.Err()
+}
+
+// submitPlan submits a plan, or only checks it.
+func (m *memberFlags) submitPlan(out output, path string, check bool) error {
+	plan, document, err := loadPlan(path)
+	if err != nil {
+		return err
+	}
+	reply, err := m.call(coordinator.Call{Command: &maintenance.Command{Kind: maintenance.CommandSubmitPlan, Plan: plan}, Check: check})
+	if err == nil && reply.Code == maintenance.CodeInvalid && !m.JSON {
+		return faultsByLine(document, strings.Split(reply.Text, "\n"))
+	}
+	if err != nil {
+		return err
+	}
+	return m.finish(out, reply)
+}
--- a/cmd/birchfork/service_test.go
+++ b/cmd/birchfork/service_test.go
@@ -18,19 +18,19 @@
 	"time"
 )
 
-// asProgram makes this test's own binary the program: real processes without a build of their own.
-const asProgram = "BIRCHFORK_TEST_AS_PROGRAM"
+// runAsProgramEnv makes this test's own binary the program: real processes without a build of their own.
+const runAsProgramEnv = "BIRCHFORK_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runAsProgramEnv) != "" {
 		os.Exit(run(os.Args[1:], output{os.Stdout, os.Stderr}))
 	}
 	os.Exit(m.Run())
 }
 
-// town is stand-ins of ours on loopback: a discovery, workers that count what reaches them, clients that count every
+// deployment is stand-ins of ours on loopback: a discovery, workers that count what reaches them, clients that count every
 // request's end.
-type town struct {
+type deployment struct {
 	t         *testing.T
 	dir       string
 	discovery string
@@ -57,13 +57,13 @@
 	return l.Addr().String()
 }
 
-const townWorkers = 3
+const workerCount = 3
 
-func newTown(t *testing.T) *town {
-	w := &town{t: t, dir: t.TempDir(), listen: freeAddress(t), at: make([]int, townWorkers), effects: map[string]int{}, quit: make(chan struct{})}
+func newDeployment(t *testing.T) *deployment {
+	w := &deployment{t: t, dir: t.TempDir(), listen: freeAddress(t), at: make([]int, workerCount), effects: map[string]int{}, quit: make(chan struct{})}
 	w.class.Store("book")
 	var entries []string
-	for i := range townWorkers {
+	for i := range workerCount {
 		s := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
 			id := r.Header.Get("X-Request-Id")
 			w.mu.Lock()
@@ -91,19 +91,19 @@
 	return w
 }
 
-func (w *town) configPath() string { return filepath.Join(w.dir, "config.json") }
+func (d *deployment) configPath() string { return filepath.Join(d.dir, "config.json") }
 
 // configure writes a configuration whose one class never runs twice.
-func (w *town) configure(class string) {
-	w.t.Helper()
+func (d *deployment) configure(class string) {
+	d.t.Helper()
 	text := fmt.Sprintf(`{"name":"n","listen":%q,"discovery":%q,"seed":"1","limits":{"cores":1,"memory_mb":64,"sockets":256},
 		"settings":{"classes":[{"name":%q,"deadline":5,"aim":2,"effect":"single_shot"}],"zones":["a"],"zone":"a","machine_types":["big"],
-		"policy_limits":{"attempts_cap":3,"connect_timeout":0.5,"idle_close":20}}}`, w.listen, w.discovery, class)
+		"policy_limits":{"attempts_cap":3,"connect_timeout":0.5,"idle_close":20}}}`, d.listen, d.discovery, class)
 	if class == "" {
 		text = text[:len(text)/2]
 	}
-	if err := os.WriteFile(w.configPath(), []byte(text), 0o600); err != nil {
-		w.t.Fatal(err)
+	if err := os.WriteFile(d.configPath(), []byte(text), 0o600); err != nil {
+		d.t.Fatal(err)
 	}
 }
 
@@ -114,23 +114,23 @@
 }
 
 // start starts the program and waits until it says that it can serve.
-func (w *town) start() *process {
-	w.t.Helper()
-	p := &process{Cmd: exec.Command(os.Args[0], "serve", "--config", w.configPath()), operator: freeAddress(w.t)}
-	p.log = filepath.Join(w.dir, "log-"+p.operator)
+func (d *deployment) start() *process {
+	d.t.Helper()
+	p := &process{Cmd: exec.Command(os.Args[0], "serve", "--config", d.configPath()), operator: freeAddress(d.t)}
+	p.log = filepath.Join(d.dir, "log-"+p.operator)
 	f, err := os.Create(p.log)
 	if err != nil {
-		w.t.Fatal(err)
+		d.t.Fatal(err)
 	}
 	defer f.Close()
 	p.Stderr = f
-	p.Env = append(os.Environ(), asProgram+"=1", "EDGE_OPERATOR="+p.operator, "TMPDIR="+w.dir,
+	p.Env = append(os.Environ(), runAsProgramEnv+"=1", "EDGE_OPERATOR="+p.operator, "TMPDIR="+d.dir,
 		"GORACE=atexit_sleep_ms=0") // else a build with the race detector ends a second late
 	if err := p.Start(); err != nil {
-		w.t.Fatal(err)
+		d.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { p.Process.Kill() })
-	w.until("it can serve", func() bool { return p.call("GET", "/-/ready") == 200 })
+	d.t.Cleanup(func() { p.Process.Kill() })
+	d.until("it can serve", func() bool { return p.call("GET", "/-/ready") == 200 })
 	return p
 }
 
@@ -150,37 +150,37 @@
 }
 
 // end sends SIGTERM and waits for an orderly end.
-func (w *town) end(p *process) {
-	w.t.Helper()
+func (d *deployment) end(p *process) {
+	d.t.Helper()
 	p.Process.Signal(syscall.SIGTERM)
 	if err := p.Wait(); err != nil {
-		w.t.Errorf("it ended with %v", err)
+		d.t.Errorf("it ended with %v", err)
 	}
 }
 
-func (w *town) until(what string, ok func() bool) {
-	w.t.Helper()
+func (d *deployment) until(what string, ok func() bool) {
+	d.t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			logs, _ := filepath.Glob(filepath.Join(w.dir, "log-*"))
+			logs, _ := filepath.Glob(filepath.Join(d.dir, "log-*"))
 			for _, l := range logs {
 				text, _ := os.ReadFile(l)
-				w.t.Logf("%s", text)
+				d.t.Logf("%s", text)
 			}
-			w.t.Fatalf("not so in time: %s (served %d, else %d: %v)", what, w.served.Load(), w.other.Load(), w.last.Load())
+			d.t.Fatalf("not so in time: %s (served %d, else %d: %v)", what, d.served.Load(), d.other.Load(), d.last.Load())
 		}
 	}
 }
 
 // client asks for one job after the other on connections that it keeps. One that is closed before anything of an answer
 // came is tried once more on a new one, as the platform's clients do.
-func (w *town) client(c int) {
-	defer w.clients.Done()
+func (d *deployment) client(c int) {
+	defer d.clients.Done()
 	var conn net.Conn
 	var in *bufio.Reader
 	ask := func(id, class string) (status int, err error) {
 		if conn == nil {
-			if conn, err = net.Dial("tcp", w.listen); err != nil {
+			if conn, err = net.Dial("tcp", d.listen); err != nil {
 				return 0, err
 			}
 			in = bufio.NewReader(conn)
@@ -202,45 +202,45 @@
 	}
 	for i := 0; ; i++ {
 		select {
-		case <-w.quit:
+		case <-d.quit:
 			if conn != nil {
 				conn.Close()
 			}
 			return
 		case <-time.After(2 * time.Millisecond):
 		}
-		id, class := fmt.Sprintf("c%d-%d", c, i), w.class.Load().(string)
+		id, class := fmt.Sprintf("c%d-%d", c, i), d.class.Load().(string)
 		kept := conn != nil
 		status, err := ask(id, class)
 		if err != nil && kept {
 			status, err = ask(id, class)
 		}
 		if status == 200 {
-			w.served.Add(1)
+			d.served.Add(1)
 			continue
 		}
-		w.other.Add(1)
-		w.last.Store(fmt.Sprintf("%s: %d, %v", id, status, err))
+		d.other.Add(1)
+		d.last.Store(fmt.Sprintf("%s: %d, %v", id, status, err))
 	}
 }
 
 // more waits until so many more requests are served.
-func (w *town) more(n int64) {
-	w.t.Helper()
-	from := w.served.Load()
-	w.until("requests are served", func() bool { return w.served.Load() >= from+n })
+func (d *deployment) more(n int64) {
+	d.t.Helper()
+	from := d.served.Load()
+	d.until("requests are served", func() bool { return d.served.Load() >= from+n })
 }
 
-func (w *town) sentTo(i int) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.at[i]
+func (d *deployment) sentTo(i int) int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.at[i]
 }
 
 // A day in service, with real processes: a runner out by hand over an upgrade, new settings, a broken file, the runner's
 // return. Every request is served, once.
-func TestADayInService(t *testing.T) {
-	w := newTown(t)
+func TestServe_DayOfOperations(t *testing.T) {
+	w := newDeployment(t)
 	old := w.start()
 	for c := range 6 {
 		w.clients.Add(1)
--- /dev/null
+++ b/cmd/birchfork/testbed_cluster.go
@@ -0,0 +1,159 @@
+//go:build !lean
+
+package main
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"os/exec"
+	"os/signal"
+	"slices"
+	"strings"
+	"syscall"
+	"text/tabwriter"
+	"time"
+
+	"birchfork/internal/failpoint"
+	"birchfork/internal/testbed/cluster"
+)
+
+// testbedCluster holds the commands on groups of dispatchers.
+type testbedCluster struct {
+	Run  testbedClusterRun  `cmd:"" default:"withargs" help:"Run scenarios."`
+	List testbedClusterList `cmd:"" help:"List the built-in scenarios, the kinds of faults and the failpoints."`
+}
+
+type testbedClusterRun struct {
+	Scenario        string        `arg:"" optional:"" help:"A built-in scenario, or a TOML file with some, with a / or . in its name. With none, faults are drawn from the seed."`
+	Members         int           `help:"Members, each a process of its own, in place of the scenario's 3." placeholder:"N"`
+	Seed            uint64        `help:"Seed of the run and its faults; with --runs, of the first run." default:"1"`
+	Runs            int           `help:"So many runs, one after the other, each with the next seed." default:"1"`
+	For             time.Duration `help:"Length of a run in place of the scenario's 24s." placeholder:"TIME"`
+	RandomFaults    int           `name:"storm" help:"Faults that are drawn from the seed; 4 where no scenario is named." default:"-1" placeholder:"N"`
+	RandomOverrides int           `name:"say" help:"Operator overrides that are drawn from the seed." placeholder:"N"`
+	Machines        int           `help:"Machines of the plan in place of the scenario's 2." default:"-1" placeholder:"N"`
+	MaxUnavailable  int           `name:"out" help:"Machines that may be unavailable at a time in place of the scenario's 1." placeholder:"N"`
+	Work            time.Duration `help:"How long each machine is in maintenance, in place of the scenario's." placeholder:"TIME"`
+	Lease           time.Duration `help:"The group's lease in place of the scenario's 1s." placeholder:"TIME"`
+	Diskless        bool          `help:"Members persist nothing over a restart."`
+	Failpoint       string        `name:"plant" help:"Enable this failpoint in every member, to see the invariant checker catch it." placeholder:"FAULT"`
+	Logs            string        `help:"Write each member's log to a file in this folder." placeholder:"DIR" type:"existingdir"`
+	JSON            string        `help:"Append the results to this file, a line a run." placeholder:"FILE" name:"json"`
+	HTML            string        `help:"Draw the last run as a page in this file." placeholder:"FILE" name:"html"`
+}
+
+// load returns the scenarios, with the figures that flags replace.
+func (c *testbedClusterRun) load() ([]cluster.Scenario, error) {
+	if c.Failpoint != "" && !slices.Contains(failpoint.Names, c.Failpoint) {
+		return nil, fmt.Errorf("--plant: %q is none of %s", c.Failpoint, strings.Join(failpoint.Names, ", "))
+	}
+	name := c.Scenario
+	if name == "" && c.Failpoint != "" {
+		name = "proof-" + c.Failpoint
+	}
+	all := []cluster.Scenario{cluster.Usual()}
+	all[0].Name, all[0].Storm = "storm", 4
+	if name != "" {
+		var err error
+		if all, err = cluster.Load(name); err != nil {
+			return nil, err
+		}
+	}
+	if c.Runs < 1 {
+		return nil, errors.New("--runs is above 0")
+	}
+	for i := range all {
+		s := &all[i]
+		s.Members, s.For, s.Out = cmp.Or(c.Members, s.Members), cmp.Or(c.For, s.For), cmp.Or(c.MaxUnavailable, s.Out)
+		s.Work, s.Lease, s.Plant = cmp.Or(c.Work, s.Work), cmp.Or(c.Lease, s.Lease), cmp.Or(c.Failpoint, s.Plant)
+		s.Diskless, s.Say = s.Diskless || c.Diskless, cmp.Or(c.RandomOverrides, s.Say)
+		if c.RandomFaults != -1 {
+			s.Storm = c.RandomFaults
+		}
+		if c.Machines != -1 {
+			s.Machines = c.Machines
+		}
+		if err := s.Check(); err != nil {
+			return nil, err
+		}
+	}
+	return all, nil
+}
+
+// Run runs all scenarios with all seeds.
+func (c *testbedClusterRun) Run(out output) error {
+	all, err := c.load()
+	if err != nil {
+		return err
+	}
+	exe, err := executablePath()
+	if err != nil {
+		return fmt.Errorf("finding this program: %w", err)
+	}
+	o := cluster.Options{Logs: c.Logs, Launch: func(fault, config, operator string) *exec.Cmd {
+		if fault != "" {
+			return exec.Command(exe, "testbed", "member", "--plant", fault, "--config", config, "--operator", operator)
+		}
+		return exec.Command(exe, "serve", "--config", config, "--operator", operator)
+	}}
+	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	var sum cluster.Sum
+	for i := 0; i < c.Runs && ctx.Err() == nil; i++ {
+		o.Seed = c.Seed + uint64(i)
+		for _, o.Scenario = range all {
+			r, err := cluster.Run(ctx, o)
+			if err != nil {
+				return fmt.Errorf("seed %d: %w", o.Seed, err)
+			}
+			sum.Add(r)
+			fmt.Fprintln(out.stdout, r.Line(o.Seed))
+			for _, b := range r.Report.Breaches {
+				fmt.Fprintln(out.stdout, "   ", b)
+			}
+			for _, c := range r.Report.CrashNotes {
+				fmt.Fprintln(out.stdout, "   ", c)
+			}
+			if c.JSON != "" {
+				if err := r.Append(c.JSON, o.Seed); err != nil {
+					return err
+				}
+			}
+			if c.HTML != "" {
+				if err := r.Report.HTML(c.HTML); err != nil {
+					return err
+				}
+			}
+		}
+	}
+	fmt.Fprintln(out.stdout, sum.Line())
+	if sum.Broken > 0 {
+		return errRuleViolated
+	}
+	return nil
+}
+
+type testbedClusterList struct {
+	Text bool `help:"Print the scenarios as a file to begin from."`
+}
+
+// Run prints the list.
+func (c *testbedClusterList) Run(out output) error {
+	if c.Text {
+		_, err := fmt.Fprint(out.stdout, cluster.Shipped())
+		return err
+	}
+	all, err := cluster.Decode("shipped.toml", []byte(cluster.Shipped()))
+	if err != nil {
+		return err
+	}
+	t := tabwriter.NewWriter(out.stdout, 0, 0, 2, ' ', 0)
+	for _, s := range all {
+		fmt.Fprintf(t, "%s\t%s\n", s.Name, s.About)
+	}
+	fmt.Fprintf(t, "\nfaults\t%s\nfailpoints\t%s\nrules\t%s\n", strings.Join(cluster.Kinds, ", "), strings.Join(failpoint.Names, ", "), strings.Join(cluster.Rules, ", "))
+	return t.Flush()
+}
--- /dev/null
+++ b/cmd/birchfork/testbed_measure.go
@@ -0,0 +1,109 @@
+//go:build !lean
+
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"os/signal"
+	"slices"
+	"syscall"
+	"time"
+
+	"birchfork/internal/testbed"
+	"birchfork/internal/testbed/scenario"
+)
+
+type testbedTable struct {
+	Scenarios []string      `arg:"" optional:"" help:"Scenarios; none: all that come with the program."`
+	Seeds     []uint64      `help:"The seeds." default:"1,2,3"`
+	Policies  []string      `help:"Who decides." default:"rules,random,round-robin,least"`
+	For       time.Duration `help:"Length in place of the scenarios'." placeholder:"TIME"`
+	Parallel  int           `name:"side" help:"Runs in parallel; each wants a core or two." default:"3"`
+}
+
+// Run runs all scenarios and prints a table.
+func (c *testbedTable) Run(out output) error {
+	names := c.Scenarios
+	if len(names) == 0 {
+		names = slices.DeleteFunc(scenario.Shipped(), func(n string) bool { return n == mutantScenario })
+	}
+	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	var cells []testbed.Cell
+	for _, n := range names {
+		for _, p := range c.Policies {
+			for _, seed := range c.Seeds {
+				d := scenarioFlags{Scenario: n, For: c.For}
+				s, err := d.load()
+				if err != nil {
+					return err
+				}
+				launch, err := dispatcherLauncher(p, "")
+				if err != nil {
+					return err
+				}
+				cells = append(cells, testbed.Cell{Row: n, Column: p, Options: testbed.Options{Scenario: s, Seed: seed, Policy: p, Launch: launch}})
+			}
+		}
+	}
+	broken, err := testbed.Table(ctx, out.stdout, cells, c.Parallel)
+	if err == nil && broken {
+		err = errRuleViolated
+	}
+	return err
+}
+
+type testbedOverhead struct {
+	Clients []int         `help:"Closed-loop clients." default:"1,32,128"`
+	For     time.Duration `help:"Length of each measurement." default:"3s"`
+	Rounds  int           `help:"Rounds; direct and through a dispatcher in turns." default:"3"`
+	Profile string        `help:"Write a CPU profile of the dispatcher under the most clients to this file." placeholder:"FILE"`
+}
+
+// Run prints the added latency.
+func (c *testbedOverhead) Run(out output) error {
+	launch, err := dispatcherLauncher(testbed.PolicyRules, "")
+	if err != nil {
+		return err
+	}
+	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	return testbed.Overhead(ctx, out.stdout, testbed.OverheadOptions{Launch: launch, Clients: c.Clients, Length: c.For, Rounds: c.Rounds, Profile: c.Profile})
+}
+
+type testbedScale struct {
+	Workers     []int         `help:"Fleets." default:"10,100,300"`
+	Dispatchers []int         `help:"Dispatchers." default:"1,4,16"`
+	Rate        float64       `help:"Requests a second for each worker." default:"6"`
+	For         time.Duration `help:"Length of each run." default:"8s"`
+	Seed        uint64        `help:"The seed." default:"1"`
+}
+
+// Run prints the cost for each size.
+func (c *testbedScale) Run(out output) error {
+	launch, err := dispatcherLauncher(testbed.PolicyRules, "")
+	if err != nil {
+		return err
+	}
+	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	var cells []testbed.Cell
+	for _, w := range c.Workers {
+		for _, n := range c.Dispatchers {
+			d := scenarioFlags{Scenario: "calm", Rate: c.Rate * float64(w), For: c.For, Workers: w, Dispatchers: n}
+			s, err := d.load()
+			if err != nil {
+				return err
+			}
+			cells = append(cells, testbed.Cell{Row: fmt.Sprintf("%d workers", w), Column: fmt.Sprintf("%d dispatchers", n),
+				Options: testbed.Options{Scenario: s, Seed: c.Seed, Policy: testbed.PolicyRules, Launch: launch}})
+		}
+	}
+	broken, err := testbed.Table(ctx, out.stdout, cells, 1)
+	if err == nil && broken {
+		err = errRuleViolated
+	}
+	return err
+}
--- a/cmd/birchfork/lab_test.go
+++ b/cmd/birchfork/testbed_test.go
@@ -9,7 +9,7 @@
 )
 
 // Whatever is wrong with a command ends it with 1 and a message that names it; nothing is started.
-func TestLabNamesWhatIsWrong(t *testing.T) {
+func TestTestbed_NamesFaultyFlags(t *testing.T) {
 	file := t.TempDir() + "/day.toml"
 	if err := os.WriteFile(file, []byte("rate = 'x'\nfoo = 1\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestLabListAndShow(t *testing.T) {
+func TestTestbed_ListAndShow(t *testing.T) {
 	status, std, _ := call("lab", "list")
 	for _, want := range []string{"calm", "all-at-once", "machine-silent", "unsafe-twice"} {
 		if status != 0 || !strings.Contains(std, want) {
