--- a/.ci/docnames/main.go
+++ b/.ci/docnames/main.go
@@ -23,6 +23,8 @@
 	repositoryPath = regexp.MustCompile(`^(\./)?(cmd|dispatch|internal|deploy|docs|journal|\.ci)(/[A-Za-z0-9_.-]+)*/?$`)
 	// goFile matches the name of a Go file alone or below a package.
 	goFile = regexp.MustCompile(`^([a-z][a-z0-9_/-]*/)?[a-z][a-z0-9_]*\.go$`)
+	// identifier matches a Go name of several words, which is unlikely to be anything else.
+	identifier = regexp.MustCompile(`^[a-z]+[a-z0-9]*[A-Z][A-Za-z0-9]*$`)
 	// symbol matches package.Name, package.Type.Member and package.(*Type).Member.
 	symbol = regexp.MustCompile(`^([a-z][a-z0-9]*)\.(\(\*)?([A-Za-z][A-Za-z0-9_]*)\)?(\.([A-Za-z][A-Za-z0-9_]*))?(\(\))?$`)
 )
@@ -31,6 +33,7 @@
 type tree struct {
 	files    map[string]bool            // by path, and by name alone for Go files
 	packages map[string]map[string]bool // by package name: Name and Type.Member
+	names    map[string]bool            // all names and members, without package or type
 }
 
 func main() {
@@ -59,7 +62,7 @@
 
 // load reads all files below root.
 func load(root string) (*tree, error) {
-	repository := &tree{files: map[string]bool{}, packages: map[string]map[string]bool{}}
+	repository := &tree{files: map[string]bool{}, packages: map[string]map[string]bool{}, names: map[string]bool{}}
 	err := filepath.WalkDir(root, func(file string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -103,6 +106,9 @@
 			}
 		}
 	}
+	for name := range declared {
+		t.names[name[strings.LastIndexByte(name, '.')+1:]] = true
+	}
 	return nil
 }
 
@@ -172,6 +178,9 @@
 		}
 		return ""
 	}
+	if identifier.MatchString(name) && !t.names[name] {
+		return "nothing is declared as " + name
+	}
 	parts := symbol.FindStringSubmatch(name)
 	if parts == nil {
 		return ""
