--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -13,6 +13,8 @@
 	"slices"
 	"strings"
 	"testing"
+
+	"birchfork/internal/goldentest"
 )
 
 // Files in testdata/golden hold conversations between a drawn simulator and this program: one whole, of the others the
@@ -287,8 +289,8 @@
 func TestGolden_Conversation(t *testing.T) {
 	var in, out, replayed bytes.Buffer
 	converse(t, 7, 60, &in, &out)
-	compareGolden(t, "conversation.in", in.Bytes())
-	compareGolden(t, "conversation.out", out.Bytes())
+	goldentest.Check(t, "conversation.in", in.Bytes())
+	goldentest.Check(t, "conversation.out", out.Bytes())
 	recorded, err := os.ReadFile(filepath.Join("testdata", "golden", "conversation.in"))
 	if err != nil {
 		t.Fatal(err)
@@ -296,7 +298,7 @@
 	if err := run(bytes.NewReader(recorded), &replayed); err != nil {
 		t.Fatal(err)
 	}
-	compareGolden(t, "conversation.out", replayed.Bytes())
+	goldentest.Check(t, "conversation.out", replayed.Bytes())
 }
 
 func TestGolden_Conversations(t *testing.T) {
@@ -315,34 +317,5 @@
 	for _, verb := range slices.Sorted(maps.Keys(verbs)) {
 		fmt.Fprintf(&digests, "%d of %s\n", verbs[verb], verb)
 	}
-	compareGolden(t, "conversations.txt", digests.Bytes())
-}
-
-// compareGolden compares got with testdata/golden/name. With UPDATE_GOLDEN=1 in the environment it writes the file instead.
-func compareGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	if os.Getenv("UPDATE_GOLDEN") == "1" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatalf("%v: UPDATE_GOLDEN=1 writes it", err)
-	}
-	if bytes.Equal(got, want) {
-		return
-	}
-	gotLines, wantLines := strings.Split(string(got), "\n"), strings.Split(string(want), "\n")
-	for i := range min(len(gotLines), len(wantLines)) {
-		if gotLines[i] != wantLines[i] {
-			t.Fatalf("%s:%d: got\n%s\nwant\n%s", path, i+1, gotLines[i], wantLines[i])
-		}
-	}
-	t.Fatalf("%s: got %d lines, want %d", path, len(gotLines), len(wantLines))
+	goldentest.Check(t, "conversations.txt", digests.Bytes())
 }
--- a/internal/admission/golden_test.go
+++ b/internal/admission/golden_test.go
@@ -6,11 +6,10 @@
 	"hash/fnv"
 	"io"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
-	"strings"
 	"testing"
 	"time"
+
+	"birchfork/internal/goldentest"
 )
 
 // Files in testdata/golden hold the reasons' names, which are parts of the counters' names that operators read, and what
@@ -21,7 +20,7 @@
 	for r := range NumReasons + 2 {
 		fmt.Fprintf(&out, "%d %s\n", r, r)
 	}
-	compareGolden(t, "reasons.txt", out.Bytes())
+	goldentest.Check(t, "reasons.txt", out.Bytes())
 }
 
 // goldenConfig draws a configuration.
@@ -83,7 +82,7 @@
 func TestGolden_Decisions(t *testing.T) {
 	var out bytes.Buffer
 	playHistory(&out, 1, 400)
-	compareGolden(t, "history.txt", out.Bytes())
+	goldentest.Check(t, "history.txt", out.Bytes())
 	out.Reset()
 	var sum [NumReasons]int64
 	for seed := range uint64(100) {
@@ -96,34 +95,5 @@
 	for i, n := range sum {
 		fmt.Fprintf(&out, "%s %d\n", Reason(i), n)
 	}
-	compareGolden(t, "histories.txt", out.Bytes())
-}
-
-// compareGolden compares got with testdata/golden/name. With UPDATE_GOLDEN=1 in the environment it writes the file instead.
-func compareGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	if os.Getenv("UPDATE_GOLDEN") == "1" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatalf("%v: UPDATE_GOLDEN=1 writes it", err)
-	}
-	if bytes.Equal(got, want) {
-		return
-	}
-	gotLines, wantLines := strings.Split(string(got), "\n"), strings.Split(string(want), "\n")
-	for i := range min(len(gotLines), len(wantLines)) {
-		if gotLines[i] != wantLines[i] {
-			t.Fatalf("%s:%d: got\n%s\nwant\n%s", path, i+1, gotLines[i], wantLines[i])
-		}
-	}
-	t.Fatalf("%s: got %d lines, want %d", path, len(gotLines), len(wantLines))
+	goldentest.Check(t, "histories.txt", out.Bytes())
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -10,6 +10,7 @@
 	"testing"
 
 	"birchfork/dispatch"
+	"birchfork/internal/goldentest"
 )
 
 // Files in testdata/golden hold what an operator's file comes to, as `check --explain` prints it and as the settings that
@@ -36,12 +37,12 @@
 		if err := config.Explain(&explained); err != nil {
 			t.Fatal(err)
 		}
-		compareGolden(t, "explain-"+name+".txt", explained.Bytes())
+		goldentest.Check(t, "explain-"+name+".txt", explained.Bytes())
 		if strings.HasPrefix(path, "testdata/") { // the comments of the samples may change
 			fmt.Fprintf(&settings, "digest %s\n", config.Digest)
 		}
 		writeConfig(&settings, config)
-		compareGolden(t, "plan-"+name+".txt", settings.Bytes())
+		goldentest.Check(t, "plan-"+name+".txt", settings.Bytes())
 	}
 }
 
@@ -147,34 +148,5 @@
 	} else {
 		fmt.Fprintf(&out, "a missing file\n\t%v\n", err)
 	}
-	compareGolden(t, "faults.txt", out.Bytes())
-}
-
-// compareGolden compares got with testdata/golden/name. With UPDATE_GOLDEN=1 in the environment it writes the file instead.
-func compareGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	if os.Getenv("UPDATE_GOLDEN") == "1" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatalf("%v: UPDATE_GOLDEN=1 writes it", err)
-	}
-	if bytes.Equal(got, want) {
-		return
-	}
-	gotLines, wantLines := strings.Split(string(got), "\n"), strings.Split(string(want), "\n")
-	for i := range min(len(gotLines), len(wantLines)) {
-		if gotLines[i] != wantLines[i] {
-			t.Fatalf("%s:%d: got\n%s\nwant\n%s", path, i+1, gotLines[i], wantLines[i])
-		}
-	}
-	t.Fatalf("%s: got %d lines, want %d", path, len(gotLines), len(wantLines))
+	goldentest.Check(t, "errors.txt", out.Bytes())
 }
--- a/internal/routes/golden_test.go
+++ b/internal/routes/golden_test.go
@@ -6,13 +6,12 @@
 	"hash/fnv"
 	"io"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
 	"birchfork/dispatch"
+	"birchfork/internal/goldentest"
 )
 
 // Files in testdata/golden hold what drawn tables find and allow. UPDATE_GOLDEN=1 writes them.
@@ -65,34 +64,5 @@
 	for _, d := range []time.Duration{0, 1, time.Microsecond, time.Second + 999, -time.Second} {
 		fmt.Fprintf(&out, "%v is %d\n", d, ToTime(d))
 	}
-	compareGolden(t, "tables.txt", out.Bytes())
-}
-
-// compareGolden compares got with testdata/golden/name. With UPDATE_GOLDEN=1 in the environment it writes the file instead.
-func compareGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	if os.Getenv("UPDATE_GOLDEN") == "1" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatalf("%v: UPDATE_GOLDEN=1 writes it", err)
-	}
-	if bytes.Equal(got, want) {
-		return
-	}
-	gotLines, wantLines := strings.Split(string(got), "\n"), strings.Split(string(want), "\n")
-	for i := range min(len(gotLines), len(wantLines)) {
-		if gotLines[i] != wantLines[i] {
-			t.Fatalf("%s:%d: got\n%s\nwant\n%s", path, i+1, gotLines[i], wantLines[i])
-		}
-	}
-	t.Fatalf("%s: got %d lines, want %d", path, len(gotLines), len(wantLines))
+	goldentest.Check(t, "tables.txt", out.Bytes())
 }
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -7,13 +7,13 @@
 	"maps"
 	"math/rand/v2"
 	"os"
-	"path/filepath"
 	"reflect"
 	"slices"
 	"strings"
 	"testing"
 
 	"birchfork/dispatch"
+	"birchfork/internal/goldentest"
 )
 
 // Files in testdata/golden hold what the platform's settings decode to, the text of each fault, and the numbers that names
@@ -78,7 +78,7 @@
 			for _, key := range slices.Sorted(maps.Keys(pairs.values)) {
 				wire = append(wire, key+"="+pairs.values[key])
 			}
-			compareGolden(t, "pairs.txt", []byte(strings.Join(wire, "\n")+"\n"))
+			goldentest.Check(t, "pairs.txt", []byte(strings.Join(wire, "\n")+"\n"))
 			again, err := ParsePairs([]byte(strings.Join(wire, "\t")))
 			if err != nil {
 				t.Fatal(err)
@@ -99,7 +99,7 @@
 	}
 	fmt.Fprintln(&out, "nothing set")
 	writeSettings(&out, &s)
-	compareGolden(t, "settings.txt", out.Bytes())
+	goldentest.Check(t, "settings.txt", out.Bytes())
 }
 
 func TestGolden_Errors(t *testing.T) {
@@ -131,7 +131,7 @@
 	_, _ = n.OpenRequest([]byte("r-1"))
 	_, errTwice := n.OpenRequest([]byte("r-1"))
 	fmt.Fprintf(&out, "%v\n%v\n%v\n", errClass, errTenant, errTwice)
-	compareGolden(t, "faults.txt", out.Bytes())
+	goldentest.Check(t, "errors.txt", out.Bytes())
 }
 
 func TestGolden_Names(t *testing.T) {
@@ -192,34 +192,5 @@
 	fmt.Fprintf(&out, "adopted: classes %v, tenants %v\n", classes, tenants)
 	writeSettings(&out, &settings)
 	writeNames(&out, old)
-	compareGolden(t, "names.txt", out.Bytes())
-}
-
-// compareGolden compares got with testdata/golden/name. With UPDATE_GOLDEN=1 in the environment it writes the file instead.
-func compareGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	if os.Getenv("UPDATE_GOLDEN") == "1" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatalf("%v: UPDATE_GOLDEN=1 writes it", err)
-	}
-	if bytes.Equal(got, want) {
-		return
-	}
-	gotLines, wantLines := strings.Split(string(got), "\n"), strings.Split(string(want), "\n")
-	for i := range min(len(gotLines), len(wantLines)) {
-		if gotLines[i] != wantLines[i] {
-			t.Fatalf("%s:%d: got\n%s\nwant\n%s", path, i+1, gotLines[i], wantLines[i])
-		}
-	}
-	t.Fatalf("%s: got %d lines, want %d", path, len(gotLines), len(wantLines))
+	goldentest.Check(t, "names.txt", out.Bytes())
 }
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -5,13 +5,12 @@
 	"errors"
 	"fmt"
 	"io"
-	"os"
-	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
 
 	"birchfork/dispatch"
+	"birchfork/internal/goldentest"
 	"birchfork/internal/settings"
 )
 
@@ -119,7 +118,7 @@
 		n := r.NameTable(id)
 		fmt.Fprintf(&out, "instance %d: classes %q, tenants %q\n", id, n.ClassNames(), n.TenantNames())
 	}
-	compareGolden(t, "messages.txt", out.Bytes())
+	goldentest.Check(t, "messages.txt", out.Bytes())
 }
 
 func TestGolden_Replies(t *testing.T) {
@@ -168,7 +167,7 @@
 	} else {
 		t.Error("an unknown action was written")
 	}
-	compareGolden(t, "replies.txt", out.Bytes())
+	goldentest.Check(t, "replies.txt", out.Bytes())
 }
 
 func TestGolden_Errors(t *testing.T) {
@@ -177,34 +176,5 @@
 		_, r, err := readAll(c.in)
 		fmt.Fprintf(&out, "%.120q\n\tline %d: %v\n", strings.ReplaceAll(c.in, startLine, "POWER_ON...\n"), r.Line(), err)
 	}
-	compareGolden(t, "faults.txt", out.Bytes())
-}
-
-// compareGolden compares got with testdata/golden/name. With UPDATE_GOLDEN=1 in the environment it writes the file instead.
-func compareGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	if os.Getenv("UPDATE_GOLDEN") == "1" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatalf("%v: UPDATE_GOLDEN=1 writes it", err)
-	}
-	if bytes.Equal(got, want) {
-		return
-	}
-	gotLines, wantLines := strings.Split(string(got), "\n"), strings.Split(string(want), "\n")
-	for i := range min(len(gotLines), len(wantLines)) {
-		if gotLines[i] != wantLines[i] {
-			t.Fatalf("%s:%d: got\n%s\nwant\n%s", path, i+1, gotLines[i], wantLines[i])
-		}
-	}
-	t.Fatalf("%s: got %d lines, want %d", path, len(gotLines), len(wantLines))
+	goldentest.Check(t, "errors.txt", out.Bytes())
 }
--- a/internal/tomlfile/golden_test.go
+++ b/internal/tomlfile/golden_test.go
@@ -3,11 +3,11 @@
 import (
 	"bytes"
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
+
+	"birchfork/internal/goldentest"
 )
 
 // Files in testdata/golden hold the text of every fault: operators and their scripts read it. UPDATE_GOLDEN=1 writes them.
@@ -65,34 +65,5 @@
 	d.AddErrorf("part.name", "it is missing")
 	d.AddErrorf("", "the file as a whole")
 	fmt.Fprintf(&out, "faults of a caller\n\t%s\n", strings.ReplaceAll(d.Err().Error(), "\n", "\n\t"))
-	compareGolden(t, "faults.txt", out.Bytes())
-}
-
-// compareGolden compares got with testdata/golden/name. With UPDATE_GOLDEN=1 in the environment it writes the file instead.
-func compareGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	if os.Getenv("UPDATE_GOLDEN") == "1" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatalf("%v: UPDATE_GOLDEN=1 writes it", err)
-	}
-	if bytes.Equal(got, want) {
-		return
-	}
-	gotLines, wantLines := strings.Split(string(got), "\n"), strings.Split(string(want), "\n")
-	for i := range min(len(gotLines), len(wantLines)) {
-		if gotLines[i] != wantLines[i] {
-			t.Fatalf("%s:%d: got\n%s\nwant\n%s", path, i+1, gotLines[i], wantLines[i])
-		}
-	}
-	t.Fatalf("%s: got %d lines, want %d", path, len(gotLines), len(wantLines))
+	goldentest.Check(t, "errors.txt", out.Bytes())
 }
