--- a/internal/tomlfile/golden_test.go
+++ b/internal/tomlfile/golden_test.go
@@ -10,7 +10,7 @@
 	"birchfork/internal/goldentest"
 )
 
-// Files in testdata/golden hold the text of every fault: operators and their scripts read it. UPDATE_GOLDEN=1 writes them.
+// testdata/golden holds the text of every error: operators and their scripts read it. UPDATE_GOLDEN=1 writes it.
 
 // goldenSample has a field of each kind that Read supports.
 type goldenSample struct {
@@ -52,7 +52,7 @@
 		var v goldenSample
 		d := Read("dir/file.toml", []byte(raw), &v)
 		if len(d.Errors()) == 0 {
-			t.Errorf("no fault in %q", raw)
+			t.Errorf("no error in %q", raw)
 		}
 		fmt.Fprintf(&out, "%.200q\n", raw)
 		for _, f := range d.Errors() {
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -24,6 +24,7 @@
 	hidden int
 }
 
+// Read keeps the defaults of what a file does not set, and records the line of each key.
 func TestRead_KeepsDefaults(t *testing.T) {
 	v := sample{Rate: 7, hidden: 1}
 	d := Read("f.toml", []byte("name='a'\nfor = \"1.5s\"\nlimits.memory_mb = 64\n[[class]]\nname='x'\nrange=[1, 2.5]\n[[class]]\nname='y'\ndeep={x=3}\n"), &v)
@@ -37,12 +38,12 @@
 	for key, line := range map[string]int{"for": 2, "limits.memory_mb": 3, "class[0].range[1]": 6, "class[1]": 7, "class[1].deep.x": 9,
 		"class[1].range": 7, "none": 0} {
 		if got := d.Line(key); got != line {
-			t.Errorf("%s stands on line %d, not %d", key, line, got)
+			t.Errorf("%s is on line %d, not %d", key, line, got)
 		}
 	}
 }
 
-// Every fault is named at once, by its line.
+// All errors of a file are reported at once, each with its line and key.
 func TestRead_NamesAllErrors(t *testing.T) {
 	raw := "nam = 'a'\nfor = 3\nrate = 'x'\non = 1\nzzzzzzzz = 1\n[limits]\nmemory_mb = 1.5\n[[class]]\nname = 4\nrange = 3\n[class.deep]\ny = 1\n[[class]]\nrange = [1, 'b']\n"
 	var v sample
@@ -56,7 +57,7 @@
 	}
 	got := strings.Split(d.Err().Error(), "\n")
 	if len(got) != len(want) {
-		t.Fatalf("%d faults, not %d:\n%s", len(got), len(want), d.Err())
+		t.Fatalf("%d errors, not %d:\n%s", len(got), len(want), d.Err())
 	}
 	for i := range want {
 		if !strings.HasPrefix(got[i], want[i]) {
@@ -65,11 +66,12 @@
 	}
 }
 
+// A file that is no TOML, or too large, gives one error.
 func TestRead_RejectsInvalidTOML(t *testing.T) {
 	for raw, line := range map[string]int{"a = \nb = 1": 1, "name = 'x'\n[class": 2, "name='a'\nname='b'": 2, strings.Repeat("#", MaxSize+1): 0} {
 		d := Read("f", []byte(raw), &sample{})
 		if found := d.Errors(); len(found) != 1 || found[0].Line != line {
-			t.Errorf("%.20q: %+v, not one fault on line %d", raw, found, line)
+			t.Errorf("%.20q: %+v, not one error on line %d", raw, found, line)
 		}
 	}
 }
@@ -82,7 +84,7 @@
 		d := Read("f", raw, &v)
 		for _, e := range d.Errors() {
 			if e.Reason == "" || e.Line < 0 || e.Line > strings.Count(string(raw), "\n")+1 {
-				t.Fatalf("a fault that helps nobody: %+v", e)
+				t.Fatalf("an error without a reason or a line of the file: %+v", e)
 			}
 		}
 		d.Line("class[0].deep.x")
