--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -53,7 +53,7 @@
 
 // suggestKey names the known key that an unknown one was probably meant to be, or all known keys where none is near.
 func suggestKey(key string, fields []taggedField) string {
-	var known []string
+	known := make([]string, 0, len(fields))
 	best, bestDistance := "", 1+len(key)/2
 	for _, field := range fields {
 		known = append(known, field.key)
