--- /dev/null
+++ b/internal/admission/limiter.go
@@ -0,0 +1,245 @@
+package admission
+
+import (
+	"math"
+	"time"
+)
+
+// tenantActiveFor is how long a tenant counts as active after its last request.
+const tenantActiveFor = 2 * time.Second
+
+// Limiter decides on admission. It is not safe for concurrent use.
+type Limiter struct {
+	now     time.Duration
+	routes  []*routeState
+	tenants []*tenantState
+	buckets *bucketCache // of rate limits by tenant or key
+	total   concurrencyLimit
+	counts  [NumReasons]int64
+}
+
+type routeState struct {
+	RouteConfig
+	open    int
+	queued  int         // open requests that have not been sent to a worker yet
+	bucket  tokenBucket // of a rate limit by route
+	retries retryBudget
+}
+
+type tenantState struct {
+	TenantConfig
+	open          int
+	lastRequestAt time.Duration
+	everActive    bool
+}
+
+// New returns a Limiter without open requests, at time 0.
+func New(config Config) *Limiter {
+	limiter := &Limiter{}
+	limiter.Reconfigure(0, config)
+	return limiter
+}
+
+// Reconfigure replaces the configuration. Open requests keep their permits; a route or tenant of the same name as before
+// keeps its buckets and its counts.
+func (l *Limiter) Reconfigure(now time.Duration, config Config) {
+	l.advance(now)
+	l.replaceRoutes(config.Routes)
+	l.replaceTenants(config.Tenants)
+	l.total.configure(&config)
+	if l.buckets == nil || l.buckets.maxSize != config.MaxBuckets {
+		l.buckets = newBucketCache(config.MaxBuckets)
+	}
+}
+
+func (l *Limiter) replaceRoutes(configs []RouteConfig) {
+	old := map[string]*routeState{}
+	for _, route := range l.routes {
+		old[route.Name] = route
+	}
+	l.routes = nil
+	for _, config := range configs {
+		state := old[config.Name]
+		if state == nil {
+			state = &routeState{retries: newRetryBudget(l.now, &config)}
+		}
+		config.Burst = max(config.Burst, 1)
+		state.RouteConfig = config
+		state.retries.configure(&config)
+		l.routes = append(l.routes, state)
+	}
+}
+
+func (l *Limiter) replaceTenants(configs []TenantConfig) {
+	old := map[string]*tenantState{}
+	for _, tenant := range l.tenants {
+		old[tenant.Name] = tenant
+	}
+	l.tenants = nil
+	for _, config := range configs {
+		state := old[config.Name]
+		if state == nil {
+			state = &tenantState{}
+		}
+		state.TenantConfig = config
+		l.tenants = append(l.tenants, state)
+	}
+}
+
+// advance moves on to a moment. It guards against a clock that goes back: time then stands still until it is past again.
+func (l *Limiter) advance(now time.Duration) { l.now = max(l.now, now) }
+
+// OpenRequests returns the number of open requests.
+func (l *Limiter) OpenRequests() int { return l.total.open }
+
+// CurrentLimit returns how many requests may be open at present; 0: no limit.
+func (l *Limiter) CurrentLimit() int { return int(l.total.current) }
+
+// Counts returns how many decisions there were of each reason.
+func (l *Limiter) Counts() [NumReasons]int64 { return l.counts }
+
+// OpenOnRoute returns the number of open requests of a route, given by its index.
+func (l *Limiter) OpenOnRoute(route int) int { return l.routes[route].open }
+
+// Admit decides on a request. A rejected request uses up nothing.
+func (l *Limiter) Admit(now time.Duration, request Request) Decision {
+	l.advance(now)
+	l.total.adapt(l.now)
+	route := l.routes[request.Route]
+	tenant := l.activeTenant(request.Tenant)
+	decision := l.decide(route, tenant, request)
+	l.counts[decision.Reason]++
+	if decision.Reason != Admitted {
+		decision.RetryAfter = max(decision.RetryAfter, route.RetryAfter)
+		return decision
+	}
+	l.total.acquire()
+	route.open++
+	route.queued++
+	if tenant != nil {
+		tenant.open++
+	}
+	decision.Permit = Permit{route: route, tenant: tenant}
+	return decision
+}
+
+// activeTenant notes a request of a tenant and returns its state; nil for an index that is none.
+func (l *Limiter) activeTenant(index int) *tenantState {
+	if index < 0 || index >= len(l.tenants) {
+		return nil
+	}
+	tenant := l.tenants[index]
+	tenant.lastRequestAt = l.now
+	tenant.everActive = true
+	return tenant
+}
+
+// decide checks one limit after the other. Those that use something up come last, so that a rejected request uses up
+// nothing.
+func (l *Limiter) decide(route *routeState, tenant *tenantState, request Request) Decision {
+	if reason := route.checkCapacity(); reason != Admitted {
+		return Decision{Reason: reason}
+	}
+	if reason := l.checkTotal(route, tenant); reason != Admitted {
+		return Decision{Reason: reason}
+	}
+	route.retries.refill(l.now)
+	if !route.retries.allows(request.Retry) {
+		return Decision{Reason: RetryBudgetExhausted, RetryAfter: route.retries.wait()}
+	}
+	if wait := l.takeToken(route, request); wait > 0 {
+		return Decision{Reason: RateExceeded, RetryAfter: min(wait, maxWait)}
+	}
+	route.retries.account(request.Retry)
+	return Decision{Reason: Admitted}
+}
+
+// checkCapacity checks the route's own limits on open and queued requests.
+func (r *routeState) checkCapacity() Reason {
+	switch {
+	case r.MaxConcurrent > 0 && r.open >= r.MaxConcurrent:
+		return ConcurrencyExceeded
+	case r.MaxQueued > 0 && r.queued >= r.MaxQueued:
+		return QueueFull
+	}
+	return Admitted
+}
+
+// checkTotal checks the limit on open requests over all routes, and what it leaves to the route's priority and to the
+// tenant.
+func (l *Limiter) checkTotal(route *routeState, tenant *tenantState) Reason {
+	switch {
+	case !l.total.limited():
+		return Admitted
+	case l.total.full():
+		return OpenLimitReached
+	case l.total.reservedFrom(route.Priority):
+		return PriorityShed
+	case tenant != nil && l.total.contended() && float64(tenant.open) >= l.tenantQuota(tenant):
+		return TenantQuotaExceeded
+	}
+	return Admitted
+}
+
+// tenantQuota returns how many open requests a tenant may have under contention: its part of the limit among the active
+// tenants. It guards against one tenant that takes all.
+func (l *Limiter) tenantQuota(tenant *tenantState) float64 {
+	activeWeight := 0.0
+	for _, other := range l.tenants {
+		if other.isActive(l.now) {
+			activeWeight += other.Weight
+		}
+	}
+	if activeWeight <= 0 {
+		return math.Inf(1)
+	}
+	return max(1, l.total.current*tenant.Weight/activeWeight)
+}
+
+func (t *tenantState) isActive(now time.Duration) bool {
+	return t.open > 0 || t.everActive && now-t.lastRequestAt < tenantActiveFor
+}
+
+// takeToken takes a token of the route's rate limit and returns 0, or returns how long it takes until there is one.
+func (l *Limiter) takeToken(route *routeState, request Request) time.Duration {
+	if !route.RateLimited {
+		return 0
+	}
+	return l.bucketFor(route, request).take(l.now, route.Rate, route.Burst)
+}
+
+func (l *Limiter) bucketFor(route *routeState, request Request) *tokenBucket {
+	switch {
+	case route.RateScope == PerTenant && request.Tenant >= 0:
+		return l.buckets.get(route.Name, uint64(request.Tenant))
+	case route.RateScope == PerKey:
+		return l.buckets.get(route.Name, request.Key)
+	default:
+		return &route.bucket
+	}
+}
+
+// MarkSent notes that a request was sent to a worker: it is no longer queued. Further calls change nothing.
+func (l *Limiter) MarkSent(permit *Permit) {
+	if permit.Valid() && !permit.sent {
+		permit.sent = true
+		permit.route.queued--
+	}
+}
+
+// Release returns a permit. It has to be called once for each admitted request; a permit that is not valid changes
+// nothing.
+func (l *Limiter) Release(now time.Duration, permit Permit, outcome Outcome) {
+	if !permit.Valid() {
+		return
+	}
+	l.advance(now)
+	l.MarkSent(&permit)
+	l.total.release()
+	permit.route.open--
+	if permit.tenant != nil {
+		permit.tenant.open--
+	}
+	l.total.record(outcome)
+	l.total.adapt(l.now)
+}
