--- a/internal/settings/json.go
+++ b/internal/settings/flatten.go
@@ -15,20 +15,22 @@
 // maxDepth bounds the nesting of settings.
 const maxDepth = 16
 
-// DecodeJSON reads one dispatcher's settings as nested JSON and interns their names. The pairs are those that it read.
-func DecodeJSON(raw []byte, names *NameTable) (settings dispatch.Settings, pairs *Pairs, err error) {
-	if pairs, err = Flatten(raw); err != nil {
-		return settings, nil, err
+// DecodeJSON decodes the settings of one dispatcher from nested JSON and numbers the names in them. It returns the pairs
+// as well, nil where raw is not a JSON object; errors are those of Flatten and Decode.
+func DecodeJSON(raw []byte, names *NameTable) (dispatch.Settings, *Pairs, error) {
+	pairs, err := Flatten(raw)
+	if err != nil {
+		return dispatch.Settings{}, nil, err
 	}
-	settings, err = Decode(pairs, names)
+	settings, err := Decode(pairs, names)
 	return settings, pairs, err
 }
 
-// Flatten reads settings as nested JSON and turns them into the pairs that the bench's wire would carry: paths joined
-// with dots, plain lists joined with commas, lists of objects with a count and numbered items.
+// Flatten turns settings in nested JSON into the pairs that the simulator's protocol would carry: the keys on the way
+// joined by dots, lists of values joined by commas, lists of objects as a count and numbered items.
 func Flatten(raw []byte) (*Pairs, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
-	decoder.UseNumber() // keeps numbers as they were written
+	decoder.UseNumber() // keeps numbers as they are written
 	var root map[string]any
 	if err := decoder.Decode(&root); err != nil {
 		return nil, fmt.Errorf("settings: not a JSON object: %w", err)
@@ -43,7 +45,7 @@
 
 func (p *Pairs) addObject(prefix string, object map[string]any, depth int) {
 	if depth > maxDepth {
-		p.errs = append(p.errs, fmt.Errorf("setting %s: nested too deep", prefix))
+		p.addError(prefix, "nested too deep")
 		return
 	}
 	for key, value := range object {
@@ -56,7 +58,7 @@
 			p.addObject(path, value, depth+1)
 		case []any:
 			p.addArray(path, value, depth+1)
-		case nil: // absent
+		case nil: // the same as a missing key
 		default:
 			p.values[path] = formatValue(value)
 		}
@@ -73,7 +75,7 @@
 		values = append(values, formatValue(item))
 	}
 	if len(values) > 0 && len(values) < len(list) {
-		p.errs = append(p.errs, fmt.Errorf("setting %s: a list of both values and objects", path))
+		p.addError(path, "a list of both values and objects")
 	}
 	if len(values) == 0 {
 		p.values[path+".count"] = strconv.Itoa(len(list))
@@ -92,7 +94,7 @@
 	}
 }
 
-// NormalizeName is a name as the wire carries it: a space or comma would split a list.
+// NormalizeName returns a name as the simulator's protocol carries it: a space or a comma would split a list.
 func NormalizeName(name string) string {
 	return strings.NewReplacer(" ", "_", ",", "_").Replace(name)
 }
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -16,8 +16,8 @@
 	"birchfork/internal/goldentest"
 )
 
-// Files in testdata/golden hold what the platform's settings decode to, the text of each fault, and the numbers that names
-// get: some of these are sent to other dispatchers. UPDATE_GOLDEN=1 writes them.
+// testdata/golden holds what the platform's settings decode to, the text of each error, and the ids and tags of names: some
+// of these are sent to other dispatchers. UPDATE_GOLDEN=1 writes it.
 
 // writeSettings writes each field under a name that no renaming of the field changes.
 func writeSettings(w io.Writer, settings *dispatch.Settings) {
