--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -17,8 +17,8 @@
 	"birchfork/internal/goldentest"
 )
 
-// Files in testdata/golden hold conversations between a drawn simulator and this program: one whole, of the others the
-// digests of both directions. They prove that the same seed brings the same decisions. UPDATE_GOLDEN=1 writes them.
+// testdata/golden holds conversations between a random simulator and this program: one in full, of the others the digests
+// of both directions. They prove that the same seed gives the same decisions. UPDATE_GOLDEN=1 writes it.
 
 // simulator draws events for a few dispatchers and answers what they do.
 type simulator struct {
@@ -265,7 +265,7 @@
 	return int64(n*1e6 + 0.5)
 }
 
-// converse plays a drawn conversation with run, and copies both directions.
+// converse plays a random conversation with run, and copies both directions.
 func converse(t *testing.T, seed uint64, batches int, in, out io.Writer) {
 	t.Helper()
 	fromSim, toRun := io.Pipe()
@@ -280,7 +280,9 @@
 	for range batches {
 		s.batch()
 	}
-	toRun.Close()
+	if err := toRun.Close(); err != nil {
+		t.Fatal(err)
+	}
 	if err := <-ended; err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/cmd/simadapter/host.go
@@ -0,0 +1,102 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"runtime/debug"
+
+	"birchfork/dispatch"
+	"birchfork/internal/simprotocol"
+)
+
+// decider is what a host needs of the dispatch module.
+type decider interface {
+	Handle(now dispatch.Time, event *dispatch.Event, actions []dispatch.Action) []dispatch.Action
+}
+
+func newDecider(settings dispatch.Settings, seed uint64) (decider, error) {
+	return dispatch.New(settings, seed)
+}
+
+// run handles messages until the input ends between two batches. Its error names the line that is malformed.
+func run(in io.Reader, out io.Writer) error {
+	h := newHost(in, out)
+	for {
+		err := h.step()
+		if errors.Is(err, io.EOF) {
+			return nil
+		}
+		if err != nil {
+			return fmt.Errorf("line %d: %w", h.reader.Line(), err)
+		}
+	}
+}
+
+// host runs many dispatchers, which share nothing but this process.
+type host struct {
+	reader     *simprotocol.Reader
+	writer     *simprotocol.Writer
+	instances  map[int]decider
+	newDecider func(dispatch.Settings, uint64) (decider, error)
+	now        dispatch.Time
+	message    simprotocol.Message // the last one, reused
+	actions    []dispatch.Action   // of the last event, reused
+}
+
+func newHost(in io.Reader, out io.Writer) *host {
+	return &host{
+		reader:     simprotocol.NewReader(in),
+		writer:     simprotocol.NewWriter(out),
+		instances:  map[int]decider{},
+		newDecider: newDecider,
+	}
+}
+
+// step handles one message.
+func (h *host) step() error {
+	message := &h.message
+	if err := h.reader.Read(message); err != nil {
+		return err
+	}
+	switch message.Kind {
+	case simprotocol.BatchBegin:
+		h.now = message.Now
+	case simprotocol.BatchEnd:
+		return h.writer.Flush()
+	case simprotocol.InstanceStart:
+		return h.startInstance(message)
+	case simprotocol.InstanceStop:
+		delete(h.instances, message.Instance)
+	case simprotocol.InstanceEvent:
+		return h.handleEvent(message)
+	}
+	return nil
+}
+
+func (h *host) startInstance(message *simprotocol.Message) error {
+	instance, err := h.newDecider(message.Settings, message.Seed)
+	if err != nil {
+		return fmt.Errorf("settings of instance %d: %w", message.Instance, err)
+	}
+	h.instances[message.Instance] = instance
+	return nil
+}
+
+// handleEvent lets one dispatcher decide. A panic in it ends that dispatcher and is reported, not the process.
+func (h *host) handleEvent(message *simprotocol.Message) error {
+	instance := h.instances[message.Instance]
+	if instance == nil {
+		return nil // it panicked earlier
+	}
+	defer func() {
+		if cause := recover(); cause != nil {
+			fmt.Fprintf(os.Stderr, "simadapter: instance %d: %v\n%s", message.Instance, cause, debug.Stack())
+			h.writer.WriteCrash(message.Instance, fmt.Sprint(cause))
+			delete(h.instances, message.Instance)
+		}
+	}()
+	h.actions = instance.Handle(h.now, message.Event, h.actions[:0])
+	return h.writer.WriteActions(message.Instance, h.reader.NameTable(message.Instance), h.actions)
+}
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/host_test.go
@@ -6,7 +6,6 @@
 	"testing"
 
 	"birchfork/dispatch"
-	"birchfork/internal/simprotocol"
 )
 
 const startLine = "POWER_ON\t42\tclasses.count=1\tclasses.0.aim=0.4\tclasses.0.deadline=5\tclasses.0.effect=free\t" +
@@ -41,7 +40,7 @@
 	}
 }
 
-// panicking breaks at its first event.
+// panicking panics at its first event.
 type panicking struct{}
 
 func (panicking) Handle(dispatch.Time, *dispatch.Event, []dispatch.Action) []dispatch.Action {
@@ -51,8 +50,8 @@
 func TestHost_ReportsPanic(t *testing.T) {
 	in := "BATCH\t2\nON\t4\n" + startLine + listLines + queryLine + "FLUSH\n"
 	var out bytes.Buffer
-	h := host{reader: simprotocol.NewReader(strings.NewReader(in)), writer: simprotocol.NewWriter(&out),
-		instances: map[int]decider{}, newDecider: func(dispatch.Settings, uint64) (decider, error) { return panicking{}, nil }}
+	h := newHost(strings.NewReader(in), &out)
+	h.newDecider = func(dispatch.Settings, uint64) (decider, error) { return panicking{}, nil }
 	for {
 		if err := h.step(); err != nil {
 			break
--- /dev/null
+++ b/internal/simprotocol/events.go
@@ -0,0 +1,218 @@
+package simprotocol
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+
+	"birchfork/dispatch"
+	"birchfork/internal/settings"
+)
+
+const (
+	// maxAttemptNumber bounds the numbers of attempts.
+	maxAttemptNumber = 1 << 20
+
+	// maxSlots bounds the slots that a request takes.
+	maxSlots = 1 << 20
+
+	// notReported stands for a value that a load report does not hold.
+	notReported = -1
+)
+
+// What an attempt reports by CHANGE.
+const (
+	changeStarted    = 1
+	changeProgressed = 2
+)
+
+// parseEvent parses a line into r.event. It reports false for events that no dispatcher here has a use for.
+func (r *Reader) parseEvent(name []byte, fields *fieldReader, names *settings.NameTable) (bool, error) {
+	r.event = dispatch.Event{Tenant: -1, Workers: r.workers[:0]}
+	switch string(name) {
+	case lineRequest:
+		return true, r.parseRequest(fields, names)
+	case lineAttemptEnded:
+		return r.parseAttemptEnded(fields, names)
+	case lineAttemptChange:
+		return r.parseAttemptChange(fields, names)
+	case lineResponse:
+		return r.parseResponse(fields, names)
+	case lineClientGone:
+		return r.parseClientGone(fields, names)
+	case lineTimer:
+		r.event.Kind = dispatch.TimerFired
+		fields.text("handle")
+		return true, fields.finish()
+	case lineProbeDone:
+		return false, r.parseProbeDone(fields)
+	case lineEndpoints:
+		return true, r.parseEndpoints(fields, names)
+	case linePeerMessage:
+		return r.parsePeerMessage(fields)
+	}
+	return false, errors.New("the message is unknown")
+}
+
+func (r *Reader) parseRequest(fields *fieldReader, names *settings.NameTable) error {
+	event := &r.event
+	event.Kind = dispatch.RequestArrived
+	name := fields.text("tid")
+	event.Retry = fields.boolean("resent")
+	tenant := fields.next("billing")
+	class := fields.text("kind")
+	event.ExpectedWork = fields.duration("work")
+	event.TimeLeft = fields.duration("left")
+	event.AffinityKey = parseKey(fields)
+	fields.boolean("write")
+	fields.boolean("returned")
+	event.Memory = fields.number("mem_needed")
+	event.Slots = max(1, int(fields.integer("needs", 0, maxSlots, 1)))
+	if err := fields.finish(); err != nil {
+		return err
+	}
+	var err error
+	if event.Class, err = names.ClassID(class); err != nil {
+		return err
+	}
+	hasTenant := string(tenant) != "0" && !settings.IsAbsent(tenant)
+	if hasTenant && names.HasTenants() {
+		if event.Tenant, err = names.TenantID(tenant); err != nil {
+			return err
+		}
+	}
+	event.Request, err = names.OpenRequest(name)
+	return err
+}
+
+// parseKey returns a request's key; 0 is none, so that the protocol's keys, which begin with 0, follow by 1.
+func parseKey(fields *fieldReader) uint64 {
+	key, ok := settings.ParseInt(fields.next("target_key"))
+	if !ok || key < 0 {
+		return 0
+	}
+	return uint64(key) + 1
+}
+
+func (r *Reader) parseAttemptEnded(fields *fieldReader, names *settings.NameTable) (bool, error) {
+	event := &r.event
+	event.Kind = dispatch.AttemptEnded
+	known := r.parseRequestID(fields, names)
+	r.parseAttempt(fields)
+	r.parseWorker(fields, names)
+	event.Result = parseResult(fields)
+	event.Elapsed = fields.duration("spent")
+	event.Final = fields.boolean("closed")
+	fields.next("remark")
+	r.parseLoadReport(fields)
+	err := fields.finish()
+	if err == nil && known {
+		names.AttemptEnded(event.Request, event.Final)
+	}
+	return known, err
+}
+
+func (r *Reader) parseAttemptChange(fields *fieldReader, names *settings.NameTable) (bool, error) {
+	known := r.parseRequestID(fields, names)
+	change := fields.integer("what", 0, maxID, 0)
+	r.parseWorker(fields, names)
+	r.parseAttempt(fields)
+	r.event.Progress = fields.number("level")
+	switch change {
+	case changeStarted:
+		r.event.Kind = dispatch.AttemptStarted
+	case changeProgressed:
+		r.event.Kind = dispatch.AttemptProgressed
+	default:
+		known = false
+	}
+	return known, fields.finish()
+}
+
+func (r *Reader) parseResponse(fields *fieldReader, names *settings.NameTable) (bool, error) {
+	r.event.Kind = dispatch.ResponseStarted
+	known := r.parseRequestID(fields, names)
+	r.parseAttempt(fields)
+	r.event.Elapsed = fields.duration("spent")
+	r.parseWorker(fields, names)
+	return known, fields.finish()
+}
+
+func (r *Reader) parseClientGone(fields *fieldReader, names *settings.NameTable) (bool, error) {
+	r.event.Kind = dispatch.RequestAbandoned
+	known := r.parseRequestID(fields, names)
+	err := fields.finish()
+	if err == nil && known {
+		names.RequestAnswered(r.event.Request)
+	}
+	return known, err
+}
+
+// parseProbeDone checks the end of a health check, which no dispatcher here asks for.
+func (r *Reader) parseProbeDone(fields *fieldReader) error {
+	fields.duration("spent")
+	parseResult(fields)
+	fields.text("runner")
+	r.parseLoadReport(fields)
+	return fields.finish()
+}
+
+func (r *Reader) parsePeerMessage(fields *fieldReader) (bool, error) {
+	r.event.Kind = dispatch.PeerMessageReceived
+	r.event.Peer = int(fields.integer("src_peer", 0, maxID, -1))
+	encoded := fields.next("raw")
+	if err := fields.finish(); err != nil {
+		return false, err
+	}
+	message, known := decodePeerMessage(encoded)
+	r.event.Message = message
+	return known, nil
+}
+
+// parseRequestID reads the name of a request and reports whether it is open.
+func (r *Reader) parseRequestID(fields *fieldReader, names *settings.NameTable) bool {
+	id, ok := names.FindRequest(fields.text("tid"))
+	r.event.Request = id
+	return ok
+}
+
+func (r *Reader) parseAttempt(fields *fieldReader) {
+	r.event.Attempt = int(fields.integer("try", 0, maxAttemptNumber, -1))
+}
+
+func (r *Reader) parseWorker(fields *fieldReader, names *settings.NameTable) {
+	r.event.Worker = names.InternWorkerBytes(fields.text("runner"))
+}
+
+// parseResult reads how an attempt ended. The protocol numbers results as the dispatch module does.
+func parseResult(fields *fieldReader) dispatch.Result {
+	code := fields.integer("state_code", 0, maxID, -1)
+	return dispatch.Result(min(code, int64(dispatch.ResultUnknown)))
+}
+
+// parseLoadReport reads a worker's load report: name:value pairs separated by commas, of which unknown ones are skipped.
+func (r *Reader) parseLoadReport(fields *fieldReader) {
+	report := &r.event.Report
+	*report = dispatch.LoadReport{FreeSlots: notReported, QueueLength: notReported}
+	rest := fields.next("server_stats")
+	if fields.err != nil || settings.IsAbsent(rest) {
+		return
+	}
+	for len(rest) > 0 {
+		var pair []byte
+		pair, rest, _ = bytes.Cut(rest, []byte{','})
+		name, value, found := bytes.Cut(pair, []byte{':'})
+		number, valid := settings.ParseDecimal(value)
+		if !found || !valid {
+			fields.fail(fmt.Errorf("server_stats: %q is not name:value", pair))
+			return
+		}
+		report.Known = true
+		switch string(name) {
+		case r.freeSlotsValues[r.instance]:
+			report.FreeSlots = max(number, 0)
+		case "pending":
+			report.QueueLength = max(number, 0)
+		}
+	}
+}
--- a/internal/simprotocol/value.go
+++ b/internal/simprotocol/fields.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"errors"
 	"fmt"
-	"strconv"
 
 	"birchfork/dispatch"
 	"birchfork/internal/settings"
@@ -15,7 +14,8 @@
 	errExtraValue   = errors.New("there are more values than the message has")
 )
 
-// fieldReader takes the values of one line from left to right and keeps the first error.
+// fieldReader reads the values of one line from left to right and keeps the first error. Methods that return a value
+// return one that is not to be used where there was an error.
 type fieldReader struct {
 	rest      []byte
 	exhausted bool // nothing is left, not even an empty value
@@ -28,32 +28,27 @@
 	}
 }
 
-// next returns the next raw value.
+// finish returns the first error, or one where values are left.
+func (f *fieldReader) finish() error {
+	if !f.exhausted {
+		f.fail(errExtraValue)
+	}
+	return f.err
+}
+
+// next returns the next value as it is written.
 func (f *fieldReader) next(name string) []byte {
 	if f.exhausted {
 		f.fail(fmt.Errorf("%s: %w", name, errMissingValue))
 		return nil
 	}
-	tab := bytes.IndexByte(f.rest, '\t')
-	if tab < 0 {
-		value := f.rest
-		f.rest, f.exhausted = nil, true
-		return value
-	}
-	value := f.rest[:tab]
-	f.rest = f.rest[tab+1:]
+	value, rest, found := bytes.Cut(f.rest, []byte{'\t'})
+	f.rest = rest
+	f.exhausted = !found
 	return value
 }
 
-// finish reports the first error, or values beyond the last.
-func (f *fieldReader) finish() error {
-	if f.err == nil && !f.exhausted {
-		f.err = errExtraValue
-	}
-	return f.err
-}
-
-// text returns a value that may not be empty or absent.
+// text returns a value that may be neither empty nor absent.
 func (f *fieldReader) text(name string) []byte {
 	value := f.next(name)
 	if len(value) == 0 || settings.IsAbsent(value) {
@@ -62,7 +57,7 @@
 	return value
 }
 
-// integer returns a whole number from lo to hi; an absent one is def, where def is in range.
+// integer returns a whole number in a range; an absent one is def, where that is in the range.
 func (f *fieldReader) integer(name string, minValue, maxValue, def int64) int64 {
 	text := f.next(name)
 	if settings.IsAbsent(text) && def >= minValue && def <= maxValue {
@@ -75,11 +70,11 @@
 	return n
 }
 
-// number returns a number that is not below 0; an absent one is def.
-func (f *fieldReader) number(name string, def float64) float64 {
+// number returns a number that is not negative; an absent one is 0.
+func (f *fieldReader) number(name string) float64 {
 	text := f.next(name)
 	if settings.IsAbsent(text) {
-		return def
+		return 0
 	}
 	n, ok := settings.ParseDecimal(text)
 	if f.err == nil && (!ok || n < 0) {
@@ -88,9 +83,9 @@
 	return n
 }
 
-// duration returns a time given in seconds; an absent one is 0.
+// duration returns a length of time or a moment, which is written in seconds; an absent one is 0.
 func (f *fieldReader) duration(name string) dispatch.Time {
-	seconds := f.number(name, 0)
+	seconds := f.number(name)
 	if seconds > settings.MaxSeconds {
 		f.fail(fmt.Errorf("%s: %v s is out of range", name, seconds))
 		return 0
@@ -98,23 +93,5 @@
 	return settings.FromSeconds(seconds)
 }
 
+// boolean returns a switch, which is written as 0 or 1; an absent one is off.
 func (f *fieldReader) boolean(name string) bool { return f.integer(name, 0, 1, 0) == 1 }
-
-// appendSeconds writes a length of time in seconds.
-func appendSeconds(buf []byte, t dispatch.Time) []byte {
-	if t < 0 {
-		buf = append(buf, '-')
-		t = -t
-	}
-	buf = strconv.AppendInt(buf, int64(t/dispatch.Second), 10)
-	micros := int64(t % dispatch.Second)
-	if micros == 0 {
-		return buf
-	}
-	buf = append(buf, '.')
-	for scale := int64(100000); micros > 0; scale /= 10 {
-		buf = append(buf, byte('0'+micros/scale))
-		micros %= scale
-	}
-	return buf
-}
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -14,8 +14,8 @@
 	"birchfork/internal/settings"
 )
 
-// Files in testdata/golden hold the simulator's protocol: each message as it is read, each reply as it is written, and the
-// text of each fault. UPDATE_GOLDEN=1 writes them.
+// testdata/golden holds the simulator's protocol: each message as it is read, each reply as it is written, and the text of
+// each error. UPDATE_GOLDEN=1 writes it.
 
 // goldenInput has each message with all its values set, and the values that stand for none.
 func goldenInput() []string {
@@ -152,7 +152,7 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	w.WriteFailure(5, "it\nbroke")
+	w.WriteCrash(5, "it\nbroke")
 	if err := w.Flush(); err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/simprotocol/message.go
@@ -0,0 +1,69 @@
+// Package simprotocol is the codec of the simulator's protocol: it reads batches of events for many dispatchers and
+// writes the actions back. It maps names to the ids of the dispatch module and decides nothing.
+//
+// The input is lines of values separated by tabs, the first of which names the message; "-" stands for a value that is
+// not set. A batch begins with BATCH and ends with FLUSH; ON selects the dispatcher that the lines behind it are for. The
+// reply to a batch is lines of the same form, and ends with EOR; BY names the dispatcher that acts.
+package simprotocol
+
+import "birchfork/dispatch"
+
+// The messages of the simulator.
+const (
+	lineBatch         = "BATCH"          // a batch begins
+	lineFlush         = "FLUSH"          // the batch ends: the reply is due
+	lineOn            = "ON"             // the instance that the lines behind it are for
+	linePool          = "POOL"           // a numbered list of workers, for MEMBERSHIP
+	lineRow           = "ROW"            // one worker of the list
+	lineStart         = "POWER_ON"       // an instance starts, with a seed and settings
+	lineCrash         = "CRASH_NOW"      // an instance ends
+	lineRequest       = "QUERY"          // a request arrives
+	lineAttemptEnded  = "CLOSED_ATTEMPT" // an attempt has ended
+	lineAttemptChange = "CHANGE"         // an attempt has started to run, or reports progress
+	lineResponse      = "FIRST_BYTE"     // the response has started
+	lineClientGone    = "GONE"           // the client waits no longer
+	lineTimer         = "WAKEUP"         // the timer has fired
+	lineProbeDone     = "PROBE_DONE"     // a health check has ended
+	lineEndpoints     = "MEMBERSHIP"     // endpoints, or the loss of their watch
+	linePeerMessage   = "DATAGRAM"       // a message from a peer
+)
+
+// The replies.
+const (
+	replyInstance    = "BY"
+	replySend        = "CALL_OUT"
+	replyCancel      = "RETRACT"
+	replyReject      = "REFUSE"
+	replyFail        = "GIVE_UP"
+	replySetTimer    = "ARM\tt"
+	replyWatch       = "WATCH\t1"
+	replyFetch       = "LOOKUP"
+	replyPeerMessage = "WRITE_PEER"
+	replyCrash       = "DIE"
+	replyEnd         = "EOR"
+)
+
+// noInstance stands for no instance.
+const noInstance = -1
+
+// MessageKind says what a Message asks of the host.
+type MessageKind uint8
+
+// The kinds, and the fields of a Message that each uses.
+const (
+	BatchBegin    MessageKind = iota // Now
+	BatchEnd                         // the reply is due
+	InstanceStart                    // Instance, Settings, Seed
+	InstanceStop                     // Instance
+	InstanceEvent                    // Instance, Event
+)
+
+// Message is one message to the host. Event and what it points to are valid until the next call of Reader.Read.
+type Message struct {
+	Kind     MessageKind
+	Now      dispatch.Time
+	Instance int
+	Settings dispatch.Settings
+	Seed     uint64
+	Event    *dispatch.Event
+}
--- a/internal/simprotocol/simwire_test.go
+++ b/internal/simprotocol/reader_test.go
@@ -24,7 +24,7 @@
 	return "BATCH\t100.5\nON\t0\n" + strings.Join(lines, "") + "FLUSH\n"
 }
 
-// readAll reads messages until the input ends or one is malformed. Events are copied.
+// readAll reads messages until the input ends or a line is malformed. Events are copied.
 func readAll(in string) ([]Message, *Reader, error) {
 	r := NewReader(strings.NewReader(in))
 	var out []Message
@@ -88,7 +88,7 @@
 				Report: dispatch.LoadReport{FreeSlots: -1, QueueLength: -1}}},
 		{"stream", []string{q, "FIRST_BYTE\tr-1\t0\t0.5\tx:1\n"},
 			dispatch.Event{Kind: dispatch.ResponseStarted, Elapsed: 500 * dispatch.Millisecond, Tenant: -1}},
-		{"a probe's end is passed over", []string{"PROBE_DONE\t0.5\t0\tx:1\t-\n", q, "GONE\tr-1\n"},
+		{"the end of a health check is skipped", []string{"PROBE_DONE\t0.5\t0\tx:1\t-\n", q, "GONE\tr-1\n"},
 			dispatch.Event{Kind: dispatch.RequestAbandoned, Tenant: -1}},
 		{"gone", []string{q, "GONE\tr-1\n"}, dispatch.Event{Kind: dispatch.RequestAbandoned, Tenant: -1}},
 		{"timer", []string{"WAKEUP\tsweep\n"}, dispatch.Event{Kind: dispatch.TimerFired, Tenant: -1}},
@@ -151,7 +151,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.WriteFailure(3, "it\nbroke")
+	w.WriteCrash(3, "it\nbroke")
 	if err := w.Flush(); err != nil {
 		t.Fatal(err)
 	}
@@ -267,23 +267,23 @@
 		{Kind: dispatch.LoadReply, Tag: 1, Slots: 2.5},
 		{Kind: dispatch.UsageUpdate, Tag: 77, Slots: 31.875},
 	} {
-		got, known := decodeNote(appendNote(nil, n))
+		got, known := decodePeerMessage(appendPeerMessage(nil, n))
 		if !known || got != n {
 			t.Errorf("got %+v, %v, want %+v", got, known, n)
 		}
 	}
-	if n, _ := decodeNote(appendNote(nil, dispatch.PeerMessage{Kind: dispatch.UsageUpdate, Slots: 1e9})); n.Slots != 255.0/8 {
-		t.Errorf("more slots than a note holds became %v", n.Slots)
+	if n, _ := decodePeerMessage(appendPeerMessage(nil, dispatch.PeerMessage{Kind: dispatch.UsageUpdate, Slots: 1e9})); n.Slots != 255.0/8 {
+		t.Errorf("more slots than a message holds became %v", n.Slots)
 	}
 	for _, raw := range []string{"", "-", "aGkgNw==", "/////////w==", "not base64!", "AAAAAAAAAAAAAAAAAAAAAAAAAAAA"} {
-		if n, known := decodeNote([]byte(raw)); known {
+		if n, known := decodePeerMessage([]byte(raw)); known {
 			t.Errorf("%q was read as %+v", raw, n)
 		}
 	}
 }
 
 func TestNotes_InMessages(t *testing.T) {
-	note := string(appendNote(nil, dispatch.PeerMessage{Kind: dispatch.LoadReply, Tag: 9, Slots: 3}))
+	note := string(appendPeerMessage(nil, dispatch.PeerMessage{Kind: dispatch.LoadReply, Tag: 9, Slots: 3}))
 	msgs, _, err := readAll(batch(startLine, "DATAGRAM\t4\t"+note+"\n", "DATAGRAM\t5\taGkgNw==\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -296,7 +296,7 @@
 	}
 	want := dispatch.PeerMessage{Kind: dispatch.LoadReply, Tag: 9, Slots: 3}
 	if len(received) != 1 || received[0].Peer != 4 || received[0].Message != want {
-		t.Fatalf("got %+v, want one note from 4; what no peer of ours sends is passed over", received)
+		t.Fatalf("got %+v, want one message from 4; what no peer of this version sends is skipped", received)
 	}
 	var out bytes.Buffer
 	w := NewWriter(&out)
--- a/internal/simprotocol/writer.go
+++ b/internal/simprotocol/writer.go
@@ -1,97 +1,141 @@
 package simprotocol
 
 import (
-	"bytes"
 	"fmt"
 	"io"
 	"strconv"
+	"strings"
 
 	"birchfork/dispatch"
 	"birchfork/internal/settings"
 )
 
-// Writer writes replies: the actions of one batch, flushed at its end.
+// Writer writes replies: the actions of one batch, sent by Flush. It is not safe for concurrent use.
 type Writer struct {
 	out      io.Writer
 	buf      []byte
-	instance int
+	instance int // of the lines to come
 }
 
-// NewWriter returns a Writer on out.
-func NewWriter(out io.Writer) *Writer { return &Writer{out: out, instance: -1} }
+// NewWriter returns a Writer to out.
+func NewWriter(out io.Writer) *Writer { return &Writer{out: out, instance: noInstance} }
 
-func (w *Writer) selectInstance(instance int) {
-	if w.instance != instance {
-		w.buf = append(w.buf, "BY\t"...)
-		w.buf = strconv.AppendInt(w.buf, int64(instance), 10)
-		w.buf = append(w.buf, '\n')
-		w.instance = instance
-	}
-}
-
-// WriteActions adds the actions of one instance.
+// WriteActions adds the actions of an instance to the reply and notes in names what they mean for open requests. An
+// action of an unknown kind is an error.
 func (w *Writer) WriteActions(instance int, names *settings.NameTable, actions []dispatch.Action) error {
 	for i := range actions {
-		if err := w.writeAction(instance, names, &actions[i]); err != nil {
+		w.selectInstance(instance)
+		if err := w.writeAction(names, &actions[i]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *Writer) writeAction(instance int, names *settings.NameTable, action *dispatch.Action) error {
-	w.selectInstance(instance)
+func (w *Writer) writeAction(names *settings.NameTable, action *dispatch.Action) error {
 	switch action.Kind {
 	case dispatch.Send:
-		w.writeRequest("CALL_OUT", names, action.Request)
-		w.buf = append(append(w.buf, '\t'), names.WorkerName(action.Worker)...)
-		w.buf = appendSeconds(append(w.buf, '\t'), action.Wait)
+		w.begin(replySend)
+		w.addText(names.RequestName(action.Request))
+		w.addText(names.WorkerName(action.Worker))
+		w.addTime(action.Wait)
 		names.AttemptSent(action.Request)
 	case dispatch.Cancel:
-		w.writeRequest("RETRACT", names, action.Request)
-		w.buf = strconv.AppendInt(append(w.buf, '\t'), int64(action.Attempt), 10)
+		w.begin(replyCancel)
+		w.addText(names.RequestName(action.Request))
+		w.addInt(action.Attempt)
 	case dispatch.Reject:
-		w.writeRequest("REFUSE", names, action.Request)
-		w.buf = appendSeconds(append(w.buf, '\t'), action.Wait)
+		w.begin(replyReject)
+		w.addText(names.RequestName(action.Request))
+		w.addTime(action.Wait)
 		names.RequestAnswered(action.Request)
 	case dispatch.Fail:
-		w.writeRequest("GIVE_UP", names, action.Request)
+		w.begin(replyFail)
+		w.addText(names.RequestName(action.Request))
 		names.RequestAnswered(action.Request)
 	case dispatch.SetTimer:
-		w.buf = appendSeconds(append(w.buf, "ARM\tt\t"...), action.Wait)
+		w.begin(replySetTimer)
+		w.addTime(action.Wait)
 	case dispatch.WatchEndpoints:
-		w.buf = append(w.buf, "WATCH\t1"...)
+		w.begin(replyWatch)
 	case dispatch.FetchEndpoints:
-		w.buf = append(w.buf, "LOOKUP"...)
+		w.begin(replyFetch)
 	case dispatch.SendToPeer:
-		w.buf = strconv.AppendInt(append(w.buf, "WRITE_PEER\t"...), int64(action.Peer), 10)
-		w.buf = appendNote(append(w.buf, '\t'), action.Message)
+		w.begin(replyPeerMessage)
+		w.addInt(action.Peer)
+		w.buf = appendPeerMessage(append(w.buf, '\t'), action.Message)
 	default:
 		return fmt.Errorf("action kind %d is unknown", action.Kind)
 	}
-	w.buf = append(w.buf, '\n')
+	w.end()
 	return nil
 }
 
-func (w *Writer) writeRequest(verb string, names *settings.NameTable, id dispatch.RequestID) {
-	w.buf = append(append(w.buf, verb...), '\t')
-	w.buf = append(w.buf, names.RequestName(id)...)
-}
-
-// WriteFailure reports that an instance's decisions broke.
-func (w *Writer) WriteFailure(instance int, reason string) {
+// WriteCrash adds to the reply that an instance has failed and is gone.
+func (w *Writer) WriteCrash(instance int, reason string) {
 	w.selectInstance(instance)
-	text := bytes.ReplaceAll([]byte(reason), []byte{'\n'}, []byte{' '})
-	w.buf = append(append(append(w.buf, "DIE\t"...), text...), '\n')
+	w.begin(replyCrash)
+	w.addText(strings.ReplaceAll(reason, "\n", " "))
+	w.end()
 }
 
 // Flush ends the reply and sends it.
 func (w *Writer) Flush() error {
-	w.buf = append(w.buf, "EOR\n"...)
+	w.begin(replyEnd)
+	w.end()
 	_, err := w.out.Write(w.buf)
-	w.buf, w.instance = w.buf[:0], -1
+	w.buf = w.buf[:0]
+	w.instance = noInstance
 	if err != nil {
 		return fmt.Errorf("writing a reply: %w", err)
 	}
 	return nil
 }
+
+func (w *Writer) selectInstance(instance int) {
+	if w.instance == instance {
+		return
+	}
+	w.begin(replyInstance)
+	w.addInt(instance)
+	w.end()
+	w.instance = instance
+}
+
+func (w *Writer) begin(name string) { w.buf = append(w.buf, name...) }
+
+func (w *Writer) addText(value string) {
+	w.buf = append(w.buf, '\t')
+	w.buf = append(w.buf, value...)
+}
+
+func (w *Writer) addInt(value int) {
+	w.buf = append(w.buf, '\t')
+	w.buf = strconv.AppendInt(w.buf, int64(value), 10)
+}
+
+func (w *Writer) addTime(value dispatch.Time) {
+	w.buf = append(w.buf, '\t')
+	w.buf = appendSeconds(w.buf, value)
+}
+
+func (w *Writer) end() { w.buf = append(w.buf, '\n') }
+
+// appendSeconds appends a length of time in seconds, with as many decimals as it needs.
+func appendSeconds(buf []byte, t dispatch.Time) []byte {
+	if t < 0 {
+		buf = append(buf, '-')
+		t = -t
+	}
+	buf = strconv.AppendInt(buf, int64(t/dispatch.Second), 10)
+	micros := int64(t % dispatch.Second)
+	if micros == 0 {
+		return buf
+	}
+	buf = append(buf, '.')
+	for scale := int64(100000); micros > 0; scale /= 10 {
+		buf = append(buf, byte('0'+micros/scale))
+		micros %= scale
+	}
+	return buf
+}
