--- a/internal/config/accepted_test.go
+++ b/internal/config/accepted_test.go
@@ -207,13 +207,13 @@
 
 func (s *simulation) arrive() {
 	classID := rapid.IntRange(0, 2).Draw(s.T, "class")
-	name, patience := s.platform.ClassNames[classID], s.platform.Settings.Classes[classID].Deadline
+	name, deadline := s.platform.ClassNames[classID], s.platform.Settings.Classes[classID].Deadline
 	route := s.table.Find(&routes.Request{Class: name, Path: "/" + name + "/a", Method: "POST"})
 	limits := s.table.RouteLimits(route, s.platform.Settings.MaxAttempts)
-	s.requests = append(s.requests, &simulatedRequest{classID: classID, arrivedAt: s.now, deadline: s.now + patience, limits: limits})
+	s.requests = append(s.requests, &simulatedRequest{classID: classID, arrivedAt: s.now, deadline: s.now + deadline, limits: limits})
 	s.handle(dispatch.Event{
 		Kind: dispatch.RequestArrived, Request: dispatch.RequestID(len(s.requests) - 1), Class: classID, Tenant: -1,
-		TimeLeft: patience, Slots: 1, RouteLimits: limits,
+		TimeLeft: deadline, Slots: 1, RouteLimits: limits,
 	})
 }
 
