--- a/internal/engine/admission.go
+++ b/internal/engine/admission.go
@@ -12,127 +12,135 @@
 	"birchfork/internal/settings"
 )
 
-// LimitError says that the operator's limits leave a request no place.
+// LimitError says which of the operator's limits a request was rejected for.
 type LimitError struct {
 	Reason     admission.Reason
 	Route      string
-	RetryAfter time.Duration // at the least; 0: no word
+	RetryAfter time.Duration // at the least; 0: no advice
 }
 
+// Error returns the text that clients read, which must not change.
 func (l *LimitError) Error() string {
 	return fmt.Sprintf("no place left: %s of %s", l.Reason, l.Route)
 }
 
-// admitter is the operator's routes and limits. It is used under the store's lock.
+// admitter applies the operator's routes and limits. It is not changed once it is made, but for the limiter, which the engine's lock
+// guards.
 type admitter struct {
 	routes      *routes.Table
-	gate        *admission.Limiter
-	maxAttempts int // attempts that the platform allows
+	limiter     *admission.Limiter
 	classes     []dispatch.Class
-	routeLimits []dispatch.RouteLimits // by route, with what fallbacks add
+	routeLimits []dispatch.RouteLimits // by route, with what its fallbacks add
 }
 
-// reservation is what an open request holds of the operator's limits; the zero hold is nothing. It is given back once.
+// reservation is what a request holds of the operator's limits, which is given back once. The zero reservation holds nothing.
 type reservation struct {
-	gate       *admission.Limiter
-	slot       admission.Permit
+	limiter    *admission.Limiter // nil: nothing is held
+	permit     admission.Permit
 	class      *dispatch.Class
 	arrivedAt  dispatch.Time
-	retryAfter time.Duration
+	retryAfter time.Duration // the least advice to a client whose request is rejected; 0: none
 }
 
-// SetLimits sets the operator's routes and limits, or others in their place. Open requests keep what they hold and what they
-// were allowed; buckets and counts go on where a route keeps its name.
+// SetLimits puts the operator's routes and limits in force, in place of those before. Open requests keep what they hold and what they
+// were allowed. Rates and counts go on where a route keeps its name.
 func (e *Engine) SetLimits(table *routes.Table, config admission.Config, classes []dispatch.Class) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.setLimits(table, config, classes)
 }
 
+// setLimits is SetLimits with the lock held.
 func (e *Engine) setLimits(table *routes.Table, config admission.Config, classes []dispatch.Class) {
-	a := &admitter{routes: table, maxAttempts: e.maxAttempts, classes: classes}
+	a := &admitter{routes: table, classes: classes}
 	for i := range table.Len() {
 		a.routeLimits = append(a.routeLimits, table.RouteLimits(i, e.maxAttempts))
 	}
 	if e.admitter != nil {
-		a.gate = e.admitter.gate
-		a.gate.Reconfigure(gateTime(e.now()), config)
+		a.limiter = e.admitter.limiter
+		a.limiter.Reconfigure(duration(e.now()), config)
 	} else {
-		a.gate = admission.New(config)
+		a.limiter = admission.New(config)
 	}
 	e.admitter = a
 }
 
-// LimitFields are the counters of the limits, by reason; nil where there are none.
+// LimitFields returns the log fields of the operator's limits, with a counter for each reason; nil where there are no limits. Operators
+// read their names, which must not change.
 func (e *Engine) LimitFields() logrus.Fields {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.admitter == nil {
 		return nil
 	}
-	fields := logrus.Fields{"limit_held": e.admitter.gate.OpenRequests(), "limit_now": e.admitter.gate.CurrentLimit()}
-	for reason, n := range e.admitter.gate.Counts() {
+	limiter := e.admitter.limiter
+	fields := logrus.Fields{"limit_held": limiter.OpenRequests(), "limit_now": limiter.CurrentLimit()}
+	for reason, n := range limiter.Counts() {
 		fields["limit_"+admission.Reason(reason).String()] = n
 	}
 	return fields
 }
 
-// gateTime is a moment of the module's clock as the gate takes it.
-func gateTime(t dispatch.Time) time.Duration { return time.Duration(t) * time.Microsecond }
-
-// admit asks the operator's limits, along the fallbacks of the request's route. The lock is held.
+// admit asks the operator's limits for a request, along the fallbacks of its route. It returns a *LimitError with the reason of the
+// first route where none of them has room. The lock is held.
 func (e *Engine) admit(now dispatch.Time, spec *RequestSpec, class, tenant int) (reservation, dispatch.RouteLimits, error) {
 	a := e.admitter
 	if a == nil {
 		return reservation{}, dispatch.RouteLimits{}, nil
 	}
-	first := a.routes.Find(&routes.Request{Class: settings.NormalizeName(spec.Class), Path: spec.Path, Tenant: settings.NormalizeName(spec.Tenant), Method: spec.Method})
+	first := a.routes.Find(&routes.Request{
+		Class: settings.NormalizeName(spec.Class), Path: spec.Path, Tenant: settings.NormalizeName(spec.Tenant), Method: spec.Method,
+	})
 	var rejection *LimitError
-	for _, route := range a.routes.Chain(first) {
-		verdict := a.gate.Admit(gateTime(now), admission.Request{Route: route, Tenant: tenant, Key: settings.HashKey(spec.Key), Retry: spec.Retry})
+	for _, i := range a.routes.Chain(first) {
+		route := a.routes.Route(i)
+		verdict := a.limiter.Admit(duration(now), admission.Request{
+			Route: i, Tenant: tenant, Key: settings.HashKey(spec.Key), Retry: spec.Retry,
+		})
 		if verdict.Reason == admission.Admitted {
-			reserved := reservation{gate: a.gate, slot: verdict.Permit, class: &a.classes[class], arrivedAt: now, retryAfter: a.routes.Route(route).Admission.RetryAfter}
-			return reserved, a.routeLimits[route], nil
+			reserved := reservation{
+				limiter: a.limiter, permit: verdict.Permit, class: &a.classes[class], arrivedAt: now, retryAfter: route.Admission.RetryAfter,
+			}
+			return reserved, a.routeLimits[i], nil
 		}
 		if rejection == nil {
-			rejection = &LimitError{Reason: verdict.Reason, Route: a.routes.Route(route).Name, RetryAfter: verdict.RetryAfter}
+			rejection = &LimitError{Reason: verdict.Reason, Route: route.Name, RetryAfter: verdict.RetryAfter}
 		}
 	}
 	return reservation{}, dispatch.RouteLimits{}, rejection
 }
 
-// release gives back what a request holds.
-func (r *reservation) release(now dispatch.Time, end admission.Outcome) {
-	if r.gate != nil {
-		r.gate.Release(gateTime(now), r.slot, end)
-		r.gate = nil
+// release gives back what is held.
+func (r *reservation) release(now dispatch.Time, outcome admission.Outcome) {
+	if r.limiter != nil {
+		r.limiter.Release(duration(now), r.permit, outcome)
+		r.limiter = nil
 	}
 }
 
-// markSent says that a request has gone out to a worker.
+// markSent says that the request has been sent to a worker.
 func (r *reservation) markSent() {
-	if r.gate != nil {
-		r.gate.MarkSent(&r.slot)
+	if r.limiter != nil {
+		r.limiter.MarkSent(&r.permit)
 	}
 }
 
-// finish gives back what a request holds whose final answer has been decided on. It was timely where the answer came within
-// the class's aim, with what the job itself took.
+// finish gives back what is held by a request that a final decision has been taken for.
 func (r *reservation) finish(request *Request, kind DecisionKind) {
-	if r.gate == nil {
+	if r.limiter == nil {
 		return
 	}
-	now, end := request.engine.now(), admission.Late
-	if kind == DecisionServe {
-		runTime := dispatch.Time(0)
-		for _, attempt := range request.attempts {
-			if attempt.startedAt > 0 {
-				runTime = max(runTime, now-attempt.startedAt)
-			}
-		}
-		if float64(now-r.arrivedAt) <= float64(r.class.LatencyObjective)+r.class.ObjectiveStretch*float64(runTime) {
-			end = admission.Timely
-		}
+	now := request.engine.now()
+	outcome := admission.Late
+	if kind == DecisionServe && r.metObjective(now, request.runTime(now)) {
+		outcome = admission.Timely
 	}
-	r.release(now, end)
+	r.release(now, outcome)
+}
+
+// metObjective tells whether an answer at this moment meets the latency objective of the class, which grows with the time that the job
+// itself took.
+func (r *reservation) metObjective(now, runTime dispatch.Time) bool {
+	objective := float64(r.class.LatencyObjective) + r.class.ObjectiveStretch*float64(runTime)
+	return float64(now-r.arrivedAt) <= objective
 }
--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -8,54 +8,76 @@
 	"birchfork/dispatch"
 )
 
-// Counters count what comes in, what goes out and how it ends. Every field may be read and changed at any time.
+// Counters count what comes in, what goes out and how it ends. The packages that speak the protocols count here too. All fields are
+// atomic, and may be read and changed at any time. Fields gives the names that operators read.
 type Counters struct {
-	Accepted               atomic.Int64 // requests that reached the module
-	Served, Shed, Failed   atomic.Int64 // final answers that the module decided on
-	ClientsGone            atomic.Int64 // clients that went first
-	ClientsGoneEarly       atomic.Int64 // ... before we came to read their request: it was not taken
-	BadRequests            atomic.Int64 // answered 4xx: the sum of the next
-	BadHeaders             atomic.Int64 // ... headers that are missing or make no sense
-	BadFraming             atomic.Int64 // ... lengths given in two ways, or shorter than what came
-	BadSizes               atomic.Int64 // ... bodies over the limit
-	BadBodies              atomic.Int64 // ... bodies that did not come whole
-	BadClasses, BadMethods atomic.Int64
-	BadIDs                 atomic.Int64 // ... ids that are open or were of late
-	RejectedByWorkers      atomic.Int64 // ... that a worker could not use
-	Unreadable             atomic.Int64 // connections that ended within a request, by an error of net/http's or a close
-	RejectedOverLimit      atomic.Int64 // answered 503 before the module: a limit was reached
-	OutlierReports         atomic.Int64 // that jobs fail at a worker, from others of the group
-	Overdue                atomic.Int64 // answered by the front, as the module had not in time or we had to stop
-	WriteFailures          atomic.Int64 // answers that could not be written whole
-
-	AttemptsSent atomic.Int64 // attempts ordered
-	Outcomes     [dispatch.ResultUnknown + 1]atomic.Int64
-
-	Dials, ReusedConns     atomic.Int64 // connections to workers: set up, used again
-	StaleConns             atomic.Int64 // found closed before they were used again
-	NoFileDescriptor       atomic.Int64 // attempts that found none left
-	ClientConns            atomic.Int64 // connections from clients
-	ClientConnsClosed      atomic.Int64 // closed to keep the limit
-	BadWorkerLines         atomic.Int64
-	MalformedUpdates       atomic.Int64 // malformed lines and entries from discovery
-	EndpointUpdates        atomic.Int64
-	WatchFailures          atomic.Int64
-	DiscoveryBusy          atomic.Int64 // calls for the list that discovery had no room for
-	DiscoveryMoves         atomic.Int64 // lists taken over from another address
-	Reloads                atomic.Int64 // configurations read again ...
-	BadReloads             atomic.Int64 // ... and those not taken, as they made no sense
-	Stalls                 atomic.Int64 // times that the whole process stood still
-	Panics, InvalidActions atomic.Int64 // of the module
-	UnsupportedActions     atomic.Int64 // actions that sockets have no words for
+	// Requests.
+	Accepted          atomic.Int64 // admitted: the decision module decides on them
+	Served            atomic.Int64 // final decisions of the decision module ...
+	Shed              atomic.Int64
+	Failed            atomic.Int64
+	Overdue           atomic.Int64 // answered without one, as their time was up or this process stopped
+	RejectedOverLimit atomic.Int64 // answered 503 before they were admitted: too many requests or connections
+	ClientsGone       atomic.Int64 // their clients went before the answer
+	ClientsGoneEarly  atomic.Int64 // their clients went before the request was read: not admitted
+	WriteFailures     atomic.Int64 // answers that could not be written in full
+	Unreadable        atomic.Int64 // connections that ended within a request, by an error of net/http or a close
+
+	// Requests that were answered 4xx: all of them, and why.
+	BadRequests       atomic.Int64
+	BadHeaders        atomic.Int64 // headers that are missing or invalid
+	BadFraming        atomic.Int64 // lengths given in two ways, or shorter than what came
+	BadSizes          atomic.Int64 // bodies over the limit
+	BadBodies         atomic.Int64 // bodies that did not come in full
+	BadClasses        atomic.Int64 // classes that the settings do not have
+	BadMethods        atomic.Int64
+	BadIDs            atomic.Int64 // ids that are open or were lately
+	RejectedByWorkers atomic.Int64 // requests that a worker could not use
+
+	// Attempts.
+	AttemptsSent   atomic.Int64                             // ordered by the decision module
+	Outcomes       [dispatch.ResultUnknown + 1]atomic.Int64 // by dispatch.Result
+	BadWorkerLines atomic.Int64                             // lines of workers that could not be read
+
+	// Connections.
+	Dials             atomic.Int64 // to workers: opened
+	ReusedConns       atomic.Int64 // to workers: used again
+	StaleConns        atomic.Int64 // to workers: found closed before they were used again
+	NoFileDescriptor  atomic.Int64 // attempts that found no descriptor left
+	ClientConns       atomic.Int64 // from clients
+	ClientConnsClosed atomic.Int64 // from clients: closed to keep the limit
+
+	// Discovery and the group.
+	EndpointUpdates  atomic.Int64
+	MalformedUpdates atomic.Int64 // lists and endpoints that could not be read
+	WatchFailures    atomic.Int64
+	DiscoveryBusy    atomic.Int64 // calls for the list that discovery rejected
+	DiscoveryMoves   atomic.Int64 // lists taken over from another address
+	OutlierReports   atomic.Int64 // from other dispatchers: attempts fail at a worker
+
+	// The process.
+	Reloads            atomic.Int64 // configurations that were read again and are in force
+	BadReloads         atomic.Int64 // configurations that were read again and are invalid
+	Stalls             atomic.Int64 // times that the whole process stood still
+	Panics             atomic.Int64 // of the decision module
+	InvalidActions     atomic.Int64 // of the decision module
+	UnsupportedActions atomic.Int64 // of the decision module: no protocol here can express them
 }
 
-// outcomeNames are the words for outcomes in the log.
+// outcomeNames are the names of outcomes in the log fields.
 var outcomeNames = [...]string{
-	dispatch.ResultOK: "ok", dispatch.ResultFailed: "failed", dispatch.ResultOverloaded: "full", dispatch.ResultTimedOut: "timed_out",
-	dispatch.ResultUnreachable: "unreachable", dispatch.ResultDisconnected: "disconnected", dispatch.ResultCancelled: "cancelled",
-	dispatch.ResultNotSent: "not_sent", dispatch.ResultUnknown: "unknown",
+	dispatch.ResultOK:           "ok",
+	dispatch.ResultFailed:       "failed",
+	dispatch.ResultOverloaded:   "full",
+	dispatch.ResultTimedOut:     "timed_out",
+	dispatch.ResultUnreachable:  "unreachable",
+	dispatch.ResultDisconnected: "disconnected",
+	dispatch.ResultCancelled:    "cancelled",
+	dispatch.ResultNotSent:      "not_sent",
+	dispatch.ResultUnknown:      "unknown",
 }
 
+// recordAnswer counts a final decision of the decision module.
 func (c *Counters) recordAnswer(kind DecisionKind) {
 	switch kind {
 	case DecisionServe:
@@ -67,28 +89,64 @@
 	}
 }
 
+// recordOutcome counts the outcome of an attempt.
 func (c *Counters) recordOutcome(result dispatch.Result) {
 	c.Outcomes[min(result, dispatch.ResultUnknown)].Add(1)
 }
 
-// Fields are all counters under the names that the on-call page uses.
+// Fields returns all counters by the names that operators read in the log, which must not change.
 func (c *Counters) Fields() logrus.Fields {
 	fields := logrus.Fields{}
 	for name, counter := range map[string]*atomic.Int64{
-		"taken": &c.Accepted, "served": &c.Served, "refused": &c.Shed, "failed": &c.Failed, "gone": &c.ClientsGone, "gone_early": &c.ClientsGoneEarly,
-		"bad_requests": &c.BadRequests, "turned_away": &c.RejectedOverLimit, "overdue": &c.Overdue, "warnings": &c.OutlierReports,
-		"bad_heads": &c.BadHeaders, "bad_framing": &c.BadFraming, "bad_sizes": &c.BadSizes, "bad_bodies": &c.BadBodies,
-		"bad_classes": &c.BadClasses, "bad_methods": &c.BadMethods, "bad_ids": &c.BadIDs, "rejected": &c.RejectedByWorkers, "unreadable": &c.Unreadable,
-		"unwritten": &c.WriteFailures, "sent": &c.AttemptsSent, "dials": &c.Dials, "reused": &c.ReusedConns,
-		"stale_conns": &c.StaleConns, "no_descriptor": &c.NoFileDescriptor, "client_conns": &c.ClientConns,
-		"clients_cut": &c.ClientConnsClosed, "bad_runner_lines": &c.BadWorkerLines, "bad_news": &c.MalformedUpdates, "news": &c.EndpointUpdates,
-		"watch_broke": &c.WatchFailures, "list_busy": &c.DiscoveryBusy, "list_moves": &c.DiscoveryMoves, "reloads": &c.Reloads, "bad_reloads": &c.BadReloads,
-		"panics": &c.Panics, "faults": &c.InvalidActions, "unspoken": &c.UnsupportedActions, "stalls": &c.Stalls,
+		"taken":       &c.Accepted,
+		"served":      &c.Served,
+		"refused":     &c.Shed,
+		"failed":      &c.Failed,
+		"overdue":     &c.Overdue,
+		"turned_away": &c.RejectedOverLimit,
+		"gone":        &c.ClientsGone,
+		"gone_early":  &c.ClientsGoneEarly,
+		"unwritten":   &c.WriteFailures,
+		"unreadable":  &c.Unreadable,
+
+		"bad_requests": &c.BadRequests,
+		"bad_heads":    &c.BadHeaders,
+		"bad_framing":  &c.BadFraming,
+		"bad_sizes":    &c.BadSizes,
+		"bad_bodies":   &c.BadBodies,
+		"bad_classes":  &c.BadClasses,
+		"bad_methods":  &c.BadMethods,
+		"bad_ids":      &c.BadIDs,
+		"rejected":     &c.RejectedByWorkers,
+
+		"sent":             &c.AttemptsSent,
+		"bad_runner_lines": &c.BadWorkerLines,
+
+		"dials":         &c.Dials,
+		"reused":        &c.ReusedConns,
+		"stale_conns":   &c.StaleConns,
+		"no_descriptor": &c.NoFileDescriptor,
+		"client_conns":  &c.ClientConns,
+		"clients_cut":   &c.ClientConnsClosed,
+
+		"news":        &c.EndpointUpdates,
+		"bad_news":    &c.MalformedUpdates,
+		"watch_broke": &c.WatchFailures,
+		"list_busy":   &c.DiscoveryBusy,
+		"list_moves":  &c.DiscoveryMoves,
+		"warnings":    &c.OutlierReports,
+
+		"reloads":     &c.Reloads,
+		"bad_reloads": &c.BadReloads,
+		"stalls":      &c.Stalls,
+		"panics":      &c.Panics,
+		"faults":      &c.InvalidActions,
+		"unspoken":    &c.UnsupportedActions,
 	} {
 		fields[name] = counter.Load()
 	}
-	for i, name := range outcomeNames {
-		fields["ended_"+name] = c.Outcomes[i].Load()
+	for result, name := range outcomeNames {
+		fields["ended_"+name] = c.Outcomes[result].Load()
 	}
 	return fields
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,11 +1,15 @@
-// Package engine keeps what one dispatcher holds in memory: the decision module, open requests and their attempts,
-// the view of the worker list, the connections to workers, and the counters. It speaks no protocol: a front brings
-// requests and carries attempts out, and any front can use it.
+// Package engine runs the decision module of one dispatcher. It turns what happens to requests, attempts, workers and timers into
+// events for the module, and carries out the actions that the module answers with.
+//
+// It owns the open requests and their attempts, the endpoint list, the operators' overrides and limits, and what a group of
+// dispatchers has decided about workers. All of that is kept in memory alone and guarded by one lock, Engine.mu. Nothing of it
+// survives a restart; what has to is stored by other packages, which hand it in again.
+//
+// The engine speaks no protocol and opens no connection. Its callers do: a frontend opens requests and carries attempts out, a
+// watcher of discovery updates the endpoints, a coordinator sets the group's restrictions and its lease.
 package engine
 
 import (
-	"fmt"
-	"runtime/debug"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -18,68 +22,83 @@
 	"birchfork/internal/settings"
 )
 
-// maxAttempts bounds the attempts of one request whatever the settings say, so that its orders fit into a channel.
+// maxAttempts bounds the attempts of one request whatever the settings say, so that its decisions fit into a channel.
 const maxAttempts = 64
 
-// Decider is what the store needs of the decision module.
+// Decider is what the engine needs of a decision module. It is called under the engine's lock, so that it needs none of its own.
 type Decider interface {
-	Handle(now dispatch.Time, e *dispatch.Event, out []dispatch.Action) []dispatch.Action
+	// Handle takes one event, appends the actions that follow from it to out and returns them.
+	Handle(now dispatch.Time, event *dispatch.Event, out []dispatch.Action) []dispatch.Action
 }
 
-// Options is all that a Store is made of.
+// Options configure an Engine.
 type Options struct {
 	Settings dispatch.Settings
-	Names    *settings.NameTable
-	Seed     uint64
-	MaxOpen  int // requests held open at a time; 0: no limit
+	Names    *settings.NameTable // the names that Settings were decoded with; the engine owns them from now on
+	Seed     uint64              // of the decision module's random numbers
+	MaxOpen  int                 // requests that may be open at a time; 0: no limit
 	Log      logrus.FieldLogger
-	Decider  Decider // nil: the decision module; the lab's baselines stand in its place
+	Decider  Decider // in place of the decision module of Settings and Seed, as a baseline or in tests; nil: that module
 }
 
-// Engine is the one owner of the decision module. Its lock is held round every call of the module, and round the ids,
-// the timer and the list that go with it.
+// Engine runs one decision module. Its methods are safe for concurrent use, and so are those of its requests and attempts.
 type Engine struct {
+	// Counters are atomic, and may be read and changed without the lock.
 	Counters Counters
 
-	log         logrus.FieldLogger
-	maxOpen     int
-	maxAttempts int
-
-	mu            sync.Mutex
-	decider       Decider
-	names         *settings.NameTable
-	requests      []*Request // by id; nil where the id is free
-	openRequests  int        // requests that are owed an answer
-	recentIDs     recentIDs  // their ids, and those of requests before them
-	workers       []workerState
-	listVersion   uint64        // the list's version, as discovery told it
-	revision      uint64        // our own count of the list's news: what the module takes for its version
-	synced        bool          // the list has been told since our start
-	watchingSince time.Time     // since when the watch on it stands; zero: it does not
-	origin        time.Time     // our start ...
-	epoch         dispatch.Time // ... and what the module's clock read then
-	timer         *time.Timer
-	timerDue      dispatch.Time // when the timer is due, 0: not set
-	actions       []dispatch.Action
-	admitter      *admitter // nil: the operator has set no limits
-
-	lastHeartbeat time.Time // when the process last showed that it runs; zero: nobody tells
+	// leaseInUse tells whether some worker may be sent to under the lease only. It is written under mu and read without it.
+	leaseInUse atomic.Bool
+
+	log logrus.FieldLogger // does not change
+
+	// mu guards all fields below, and the fields of each Request and Attempt that change. It is held while the decision module
+	// handles an event and while its actions are carried out, so that events reach the module one at a time and in the order
+	// of their times. No I/O is done and no other lock of this package is taken under it; the callbacks onEndpointRetired and
+	// onOutlier are called under it, and must not call back.
+	mu sync.Mutex
+
+	decider Decider
+	actions []dispatch.Action // the decider's last answer; kept for its memory
+
+	// The clock and the timer: see clock.go.
+	origin   time.Time     // the start of this engine ...
+	epoch    dispatch.Time // ... and what the decision module's clock read then
+	timer    *time.Timer
+	timerDue dispatch.Time // when the timer is due; 0: it is not set
+
+	// Requests: see request.go.
+	names        *settings.NameTable
+	maxOpen      int
+	maxAttempts  int
+	requests     []*Request // by id; nil where the id is free
+	openRequests int        // requests that are owed an answer
+	recentIDs    recentIDs
+	admitter     *admitter // nil: the operator has set no limits
+
+	// Workers: see worker.go for the states, endpoints.go for the list.
+	workers           []workerState // by id
+	listVersion       uint64        // the list's version by discovery's count
+	revision          uint64        // updates of the list: its version by our own count, which the decision module is told
+	synced            bool          // discovery has told the list since our start
+	watchingSince     time.Time     // since when the watch on discovery has stood; zero: it does not
+	onEndpointRetired func(RetiredEndpoint)
+	onOutlier         func(worker string) // nil: nobody listens
+
+	// Stalls of the process: see heartbeat.go.
+	lastHeartbeat time.Time // zero: no heartbeat has come, and stalls are not looked for
 	pausedUntil   time.Time // nothing is sent before: a stall has just ended
 
-	restrictions       Restrictions // the group's settled word
-	onOutlier          func(worker string)
-	leasedWorkers      []dispatch.WorkerID // workers of plans under way
-	maintenanceWorkers []dispatch.WorkerID // ... and those that are taken out
-	leaseExpiry        time.Time           // of the group's lease
-	maxAttemptDuration time.Duration       // an attempt ends so long after it was ordered, at the latest; 0: no bound
-	leaseInUse         atomic.Bool         // some worker may be sent to under the lease only: read without the lock
-	plansUnknown       bool                // nothing is sent anywhere without the lease
-	anyWithoutLease    bool                // some worker is left out for want of the lease
-
-	onEndpointRetired func(w RetiredEndpoint)
+	// What the group has decided: see restrictions.go and lease.go.
+	restrictions       Restrictions
+	maintenanceWorkers []dispatch.WorkerID // those that the restrictions take out ...
+	leasedWorkers      []dispatch.WorkerID // ... and those that may be sent to under the lease only
+	maxAttemptDuration time.Duration       // of attempts that begin from now on; 0: no bound
+	leaseExpiry        time.Time
+	plansUnknown       bool // the group's plans are not known, so that all workers count as leased
+	anyWithoutLease    bool // some worker is excluded for want of the lease
 }
 
-// New returns a Store with a module that knows no worker yet.
+// New returns an Engine that knows no worker yet. It fails where the decision module does not take the settings. Close stops it.
 func New(options Options) (*Engine, error) {
 	options.Settings.MaxAttempts = min(options.Settings.MaxAttempts, maxAttempts)
 	decider := options.Decider
@@ -91,8 +110,13 @@
 		decider = dispatcher
 	}
 	engine := &Engine{
-		log: options.Log, maxOpen: options.MaxOpen, maxAttempts: options.Settings.MaxAttempts,
-		decider: decider, names: options.Names, origin: time.Now(), onEndpointRetired: func(RetiredEndpoint) {},
+		log:               options.Log,
+		decider:           decider,
+		origin:            time.Now(),
+		names:             options.Names,
+		maxOpen:           options.MaxOpen,
+		maxAttempts:       options.Settings.MaxAttempts,
+		onEndpointRetired: func(RetiredEndpoint) {},
 	}
 	engine.epoch = dispatch.Time(engine.origin.UnixMicro())
 	engine.timer = time.AfterFunc(time.Hour, engine.timerFired)
@@ -100,17 +124,17 @@
 	return engine, nil
 }
 
-// Reconfiguration is all that other settings bring.
+// Reconfiguration is what changes with a reload of the configuration.
 type Reconfiguration struct {
 	Settings dispatch.Settings
-	Names    *settings.NameTable // of the settings alone; the Store's own keep workers and requests
+	Names    *settings.NameTable // the names that Settings were decoded with, and no others; the engine's own keep workers and requests
 	MaxOpen  int
-	Routes   *routes.Table // nil: the operator has no file
+	Routes   *routes.Table // nil: the operator has no file, and the limits stay as they are
 	Limits   admission.Config
 }
 
-// Reconfigure takes other settings over, which are to be checked: all of them, for requests that come from now on. What is open
-// keeps its class. What the settings of a connection are, a front and a pool are told by others.
+// Reconfigure puts settings in force, which the caller has checked, for requests that come from now on. Open requests keep the class
+// that they came with. Connections are not the engine's: those who own them have to be told by themselves.
 func (e *Engine) Reconfigure(change Reconfiguration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -118,116 +142,24 @@
 	newSettings.MaxAttempts = min(newSettings.MaxAttempts, maxAttempts)
 	event := dispatch.Event{Kind: dispatch.SettingsChanged, Settings: &newSettings}
 	event.OldClasses, event.OldTenants = e.names.Adopt(change.Names, &newSettings)
-	e.maxAttempts, e.maxOpen = newSettings.MaxAttempts, change.MaxOpen
+	e.maxAttempts = newSettings.MaxAttempts
+	e.maxOpen = change.MaxOpen
 	if change.Routes != nil {
 		e.setLimits(change.Routes, change.Limits, newSettings.Classes)
 	}
 	e.handle(e.now(), &event)
 }
 
-// Close stops the timer. Nothing may be opened afterwards.
+// Close stops the timer. No request may be opened afterwards.
 func (e *Engine) Close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.timer.Stop()
 }
 
-// OpenRequests is how many requests are owed an answer.
+// OpenRequests returns how many requests are owed an answer.
 func (e *Engine) OpenRequests() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.openRequests
 }
-
-// now is the module's clock: the wall clock at our start, from where it goes on monotonically, so that a step of the
-// wall clock moves no deadline.
-func (e *Engine) now() dispatch.Time { return e.at(time.Now()) }
-
-func (e *Engine) at(t time.Time) dispatch.Time {
-	return e.epoch + dispatch.Time(t.Sub(e.origin).Microseconds())
-}
-
-// handle lets the module decide on one event and carries its actions out. The lock is held.
-func (e *Engine) handle(now dispatch.Time, event *dispatch.Event) {
-	e.decide(now, event)
-	for i := range e.actions {
-		e.execute(now, &e.actions[i])
-	}
-}
-
-// decide guards the process against a panic in the module: one decision is lost, and the deadline of the request that
-// it was for answers it.
-func (e *Engine) decide(now dispatch.Time, event *dispatch.Event) {
-	defer func() {
-		if cause := recover(); cause != nil {
-			e.actions = e.actions[:0]
-			e.Counters.Panics.Add(1)
-			e.log.WithField("stack", string(debug.Stack())).Errorf("the module broke on event kind %d: %v", event.Kind, cause)
-		}
-	}()
-	e.actions = e.decider.Handle(now, event, e.actions[:0])
-}
-
-func (e *Engine) execute(now dispatch.Time, action *dispatch.Action) {
-	switch action.Kind {
-	case dispatch.SetTimer:
-		e.setTimer(now, now+max(action.Wait, 0))
-		return
-	case dispatch.Send, dispatch.Cancel, dispatch.Reject, dispatch.Fail:
-	default: // nothing else can be spoken on sockets yet; the settings that we give the module ask for none of it
-		e.Counters.UnsupportedActions.Add(1)
-		return
-	}
-	var request *Request
-	if int(action.Request) < len(e.requests) {
-		request = e.requests[action.Request]
-	}
-	if request == nil {
-		e.reportInvalidAction(fmt.Sprintf("action kind %d for request %d, which nobody knows", action.Kind, action.Request))
-		return
-	}
-	switch action.Kind {
-	case dispatch.Send:
-		if request.finished || len(request.attempts) >= min(request.maxAttempts, e.maxAttempts) {
-			e.reportInvalidAction("a send for a request that has ended")
-			return
-		}
-		request.startAttempt(now, action)
-	case dispatch.Cancel:
-		if action.Attempt >= 0 && action.Attempt < len(request.attempts) {
-			request.attempts[action.Attempt].cancel(errCancelled)
-		}
-	case dispatch.Reject:
-		request.respond(Decision{Kind: DecisionShed, RetryAfter: time.Duration(action.Wait) * time.Microsecond})
-	case dispatch.Fail:
-		request.respond(Decision{Kind: DecisionFail})
-	}
-}
-
-// reportInvalidAction notes an action that makes no sense; it is not carried out.
-func (e *Engine) reportInvalidAction(description string) {
-	e.Counters.InvalidActions.Add(1)
-	e.log.Error("the module ordered nonsense: ", description)
-}
-
-// setTimer sets the one timer. The module asks for a further one only where it is due earlier.
-func (e *Engine) setTimer(now, due dispatch.Time) {
-	if e.timerDue != 0 && e.timerDue <= due {
-		return
-	}
-	e.timerDue = due
-	e.timer.Reset(time.Duration(due-now) * time.Microsecond)
-}
-
-func (e *Engine) timerFired() {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.timerDue == 0 {
-		return
-	}
-	// Guards against a clock that reads a little less than the timer waited: the module would take the event for one
-	// that came too early and never ask for a timer again.
-	now := max(e.now(), e.timerDue)
-	e.timerDue = 0
-	e.handle(now, &dispatch.Event{Kind: dispatch.TimerFired})
-}
--- a/internal/engine/recentids.go
+++ b/internal/engine/recentids.go
@@ -1,20 +1,24 @@
 package engine
 
-// recentIDsPerGeneration is how many ids are remembered at the least; twice as many at the most.
+// recentIDsPerGeneration is how many ids are remembered at the least; twice as many are at the most.
 const recentIDsPerGeneration = 4096
 
-// recentIDs remembers the newest ids: in two halves, of which the older is dropped when the newer is full.
+// recentIDs remembers the newest ids in two generations: the previous one is dropped when the current one is full. The zero recentIDs
+// has none.
 type recentIDs struct{ current, previous map[string]struct{} }
 
+// contains tells whether an id is remembered.
 func (r *recentIDs) contains(id string) bool {
 	_, inCurrent := r.current[id]
 	_, inPrevious := r.previous[id]
 	return inCurrent || inPrevious
 }
 
+// add remembers an id.
 func (r *recentIDs) add(id string) {
 	if r.current == nil || len(r.current) >= recentIDsPerGeneration {
-		r.current, r.previous = make(map[string]struct{}), r.current
+		r.previous = r.current
+		r.current = make(map[string]struct{})
 	}
 	r.current[id] = struct{}{}
 }
