--- /dev/null
+++ b/internal/engine/helpers_test.go
@@ -0,0 +1,91 @@
+package engine
+
+import (
+	"io"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"birchfork/dispatch"
+	"birchfork/internal/settings"
+)
+
+// scriptedDecider is a module that notes its events and answers them as a test says.
+type scriptedDecider struct {
+	events  []dispatch.Event
+	times   []dispatch.Time
+	respond func(e *dispatch.Event) []dispatch.Action
+}
+
+func (d *scriptedDecider) Handle(now dispatch.Time, event *dispatch.Event, out []dispatch.Action) []dispatch.Action {
+	d.events, d.times = append(d.events, *event), append(d.times, now)
+	if d.respond == nil {
+		return out
+	}
+	return append(out, d.respond(event)...)
+}
+
+// eventsOf are the events of one kind.
+func (d *scriptedDecider) eventsOf(kind dispatch.EventKind) (events []dispatch.Event) {
+	for _, event := range d.events {
+		if event.Kind == kind {
+			events = append(events, event)
+		}
+	}
+	return events
+}
+
+const basicSettings = `{"classes":[{"name":"search","deadline":5,"aim":0.4,"effect":"free"}],"zones":["a"],"zone":"a",
+	"machine_types":["big"],"customers":[{"name":"acme","quota_rps":9}],"policy_limits":{"attempts_cap":3}}`
+
+func decodeSettings(t *testing.T, settingsJSON string) (dispatch.Settings, *settings.NameTable) {
+	t.Helper()
+	names := settings.NewNameTable()
+	decoded, _, err := settings.DecodeJSON([]byte(settingsJSON), names)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return decoded, names
+}
+
+func newEngine(t *testing.T, decider *scriptedDecider) *Engine {
+	t.Helper()
+	decoded, names := decodeSettings(t, basicSettings)
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	engine, err := New(Options{Settings: decoded, Names: names, Seed: 1, MaxOpen: 2, Log: log})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if decider != nil {
+		engine.decider = decider
+	}
+	t.Cleanup(engine.Close)
+	return engine
+}
+
+func specOf(id string) RequestSpec {
+	return RequestSpec{ID: id, Class: "search", Tenant: "acme", TimeLeft: 5 * time.Second, Slots: 1}
+}
+
+func listWith(state dispatch.WorkerState, address string, startedAtMillis int64) EndpointList {
+	return EndpointList{Version: 1, Endpoints: []Endpoint{{Name: "w", Address: address, Zone: "a", Kind: "big", State: state, StartedAtMillis: startedAtMillis}}}
+}
+
+// sendToFirstWorker answers every arrival with one attempt at worker 0.
+func sendToFirstWorker(event *dispatch.Event) []dispatch.Action {
+	if event.Kind == dispatch.RequestArrived {
+		return []dispatch.Action{{Kind: dispatch.Send, Request: event.Request}}
+	}
+	return nil
+}
+
+func mustOpen(t *testing.T, engine *Engine, id string) *Request {
+	t.Helper()
+	request, err := engine.Open(specOf(id))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return request
+}
--- /dev/null
+++ b/internal/engine/lease_test.go
@@ -0,0 +1,104 @@
+package engine
+
+import (
+	"testing"
+	"time"
+
+	"birchfork/dispatch"
+)
+
+// The group's word and its lease, right before the first byte, whatever the module has ordered before.
+func TestMaySend_FollowsRestrictionsAndLease(t *testing.T) {
+	decider := &scriptedDecider{respond: sendToFirstWorker}
+	engine := newEngine(t, decider)
+	engine.UpdateEndpoints(listWith(dispatch.Ready, "a:1", 0))
+	name := listWith(dispatch.Ready, "a:1", 0).Endpoints[0].Name
+	all := map[string]bool{name: true}
+	newAttempt := func(id string) *Attempt { return (<-mustOpen(t, engine, id).Decisions()).Attempt }
+	check := func(what string, attempt *Attempt, maySend, needsLease bool) {
+		t.Helper()
+		if attempt.MaySend() != maySend || attempt.NeedsLease() != needsLease {
+			t.Errorf("%s: clear %t, leased %t", what, attempt.MaySend(), attempt.NeedsLease())
+		}
+	}
+	attempt := newAttempt("a")
+	check("no group", attempt, true, false)
+	engine.SetRestrictions(Restrictions{LeasedWorkers: all})
+	check("no lease", attempt, false, true)
+	if events := decider.eventsOf(dispatch.WorkerDisabled); len(events) != 1 {
+		t.Errorf("the module was told %d times that it may not send there", len(events))
+	}
+	engine.SetLeaseExpiry(time.Now().Add(time.Hour))
+	check("a lease", attempt, true, true)
+	engine.SetLeaseExpiry(time.Now().Add(-time.Nanosecond))
+	check("a lease that has run out", attempt, false, true)
+	engine.SetLeaseExpiry(time.Now().Add(time.Hour))
+	engine.SetRestrictions(Restrictions{LeasedWorkers: all, MaintenanceWorkers: all})
+	check("taken out", attempt, false, true)
+	engine.SetRestrictions(Restrictions{LeasedWorkers: all})
+	check("back, and ordered before it was out", attempt, false, true)
+	later := newAttempt("b")
+	check("ordered since", later, true, true)
+	engine.SetRestrictions(Restrictions{})
+	check("the plan is through", later, true, false)
+	engine.SetPlansUnknown(true)
+	engine.SetLeaseExpiry(time.Time{})
+	check("nothing is known of plans", later, false, true)
+	if available, _ := engine.Ready(); available {
+		t.Error("ready without a worker that it may use")
+	}
+	engine.SetPlansUnknown(false)
+	check("they are", later, true, false)
+}
+
+// A worker that was out for want of a lease alone is as cold as its list says; one that was put back is cold from then.
+func TestSetLeaseExpiry_KeepsStartTimes(t *testing.T) {
+	for _, c := range []struct {
+		name           string
+		started        time.Duration // the list's start, ago
+		overridden     bool          // by hand, while there is no lease
+		minAge, maxAge time.Duration
+	}{
+		{"started lately", 3 * time.Second, false, 2 * time.Second, 4 * time.Second},
+		{"put back meanwhile", time.Hour, true, 0, time.Second},
+		{"started long ago", time.Hour, false, 59 * time.Minute, 61 * time.Minute},
+	} {
+		decider := &scriptedDecider{}
+		engine := newEngine(t, decider)
+		list := listWith(dispatch.Ready, "a:1", time.Now().Add(-c.started).UnixMilli())
+		engine.UpdateEndpoints(list)
+		name := list.Endpoints[0].Name
+		engine.SetRestrictions(Restrictions{LeasedWorkers: map[string]bool{name: true}})
+		if c.overridden {
+			engine.ApplyOverrides(map[string]Override{name: {Disabled: true, At: time.Now().Add(-time.Second)}})
+			engine.ApplyOverrides(map[string]Override{name: {At: time.Now()}})
+		}
+		engine.SetLeaseExpiry(time.Now().Add(time.Hour))
+		events := decider.eventsOf(dispatch.WorkerEnabled)
+		if len(events) != 1 {
+			t.Fatalf("%s: put back %d times", c.name, len(events))
+		}
+		if age := time.Duration(events[0].Elapsed) * time.Microsecond; age < c.minAge || age > c.maxAge {
+			t.Errorf("%s: counts as started %v ago", c.name, age)
+		}
+	}
+}
+
+// Where nothing is known of plans the module hears that it may not use a worker before it hears of the worker; and that a
+// lease has run out though nobody says so.
+func TestSetLeaseExpiry_TellsDecider(t *testing.T) {
+	decider := &scriptedDecider{}
+	engine := newEngine(t, decider)
+	engine.SetPlansUnknown(true)
+	engine.UpdateEndpoints(listWith(dispatch.Ready, "a:1", 0))
+	if len(decider.events) < 2 || decider.events[0].Kind != dispatch.WorkerDisabled || decider.events[1].Kind != dispatch.EndpointUpdate {
+		t.Errorf("it heard %+v", decider.events)
+	}
+	engine.SetLeaseExpiry(time.Now().Add(2 * time.Millisecond))
+	before := len(decider.eventsOf(dispatch.WorkerDisabled))
+	time.Sleep(3 * time.Millisecond)
+	engine.Heartbeat()
+	if n := len(decider.eventsOf(dispatch.WorkerDisabled)); n != before+1 {
+		t.Errorf("told %d times of a lease that has run out", n-before)
+	}
+}
--- a/internal/engine/overrides_test.go
+++ b/internal/engine/overrides_test.go
@@ -12,6 +12,7 @@
 func disabled(name string, at time.Time) map[string]Override {
 	return map[string]Override{name: {Disabled: true, At: at}}
 }
+
 func enabled(name string, at time.Time) map[string]Override {
 	return map[string]Override{name: {At: at}}
 }
@@ -82,42 +83,3 @@
 		}
 	})
 }
-
-func TestKnowsWorker_ListedOrDisabled(t *testing.T) {
-	engine := newEngine(t, &scriptedDecider{})
-	if engine.KnowsWorker("w") || engine.KnowsWorker("v") {
-		t.Fatal("known before any list")
-	}
-	engine.UpdateEndpoints(listWith(dispatch.Gone, "a:1", 0))
-	engine.ApplyOverrides(disabled("v", time.Now()))
-	if !engine.KnowsWorker("w") || !engine.KnowsWorker("v") || engine.KnowsWorker("") {
-		t.Fatal("not known")
-	}
-}
-
-// A worker that others know to have come further gets nothing until it is let in again, and is as warm then as the list has it. Its
-// latest start counts, also where the word that it leaves has none.
-func TestExcludeOutdated(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		decider := &scriptedDecider{respond: sendToFirstWorker}
-		engine := newEngine(t, decider)
-		began := time.Now()
-		engine.UpdateEndpoints(listWith(dispatch.Ready, "a:1", began.UnixMilli()))
-		attempt := (<-mustOpen(t, engine, "a").Decisions()).Attempt
-		engine.ExcludeOutdated([]string{"w", "unknown"})
-		if available, _ := engine.Ready(); available || attempt.MaySend() || engine.KnowsWorker("unknown") {
-			t.Fatal("it is in use still, or a name from another was taken for a worker's")
-		}
-		attempt.Finish(dispatch.ResultNotSent, nil)
-		time.Sleep(time.Second)
-		engine.ExcludeOutdated(nil)
-		engine.ExcludeOutdated(nil)
-		if included := decider.eventsOf(dispatch.WorkerEnabled); len(included) != 1 || included[0].Elapsed != dispatch.Second {
-			t.Fatalf("put back: %+v", included)
-		}
-		engine.UpdateEndpoints(listWith(dispatch.Draining, "a:1", 0))
-		if workers, synced := engine.ListedWorkers(time.Hour); !synced || len(workers) != 1 || workers[0] != (ListedWorker{"w", began.UnixMilli(), dispatch.Draining}) {
-			t.Fatalf("%+v", workers)
-		}
-	})
-}
--- /dev/null
+++ b/internal/engine/recentids_test.go
@@ -0,0 +1,23 @@
+package engine
+
+import (
+	"fmt"
+	"testing"
+)
+
+// The id of a request that has ended does not open another: it would be a second effect, and a stranger may know it.
+func TestOpen_RejectsRecentID(t *testing.T) {
+	engine := newEngine(t, &scriptedDecider{})
+	engine.maxOpen = 0
+	for i := range 3*recentIDsPerGeneration + 1 {
+		mustOpen(t, engine, fmt.Sprint(i)).Close()
+	}
+	for _, i := range []int{3 * recentIDsPerGeneration, 2 * recentIDsPerGeneration} {
+		if _, err := engine.Open(specOf(fmt.Sprint(i))); err != ErrDuplicateID {
+			t.Errorf("the id of %d, which has ended: %v", i, err)
+		}
+	}
+	if n := len(engine.recentIDs.current) + len(engine.recentIDs.previous); n > 2*recentIDsPerGeneration {
+		t.Errorf("%d ids are kept", n)
+	}
+}
--- /dev/null
+++ b/internal/engine/request_test.go
@@ -0,0 +1,181 @@
+package engine
+
+import (
+	"testing"
+	"time"
+
+	"birchfork/dispatch"
+)
+
+func TestOpen_RejectsBeforeDecider(t *testing.T) {
+	decider := &scriptedDecider{}
+	engine := newEngine(t, decider)
+	for _, c := range []struct {
+		change func(*RequestSpec)
+		want   error
+	}{
+		{func(spec *RequestSpec) { spec.Class = "other" }, ErrUnknownClass},
+		{func(spec *RequestSpec) { spec.Tenant = "other" }, ErrUnknownTenant},
+	} {
+		spec := specOf("x")
+		c.change(&spec)
+		if _, err := engine.Open(spec); err != c.want {
+			t.Errorf("%+v: %v, want %v", spec, err, c.want)
+		}
+	}
+	mustOpen(t, engine, "a")
+	if _, err := engine.Open(specOf("a")); err != ErrDuplicateID {
+		t.Errorf("a second request of the same id: %v", err)
+	}
+	mustOpen(t, engine, "b")
+	if _, err := engine.Open(specOf("c")); err != ErrTooManyOpen {
+		t.Errorf("a request over the limit: %v", err)
+	}
+	if n := len(decider.eventsOf(dispatch.RequestArrived)); n != 2 {
+		t.Fatalf("%d requests reached the module, want 2", n)
+	}
+}
+
+func TestRequest_ServedOnceAndIDFreed(t *testing.T) {
+	decider := &scriptedDecider{respond: sendToFirstWorker}
+	engine := newEngine(t, decider)
+	engine.UpdateEndpoints(listWith(dispatch.Ready, "127.0.0.1:1", 0))
+	request := mustOpen(t, engine, "a")
+	attempt := (<-request.Decisions()).Attempt
+	attempt.ReportStarted()
+	attempt.ReportProgress(0.5)
+	attempt.Finish(dispatch.ResultOK, []byte("x"))
+	attempt.Finish(dispatch.ResultFailed, nil) // only the first end counts
+	decision := <-request.Decisions()
+	if decision.Kind != DecisionServe || string(decision.Result) != "x" {
+		t.Fatalf("order %+v", decision)
+	}
+	request.Close()
+	ends := decider.eventsOf(dispatch.AttemptEnded)
+	if len(ends) != 1 || !ends[0].Final || ends[0].Result != dispatch.ResultOK {
+		t.Fatalf("ends %+v", ends)
+	}
+	if len(decider.eventsOf(dispatch.RequestAbandoned)) != 0 || len(decider.eventsOf(dispatch.AttemptStarted)) != 1 || decider.eventsOf(dispatch.AttemptProgressed)[0].Progress != 0.5 {
+		t.Fatalf("events %+v", decider.events)
+	}
+	if got := mustOpen(t, engine, "b"); got.id != request.id {
+		t.Fatalf("the id %d was not used again, but %d", request.id, got.id)
+	}
+}
+
+// A request whose client has gone may have an order that no front will take any more: the attempt must end, or the
+// module counts its slot as used for ever.
+func TestClose_EndsUntakenAttempt(t *testing.T) {
+	decider := &scriptedDecider{respond: sendToFirstWorker}
+	engine := newEngine(t, decider)
+	engine.UpdateEndpoints(listWith(dispatch.Ready, "127.0.0.1:1", 0))
+	request := mustOpen(t, engine, "a")
+	request.Close()
+	request.Close()
+	if n := len(decider.eventsOf(dispatch.RequestAbandoned)); n != 1 {
+		t.Fatalf("the client went %d times", n)
+	}
+	ends := decider.eventsOf(dispatch.AttemptEnded)
+	if len(ends) != 1 || ends[0].Result != dispatch.ResultNotSent || !ends[0].Final {
+		t.Fatalf("ends %+v", ends)
+	}
+	if engine.requests[request.id] != nil || engine.OpenRequests() != 0 {
+		t.Fatal("the request is still kept")
+	}
+}
+
+// A request whose time is up fails, unless the module's answer has just come.
+func TestAbort_PrefersDeciderAnswer(t *testing.T) {
+	decider := &scriptedDecider{respond: sendToFirstWorker}
+	engine := newEngine(t, decider)
+	engine.UpdateEndpoints(listWith(dispatch.Ready, "127.0.0.1:1", 0))
+	request := mustOpen(t, engine, "a")
+	(<-request.Decisions()).Attempt.Finish(dispatch.ResultOK, []byte("x"))
+	if decision := request.Abort(); decision.Kind != DecisionServe || string(decision.Result) != "x" {
+		t.Fatalf("order %+v", decision)
+	}
+	request.Close()
+	request = mustOpen(t, engine, "b") // its attempt is ordered, and nobody takes the order: it never ran
+	if decision := request.Abort(); decision.Kind != DecisionShed {
+		t.Fatalf("order %+v", decision)
+	}
+	request.Close()
+	counters := &engine.Counters
+	if counters.Served.Load() != 1 || counters.Overdue.Load() != 1 || counters.ClientsGone.Load() != 0 || len(decider.eventsOf(dispatch.RequestAbandoned)) != 1 {
+		t.Fatal(counters.Fields())
+	}
+	if events := decider.eventsOf(dispatch.AttemptEnded); len(events) != 2 || events[1].Result != dispatch.ResultNotSent || engine.OpenRequests() != 0 {
+		t.Fatalf("ends %+v, %d pending", events, engine.OpenRequests())
+	}
+	for _, c := range []struct {
+		name     string
+		result   dispatch.Result
+		inFlight bool
+		want     DecisionKind
+	}{
+		{"an attempt that is out", 0, true, DecisionFail},
+		{"one that broke off", dispatch.ResultDisconnected, false, DecisionFail},
+		{"one that failed", dispatch.ResultFailed, false, DecisionFail},
+		{"one of an unknown end", dispatch.ResultUnknown, false, DecisionFail},
+		{"one that was turned away", dispatch.ResultOverloaded, false, DecisionShed},
+		{"one that got no connection", dispatch.ResultUnreachable, false, DecisionShed},
+	} {
+		request := mustOpen(t, engine, c.name)
+		attempt := (<-request.Decisions()).Attempt
+		if !c.inFlight {
+			attempt.Finish(c.result, nil)
+		}
+		if decision := request.Abort(); decision.Kind != c.want {
+			t.Errorf("after %s: order %+v", c.name, decision)
+		}
+		request.Close()
+		attempt.Finish(dispatch.ResultTimedOut, nil)
+	}
+}
+
+// Attempts outlive their request; the id must not be used again while one can still name it.
+func TestRequest_KeepsIDWhileAttemptInFlight(t *testing.T) {
+	decider := &scriptedDecider{respond: sendToFirstWorker}
+	engine := newEngine(t, decider)
+	request := mustOpen(t, engine, "a")
+	attempt := (<-request.Decisions()).Attempt
+	request.Close()
+	if next := mustOpen(t, engine, "b"); next.id == request.id {
+		t.Fatal("the id was used again")
+	}
+	attempt.Finish(dispatch.ResultTimedOut, nil)
+	if engine.requests[request.id] != nil {
+		t.Fatal("the request is still kept")
+	}
+}
+
+func TestDecisions_Final(t *testing.T) {
+	for _, c := range []struct {
+		action     dispatch.Action
+		kind       DecisionKind
+		retryAfter time.Duration
+	}{
+		{dispatch.Action{Kind: dispatch.Reject, Wait: 1500 * dispatch.Millisecond}, DecisionShed, 1500 * time.Millisecond},
+		{dispatch.Action{Kind: dispatch.Fail}, DecisionFail, 0},
+	} {
+		decider := &scriptedDecider{respond: func(event *dispatch.Event) []dispatch.Action {
+			action := c.action
+			action.Request = event.Request
+			return []dispatch.Action{action, action, {Kind: dispatch.Send, Request: event.Request}} // nothing may follow a final answer
+		}}
+		engine := newEngine(t, decider)
+		request := mustOpen(t, engine, "a")
+		if decision := <-request.Decisions(); decision.Kind != c.kind || decision.RetryAfter != c.retryAfter {
+			t.Errorf("order %+v, want %v", decision, c.kind)
+		}
+		select {
+		case decision := <-request.Decisions():
+			t.Errorf("a further order %+v", decision)
+		default:
+		}
+		request.Close()
+		if len(decider.eventsOf(dispatch.RequestAbandoned)) != 0 || engine.Counters.AttemptsSent.Load() != 0 || engine.Counters.InvalidActions.Load() == 0 {
+			t.Errorf("events %+v, faults %d", decider.events, engine.Counters.InvalidActions.Load())
+		}
+	}
+}
