--- a/internal/engine/admission_test.go
+++ b/internal/engine/admission_test.go
@@ -10,7 +10,7 @@
 	"birchfork/internal/routes"
 )
 
-// routesOf is one route for the class, and what is left.
+// routesOf returns routes and limits with one route r for the class search, and a rest.
 func routesOf(t *testing.T, route routes.Route) (*routes.Table, admission.Config) {
 	t.Helper()
 	route.Name, route.Admission.Name, route.Match.Class, route.Fallback = "r", "r", "search", -1
@@ -22,13 +22,16 @@
 	return table, admission.Config{Routes: table.AdmissionConfigs()}
 }
 
-// The operator's limit refuses with its reason before the module hears of it, and each way that a request ends gives its
-// place back, once.
+// The operator's limit rejects with its reason before the decision module hears of a request, and each way that a request ends gives back
+// what it holds, once.
 func TestReservation_ReleasedOnceByEveryEnd(t *testing.T) {
 	decider := &scriptedDecider{}
 	engine := newEngine(t, decider)
-	table, c := routesOf(t, routes.Route{Admission: admission.RouteConfig{MaxConcurrent: 1, RetryAfter: 70 * time.Millisecond}, Limits: dispatch.RouteLimits{MaxAttempts: 2}})
-	engine.SetLimits(table, c, []dispatch.Class{{LatencyObjective: dispatch.Second, Deadline: dispatch.Second}})
+	table, config := routesOf(t, routes.Route{
+		Admission: admission.RouteConfig{MaxConcurrent: 1, RetryAfter: 70 * time.Millisecond},
+		Limits:    dispatch.RouteLimits{MaxAttempts: 2},
+	})
+	engine.SetLimits(table, config, []dispatch.Class{{LatencyObjective: dispatch.Second, Deadline: dispatch.Second}})
 	engine.UpdateEndpoints(listWith(dispatch.Ready, "127.0.0.1:9", 0))
 	for i, end := range []func(request *Request){
 		func(request *Request) { request.Close() },
@@ -47,35 +50,38 @@
 		decider.respond = func(event *dispatch.Event) []dispatch.Action {
 			if event.Kind == dispatch.RequestArrived {
 				if event.RouteLimits.MaxAttempts != 2 {
-					t.Errorf("the module is told %+v", event.RouteLimits)
+					t.Errorf("the decision module is told %+v", event.RouteLimits)
 				}
 				return sendToFirstWorker(event)
 			}
 			return nil
 		}
 		request := mustOpen(t, engine, string(rune('a'+2*i)))
-		arrived := len(decider.eventsOf(dispatch.RequestArrived))
+		arrived := decider.count(dispatch.RequestArrived)
 		_, err := engine.Open(specOf(string(rune('b' + 2*i))))
 		var limited *LimitError
-		if !errors.As(err, &limited) || limited.Reason != admission.ConcurrencyExceeded || limited.RetryAfter != 70*time.Millisecond || limited.Route != "r" {
+		if !errors.As(err, &limited) {
 			t.Fatalf("the second request: %v", err)
 		}
-		if len(decider.eventsOf(dispatch.RequestArrived)) != arrived {
-			t.Error("the module heard of a request that the limits refused")
+		if want := (LimitError{Reason: admission.ConcurrencyExceeded, Route: "r", RetryAfter: 70 * time.Millisecond}); *limited != want {
+			t.Fatalf("the second request: %+v, want %+v", *limited, want)
+		}
+		if decider.count(dispatch.RequestArrived) != arrived {
+			t.Error("the decision module heard of a request that the limits rejected")
 		}
 		end(request)
-		if f := engine.LimitFields(); f["limit_held"] != 0 {
-			t.Fatalf("end %d left %v places taken", i, f["limit_held"])
+		if fields := engine.LimitFields(); fields["limit_held"] != 0 {
+			t.Fatalf("after end %d, %v requests are held", i, fields["limit_held"])
 		}
 	}
 	request := mustOpen(t, engine, "z")
 	request.reservation.release(engine.now(), admission.Timely)
 	request.Close() // releases again, which counts for nothing
-	if f := engine.LimitFields(); f["limit_held"] != 0 {
-		t.Errorf("%v places are taken after one was given back twice", f["limit_held"])
+	if fields := engine.LimitFields(); fields["limit_held"] != 0 {
+		t.Errorf("%v requests are held after one was released twice", fields["limit_held"])
 	}
-	if f := engine.LimitFields(); f["limit_concurrent"] != int64(4) || f["limit_admitted"] != int64(5) {
-		t.Errorf("counted %v", f)
+	if fields := engine.LimitFields(); fields["limit_concurrent"] != int64(4) || fields["limit_admitted"] != int64(5) {
+		t.Errorf("counted %v", fields)
 	}
 }
 
@@ -84,33 +90,37 @@
 	decider := &scriptedDecider{}
 	engine := newEngine(t, decider)
 	setMaxConcurrent := func(limit int) {
-		table, c := routesOf(t, routes.Route{Admission: admission.RouteConfig{MaxConcurrent: limit}})
-		engine.SetLimits(table, c, []dispatch.Class{{LatencyObjective: dispatch.Second}})
+		table, config := routesOf(t, routes.Route{Admission: admission.RouteConfig{MaxConcurrent: limit}})
+		engine.SetLimits(table, config, []dispatch.Class{{LatencyObjective: dispatch.Second}})
 	}
 	setMaxConcurrent(3)
 	first, second := mustOpen(t, engine, "a"), mustOpen(t, engine, "b")
 	setMaxConcurrent(1)
 	if _, err := engine.Open(specOf("c")); err == nil {
-		t.Fatal("let in over the new limit")
+		t.Fatal("admitted over the new limit")
 	}
 	first.Close()
 	if _, err := engine.Open(specOf("d")); err == nil {
-		t.Fatal("let in at the new limit")
+		t.Fatal("admitted at the new limit")
 	}
 	second.Close()
 	mustOpen(t, engine, "e").Close()
-	if f := engine.LimitFields(); f["limit_held"] != 0 {
-		t.Errorf("%v places are still taken", f["limit_held"])
+	if fields := engine.LimitFields(); fields["limit_held"] != 0 {
+		t.Errorf("%v requests are still held", fields["limit_held"])
 	}
 }
 
-// Where a route has no room a request goes on by its fallback; the first one's reason is told where none has any.
+// Where a route has no room a request goes on by its fallback; where none has any it is rejected with the reason of the first one.
 func TestAdmit_FollowsFallbackRoutes(t *testing.T) {
 	engine := newEngine(t, &scriptedDecider{})
 	engine.maxOpen = 0
 	configured := []routes.Route{
-		{Name: "first", Match: routes.Match{Class: "search", Path: "/"}, Admission: admission.RouteConfig{Name: "first", MaxConcurrent: 1, Priority: admission.MaxPriority}, Fallback: 1},
-		{Name: "second", Match: routes.Match{Class: "search"}, Admission: admission.RouteConfig{Name: "second", RateLimited: true, Rate: 0.001, Burst: 1, Priority: admission.MaxPriority}, Fallback: -1},
+		{Name: "first", Match: routes.Match{Class: "search", Path: "/"}, Fallback: 1, Admission: admission.RouteConfig{
+			Name: "first", MaxConcurrent: 1, Priority: admission.MaxPriority,
+		}},
+		{Name: "second", Match: routes.Match{Class: "search"}, Fallback: -1, Admission: admission.RouteConfig{
+			Name: "second", RateLimited: true, Rate: 0.001, Burst: 1, Priority: admission.MaxPriority,
+		}},
 	}
 	table, err := routes.New(configured, routes.Route{Name: "rest"})
 	if err != nil {
@@ -127,7 +137,8 @@
 	if err := errors.Join(open("a"), open("b")); err != nil {
 		t.Fatal(err)
 	}
-	if err := open("c"); !errors.As(err, &limited) || limited.Route != "first" || limited.Reason != admission.ConcurrencyExceeded {
+	err = open("c")
+	if !errors.As(err, &limited) || limited.Route != "first" || limited.Reason != admission.ConcurrencyExceeded {
 		t.Errorf("with no room anywhere: %v", err)
 	}
 }
--- a/internal/engine/attempt_test.go
+++ b/internal/engine/attempt_test.go
@@ -9,23 +9,27 @@
 	"birchfork/dispatch"
 )
 
+// An attempt is sent only while its worker is the process that it was meant for, its request is open and its time is not up.
 func TestMaySend(t *testing.T) {
 	const address = "127.0.0.1:1"
+	update := func(list EndpointList) func(*Engine, *Request) {
+		return func(engine *Engine, _ *Request) { engine.UpdateEndpoints(list) }
+	}
 	for _, c := range []struct {
 		name    string
 		change  func(engine *Engine, request *Request)
 		maySend bool
 	}{
 		{"nothing", func(*Engine, *Request) {}, true},
-		{"drain", func(engine *Engine, _ *Request) { engine.UpdateEndpoints(listWith(dispatch.Draining, address, 7)) }, false},
-		{"gone", func(engine *Engine, _ *Request) { engine.UpdateEndpoints(listWith(dispatch.Gone, address, 7)) }, false},
-		{"left out of a whole list", func(engine *Engine, _ *Request) { engine.UpdateEndpoints(EndpointList{Version: 2, Snapshot: true}) }, false},
-		{"moved", func(engine *Engine, _ *Request) { engine.UpdateEndpoints(listWith(dispatch.Ready, "127.0.0.1:2", 7)) }, false},
-		{"restarted", func(engine *Engine, _ *Request) { engine.UpdateEndpoints(listWith(dispatch.Ready, address, 8)) }, false},
+		{"drain", update(listWith(dispatch.Draining, address, 7)), false},
+		{"gone", update(listWith(dispatch.Gone, address, 7)), false},
+		{"missing in a snapshot", update(EndpointList{Version: 2, Snapshot: true}), false},
+		{"moved", update(listWith(dispatch.Ready, "127.0.0.1:2", 7)), false},
+		{"restarted", update(listWith(dispatch.Ready, address, 8)), false},
 		{"answered", func(_ *Engine, request *Request) { request.Close() }, false},
 		{"overdue", func(*Engine, *Request) { time.Sleep(6 * time.Second) }, false},
-		{"before the time in which it is dropped is over", func(*Engine, *Request) { time.Sleep(999 * time.Millisecond) }, true},
-		{"after it", func(*Engine, *Request) { time.Sleep(1001 * time.Millisecond) }, false},
+		{"before SendBefore", func(*Engine, *Request) { time.Sleep(999 * time.Millisecond) }, true},
+		{"after SendBefore", func(*Engine, *Request) { time.Sleep(1001 * time.Millisecond) }, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			var engine *Engine
@@ -41,21 +45,28 @@
 			attempt := (<-request.Decisions()).Attempt
 			c.change(engine, request)
 			if got := attempt.MaySend(); got != c.maySend {
-				t.Errorf("%s: clear is %v", c.name, got)
+				t.Errorf("%s: may send is %v", c.name, got)
 			}
 			attempt.Finish(dispatch.ResultNotSent, nil)
 		})
 	}
 }
 
+// The context of an attempt ends when that is cancelled, and when it times out, and no other attempt's does.
 func TestAttempt_ContextEndsByCancelAndTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		decider := &scriptedDecider{respond: func(event *dispatch.Event) []dispatch.Action {
 			switch event.Kind {
 			case dispatch.RequestArrived:
-				return []dispatch.Action{{Kind: dispatch.Send, Request: event.Request, Wait: dispatch.Second}, {Kind: dispatch.Send, Request: event.Request}}
+				return []dispatch.Action{
+					{Kind: dispatch.Send, Request: event.Request, Wait: dispatch.Second},
+					{Kind: dispatch.Send, Request: event.Request},
+				}
 			case dispatch.AttemptStarted:
-				return []dispatch.Action{{Kind: dispatch.Cancel, Request: event.Request, Attempt: 1}, {Kind: dispatch.Cancel, Request: event.Request, Attempt: 9}}
+				return []dispatch.Action{
+					{Kind: dispatch.Cancel, Request: event.Request, Attempt: 1},
+					{Kind: dispatch.Cancel, Request: event.Request, Attempt: 9},
+				}
 			}
 			return nil
 		}}
@@ -76,7 +87,7 @@
 	})
 }
 
-// What a worker cannot use is the request's own fault: it ends at once, and the module learns nothing of the worker.
+// What a worker cannot use is the request's own fault: it ends at once, and the decision module learns nothing of the worker.
 func TestReportInvalidRequest_BlamesNoWorker(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
@@ -84,10 +95,11 @@
 	request := mustOpen(t, engine, "a")
 	(<-request.Decisions()).Attempt.ReportInvalidRequest()
 	if decision := <-request.Decisions(); decision.Kind != DecisionInvalid {
-		t.Fatalf("order %+v", decision)
+		t.Fatalf("decision %+v", decision)
 	}
 	request.Close()
-	if events := decider.eventsOf(dispatch.AttemptEnded); len(events) != 1 || events[0].Result != dispatch.ResultNotSent || !events[0].Final || len(decider.eventsOf(dispatch.RequestAbandoned)) != 1 {
+	ends := decider.eventsOf(dispatch.AttemptEnded)
+	if len(ends) != 1 || ends[0].Result != dispatch.ResultNotSent || !ends[0].Final || decider.count(dispatch.RequestAbandoned) != 1 {
 		t.Fatalf("events %+v", decider.events)
 	}
 	if engine.OpenRequests() != 0 || engine.requests[request.id] != nil || engine.Counters.ClientsGone.Load() != 0 {
@@ -95,13 +107,15 @@
 	}
 }
 
-// A client's time does not stretch an attempt over what the group waits for, and a shorter one counts.
+// An attempt ends with its request, and after the longest duration that the group allows if that is earlier.
 func TestSetMaxAttemptDuration_BoundsDeadline(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
 	engine.UpdateEndpoints(listWith(dispatch.Ready, "a:1", 0))
 	for i, c := range []struct{ timeLeft, bound, want time.Duration }{
-		{time.Hour, 0, time.Hour}, {time.Hour, time.Minute, time.Minute}, {time.Second, time.Minute, time.Second},
+		{time.Hour, 0, time.Hour},
+		{time.Hour, time.Minute, time.Minute},
+		{time.Second, time.Minute, time.Second},
 	} {
 		engine.SetMaxAttemptDuration(c.bound)
 		spec := specOf(fmt.Sprint(i))
--- a/internal/engine/endpoints_test.go
+++ b/internal/engine/endpoints_test.go
@@ -8,7 +8,7 @@
 	"birchfork/dispatch"
 )
 
-// A start that is converted anew with every news would move with the wall clock, and a moved start is a restart.
+// A start that is converted anew with every update would move with the wall clock, and another start is a restart.
 func TestUpdateEndpoints_ConvertsStartTimesOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		decider := &scriptedDecider{}
@@ -29,6 +29,7 @@
 	})
 }
 
+// Connections are of no use any more where a worker has restarted, moved or left, or drains; an update with no change retires none.
 func TestOnEndpointRetired(t *testing.T) {
 	engine := newEngine(t, &scriptedDecider{})
 	var retired []string
@@ -36,7 +37,7 @@
 	engine.UpdateEndpoints(listWith(dispatch.Ready, "h:1", 5))
 	engine.UpdateEndpoints(listWith(dispatch.Ready, "h:1", 5))
 	if len(retired) != 0 {
-		t.Fatalf("dropped %v for no change", retired)
+		t.Fatalf("retired %v for no change", retired)
 	}
 	engine.UpdateEndpoints(listWith(dispatch.Ready, "h:1", 6))    // restarted
 	engine.UpdateEndpoints(listWith(dispatch.Ready, "h:2", 6))    // moved
@@ -44,20 +45,20 @@
 	engine.UpdateEndpoints(listWith(dispatch.Ready, "h:3", 6))
 	engine.UpdateEndpoints(EndpointList{Snapshot: true}) // left
 	if got := len(retired); got != 5 || retired[4] != "h:3" {
-		t.Fatalf("dropped %v", retired)
+		t.Fatalf("retired %v", retired)
 	}
 	if available, synced := engine.Ready(); available || !synced {
-		t.Fatalf("ready %v, fresh %v", available, synced)
+		t.Fatalf("available %v, synced %v", available, synced)
 	}
 }
 
-// Discovery's version may start again from a lower figure; the module takes a lower one for late news.
+// Discovery's version may start again from a lower figure; the decision module takes a lower one for a late update.
 func TestUpdateEndpoints_AcceptsLowerVersion(t *testing.T) {
 	decider := &scriptedDecider{}
 	engine := newEngine(t, decider)
 	engine.UpdateEndpoints(EndpointList{Version: 90, Snapshot: true, Stale: true})
 	if _, synced := engine.Ready(); synced {
-		t.Fatal("an old list passed for news")
+		t.Fatal("a stale list counts as synced")
 	}
 	engine.UpdateEndpoints(EndpointList{Version: 3, Snapshot: true})
 	events := decider.eventsOf(dispatch.EndpointSnapshot)
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -8,6 +8,7 @@
 	"birchfork/dispatch"
 )
 
+// A panic of the decision module costs one decision and not the process.
 func TestDecide_RecoversFromPanic(t *testing.T) {
 	decider := &scriptedDecider{respond: func(event *dispatch.Event) []dispatch.Action {
 		if event.Kind == dispatch.RequestArrived {
@@ -18,12 +19,12 @@
 	engine := newEngine(t, decider)
 	request := mustOpen(t, engine, "a")
 	request.Close()
-	if engine.Counters.Panics.Load() != 1 || len(decider.eventsOf(dispatch.RequestAbandoned)) != 1 || engine.OpenRequests() != 0 {
+	if engine.Counters.Panics.Load() != 1 || decider.count(dispatch.RequestAbandoned) != 1 || engine.OpenRequests() != 0 {
 		t.Fatalf("panics %d, events %+v", engine.Counters.Panics.Load(), decider.events)
 	}
 }
 
-// Every attempt that the real module orders must find its end, and nothing of a request may stay behind.
+// Every attempt that the real decision module orders ends, and nothing of a request is left behind.
 func TestEngine_RealDeciderLeavesNothingOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine := newEngine(t, nil)
@@ -32,7 +33,10 @@
 			list.Endpoints = append(list.Endpoints, Endpoint{Name: name, Address: name + ":1", Zone: "a", Kind: "big", State: dispatch.Ready})
 		}
 		engine.UpdateEndpoints(list)
-		results := []dispatch.Result{dispatch.ResultOK, dispatch.ResultFailed, dispatch.ResultUnreachable, dispatch.ResultOverloaded, dispatch.ResultDisconnected, dispatch.ResultNotSent}
+		results := []dispatch.Result{
+			dispatch.ResultOK, dispatch.ResultFailed, dispatch.ResultUnreachable, dispatch.ResultOverloaded, dispatch.ResultDisconnected,
+			dispatch.ResultNotSent,
+		}
 		next := 0
 		served := 0
 		for i := range 60 {
@@ -58,8 +62,9 @@
 				t.Errorf("request %d is still kept", id)
 			}
 		}
-		if engine.OpenRequests() != 0 || served == 0 || engine.Counters.Panics.Load()+engine.Counters.InvalidActions.Load() > 0 {
-			t.Fatalf("pending %d, served %d, %v", engine.OpenRequests(), served, engine.Counters.Fields())
+		broken := engine.Counters.Panics.Load() + engine.Counters.InvalidActions.Load()
+		if engine.OpenRequests() != 0 || served == 0 || broken > 0 {
+			t.Fatalf("%d open, %d served, %v", engine.OpenRequests(), served, engine.Counters.Fields())
 		}
 	})
 }
--- a/internal/engine/exclusion_test.go
+++ b/internal/engine/exclusion_test.go
@@ -8,29 +8,30 @@
 	"birchfork/dispatch"
 )
 
-// A worker that others know to have come further gets nothing until it is let in again, and is as warm then as the list has it. Its
-// latest start counts, also where the word that it leaves has none.
+// A worker of which others know a later state is sent nothing until they know none any more, and warms up since its listed start then. Its
+// latest start counts, also where it is listed as leaving without one.
 func TestExcludeOutdated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		decider := &scriptedDecider{respond: sendToFirstWorker}
 		engine := newEngine(t, decider)
 		began := time.Now()
 		engine.UpdateEndpoints(listWith(dispatch.Ready, "a:1", began.UnixMilli()))
-		attempt := (<-mustOpen(t, engine, "a").Decisions()).Attempt
+		attempt := mustStart(t, engine, "a")
 		engine.ExcludeOutdated([]string{"w", "unknown"})
 		if available, _ := engine.Ready(); available || attempt.MaySend() || engine.KnowsWorker("unknown") {
-			t.Fatal("it is in use still, or a name from another was taken for a worker's")
+			t.Fatal("it may be sent to still, or a name of another's counts as a known worker")
 		}
 		attempt.Finish(dispatch.ResultNotSent, nil)
 		time.Sleep(time.Second)
 		engine.ExcludeOutdated(nil)
 		engine.ExcludeOutdated(nil)
 		if included := decider.eventsOf(dispatch.WorkerEnabled); len(included) != 1 || included[0].Elapsed != dispatch.Second {
-			t.Fatalf("put back: %+v", included)
+			t.Fatalf("enabled: %+v", included)
 		}
 		engine.UpdateEndpoints(listWith(dispatch.Draining, "a:1", 0))
-		if workers, synced := engine.ListedWorkers(time.Hour); !synced || len(workers) != 1 || workers[0] != (ListedWorker{"w", began.UnixMilli(), dispatch.Draining}) {
-			t.Fatalf("%+v", workers)
+		workers, synced := engine.ListedWorkers(time.Hour)
+		if want := (ListedWorker{"w", began.UnixMilli(), dispatch.Draining}); !synced || len(workers) != 1 || workers[0] != want {
+			t.Fatalf("synced %t, %+v, want %+v", synced, workers, want)
 		}
 	})
 }
--- a/internal/engine/heartbeat_test.go
+++ b/internal/engine/heartbeat_test.go
@@ -8,10 +8,10 @@
 	"birchfork/dispatch"
 )
 
-// News that came while the whole process stood still counts as told, though nobody has read it: a send right after the
-// stall could come too late for the drain.
+// An update that came while the whole process stood still counts as told, though nobody has read it: an attempt that is sent right after
+// the stall could come too late for the drain.
 func TestMaySend_WaitsAfterStall(t *testing.T) {
-	for _, heartbeatFirst := range []bool{false, true} { // whether the beat or the attempt is the first to run again
+	for _, heartbeatFirst := range []bool{false, true} { // whether the heartbeat or the attempt is the first to run again
 		synctest.Test(t, func(t *testing.T) {
 			engine := newEngine(t, &scriptedDecider{respond: sendToFirstWorker})
 			engine.UpdateEndpoints(listWith(dispatch.Ready, "127.0.0.1:1", 7))
@@ -21,7 +21,7 @@
 			attempt := (<-request.Decisions()).Attempt
 			began := time.Now()
 			if !attempt.MaySend() || time.Since(began) > 0 {
-				t.Error("a send waits though nothing stood still")
+				t.Error("an attempt waits though nothing stood still")
 			}
 			time.Sleep(600 * time.Millisecond) // the process stands still
 			if heartbeatFirst {
@@ -32,7 +32,7 @@
 				engine.UpdateEndpoints(listWith(dispatch.Draining, "127.0.0.1:1", 7))
 			}()
 			if attempt.MaySend() || engine.Counters.Stalls.Load() != 1 {
-				t.Errorf("beaten %v: clear to send, %d stalls", heartbeatFirst, engine.Counters.Stalls.Load())
+				t.Errorf("heartbeat first %v: the attempt may be sent, or not one stall but %d", heartbeatFirst, engine.Counters.Stalls.Load())
 			}
 			attempt.Finish(dispatch.ResultNotSent, nil)
 		})
--- a/internal/engine/helpers_test.go
+++ b/internal/engine/helpers_test.go
@@ -11,7 +11,7 @@
 	"birchfork/internal/settings"
 )
 
-// scriptedDecider is a module that notes its events and answers them as a test says.
+// scriptedDecider is a decision module that keeps its events and answers them as a test says.
 type scriptedDecider struct {
 	events  []dispatch.Event
 	times   []dispatch.Time
@@ -19,14 +19,15 @@
 }
 
 func (d *scriptedDecider) Handle(now dispatch.Time, event *dispatch.Event, out []dispatch.Action) []dispatch.Action {
-	d.events, d.times = append(d.events, *event), append(d.times, now)
+	d.events = append(d.events, *event)
+	d.times = append(d.times, now)
 	if d.respond == nil {
 		return out
 	}
 	return append(out, d.respond(event)...)
 }
 
-// eventsOf are the events of one kind.
+// eventsOf returns the events of one kind.
 func (d *scriptedDecider) eventsOf(kind dispatch.EventKind) (events []dispatch.Event) {
 	for _, event := range d.events {
 		if event.Kind == kind {
@@ -36,9 +37,14 @@
 	return events
 }
 
+// count returns how many events of one kind there were.
+func (d *scriptedDecider) count(kind dispatch.EventKind) int { return len(d.eventsOf(kind)) }
+
+// basicSettings has one class, one zone, one kind of worker and one tenant, in the platform's JSON.
 const basicSettings = `{"classes":[{"name":"search","deadline":5,"aim":0.4,"effect":"free"}],"zones":["a"],"zone":"a",
 	"machine_types":["big"],"customers":[{"name":"acme","quota_rps":9}],"policy_limits":{"attempts_cap":3}}`
 
+// decodeSettings decodes settings in the platform's JSON.
 func decodeSettings(t *testing.T, settingsJSON string) (dispatch.Settings, *settings.NameTable) {
 	t.Helper()
 	names := settings.NewNameTable()
@@ -49,6 +55,7 @@
 	return decoded, names
 }
 
+// newEngine returns an engine with basicSettings until the test ends; a nil decider is the real decision module.
 func newEngine(t *testing.T, decider *scriptedDecider) *Engine {
 	t.Helper()
 	decoded, names := decodeSettings(t, basicSettings)
@@ -65,12 +72,16 @@
 	return engine
 }
 
+// specOf returns a request that is admitted.
 func specOf(id string) RequestSpec {
 	return RequestSpec{ID: id, Class: "search", Tenant: "acme", TimeLeft: 5 * time.Second, Slots: 1}
 }
 
+// listWith returns an update about the one worker w.
 func listWith(state dispatch.WorkerState, address string, startedAtMillis int64) EndpointList {
-	return EndpointList{Version: 1, Endpoints: []Endpoint{{Name: "w", Address: address, Zone: "a", Kind: "big", State: state, StartedAtMillis: startedAtMillis}}}
+	return EndpointList{Version: 1, Endpoints: []Endpoint{{
+		Name: "w", Address: address, Zone: "a", Kind: "big", State: state, StartedAtMillis: startedAtMillis,
+	}}}
 }
 
 // sendToFirstWorker answers every arrival with one attempt at worker 0.
@@ -81,6 +92,7 @@
 	return nil
 }
 
+// mustOpen opens a request that has to be admitted.
 func mustOpen(t *testing.T, engine *Engine, id string) *Request {
 	t.Helper()
 	request, err := engine.Open(specOf(id))
@@ -89,3 +101,14 @@
 	}
 	return request
 }
+
+// mustStart opens a request and returns its first attempt, which has been decided on.
+func mustStart(t *testing.T, engine *Engine, id string) *Attempt {
+	t.Helper()
+	return (<-mustOpen(t, engine, id).Decisions()).Attempt
+}
+
+// isExactly tells whether an error is a certain one, and not one that wraps it: clients read the text, which must not change.
+func isExactly(err, want error) bool {
+	return err == want //nolint:errorlint // errors.Is would take a wrapped error, which has another text
+}
--- a/internal/engine/lease_test.go
+++ b/internal/engine/lease_test.go
@@ -7,18 +7,18 @@
 	"birchfork/dispatch"
 )
 
-// The group's word and its lease, right before the first byte, whatever the module has ordered before.
+// The group's restrictions and its lease hold right before the first byte, whatever the decision module has ordered before.
 func TestMaySend_FollowsRestrictionsAndLease(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
 	engine.UpdateEndpoints(listWith(dispatch.Ready, "a:1", 0))
 	name := listWith(dispatch.Ready, "a:1", 0).Endpoints[0].Name
 	all := map[string]bool{name: true}
-	newAttempt := func(id string) *Attempt { return (<-mustOpen(t, engine, id).Decisions()).Attempt }
+	newAttempt := func(id string) *Attempt { return mustStart(t, engine, id) }
 	check := func(what string, attempt *Attempt, maySend, needsLease bool) {
 		t.Helper()
 		if attempt.MaySend() != maySend || attempt.NeedsLease() != needsLease {
-			t.Errorf("%s: clear %t, leased %t", what, attempt.MaySend(), attempt.NeedsLease())
+			t.Errorf("%s: may send %t, needs the lease %t", what, attempt.MaySend(), attempt.NeedsLease())
 		}
 	}
 	attempt := newAttempt("a")
@@ -26,7 +26,7 @@
 	engine.SetRestrictions(Restrictions{LeasedWorkers: all})
 	check("no lease", attempt, false, true)
 	if events := decider.eventsOf(dispatch.WorkerDisabled); len(events) != 1 {
-		t.Errorf("the module was told %d times that it may not send there", len(events))
+		t.Errorf("the decision module was told %d times that it may not send there", len(events))
 	}
 	engine.SetLeaseExpiry(time.Now().Add(time.Hour))
 	check("a lease", attempt, true, true)
@@ -34,33 +34,33 @@
 	check("a lease that has run out", attempt, false, true)
 	engine.SetLeaseExpiry(time.Now().Add(time.Hour))
 	engine.SetRestrictions(Restrictions{LeasedWorkers: all, MaintenanceWorkers: all})
-	check("taken out", attempt, false, true)
+	check("under maintenance", attempt, false, true)
 	engine.SetRestrictions(Restrictions{LeasedWorkers: all})
-	check("back, and ordered before it was out", attempt, false, true)
+	check("back, and ordered before the maintenance", attempt, false, true)
 	later := newAttempt("b")
 	check("ordered since", later, true, true)
 	engine.SetRestrictions(Restrictions{})
-	check("the plan is through", later, true, false)
+	check("the plan has ended", later, true, false)
 	engine.SetPlansUnknown(true)
 	engine.SetLeaseExpiry(time.Time{})
-	check("nothing is known of plans", later, false, true)
+	check("plans unknown", later, false, true)
 	if available, _ := engine.Ready(); available {
 		t.Error("ready without a worker that it may use")
 	}
 	engine.SetPlansUnknown(false)
-	check("they are", later, true, false)
+	check("plans known", later, true, false)
 }
 
-// A worker that was out for want of a lease alone is as cold as its list says; one that was put back is cold from then.
+// A worker that was excluded for want of the lease alone warms up since its listed start; one that was enabled by an override, since then.
 func TestSetLeaseExpiry_KeepsStartTimes(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		started        time.Duration // the list's start, ago
-		overridden     bool          // by hand, while there is no lease
+		overridden     bool          // disabled and enabled, while the lease does not run
 		minAge, maxAge time.Duration
 	}{
 		{"started lately", 3 * time.Second, false, 2 * time.Second, 4 * time.Second},
-		{"put back meanwhile", time.Hour, true, 0, time.Second},
+		{"enabled meanwhile", time.Hour, true, 0, time.Second},
 		{"started long ago", time.Hour, false, 59 * time.Minute, 61 * time.Minute},
 	} {
 		decider := &scriptedDecider{}
@@ -76,7 +76,7 @@
 		engine.SetLeaseExpiry(time.Now().Add(time.Hour))
 		events := decider.eventsOf(dispatch.WorkerEnabled)
 		if len(events) != 1 {
-			t.Fatalf("%s: put back %d times", c.name, len(events))
+			t.Fatalf("%s: enabled %d times", c.name, len(events))
 		}
 		if age := time.Duration(events[0].Elapsed) * time.Microsecond; age < c.minAge || age > c.maxAge {
 			t.Errorf("%s: counts as started %v ago", c.name, age)
@@ -84,8 +84,8 @@
 	}
 }
 
-// Where nothing is known of plans the module hears that it may not use a worker before it hears of the worker; and that a
-// lease has run out though nobody says so.
+// Where plans are unknown the decision module hears that it may not use a worker before it hears of the worker. It hears that a lease has
+// run out though nobody says so.
 func TestSetLeaseExpiry_TellsDecider(t *testing.T) {
 	decider := &scriptedDecider{}
 	engine := newEngine(t, decider)
@@ -95,10 +95,10 @@
 		t.Errorf("it heard %+v", decider.events)
 	}
 	engine.SetLeaseExpiry(time.Now().Add(2 * time.Millisecond))
-	before := len(decider.eventsOf(dispatch.WorkerDisabled))
+	before := decider.count(dispatch.WorkerDisabled)
 	time.Sleep(3 * time.Millisecond)
 	engine.Heartbeat()
-	if n := len(decider.eventsOf(dispatch.WorkerDisabled)); n != before+1 {
+	if n := decider.count(dispatch.WorkerDisabled); n != before+1 {
 		t.Errorf("told %d times of a lease that has run out", n-before)
 	}
 }
--- a/internal/engine/overrides_test.go
+++ b/internal/engine/overrides_test.go
@@ -9,15 +9,17 @@
 	"birchfork/dispatch"
 )
 
+// disabled is an override that disables one worker.
 func disabled(name string, at time.Time) map[string]Override {
 	return map[string]Override{name: {Disabled: true, At: at}}
 }
 
+// enabled is an override that enables one worker.
 func enabled(name string, at time.Time) map[string]Override {
 	return map[string]Override{name: {At: at}}
 }
 
-// An attempt that was ordered before its worker was taken out does not go out after, nor once it is back: the process it
+// An attempt that was ordered before its worker was disabled is not sent after that, nor once the worker is enabled: the process that it
 // was meant for is gone.
 func TestMaySend_FalseAfterWorkerWasDisabled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -26,44 +28,45 @@
 		engine.UpdateEndpoints(listWith(dispatch.Ready, "a:1", 0))
 		var retired []string
 		engine.OnEndpointRetired(func(endpoint RetiredEndpoint) { retired = append(retired, endpoint.Address) })
-		attempt := (<-mustOpen(t, engine, "a").Decisions()).Attempt
+		attempt := mustStart(t, engine, "a")
 		if !attempt.MaySend() {
-			t.Fatal("it may not go out at all")
+			t.Fatal("it may not be sent at all")
 		}
 		engine.ApplyOverrides(disabled("w", time.Now()))
 		if attempt.MaySend() {
-			t.Fatal("it goes out to a worker that is out")
+			t.Fatal("it is sent to a disabled worker")
 		}
 		whileDisabled := mustOpen(t, engine, "c")
 		late := (<-whileDisabled.Decisions()).Attempt
-		if late.MaySend() { // whatever a module orders
-			t.Fatal("one that is ordered meanwhile goes out")
+		if late.MaySend() { // whatever the decision module orders
+			t.Fatal("one that is ordered meanwhile is sent")
 		}
 		late.Finish(dispatch.ResultNotSent, nil)
 		whileDisabled.Close()
 		if available, _ := engine.Ready(); available {
-			t.Fatal("a worker is ready though the only one is out")
+			t.Fatal("a worker is available though the only one is disabled")
 		}
 		engine.UpdateEndpoints(listWith(dispatch.Ready, "a:1", 0))
 		time.Sleep(time.Second)
 		engine.ApplyOverrides(enabled("w", time.Now()))
 		if attempt.MaySend() {
-			t.Fatal("it goes out to the process after the one that it was ordered for")
+			t.Fatal("it is sent to the process after the one that it was ordered for")
 		}
 		if want := []string{"a:1", "a:1"}; !slices.Equal(retired, want) {
-			t.Fatalf("connections dropped: %v, want %v", retired, want)
+			t.Fatalf("endpoints retired: %v, want %v", retired, want)
 		}
 		attempt.Finish(dispatch.ResultNotSent, nil)
-		if afterEnabled := (<-mustOpen(t, engine, "b").Decisions()).Attempt; !afterEnabled.MaySend() {
-			t.Fatal("nothing goes out after the call back")
+		if afterEnabled := mustStart(t, engine, "b"); !afterEnabled.MaySend() {
+			t.Fatal("nothing is sent to the enabled worker")
 		}
-		if excluded, included := decider.eventsOf(dispatch.WorkerDisabled), decider.eventsOf(dispatch.WorkerEnabled); len(excluded) != 1 || len(included) != 1 || excluded[0].Worker != 0 {
-			t.Fatalf("the module heard %v and %v", excluded, included)
+		excluded, included := decider.eventsOf(dispatch.WorkerDisabled), decider.eventsOf(dispatch.WorkerEnabled)
+		if len(excluded) != 1 || len(included) != 1 || excluded[0].Worker != 0 {
+			t.Fatalf("the decision module heard %v and %v", excluded, included)
 		}
 	})
 }
 
-// The newest word on a worker counts, in whatever order they are heard; one that was said a while ago tells how long.
+// The newest override of a worker counts, in whatever order they come. One that was given a while ago counts since then.
 func TestApplyOverrides_IgnoresOlder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		decider := &scriptedDecider{}
@@ -74,12 +77,15 @@
 		engine.ApplyOverrides(enabled("w", began.Add(time.Second)))
 		engine.ApplyOverrides(disabled("w", began.Add(2*time.Second)))
 		if got := engine.DisabledWorkers(); !slices.Equal(got, []string{"w"}) {
-			t.Fatalf("out: %v", got)
+			t.Fatalf("disabled: %v", got)
 		}
 		engine.ApplyOverrides(enabled("w", began.Add(2500*time.Millisecond)))
 		included := decider.eventsOf(dispatch.WorkerEnabled)
-		if len(engine.DisabledWorkers()) != 0 || len(decider.eventsOf(dispatch.WorkerDisabled)) != 1 || len(included) != 1 || included[0].Elapsed != 500*dispatch.Millisecond {
-			t.Fatalf("out: %v, put back: %+v", engine.DisabledWorkers(), included)
+		if len(engine.DisabledWorkers()) != 0 || decider.count(dispatch.WorkerDisabled) != 1 {
+			t.Fatalf("disabled: %v, events %+v", engine.DisabledWorkers(), decider.events)
+		}
+		if len(included) != 1 || included[0].Elapsed != 500*dispatch.Millisecond {
+			t.Fatalf("enabled: %+v", included)
 		}
 	})
 }
--- a/internal/engine/recentids_test.go
+++ b/internal/engine/recentids_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The id of a request that has ended does not open another: it would be a second effect, and a stranger may know it.
+// The id of a request that has ended does not open another one: it would have a second effect, and others may know the id.
 func TestOpen_RejectsRecentID(t *testing.T) {
 	engine := newEngine(t, &scriptedDecider{})
 	engine.maxOpen = 0
@@ -13,7 +13,7 @@
 		mustOpen(t, engine, fmt.Sprint(i)).Close()
 	}
 	for _, i := range []int{3 * recentIDsPerGeneration, 2 * recentIDsPerGeneration} {
-		if _, err := engine.Open(specOf(fmt.Sprint(i))); err != ErrDuplicateID {
+		if _, err := engine.Open(specOf(fmt.Sprint(i))); !isExactly(err, ErrDuplicateID) {
 			t.Errorf("the id of %d, which has ended: %v", i, err)
 		}
 	}
--- a/internal/engine/request_test.go
+++ b/internal/engine/request_test.go
@@ -7,6 +7,7 @@
 	"birchfork/dispatch"
 )
 
+// What Open rejects does not reach the decision module.
 func TestOpen_RejectsBeforeDecider(t *testing.T) {
 	decider := &scriptedDecider{}
 	engine := newEngine(t, decider)
@@ -19,23 +20,24 @@
 	} {
 		spec := specOf("x")
 		c.change(&spec)
-		if _, err := engine.Open(spec); err != c.want {
+		if _, err := engine.Open(spec); !isExactly(err, c.want) {
 			t.Errorf("%+v: %v, want %v", spec, err, c.want)
 		}
 	}
 	mustOpen(t, engine, "a")
-	if _, err := engine.Open(specOf("a")); err != ErrDuplicateID {
+	if _, err := engine.Open(specOf("a")); !isExactly(err, ErrDuplicateID) {
 		t.Errorf("a second request of the same id: %v", err)
 	}
 	mustOpen(t, engine, "b")
-	if _, err := engine.Open(specOf("c")); err != ErrTooManyOpen {
+	if _, err := engine.Open(specOf("c")); !isExactly(err, ErrTooManyOpen) {
 		t.Errorf("a request over the limit: %v", err)
 	}
-	if n := len(decider.eventsOf(dispatch.RequestArrived)); n != 2 {
-		t.Fatalf("%d requests reached the module, want 2", n)
+	if n := decider.count(dispatch.RequestArrived); n != 2 {
+		t.Fatalf("%d requests reached the decision module, want 2", n)
 	}
 }
 
+// A request is answered once, and its id is given to another request then.
 func TestRequest_ServedOnceAndIDFreed(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
@@ -48,23 +50,26 @@
 	attempt.Finish(dispatch.ResultFailed, nil) // only the first end counts
 	decision := <-request.Decisions()
 	if decision.Kind != DecisionServe || string(decision.Result) != "x" {
-		t.Fatalf("order %+v", decision)
+		t.Fatalf("decision %+v", decision)
 	}
 	request.Close()
 	ends := decider.eventsOf(dispatch.AttemptEnded)
 	if len(ends) != 1 || !ends[0].Final || ends[0].Result != dispatch.ResultOK {
 		t.Fatalf("ends %+v", ends)
 	}
-	if len(decider.eventsOf(dispatch.RequestAbandoned)) != 0 || len(decider.eventsOf(dispatch.AttemptStarted)) != 1 || decider.eventsOf(dispatch.AttemptProgressed)[0].Progress != 0.5 {
+	if decider.count(dispatch.RequestAbandoned) != 0 || decider.count(dispatch.AttemptStarted) != 1 {
 		t.Fatalf("events %+v", decider.events)
 	}
+	if progress := decider.eventsOf(dispatch.AttemptProgressed)[0].Progress; progress != 0.5 {
+		t.Fatalf("progress %v, want 0.5", progress)
+	}
 	if got := mustOpen(t, engine, "b"); got.id != request.id {
 		t.Fatalf("the id %d was not used again, but %d", request.id, got.id)
 	}
 }
 
-// A request whose client has gone may have an order that no front will take any more: the attempt must end, or the
-// module counts its slot as used for ever.
+// A request whose client has gone may have an attempt that nobody carries out any more: it must end, or the decision module counts its
+// slot as used for ever.
 func TestClose_EndsUntakenAttempt(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
@@ -72,8 +77,8 @@
 	request := mustOpen(t, engine, "a")
 	request.Close()
 	request.Close()
-	if n := len(decider.eventsOf(dispatch.RequestAbandoned)); n != 1 {
-		t.Fatalf("the client went %d times", n)
+	if n := decider.count(dispatch.RequestAbandoned); n != 1 {
+		t.Fatalf("the request was abandoned %d times", n)
 	}
 	ends := decider.eventsOf(dispatch.AttemptEnded)
 	if len(ends) != 1 || ends[0].Result != dispatch.ResultNotSent || !ends[0].Final {
@@ -84,7 +89,7 @@
 	}
 }
 
-// A request whose time is up fails, unless the module's answer has just come.
+// A request whose time is up fails, unless the decision module's answer has just come.
 func TestAbort_PrefersDeciderAnswer(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
@@ -92,33 +97,43 @@
 	request := mustOpen(t, engine, "a")
 	(<-request.Decisions()).Attempt.Finish(dispatch.ResultOK, []byte("x"))
 	if decision := request.Abort(); decision.Kind != DecisionServe || string(decision.Result) != "x" {
-		t.Fatalf("order %+v", decision)
+		t.Fatalf("decision %+v", decision)
 	}
 	request.Close()
-	request = mustOpen(t, engine, "b") // its attempt is ordered, and nobody takes the order: it never ran
+	request = mustOpen(t, engine, "b") // nobody takes its attempt: it never ran
 	if decision := request.Abort(); decision.Kind != DecisionShed {
-		t.Fatalf("order %+v", decision)
+		t.Fatalf("decision %+v", decision)
 	}
 	request.Close()
 	counters := &engine.Counters
-	if counters.Served.Load() != 1 || counters.Overdue.Load() != 1 || counters.ClientsGone.Load() != 0 || len(decider.eventsOf(dispatch.RequestAbandoned)) != 1 {
+	if counters.Served.Load() != 1 || counters.Overdue.Load() != 1 || counters.ClientsGone.Load() != 0 {
 		t.Fatal(counters.Fields())
 	}
-	if events := decider.eventsOf(dispatch.AttemptEnded); len(events) != 2 || events[1].Result != dispatch.ResultNotSent || engine.OpenRequests() != 0 {
-		t.Fatalf("ends %+v, %d pending", events, engine.OpenRequests())
+	if n := decider.count(dispatch.RequestAbandoned); n != 1 {
+		t.Fatalf("%d requests were abandoned, want 1", n)
+	}
+	ends := decider.eventsOf(dispatch.AttemptEnded)
+	if len(ends) != 2 || ends[1].Result != dispatch.ResultNotSent || engine.OpenRequests() != 0 {
+		t.Fatalf("ends %+v, %d requests open", ends, engine.OpenRequests())
 	}
+}
+
+// Without an answer of the decision module, a request may be rejected only where none of its attempts can have run.
+func TestAbort_ShedsOnlyWhatNeverRan(t *testing.T) {
+	engine := newEngine(t, &scriptedDecider{respond: sendToFirstWorker})
+	engine.UpdateEndpoints(listWith(dispatch.Ready, "127.0.0.1:1", 0))
 	for _, c := range []struct {
 		name     string
 		result   dispatch.Result
 		inFlight bool
 		want     DecisionKind
 	}{
-		{"an attempt that is out", 0, true, DecisionFail},
-		{"one that broke off", dispatch.ResultDisconnected, false, DecisionFail},
-		{"one that failed", dispatch.ResultFailed, false, DecisionFail},
-		{"one of an unknown end", dispatch.ResultUnknown, false, DecisionFail},
-		{"one that was turned away", dispatch.ResultOverloaded, false, DecisionShed},
-		{"one that got no connection", dispatch.ResultUnreachable, false, DecisionShed},
+		{"an attempt in flight", 0, true, DecisionFail},
+		{"a connection that broke", dispatch.ResultDisconnected, false, DecisionFail},
+		{"a failure", dispatch.ResultFailed, false, DecisionFail},
+		{"an unknown outcome", dispatch.ResultUnknown, false, DecisionFail},
+		{"a rejection by the worker", dispatch.ResultOverloaded, false, DecisionShed},
+		{"no connection", dispatch.ResultUnreachable, false, DecisionShed},
 	} {
 		request := mustOpen(t, engine, c.name)
 		attempt := (<-request.Decisions()).Attempt
@@ -126,14 +141,14 @@
 			attempt.Finish(c.result, nil)
 		}
 		if decision := request.Abort(); decision.Kind != c.want {
-			t.Errorf("after %s: order %+v", c.name, decision)
+			t.Errorf("after %s: decision %+v", c.name, decision)
 		}
 		request.Close()
 		attempt.Finish(dispatch.ResultTimedOut, nil)
 	}
 }
 
-// Attempts outlive their request; the id must not be used again while one can still name it.
+// Attempts outlive their request, whose id must not be used again while one of them can still name it.
 func TestRequest_KeepsIDWhileAttemptInFlight(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
@@ -149,6 +164,7 @@
 	}
 }
 
+// A final decision is the last one, whatever the decision module orders.
 func TestDecisions_Final(t *testing.T) {
 	for _, c := range []struct {
 		action     dispatch.Action
@@ -161,21 +177,22 @@
 		decider := &scriptedDecider{respond: func(event *dispatch.Event) []dispatch.Action {
 			action := c.action
 			action.Request = event.Request
-			return []dispatch.Action{action, action, {Kind: dispatch.Send, Request: event.Request}} // nothing may follow a final answer
+			return []dispatch.Action{action, action, {Kind: dispatch.Send, Request: event.Request}} // nothing may follow a final decision
 		}}
 		engine := newEngine(t, decider)
 		request := mustOpen(t, engine, "a")
 		if decision := <-request.Decisions(); decision.Kind != c.kind || decision.RetryAfter != c.retryAfter {
-			t.Errorf("order %+v, want %v", decision, c.kind)
+			t.Errorf("decision %+v, want %v", decision, c.kind)
 		}
 		select {
 		case decision := <-request.Decisions():
-			t.Errorf("a further order %+v", decision)
+			t.Errorf("a further decision %+v", decision)
 		default:
 		}
 		request.Close()
-		if len(decider.eventsOf(dispatch.RequestAbandoned)) != 0 || engine.Counters.AttemptsSent.Load() != 0 || engine.Counters.InvalidActions.Load() == 0 {
-			t.Errorf("events %+v, faults %d", decider.events, engine.Counters.InvalidActions.Load())
+		counters := &engine.Counters
+		if decider.count(dispatch.RequestAbandoned) != 0 || counters.AttemptsSent.Load() != 0 || counters.InvalidActions.Load() == 0 {
+			t.Errorf("events %+v, %d invalid actions", decider.events, counters.InvalidActions.Load())
 		}
 	}
 }
--- a/internal/engine/worker_test.go
+++ b/internal/engine/worker_test.go
@@ -8,7 +8,7 @@
 	"birchfork/dispatch"
 )
 
-// What other members are told of workers.
+// WorkerStatuses is what other members of a group are told of workers.
 func TestWorkerStatuses(t *testing.T) {
 	engine := newEngine(t, &scriptedDecider{})
 	endpoint := func(name string, state dispatch.WorkerState, age time.Duration) Endpoint {
@@ -19,22 +19,28 @@
 		return listed
 	}
 	engine.UpdateEndpoints(EndpointList{Version: 1, Snapshot: true, Endpoints: []Endpoint{
-		endpoint("cold", dispatch.Ready, time.Second), endpoint("warm", dispatch.Ready, time.Hour), endpoint("drains", dispatch.Draining, 0),
-		endpoint("gone", dispatch.Ready, 0), endpoint("hand", dispatch.Ready, 0), endpoint("back", dispatch.Ready, 0),
+		endpoint("started", dispatch.Ready, time.Second), endpoint("serving", dispatch.Ready, time.Hour),
+		endpoint("draining", dispatch.Draining, 0), endpoint("gone", dispatch.Ready, 0),
+		endpoint("disabled", dispatch.Ready, 0), endpoint("enabled", dispatch.Ready, 0),
 	}})
 	engine.UpdateEndpoints(EndpointList{Version: 2, Endpoints: []Endpoint{endpoint("gone", dispatch.Gone, 0)}})
-	engine.ApplyOverrides(map[string]Override{"hand": {Disabled: true, At: time.Now()}, "back": {Disabled: true, At: time.Now().Add(-time.Second)}})
-	engine.ApplyOverrides(map[string]Override{"back": {At: time.Now()}})
+	engine.ApplyOverrides(disabled("disabled", time.Now()))
+	engine.ApplyOverrides(disabled("enabled", time.Now().Add(-time.Second)))
+	engine.ApplyOverrides(enabled("enabled", time.Now()))
 	got := map[string]string{}
 	for _, status := range engine.WorkerStatuses(time.Hour, time.Minute) {
 		if status.Zone != "a" || status.Kind != "big" || status.Weight != 2 {
 			t.Errorf("%+v", status)
 		}
-		got[status.Name] = fmt.Sprintf("down %t, cold %t, hand %t", status.Unavailable, status.WarmingUp, status.Disabled)
+		got[status.Name] = fmt.Sprintf("unavailable %t, warming up %t, disabled %t", status.Unavailable, status.WarmingUp, status.Disabled)
 	}
 	for name, want := range map[string]string{
-		"cold": "down false, cold true, hand false", "warm": "down false, cold false, hand false", "drains": "down true, cold false, hand false",
-		"gone": "down true, cold false, hand false", "hand": "down false, cold false, hand true", "back": "down false, cold true, hand false",
+		"started":  "unavailable false, warming up true, disabled false",
+		"serving":  "unavailable false, warming up false, disabled false",
+		"draining": "unavailable true, warming up false, disabled false",
+		"gone":     "unavailable true, warming up false, disabled false",
+		"disabled": "unavailable false, warming up false, disabled true",
+		"enabled":  "unavailable false, warming up true, disabled false",
 	} {
 		if got[name] != want {
 			t.Errorf("%s: %q, want %q", name, got[name], want)
@@ -43,11 +49,12 @@
 	time.Sleep(2 * time.Millisecond)
 	for _, status := range engine.WorkerStatuses(time.Millisecond, time.Minute) {
 		if status.Name == "gone" {
-			t.Error("one that left long ago is told of still")
+			t.Error("a worker that left long ago has a status still")
 		}
 	}
 }
 
+// A worker is known once it was listed, also as gone, or named by an override.
 func TestKnowsWorker_ListedOrDisabled(t *testing.T) {
 	engine := newEngine(t, &scriptedDecider{})
 	if engine.KnowsWorker("w") || engine.KnowsWorker("v") {
