--- a/internal/engine/admission.go
+++ b/internal/engine/admission.go
@@ -110,7 +110,7 @@
 	return reservation{}, dispatch.RouteLimits{}, rejection
 }
 
-// release gives back what is held.
+// release returns the permit to the limiter; a second call does nothing.
 func (r *reservation) release(now dispatch.Time, outcome admission.Outcome) {
 	if r.limiter != nil {
 		r.limiter.Release(duration(now), r.permit, outcome)
@@ -118,29 +118,29 @@
 	}
 }
 
-// markSent says that the request has been sent to a worker.
+// markSent notes that an attempt of the request has been ordered, so that it is not queued any more.
 func (r *reservation) markSent() {
 	if r.limiter != nil {
 		r.limiter.MarkSent(&r.permit)
 	}
 }
 
-// finish gives back what is held by a request that a final decision has been taken for.
+// finish releases the reservation of a request that has a final decision. A served request counts as timely where it is within the
+// latency objective, all others as late.
 func (r *reservation) finish(request *Request, kind DecisionKind) {
 	if r.limiter == nil {
 		return
 	}
 	now := request.engine.now()
 	outcome := admission.Late
-	if kind == DecisionServe && r.metObjective(now, request.runTime(now)) {
+	if kind == DecisionServe && r.withinObjective(now, request.runTime(now)) {
 		outcome = admission.Timely
 	}
 	r.release(now, outcome)
 }
 
-// metObjective tells whether an answer at this moment meets the latency objective of the class, which grows with the time that the job
-// itself took.
-func (r *reservation) metObjective(now, runTime dispatch.Time) bool {
+// withinObjective tells whether an answer now is within the latency objective of the class, which grows with the run time of the job.
+func (r *reservation) withinObjective(now, runTime dispatch.Time) bool {
 	objective := float64(r.class.LatencyObjective) + r.class.ObjectiveStretch*float64(runTime)
 	return float64(now-r.arrivedAt) <= objective
 }
--- a/internal/engine/admission_test.go
+++ b/internal/engine/admission_test.go
@@ -22,7 +22,7 @@
 	return table, admission.Config{Routes: table.AdmissionConfigs()}
 }
 
-// The operator's limit rejects with its reason before the decision module hears of a request, and each way that a request ends gives back
+// The operator's limit rejects with its reason before the decision module sees a request, and each way that a request ends gives back
 // what it holds, once.
 func TestReservation_ReleasedOnceByEveryEnd(t *testing.T) {
 	decider := &scriptedDecider{}
@@ -50,7 +50,7 @@
 		decider.respond = func(event *dispatch.Event) []dispatch.Action {
 			if event.Kind == dispatch.RequestArrived {
 				if event.RouteLimits.MaxAttempts != 2 {
-					t.Errorf("the decision module is told %+v", event.RouteLimits)
+					t.Errorf("the decision module gets %+v", event.RouteLimits)
 				}
 				return sendToFirstWorker(event)
 			}
@@ -67,7 +67,7 @@
 			t.Fatalf("the second request: %+v, want %+v", *limited, want)
 		}
 		if decider.count(dispatch.RequestArrived) != arrived {
-			t.Error("the decision module heard of a request that the limits rejected")
+			t.Error("the decision module saw a request that the limits rejected")
 		}
 		end(request)
 		if fields := engine.LimitFields(); fields["limit_held"] != 0 {
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -7,11 +7,11 @@
 	"birchfork/internal/settings"
 )
 
-// EndpointList is a list of workers, or what has changed in it, as discovery has told it.
+// EndpointList is a list of workers, or the changes of one, as received from discovery.
 type EndpointList struct {
 	Version   uint64 // by discovery's count
 	Snapshot  bool   // all workers, not only those that changed
-	Stale     bool   // a copy that was kept from before our start
+	Stale     bool   // a copy that was kept from before the process started
 	Endpoints []Endpoint
 }
 
@@ -35,7 +35,7 @@
 	e.onEndpointRetired = f
 }
 
-// Ready tells whether some worker may be sent to, and whether discovery has told the list since our start.
+// Ready tells whether some worker may be sent to, and whether a list has been received from discovery since the process started.
 func (e *Engine) Ready() (available, synced bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -47,7 +47,7 @@
 	return false, e.synced
 }
 
-// UpdateEndpoints takes over what discovery has told. Updates come in order. The decision module is told our own count of them as the
+// UpdateEndpoints applies an update from discovery; updates have to come in order. The decision module gets our own count of them as the
 // version, since discovery's may start again from a lower figure.
 func (e *Engine) UpdateEndpoints(list EndpointList) {
 	e.mu.Lock()
@@ -77,11 +77,11 @@
 	if len(e.restrictions.MaintenanceHosts)+len(e.restrictions.LeasedHosts) > 0 {
 		e.applyRestrictions() // a worker may have come to a restricted host
 	}
-	e.updateLeaseExclusions() // before the decision module hears of a worker that it may not use yet
+	e.updateLeaseExclusions() // before the decision module is notified of a worker that it may not use yet
 	e.handle(e.now(), &event)
 }
 
-// retireUnlisted notes that all workers have gone that a snapshot does not list. The lock is held.
+// retireUnlisted marks all workers as gone that a snapshot does not list. The lock is held.
 func (e *Engine) retireUnlisted(listed map[dispatch.WorkerID]bool) {
 	for id := range e.workers {
 		if listed[dispatch.WorkerID(id)] {
@@ -99,7 +99,7 @@
 	}
 }
 
-// updateWorker takes one endpoint over and returns its start on the decision module's clock. The lock is held.
+// updateWorker applies one endpoint and returns its start on the decision module's clock. The lock is held.
 func (e *Engine) updateWorker(id dispatch.WorkerID, endpoint *Endpoint) dispatch.Time {
 	worker := e.ensureWorker(id)
 	old := &worker.endpoint
@@ -159,15 +159,15 @@
 	return e.revision
 }
 
-// ListedWorker is how far a worker has come in its life, by our own list.
+// ListedWorker is the latest start and state of a worker by our own list.
 type ListedWorker struct {
 	Name            string
 	StartedAtMillis int64 // the latest start that was listed, Unix time in milliseconds; 0: long ago
 	State           dispatch.WorkerState
 }
 
-// ListedWorkers returns all workers of our list, those too that left it less than goneFor ago, and whether discovery has told the list
-// since our start.
+// ListedWorkers returns all workers of our list, those too that left it less than goneFor ago, and whether a list has been received from
+// discovery since the process started.
 func (e *Engine) ListedWorkers(goneFor time.Duration) (workers []ListedWorker, synced bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -183,7 +183,7 @@
 	return workers, e.synced
 }
 
-// SetWatching says whether the watch on discovery has told its list and still stands.
+// SetWatching sets whether the watch on discovery is up: it has delivered its list and has not broken since.
 func (e *Engine) SetWatching(watching bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -195,7 +195,7 @@
 	}
 }
 
-// WatchingFor returns for how long the watch on discovery has stood without a break; below 0: it does not stand.
+// WatchingFor returns for how long the watch on discovery has been up without a break; below 0: it is down.
 func (e *Engine) WatchingFor() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -3,7 +3,7 @@
 //
 // It owns the open requests and their attempts, the endpoint list, the operators' overrides and limits, and what a group of
 // dispatchers has decided about workers. All of that is kept in memory alone and guarded by one lock, Engine.mu. Nothing of it
-// survives a restart; what has to is stored by other packages, which hand it in again.
+// survives a restart: other packages store what has to and pass it in again.
 //
 // The engine speaks no protocol and opens no connection. Its callers do: a frontend opens requests and carries attempts out, a
 // watcher of discovery updates the endpoints, a coordinator sets the group's restrictions and its lease.
@@ -53,8 +53,7 @@
 
 	// mu guards all fields below, and the fields of each Request and Attempt that change. It is held while the decision module
 	// handles an event and while its actions are carried out, so that events reach the module one at a time and in the order
-	// of their times. No I/O is done and no other lock of this package is taken under it; the callbacks onEndpointRetired and
-	// onOutlier are called under it, and must not call back.
+	// of their times. onEndpointRetired and onOutlier are called under it too, and must not call back.
 	mu sync.Mutex
 
 	decider Decider
@@ -78,9 +77,9 @@
 	// Workers: see worker.go for the states, endpoints.go for the list.
 	workers           []workerState // by id
 	listVersion       uint64        // the list's version by discovery's count
-	revision          uint64        // updates of the list: its version by our own count, which the decision module is told
-	synced            bool          // discovery has told the list since our start
-	watchingSince     time.Time     // since when the watch on discovery has stood; zero: it does not
+	revision          uint64        // updates of the list: its version for the decision module
+	synced            bool          // a list has been received from discovery since the process started
+	watchingSince     time.Time     // since when the watch on discovery has been up; zero: it is down
 	onEndpointRetired func(RetiredEndpoint)
 	onOutlier         func(worker string) // nil: nobody listens
 
@@ -134,7 +133,7 @@
 }
 
 // Reconfigure puts settings in force, which the caller has checked, for requests that come from now on. Open requests keep the class
-// that they came with. Connections are not the engine's: those who own them have to be told by themselves.
+// that they came with. Settings of connections are not the engine's: the caller passes them to the owners of connections.
 func (e *Engine) Reconfigure(change Reconfiguration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/engine/exclusion.go
+++ b/internal/engine/exclusion.go
@@ -29,9 +29,9 @@
 	e.handle(e.now(), &dispatch.Event{Kind: dispatch.WorkerDisabled, Worker: id})
 }
 
-// include ends a reason, so long ago. Where none is left the worker serves again. The decision module is told since when, as it warms
-// up from then on: since the last exclusion of restartExclusions ended, or, after a reason that is none of these, since its listed
-// start if that is later. So a worker that was warming up goes on doing so. The lock is held.
+// include removes a reason that ended so long ago. Where none is left the worker serves again. The decision module gets the time since
+// when it warms up: since the last exclusion of restartExclusions ended, or, after any other reason, since its listed start if that is
+// later. So a worker that was warming up goes on doing so. The lock is held.
 func (e *Engine) include(id dispatch.WorkerID, reason exclusion, ago dispatch.Time) {
 	worker := &e.workers[id]
 	now := e.now()
--- a/internal/engine/heartbeat.go
+++ b/internal/engine/heartbeat.go
@@ -11,7 +11,7 @@
 	stallPause     = 30 * time.Millisecond  // for the watch on discovery to read what came meanwhile
 )
 
-// Heartbeat says that the process runs. It is to be called every few dozen milliseconds. It also sees that a lease has run out.
+// Heartbeat records that the process runs. It is to be called every few dozen milliseconds. It also sees that a lease has run out.
 func (e *Engine) Heartbeat() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -29,7 +29,7 @@
 }
 
 // waitAfterStall waits for the rest of the pause after a stall, or until ctx ends. It guards against an attempt at a worker whose drain
-// came while the process stood still: the drain counts as told, though the watch has not read it yet.
+// came while the process stood still: the drain counts as delivered, though the watch has not read it yet.
 func (e *Engine) waitAfterStall(ctx context.Context) {
 	e.mu.Lock()
 	now := time.Now()
--- a/internal/engine/heartbeat_test.go
+++ b/internal/engine/heartbeat_test.go
@@ -8,7 +8,7 @@
 	"birchfork/dispatch"
 )
 
-// An update that came while the whole process stood still counts as told, though nobody has read it: an attempt that is sent right after
+// An update that came while the whole process stood still counts as delivered, though nobody has read it: an attempt that is sent right after
 // the stall could come too late for the drain.
 func TestMaySend_WaitsAfterStall(t *testing.T) {
 	for _, heartbeatFirst := range []bool{false, true} { // whether the heartbeat or the attempt is the first to run again
--- a/internal/engine/lease.go
+++ b/internal/engine/lease.go
@@ -7,7 +7,7 @@
 	"birchfork/internal/failpoint"
 )
 
-// SetLeaseExpiry says until when the group's lease runs. A moment that is not in the future says that it does not run.
+// SetLeaseExpiry sets until when the group's lease runs. With a time that is not in the future it does not run.
 func (e *Engine) SetLeaseExpiry(expiry time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -15,7 +15,7 @@
 	e.updateLeaseExclusions()
 }
 
-// SetPlansUnknown says whether the group's plans are unknown to us. Every worker may be under maintenance then, and needs the lease.
+// SetPlansUnknown sets whether the group's plans are unknown to us. Every worker may be under maintenance then, and needs the lease.
 func (e *Engine) SetPlansUnknown(unknown bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -32,7 +32,7 @@
 	return !needed || time.Now().Before(e.leaseExpiry)
 }
 
-// updateLeaseExclusions tells the decision module which workers may not be sent to for want of the lease, so that it chooses others. A
+// updateLeaseExclusions notifies the decision module which workers may not be sent to for want of the lease, so that it chooses others. A
 // worker that may be sent to again counts as started when its list says. The lock is held.
 func (e *Engine) updateLeaseExclusions() {
 	inUse := e.plansUnknown || len(e.leasedWorkers) > 0
--- a/internal/engine/lease_test.go
+++ b/internal/engine/lease_test.go
@@ -26,7 +26,7 @@
 	engine.SetRestrictions(Restrictions{LeasedWorkers: all})
 	check("no lease", attempt, false, true)
 	if events := decider.eventsOf(dispatch.WorkerDisabled); len(events) != 1 {
-		t.Errorf("the decision module was told %d times that it may not send there", len(events))
+		t.Errorf("the decision module was notified %d times that it may not send there", len(events))
 	}
 	engine.SetLeaseExpiry(time.Now().Add(time.Hour))
 	check("a lease", attempt, true, true)
@@ -84,21 +84,21 @@
 	}
 }
 
-// Where plans are unknown the decision module hears that it may not use a worker before it hears of the worker. It hears that a lease has
-// run out though nobody says so.
+// Where plans are unknown the decision module is notified that it may not use a worker before it is notified of the worker. It is notified
+// too when a lease runs out by itself.
 func TestSetLeaseExpiry_TellsDecider(t *testing.T) {
 	decider := &scriptedDecider{}
 	engine := newEngine(t, decider)
 	engine.SetPlansUnknown(true)
 	engine.UpdateEndpoints(listWith(dispatch.Ready, "a:1", 0))
 	if len(decider.events) < 2 || decider.events[0].Kind != dispatch.WorkerDisabled || decider.events[1].Kind != dispatch.EndpointUpdate {
-		t.Errorf("it heard %+v", decider.events)
+		t.Errorf("events %+v", decider.events)
 	}
 	engine.SetLeaseExpiry(time.Now().Add(2 * time.Millisecond))
 	before := decider.count(dispatch.WorkerDisabled)
 	time.Sleep(3 * time.Millisecond)
 	engine.Heartbeat()
 	if n := decider.count(dispatch.WorkerDisabled); n != before+1 {
-		t.Errorf("told %d times of a lease that has run out", n-before)
+		t.Errorf("notified %d times of a lease that has run out", n-before)
 	}
 }
--- a/internal/engine/outlier.go
+++ b/internal/engine/outlier.go
@@ -5,8 +5,8 @@
 	"birchfork/internal/failpoint"
 )
 
-// minConsecutiveFailures is how many attempts in a row have to fail at a worker for the other dispatchers to be told. With one, they
-// would be told of every chance failure. Of 16 dispatchers with three bad workers 9 requests fail on three days with one, 30 with two,
+// minConsecutiveFailures is how many attempts in a row have to fail at a worker for the worker to be reported to the other dispatchers. With one,
+// every chance failure would be reported. Of 16 dispatchers with three bad workers 9 requests fail on three days with one, 30 with two,
 // 42 with three (docs/results.md).
 const minConsecutiveFailures = 2
 
@@ -18,8 +18,8 @@
 	e.onOutlier = f
 }
 
-// HandleOutlierReport takes over that attempts fail at a worker, as another dispatcher has reported: the decision module decides what
-// follows. A name that we do not know is passed over.
+// HandleOutlierReport passes the report of another dispatcher that attempts fail at a worker on to the decision module. A name that we do
+// not know is ignored.
 func (e *Engine) HandleOutlierReport(name string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/engine/outlier_test.go
+++ b/internal/engine/outlier_test.go
@@ -48,6 +48,6 @@
 	engine.HandleOutlierReport("nobody")
 	engine.HandleOutlierReport(name)
 	if events := decider.eventsOf(dispatch.OutlierReported); len(events) != 1 || events[0].Worker != 0 {
-		t.Errorf("the decision module heard %+v", events)
+		t.Errorf("events %+v", events)
 	}
 }
--- a/internal/engine/overrides_test.go
+++ b/internal/engine/overrides_test.go
@@ -61,7 +61,7 @@
 		}
 		excluded, included := decider.eventsOf(dispatch.WorkerDisabled), decider.eventsOf(dispatch.WorkerEnabled)
 		if len(excluded) != 1 || len(included) != 1 || excluded[0].Worker != 0 {
-			t.Fatalf("the decision module heard %v and %v", excluded, included)
+			t.Fatalf("excluded %v, included %v", excluded, included)
 		}
 	})
 }
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -66,7 +66,7 @@
 }
 
 // Open admits a request and lets the decision module decide on it. It returns ErrUnknownClass, ErrUnknownTenant, ErrTooManyOpen,
-// ErrDuplicateID or a *LimitError for one that is not admitted: the decision module hears nothing of that one.
+// ErrDuplicateID or a *LimitError for one that is not admitted; the decision module is not notified of that one.
 func (e *Engine) Open(spec RequestSpec) (*Request, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -139,7 +139,7 @@
 // Decisions returns the channel on which the decisions on the request come, in their order. It is never closed.
 func (r *Request) Decisions() <-chan Decision { return r.decisions }
 
-// Close ends the caller's part in the request. Where no final decision has been taken, its client has gone. Attempts that have begun
+// Close ends the caller's part in the request. Without a final decision, its client has gone. Attempts that have begun
 // go on until they end by themselves or are cancelled. Close may be called more than once.
 func (r *Request) Close() {
 	r.engine.mu.Lock()
--- a/internal/engine/restrictions.go
+++ b/internal/engine/restrictions.go
@@ -16,8 +16,8 @@
 	LeasedWorkers, LeasedHosts           map[string]bool // of plans under way: sent to only while the lease runs
 }
 
-// runtimeSlack is how much later than its deadline a job may end at a worker that has been told the time left: the way of the request,
-// and the worker's own timer.
+// runtimeSlack is how much later than its deadline a job may end at a worker, which knows only the time left: the way of the request
+// there, and the worker's own timer.
 const runtimeSlack = 250 * time.Millisecond
 
 // SetRestrictions puts the group's restrictions in force, in place of those before. From its return on nothing is sent to workers under
--- a/internal/engine/worker.go
+++ b/internal/engine/worker.go
@@ -12,7 +12,7 @@
 	endpoint          Endpoint      // as it was listed last
 	startedAt         dispatch.Time // the listed start, on the decision module's clock; 0: long ago
 	latestStartMillis int64         // the latest start that was listed, Unix time in milliseconds
-	goneAt            dispatch.Time // when the list told that it has gone
+	goneAt            dispatch.Time // when it left the list
 
 	exclusions exclusion     // why nothing is sent there, whatever the list says
 	generation int           // exclusions that it has had; attempts that were ordered in an earlier one are not sent
--- a/internal/engine/worker_test.go
+++ b/internal/engine/worker_test.go
@@ -8,7 +8,7 @@
 	"birchfork/dispatch"
 )
 
-// WorkerStatuses is what other members of a group are told of workers.
+// WorkerStatuses is what the members of a group report of workers.
 func TestWorkerStatuses(t *testing.T) {
 	engine := newEngine(t, &scriptedDecider{})
 	endpoint := func(name string, state dispatch.WorkerState, age time.Duration) Endpoint {
