--- /dev/null
+++ b/dispatch/admission.go
@@ -0,0 +1,50 @@
+package dispatch
+
+import "math"
+
+// admit decides on a request that has arrived: it is queued or sent, sent to a worker that is warming up, or
+// rejected. Guards against queues in which all requests end late, at the workers or here, and against waits
+// that come to nothing.
+func (d *Dispatcher) admit(r *request, isRetry bool) {
+	d.retryBudget = min(maxRetryBudget, d.retryBudget+retryBudgetRatio)
+	d.meanWork += (d.expectedWork(r) - d.meanWork) * slowEWMAWeight
+	r.sampled = isRetry // retries get no worker that is warming up: a storm of them would overload these
+	quotaWeight := 1.0
+	if d.overQuota(r, isRetry) {
+		r.band, quotaWeight = bandOverQuota, d.settings.OverQuotaWeight
+	}
+	d.adjustShedding(0)
+	latestSend := d.latestOnTimeSend(r)
+	fitsBacklog := d.now+d.backlogDelay(r) <= latestSend
+	switch {
+	case fitsBacklog && d.rng.Float64() >= math.Pow(d.shedding, shedExponent*quotaWeight):
+		d.enqueue(r)
+	case d.now > latestSend || !d.sendToWarming(r):
+		d.respond(r)
+	}
+}
+
+// latestOnTimeSend is the last moment to send a request for an answer of full weight by a usual worker. A
+// request with much work gets a quarter of its time. Where the work is unknown, half of the requests would be
+// late by the spread of their run times, which moves the objective by more than the run.
+func (d *Dispatcher) latestOnTimeSend(r *request) Time {
+	run := d.expectedWork(r) * d.fleet.slowdown
+	if r.work == 0 {
+		run += r.class.relativeDeviation * math.Abs(r.class.ObjectiveStretch-1) * run
+	}
+	return max(r.objectiveAt-Time(run), r.arrivedAt+(r.objectiveAt-r.arrivedAt)/4)
+}
+
+// backlogDelay is how long the work ahead of a request takes at the rate of what is in flight (Little's law),
+// bounded by how long requests have in fact been queued.
+func (d *Dispatcher) backlogDelay(r *request) Time {
+	ahead := d.queuedSlots[bandNormal]
+	if r.band == bandOverQuota {
+		ahead += d.queuedSlots[bandOverQuota]
+	}
+	if r.queueTicket != 0 {
+		ahead -= r.slots
+	}
+	delay := Time(max(0, ahead) * d.meanWork * d.fleet.slowdown / max(d.slotsInUse, 1))
+	return min(delay, candidateInterval+2*d.queues[r.band].headAge(d.now))
+}
--- /dev/null
+++ b/dispatch/doc.go
@@ -0,0 +1,33 @@
+// Package dispatch is the decision module of a dispatcher: it decides which worker runs a request, when it is
+// retried, hedged or migrated, which workers are ejected as outliers or are warming up, and which requests
+// are rejected under overload.
+//
+// The package is pure: it does no I/O, starts no goroutine and reads no clock. The caller turns all names
+// into dense ids (workers, zones, kinds, classes, tenants), hands events to Dispatcher.Handle in the order in
+// which they happened, and carries out the returned actions in their order. The same settings, seed and
+// events give the same actions.
+//
+// The interface stands in dispatch/types.go, settings.go, event.go and action.go.
+//
+// # The four rules
+//
+// Dispatcher.send is the only place that emits an attempt, and it asks Dispatcher.maySend first;
+// Dispatcher.respond is the only place that emits a final answer. Both stand in send.go. They hold whatever
+// the events are:
+//
+//  1. One answer, in time: nothing is sent or answered after a request's deadline, nor more often than is allowed.
+//  2. No double effect: a request that may have run is sent again only where its class allows it (retry.go).
+//  3. Only ready workers: nothing is sent to a worker that is draining, gone or disabled (endpoints.go).
+//  4. Slow start: a worker that is warming up gets no more than it bears (slowstart.go).
+//
+// # Files
+//
+// The decisions: send.go (attempts and final answers), admission.go, queueing.go, placement.go (candidates
+// and the choice among them), affinity.go (consistent hashing of keys), capacity.go (learned concurrency
+// limits), estimate.go (run times), slowstart.go, retry.go, hedging.go (hedged requests, migration,
+// cancelling), outlier.go, shedding.go (load shedding and quotas), outcome.go (what is learned from an
+// attempt), endpoints.go and peers.go (load shared between dispatchers).
+//
+// The state: dispatcher.go, reconfigure.go, validate.go, request.go, worker.go, fleet.go, messages.go,
+// queue.go, timers.go and ring.go.
+package dispatch
--- /dev/null
+++ b/dispatch/module_test.go
@@ -0,0 +1,108 @@
+package dispatch
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// The files of the module by what they hold: decisions are those that deploy/balancer.toml names under policy.
+var (
+	decisionFiles = []string{
+		"send.go", "admission.go", "queueing.go", "placement.go", "affinity.go", "capacity.go", "estimate.go", "slowstart.go",
+		"retry.go", "hedging.go", "outlier.go", "shedding.go", "outcome.go", "endpoints.go", "peers.go",
+	}
+	interfaceFiles = []string{"types.go", "settings.go", "event.go", "action.go"}
+	stateFiles     = []string{
+		"dispatcher.go", "reconfigure.go", "validate.go", "request.go", "worker.go", "fleet.go", "messages.go", "queue.go",
+		"timers.go", "ring.go",
+	}
+)
+
+const (
+	// maxDecisionLines leaves a margin below the 1,200 lines that the files under policy may hold.
+	maxDecisionLines   = 1150
+	maxDecisionColumns = 110
+)
+
+func readSource(t *testing.T, file string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// TestModule_Size holds the size of the decisions, which is part of the module's contract, and has each file named in doc.go.
+func TestModule_Size(t *testing.T) {
+	lines := 0
+	for _, file := range decisionFiles {
+		for i, l := range bytes.Split(readSource(t, file), []byte("\n")) {
+			if len(bytes.TrimSpace(l)) > 0 {
+				lines++
+			}
+			if n := len([]rune(string(bytes.ReplaceAll(l, []byte("\t"), []byte("    "))))); n > maxDecisionColumns {
+				t.Errorf("%s: line %d has %d columns", file, i+1, n)
+			}
+		}
+	}
+	if lines > maxDecisionLines {
+		t.Errorf("%d non-blank lines, want %d at most", lines, maxDecisionLines)
+	}
+	head := readSource(t, "doc.go")
+	for _, file := range slices.Concat(decisionFiles, interfaceFiles, stateFiles) {
+		if !bytes.Contains(head, []byte(file)) {
+			t.Errorf("doc.go does not name %s", file)
+		}
+	}
+}
+
+// sources are all files of the module but for tests.
+func sources(t *testing.T) (files []string) {
+	t.Helper()
+	all, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, file := range all {
+		if !strings.HasSuffix(file, "_test.go") {
+			files = append(files, file)
+		}
+	}
+	return files
+}
+
+func TestModule_EachFileHasAKind(t *testing.T) {
+	known := slices.Concat(decisionFiles, interfaceFiles, stateFiles, []string{"doc.go"})
+	slices.Sort(known)
+	if all := sources(t); !slices.Equal(all, known) {
+		t.Errorf("files %v, want those of the lists above, %v", all, known)
+	}
+}
+
+func TestModule_IsPure(t *testing.T) {
+	for _, f := range sources(t) {
+		text := readSource(t, f)
+		for _, bad := range []string{`"time"`, `"os"`, `"net`, `"sync`, `"reflect"`, "go func", `"io"`} {
+			if bytes.Contains(text, []byte(bad)) {
+				t.Errorf("%s holds %s", f, bad)
+			}
+		}
+	}
+}
+
+func TestModule_InterfaceHoldsTypesOnly(t *testing.T) {
+	for _, file := range interfaceFiles {
+		if bytes.Contains(readSource(t, file), []byte("func ")) {
+			t.Errorf("%s holds a function", file)
+		}
+	}
+	if k := reflect.TypeOf(Settings{}).Kind(); k != reflect.Struct {
+		t.Errorf("Settings is a %v", k)
+	}
+}
--- /dev/null
+++ b/dispatch/outlier.go
@@ -0,0 +1,76 @@
+package dispatch
+
+const (
+	// outlierMargin is the failure rate above twice the fleet's from which a worker is ejected.
+	outlierMargin = 0.25
+
+	// The interval between probes of a worker that is ejected or unresponsive doubles from minProbeInterval
+	// up to maxProbeInterval.
+	minProbeInterval = 250 * Millisecond
+	maxProbeInterval = 4 * Second
+
+	// outlierReportInterval is how long a further report of a worker that has since proved good for us is
+	// ignored: it may fail for one dispatcher alone.
+	outlierReportInterval = 10 * Second
+)
+
+// recordOutcome takes a success (0) or a failure (1) and ejects a worker that fails far more than its peers,
+// or ends that.
+func (d *Dispatcher) recordOutcome(w *worker, failure float64) {
+	w.outcomeCount++
+	w.failureRate += (failure - w.failureRate) * max(fastEWMAWeight, 1/(w.outcomeCount+1))
+	d.failureRate += (failure - d.failureRate) * slowEWMAWeight
+	isOutlier := w.failureRate > 2*d.failureRate+outlierMargin
+	mayEject := w.ejected || d.ejectedCount < d.maxEjected()
+	eject := isOutlier && mayEject
+	if eject && !w.ejected {
+		d.ejectedCount++
+		d.scheduleProbe(w)
+	} else if !eject && w.ejected {
+		d.ejectedCount--
+	}
+	w.ejected = eject
+}
+
+// maxEjected is how many workers may be ejected, a third: where more fail, the cause is not theirs.
+func (d *Dispatcher) maxEjected() int { return len(d.ready) / 3 }
+
+// handleOutlierReport ejects a worker that fails for another dispatcher: it gets single probes, by requests
+// that may be retried, until one succeeds here. What was seen here counts for more.
+func (d *Dispatcher) handleOutlierReport(event *Event) {
+	if event.Worker < 0 {
+		return
+	}
+	w := d.findOrAddWorker(event.Worker)
+	wasReported := w.outlierReportedAt > 0 && d.now-w.outlierReportedAt < outlierReportInterval
+	if w.unresponsive || w.ejected || wasReported {
+		return
+	}
+	if !w.isReady() || d.ejectedCount >= d.maxEjected() {
+		return
+	}
+	w.outlierReportedAt, w.ejected = d.now, true
+	w.failureRate, w.outcomeCount = 2*outlierMargin, 0 // so much that one success ends it
+	d.ejectedCount++
+	d.scheduleProbe(w)
+	d.resampleOrphaned()
+}
+
+// markUnresponsive leaves a worker that gives no sign to single probes until it gives one.
+func (d *Dispatcher) markUnresponsive(w *worker) {
+	if !w.unresponsive {
+		w.unresponsive = true
+		d.scheduleProbe(w)
+	}
+}
+
+// scheduleProbe sets when a worker that is ejected or unresponsive gets its next request.
+func (d *Dispatcher) scheduleProbe(w *worker) {
+	w.probeInterval = min(max(2*w.probeInterval, minProbeInterval), maxProbeInterval)
+	w.nextProbeAt = d.now + w.probeInterval
+}
+
+// awaitsProbe says whether a worker gets nothing until its next probe.
+func (d *Dispatcher) awaitsProbe(w *worker) bool {
+	return (w.ejected || w.unresponsive) && d.now < w.nextProbeAt
+}
--- /dev/null
+++ b/dispatch/placement.go
@@ -0,0 +1,165 @@
+package dispatch
+
+import "math"
+
+const (
+	initialCandidates = 2  // workers sampled when a request is queued: d in the paper (docs/design.md)
+	furtherCandidates = 24 // workers sampled each time that no candidate has had capacity
+	maxCandidates     = 64 // of one request: bounds the work of an event
+	maxScan           = 8  // queued requests looked at for one that fits; samples for one candidate
+
+	// crossZoneWait, times the price of a crossing, is how much longer a request waits before other zones
+	// take part.
+	crossZoneWait = 200 * Millisecond
+
+	// priceWeight is how many times a worker's capacity a crossing or a fetch weighs, times its price.
+	priceWeight = 15.0
+
+	// unreachableZoneRate is the share of failed connects from which a zone counts as cut off.
+	unreachableZoneRate = 0.5
+)
+
+// sampleCandidates adds up to n random workers to a request's candidates. Where peers report loads, it asks
+// for those that are unknown.
+func (d *Dispatcher) sampleCandidates(r *request, n int) {
+	r.nextSamplingAt = d.now + candidateInterval
+	if d.settings.PeerMessages { // no worker that others may fill is used without knowing its load
+		r.nextSamplingAt = d.now + loadQueryTimeout
+		n = min(n, maxLoadQueries)
+	}
+	for i := range n {
+		w := d.sampleCandidate(r, i%2 == 0)
+		if w == nil || r.isCandidate(w) {
+			continue
+		}
+		r.addCandidate(w)
+		d.queryLoad(w)
+	}
+}
+
+// crossZoneDelay is how long a request must have been queued before workers of all zones become its
+// candidates.
+func (d *Dispatcher) crossZoneDelay() Time {
+	return candidateInterval + Time(d.settings.PriceCrossZone*float64(crossZoneWait))
+}
+
+// sampleCandidate returns a random worker that may be used, nil where it found none. With inZone it is one of
+// this dispatcher's zone where a crossing has a price.
+func (d *Dispatcher) sampleCandidate(r *request, inZone bool) *worker {
+	isFirstRound := r.firstCandidates && r.samplingRound == 0
+	if w := d.dueFirstRequest(); w != nil && inZone && isFirstRound && r.class.WorkerKind < 0 {
+		return w
+	}
+	workers, zoneShare := d.ready, 1.0
+	if d.staysInZone(r, inZone) {
+		workers = d.readyInZone
+		// Where few are left of a zone, its samples would bring one that is warming up many times its part.
+		zoneShare = min(1, float64(len(d.readyInZone)*d.settings.ZoneCount)/float64(len(d.ready)))
+	}
+	for i := range min(maxScan, len(workers)) {
+		w := d.sampleWorker(r, workers)
+		zone := d.zoneOf(w)
+		isWarmingUp := d.isWarmingUp(w)
+		switch {
+		case d.awaitsProbe(w), d.isCutOff(zone):
+			continue
+		case isWarmingUp && i > 0: // nor does it take the samples of those passed over
+			continue
+		case isWarmingUp && !(isFirstRound && d.rng.Float64() < zoneShare*d.slowStartChance(w)):
+			return nil // not sampled again: that would raise the others' chance
+		}
+		zone.nextProbeAt = d.now + minProbeInterval
+		return w
+	}
+	return nil
+}
+
+// staysInZone says whether a sample is one of this dispatcher's zone only. Others are of all zones, the more
+// often the longer starts wait in this zone.
+func (d *Dispatcher) staysInZone(r *request, inZone bool) bool {
+	price := priceWeight * d.settings.PriceCrossZone
+	if r.affinityKey != 0 || price <= 0 || len(d.readyInZone) == 0 {
+		return false
+	}
+	if inZone {
+		return true
+	}
+	return d.now < r.queuedAt+d.crossZoneDelay() &&
+		math.Sqrt(d.rng.Float64())*price >= d.zones[d.settings.Zone].queueWait
+}
+
+// isCutOff says whether a zone cannot be reached and is not due for a probe. Guards against a cut link.
+func (d *Dispatcher) isCutOff(zone *zoneState) bool {
+	return zone.connectFailureRate > unreachableZoneRate && d.now < zone.nextProbeAt
+}
+
+// place sends a queued request to the candidate that has capacity and the lowest cost, ties at random. It
+// waits for loads that have been asked for, and reports whether the request was sent.
+func (d *Dispatcher) place(r *request) bool {
+	var best *worker
+	lowestCost := math.Inf(1)
+	for i, w := range r.candidates {
+		if d.awaitsLoad(w) {
+			return false
+		}
+		if !d.hasCapacity(r, w) {
+			continue
+		}
+		cost := d.placementCost(r, w)
+		if r.affinityKey != 0 { // each step down the order of its key weighs as a fetch
+			cost += priceWeight * d.settings.PriceFetch * float64(i)
+		}
+		if cost < lowestCost || cost == lowestCost && d.rng.IntN(2) == 0 {
+			best, lowestCost = w, cost
+		}
+	}
+	return best != nil && d.send(r, best)
+}
+
+// placementCost is the share of its capacity that w would use, weighed by its slowdown, and more where
+// requests wait for their start or if it is in another zone.
+func (d *Dispatcher) placementCost(r *request, w *worker) float64 {
+	var cost float64
+	if d.knowsGroupLoad(w) {
+		cost = (w.groupLoad + r.slots) / w.kind.size * d.slowdownOf(w) / d.fleet.slowdown
+	} else {
+		utilisation := (w.slotsInUse + r.slots) / d.capacityOf(w)
+		cost = utilisation*d.slowdownOf(w)/d.fleet.slowdown + w.kind.queueWait + d.zoneOf(w).queueWait
+	}
+	if d.weighsByLoad(w) { // the weight falls as others fill the worker
+		cost *= d.meanListedWeight / w.Weight * d.meanListedWeight / w.Weight
+	}
+	if w.Zone != d.settings.Zone {
+		cost += priceWeight * d.settings.PriceCrossZone
+	}
+	return cost
+}
+
+// hasCapacity says whether r may go to w by the rules, by w's health and by its capacity.
+func (d *Dispatcher) hasCapacity(r *request, w *worker) bool {
+	if !d.maySend(r, w) || r.class.WorkerKind >= 0 && w.Kind != r.class.WorkerKind {
+		return false
+	}
+	if r.hasTried(w) && len(d.ready) > 1 { // guards against a worker that fails one request again and again
+		return false
+	}
+	slots := w.slotsInUse + r.slots
+	knowsLoad := d.knowsGroupLoad(w)
+	hasWaited := d.now >= r.queuedAt+d.crossZoneDelay()
+	switch {
+	case !knowsLoad && d.now < w.reportedCapacityUntil && slots > w.reportedCapacity:
+		return false
+	case d.weighsByLoad(w) && w.Weight < d.meanListedWeight/2 && !hasWaited:
+		return false // others fill it, as far as its weight has been told
+	case w.ejected || w.unresponsive: // guards against a black hole: who errs or hangs always has capacity
+		return w.slotsInUse == 0 && d.now >= w.nextProbeAt && r.class.Idempotency != NonIdempotent
+	case knowsLoad:
+		return w.groupLoad+r.slots <= w.kind.size || w.groupLoad <= w.kind.size && hasWaited
+	}
+	return slots <= d.capacityOf(w) || w.slotsInUse == 0
+}
+
+// weighsByLoad says whether w's listed weight is all that tells of its load.
+func (d *Dispatcher) weighsByLoad(w *worker) bool {
+	return !d.settings.PeerMessages && d.settings.WeightsShowLoad && w.Weight > 0
+}
--- /dev/null
+++ b/dispatch/queueing.go
@@ -0,0 +1,75 @@
+package dispatch
+
+// candidateInterval is how long a request waits for its candidates before further ones are sampled.
+const candidateInterval = 10 * Millisecond
+
+// enqueue queues a request at random ready workers and sends it at once where one of them has capacity.
+func (d *Dispatcher) enqueue(r *request) {
+	d.joinQueue(r)
+	d.sampleCandidates(r, initialCandidates)
+	if !d.place(r) {
+		d.schedule(r)
+	}
+}
+
+// queueDeadline is the last moment to send a queued request that has nothing in flight.
+func (d *Dispatcher) queueDeadline(r *request) Time {
+	if r.limits.MaxQueueTime > 0 {
+		return min(d.latestOnTimeSend(r), r.arrivedAt+r.limits.MaxQueueTime)
+	}
+	return d.latestOnTimeSend(r)
+}
+
+// dispatchNext sends queued requests to a worker while it has capacity: the oldest of its own queue, then
+// those of others that have waited for so long that it may become their candidate.
+func (d *Dispatcher) dispatchNext(w *worker) {
+	queuedBefore := d.now - candidateInterval
+	if w.Zone != d.settings.Zone {
+		queuedBefore = d.now - d.crossZoneDelay()
+	}
+	for band := range bandCount {
+		own, others := w.queues[band].oldest(d.now), d.queues[band].oldest(queuedBefore)
+		for _, r := range append(own, others...) {
+			if r.queueTicket != 0 && d.hasCapacity(r, w) {
+				d.send(r, w)
+			}
+		}
+	}
+}
+
+// placeQueued sends what has waited for a worker's load.
+func (d *Dispatcher) placeQueued(w *worker) {
+	for band := range w.queues {
+		for _, r := range w.queues[band].oldest(d.now) {
+			d.place(r)
+		}
+	}
+}
+
+// reevaluate does what time has made due for a request.
+func (d *Dispatcher) reevaluate(r *request) {
+	for i := range r.attempts {
+		d.handleOverdueSignal(r, &r.attempts[i])
+	}
+	switch {
+	case d.isDue(r):
+		d.respond(r)
+	case r.queueTicket != 0 && d.now >= r.nextSamplingAt:
+		r.samplingRound++
+		if !d.place(r) {
+			d.sampleCandidates(r, furtherCandidates)
+			d.place(r)
+		}
+	}
+	if r.open {
+		d.schedule(r)
+	}
+}
+
+// isDue says whether a request has to be answered now, as it can gain nothing by waiting.
+func (d *Dispatcher) isDue(r *request) bool {
+	if d.now >= r.deadline || d.now >= r.objectiveAt && d.isHopeless(r) {
+		return true
+	}
+	return r.isWaitingUnsent() && (d.now >= d.queueDeadline(r) || len(r.attempts) >= d.maxAttempts(r))
+}
--- /dev/null
+++ b/dispatch/reconfigure.go
@@ -0,0 +1,73 @@
+package dispatch
+
+import "slices"
+
+// changeSettings replaces the settings. Open requests keep the class under which they arrived: they point to
+// its state, which goes with the last of them. What was learned of a class stays. Invalid settings are
+// ignored.
+func (d *Dispatcher) changeSettings(event *Event) {
+	if event.Settings == nil || validate(event.Settings) != nil {
+		return
+	}
+	s := *event.Settings
+	s.ZoneCount = max(s.ZoneCount, d.settings.ZoneCount)
+	s.KindCount = max(s.KindCount, d.settings.KindCount)
+	d.classes = d.changedClasses(s.Classes, event.OldClasses)
+	d.tenants = d.changedTenants(s.Tenants, event.OldTenants)
+	d.totalQuota = 0
+	for _, t := range s.Tenants {
+		d.totalQuota += t.QuotaRPS
+	}
+	for len(d.zones) <= s.ZoneCount { // new ones come before the last, which is for unknown ones
+		d.zones = slices.Insert(d.zones, len(d.zones)-1, newZoneState())
+	}
+	for len(d.kinds) <= s.KindCount {
+		d.kinds = slices.Insert(d.kinds, len(d.kinds)-1, newKindState())
+	}
+	d.settings = s
+	for _, w := range d.workers {
+		if w != nil {
+			d.linkWorker(w)
+		}
+	}
+	d.recomputeReady()
+	for _, r := range d.requests { // those that may make no further attempt end
+		if r != nil && r.open {
+			d.reevaluate(r)
+		}
+	}
+}
+
+func (d *Dispatcher) changedClasses(classes []Class, oldNumbers []int) []classState {
+	states := make([]classState, 0, len(classes))
+	for i, c := range classes {
+		state := newClassState(c)
+		if old := oldNumber(oldNumbers, i); old >= 0 && old < len(d.classes) {
+			state = d.classes[old]
+			state.Class = c
+		}
+		states = append(states, state)
+	}
+	return states
+}
+
+func (d *Dispatcher) changedTenants(tenants []Tenant, oldNumbers []int) []tenantState {
+	states := make([]tenantState, 0, len(tenants))
+	for i, t := range tenants {
+		state := tenantState{}
+		if old := oldNumber(oldNumbers, i); old >= 0 && old < len(d.tenants) {
+			state = d.tenants[old]
+		}
+		state.Tenant = t
+		states = append(states, state)
+	}
+	return states
+}
+
+// oldNumber is the number that a class or tenant had in the old settings, -1 where it is new.
+func oldNumber(oldNumbers []int, i int) int {
+	if i < len(oldNumbers) {
+		return oldNumbers[i]
+	}
+	return -1
+}
--- /dev/null
+++ b/dispatch/retry.go
@@ -0,0 +1,89 @@
+package dispatch
+
+const (
+	retryBudgetRatio = 0.15 // retries for each arrival: bounds retry storms
+	maxRetryBudget   = 10.0 // retries saved up
+	maxDoublings     = 20   // of a pause that doubles with each attempt: keeps it within its bits
+)
+
+// mayRetry says whether an attempt at w can have no second effect, whatever became of the earlier ones.
+func (d *Dispatcher) mayRetry(r *request, w *worker) bool {
+	for i := range r.attempts {
+		if d.forbidsRetry(r, &r.attempts[i], w) {
+			return false
+		}
+	}
+	return d.now < d.retryDeadline(r)
+}
+
+// forbidsRetry says whether the earlier attempt a forbids one at w.
+func (d *Dispatcher) forbidsRetry(r *request, a *attempt, w *worker) bool {
+	if a.neverRan {
+		return false
+	}
+	if !r.mayRunAgain(a.worker, w) {
+		return true
+	}
+	mayHedge := d.settings.CanHedge && !r.limits.NoHedging && a.worker != w
+	return a.inFlight && !mayHedge
+}
+
+// mayRunAgain says whether a request that may have run at one worker may run at another.
+func (r *request) mayRunAgain(ranAt, w *worker) bool {
+	if r.limits.RetryNotRunOnly {
+		return false
+	}
+	switch r.class.Idempotency {
+	case Idempotent:
+		return true
+	case Deduplicated:
+		return sameDedupScope(r.class.DedupScope, ranAt, w)
+	}
+	return false
+}
+
+// retryDeadline is when the first byte of a further attempt has to be sent: workers drop repeats for so long
+// only, counted from our order of the first attempt that may have run, as that one was sent no sooner.
+func (d *Dispatcher) retryDeadline(r *request) Time {
+	return r.mayHaveRunSince() + r.dedupWindow - d.settings.Tick
+}
+
+// retry queues a request for a further attempt after the attempt a, and reports whether rules, budget and
+// time allow one.
+func (d *Dispatcher) retry(r *request, a *attempt) bool {
+	if d.now >= d.queueDeadline(r) || len(r.attempts) >= d.maxAttempts(r) {
+		return false
+	}
+	if r.mayHaveRun() {
+		if r.limits.RetryNotRunOnly {
+			return false
+		}
+		if !a.cancelled && !d.takeRetryBudget(r) {
+			return false
+		}
+	}
+	d.enqueue(r)
+	return true
+}
+
+// takeRetryBudget takes a retry out of the budget. Guards against a storm of attempts when all workers are
+// slow or failing.
+func (d *Dispatcher) takeRetryBudget(r *request) bool {
+	if r.class.Idempotency == NonIdempotent || d.retryBudget < 1 {
+		return false
+	}
+	d.retryBudget--
+	return true
+}
+
+// backOff sets the pause before the next attempt. Guards against workers that get a request again before they
+// can have recovered.
+func (d *Dispatcher) backOff(r *request) {
+	limits := &r.limits
+	if limits.RetryBackoff <= 0 {
+		return
+	}
+	doublings := min(len(r.attempts)-1, maxDoublings)
+	pause := min(limits.RetryBackoff<<doublings, max(limits.MaxRetryBackoff, limits.RetryBackoff))
+	r.retryNotBefore = d.now + Time(float64(pause)*(1-limits.BackoffJitter*d.rng.Float64()))
+}
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -1,10 +1,7 @@
 package dispatch
 
 import (
-	"bytes"
 	"math/rand/v2"
-	"os"
-	"reflect"
 	"slices"
 	"strings"
 	"testing"
@@ -161,6 +158,9 @@
 	return n
 }
 
+// worker returns the worker of an id.
+func (h *harness) worker(id WorkerID) *worker { return h.dispatcher.workers[id] }
+
 func wantKinds(t *testing.T, actions []Action, kinds ...ActionKind) {
 	t.Helper()
 	got := []ActionKind{}
@@ -847,16 +847,16 @@
 		spoil func(*Settings)
 	}{
 		{"Classes", func(s *Settings) { s.Classes = nil }},
-		{"Classes[1].Kind", func(s *Settings) { s.Classes[1].WorkerKind = 2 }},
-		{"Classes[0].Aim", func(s *Settings) { s.Classes[0].LatencyObjective = -1 }},
-		{"Classes[0].Effect", func(s *Settings) { s.Classes[0].Idempotency = 9 }},
-		{"Tenants[0].Quota", func(s *Settings) { s.Tenants = []Tenant{{QuotaRPS: -1}} }},
+		{"Classes[1].WorkerKind", func(s *Settings) { s.Classes[1].WorkerKind = 2 }},
+		{"Classes[0].LatencyObjective", func(s *Settings) { s.Classes[0].LatencyObjective = -1 }},
+		{"Classes[0].Idempotency", func(s *Settings) { s.Classes[0].Idempotency = 9 }},
+		{"Tenants[0].QuotaRPS", func(s *Settings) { s.Tenants = []Tenant{{QuotaRPS: -1}} }},
 		{"Zone", func(s *Settings) { s.Zone = 2 }},
 		{"GroupSize", func(s *Settings) { s.GroupSize = 0 }},
 		{"MaxAttempts", func(s *Settings) { s.MaxAttempts = 0 }},
 		{"Tick", func(s *Settings) { s.Tick = -1 }},
-		{"WarmWithin", func(s *Settings) { s.SlowStartWindow = -1 }},
-		{"ColdFrom", func(s *Settings) { s.SlowStartMinFactor = -0.1 }},
+		{"SlowStartWindow", func(s *Settings) { s.SlowStartWindow = -1 }},
+		{"SlowStartMinFactor", func(s *Settings) { s.SlowStartMinFactor = -0.1 }},
 	} {
 		s := testSettings()
 		c.spoil(&s)
@@ -866,56 +866,6 @@
 	}
 }
 
-// The operators' bench refuses decision files of more than 1,200 lines that are not blank; lines stay readable.
-func TestModule_Size(t *testing.T) {
-	text, err := os.ReadFile("rules.go")
-	if err != nil {
-		t.Fatal(err)
-	}
-	lines := 0
-	for i, l := range bytes.Split(text, []byte("\n")) {
-		if len(bytes.TrimSpace(l)) > 0 {
-			lines++
-		}
-		if n := len([]rune(string(bytes.ReplaceAll(l, []byte("\t"), []byte("    "))))); n > 150 {
-			t.Errorf("line %d has %d columns", i+1, n)
-		}
-	}
-	if lines > 1150 {
-		t.Errorf("%d non-blank lines, want 1150 at most", lines)
-	}
-	if head, _, _ := bytes.Cut(text, []byte("package")); !bytes.Contains(head, []byte("dispatch/interface.go")) {
-		t.Error("the top of the module does not name dispatch/interface.go")
-	}
-}
-
-func TestModule_IsPure(t *testing.T) {
-	for _, f := range []string{"rules.go", "state.go", "interface.go"} {
-		text, err := os.ReadFile(f)
-		if err != nil {
-			t.Fatal(err)
-		}
-		for _, bad := range []string{`"time"`, `"os"`, `"net`, `"sync`, `"reflect"`, "go func", `"io"`} {
-			if bytes.Contains(text, []byte(bad)) {
-				t.Errorf("%s holds %s", f, bad)
-			}
-		}
-	}
-}
-
-func TestModule_InterfaceHoldsTypesOnly(t *testing.T) {
-	text, err := os.ReadFile("interface.go")
-	if err != nil {
-		t.Fatal(err)
-	}
-	if bytes.Contains(text, []byte("func ")) {
-		t.Error("interface.go holds a function")
-	}
-	if k := reflect.TypeOf(Settings{}).Kind(); k != reflect.Struct {
-		t.Errorf("Settings is a %v", k)
-	}
-}
-
 // runsWithHints feeds a dispatcher runs whose hints mislead by turns or not at all.
 func runsWithHints(t *testing.T, misleading bool) *harness {
 	h := newHarness(t, testSettings(), fleet(4)...)
@@ -1101,12 +1051,12 @@
 		id, w := h.arriveAndSend(class, 100*ms)
 		h.start(id, 0)
 		wantKinds(t, h.handle(Event{Kind: RequestAbandoned, Request: id}), Cancel)
-		if h.dispatcher.worker(w).slotsInUse != 1 {
+		if h.worker(w).slotsInUse != 1 {
 			t.Errorf("class %d: the slot counts as free before the attempt has ended", class)
 		}
 		wantKinds(t, h.handle(Event{Kind: RequestAbandoned, Request: id}))
 		wantKinds(t, h.end(id, 0, ResultCancelled))
-		if h.dispatcher.worker(w).slotsInUse != 0 || h.dispatcher.request(id) != nil || h.dispatcher.worker(w).failureRate != 0 {
+		if h.worker(w).slotsInUse != 0 || h.dispatcher.request(id) != nil || h.worker(w).failureRate != 0 {
 			t.Errorf("class %d: something is left of the job", class)
 		}
 	}
--- a/dispatch/shape_test.go
+++ b/dispatch/shape_test.go
@@ -480,12 +480,12 @@
 	h := newHarness(t, testSettings(), fleet(2)...)
 	w := h.dispatcher.workers[0]
 	for _, report := range []LoadReport{{}, {Known: true, FreeSlots: -1, QueueLength: -1}, {Known: true, FreeSlots: 0, QueueLength: 1e12}, {FreeSlots: 50}} {
-		h.dispatcher.recordLoadReport(w, &Event{Kind: AttemptEnded, Report: report})
+		h.dispatcher.recordLoadReport(w, report)
 		if w.kind.size != 1 {
 			t.Errorf("size %v after the report %+v, want it as it was", w.kind.size, report)
 		}
 	}
-	h.dispatcher.recordLoadReport(w, &Event{Kind: AttemptEnded, Report: LoadReport{Known: true, FreeSlots: 1e9}})
+	h.dispatcher.recordLoadReport(w, LoadReport{Known: true, FreeSlots: 1e9})
 	if w.kind.size > 1+maxSizeStep {
 		t.Errorf("size %v after one absurd report", w.kind.size)
 	}
