--- /dev/null
+++ b/dispatch/outlier_test.go
@@ -0,0 +1,177 @@
+package dispatch
+
+import "testing"
+
+func TestOutlier_QuickErrorsMakeNoBlackHole(t *testing.T) {
+	h := newHarness(t, testSettings(), fleet(6)...)
+	bad := h.countSendsTo(0, 200, 50*ms, 10*ms, ResultFailed)
+	if bad > 20 {
+		t.Fatalf("%d of 200 jobs went to a worker that fails all, want trials only", bad)
+	}
+	if !h.dispatcher.workers[0].ejected {
+		t.Fatal("the failing worker is trusted")
+	}
+	h.wait(5 * Second)
+	h.dispatcher.workers[1].slotsInUse += 100 // leave only the once failing worker with room
+	for i := 2; i < 6; i++ {
+		h.dispatcher.workers[i].slotsInUse += 100
+	}
+	tried := 0
+	for range 40 {
+		_, actions := h.arrive(classIdempotent, 50*ms)
+		for _, a := range append(actions, h.wait(250*ms)...) {
+			if a.Kind == Send && a.Worker == 0 {
+				tried++
+				number := len(h.dispatcher.request(a.Request).attempts) - 1
+				h.start(a.Request, number)
+				h.end(a.Request, number, ResultOK)
+			}
+		}
+	}
+	if tried < 1 || h.dispatcher.workers[0].ejected {
+		t.Fatalf("%d trials, distrust %v: a worker that serves again must win back trust", tried, h.dispatcher.workers[0].ejected)
+	}
+}
+
+func TestOutlier_EjectsAtMostAThird(t *testing.T) {
+	h := newHarness(t, testSettings(), fleet(6)...)
+	for range 100 {
+		id, actions := h.arrive(classIdempotent, 50*ms)
+		for _, a := range actions {
+			if a.Kind == Send {
+				h.end(id, len(h.dispatcher.request(id).attempts)-1, ResultFailed)
+			}
+		}
+		h.wait(20 * ms)
+	}
+	ejected := 0
+	for _, w := range h.dispatcher.workers {
+		if w.ejected {
+			ejected++
+		}
+	}
+	if ejected > 2 {
+		t.Fatalf("%d of 6 distrusted when all fail alike, want at most a third", ejected)
+	}
+}
+
+func TestOutlier_UnreachableWorkerIsProbed(t *testing.T) {
+	h := newHarness(t, testSettings(), fleet(3)...)
+	tried := h.countSendsTo(0, 400, 20*ms, 20*ms, ResultUnreachable) // over eight seconds
+	if tried < 3 || tried > 12 {
+		t.Fatalf("%d sends to a worker out of reach in eight seconds, want a few trials", tried)
+	}
+}
+
+func TestOutlier_StalledWorkerIsUnresponsive(t *testing.T) {
+	h := newHarness(t, testSettings(), fleet(2)...)
+	id, w := h.arriveAndSend(classIdempotent, 600*ms)
+	h.wait(ms)
+	h.start(id, 0)
+	h.wait(Second)
+	h.handle(Event{Kind: AttemptProgressed, Request: id, Progress: 0.4})
+	if actions := h.wait(Second); len(actions) != 0 {
+		t.Fatalf("got %v within the time of a progress note", actions)
+	}
+	h.wait(progressSlack + 20*ms)
+	if !h.dispatcher.workers[w].unresponsive {
+		t.Fatal("the worker that stands still is not suspected")
+	}
+	h.handle(Event{Kind: AttemptProgressed, Request: id, Progress: 0.6})
+	if h.dispatcher.workers[w].unresponsive {
+		t.Fatal("the worker gave a sign and is still suspected")
+	}
+}
+
+func TestOutlier_UnreachableZoneIsLeftOut(t *testing.T) {
+	s := testSettings()
+	s.Zone, s.MaxAttempts = -1, 1
+	var list []Worker
+	for i := range 40 {
+		list = append(list, Worker{ID: WorkerID(i), Zone: i % 2})
+	}
+	h := newHarness(t, s, list...)
+	lost := 0
+	for range 100 {
+		_, actions := h.arrive(classIdempotent, 20*ms)
+		for _, a := range append(actions, h.wait(20*ms)...) {
+			switch {
+			case a.Kind != Send:
+			case a.Worker%2 == 1:
+				lost++
+				h.end(a.Request, 0, ResultUnreachable)
+			default:
+				h.startAndEnd(a.Request, 0)
+			}
+		}
+	}
+	if lost > 20 {
+		t.Fatalf("%d of 100 jobs went to twenty workers behind a cut link", lost)
+	}
+}
+
+// A worker that fails for another dispatcher gets no job that may not be repeated until it gives a sign to us; then that one's word
+// is not heeded for a while. What all are said to share is no one's fault.
+func TestOutlierReported_LimitsToProbes(t *testing.T) {
+	h := newHarness(t, testSettings(), fleet(6)...)
+	requestsAt := func(class, n int) (got int) {
+		for range n {
+			id, actions := h.arrive(class, 10*ms)
+			for _, w := range sendTargets(actions) {
+				if w == 0 {
+					got++
+				}
+			}
+			h.handle(Event{Kind: AttemptEnded, Request: id, Result: ResultOK, Final: true})
+		}
+		return got
+	}
+	reportOutlier := func(w WorkerID) { h.handle(Event{Kind: OutlierReported, Worker: w}) }
+	reportOutlier(-1)
+	reportOutlier(99)
+	if requestsAt(classNonIdempotent, 60) == 0 {
+		t.Fatal("nothing goes to the worker in the first place")
+	}
+	reportOutlier(0)
+	if n := requestsAt(classNonIdempotent, 60); n > 0 {
+		t.Errorf("%d jobs that may not be repeated went to a doubted worker", n)
+	}
+	h.wait(Second)
+	if n := requestsAt(classIdempotent, 60); n == 0 {
+		t.Error("no trial")
+	}
+	if reportOutlier(0); requestsAt(classNonIdempotent, 60) == 0 {
+		t.Error("a worker that has proved good for us is left alone by another's word")
+	}
+	h.wait(outlierReportInterval)
+	if reportOutlier(0); requestsAt(classNonIdempotent, 60) > 0 {
+		t.Error("a later word is not heeded")
+	}
+	h.wait(Second)
+	failed := 0
+	for failed == 0 { // its first trial fails: that is no reason to trust it
+		id, actions := h.arrive(classIdempotent, 10*ms)
+		to := sendTargets(actions)[0]
+		if to == 0 {
+			failed++
+			h.handle(Event{Kind: AttemptEnded, Request: id, Result: ResultFailed, Final: true})
+		} else {
+			h.handle(Event{Kind: AttemptEnded, Request: id, Result: ResultOK, Final: true})
+		}
+	}
+	if n := requestsAt(classNonIdempotent, 60); n > 0 {
+		t.Errorf("%d jobs that may not be repeated went there after a trial that failed", n)
+	}
+	for w := range WorkerID(6) {
+		reportOutlier(w)
+	}
+	ejected := 0
+	for _, w := range h.dispatcher.ready {
+		if w.ejected {
+			ejected++
+		}
+	}
+	if ejected != 2 {
+		t.Errorf("%d of 6 are doubted", ejected)
+	}
+}
--- a/dispatch/hand_test.go
+++ b/dispatch/override_test.go
@@ -5,22 +5,6 @@
 	"testing"
 )
 
-func (h *harness) override(disable bool, w WorkerID) []Action {
-	if disable {
-		return h.handle(Event{Kind: WorkerDisabled, Worker: w})
-	}
-	return h.handle(Event{Kind: WorkerEnabled, Worker: w})
-}
-
-func sendTargets(actions []Action) (all []WorkerID) {
-	for _, a := range actions {
-		if a.Kind == Send {
-			all = append(all, a.Worker)
-		}
-	}
-	return all
-}
-
 // A runner that is out gets nothing, whatever the list says: up, gone and back, restarted, a whole list anew.
 func TestWorkerDisabled_NoEndpointListEnables(t *testing.T) {
 	h := newHarness(t, testSettings(), fleet(2)...)
--- /dev/null
+++ b/dispatch/peers_test.go
@@ -0,0 +1,199 @@
+package dispatch
+
+import "testing"
+
+// newPeerPair links two dispatchers by notes that arrive at once, but for lost ones.
+func newPeerPair(t *testing.T) [2]*harness {
+	var p [2]*harness
+	for i := range p {
+		s := testSettings()
+		s.GroupSize, s.Ordinal, s.PeerMessages = 2, i, true
+		list := fleet(40)
+		for w := range list {
+			list[w].Tag = 7 // one home for all: dispatcher 1
+			list[w].Tag += uint64(2 * w)
+		}
+		p[i] = newHarness(t, s)
+		p[i].handle(Event{Kind: EndpointSnapshot, Workers: list, Version: 1})
+		p[i].wait(2 * aggregatorWarmup)
+	}
+	return p
+}
+
+// deliverMessages carries notes between the two until there are none, and returns the other actions.
+func deliverMessages(p [2]*harness, from int, actions []Action) (rest []Action) {
+	for _, a := range actions {
+		if a.Kind != SendToPeer {
+			rest = append(rest, a)
+			continue
+		}
+		rest = append(rest, deliverMessages(p, a.Peer, p[a.Peer].handle(Event{Kind: PeerMessageReceived, Peer: from, Message: a.Message}))...)
+	}
+	return rest
+}
+
+func TestPeers_ShareUsage(t *testing.T) {
+	p := newPeerPair(t)
+	send := func(i int) (RequestID, WorkerID) {
+		id, actions := p[i].arrive(classIdempotent, 100*ms)
+		actions = append(deliverMessages(p, i, actions), deliverMessages(p, i, p[i].wait(loadQueryTimeout+candidateInterval))...)
+		p[1-i].wait(loadQueryTimeout + candidateInterval)
+		if countKind(actions, Send) != 1 {
+			t.Fatalf("got %v, want one send", actions)
+		}
+		return id, actions[0].Worker
+	}
+	_, inUse := send(1)
+	for range 20 {
+		id, w := send(0)
+		if w == inUse {
+			t.Fatalf("sent to worker %d, the one that the other uses", w)
+		}
+		deliverMessages(p, 0, p[0].startAndEnd(id, 0))
+	}
+}
+
+func TestPeers_LostMessagesAreHarmless(t *testing.T) {
+	p := newPeerPair(t)
+	_, actions := p[0].arrive(classIdempotent, 100*ms)
+	if countKind(actions, SendToPeer) == 0 || countKind(actions, Send) != 0 {
+		t.Fatalf("got %v, want the load asked for first", actions)
+	}
+	if actions = p[0].wait(loadQueryTimeout + ms); countKind(actions, Send) != 1 {
+		t.Fatalf("got %v, want the job sent though no note came", actions)
+	}
+	p[0].handle(Event{Kind: PeerMessageReceived, Peer: 99, Message: PeerMessage{Kind: LoadReply, Tag: 12345, Slots: 1e9}}) // nonsense
+	p[0].handle(Event{Kind: PeerMessageReceived, Peer: -4, Message: PeerMessage{Kind: UsageUpdate, Tag: 7, Slots: -3}})
+}
+
+func TestPeers_UsageExpires(t *testing.T) {
+	p := newPeerPair(t)
+	d := p[1].dispatcher
+	p[1].handle(Event{Kind: PeerMessageReceived, Peer: 0, Message: PeerMessage{Kind: UsageUpdate, Tag: 7, Slots: 2}})
+	if d.usageByTag[7].totalSlots != 2 {
+		t.Fatalf("sum %v", d.usageByTag[7].totalSlots)
+	}
+	p[1].wait(usageTTL)
+	p[1].handle(Event{Kind: TimerFired})
+	d.recordPeerUsage(1, PeerMessage{Kind: UsageUpdate, Tag: 7, Slots: 1})
+	if d.usageByTag[7].totalSlots != 1 {
+		t.Fatalf("sum %v long after the first word, want only the second", d.usageByTag[7].totalSlots)
+	}
+}
+
+func TestPeers_OverloadNoticeReachesAggregator(t *testing.T) {
+	p := newPeerPair(t)
+	id, actions := p[0].arrive(classIdempotent, 100*ms)
+	actions = deliverMessages(p, 0, actions)
+	if len(actions) == 0 {
+		actions = deliverMessages(p, 0, p[0].wait(loadQueryTimeout+candidateInterval))
+	}
+	if countKind(actions, Send) != 1 {
+		t.Fatalf("got %v, want one send", actions)
+	}
+	w := actions[0].Worker
+	deliverMessages(p, 0, p[0].end(id, 0, ResultOverloaded))
+	query := PeerMessage{Kind: LoadQuery, Tag: 7 + 2*uint64(w)}
+	for _, c := range []struct {
+		after Time
+		min   float64
+		max   float64
+	}{{ms, overloadPenalty, 2 * overloadPenalty}, {overloadTTL + ms, 0, 1}} {
+		p[1].wait(c.after)
+		replies := p[1].handle(Event{Kind: PeerMessageReceived, Peer: 0, Message: query})
+		if len(replies) != 1 || replies[0].Message.Slots < c.min || replies[0].Message.Slots > c.max {
+			t.Errorf("%v after a full reply the home tells %v", c.after, replies)
+		}
+	}
+}
+
+// A worker that a home has just called full must not count as free because the word is a little old.
+func TestPeers_OlderLoadBeatsNone(t *testing.T) {
+	s := testSettings()
+	s.GroupSize, s.Ordinal, s.PeerMessages = 2, 0, true
+	list := taggedFleet(2)
+	for i := range list {
+		list[i].Tag = uint64(2*i + 1) // both have their home at the other
+	}
+	h := newHarness(t, s, list...)
+	h.wait(2 * aggregatorWarmup)
+	report := func() {
+		for _, w := range list {
+			h.handle(Event{Kind: PeerMessageReceived, Peer: 1, Message: PeerMessage{Kind: LoadReply, Tag: w.Tag, Slots: 9}})
+		}
+	}
+	h.arrive(classIdempotent, 100*ms)
+	report()
+	sends := 0
+	for range 5 { // the homes stay silent from here on
+		sends += countKind(h.wait(loadQueryTimeout), Send)
+	}
+	if sends != 0 {
+		t.Errorf("%d sends to workers that were told to be full", sends)
+	}
+}
+
+func TestPeers_LoadCountsBySlowdownAndBeforeReports(t *testing.T) {
+	s := testSettings()
+	s.GroupSize, s.PeerMessages = 2, true
+	h := newHarness(t, s, fleet(2)...)
+	quick, slow := h.dispatcher.workers[0], h.dispatcher.workers[1]
+	for _, w := range h.dispatcher.workers {
+		w.groupLoad, w.groupLoadAt, w.runCount, w.slowdown = 1, h.now, 1, 1
+	}
+	slow.slowdown = 2
+	quick.kind.size = 8
+	h.dispatcher.now = h.now
+	r := &request{class: &h.dispatcher.classes[classIdempotent], maxAttempts: 4, slots: 1, open: true, deadline: never, queuedAt: h.now}
+	if a, b := h.dispatcher.placementCost(r, quick), h.dispatcher.placementCost(r, slow); a >= b {
+		t.Errorf("usage %v of the quick worker, %v of one half as quick under the same load", a, b)
+	}
+	quick.reportedCapacity, quick.reportedCapacityUntil = 0, h.now+Second // a report of a moment ago
+	if !h.dispatcher.hasCapacity(r, quick) {
+		t.Error("a report keeps a job from a worker whose home has just told room")
+	}
+}
+
+func TestPeers_LoadQueriesAreBounded(t *testing.T) {
+	s := testSettings()
+	s.GroupSize, s.Ordinal, s.PeerMessages = 2, 0, true
+	list := taggedFleet(200)
+	for i := range list {
+		list[i].Tag |= 1
+	}
+	h := newHarness(t, s, list...)
+	h.wait(2 * aggregatorWarmup)
+	_, actions := h.arrive(classIdempotent, 100*ms)
+	for range 3 {
+		if n := countKind(actions, SendToPeer); n > maxLoadQueries {
+			t.Fatalf("%d notes in one draw, want %d at most", n, maxLoadQueries)
+		}
+		for _, w := range h.dispatcher.workers {
+			w.groupLoad, w.groupLoadAt = 99, h.now // all full
+		}
+		actions = h.wait(loadQueryTimeout + ms)
+	}
+}
+
+func TestPeers_GroupOf900(t *testing.T) {
+	s := affinitySettings()
+	s.GroupSize, s.Ordinal, s.PeerMessages = 900, 899, true
+	h := newHarness(t, s, taggedFleet(290)...)
+	notes, sends := 0, 0
+	for key := range uint64(50) {
+		id, actions := h.arriveWithKey(key + 1)
+		actions = append(actions, h.wait(2*loadQueryTimeout)...)
+		for _, a := range actions {
+			if a.Kind == SendToPeer && (a.Peer < 0 || a.Peer >= 899) {
+				t.Fatalf("a note to %d", a.Peer)
+			}
+		}
+		notes, sends = notes+countKind(actions, SendToPeer), sends+countKind(actions, Send)
+		if r := h.dispatcher.request(id); r != nil && r.inFlight() > 0 {
+			h.startAndEnd(id, 0)
+		}
+	}
+	if sends < 50 || notes < 50 {
+		t.Errorf("%d sends and %d notes for 50 jobs, though no home answers", sends, notes)
+	}
+}
--- a/dispatch/retune_test.go
+++ b/dispatch/reconfigure_test.go
@@ -2,10 +2,6 @@
 
 import "testing"
 
-func (h *harness) changeSettings(s Settings, classes ...int) []Action {
-	return h.handle(Event{Kind: SettingsChanged, Settings: &s, OldClasses: classes})
-}
-
 // A job keeps the class that it came under, and new ones have the new: here a safe class turns into an unsafe one.
 func TestSettingsChanged_OpenRequestsKeepClass(t *testing.T) {
 	s := testSettings()
--- /dev/null
+++ b/dispatch/slowstart_test.go
@@ -0,0 +1,219 @@
+package dispatch
+
+import (
+	"math/rand/v2"
+	"slices"
+	"testing"
+)
+
+// TestSlowStart_LimitsSendsToWarmingWorkers lets dispatchers that know nothing of each other land much of what the fleet can do,
+// one of them half of it, while some workers are cold, and counts what each gets in any window.
+func TestSlowStart_LimitsSendsToWarmingWorkers(t *testing.T) {
+	for _, c := range []struct {
+		dispatchers          int
+		load                 float64   // of what the fleet can do when warm
+		sizes                []float64 // slots of the workers
+		listed               bool      // by the list, and known of each kind; else a dispatcher knows neither
+		warming, minRequests []int     // which are cold, and the jobs that each gets at least in ten seconds
+	}{
+		{20, 1, []float64{1, 1, 1, 1, 1, 1, 1, 1, 1, 1}, true, []int{0}, []int{10}},
+		{80, 0.8, []float64{1, 1, 1, 1, 1, 5, 5, 5, 5, 5}, true, []int{0, 9}, []int{3, 150}},
+		{80, 0.7, []float64{1, 1, 2, 2, 3, 3, 4, 4, 5, 5}, true, []int{0, 1, 2, 6, 8, 9}, []int{3, 3, 15, 50, 100, 100}},
+		{80, 1, []float64{2, 2, 2, 2, 4, 4, 4, 4, 4, 4}, false, []int{0, 9}, []int{20, 20}},
+	} {
+		sent := runWarmingFleet(t, c.dispatchers, c.load, c.sizes, c.listed, c.warming)
+		for i, w := range c.warming {
+			if len(sent[w]) < c.minRequests[i] {
+				t.Errorf("%d dispatchers, sizes %v: worker %d got %d jobs in ten seconds, want %d", c.dispatchers, c.sizes, w, len(sent[w]), c.minRequests[i])
+			}
+		}
+	}
+}
+
+// runWarmingFleet returns the times of all sends to cold workers, and fails where a window holds more than one of them bears.
+func runWarmingFleet(t *testing.T, dispatchers int, load float64, sizes []float64, listed bool, warming []int) map[int][]Time {
+	t.Helper()
+	s := testSettings()
+	s.GroupSize, s.PriceCrossZone, s.KindCount, s.WeightsShowSize = dispatchers, 0, 6, listed
+	s.Classes[classIdempotent].ObjectiveStretch, s.Classes[classIdempotent].WorkerKind = 50, -1 // nothing is refused
+	capacity := 0.0                                                                             // jobs landed in 100 ms
+	for _, n := range sizes {
+		capacity += n * load
+	}
+	var harnesses []*harness
+	for i := range s.GroupSize {
+		h := newHarness(t, s)
+		h.dispatcher.rng = rand.New(rand.NewPCG(uint64(i), 5))
+		list := fleet(len(sizes))
+		for w := range list {
+			list[w].Weight, list[w].Kind = 1, int(sizes[w])
+			if listed {
+				list[w].Weight = sizes[w]
+			}
+			if slices.Contains(warming, w) {
+				list[w].StartedAt = h.now
+			}
+		}
+		h.handle(Event{Kind: EndpointSnapshot, Workers: list, Version: 1})
+		for n := range h.dispatcher.kinds {
+			if listed {
+				h.dispatcher.kinds[n].size = float64(n)
+			}
+		}
+		harnesses = append(harnesses, h)
+	}
+	sent := map[int][]Time{}
+	due := 0.0
+	for step := range 1000 { // 10 ms each: jobs of 100 ms land, as many as the slots can do
+		var actions []Action
+		for due += capacity / 10; due >= 1; due-- {
+			h := harnesses[0]
+			if step++; step%2 == 0 {
+				h = harnesses[1+step/2%(len(harnesses)-1)]
+			}
+			_, more := h.arrive(classIdempotent, 100*ms)
+			actions = append(actions, more...)
+		}
+		for _, h := range harnesses {
+			actions = append(actions, h.wait(10*ms)...)
+		}
+		now := harnesses[0].now
+		for _, a := range actions {
+			if w := int(a.Worker); a.Kind == Send && slices.Contains(warming, w) {
+				sent[w] = append(sent[w], now)
+			}
+		}
+		for _, h := range harnesses {
+			for id := range h.nextRequest {
+				if r := h.dispatcher.request(id); r != nil && r.inFlight() > 0 && h.now >= r.attempts[0].sentAt+100*ms {
+					h.end(id, 0, ResultOK)
+				}
+			}
+		}
+		for w, times := range sent {
+			n := 0
+			for _, at := range times {
+				if at > now-s.OverloadWindow {
+					n++
+				}
+			}
+			limit := s.OverloadMultiple * harnesses[0].dispatcher.slowStartFactor(harnesses[0].dispatcher.workers[w]) * sizes[w] * float64(s.OverloadWindow/(100*ms))
+			if float64(n) > limit+1 {
+				t.Fatalf("%d dispatchers, sizes %v: a window held %d jobs for cold worker %d, which bears %.1f", dispatchers, sizes, n, w, limit)
+			}
+		}
+	}
+	return sent
+}
+
+func TestSlowStart_ClientRetriesGetNoWarmingWorker(t *testing.T) {
+	h := newHarness(t, testSettings())
+	list := fleet(4)
+	for i := range list {
+		list[i].StartedAt = h.now - 15*Second // warm enough that nearly every draw counts
+	}
+	h.handle(Event{Kind: EndpointSnapshot, Workers: list, Version: 1})
+	sends := [2]int{}
+	for i := range 100 {
+		e := Event{Kind: RequestArrived, Request: RequestID(i), Tenant: -1, ExpectedWork: 20 * ms, TimeLeft: 5 * Second, Slots: 1, Retry: i%2 == 1}
+		sends[i%2] += countKind(append(h.handle(e), h.wait(20*ms)...), Send)
+		if r := h.dispatcher.request(RequestID(i)); r != nil && r.inFlight() > 0 {
+			h.startAndEnd(RequestID(i), 0)
+		}
+	}
+	if sends[0] < 10 || sends[1] != 0 {
+		t.Fatalf("%d first tries and %d repeats went to cold workers", sends[0], sends[1])
+	}
+}
+
+// While late starts at warm workers have all refused, cold ones go on getting the draws that count, and nothing else is sent.
+func TestSendToWarming_TakesShedRequests(t *testing.T) {
+	h := newHarness(t, testSettings())
+	list := fleet(8)
+	for i := range 4 {
+		list[i].StartedAt = h.now - 15*Second
+	}
+	h.handle(Event{Kind: EndpointSnapshot, Workers: list, Version: 1})
+	toWarming, rejected := 0, 0
+	for i := range 200 {
+		h.dispatcher.shedding, h.dispatcher.sheddingAt = 1, h.now
+		retry := i%2 == 1
+		actions := h.handle(Event{Kind: RequestArrived, Request: RequestID(i), Tenant: -1, ExpectedWork: 20 * ms, TimeLeft: 5 * Second, Slots: 1, Retry: retry})
+		if len(actions) != 1 {
+			t.Fatalf("got %v, want one action for a landing", actions)
+		}
+		switch a := actions[0]; {
+		case a.Kind == Reject:
+			rejected++
+		case a.Kind == Send && a.Worker < 4 && !retry:
+			toWarming++
+			h.startAndEnd(RequestID(i), 0)
+		default:
+			t.Fatalf("got %v (repeat: %v), want a refusal or a first try sent to a cold worker", a, retry)
+		}
+	}
+	if toWarming < 30 || rejected < 100 {
+		t.Errorf("%d went to cold workers and %d were refused", toWarming, rejected)
+	}
+}
+
+// A job that the work ahead would refuse may go to a cold worker that is drawn, but not one whose time has passed.
+func TestSendToWarming_TakesRequestsBeyondBacklog(t *testing.T) {
+	sendsWithTimeLeft := func(left Time) (n int) {
+		h := newHarness(t, testSettings())
+		list := fleet(4)
+		for i := range 2 {
+			list[i].StartedAt = h.now - 15*Second
+		}
+		h.handle(Event{Kind: EndpointSnapshot, Workers: list, Version: 1})
+		for i := range 200 {
+			h.dispatcher.queuedSlots[bandNormal], h.dispatcher.slotsInUse, h.dispatcher.queues[bandNormal] = 1e6, 1, queue{} // far more ahead than can be waited for
+			old := &request{queueTicket: 1, queuedAt: h.now - 9*Second}
+			h.dispatcher.queues[bandNormal].push(old)
+			for _, a := range h.handle(Event{Kind: RequestArrived, Request: RequestID(i), Tenant: -1, ExpectedWork: 20 * ms, TimeLeft: left, Slots: 1}) {
+				if a.Kind == Send {
+					n++
+					h.startAndEnd(RequestID(i), 0)
+				}
+			}
+		}
+		return n
+	}
+	if n := sendsWithTimeLeft(5 * Second); n < 10 {
+		t.Errorf("%d of 200 went to cold workers", n)
+	}
+	if n := sendsWithTimeLeft(100 * ms); n != 0 { // of five seconds, the rest has been used up by earlier tries
+		t.Errorf("%d jobs were sent that can earn nothing", n)
+	}
+}
+
+// On a recorded day most workers of one zone were gone and six came back cold: all dispatchers of that zone drew from six.
+func TestSlowStart_FewWarmingWorkersOfAZone(t *testing.T) {
+	s := testSettings()
+	s.PriceCrossZone = 0.02
+	list := taggedFleet(40)
+	for i := range list {
+		list[i].Zone = 1
+	}
+	h := newHarness(t, s)
+	for i := range 2 {
+		list[i].Zone, list[i].StartedAt = 0, h.now
+	}
+	h.handle(Event{Kind: EndpointSnapshot, Workers: list, Version: 1})
+	if n := h.countSends(300, func(w WorkerID) bool { return w < 2 }); n > 30 {
+		t.Errorf("%d of 300 jobs went to two cold workers, alone in their zone with half of all traffic; want a tenth of them at most", n)
+	}
+}
+
+func TestSlowStart_SkippedWorkersAddNothing(t *testing.T) {
+	h := newHarness(t, testSettings())
+	list := taggedFleet(10)
+	list[0].StartedAt = h.now
+	h.handle(Event{Kind: EndpointSnapshot, Workers: list, Version: 1})
+	for _, w := range h.dispatcher.workers[2:] {
+		w.unresponsive, w.nextProbeAt = true, never
+	}
+	if n := h.countSends(300, func(w WorkerID) bool { return w == 0 }); n > 45 {
+		t.Errorf("%d of 300 jobs went to a cold worker, one of ten, as eight others give no sign", n)
+	}
+}
