--- a/dispatch/affinity_test.go
+++ b/dispatch/affinity_test.go
@@ -49,7 +49,7 @@
 		h.startAndEnd(id, 100*ms)
 	}
 	if len(workers) < 10 {
-		t.Errorf("40 jobs met %d of 30 workers, want an even spread", len(workers))
+		t.Errorf("40 requests met %d of 30 workers, want an even spread", len(workers))
 	}
 }
 
@@ -77,17 +77,17 @@
 	}
 	id, _ = h.arriveWithKey(7)
 	if r := h.dispatcher.request(id); r.isCandidate(h.dispatcher.workers[affinityWorker]) {
-		t.Error("a held job has spent a pick on the worker that drains")
+		t.Error("a queued request has spent a candidate on the draining worker")
 	}
 	if &h.dispatcher.ring[0] != ring {
-		t.Error("the ring was made anew for a change of the list: that costs more than the platform leaves us")
+		t.Error("the ring was rebuilt for a change of the endpoint list: that costs more CPU than the platform allows")
 	}
 	if bare := newHarness(t, testSettings(), taggedFleet(30)...); len(bare.dispatcher.ring) != 0 {
-		t.Error("a ring is kept where no fetch has a price")
+		t.Error("a ring is kept where a fetch has no price")
 	}
 }
 
-// A hash that always leads to one worker would bring it, while it is cold, all jobs of that key.
+// A hash that always leads to one worker would bring it, while it is warming up, all requests of that key.
 func TestAffinity_WarmingWorkerGetsEvenShare(t *testing.T) {
 	h := newHarness(t, affinitySettings(), taggedFleet(30)...)
 	id, actions := h.arriveWithKey(7)
@@ -107,15 +107,15 @@
 		h.startAndEnd(id, 10*ms)
 	}
 	if sends > 15 {
-		t.Errorf("%d of 100 jobs of a key went to its worker while that was cold, want about one in 30 draws", sends)
+		t.Errorf("%d of 100 requests of a key went to its worker while that was warming up, want about one in 30 samples", sends)
 	}
 }
 
-// Machines come and go for weeks: their points must not crowd out those that are left.
+// Workers come and go for weeks: their points must not crowd out those that are left.
 func TestAffinity_RingForgetsGoneWorkers(t *testing.T) {
 	h := newHarness(t, affinitySettings())
 	list := taggedFleet(3000)
-	for i := range 100 { // each release replaces all 30 machines
+	for i := range 100 { // each release replaces all 30 workers
 		h.handle(Event{Kind: EndpointSnapshot, Version: uint64(i + 1), Workers: list[30*i : 30*i+30]})
 		id, _ := h.arriveWithKey(7)
 		h.startAndEnd(id, 10*ms)
@@ -161,7 +161,7 @@
 	affinityWorker := actions[0].Worker
 	h.start(id, 0)
 	if _, actions = h.arriveWithKey(7); countKind(actions, Send) != 1 || actions[0].Worker != affinityWorker {
-		t.Errorf("got %v, want the key's worker %d, which has room and one job, before an idle one", actions, affinityWorker)
+		t.Errorf("got %v, want the key's worker %d, which has capacity and one request, before an idle one", actions, affinityWorker)
 	}
 }
 
--- a/dispatch/capacity.go
+++ b/dispatch/capacity.go
@@ -23,7 +23,7 @@
 	maxSizeStep = 8.0
 )
 
-// capacityOf is a worker's capacity. With nothing of this dispatcher's there and no load told by peers, a
+// capacityOf is a worker's capacity. With nothing of this dispatcher's there and no load reported by peers, a
 // reduction fades to the mean by listed size.
 func (d *Dispatcher) capacityOf(w *worker) float64 {
 	usual := d.meanCapacity * d.relativeSize(w)
--- a/dispatch/capacity_test.go
+++ b/dispatch/capacity_test.go
@@ -12,7 +12,7 @@
 	h.wait(100 * ms)
 	h.end(a, 0, ResultOK)
 	if w := h.dispatcher.workers[0]; w.capacity != 2.5 {
-		t.Fatalf("room %v after a success at a room of 2, want 2.5", w.capacity)
+		t.Fatalf("capacity %v after a success at a capacity of 2, want 2.5", w.capacity)
 	}
 	h.dispatcher.workers[0].capacity = 3
 	for range 2 {
@@ -20,7 +20,7 @@
 	}
 	h.wait(startSlack + 5*ms) // neither starts
 	if w := h.dispatcher.workers[0]; w.capacity != 1 {
-		t.Fatalf("room %v with one job running and two queued, want 1", w.capacity)
+		t.Fatalf("capacity %v with one request running and two queued, want 1", w.capacity)
 	}
 }
 
@@ -30,38 +30,38 @@
 	a, _ := h.arriveAndSend(classIdempotent, 100*ms)
 	h.wait(2*initialStartDelay + startSlack + ms) // nothing of ours runs there, and it does not start
 	if w.capacity >= 1 {
-		t.Fatalf("room %v after our only job queued behind others, want below 1", w.capacity)
+		t.Fatalf("capacity %v after our only request queued behind others, want below 1", w.capacity)
 	}
 	h.start(a, 0)
 	h.wait(ms)
 	h.end(a, 0, ResultOK)
 	if capacity := h.dispatcher.capacityOf(w); capacity >= 1 {
-		t.Fatalf("room %v right after a queue was met", capacity)
+		t.Fatalf("capacity %v right after a queue was met", capacity)
 	}
 	h.wait(5 * Second)
 	if capacity := h.dispatcher.capacityOf(w); capacity < initialCapacity*0.9 {
-		t.Fatalf("room %v long after, want the cut forgotten", capacity)
+		t.Fatalf("capacity %v long after, want the reduction forgotten", capacity)
 	}
 }
 
 func TestCapacity_OverloadedReducesAndRequestMoves(t *testing.T) {
 	h := newHarness(t, testSettings(), fleet(2)...)
-	a, w := h.arriveAndSend(classNonIdempotent, 100*ms) // a full reply proves that even an unsafe one never ran
+	a, w := h.arriveAndSend(classNonIdempotent, 100*ms) // a rejection proves that even a non-idempotent one never ran
 	actions := append(h.end(a, 0, ResultOverloaded), h.wait(candidateInterval+ms)...)
 	if len(actions) != 1 || actions[0].Kind != Send || actions[0].Worker == w {
 		t.Fatalf("got %v, want a send to the other worker", actions)
 	}
 	if capacity := h.dispatcher.workers[w].capacity; capacity >= initialCapacity {
-		t.Fatalf("room %v after a full reply, want it cut", capacity)
+		t.Fatalf("capacity %v after a rejection, want it reduced", capacity)
 	}
 }
 
 func TestCapacity_NewWorkerStartsAtMean(t *testing.T) {
 	h := newHarness(t, testSettings(), fleet(2)...)
-	h.dispatcher.meanCapacity = 4.5 // as learned from the ends of jobs
+	h.dispatcher.meanCapacity = 4.5 // as learned from the ends of attempts
 	h.handle(Event{Kind: EndpointUpdate, Version: 2, Workers: []Worker{{ID: 2}}})
 	if capacity := h.dispatcher.workers[2].capacity; capacity != 4.5 {
-		t.Fatalf("room %v, want the mean 4.5", capacity)
+		t.Fatalf("capacity %v, want the mean 4.5", capacity)
 	}
 }
 
@@ -96,7 +96,7 @@
 	}
 	for _, w := range h.dispatcher.ready {
 		if w.capacity < initialCapacity || w.ejected || w.unresponsive {
-			t.Fatalf("worker %d: room %v, distrust %v, silent %v after a shared slowdown", w.ID, w.capacity, w.ejected, w.unresponsive)
+			t.Fatalf("worker %d: capacity %v, ejected %v, unresponsive %v after a shared slowdown", w.ID, w.capacity, w.ejected, w.unresponsive)
 		}
 	}
 }
@@ -115,15 +115,15 @@
 	wantKinds(t, actions)
 	actions = h.wait(loadReportTTL + candidateInterval + 2*ms)
 	if len(actions) != 1 || actions[0].Kind != Send || actions[0].Request != id {
-		t.Fatalf("got %v, want the held job sent when the report is old", actions)
+		t.Fatalf("got %v, want the queued request sent when the report is old", actions)
 	}
 	h.dispatcher.workers[0].capacity = 1
 	end(b, 1e9)
 	_, actions = h.arrive(classIdempotent, 100*ms)
-	wantKinds(t, actions) // a report opens no room
+	wantKinds(t, actions) // a report raises no capacity
 }
 
-// A room with a fraction that no job fits into must grow like any other.
+// A capacity with a fraction that no request fits into must grow like any other.
 func TestCapacity_GrowsFromAnyFraction(t *testing.T) {
 	for _, capacity := range []float64{0.6, 1.3, 1.75, 2.75, 3.9} {
 		h := newHarness(t, testSettings(), fleet(1)...)
@@ -139,7 +139,7 @@
 		h.wait(50 * ms)
 		h.end(ids[0], 0, ResultOK)
 		if w.capacity <= capacity {
-			t.Errorf("room %v after a success at a room of %v", w.capacity, capacity)
+			t.Errorf("capacity %v after a success at a capacity of %v", w.capacity, capacity)
 		}
 	}
 }
@@ -153,7 +153,7 @@
 	if w.kind.size != 6 {
 		t.Fatalf("size %v after 6.7 free slots were told, want 6", w.kind.size)
 	}
-	for range 20 { // starts in time beside a load of the whole size: a job had ended meanwhile
+	for range 20 { // starts in time beside a load of the whole size: a request had ended meanwhile
 		id, _ = h.arriveAndSend(classIdempotent, 100*ms)
 		h.dispatcher.request(id).attempts[0].groupLoad = w.kind.size + 1
 		h.startAndEnd(id, 100*ms)
--- a/dispatch/endpoints_test.go
+++ b/dispatch/endpoints_test.go
@@ -14,7 +14,7 @@
 	actions = h.handle(Event{Kind: EndpointSnapshot, Version: 2, Workers: []Worker{{ID: 0, State: Draining}, {ID: 1}}})
 	actions = append(actions, h.wait(20*ms)...)
 	if len(actions) != 1 || actions[0].Request != id || actions[0].Worker != 1 {
-		t.Fatalf("got %v, want the held job sent to the new worker", actions)
+		t.Fatalf("got %v, want the queued request sent to the new worker", actions)
 	}
 }
 
@@ -24,11 +24,11 @@
 	h := newHarness(t, s)
 	wantKinds(t, h.handle(Event{Kind: EndpointSnapshot, Stale: true, Workers: fleet(2), Version: 3}), WatchEndpoints)
 	wantKinds(t, h.handle(Event{Kind: EndpointWatchLost}))
-	var gaps []Time
+	gaps := make([]Time, 0, 6)
 	last := h.now
 	for range 6 {
 		if countKind(h.wait(s.MaxPollInterval), WatchEndpoints) == 0 {
-			t.Fatal("did not ask again in time")
+			t.Fatal("did not poll again in time")
 		}
 		gaps = append(gaps, h.now-last)
 		last = h.now
@@ -40,7 +40,7 @@
 	}
 	for _, g := range gaps {
 		if g > s.MaxPollInterval {
-			t.Fatalf("gaps between asks %v, want none above %v", gaps, s.MaxPollInterval)
+			t.Fatalf("gaps between polls %v, want none above %v", gaps, s.MaxPollInterval)
 		}
 	}
 }
@@ -60,7 +60,7 @@
 		}
 	}
 	if polls < 3 || polls > 12 {
-		t.Fatalf("%d asks in ten seconds", polls)
+		t.Fatalf("%d polls in ten seconds", polls)
 	}
 }
 
@@ -70,19 +70,19 @@
 	w.failureRate, w.unresponsive, w.capacity = 1, true, 9
 	h.handle(Event{Kind: EndpointUpdate, Version: 2, Workers: []Worker{{ID: 0, StartedAt: h.now}}})
 	if w.failureRate != 0 || w.unresponsive || w.capacity == 9 || h.dispatcher.slowStartFactor(w) >= 1 {
-		t.Fatalf("after a restart: fails %v, silent %v, room %v, warmth %v", w.failureRate, w.unresponsive, w.capacity, h.dispatcher.slowStartFactor(w))
+		t.Fatalf("after a restart: failure rate %v, unresponsive %v, capacity %v, slow-start factor %v", w.failureRate, w.unresponsive, w.capacity, h.dispatcher.slowStartFactor(w))
 	}
 }
 
 func TestEndpoints_QueuedRequestsGetNewCandidate(t *testing.T) {
 	s := testSettings()
-	s.PriceCrossZone = 0.1 // picks stay in the own zone, worker 0's
+	s.PriceCrossZone = 0.1 // candidates stay in the own zone, worker 0's
 	h := newHarness(t, s, Worker{ID: 0, Zone: 0}, Worker{ID: 1, Zone: 1})
 	h.dispatcher.workers[0].slotsInUse, h.dispatcher.workers[1].slotsInUse = 100, 100
 	id, _ := h.arrive(classIdempotent, 100*ms)
 	h.handle(Event{Kind: EndpointUpdate, Version: 2, Workers: []Worker{{ID: 0, State: Draining}}})
 	q := h.dispatcher.workers[1].queues[bandNormal]
 	if !slices.ContainsFunc(q.items[q.head:], func(e queueEntry) bool { return e.isLive() && e.request.id == id }) {
-		t.Fatal("the held job has no entry at the worker that is left")
+		t.Fatal("the queued request has no entry at the worker that is left")
 	}
 }
--- a/dispatch/estimate.go
+++ b/dispatch/estimate.go
@@ -37,7 +37,7 @@
 	return w.kind.slowdown
 }
 
-// calibrateHint shrinks a hint of a request's work towards the mean as far as hints have told little of run
+// calibrateHint shrinks a hint of a request's work towards the mean as far as hints have said little of run
 // times, by a regression of logarithms.
 func (c *classState) calibrateHint(hint Time) Time {
 	if hint <= 0 {
--- a/dispatch/estimate_test.go
+++ b/dispatch/estimate_test.go
@@ -52,12 +52,12 @@
 	}
 	meanRun := h.dispatcher.classes[classIdempotent].meanRun
 	if meanRun > 200e3 || h.dispatcher.fleet.slowdown < 1.4 {
-		t.Fatalf("usual run %v us, pace %v after 60 runs three times as long", meanRun, h.dispatcher.fleet.slowdown)
+		t.Fatalf("mean run %v us, slowdown %v after 60 runs three times as long", meanRun, h.dispatcher.fleet.slowdown)
 	}
 }
 
-// Where nothing tells a job's work, the more runs differ the sooner a held job has to go out: a short one's aim lies
-// earlier by more than its run does. Hinted jobs keep their moment.
+// Where a request's work is unknown, the more runs differ the sooner a queued one has to be sent: a short one's objective lies
+// earlier by more than its run does. Requests with hints keep their moment.
 func TestLatestOnTimeSend_AllowsForRunDeviation(t *testing.T) {
 	slack := func(work Time, runs ...Time) Time {
 		h := newHarness(t, testSettings(), fleet(1)...)
@@ -71,7 +71,7 @@
 		id, _ := h.arrive(classNonIdempotent, work)
 		r := h.dispatcher.request(id)
 		if r == nil {
-			t.Fatal("the job is not held")
+			t.Fatal("the request is not queued")
 		}
 		return r.objectiveAt - h.dispatcher.latestOnTimeSend(r) - Time(h.dispatcher.expectedWork(r)*h.dispatcher.fleet.slowdown)
 	}
@@ -80,7 +80,7 @@
 		t.Errorf("kept %d us with even runs, %d us with uneven ones", even, uneven)
 	}
 	if hinted := slack(200*ms, 100*ms, 300*ms); hinted != 0 {
-		t.Errorf("a hinted job keeps %d us", hinted)
+		t.Errorf("a request with a hint keeps %d us", hinted)
 	}
 }
 
@@ -93,7 +93,7 @@
 	}
 	h := newHarness(t, s, list...)
 	if small, big := h.dispatcher.capacityOf(h.dispatcher.workers[0]), h.dispatcher.capacityOf(h.dispatcher.workers[1]); small != initialCapacity/2 || big != initialCapacity*1.5 {
-		t.Errorf("new workers listed as 1 and 3 of a mean of 2 have rooms of %v and %v", small, big)
+		t.Errorf("new workers listed as 1 and 3 of a mean of 2 have capacities of %v and %v", small, big)
 	}
 	runs := [2]int{}
 	for runs[0] < 6 || runs[1] < 6 {
@@ -108,6 +108,6 @@
 		h.end(id, 0, ResultOK)
 	}
 	if slow, quick := h.dispatcher.kinds[0].slowdown, h.dispatcher.kinds[1].slowdown; slow < 1.5*quick {
-		t.Errorf("after %v runs of 300 and 100 ms the kinds' paces are %.2f and %.2f", runs, slow, quick)
+		t.Errorf("after %v runs of 300 and 100 ms the kinds' slowdowns are %.2f and %.2f", runs, slow, quick)
 	}
 }
--- a/dispatch/fixtures_test.go
+++ b/dispatch/fixtures_test.go
@@ -30,7 +30,7 @@
 	return s
 }
 
-// migrationSettings are settings under which a job has one attempt out at a time and a cancel is worth its price.
+// migrationSettings are settings under which a request has one attempt in flight at a time and a cancel is worth its price.
 func migrationSettings() Settings {
 	s := hedgingSettings()
 	s.CanHedge, s.MaxAttempts = false, 5
@@ -52,7 +52,7 @@
 }
 
 func fleet(n int) []Worker {
-	var w []Worker
+	w := make([]Worker, 0, n)
 	for i := range n {
 		w = append(w, Worker{ID: WorkerID(i)})
 	}
--- a/dispatch/golden_streams_test.go
+++ b/dispatch/golden_streams_test.go
@@ -39,7 +39,7 @@
 	return newGoldenFleet(stream, digest).runGolden()
 }
 
-// goldenSettings draws settings of every shape: notes between dispatchers, prices, hedged requests and moves, sizes and
+// goldenSettings draws settings of every shape: messages between dispatchers, prices, hedging and migration, sizes and
 // weights, zones, quotas.
 func goldenSettings(rng *rand.Rand) Settings {
 	s := testSettings()
@@ -77,7 +77,7 @@
 	return s
 }
 
-// runGolden feeds the events of random_test.go, with more of them drawn.
+// runGolden feeds the events of random_test.go, with more of their fields drawn.
 func (s *randomStream) runGolden() error {
 	rng := s.rng
 	maxStep, limited := 1000*(2+rng.IntN(40)), rng.IntN(2) == 0
@@ -146,7 +146,7 @@
 	}
 }
 
-// goldenFleet serves what a dispatcher sends: each worker runs as many jobs as it has slots and queues the others.
+// goldenFleet serves what a dispatcher sends: each worker runs as many requests as it has slots and queues the others.
 type goldenFleet struct {
 	*randomStream
 	digest  *actionDigest
@@ -163,8 +163,8 @@
 type goldenWorker struct {
 	slots       int
 	running     int
-	slowdown    float64 // time for a unit of work
-	failureRate float64 // share of jobs that fail
+	slowdown    float64 // time of a run divided by its work
+	failureRate float64 // share of requests that fail
 	unreachable bool
 	queue       []Event // starts to come
 }
@@ -223,7 +223,7 @@
 	return event
 }
 
-// disturbance is a change of the list, an operator's call, a word from another dispatcher or a client that leaves.
+// disturbance is a change of the endpoint list, an operator's override, a report of another dispatcher or a client that leaves.
 func (f *goldenFleet) disturbance() Event {
 	rng := f.rng
 	switch rng.IntN(6) {
@@ -249,14 +249,15 @@
 	for {
 		slices.Sort(f.timers)
 		f.timers = slices.Compact(f.timers)
-		timer, due := len(f.timers) > 0 && f.timers[0] <= at, len(f.due) > 0 && f.due[0].at <= at
+		isEventDue := len(f.due) > 0 && f.due[0].at <= at
+		isTimerDue := len(f.timers) > 0 && f.timers[0] <= at
 		switch {
-		case timer && !(due && f.due[0].at < f.timers[0]):
+		case isTimerDue && (!isEventDue || f.due[0].at >= f.timers[0]):
 			f.now, f.timers = max(f.now, f.timers[0]), f.timers[1:]
 			if err := f.handle(Event{Kind: TimerFired}); err != nil {
 				return err
 			}
-		case due:
+		case isEventDue:
 			next := f.due[0]
 			f.now, f.due = next.at, f.due[1:]
 			if err := f.deliver(next.event); err != nil {
--- a/dispatch/harness_test.go
+++ b/dispatch/harness_test.go
@@ -63,15 +63,15 @@
 	return id, h.handle(Event{Kind: RequestArrived, Request: id, Class: class, Tenant: -1, ExpectedWork: work, TimeLeft: 5 * Second, Slots: 1})
 }
 
-// arriveAndSend lands a job that must go out at once and returns its id and worker.
+// arriveAndSend lets a request arrive that must be sent at once and returns its id and worker.
 func (h *harness) arriveAndSend(class int, work Time) (RequestID, WorkerID) {
 	h.t.Helper()
 	id, actions := h.arrive(class, work)
-	if len(actions) == 0 { // both picks fell on one worker without room: others join after a tick
+	if len(actions) == 0 { // both candidates are one worker without capacity: others are sampled after an interval
 		actions = h.wait(candidateInterval + ms)
 	}
 	if len(actions) != 1 || actions[0].Kind != Send || actions[0].Request != id {
-		h.t.Fatalf("a landing with room: got %v, want one send", actions)
+		h.t.Fatalf("an arrival with capacity: got %v, want one send", actions)
 	}
 	return id, actions[0].Worker
 }
@@ -91,7 +91,8 @@
 	return append(out, h.end(id, 0, ResultOK)...)
 }
 
-// countSendsTo lands jobs one gap apart, ends every attempt at one worker with r and all others well, and counts the former.
+// countSendsTo lets requests arrive one gap apart, ends every attempt at one worker with result and all others well, and counts
+// the former.
 func (h *harness) countSendsTo(worker WorkerID, requests int, work, gap Time, result Result) int {
 	n := 0
 	for range requests {
@@ -115,7 +116,7 @@
 	return n
 }
 
-// arriveWithKey lands a job with a key, at the desk's clock.
+// arriveWithKey lets a request with an affinity key arrive.
 func (h *harness) arriveWithKey(key uint64) (RequestID, []Action) {
 	id := h.nextRequest
 	h.nextRequest++
@@ -126,18 +127,20 @@
 	return id, actions
 }
 
-func (h *harness) override(disable bool, w WorkerID) []Action {
+// override lets an operator disable or enable a worker.
+func (h *harness) override(disable bool, w WorkerID) {
+	kind := WorkerEnabled
 	if disable {
-		return h.handle(Event{Kind: WorkerDisabled, Worker: w})
+		kind = WorkerDisabled
 	}
-	return h.handle(Event{Kind: WorkerEnabled, Worker: w})
+	h.handle(Event{Kind: kind, Worker: w})
 }
 
 func (h *harness) changeSettings(s Settings, classes ...int) []Action {
 	return h.handle(Event{Kind: SettingsChanged, Settings: &s, OldClasses: classes})
 }
 
-// countSends lands first tries one at a time and counts those that go to a worker.
+// countSends lets requests arrive one at a time and counts the sends to some workers.
 func (h *harness) countSends(requests int, isTarget func(WorkerID) bool) (n int) {
 	for range requests {
 		id, actions := h.arrive(classIdempotent, 50*ms)
@@ -157,7 +160,7 @@
 // worker returns the worker of an id.
 func (h *harness) worker(id WorkerID) *worker { return h.dispatcher.workers[id] }
 
-// startAllAttempts starts every attempt that is out.
+// startAllAttempts starts every attempt in flight.
 func startAllAttempts(h *harness) {
 	h.wait(ms)
 	for id := range h.nextRequest {
@@ -181,7 +184,7 @@
 
 func wantKinds(t *testing.T, actions []Action, kinds ...ActionKind) {
 	t.Helper()
-	got := []ActionKind{}
+	got := make([]ActionKind, 0, len(actions))
 	for _, a := range actions {
 		got = append(got, a.Kind)
 	}
--- a/dispatch/hedging_test.go
+++ b/dispatch/hedging_test.go
@@ -18,7 +18,7 @@
 	id, first := h.arriveAndSend(classIdempotent, 100*ms)
 	actions := h.wait(2*initialStartDelay + hedgeStartSlack + candidateInterval)
 	if countKind(actions, Send) != 1 || actions[0].Request != id || actions[0].Worker == first {
-		t.Fatalf("got %v, want the waiting job sent to a second worker", actions)
+		t.Fatalf("got %v, want the waiting request sent to a second worker", actions)
 	}
 	wantKinds(t, h.start(id, 1), Cancel)
 	if actions = h.end(id, 0, ResultCancelled); countKind(actions, Send) != 0 {
@@ -48,7 +48,7 @@
 			}
 		}
 		if out > 2 {
-			t.Fatalf("%d attempts out at once", out)
+			t.Fatalf("%d attempts in flight at once", out)
 		}
 	}
 	if sends != h.dispatcher.settings.MaxAttempts {
@@ -71,8 +71,7 @@
 	}
 }
 
-// A job that waits in a queue and is worth nothing any more is taken out of it, so that the queue does not last.
-// A worker must not go on for a client that has left; the slot is in use until the attempt's end is told.
+// A worker must not go on for a client that has left. The slot is in use until the attempt's end is reported.
 func TestCancel_AfterRequestAbandoned(t *testing.T) {
 	for _, class := range []int{classIdempotent, classNonIdempotent} {
 		h := newHarness(t, hedgingSettings(), fleet(3)...)
@@ -85,7 +84,7 @@
 		wantKinds(t, h.handle(Event{Kind: RequestAbandoned, Request: id}))
 		wantKinds(t, h.end(id, 0, ResultCancelled))
 		if h.worker(w).slotsInUse != 0 || h.dispatcher.request(id) != nil || h.worker(w).failureRate != 0 {
-			t.Errorf("class %d: something is left of the job", class)
+			t.Errorf("class %d: something is left of the request", class)
 		}
 	}
 	s := hedgingSettings()
@@ -129,11 +128,11 @@
 	h := newHarness(t, migrationSettings(), fleet(12)...)
 	h.arriveAndSend(classNonIdempotent, 100*ms)
 	if actions := h.wait(300 * ms); len(actions) != 0 {
-		t.Errorf("an unsafe job was moved: %v", actions)
+		t.Errorf("a non-idempotent request was migrated: %v", actions)
 	}
 }
 
-// Attempts are few: five moves within 80 ms left 467 jobs of one day in the queue that they met last.
+// Attempts are few: five migrations within 80 ms left 467 requests of one day in the queue that they met last.
 func TestMigration_IsSpaced(t *testing.T) {
 	h := newHarness(t, migrationSettings(), fleet(12)...)
 	id, _ := h.arriveAndSend(classIdempotent, 300*ms)
@@ -146,16 +145,16 @@
 			}
 			waits = append(waits, h.now-h.dispatcher.request(id).attempts[a.Attempt].sentAt)
 			if actions := append(h.end(id, a.Attempt, ResultCancelled), h.wait(candidateInterval+ms)...); countKind(actions, Send) != 1 {
-				t.Fatalf("move %d: got %v", len(waits), actions)
+				t.Fatalf("migration %d: got %v", len(waits), actions)
 			}
 		}
 		if h.now > 110*Second {
-			t.Fatalf("only %d moves", len(waits))
+			t.Fatalf("only %d migrations", len(waits))
 		}
 	}
 	for i := range waits[1:] {
 		if waits[i+1] < waits[i]+hedgeStartSlack/2 {
-			t.Errorf("waits of %v before the moves, want each longer than the one before", waits)
+			t.Errorf("waits of %v before the migrations, want each longer than the one before", waits)
 		}
 	}
 }
--- a/dispatch/messages.go
+++ b/dispatch/messages.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// usageTTL is how long a peer's usage counts that is not told again: the message that it ended may have got
-// lost.
+// usageTTL is how long a peer's usage counts that is not reported again: the message that it ended may have
+// got lost.
 const usageTTL = 10 * Second
 
 // aggregatedUsage is what dispatchers use of a worker whose aggregator this one is.
--- a/dispatch/outlier_test.go
+++ b/dispatch/outlier_test.go
@@ -6,13 +6,13 @@
 	h := newHarness(t, testSettings(), fleet(6)...)
 	bad := h.countSendsTo(0, 200, 50*ms, 10*ms, ResultFailed)
 	if bad > 20 {
-		t.Fatalf("%d of 200 jobs went to a worker that fails all, want trials only", bad)
+		t.Fatalf("%d of 200 requests went to a worker that fails all, want probes only", bad)
 	}
 	if !h.dispatcher.workers[0].ejected {
-		t.Fatal("the failing worker is trusted")
+		t.Fatal("the failing worker is not ejected")
 	}
 	h.wait(5 * Second)
-	h.dispatcher.workers[1].slotsInUse += 100 // leave only the once failing worker with room
+	h.dispatcher.workers[1].slotsInUse += 100 // leave only the once failing worker with capacity
 	for i := 2; i < 6; i++ {
 		h.dispatcher.workers[i].slotsInUse += 100
 	}
@@ -29,7 +29,7 @@
 		}
 	}
 	if tried < 1 || h.dispatcher.workers[0].ejected {
-		t.Fatalf("%d trials, distrust %v: a worker that serves again must win back trust", tried, h.dispatcher.workers[0].ejected)
+		t.Fatalf("%d probes, ejected %v: a worker that serves again must be readmitted", tried, h.dispatcher.workers[0].ejected)
 	}
 }
 
@@ -51,7 +51,7 @@
 		}
 	}
 	if ejected > 2 {
-		t.Fatalf("%d of 6 distrusted when all fail alike, want at most a third", ejected)
+		t.Fatalf("%d of 6 ejected when all fail alike, want at most a third", ejected)
 	}
 }
 
@@ -59,7 +59,7 @@
 	h := newHarness(t, testSettings(), fleet(3)...)
 	tried := h.countSendsTo(0, 400, 20*ms, 20*ms, ResultUnreachable) // over eight seconds
 	if tried < 3 || tried > 12 {
-		t.Fatalf("%d sends to a worker out of reach in eight seconds, want a few trials", tried)
+		t.Fatalf("%d sends to an unreachable worker in eight seconds, want a few probes", tried)
 	}
 }
 
@@ -71,22 +71,22 @@
 	h.wait(Second)
 	h.handle(Event{Kind: AttemptProgressed, Request: id, Progress: 0.4})
 	if actions := h.wait(Second); len(actions) != 0 {
-		t.Fatalf("got %v within the time of a progress note", actions)
+		t.Fatalf("got %v within the time of a progress report", actions)
 	}
 	h.wait(progressSlack + 20*ms)
 	if !h.dispatcher.workers[w].unresponsive {
-		t.Fatal("the worker that stands still is not suspected")
+		t.Fatal("the worker that has stalled is not unresponsive")
 	}
 	h.handle(Event{Kind: AttemptProgressed, Request: id, Progress: 0.6})
 	if h.dispatcher.workers[w].unresponsive {
-		t.Fatal("the worker gave a sign and is still suspected")
+		t.Fatal("the worker gave a sign and is still unresponsive")
 	}
 }
 
 func TestOutlier_UnreachableZoneIsLeftOut(t *testing.T) {
 	s := testSettings()
 	s.Zone, s.MaxAttempts = -1, 1
-	var list []Worker
+	list := make([]Worker, 0, 40)
 	for i := range 40 {
 		list = append(list, Worker{ID: WorkerID(i), Zone: i % 2})
 	}
@@ -106,12 +106,12 @@
 		}
 	}
 	if lost > 20 {
-		t.Fatalf("%d of 100 jobs went to twenty workers behind a cut link", lost)
+		t.Fatalf("%d of 100 requests went to twenty workers behind a cut link", lost)
 	}
 }
 
-// A worker that fails for another dispatcher gets no job that may not be repeated until it gives a sign to us; then that one's word
-// is not heeded for a while. What all are said to share is no one's fault.
+// A worker that fails for another dispatcher gets no non-idempotent request until a probe succeeds; then further reports are
+// ignored for a while. At most a third of the workers are ejected.
 func TestOutlierReported_LimitsToProbes(t *testing.T) {
 	h := newHarness(t, testSettings(), fleet(6)...)
 	requestsAt := func(class, n int) (got int) {
@@ -134,22 +134,22 @@
 	}
 	reportOutlier(0)
 	if n := requestsAt(classNonIdempotent, 60); n > 0 {
-		t.Errorf("%d jobs that may not be repeated went to a doubted worker", n)
+		t.Errorf("%d non-idempotent requests went to an ejected worker", n)
 	}
 	h.wait(Second)
 	if n := requestsAt(classIdempotent, 60); n == 0 {
-		t.Error("no trial")
+		t.Error("no probe")
 	}
 	if reportOutlier(0); requestsAt(classNonIdempotent, 60) == 0 {
-		t.Error("a worker that has proved good for us is left alone by another's word")
+		t.Error("a worker that has proved good for us is ejected by another's report")
 	}
 	h.wait(outlierReportInterval)
 	if reportOutlier(0); requestsAt(classNonIdempotent, 60) > 0 {
-		t.Error("a later word is not heeded")
+		t.Error("a later report is ignored")
 	}
 	h.wait(Second)
 	failed := 0
-	for failed == 0 { // its first trial fails: that is no reason to trust it
+	for failed == 0 { // its first probe fails: it stays ejected
 		id, actions := h.arrive(classIdempotent, 10*ms)
 		to := sendTargets(actions)[0]
 		if to == 0 {
@@ -160,7 +160,7 @@
 		}
 	}
 	if n := requestsAt(classNonIdempotent, 60); n > 0 {
-		t.Errorf("%d jobs that may not be repeated went there after a trial that failed", n)
+		t.Errorf("%d non-idempotent requests went there after a probe that failed", n)
 	}
 	for w := range WorkerID(6) {
 		reportOutlier(w)
@@ -172,6 +172,6 @@
 		}
 	}
 	if ejected != 2 {
-		t.Errorf("%d of 6 are doubted", ejected)
+		t.Errorf("%d of 6 are ejected", ejected)
 	}
 }
--- a/dispatch/override_test.go
+++ b/dispatch/override_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A runner that is out gets nothing, whatever the list says: up, gone and back, restarted, a whole list anew.
+// A disabled worker gets nothing, whatever the endpoint list says: ready, gone and back, restarted, a new snapshot.
 func TestWorkerDisabled_NoEndpointListEnables(t *testing.T) {
 	h := newHarness(t, testSettings(), fleet(2)...)
 	h.override(true, 0)
@@ -25,13 +25,13 @@
 			id, actions := h.arrive(classIdempotent, 10*ms)
 			for _, w := range sendTargets(actions) {
 				if w == 0 {
-					t.Fatalf("after lists %d: sent to the runner that is out", i)
+					t.Fatalf("after lists %d: sent to the disabled worker", i)
 				}
 			}
 			h.handle(Event{Kind: AttemptEnded, Request: id, Result: ResultOK, Final: true})
 		}
 	}
-	h.override(false, 0) // one call back for two out
+	h.override(false, 0) // enabled once after it was disabled twice
 	h.wait(30 * Second)
 	var got [2]int
 	for range 40 {
@@ -42,11 +42,11 @@
 		h.handle(Event{Kind: AttemptEnded, Request: id, Result: ResultOK, Final: true})
 	}
 	if got[0] == 0 || got[1] == 0 {
-		t.Fatalf("after the call back, warm: %v", got)
+		t.Fatalf("after it was enabled and has warmed up: %v", got)
 	}
 }
 
-// Who is out before it is listed stays out when it comes.
+// A worker that is disabled before it is listed stays disabled when it is.
 func TestWorkerDisabled_BeforeListed(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.override(true, 0)
@@ -55,11 +55,11 @@
 		t.Fatalf("sent: %v", actions)
 	}
 	if w := h.dispatcher.workers[0]; !w.everListed || w.capacity != initialCapacity {
-		t.Fatalf("not welcomed when it was listed: %+v", w)
+		t.Fatalf("not readmitted when it was listed: %+v", w)
 	}
 }
 
-// With all runners out nothing is sent, and requests are answered in time.
+// With all workers disabled nothing is sent, and requests are answered in time.
 func TestWorkerDisabled_AllRejects(t *testing.T) {
 	h := newHarness(t, testSettings(), fleet(2)...)
 	h.override(true, 0)
@@ -71,10 +71,10 @@
 	}
 }
 
-// What is held at a runner that is taken out goes to another, without waiting for its own time.
+// What is queued at a worker that is disabled goes to another, without waiting for its own time.
 func TestWorkerDisabled_QueuedRequestsMove(t *testing.T) {
 	h := newHarness(t, testSettings(), fleet(1)...)
-	for range 3 { // the room at the start is two
+	for range 3 { // the capacity at the start is two
 		h.arrive(classIdempotent, 100*ms)
 	}
 	h.handle(Event{Kind: EndpointUpdate, Workers: []Worker{{ID: 1}}, Version: 2})
@@ -89,7 +89,7 @@
 	}
 }
 
-// The return is cold: from the call back on, whether or not the list tells of a start, and however late it does.
+// An enabled worker warms up from then on, whether or not the endpoint list tells of a start, and however late it does.
 func TestWorkerEnabled_StartsWarmingUp(t *testing.T) {
 	s := testSettings()
 	h := newHarness(t, s, fleet(2)...)
@@ -98,38 +98,38 @@
 	h.wait(2 * Second)
 	h.override(false, 0)
 	if got := h.dispatcher.slowStartFactor(w); got > s.SlowStartMinFactor {
-		t.Fatalf("warmth %v at the call back, want %v", got, s.SlowStartMinFactor)
+		t.Fatalf("slow-start factor %v when it is enabled, want %v", got, s.SlowStartMinFactor)
 	}
 	back := h.now
 	h.wait(s.SlowStartWindow / 2)
 	h.handle(Event{Kind: EndpointUpdate, Workers: []Worker{{ID: 0, StartedAt: back - Second}}, Version: 2})
 	if got := h.dispatcher.slowStartFactor(w); got < 0.5 || got > 0.6 {
-		t.Fatalf("warmth %v half way, after the list told the start late", got)
+		t.Fatalf("slow-start factor %v half way, after the list told the start late", got)
 	}
 	if w.readmittedAt != back {
 		t.Fatal("a start that was known counts as another restart")
 	}
 	h.handle(Event{Kind: EndpointUpdate, Workers: []Worker{{ID: 0, StartedAt: h.now}}, Version: 3})
 	if got := h.dispatcher.slowStartFactor(w); got > s.SlowStartMinFactor {
-		t.Fatalf("warmth %v after a restart on the list", got)
+		t.Fatalf("slow-start factor %v after a restart on the list", got)
 	}
-	// A start that was told while it was out is the operators'.
+	// A start that was told while it was disabled is the operators' restart.
 	h.override(true, 0)
 	h.wait(Second)
 	h.handle(Event{Kind: EndpointUpdate, Workers: []Worker{{ID: 0, StartedAt: h.now}}, Version: 4})
 	h.wait(s.SlowStartWindow / 2)
 	h.override(false, 0)
 	if got := h.dispatcher.slowStartFactor(w); got < 0.5 || got > 0.6 {
-		t.Fatalf("warmth %v half way from the start that was told", got)
+		t.Fatalf("slow-start factor %v half way from the start that was told", got)
 	}
-	// Another process of ours took it back a while ago.
+	// Another process of this dispatcher enabled it a while ago.
 	h.handle(Event{Kind: WorkerEnabled, Worker: 1, Elapsed: s.SlowStartWindow / 2})
 	if got := h.dispatcher.slowStartFactor(h.dispatcher.workers[1]); got < 0.5 || got > 0.6 {
-		t.Fatalf("warmth %v half way after a call back that was told late", got)
+		t.Fatalf("slow-start factor %v half way after an override that was told late", got)
 	}
 }
 
-// A call back for one that was never out, or is unknown, changes nothing that could break a rule.
+// Enabling a worker that was never disabled, or is unknown, changes nothing that could break a rule.
 func TestWorkerEnabled_UnknownOrNotDisabled(t *testing.T) {
 	h := newHarness(t, testSettings(), fleet(1)...)
 	for _, id := range []WorkerID{-1, 7} {
@@ -141,11 +141,11 @@
 	}
 }
 
-// A cold worker is drawn too seldom where there is little traffic: one that was put back is owed a job all the same, no
-// more than one for that, and by no more dispatchers than it bears.
+// A worker that is warming up is sampled too seldom where there is little traffic: one that was enabled gets a request all the
+// same, no more than one for that, and from no more dispatchers than it bears.
 func TestWorkerEnabled_GetsFirstRequest(t *testing.T) {
 	s := testSettings()
-	s.SlowStartMinFactor, s.SlowStartWindow = 0.01, 1000*Second // hardly ever drawn
+	s.SlowStartMinFactor, s.SlowStartWindow = 0.01, 1000*Second // hardly ever sampled
 	used, waiting := 0, 0
 	for seed := range uint64(40) {
 		h := newHarness(t, s, fleet(8)...)
@@ -168,7 +168,7 @@
 			used++
 		}
 		if got > 4 {
-			t.Errorf("seed %d: %d jobs to a worker that bears next to nothing", seed, got)
+			t.Errorf("seed %d: %d requests to a worker that bears next to nothing", seed, got)
 		}
 	}
 	if used != 40 {
@@ -183,11 +183,11 @@
 		waiting += len(h.dispatcher.awaitingFirstRequest)
 	}
 	if waiting < 1 || waiting > 12 {
-		t.Errorf("%d of 400 dispatchers owe it a job", waiting)
+		t.Errorf("%d of 400 dispatchers have a first request for it", waiting)
 	}
 }
 
-// One that is taken out again, or leaves, is owed nothing and stands in nobody's way.
+// One that is disabled again, or leaves, gets no first request and is in nobody's way.
 func TestWorkerEnabled_NoFirstRequestOnceGoneOrDisabled(t *testing.T) {
 	h := newHarness(t, testSettings(), fleet(3)...)
 	for _, w := range []WorkerID{0, 1} {
@@ -198,25 +198,25 @@
 	h.wait(firstRequestMaxDelay)
 	h.handle(Event{Kind: TimerFired})
 	if w := h.dispatcher.dueFirstRequest(); w != h.dispatcher.workers[1] {
-		t.Errorf("owed to %+v", w)
+		t.Errorf("first request due for %+v", w)
 	}
 	h.override(true, 1)
 	if w := h.dispatcher.dueFirstRequest(); w != nil || len(h.dispatcher.awaitingFirstRequest) != 1 {
-		t.Errorf("owed to %+v, owing %d", w, len(h.dispatcher.awaitingFirstRequest))
+		t.Errorf("first request due for %+v, awaited by %d", w, len(h.dispatcher.awaitingFirstRequest))
 	}
 }
 
-// A start from before the time out says nothing of the return, whichever process heard of that time.
+// A start from before the worker was disabled says nothing of its return, whichever process was told of that.
 func TestWorkerEnabled_IgnoresEarlierStart(t *testing.T) {
 	s := testSettings()
 	h := newHarness(t, s, Worker{ID: 0, StartedAt: Second}, Worker{ID: 1, StartedAt: Second})
 	h.override(true, 0)
 	h.wait(Second)
 	h.override(false, 0)
-	h.override(false, 1) // another process took it out and put it back
+	h.override(false, 1) // another process disabled and enabled it
 	for i, w := range h.dispatcher.workers {
 		if got := h.dispatcher.slowStartFactor(w); got > s.SlowStartMinFactor {
-			t.Errorf("worker %d: warmth %v at the call back, want %v", i, got, s.SlowStartMinFactor)
+			t.Errorf("worker %d: slow-start factor %v when it is enabled, want %v", i, got, s.SlowStartMinFactor)
 		}
 	}
 }
--- a/dispatch/peers.go
+++ b/dispatch/peers.go
@@ -14,7 +14,7 @@
 	// maxLoadQueries is how many workers are sampled at once where each is asked for: messages have a price.
 	maxLoadQueries = 4
 
-	// aggregatorWarmup is how long after its start an aggregator does not reply: it has not been told of all
+	// aggregatorWarmup is how long after its start an aggregator does not reply: it does not know of all
 	// use.
 	aggregatorWarmup = 1 * Second
 
@@ -37,7 +37,7 @@
 	d.sendToPeer(peer, PeerMessage{Kind: LoadReply, Tag: tag, Slots: slots})
 }
 
-// knowsGroupLoad says whether a worker's load has been told recently.
+// knowsGroupLoad says whether a worker's load has been reported recently.
 func (d *Dispatcher) knowsGroupLoad(w *worker) bool {
 	return d.settings.PeerMessages && w.groupLoadAt > 0 && d.now < w.groupLoadAt+loadReplyTTL
 }
--- a/dispatch/peers_test.go
+++ b/dispatch/peers_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// newPeerPair links two dispatchers by notes that arrive at once, but for lost ones.
+// newPeerPair links two dispatchers by messages that arrive at once.
 func newPeerPair(t *testing.T) [2]*harness {
 	var p [2]*harness
 	for i := range p {
@@ -10,7 +10,7 @@
 		s.GroupSize, s.Ordinal, s.PeerMessages = 2, i, true
 		list := fleet(40)
 		for w := range list {
-			list[w].Tag = 7 // one home for all: dispatcher 1
+			list[w].Tag = 7 // one aggregator for all: dispatcher 1
 			list[w].Tag += uint64(2 * w)
 		}
 		p[i] = newHarness(t, s)
@@ -20,7 +20,7 @@
 	return p
 }
 
-// deliverMessages carries notes between the two until there are none, and returns the other actions.
+// deliverMessages carries messages between the two until there are none, and returns the other actions.
 func deliverMessages(p [2]*harness, from int, actions []Action) (rest []Action) {
 	for _, a := range actions {
 		if a.Kind != SendToPeer {
@@ -60,7 +60,7 @@
 		t.Fatalf("got %v, want the load asked for first", actions)
 	}
 	if actions = p[0].wait(loadQueryTimeout + ms); countKind(actions, Send) != 1 {
-		t.Fatalf("got %v, want the job sent though no note came", actions)
+		t.Fatalf("got %v, want the request sent though no message came", actions)
 	}
 	p[0].handle(Event{Kind: PeerMessageReceived, Peer: 99, Message: PeerMessage{Kind: LoadReply, Tag: 12345, Slots: 1e9}}) // nonsense
 	p[0].handle(Event{Kind: PeerMessageReceived, Peer: -4, Message: PeerMessage{Kind: UsageUpdate, Tag: 7, Slots: -3}})
@@ -77,7 +77,7 @@
 	p[1].handle(Event{Kind: TimerFired})
 	d.recordPeerUsage(1, PeerMessage{Kind: UsageUpdate, Tag: 7, Slots: 1})
 	if d.usageByTag[7].totalSlots != 1 {
-		t.Fatalf("sum %v long after the first word, want only the second", d.usageByTag[7].totalSlots)
+		t.Fatalf("sum %v long after the first update, want only the second", d.usageByTag[7].totalSlots)
 	}
 }
 
@@ -102,18 +102,18 @@
 		p[1].wait(c.after)
 		replies := p[1].handle(Event{Kind: PeerMessageReceived, Peer: 0, Message: query})
 		if len(replies) != 1 || replies[0].Message.Slots < c.min || replies[0].Message.Slots > c.max {
-			t.Errorf("%v after a full reply the home tells %v", c.after, replies)
+			t.Errorf("%v after a rejection the aggregator tells %v", c.after, replies)
 		}
 	}
 }
 
-// A worker that a home has just called full must not count as free because the word is a little old.
+// A worker that its aggregator has just reported as full must not count as free because the reply is a little old.
 func TestPeers_OlderLoadBeatsNone(t *testing.T) {
 	s := testSettings()
 	s.GroupSize, s.Ordinal, s.PeerMessages = 2, 0, true
 	list := taggedFleet(2)
 	for i := range list {
-		list[i].Tag = uint64(2*i + 1) // both have their home at the other
+		list[i].Tag = uint64(2*i + 1) // both have the other as aggregator
 	}
 	h := newHarness(t, s, list...)
 	h.wait(2 * aggregatorWarmup)
@@ -125,11 +125,11 @@
 	h.arrive(classIdempotent, 100*ms)
 	report()
 	sends := 0
-	for range 5 { // the homes stay silent from here on
+	for range 5 { // the aggregators stay silent from here on
 		sends += countKind(h.wait(loadQueryTimeout), Send)
 	}
 	if sends != 0 {
-		t.Errorf("%d sends to workers that were told to be full", sends)
+		t.Errorf("%d sends to workers that were reported as full", sends)
 	}
 }
 
@@ -146,11 +146,11 @@
 	h.dispatcher.now = h.now
 	r := &request{class: &h.dispatcher.classes[classIdempotent], maxAttempts: 4, slots: 1, open: true, deadline: never, queuedAt: h.now}
 	if a, b := h.dispatcher.placementCost(r, quick), h.dispatcher.placementCost(r, slow); a >= b {
-		t.Errorf("usage %v of the quick worker, %v of one half as quick under the same load", a, b)
+		t.Errorf("cost %v of the quick worker, %v of one half as quick under the same load", a, b)
 	}
 	quick.reportedCapacity, quick.reportedCapacityUntil = 0, h.now+Second // a report of a moment ago
 	if !h.dispatcher.hasCapacity(r, quick) {
-		t.Error("a report keeps a job from a worker whose home has just told room")
+		t.Error("a report keeps a request from a worker whose aggregator has just told of capacity")
 	}
 }
 
@@ -166,7 +166,7 @@
 	_, actions := h.arrive(classIdempotent, 100*ms)
 	for range 3 {
 		if n := countKind(actions, SendToPeer); n > maxLoadQueries {
-			t.Fatalf("%d notes in one draw, want %d at most", n, maxLoadQueries)
+			t.Fatalf("%d messages for one sampling, want %d at most", n, maxLoadQueries)
 		}
 		for _, w := range h.dispatcher.workers {
 			w.groupLoad, w.groupLoadAt = 99, h.now // all full
@@ -179,21 +179,21 @@
 	s := affinitySettings()
 	s.GroupSize, s.Ordinal, s.PeerMessages = 900, 899, true
 	h := newHarness(t, s, taggedFleet(290)...)
-	notes, sends := 0, 0
+	messages, sends := 0, 0
 	for key := range uint64(50) {
 		id, actions := h.arriveWithKey(key + 1)
 		actions = append(actions, h.wait(2*loadQueryTimeout)...)
 		for _, a := range actions {
 			if a.Kind == SendToPeer && (a.Peer < 0 || a.Peer >= 899) {
-				t.Fatalf("a note to %d", a.Peer)
+				t.Fatalf("a message to %d", a.Peer)
 			}
 		}
-		notes, sends = notes+countKind(actions, SendToPeer), sends+countKind(actions, Send)
+		messages, sends = messages+countKind(actions, SendToPeer), sends+countKind(actions, Send)
 		if r := h.dispatcher.request(id); r != nil && r.inFlight() > 0 {
 			h.startAndEnd(id, 0)
 		}
 	}
-	if sends < 50 || notes < 50 {
-		t.Errorf("%d sends and %d notes for 50 jobs, though no home answers", sends, notes)
+	if sends < 50 || messages < 50 {
+		t.Errorf("%d sends and %d messages for 50 requests, though no aggregator answers", sends, messages)
 	}
 }
--- a/dispatch/placement.go
+++ b/dispatch/placement.go
@@ -61,7 +61,7 @@
 		zone := d.zoneOf(w)
 		isWarmingUp := d.isWarmingUp(w)
 		switch {
-		case d.awaitsProbe(w), d.isCutOff(zone):
+		case d.awaitsProbe(w), d.isUnreachable(zone):
 			continue
 		case isWarmingUp && i > 0: // nor does it take the samples of those passed over
 			continue
@@ -88,8 +88,8 @@
 		math.Sqrt(d.rng.Float64())*price >= d.zones[d.settings.Zone].queueWait
 }
 
-// isCutOff says whether a zone cannot be reached and is not due for a probe. Guards against a cut link.
-func (d *Dispatcher) isCutOff(zone *zoneState) bool {
+// isUnreachable says whether a zone cannot be reached and is not due for a probe. Guards against a cut link.
+func (d *Dispatcher) isUnreachable(zone *zoneState) bool {
 	return zone.connectFailureRate > unreachableZoneRate && d.now < zone.nextProbeAt
 }
 
@@ -150,7 +150,7 @@
 	case !knowsLoad && d.now < w.reportedCapacityUntil && slots > w.reportedCapacity:
 		return false
 	case d.weighsByLoad(w) && w.Weight < d.meanListedWeight/2 && !hasWaited:
-		return false // others fill it, as far as its weight has been told
+		return false // others fill it, as far as its weight shows
 	case w.ejected || w.unresponsive: // guards against a black hole: who errs or hangs always has capacity
 		return w.slotsInUse == 0 && d.now >= w.nextProbeAt && r.class.Idempotency != NonIdempotent
 	case knowsLoad:
--- a/dispatch/random_test.go
+++ b/dispatch/random_test.go
@@ -88,7 +88,7 @@
 			return 0, err
 		}
 	}
-	for range 3000 { // silence: every open request must get its answer in time
+	for range 3000 { // no more events: every open request must get its answer in time
 		stream.now += 5 * ms
 		if err := stream.fireTimers(); err != nil {
 			return 0, err
@@ -180,7 +180,7 @@
 func (s *randomStream) endpointEvent(kind EventKind) Event {
 	event := Event{Kind: kind, Version: s.checker.version + uint64(s.rng.IntN(3))}
 	if s.rng.IntN(4) == 0 && s.checker.version > 0 {
-		event.Version = s.checker.version - 1 // late news
+		event.Version = s.checker.version - 1 // a late event
 	}
 	for id := range s.workers {
 		if kind == EndpointUpdate && s.rng.IntN(s.workers/2) > 2 {
@@ -207,7 +207,7 @@
 	rng := s.rng
 	id := RequestID(rng.IntN(len(s.checker.requests) + 1))
 	attempt := 0
-	for range 20 { // mostly one with an attempt out
+	for range 20 { // mostly one with an attempt in flight
 		if observed := s.checker.requests[id]; observed != nil && slices.ContainsFunc(observed.attempts, func(s observedAttempt) bool { return s.inFlight }) {
 			break
 		}
@@ -217,7 +217,7 @@
 	}
 	if observed := s.checker.requests[id]; observed != nil && len(observed.attempts) > 0 {
 		attempt = rng.IntN(len(observed.attempts) + 1)
-		// A worker of this test runs slotsMost at the most, so that a peak can be bounded.
+		// A worker of this test runs maxSlots at the most, so that a peak can be bounded.
 		if rng.IntN(2) == 0 && attempt < len(observed.attempts) && s.running(observed.attempts[attempt].worker) < maxSlots {
 			return Event{Kind: AttemptStarted, Request: id, Attempt: attempt}
 		}
@@ -253,14 +253,14 @@
 		return e
 	case n < 96:
 		return Event{Kind: RequestAbandoned, Request: id}
-	case n < 99: // notes: nonsense, old, from nobody
+	case n < 99: // messages: nonsense, old, from nobody
 		return Event{Kind: PeerMessageReceived, Peer: rng.IntN(s.checker.settings.GroupSize+4) - 2, Message: PeerMessage{Kind: PeerMessageKind(rng.IntN(4)), Tag: uint64(rng.IntN(20)) * 7919,
 			Slots: rng.Float64()*9 - 2}}
 	}
 	return Event{Kind: TimerFired}
 }
 
-// settingsEvent makes up other settings: effects change under their class's name, attempts and second copies come and go.
+// settingsEvent makes up other settings: idempotency changes under a class's name, attempts and hedging come and go.
 func (s *randomStream) settingsEvent() Event {
 	settings := s.checker.settings
 	settings.Classes = slices.Clone(settings.Classes)
--- a/dispatch/reconfigure_test.go
+++ b/dispatch/reconfigure_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A job keeps the class that it came under, and new ones have the new: here a safe class turns into an unsafe one.
+// A request keeps the class under which it arrived, and new ones have the new: here an idempotent class turns non-idempotent.
 func TestSettingsChanged_OpenRequestsKeepClass(t *testing.T) {
 	s := testSettings()
 	h := newHarness(t, s, fleet(3)...)
@@ -13,14 +13,14 @@
 	s.Classes = []Class{s.Classes[classNonIdempotent], s.Classes[classIdempotent]}
 	h.changeSettings(s, -1, classNonIdempotent) // the first is new under its name
 	if actions := h.handle(Event{Kind: AttemptEnded, Request: old, Result: ResultFailed}); len(sendTargets(actions)) != 1 {
-		t.Fatalf("a safe job was not repeated: %v", actions)
+		t.Fatalf("an idempotent request was not retried: %v", actions)
 	}
 	young, actions := h.arrive(0, 100*ms)
 	if len(sendTargets(actions)) != 1 {
 		t.Fatalf("%v", actions)
 	}
 	if actions := h.handle(Event{Kind: AttemptEnded, Request: young, Result: ResultFailed}); len(actions) != 1 || actions[0].Kind != Fail {
-		t.Fatalf("an unsafe job that failed: %v", actions)
+		t.Fatalf("a non-idempotent request that failed: %v", actions)
 	}
 	if _, actions := h.arrive(2, 100*ms); len(actions) != 0 {
 		t.Fatalf("a class that is gone: %v", actions)
@@ -43,7 +43,7 @@
 	}
 }
 
-// Fewer attempts bind jobs under way at once; more bind only those that come.
+// Fewer attempts apply to open requests at once; more apply only to those that arrive.
 func TestSettingsChanged_FewerAttemptsApplyAtOnce(t *testing.T) {
 	s := testSettings()
 	h := newHarness(t, s, fleet(4)...)
@@ -65,14 +65,14 @@
 	}
 }
 
-// A job that is held for an attempt that it may not make any more ends at once, as its effect allows.
+// A request that is queued for an attempt that it may not make any more ends at once, as its idempotency allows.
 func TestSettingsChanged_EndsQueuedWithoutAttempts(t *testing.T) {
 	s := testSettings()
 	h := newHarness(t, s, fleet(2)...)
 	id, _ := h.arrive(classIdempotent, 100*ms)
 	h.handle(Event{Kind: EndpointSnapshot, Version: 2}) // nobody to send to
 	if actions := h.handle(Event{Kind: AttemptEnded, Request: id, Result: ResultFailed}); len(actions) != 0 {
-		t.Fatalf("it is not held: %v", actions)
+		t.Fatalf("it is not queued: %v", actions)
 	}
 	second, actions := h.arrive(classIdempotent, 100*ms)
 	if len(actions) != 0 {
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -35,7 +35,7 @@
 	tenant      *tenantState // nil: none
 	band        int
 	slots       float64 // slots, or units of memory if that is more
-	workHint    Time    // the expected work as the client told it; 0: unknown
+	workHint    Time    // the expected work as the client gave it; 0: unknown
 	work        Time    // workHint, as far as such hints proved true; 0: unknown
 	affinityKey uint64  // 0: none
 	limits      RouteLimits
--- a/dispatch/retry_test.go
+++ b/dispatch/retry_test.go
@@ -9,15 +9,15 @@
 		result Result
 		want   ActionKind
 	}{
-		{"safe failed", classIdempotent, ResultFailed, Send},
-		{"safe disconnected", classIdempotent, ResultDisconnected, Send},
-		{"keyed failed", classDedupEverywhere, ResultFailed, Send},
-		{"unsafe failed", classNonIdempotent, ResultFailed, Fail},
-		{"unsafe timed out", classNonIdempotent, ResultTimedOut, Fail},
-		{"unsafe unknown", classNonIdempotent, ResultUnknown, Fail},
-		{"unsafe unreachable", classNonIdempotent, ResultUnreachable, Send},
-		{"unsafe not sent", classNonIdempotent, ResultNotSent, Send},
-		{"keyed by zone, other zone only", classDedupZone, ResultFailed, Fail},
+		{"idempotent failed", classIdempotent, ResultFailed, Send},
+		{"idempotent disconnected", classIdempotent, ResultDisconnected, Send},
+		{"deduplicated failed", classDedupEverywhere, ResultFailed, Send},
+		{"non-idempotent failed", classNonIdempotent, ResultFailed, Fail},
+		{"non-idempotent timed out", classNonIdempotent, ResultTimedOut, Fail},
+		{"non-idempotent unknown", classNonIdempotent, ResultUnknown, Fail},
+		{"non-idempotent unreachable", classNonIdempotent, ResultUnreachable, Send},
+		{"non-idempotent not sent", classNonIdempotent, ResultNotSent, Send},
+		{"deduplicated by zone, other zone only", classDedupZone, ResultFailed, Fail},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := testSettings()
@@ -43,8 +43,8 @@
 	}
 }
 
-// A further attempt has to be out before the window is over that began with the order of the first that may have run: its connection
-// takes time to come up.
+// A retry has to be sent before the dedup window is over that began with the order of the first attempt that may have run: its
+// connection takes time to come up.
 func TestRetry_TellsSendBefore(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -52,9 +52,9 @@
 		first Result
 		bound bool
 	}{
-		{"keyed, after one that may have run", classDedupEverywhere, ResultFailed, true},
-		{"keyed, after one that never ran", classDedupEverywhere, ResultOverloaded, false},
-		{"safe", classIdempotent, ResultFailed, false},
+		{"deduplicated, after one that may have run", classDedupEverywhere, ResultFailed, true},
+		{"deduplicated, after one that never ran", classDedupEverywhere, ResultOverloaded, false},
+		{"idempotent", classIdempotent, ResultFailed, false},
 	} {
 		s := testSettings()
 		s.Classes[classDedupEverywhere].DedupWindow = 500 * ms
@@ -89,6 +89,6 @@
 		}
 	}
 	if limit := float64(arrivals)*(1+retryBudgetRatio) + maxRetryBudget + 1; float64(sends) > limit {
-		t.Fatalf("%d attempts for %d landings, want at most %v", sends, arrivals, limit)
+		t.Fatalf("%d attempts for %d arrivals, want at most %v", sends, arrivals, limit)
 	}
 }
--- a/dispatch/send_test.go
+++ b/dispatch/send_test.go
@@ -20,10 +20,10 @@
 			}
 		}
 		if final.Kind == Send || h.now > began+5*Second {
-			t.Fatalf("class %d: final answer %v at %v after landing", class, final, h.now-began)
+			t.Fatalf("class %d: final answer %v at %v after its arrival", class, final, h.now-began)
 		}
 		if class == classNonIdempotent && final.Kind != Fail {
-			t.Fatalf("an unsafe job that may have run got %v, want a failure", final)
+			t.Fatalf("a non-idempotent request that may have run got %v, want a failure", final)
 		}
 	}
 }
@@ -32,7 +32,7 @@
 	for _, st := range []WorkerState{Draining, Gone} {
 		h := newHarness(t, testSettings(), fleet(2)...)
 		h.handle(Event{Kind: EndpointUpdate, Version: 2, Workers: []Worker{{ID: 0, State: st}}})
-		h.handle(Event{Kind: EndpointUpdate, Version: 1, Workers: []Worker{{ID: 0}}}) // late news
+		h.handle(Event{Kind: EndpointUpdate, Version: 1, Workers: []Worker{{ID: 0}}}) // a late event
 		for range 6 {
 			_, actions := h.arrive(classIdempotent, 100*ms)
 			for _, a := range append(actions, h.wait(100*ms)...) {
@@ -54,7 +54,7 @@
 	wantKinds(t, actions)
 	actions = h.wait(Second)
 	if len(actions) != 1 || actions[0].Kind != Reject || actions[0].Request != old {
-		t.Fatalf("got %v, want the held job refused once it cannot be in time", actions)
+		t.Fatalf("got %v, want the queued request rejected once it cannot be in time", actions)
 	}
 }
 
--- a/dispatch/shedding_test.go
+++ b/dispatch/shedding_test.go
@@ -17,10 +17,10 @@
 		rejected += countKind(append(actions, h.wait(30*ms)...), Reject)
 	}
 	if early < 5 { // once the oldest has waited for a while the backlog is believed
-		t.Fatalf("%d of 20 jobs beyond the backlog refused at landing", early)
+		t.Fatalf("%d of 20 requests beyond the backlog rejected at their arrival", early)
 	}
 	if actions := h.wait(2 * Second); countKind(actions, Reject)+rejected != 20 {
-		t.Fatalf("%d refused, want all once they cannot end in time", countKind(actions, Reject)+rejected)
+		t.Fatalf("%d rejected, want all once they cannot end in time", countKind(actions, Reject)+rejected)
 	}
 }
 
@@ -40,18 +40,18 @@
 		h.handle(Event{Kind: RequestArrived, Request: flood, Tenant: 0, ExpectedWork: 300 * ms, TimeLeft: 5 * Second, Slots: 1})
 	}
 	if r := h.dispatcher.request(flood); r != nil && r.band != bandOverQuota {
-		t.Fatal("the last of 36 jobs at once of a tenant with five a second is not behind")
+		t.Fatal("the last of 36 requests at once of a tenant with five a second is not over its quota")
 	}
 	other := h.nextRequest
 	h.handle(Event{Kind: RequestArrived, Request: other, Tenant: 1, ExpectedWork: 300 * ms, TimeLeft: 5 * Second, Slots: 1})
 	if r := h.dispatcher.request(other); r == nil || r.band != bandNormal {
-		t.Fatal("another tenant's job suffers from the flood")
+		t.Fatal("another tenant's request suffers from the flood")
 	}
 }
 
 func TestShedding_RisesWithLateStartsAndDecays(t *testing.T) {
 	h := newHarness(t, testSettings(), fleet(20)...)
-	var ids []RequestID
+	ids := make([]RequestID, 0, 6)
 	for range 6 {
 		id, _ := h.arriveAndSend(classIdempotent, 100*ms)
 		ids = append(ids, id)
@@ -66,11 +66,11 @@
 		rejected += countKind(actions, Reject)
 	}
 	if rejected < 5 {
-		t.Fatalf("%d of 20 landings refused while all start too late", rejected)
+		t.Fatalf("%d of 20 arrivals rejected while all start too late", rejected)
 	}
 	h.wait(4 * shedDecayTime) // no start tells anything
 	if _, actions := h.arrive(classIdempotent, 100*ms); countKind(actions, Reject) != 0 {
-		t.Fatal("still refused long after")
+		t.Fatal("still rejected long after")
 	}
 }
 
@@ -89,7 +89,7 @@
 		}
 	}
 	if rejected[0] < 75 || rejected[1] > 30 {
-		t.Fatalf("refused %d of 150 beyond a share, %d of 150 within one", rejected[0], rejected[1])
+		t.Fatalf("rejected %d of 150 beyond a quota, %d of 150 within one", rejected[0], rejected[1])
 	}
 }
 
@@ -103,11 +103,11 @@
 		return h.dispatcher.shedding
 	}
 	if none, half := shed(0), shed(0.5); none <= 0 || half >= 0.6*none {
-		t.Errorf("a late start refuses by %v where it loses all, by %v where it loses half", none, half)
+		t.Errorf("a late start sheds by %v where it loses all weight, by %v where it loses half", none, half)
 	}
 }
 
-// At few landings a second chance alone brings several of one tenant together.
+// At few arrivals a second chance alone brings several of one tenant together.
 func TestQuota_QuietTenantIsWithinQuota(t *testing.T) {
 	s := testSettings()
 	s.Tenants, s.OverQuotaWeight, s.GroupSize = []Tenant{{QuotaRPS: 40}, {QuotaRPS: 40}}, 0.1, 40
@@ -125,11 +125,11 @@
 		}
 	}
 	if overQuota > 10 {
-		t.Errorf("%d of 200 jobs within the share were taken for beyond it", overQuota)
+		t.Errorf("%d of 200 requests within the quota were taken for beyond it", overQuota)
 	}
 }
 
-// Refusing for jobs that leave their queues by themselves would leave slots idle; jobs that stay in them still press.
+// Shedding for requests that leave their queues by themselves would leave slots idle; for those that stay in them it rises.
 func TestShedding_MigratedRequestsDoNotCount(t *testing.T) {
 	for class, sheds := range map[int]bool{classIdempotent: false, classNonIdempotent: true} {
 		s := migrationSettings()
@@ -138,7 +138,7 @@
 		h.arriveAndSend(class, 100*ms)
 		h.wait(900 * ms)
 		if got := h.dispatcher.shedding > 0; got != sheds {
-			t.Errorf("class %d: refusing %v after a late start, want %v", class, got, sheds)
+			t.Errorf("class %d: shedding %v after a late start, want %v", class, got, sheds)
 		}
 	}
 }
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -26,8 +26,8 @@
 	if start <= 0 || age >= d.settings.SlowStartWindow {
 		return 1
 	}
-	least := d.settings.SlowStartMinFactor
-	return least + (1-least)*float64(age)/float64(d.settings.SlowStartWindow)
+	minFactor := d.settings.SlowStartMinFactor
+	return minFactor + (1-minFactor)*float64(age)/float64(d.settings.SlowStartWindow)
 }
 
 // isWarmingUp says whether a worker has not its whole capacity yet.
@@ -70,8 +70,8 @@
 	bears := d.settings.OverloadMultiple * d.settings.SlowStartMinFactor * float64(firstRequestMaxDelay) /
 		(d.meanWork * d.slowdownOf(w))
 	if d.rng.Float64()*float64(d.settings.GroupSize) < max(1, bears) {
-		spread := d.rng.Float64() * float64(firstRequestMaxDelay-firstRequestMinDelay)
-		w.firstRequestDue = w.enabledAt + firstRequestMinDelay + Time(spread)
+		delay := d.rng.Float64() * float64(firstRequestMaxDelay-firstRequestMinDelay)
+		w.firstRequestDue = w.enabledAt + firstRequestMinDelay + Time(delay)
 		d.awaitingFirstRequest = append(d.awaitingFirstRequest, w)
 	}
 }
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// TestSlowStart_LimitsSendsToWarmingWorkers lets dispatchers that know nothing of each other land much of what the fleet can do,
-// one of them half of it, while some workers are cold, and counts what each gets in any window.
+// TestSlowStart_LimitsSendsToWarmingWorkers lets requests arrive at dispatchers that know nothing of each other, much of what the fleet
+// can do, half of it at one of them, while some workers are warming up, and counts what each gets in any window.
 func TestSlowStart_LimitsSendsToWarmingWorkers(t *testing.T) {
 	for _, c := range []struct {
 		dispatchers          int
-		load                 float64   // of what the fleet can do when warm
+		load                 float64   // of what the fleet can do when it has warmed up
 		sizes                []float64 // slots of the workers
 		listed               bool      // by the list, and known of each kind; else a dispatcher knows neither
-		warming, minRequests []int     // which are cold, and the jobs that each gets at least in ten seconds
+		warming, minRequests []int     // which are warming up, and the requests that each gets at least in ten seconds
 	}{
 		{20, 1, []float64{1, 1, 1, 1, 1, 1, 1, 1, 1, 1}, true, []int{0}, []int{10}},
 		{80, 0.8, []float64{1, 1, 1, 1, 1, 5, 5, 5, 5, 5}, true, []int{0, 9}, []int{3, 150}},
@@ -24,23 +24,23 @@
 		sent := runWarmingFleet(t, c.dispatchers, c.load, c.sizes, c.listed, c.warming)
 		for i, w := range c.warming {
 			if len(sent[w]) < c.minRequests[i] {
-				t.Errorf("%d dispatchers, sizes %v: worker %d got %d jobs in ten seconds, want %d", c.dispatchers, c.sizes, w, len(sent[w]), c.minRequests[i])
+				t.Errorf("%d dispatchers, sizes %v: worker %d got %d requests in ten seconds, want %d", c.dispatchers, c.sizes, w, len(sent[w]), c.minRequests[i])
 			}
 		}
 	}
 }
 
-// runWarmingFleet returns the times of all sends to cold workers, and fails where a window holds more than one of them bears.
+// runWarmingFleet returns the times of all sends to workers that are warming up, and fails where a window holds more than one bears.
 func runWarmingFleet(t *testing.T, dispatchers int, load float64, sizes []float64, listed bool, warming []int) map[int][]Time {
 	t.Helper()
 	s := testSettings()
 	s.GroupSize, s.PriceCrossZone, s.KindCount, s.WeightsShowSize = dispatchers, 0, 6, listed
-	s.Classes[classIdempotent].ObjectiveStretch, s.Classes[classIdempotent].WorkerKind = 50, -1 // nothing is refused
-	capacity := 0.0                                                                             // jobs landed in 100 ms
+	s.Classes[classIdempotent].ObjectiveStretch, s.Classes[classIdempotent].WorkerKind = 50, -1 // nothing is rejected
+	capacity := 0.0                                                                             // requests that arrive in 100 ms
 	for _, n := range sizes {
 		capacity += n * load
 	}
-	var harnesses []*harness
+	harnesses := make([]*harness, 0, s.GroupSize)
 	for i := range s.GroupSize {
 		h := newHarness(t, s)
 		h.dispatcher.rng = rand.New(rand.NewPCG(uint64(i), 5))
@@ -64,7 +64,7 @@
 	}
 	sent := map[int][]Time{}
 	due := 0.0
-	for step := range 1000 { // 10 ms each: jobs of 100 ms land, as many as the slots can do
+	for step := range 1000 { // 10 ms each: requests of 100 ms arrive, as many as the slots can do
 		var actions []Action
 		for due += capacity / 10; due >= 1; due-- {
 			h := harnesses[0]
@@ -99,7 +99,7 @@
 			}
 			limit := s.OverloadMultiple * harnesses[0].dispatcher.slowStartFactor(harnesses[0].dispatcher.workers[w]) * sizes[w] * float64(s.OverloadWindow/(100*ms))
 			if float64(n) > limit+1 {
-				t.Fatalf("%d dispatchers, sizes %v: a window held %d jobs for cold worker %d, which bears %.1f", dispatchers, sizes, n, w, limit)
+				t.Fatalf("%d dispatchers, sizes %v: a window held %d requests for warming worker %d, which bears %.1f", dispatchers, sizes, n, w, limit)
 			}
 		}
 	}
@@ -110,7 +110,7 @@
 	h := newHarness(t, testSettings())
 	list := fleet(4)
 	for i := range list {
-		list[i].StartedAt = h.now - 15*Second // warm enough that nearly every draw counts
+		list[i].StartedAt = h.now - 15*Second // warmed up so far that nearly every sample counts
 	}
 	h.handle(Event{Kind: EndpointSnapshot, Workers: list, Version: 1})
 	sends := [2]int{}
@@ -122,11 +122,11 @@
 		}
 	}
 	if sends[0] < 10 || sends[1] != 0 {
-		t.Fatalf("%d first tries and %d repeats went to cold workers", sends[0], sends[1])
+		t.Fatalf("%d first tries and %d retries went to workers that are warming up", sends[0], sends[1])
 	}
 }
 
-// While late starts at warm workers have all refused, cold ones go on getting the draws that count, and nothing else is sent.
+// While late starts at other workers have all requests shed, those that are warming up go on getting the samples that count.
 func TestSendToWarming_TakesShedRequests(t *testing.T) {
 	h := newHarness(t, testSettings())
 	list := fleet(8)
@@ -140,7 +140,7 @@
 		retry := i%2 == 1
 		actions := h.handle(Event{Kind: RequestArrived, Request: RequestID(i), Tenant: -1, ExpectedWork: 20 * ms, TimeLeft: 5 * Second, Slots: 1, Retry: retry})
 		if len(actions) != 1 {
-			t.Fatalf("got %v, want one action for a landing", actions)
+			t.Fatalf("got %v, want one action for an arrival", actions)
 		}
 		switch a := actions[0]; {
 		case a.Kind == Reject:
@@ -149,15 +149,15 @@
 			toWarming++
 			h.startAndEnd(RequestID(i), 0)
 		default:
-			t.Fatalf("got %v (repeat: %v), want a refusal or a first try sent to a cold worker", a, retry)
+			t.Fatalf("got %v (retry: %v), want a rejection or a first try sent to a worker that is warming up", a, retry)
 		}
 	}
 	if toWarming < 30 || rejected < 100 {
-		t.Errorf("%d went to cold workers and %d were refused", toWarming, rejected)
+		t.Errorf("%d went to workers that are warming up and %d were rejected", toWarming, rejected)
 	}
 }
 
-// A job that the work ahead would refuse may go to a cold worker that is drawn, but not one whose time has passed.
+// A request that the backlog would reject may go to a worker that is warming up, but not one whose time has passed.
 func TestSendToWarming_TakesRequestsBeyondBacklog(t *testing.T) {
 	sendsWithTimeLeft := func(left Time) (n int) {
 		h := newHarness(t, testSettings())
@@ -180,14 +180,14 @@
 		return n
 	}
 	if n := sendsWithTimeLeft(5 * Second); n < 10 {
-		t.Errorf("%d of 200 went to cold workers", n)
+		t.Errorf("%d of 200 went to workers that are warming up", n)
 	}
 	if n := sendsWithTimeLeft(100 * ms); n != 0 { // of five seconds, the rest has been used up by earlier tries
-		t.Errorf("%d jobs were sent that can earn nothing", n)
+		t.Errorf("%d requests were sent that cannot be in time", n)
 	}
 }
 
-// On a recorded day most workers of one zone were gone and six came back cold: all dispatchers of that zone drew from six.
+// On a recorded day most workers of one zone were gone and six came back, warming up: all dispatchers of that zone sampled six.
 func TestSlowStart_FewWarmingWorkersOfAZone(t *testing.T) {
 	s := testSettings()
 	s.PriceCrossZone = 0.02
@@ -201,7 +201,7 @@
 	}
 	h.handle(Event{Kind: EndpointSnapshot, Workers: list, Version: 1})
 	if n := h.countSends(300, func(w WorkerID) bool { return w < 2 }); n > 30 {
-		t.Errorf("%d of 300 jobs went to two cold workers, alone in their zone with half of all traffic; want a tenth of them at most", n)
+		t.Errorf("%d of 300 requests went to two warming workers, alone in their zone with half of all traffic; want a tenth of them at most", n)
 	}
 }
 
@@ -214,6 +214,6 @@
 		w.unresponsive, w.nextProbeAt = true, never
 	}
 	if n := h.countSends(300, func(w WorkerID) bool { return w == 0 }); n > 45 {
-		t.Errorf("%d of 300 jobs went to a cold worker, one of ten, as eight others give no sign", n)
+		t.Errorf("%d of 300 requests went to a warming worker, one of ten, as eight others give no sign", n)
 	}
 }
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -9,11 +9,13 @@
 	Second           = 1000 * Millisecond
 )
 
-// RequestID and WorkerID are dense: the caller hands them out from 0 upwards. A request's id may be used
-// again once the request has had its final answer and all its attempts have ended.
+// Ids are dense: the caller hands them out from 0 upwards.
 type (
+	// RequestID is a request's id. It may be used again once the request has had its final answer and all its
+	// attempts have ended.
 	RequestID uint32
-	WorkerID  int32
+	// WorkerID is the id of a worker, by its name.
+	WorkerID int32
 )
 
 // Idempotency says what it means to run a request of a class twice.
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -2,7 +2,7 @@
 
 // worker is what a dispatcher knows of a worker.
 type worker struct {
-	Worker     // as the endpoint list told it last
+	Worker     // as on the newest endpoint list
 	kind       *kindState
 	listed     bool // on the newest endpoint list
 	everListed bool
@@ -11,7 +11,7 @@
 	disabled          bool // by an operator, whatever the endpoint list says
 	disabledAt        Time // last
 	enabledAt         Time // last; 0: never
-	readmittedAt      Time // its first start or last restart that was told
+	readmittedAt      Time // its first start or last restart that was reported
 	firstRequestDue   Time // of a worker that was enabled: when it is to get a request at the latest
 	outlierReportedAt Time // last, by another dispatcher; 0: never
 
@@ -71,7 +71,7 @@
 func (w *worker) isReady() bool { return w.listed && w.State == Ready && !w.disabled }
 
 // lastStart is when the worker started last, as far as is known. Operators restart a worker while it is
-// disabled: where the endpoint list has told no start since, it counts as started when it was enabled.
+// disabled: where the endpoint list has shown no start since, it counts as started when it was enabled.
 func (w *worker) lastStart() Time {
 	if w.StartedAt > w.disabledAt {
 		return w.StartedAt
