--- a/dispatch/outlier_test.go
+++ b/dispatch/outlier_test.go
@@ -110,22 +110,25 @@
 	}
 }
 
+// requestsAtFirst lets n requests arrive, each of which succeeds, and counts the sends to worker 0.
+func requestsAtFirst(h *harness, class, n int) (got int) {
+	for range n {
+		id, actions := h.arrive(class, 10*ms)
+		for _, w := range sendTargets(actions) {
+			if w == 0 {
+				got++
+			}
+		}
+		h.handle(Event{Kind: AttemptEnded, Request: id, Result: ResultOK, Final: true})
+	}
+	return got
+}
+
 // A worker that fails for another dispatcher gets no non-idempotent request until a probe succeeds; then further reports are
 // ignored for a while. At most a third of the workers are ejected.
 func TestOutlierReported_LimitsToProbes(t *testing.T) {
 	h := newHarness(t, testSettings(), fleet(6)...)
-	requestsAt := func(class, n int) (got int) {
-		for range n {
-			id, actions := h.arrive(class, 10*ms)
-			for _, w := range sendTargets(actions) {
-				if w == 0 {
-					got++
-				}
-			}
-			h.handle(Event{Kind: AttemptEnded, Request: id, Result: ResultOK, Final: true})
-		}
-		return got
-	}
+	requestsAt := func(class, n int) int { return requestsAtFirst(h, class, n) }
 	reportOutlier := func(w WorkerID) { h.handle(Event{Kind: OutlierReported, Worker: w}) }
 	reportOutlier(-1)
 	reportOutlier(99)
--- a/dispatch/rulechecker_test.go
+++ b/dispatch/rulechecker_test.go
@@ -50,52 +50,56 @@
 	}
 }
 
+// check checks one action.
 func (c *ruleChecker) check(now Time, action Action) error {
 	observed := c.requests[action.Request]
-	switch {
-	case action.Kind == SendToPeer && (!c.settings.PeerMessages || action.Peer < 0 || action.Peer >= c.settings.GroupSize || action.Peer == c.settings.Ordinal):
-		return fmt.Errorf("a message to %d", action.Peer)
-	case action.Kind == Cancel && (!c.settings.CanCancel || observed == nil || action.Attempt >= len(observed.attempts)):
-		return fmt.Errorf("%v, of an attempt never made or not allowed", action)
-	case action.Kind != Send && action.Kind != Reject && action.Kind != Fail:
-		return nil
-	}
-	if observed == nil || !observed.open {
-		return fmt.Errorf("rule one: %v for a request that is not open", action)
-	}
-	if now > observed.deadline {
-		return fmt.Errorf("rule one: %v at %v, %v after the deadline", action, now, now-observed.deadline)
+	switch action.Kind {
+	case SendToPeer:
+		isPeer := action.Peer >= 0 && action.Peer < c.settings.GroupSize && action.Peer != c.settings.Ordinal
+		if !c.settings.PeerMessages || !isPeer {
+			return fmt.Errorf("a message to %d", action.Peer)
+		}
+	case Cancel:
+		if !c.settings.CanCancel || observed == nil || action.Attempt >= len(observed.attempts) {
+			return fmt.Errorf("%v, of an attempt never made or not allowed", action)
+		}
+	case Send, Reject, Fail:
+		if observed == nil || !observed.open {
+			return fmt.Errorf("rule one: %v for a request that is not open", action)
+		}
+		if now > observed.deadline {
+			return fmt.Errorf("rule one: %v at %v, %v after the deadline", action, now, now-observed.deadline)
+		}
+		if action.Kind == Send {
+			return c.checkSend(now, observed, action.Worker)
+		}
+		return c.checkResponse(observed, action)
 	}
+	return nil
+}
+
+func (c *ruleChecker) checkResponse(observed *observedRequest, action Action) error {
+	c.responses++
+	observed.open = false
 	class := observed.class
-	if action.Kind != Send {
-		c.responses++
-		observed.open = false
-		for _, previous := range observed.attempts {
-			if action.Kind == Reject && !previous.neverRan && class.Idempotency != Idempotent && (class.Idempotency == NonIdempotent || class.DedupScope != DedupEverywhere) {
-				return fmt.Errorf("rule two: rejected though it may have run")
-			}
+	for _, previous := range observed.attempts {
+		mayRepeat := class.Idempotency == Idempotent || class.Idempotency == Deduplicated && class.DedupScope == DedupEverywhere
+		if action.Kind == Reject && !previous.neverRan && !mayRepeat {
+			return fmt.Errorf("rule two: rejected though it may have run")
 		}
-		return nil
 	}
+	return nil
+}
+
+func (c *ruleChecker) checkSend(now Time, observed *observedRequest, to WorkerID) error {
 	c.sends++
-	w, inFlight := c.workers[action.Worker], 0
+	w, inFlight := c.workers[to], 0
 	for _, previous := range observed.attempts {
 		if previous.inFlight {
 			inFlight++
 		}
-		previousWorker := c.workers[previous.worker]
-		switch {
-		case previous.neverRan:
-			continue
-		case previous.inFlight && !c.settings.CanHedge:
-			return fmt.Errorf("a hedged request where none is allowed")
-		case class.Idempotency == NonIdempotent:
-			return fmt.Errorf("rule two: a non-idempotent request sent again")
-		case class.Idempotency == Deduplicated && now > previous.sentAt+class.DedupWindow:
-			return fmt.Errorf("rule two: sent again after the window")
-		case class.Idempotency == Deduplicated && class.DedupScope == DedupZone && previousWorker.Zone != w.Zone,
-			class.Idempotency == Deduplicated && class.DedupScope == DedupCell && previousWorker.Cell != w.Cell:
-			return fmt.Errorf("rule two: sent again outside the scope")
+		if err := c.checkRepeat(now, observed.class, previous, w); err != nil {
+			return err
 		}
 	}
 	if inFlight > 1 {
@@ -104,16 +108,39 @@
 	if len(observed.attempts) >= min(observed.maxAttempts, c.settings.MaxAttempts) {
 		return fmt.Errorf("too many attempts")
 	}
-	if c.disabled[action.Worker] {
-		return fmt.Errorf("rule three: sent to worker %d, which is disabled", action.Worker)
+	if c.disabled[to] {
+		return fmt.Errorf("rule three: sent to worker %d, which is disabled", to)
 	}
-	if w, ok := c.workers[action.Worker]; !ok || w.State != Ready {
+	if w, ok := c.workers[to]; !ok || w.State != Ready {
 		return fmt.Errorf("rule three: sent to a worker in state %v, known %v", w.State, ok)
 	}
-	observed.attempts = append(observed.attempts, observedAttempt{worker: action.Worker, sentAt: now, inFlight: true})
+	observed.attempts = append(observed.attempts, observedAttempt{worker: to, sentAt: now, inFlight: true})
 	return c.checkSlowStart(now, w)
 }
 
+// checkRepeat checks a send to w after an earlier one.
+func (c *ruleChecker) checkRepeat(now Time, class Class, previous observedAttempt, w Worker) error {
+	if previous.neverRan {
+		return nil
+	}
+	if previous.inFlight && !c.settings.CanHedge {
+		return fmt.Errorf("a hedged request where none is allowed")
+	}
+	switch class.Idempotency {
+	case NonIdempotent:
+		return fmt.Errorf("rule two: a non-idempotent request sent again")
+	case Deduplicated:
+		previousWorker := c.workers[previous.worker]
+		if now > previous.sentAt+class.DedupWindow {
+			return fmt.Errorf("rule two: sent again after the window")
+		}
+		if class.DedupScope == DedupZone && previousWorker.Zone != w.Zone || class.DedupScope == DedupCell && previousWorker.Cell != w.Cell {
+			return fmt.Errorf("rule two: sent again outside the scope")
+		}
+	}
+	return nil
+}
+
 // checkSlowStart counts sends. Every request of the test takes a work of 100 ms or more at slowdowns of 1 or more, and no worker
 // ever shows more than maxSlots at once, so a count above the limit breaks the rule for sure.
 func (c *ruleChecker) checkSlowStart(now Time, w Worker) error {
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -36,74 +36,101 @@
 	s := testSettings()
 	s.GroupSize, s.PriceCrossZone, s.KindCount, s.WeightsShowSize = dispatchers, 0, 6, listed
 	s.Classes[classIdempotent].ObjectiveStretch, s.Classes[classIdempotent].WorkerKind = 50, -1 // nothing is rejected
-	capacity := 0.0                                                                             // requests that arrive in 100 ms
+	capacity := 0.0                                                                             // requests that the load brings in 100 ms
 	for _, n := range sizes {
 		capacity += n * load
 	}
-	harnesses := make([]*harness, 0, s.GroupSize)
+	f := &warmingFleet{sizes: sizes, warming: warming, arrivals: capacity / 10, sent: map[int][]Time{}}
 	for i := range s.GroupSize {
-		h := newHarness(t, s)
-		h.dispatcher.rng = rand.New(rand.NewPCG(uint64(i), 5))
-		list := fleet(len(sizes))
-		for w := range list {
-			list[w].Weight, list[w].Kind = 1, int(sizes[w])
-			if listed {
-				list[w].Weight = sizes[w]
-			}
-			if slices.Contains(warming, w) {
-				list[w].StartedAt = h.now
-			}
+		f.harnesses = append(f.harnesses, f.newHarness(t, s, i, listed))
+	}
+	for step := range 1000 { // 10 ms each: requests of 100 ms arrive, as many as the slots can do
+		f.step(step)
+		f.checkWindows(t, &s)
+	}
+	return f.sent
+}
+
+// warmingFleet is many dispatchers that send to the same workers, some of which are warming up.
+type warmingFleet struct {
+	harnesses []*harness
+	sizes     []float64 // slots of the workers
+	warming   []int     // which are warming up
+	arrivals  float64   // requests in 10 ms
+	due       float64   // requests that have yet to arrive
+	sent      map[int][]Time
+}
+
+// newHarness drives dispatcher i. Unless sizes are listed, it knows none.
+func (f *warmingFleet) newHarness(t *testing.T, s Settings, i int, listed bool) *harness {
+	t.Helper()
+	h := newHarness(t, s)
+	h.dispatcher.rng = rand.New(rand.NewPCG(uint64(i), 5))
+	list := fleet(len(f.sizes))
+	for w := range list {
+		list[w].Weight, list[w].Kind = 1, int(f.sizes[w])
+		if listed {
+			list[w].Weight = f.sizes[w]
 		}
-		h.handle(Event{Kind: EndpointSnapshot, Workers: list, Version: 1})
-		for n := range h.dispatcher.kinds {
-			if listed {
-				h.dispatcher.kinds[n].size = float64(n)
-			}
+		if slices.Contains(f.warming, w) {
+			list[w].StartedAt = h.now
 		}
-		harnesses = append(harnesses, h)
 	}
-	sent := map[int][]Time{}
-	due := 0.0
-	for step := range 1000 { // 10 ms each: requests of 100 ms arrive, as many as the slots can do
-		var actions []Action
-		for due += capacity / 10; due >= 1; due-- {
-			h := harnesses[0]
-			if step++; step%2 == 0 {
-				h = harnesses[1+step/2%(len(harnesses)-1)]
-			}
-			_, more := h.arrive(classIdempotent, 100*ms)
-			actions = append(actions, more...)
+	h.handle(Event{Kind: EndpointSnapshot, Workers: list, Version: 1})
+	for n := range h.dispatcher.kinds {
+		if listed {
+			h.dispatcher.kinds[n].size = float64(n)
 		}
-		for _, h := range harnesses {
-			actions = append(actions, h.wait(10*ms)...)
+	}
+	return h
+}
+
+// step lets requests arrive, every second one at the first dispatcher, and 10 ms pass, and ends what has run for 100 ms.
+func (f *warmingFleet) step(step int) {
+	var actions []Action
+	for f.due += f.arrivals; f.due >= 1; f.due-- {
+		h := f.harnesses[0]
+		if step++; step%2 == 0 {
+			h = f.harnesses[1+step/2%(len(f.harnesses)-1)]
 		}
-		now := harnesses[0].now
-		for _, a := range actions {
-			if w := int(a.Worker); a.Kind == Send && slices.Contains(warming, w) {
-				sent[w] = append(sent[w], now)
-			}
+		_, more := h.arrive(classIdempotent, 100*ms)
+		actions = append(actions, more...)
+	}
+	for _, h := range f.harnesses {
+		actions = append(actions, h.wait(10*ms)...)
+	}
+	now := f.harnesses[0].now
+	for _, a := range actions {
+		if w := int(a.Worker); a.Kind == Send && slices.Contains(f.warming, w) {
+			f.sent[w] = append(f.sent[w], now)
 		}
-		for _, h := range harnesses {
-			for id := range h.nextRequest {
-				if r := h.dispatcher.request(id); r != nil && r.inFlight() > 0 && h.now >= r.attempts[0].sentAt+100*ms {
-					h.end(id, 0, ResultOK)
-				}
+	}
+	for _, h := range f.harnesses {
+		for id := range h.nextRequest {
+			if r := h.dispatcher.request(id); r != nil && r.inFlight() > 0 && h.now >= r.attempts[0].sentAt+100*ms {
+				h.end(id, 0, ResultOK)
 			}
 		}
-		for w, times := range sent {
-			n := 0
-			for _, at := range times {
-				if at > now-s.OverloadWindow {
-					n++
-				}
-			}
-			limit := s.OverloadMultiple * harnesses[0].dispatcher.slowStartFactor(harnesses[0].dispatcher.workers[w]) * sizes[w] * float64(s.OverloadWindow/(100*ms))
-			if float64(n) > limit+1 {
-				t.Fatalf("%d dispatchers, sizes %v: a window held %d requests for warming worker %d, which bears %.1f", dispatchers, sizes, n, w, limit)
+	}
+}
+
+// checkWindows fails where the window that ends now holds more requests for a worker than it bears.
+func (f *warmingFleet) checkWindows(t *testing.T, s *Settings) {
+	t.Helper()
+	first := f.harnesses[0]
+	for w, times := range f.sent {
+		n := 0
+		for _, at := range times {
+			if at > first.now-s.OverloadWindow {
+				n++
 			}
 		}
+		factor := first.dispatcher.slowStartFactor(first.worker(WorkerID(w)))
+		limit := s.OverloadMultiple * factor * f.sizes[w] * float64(s.OverloadWindow/(100*ms))
+		if float64(n) > limit+1 {
+			t.Fatalf("%d dispatchers, sizes %v: a window held %d requests for warming worker %d, which bears %.1f", s.GroupSize, f.sizes, n, w, limit)
+		}
 	}
-	return sent
 }
 
 func TestSlowStart_ClientRetriesGetNoWarmingWorker(t *testing.T) {
