--- a/cmd/birchfork-discovery-agent/main.go
+++ b/cmd/birchfork-discovery-agent/main.go
@@ -1,4 +1,4 @@
-// Command birchfork-members tells the dispatchers on this machine who the workers are, from etcd or a file, and lets
+// Command birchfork-discovery-agent tells the dispatchers on this machine who the workers are, from etcd or a file, and lets
 // workers register themselves. It is a program of its own, so that a dispatcher does not carry etcd's client.
 package main
 
@@ -36,7 +36,7 @@
 	Watch    watch    `cmd:"" help:"Print changes in etcd as they come, until interrupted."`
 }
 
-type output struct{ std, err io.Writer }
+type output struct{ stdout, stderr io.Writer }
 
 type serve struct{}
 
@@ -47,7 +47,7 @@
 		return err
 	}
 	log := logrus.New()
-	log.SetOutput(out.err)
+	log.SetOutput(out.stderr)
 	return discoveryagent.Serve(ctx, cfg, log, func(addr string) {
 		log.WithFields(logrus.Fields{"listen": addr, "sources": len(cfg.Sources)}).Info("serving")
 	})
@@ -61,17 +61,17 @@
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(out.std, "%s: good: %d sources, listening on %s\n", c.Config, len(cfg.Sources), cfg.Listen)
+	_, err = fmt.Fprintf(out.stdout, "%s: good: %d sources, listening on %s\n", c.Config, len(cfg.Sources), cfg.Listen)
 	return err
 }
 
-// store opens the first etcd source.
-func (c *commands) store() (*clientv3.Client, string, error) {
+// openEtcd opens the first etcd source.
+func (c *commands) openEtcd() (*clientv3.Client, string, error) {
 	cfg, err := discoveryagent.Load(c.Config)
 	if err != nil {
 		return nil, "", err
 	}
-	s, err := cfg.Etcd()
+	s, err := cfg.FirstEtcdSource()
 	if err != nil {
 		return nil, "", err
 	}
@@ -79,8 +79,8 @@
 	return client, s.Prefix, err
 }
 
-// callWait bounds one call to etcd.
-const callWait = 5 * time.Second
+// callTimeout bounds one call to etcd.
+const callTimeout = 5 * time.Second
 
 type register struct {
 	Name     string        `arg:"" help:"The worker's name."`
@@ -97,12 +97,12 @@
 	if r.TTL < time.Second || r.DrainFor < 0 {
 		return errors.New("--ttl is a second at least, --drain-for not below 0")
 	}
-	client, prefix, err := c.store()
+	client, prefix, err := c.openEtcd()
 	if err != nil {
 		return err
 	}
 	defer client.Close()
-	v := etcd.Value{V: etcd.SchemaVersion, Address: r.Address, Zone: r.Zone, Kind: r.Kind, Weight: r.Weight, State: etcd.Up, SinceMs: time.Now().UnixMilli()}
+	v := etcd.Value{Version: etcd.SchemaVersion, Address: r.Address, Zone: r.Zone, Kind: r.Kind, Weight: r.Weight, State: etcd.StateUp, StartedAtMillis: time.Now().UnixMilli()}
 	raw, err := json.Marshal(v)
 	if err != nil {
 		return err
@@ -112,36 +112,36 @@
 	}
 	key := prefix + r.Name
 	for ctx.Err() == nil {
-		if err := r.keep(ctx, client, key, string(raw), out); err != nil && ctx.Err() == nil {
-			fmt.Fprintln(out.err, "birchfork-members: registering again:", err)
+		if err := r.holdLease(ctx, client, key, string(raw), out); err != nil && ctx.Err() == nil {
+			fmt.Fprintln(out.stderr, "birchfork-discovery-agent: registering again:", err)
 			select {
 			case <-time.After(time.Second):
 			case <-ctx.Done():
 			}
 		}
 	}
-	v.State = etcd.Draining
+	v.State = etcd.StateDraining
 	raw, err = json.Marshal(v)
 	if err != nil {
 		return err
 	}
-	end, done := context.WithTimeout(context.Background(), callWait+r.DrainFor)
+	end, done := context.WithTimeout(context.Background(), callTimeout+r.DrainFor)
 	defer done()
 	if _, err := client.Put(end, key, string(raw)); err != nil {
 		return fmt.Errorf("draining %s: %w", r.Name, err)
 	}
-	fmt.Fprintln(out.std, r.Name, "drains")
+	fmt.Fprintln(out.stdout, r.Name, "drains")
 	time.Sleep(r.DrainFor)
 	if _, err := client.Delete(end, key); err != nil {
 		return fmt.Errorf("taking %s out: %w", r.Name, err)
 	}
-	fmt.Fprintln(out.std, r.Name, "has left")
+	fmt.Fprintln(out.stdout, r.Name, "has left")
 	return nil
 }
 
-// keep holds the worker under a lease until that is lost or ctx ends.
-func (r *register) keep(ctx context.Context, client *clientv3.Client, key, value string, out output) error {
-	call, done := context.WithTimeout(ctx, callWait)
+// holdLease holds the worker under a lease until that is lost or ctx ends.
+func (r *register) holdLease(ctx context.Context, client *clientv3.Client, key, value string, out output) error {
+	call, done := context.WithTimeout(ctx, callTimeout)
 	defer done()
 	lease, err := client.Grant(call, int64(r.TTL/time.Second))
 	if err != nil {
@@ -154,7 +154,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintln(out.std, r.Name, "is registered")
+	fmt.Fprintln(out.stdout, r.Name, "is registered")
 	for range alive {
 	}
 	return errors.New("the lease was lost")
@@ -166,12 +166,12 @@
 
 // Run puts the worker as draining, under the lease that it has, if nobody has changed it meanwhile.
 func (d *drain) Run(ctx context.Context, c *commands, out output) error {
-	client, prefix, err := c.store()
+	client, prefix, err := c.openEtcd()
 	if err != nil {
 		return err
 	}
 	defer client.Close()
-	ctx, done := context.WithTimeout(ctx, callWait)
+	ctx, done := context.WithTimeout(ctx, callTimeout)
 	defer done()
 	res, err := client.Get(ctx, prefix+d.Name)
 	if err != nil {
@@ -185,7 +185,7 @@
 	if err := json.Unmarshal(kv.Value, &v); err != nil {
 		return fmt.Errorf("%s: its value is no JSON object: %w", d.Name, err)
 	}
-	v["state"] = etcd.Draining
+	v["state"] = etcd.StateDraining
 	raw, err := json.Marshal(v)
 	if err != nil {
 		return err
@@ -202,7 +202,7 @@
 	if !txn.Succeeded {
 		return fmt.Errorf("%s was changed at the same moment: look again", d.Name)
 	}
-	_, err = fmt.Fprintln(out.std, d.Name, "drains")
+	_, err = fmt.Fprintln(out.stdout, d.Name, "drains")
 	return err
 }
 
@@ -212,12 +212,12 @@
 
 // Run deletes the worker.
 func (r *remove) Run(ctx context.Context, c *commands, out output) error {
-	client, prefix, err := c.store()
+	client, prefix, err := c.openEtcd()
 	if err != nil {
 		return err
 	}
 	defer client.Close()
-	ctx, done := context.WithTimeout(ctx, callWait)
+	ctx, done := context.WithTimeout(ctx, callTimeout)
 	defer done()
 	res, err := client.Delete(ctx, prefix+r.Name)
 	if err != nil {
@@ -226,7 +226,7 @@
 	if res.Deleted == 0 {
 		return fmt.Errorf("there is no worker %q under %s", r.Name, prefix)
 	}
-	_, err = fmt.Fprintln(out.std, r.Name, "was taken out")
+	_, err = fmt.Fprintln(out.stdout, r.Name, "was taken out")
 	return err
 }
 
@@ -234,12 +234,12 @@
 
 // Run lists the workers.
 func (list) Run(ctx context.Context, c *commands, out output) error {
-	client, prefix, err := c.store()
+	client, prefix, err := c.openEtcd()
 	if err != nil {
 		return err
 	}
 	defer client.Close()
-	ctx, done := context.WithTimeout(ctx, callWait)
+	ctx, done := context.WithTimeout(ctx, callTimeout)
 	defer done()
 	res, err := client.Get(ctx, prefix, clientv3.WithPrefix())
 	if err != nil {
@@ -247,24 +247,24 @@
 	}
 	var lines []string
 	for _, kv := range res.Kvs {
-		lines = append(lines, line(strings.TrimPrefix(string(kv.Key), prefix), kv.Value))
+		lines = append(lines, formatWorker(strings.TrimPrefix(string(kv.Key), prefix), kv.Value))
 	}
 	sort.Strings(lines)
 	for _, l := range lines {
-		fmt.Fprintln(out.std, l)
+		fmt.Fprintln(out.stdout, l)
 	}
 	return nil
 }
 
-// line is a worker for people.
-func line(name string, raw []byte) string {
+// formatWorker is a worker for people.
+func formatWorker(name string, raw []byte) string {
 	e, err := etcd.Decode(name, raw)
 	if err != nil {
 		return fmt.Sprintf("%-20s unusable: %v", name, err)
 	}
-	state := etcd.Up
+	state := etcd.StateUp
 	if e.State != dispatch.Ready {
-		state = etcd.Draining
+		state = etcd.StateDraining
 	}
 	return fmt.Sprintf("%-20s %-9s %-22s zone %q, kind %q", name, state, e.Address, e.Zone, e.Kind)
 }
@@ -273,7 +273,7 @@
 
 // Run prints changes.
 func (watch) Run(ctx context.Context, c *commands, out output) error {
-	client, prefix, err := c.store()
+	client, prefix, err := c.openEtcd()
 	if err != nil {
 		return err
 	}
@@ -285,9 +285,9 @@
 		for _, e := range res.Events {
 			name := strings.TrimPrefix(string(e.Kv.Key), prefix)
 			if e.Type == clientv3.EventTypeDelete {
-				fmt.Fprintf(out.std, "%-20s left\n", name)
+				fmt.Fprintf(out.stdout, "%-20s left\n", name)
 			} else {
-				fmt.Fprintln(out.std, line(name, e.Kv.Value))
+				fmt.Fprintln(out.stdout, formatWorker(name, e.Kv.Value))
 			}
 		}
 	}
@@ -303,10 +303,10 @@
 // run is the whole program; it returns the exit status.
 func run(ctx context.Context, args []string, out output) int {
 	var c commands
-	parser, err := kong.New(&c, kong.Name("birchfork-members"), kong.Writers(out.std, out.err), kong.Bind(out, &c),
+	parser, err := kong.New(&c, kong.Name("birchfork-discovery-agent"), kong.Writers(out.stdout, out.stderr), kong.Bind(out, &c),
 		kong.BindTo(ctx, (*context.Context)(nil)), kong.Description("Who the workers are, for the dispatchers on this machine."))
 	if err != nil {
-		fmt.Fprintln(out.err, "birchfork-members:", err)
+		fmt.Fprintln(out.stderr, "birchfork-discovery-agent:", err)
 		return 1
 	}
 	parsed, err := parser.Parse(args)
@@ -314,7 +314,7 @@
 		err = parsed.Run()
 	}
 	if err != nil {
-		fmt.Fprintln(out.err, "birchfork-members:", err)
+		fmt.Fprintln(out.stderr, "birchfork-discovery-agent:", err)
 		return 1
 	}
 	return 0
--- a/cmd/birchfork-discovery-agent/main_test.go
+++ b/cmd/birchfork-discovery-agent/main_test.go
@@ -18,26 +18,26 @@
 	"birchfork/internal/etcdtest"
 )
 
-// buffer may be written and read at once.
-type buffer struct {
+// syncBuffer may be written and read at once.
+type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (b *buffer) Write(p []byte) (int, error) {
+func (b *syncBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.Write(p)
 }
 
-func (b *buffer) String() string {
+func (b *syncBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.String()
 }
 
 func call(ctx context.Context, args ...string) (int, string, string) {
-	var o, e buffer
+	var o, e syncBuffer
 	status := run(ctx, args, output{&o, &e})
 	return status, o.String(), e.String()
 }
@@ -52,7 +52,7 @@
 }
 
 // A worker registers, is listed and told to dispatchers, drains by command, drains and leaves on its end.
-func TestWorkersLife(t *testing.T) {
+func TestAgent_PublishesRegisteredWorker(t *testing.T) {
 	e, err := etcdtest.Start()
 	if err != nil {
 		t.Fatal(err)
@@ -72,7 +72,7 @@
 	}
 	addr := make(chan string, 1)
 	log := logrus.New()
-	log.SetOutput(&buffer{})
+	log.SetOutput(&syncBuffer{})
 	served := make(chan error, 1)
 	go func() { served <- discoveryagent.Serve(ctx, cfg, log, func(a string) { addr <- a }) }()
 	base := "http://" + <-addr
@@ -97,7 +97,7 @@
 	}
 	registered, leave := context.WithCancel(t.Context())
 	ended := make(chan int, 1)
-	var out buffer
+	var out syncBuffer
 	go func() {
 		ended <- run(registered, []string{"register", "w1", "127.0.0.1:9", "--zone", "a", "--drain-for", "100ms"}, output{&out, &out})
 	}()
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestWhatIsWrongIsNamed(t *testing.T) {
+func TestAgent_ReportsEveryFault(t *testing.T) {
 	path := t.TempDir() + "/members.toml"
 	text := "listen='0.0.0.0:1'\nempty_guard='2h'\n[[source]]\nkind='dns'\n[[source]]\nkind='etcd'\nprefix='w'\nuser='u'\n[[source]]\nkind='file'\n"
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
--- a/internal/discoveryagent/members.go
+++ b/internal/discoveryagent/agent.go
@@ -28,11 +28,11 @@
 
 // Config is the agent's file.
 type Config struct {
-	Listen     string        `toml:"listen"`
-	ChangeOver time.Duration `toml:"change_over"`
-	ChangeBack time.Duration `toml:"change_back"`
-	EmptyGuard time.Duration `toml:"empty_guard"`
-	Sources    []Source      `toml:"source"`
+	Listen         string        `toml:"listen"`
+	FailoverDelay  time.Duration `toml:"change_over"`
+	FailbackDelay  time.Duration `toml:"change_back"`
+	EmptyListDelay time.Duration `toml:"empty_guard"`
+	Sources        []Source      `toml:"source"`
 }
 
 // Source is one source of workers, the preferred one first.
@@ -70,18 +70,18 @@
 
 // Decode reads the agent's file.
 func Decode(name string, raw []byte) (*Config, error) {
-	c := &Config{Listen: "127.0.0.1:8500", ChangeOver: 10 * time.Second, ChangeBack: 10 * time.Second, EmptyGuard: 30 * time.Second}
+	c := &Config{Listen: "127.0.0.1:8500", FailoverDelay: 10 * time.Second, FailbackDelay: 10 * time.Second, EmptyListDelay: 30 * time.Second}
 	d := tomlfile.Read(name, raw, c)
 	if len(d.Errors()) > 0 {
 		return nil, d.Err()
 	}
-	if host, port, err := net.SplitHostPort(c.Listen); err != nil || port == "" || !loopback(host) {
+	if host, port, err := net.SplitHostPort(c.Listen); err != nil || port == "" || !isLoopback(host) {
 		d.AddErrorf("listen", "%q is no host:port on this machine, such as 127.0.0.1:8500: the agent serves the dispatchers beside it", c.Listen)
 	}
 	for _, t := range []struct {
 		key string
 		v   time.Duration
-	}{{"change_over", c.ChangeOver}, {"change_back", c.ChangeBack}, {"empty_guard", c.EmptyGuard}} {
+	}{{"change_over", c.FailoverDelay}, {"change_back", c.FailbackDelay}, {"empty_guard", c.EmptyListDelay}} {
 		if t.v < 0 || t.v > time.Hour {
 			d.AddErrorf(t.key, "%v is not from 0s to 1h", t.v)
 		}
@@ -124,7 +124,7 @@
 	return c, nil
 }
 
-func loopback(host string) bool {
+func isLoopback(host string) bool {
 	ip := net.ParseIP(host)
 	return host == "localhost" || ip != nil && ip.IsLoopback()
 }
@@ -163,8 +163,8 @@
 	return c, nil
 }
 
-// Etcd is the first etcd source of a configuration.
-func (c *Config) Etcd() (*Source, error) {
+// FirstEtcdSource is the first etcd source of a configuration.
+func (c *Config) FirstEtcdSource() (*Source, error) {
 	for i := range c.Sources {
 		if c.Sources[i].Kind == KindEtcd {
 			return &c.Sources[i], nil
@@ -177,23 +177,23 @@
 func Serve(ctx context.Context, c *Config, log logrus.FieldLogger, ready func(addr string)) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	front := endpointsource.NewFront(endpointsource.Config{
-		Sources: len(c.Sources), ChangeOver: c.ChangeOver, ChangeBack: c.ChangeBack, EmptyGuard: c.EmptyGuard,
+	front := endpointsource.NewServer(endpointsource.Config{
+		SourceCount: len(c.Sources), FailoverDelay: c.FailoverDelay, FailbackDelay: c.FailbackDelay, EmptyListDelay: c.EmptyListDelay,
 	})
 	var sources sync.WaitGroup
 	defer sources.Wait()
 	defer stop()
 	for i := range c.Sources {
 		s := &c.Sources[i]
-		tell, lost := func(n endpointsource.News) { front.Tell(i, n) }, func() { front.Lost(i) }
-		run := (&file.Source{Path: s.Path, Log: log, Tell: tell, Lost: lost}).Run
+		tell, lost := func(n endpointsource.Update) { front.Update(i, n) }, func() { front.MarkLost(i) }
+		run := (&file.Source{Path: s.Path, Log: log, OnUpdate: tell, OnLost: lost}).Run
 		if s.Kind == KindEtcd {
 			client, err := s.Client()
 			if err != nil {
 				return fmt.Errorf("source %d: %w", i, err)
 			}
 			defer client.Close()
-			run = (&etcd.Source{Client: client, Prefix: s.Prefix, Log: log, Tell: tell, Lost: lost}).Run
+			run = (&etcd.Source{Client: client, Prefix: s.Prefix, Log: log, OnUpdate: tell, OnLost: lost}).Run
 		}
 		sources.Add(1)
 		go func() {
--- a/internal/endpointsource/etcd/golden_test.go
+++ b/internal/endpointsource/etcd/golden_test.go
@@ -13,7 +13,7 @@
 func TestValue_KeepsItsForm(t *testing.T) {
 	const path = "testdata/golden/value.json"
 	cell := 7
-	raw, err := json.Marshal(Value{SchemaVersion, "127.0.0.1:5001", "zone-a", "kind-b", &cell, 2.5, Draining, 1700000000001})
+	raw, err := json.Marshal(Value{SchemaVersion, "127.0.0.1:5001", "zone-a", "kind-b", &cell, 2.5, StateDraining, 1700000000001})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/endpointsource/etcd/etcd.go
+++ b/internal/endpointsource/etcd/source.go
@@ -29,47 +29,47 @@
 
 // Value is a worker as it stands under its key. Unknown fields are passed over.
 type Value struct {
-	V       int     `json:"v"`
-	Address string  `json:"address"`
-	Zone    string  `json:"zone,omitempty"`
-	Kind    string  `json:"kind,omitempty"`
-	Cell    *int    `json:"cell,omitempty"`
-	Weight  float64 `json:"weight,omitempty"`
-	State   string  `json:"state,omitempty"`    // up (or nothing) or draining
-	SinceMs int64   `json:"since_ms,omitempty"` // when it last started, Unix time in milliseconds; 0: long ago
+	Version         int     `json:"v"`
+	Address         string  `json:"address"`
+	Zone            string  `json:"zone,omitempty"`
+	Kind            string  `json:"kind,omitempty"`
+	Cell            *int    `json:"cell,omitempty"`
+	Weight          float64 `json:"weight,omitempty"`
+	State           string  `json:"state,omitempty"`    // up (or nothing) or draining
+	StartedAtMillis int64   `json:"since_ms,omitempty"` // when it last started, Unix time in milliseconds; 0: long ago
 }
 
 // The states in a Value.
 const (
-	Up       = "up"
-	Draining = "draining"
+	StateUp       = "up"
+	StateDraining = "draining"
 )
 
 // Bounds and times of following.
 const (
-	valueMost  = 16 << 10
-	sinceMost  = 100_000_000_000_000
-	readWait   = 5 * time.Second
-	askEvery   = 1 * time.Second // for a sign of life on a quiet watch
-	quietMost  = 4 * time.Second // without one the source is lost
-	retryFirst = 50 * time.Millisecond
-	retryMost  = 2 * time.Second
+	maxValueBytes      = 16 << 10
+	maxStartedAtMillis = 100_000_000_000_000
+	readTimeout        = 5 * time.Second
+	progressInterval   = 1 * time.Second // for a sign of life on a quiet watch
+	maxSilence         = 4 * time.Second // without one the source is lost
+	minRetryDelay      = 50 * time.Millisecond
+	maxRetryDelay      = 2 * time.Second
 )
 
 // Decode reads a worker. A value that cannot be used is an error, and what comes back drains: it is not known to want jobs.
 func Decode(name string, raw []byte) (engine.Endpoint, error) {
 	bad := engine.Endpoint{Name: name, Cell: -1, State: dispatch.Draining}
-	if len(raw) > valueMost {
-		return bad, fmt.Errorf("its value has %d bytes, more than %d", len(raw), valueMost)
+	if len(raw) > maxValueBytes {
+		return bad, fmt.Errorf("its value has %d bytes, more than %d", len(raw), maxValueBytes)
 	}
 	var v Value
 	if err := json.Unmarshal(raw, &v); err != nil {
 		return bad, fmt.Errorf("its value is no JSON object of a worker: %w", err)
 	}
-	if v.V != SchemaVersion {
-		return bad, fmt.Errorf("its value is of version %d, not %d", v.V, SchemaVersion)
+	if v.Version != SchemaVersion {
+		return bad, fmt.Errorf("its value is of version %d, not %d", v.Version, SchemaVersion)
 	}
-	e := engine.Endpoint{Name: name, Address: v.Address, Zone: v.Zone, Kind: v.Kind, Cell: -1, Weight: max(v.Weight, 0), StartedAtMillis: min(max(v.SinceMs, 0), sinceMost)}
+	e := engine.Endpoint{Name: name, Address: v.Address, Zone: v.Zone, Kind: v.Kind, Cell: -1, Weight: max(v.Weight, 0), StartedAtMillis: min(max(v.StartedAtMillis, 0), maxStartedAtMillis)}
 	if v.Cell != nil {
 		e.Cell = *v.Cell
 	}
@@ -77,8 +77,8 @@
 		return bad, fmt.Errorf("its address %q is not host:port", v.Address)
 	}
 	switch v.State {
-	case "", Up:
-	case Draining:
+	case "", StateUp:
+	case StateDraining:
 		e.State = dispatch.Draining
 	default:
 		return bad, fmt.Errorf("its state %q is neither up nor draining", v.State)
@@ -88,79 +88,79 @@
 
 // Counters count what a source meets.
 type Counters struct {
-	Reads     atomic.Int64 // whole ranges read
-	Changes   atomic.Int64
-	BadValues atomic.Int64
-	Breaks    atomic.Int64
-	Compacted atomic.Int64 // resumes that were refused, as history was compacted
-	Restored  atomic.Int64 // times that revisions went backwards
+	Reads       atomic.Int64 // whole ranges read
+	Changes     atomic.Int64
+	BadValues   atomic.Int64
+	Disconnects atomic.Int64
+	Compacted   atomic.Int64 // resumes that were refused, as history was compacted
+	Restored    atomic.Int64 // times that revisions went backwards
 }
 
 // Source follows one prefix.
 type Source struct {
-	Client *clientv3.Client
-	Prefix string
-	Log    logrus.FieldLogger
-	Tell   func(endpointsource.News)
-	Lost   func()
-
-	Counters Counters
-	seen     int64 // the newest revision that was told
+	Client   *clientv3.Client
+	Prefix   string
+	Log      logrus.FieldLogger
+	OnUpdate func(endpointsource.Update)
+	OnLost   func()
+
+	Counters     Counters
+	lastRevision int64 // the newest revision that was told
 }
 
 // Run follows until ctx ends.
 func (s *Source) Run(ctx context.Context) {
-	wait := retryFirst
+	wait := minRetryDelay
 	for ctx.Err() == nil {
 		told, err := s.follow(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		s.Counters.Breaks.Add(1)
-		s.Lost()
+		s.Counters.Disconnects.Add(1)
+		s.OnLost()
 		if told {
-			wait = retryFirst
+			wait = minRetryDelay
 		}
 		s.Log.WithError(err).WithFields(logrus.Fields{"prefix": s.Prefix, "again_in": wait}).Warn("following etcd broke off; the list stays as it is")
 		select {
 		case <-ctx.Done():
 		case <-time.After(wait/2 + rand.N(wait)): // spread, so that not all dispatchers come back at once
 		}
-		wait = min(2*wait, retryMost)
+		wait = min(2*wait, maxRetryDelay)
 	}
 }
 
-var errQuiet = errors.New("etcd says nothing")
+var errSilent = errors.New("etcd says nothing")
 
 // follow reads the range and watches from there; told says whether that brought a list.
 func (s *Source) follow(ctx context.Context) (told bool, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	read, done := context.WithTimeout(ctx, readWait)
+	read, done := context.WithTimeout(ctx, readTimeout)
 	res, err := s.Client.Get(read, s.Prefix, clientv3.WithPrefix())
 	done()
 	if err != nil {
 		return false, fmt.Errorf("reading the range: %w", err)
 	}
-	if res.Header.Revision < s.seen {
+	if res.Header.Revision < s.lastRevision {
 		s.Counters.Restored.Add(1)
-		s.Log.WithFields(logrus.Fields{"revision": res.Header.Revision, "seen": s.seen}).Warn("etcd's revisions went backwards: it was restored from an older copy")
+		s.Log.WithFields(logrus.Fields{"revision": res.Header.Revision, "seen": s.lastRevision}).Warn("etcd's revisions went backwards: it was restored from an older copy")
 	}
-	n := endpointsource.News{Whole: true, Revision: uint64(res.Header.Revision)}
+	n := endpointsource.Update{Snapshot: true, Revision: uint64(res.Header.Revision)}
 	for _, kv := range res.Kvs {
-		n.Entries = append(n.Entries, s.entry(kv))
+		n.Endpoints = append(n.Endpoints, s.decode(kv))
 	}
-	s.seen = res.Header.Revision
+	s.lastRevision = res.Header.Revision
 	s.Counters.Reads.Add(1)
-	s.Tell(n)
+	s.OnUpdate(n)
 	return true, s.watch(ctx)
 }
 
 // watch takes changes from the revision after the last one seen, until the watch ends. The client's library resumes by
 // itself where the connection breaks.
 func (s *Source) watch(ctx context.Context) error {
-	events := s.Client.Watch(clientv3.WithRequireLeader(ctx), s.Prefix, clientv3.WithPrefix(), clientv3.WithRev(s.seen+1), clientv3.WithProgressNotify(), clientv3.WithCreatedNotify())
-	ask := time.NewTicker(askEvery)
+	events := s.Client.Watch(clientv3.WithRequireLeader(ctx), s.Prefix, clientv3.WithPrefix(), clientv3.WithRev(s.lastRevision+1), clientv3.WithProgressNotify(), clientv3.WithCreatedNotify())
+	ask := time.NewTicker(progressInterval)
 	defer ask.Stop()
 	heard := time.Now()
 	for {
@@ -173,16 +173,16 @@
 				if res.CompactRevision != 0 || errors.Is(err, rpctypes.ErrCompacted) {
 					s.Counters.Compacted.Add(1)
 				}
-				return fmt.Errorf("watching from revision %d: %w", s.seen+1, err)
+				return fmt.Errorf("watching from revision %d: %w", s.lastRevision+1, err)
 			}
-			if res.Header.Revision < s.seen {
-				return fmt.Errorf("watching: revision %d came after %d", res.Header.Revision, s.seen)
+			if res.Header.Revision < s.lastRevision {
+				return fmt.Errorf("watching: revision %d came after %d", res.Header.Revision, s.lastRevision)
 			}
 			heard = time.Now()
-			s.tell(res.Events)
+			s.deliver(res.Events)
 		case <-ask.C:
-			if time.Since(heard) > quietMost {
-				return errQuiet
+			if time.Since(heard) > maxSilence {
+				return errSilent
 			}
 			s.Client.RequestProgress(clientv3.WithRequireLeader(ctx)) // what is wrong shows by silence
 		case <-ctx.Done():
@@ -191,35 +191,35 @@
 	}
 }
 
-// tell hands events on, all of one revision together.
-func (s *Source) tell(events []*clientv3.Event) {
+// deliver hands events on, all of one revision together.
+func (s *Source) deliver(events []*clientv3.Event) {
 	for len(events) > 0 {
 		rev := events[0].Kv.ModRevision
-		n := endpointsource.News{Revision: uint64(rev)}
+		n := endpointsource.Update{Revision: uint64(rev)}
 		for len(events) > 0 && events[0].Kv.ModRevision == rev {
 			e := events[0]
 			events = events[1:]
 			if e.Type == clientv3.EventTypeDelete {
-				n.Entries = append(n.Entries, engine.Endpoint{Name: s.name(e.Kv), Cell: -1, State: dispatch.Gone})
+				n.Endpoints = append(n.Endpoints, engine.Endpoint{Name: s.workerName(e.Kv), Cell: -1, State: dispatch.Gone})
 			} else {
-				n.Entries = append(n.Entries, s.entry(e.Kv))
+				n.Endpoints = append(n.Endpoints, s.decode(e.Kv))
 			}
 		}
-		if rev <= s.seen {
+		if rev <= s.lastRevision {
 			continue // a resumed watch may say something twice
 		}
-		s.seen = rev
+		s.lastRevision = rev
 		s.Counters.Changes.Add(1)
-		s.Tell(n)
+		s.OnUpdate(n)
 	}
 }
 
-func (s *Source) name(kv *mvccpb.KeyValue) string {
+func (s *Source) workerName(kv *mvccpb.KeyValue) string {
 	return strings.TrimPrefix(string(kv.Key), s.Prefix)
 }
 
-func (s *Source) entry(kv *mvccpb.KeyValue) engine.Endpoint {
-	e, err := Decode(s.name(kv), kv.Value)
+func (s *Source) decode(kv *mvccpb.KeyValue) engine.Endpoint {
+	e, err := Decode(s.workerName(kv), kv.Value)
 	if err != nil {
 		s.Counters.BadValues.Add(1)
 		s.Log.WithField("key", string(kv.Key)).Warnf("a worker that cannot be used gets nothing: %v", err)
--- /dev/null
+++ b/internal/endpointsource/etcd/source_test.go
@@ -0,0 +1,301 @@
+package etcd
+
+import (
+	"context"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+	clientv3 "go.etcd.io/etcd/client/v3"
+	"go.uber.org/goleak"
+	"go.uber.org/zap"
+
+	"birchfork/dispatch"
+	"birchfork/internal/endpointsource"
+	"birchfork/internal/etcdtest"
+)
+
+// gapRounds is how often the watch is broken: go test ./internal/endpointsource/etcd -run Gaps -gap-rounds 1000
+var gapRounds = flag.Int("gap-rounds", 60, "how often the watch is broken")
+
+// harness is a stand-in, a source that follows it, and a view that hears all.
+type harness struct {
+	t      *testing.T
+	etcd   *etcdtest.Server
+	client *clientv3.Client // the workers' own
+	source *Source
+
+	mu         sync.Mutex
+	view       *endpointsource.View
+	start      time.Time
+	drained    map[string]bool // name and start, told to drain or gone
+	violations []string        // what was offered though it had been told to drain
+	lostCount  int
+}
+
+func newHarness(t *testing.T) *harness {
+	t.Helper()
+	e, err := etcdtest.Start()
+	if err != nil {
+		t.Fatal(err)
+	}
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	client := func() *clientv3.Client {
+		c, err := clientv3.New(clientv3.Config{Endpoints: []string{e.Address()}, DialTimeout: time.Second, Logger: zap.NewNop(), BackoffWaitBetween: 5 * time.Millisecond})
+		if err != nil {
+			t.Fatal(err)
+		}
+		return c
+	}
+	h := &harness{t: t, etcd: e, client: client(), view: endpointsource.NewView(endpointsource.Config{SourceCount: 1}), start: time.Now(), drained: map[string]bool{}}
+	h.source = &Source{Client: client(), Prefix: "/workers/", Log: log, OnUpdate: h.update, OnLost: func() {
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		h.lostCount++
+		h.view.MarkLost(time.Since(h.start), 0)
+	}}
+	ctx, stop := context.WithCancel(context.Background())
+	done := make(chan struct{})
+	go func() { defer close(done); h.source.Run(ctx) }()
+	t.Cleanup(func() {
+		stop()
+		e.SetHanging(false)
+		<-done
+		h.source.Client.Close()
+		h.client.Close()
+		e.Close()
+	})
+	return h
+}
+
+func key(name string, since int64) string { return fmt.Sprint(name, "/", since) }
+
+func (h *harness) update(n endpointsource.Update) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, l := range h.view.Update(time.Since(h.start), 0, n) {
+		for _, e := range l.Endpoints {
+			if e.State != dispatch.Ready {
+				h.drained[key(e.Name, e.StartedAtMillis)] = true
+			} else if h.drained[key(e.Name, e.StartedAtMillis)] {
+				h.violations = append(h.violations, key(e.Name, e.StartedAtMillis))
+			}
+		}
+	}
+}
+
+func (h *harness) state(name string) dispatch.WorkerState {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if e, ok := h.view.Endpoints()[name]; ok {
+		return e.State
+	}
+	return dispatch.Gone
+}
+
+// await waits as long as it takes; a test that hangs is ended by its own time-out.
+func (h *harness) await(what string, ok func() bool) {
+	h.t.Helper()
+	for by := time.Now().Add(30 * time.Second); !ok(); time.Sleep(time.Millisecond) {
+		if time.Now().After(by) {
+			h.t.Fatalf("it never came: %s", what)
+		}
+	}
+}
+
+func (h *harness) put(name, state string, since int64) {
+	h.t.Helper()
+	raw, err := json.Marshal(Value{Version: SchemaVersion, Address: "127.0.0.1:9", State: state, StartedAtMillis: since})
+	if err == nil {
+		_, err = h.client.Put(context.Background(), "/workers/"+name, string(raw))
+	}
+	if err != nil {
+		h.t.Fatal(err)
+	}
+}
+
+// Watches dropped at random moments, history compacted, workers that drain, leave and start again in the gap: what was told
+// to drain is never offered again under the same start, and at rest the view is what etcd holds.
+func TestSource_KeepsDrainsAcrossGaps(t *testing.T) {
+	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
+	rounds := *gapRounds
+	t.Run("rounds", func(t *testing.T) {
+		h := newHarness(t)
+		r := rand.New(rand.NewPCG(1, 2))
+		since := int64(1)
+		for i := range rounds {
+			name := fmt.Sprint("w", r.IntN(4))
+			since++
+			h.put(name, StateUp, since)
+			h.await("up", func() bool { return h.state(name) == dispatch.Ready })
+			h.etcd.DropWatches()
+			ends := r.IntN(3)
+			switch ends {
+			case 0:
+				h.put(name, StateDraining, since)
+			case 1:
+				if _, err := h.client.Delete(context.Background(), "/workers/"+name); err != nil {
+					t.Fatal(err)
+				}
+			case 2:
+				h.put(name, StateDraining, since)
+				since++
+				h.put(name, StateUp, since)
+			}
+			if r.IntN(2) == 0 {
+				h.etcd.CompactNow()
+			}
+			if r.IntN(3) == 0 {
+				h.etcd.DropWatches()
+			}
+			want := [...]dispatch.WorkerState{dispatch.Draining, dispatch.Gone, dispatch.Ready}[ends]
+			h.await(fmt.Sprintf("round %d: %v", i, want), func() bool {
+				h.mu.Lock()
+				defer h.mu.Unlock()
+				e, ok := h.view.Endpoints()[name]
+				return !ok && want == dispatch.Gone || ok && e.State == want && e.StartedAtMillis == since
+			})
+		}
+		if len(h.violations) > 0 {
+			t.Errorf("offered again after a drain: %v", h.violations)
+		}
+		if h.source.Counters.Changes.Load() == 0 {
+			t.Error("no change came by the watch: this says nothing of breaks")
+		}
+	})
+}
+
+// A compacted resume is met by a whole rebuild.
+func TestSource_RebuildsAfterCompaction(t *testing.T) {
+	h := newHarness(t)
+	h.put("a", StateUp, 1)
+	h.await("up", func() bool { return h.state("a") == dispatch.Ready })
+	h.etcd.SetNoLeader(true) // no watch comes up
+	h.await("the watch is gone", func() bool { return h.etcd.OpenWatches() == 0 })
+	h.etcd.SetNoLeader(false)
+	h.etcd.SetHanging(true) // and now none is answered, while
+	stop := make(chan struct{})
+	go func() { // the worker drains and history goes
+		defer close(stop)
+		h.put("a", StateDraining, 1)
+		h.etcd.CompactNow()
+	}()
+	time.Sleep(20 * time.Millisecond)
+	h.etcd.SetHanging(false)
+	<-stop
+	h.await("draining", func() bool { return h.state("a") == dispatch.Draining })
+	if len(h.violations) > 0 {
+		t.Errorf("offered again: %v", h.violations)
+	}
+}
+
+// etcd restored from an older copy: a worker that drained since stays drained, and the source does not rebuild for ever.
+func TestSource_KeepsDrainsAfterRestore(t *testing.T) {
+	h := newHarness(t)
+	h.put("a", StateUp, 1)
+	h.await("up", func() bool { return h.state("a") == dispatch.Ready })
+	old := h.etcd.Snapshot()
+	h.put("a", StateDraining, 1)
+	h.put("b", StateUp, 1)
+	h.await("b", func() bool { return h.state("b") == dispatch.Ready && h.state("a") == dispatch.Draining })
+	h.etcd.Restore(old)
+	h.await("the restore is seen", func() bool { return h.state("b") == dispatch.Gone })
+	if h.state("a") != dispatch.Draining || len(h.violations) > 0 {
+		t.Errorf("after the restore a is %v; %v", h.state("a"), h.violations)
+	}
+	if n := h.source.Counters.Restored.Load(); n != 1 {
+		t.Errorf("%d restores were counted", n)
+	}
+	h.put("c", StateUp, 1)
+	h.await("c", func() bool { return h.state("c") == dispatch.Ready })
+	if n := h.source.Counters.Reads.Load(); n > 4 {
+		t.Errorf("the range was read %d times", n)
+	}
+}
+
+// A lease that ends takes its worker away; a put and a delete in one transaction are one change; a burst is followed whole.
+func TestSource_FollowsLeasesTransactionsAndBursts(t *testing.T) {
+	h := newHarness(t)
+	ctx := context.Background()
+	lease, err := h.client.Grant(ctx, 600)
+	if err != nil {
+		t.Fatal(err)
+	}
+	value := `{"v":1,"address":"127.0.0.1:9","later":{"unknown":true}}`
+	if _, err := h.client.Put(ctx, "/workers/leased", value, clientv3.WithLease(lease.ID)); err != nil {
+		t.Fatal(err)
+	}
+	h.await("leased", func() bool { return h.state("leased") == dispatch.Ready })
+	if _, err := h.client.Txn(ctx).Then(clientv3.OpPut("/workers/new", value), clientv3.OpDelete("/workers/leased")).Commit(); err != nil {
+		t.Fatal(err)
+	}
+	h.await("the transaction", func() bool { return h.state("new") == dispatch.Ready && h.state("leased") == dispatch.Gone })
+	if _, err := h.client.Put(ctx, "/workers/leased", value, clientv3.WithLease(lease.ID)); err != nil {
+		t.Fatal(err)
+	}
+	h.await("leased again", func() bool { return h.state("leased") == dispatch.Ready })
+	h.etcd.Expire(int64(lease.ID))
+	h.await("the lease's end", func() bool { return h.state("leased") == dispatch.Gone })
+	for i := range 2000 {
+		h.put(fmt.Sprint("b", i%500), [...]string{StateUp, StateDraining}[i/1000%2], int64(i/1000+1))
+	}
+	h.await("the burst", func() bool {
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		n := 0
+		for _, e := range h.view.Endpoints() {
+			if e.State == dispatch.Draining && e.StartedAtMillis == 2 {
+				n++
+			}
+		}
+		return n == 500
+	})
+}
+
+// A source that hangs is lost and its list stays; one whose member has no leader too.
+func TestSource_KeepsListWithoutLeader(t *testing.T) {
+	h := newHarness(t)
+	h.put("a", StateUp, 1)
+	h.await("up", func() bool { return h.state("a") == dispatch.Ready })
+	h.etcd.SetNoLeader(true)
+	h.await("lost", func() bool {
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		return h.lostCount > 0 || h.etcd.OpenWatches() == 0
+	})
+	if h.state("a") != dispatch.Ready {
+		t.Error("a source without a leader emptied the list")
+	}
+	h.etcd.SetNoLeader(false)
+	h.put("b", StateUp, 1)
+	h.await("b", func() bool { return h.state("b") == dispatch.Ready })
+}
+
+func TestDecode(t *testing.T) {
+	for raw, want := range map[string]string{
+		`{"v":1,"address":"127.0.0.1:9"}`: "", `{"v":1,"address":"h:1","state":"draining"}`: "", `x`: "no JSON", `{"v":2,"address":"h:1"}`: "version 2",
+		`{"v":1,"address":"h"}`: "host:port", `{"v":1,"address":":9"}`: "host:port", `{"v":1,"address":"h:0"}`: "host:port", `{"v":1,"address":"h:1","state":"gone"}`: "neither up",
+	} {
+		e, err := Decode("w", []byte(raw))
+		if (err == nil) != (want == "") || err != nil && e.State == dispatch.Ready {
+			t.Errorf("%s: %+v, %v", raw, e, err)
+		}
+	}
+}
+
+func FuzzDecode(f *testing.F) {
+	f.Add([]byte(`{"v":1,"address":"127.0.0.1:9","state":"draining","cell":3,"weight":-1,"since_ms":-5}`))
+	f.Fuzz(func(t *testing.T, raw []byte) {
+		e, err := Decode("w", raw)
+		if err != nil && e.State == dispatch.Ready || err == nil && (e.Address == "" || e.Weight < 0 || e.StartedAtMillis < 0) || e.Name != "w" {
+			t.Fatalf("%+v, %v", e, err)
+		}
+	})
+}
--- a/internal/endpointsource/file/file.go
+++ b/internal/endpointsource/file/source.go
@@ -20,25 +20,25 @@
 	"birchfork/internal/tomlfile"
 )
 
-// settleTime lets an editor finish: several events of one save become one reading.
-const settleTime = 50 * time.Millisecond
+// settleDelay lets an editor finish: several events of one save become one reading.
+const settleDelay = 50 * time.Millisecond
 
-// lookEvery is how often the file is looked at besides, where the system tells nothing.
-const lookEvery = 2 * time.Second
+// pollInterval is how often the file is looked at besides, where the system tells nothing.
+const pollInterval = 2 * time.Second
 
 type list struct {
 	Workers []worker `toml:"worker"`
 }
 
 type worker struct {
-	Name    string  `toml:"name"`
-	Address string  `toml:"address"`
-	Zone    string  `toml:"zone"`
-	Kind    string  `toml:"kind"`
-	Cell    int     `toml:"cell"`
-	Weight  float64 `toml:"weight"`
-	State   string  `toml:"state"`
-	SinceMs int     `toml:"since_ms"`
+	Name            string  `toml:"name"`
+	Address         string  `toml:"address"`
+	Zone            string  `toml:"zone"`
+	Kind            string  `toml:"kind"`
+	Cell            int     `toml:"cell"`
+	Weight          float64 `toml:"weight"`
+	State           string  `toml:"state"`
+	StartedAtMillis int     `toml:"since_ms"`
 }
 
 // Decode reads a list. Its error names every fault.
@@ -59,11 +59,11 @@
 		if host, port, err := net.SplitHostPort(w.Address); err != nil || host == "" || port == "" || port == "0" {
 			d.AddErrorf(at+"address", "%q is not host:port", w.Address)
 		}
-		e := engine.Endpoint{Name: w.Name, Address: w.Address, Zone: w.Zone, Kind: w.Kind, Cell: -1, Weight: w.Weight, StartedAtMillis: int64(w.SinceMs)}
+		e := engine.Endpoint{Name: w.Name, Address: w.Address, Zone: w.Zone, Kind: w.Kind, Cell: -1, Weight: w.Weight, StartedAtMillis: int64(w.StartedAtMillis)}
 		if d.Has(at + "cell") {
 			e.Cell = w.Cell
 		}
-		if !(w.Weight >= 0) || w.SinceMs < 0 {
+		if !(w.Weight >= 0) || w.StartedAtMillis < 0 {
 			d.AddErrorf(at+"weight", "weight and since_ms are not below 0")
 		}
 		switch w.State {
@@ -83,13 +83,13 @@
 
 // Source follows one file.
 type Source struct {
-	Path string
-	Log  logrus.FieldLogger
-	Tell func(endpointsource.News)
-	Lost func()
+	Path     string
+	Log      logrus.FieldLogger
+	OnUpdate func(endpointsource.Update)
+	OnLost   func()
 
-	last string
-	bad  string
+	lastContent string
+	lastError   string
 }
 
 // Run follows until ctx ends. The folder is watched, as editors put another file in the old one's place.
@@ -101,9 +101,9 @@
 			events = w.Events
 		}
 	}
-	look := time.NewTicker(lookEvery)
+	look := time.NewTicker(pollInterval)
 	defer look.Stop()
-	s.read()
+	s.reload()
 	for {
 		select {
 		case <-ctx.Done():
@@ -111,7 +111,7 @@
 		case <-look.C:
 		case <-events:
 			select {
-			case <-time.After(settleTime):
+			case <-time.After(settleDelay):
 			case <-ctx.Done():
 				return
 			}
@@ -123,19 +123,19 @@
 				}
 			}
 		}
-		s.read()
+		s.reload()
 	}
 }
 
-// read reads the file; one that is as it was says nothing new.
-func (s *Source) read() {
+// reload reads the file; one that is as it was says nothing new.
+func (s *Source) reload() {
 	f, err := os.Open(s.Path)
 	var raw []byte
 	if err == nil {
 		raw, err = io.ReadAll(io.LimitReader(f, tomlfile.MaxSize+1))
 		f.Close()
 	}
-	if err == nil && string(raw) == s.last && s.bad == "" {
+	if err == nil && string(raw) == s.lastContent && s.lastError == "" {
 		return
 	}
 	var entries []engine.Endpoint
@@ -143,13 +143,13 @@
 		entries, err = Decode(s.Path, raw)
 	}
 	if err != nil {
-		if err.Error() != s.bad { // once, however often it is looked at
+		if err.Error() != s.lastError { // once, however often it is looked at
 			s.Log.Error("the workers' file cannot be used; the last good list stays: ", err)
-			s.bad = err.Error()
+			s.lastError = err.Error()
 		}
-		s.Lost()
+		s.OnLost()
 		return
 	}
-	s.last, s.bad = string(raw), ""
-	s.Tell(endpointsource.News{Whole: true, Entries: entries})
+	s.lastContent, s.lastError = string(raw), ""
+	s.OnUpdate(endpointsource.Update{Snapshot: true, Endpoints: entries})
 }
--- a/internal/endpointsource/file/file_test.go
+++ b/internal/endpointsource/file/source_test.go
@@ -15,10 +15,10 @@
 	"birchfork/internal/endpointsource"
 )
 
-const two = "[[worker]]\nname='a'\naddress='127.0.0.1:1'\n[[worker]]\nname='b'\naddress='127.0.0.1:2'\nstate='draining'\n"
+const twoWorkers = "[[worker]]\nname='a'\naddress='127.0.0.1:1'\n[[worker]]\nname='b'\naddress='127.0.0.1:2'\nstate='draining'\n"
 
-func TestDecodeNamesEveryFault(t *testing.T) {
-	l, err := Decode("f", []byte(two))
+func TestDecode_ReportsEveryFault(t *testing.T) {
+	l, err := Decode("f", []byte(twoWorkers))
 	if err != nil || len(l) != 2 || l[0].State != dispatch.Ready || l[0].Cell != -1 || l[1].State != dispatch.Draining {
 		t.Fatalf("%+v, %v", l, err)
 	}
@@ -29,7 +29,7 @@
 }
 
 // A file replaced by another is followed; a bad or missing one changes nothing.
-func TestFileIsFollowed(t *testing.T) {
+func TestSource_FollowsFile(t *testing.T) {
 	path := t.TempDir() + "/workers.toml"
 	write := func(text string) {
 		t.Helper()
@@ -40,33 +40,33 @@
 			t.Fatal(err)
 		}
 	}
-	write(two)
+	write(twoWorkers)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	told := make(chan endpointsource.News, 16)
+	updates := make(chan endpointsource.Update, 16)
 	var lost atomic.Int64
-	s := &Source{Path: path, Log: log, Tell: func(n endpointsource.News) { told <- n }, Lost: func() { lost.Add(1) }}
+	s := &Source{Path: path, Log: log, OnUpdate: func(update endpointsource.Update) { updates <- update }, OnLost: func() { lost.Add(1) }}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); s.Run(ctx) }()
-	if n := <-told; !n.Whole || len(n.Entries) != 2 {
-		t.Errorf("at first: %+v", n)
+	if update := <-updates; !update.Snapshot || len(update.Endpoints) != 2 {
+		t.Errorf("at first: %+v", update)
 	}
 	write("[[worker]]\nname='c'\naddress='127.0.0.1:3'\n")
-	if n := <-told; len(n.Entries) != 1 || n.Entries[0].Name != "c" {
-		t.Errorf("after a change: %+v", n)
+	if update := <-updates; len(update.Endpoints) != 1 || update.Endpoints[0].Name != "c" {
+		t.Errorf("after a change: %+v", update)
 	}
 	write("[[worker")
 	for lost.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	write(two)
-	if n := <-told; len(n.Entries) != 2 {
-		t.Errorf("after a bad one: %+v", n)
+	write(twoWorkers)
+	if update := <-updates; len(update.Endpoints) != 2 {
+		t.Errorf("after a bad one: %+v", update)
 	}
 	stop()
 	<-done
-	if len(told) != 0 {
-		t.Errorf("%d lists more were told", len(told))
+	if len(updates) != 0 {
+		t.Errorf("%d lists more were told", len(updates))
 	}
 }
--- a/internal/endpointsource/golden_test.go
+++ b/internal/endpointsource/golden_test.go
@@ -27,15 +27,15 @@
 
 // The answers to dispatchers, whole and after a change, and to operators are those of earlier builds, byte for byte. The file is written
 // where UPDATE_GOLDEN is set.
-func TestFront_KeepsItsAnswers(t *testing.T) {
+func TestServer_KeepsItsAnswers(t *testing.T) {
 	const path = "testdata/golden/answers.txt"
 	var text strings.Builder
 	synctest.Test(t, func(t *testing.T) {
-		f := NewFront(Config{Sources: 1})
-		defer f.Close()
+		server := NewServer(Config{SourceCount: 1})
+		defer server.Close()
 		get := func(target string) {
 			w := httptest.NewRecorder()
-			f.ServeHTTP(w, httptest.NewRequest("GET", target, nil))
+			server.ServeHTTP(w, httptest.NewRequest("GET", target, nil))
 			text.WriteString(target + "\n" + w.Result().Status + "\n" + sortEndpoints(w.Body.String()) + "\n")
 		}
 		get("/discovery/hosts")
@@ -45,10 +45,10 @@
 			return engine.Endpoint{Name: name, Address: "127.0.0.1:500" + name, Zone: "zone-" + name, Kind: "kind-" + name, Cell: int(at),
 				State: state, Weight: 0.5 + float64(at), StartedAtMillis: 1700000000000 + at}
 		}
-		f.Tell(0, News{Whole: true, Entries: []engine.Endpoint{full("1", dispatch.Ready, 1), full("2", dispatch.Draining, 2), full("3", dispatch.Gone, 3)}})
+		server.Update(0, Update{Snapshot: true, Endpoints: []engine.Endpoint{full("1", dispatch.Ready, 1), full("2", dispatch.Draining, 2), full("3", dispatch.Gone, 3)}})
 		get("/discovery/hosts")
 		get("/status")
-		f.Tell(0, News{Entries: []engine.Endpoint{full("2", dispatch.Ready, 4)}})
+		server.Update(0, Update{Endpoints: []engine.Endpoint{full("2", dispatch.Ready, 4)}})
 		get("/discovery/hosts")
 	})
 	if os.Getenv("UPDATE_GOLDEN") != "" {
--- a/internal/endpointsource/front_test.go
+++ b/internal/endpointsource/server_test.go
@@ -17,14 +17,14 @@
 
 // What a dispatcher's own decoder makes of the front's words, whole and as a watch, is the view's list; many changes of one
 // worker come as its last.
-func TestFrontSpeaksDiscoverysWords(t *testing.T) {
-	f := NewFront(Config{Sources: 1})
-	defer f.Close()
-	server := httptest.NewServer(f)
+func TestServer_AnswersAsDiscovery(t *testing.T) {
+	server := NewServer(Config{SourceCount: 1})
 	defer server.Close()
+	httpServer := httptest.NewServer(server)
+	defer httpServer.Close()
 	get := func(target string) *http.Response {
 		t.Helper()
-		res, err := http.Get(server.URL + target)
+		res, err := http.Get(httpServer.URL + target)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -33,7 +33,7 @@
 	if res := get("/discovery/hosts"); res.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("with nothing told: %d, and an empty list would count", res.StatusCode)
 	}
-	f.Tell(0, News{Whole: true, Entries: []engine.Endpoint{entry("a", dispatch.Ready, 1), entry("b", dispatch.Draining, 2)}})
+	server.Update(0, Update{Snapshot: true, Endpoints: []engine.Endpoint{testEndpoint("a", dispatch.Ready, 1), testEndpoint("b", dispatch.Draining, 2)}})
 	res := get("/discovery/hosts")
 	var raw json.RawMessage
 	if err := json.NewDecoder(res.Body).Decode(&raw); err != nil {
@@ -45,9 +45,9 @@
 		t.Fatalf("%+v, %d bad, %v", l, bad, err)
 	}
 	for i := range 1000 {
-		f.Tell(0, News{Entries: []engine.Endpoint{entry("a", [...]dispatch.WorkerState{dispatch.Ready, dispatch.Draining}[i%2], int64(i))}})
+		server.Update(0, Update{Endpoints: []engine.Endpoint{testEndpoint("a", [...]dispatch.WorkerState{dispatch.Ready, dispatch.Draining}[i%2], int64(i))}})
 	}
-	f.Tell(0, News{Entries: []engine.Endpoint{entry("b", dispatch.Gone, 0)}})
+	server.Update(0, Update{Endpoints: []engine.Endpoint{testEndpoint("b", dispatch.Gone, 0)}})
 	res = get(fmt.Sprintf("/discovery/hosts?follow=1&since=%d", l.Version))
 	defer res.Body.Close()
 	line, err := bufio.NewReader(res.Body).ReadBytes('\n')
@@ -61,26 +61,26 @@
 	if res := get("/discovery/hosts?follow=1&since=x"); res.StatusCode != http.StatusBadRequest {
 		t.Errorf("a watch since x: %d", res.StatusCode)
 	}
-	if s := f.Status(); s.Workers != 1 || s.Source != 0 {
+	if s := server.Status(); s.Workers != 1 || s.Source != 0 {
 		t.Errorf("status %+v", s)
 	}
 }
 
 // The front's timer does what the view is due, in virtual time.
-func TestFrontKeepsTime(t *testing.T) {
+func TestServer_FailsOverByTimer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := NewFront(Config{Sources: 2, ChangeOver: 5 * time.Second, ChangeBack: 3 * time.Second, EmptyGuard: 10 * time.Second})
-		defer f.Close()
-		f.Tell(0, News{Whole: true, Entries: []engine.Endpoint{entry("a", dispatch.Ready, 1)}})
-		f.Tell(1, News{Whole: true, Entries: []engine.Endpoint{entry("b", dispatch.Ready, 1)}})
-		f.Lost(0)
+		server := NewServer(Config{SourceCount: 2, FailoverDelay: 5 * time.Second, FailbackDelay: 3 * time.Second, EmptyListDelay: 10 * time.Second})
+		defer server.Close()
+		server.Update(0, Update{Snapshot: true, Endpoints: []engine.Endpoint{testEndpoint("a", dispatch.Ready, 1)}})
+		server.Update(1, Update{Snapshot: true, Endpoints: []engine.Endpoint{testEndpoint("b", dispatch.Ready, 1)}})
+		server.MarkLost(0)
 		time.Sleep(4 * time.Second)
-		if s := f.Status(); s.Source != 0 {
+		if s := server.Status(); s.Source != 0 {
 			t.Fatalf("changed over too early: %+v", s)
 		}
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
-		if s := f.Status(); s.Source != 1 || s.Workers != 1 {
+		if s := server.Status(); s.Source != 1 || s.Workers != 1 {
 			t.Errorf("did not change over by itself: %+v", s)
 		}
 	})
--- a/internal/endpointsource/view.go
+++ b/internal/endpointsource/view.go
@@ -13,90 +13,90 @@
 	"birchfork/internal/engine"
 )
 
-// News is what a source tells.
-type News struct {
-	Whole    bool   // all its workers, not only those that changed
-	Revision uint64 // of the source's own store; 0: it has none, and what it tells last is newest
-	Entries  []engine.Endpoint
+// Update is what a source tells.
+type Update struct {
+	Snapshot  bool   // all its workers, not only those that changed
+	Revision  uint64 // of the source's own store; 0: it has none, and what it tells last is newest
+	Endpoints []engine.Endpoint
 }
 
 // Config is how a View behaves.
 type Config struct {
-	Sources    int           // in the order of preference
-	ChangeOver time.Duration // a source that is lost for so long gives way to the next that has told its list
-	ChangeBack time.Duration // and takes over again once it has been well for so long
-	EmptyGuard time.Duration // a list that comes back empty in place of a good one counts after so long; 0: at once
+	SourceCount    int           // in the order of preference
+	FailoverDelay  time.Duration // a source that is lost for so long gives way to the next that has told its list
+	FailbackDelay  time.Duration // and takes over again once it has been well for so long
+	EmptyListDelay time.Duration // a list that comes back empty in place of a good one counts after so long; 0: at once
 }
 
 // View merges what sources tell. It is for one goroutine at a time.
 type View struct {
-	c       Config
-	now     time.Duration
-	sources []source
-	active  int                        // whose list counts; -1: none has told one yet
-	told    map[string]engine.Endpoint // what was told to the store, but for workers that are gone
+	config    Config
+	now       time.Duration
+	sources   []source
+	active    int                        // whose list counts; -1: none has told one yet
+	published map[string]engine.Endpoint // what was told to the store, but for workers that are gone
 }
 
 // source is what one source has told.
 type source struct {
-	entries  map[string]known
-	told     bool // its whole list, since it was last lost for good
-	well     bool
-	since    time.Duration // when it became well, or was lost
-	revision uint64
-	emptied  time.Duration // when it told an empty list in place of a good one ...
-	empty    bool          // ... which is held back
-	heard    time.Duration // when it last told anything
-}
-
-// known is an entry as its source told it.
-type known struct {
+	entries      map[string]sourceEntry
+	hasList      bool // its whole list, since it was last lost for good
+	connected    bool
+	stateSince   time.Duration // when it became well, or was lost
+	revision     uint64
+	emptySince   time.Duration // when it told an empty list in place of a good one ...
+	emptyPending bool          // ... which is held back
+	lastUpdate   time.Duration // when it last told anything
+}
+
+// sourceEntry is an entry as its source told it.
+type sourceEntry struct {
 	engine.Endpoint
-	held bool // it drains by our own memory: a restored store has it back as up
+	drainKept bool // it drains by our own memory: a restored store has it back as up
 }
 
 // NewView returns a View that knows nobody.
 func NewView(c Config) *View {
-	v := &View{c: c, active: -1, told: map[string]engine.Endpoint{}}
-	for range c.Sources {
-		v.sources = append(v.sources, source{entries: map[string]known{}})
+	v := &View{config: c, active: -1, published: map[string]engine.Endpoint{}}
+	for range c.SourceCount {
+		v.sources = append(v.sources, source{entries: map[string]sourceEntry{}})
 	}
 	return v
 }
 
-// Tell takes a source's news and returns what the store has to be told, if anything.
-func (v *View) Tell(now time.Duration, from int, n News) []engine.EndpointList {
+// Update takes a source's news and returns what the store has to be told, if anything.
+func (v *View) Update(now time.Duration, from int, update Update) []engine.EndpointList {
 	v.advance(now)
 	s := &v.sources[from]
-	if !s.well {
-		s.well, s.since = true, v.now
+	if !s.connected {
+		s.connected, s.stateSince = true, v.now
 	}
-	s.heard = v.now
-	if n.Whole {
-		s.whole(v.now, n, v.c.EmptyGuard)
+	s.lastUpdate = v.now
+	if update.Snapshot {
+		s.applySnapshot(v.now, update, v.config.EmptyListDelay)
 	} else {
-		s.change(n)
+		s.applyChanges(update)
 	}
-	return v.settle()
+	return v.reconcile()
 }
 
-// Lost says that a source has fallen silent or broken off. What it told last stays.
-func (v *View) Lost(now time.Duration, from int) []engine.EndpointList {
+// MarkLost says that a source has fallen silent or broken off. What it told last stays.
+func (v *View) MarkLost(now time.Duration, from int) []engine.EndpointList {
 	v.advance(now)
-	if s := &v.sources[from]; s.well {
-		s.well, s.since = false, v.now
+	if s := &v.sources[from]; s.connected {
+		s.connected, s.stateSince = false, v.now
 	}
-	return v.settle()
+	return v.reconcile()
 }
 
 // Tick does what time has made due. Next says when that is.
 func (v *View) Tick(now time.Duration) []engine.EndpointList {
 	v.advance(now)
-	return v.settle()
+	return v.reconcile()
 }
 
-// Next is when Tick is due; false: never, without news.
-func (v *View) Next() (at time.Duration, ok bool) {
+// NextTick is when Tick is due; false: never, without news.
+func (v *View) NextTick() (at time.Duration, ok bool) {
 	due := func(t time.Duration) {
 		if t > v.now && (!ok || t < at) {
 			at, ok = t, true
@@ -104,98 +104,98 @@
 	}
 	for i := range v.sources {
 		s := &v.sources[i]
-		if s.empty {
-			due(s.emptied + v.c.EmptyGuard)
+		if s.emptyPending {
+			due(s.emptySince + v.config.EmptyListDelay)
 		}
-		if s.well {
-			due(s.since + v.c.ChangeBack)
+		if s.connected {
+			due(s.stateSince + v.config.FailbackDelay)
 		} else {
-			due(s.since + v.c.ChangeOver)
+			due(s.stateSince + v.config.FailoverDelay)
 		}
 	}
 	return at, ok
 }
 
-// Active is whose list counts, and how old its last word is; -1: nobody's.
-func (v *View) Active() (source int, age time.Duration) {
+// ActiveSource is whose list counts, and how old its last word is; -1: nobody's.
+func (v *View) ActiveSource() (source int, age time.Duration) {
 	if v.active < 0 {
 		return -1, 0
 	}
-	return v.active, v.now - v.sources[v.active].heard
+	return v.active, v.now - v.sources[v.active].lastUpdate
 }
 
 // advance goes on to a moment; a clock that goes back stands still here.
 func (v *View) advance(now time.Duration) { v.now = max(v.now, now) }
 
-// whole takes a whole list: after a gap it is what was missed. Who is not on it has left.
-func (s *source) whole(now time.Duration, n News, guard time.Duration) {
-	if len(n.Entries) == 0 && len(s.entries) > 0 && guard > 0 {
-		if !s.empty {
-			s.empty, s.emptied = true, now // an agent that has been told nothing itself has an empty list
+// applySnapshot takes a whole list: after a gap it is what was missed. Who is not on it has left.
+func (s *source) applySnapshot(now time.Duration, update Update, guard time.Duration) {
+	if len(update.Endpoints) == 0 && len(s.entries) > 0 && guard > 0 {
+		if !s.emptyPending {
+			s.emptyPending, s.emptySince = true, now // an agent that has been told nothing itself has an empty list
 		}
 		return
 	}
-	s.empty = false
-	fresh := map[string]known{}
-	for _, e := range n.Entries {
+	s.emptyPending = false
+	fresh := map[string]sourceEntry{}
+	for _, e := range update.Endpoints {
 		if e.State != dispatch.Gone {
-			fresh[e.Name] = s.newer(known{Endpoint: e}, n.Revision < s.revision)
+			fresh[e.Name] = s.keepDrained(sourceEntry{Endpoint: e}, update.Revision < s.revision)
 		}
 	}
-	s.entries, s.revision, s.told = fresh, n.Revision, true
+	s.entries, s.revision, s.hasList = fresh, update.Revision, true
 }
 
-// change takes changes. One that is no newer than what is known is an old word that came late or twice.
-func (s *source) change(n News) {
-	if n.Revision > 0 && n.Revision <= s.revision {
+// applyChanges takes changes. One that is no newer than what is known is an old word that came late or twice.
+func (s *source) applyChanges(update Update) {
+	if update.Revision > 0 && update.Revision <= s.revision {
 		return
 	}
-	for _, e := range n.Entries {
+	for _, e := range update.Endpoints {
 		if e.State == dispatch.Gone {
 			delete(s.entries, e.Name)
 			continue
 		}
-		s.entries[e.Name] = known{Endpoint: e}
-		s.empty = false
+		s.entries[e.Name] = sourceEntry{Endpoint: e}
+		s.emptyPending = false
 	}
-	s.revision = max(s.revision, n.Revision)
+	s.revision = max(s.revision, update.Revision)
 }
 
-// newer decides between an entry and what is known of its worker. A store restored from an older copy brings back workers
+// keepDrained decides between an entry and what is known of its worker. A store restored from an older copy brings back workers
 // that have drained since: the same start of a worker stays drained until a change says otherwise. Reading the restored list
 // once more is no change: without held the second reading would bring the worker back.
-func (s *source) newer(e known, restored bool) known {
+func (s *source) keepDrained(e sourceEntry, restored bool) sourceEntry {
 	old, ok := s.entries[e.Name]
-	if ok && (restored || old.held) && old.State != dispatch.Ready && e.State == dispatch.Ready && old.StartedAtMillis == e.StartedAtMillis && old.Address == e.Address {
-		e.State, e.held = old.State, true
+	if ok && (restored || old.drainKept) && old.State != dispatch.Ready && e.State == dispatch.Ready && old.StartedAtMillis == e.StartedAtMillis && old.Address == e.Address {
+		e.State, e.drainKept = old.State, true
 	}
 	return e
 }
 
-// settle chooses whose list counts and returns what differs from what the store was told.
-func (v *View) settle() []engine.EndpointList {
+// reconcile chooses whose list counts and returns what differs from what the store was told.
+func (v *View) reconcile() []engine.EndpointList {
 	for i := range v.sources {
-		if s := &v.sources[i]; s.empty && v.now >= s.emptied+v.c.EmptyGuard {
-			s.empty, s.entries = false, map[string]known{}
+		if s := &v.sources[i]; s.emptyPending && v.now >= s.emptySince+v.config.EmptyListDelay {
+			s.emptyPending, s.entries = false, map[string]sourceEntry{}
 		}
 	}
-	v.choose()
+	v.chooseActive()
 	if v.active < 0 {
 		return nil
 	}
 	want := v.sources[v.active].entries
 	l := engine.EndpointList{}
-	for name, old := range v.told {
+	for name, old := range v.published {
 		if _, ok := want[name]; !ok {
 			old.State = dispatch.Gone
 			l.Endpoints = append(l.Endpoints, old)
-			delete(v.told, name)
+			delete(v.published, name)
 		}
 	}
 	for name, e := range want {
-		if old, ok := v.told[name]; !ok || old != e.Endpoint {
+		if old, ok := v.published[name]; !ok || old != e.Endpoint {
 			l.Endpoints = append(l.Endpoints, e.Endpoint)
-			v.told[name] = e.Endpoint
+			v.published[name] = e.Endpoint
 		}
 	}
 	if len(l.Endpoints) == 0 {
@@ -206,15 +206,15 @@
 	return []engine.EndpointList{l}
 }
 
-// choose changes over and back. The first source that has told its list and is well, or not lost for long, counts; where
+// chooseActive changes over and back. The first source that has told its list and is well, or not lost for long, counts; where
 // all are lost the one that counts goes on to.
-func (v *View) choose() {
+func (v *View) chooseActive() {
 	for i := range v.sources {
 		s := &v.sources[i]
-		if !s.told || !s.well && v.now >= s.since+v.c.ChangeOver {
+		if !s.hasList || !s.connected && v.now >= s.stateSince+v.config.FailoverDelay {
 			continue
 		}
-		if v.active >= 0 && i < v.active && (!s.well || v.now < s.since+v.c.ChangeBack) {
+		if v.active >= 0 && i < v.active && (!s.connected || v.now < s.stateSince+v.config.FailbackDelay) {
 			continue // it has to be well for a while before it takes over again
 		}
 		v.active = i
@@ -222,5 +222,5 @@
 	}
 }
 
-// Workers are the workers as the store was told, by name.
-func (v *View) Workers() map[string]engine.Endpoint { return maps.Clone(v.told) }
+// Endpoints are the workers as the store was told, by name.
+func (v *View) Endpoints() map[string]engine.Endpoint { return maps.Clone(v.published) }
--- a/internal/etcdtest/etcdstub.go
+++ b/internal/etcdtest/server.go
@@ -29,17 +29,17 @@
 	listener net.Listener
 	grpc     *grpc.Server
 
-	mu       sync.Mutex
-	rev      int64
-	compact  int64 // revisions up to this are forgotten
-	kvs      map[string]*mvccpb.KeyValue
-	history  []*mvccpb.Event // by revision
-	leases   map[int64]*lease
-	changed  chan struct{} // closed at each change, and made anew
-	dropped  chan struct{} // closed when all watches are dropped
-	hung     chan struct{} // not nil: nothing is answered until it is closed
-	refusing bool
-	watches  int // streams open
+	mu                sync.Mutex
+	revision          int64
+	compactedRevision int64 // revisions up to this are forgotten
+	keyValues         map[string]*mvccpb.KeyValue
+	history           []*mvccpb.Event // by revision
+	leases            map[int64]*lease
+	changed           chan struct{} // closed at each change, and made anew
+	dropped           chan struct{} // closed when all watches are dropped
+	hung              chan struct{} // not nil: nothing is answered until it is closed
+	noLeader          bool
+	openWatches       int // streams open
 }
 
 type lease struct {
@@ -58,9 +58,9 @@
 		return nil, fmt.Errorf("etcd stand-in: listening: %w", err)
 	}
 	s := &Server{
-		listener: l, rev: 1, kvs: map[string]*mvccpb.KeyValue{}, leases: map[int64]*lease{}, changed: make(chan struct{}), dropped: make(chan struct{}),
+		listener: l, revision: 1, keyValues: map[string]*mvccpb.KeyValue{}, leases: map[int64]*lease{}, changed: make(chan struct{}), dropped: make(chan struct{}),
 	}
-	s.grpc = grpc.NewServer(grpc.UnaryInterceptor(s.gate))
+	s.grpc = grpc.NewServer(grpc.UnaryInterceptor(s.intercept))
 	pb.RegisterKVServer(s.grpc, s)
 	pb.RegisterWatchServer(s.grpc, s)
 	pb.RegisterLeaseServer(s.grpc, s)
@@ -85,17 +85,17 @@
 	s.grpc.Stop()
 }
 
-// gate holds calls back or turns them down, as ordered.
-func (s *Server) gate(ctx context.Context, req any, _ *grpc.UnaryServerInfo, next grpc.UnaryHandler) (any, error) {
-	if err := s.wait(ctx); err != nil {
+// intercept holds calls back or turns them down, as ordered.
+func (s *Server) intercept(ctx context.Context, req any, _ *grpc.UnaryServerInfo, next grpc.UnaryHandler) (any, error) {
+	if err := s.awaitAvailable(ctx); err != nil {
 		return nil, err
 	}
 	return next(ctx, req)
 }
 
-func (s *Server) wait(ctx context.Context) error {
+func (s *Server) awaitAvailable(ctx context.Context) error {
 	s.mu.Lock()
-	hung, refusing := s.hung, s.refusing
+	hung, refusing := s.hung, s.noLeader
 	s.mu.Unlock()
 	if refusing {
 		return rpctypes.ErrGRPCNoLeader
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// Hang makes it answer nothing, or go on.
-func (s *Server) Hang(on bool) {
+// SetHanging makes it answer nothing, or go on.
+func (s *Server) SetHanging(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -123,10 +123,10 @@
 	}
 }
 
-// Refuse makes it turn calls down as a member without a leader does, and end all watches; or take them again.
-func (s *Server) Refuse(on bool) {
+// SetNoLeader makes it turn calls down as a member without a leader does, and end all watches; or take them again.
+func (s *Server) SetNoLeader(on bool) {
 	s.mu.Lock()
-	s.refusing = on
+	s.noLeader = on
 	s.mu.Unlock()
 	if on {
 		s.DropWatches()
@@ -141,62 +141,64 @@
 	s.dropped = make(chan struct{})
 }
 
-// Watches is how many watch streams are open.
-func (s *Server) Watches() int {
+// OpenWatches is how many watch streams are open.
+func (s *Server) OpenWatches() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.watches
+	return s.openWatches
 }
 
 // Revision is the newest one.
 func (s *Server) Revision() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.rev
+	return s.revision
 }
 
 // CompactNow forgets all history up to the newest revision.
 func (s *Server) CompactNow() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forget(s.rev)
+	s.compactTo(s.revision)
 }
 
-func (s *Server) forget(rev int64) {
-	s.compact = rev
+func (s *Server) compactTo(rev int64) {
+	s.compactedRevision = rev
 	i := sort.Search(len(s.history), func(i int) bool { return s.history[i].Kv.ModRevision > rev })
 	s.history = append([]*mvccpb.Event(nil), s.history[i:]...)
 }
 
-// Copy is the content at a moment, to restore later.
-type Copy struct {
-	rev int64
-	kvs map[string]*mvccpb.KeyValue
+// Snapshot is the content at a moment, to restore later.
+type Snapshot struct {
+	revision  int64
+	keyValues map[string]*mvccpb.KeyValue
 }
 
-// Copy copies the content.
-func (s *Server) Copy() Copy {
+// Snapshot copies the content.
+func (s *Server) Snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := Copy{s.rev, map[string]*mvccpb.KeyValue{}}
-	for k, v := range s.kvs {
-		c.kvs[k] = v
+	c := Snapshot{s.revision, map[string]*mvccpb.KeyValue{}}
+	for k, v := range s.keyValues {
+		c.keyValues[k] = v
 	}
 	return c
 }
 
 // Restore goes back to an older copy: revisions go backwards, and watches end.
-func (s *Server) Restore(c Copy) {
+func (s *Server) Restore(c Snapshot) {
 	s.mu.Lock()
-	s.rev, s.compact, s.history, s.kvs = c.rev, c.rev, nil, map[string]*mvccpb.KeyValue{}
-	for k, v := range c.kvs {
-		s.kvs[k] = v
+	s.revision, s.compactedRevision, s.history, s.keyValues = c.revision, c.revision, nil, map[string]*mvccpb.KeyValue{}
+	for k, v := range c.keyValues {
+		s.keyValues[k] = v
 	}
 	s.mu.Unlock()
 	s.DropWatches()
 }
 
-func (s *Server) header() *pb.ResponseHeader { return &pb.ResponseHeader{Revision: s.rev, RaftTerm: 1} }
+func (s *Server) header() *pb.ResponseHeader {
+	return &pb.ResponseHeader{Revision: s.revision, RaftTerm: 1}
+}
 
 // inRange tells whether a key is meant by a key and an end, as etcd has them.
 func inRange(key string, from, end []byte) bool {
@@ -214,15 +216,15 @@
 func (s *Server) Range(_ context.Context, r *pb.RangeRequest) (*pb.RangeResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r.Revision > 0 && r.Revision < s.compact {
+	if r.Revision > 0 && r.Revision < s.compactedRevision {
 		return nil, rpctypes.ErrGRPCCompacted
 	}
-	return s.read(r), nil
+	return s.readRange(r), nil
 }
 
-func (s *Server) read(r *pb.RangeRequest) *pb.RangeResponse {
+func (s *Server) readRange(r *pb.RangeRequest) *pb.RangeResponse {
 	res := &pb.RangeResponse{Header: s.header()}
-	for k, kv := range s.kvs {
+	for k, kv := range s.keyValues {
 		if inRange(k, r.Key, r.RangeEnd) {
 			res.Kvs = append(res.Kvs, kv)
 		}
@@ -239,15 +241,15 @@
 	if r.Lease != 0 && s.leases[r.Lease] == nil {
 		return nil, rpctypes.ErrGRPCLeaseNotFound
 	}
-	s.rev++
+	s.revision++
 	s.put(r)
 	s.notify()
 	return &pb.PutResponse{Header: s.header()}, nil
 }
 
 func (s *Server) put(r *pb.PutRequest) {
-	kv := &mvccpb.KeyValue{Key: r.Key, Value: r.Value, Lease: r.Lease, ModRevision: s.rev, CreateRevision: s.rev, Version: 1}
-	if old := s.kvs[string(r.Key)]; old != nil {
+	kv := &mvccpb.KeyValue{Key: r.Key, Value: r.Value, Lease: r.Lease, ModRevision: s.revision, CreateRevision: s.revision, Version: 1}
+	if old := s.keyValues[string(r.Key)]; old != nil {
 		kv.CreateRevision, kv.Version = old.CreateRevision, old.Version+1
 		if l := s.leases[old.Lease]; l != nil {
 			delete(l.keys, string(r.Key))
@@ -256,7 +258,7 @@
 	if l := s.leases[r.Lease]; l != nil {
 		l.keys[string(r.Key)] = true
 	}
-	s.kvs[string(r.Key)] = kv
+	s.keyValues[string(r.Key)] = kv
 	s.history = append(s.history, &mvccpb.Event{Type: mvccpb.PUT, Kv: kv})
 }
 
@@ -271,7 +273,7 @@
 // delete deletes keys in one revision of its own, if there are any.
 func (s *Server) delete(r *pb.DeleteRangeRequest) (n int64) {
 	var keys []string
-	for k := range s.kvs {
+	for k := range s.keyValues {
 		if inRange(k, r.Key, r.RangeEnd) {
 			keys = append(keys, k)
 		}
@@ -279,21 +281,21 @@
 	if len(keys) == 0 {
 		return 0
 	}
-	s.rev++
+	s.revision++
 	sort.Strings(keys)
 	for _, k := range keys {
-		s.drop(k)
+		s.deleteKey(k)
 	}
 	s.notify()
 	return int64(len(keys))
 }
 
-func (s *Server) drop(key string) {
-	if l := s.leases[s.kvs[key].Lease]; l != nil {
+func (s *Server) deleteKey(key string) {
+	if l := s.leases[s.keyValues[key].Lease]; l != nil {
 		delete(l.keys, key)
 	}
-	delete(s.kvs, key)
-	s.history = append(s.history, &mvccpb.Event{Type: mvccpb.DELETE, Kv: &mvccpb.KeyValue{Key: []byte(key), ModRevision: s.rev}})
+	delete(s.keyValues, key)
+	s.history = append(s.history, &mvccpb.Event{Type: mvccpb.DELETE, Kv: &mvccpb.KeyValue{Key: []byte(key), ModRevision: s.revision}})
 }
 
 // Txn carries out puts and deletes in one revision. Of comparisons it knows those of versions and mod revisions.
@@ -303,7 +305,7 @@
 	ok := true
 	for _, c := range r.Compare {
 		var have, want int64
-		kv := s.kvs[string(c.Key)]
+		kv := s.keyValues[string(c.Key)]
 		if kv == nil {
 			kv = &mvccpb.KeyValue{}
 		}
@@ -333,7 +335,7 @@
 		ops = r.Failure
 	}
 	res := &pb.TxnResponse{Succeeded: ok}
-	s.rev++
+	s.revision++
 	before := len(s.history)
 	for _, op := range ops {
 		switch {
@@ -342,18 +344,18 @@
 			res.Responses = append(res.Responses, &pb.ResponseOp{Response: &pb.ResponseOp_ResponsePut{ResponsePut: &pb.PutResponse{Header: s.header()}}})
 		case op.GetRequestDeleteRange() != nil:
 			d := op.GetRequestDeleteRange()
-			for k := range s.kvs {
+			for k := range s.keyValues {
 				if inRange(k, d.Key, d.RangeEnd) {
-					s.drop(k)
+					s.deleteKey(k)
 				}
 			}
 			res.Responses = append(res.Responses, &pb.ResponseOp{Response: &pb.ResponseOp_ResponseDeleteRange{ResponseDeleteRange: &pb.DeleteRangeResponse{Header: s.header()}}})
 		case op.GetRequestRange() != nil:
-			res.Responses = append(res.Responses, &pb.ResponseOp{Response: &pb.ResponseOp_ResponseRange{ResponseRange: s.read(op.GetRequestRange())}})
+			res.Responses = append(res.Responses, &pb.ResponseOp{Response: &pb.ResponseOp_ResponseRange{ResponseRange: s.readRange(op.GetRequestRange())}})
 		}
 	}
 	if len(s.history) == before {
-		s.rev--
+		s.revision--
 	} else {
 		s.notify()
 	}
@@ -365,13 +367,13 @@
 func (s *Server) Compact(_ context.Context, r *pb.CompactionRequest) (*pb.CompactionResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r.Revision <= s.compact {
+	if r.Revision <= s.compactedRevision {
 		return nil, rpctypes.ErrGRPCCompacted
 	}
-	if r.Revision > s.rev {
+	if r.Revision > s.revision {
 		return nil, rpctypes.ErrGRPCFutureRev
 	}
-	s.forget(r.Revision)
+	s.compactTo(r.Revision)
 	return &pb.CompactionResponse{Header: s.header()}, nil
 }
 
@@ -383,15 +385,15 @@
 
 // watch is one watch of a stream.
 type watch struct {
-	id         int64
-	key, end   []byte
-	next       int64
-	progressed bool
+	id            int64
+	key, rangeEnd []byte
+	nextRevision  int64
+	progressed    bool
 }
 
 // Watch serves one stream.
 func (s *Server) Watch(stream pb.Watch_WatchServer) error {
-	if err := s.wait(stream.Context()); err != nil {
+	if err := s.awaitAvailable(stream.Context()); err != nil {
 		return err
 	}
 	requests := make(chan *pb.WatchRequest)
@@ -411,20 +413,20 @@
 		}
 	}()
 	s.mu.Lock()
-	s.watches++
+	s.openWatches++
 	dropped := s.dropped
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.watches--
+		s.openWatches--
 	}()
 	watches := map[int64]*watch{}
 	serial := int64(0)
 	for {
-		out, changed := s.due(watches)
+		out, changed := s.pendingResponses(watches)
 		for _, r := range out {
-			if err := s.wait(stream.Context()); err != nil {
+			if err := s.awaitAvailable(stream.Context()); err != nil {
 				return err
 			}
 			if err := stream.Send(r); err != nil {
@@ -433,7 +435,7 @@
 		}
 		select {
 		case r := <-requests:
-			for _, a := range s.ask(r, watches, &serial) {
+			for _, a := range s.handleWatchRequest(r, watches, &serial) {
 				if err := stream.Send(a); err != nil {
 					return err
 				}
@@ -449,22 +451,22 @@
 	}
 }
 
-// ask takes one request of a stream.
-func (s *Server) ask(r *pb.WatchRequest, watches map[int64]*watch, serial *int64) []*pb.WatchResponse {
+// handleWatchRequest takes one request of a stream.
+func (s *Server) handleWatchRequest(r *pb.WatchRequest, watches map[int64]*watch, serial *int64) []*pb.WatchResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case r.GetCreateRequest() != nil:
 		c := r.GetCreateRequest()
-		w := &watch{id: *serial, key: c.Key, end: c.RangeEnd, next: c.StartRevision}
+		w := &watch{id: *serial, key: c.Key, rangeEnd: c.RangeEnd, nextRevision: c.StartRevision}
 		*serial++
-		if w.next == 0 {
-			w.next = s.rev + 1
+		if w.nextRevision == 0 {
+			w.nextRevision = s.revision + 1
 		}
 		out := []*pb.WatchResponse{{Header: s.header(), WatchId: w.id, Created: true}}
-		if w.next <= s.compact {
+		if w.nextRevision <= s.compactedRevision {
 			return append(out, &pb.WatchResponse{
-				Header: s.header(), WatchId: w.id, Canceled: true, CompactRevision: s.compact, CancelReason: "the revision has been compacted",
+				Header: s.header(), WatchId: w.id, Canceled: true, CompactRevision: s.compactedRevision, CancelReason: "the revision has been compacted",
 			})
 		}
 		watches[w.id] = w
@@ -479,24 +481,24 @@
 	return nil
 }
 
-// due is what watches have not been sent yet.
-func (s *Server) due(watches map[int64]*watch) (out []*pb.WatchResponse, changed chan struct{}) {
+// pendingResponses is what watches have not been sent yet.
+func (s *Server) pendingResponses(watches map[int64]*watch) (out []*pb.WatchResponse, changed chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, w := range watches {
-		if w.next <= s.compact {
-			out = append(out, &pb.WatchResponse{Header: s.header(), WatchId: id, Canceled: true, CompactRevision: s.compact})
+		if w.nextRevision <= s.compactedRevision {
+			out = append(out, &pb.WatchResponse{Header: s.header(), WatchId: id, Canceled: true, CompactRevision: s.compactedRevision})
 			delete(watches, id)
 			continue
 		}
 		r := &pb.WatchResponse{Header: s.header(), WatchId: id}
-		i := sort.Search(len(s.history), func(i int) bool { return s.history[i].Kv.ModRevision >= w.next })
+		i := sort.Search(len(s.history), func(i int) bool { return s.history[i].Kv.ModRevision >= w.nextRevision })
 		for _, e := range s.history[i:] {
-			if inRange(string(e.Kv.Key), w.key, w.end) {
+			if inRange(string(e.Kv.Key), w.key, w.rangeEnd) {
 				r.Events = append(r.Events, e)
 			}
 		}
-		w.next = s.rev + 1
+		w.nextRevision = s.revision + 1
 		if len(r.Events) > 0 {
 			out = append(out, r)
 		}
@@ -510,7 +512,7 @@
 	defer s.mu.Unlock()
 	id := r.ID
 	if id == 0 {
-		id = s.rev<<16 + int64(len(s.leases)) + 1
+		id = s.revision<<16 + int64(len(s.leases)) + 1
 	}
 	if s.leases[id] != nil {
 		return nil, rpctypes.ErrGRPCDuplicateKey
@@ -534,10 +536,10 @@
 	if len(l.keys) == 0 {
 		return
 	}
-	s.rev++
+	s.revision++
 	for k := range l.keys {
-		if s.kvs[k] != nil {
-			s.drop(k)
+		if s.keyValues[k] != nil {
+			s.deleteKey(k)
 		}
 	}
 	s.notify()
@@ -564,7 +566,7 @@
 		if err != nil {
 			return nil
 		}
-		if err := s.wait(stream.Context()); err != nil {
+		if err := s.awaitAvailable(stream.Context()); err != nil {
 			return err
 		}
 		s.mu.Lock()
