--- a/internal/endpointsource/golden_test.go
+++ b/internal/endpointsource/golden_test.go
@@ -12,7 +12,7 @@
 	"birchfork/internal/engine"
 )
 
-// sortEndpoints brings an answer's endpoints into order: a whole list has none.
+// sortEndpoints sorts the endpoints of an answer: a whole list is in no order.
 func sortEndpoints(body string) string {
 	const opening, separator, closing = `"endpoints":[{`, `},{`, `}]}`
 	head, list, found := strings.Cut(body, opening)
@@ -25,12 +25,12 @@
 	return head + opening + strings.Join(endpoints, separator) + closing + end
 }
 
-// The answers to dispatchers, whole and after a change, and to operators are those of earlier builds, byte for byte. The file is written
-// where UPDATE_GOLDEN is set.
+// The answers to dispatchers, before and after a change, and to operators are those of earlier builds, byte for byte. The test writes the
+// file if UPDATE_GOLDEN is set.
 func TestServer_KeepsItsAnswers(t *testing.T) {
 	const path = "testdata/golden/answers.txt"
 	var text strings.Builder
-	synctest.Test(t, func(t *testing.T) {
+	synctest.Test(t, func(*testing.T) {
 		server := NewServer(Config{SourceCount: 1})
 		defer server.Close()
 		get := func(target string) {
--- a/internal/endpointsource/server.go
+++ b/internal/endpointsource/server.go
@@ -1,9 +1,6 @@
 package endpointsource
 
 import (
-	"encoding/json"
-	"net/http"
-	"strconv"
 	"sync"
 	"time"
 
@@ -11,41 +8,44 @@
 	"birchfork/internal/engine"
 )
 
-// Server tells a View's list to dispatchers in discovery's own words, so that a dispatcher needs nothing new: its discovery
-// is an address on its own machine. It is the View's one owner and gives it a clock.
+// Server publishes the list of a View in discovery's protocol, so that a dispatcher needs nothing new: its discovery is an address on its
+// own machine. It owns the View and runs its timer. It is safe for concurrent use.
 type Server struct {
-	mu        sync.Mutex
+	start time.Time // the View's time is counted from here
+
+	mu        sync.Mutex // guards the fields below
 	view      *View
-	start     time.Time
 	timer     *time.Timer
-	index     uint64
+	index     uint64 // of the newest change
 	endpoints map[string]engine.Endpoint
-	changes   []change
-	changed   chan struct{}
+	changes   []change      // the newest ones, by index
+	changed   chan struct{} // closed at each change, and replaced by a new one
 	closed    bool
 }
 
-// change is one entry's news with its index.
+// change is a change of one endpoint with its index.
 type change struct {
 	index    uint64
 	endpoint engine.Endpoint
 }
 
-// Bounds and times of the front.
-const (
-	maxChanges        = 4096 // who is further behind gets the whole list
-	keepAliveInterval = 2 * time.Second
-)
+// maxChanges bounds the changes that are kept. A watch that is further behind gets the whole list.
+const maxChanges = 4096
 
-// NewServer returns a front with nothing to tell.
+// NewServer returns a server without a list. Close releases its timer.
 func NewServer(c Config) *Server {
-	s := &Server{view: NewView(c), start: time.Now(), endpoints: map[string]engine.Endpoint{}, changed: make(chan struct{})}
+	s := &Server{
+		start:     time.Now(),
+		view:      NewView(c),
+		endpoints: map[string]engine.Endpoint{},
+		changed:   make(chan struct{}),
+	}
 	s.timer = time.AfterFunc(time.Hour, s.tick)
 	s.timer.Stop()
 	return s
 }
 
-// Close ends all watches.
+// Close ends all watches. Later updates are ignored.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,37 +54,27 @@
 	s.wakeWatches()
 }
 
-// Update takes a source's news.
+// Update applies an update of a source.
 func (s *Server) Update(source int, update Update) {
 	s.apply(func(now time.Duration) []engine.EndpointList { return s.view.Update(now, source, update) })
 }
 
-// MarkLost says that a source is lost.
+// MarkLost records that the connection to a source is lost.
 func (s *Server) MarkLost(source int) {
 	s.apply(func(now time.Duration) []engine.EndpointList { return s.view.MarkLost(now, source) })
 }
 
 func (s *Server) tick() { s.apply(s.view.Tick) }
 
+// apply takes a step of the view, records what it changes, and sets the timer for the next one.
 func (s *Server) apply(step func(now time.Duration) []engine.EndpointList) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
 		return
 	}
-	for _, l := range step(time.Since(s.start)) {
-		for _, e := range l.Endpoints {
-			s.index++
-			if e.State == dispatch.Gone {
-				delete(s.endpoints, e.Name)
-			} else {
-				s.endpoints[e.Name] = e
-			}
-			s.changes = append(s.changes, change{s.index, e})
-		}
-		if over := len(s.changes) - maxChanges; over > 0 {
-			s.changes = append(s.changes[:0], s.changes[over:]...)
-		}
+	for _, list := range step(time.Since(s.start)) {
+		s.record(list.Endpoints)
 		s.wakeWatches()
 	}
 	if at, ok := s.view.NextTick(); ok {
@@ -92,139 +82,79 @@
 	}
 }
 
+// record applies changed endpoints to the list and keeps the newest changes. The lock is held.
+func (s *Server) record(endpoints []engine.Endpoint) {
+	for _, endpoint := range endpoints {
+		s.index++
+		if endpoint.State == dispatch.Gone {
+			delete(s.endpoints, endpoint.Name)
+		} else {
+			s.endpoints[endpoint.Name] = endpoint
+		}
+		s.changes = append(s.changes, change{s.index, endpoint})
+	}
+	if excess := len(s.changes) - maxChanges; excess > 0 {
+		s.changes = append(s.changes[:0], s.changes[excess:]...)
+	}
+}
+
 // wakeWatches wakes all watches. The lock is held.
 func (s *Server) wakeWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Status is what the front tells of itself.
+// Status is the state of the server, for operators.
 type Status struct {
 	Index      uint64  `json:"index"`
 	Workers    int     `json:"workers"`
-	Source     int     `json:"source"` // whose list counts; -1: none has told one
-	AgeSeconds float64 `json:"age_s"`  // of its last word
+	Source     int     `json:"source"` // the active source; -1: none has sent a list
+	AgeSeconds float64 `json:"age_s"`  // since its last update
 }
 
-// Status tells whose list counts and how old it is.
+// Status returns which source is active and how old its last update is.
 func (s *Server) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.view.advance(time.Since(s.start))
 	source, age := s.view.ActiveSource()
-	return Status{s.index, len(s.endpoints), source, age.Seconds()}
-}
-
-// endpointJSON is an entry in discovery's words.
-type endpointJSON struct {
-	Name            string  `json:"name"`
-	Address         string  `json:"address"`
-	Zone            string  `json:"zone"`
-	Type            string  `json:"type"`
-	Group           int     `json:"group"`
-	Status          string  `json:"status"`
-	Weight          float64 `json:"weight"`
-	StartedAtMillis int64   `json:"since_ms"`
+	return Status{Index: s.index, Workers: len(s.endpoints), Source: source, AgeSeconds: age.Seconds()}
 }
 
-type listMessage struct {
-	Index     uint64         `json:"index"`
-	Snapshot  bool           `json:"snapshot"`
-	Endpoints []endpointJSON `json:"endpoints"`
+// canResumeFrom reports whether the changes after an index are all kept. The lock is held.
+func (s *Server) canResumeFrom(index uint64) bool {
+	if index >= s.index {
+		return index == s.index
+	}
+	return len(s.changes) > 0 && s.changes[0].index <= index+1
 }
 
-var statusNames = map[dispatch.WorkerState]string{dispatch.Ready: "up", dispatch.Draining: "draining", dispatch.Gone: "removed"}
-
-func encodeEndpoint(e *engine.Endpoint) endpointJSON {
-	return endpointJSON{e.Name, e.Address, e.Zone, e.Kind, e.Cell, statusNames[e.State], e.Weight, e.StartedAtMillis}
+// snapshot returns the whole list as a message. The lock is held.
+func (s *Server) snapshot() listMessage {
+	m := listMessage{Index: s.index, Snapshot: true, Endpoints: make([]endpointJSON, 0, len(s.endpoints))}
+	for _, endpoint := range s.endpoints {
+		m.Endpoints = append(m.Endpoints, encodeEndpoint(&endpoint))
+	}
+	return m
 }
 
-// changesSince is what has changed after an index, or the whole list. Several changes of one worker become its last. The lock
-// is held.
-func (s *Server) changesSince(index uint64, whole bool) listMessage {
-	m := listMessage{Index: s.index, Endpoints: []endpointJSON{}}
-	if whole || index > s.index || index < s.index && (len(s.changes) == 0 || s.changes[0].index > index+1) {
-		m.Snapshot = true
-		for _, e := range s.endpoints {
-			m.Endpoints = append(m.Endpoints, encodeEndpoint(&e))
-		}
-		return m
+// changesSince returns what has changed after an index, or the whole list where some of that is no longer kept. Of several changes of one
+// worker it returns the last. The lock is held.
+func (s *Server) changesSince(index uint64) listMessage {
+	if !s.canResumeFrom(index) {
+		return s.snapshot()
 	}
-	last := map[string]int{}
+	lastIndex := map[string]uint64{}
 	for i := range s.changes {
-		if s.changes[i].index > index {
-			last[s.changes[i].endpoint.Name] = i
+		if c := &s.changes[i]; c.index > index {
+			lastIndex[c.endpoint.Name] = c.index
 		}
 	}
+	m := listMessage{Index: s.index, Endpoints: make([]endpointJSON, 0, len(lastIndex))}
 	for i := range s.changes {
-		if c := &s.changes[i]; c.index > index && last[c.endpoint.Name] == i {
+		if c := &s.changes[i]; lastIndex[c.endpoint.Name] == c.index {
 			m.Endpoints = append(m.Endpoints, encodeEndpoint(&c.endpoint))
 		}
 	}
 	return m
 }
-
-// ServeHTTP answers for the list, whole or as a watch, and for /status.
-func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	switch {
-	case r.Method != http.MethodGet:
-		http.Error(w, "only GET", http.StatusMethodNotAllowed)
-	case r.URL.Path == "/status":
-		json.NewEncoder(w).Encode(s.Status())
-	case r.URL.Path != "/discovery/hosts":
-		http.NotFound(w, r)
-	case r.URL.Query().Get("follow") == "1":
-		index, err := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
-		if err != nil {
-			http.Error(w, "since is no number", http.StatusBadRequest)
-			return
-		}
-		s.serveWatch(w, r, index)
-	default:
-		s.mu.Lock()
-		known := s.view.active >= 0
-		m := s.changesSince(0, true)
-		s.mu.Unlock()
-		if !known { // an empty list would take the place of the one that the dispatcher has
-			http.Error(w, "no source has told its list yet", http.StatusServiceUnavailable)
-			return
-		}
-		json.NewEncoder(w).Encode(m)
-	}
-}
-
-// serveWatch is the life of one watch.
-func (s *Server) serveWatch(w http.ResponseWriter, r *http.Request, index uint64) {
-	control := http.NewResponseController(w)
-	alive := time.NewTicker(keepAliveInterval)
-	defer alive.Stop()
-	for first := true; ; first = false {
-		s.mu.Lock()
-		changed, closed := s.changed, s.closed
-		var line []byte
-		if first || index != s.index {
-			line, _ = json.Marshal(s.changesSince(index, false))
-			index = s.index
-		}
-		s.mu.Unlock()
-		if closed {
-			return
-		}
-		if line != nil {
-			w.Write(append(line, '\n'))
-			if control.Flush() != nil {
-				return
-			}
-		}
-		select {
-		case <-changed:
-		case <-alive.C:
-			w.Write([]byte("\n"))
-			if control.Flush() != nil {
-				return
-			}
-		case <-r.Context().Done():
-			return
-		}
-	}
-}
--- a/internal/endpointsource/server_test.go
+++ b/internal/endpointsource/server_test.go
@@ -15,8 +15,8 @@
 	"birchfork/internal/engine"
 )
 
-// What a dispatcher's own decoder makes of the front's words, whole and as a watch, is the view's list; many changes of one
-// worker come as its last.
+// A dispatcher's own decoder reads the view's list from the answers, whole and as a watch; of many changes of one worker the watch sends
+// the last.
 func TestServer_AnswersAsDiscovery(t *testing.T) {
 	server := NewServer(Config{SourceCount: 1})
 	defer server.Close()
@@ -30,11 +30,13 @@
 		}
 		return res
 	}
-	if res := get("/discovery/hosts"); res.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("with nothing told: %d, and an empty list would count", res.StatusCode)
+	res := get("/discovery/hosts")
+	res.Body.Close()
+	if res.StatusCode != http.StatusServiceUnavailable {
+		t.Errorf("without a list: %d; an empty list would be applied", res.StatusCode)
 	}
 	server.Update(0, Update{Snapshot: true, Endpoints: []engine.Endpoint{testEndpoint("a", dispatch.Ready, 1), testEndpoint("b", dispatch.Draining, 2)}})
-	res := get("/discovery/hosts")
+	res = get("/discovery/hosts")
 	var raw json.RawMessage
 	if err := json.NewDecoder(res.Body).Decode(&raw); err != nil {
 		t.Fatal(err)
@@ -44,8 +46,9 @@
 	if err != nil || bad != 0 || !l.Snapshot || len(l.Endpoints) != 2 {
 		t.Fatalf("%+v, %d bad, %v", l, bad, err)
 	}
+	states := [...]dispatch.WorkerState{dispatch.Ready, dispatch.Draining}
 	for i := range 1000 {
-		server.Update(0, Update{Endpoints: []engine.Endpoint{testEndpoint("a", [...]dispatch.WorkerState{dispatch.Ready, dispatch.Draining}[i%2], int64(i))}})
+		server.Update(0, Update{Endpoints: []engine.Endpoint{testEndpoint("a", states[i%2], int64(i))}})
 	}
 	server.Update(0, Update{Endpoints: []engine.Endpoint{testEndpoint("b", dispatch.Gone, 0)}})
 	res = get(fmt.Sprintf("/discovery/hosts?follow=1&since=%d", l.Version))
@@ -55,18 +58,24 @@
 		t.Fatal(err)
 	}
 	l, bad, err = discovery.DecodeList(line)
-	if err != nil || bad != 0 || l.Snapshot || len(l.Endpoints) != 2 || l.Endpoints[0].StartedAtMillis != 999 || l.Endpoints[0].State != dispatch.Draining || l.Endpoints[1].State != dispatch.Gone {
-		t.Errorf("the watch's first line: %+v, %v", l, err)
+	if err != nil || bad != 0 || l.Snapshot || len(l.Endpoints) != 2 {
+		t.Fatalf("the watch's first line: %+v, %d bad, %v", l, bad, err)
+	}
+	first, second := l.Endpoints[0], l.Endpoints[1]
+	if first.StartedAtMillis != 999 || first.State != dispatch.Draining || second.State != dispatch.Gone {
+		t.Errorf("the watch's first line: %+v", l)
 	}
-	if res := get("/discovery/hosts?follow=1&since=x"); res.StatusCode != http.StatusBadRequest {
-		t.Errorf("a watch since x: %d", res.StatusCode)
+	invalid := get("/discovery/hosts?follow=1&since=x")
+	invalid.Body.Close()
+	if invalid.StatusCode != http.StatusBadRequest {
+		t.Errorf("a watch since x: %d", invalid.StatusCode)
 	}
 	if s := server.Status(); s.Workers != 1 || s.Source != 0 {
 		t.Errorf("status %+v", s)
 	}
 }
 
-// The front's timer does what the view is due, in virtual time.
+// The server's timer runs what the view has due, in virtual time.
 func TestServer_FailsOverByTimer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := NewServer(Config{SourceCount: 2, FailoverDelay: 5 * time.Second, FailbackDelay: 3 * time.Second, EmptyListDelay: 10 * time.Second})
@@ -76,12 +85,12 @@
 		server.MarkLost(0)
 		time.Sleep(4 * time.Second)
 		if s := server.Status(); s.Source != 0 {
-			t.Fatalf("changed over too early: %+v", s)
+			t.Fatalf("failed over too early: %+v", s)
 		}
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
 		if s := server.Status(); s.Source != 1 || s.Workers != 1 {
-			t.Errorf("did not change over by itself: %+v", s)
+			t.Errorf("did not fail over by itself: %+v", s)
 		}
 	})
 }
