--- a/internal/endpointsource/etcd/source.go
+++ b/internal/endpointsource/etcd/source.go
@@ -1,15 +1,13 @@
-// Package etcd follows a list of workers in etcd: one key each under a prefix, its value JSON. It reads the range at a
-// revision and watches from the next; after a break it goes on from the last revision seen, and where that has been
-// compacted it reads the whole range again.
+// Package etcd follows a list of workers in etcd: one key for each under a prefix, its value JSON. It reads the range at a revision and
+// watches from the next. After a disconnect it goes on from the last revision seen; where that has been compacted it reads the whole range
+// again.
 package etcd
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"math/rand/v2"
-	"net"
 	"strings"
 	"sync/atomic"
 	"time"
@@ -24,205 +22,183 @@
 	"birchfork/internal/engine"
 )
 
-// SchemaVersion is that of a worker's value.
-const SchemaVersion = 1
-
-// Value is a worker as it stands under its key. Unknown fields are passed over.
-type Value struct {
-	Version         int     `json:"v"`
-	Address         string  `json:"address"`
-	Zone            string  `json:"zone,omitempty"`
-	Kind            string  `json:"kind,omitempty"`
-	Cell            *int    `json:"cell,omitempty"`
-	Weight          float64 `json:"weight,omitempty"`
-	State           string  `json:"state,omitempty"`    // up (or nothing) or draining
-	StartedAtMillis int64   `json:"since_ms,omitempty"` // when it last started, Unix time in milliseconds; 0: long ago
-}
-
-// The states in a Value.
-const (
-	StateUp       = "up"
-	StateDraining = "draining"
-)
-
-// Bounds and times of following.
+// Times of following etcd.
 const (
-	maxValueBytes      = 16 << 10
-	maxStartedAtMillis = 100_000_000_000_000
-	readTimeout        = 5 * time.Second
-	progressInterval   = 1 * time.Second // for a sign of life on a quiet watch
-	maxSilence         = 4 * time.Second // without one the source is lost
-	minRetryDelay      = 50 * time.Millisecond
-	maxRetryDelay      = 2 * time.Second
+	readTimeout      = 5 * time.Second
+	progressInterval = 1 * time.Second // from one request for progress on a watch to the next
+	maxSilence       = 4 * time.Second // a watch that is silent for longer is lost
+	minRetryDelay    = 50 * time.Millisecond
+	maxRetryDelay    = 2 * time.Second
 )
 
-// Decode reads a worker. A value that cannot be used is an error, and what comes back drains: it is not known to want jobs.
-func Decode(name string, raw []byte) (engine.Endpoint, error) {
-	bad := engine.Endpoint{Name: name, Cell: -1, State: dispatch.Draining}
-	if len(raw) > maxValueBytes {
-		return bad, fmt.Errorf("its value has %d bytes, more than %d", len(raw), maxValueBytes)
-	}
-	var v Value
-	if err := json.Unmarshal(raw, &v); err != nil {
-		return bad, fmt.Errorf("its value is no JSON object of a worker: %w", err)
-	}
-	if v.Version != SchemaVersion {
-		return bad, fmt.Errorf("its value is of version %d, not %d", v.Version, SchemaVersion)
-	}
-	e := engine.Endpoint{Name: name, Address: v.Address, Zone: v.Zone, Kind: v.Kind, Cell: -1, Weight: max(v.Weight, 0), StartedAtMillis: min(max(v.StartedAtMillis, 0), maxStartedAtMillis)}
-	if v.Cell != nil {
-		e.Cell = *v.Cell
-	}
-	if host, port, err := net.SplitHostPort(v.Address); err != nil || host == "" || port == "" || port == "0" {
-		return bad, fmt.Errorf("its address %q is not host:port", v.Address)
-	}
-	switch v.State {
-	case "", StateUp:
-	case StateDraining:
-		e.State = dispatch.Draining
-	default:
-		return bad, fmt.Errorf("its state %q is neither up nor draining", v.State)
-	}
-	return e, nil
-}
-
-// Counters count what a source meets.
+// Counters count what a source meets. They are safe for concurrent use.
 type Counters struct {
 	Reads       atomic.Int64 // whole ranges read
 	Changes     atomic.Int64
 	BadValues   atomic.Int64
 	Disconnects atomic.Int64
-	Compacted   atomic.Int64 // resumes that were refused, as history was compacted
+	Compacted   atomic.Int64 // watches rejected because their revision was compacted
 	Restored    atomic.Int64 // times that revisions went backwards
 }
 
-// Source follows one prefix.
+// Source follows one prefix. Its callbacks are called from the goroutine of Run, one at a time.
 type Source struct {
 	Client   *clientv3.Client
 	Prefix   string
 	Log      logrus.FieldLogger
 	OnUpdate func(endpointsource.Update)
-	OnLost   func()
+	OnLost   func() // the connection is lost; the list stays as it is
 
 	Counters     Counters
-	lastRevision int64 // the newest revision that was told
+	lastRevision int64 // the newest revision that was delivered
 }
 
-// Run follows until ctx ends.
+// Errors that end a watch.
+var (
+	errSilent     = errors.New("etcd is silent")
+	errWatchEnded = errors.New("the watch ended")
+)
+
+// Run follows the prefix until ctx ends.
 func (s *Source) Run(ctx context.Context) {
-	wait := minRetryDelay
+	delay := minRetryDelay
 	for ctx.Err() == nil {
-		told, err := s.follow(ctx)
+		delivered, err := s.follow(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		s.Counters.Disconnects.Add(1)
 		s.OnLost()
-		if told {
-			wait = minRetryDelay
+		if delivered {
+			delay = minRetryDelay
 		}
-		s.Log.WithError(err).WithFields(logrus.Fields{"prefix": s.Prefix, "again_in": wait}).Warn("following etcd broke off; the list stays as it is")
+		s.Log.WithError(err).WithFields(logrus.Fields{"prefix": s.Prefix, "retry_in": delay}).Warn("etcd disconnected; keeping the list")
 		select {
 		case <-ctx.Done():
-		case <-time.After(wait/2 + rand.N(wait)): // spread, so that not all dispatchers come back at once
+		case <-time.After(delay/2 + rand.N(delay)): // jitter, so that not all agents reconnect at once
 		}
-		wait = min(2*wait, maxRetryDelay)
+		delay = min(2*delay, maxRetryDelay)
 	}
 }
 
-var errSilent = errors.New("etcd says nothing")
-
-// follow reads the range and watches from there; told says whether that brought a list.
-func (s *Source) follow(ctx context.Context) (told bool, err error) {
+// follow reads the range and watches from there. It reports whether a list was delivered.
+func (s *Source) follow(ctx context.Context) (delivered bool, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	read, done := context.WithTimeout(ctx, readTimeout)
-	res, err := s.Client.Get(read, s.Prefix, clientv3.WithPrefix())
-	done()
+	if err := s.readRange(ctx); err != nil {
+		return false, err
+	}
+	return true, s.watch(ctx)
+}
+
+// readRange reads the whole range and delivers it as a snapshot.
+func (s *Source) readRange(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
+	defer cancel()
+	response, err := s.Client.Get(ctx, s.Prefix, clientv3.WithPrefix())
 	if err != nil {
-		return false, fmt.Errorf("reading the range: %w", err)
+		return fmt.Errorf("reading the range: %w", err)
 	}
-	if res.Header.Revision < s.lastRevision {
+	revision := response.Header.Revision
+	if revision < s.lastRevision {
 		s.Counters.Restored.Add(1)
-		s.Log.WithFields(logrus.Fields{"revision": res.Header.Revision, "seen": s.lastRevision}).Warn("etcd's revisions went backwards: it was restored from an older copy")
+		s.Log.WithFields(logrus.Fields{"revision": revision, "last_revision": s.lastRevision}).Warn("etcd revisions went backwards; restored from an older copy")
 	}
-	n := endpointsource.Update{Snapshot: true, Revision: uint64(res.Header.Revision)}
-	for _, kv := range res.Kvs {
-		n.Endpoints = append(n.Endpoints, s.decode(kv))
+	update := endpointsource.Update{Snapshot: true, Revision: uint64(revision)}
+	for _, kv := range response.Kvs {
+		update.Endpoints = append(update.Endpoints, s.decode(kv))
 	}
-	s.lastRevision = res.Header.Revision
+	s.lastRevision = revision
 	s.Counters.Reads.Add(1)
-	s.OnUpdate(n)
-	return true, s.watch(ctx)
+	s.OnUpdate(update)
+	return nil
 }
 
-// watch takes changes from the revision after the last one seen, until the watch ends. The client's library resumes by
-// itself where the connection breaks.
+// watch delivers changes from the revision after the last one, until the watch ends. The client's library resumes the watch where the
+// connection breaks.
 func (s *Source) watch(ctx context.Context) error {
-	events := s.Client.Watch(clientv3.WithRequireLeader(ctx), s.Prefix, clientv3.WithPrefix(), clientv3.WithRev(s.lastRevision+1), clientv3.WithProgressNotify(), clientv3.WithCreatedNotify())
-	ask := time.NewTicker(progressInterval)
-	defer ask.Stop()
-	heard := time.Now()
+	responses := s.Client.Watch(clientv3.WithRequireLeader(ctx), s.Prefix,
+		clientv3.WithPrefix(),
+		clientv3.WithRev(s.lastRevision+1),
+		clientv3.WithProgressNotify(),
+		clientv3.WithCreatedNotify())
+	progress := time.NewTicker(progressInterval)
+	defer progress.Stop()
+	lastResponse := time.Now()
 	for {
 		select {
-		case res, ok := <-events:
+		case response, ok := <-responses:
 			if !ok {
-				return errors.New("the watch ended")
-			}
-			if err := res.Err(); err != nil {
-				if res.CompactRevision != 0 || errors.Is(err, rpctypes.ErrCompacted) {
-					s.Counters.Compacted.Add(1)
-				}
-				return fmt.Errorf("watching from revision %d: %w", s.lastRevision+1, err)
+				return errWatchEnded
 			}
-			if res.Header.Revision < s.lastRevision {
-				return fmt.Errorf("watching: revision %d came after %d", res.Header.Revision, s.lastRevision)
+			if err := s.checkResponse(&response); err != nil {
+				return err
 			}
-			heard = time.Now()
-			s.deliver(res.Events)
-		case <-ask.C:
-			if time.Since(heard) > maxSilence {
+			lastResponse = time.Now()
+			s.deliver(response.Events)
+		case <-progress.C:
+			if time.Since(lastResponse) > maxSilence {
 				return errSilent
 			}
-			s.Client.RequestProgress(clientv3.WithRequireLeader(ctx)) // what is wrong shows by silence
+			// An error is not handled: etcd's silence shows it.
+			_ = s.Client.RequestProgress(clientv3.WithRequireLeader(ctx))
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// deliver hands events on, all of one revision together.
+// checkResponse returns an error if a response ends the watch.
+func (s *Source) checkResponse(response *clientv3.WatchResponse) error {
+	if err := response.Err(); err != nil {
+		if response.CompactRevision != 0 || errors.Is(err, rpctypes.ErrCompacted) {
+			s.Counters.Compacted.Add(1)
+		}
+		return fmt.Errorf("watching from revision %d: %w", s.lastRevision+1, err)
+	}
+	if response.Header.Revision < s.lastRevision {
+		return fmt.Errorf("watching: revision %d came after %d", response.Header.Revision, s.lastRevision)
+	}
+	return nil
+}
+
+// deliver delivers events, those of one revision together.
 func (s *Source) deliver(events []*clientv3.Event) {
 	for len(events) > 0 {
-		rev := events[0].Kv.ModRevision
-		n := endpointsource.Update{Revision: uint64(rev)}
-		for len(events) > 0 && events[0].Kv.ModRevision == rev {
-			e := events[0]
+		revision := events[0].Kv.ModRevision
+		update := endpointsource.Update{Revision: uint64(revision)}
+		for len(events) > 0 && events[0].Kv.ModRevision == revision {
+			update.Endpoints = append(update.Endpoints, s.decodeEvent(events[0]))
 			events = events[1:]
-			if e.Type == clientv3.EventTypeDelete {
-				n.Endpoints = append(n.Endpoints, engine.Endpoint{Name: s.workerName(e.Kv), Cell: -1, State: dispatch.Gone})
-			} else {
-				n.Endpoints = append(n.Endpoints, s.decode(e.Kv))
-			}
 		}
-		if rev <= s.lastRevision {
-			continue // a resumed watch may say something twice
+		if revision <= s.lastRevision {
+			continue // a resumed watch may repeat events
 		}
-		s.lastRevision = rev
+		s.lastRevision = revision
 		s.Counters.Changes.Add(1)
-		s.OnUpdate(n)
+		s.OnUpdate(update)
 	}
 }
 
+// workerName returns the name of the worker under a key.
 func (s *Source) workerName(kv *mvccpb.KeyValue) string {
 	return strings.TrimPrefix(string(kv.Key), s.Prefix)
 }
 
+// decodeEvent returns the worker that an event concerns, in the state that the event leaves it in.
+func (s *Source) decodeEvent(event *clientv3.Event) engine.Endpoint {
+	if event.Type == clientv3.EventTypeDelete {
+		return engine.Endpoint{Name: s.workerName(event.Kv), Cell: -1, State: dispatch.Gone}
+	}
+	return s.decode(event.Kv)
+}
+
+// decode returns the worker under a key. One whose value cannot be used drains.
 func (s *Source) decode(kv *mvccpb.KeyValue) engine.Endpoint {
-	e, err := Decode(s.workerName(kv), kv.Value)
+	endpoint, err := Decode(s.workerName(kv), kv.Value)
 	if err != nil {
 		s.Counters.BadValues.Add(1)
-		s.Log.WithField("key", string(kv.Key)).Warnf("a worker that cannot be used gets nothing: %v", err)
+		s.Log.WithError(err).WithField("key", string(kv.Key)).Warn("invalid worker value; the worker gets no requests")
 	}
-	return e
+	return endpoint
 }
--- a/internal/endpointsource/etcd/source_test.go
+++ b/internal/endpointsource/etcd/source_test.go
@@ -28,14 +28,14 @@
 type harness struct {
 	t      *testing.T
 	etcd   *etcdtest.Server
-	client *clientv3.Client // the workers' own
+	client *clientv3.Client // the workers' client
 	source *Source
 
 	mu         sync.Mutex
 	view       *endpointsource.View
 	start      time.Time
-	drained    map[string]bool // name and start, told to drain or gone
-	violations []string        // what was offered though it had been told to drain
+	drained    map[string]bool // incarnations that were received as draining or gone
+	violations []string        // incarnations that were published as ready after that
 	lostCount  int
 }
 
@@ -48,7 +48,12 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	client := func() *clientv3.Client {
-		c, err := clientv3.New(clientv3.Config{Endpoints: []string{e.Address()}, DialTimeout: time.Second, Logger: zap.NewNop(), BackoffWaitBetween: 5 * time.Millisecond})
+		c, err := clientv3.New(clientv3.Config{
+			Endpoints:          []string{e.Address()},
+			DialTimeout:        time.Second,
+			Logger:             zap.NewNop(),
+			BackoffWaitBetween: 5 * time.Millisecond,
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -68,8 +73,11 @@
 		stop()
 		e.SetHanging(false)
 		<-done
-		h.source.Client.Close()
-		h.client.Close()
+		for _, c := range []*clientv3.Client{h.source.Client, h.client} {
+			if err := c.Close(); err != nil {
+				t.Errorf("closing etcd's client: %v", err)
+			}
+		}
 		e.Close()
 	})
 	return h
@@ -100,12 +108,12 @@
 	return dispatch.Gone
 }
 
-// await waits as long as it takes; a test that hangs is ended by its own time-out.
+// await waits until ok returns true, and fails the test after 30 seconds.
 func (h *harness) await(what string, ok func() bool) {
 	h.t.Helper()
 	for by := time.Now().Add(30 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(by) {
-			h.t.Fatalf("it never came: %s", what)
+			h.t.Fatalf("not in time: %s", what)
 		}
 	}
 }
@@ -121,8 +129,8 @@
 	}
 }
 
-// Watches dropped at random moments, history compacted, workers that drain, leave and start again in the gap: what was told
-// to drain is never offered again under the same start, and at rest the view is what etcd holds.
+// Watches are dropped at random moments, history is compacted, workers drain, leave and start again in the gap: an incarnation that drained
+// is never published as ready again, and at rest the view holds what etcd holds.
 func TestSource_KeepsDrainsAcrossGaps(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	rounds := *gapRounds
@@ -164,25 +172,25 @@
 			})
 		}
 		if len(h.violations) > 0 {
-			t.Errorf("offered again after a drain: %v", h.violations)
+			t.Errorf("published as ready after a drain: %v", h.violations)
 		}
 		if h.source.Counters.Changes.Load() == 0 {
-			t.Error("no change came by the watch: this says nothing of breaks")
+			t.Error("no change came by the watch: its disconnects were not tested")
 		}
 	})
 }
 
-// A compacted resume is met by a whole rebuild.
+// After a watch is rejected as compacted the whole list is read again.
 func TestSource_RebuildsAfterCompaction(t *testing.T) {
 	h := newHarness(t)
 	h.put("a", StateUp, 1)
 	h.await("up", func() bool { return h.state("a") == dispatch.Ready })
-	h.etcd.SetNoLeader(true) // no watch comes up
+	h.etcd.SetNoLeader(true) // no watch can be opened
 	h.await("the watch is gone", func() bool { return h.etcd.OpenWatches() == 0 })
 	h.etcd.SetNoLeader(false)
-	h.etcd.SetHanging(true) // and now none is answered, while
+	h.etcd.SetHanging(true) // and now no request is answered, while
 	stop := make(chan struct{})
-	go func() { // the worker drains and history goes
+	go func() { // the worker drains and history is compacted
 		defer close(stop)
 		h.put("a", StateDraining, 1)
 		h.etcd.CompactNow()
@@ -192,11 +200,11 @@
 	<-stop
 	h.await("draining", func() bool { return h.state("a") == dispatch.Draining })
 	if len(h.violations) > 0 {
-		t.Errorf("offered again: %v", h.violations)
+		t.Errorf("published as ready again: %v", h.violations)
 	}
 }
 
-// etcd restored from an older copy: a worker that drained since stays drained, and the source does not rebuild for ever.
+// After etcd is restored from an older copy a worker that drained since stays drained, and the source does not read the range for ever.
 func TestSource_KeepsDrainsAfterRestore(t *testing.T) {
 	h := newHarness(t)
 	h.put("a", StateUp, 1)
@@ -220,7 +228,7 @@
 	}
 }
 
-// A lease that ends takes its worker away; a put and a delete in one transaction are one change; a burst is followed whole.
+// The end of a lease removes its worker; a put and a delete in one transaction are one change; a burst of changes is followed to its end.
 func TestSource_FollowsLeasesTransactionsAndBursts(t *testing.T) {
 	h := newHarness(t)
 	ctx := context.Background()
@@ -259,7 +267,7 @@
 	})
 }
 
-// A source that hangs is lost and its list stays; one whose member has no leader too.
+// A source whose etcd member has no leader is lost, and its list stays.
 func TestSource_KeepsListWithoutLeader(t *testing.T) {
 	h := newHarness(t)
 	h.put("a", StateUp, 1)
--- /dev/null
+++ b/internal/endpointsource/etcd/value.go
@@ -0,0 +1,77 @@
+package etcd
+
+import (
+	"encoding/json"
+	"fmt"
+	"net"
+
+	"birchfork/dispatch"
+	"birchfork/internal/engine"
+)
+
+// SchemaVersion is the version of a worker's value.
+const SchemaVersion = 1
+
+// Value is the JSON value of a worker's key. Unknown fields are ignored.
+type Value struct {
+	Version         int     `json:"v"`
+	Address         string  `json:"address"`
+	Zone            string  `json:"zone,omitempty"`
+	Kind            string  `json:"kind,omitempty"`
+	Cell            *int    `json:"cell,omitempty"`
+	Weight          float64 `json:"weight,omitempty"`
+	State           string  `json:"state,omitempty"`    // StateUp (or nothing) or StateDraining
+	StartedAtMillis int64   `json:"since_ms,omitempty"` // when it last started, Unix time in milliseconds; 0: long ago
+}
+
+// The states in a Value.
+const (
+	StateUp       = "up"
+	StateDraining = "draining"
+)
+
+// Bounds of a value.
+const (
+	maxValueBytes      = 16 << 10
+	maxStartedAtMillis = 100_000_000_000_000
+)
+
+// Decode decodes the value of a worker. Where the value cannot be used it returns an error and a worker that drains: it is not known to
+// want jobs.
+func Decode(name string, raw []byte) (engine.Endpoint, error) {
+	unusable := engine.Endpoint{Name: name, Cell: -1, State: dispatch.Draining}
+	if len(raw) > maxValueBytes {
+		return unusable, fmt.Errorf("its value has %d bytes, more than %d", len(raw), maxValueBytes)
+	}
+	var v Value
+	if err := json.Unmarshal(raw, &v); err != nil {
+		return unusable, fmt.Errorf("its value is no JSON object of a worker: %w", err)
+	}
+	if v.Version != SchemaVersion {
+		return unusable, fmt.Errorf("its value is of version %d, not %d", v.Version, SchemaVersion)
+	}
+	host, port, err := net.SplitHostPort(v.Address)
+	if err != nil || host == "" || port == "" || port == "0" {
+		return unusable, fmt.Errorf("its address %q is not host:port", v.Address)
+	}
+	endpoint := engine.Endpoint{
+		Name:            name,
+		Address:         v.Address,
+		Zone:            v.Zone,
+		Kind:            v.Kind,
+		Cell:            -1,
+		Weight:          max(v.Weight, 0),
+		StartedAtMillis: min(max(v.StartedAtMillis, 0), maxStartedAtMillis),
+	}
+	if v.Cell != nil {
+		endpoint.Cell = *v.Cell
+	}
+	switch v.State {
+	case "", StateUp:
+	case StateDraining:
+		endpoint.State = dispatch.Draining
+	default:
+		return unusable, fmt.Errorf("its state %q is neither up nor draining", v.State)
+	}
+	return endpoint, nil
+}
--- a/internal/endpointsource/file/source.go
+++ b/internal/endpointsource/file/source.go
@@ -1,12 +1,10 @@
-// Package file follows a list of workers that a person or a program writes: a TOML file, read again when it changes. A
-// file that makes no sense changes nothing; the last good list stays.
+// Package file follows a list of workers in a TOML file, which it reads again when it changes. An invalid file changes nothing; the last
+// valid list stays.
 package file
 
 import (
 	"context"
-	"fmt"
 	"io"
-	"net"
 	"os"
 	"path/filepath"
 	"time"
@@ -14,142 +12,104 @@
 	"github.com/fsnotify/fsnotify"
 	"github.com/sirupsen/logrus"
 
-	"birchfork/dispatch"
 	"birchfork/internal/endpointsource"
-	"birchfork/internal/engine"
 	"birchfork/internal/tomlfile"
 )
 
-// settleDelay lets an editor finish: several events of one save become one reading.
-const settleDelay = 50 * time.Millisecond
-
-// pollInterval is how often the file is looked at besides, where the system tells nothing.
-const pollInterval = 2 * time.Second
-
-type list struct {
-	Workers []worker `toml:"worker"`
-}
-
-type worker struct {
-	Name            string  `toml:"name"`
-	Address         string  `toml:"address"`
-	Zone            string  `toml:"zone"`
-	Kind            string  `toml:"kind"`
-	Cell            int     `toml:"cell"`
-	Weight          float64 `toml:"weight"`
-	State           string  `toml:"state"`
-	StartedAtMillis int     `toml:"since_ms"`
-}
-
-// Decode reads a list. Its error names every fault.
-func Decode(name string, raw []byte) ([]engine.Endpoint, error) {
-	var l list
-	d := tomlfile.Read(name, raw, &l)
-	if len(d.Errors()) > 0 {
-		return nil, d.Err()
-	}
-	seen := map[string]bool{}
-	var out []engine.Endpoint
-	for i, w := range l.Workers {
-		at := fmt.Sprintf("worker[%d].", i)
-		if w.Name == "" || seen[w.Name] {
-			d.AddErrorf(at+"name", "%q is missing or stands twice", w.Name)
-		}
-		seen[w.Name] = true
-		if host, port, err := net.SplitHostPort(w.Address); err != nil || host == "" || port == "" || port == "0" {
-			d.AddErrorf(at+"address", "%q is not host:port", w.Address)
-		}
-		e := engine.Endpoint{Name: w.Name, Address: w.Address, Zone: w.Zone, Kind: w.Kind, Cell: -1, Weight: w.Weight, StartedAtMillis: int64(w.StartedAtMillis)}
-		if d.Has(at + "cell") {
-			e.Cell = w.Cell
-		}
-		if !(w.Weight >= 0) || w.StartedAtMillis < 0 {
-			d.AddErrorf(at+"weight", "weight and since_ms are not below 0")
-		}
-		switch w.State {
-		case "", "up":
-		case "draining":
-			e.State = dispatch.Draining
-		default:
-			d.AddErrorf(at+"state", "%q is neither up nor draining", w.State)
-		}
-		out = append(out, e)
-	}
-	if err := d.Err(); err != nil {
-		return nil, err
-	}
-	return out, nil
-}
+// Times of following a file.
+const (
+	settleDelay  = 50 * time.Millisecond // from an event to the reading: several events of one save become one reading
+	pollInterval = 2 * time.Second       // the file is read besides, where the system reports no events
+)
 
-// Source follows one file.
+// Source follows one file. Its callbacks are called from the goroutine of Run, one at a time.
 type Source struct {
 	Path     string
 	Log      logrus.FieldLogger
 	OnUpdate func(endpointsource.Update)
-	OnLost   func()
+	OnLost   func() // the file is missing or invalid; the list stays as it is
 
 	lastContent string
-	lastError   string
+	lastError   string // of the last reading; empty: it was valid
 }
 
-// Run follows until ctx ends. The folder is watched, as editors put another file in the old one's place.
+// Run follows the file until ctx ends. It watches the folder, as editors replace a file by another.
 func (s *Source) Run(ctx context.Context) {
 	var events chan fsnotify.Event
-	if w, err := fsnotify.NewWatcher(); err == nil {
-		defer w.Close()
-		if w.Add(filepath.Dir(s.Path)) == nil {
-			events = w.Events
+	if watcher, err := fsnotify.NewWatcher(); err == nil {
+		defer func() { _ = watcher.Close() }()
+		if watcher.Add(filepath.Dir(s.Path)) == nil {
+			events = watcher.Events
 		}
 	}
-	look := time.NewTicker(pollInterval)
-	defer look.Stop()
+	poll := time.NewTicker(pollInterval)
+	defer poll.Stop()
 	s.reload()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-look.C:
+		case <-poll.C:
 		case <-events:
-			select {
-			case <-time.After(settleDelay):
-			case <-ctx.Done():
+			if !settle(ctx, events) {
 				return
 			}
-			for drained := false; !drained; {
-				select {
-				case <-events:
-				default:
-					drained = true
-				}
-			}
 		}
 		s.reload()
 	}
 }
 
-// reload reads the file; one that is as it was says nothing new.
-func (s *Source) reload() {
-	f, err := os.Open(s.Path)
-	var raw []byte
-	if err == nil {
-		raw, err = io.ReadAll(io.LimitReader(f, tomlfile.MaxSize+1))
-		f.Close()
+// settle waits for the settle delay and discards the events until then. It returns false if ctx ended.
+func settle(ctx context.Context, events <-chan fsnotify.Event) bool {
+	select {
+	case <-time.After(settleDelay):
+	case <-ctx.Done():
+		return false
+	}
+	for {
+		select {
+		case <-events:
+		default:
+			return true
+		}
 	}
-	if err == nil && string(raw) == s.lastContent && s.lastError == "" {
+}
+
+// reload reads the file. One that is as it was changes nothing.
+func (s *Source) reload() {
+	raw, err := readFile(s.Path)
+	unchanged := string(raw) == s.lastContent && s.lastError == ""
+	if err == nil && unchanged {
 		return
 	}
-	var entries []engine.Endpoint
+	update := endpointsource.Update{Snapshot: true}
 	if err == nil {
-		entries, err = Decode(s.Path, raw)
+		update.Endpoints, err = Decode(s.Path, raw)
 	}
 	if err != nil {
-		if err.Error() != s.lastError { // once, however often it is looked at
-			s.Log.Error("the workers' file cannot be used; the last good list stays: ", err)
-			s.lastError = err.Error()
-		}
+		s.logOnce(err)
 		s.OnLost()
 		return
 	}
-	s.lastContent, s.lastError = string(raw), ""
-	s.OnUpdate(endpointsource.Update{Snapshot: true, Endpoints: entries})
+	s.lastContent = string(raw)
+	s.lastError = ""
+	s.OnUpdate(update)
+}
+
+// logOnce logs an error, once however often the file is read again.
+func (s *Source) logOnce(err error) {
+	if err.Error() != s.lastError {
+		s.Log.WithError(err).WithField("path", s.Path).Error("invalid workers file; keeping the last valid list")
+		s.lastError = err.Error()
+	}
+}
+
+// readFile reads a file, up to one byte over the size that a file may have.
+func readFile(path string) ([]byte, error) {
+	f, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	defer f.Close()
+	return io.ReadAll(io.LimitReader(f, tomlfile.MaxSize+1))
 }
--- a/internal/endpointsource/file/source_test.go
+++ b/internal/endpointsource/file/source_test.go
@@ -24,11 +24,11 @@
 	}
 	_, err = Decode("f", []byte("[[worker]]\nname='a'\naddress='x'\nstate='on'\nweight=-1\n[[worker]]\nname='a'\naddress='127.0.0.1:1'\n"))
 	if err == nil || strings.Count(err.Error(), "\n") != 3 || !strings.Contains(err.Error(), "f:7: worker[1].name") {
-		t.Errorf("the faults: %v", err)
+		t.Errorf("faults: %v", err)
 	}
 }
 
-// A file replaced by another is followed; a bad or missing one changes nothing.
+// A file that is replaced by another is read again; an invalid one changes nothing.
 func TestSource_FollowsFile(t *testing.T) {
 	path := t.TempDir() + "/workers.toml"
 	write := func(text string) {
@@ -62,11 +62,11 @@
 	}
 	write(twoWorkers)
 	if update := <-updates; len(update.Endpoints) != 2 {
-		t.Errorf("after a bad one: %+v", update)
+		t.Errorf("after an invalid one: %+v", update)
 	}
 	stop()
 	<-done
 	if len(updates) != 0 {
-		t.Errorf("%d lists more were told", len(updates))
+		t.Errorf("%d more lists were delivered", len(updates))
 	}
 }
