--- a/internal/endpointsource/etcd/source_test.go
+++ b/internal/endpointsource/etcd/source_test.go
@@ -24,7 +24,7 @@
 // gapRounds is how often the watch is broken: go test ./internal/endpointsource/etcd -run Gaps -gap-rounds 1000
 var gapRounds = flag.Int("gap-rounds", 60, "how often the watch is broken")
 
-// harness is a stand-in, a source that follows it, and a view that hears all.
+// harness is an etcd test server, a source that follows it, and a view that receives its updates.
 type harness struct {
 	t      *testing.T
 	etcd   *etcdtest.Server
--- /dev/null
+++ b/internal/etcdtest/txn.go
@@ -0,0 +1,95 @@
+package etcdtest
+
+import (
+	"context"
+
+	pb "go.etcd.io/etcd/api/v3/etcdserverpb"
+	"go.etcd.io/etcd/api/v3/mvccpb"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+)
+
+// Txn carries out puts and deletes in one revision. It supports comparisons of versions and revisions.
+func (s *Server) Txn(_ context.Context, r *pb.TxnRequest) (*pb.TxnResponse, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	succeeded := true
+	for _, comparison := range r.Compare {
+		holds, err := s.holds(comparison)
+		if err != nil {
+			return nil, err
+		}
+		succeeded = succeeded && holds
+	}
+	operations := r.Success
+	if !succeeded {
+		operations = r.Failure
+	}
+	response := &pb.TxnResponse{Succeeded: succeeded}
+	s.revision++
+	eventsBefore := len(s.history)
+	for _, operation := range operations {
+		if r := s.apply(operation); r != nil {
+			response.Responses = append(response.Responses, r)
+		}
+	}
+	if len(s.history) == eventsBefore {
+		s.revision-- // nothing was written
+	} else {
+		s.notify()
+	}
+	response.Header = s.header()
+	return response, nil
+}
+
+// holds reports whether a comparison holds. The lock is held.
+func (s *Server) holds(c *pb.Compare) (bool, error) {
+	kv := s.keyValues[string(c.Key)]
+	if kv == nil {
+		kv = &mvccpb.KeyValue{}
+	}
+	var have, want int64
+	switch c.Target {
+	case pb.Compare_VERSION:
+		have, want = kv.Version, c.GetVersion()
+	case pb.Compare_MOD:
+		have, want = kv.ModRevision, c.GetModRevision()
+	case pb.Compare_CREATE:
+		have, want = kv.CreateRevision, c.GetCreateRevision()
+	default:
+		return false, status.Error(codes.Unimplemented, "the test server compares versions and revisions only")
+	}
+	switch c.Result {
+	case pb.Compare_EQUAL:
+		return have == want, nil
+	case pb.Compare_GREATER:
+		return have > want, nil
+	case pb.Compare_LESS:
+		return have < want, nil
+	case pb.Compare_NOT_EQUAL:
+		return have != want, nil
+	}
+	return true, nil
+}
+
+// apply carries out one operation of a transaction; nil: it is of a kind that is not supported. The lock is held.
+func (s *Server) apply(operation *pb.RequestOp) *pb.ResponseOp {
+	switch {
+	case operation.GetRequestPut() != nil:
+		s.put(operation.GetRequestPut())
+		return &pb.ResponseOp{Response: &pb.ResponseOp_ResponsePut{ResponsePut: &pb.PutResponse{Header: s.header()}}}
+	case operation.GetRequestDeleteRange() != nil:
+		r := operation.GetRequestDeleteRange()
+		for key := range s.keyValues {
+			if inRange(key, r.Key, r.RangeEnd) {
+				s.deleteKey(key)
+			}
+		}
+		deleted := &pb.DeleteRangeResponse{Header: s.header()}
+		return &pb.ResponseOp{Response: &pb.ResponseOp_ResponseDeleteRange{ResponseDeleteRange: deleted}}
+	case operation.GetRequestRange() != nil:
+		read := s.readRange(operation.GetRequestRange())
+		return &pb.ResponseOp{Response: &pb.ResponseOp_ResponseRange{ResponseRange: read}}
+	}
+	return nil
+}
