--- /dev/null
+++ b/internal/discoveryagent/config.go
@@ -0,0 +1,164 @@
+package discoveryagent
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"strings"
+	"time"
+
+	"birchfork/internal/tomlfile"
+)
+
+// Config is the configuration of the agent.
+type Config struct {
+	Listen         string        `toml:"listen"`      // host:port on this machine
+	FailoverDelay  time.Duration `toml:"change_over"` // see endpointsource.Config
+	FailbackDelay  time.Duration `toml:"change_back"` // the same
+	EmptyListDelay time.Duration `toml:"empty_guard"` // the same
+	Sources        []Source      `toml:"source"`      // by preference, the preferred one first
+}
+
+// Source is the configuration of one source of workers.
+type Source struct {
+	Kind         string   `toml:"kind"`      // KindEtcd or KindFile
+	Path         string   `toml:"path"`      // of a file; the fields below are of etcd
+	Endpoints    []string `toml:"endpoints"` // host:port
+	Prefix       string   `toml:"prefix"`    // of the workers' keys
+	User         string   `toml:"user"`
+	PasswordFile string   `toml:"password_file"`
+	CA           string   `toml:"ca"` // PEM files
+	Cert         string   `toml:"cert"`
+	Key          string   `toml:"key"`
+}
+
+// The kinds of source.
+const (
+	KindEtcd = "etcd"
+	KindFile = "file"
+)
+
+// Defaults and bounds of the configuration.
+const (
+	defaultListen         = "127.0.0.1:8500"
+	defaultFailoverDelay  = 10 * time.Second
+	defaultFailbackDelay  = 10 * time.Second
+	defaultEmptyListDelay = 30 * time.Second
+	maxDelay              = time.Hour
+)
+
+// errNoEtcdSource reports that a command on etcd has no source to work on.
+var errNoEtcdSource = errors.New("the agent's file names no etcd source")
+
+// Load reads the configuration from a file. Its error names every fault.
+func Load(path string) (*Config, error) {
+	f, err := os.Open(path)
+	if err != nil {
+		return nil, fmt.Errorf("reading the agent's file: %w", err)
+	}
+	defer f.Close()
+	raw, err := io.ReadAll(io.LimitReader(f, tomlfile.MaxSize+1))
+	if err != nil {
+		return nil, fmt.Errorf("reading the agent's file: %w", err)
+	}
+	return Decode(path, raw)
+}
+
+// Decode decodes the configuration. Its error names every fault by the file's name, line and key.
+func Decode(name string, raw []byte) (*Config, error) {
+	c := &Config{
+		Listen:         defaultListen,
+		FailoverDelay:  defaultFailoverDelay,
+		FailbackDelay:  defaultFailbackDelay,
+		EmptyListDelay: defaultEmptyListDelay,
+	}
+	document := tomlfile.Read(name, raw, c)
+	if len(document.Errors()) > 0 {
+		return nil, document.Err()
+	}
+	c.validate(document)
+	if err := document.Err(); err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+// validate adds the faults of the configuration to the document.
+func (c *Config) validate(document *tomlfile.Document) {
+	host, port, err := net.SplitHostPort(c.Listen)
+	if err != nil || port == "" || !isLoopback(host) {
+		document.AddErrorf("listen", "%q is no host:port on this machine, such as 127.0.0.1:8500: the agent serves the dispatchers beside it", c.Listen)
+	}
+	for _, delay := range []struct {
+		key   string
+		value time.Duration
+	}{
+		{"change_over", c.FailoverDelay},
+		{"change_back", c.FailbackDelay},
+		{"empty_guard", c.EmptyListDelay},
+	} {
+		if delay.value < 0 || delay.value > maxDelay {
+			document.AddErrorf(delay.key, "%v is not from 0s to 1h", delay.value)
+		}
+	}
+	if len(c.Sources) == 0 {
+		document.AddErrorf("source", "there is none: write one [[source]] at least")
+	}
+	for i := range c.Sources {
+		c.Sources[i].validate(document, fmt.Sprintf("source[%d].", i))
+	}
+}
+
+// validate adds the faults of the source to the document. Its keys begin with the given one.
+func (s *Source) validate(document *tomlfile.Document, key string) {
+	switch s.Kind {
+	case KindFile:
+		if s.Path == "" {
+			document.AddErrorf(key+"path", "a file source needs its path")
+		}
+	case KindEtcd:
+		s.validateEtcd(document, key)
+	default:
+		document.AddErrorf(key+"kind", "%q is neither %s nor %s", s.Kind, KindEtcd, KindFile)
+	}
+}
+
+func (s *Source) validateEtcd(document *tomlfile.Document, key string) {
+	if len(s.Endpoints) == 0 {
+		document.AddErrorf(key+"endpoints", "an etcd source needs one endpoint at least, host:port")
+	}
+	for i, endpoint := range s.Endpoints {
+		if _, port, err := net.SplitHostPort(endpoint); err != nil || port == "" {
+			document.AddErrorf(fmt.Sprintf("%sendpoints[%d]", key, i), "%q is not host:port", endpoint)
+		}
+	}
+	isFolder := strings.HasPrefix(s.Prefix, "/") && strings.HasSuffix(s.Prefix, "/")
+	if !isFolder || s.Prefix == "/" {
+		document.AddErrorf(key+"prefix", "%q does not begin and end with /, such as /birchfork/workers/", s.Prefix)
+	}
+	if (s.User == "") != (s.PasswordFile == "") {
+		document.AddErrorf(key+"user", "user and password_file go together")
+	}
+	certWithoutKey := (s.Cert == "") != (s.Key == "")
+	certWithoutCA := s.Cert != "" && s.CA == ""
+	if certWithoutKey || certWithoutCA {
+		document.AddErrorf(key+"cert", "cert and key go together, with ca")
+	}
+}
+
+func isLoopback(host string) bool {
+	ip := net.ParseIP(host)
+	return host == "localhost" || ip != nil && ip.IsLoopback()
+}
+
+// FirstEtcdSource returns the first etcd source of the configuration.
+func (c *Config) FirstEtcdSource() (*Source, error) {
+	for i := range c.Sources {
+		if c.Sources[i].Kind == KindEtcd {
+			return &c.Sources[i], nil
+		}
+	}
+	return nil, errNoEtcdSource
+}
--- /dev/null
+++ b/internal/discoveryagent/etcd_client.go
@@ -0,0 +1,72 @@
+package discoveryagent
+
+import (
+	"crypto/tls"
+	"crypto/x509"
+	"fmt"
+	"os"
+	"strings"
+	"time"
+
+	clientv3 "go.etcd.io/etcd/client/v3"
+	"go.uber.org/zap"
+)
+
+// Times and bounds of a connection to etcd.
+const (
+	dialTimeout         = 2 * time.Second
+	dialKeepAlive       = 10 * time.Second
+	dialKeepAliveWait   = 5 * time.Second
+	maxEtcdMessageBytes = 64 << 20
+)
+
+// Client connects to the source's etcd. The caller closes the client. Certificate and key are read again for each connection.
+func (s *Source) Client() (*clientv3.Client, error) {
+	config := clientv3.Config{
+		Endpoints:            s.Endpoints,
+		DialTimeout:          dialTimeout,
+		DialKeepAliveTime:    dialKeepAlive,
+		DialKeepAliveTimeout: dialKeepAliveWait,
+		MaxCallRecvMsgSize:   maxEtcdMessageBytes,
+		Logger:               zap.NewNop(),
+	}
+	if s.User != "" {
+		password, err := os.ReadFile(s.PasswordFile)
+		if err != nil {
+			return nil, fmt.Errorf("the password of etcd's user: %w", err)
+		}
+		config.Username = s.User
+		config.Password = strings.TrimSpace(string(password))
+	}
+	if s.CA != "" {
+		var err error
+		if config.TLS, err = s.tlsConfig(); err != nil {
+			return nil, fmt.Errorf("etcd's authority: %w", err)
+		}
+	}
+	client, err := clientv3.New(config)
+	if err != nil {
+		return nil, fmt.Errorf("connecting to etcd: %w", err)
+	}
+	return client, nil
+}
+
+// tlsConfig returns the settings of TLS by the source's authority, certificate and key.
+func (s *Source) tlsConfig() (*tls.Config, error) {
+	pem, err := os.ReadFile(s.CA)
+	if err != nil {
+		return nil, err
+	}
+	authorities := x509.NewCertPool()
+	if !authorities.AppendCertsFromPEM(pem) {
+		return nil, fmt.Errorf("%s holds no certificate", s.CA)
+	}
+	config := &tls.Config{RootCAs: authorities, MinVersion: tls.VersionTLS12}
+	if s.Cert != "" {
+		config.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
+			certificate, err := tls.LoadX509KeyPair(s.Cert, s.Key)
+			return &certificate, err
+		}
+	}
+	return config, nil
+}
