--- a/cmd/birchfork-discovery-agent/main.go
+++ b/cmd/birchfork-discovery-agent/main.go
@@ -1,312 +1,84 @@
-// Command birchfork-discovery-agent tells the dispatchers on this machine who the workers are, from etcd or a file, and lets
-// workers register themselves. It is a program of its own, so that a dispatcher does not carry etcd's client.
+// Command birchfork-discovery-agent publishes the list of workers to the dispatchers on this machine, from etcd or a file, and lets workers
+// register themselves. It is a program of its own, so that a dispatcher does not carry etcd's client.
 package main
 
 import (
 	"context"
-	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"os"
 	"os/signal"
-	"sort"
-	"strings"
 	"syscall"
-	"time"
 
 	"github.com/alecthomas/kong"
 	"github.com/sirupsen/logrus"
-	clientv3 "go.etcd.io/etcd/client/v3"
 
-	"birchfork/dispatch"
 	"birchfork/internal/discoveryagent"
-	"birchfork/internal/endpointsource/etcd"
 )
 
+const programName = "birchfork-discovery-agent"
+
+// commands is the command line.
 type commands struct {
 	Config string `help:"The agent's file, TOML." default:"members.toml" placeholder:"FILE" env:"BIRCHFORK_MEMBERS"`
 
-	Serve    serve    `cmd:"" help:"Follow the sources and tell dispatchers, until SIGTERM."`
-	Check    check    `cmd:"" help:"Read the agent's file and name every fault in it."`
-	Register register `cmd:"" help:"Register a worker in etcd and keep it there; on SIGTERM it drains, then leaves."`
-	Drain    drain    `cmd:"" help:"Say in etcd that a worker drains."`
-	Remove   remove   `cmd:"" help:"Take a worker out of etcd."`
+	Serve    serve    `cmd:"" help:"Follow the sources and publish their list to dispatchers, until SIGTERM."`
+	Check    check    `cmd:"" help:"Check the agent's file and name every fault in it."`
+	Register register `cmd:"" help:"Register a worker in etcd and keep its lease; on SIGTERM it drains, then leaves."`
+	Drain    drain    `cmd:"" help:"Mark a worker as draining in etcd."`
+	Remove   remove   `cmd:"" help:"Remove a worker from etcd."`
 	List     list     `cmd:"" help:"List the workers in etcd."`
 	Watch    watch    `cmd:"" help:"Print changes in etcd as they come, until interrupted."`
 }
 
+// output holds the streams that a command writes to.
 type output struct{ stdout, stderr io.Writer }
 
 type serve struct{}
 
-// Run serves.
+// Run runs the agent.
 func (serve) Run(ctx context.Context, c *commands, out output) error {
-	cfg, err := discoveryagent.Load(c.Config)
+	config, err := discoveryagent.Load(c.Config)
 	if err != nil {
 		return err
 	}
 	log := logrus.New()
 	log.SetOutput(out.stderr)
-	return discoveryagent.Serve(ctx, cfg, log, func(addr string) {
-		log.WithFields(logrus.Fields{"listen": addr, "sources": len(cfg.Sources)}).Info("serving")
+	return discoveryagent.Serve(ctx, config, log, func(addr string) {
+		log.WithFields(logrus.Fields{"listen": addr, "sources": len(config.Sources)}).Info("serving")
 	})
 }
 
 type check struct{}
 
-// Run names every fault.
+// Run checks the agent's file.
 func (check) Run(c *commands, out output) error {
-	cfg, err := discoveryagent.Load(c.Config)
-	if err != nil {
-		return err
-	}
-	_, err = fmt.Fprintf(out.stdout, "%s: good: %d sources, listening on %s\n", c.Config, len(cfg.Sources), cfg.Listen)
-	return err
-}
-
-// openEtcd opens the first etcd source.
-func (c *commands) openEtcd() (*clientv3.Client, string, error) {
-	cfg, err := discoveryagent.Load(c.Config)
-	if err != nil {
-		return nil, "", err
-	}
-	s, err := cfg.FirstEtcdSource()
-	if err != nil {
-		return nil, "", err
-	}
-	client, err := s.Client()
-	return client, s.Prefix, err
-}
-
-// callTimeout bounds one call to etcd.
-const callTimeout = 5 * time.Second
-
-type register struct {
-	Name     string        `arg:"" help:"The worker's name."`
-	Address  string        `arg:"" help:"Where it listens, host:port."`
-	Zone     string        `help:"Its zone."`
-	Kind     string        `help:"Its kind of machine."`
-	Weight   float64       `help:"A number to set against other workers' numbers."`
-	TTL      time.Duration `help:"It leaves when it has not been refreshed for so long." default:"10s"`
-	DrainFor time.Duration `help:"How long it stays listed as draining after SIGTERM." default:"5s"`
-}
-
-// Run registers the worker, keeps its lease, and drains it in the end.
-func (r *register) Run(ctx context.Context, c *commands, out output) error {
-	if r.TTL < time.Second || r.DrainFor < 0 {
-		return errors.New("--ttl is a second at least, --drain-for not below 0")
-	}
-	client, prefix, err := c.openEtcd()
-	if err != nil {
-		return err
-	}
-	defer client.Close()
-	v := etcd.Value{Version: etcd.SchemaVersion, Address: r.Address, Zone: r.Zone, Kind: r.Kind, Weight: r.Weight, State: etcd.StateUp, StartedAtMillis: time.Now().UnixMilli()}
-	raw, err := json.Marshal(v)
-	if err != nil {
-		return err
-	}
-	if _, err := etcd.Decode(r.Name, raw); err != nil {
-		return fmt.Errorf("%s cannot be registered: %w", r.Name, err)
-	}
-	key := prefix + r.Name
-	for ctx.Err() == nil {
-		if err := r.holdLease(ctx, client, key, string(raw), out); err != nil && ctx.Err() == nil {
-			fmt.Fprintln(out.stderr, "birchfork-discovery-agent: registering again:", err)
-			select {
-			case <-time.After(time.Second):
-			case <-ctx.Done():
-			}
-		}
-	}
-	v.State = etcd.StateDraining
-	raw, err = json.Marshal(v)
-	if err != nil {
-		return err
-	}
-	end, done := context.WithTimeout(context.Background(), callTimeout+r.DrainFor)
-	defer done()
-	if _, err := client.Put(end, key, string(raw)); err != nil {
-		return fmt.Errorf("draining %s: %w", r.Name, err)
-	}
-	fmt.Fprintln(out.stdout, r.Name, "drains")
-	time.Sleep(r.DrainFor)
-	if _, err := client.Delete(end, key); err != nil {
-		return fmt.Errorf("taking %s out: %w", r.Name, err)
-	}
-	fmt.Fprintln(out.stdout, r.Name, "has left")
-	return nil
-}
-
-// holdLease holds the worker under a lease until that is lost or ctx ends.
-func (r *register) holdLease(ctx context.Context, client *clientv3.Client, key, value string, out output) error {
-	call, done := context.WithTimeout(ctx, callTimeout)
-	defer done()
-	lease, err := client.Grant(call, int64(r.TTL/time.Second))
-	if err != nil {
-		return err
-	}
-	if _, err := client.Put(call, key, value, clientv3.WithLease(lease.ID)); err != nil {
-		return err
-	}
-	alive, err := client.KeepAlive(ctx, lease.ID)
-	if err != nil {
-		return err
-	}
-	fmt.Fprintln(out.stdout, r.Name, "is registered")
-	for range alive {
-	}
-	return errors.New("the lease was lost")
-}
-
-type drain struct {
-	Name string `arg:"" help:"The worker's name."`
-}
-
-// Run puts the worker as draining, under the lease that it has, if nobody has changed it meanwhile.
-func (d *drain) Run(ctx context.Context, c *commands, out output) error {
-	client, prefix, err := c.openEtcd()
-	if err != nil {
-		return err
-	}
-	defer client.Close()
-	ctx, done := context.WithTimeout(ctx, callTimeout)
-	defer done()
-	res, err := client.Get(ctx, prefix+d.Name)
-	if err != nil {
-		return err
-	}
-	if len(res.Kvs) == 0 {
-		return fmt.Errorf("there is no worker %q under %s", d.Name, prefix)
-	}
-	kv := res.Kvs[0]
-	var v map[string]any // unknown fields stay
-	if err := json.Unmarshal(kv.Value, &v); err != nil {
-		return fmt.Errorf("%s: its value is no JSON object: %w", d.Name, err)
-	}
-	v["state"] = etcd.StateDraining
-	raw, err := json.Marshal(v)
-	if err != nil {
-		return err
-	}
-	key := prefix + d.Name
-	var opts []clientv3.OpOption
-	if kv.Lease != 0 {
-		opts = append(opts, clientv3.WithLease(clientv3.LeaseID(kv.Lease)))
-	}
-	txn, err := client.Txn(ctx).If(clientv3.Compare(clientv3.ModRevision(key), "=", kv.ModRevision)).Then(clientv3.OpPut(key, string(raw), opts...)).Commit()
-	if err != nil {
-		return err
-	}
-	if !txn.Succeeded {
-		return fmt.Errorf("%s was changed at the same moment: look again", d.Name)
-	}
-	_, err = fmt.Fprintln(out.stdout, d.Name, "drains")
-	return err
-}
-
-type remove struct {
-	Name string `arg:"" help:"The worker's name."`
-}
-
-// Run deletes the worker.
-func (r *remove) Run(ctx context.Context, c *commands, out output) error {
-	client, prefix, err := c.openEtcd()
-	if err != nil {
-		return err
-	}
-	defer client.Close()
-	ctx, done := context.WithTimeout(ctx, callTimeout)
-	defer done()
-	res, err := client.Delete(ctx, prefix+r.Name)
+	config, err := discoveryagent.Load(c.Config)
 	if err != nil {
 		return err
 	}
-	if res.Deleted == 0 {
-		return fmt.Errorf("there is no worker %q under %s", r.Name, prefix)
-	}
-	_, err = fmt.Fprintln(out.stdout, r.Name, "was taken out")
+	_, err = fmt.Fprintf(out.stdout, "%s: good: %d sources, listening on %s\n", c.Config, len(config.Sources), config.Listen)
 	return err
 }
 
-type list struct{}
-
-// Run lists the workers.
-func (list) Run(ctx context.Context, c *commands, out output) error {
-	client, prefix, err := c.openEtcd()
-	if err != nil {
-		return err
-	}
-	defer client.Close()
-	ctx, done := context.WithTimeout(ctx, callTimeout)
-	defer done()
-	res, err := client.Get(ctx, prefix, clientv3.WithPrefix())
-	if err != nil {
-		return err
-	}
-	var lines []string
-	for _, kv := range res.Kvs {
-		lines = append(lines, formatWorker(strings.TrimPrefix(string(kv.Key), prefix), kv.Value))
-	}
-	sort.Strings(lines)
-	for _, l := range lines {
-		fmt.Fprintln(out.stdout, l)
-	}
-	return nil
-}
-
-// formatWorker is a worker for people.
-func formatWorker(name string, raw []byte) string {
-	e, err := etcd.Decode(name, raw)
-	if err != nil {
-		return fmt.Sprintf("%-20s unusable: %v", name, err)
-	}
-	state := etcd.StateUp
-	if e.State != dispatch.Ready {
-		state = etcd.StateDraining
-	}
-	return fmt.Sprintf("%-20s %-9s %-22s zone %q, kind %q", name, state, e.Address, e.Zone, e.Kind)
-}
-
-type watch struct{}
-
-// Run prints changes.
-func (watch) Run(ctx context.Context, c *commands, out output) error {
-	client, prefix, err := c.openEtcd()
-	if err != nil {
-		return err
-	}
-	defer client.Close()
-	for res := range client.Watch(clientv3.WithRequireLeader(ctx), prefix, clientv3.WithPrefix()) {
-		if err := res.Err(); err != nil {
-			return err
-		}
-		for _, e := range res.Events {
-			name := strings.TrimPrefix(string(e.Kv.Key), prefix)
-			if e.Type == clientv3.EventTypeDelete {
-				fmt.Fprintf(out.stdout, "%-20s left\n", name)
-			} else {
-				fmt.Fprintln(out.stdout, formatWorker(name, e.Kv.Value))
-			}
-		}
-	}
-	return nil
-}
-
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	defer stop()
-	os.Exit(run(ctx, os.Args[1:], output{os.Stdout, os.Stderr}))
+	status := run(ctx, os.Args[1:], output{os.Stdout, os.Stderr})
+	stop()
+	os.Exit(status)
 }
 
 // run is the whole program; it returns the exit status.
 func run(ctx context.Context, args []string, out output) int {
 	var c commands
-	parser, err := kong.New(&c, kong.Name("birchfork-discovery-agent"), kong.Writers(out.stdout, out.stderr), kong.Bind(out, &c),
-		kong.BindTo(ctx, (*context.Context)(nil)), kong.Description("Who the workers are, for the dispatchers on this machine."))
-	if err != nil {
-		fmt.Fprintln(out.stderr, "birchfork-discovery-agent:", err)
+	parser, err := kong.New(&c,
+		kong.Name(programName),
+		kong.Description("Publishes the list of workers to the dispatchers on this machine."),
+		kong.Writers(out.stdout, out.stderr),
+		kong.Bind(out, &c),
+		kong.BindTo(ctx, (*context.Context)(nil)))
+	if err != nil {
+		fmt.Fprintf(out.stderr, "%s: %v\n", programName, err)
 		return 1
 	}
 	parsed, err := parser.Parse(args)
@@ -314,7 +86,7 @@
 		err = parsed.Run()
 	}
 	if err != nil {
-		fmt.Fprintln(out.stderr, "birchfork-discovery-agent:", err)
+		fmt.Fprintf(out.stderr, "%s: %v\n", programName, err)
 		return 1
 	}
 	return 0
--- a/cmd/birchfork-discovery-agent/main_test.go
+++ b/cmd/birchfork-discovery-agent/main_test.go
@@ -18,7 +18,7 @@
 	"birchfork/internal/etcdtest"
 )
 
-// syncBuffer may be written and read at once.
+// syncBuffer is a buffer that is safe for concurrent use.
 type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -46,12 +46,12 @@
 	t.Helper()
 	for by := time.Now().Add(30 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(by) {
-			t.Fatalf("it never came: %s", what)
+			t.Fatalf("not in time: %s", what)
 		}
 	}
 }
 
-// A worker registers, is listed and told to dispatchers, drains by command, drains and leaves on its end.
+// A worker registers, is listed and published to dispatchers, drains by command, and drains and leaves when its process ends.
 func TestAgent_PublishesRegisteredWorker(t *testing.T) {
 	e, err := etcdtest.Start()
 	if err != nil {
@@ -76,7 +76,7 @@
 	served := make(chan error, 1)
 	go func() { served <- discoveryagent.Serve(ctx, cfg, log, func(a string) { addr <- a }) }()
 	base := "http://" + <-addr
-	status := func() string { // of w1, as dispatchers hear it
+	status := func() string { // of w1, as published to dispatchers
 		res, err := http.Get(base + "/discovery/hosts")
 		if err != nil {
 			return ""
@@ -122,6 +122,7 @@
 	}
 }
 
+// Each fault of the file is named by line and key; other errors end with status 1 and a message.
 func TestAgent_ReportsEveryFault(t *testing.T) {
 	path := t.TempDir() + "/members.toml"
 	text := "listen='0.0.0.0:1'\nempty_guard='2h'\n[[source]]\nkind='dns'\n[[source]]\nkind='etcd'\nprefix='w'\nuser='u'\n[[source]]\nkind='file'\n"
