--- a/cmd/birchfork/golden_test.go
+++ b/cmd/birchfork/golden_test.go
@@ -44,8 +44,8 @@
 	return strings.TrimSuffix(strings.Join(words, " ")+" "+rest, " ")
 }
 
-// Every command, argument and flag that scripts have ever used goes on working. The file holds those of the build before commands got
-// their present names.
+// Every command, argument and flag that scripts use goes on working. The file holds those of the build before commands got their present
+// names.
 func TestCommandLine_KeepsEveryCommandAndFlag(t *testing.T) {
 	parser, err := kong.New(&commands{}, kong.Name("birchfork"), kong.Writers(io.Discard, io.Discard))
 	if err != nil {
--- a/cmd/birchfork/group.go
+++ b/cmd/birchfork/group.go
@@ -114,7 +114,7 @@
 		}
 		fmt.Fprintf(t, "%s\t%s\t%s\t%t\t%s\t%d\n", m.Name, orNone(m.Zone), m.Incarnation, m.IsVoter, lastReport, m.Applied)
 	}
-	t.Flush()
+	_ = t.Flush() // as with all writes to the terminal
 	if links := status.Links; len(links) > 0 {
 		fmt.Fprintf(w, "links of %s: %d messages out, %d lost, %d dropped, %d in, %d refused; %d bytes out, %d in\n", status.Member,
 			links["sent"], links["lost"], links["dropped"], links["taken"], links["refused"], links["bytes_out"], links["bytes_in"])
@@ -149,7 +149,7 @@
 		fmt.Fprintf(t, "%s\t%s\t%.8s\t%.8s\t%s\t%d\t%d\t%s\t%d, %d\n", m.Name, orNone(m.Version), orNone(m.SettingsDigest), orNone(m.OperatorDigest),
 			started, m.StoredEntries, max(m.MissingEntries, 0), inSync, m.BytesOut, m.BytesIn)
 	}
-	t.Flush()
+	_ = t.Flush() // as with all writes to the terminal
 }
 
 // orNone returns a text, or "none" where it is empty.
--- a/cmd/birchfork/main_test.go
+++ b/cmd/birchfork/main_test.go
@@ -36,11 +36,11 @@
 	}
 	status, std, err := call("check", write(t, `{"listen":"x","discovery":"y","settings":{}}`))
 	if status != 1 || strings.Count(std, "\n") != 3 || strings.Count(err, "\n") != 1 {
-		t.Errorf("check of a bad one: %d, %q, %q", status, std, err)
+		t.Errorf("check of an invalid one: %d, %q, %q", status, std, err)
 	}
 }
 
-// What a start would find in use is named by key, where that is asked for.
+// With --free an address that is in use is named by its key.
 func TestCheck_FreeLooksAtAddresses(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,7 +49,7 @@
 	defer l.Close()
 	path := write(t, strings.ReplaceAll(validConfig, `"listen":"127.0.0.1:0"`, fmt.Sprintf(`"listen":%q`, l.Addr())))
 	if status, std, err := call("check", path); status != 0 {
-		t.Errorf("without a look: %d, %q, %q", status, std, err)
+		t.Errorf("without --free: %d, %q, %q", status, std, err)
 	}
 	if status, std, err := call("check", path, "--free"); status != 1 || !strings.Contains(std, "listen: ") || !strings.Contains(err, "cannot be started now") {
 		t.Errorf("%d, %q, %q", status, std, err)
@@ -81,7 +81,7 @@
 	}
 }
 
-// A bad configuration ends serve with one plain message and status 1.
+// An invalid configuration ends serve with a message of one line and status 1.
 func TestServe_NamesInvalidConfiguration(t *testing.T) {
 	for _, args := range [][]string{
 		{"serve", "--config", write(t, "{")},
--- a/cmd/birchfork/maintenance.go
+++ b/cmd/birchfork/maintenance.go
@@ -166,5 +166,5 @@
 			fmt.Fprintf(t, "  %s\t%s\t%v\t%s\n", m.Name, step, m.PhaseDuration.Round(100*time.Millisecond), m.Reason)
 		}
 	}
-	t.Flush()
+	_ = t.Flush() // as with all writes to the terminal
 }
--- a/cmd/birchfork/maintenance_test.go
+++ b/cmd/birchfork/maintenance_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// A bad plan is told by file, line and key, all faults at once, before anybody is asked; exit status 1.
+// The faults of an invalid plan are all named by file, line and key before any member is called; the exit status is 1.
 func TestMaintenance_RejectsInvalidPlan(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.toml")
 	text := "name = \"\"\nout = 0\noverdue = \"never\"\n[[machine]]\nname = \"m\"\nrunners = [\"a\"]\n[[machine]]\nname = \"m\"\nrunners = [\"a\"]\n"
@@ -35,7 +35,7 @@
 	}
 }
 
-// What the group says of a plan stands by line too; exit status 1 is wrong, 2 is not now.
+// Faults of a plan that the group names have their line too. Exit status 1 means that a call is invalid, 2 that it may be repeated later.
 func TestRun_ExitStatus(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.toml")
 	if err := os.WriteFile(path, []byte("name = \"p\"\n[[machine]]\nname = \"m\"\nrunners = [\"a\"]\n"), 0o600); err != nil {
@@ -43,12 +43,14 @@
 	}
 	reply := ""
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		io.Copy(io.Discard, r.Body)
+		if _, err := io.Copy(io.Discard, r.Body); err != nil {
+			t.Errorf("reading the request: %v", err)
+		}
 		io.WriteString(w, reply)
 	}))
 	defer s.Close()
 	at := s.Listener.Addr().String()
-	empty := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, `{"told":"d2"}`) }))
+	empty := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, `{"told":"d2"}`) }))
 	defer empty.Close()
 	other := empty.Listener.Addr().String()
 	for _, c := range []struct {
--- a/cmd/birchfork/overrides.go
+++ b/cmd/birchfork/overrides.go
@@ -109,7 +109,7 @@
 		if d.Differ[override.Worker] == nil {
 			d.Differ[override.Worker] = map[string]string{}
 		}
-		var writes []string
+		writes := make([]string, 0, len(override.Writes))
 		for _, entry := range override.Writes {
 			writes = append(writes, fmt.Sprintf("%s by %s", overrideWord(entry.Disabled), entry.Member))
 		}
@@ -155,13 +155,13 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "WORKER\tOVERRIDE\tCONFLICT\tWRITTEN AT, BY THAT MEMBER'S CLOCK")
 	for _, override := range reply.Overrides {
-		var writes []string
+		writes := make([]string, 0, len(override.Writes))
 		for _, entry := range override.Writes {
 			writes = append(writes, fmt.Sprintf("%s %s %s", entry.Member, overrideWord(entry.Disabled), entry.At.Format(time.DateTime)))
 		}
 		fmt.Fprintf(t, "%s\t%s\t%t\t%s\n", override.Worker, overrideWord(override.Disabled), override.Conflict, strings.Join(writes, ", "))
 	}
-	t.Flush()
+	_ = t.Flush() // as with all writes to the terminal
 }
 
 // overrideWord returns the word of the command line for an override.
--- a/cmd/birchfork/service_test.go
+++ b/cmd/birchfork/service_test.go
@@ -18,7 +18,7 @@
 	"time"
 )
 
-// runAsProgramEnv makes this test's own binary the program: real processes without a build of their own.
+// runAsProgramEnv is the environment variable that makes the test's binary run as the program, in processes without a build of their own.
 const runAsProgramEnv = "BIRCHFORK_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -28,21 +28,21 @@
 	os.Exit(m.Run())
 }
 
-// deployment is stand-ins of ours on loopback: a discovery, workers that count what reaches them, clients that count every
-// request's end.
+// deployment is a discovery, workers that count the requests that reach them, and clients that count the result of each request, all on
+// loopback.
 type deployment struct {
 	t         *testing.T
 	dir       string
 	discovery string
 	listen    string
-	class     atomic.Value // that clients ask for
+	class     atomic.Value // of the clients' requests
 
 	mu      sync.Mutex
-	at      []int          // requests by worker
-	effects map[string]int // by request
+	sent    []int          // requests by worker
+	effects map[string]int // attempts by request
 
 	served, other atomic.Int64
-	last          atomic.Value // what the last other end was
+	last          atomic.Value // the last result that was not 200
 	quit          chan struct{}
 	clients       sync.WaitGroup
 }
@@ -60,14 +60,14 @@
 const workerCount = 3
 
 func newDeployment(t *testing.T) *deployment {
-	w := &deployment{t: t, dir: t.TempDir(), listen: freeAddress(t), at: make([]int, workerCount), effects: map[string]int{}, quit: make(chan struct{})}
+	w := &deployment{t: t, dir: t.TempDir(), listen: freeAddress(t), sent: make([]int, workerCount), effects: map[string]int{}, quit: make(chan struct{})}
 	w.class.Store("book")
-	var entries []string
+	entries := make([]string, 0, workerCount)
 	for i := range workerCount {
 		s := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
 			id := r.Header.Get("X-Request-Id")
 			w.mu.Lock()
-			w.at[i]++
+			w.sent[i]++
 			w.effects[id]++
 			w.mu.Unlock()
 			time.Sleep(5 * time.Millisecond)
@@ -93,7 +93,7 @@
 
 func (d *deployment) configPath() string { return filepath.Join(d.dir, "config.json") }
 
-// configure writes a configuration whose one class never runs twice.
+// configure writes a configuration with one class of requests that are never retried; with none it writes a broken file.
 func (d *deployment) configure(class string) {
 	d.t.Helper()
 	text := fmt.Sprintf(`{"name":"n","listen":%q,"discovery":%q,"seed":"1","limits":{"cores":1,"memory_mb":64,"sockets":256},
@@ -113,7 +113,7 @@
 	log      string
 }
 
-// start starts the program and waits until it says that it can serve.
+// start starts the program and waits until it is ready.
 func (d *deployment) start() *process {
 	d.t.Helper()
 	p := &process{Cmd: exec.Command(os.Args[0], "serve", "--config", d.configPath()), operator: freeAddress(d.t)}
@@ -125,16 +125,16 @@
 	defer f.Close()
 	p.Stderr = f
 	p.Env = append(os.Environ(), runAsProgramEnv+"=1", "EDGE_OPERATOR="+p.operator, "TMPDIR="+d.dir,
-		"GORACE=atexit_sleep_ms=0") // else a build with the race detector ends a second late
+		"GORACE=atexit_sleep_ms=0") // otherwise a build with the race detector ends a second late
 	if err := p.Start(); err != nil {
 		d.t.Fatal(err)
 	}
-	d.t.Cleanup(func() { p.Process.Kill() })
-	d.until("it can serve", func() bool { return p.call("GET", "/-/ready") == 200 })
+	d.t.Cleanup(func() { _ = p.Process.Kill() }) // fails where it has ended
+	d.until("it is ready", func() bool { return p.call("GET", "/-/ready") == 200 })
 	return p
 }
 
-// call is an operator's call; 0 where it has no answer.
+// call calls the admin server and returns the status; 0: there was no answer.
 func (p *process) call(method, path string) int {
 	req, err := http.NewRequest(method, "http://"+p.operator+path, nil)
 	if err != nil {
@@ -149,15 +149,24 @@
 	return res.StatusCode
 }
 
-// end sends SIGTERM and waits for an orderly end.
+// end sends SIGTERM and waits until the process has ended with status 0.
 func (d *deployment) end(p *process) {
 	d.t.Helper()
-	p.Process.Signal(syscall.SIGTERM)
+	d.signal(p, syscall.SIGTERM)
 	if err := p.Wait(); err != nil {
 		d.t.Errorf("it ended with %v", err)
 	}
 }
 
+// signal sends a signal to a process.
+func (d *deployment) signal(p *process, s os.Signal) {
+	d.t.Helper()
+	if err := p.Process.Signal(s); err != nil {
+		d.t.Errorf("sending %v: %v", s, err)
+	}
+}
+
+// until waits until ok returns true, and fails the test with the logs after 20 seconds.
 func (d *deployment) until(what string, ok func() bool) {
 	d.t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
@@ -172,8 +181,8 @@
 	}
 }
 
-// client asks for one job after the other on connections that it keeps. One that is closed before anything of an answer
-// came is tried once more on a new one, as the platform's clients do.
+// client sends one request after the other on a connection that it reuses. A request whose reused connection is closed before an answer
+// is sent once more on a new one, as the platform's clients do.
 func (d *deployment) client(c int) {
 	defer d.clients.Done()
 	var conn net.Conn
@@ -190,6 +199,7 @@
 		res, err := http.ReadResponse(in, nil)
 		if err == nil {
 			_, err = io.Copy(io.Discard, res.Body)
+			res.Body.Close()
 		}
 		if err != nil || res.Close {
 			conn.Close()
@@ -210,9 +220,9 @@
 		case <-time.After(2 * time.Millisecond):
 		}
 		id, class := fmt.Sprintf("c%d-%d", c, i), d.class.Load().(string)
-		kept := conn != nil
+		reused := conn != nil
 		status, err := ask(id, class)
-		if err != nil && kept {
+		if err != nil && reused {
 			status, err = ask(id, class)
 		}
 		if status == 200 {
@@ -224,7 +234,7 @@
 	}
 }
 
-// more waits until so many more requests are served.
+// more waits until n more requests are served.
 func (d *deployment) more(n int64) {
 	d.t.Helper()
 	from := d.served.Load()
@@ -234,14 +244,14 @@
 func (d *deployment) sentTo(i int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.at[i]
+	return d.sent[i]
 }
 
-// A day in service, with real processes: a runner out by hand over an upgrade, new settings, a broken file, the runner's
-// return. Every request is served, once.
+// Real processes: a worker stays disabled over two hot restarts, then a broken file, new settings, and the worker is enabled again. Every
+// request is served, once.
 func TestServe_DayOfOperations(t *testing.T) {
 	w := newDeployment(t)
-	old := w.start()
+	first := w.start()
 	for c := range 6 {
 		w.clients.Add(1)
 		go w.client(c)
@@ -253,36 +263,36 @@
 			t.Errorf("%s: %d, want %d", path, got, want)
 		}
 	}
-	wants(old, "/-/runners/nobody/disable", 404)
-	wants(old, "/-/runners/w0/disable", 200)
-	w.more(50) // what was on its way has come
-	out := w.sentTo(0)
+	wants(first, "/-/runners/nobody/disable", 404)
+	wants(first, "/-/runners/w0/disable", 200)
+	w.more(50) // requests that were on their way have arrived
+	sentBefore := w.sentTo(0)
 
-	young := w.start()
+	second := w.start()
 	w.more(50)
-	w.end(old)
+	w.end(first)
 	w.more(100)
-	third := w.start() // and one more
-	w.end(young)
+	third := w.start() // a second hot restart
+	w.end(second)
 	w.more(100)
-	if n := w.sentTo(0); n != out {
-		t.Errorf("%d jobs went to the runner that is out", n-out)
+	if n := w.sentTo(0); n != sentBefore {
+		t.Errorf("%d requests went to the disabled worker", n-sentBefore)
 	}
 
 	w.configure("")
-	third.Process.Signal(syscall.SIGHUP)
-	w.until("the broken file is refused", func() bool { return strings.Contains(text(third.log), "the old one stays") })
+	w.signal(third, syscall.SIGHUP)
+	w.until("the broken file is rejected", func() bool { return strings.Contains(text(third.log), "the old one stays") })
 	w.more(50)
 	if w.other.Load() != 0 {
 		t.Errorf("%d requests were not served, the last: %v", w.other.Load(), w.last.Load())
 	}
 	w.configure("sell")
-	third.Process.Signal(syscall.SIGHUP)
+	w.signal(third, syscall.SIGHUP)
 	w.until("the new settings are in force", func() bool { return strings.Contains(text(third.log), "classes_new=sell") })
 	w.class.Store("sell")
 	w.more(100)
 	wants(third, "/-/runners/w0/enable", 200)
-	w.until("the runner is used again", func() bool { return w.sentTo(0) > out })
+	w.until("the worker is used again", func() bool { return w.sentTo(0) > sentBefore })
 	close(w.quit)
 	w.clients.Wait()
 	w.end(third)
--- a/cmd/birchfork/testbed.go
+++ b/cmd/birchfork/testbed.go
@@ -3,8 +3,12 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"fmt"
+	"os"
+	"os/signal"
+	"syscall"
 
 	"birchfork/internal/testbed/mutant"
 	"birchfork/internal/testbed/report"
@@ -87,6 +91,11 @@
 	return errors.Join(saveReport(result, "", c.HTML), result.Text(out.stdout))
 }
 
+// interruptible returns a context that ends at an interrupt or SIGTERM.
+func interruptible() (ctx context.Context, stop context.CancelFunc) {
+	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+}
+
 // saveReport writes a report to the files that are named.
 func saveReport(result *report.Report, json, html string) (err error) {
 	if json != "" {
--- a/cmd/birchfork/testbed_cluster.go
+++ b/cmd/birchfork/testbed_cluster.go
@@ -4,15 +4,11 @@
 
 import (
 	"cmp"
-	"context"
 	"errors"
 	"fmt"
-	"os"
 	"os/exec"
-	"os/signal"
 	"slices"
 	"strings"
-	"syscall"
 	"text/tabwriter"
 	"time"
 
@@ -26,6 +22,7 @@
 	List testbedClusterList `cmd:"" help:"List the built-in scenarios, the kinds of faults and the failpoints."`
 }
 
+// testbedClusterRun runs scenarios of a group.
 type testbedClusterRun struct {
 	Scenario        string        `arg:"" optional:"" help:"A built-in scenario, or a TOML file with some, with a / or . in its name. With none, faults are drawn from the seed."`
 	Members         int           `help:"Members, each a process of its own, in place of the scenario's 3." placeholder:"N"`
@@ -45,87 +42,86 @@
 	HTML            string        `help:"Draw the last run as a page in this file." placeholder:"FILE" name:"html"`
 }
 
+// defaultRandomFaults is the number of faults that are drawn where no scenario is named.
+const defaultRandomFaults = 4
+
 // load returns the scenarios, with the figures that flags replace.
 func (c *testbedClusterRun) load() ([]cluster.Scenario, error) {
 	if c.Failpoint != "" && !slices.Contains(failpoint.Names, c.Failpoint) {
 		return nil, fmt.Errorf("--plant: %q is none of %s", c.Failpoint, strings.Join(failpoint.Names, ", "))
 	}
-	name := c.Scenario
-	if name == "" && c.Failpoint != "" {
-		name = "proof-" + c.Failpoint
-	}
-	all := []cluster.Scenario{cluster.Usual()}
-	all[0].Name, all[0].Storm = "storm", 4
-	if name != "" {
-		var err error
-		if all, err = cluster.Load(name); err != nil {
-			return nil, err
-		}
+	scenarios, err := c.selected()
+	if err != nil {
+		return nil, err
 	}
 	if c.Runs < 1 {
 		return nil, errors.New("--runs is above 0")
 	}
-	for i := range all {
-		s := &all[i]
-		s.Members, s.For, s.Out = cmp.Or(c.Members, s.Members), cmp.Or(c.For, s.For), cmp.Or(c.MaxUnavailable, s.Out)
-		s.Work, s.Lease, s.Plant = cmp.Or(c.Work, s.Work), cmp.Or(c.Lease, s.Lease), cmp.Or(c.Failpoint, s.Plant)
-		s.Diskless, s.Say = s.Diskless || c.Diskless, cmp.Or(c.RandomOverrides, s.Say)
-		if c.RandomFaults != -1 {
-			s.Storm = c.RandomFaults
-		}
-		if c.Machines != -1 {
-			s.Machines = c.Machines
-		}
-		if err := s.Check(); err != nil {
+	for i := range scenarios {
+		c.replaceFigures(&scenarios[i])
+		if err := scenarios[i].Check(); err != nil {
 			return nil, err
 		}
 	}
-	return all, nil
+	return scenarios, nil
+}
+
+// selected returns the scenarios that are named, those that catch the failpoint, or one with faults drawn from the seed.
+func (c *testbedClusterRun) selected() ([]cluster.Scenario, error) {
+	switch {
+	case c.Scenario != "":
+		return cluster.Load(c.Scenario)
+	case c.Failpoint != "":
+		return cluster.Load("proof-" + c.Failpoint)
+	}
+	random := cluster.Usual()
+	random.Name = "storm"
+	random.Storm = defaultRandomFaults
+	return []cluster.Scenario{random}, nil
+}
+
+// replaceFigures replaces the figures of a scenario by those of flags.
+func (c *testbedClusterRun) replaceFigures(s *cluster.Scenario) {
+	s.Members = cmp.Or(c.Members, s.Members)
+	s.For = cmp.Or(c.For, s.For)
+	s.Out = cmp.Or(c.MaxUnavailable, s.Out)
+	s.Work = cmp.Or(c.Work, s.Work)
+	s.Lease = cmp.Or(c.Lease, s.Lease)
+	s.Plant = cmp.Or(c.Failpoint, s.Plant)
+	s.Diskless = s.Diskless || c.Diskless
+	s.Say = cmp.Or(c.RandomOverrides, s.Say)
+	if c.RandomFaults != -1 {
+		s.Storm = c.RandomFaults
+	}
+	if c.Machines != -1 {
+		s.Machines = c.Machines
+	}
 }
 
 // Run runs all scenarios with all seeds.
 func (c *testbedClusterRun) Run(out output) error {
-	all, err := c.load()
+	scenarios, err := c.load()
 	if err != nil {
 		return err
 	}
-	exe, err := executablePath()
+	executable, err := executablePath()
 	if err != nil {
 		return fmt.Errorf("finding this program: %w", err)
 	}
-	o := cluster.Options{Logs: c.Logs, Launch: func(fault, config, operator string) *exec.Cmd {
-		if fault != "" {
-			return exec.Command(exe, "testbed", "member", "--plant", fault, "--config", config, "--operator", operator)
-		}
-		return exec.Command(exe, "serve", "--config", config, "--operator", operator)
-	}}
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	options := cluster.Options{Logs: c.Logs, Launch: memberLauncher(executable)}
+	ctx, stop := interruptible()
 	defer stop()
 	var sum cluster.Sum
 	for i := 0; i < c.Runs && ctx.Err() == nil; i++ {
-		o.Seed = c.Seed + uint64(i)
-		for _, o.Scenario = range all {
-			r, err := cluster.Run(ctx, o)
+		options.Seed = c.Seed + uint64(i)
+		for _, options.Scenario = range scenarios {
+			result, err := cluster.Run(ctx, options)
 			if err != nil {
-				return fmt.Errorf("seed %d: %w", o.Seed, err)
+				return fmt.Errorf("seed %d: %w", options.Seed, err)
 			}
-			sum.Add(r)
-			fmt.Fprintln(out.stdout, r.Line(o.Seed))
-			for _, b := range r.Report.Breaches {
-				fmt.Fprintln(out.stdout, "   ", b)
-			}
-			for _, c := range r.Report.CrashNotes {
-				fmt.Fprintln(out.stdout, "   ", c)
-			}
-			if c.JSON != "" {
-				if err := r.Append(c.JSON, o.Seed); err != nil {
-					return err
-				}
-			}
-			if c.HTML != "" {
-				if err := r.Report.HTML(c.HTML); err != nil {
-					return err
-				}
+			sum.Add(result)
+			if err := c.report(out, result, options.Seed); err != nil {
+				return err
 			}
 		}
 	}
@@ -136,6 +132,36 @@
 	return nil
 }
 
+// memberLauncher returns a function that starts one member of a group: this program as it serves, or with a failpoint enabled.
+func memberLauncher(executable string) func(failpoint, config, operator string) *exec.Cmd {
+	return func(failpoint, config, operator string) *exec.Cmd {
+		if failpoint != "" {
+			return exec.Command(executable, "testbed", "member", "--plant", failpoint, "--config", config, "--operator", operator)
+		}
+		return exec.Command(executable, "serve", "--config", config, "--operator", operator)
+	}
+}
+
+// report prints the result of a run and writes it to the files that are named.
+func (c *testbedClusterRun) report(out output, result *cluster.Result, seed uint64) error {
+	fmt.Fprintln(out.stdout, result.Line(seed))
+	for _, breach := range result.Report.Breaches {
+		fmt.Fprintln(out.stdout, "   ", breach)
+	}
+	for _, crash := range result.Report.CrashNotes {
+		fmt.Fprintln(out.stdout, "   ", crash)
+	}
+	if c.JSON != "" {
+		if err := result.Append(c.JSON, seed); err != nil {
+			return err
+		}
+	}
+	if c.HTML != "" {
+		return result.Report.HTML(c.HTML)
+	}
+	return nil
+}
+
 type testbedClusterList struct {
 	Text bool `help:"Print the scenarios as a file to begin from."`
 }
--- a/cmd/birchfork/testbed_compare.go
+++ b/cmd/birchfork/testbed_compare.go
@@ -6,17 +6,15 @@
 	"context"
 	"errors"
 	"fmt"
-	"os"
 	"os/exec"
-	"os/signal"
 	"path/filepath"
-	"syscall"
 	"time"
 
 	"birchfork/internal/testbed"
 	"birchfork/internal/testbed/report"
 )
 
+// testbedCompare compares results, saved ones or those of runs in turns.
 type testbedCompare struct {
 	Results  []string      `arg:"" optional:"" help:"Two saved results of the same scenario and seed."`
 	Against  string        `help:"Another build of this program: run the same scenarios in turns." placeholder:"BINARY"`
@@ -26,69 +24,96 @@
 	For      time.Duration `help:"With --against: length in place of the scenario's." placeholder:"TIME"`
 }
 
+// contestant is one of two sides that a comparison runs.
+type contestant struct {
+	name   string
+	launch testbed.Launch
+}
+
 // Run prints how results differ.
 func (c *testbedCompare) Run(out output) error {
 	if c.Against == "" && c.Operator == "" {
-		if len(c.Results) != 2 {
-			return errors.New("two kept results are needed, or --against BINARY, or --operator FILE")
-		}
-		a, err := report.Load(c.Results[0])
-		if err != nil {
-			return err
-		}
-		b, err := report.Load(c.Results[1])
-		if err != nil {
-			return err
-		}
-		return report.Compare(out.stdout, [][2]*report.Report{{a, b}}, filepath.Base(c.Results[0]), filepath.Base(c.Results[1]))
+		return c.compareSaved(out)
 	}
 	if len(c.Results) != 0 {
 		return errors.New("--against and --operator run scenarios themselves: name no kept results beside them")
 	}
-	mine, err := dispatcherLauncher(testbed.PolicyRules, "")
+	sides, err := c.contestants()
+	if err != nil {
+		return err
+	}
+	ctx, stop := interruptible()
+	defer stop()
+	pairs, broken, err := c.runPairs(ctx, sides)
+	if err != nil {
+		return err
+	}
+	if err := report.Compare(out.stdout, pairs, sides[0].name, sides[1].name); err != nil {
+		return err
+	}
+	if broken {
+		return errRuleViolated
+	}
+	return nil
+}
+
+// compareSaved compares the two saved results that are named.
+func (c *testbedCompare) compareSaved(out output) error {
+	if len(c.Results) != 2 {
+		return errors.New("two kept results are needed, or --against BINARY, or --operator FILE")
+	}
+	a, err := report.Load(c.Results[0])
+	if err != nil {
+		return err
+	}
+	b, err := report.Load(c.Results[1])
 	if err != nil {
 		return err
 	}
-	other, first, second := mine, "this build", "without the file"
+	return report.Compare(out.stdout, [][2]*report.Report{{a, b}}, filepath.Base(c.Results[0]), filepath.Base(c.Results[1]))
+}
+
+// contestants returns this build, with the operator's file if one is named, and what it is compared with.
+func (c *testbedCompare) contestants() (sides [2]contestant, err error) {
+	launch, err := dispatcherLauncher(testbed.PolicyRules, "")
+	if err != nil {
+		return sides, err
+	}
+	sides[0] = contestant{"this build", launch}
+	sides[1] = contestant{"without the file", launch}
 	if c.Against != "" {
 		if _, err := exec.LookPath(c.Against); err != nil {
-			return fmt.Errorf("--against: %w", err)
+			return sides, fmt.Errorf("--against: %w", err)
 		}
-		other, second = launchProgram(c.Against, "serve"), filepath.Base(c.Against)
+		sides[1] = contestant{filepath.Base(c.Against), launchProgram(c.Against, "serve")}
 	}
 	if c.Operator != "" {
-		first = "with the file"
-		if mine, err = withOperatorFile(mine, c.Operator, testbed.PolicyRules); err != nil {
-			return err
-		}
+		launch, err = withOperatorFile(launch, c.Operator, testbed.PolicyRules)
+		sides[0] = contestant{"with the file", launch}
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	defer stop()
-	var pairs [][2]*report.Report
-	broken := false
+	return sides, err
+}
+
+// runPairs runs the scenario for each seed, both sides in turns, until ctx ends. It reports whether a rule was violated.
+func (c *testbedCompare) runPairs(ctx context.Context, sides [2]contestant) (pairs [][2]*report.Report, broken bool, err error) {
 	for _, seed := range c.Seeds {
 		var pair [2]*report.Report
-		for k, launch := range []testbed.Launch{mine, other} {
-			d := scenarioFlags{Scenario: c.Day, For: c.For}
-			s, err := d.load()
+		for i, side := range sides {
+			flags := scenarioFlags{Scenario: c.Day, For: c.For}
+			selected, err := flags.load()
 			if err != nil {
-				return err
+				return nil, false, err
 			}
-			if pair[k], err = testbed.Run(ctx, testbed.Options{Scenario: s, Seed: seed, Policy: testbed.PolicyRules, Launch: launch}); err != nil {
-				return err
+			options := testbed.Options{Scenario: selected, Seed: seed, Policy: testbed.PolicyRules, Launch: side.launch}
+			if pair[i], err = testbed.Run(ctx, options); err != nil {
+				return nil, false, err
 			}
-			broken = broken || pair[k].Broken()
+			broken = broken || pair[i].Broken()
 		}
 		if ctx.Err() != nil {
 			break
 		}
 		pairs = append(pairs, pair)
 	}
-	if err := report.Compare(out.stdout, pairs, first, second); err != nil {
-		return err
-	}
-	if broken {
-		return errRuleViolated
-	}
-	return nil
+	return pairs, broken, nil
 }
--- a/cmd/birchfork/testbed_measure.go
+++ b/cmd/birchfork/testbed_measure.go
@@ -3,12 +3,8 @@
 package main
 
 import (
-	"context"
 	"fmt"
-	"os"
-	"os/signal"
 	"slices"
-	"syscall"
 	"time"
 
 	"birchfork/internal/testbed"
@@ -29,7 +25,7 @@
 	if len(names) == 0 {
 		names = slices.DeleteFunc(scenario.Shipped(), func(n string) bool { return n == mutantScenario })
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	ctx, stop := interruptible()
 	defer stop()
 	var cells []testbed.Cell
 	for _, n := range names {
@@ -68,7 +64,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	ctx, stop := interruptible()
 	defer stop()
 	return testbed.Overhead(ctx, out.stdout, testbed.OverheadOptions{Launch: launch, Clients: c.Clients, Length: c.For, Rounds: c.Rounds, Profile: c.Profile})
 }
@@ -87,7 +83,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	ctx, stop := interruptible()
 	defer stop()
 	var cells []testbed.Cell
 	for _, w := range c.Workers {
--- a/cmd/birchfork/testbed_run.go
+++ b/cmd/birchfork/testbed_run.go
@@ -3,13 +3,10 @@
 package main
 
 import (
-	"context"
 	"errors"
 	"fmt"
 	"io"
 	"os"
-	"os/signal"
-	"syscall"
 	"time"
 
 	"github.com/schollz/progressbar/v3"
@@ -33,6 +30,7 @@
 	Storm       bool          `help:"Draw further faults from the seed, several at once."`
 }
 
+// load returns the scenario that is selected.
 func (f *scenarioFlags) load() (*scenario.Scenario, error) {
 	if f.Scenario == "" {
 		f.Scenario = "calm"
@@ -74,7 +72,7 @@
 	if launch, err = withOperatorFile(launch, c.Operator, c.Policy); err != nil {
 		return err
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	ctx, stop := interruptible()
 	defer stop()
 	options := testbed.Options{Scenario: selected, Seed: c.Seed, Storm: c.Storm, Policy: c.Policy, Planted: c.Mutant, Launch: launch, Ceiling: c.Ceiling}
 	if c.Group {
@@ -115,7 +113,7 @@
 		progressbar.OptionClearOnFinish(), progressbar.OptionShowCount())
 	options.Progress = func(done, all int) {
 		bar.ChangeMax(all)
-		bar.Set(done)
+		_ = bar.Set(done) // a progress bar that cannot be drawn is no fault of the run
 	}
-	return func() { bar.Clear() }
+	return func() { _ = bar.Clear() }
 }
--- a/cmd/birchfork/testbed_simulation.go
+++ b/cmd/birchfork/testbed_simulation.go
@@ -38,68 +38,106 @@
 		return simulation.CatchUp(out.stdout, c.Behind)
 	}
 	if len(c.Measure) > 0 {
-		sizes := c.Measure
-		if slices.Contains(sizes, 0) {
-			sizes = simulation.Sizes
-		}
-		if slices.Min(sizes) < 3 {
-			return errors.New("--measure: fewer than 3 members are no group")
-		}
-		return simulation.Measure(out.stdout, sizes, min(c.Runs, maxMeasuredRuns))
+		return c.measure(out)
 	}
-	if c.Members < 1 || c.Voters < 1 || c.Voters > c.Members || c.Runs < 1 || c.Ticks < 1 || c.FaultInterval < 1 {
+	smallest := min(c.Members, c.Voters, c.Runs, c.Ticks, c.FaultInterval)
+	if smallest < 1 || c.Voters > c.Members {
 		return errors.New("--members, --voters, --runs, --ticks and --calm are above 0, and no more vote than there are")
 	}
-	debug.SetGCPercent(400)
+	result := c.simulate(out)
+	fmt.Fprintf(out.stdout, "simulated: %d histories of %d members, %d voters, %d ticks: %d with a broken rule, %d machines done\n",
+		c.Runs, c.Members, c.Voters, c.Ticks, result.broken, result.machinesDone)
+	if result.err == nil && result.broken > 0 {
+		return errors.Join(c.explain(out, *result.firstBroken), errRuleViolated)
+	}
+	return result.err
+}
+
+// measure measures plans in groups of several sizes.
+func (c *testbedSimulation) measure(out output) error {
+	sizes := c.Measure
+	if slices.Contains(sizes, 0) {
+		sizes = simulation.Sizes
+	}
+	if slices.Min(sizes) < 3 {
+		return errors.New("--measure: fewer than 3 members are no group")
+	}
+	return simulation.Measure(out.stdout, sizes, min(c.Runs, maxMeasuredRuns))
+}
+
+// simulationResult sums up histories.
+type simulationResult struct {
+	broken       int                 // histories that violate a rule
+	machinesDone int                 // machines that were in maintenance, over all histories
+	firstBroken  *simulation.Options // of the history with the lowest seed that violates a rule
+	err          error               // of histories that could not be simulated
+}
+
+// simulationGCPercent is the garbage collector's target while histories are simulated: heaps are small and short-lived.
+const simulationGCPercent = 400
+
+// simulate simulates the histories on all cores. It prints a line for each that violates a rule.
+func (c *testbedSimulation) simulate(out output) simulationResult {
+	debug.SetGCPercent(simulationGCPercent)
 	var next atomic.Int64
-	var mu sync.Mutex
-	var all sync.WaitGroup
-	var failed error
-	broken, done := 0, 0
-	var first *simulation.Options
+	var mu sync.Mutex // guards result and the output
+	var result simulationResult
+	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
-		all.Go(func() {
+		workers.Go(func() {
 			for i := next.Add(1) - 1; i < int64(c.Runs); i = next.Add(1) - 1 {
-				o := simulation.Options{Seed: c.Seed + uint64(i), Members: c.Members, Voters: c.Voters, Ticks: c.Ticks, Calm: c.FaultInterval, Fault: c.Fault}
-				if c.Trace && c.Runs == 1 {
-					o.Story = out.stdout
-				}
-				r, err := simulation.Play(o)
+				options := c.options(out, c.Seed+uint64(i))
+				history, err := simulation.Play(options)
 				mu.Lock()
-				if failed = errors.Join(failed, err); err == nil {
-					if done += r.Done; len(r.Broken) > 0 {
-						broken++
-						fmt.Fprintln(out.stdout, r.Line(o.Seed))
-						if first == nil || o.Seed < first.Seed {
-							first = &o
-						}
-					}
+				if err != nil {
+					result.err = errors.Join(result.err, err)
+				} else {
+					result.add(out, options, history)
 				}
 				mu.Unlock()
 			}
 		})
 	}
-	all.Wait()
-	fmt.Fprintf(out.stdout, "simulated: %d histories of %d members, %d voters, %d ticks: %d with a broken rule, %d machines done\n",
-		c.Runs, c.Members, c.Voters, c.Ticks, broken, done)
-	if failed == nil && broken > 0 {
-		return errors.Join(c.explain(out, *first), errRuleViolated)
+	workers.Wait()
+	return result
+}
+
+// options returns the options of the history with a seed.
+func (c *testbedSimulation) options(out output, seed uint64) simulation.Options {
+	options := simulation.Options{Seed: seed, Members: c.Members, Voters: c.Voters, Ticks: c.Ticks, Calm: c.FaultInterval, Fault: c.Fault}
+	if c.Trace && c.Runs == 1 {
+		options.Story = out.stdout
+	}
+	return options
+}
+
+// add adds a history, and prints a line if it violates a rule.
+func (r *simulationResult) add(out output, options simulation.Options, history *simulation.Result) {
+	r.machinesDone += history.Done
+	if len(history.Broken) == 0 {
+		return
+	}
+	r.broken++
+	fmt.Fprintln(out.stdout, history.Line(options.Seed))
+	if r.firstBroken == nil || options.Seed < r.firstBroken.Seed {
+		r.firstBroken = &options
 	}
-	return failed
 }
 
 // explain prints the trace of a history that violates a rule, reduced to the fewest faults that still do.
 func (c *testbedSimulation) explain(out output, options simulation.Options) error {
-	minimal, result, err := simulation.CutDown(options)
+	minimal, _, err := simulation.CutDown(options)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(out.stdout, "seed %d, reduced to %d ticks and %d faults:\n", minimal.Seed, minimal.Ticks, len(minimal.Troubles))
 	minimal.Story = out.stdout
-	if result, err = simulation.Play(minimal); err == nil {
-		fmt.Fprintln(out.stdout, result.Line(minimal.Seed))
+	result, err := simulation.Play(minimal)
+	if err != nil {
+		return err
 	}
-	return err
+	fmt.Fprintln(out.stdout, result.Line(minimal.Seed))
+	return nil
 }
 
 // maxMeasuredRuns bounds the histories that --measure simulates for each size.
--- a/cmd/birchfork/testbed_test.go
+++ b/cmd/birchfork/testbed_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Whatever is wrong with a command ends it with 1 and a message that names it; nothing is started.
+// A command with an invalid flag or argument ends with status 1 and a message that names it; nothing is started.
 func TestTestbed_NamesFaultyFlags(t *testing.T) {
 	file := t.TempDir() + "/day.toml"
 	if err := os.WriteFile(file, []byte("rate = 'x'\nfoo = 1\n"), 0o600); err != nil {
