--- a/internal/endpointsource/etcd/golden_test.go
+++ b/internal/endpointsource/etcd/golden_test.go
@@ -9,11 +9,11 @@
 	"birchfork/internal/engine"
 )
 
-// A worker's value under its key has the form of earlier builds. The file is written where UPDATE_GOLDEN is set.
+// A worker's value under its key has the form of earlier builds. The test writes the file if UPDATE_GOLDEN is set.
 func TestValue_KeepsItsForm(t *testing.T) {
 	const path = "testdata/golden/value.json"
 	cell := 7
-	raw, err := json.Marshal(Value{SchemaVersion, "127.0.0.1:5001", "zone-a", "kind-b", &cell, 2.5, Draining, 1700000000001})
+	raw, err := json.Marshal(Value{SchemaVersion, "127.0.0.1:5001", "zone-a", "kind-b", &cell, 2.5, StateDraining, 1700000000001})
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/etcdtest/server.go
@@ -0,0 +1,75 @@
+// Package etcdtest is a small etcd for tests and the testbed, by etcd's published gRPC API: keys and values with revisions and history,
+// watches, leases and compaction, as far as a list of workers needs them, and faults on command. It listens on loopback, serves from
+// memory and stores nothing on disk.
+package etcdtest
+
+import (
+	"fmt"
+	"net"
+	"sync"
+
+	pb "go.etcd.io/etcd/api/v3/etcdserverpb"
+	"go.etcd.io/etcd/api/v3/mvccpb"
+	"google.golang.org/grpc"
+)
+
+// Server is one etcd test server. It is safe for concurrent use.
+type Server struct {
+	pb.UnimplementedKVServer
+	pb.UnimplementedWatchServer
+	pb.UnimplementedLeaseServer
+
+	listener net.Listener
+	grpc     *grpc.Server
+
+	mu                sync.Mutex // guards the fields below
+	revision          int64
+	compactedRevision int64 // the history up to it is gone
+	keyValues         map[string]*mvccpb.KeyValue
+	history           []*mvccpb.Event // by revision
+	leases            map[int64]*lease
+	changed           chan struct{} // closed at each change, and replaced by a new one
+	dropped           chan struct{} // closed when all watches are dropped, and replaced by a new one
+	hung              chan struct{} // not nil: no call is answered until it is closed
+	noLeader          bool
+	openWatches       int // open streams
+}
+
+// Start starts a server on a free loopback address. Close stops it.
+func Start() (*Server, error) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, fmt.Errorf("etcd test server: listening: %w", err)
+	}
+	s := &Server{
+		listener:  l,
+		revision:  1,
+		keyValues: map[string]*mvccpb.KeyValue{},
+		leases:    map[int64]*lease{},
+		changed:   make(chan struct{}),
+		dropped:   make(chan struct{}),
+	}
+	s.grpc = grpc.NewServer(grpc.UnaryInterceptor(s.intercept))
+	pb.RegisterKVServer(s.grpc, s)
+	pb.RegisterWatchServer(s.grpc, s)
+	pb.RegisterLeaseServer(s.grpc, s)
+	go func() { _ = s.grpc.Serve(l) }() // it ends with Close
+	return s, nil
+}
+
+// Address returns the address that the server listens on, host:port.
+func (s *Server) Address() string { return s.listener.Addr().String() }
+
+// Close stops the server at once.
+func (s *Server) Close() {
+	s.mu.Lock()
+	for _, l := range s.leases {
+		l.timer.Stop()
+	}
+	if s.hung != nil {
+		close(s.hung)
+		s.hung = nil
+	}
+	s.mu.Unlock()
+	s.grpc.Stop()
+}
