--- a/internal/gossip/endpoints/golden_test.go
+++ b/internal/gossip/endpoints/golden_test.go
@@ -2,33 +2,16 @@
 
 import (
 	"context"
-	"net"
 	"os"
 	"testing"
 	"time"
 
 	"github.com/sirupsen/logrus"
 
-	"birchfork/internal/peer"
+	"birchfork/internal/goldentest"
 	"birchfork/internal/peer/peertest"
 )
 
-// goldenTransport are member a's of the group g, whose member b has the address.
-func goldenTransport(t *testing.T, b string) (transport *peer.Transport, listener net.Listener) {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	transport = peer.NewTransport(peer.Options{
-		Group: "g", Self: "a", Members: []peer.Member{{Name: "a", Address: listener.Addr().String()}, {Name: "b", Address: b}}, Log: logrus.New(),
-		Identity: func() peer.Sender { return peer.Sender{Name: "a", Incarnation: "l", ClusterID: "f"} }, IsStale: func(string, string) bool { return false },
-		OnUnreachable: func(string) {},
-	})
-	t.Cleanup(transport.Close)
-	return transport, listener
-}
-
 // goldenSource is a list that never changes.
 type goldenSource struct {
 	statuses []Status
@@ -75,7 +58,7 @@
 		}
 		return raw
 	})
-	transport, _ := goldenTransport(t, b.Address())
+	transport, _ := peertest.NewTransport(t, b.Address())
 	broadcaster, source := goldenBroadcaster([]Status{{Name: "w1"}, {Name: "w2"}}, true)
 	if updates := broadcaster.updateLocal(); len(updates) > 0 {
 		t.Errorf("%v", updates)
@@ -85,7 +68,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	broadcaster.initialSync(context.Background(), transport)
-	peertest.Golden(t, "requests.txt", b.Text())
+	goldentest.Check(t, "requests.txt", b.Text())
 	if names := <-source.excluded; len(names) != 2 || names[0] != "w1" || names[1] != "w2" {
 		t.Errorf("excluded: %v", names)
 	}
@@ -94,7 +77,7 @@
 // What a member of an earlier build sends is read, and what it is answered stays.
 func TestGolden_Answers(t *testing.T) {
 	broadcaster, source := goldenBroadcaster(goldenStatuses(), true)
-	transport, listener := goldenTransport(t, "127.0.0.1:1")
+	transport, listener := peertest.NewTransport(t, "127.0.0.1:1")
 	broadcaster.Attach(transport)
 	defer broadcaster.Detach()
 	transport.Serve(listener)
@@ -117,12 +100,12 @@
 		t.Errorf("%v", f)
 	}
 	waiting, _ := goldenBroadcaster(nil, false)
-	transport, listener = goldenTransport(t, "127.0.0.1:1")
+	transport, listener = peertest.NewTransport(t, "127.0.0.1:1")
 	waiting.Attach(transport)
 	defer waiting.Detach()
 	transport.Serve(listener)
 	out += peertest.Post(t, listener.Addr().String(), "/group/list/all", peertest.Headers(), nil)
-	peertest.Golden(t, "answers.txt", []byte(out))
+	goldentest.Check(t, "answers.txt", []byte(out))
 }
 
 // Counters keep the names that the log shows.
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"net"
 	"os"
 	"path/filepath"
 	"slices"
@@ -14,7 +13,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"birchfork/internal/peer"
+	"birchfork/internal/goldentest"
 	"birchfork/internal/peer/peertest"
 	"birchfork/internal/replication"
 )
@@ -84,7 +83,7 @@
 	if <-b.done; b.err != nil {
 		t.Fatal(b.err)
 	}
-	peertest.Golden(t, "words.db.txt", dump(t, d.db))
+	goldentest.Check(t, "words.db.txt", dump(t, d.db))
 	if err := d.close(); err != nil {
 		t.Fatal(err)
 	}
@@ -94,7 +93,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		peertest.Golden(t, "words.db", raw)
+		goldentest.Check(t, "words.db", raw)
 	}
 	raw, err := os.ReadFile(peertest.GoldenPath("words.db"))
 	if err != nil {
@@ -115,7 +114,7 @@
 	if data := s.replica.Get("later", "w3"); len(data) != 1 || string(data[0].Data) != `{"x":1}` {
 		t.Errorf("%+v", data)
 	}
-	peertest.Golden(t, "words.db.txt", dump(t, s.storage.db))
+	goldentest.Check(t, "words.db.txt", dump(t, s.storage.db))
 }
 
 // Each message and each reply keeps its encoding, with all fields.
@@ -161,21 +160,6 @@
 	return node
 }
 
-// goldenTransport are a node's, where member b has the address.
-func goldenTransport(t *testing.T, b string) (transport *peer.Transport, listener net.Listener) {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	transport = peer.NewTransport(peer.Options{
-		Group: "g", Self: "a", Members: []peer.Member{{Name: "a", Address: listener.Addr().String()}, {Name: "b", Address: b}}, OnUnreachable: func(string) {},
-		Identity: func() peer.Sender { return peer.Sender{Name: "a", Incarnation: "l", ClusterID: "f"} }, IsStale: func(string, string) bool { return false },
-	})
-	t.Cleanup(transport.Close)
-	return transport, listener
-}
-
 // plainStatus is an operator's reply without what depends on the moment and on the time zone.
 func plainStatus(t *testing.T, answer string) string {
 	t.Helper()
@@ -206,7 +190,7 @@
 	node := goldenNode(t)
 	node.cancel, node.done = func() {}, make(chan struct{})
 	close(node.done)
-	transport, listener := goldenTransport(t, "127.0.0.1:1")
+	transport, listener := peertest.NewTransport(t, "127.0.0.1:1")
 	node.transport = transport
 	transport.Handle("/group/copies/hello", node.handleDigest)
 	transport.Handle("/group/copies/pull", node.handlePull)
@@ -254,7 +238,7 @@
 	node.Detach()
 	post("/group/copies/hello", `{"seen":1,"sum":2,"count":3,"held":4}`)
 	out.WriteString(peertest.Post(t, listener.Addr().String(), "/group/words", nil, []byte(`{}`)))
-	peertest.Golden(t, "answers.txt", []byte(out.String()))
+	goldentest.Check(t, "answers.txt", []byte(out.String()))
 }
 
 // What a member sends to one that has something else keeps paths and bodies: hello, pull in two chunks, hello, gone.
@@ -296,7 +280,7 @@
 		return raw
 	}
 	b := peertest.NewRecorder(t, answer)
-	transport, _ := goldenTransport(t, b.Address())
+	transport, _ := peertest.NewTransport(t, b.Address())
 	node.transport = transport
 	if err := node.syncWith(context.Background(), "b"); err != nil {
 		t.Fatal(err)
@@ -314,7 +298,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	peertest.Golden(t, "requests.txt", append([]byte(strings.TrimSuffix(string(text), last)), append(raw, '\n')...))
+	goldentest.Check(t, "requests.txt", append([]byte(strings.TrimSuffix(string(text), last)), append(raw, '\n')...))
 	if names := node.replica.Names(replication.KindOverride); !slices.Equal(names, []string{"w1", "w2", "w5"}) {
 		t.Errorf("it has %v", names)
 	}
@@ -340,7 +324,7 @@
 	if err != nil || string(again)+"\n" != string(raw) {
 		t.Errorf("%s, %v", again, err)
 	}
-	peertest.Golden(t, "call.txt", b.Text())
+	goldentest.Check(t, "call.txt", b.Text())
 }
 
 // Counters keep the names that log and status show.
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -1,4 +1,4 @@
-package peer
+package peer_test
 
 import (
 	"context"
@@ -6,47 +6,35 @@
 	"errors"
 	"fmt"
 	"maps"
-	"net"
 	"strings"
 	"testing"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
+	"birchfork/internal/goldentest"
+	"birchfork/internal/peer"
 	"birchfork/internal/peer/peertest"
 )
 
 // The golden files hold what members of earlier builds send and answer. UPDATE_GOLDEN=1 writes them.
 
-// goldenTransport are member a's of the group g, whose member b has the address; they serve.
-func goldenTransport(t *testing.T, b string) (transport *Transport, address string) {
+// goldenTransport returns the transport of member a, which serves a path for members and one for operators, and its address.
+func goldenTransport(t *testing.T, b string) (transport *peer.Transport, address string) {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	address = listener.Addr().String()
-	transport = NewTransport(Options{
-		Group: "g", Self: "a", Members: []Member{{Name: "a", Address: address}, {Name: "b", Address: b}}, Log: logrus.New(),
-		Identity:      func() Sender { return Sender{Name: "a", Incarnation: "l", ClusterID: "f"} },
-		IsStale:       func(name, incarnation string) bool { return name == "b" && incarnation == "0" },
-		OnUnreachable: func(string) {},
-	})
-	t.Cleanup(transport.Close)
-	transport.Handle("/group/x", func(_ context.Context, from Sender, body []byte) ([]byte, error) {
+	transport, listener := peertest.NewTransport(t, b)
+	transport.Handle("/group/x", func(_ context.Context, from peer.Sender, body []byte) ([]byte, error) {
 		switch string(body) {
 		case "reject":
-			return nil, &RejectedError{Reason: "rejected, as requested"}
+			return nil, &peer.RejectedError{Reason: "rejected, as requested"}
 		case "fail":
 			return nil, errors.New("failed, as requested")
 		}
 		return fmt.Appendf(nil, "%s of %s, %s in %s", body, from.Name, from.Incarnation, from.ClusterID), nil
 	})
-	transport.HandleOperator("/group/y", func(_ context.Context, _ Sender, body []byte) ([]byte, error) {
+	transport.HandleOperator("/group/y", func(_ context.Context, _ peer.Sender, body []byte) ([]byte, error) {
 		return append([]byte("operator: "), body...), nil
 	})
 	transport.Serve(listener)
-	return transport, address
+	return transport, listener.Addr().String()
 }
 
 // Requests of a member and of an operator keep method, path, headers and body.
@@ -61,10 +49,10 @@
 		time.Sleep(time.Millisecond)
 	}
 	var answer string
-	if err := CallMember(context.Background(), b.Address(), "/group/y", map[string]string{"from": "operator"}, &answer); err != nil || answer != "yes" {
+	if err := peer.CallMember(context.Background(), b.Address(), "/group/y", map[string]string{"from": "operator"}, &answer); err != nil || answer != "yes" {
 		t.Errorf("%q, %v", answer, err)
 	}
-	peertest.Golden(t, "requests.txt", b.Text())
+	goldentest.Check(t, "requests.txt", b.Text())
 }
 
 // Answers keep status, content type and text, also of each kind of rejection.
@@ -91,30 +79,29 @@
 		}
 		fmt.Fprintf(&out, "%s: %s----\n", c.name, peertest.Post(t, address, c.path, headers, []byte(c.body)))
 	}
-	peertest.Golden(t, "answers.txt", []byte(out.String()))
+	goldentest.Check(t, "answers.txt", []byte(out.String()))
 }
 
 // Callers get the same result or error for each answer.
 func TestGolden_Errors(t *testing.T) {
-	transport, address := goldenTransport(t, "127.0.0.1:1")
 	_, other := goldenTransport(t, "127.0.0.1:1")
-	transport.options.Members[1].Address = other
+	transport, address := goldenTransport(t, other) // what answers as b is named a: it rejects what is for b
 	var out strings.Builder
 	for _, to := range []string{"a", "b", "c"} {
 		for _, body := range []string{"m", "reject", "fail"} {
 			answer, err := transport.Request(context.Background(), to, "/group/x", []byte(body))
-			var rejected *RejectedError
+			var rejected *peer.RejectedError
 			fmt.Fprintf(&out, "%s to %s: %q, %v, rejected %t\n", body, to, answer, err, errors.As(err, &rejected))
 		}
 	}
 	var text json.RawMessage
-	err := CallMember(context.Background(), address, "/group/y", "m", &text)
+	err := peer.CallMember(context.Background(), address, "/group/y", "m", &text)
 	fmt.Fprintf(&out, "operator: %s\n", strings.ReplaceAll(fmt.Sprint(err), address, "HOST"))
-	peertest.Golden(t, "errors.txt", []byte(out.String()))
+	goldentest.Check(t, "errors.txt", []byte(out.String()))
 }
 
 // Counters keep the names that log and status show.
 func TestGolden_Counters(t *testing.T) {
-	var c Counters
+	var c peer.Counters
 	peertest.GoldenCounters(t, "counters.txt", c.Values())
 }
--- /dev/null
+++ b/internal/peer/member.go
@@ -0,0 +1,28 @@
+package peer
+
+import "math/rand/v2"
+
+// Member is a member of the group by the operator's file.
+type Member struct {
+	Name    string
+	Address string // host:port where it listens for the other members
+	Zone    string
+	Voter   bool // it votes in the group's consensus
+}
+
+// Sender identifies the process that a message comes from.
+type Sender struct {
+	Name        string
+	Incarnation string
+	ClusterID   string // of the group's bootstrap; empty: the member has not joined yet
+}
+
+// Sample returns up to n of the names, chosen at random without repetition.
+func Sample(names []string, n int) []string {
+	order := rand.Perm(len(names))
+	sample := make([]string, 0, min(n, len(names)))
+	for _, i := range order[:min(n, len(names))] {
+		sample = append(sample, names[i])
+	}
+	return sample
+}
--- a/internal/peer/staff.go
+++ b/internal/peer/operator.go
@@ -1,7 +1,6 @@
 package peer
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -9,18 +8,19 @@
 	"time"
 )
 
-// callTimeout is for one member's answer to staff.
+// callTimeout limits an operator's call at one member.
 const callTimeout = 5 * time.Second
 
-// CallMember makes a call of staff at one member, under a path of HandleStaff, and reads its answer.
-func CallMember(ctx context.Context, address, path string, call, answer any) error {
+// CallMember makes an operator's call at the member at address (host:port), under a path of HandleOperator: it sends call as JSON
+// and decodes the answer into reply. The error is a *RejectedError where the member declines.
+func CallMember(ctx context.Context, address, path string, call, reply any) error {
 	body, err := json.Marshal(call)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(body))
+	req, err := newRequest(ctx, address, path, body)
 	if err != nil {
 		return err
 	}
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	if err := json.Unmarshal(raw, answer); err != nil {
+	if err := json.Unmarshal(raw, reply); err != nil {
 		return fmt.Errorf("%s is no member of a group: %w", address, err)
 	}
 	return nil
--- a/internal/peer/peertest/peertest.go
+++ b/internal/peer/peertest/peertest.go
@@ -1,5 +1,5 @@
-// Package peertest supports tests of what members of a group send to each other: golden files, a stand-in for a member that
-// records requests, and requests that are sent as an older build would send them.
+// Package peertest supports tests of what members of a group send to each other: golden files, a server that records requests in
+// place of a member, and requests with literal headers as earlier builds send them.
 package peertest
 
 import (
@@ -8,6 +8,7 @@
 	"fmt"
 	"io"
 	"maps"
+	"net"
 	"net/http"
 	"net/http/httptest"
 	"os"
@@ -17,52 +18,27 @@
 	"strings"
 	"sync"
 	"testing"
-)
-
-// updateVariable is the environment variable that makes Golden and GoldenJSON write the golden files in place of comparing.
-const updateVariable = "UPDATE_GOLDEN"
 
-// goldenDir is where a package's golden files are, relative to its source.
-var goldenDir = filepath.Join("testdata", "golden")
+	"birchfork/internal/goldentest"
+	"birchfork/internal/peer"
+)
 
-// Updating reports whether golden files are to be written by this run.
-func Updating() bool { return os.Getenv(updateVariable) == "1" }
+// Updating reports whether this run writes golden files in place of comparing.
+func Updating() bool { return os.Getenv("UPDATE_GOLDEN") == "1" }
 
 // GoldenPath returns the path of a golden file of the package under test.
-func GoldenPath(name string) string { return filepath.Join(goldenDir, name) }
-
-// Golden fails the test where got differs from the golden file, or writes the file if Updating.
-func Golden(t testing.TB, name string, got []byte) {
-	t.Helper()
-	path := GoldenPath(name)
-	if Updating() {
-		if err := os.MkdirAll(goldenDir, 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs:\n got %s\nwant %s", path, got, want)
-	}
-}
+func GoldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
 
 // GoldenJSON compares the JSON encoding of value with the golden file, and value with what the file decodes to. It fails the test
-// where a field of value is zero: an omitted field would prove nothing.
-func GoldenJSON[T any](t testing.TB, name string, value T) {
+// where a field of value is zero, as an omitted field would prove nothing.
+func GoldenJSON[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	requireNonZero(t, name, reflect.ValueOf(value))
 	raw, err := json.Marshal(value)
 	if err != nil {
 		t.Fatal(err)
 	}
-	Golden(t, name, append(raw, '\n'))
+	goldentest.Check(t, name, append(raw, '\n'))
 	file, err := os.ReadFile(GoldenPath(name))
 	if err != nil {
 		t.Fatal(err)
@@ -102,9 +78,9 @@
 }
 
 // GoldenCounters compares the names of counters, sorted, with the golden file.
-func GoldenCounters(t testing.TB, name string, counters map[string]int64) {
+func GoldenCounters(t *testing.T, name string, counters map[string]int64) {
 	t.Helper()
-	Golden(t, name, []byte(strings.Join(slices.Sorted(maps.Keys(counters)), "\n")+"\n"))
+	goldentest.Check(t, name, []byte(strings.Join(slices.Sorted(maps.Keys(counters)), "\n")+"\n"))
 }
 
 // Recorder is an HTTP server in place of a member. It is safe for concurrent use.
@@ -157,13 +133,33 @@
 // Text returns all requests so far, with a line between them.
 func (r *Recorder) Text() []byte { return []byte(strings.Join(r.Requests(), "----\n")) }
 
-// Headers are those of a message from member b to member a of group g.
+// Headers returns the headers of a message from member b to member a of group g.
 func Headers() map[string]string {
 	return map[string]string{
 		"X-Birchfork-Group": "g", "X-Birchfork-Founded": "f", "X-Birchfork-From": "b", "X-Birchfork-Life": "1", "X-Birchfork-To": "a",
 	}
 }
 
+// NewTransport returns the transport of member a of group g, with a listener that it does not serve yet. Its only other member, b, has
+// the given address. The test's cleanup closes it.
+func NewTransport(t testing.TB, addressOfB string) (*peer.Transport, net.Listener) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	transport := peer.NewTransport(peer.Options{
+		Group:         "g",
+		Self:          "a",
+		Members:       []peer.Member{{Name: "a", Address: listener.Addr().String()}, {Name: "b", Address: addressOfB}},
+		Identity:      func() peer.Sender { return peer.Sender{Name: "a", Incarnation: "l", ClusterID: "f"} },
+		IsStale:       func(name, incarnation string) bool { return name == "b" && incarnation == "0" },
+		OnUnreachable: func(string) {},
+	})
+	t.Cleanup(transport.Close)
+	return transport, listener
+}
+
 // Post sends a message to a member and returns status, content type and body of the answer as text.
 func Post(t testing.TB, address, path string, headers map[string]string, body []byte) string {
 	t.Helper()
--- /dev/null
+++ b/internal/peer/queue.go
@@ -0,0 +1,119 @@
+package peer
+
+import (
+	"context"
+	"sync/atomic"
+	"time"
+)
+
+// Limits of the queue to each member.
+const (
+	maxQueuedMessages = 256
+	maxQueuedBytes    = 4 << 20
+	sendTimeout       = time.Second           // for a member to answer a queued message
+	retryDelay        = 50 * time.Millisecond // after a member could not be reached
+)
+
+// sendQueue holds the messages that wait for one member. Its goroutine sends them in their order.
+type sendQueue struct {
+	member      Member
+	messages    chan message
+	queuedBytes atomic.Int64 // of the messages' bodies
+}
+
+// message is a queued message.
+type message struct {
+	path string
+	body []byte
+}
+
+// Send queues a message for a member and returns at once. The answer is ignored. A message that does not fit the queue is dropped,
+// as is one for a name that is not a member's.
+func (t *Transport) Send(to, path string, body []byte) {
+	queue := t.queueTo(to)
+	if queue == nil {
+		return
+	}
+	if !queue.push(message{path: path, body: body}) {
+		t.Counters.Dropped.Add(1)
+	}
+}
+
+// queueTo returns the queue to a member and starts its goroutine with the first call. It returns nil for a name that is not a
+// member's, and after Close where there was no queue before.
+func (t *Transport) queueTo(name string) *sendQueue {
+	member, ok := t.member(name)
+	if !ok {
+		return nil
+	}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	queue := t.queues[name]
+	if queue == nil && t.ctx.Err() == nil {
+		queue = &sendQueue{member: member, messages: make(chan message, maxQueuedMessages)}
+		t.queues[name] = queue
+		t.senders.Go(func() { t.sendLoop(queue) })
+	}
+	return queue
+}
+
+// push queues a message; false: it does not fit.
+func (q *sendQueue) push(m message) bool {
+	size := int64(len(m.body))
+	if q.queuedBytes.Add(size) <= maxQueuedBytes {
+		select {
+		case q.messages <- m:
+			return true
+		default:
+		}
+	}
+	q.queuedBytes.Add(-size)
+	return false
+}
+
+// pop accounts for a message that was received from the queue.
+func (q *sendQueue) pop(m message) { q.queuedBytes.Add(-int64(len(m.body))) }
+
+// sendLoop sends the messages of one queue until Close.
+func (t *Transport) sendLoop(queue *sendQueue) {
+	for {
+		select {
+		case <-t.ctx.Done():
+			return
+		case m := <-queue.messages:
+			queue.pop(m)
+			t.deliver(queue, m)
+		}
+	}
+}
+
+// deliver sends one message. Where the member cannot be reached it drops what is queued, as it is outdated by the time the member is
+// back (raft repeats what still matters), and waits before the next message.
+func (t *Transport) deliver(queue *sendQueue, m message) {
+	ctx, cancel := context.WithTimeout(t.ctx, sendTimeout)
+	defer cancel()
+	_, err := t.Request(ctx, queue.member.Name, m.path, m.body)
+	if err == nil {
+		t.Counters.Sent.Add(1)
+		t.Counters.BytesOut.Add(int64(len(m.body)))
+		return
+	}
+	t.Counters.Lost.Add(1)
+	if isAnswer(err) { // declined: the messages behind it may be accepted, as they may be for another incarnation
+		return
+	}
+	t.options.OnUnreachable(queue.member.Name)
+	t.dropQueued(queue)
+	select {
+	case <-t.ctx.Done():
+	case <-time.After(retryDelay):
+	}
+}
+
+// dropQueued drops the messages that are queued now.
+func (t *Transport) dropQueued(queue *sendQueue) {
+	for n := len(queue.messages); n > 0; n-- {
+		queue.pop(<-queue.messages)
+		t.Counters.Dropped.Add(1)
+	}
+}
--- a/internal/peer/links_test.go
+++ b/internal/peer/transport_test.go
@@ -14,13 +14,13 @@
 	"go.uber.org/goleak"
 )
 
-// transportPair is two members; what the second takes is kept.
+// transportPair is two members; what the second accepts is recorded.
 type transportPair struct {
 	a, b        *Transport
 	members     []Member
 	mu          sync.Mutex
-	received    []string
-	unreachable int
+	received    []string // by b
+	unreachable int      // notices to a
 }
 
 func newTransportPair(t *testing.T, sender Sender, change func(*Options)) *transportPair {
@@ -54,16 +54,16 @@
 	return p
 }
 
-// A message of another group, founding, life or name is refused by name, and counted.
+// A message from another group, cluster, incarnation or name is rejected with its reason, and counted.
 func TestTransport_RejectsForeignMessages(t *testing.T) {
 	unchanged := func(*Options) {}
 	for _, c := range []struct {
 		sender Sender
 		change func(*Options)
-		want   string // of the refusal; empty: taken
+		want   string // in the reason; empty: accepted
 	}{
 		{Sender{"a", "1", "f"}, unchanged, ""},
-		{Sender{"a", "1", ""}, unchanged, ""}, // in no founding yet
+		{Sender{"a", "1", ""}, unchanged, ""}, // not joined yet
 		{Sender{"a", "1", "other"}, unchanged, "another founding"},
 		{Sender{"a", "0", "f"}, unchanged, "an earlier life of a"},
 		{Sender{"z", "1", "f"}, unchanged, `"z" is no member`},
@@ -81,16 +81,16 @@
 	}
 }
 
-// A peer that does not answer holds nobody up: its queue is bounded, what does not fit is dropped and counted, and one whole
-// answer that says no costs that message alone.
+// A peer that does not answer blocks nobody: its queue is bounded, what does not fit is dropped and counted, and an answer that
+// declines loses that message alone.
 func TestTransport_StalledPeerBlocksNobody(t *testing.T) {
 	p := newTransportPair(t, Sender{"a", "1", "f"}, func(*Options) {})
-	stalled, err := net.Listen("tcp", "127.0.0.1:0") // takes connections, reads nothing
+	stalled, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections, reads nothing
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer stalled.Close()
-	for _, name := range []string{"c", "d"} { // both before the first Post: links read their peers as they run
+	for _, name := range []string{"c", "d"} { // both before the first Send: the transport's goroutines read the members
 		p.a.options.Members = append(p.a.options.Members, Member{Name: name, Address: stalled.Addr().String()})
 	}
 	for range 2 * maxQueuedMessages {
@@ -100,11 +100,11 @@
 		t.Errorf("%d dropped", n)
 	}
 	was := p.a.Counters.Dropped.Load()
-	for range 4 { // one is on its way, one waits
+	for range 4 { // one is being sent, one is queued
 		p.a.Send("d", "/x", make([]byte, maxQueuedBytes/2+1))
 	}
 	if n := p.a.Counters.Dropped.Load() - was; n < 2 {
-		t.Errorf("%d dropped of four that are over the bound on bytes", n)
+		t.Errorf("%d dropped of four that exceed the limit on bytes", n)
 	}
 	for _, m := range []string{"1", "no", "2"} {
 		p.a.Send("b", "/x", []byte(m))
@@ -115,19 +115,19 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if strings.Join(p.received, " ") != "1 no 2" || p.a.Counters.Lost.Load() != 1 || p.unreachable != 0 {
-		t.Errorf("came: %q; %d lost, told of %d", p.received, p.a.Counters.Lost.Load(), p.unreachable)
+		t.Errorf("received %q; %d lost, %d notices", p.received, p.a.Counters.Lost.Load(), p.unreachable)
 	}
 }
 
-// A message over the bound is refused, and more connections than the bound wait.
+// A message over the limit is rejected, and connections over the limit wait.
 func TestTransport_Limits(t *testing.T) {
 	p := newTransportPair(t, Sender{"a", "1", "f"}, func(*Options) {})
 	if _, err := p.a.Request(context.Background(), "b", "/x", make([]byte, maxBodyBytes+1)); err == nil || p.b.Counters.Rejected.Load() != 1 || len(p.received) > 0 {
 		t.Errorf("a message that is too long: %v", err)
 	}
 	p.a.client.CloseIdleConnections()
-	var conns []net.Conn
-	for range 2*maxConnsPerMember + operatorConns {
+	conns := make([]net.Conn, 0, 2*maxConnsPerMember+maxOperatorConns)
+	for range cap(conns) {
 		c, err := net.Dial("tcp", p.members[1].Address)
 		if err != nil {
 			t.Fatal(err)
@@ -138,17 +138,17 @@
 	ctx, cancel := context.WithTimeout(context.Background(), headerTimeout/4)
 	defer cancel()
 	if _, err := p.a.Request(ctx, "b", "/x", []byte("m")); err == nil {
-		t.Error("one connection over the bound was served")
+		t.Error("one connection over the limit was served")
 	}
 	for _, c := range conns {
 		c.Close()
 	}
 	if _, err := p.a.Request(context.Background(), "b", "/x", []byte("m")); err != nil {
-		t.Errorf("once they are gone: %v", err)
+		t.Errorf("once they are closed: %v", err)
 	}
 }
 
-// Hostile bytes cost a counter, and nothing stays behind.
+// Malformed requests reach no handler and leave no goroutine behind.
 func TestTransport_RejectsMalformedRequests(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	p := newTransportPair(t, Sender{"a", "1", "f"}, func(*Options) {})
@@ -162,14 +162,14 @@
 			t.Fatal(err)
 		}
 		io.WriteString(c, raw)
-		c.(*net.TCPConn).CloseWrite()
+		_ = c.(*net.TCPConn).CloseWrite() // the server may have closed the connection already
 		answer, _ := io.ReadAll(c)
 		c.Close()
 		if strings.HasPrefix(string(answer), "HTTP/1.1 200") {
-			t.Errorf("%.40q was taken", raw)
+			t.Errorf("%.40q was accepted", raw)
 		}
 	}
 	if len(p.received) > 0 {
-		t.Errorf("taken: %q", p.received)
+		t.Errorf("accepted: %q", p.received)
 	}
 }
