--- /dev/null
+++ b/internal/gossip/exchange.go
@@ -0,0 +1,155 @@
+package gossip
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"time"
+
+	"birchfork/internal/peer"
+	"birchfork/internal/replication"
+)
+
+// Limits of an exchange with another member.
+const (
+	requestTimeout  = time.Second
+	maxChunkEntries = 200 // some 40 kB
+)
+
+// The paths of the messages between members.
+const (
+	digestPath   = "/group/copies/hello"
+	pullPath     = "/group/copies/pull"
+	removalsPath = "/group/copies/gone"
+)
+
+// Rejections of messages.
+var (
+	errNoReplica        = &peer.RejectedError{Reason: "this process has no copy"}
+	errNotCaughtUp      = &peer.RejectedError{Reason: "this process has just started: it has to hear of others first what its disk is worth"}
+	errDifferentVersion = &peer.RejectedError{Reason: "not the same was seen here"}
+)
+
+// digest summarizes a replica, so that two members see what differs. It is request and reply.
+type digest struct {
+	VersionDigest   uint64     `json:"seen"`           // of the version vector
+	EntryDigest     uint64     `json:"sum"`            // of all entries
+	BucketDigests   []uint64   `json:"sums,omitempty"` // of the entries by bucket; in a reply where the version vectors are equal
+	ObservedEntries int        `json:"count"`          // entries that were ever here, removed ones too
+	StoredEntries   int        `json:"held"`
+	Info            MemberInfo `json:"about,omitzero"`
+}
+
+// matches reports whether both replicas hold the same.
+func (d digest) matches(other digest) bool {
+	return d.VersionDigest == other.VersionDigest && d.EntryDigest == other.EntryDigest
+}
+
+// pullRequest asks for a chunk of the entries that the sender lacks. The reply is a replication.Chunk.
+type pullRequest struct {
+	Version replication.VersionVector `json:"seen"`
+	Cursor  replication.Cursor        `json:"from"`
+}
+
+// removals names entries of the sender; the reply names those of them that were removed.
+type removals struct {
+	VersionDigest uint64            `json:"seen"` // of the version vector, which both members have
+	Dots          []replication.Dot `json:"dots"`
+}
+
+// request sends a message to a member as JSON and decodes the reply.
+func (n *Node) request(ctx context.Context, to, path string, message, reply any) error {
+	n.mu.Lock()
+	transport := n.transport
+	n.mu.Unlock()
+	if transport == nil {
+		return errNoReplica
+	}
+	body, err := json.Marshal(message)
+	if err != nil {
+		return err
+	}
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
+	defer cancel()
+	answer, err := transport.Request(ctx, to, path, body)
+	n.countTraffic(to, len(body), len(answer))
+	if err != nil {
+		return err
+	}
+	if err := json.Unmarshal(answer, reply); err != nil {
+		return fmt.Errorf("%s of %s: %w", path, to, err)
+	}
+	return nil
+}
+
+// handle serves a member's message in JSON with the lock held.
+func handle[Request, Reply any](n *Node, body []byte, serve func(*Request) (Reply, error)) ([]byte, error) {
+	malformed := func(decodeErr error) (Reply, error) {
+		n.Counters.Rejected.Add(1)
+		return peer.RejectMalformed[Reply]("no message about copies: ")(decodeErr)
+	}
+	return peer.ServeJSON(body, malformed, func(request *Request) (reply Reply, err error) {
+		err = n.withReplica(func() error {
+			reply, err = serve(request)
+			return err
+		})
+		return reply, err
+	})
+}
+
+// handleDigest compares digests. A member that differs may have what this one has not: it is synced with soon.
+func (n *Node) handleDigest(_ context.Context, from peer.Sender, body []byte) ([]byte, error) {
+	return handle(n, body, func(theirs *digest) (digest, error) {
+		ours := n.localDigestLocked()
+		inSync := theirs.matches(ours)
+		n.recordContactLocked(from.Name, theirs, inSync)
+		if inSync {
+			n.peerVersions[from.Name] = n.replica.Version()
+			return ours, nil
+		}
+		if theirs.VersionDigest == ours.VersionDigest {
+			ours.BucketDigests = n.replica.BucketDigests()
+		}
+		select {
+		case n.contacts <- from.Name:
+		default: // enough members wait; this one is met in a later round
+		}
+		return ours, nil
+	})
+}
+
+// handlePull returns a chunk of the entries that the sender lacks.
+func (n *Node) handlePull(_ context.Context, _ peer.Sender, body []byte) ([]byte, error) {
+	return handle(n, body, func(request *pullRequest) (replication.Chunk, error) {
+		if !n.servesPullsLocked() {
+			return replication.Chunk{}, errNotCaughtUp
+		}
+		return n.replica.NextChunk(request.Version, request.Cursor, maxChunkEntries), nil
+	})
+}
+
+// handleRemovals tells which of the sender's entries were removed here. Guards against a sender that has observed less: what was
+// removed here may have been replaced by an entry that it lacks.
+func (n *Node) handleRemovals(_ context.Context, _ peer.Sender, body []byte) ([]byte, error) {
+	return handle(n, body, func(request *removals) (removals, error) {
+		if request.VersionDigest != n.replica.Version().Digest() {
+			return removals{}, errDifferentVersion
+		}
+		return removals{VersionDigest: request.VersionDigest, Dots: n.replica.Removed(request.Dots)}, nil
+	})
+}
+
+// localDigestLocked returns the digest of this replica, without the buckets.
+func (n *Node) localDigestLocked() digest {
+	version := n.replica.Version()
+	ours := digest{
+		VersionDigest:   version.Digest(),
+		EntryDigest:     n.replica.Digest(),
+		ObservedEntries: version.Total(),
+		StoredEntries:   n.replica.Len(),
+	}
+	if n.options.Info != nil {
+		ours.Info = n.options.Info()
+	}
+	return ours
+}
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -121,9 +121,9 @@
 func TestGolden_Messages(t *testing.T) {
 	dots := []replication.Dot{{Incarnation: "life-a", Counter: 1}, {Incarnation: "life-b", Counter: 2}}
 	about := MemberInfo{Version: "v", SettingsDigest: "s", OperatorDigest: "o", StartedAt: goldenStarted}
-	peertest.GoldenJSON(t, "hello.json", digest{VersionSum: 1 << 63, EntrySum: 2, BucketSums: []uint64{3, 1<<64 - 1}, ObservedEntries: 4, StoredEntries: 5, Info: about})
-	peertest.GoldenJSON(t, "pull.json", pullRequest{VersionVector: replication.VersionVector{"life-a": 1, "life-b": 2}, After: replication.Cursor{Kind: replication.KindOverride, Name: "w1"}})
-	peertest.GoldenJSON(t, "gone.json", removals{VersionSum: 1 << 62, Dots: dots})
+	peertest.GoldenJSON(t, "hello.json", digest{VersionDigest: 1 << 63, EntryDigest: 2, BucketDigests: []uint64{3, 1<<64 - 1}, ObservedEntries: 4, StoredEntries: 5, Info: about})
+	peertest.GoldenJSON(t, "pull.json", pullRequest{Version: replication.VersionVector{"life-a": 1, "life-b": 2}, Cursor: replication.Cursor{Kind: replication.KindOverride, Name: "w1"}})
+	peertest.GoldenJSON(t, "gone.json", removals{VersionDigest: 1 << 62, Dots: dots})
 	peertest.GoldenJSON(t, "piece.json", replication.Chunk{
 		Incarnation: "life-a", From: replication.Cursor{Kind: replication.KindOverride, Name: "w1"}, Last: replication.Cursor{Kind: "later", Name: "w2"}, Done: true,
 		Version: replication.VersionVector{"life-a": 3}, Entries: []replication.Entry{{
@@ -188,8 +188,7 @@
 // What a member answers to messages and calls of an earlier build stays, path by path.
 func TestGolden_Answers(t *testing.T) {
 	node := goldenNode(t)
-	node.cancel, node.done = func() {}, make(chan struct{})
-	close(node.done)
+	node.cancel = func() {}
 	transport, listener := peertest.NewTransport(t, "127.0.0.1:1")
 	node.transport = transport
 	transport.Handle("/group/copies/hello", node.handleDigest)
--- a/internal/gossip/spread_test.go
+++ b/internal/gossip/gossip_test.go
@@ -157,7 +157,7 @@
 		t.Errorf("a restart has %v, and what it does not know: %t", at.disabled, has(again))
 	}
 	b.mu.Lock() // what it had, on its disk; it has a place again
-	if err := b.openReplica(); err != nil {
+	if err := b.openReplicaLocked(); err != nil {
 		t.Fatal(err)
 	}
 	b.mu.Unlock()
@@ -252,11 +252,11 @@
 	if _, err := s.replica.Merge(&replication.PullProgress{}, other.NextChunk(nil, replication.Cursor{}, 9)); err != nil {
 		t.Fatal(err)
 	}
-	if r := s.status(); len(r.Overrides) != 1 || !r.Overrides[0].Conflict || !r.Overrides[0].Disabled {
+	if r := s.statusLocked(); len(r.Overrides) != 1 || !r.Overrides[0].Conflict || !r.Overrides[0].Disabled {
 		t.Errorf("%+v", r.Overrides)
 	}
 	s.SetOverride("r", true, 2)
-	if r := s.status(); len(r.Overrides[0].Writes) != 1 || r.Overrides[0].Conflict || !r.Overrides[0].Disabled {
+	if r := s.statusLocked(); len(r.Overrides[0].Writes) != 1 || r.Overrides[0].Conflict || !r.Overrides[0].Disabled {
 		t.Errorf("%+v", r.Overrides)
 	}
 }
@@ -285,12 +285,12 @@
 	}
 	before["known"] = hotrestart.Override{Disabled: true, At: s.localVersions["known"]}
 	s.MergeLocalOverrides(before)
-	if s.replica.Len() != 2 || !s.isDisabled("lost") {
-		t.Errorf("%d entries, lost is out: %t", s.replica.Len(), s.isDisabled("lost"))
+	if s.replica.Len() != 2 || !s.isDisabledLocked("lost") {
+		t.Errorf("%d entries, lost is out: %t", s.replica.Len(), s.isDisabledLocked("lost"))
 	}
 	before["lost"] = hotrestart.Override{Disabled: false, At: before["lost"].At} // a file that was not written yet
 	s.MergeLocalOverrides(before)
-	if !s.isDisabled("lost") {
+	if !s.isDisabledLocked("lost") {
 		t.Error("an old word was said again")
 	}
 	before["known"] = hotrestart.Override{Disabled: false, At: 99} // said to the process beside us
--- /dev/null
+++ b/internal/gossip/operator.go
@@ -0,0 +1,99 @@
+package gossip
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"birchfork/internal/peer"
+)
+
+// OverridesPath is the path of operators' calls on overrides.
+const OverridesPath = "/group/words"
+
+// Call is what an operator asks of a member: to make an override, or only to report.
+type Call struct {
+	Worker   string `json:"runner,omitempty"` // of the override; empty: none is made
+	Disabled bool   `json:"out,omitempty"`
+}
+
+// Reply is the answer to a Call.
+type Reply struct {
+	Member       string           `json:"told"` // which has answered
+	Text         string           `json:"text,omitempty"`
+	Invalid      bool             `json:"wrong,omitempty"` // the call was declined; Text says why
+	CaughtUp     bool             `json:"caught_up"`
+	NotPersisted string           `json:"unkept,omitempty"` // why overrides do not survive a restart; empty: they do
+	Digest       string           `json:"digest"`           // equal at members that have the same overrides
+	Incarnations int              `json:"lives"`            // that have written entries
+	Overrides    []OverrideStatus `json:"words"`            // by worker
+	Members      []MemberStatus   `json:"members"`          // the one that has answered first
+	Counters     map[string]int64 `json:"counters"`
+}
+
+// OverrideStatus is the override of a worker.
+type OverrideStatus struct {
+	Worker   string          `json:"runner"`
+	Disabled bool            `json:"out"`
+	Conflict bool            `json:"conflict,omitempty"` // concurrent writes differ; a new one resolves that
+	Writes   []OverrideWrite `json:"said"`               // the concurrent ones, by time
+}
+
+// OverrideWrite is an operator's write at a member.
+type OverrideWrite struct {
+	Disabled bool      `json:"out"`
+	Member   string    `json:"member"`
+	At       time.Time `json:"at"` // by that member's clock
+}
+
+// MemberStatus is a member as the one that reports has met it.
+type MemberStatus struct {
+	Name string `json:"name"`
+	MemberInfo
+	LastContact    time.Duration `json:"met"`    // ago; below 0: never
+	LastInSync     time.Duration `json:"same"`   // ago that it had the same entries; below 0: never
+	MissingEntries int           `json:"behind"` // observed by the one that reports and not by this one, by their number
+	StoredEntries  int           `json:"held"`
+	Messages       int64         `json:"messages"` // that were sent to it
+	BytesOut       int64         `json:"bytes_out"`
+	BytesIn        int64         `json:"bytes_in"`
+}
+
+// CallMember makes a call at the member that listens at address (host:port).
+func CallMember(ctx context.Context, address string, call Call) (*Reply, error) {
+	reply := &Reply{}
+	if err := peer.CallMember(ctx, address, OverridesPath, call, reply); err != nil {
+		return nil, fmt.Errorf("%s: %w", address, err)
+	}
+	return reply, nil
+}
+
+// handleOperatorCall serves a Call.
+func (n *Node) handleOperatorCall(_ context.Context, _ peer.Sender, body []byte) ([]byte, error) {
+	return peer.ServeJSON(body, malformedCall, n.serveCall)
+}
+
+func malformedCall(decodeErr error) (*Reply, error) {
+	return &Reply{Invalid: true, Text: "no call: " + decodeErr.Error()}, nil
+}
+
+// serveCall makes the override that a call names, as the admin server would, and reports.
+func (n *Node) serveCall(call *Call) (reply *Reply, err error) {
+	text := ""
+	if call.Worker != "" {
+		note, err := n.options.SetOverride(call.Worker, call.Disabled)
+		if err != nil {
+			return &Reply{Member: n.options.Self, Invalid: true, Text: err.Error()}, nil
+		}
+		text = "yes"
+		if note != "" {
+			text = "yes; " + note
+		}
+	}
+	err = n.withReplica(func() error {
+		reply = n.statusLocked()
+		reply.Text = text
+		return nil
+	})
+	return reply, err
+}
--- /dev/null
+++ b/internal/gossip/overrides.go
@@ -0,0 +1,163 @@
+package gossip
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"birchfork/internal/failpoint"
+	"birchfork/internal/hotrestart"
+	"birchfork/internal/replication"
+)
+
+// kindOfNewerBuild is the kind of the entries that the failpoint NewerEntries writes.
+const kindOfNewerBuild = "later"
+
+// SetOverride replicates an override that an operator has made at this dispatcher, and that is in effect here with the given
+// version. It waits until the override is persisted, for persistTimeout at the most. The note tells the operator where that has not
+// succeeded. The error is replication.ErrFull where there are too many overrides.
+func (n *Node) SetOverride(worker string, disabled bool, version int64) (note string, err error) {
+	n.mu.Lock()
+	if n.replica == nil {
+		n.mu.Unlock()
+		return "", nil // MergeLocalOverrides brings it to the process that owns the replica
+	}
+	err = n.setOverrideLocked(worker, disabled, version)
+	batch, persistErr := n.lastBatch, n.persistErr
+	if n.storage == nil && persistErr == nil {
+		persistErr = errNoDir
+	}
+	n.mu.Unlock()
+	if err != nil {
+		return "", err
+	}
+	if batch != nil {
+		persistErr = n.awaitWritten(batch)
+	}
+	if persistErr != nil {
+		note = fmt.Sprintf("this member does not keep it over a restart: %v", persistErr)
+	}
+	return note, nil
+}
+
+// setOverrideLocked writes an override to the replica, unless that says the same without a conflict, and has it persisted and spread.
+func (n *Node) setOverrideLocked(worker string, disabled bool, version int64) error {
+	n.localVersions[worker] = version
+	delete(n.inherited, worker)
+	entries := n.replica.Get(replication.KindOverride, worker)
+	if replication.IsDisabled(entries) != disabled || replication.InConflict(entries) {
+		if err := n.writeOverrideLocked(worker, disabled); err != nil {
+			return err
+		}
+	}
+	n.persistLocked()
+	n.wake()
+	return nil
+}
+
+// writeOverrideLocked adds an entry to the replica. It replaces all entries for the worker that are here.
+func (n *Node) writeOverrideLocked(worker string, disabled bool) error {
+	entry := replication.Entry{
+		Kind:      replication.KindOverride,
+		Name:      worker,
+		Disabled:  disabled,
+		Member:    n.options.Self,
+		WrittenAt: time.Now().Add(failpoint.ClockOffset(n.options.Self)).UnixMilli(),
+	}
+	if _, err := n.replica.Write(entry); err != nil {
+		return fmt.Errorf("it binds here alone: %w", err)
+	}
+	n.dirty[replication.Key{Kind: entry.Kind, Name: worker}] = true
+	if failpoint.Enabled(failpoint.NewerEntries) {
+		return n.writeNewerEntryLocked(worker)
+	}
+	return nil
+}
+
+// writeNewerEntryLocked adds an entry of a kind that this build does not know, as a later build might.
+func (n *Node) writeNewerEntryLocked(worker string) error {
+	entry := replication.Entry{Kind: kindOfNewerBuild, Name: worker, Member: n.options.Self, Data: []byte(`{"of":"a newer build"}`)}
+	if _, err := n.replica.Write(entry); err != nil {
+		return err
+	}
+	n.dirty[replication.Key{Kind: entry.Kind, Name: worker}] = true
+	return nil
+}
+
+// isDisabledLocked reports whether the replica has a worker disabled.
+func (n *Node) isDisabledLocked(worker string) bool {
+	return replication.IsDisabled(n.replica.Get(replication.KindOverride, worker))
+}
+
+// MergeLocalOverrides takes all overrides of this dispatcher, now and then, so that one that was made at another of its processes is
+// replicated too. Those of the first call were made before the replica was opened: the replica wins, and one that it knows nothing of
+// is replicated once this member has caught up.
+func (n *Node) MergeLocalOverrides(overrides hotrestart.Overrides) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.replica == nil {
+		return
+	}
+	for _, worker := range slices.Sorted(maps.Keys(overrides)) {
+		override := overrides[worker]
+		if n.localVersions[worker] == override.At {
+			continue
+		}
+		n.localVersions[worker] = override.At
+		if n.hasLocalBaseline {
+			n.mergeLocalLocked(worker, override)
+		} else {
+			n.mergeInheritedLocked(worker, override)
+		}
+	}
+	n.hasLocalBaseline = true
+	if len(n.inherited) > 0 && n.isCaughtUpLocked() {
+		n.writeInheritedLocked()
+	}
+}
+
+// mergeLocalLocked replicates an override that was made at another process of this dispatcher.
+func (n *Node) mergeLocalLocked(worker string, override hotrestart.Override) {
+	if n.isDisabledLocked(worker) != override.Disabled {
+		_ = n.setOverrideLocked(worker, override.Disabled, override.At) // a full replica leaves it in effect here alone
+	}
+}
+
+// mergeInheritedLocked settles an override that is older than the session: by the replica, or later where that knows nothing of it.
+func (n *Node) mergeInheritedLocked(worker string, override hotrestart.Override) {
+	entries := n.replica.Get(replication.KindOverride, worker)
+	switch {
+	case len(entries) == 0 && override.Disabled:
+		n.inherited[worker] = true
+	case replication.IsDisabled(entries) != override.Disabled:
+		n.localVersions[worker] = n.options.ApplyOverride(worker, !override.Disabled)
+	}
+}
+
+// writeInheritedLocked replicates the inherited overrides that no member knows of.
+func (n *Node) writeInheritedLocked() {
+	for _, worker := range slices.Sorted(maps.Keys(n.inherited)) {
+		if len(n.replica.Get(replication.KindOverride, worker)) == 0 {
+			_ = n.setOverrideLocked(worker, true, n.localVersions[worker]) // a full replica leaves it in effect here alone
+		}
+	}
+	clear(n.inherited)
+}
+
+// applyChangesLocked puts entries that came from another member into effect, and has them persisted and spread. Entries of kinds that
+// this build does not know are passed on alone.
+func (n *Node) applyChangesLocked(changed []replication.Key) {
+	for _, key := range changed {
+		n.dirty[key] = true
+		if key.Kind != replication.KindOverride {
+			continue
+		}
+		delete(n.inherited, key.Name)
+		n.localVersions[key.Name] = n.options.ApplyOverride(key.Name, n.isDisabledLocked(key.Name))
+	}
+	n.persistLocked()
+	if len(changed) > 0 {
+		n.wake()
+	}
+}
--- a/internal/peer/queue.go
+++ b/internal/peer/queue.go
@@ -52,7 +52,7 @@
 	if queue == nil && t.ctx.Err() == nil {
 		queue = &sendQueue{member: member, messages: make(chan message, maxQueuedMessages)}
 		t.queues[name] = queue
-		t.senders.Go(func() { t.sendLoop(queue) })
+		t.senders.Go(func() { t.sendLoop(t.ctx, queue) })
 	}
 	return queue
 }
@@ -74,25 +74,25 @@
 // pop accounts for a message that was received from the queue.
 func (q *sendQueue) pop(m message) { q.queuedBytes.Add(-int64(len(m.body))) }
 
-// sendLoop sends the messages of one queue until Close.
-func (t *Transport) sendLoop(queue *sendQueue) {
+// sendLoop sends the messages of one queue until the context ends.
+func (t *Transport) sendLoop(ctx context.Context, queue *sendQueue) {
 	for {
 		select {
-		case <-t.ctx.Done():
+		case <-ctx.Done():
 			return
 		case m := <-queue.messages:
 			queue.pop(m)
-			t.deliver(queue, m)
+			t.deliver(ctx, queue, m)
 		}
 	}
 }
 
 // deliver sends one message. Where the member cannot be reached it drops what is queued, as it is outdated by the time the member is
 // back (raft repeats what still matters), and waits before the next message.
-func (t *Transport) deliver(queue *sendQueue, m message) {
-	ctx, cancel := context.WithTimeout(t.ctx, sendTimeout)
+func (t *Transport) deliver(ctx context.Context, queue *sendQueue, m message) {
+	requestCtx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	_, err := t.Request(ctx, queue.member.Name, m.path, m.body)
+	_, err := t.Request(requestCtx, queue.member.Name, m.path, m.body)
 	if err == nil {
 		t.Counters.Sent.Add(1)
 		t.Counters.BytesOut.Add(int64(len(m.body)))
@@ -105,7 +105,7 @@
 	t.options.OnUnreachable(queue.member.Name)
 	t.dropQueued(queue)
 	select {
-	case <-t.ctx.Done():
+	case <-ctx.Done():
 	case <-time.After(retryDelay):
 	}
 }
