--- /dev/null
+++ b/internal/gossip/endpoints/broadcaster.go
@@ -0,0 +1,230 @@
+package endpoints
+
+import (
+	"context"
+	"encoding/json"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"birchfork/internal/failpoint"
+	"birchfork/internal/peer"
+)
+
+// Times and limits of a Broadcaster.
+const (
+	pollInterval        = 250 * time.Millisecond // between looks at the own list
+	fanout              = 4                      // members that an update is sent to; each sends it on to as many
+	maxMessageStatuses  = 1000
+	initialSyncPeers    = 2 // members that are asked for all they know after a start
+	initialSyncInterval = time.Second
+	requestTimeout      = time.Second
+)
+
+// The paths of the messages between members.
+const (
+	updatesPath  = "/group/list/news"
+	snapshotPath = "/group/list/all"
+)
+
+// Source is the endpoint list of this dispatcher. Its methods are called from several goroutines.
+type Source interface {
+	// Statuses returns how far workers have come by the list; fresh: discovery has reported them since the start.
+	Statuses() (statuses []Status, fresh bool)
+	// Revision changes with each change of the list.
+	Revision() uint64
+	// WatchUptime returns how long the watch has reported without a break; below 0: it does not.
+	WatchUptime() time.Duration
+	// ExcludeOutdated excludes these workers, in place of those before.
+	ExcludeOutdated(names []string)
+}
+
+// Broadcaster exchanges statuses with the other members. It is safe for concurrent use, but for Attach and Detach, which are for its
+// owner.
+type Broadcaster struct {
+	Sent     atomic.Int64 // messages, each to several members
+	Accepted atomic.Int64 // statuses that were new
+	Rejected atomic.Int64 // statuses and messages
+
+	peers     []string
+	source    Source
+	log       logrus.FieldLogger
+	startedAt time.Time
+
+	mu             sync.Mutex
+	table          *Table
+	sourceRevision uint64 // of the list that the table has
+	excluded       int    // workers
+
+	cancel context.CancelFunc // ends the loops
+	loops  sync.WaitGroup
+}
+
+// NewBroadcaster returns a Broadcaster for a member with these other members. It exchanges nothing before Attach.
+func NewBroadcaster(peers []string, source Source, log logrus.FieldLogger) *Broadcaster {
+	return &Broadcaster{peers: peers, source: source, log: log, startedAt: time.Now(), table: NewTable()}
+}
+
+// Attach takes part by a transport that does not serve yet: it registers the handlers and starts the loops that Detach ends.
+func (b *Broadcaster) Attach(transport *peer.Transport) {
+	transport.Handle(updatesPath, func(_ context.Context, _ peer.Sender, body []byte) ([]byte, error) {
+		statuses, err := decodeStatuses(body)
+		if err != nil {
+			b.Rejected.Add(1)
+			return nil, err
+		}
+		b.broadcast(transport, b.merge(statuses))
+		return nil, nil
+	})
+	transport.Handle(snapshotPath, b.handleSnapshot)
+	ctx, cancel := context.WithCancel(context.Background())
+	b.cancel = cancel
+	b.loops.Go(func() { b.watchLoop(ctx, transport) })
+	b.loops.Go(func() { b.initialSync(ctx, transport) })
+}
+
+// Detach ends the loops.
+func (b *Broadcaster) Detach() {
+	b.cancel()
+	b.loops.Wait()
+}
+
+// Fields returns the counters by the names that the log shows.
+func (b *Broadcaster) Fields() map[string]int64 {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return map[string]int64{
+		"list_told":    b.Sent.Load(),
+		"list_taken":   b.Accepted.Load(),
+		"list_refused": b.Rejected.Load(),
+		"list_held":    int64(b.excluded),
+	}
+}
+
+// handleSnapshot returns the local statuses to a member that has just started.
+func (b *Broadcaster) handleSnapshot(context.Context, peer.Sender, []byte) ([]byte, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	statuses, fresh := b.table.Local()
+	if !fresh || failpoint.Enabled(failpoint.NoEndpointExchange) {
+		return nil, &peer.RejectedError{Reason: "this member's own discovery has told nothing yet"}
+	}
+	return json.Marshal(statuses)
+}
+
+// decodeStatuses decodes a message. The error is a *peer.RejectedError.
+func decodeStatuses(body []byte) (statuses []Status, err error) {
+	if err := json.Unmarshal(body, &statuses); err != nil {
+		return nil, &peer.RejectedError{Reason: "no facts of a list: " + err.Error()}
+	}
+	return statuses, nil
+}
+
+// merge takes over another member's statuses and returns those that were new here.
+func (b *Broadcaster) merge(statuses []Status) (updates []Status) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	updates, rejected := b.table.Merge(time.Since(b.startedAt), statuses)
+	b.Accepted.Add(int64(len(updates)))
+	b.Rejected.Add(int64(rejected))
+	if len(updates) > 0 {
+		b.applyExclusionsLocked()
+	}
+	return updates
+}
+
+// applyExclusionsLocked excludes the workers that others know to have come further.
+func (b *Broadcaster) applyExclusionsLocked() {
+	names := b.table.Excluded(time.Since(b.startedAt), b.source.WatchUptime())
+	if len(names) != b.excluded {
+		b.log.WithField("workers", len(names)).Info("workers excluded that other members know to have come further")
+	}
+	b.excluded = len(names)
+	b.source.ExcludeOutdated(names)
+}
+
+// watchLoop follows the own list and broadcasts its changes.
+func (b *Broadcaster) watchLoop(ctx context.Context, transport *peer.Transport) {
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
+	for ctx.Err() == nil {
+		b.broadcast(transport, b.updateLocal())
+		select {
+		case <-ctx.Done():
+		case <-ticker.C:
+		}
+	}
+}
+
+// updateLocal takes over the own list where that has changed, and returns the updates for other members.
+func (b *Broadcaster) updateLocal() (updates []Status) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	// The revision is read first: a change after that is taken over by the next call.
+	if revision := b.source.Revision(); revision != b.sourceRevision {
+		b.sourceRevision = revision
+		updates = b.table.UpdateLocal(b.source.Statuses())
+	}
+	if b.excluded > 0 || len(updates) > 0 {
+		b.applyExclusionsLocked()
+	}
+	return updates
+}
+
+// broadcast sends updates to some members. It does not wait.
+func (b *Broadcaster) broadcast(transport *peer.Transport, updates []Status) {
+	if failpoint.Enabled(failpoint.NoEndpointExchange) {
+		return
+	}
+	for len(updates) > 0 {
+		n := min(maxMessageStatuses, len(updates))
+		body, err := json.Marshal(updates[:n])
+		if err != nil {
+			return
+		}
+		for _, name := range peer.Sample(b.peers, fanout) {
+			transport.Send(name, updatesPath, body)
+		}
+		b.Sent.Add(1)
+		updates = updates[n:]
+	}
+}
+
+// initialSync asks members for all they know until enough have answered.
+func (b *Broadcaster) initialSync(ctx context.Context, transport *peer.Transport) {
+	enough := min(initialSyncPeers, len(b.peers))
+	synced := map[string]bool{}
+	for ctx.Err() == nil && len(synced) < enough {
+		for _, name := range peer.Sample(b.peers, len(b.peers)) {
+			if len(synced) >= enough || ctx.Err() != nil {
+				break
+			}
+			if !synced[name] && b.fetchSnapshot(ctx, transport, name) {
+				synced[name] = true
+			}
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(initialSyncInterval):
+		}
+	}
+}
+
+// fetchSnapshot takes over a member's statuses; false: it has not sent any. They are not broadcast further, as that member has done so.
+func (b *Broadcaster) fetchSnapshot(ctx context.Context, transport *peer.Transport, name string) bool {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
+	defer cancel()
+	body, err := transport.Request(ctx, name, snapshotPath, nil)
+	if err != nil {
+		return false
+	}
+	statuses, err := decodeStatuses(body)
+	if err != nil {
+		b.Rejected.Add(1)
+		return false
+	}
+	b.merge(statuses)
+	return true
+}
--- /dev/null
+++ b/internal/gossip/outliers/outliers.go
@@ -0,0 +1,123 @@
+// Package outliers tells the other members of a group of workers at which requests fail, and takes their reports. Nothing is persisted
+// and no report is sure to arrive: what a report means for a worker is up to the decision module.
+package outliers
+
+import (
+	"context"
+	"encoding/json"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"birchfork/internal/failpoint"
+	"birchfork/internal/peer"
+)
+
+// Limits on reports.
+const (
+	maxPending        = 64                     // reports that wait to be sent; further ones are dropped
+	fanout            = 32                     // members that a report is sent to
+	minReportInterval = 250 * time.Millisecond // between reports of one worker: its failures go on until it is ejected
+	maxNameBytes      = 256                    // of a worker's name
+	maxTrackedWorkers = 10_000                 // whose last report is remembered
+)
+
+// reportPath is the path of reports between members.
+const reportPath = "/group/warn"
+
+// report says that requests fail at a worker.
+type report struct {
+	Worker string `json:"worker"`
+}
+
+// Broadcaster exchanges reports with the other members. It is safe for concurrent use, but for Attach and Detach, which are for its
+// owner.
+type Broadcaster struct {
+	Sent     atomic.Int64 // reports, each to several members
+	Rejected atomic.Int64 // malformed messages
+
+	peers    []string
+	onReport func(worker string)
+	pending  chan string
+
+	cancel context.CancelFunc // ends the loop
+	loops  sync.WaitGroup
+}
+
+// New returns a Broadcaster for a member with these other members. It sends nothing before Attach. onReport is called with each worker
+// that another member reports, from several goroutines.
+func New(peers []string, onReport func(worker string)) *Broadcaster {
+	return &Broadcaster{peers: peers, onReport: onReport, pending: make(chan string, maxPending)}
+}
+
+// Report tells other members that requests fail at a worker. It does not wait.
+func (b *Broadcaster) Report(worker string) {
+	select {
+	case b.pending <- worker:
+	default:
+	}
+}
+
+// Attach takes part by a transport that does not serve yet: it registers the handler and starts the loop that Detach ends.
+func (b *Broadcaster) Attach(transport *peer.Transport) {
+	transport.Handle(reportPath, b.handleReport)
+	ctx, cancel := context.WithCancel(context.Background())
+	b.cancel = cancel
+	b.loops.Go(func() { b.sendLoop(ctx, transport) })
+}
+
+// Detach ends the loop.
+func (b *Broadcaster) Detach() {
+	b.cancel()
+	b.loops.Wait()
+}
+
+// Fields returns the counters by the names that the log shows.
+func (b *Broadcaster) Fields() map[string]int64 {
+	return map[string]int64{"warnings_told": b.Sent.Load(), "warnings_refused": b.Rejected.Load()}
+}
+
+// sendLoop sends pending reports, of each worker one in minReportInterval.
+func (b *Broadcaster) sendLoop(ctx context.Context, transport *peer.Transport) {
+	lastSent := map[string]time.Time{}
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case worker := <-b.pending:
+			tooSoon := time.Since(lastSent[worker]) < minReportInterval
+			if tooSoon || failpoint.Enabled(failpoint.NoOutlierReports) {
+				continue
+			}
+			if len(lastSent) >= maxTrackedWorkers {
+				clear(lastSent)
+			}
+			lastSent[worker] = time.Now()
+			b.send(transport, worker)
+		}
+	}
+}
+
+// send sends a report to some members.
+func (b *Broadcaster) send(transport *peer.Transport, worker string) {
+	body, err := json.Marshal(report{Worker: worker})
+	if err != nil {
+		return
+	}
+	for _, name := range peer.Sample(b.peers, fanout) {
+		transport.Send(name, reportPath, body)
+	}
+	b.Sent.Add(1)
+}
+
+// handleReport takes another member's report.
+func (b *Broadcaster) handleReport(_ context.Context, _ peer.Sender, body []byte) ([]byte, error) {
+	var received report
+	err := json.Unmarshal(body, &received)
+	if err != nil || received.Worker == "" || len(received.Worker) > maxNameBytes {
+		b.Rejected.Add(1)
+		return nil, &peer.RejectedError{Reason: "no warning"}
+	}
+	b.onReport(received.Worker)
+	return nil, nil
+}
