--- a/internal/gossip/endpoints/golden_test.go
+++ b/internal/gossip/endpoints/golden_test.go
@@ -12,7 +12,7 @@
 	"birchfork/internal/peer/peertest"
 )
 
-// goldenSource is a list that never changes.
+// goldenSource is an endpoint list that never changes.
 type goldenSource struct {
 	statuses []Status
 	fresh    bool
@@ -36,7 +36,7 @@
 	return NewBroadcaster([]string{"b"}, source, log), source
 }
 
-// goldenStatuses are of each state; the first has all fields.
+// goldenStatuses returns statuses of each state; the first has all fields.
 func goldenStatuses() []Status {
 	return []Status{{Name: "w1", StartedAt: 1700000000001, State: Draining}, {Name: "w2", StartedAt: 1700000000002, State: Gone}, {Name: "w3", State: Up}}
 }
@@ -81,7 +81,7 @@
 	broadcaster.Attach(transport)
 	defer broadcaster.Detach()
 	transport.Serve(listener)
-	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) { // its list is read
+	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) { // until the list is read
 		broadcaster.mu.Lock()
 		_, fresh := broadcaster.table.Local()
 		broadcaster.mu.Unlock()
--- a/internal/gossip/endpoints/table_test.go
+++ b/internal/gossip/endpoints/table_test.go
@@ -15,17 +15,17 @@
 	}
 }), 0, 12)
 
-// Whatever order facts come in, in whatever pieces and how often, the same workers are left out, and nothing is news twice.
+// In whatever order, batches and repetitions statuses come, the same workers are excluded, and no status is an update twice.
 func TestTable_MergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		local, all := []Status{{Name: "a"}, {Name: "b", StartedAt: 2}}, genStatuses.Draw(t, "facts")
+		local, all := []Status{{Name: "a"}, {Name: "b", StartedAt: 2}}, genStatuses.Draw(t, "statuses")
 		one, two := NewTable(), NewTable()
 		one.UpdateLocal(local, false)
 		two.UpdateLocal(local, false)
 		one.Merge(0, all)
 		shuffled := slices.Concat(rapid.Permutation(all).Draw(t, "order"), all)
 		for len(shuffled) > 0 {
-			n := rapid.IntRange(1, len(shuffled)).Draw(t, "piece")
+			n := rapid.IntRange(1, len(shuffled)).Draw(t, "batch")
 			two.Merge(0, shuffled[:n])
 			shuffled = shuffled[n:]
 		}
@@ -33,12 +33,12 @@
 			t.Fatalf("%v and %v", a, b)
 		}
 		if updates, _ := two.Merge(0, all); len(updates) > 0 {
-			t.Fatalf("news again: %v", updates)
+			t.Fatalf("updates again: %v", updates)
 		}
 	})
 }
 
-// By whom a worker is left out, and until when.
+// A worker is excluded by statuses that supersede the own one, until the own list overrules them.
 func TestTable_Excluded(t *testing.T) {
 	const beforeTrust = localTrustDelay - 1
 	for what, c := range map[string]struct {
@@ -46,54 +46,54 @@
 		now, watchUptime time.Duration
 		excluded         bool
 	}{
-		"it drains":                        {Status{StartedAt: 5}, Status{StartedAt: 5, State: Draining}, 0, 0, true},
-		"it has gone, our watch is silent": {Status{StartedAt: 5}, Status{StartedAt: 5, State: Gone}, time.Hour, -1, true},
-		"it was started anew":              {Status{StartedAt: 5}, Status{StartedAt: 6}, beforeTrust, time.Hour, true},
-		"an older start drains":            {Status{StartedAt: 5}, Status{StartedAt: 4, State: Draining}, 0, -1, false},
-		"our list has it":                  {Status{State: Draining}, Status{State: Draining}, 0, -1, false},
-		"our list holds against it":        {Status{}, Status{State: Draining}, localTrustDelay, time.Hour, false},
-		"our watch has not stood for long": {Status{}, Status{State: Draining}, time.Hour, beforeTrust, true},
+		"it drains":                           {Status{StartedAt: 5}, Status{StartedAt: 5, State: Draining}, 0, 0, true},
+		"it is gone, the own watch is silent": {Status{StartedAt: 5}, Status{StartedAt: 5, State: Gone}, time.Hour, -1, true},
+		"it was restarted":                    {Status{StartedAt: 5}, Status{StartedAt: 6}, beforeTrust, time.Hour, true},
+		"an earlier start drains":             {Status{StartedAt: 5}, Status{StartedAt: 4, State: Draining}, 0, -1, false},
+		"the own list says the same":          {Status{State: Draining}, Status{State: Draining}, 0, -1, false},
+		"the own list overrules it":           {Status{}, Status{State: Draining}, localTrustDelay, time.Hour, false},
+		"the own watch is too young":          {Status{}, Status{State: Draining}, time.Hour, beforeTrust, true},
 	} {
-		r := NewTable()
+		table := NewTable()
 		c.local.Name, c.reported.Name = "w", "w"
-		r.UpdateLocal([]Status{c.local}, true)
-		r.Merge(0, []Status{c.reported})
-		if excluded := len(r.Excluded(c.now, c.watchUptime)) > 0; excluded != c.excluded {
-			t.Errorf("%s: left out %t", what, excluded)
+		table.UpdateLocal([]Status{c.local}, true)
+		table.Merge(0, []Status{c.reported})
+		if excluded := len(table.Excluded(c.now, c.watchUptime)) > 0; excluded != c.excluded {
+			t.Errorf("%s: excluded %t", what, excluded)
 		}
 	}
 }
 
-// What others are to hear of our own list: what is new since a fresh one, unless they told it. A fact that our list has held against
-// is no news when it comes again, until it is forgotten.
+// Updates for other members are what is new since a fresh list, unless they have reported it. A status that the own list has overruled
+// is no update when it comes again, until it is forgotten.
 func TestTable_Updates(t *testing.T) {
-	r := NewTable()
+	table := NewTable()
 	up, draining := []Status{{Name: "v"}, {Name: "w"}}, []Status{{Name: "v", State: Draining}, {Name: "w", State: Draining}}
-	if updates := r.UpdateLocal(up, false); len(updates) > 0 {
+	if updates := table.UpdateLocal(up, false); len(updates) > 0 {
 		t.Errorf("an old list: %v", updates)
 	}
-	if updates := r.UpdateLocal(up, true); len(updates) > 0 {
+	if updates := table.UpdateLocal(up, true); len(updates) > 0 {
 		t.Errorf("the first fresh list: %v", updates)
 	}
-	if updates, rejected := r.Merge(0, append(draining[:1:1], Status{}, Status{Name: "x", StartedAt: -1}, Status{Name: "x", State: 3})); len(updates) != 1 || rejected != 3 {
-		t.Errorf("%v, %d refused", updates, rejected)
+	if updates, rejected := table.Merge(0, append(draining[:1:1], Status{}, Status{Name: "x", StartedAt: -1}, Status{Name: "x", State: 3})); len(updates) != 1 || rejected != 3 {
+		t.Errorf("%v, %d rejected", updates, rejected)
 	}
-	r.Excluded(localTrustDelay, time.Hour)
-	if updates, _ := r.Merge(localTrustDelay, draining[:1]); len(updates) > 0 || len(r.Excluded(localTrustDelay, time.Hour)) > 0 {
+	table.Excluded(localTrustDelay, time.Hour)
+	if updates, _ := table.Merge(localTrustDelay, draining[:1]); len(updates) > 0 || len(table.Excluded(localTrustDelay, time.Hour)) > 0 {
 		t.Errorf("it came again: %v", updates)
 	}
-	if updates := r.UpdateLocal(draining, true); !slices.Equal(updates, draining[1:]) {
-		t.Errorf("%v, one of which others told", updates)
+	if updates := table.UpdateLocal(draining, true); !slices.Equal(updates, draining[1:]) {
+		t.Errorf("%v, one of which others have reported", updates)
 	}
-	r.UpdateLocal(up, true)
-	r.Excluded(2*remoteLifetime, time.Hour)
-	if updates, _ := r.Merge(2*remoteLifetime, draining[:1]); len(updates) != 1 {
-		t.Error("it is known for ever")
+	table.UpdateLocal(up, true)
+	table.Excluded(2*remoteLifetime, time.Hour)
+	if updates, _ := table.Merge(2*remoteLifetime, draining[:1]); len(updates) != 1 {
+		t.Error("it is never forgotten")
 	}
 	for i := range 2 * maxRemoteStatuses {
-		r.Merge(0, []Status{{Name: string(rune(i + 1000)), StartedAt: 1}})
+		table.Merge(0, []Status{{Name: string(rune(i + 1000)), StartedAt: 1}})
 	}
-	if len(r.remote) > maxRemoteStatuses {
-		t.Errorf("%d are kept", len(r.remote))
+	if len(table.remote) > maxRemoteStatuses {
+		t.Errorf("%d are stored", len(table.remote))
 	}
 }
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -27,27 +27,32 @@
 func goldenReplica(t *testing.T) *replication.Replica {
 	t.Helper()
 	mine, theirs := replication.New("life-a"), replication.New("life-b")
-	say := func(c *replication.Replica, e replication.Entry) {
-		if _, err := c.Write(e); err != nil {
+	write := func(replica *replication.Replica, entry replication.Entry) {
+		t.Helper()
+		if _, err := replica.Write(entry); err != nil {
 			t.Fatal(err)
 		}
 	}
-	say(theirs, replication.Entry{Kind: replication.KindOverride, Name: "w1", Disabled: true, Member: "b", WrittenAt: 1700000000001})
+	write(theirs, replication.Entry{Kind: replication.KindOverride, Name: "w1", Disabled: true, Member: "b", WrittenAt: 1700000000001})
 	if _, err := mine.Merge(&replication.PullProgress{}, theirs.NextChunk(nil, replication.Cursor{}, 9)); err != nil {
 		t.Fatal(err)
 	}
-	say(mine, replication.Entry{Kind: replication.KindOverride, Name: "w1", Disabled: true, Member: "a", WrittenAt: 1700000000002})
-	say(mine, replication.Entry{Kind: replication.KindOverride, Name: "w2", Member: "a", WrittenAt: 1700000000003})
-	say(theirs, replication.Entry{Kind: replication.KindOverride, Name: "w2", Disabled: true, Member: "b", WrittenAt: 1700000000004})
-	say(theirs, replication.Entry{Kind: "later", Name: "w3", Member: "b", WrittenAt: 1700000000005, Data: json.RawMessage(`{"x":1}`)})
+	write(mine, replication.Entry{Kind: replication.KindOverride, Name: "w1", Disabled: true, Member: "a", WrittenAt: 1700000000002})
+	write(mine, replication.Entry{Kind: replication.KindOverride, Name: "w2", Member: "a", WrittenAt: 1700000000003})
+	write(theirs, replication.Entry{Kind: replication.KindOverride, Name: "w2", Disabled: true, Member: "b", WrittenAt: 1700000000004})
+	write(theirs, replication.Entry{Kind: newerKind, Name: "w3", Member: "b", WrittenAt: 1700000000005, Data: json.RawMessage(newerData)})
 	if _, err := mine.Merge(&replication.PullProgress{}, theirs.NextChunk(mine.Version(), replication.Cursor{}, 9)); err != nil {
 		t.Fatal(err)
 	}
 	return mine
 }
 
-// goldenRefs are all entries of goldenCopy.
-var goldenRefs = map[replication.Key]bool{{Kind: replication.KindOverride, Name: "w1"}: true, {Kind: replication.KindOverride, Name: "w2"}: true, {Kind: "later", Name: "w3"}: true}
+// goldenKeys are those of all entries of goldenReplica.
+var goldenKeys = map[replication.Key]bool{
+	{Kind: replication.KindOverride, Name: "w1"}: true,
+	{Kind: replication.KindOverride, Name: "w2"}: true,
+	{Kind: newerKind, Name: "w3"}:                true,
+}
 
 // dump is the logical content of a bbolt file: buckets, keys and values.
 func dump(t *testing.T, db *bbolt.DB) []byte {
@@ -69,14 +74,14 @@
 }
 
 // The file keeps buckets, keys and values, and a new build opens a file of an earlier one.
-func TestGolden_Disk(t *testing.T) {
+func TestGolden_Storage(t *testing.T) {
 	want := goldenReplica(t)
 	dir := t.TempDir()
 	d, _, err := openStorage(dir, "g", replication.New("life-c"), func(*storage, *batch) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := d.enqueue(want, goldenRefs)
+	b, err := d.enqueue(want, goldenKeys)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,10 +113,10 @@
 	}
 	for _, name := range []string{"w1", "w2", "w3"} {
 		if at.isDisabled(name) != (name != "w3") {
-			t.Errorf("%s is out: %t", name, at.isDisabled(name))
+			t.Errorf("%s is disabled: %t", name, at.isDisabled(name))
 		}
 	}
-	if data := s.replica.Get("later", "w3"); len(data) != 1 || string(data[0].Data) != `{"x":1}` {
+	if data := s.replica.Get(newerKind, "w3"); len(data) != 1 || string(data[0].Data) != newerData {
 		t.Errorf("%+v", data)
 	}
 	goldentest.Check(t, "words.db.txt", dump(t, s.storage.db))
@@ -125,10 +130,10 @@
 	peertest.GoldenJSON(t, "pull.json", pullRequest{Version: replication.VersionVector{"life-a": 1, "life-b": 2}, Cursor: replication.Cursor{Kind: replication.KindOverride, Name: "w1"}})
 	peertest.GoldenJSON(t, "gone.json", removals{VersionDigest: 1 << 62, Dots: dots})
 	peertest.GoldenJSON(t, "piece.json", replication.Chunk{
-		Incarnation: "life-a", From: replication.Cursor{Kind: replication.KindOverride, Name: "w1"}, Last: replication.Cursor{Kind: "later", Name: "w2"}, Done: true,
+		Incarnation: "life-a", From: replication.Cursor{Kind: replication.KindOverride, Name: "w1"}, Last: replication.Cursor{Kind: newerKind, Name: "w2"}, Done: true,
 		Version: replication.VersionVector{"life-a": 3}, Entries: []replication.Entry{{
-			Kind: "later", Name: "w2", Dot: dots[1], CausalContext: replication.VersionVector{"life-a": 1}, Member: "b", WrittenAt: 1700000000001, Disabled: true,
-			Data: json.RawMessage(`{"x":1}`),
+			Kind: newerKind, Name: "w2", Dot: dots[1], CausalContext: replication.VersionVector{"life-a": 1}, Member: "b", WrittenAt: 1700000000001, Disabled: true,
+			Data: json.RawMessage(newerData),
 		}},
 	})
 	peertest.GoldenJSON(t, "call.json", Call{Worker: "w1", Disabled: true})
@@ -142,7 +147,7 @@
 	})
 }
 
-// goldenNode is member a of the group g with member b, and has goldenCopy.
+// goldenNode is member a of group g with member b, and has goldenReplica.
 func goldenNode(t *testing.T) *Node {
 	t.Helper()
 	node, _ := startNode(t, "a", "", "b")
@@ -160,7 +165,7 @@
 	return node
 }
 
-// plainStatus is an operator's reply without what depends on the moment and on the time zone.
+// plainStatus returns an operator's reply without what depends on the moment and on the time zone.
 func plainStatus(t *testing.T, answer string) string {
 	t.Helper()
 	head, body, _ := strings.Cut(answer, "\n{")
@@ -185,7 +190,7 @@
 	return head + "\n" + string(raw) + "\n"
 }
 
-// What a member answers to messages and calls of an earlier build stays, path by path.
+// Answers to messages and calls of an earlier build stay, path by path.
 func TestGolden_Answers(t *testing.T) {
 	node := goldenNode(t)
 	node.cancel = func() {}
@@ -196,12 +201,11 @@
 	transport.Handle("/group/copies/gone", node.handleRemovals)
 	transport.HandleOperator("/group/words", node.handleOperatorCall)
 	transport.Serve(listener)
-	versionSum := node.replica.Version().Digest()
+	versionDigest := node.replica.Version().Digest()
 	var out strings.Builder
-	post := func(path, body string) string {
+	post := func(path, body string) {
 		answer := peertest.Post(t, listener.Addr().String(), path, peertest.Headers(), []byte(body))
 		fmt.Fprintf(&out, "%s %s\n%s----\n", path, body, answer)
-		return answer
 	}
 	call := func(body string) {
 		answer := peertest.Post(t, listener.Addr().String(), "/group/words", nil, []byte(body))
@@ -209,11 +213,11 @@
 	}
 	call(`{}`)
 	post("/group/copies/hello", `{"seen":1,"sum":2,"count":3,"held":4,"about":{"version":"v2","settings":"s2","operator":"o2","started":"2024-01-02T03:04:05Z"}}`)
-	post("/group/copies/hello", fmt.Sprintf(`{"seen":%d,"sum":2,"count":3,"held":4}`, versionSum))
-	post("/group/copies/hello", fmt.Sprintf(`{"seen":%d,"sum":%d,"count":3,"held":4}`, versionSum, node.replica.Digest()))
+	post("/group/copies/hello", fmt.Sprintf(`{"seen":%d,"sum":2,"count":3,"held":4}`, versionDigest))
+	post("/group/copies/hello", fmt.Sprintf(`{"seen":%d,"sum":%d,"count":3,"held":4}`, versionDigest, node.replica.Digest()))
 	post("/group/copies/pull", `{"seen":{},"from":{"kind":"","name":""}}`)
 	post("/group/copies/pull", `{"seen":{"life-a":1,"life-b":1},"from":{"kind":"word","name":"w1"}}`)
-	post("/group/copies/gone", fmt.Sprintf(`{"seen":%d,"dots":[{"life":"life-b","count":1},{"life":"life-a","count":1}]}`, versionSum))
+	post("/group/copies/gone", fmt.Sprintf(`{"seen":%d,"dots":[{"life":"life-b","count":1},{"life":"life-a","count":1}]}`, versionDigest))
 	post("/group/copies/gone", `{"seen":1,"dots":[{"life":"life-b","count":1}]}`)
 	post("/group/copies/pull", `{`)
 	node.mu.Lock()
@@ -240,64 +244,75 @@
 	goldentest.Check(t, "answers.txt", []byte(out.String()))
 }
 
-// What a member sends to one that has something else keeps paths and bodies: hello, pull in two chunks, hello, gone.
-func TestGolden_Requests(t *testing.T) {
-	theirs := replication.New("life-d")
-	for _, name := range []string{"w4", "w5"} {
-		if _, err := theirs.Write(replication.Entry{Kind: replication.KindOverride, Name: name, Disabled: true, Member: "b", WrittenAt: 1700000000006}); err != nil {
-			t.Fatal(err)
-		}
-	}
-	node := goldenNode(t)
-	digests := 0
-	answer := func(path string, body []byte) []byte {
-		var out any
-		var in struct {
-			Seen json.RawMessage    `json:"seen"`
-			From replication.Cursor `json:"from"`
-			Dots []replication.Dot  `json:"dots"`
-		}
-		if err := json.Unmarshal(body, &in); err != nil {
-			t.Error(err)
-		}
-		switch path {
-		case "/group/copies/hello":
-			if digests++; digests == 1 {
-				out = json.RawMessage(`{"seen":1,"sum":2,"count":2,"held":2,"about":{"version":"v2"}}`)
-			} else { // the same was seen, and not all of it is there
-				out = json.RawMessage(fmt.Sprintf(`{"seen":%s,"sum":2,"sums":[%s],"count":2,"held":2}`, in.Seen, strings.Join(slices.Repeat([]string{"0"}, 64), ",")))
-			}
-		case "/group/copies/pull":
-			out = theirs.NextChunk(replication.VersionVector{}, in.From, 1)
-		case "/group/copies/gone":
-			out = json.RawMessage(fmt.Sprintf(`{"seen":%s,"dots":[{"life":"life-d","count":1}]}`, in.Seen))
+// goldenPeer answers as a member whose entries differ from goldenReplica's: first by its version, then by a removal alone.
+type goldenPeer struct {
+	t       *testing.T
+	replica *replication.Replica
+	digests int // that were asked for
+}
+
+func (p *goldenPeer) answer(path string, body []byte) []byte {
+	var request struct {
+		Version json.RawMessage    `json:"seen"`
+		Cursor  replication.Cursor `json:"from"`
+	}
+	if err := json.Unmarshal(body, &request); err != nil {
+		p.t.Error(err)
+	}
+	switch path {
+	case "/group/copies/hello":
+		p.digests++
+		if p.digests == 1 {
+			return []byte(`{"seen":1,"sum":2,"count":2,"held":2,"about":{"version":"v2"}}`)
 		}
-		raw, err := json.Marshal(out)
+		buckets := strings.Join(slices.Repeat([]string{"0"}, 64), ",")
+		return fmt.Appendf(nil, `{"seen":%s,"sum":2,"sums":[%s],"count":2,"held":2}`, request.Version, buckets)
+	case "/group/copies/pull":
+		raw, err := json.Marshal(p.replica.NextChunk(replication.VersionVector{}, request.Cursor, 1))
 		if err != nil {
-			t.Error(err)
+			p.t.Error(err)
 		}
 		return raw
+	case "/group/copies/gone":
+		return fmt.Appendf(nil, `{"seen":%s,"dots":[{"life":"life-d","count":1}]}`, request.Version)
 	}
-	b := peertest.NewRecorder(t, answer)
-	transport, _ := peertest.NewTransport(t, b.Address())
-	node.transport = transport
-	if err := node.syncWith(context.Background(), "b"); err != nil {
+	p.t.Errorf("request at %s", path)
+	return nil
+}
+
+// sortDots returns requests with the entries that the last one names, in no order, sorted.
+func sortDots(t *testing.T, requests string) []byte {
+	t.Helper()
+	bodies := strings.SplitAfter(requests, "\n\n")
+	last := bodies[len(bodies)-1]
+	var request removals
+	if err := json.Unmarshal([]byte(last), &request); err != nil {
 		t.Fatal(err)
 	}
-	text := b.Text()
-	// The last request names entries in no order.
-	requests := strings.SplitAfter(string(text), "\n\n")
-	last := requests[len(requests)-1]
-	var g removals
-	if err := json.Unmarshal([]byte(last), &g); err != nil {
+	slices.SortFunc(request.Dots, func(a, b replication.Dot) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) })
+	raw, err := json.Marshal(request)
+	if err != nil {
 		t.Fatal(err)
 	}
-	slices.SortFunc(g.Dots, func(a, b replication.Dot) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) })
-	raw, err := json.Marshal(g)
-	if err != nil {
+	return []byte(strings.TrimSuffix(requests, last) + string(raw) + "\n")
+}
+
+// What a member sends to one that differs keeps paths and bodies: a digest, two pulls, a digest, removals.
+func TestGolden_Requests(t *testing.T) {
+	theirs := &goldenPeer{t: t, replica: replication.New("life-d")}
+	for _, name := range []string{"w4", "w5"} {
+		entry := replication.Entry{Kind: replication.KindOverride, Name: name, Disabled: true, Member: "b", WrittenAt: 1700000000006}
+		if _, err := theirs.replica.Write(entry); err != nil {
+			t.Fatal(err)
+		}
+	}
+	node := goldenNode(t)
+	b := peertest.NewRecorder(t, theirs.answer)
+	node.transport, _ = peertest.NewTransport(t, b.Address())
+	if err := node.syncWith(context.Background(), "b"); err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Check(t, "requests.txt", append([]byte(strings.TrimSuffix(string(text), last)), append(raw, '\n')...))
+	goldentest.Check(t, "requests.txt", sortDots(t, string(b.Text())))
 	if names := node.replica.Names(replication.KindOverride); !slices.Equal(names, []string{"w1", "w2", "w5"}) {
 		t.Errorf("it has %v", names)
 	}
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -3,11 +3,9 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
-	"net"
-	"os"
-	"path/filepath"
 	"strings"
 	"sync"
 	"testing"
@@ -18,12 +16,13 @@
 
 	"birchfork/internal/hotrestart"
 	"birchfork/internal/peer"
+	"birchfork/internal/peer/peertest"
 	"birchfork/internal/replication"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeDispatcher is a dispatcher as a Spread sees it: its words in force, which count up.
+// fakeDispatcher is a dispatcher as a Node sees it: the overrides in effect, with a version that counts up.
 type fakeDispatcher struct {
 	mu       sync.Mutex
 	disabled map[string]bool
@@ -44,86 +43,120 @@
 	return d.disabled[worker]
 }
 
+// startNode returns a member of group g that is not attached, and its dispatcher.
 func startNode(t *testing.T, name, dir string, peers ...string) (*Node, *fakeDispatcher) {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	dispatcher := &fakeDispatcher{disabled: map[string]bool{}}
-	s, err := New(Options{Group: "g", Self: name, Dir: dir, Peers: peers, ApplyOverride: dispatcher.applyOverride, Log: log,
+	node, err := New(Options{Group: "g", Self: name, Dir: dir, Peers: peers, ApplyOverride: dispatcher.applyOverride, Log: log,
 		SetOverride: func(string, bool) (string, error) { return "", nil }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.Close)
-	return s, dispatcher
+	t.Cleanup(node.Close)
+	return node, dispatcher
 }
 
-// Guards against one that has lost its disk, and takes from one with a disk of before what all others have forgotten.
+// A member that has just started sends no entries: one that has lost its disk would take over from an outdated disk what all others
+// have removed.
 func TestNode_RejectsPullsBeforeCatchUp(t *testing.T) {
-	s, _ := startNode(t, "a", t.TempDir(), "b", "c")
+	node, _ := startNode(t, "a", t.TempDir(), "b", "c")
 	pullOnce := func() error {
-		_, err := s.handlePull(context.Background(), peer.Sender{Name: "b"}, []byte("{}"))
+		_, err := node.handlePull(context.Background(), peer.Sender{Name: "b"}, []byte("{}"))
 		return err
 	}
-	if err := pullOnce(); err != errNotCaughtUp {
-		t.Errorf("right after its start: %v", err)
+	if err := pullOnce(); !errors.Is(err, errNotCaughtUp) {
+		t.Errorf("right after the start: %v", err)
 	}
-	s.markCaughtUp("b")
-	if s.markCaughtUp("c"); pullOnce() != nil {
-		t.Errorf("two others have told all they had: %v", pullOnce())
+	node.markCaughtUp("b")
+	if node.markCaughtUp("c"); pullOnce() != nil {
+		t.Errorf("caught up with two others: %v", pullOnce())
 	}
-	clear(s.caughtUpWith)
-	if s.startedAt = s.startedAt.Add(-time.Hour); pullOnce() != errNotCaughtUp {
-		t.Errorf("it was alone all the time: %v", pullOnce())
+	clear(node.caughtUpWith)
+	if node.startedAt = node.startedAt.Add(-time.Hour); !errors.Is(pullOnce(), errNotCaughtUp) {
+		t.Errorf("no contact with any member: %v", pullOnce())
 	}
-	if s.firstContact = time.Now().Add(-2 * catchUpTimeout); pullOnce() != nil {
-		t.Errorf("only one other has been there for long: %v", pullOnce())
+	if node.firstContact = time.Now().Add(-2 * catchUpTimeout); pullOnce() != nil {
+		t.Errorf("in contact with one other for a while: %v", pullOnce())
 	}
 }
 
-// attachAll puts members on links, and returns what parts them again.
+// attachAll attaches nodes to each other, and returns what detaches them again.
 func attachAll(t *testing.T, nodes ...*Node) (detachAll func()) {
 	t.Helper()
-	var listeners []net.Listener
-	var peers []peer.Member
-	for _, s := range nodes {
-		transport, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		listeners, peers = append(listeners, transport), append(peers, peer.Member{Name: s.options.Self, Address: transport.Addr().String()})
-	}
-	var links []*peer.Transport
-	for i, s := range nodes {
-		transport := peer.NewTransport(peer.Options{
-			Group: "g", Self: s.options.Self, Members: peers, Log: s.options.Log, OnUnreachable: func(string) {}, IsStale: func(string, string) bool { return false },
-			Identity: func() peer.Sender { return peer.Sender{Name: s.options.Self, Incarnation: "1"} },
-		})
-		s.Attach(transport)
-		transport.Serve(listeners[i])
-		links = append(links, transport)
+	names := make([]string, 0, len(nodes))
+	for _, node := range nodes {
+		names = append(names, node.options.Self)
+	}
+	transports, listeners := peertest.NewGroup(t, names...)
+	for i, node := range nodes {
+		node.Attach(transports[i])
+		transports[i].Serve(listeners[i])
 	}
 	return func() {
-		for i, s := range nodes {
-			s.Detach()
-			links[i].Close()
+		for i, node := range nodes {
+			node.Detach()
+			transports[i].Close()
 		}
 	}
 }
 
+// setOverride makes an override that has to succeed, whatever its note.
+func setOverride(t *testing.T, node *Node, worker string, disabled bool, version int64) {
+	t.Helper()
+	if _, err := node.SetOverride(worker, disabled, version); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// await waits until ok, for 20 s at the most.
 func await(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("in vain: ", what)
+			t.Fatal("not within 20 s: ", what)
 		}
 	}
 }
 
-// A word reaches all, is there after a restart, and a word back that all have is forgotten by all.
+// newerKind and newerData are of an entry of a newer build, which members store and pass on.
+const (
+	newerKind = "later"
+	newerData = `{"x":1}`
+)
+
+// writeNewerEntry adds the entry to a node's replica, as a member of a newer build would.
+func writeNewerEntry(t *testing.T, node *Node) {
+	t.Helper()
+	node.mu.Lock()
+	_, err := node.replica.Write(replication.Entry{Kind: newerKind, Name: "r", Member: node.options.Self, Data: []byte(newerData)})
+	node.mu.Unlock()
+	if err != nil {
+		t.Error(err)
+	}
+	node.wake()
+}
+
+// hasNewerEntry reports whether a node's replica has the entry.
+func hasNewerEntry(node *Node) bool {
+	node.mu.Lock()
+	defer node.mu.Unlock()
+	entries := node.replica.Get(newerKind, "r")
+	return len(entries) == 1 && string(entries[0].Data) == newerData
+}
+
+// countOverrides returns the number of workers with an override in a node's replica.
+func countOverrides(node *Node) int {
+	node.mu.Lock()
+	defer node.mu.Unlock()
+	return len(node.replica.Names(replication.KindOverride))
+}
+
+// An override reaches all members and survives a restart; one that enables the worker again is removed once all members have it.
 func TestNode_OverrideReachesAllMembers(t *testing.T) {
-	folder := t.TempDir()
-	a, atA := startNode(t, "a", folder, "b", "c")
+	dir := t.TempDir()
+	a, atA := startNode(t, "a", dir, "b", "c")
 	b, atB := startNode(t, "b", t.TempDir(), "a", "c")
 	c, atC := startNode(t, "c", "", "a", "b")
 	detachAll := attachAll(t, a, b, c)
@@ -131,32 +164,20 @@
 		t.Errorf("note %q, %v", note, err)
 	}
 	if note, _ := c.SetOverride("q", true, 1); !strings.Contains(note, "no folder") {
-		t.Errorf("one that keeps nothing says %q", note)
+		t.Errorf("note without a directory: %q", note)
 	}
-	await(t, "all have both", func() bool {
+	await(t, "all members have both", func() bool {
 		return atB.isDisabled("r") && atC.isDisabled("r") && atA.isDisabled("q") && atB.isDisabled("q")
 	})
-	const data = `{"x":1}` // an entry of a newer build is kept and passed on
-	has := func(s *Node) bool {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		all := s.replica.Get("later", "r")
-		return len(all) == 1 && string(all[0].Data) == data
-	}
-	c.mu.Lock()
-	if _, err := c.replica.Write(replication.Entry{Kind: "later", Name: "r", Member: "c", Data: []byte(data)}); err != nil {
-		t.Error(err)
-	}
-	c.mu.Unlock()
-	c.wake()
-	await(t, "the others have what they do not know", func() bool { return has(a) && has(b) })
+	writeNewerEntry(t, c)
+	await(t, "the others have the entry of an unknown kind", func() bool { return hasNewerEntry(a) && hasNewerEntry(b) })
 	detachAll()
 	a.Close()
-	again, at := startNode(t, "a", folder, "b", "c")
-	if !at.isDisabled("r") || !at.isDisabled("q") || !has(again) {
-		t.Errorf("a restart has %v, and what it does not know: %t", at.disabled, has(again))
+	again, dispatcher := startNode(t, "a", dir, "b", "c")
+	if !dispatcher.isDisabled("r") || !dispatcher.isDisabled("q") || !hasNewerEntry(again) {
+		t.Errorf("after a restart: %v, the entry of an unknown kind: %t", dispatcher.disabled, hasNewerEntry(again))
 	}
-	b.mu.Lock() // what it had, on its disk; it has a place again
+	b.mu.Lock() // reopened by its own disk, to be attached again
 	if err := b.openReplicaLocked(); err != nil {
 		t.Fatal(err)
 	}
@@ -164,35 +185,29 @@
 	c2, _ := startNode(t, "c", "", "a", "b")
 	detachAll = attachAll(t, again, b, c2)
 	defer detachAll()
-	again.SetOverride("r", false, 9)
-	again.SetOverride("q", false, 9)
-	await(t, "one that lost its disk has it again", func() bool { return has(c2) })
-	await(t, "nothing is left of it", func() bool {
-		for _, s := range []*Node{again, b, c2} {
-			s.mu.Lock()
-			n := len(s.replica.Names(replication.KindOverride))
-			s.mu.Unlock()
-			if n > 0 || atB.isDisabled("r") {
-				return false
-			}
-		}
-		return true
+	setOverride(t, again, "r", false, 9)
+	setOverride(t, again, "q", false, 9)
+	await(t, "a member without a disk has the entry again", func() bool { return hasNewerEntry(c2) })
+	await(t, "no override is left", func() bool {
+		return countOverrides(again) == 0 && countOverrides(b) == 0 && countOverrides(c2) == 0 && !atB.isDisabled("r")
 	})
 	again.mu.Lock()
 	version := again.replica.Version()
 	again.mu.Unlock()
 	again.Close()
 	restored := replication.New("z")
-	if d, _, err := openStorage(folder, "g", restored, nil); err != nil || restored.Version().Digest() != version.Digest() {
-		t.Errorf("%v; its disk has seen %v, not %v", err, restored.Version(), version)
-	} else {
-		d.close()
+	stored, _, err := openStorage(dir, "g", restored, nil)
+	if err != nil || restored.Version().Digest() != version.Digest() {
+		t.Errorf("%v; stored version %v, want %v", err, restored.Version(), version)
+	}
+	if err := stored.close(); err != nil {
+		t.Error(err)
 	}
 }
 
-// A disk that stands still holds up nobody but who is told that a word is kept.
+// A stalled disk blocks nobody but an operator's call, which waits until the override is synced.
 func TestNode_StalledStorageBlocksOnlyItsWriter(t *testing.T) {
-	a, at := startNode(t, "a", t.TempDir())
+	a, dispatcher := startNode(t, "a", t.TempDir())
 	b, _ := startNode(t, "b", "")
 	a.options.Peers, b.options.Peers, a.persistTimeout = []string{"b"}, []string{"a"}, time.Hour
 	tx, err := a.storage.db.Begin(true) // no other write gets through
@@ -200,200 +215,143 @@
 		t.Fatal(err)
 	}
 	detachAll := attachAll(t, a, b)
-	yes := make(chan string, 1)
+	answered := make(chan string, 1)
 	go func() {
 		note, err := a.SetOverride("r", true, 1)
-		yes <- fmt.Sprint(note, err)
+		answered <- fmt.Sprint(note, err)
 	}()
 	if _, err := b.SetOverride("q", true, 1); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "what the other one was told binds here", func() bool { return at.isDisabled("q") })
+	await(t, "the other member's override is in effect here", func() bool { return dispatcher.isDisabled("q") })
 	a.MergeLocalOverrides(nil)
 	a.CaughtUp()
 	select {
-	case reply := <-yes:
-		t.Fatalf("yes before the word was synced: %s", reply)
+	case reply := <-answered:
+		t.Fatalf("answered before the override was synced: %s", reply)
 	default:
 	}
 	if err := tx.Rollback(); err != nil {
 		t.Fatal(err)
 	}
-	if reply := <-yes; reply != "<nil>" {
+	if reply := <-answered; reply != "<nil>" {
 		t.Errorf("%s", reply)
 	}
 	detachAll()
 }
 
-// What one let go of may be replaced by what the asker has not seen: then it does not say so.
+// A member with another version vector is told of no removals: what was removed may have been replaced by an entry that it lacks.
 func TestNode_RemovalsNeedEqualVersions(t *testing.T) {
-	s, _ := startNode(t, "a", "")
-	s.SetOverride("r", true, 1)
-	old := s.replica.Get(replication.KindOverride, "r")[0].Dot
-	s.SetOverride("r", false, 2)
-	for seen, want := range map[uint64]bool{s.replica.Version().Digest(): true, replication.VersionVector{old.Incarnation: 1}.Digest(): false} {
-		body, err := json.Marshal(removals{seen, []replication.Dot{old}})
+	node, _ := startNode(t, "a", "")
+	setOverride(t, node, "r", true, 1)
+	old := node.replica.Get(replication.KindOverride, "r")[0].Dot
+	setOverride(t, node, "r", false, 2)
+	for versionDigest, want := range map[uint64]bool{node.replica.Version().Digest(): true, replication.VersionVector{old.Incarnation: 1}.Digest(): false} {
+		body, err := json.Marshal(removals{versionDigest, []replication.Dot{old}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		out, err := s.handleRemovals(context.Background(), peer.Sender{Name: "b"}, body)
+		out, err := node.handleRemovals(context.Background(), peer.Sender{Name: "b"}, body)
 		if removed := strings.Contains(string(out), old.Incarnation); removed != want || (err == nil) != want {
-			t.Errorf("%s, %v; want it told: %t", out, err, want)
+			t.Errorf("%s, %v; want the removal: %t", out, err, want)
 		}
 	}
 }
 
-// A word ends a conflict, also the one that counts already.
+// An override ends a conflict, also one that is in effect already.
 func TestNode_OverrideEndsConflict(t *testing.T) {
-	s, _ := startNode(t, "a", "")
+	node, _ := startNode(t, "a", "")
 	other := replication.New("other")
-	other.Write(replication.Entry{Kind: replication.KindOverride, Name: "r", Member: "b"})
-	s.SetOverride("r", true, 1)
-	if _, err := s.replica.Merge(&replication.PullProgress{}, other.NextChunk(nil, replication.Cursor{}, 9)); err != nil {
+	if _, err := other.Write(replication.Entry{Kind: replication.KindOverride, Name: "r", Member: "b"}); err != nil {
 		t.Fatal(err)
 	}
-	if r := s.statusLocked(); len(r.Overrides) != 1 || !r.Overrides[0].Conflict || !r.Overrides[0].Disabled {
-		t.Errorf("%+v", r.Overrides)
-	}
-	s.SetOverride("r", true, 2)
-	if r := s.statusLocked(); len(r.Overrides[0].Writes) != 1 || r.Overrides[0].Conflict || !r.Overrides[0].Disabled {
-		t.Errorf("%+v", r.Overrides)
-	}
-}
-
-// What this dispatcher's processes were told: new words go into the copy, those from before do only where the copy knows nothing
-// of a runner and the others had their time.
-func TestNode_MergesLocalOverrides(t *testing.T) {
-	s, at := startNode(t, "a", "", "b")
-	if _, err := s.replica.Write(replication.Entry{Kind: replication.KindOverride, Name: "known", Disabled: true, Member: "b"}); err != nil {
+	setOverride(t, node, "r", true, 1)
+	if _, err := node.replica.Merge(&replication.PullProgress{}, other.NextChunk(nil, replication.Cursor{}, 9)); err != nil {
 		t.Fatal(err)
 	}
-	before := hotrestart.Overrides{"known": {Disabled: false, At: 3}, "lost": {Disabled: true, At: 3}, "back": {Disabled: false, At: 3}}
-	s.MergeLocalOverrides(before)
-	if !at.isDisabled("known") || s.replica.Len() != 1 {
-		t.Errorf("known is out: %t; %d entries", at.isDisabled("known"), s.replica.Len())
-	}
-	if _, applied := at.disabled["lost"]; applied || !s.inherited["lost"] {
-		t.Errorf("what was out before is left as it was until the others had their time: %v", at.disabled)
-	}
-	if s.CaughtUp() {
-		t.Error("caught up without a word of the others")
-	}
-	s.startedAt = s.startedAt.Add(-2 * catchUpTimeout)
-	if !s.CaughtUp() {
-		t.Error("the others are waited for for ever")
-	}
-	before["known"] = hotrestart.Override{Disabled: true, At: s.localVersions["known"]}
-	s.MergeLocalOverrides(before)
-	if s.replica.Len() != 2 || !s.isDisabledLocked("lost") {
-		t.Errorf("%d entries, lost is out: %t", s.replica.Len(), s.isDisabledLocked("lost"))
+	if reply := node.statusLocked(); len(reply.Overrides) != 1 || !reply.Overrides[0].Conflict || !reply.Overrides[0].Disabled {
+		t.Errorf("%+v", reply.Overrides)
 	}
-	before["lost"] = hotrestart.Override{Disabled: false, At: before["lost"].At} // a file that was not written yet
-	s.MergeLocalOverrides(before)
-	if !s.isDisabledLocked("lost") {
-		t.Error("an old word was said again")
-	}
-	before["known"] = hotrestart.Override{Disabled: false, At: 99} // said to the process beside us
-	s.MergeLocalOverrides(before)
-	s.MergeLocalOverrides(before)
-	if all := s.replica.Get(replication.KindOverride, "known"); len(all) != 1 || all[0].Disabled || !all[0].CausalContext.Contains(replication.Dot{Incarnation: all[0].Incarnation, Counter: 1}) {
-		t.Errorf("%+v", all)
+	setOverride(t, node, "r", true, 2)
+	if reply := node.statusLocked(); len(reply.Overrides[0].Writes) != 1 || reply.Overrides[0].Conflict || !reply.Overrides[0].Disabled {
+		t.Errorf("%+v", reply.Overrides)
 	}
 }
 
-// A disk that cannot be used is told to staff with each word; another group's is refused; a torn one is put aside.
-func TestNode_UnusableStorage(t *testing.T) {
-	dir := t.TempDir()
-	s, _ := startNode(t, "a", dir)
-	s.SetOverride("r", true, 1)
-	s.Close()
-	file := filepath.Join(dir, fileName)
-	raw, err := os.ReadFile(file)
-	if err != nil {
+// New overrides of this dispatcher's other processes are replicated; those from before the start only where no member knows of the
+// worker, once this member has caught up.
+func TestNode_MergesLocalOverrides(t *testing.T) {
+	node, dispatcher := startNode(t, "a", "", "b")
+	if _, err := node.replica.Write(replication.Entry{Kind: replication.KindOverride, Name: "known", Disabled: true, Member: "b"}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := New(Options{Group: "other", Dir: dir, Log: s.options.Log}); err == nil || !strings.Contains(err.Error(), `group "g", not 1, "other"`) {
-		t.Errorf("another group's: %v", err)
-	}
-	lost := 0
-	for offset := 0; offset < len(raw); offset += 512 { // torn, or bits of a page turned
-		for _, torn := range [][]byte{raw[:offset], append(append(append([]byte{}, raw[:offset]...), 0xff), raw[offset+1:]...)} {
-			if err := os.WriteFile(file, torn, 0o600); err != nil {
-				t.Fatal(err)
-			}
-			s, at := startNode(t, "a", dir)
-			if n := s.replica.Len(); n > 1 || n == 1 && !at.isDisabled("r") {
-				t.Errorf("cut at %d: %d entries, %v", offset, n, at.disabled)
-			} else {
-				lost += 1 - n
-			}
-			s.Close()
-		}
-	}
-	if lost == 0 {
-		t.Error("no torn disk lost anything: nothing was tried")
+	overrides := hotrestart.Overrides{"known": {Disabled: false, At: 3}, "lost": {Disabled: true, At: 3}, "back": {Disabled: false, At: 3}}
+	node.MergeLocalOverrides(overrides)
+	if !dispatcher.isDisabled("known") || node.replica.Len() != 1 {
+		t.Errorf("known is disabled: %t; %d entries", dispatcher.isDisabled("known"), node.replica.Len())
 	}
-	bad := t.TempDir()
-	if err := os.Mkdir(filepath.Join(bad, fileName), 0o700); err != nil { // the system refuses it: it may be whole
-		t.Fatal(err)
-	}
-	s, _ = startNode(t, "a", bad)
-	if note, err := s.SetOverride("r", true, 1); err != nil || !strings.Contains(note, "does not keep it over a restart") {
-		t.Errorf("a file that is a folder: %q, %v", note, err)
+	if _, applied := dispatcher.disabled["lost"]; applied || !node.inherited["lost"] {
+		t.Errorf("an inherited override was applied or replicated before catch-up: %v", dispatcher.disabled)
 	}
-	if _, err := os.Stat(filepath.Join(bad, fileName)); err != nil {
-		t.Errorf("it was put aside: %v", err)
+	if node.CaughtUp() {
+		t.Error("caught up without contact")
 	}
-	bad = filepath.Join(t.TempDir(), "file")
-	if err := os.WriteFile(bad, nil, 0o600); err != nil {
-		t.Fatal(err)
+	node.startedAt = node.startedAt.Add(-2 * catchUpTimeout)
+	if !node.CaughtUp() {
+		t.Error("not caught up after the timeout")
 	}
-	s, _ = startNode(t, "a", t.TempDir())
-	s.storage.db.Close() // it takes nothing any more
-	if note, err := s.SetOverride("r", true, 1); err != nil || !strings.Contains(note, "does not keep it over a restart: the group's disk") || s.Counters.PersistFailures.Load() != 1 {
-		t.Errorf("a disk that fails: %q, %v", note, err)
+	overrides["known"] = hotrestart.Override{Disabled: true, At: node.localVersions["known"]}
+	node.MergeLocalOverrides(overrides)
+	if node.replica.Len() != 2 || !node.isDisabledLocked("lost") {
+		t.Errorf("%d entries, lost is disabled: %t", node.replica.Len(), node.isDisabledLocked("lost"))
 	}
-	s.mu.Lock()
-	if !s.writeFailed || !s.dirty[replication.Key{Kind: replication.KindOverride, Name: "r"}] {
-		t.Error("what the disk did not take is not given to it again")
+	overrides["lost"] = hotrestart.Override{Disabled: false, At: overrides["lost"].At} // as from a file that was not written yet
+	node.MergeLocalOverrides(overrides)
+	if !node.isDisabledLocked("lost") {
+		t.Error("an old override was replicated again")
 	}
-	s.mu.Unlock()
-	s, _ = startNode(t, "a", bad)
-	if note, err := s.SetOverride("r", true, 1); err != nil || !strings.Contains(note, "does not keep it over a restart") {
-		t.Errorf("a folder that is a file: %q, %v", note, err)
+	overrides["known"] = hotrestart.Override{Disabled: false, At: 99} // made at another process of this dispatcher
+	node.MergeLocalOverrides(overrides)
+	node.MergeLocalOverrides(overrides)
+	if entries := node.replica.Get(replication.KindOverride, "known"); len(entries) != 1 || entries[0].Disabled || !entries[0].CausalContext.Contains(replication.Dot{Incarnation: entries[0].Incarnation, Counter: 1}) {
+		t.Errorf("%+v", entries)
 	}
 }
 
-// Messages that make no sense are refused by name, and nothing of them is taken.
+// Malformed messages are rejected and counted, and nothing of them is merged.
 func TestNode_RejectsMalformedMessages(t *testing.T) {
-	s, _ := startNode(t, "a", "", "b")
+	node, _ := startNode(t, "a", "", "b")
 	long := strings.Repeat("x", replication.MaxNameLength+1)
 	for _, body := range []string{"", "{", "[]", `{"seen":"x"}`, `{"seen":-1}`} {
-		for _, h := range []peer.Handler{s.handleDigest, s.handlePull, s.handleRemovals} {
-			if out, err := h(context.Background(), peer.Sender{Name: "b"}, []byte(body)); err == nil && len(out) > 4096 {
+		for _, handler := range []peer.Handler{node.handleDigest, node.handlePull, node.handleRemovals} {
+			if out, err := handler(context.Background(), peer.Sender{Name: "b"}, []byte(body)); err == nil && len(out) > 4096 {
 				t.Errorf("%q: %d bytes", body, len(out))
 			}
 		}
 	}
-	if n := s.Counters.Rejected.Load(); n < 10 {
+	if n := node.Counters.Rejected.Load(); n < 10 {
 		t.Errorf("%d counted", n)
 	}
-	good := replication.Entry{Kind: replication.KindOverride, Name: "r", Dot: replication.Dot{Incarnation: "l", Counter: 1}}
+	valid := replication.Entry{Kind: replication.KindOverride, Name: "r", Dot: replication.Dot{Incarnation: "l", Counter: 1}}
 	for what, change := range map[string]func(*replication.Chunk){
-		"kind": func(p *replication.Chunk) { p.Entries[1].Kind = "" }, "long kind": func(p *replication.Chunk) { p.Entries[1].Kind = replication.EntryKind(long) },
-		"data": func(p *replication.Chunk) { p.Entries[1].Data = []byte(strings.Repeat("1", 2000)) }, "zero": func(p *replication.Chunk) { p.Entries[1].Name = "a\x00b" },
-		"name":    func(p *replication.Chunk) { p.Entries[1].Name = long },
-		"no name": func(p *replication.Chunk) { p.Entries[1].Name = "" }, "count": func(p *replication.Chunk) { p.Entries[1].Counter = 0 },
-		"life": func(p *replication.Chunk) { p.Incarnation = "" }, "member": func(p *replication.Chunk) { p.Entries[1].Member = long },
-		"from": func(p *replication.Chunk) { p.From.Name = "z" },
+		"kind":      func(chunk *replication.Chunk) { chunk.Entries[1].Kind = "" },
+		"long kind": func(chunk *replication.Chunk) { chunk.Entries[1].Kind = replication.EntryKind(long) },
+		"data":      func(chunk *replication.Chunk) { chunk.Entries[1].Data = []byte(strings.Repeat("1", 2000)) },
+		"zero":      func(chunk *replication.Chunk) { chunk.Entries[1].Name = "a\x00b" },
+		"name":      func(chunk *replication.Chunk) { chunk.Entries[1].Name = long },
+		"no name":   func(chunk *replication.Chunk) { chunk.Entries[1].Name = "" },
+		"count":     func(chunk *replication.Chunk) { chunk.Entries[1].Counter = 0 },
+		"life":      func(chunk *replication.Chunk) { chunk.Incarnation = "" },
+		"member":    func(chunk *replication.Chunk) { chunk.Entries[1].Member = long },
+		"from":      func(chunk *replication.Chunk) { chunk.From.Name = "z" },
 	} {
-		p := replication.Chunk{Incarnation: "l", Entries: []replication.Entry{good, good}, Done: true}
-		change(&p)
-		if _, err := s.replica.Merge(&replication.PullProgress{}, p); err == nil || s.replica.Len() > 0 {
-			t.Errorf("%s: %v, %d entries", what, err, s.replica.Len())
+		chunk := replication.Chunk{Incarnation: "l", Entries: []replication.Entry{valid, valid}, Done: true}
+		change(&chunk)
+		if _, err := node.replica.Merge(&replication.PullProgress{}, chunk); err == nil || node.replica.Len() > 0 {
+			t.Errorf("%s: %v, %d entries", what, err, node.replica.Len())
 		}
 	}
-	if _, err := s.replica.Write(replication.Entry{Kind: replication.KindOverride, Name: long}); err == nil {
-		t.Error("a name that is too long was said")
+	if _, err := node.replica.Write(replication.Entry{Kind: replication.KindOverride, Name: long}); err == nil {
+		t.Error("a name that is too long was written")
 	}
 }
--- a/internal/gossip/outliers/outliers_test.go
+++ b/internal/gossip/outliers/outliers_test.go
@@ -2,46 +2,31 @@
 
 import (
 	"context"
-	"net"
 	"testing"
 
-	"github.com/sirupsen/logrus"
-
 	"birchfork/internal/peer"
+	"birchfork/internal/peer/peertest"
 )
 
-// A warning reaches the others, a worker's next one not at once; nonsense does not.
+// A report reaches the other members, the same worker's next one not at once, and a malformed one is rejected.
 func TestBroadcaster_ReportsReachOtherMembers(t *testing.T) {
 	reported := make(chan string, 9)
 	a, b := New([]string{"b"}, nil), New([]string{"a"}, func(worker string) { reported <- worker })
-	var peers []peer.Member
-	var listeners []net.Listener
-	for _, name := range []string{"a", "b"} {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		listeners, peers = append(listeners, l), append(peers, peer.Member{Name: name, Address: l.Addr().String()})
-	}
-	for i, w := range []*Broadcaster{a, b} {
-		l := peer.NewTransport(peer.Options{
-			Group: "g", Self: peers[i].Name, Members: peers, Log: logrus.New(), OnUnreachable: func(string) {}, IsStale: func(string, string) bool { return false },
-			Identity: func() peer.Sender { return peer.Sender{Name: peers[i].Name, Incarnation: "1"} },
-		})
-		w.Attach(l)
-		l.Serve(listeners[i])
-		defer l.Close()
-		defer w.Detach()
+	transports, listeners := peertest.NewGroup(t, "a", "b")
+	for i, broadcaster := range []*Broadcaster{a, b} {
+		broadcaster.Attach(transports[i])
+		defer broadcaster.Detach()
+		transports[i].Serve(listeners[i])
 	}
 	for _, worker := range []string{"r", "r", "q"} {
 		a.Report(worker)
 	}
 	if first, second := <-reported, <-reported; first != "r" || second != "q" || len(reported) > 0 {
-		t.Errorf("heard of %s, %s", first, second)
+		t.Errorf("reported: %s, %s", first, second)
 	}
 	for _, body := range []string{"", "{}", `{"worker":""}`} {
 		if _, err := b.handleReport(context.Background(), peer.Sender{Name: "a"}, []byte(body)); err == nil {
-			t.Errorf("%q was taken", body)
+			t.Errorf("%q was accepted", body)
 		}
 	}
 	if a.Sent.Load() != 2 || b.Rejected.Load() != 3 {
--- a/internal/peer/peertest/peertest.go
+++ b/internal/peer/peertest/peertest.go
@@ -160,6 +160,34 @@
 	return transport, listener
 }
 
+// NewGroup returns the transports of the members of group g, and their listeners, which they do not serve yet. The test's cleanup
+// closes the transports.
+func NewGroup(t testing.TB, names ...string) (transports []*peer.Transport, listeners []net.Listener) {
+	t.Helper()
+	members := make([]peer.Member, 0, len(names))
+	for _, name := range names {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		listeners = append(listeners, listener)
+		members = append(members, peer.Member{Name: name, Address: listener.Addr().String()})
+	}
+	for _, name := range names {
+		transport := peer.NewTransport(peer.Options{
+			Group:         "g",
+			Self:          name,
+			Members:       members,
+			Identity:      func() peer.Sender { return peer.Sender{Name: name, Incarnation: "1"} },
+			IsStale:       func(string, string) bool { return false },
+			OnUnreachable: func(string) {},
+		})
+		t.Cleanup(transport.Close)
+		transports = append(transports, transport)
+	}
+	return transports, listeners
+}
+
 // Post sends a message to a member and returns status, content type and body of the answer as text.
 func Post(t testing.TB, address, path string, headers map[string]string, body []byte) string {
 	t.Helper()
