--- /dev/null
+++ b/internal/endpointsource/file/source.go
@@ -0,0 +1,115 @@
+// Package file follows a list of workers in a TOML file, which it reads again when it changes. An invalid file changes nothing; the last
+// valid list stays.
+package file
+
+import (
+	"context"
+	"io"
+	"os"
+	"path/filepath"
+	"time"
+
+	"github.com/fsnotify/fsnotify"
+	"github.com/sirupsen/logrus"
+
+	"birchfork/internal/endpointsource"
+	"birchfork/internal/tomlfile"
+)
+
+// Times of following a file.
+const (
+	settleDelay  = 50 * time.Millisecond // from an event to the reading: several events of one save become one reading
+	pollInterval = 2 * time.Second       // the file is read besides, where the system reports no events
+)
+
+// Source follows one file. Its callbacks are called from the goroutine of Run, one at a time.
+type Source struct {
+	Path     string
+	Log      logrus.FieldLogger
+	OnUpdate func(endpointsource.Update)
+	OnLost   func() // the file is missing or invalid; the list stays as it is
+
+	lastContent string
+	lastError   string // of the last reading; empty: it was valid
+}
+
+// Run follows the file until ctx ends. It watches the folder, as editors replace a file by another.
+func (s *Source) Run(ctx context.Context) {
+	var events chan fsnotify.Event
+	if watcher, err := fsnotify.NewWatcher(); err == nil {
+		defer func() { _ = watcher.Close() }()
+		if watcher.Add(filepath.Dir(s.Path)) == nil {
+			events = watcher.Events
+		}
+	}
+	poll := time.NewTicker(pollInterval)
+	defer poll.Stop()
+	s.reload()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-poll.C:
+		case <-events:
+			if !settle(ctx, events) {
+				return
+			}
+		}
+		s.reload()
+	}
+}
+
+// settle waits for the settle delay and discards the events until then. It returns false if ctx ended.
+func settle(ctx context.Context, events <-chan fsnotify.Event) bool {
+	select {
+	case <-time.After(settleDelay):
+	case <-ctx.Done():
+		return false
+	}
+	for {
+		select {
+		case <-events:
+		default:
+			return true
+		}
+	}
+}
+
+// reload reads the file. One that is as it was changes nothing.
+func (s *Source) reload() {
+	raw, err := readFile(s.Path)
+	unchanged := string(raw) == s.lastContent && s.lastError == ""
+	if err == nil && unchanged {
+		return
+	}
+	update := endpointsource.Update{Snapshot: true}
+	if err == nil {
+		update.Endpoints, err = Decode(s.Path, raw)
+	}
+	if err != nil {
+		s.logOnce(err)
+		s.OnLost()
+		return
+	}
+	s.lastContent = string(raw)
+	s.lastError = ""
+	s.OnUpdate(update)
+}
+
+// logOnce logs an error, once however often the file is read again.
+func (s *Source) logOnce(err error) {
+	if err.Error() != s.lastError {
+		s.Log.WithError(err).WithField("path", s.Path).Error("invalid workers file; keeping the last valid list")
+		s.lastError = err.Error()
+	}
+}
+
+// readFile reads a file, up to one byte over the size that a file may have.
+func readFile(path string) ([]byte, error) {
+	f, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	defer f.Close()
+	return io.ReadAll(io.LimitReader(f, tomlfile.MaxSize+1))
+}
--- a/internal/endpointsource/golden_test.go
+++ b/internal/endpointsource/golden_test.go
@@ -12,7 +12,7 @@
 	"birchfork/internal/engine"
 )
 
-// sortEndpoints brings an answer's endpoints into order: a whole list has none.
+// sortEndpoints sorts the endpoints of an answer: a whole list is in no order.
 func sortEndpoints(body string) string {
 	const opening, separator, closing = `"endpoints":[{`, `},{`, `}]}`
 	head, list, found := strings.Cut(body, opening)
@@ -25,17 +25,17 @@
 	return head + opening + strings.Join(endpoints, separator) + closing + end
 }
 
-// The answers to dispatchers, whole and after a change, and to operators are those of earlier builds, byte for byte. The file is written
-// where UPDATE_GOLDEN is set.
-func TestFront_KeepsItsAnswers(t *testing.T) {
+// The answers to dispatchers, before and after a change, and to operators are those of earlier builds, byte for byte. The test writes the
+// file if UPDATE_GOLDEN is set.
+func TestServer_KeepsItsAnswers(t *testing.T) {
 	const path = "testdata/golden/answers.txt"
 	var text strings.Builder
-	synctest.Test(t, func(t *testing.T) {
-		f := NewFront(Config{Sources: 1})
-		defer f.Close()
+	synctest.Test(t, func(*testing.T) {
+		server := NewServer(Config{SourceCount: 1})
+		defer server.Close()
 		get := func(target string) {
 			w := httptest.NewRecorder()
-			f.ServeHTTP(w, httptest.NewRequest("GET", target, nil))
+			server.ServeHTTP(w, httptest.NewRequest("GET", target, nil))
 			text.WriteString(target + "\n" + w.Result().Status + "\n" + sortEndpoints(w.Body.String()) + "\n")
 		}
 		get("/discovery/hosts")
@@ -45,10 +45,10 @@
 			return engine.Endpoint{Name: name, Address: "127.0.0.1:500" + name, Zone: "zone-" + name, Kind: "kind-" + name, Cell: int(at),
 				State: state, Weight: 0.5 + float64(at), StartedAtMillis: 1700000000000 + at}
 		}
-		f.Tell(0, News{Whole: true, Entries: []engine.Endpoint{full("1", dispatch.Ready, 1), full("2", dispatch.Draining, 2), full("3", dispatch.Gone, 3)}})
+		server.Update(0, Update{Snapshot: true, Endpoints: []engine.Endpoint{full("1", dispatch.Ready, 1), full("2", dispatch.Draining, 2), full("3", dispatch.Gone, 3)}})
 		get("/discovery/hosts")
 		get("/status")
-		f.Tell(0, News{Entries: []engine.Endpoint{full("2", dispatch.Ready, 4)}})
+		server.Update(0, Update{Endpoints: []engine.Endpoint{full("2", dispatch.Ready, 4)}})
 		get("/discovery/hosts")
 	})
 	if os.Getenv("UPDATE_GOLDEN") != "" {
