--- a/internal/testbed/cluster/groups.go
+++ b/internal/testbed/cluster/groups.go
@@ -167,7 +167,7 @@
 	if g.dir, err = os.MkdirTemp("", "birchfork-group-"); err != nil {
 		return nil, fmt.Errorf("a folder for the members: %w", err)
 	}
-	defer os.RemoveAll(g.dir)
+	defer func() { _ = os.RemoveAll(g.dir) }() // what is left lies in the temporary directory
 	defer func() {
 		for _, k := range g.links {
 			k.close()
@@ -441,7 +441,7 @@
 	g.result.Origin = g.stage.Ledger().Now()
 	cpu, passed, carried := g.used(ctx)
 	defer func() {
-		now, m, b := g.used(context.Background())
+		now, m, b := g.used(context.WithoutCancel(ctx))
 		g.result.CPU, g.result.Passed, g.result.Carried = now-cpu, m-passed, b-carried
 	}()
 	if g.o.Retuned {
@@ -771,7 +771,7 @@
 		up, back := context.WithCancel(ctx)
 		var staff sync.WaitGroup
 		staff.Go(func() { g.vouch(up, f) })
-		g.stage.Kill(ctx, f.Member, f.For, func() { os.RemoveAll(g.temporary(f.Member)) })
+		g.stage.Kill(ctx, f.Member, f.For, func() { g.erase(g.temporary(f.Member)) })
 		back()
 		staff.Wait()
 	case Stop:
@@ -779,14 +779,17 @@
 	case Kill:
 		g.stage.Kill(ctx, f.Member, f.For, nil)
 	case Wipe:
-		g.stage.Kill(ctx, f.Member, f.For, loses(func() { os.RemoveAll(g.folder(f.Member)); os.RemoveAll(g.temporary(f.Member)) }))
+		g.stage.Kill(ctx, f.Member, f.For, loses(func() {
+			g.erase(g.folder(f.Member))
+			g.erase(g.temporary(f.Member))
+		}))
 	case Old, Put:
 		was := g.read(f.Member, "group.db", "words.db")
 		sleep(ctx, f.For)
 		g.stage.Kill(ctx, f.Member, 0, loses(func() {
 			g.write(f.Member, was)
 			if f.Kind == Put {
-				os.RemoveAll(g.temporary(f.Member))
+				g.erase(g.temporary(f.Member))
 			}
 		}))
 	case Alien:
@@ -849,7 +852,8 @@
 // vouch has staff say that the disk of a member that came down with its machine is its last one, once it has waited for long.
 func (g *rig) vouch(ctx context.Context, f Fault) {
 	for sleep(ctx, f.For+vouchAfter); ctx.Err() == nil; sleep(ctx, time.Second) {
-		(&coordinator.Client{Addresses: g.real[f.Member : f.Member+1]}).Do(ctx, coordinator.Call{ConfirmDisk: true})
+		// Refused or unreachable: it is called again.
+		_, _ = (&coordinator.Client{Addresses: g.real[f.Member : f.Member+1]}).Do(ctx, coordinator.Call{ConfirmDisk: true})
 	}
 }
 
@@ -875,6 +879,13 @@
 	}
 }
 
+// erase removes a directory of a member; a fault whose directory stays has not happened as planned.
+func (g *rig) erase(dir string) {
+	if err := os.RemoveAll(dir); err != nil {
+		g.note(err.Error())
+	}
+}
+
 // flapEvery is how long a link that flaps is in either state.
 const flapEvery = 300 * time.Millisecond
 
--- a/internal/testbed/cluster/link.go
+++ b/internal/testbed/cluster/link.go
@@ -68,7 +68,7 @@
 
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
-		t.SetLinger(0)
+		_ = t.SetLinger(0) // fails on a closed connection
 	}
 	c.Close()
 }
@@ -168,7 +168,7 @@
 				time.Sleep(wait)
 			}
 			if f.after > 0 && sent+n > f.after {
-				to.Write(buf[:f.after-min(sent, f.after)])
+				_, _ = to.Write(buf[:f.after-min(sent, f.after)]) // the connection is reset next either way
 				reset(to)
 				reset(from)
 				return
--- a/internal/testbed/cluster/plain.go
+++ b/internal/testbed/cluster/plain.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("a folder for the members: %w", err)
 	}
-	done = func() { os.RemoveAll(dir) }
+	done = func() { _ = os.RemoveAll(dir) } // what is left lies in the temporary directory
 	links, err := testbed.FreeAddresses(n)
 	if err != nil {
 		return nil, errors.Join(err, os.RemoveAll(dir))
--- a/internal/testbed/cluster/result.go
+++ b/internal/testbed/cluster/result.go
@@ -73,7 +73,7 @@
 func (r *Result) story() string {
 	all := slices.Clone(r.Faults)
 	slices.SortFunc(all, func(a, b Fault) int { return int(a.At - b.At) })
-	var out []string
+	out := make([]string, 0, len(all))
 	for _, f := range all {
 		who := fmt.Sprintf("d%d", f.Member)
 		if f.Member < 0 {
@@ -120,9 +120,10 @@
 	if len(r.broken()) > 0 {
 		s.Broken++
 	}
-	s.silence.RecordValue(r.Silence.Milliseconds())
+	// Both stay below the histograms' maximum of an hour: a run is shorter.
+	_ = s.silence.RecordValue(r.Silence.Milliseconds())
 	if r.Ended > r.Origin {
-		s.took.RecordValue((r.Ended - r.Origin).Milliseconds())
+		_ = s.took.RecordValue((r.Ended - r.Origin).Milliseconds())
 	}
 }
 
--- a/internal/testbed/cluster/words.go
+++ b/internal/testbed/cluster/words.go
@@ -221,7 +221,7 @@
 }
 
 func wordsOf(r *gossip.Reply) string {
-	var all []string
+	all := make([]string, 0, len(r.Overrides))
 	for _, w := range r.Overrides {
 		all = append(all, fmt.Sprintf("%s out %t conflict %t", w.Worker, w.Disabled, w.Conflict))
 	}
--- a/internal/testbed/config.go
+++ b/internal/testbed/config.go
@@ -24,8 +24,10 @@
 		machines = append(machines, w.Kind)
 	}
 	machines = unique(machines)
-	var classes, customers []object
-	var stretch, kinds []any
+	classes := make([]object, 0, len(s.Classes)) // there is one at least
+	stretch := make([]any, 0, len(s.Classes))
+	kinds := make([]any, 0, len(s.Classes))
+	var customers []object //nolint:prealloc // without a tenant it stays nil: null in the JSON
 	for _, c := range s.Classes {
 		classes = append(classes, object{
 			"name": c.Name, "aim": seconds(c.Aim), "deadline": seconds(c.Patience), "effect": effects[c.Effect], "group": c.Group,
--- a/internal/testbed/fakes/cut.go
+++ b/internal/testbed/fakes/cut.go
@@ -23,7 +23,7 @@
 		return
 	}
 	k.healed = make(chan struct{})
-	k.listener.SetDeadline(time.Unix(1, 0))
+	_ = k.listener.SetDeadline(time.Unix(1, 0)) // fails on a closed listener, which accepts nothing anyway
 	k.w.mu.Unlock()
 	k.setBacklog(0)
 	for range fillMost {
@@ -43,7 +43,7 @@
 		return
 	}
 	for _, c := range k.fill {
-		c.(*net.TCPConn).SetLinger(0)
+		_ = c.(*net.TCPConn).SetLinger(0) // fails on a connection that has ended already
 		c.Close()
 	}
 	k.fill = nil
@@ -51,7 +51,7 @@
 		c.silent = true
 	}
 	k.setBacklog(backlog)
-	k.listener.SetDeadline(time.Time{})
+	_ = k.listener.SetDeadline(time.Time{}) // fails on a closed listener only
 	close(k.healed)
 	k.healed = nil
 }
@@ -61,7 +61,9 @@
 	if err != nil {
 		return // closed meanwhile
 	}
-	raw.Control(func(fd uintptr) { syscall.Listen(int(fd), n) })
+	_ = raw.Control(func(fd uintptr) {
+		_ = syscall.Listen(int(fd), n) // changes the backlog of an open listener
+	}) // fails on a closed listener, which has no backlog
 }
 
 // clearTime is how long after a silence what had got through in the kernel is looked for.
@@ -69,14 +71,14 @@
 
 // clear resets the connections that came up in the kernel during a silence: to the machine they never did.
 func (k *link) clear() {
-	k.listener.SetDeadline(time.Now().Add(clearTime))
-	defer k.listener.SetDeadline(time.Time{})
+	_ = k.listener.SetDeadline(time.Now().Add(clearTime)) // on a closed listener the next Accept fails
+	defer func() { _ = k.listener.SetDeadline(time.Time{}) }()
 	for {
 		c, err := k.listener.AcceptTCP()
 		if err != nil {
 			return
 		}
-		c.SetLinger(0)
-		c.Close()
+		_ = c.SetLinger(0) // fails on a connection that has ended already
+		_ = c.Close()
 	}
 }
--- a/internal/testbed/fakes/discovery.go
+++ b/internal/testbed/fakes/discovery.go
@@ -127,7 +127,8 @@
 	mux.HandleFunc("GET /discovery/hosts", a.hosts)
 	a.server = &http.Server{Handler: mux}
 	a.address = l.Addr().String()
-	go a.server.Serve(l)
+	server := a.server
+	go func() { _ = server.Serve(l) }() // returns once the agent moves or closes
 	return nil
 }
 
@@ -149,10 +150,13 @@
 	go func() {
 		// Shutdown closes the listener at once; it would wait for watches that never end.
 		done := make(chan struct{})
-		go func() { defer close(done); old.Shutdown(closedContext()) }()
+		go func() {
+			defer close(done)
+			_ = old.Shutdown(closedContext()) // its error is that of the context
+		}()
 		<-done
 		time.Sleep(oldLinger)
-		old.Close()
+		_ = old.Close() // its connections end either way
 	}()
 	return nil
 }
@@ -192,7 +196,7 @@
 		t.Stop()
 	}
 	a.signal()
-	a.server.Close()
+	_ = a.server.Close() // its connections end either way
 }
 
 func (a *Agent) send(n News, atOnce bool) {
@@ -383,7 +387,7 @@
 			silent := a.silent
 			a.mu.Unlock()
 			if !silent {
-				w.Write([]byte("\n"))
+				_, _ = w.Write([]byte("\n")) // Flush tells if the watch has ended
 				if control.Flush() != nil {
 					return
 				}
--- a/internal/testbed/fakes/worker.go
+++ b/internal/testbed/fakes/worker.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -197,13 +198,13 @@
 	}
 }
 
-// Slow, Hang and Err set troubles; a factor of 1, false and a share of 0 end them.
+// Slow makes all work take factor times as long; a factor of 1 ends that.
 func (w *Worker) Slow(factor float64) { w.change(func(m *Machine) { m.Slow(factor) }) }
 
 // Hang stops or resumes all work.
 func (w *Worker) Hang(on bool) { w.change(func(m *Machine) { m.Hang(on) }) }
 
-// Err makes a share of the jobs fail at once.
+// Err makes a share of the jobs fail at once; a share of 0 ends that.
 func (w *Worker) Err(share float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -341,8 +342,7 @@
 			k.w.mu.Lock()
 			healed := k.healed
 			k.w.mu.Unlock()
-			var timeout net.Error
-			if healed == nil && !(asTimeout(err, &timeout)) {
+			if healed == nil && !isTimeout(err) {
 				return // closed
 			}
 			if healed != nil {
@@ -355,7 +355,7 @@
 		k.w.mu.Lock()
 		if k.w.machine == nil || k.w.life != k.life {
 			k.w.mu.Unlock()
-			raw.Close()
+			_ = raw.Close() // its worker is gone
 			return
 		}
 		k.conns[c] = true
@@ -364,12 +364,9 @@
 	}
 }
 
-func asTimeout(err error, to *net.Error) bool {
-	e, ok := err.(net.Error)
-	if ok {
-		*to = e
-	}
-	return ok && e.Timeout()
+func isTimeout(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
 // conn is a connection from a dispatcher. It carries one request at a time.
@@ -415,17 +412,16 @@
 			c.first = c.k.w.cfg.Ledger.Now()
 		}
 		if c.k.w.cfg.IdleClose > 0 {
-			c.SetReadDeadline(time.Now().Add(c.k.w.cfg.IdleClose))
+			_ = c.SetReadDeadline(time.Now().Add(c.k.w.cfg.IdleClose)) // fails on a closed connection, as the next read does
 		}
 		req, err := http.ReadRequest(r)
 		if err != nil {
-			var timeout net.Error
 			c.k.w.mu.Lock()
-			if asTimeout(err, &timeout) && c.job != nil {
+			if isTimeout(err) && c.job != nil {
 				c.k.w.mu.Unlock() // it works on: only idle connections are closed
 				continue
 			}
-			if err != io.EOF && !c.fresh && c.job == nil && !isNetErr(err) && c.k.healed == nil {
+			if !errors.Is(err, io.EOF) && !c.fresh && c.job == nil && !isNetErr(err) && c.k.healed == nil {
 				c.k.w.odd(c.k.dispatcher, err.Error())
 			}
 			c.drop()
@@ -444,8 +440,8 @@
 }
 
 func isNetErr(err error) bool {
-	_, ok := err.(net.Error)
-	return ok || err == io.ErrUnexpectedEOF
+	var netErr net.Error
+	return errors.As(err, &netErr) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
 func (w *Worker) odd(dispatcher int, what string) {
@@ -564,8 +560,8 @@
 		return
 	}
 	if c.k.healed == nil && !c.silent {
-		c.SetWriteDeadline(time.Now().Add(time.Second))
-		if _, err := c.TCPConn.Write(c.out); err != nil {
+		_ = c.SetWriteDeadline(time.Now().Add(time.Second)) // fails on a closed connection, as the write does
+		if _, err := c.Write(c.out); err != nil {
 			c.drop()
 		}
 	}
@@ -575,14 +571,14 @@
 // drop ends the connection: the dispatcher closed it, or broke the protocol. Work for it stops.
 func (c *conn) drop() {
 	c.end(invariant.Dropped)
-	c.TCPConn.Close()
+	_ = c.Close() // it may be closed already
 }
 
 // reset breaks the connection.
 func (c *conn) reset(end invariant.End) {
-	c.SetLinger(0)
+	_ = c.SetLinger(0) // fails on a closed connection
 	c.end(end)
-	c.TCPConn.Close()
+	_ = c.Close() // it may be closed already
 }
 
 // end ends what is out on the connection, once. The worker's lock is held. It may come back here: work that stops makes
--- a/internal/testbed/invariant/judge.go
+++ b/internal/testbed/invariant/judge.go
@@ -168,8 +168,10 @@
 
 // lines are a try with all its attempts.
 func (c *court) lines(t *Try) []string {
-	out := []string{c.tryLine(t)}
-	for _, a := range c.attempts[t.ID] {
+	attempts := c.attempts[t.ID]
+	out := make([]string, 0, 1+len(attempts))
+	out = append(out, c.tryLine(t))
+	for _, a := range attempts {
 		out = append(out, c.line(a))
 	}
 	return out
@@ -276,7 +278,8 @@
 	if ran > 1 {
 		c.breach(Effects, "ran-twice", all[len(all)-1].Last, t.Dispatcher, t.ID, c.lines(t)...)
 	}
-	if t.Outcome == Refused && !(class.Keyed && class.Group == "all") {
+	repeatDropped := class.Keyed && class.Group == "all"
+	if t.Outcome == Refused && !repeatDropped {
 		if slices.ContainsFunc(all, func(a *Attempt) bool { return !neverRan(a, t.Ended) }) {
 			c.breach(Effects, "refused-what-may-have-run", t.Ended, t.Dispatcher, t.ID, append(c.lines(t), "a refusal says that asking again is harmless")...)
 		}
--- a/internal/testbed/invariant/judge_test.go
+++ b/internal/testbed/invariant/judge_test.go
@@ -37,86 +37,86 @@
 		want  string // rule/kind, several apart by spaces; empty: all is well
 	}{
 		{"a served request", 1, func(*Ledger, *Try, *Attempt) {}, ""},
-		{"an answer in the slack", 0, func(_ *Ledger, t *Try, a *Attempt) { t.Ended = t.Due + 50*ms }, ""},
-		{"a late answer", 0, func(_ *Ledger, t *Try, a *Attempt) { t.Ended = t.Due + 51*ms }, "answers/late"},
-		{"a late refusal", 0, func(_ *Ledger, t *Try, a *Attempt) { t.Outcome, t.Ended = Refused, t.Due+60*ms }, "answers/late"},
-		{"no answer", 0, func(_ *Ledger, t *Try, a *Attempt) { t.Outcome = Unknown }, "answers/lost"},
-		{"a close after sending on", 0, func(_ *Ledger, t *Try, a *Attempt) { t.Outcome = Closed }, "answers/lost"},
+		{"an answer in the slack", 0, func(_ *Ledger, t *Try, _ *Attempt) { t.Ended = t.Due + 50*ms }, ""},
+		{"a late answer", 0, func(_ *Ledger, t *Try, _ *Attempt) { t.Ended = t.Due + 51*ms }, "answers/late"},
+		{"a late refusal", 0, func(_ *Ledger, t *Try, _ *Attempt) { t.Outcome, t.Ended = Refused, t.Due+60*ms }, "answers/late"},
+		{"no answer", 0, func(_ *Ledger, t *Try, _ *Attempt) { t.Outcome = Unknown }, "answers/lost"},
+		{"a close after sending on", 0, func(_ *Ledger, t *Try, _ *Attempt) { t.Outcome = Closed }, "answers/lost"},
 		{"a close with nothing sent on", 0, func(_ *Ledger, t *Try, a *Attempt) { t.Outcome, a.ID = Closed, "b" }, "answers/made-up-request"},
-		{"a close by a kill of ours", 1, func(l *Ledger, t *Try, a *Attempt) {
+		{"a close by a kill of ours", 1, func(l *Ledger, t *Try, _ *Attempt) {
 			t.Outcome = Closed
 			l.Moment(Moment{At: 1100 * ms, What: Killed})
 		}, ""},
-		{"a close while we killed another", 0, func(l *Ledger, t *Try, a *Attempt) {
+		{"a close while we killed another", 0, func(l *Ledger, t *Try, _ *Attempt) {
 			t.Outcome = Closed
 			l.Moment(Moment{Dispatcher: 1, At: 1100 * ms, What: Killed})
 		}, "answers/lost"},
-		{"a close long after a kill", 0, func(l *Ledger, t *Try, a *Attempt) {
+		{"a close long after a kill", 0, func(l *Ledger, t *Try, _ *Attempt) {
 			t.Outcome = Closed
 			l.Moment(Moment{At: 500 * ms, What: Killed})
 		}, "answers/lost"},
-		{"a client that left", 0, func(_ *Ledger, t *Try, a *Attempt) { t.Outcome = Left }, ""},
-		{"another result", 0, func(_ *Ledger, t *Try, a *Attempt) { t.Result = 8 }, "answers/made-up-answer"},
-		{"the result of an attempt that failed", 0, func(_ *Ledger, t *Try, a *Attempt) { a.End = Errored }, "answers/made-up-answer"},
-		{"two answers", 0, func(_ *Ledger, t *Try, a *Attempt) { t.Twice = true }, "answers/answered-twice"},
-		{"a send after the answer", 0, func(l *Ledger, t *Try, a *Attempt) { l.Attempt(again(1, t.Ended+60*ms)) }, "answers/sent-after-final"},
-		{"a send that crosses the answer", 0, func(l *Ledger, t *Try, a *Attempt) { l.Attempt(again(1, t.Ended+40*ms)) }, ""},
-		{"another body", 0, func(_ *Ledger, t *Try, a *Attempt) { a.Changed = "shorter" }, "answers/changed"},
-		{"what no worker can read", 0, func(l *Ledger, t *Try, a *Attempt) { l.Odd(Odd{What: "junk"}) }, "answers/nonsense"},
+		{"a client that left", 0, func(_ *Ledger, t *Try, _ *Attempt) { t.Outcome = Left }, ""},
+		{"another result", 0, func(_ *Ledger, t *Try, _ *Attempt) { t.Result = 8 }, "answers/made-up-answer"},
+		{"the result of an attempt that failed", 0, func(_ *Ledger, _ *Try, a *Attempt) { a.End = Errored }, "answers/made-up-answer"},
+		{"two answers", 0, func(_ *Ledger, t *Try, _ *Attempt) { t.Twice = true }, "answers/answered-twice"},
+		{"a send after the answer", 0, func(l *Ledger, t *Try, _ *Attempt) { l.Attempt(again(1, t.Ended+60*ms)) }, "answers/sent-after-final"},
+		{"a send that crosses the answer", 0, func(l *Ledger, t *Try, _ *Attempt) { l.Attempt(again(1, t.Ended+40*ms)) }, ""},
+		{"another body", 0, func(_ *Ledger, _ *Try, a *Attempt) { a.Changed = "shorter" }, "answers/changed"},
+		{"what no worker can read", 0, func(l *Ledger, _ *Try, _ *Attempt) { l.Odd(Odd{What: "junk"}) }, "answers/nonsense"},
 
-		{"a safe one twice", 0, func(l *Ledger, t *Try, a *Attempt) { l.Attempt(again(1, 1100*ms)) }, ""},
-		{"a safe one too often", 0, func(l *Ledger, t *Try, a *Attempt) {
+		{"a safe one twice", 0, func(l *Ledger, _ *Try, _ *Attempt) { l.Attempt(again(1, 1100*ms)) }, ""},
+		{"a safe one too often", 0, func(l *Ledger, _ *Try, _ *Attempt) {
 			for i := range 3 {
 				l.Attempt(again(1, 1100*ms+time.Duration(i)))
 			}
 		}, "effects/too-many-attempts"},
-		{"a never-twice one twice", 1, func(l *Ledger, t *Try, a *Attempt) { l.Attempt(again(1, 1100*ms)) }, "effects/sent-again effects/ran-twice"},
-		{"after it was turned away", 1, func(l *Ledger, t *Try, a *Attempt) {
+		{"a never-twice one twice", 1, func(l *Ledger, _ *Try, _ *Attempt) { l.Attempt(again(1, 1100*ms)) }, "effects/sent-again effects/ran-twice"},
+		{"after it was turned away", 1, func(l *Ledger, _ *Try, a *Attempt) {
 			a.End, a.Ran, a.Ended = TurnedAway, false, 1050*ms
 			l.Attempt(again(1, 1100*ms))
 		}, ""},
-		{"before it was turned away", 1, func(l *Ledger, t *Try, a *Attempt) {
+		{"before it was turned away", 1, func(l *Ledger, _ *Try, a *Attempt) {
 			a.End, a.Ran, a.Ended = Returned, false, 1150*ms
 			l.Attempt(again(1, 1100*ms))
 		}, "effects/sent-again"},
-		{"after a failure", 1, func(l *Ledger, t *Try, a *Attempt) {
+		{"after a failure", 1, func(l *Ledger, _ *Try, a *Attempt) {
 			a.End, a.Ended = Errored, 1050*ms
 			l.Attempt(again(1, 1100*ms))
 		}, "effects/sent-again effects/ran-twice"},
-		{"after a cancel in the queue", 1, func(l *Ledger, t *Try, a *Attempt) {
+		{"after a cancel in the queue", 1, func(l *Ledger, _ *Try, a *Attempt) {
 			a.End, a.Ran, a.Ended = Dropped, false, 1050*ms
 			l.Attempt(again(1, 1100*ms))
 		}, "effects/sent-again"},
 		{"a refusal of what ran", 1, func(_ *Ledger, t *Try, a *Attempt) { t.Outcome, a.End = Refused, Errored }, "effects/refused-what-may-have-run"},
 		{"a refusal of what was handed back", 1, func(_ *Ledger, t *Try, a *Attempt) { t.Outcome, a.End, a.Ran = Refused, Returned, false }, ""},
 		{"a refusal of a safe one that ran", 0, func(_ *Ledger, t *Try, a *Attempt) { t.Outcome, a.End = Refused, Errored }, ""},
-		{"a keyed one within its cell", 2, func(l *Ledger, t *Try, a *Attempt) { l.Attempt(again(1, 1100*ms)) }, ""},
-		{"a keyed one outside its cell", 2, func(l *Ledger, t *Try, a *Attempt) { l.Attempt(again(2, 1100*ms)) }, "effects/sent-again effects/ran-twice"},
-		{"a keyed one past its window", 2, func(l *Ledger, t *Try, a *Attempt) { t.Ended = 2500 * ms; l.Attempt(again(1, 2200*ms)) }, "effects/sent-again effects/ran-twice"},
+		{"a keyed one within its cell", 2, func(l *Ledger, _ *Try, _ *Attempt) { l.Attempt(again(1, 1100*ms)) }, ""},
+		{"a keyed one outside its cell", 2, func(l *Ledger, _ *Try, _ *Attempt) { l.Attempt(again(2, 1100*ms)) }, "effects/sent-again effects/ran-twice"},
+		{"a keyed one past its window", 2, func(l *Ledger, t *Try, _ *Attempt) { t.Ended = 2500 * ms; l.Attempt(again(1, 2200*ms)) }, "effects/sent-again effects/ran-twice"},
 		{"a refusal of a keyed one that all drop", 3, func(_ *Ledger, t *Try, a *Attempt) { t.Outcome, a.End = Refused, Errored }, ""},
 		{"a refusal of a keyed one that a cell drops", 2, func(_ *Ledger, t *Try, a *Attempt) { t.Outcome, a.End = Refused, Errored }, "effects/refused-what-may-have-run"},
 
-		{"a send within the grace", 0, func(l *Ledger, t *Try, a *Attempt) {
+		{"a send within the grace", 0, func(l *Ledger, _ *Try, _ *Attempt) {
 			l.Telling(&Telling{State: Draining, Has: 400 * ms, Written: 470 * ms})
 		}, ""},
-		{"a send past the grace", 0, func(l *Ledger, t *Try, a *Attempt) {
+		{"a send past the grace", 0, func(l *Ledger, _ *Try, _ *Attempt) {
 			l.Telling(&Telling{State: Draining, Has: 400 * ms, Written: 450 * ms})
 		}, "drains/sent-after-drain"},
-		{"a drain, then its end: the first counts", 0, func(l *Ledger, t *Try, a *Attempt) {
+		{"a drain, then its end: the first counts", 0, func(l *Ledger, _ *Try, _ *Attempt) {
 			l.Telling(&Telling{State: Draining, Has: 400 * ms, Written: 400 * ms})
 			l.Telling(&Telling{State: Removed, Has: 900 * ms, Written: 900 * ms})
 		}, "drains/sent-after-drain"},
-		{"a drain, then back", 0, func(l *Ledger, t *Try, a *Attempt) {
+		{"a drain, then back", 0, func(l *Ledger, _ *Try, _ *Attempt) {
 			l.Telling(&Telling{State: Draining, Has: 300 * ms, Written: 300 * ms})
 			l.Telling(&Telling{State: Up, Life: 2, Has: 900 * ms, Written: 900 * ms})
 		}, ""},
-		{"another worker's drain", 0, func(l *Ledger, t *Try, a *Attempt) {
+		{"another worker's drain", 0, func(l *Ledger, _ *Try, _ *Attempt) {
 			l.Telling(&Telling{Worker: 1, State: Draining, Has: 300 * ms, Written: 300 * ms})
 		}, ""},
-		{"another dispatcher's news", 0, func(l *Ledger, t *Try, a *Attempt) {
+		{"another dispatcher's news", 0, func(l *Ledger, _ *Try, _ *Attempt) {
 			l.Telling(&Telling{Dispatcher: 1, State: Draining, Has: 300 * ms, Written: 300 * ms})
 		}, ""},
-		{"news that a process before was told", 0, func(l *Ledger, t *Try, a *Attempt) {
+		{"news that a process before was told", 0, func(l *Ledger, _ *Try, _ *Attempt) {
 			l.Telling(&Telling{State: Draining, Has: 300 * ms, Written: 300 * ms})
 			l.Moment(Moment{At: 900 * ms, What: Started})
 		}, ""},
@@ -132,11 +132,11 @@
 			l.Telling(&Telling{State: Draining, Has: 300 * ms})
 			l.Telling(&Telling{State: Up, Life: 2, Has: 800 * ms, Written: 800 * ms})
 		}, ""},
-		{"an older word written later than a newer one", 0, func(l *Ledger, t *Try, a *Attempt) {
+		{"an older word written later than a newer one", 0, func(l *Ledger, _ *Try, _ *Attempt) {
 			l.Telling(&Telling{State: Draining, Has: 300 * ms, Written: 300 * ms})
 			l.Telling(&Telling{State: Up, Has: 200 * ms, Written: 900 * ms})
 		}, "drains/sent-after-drain"},
-		{"a cold worker pushed over", 0, func(l *Ledger, t *Try, a *Attempt) { l.Fall(Fall{Sent: 3, Bears: 1}) }, "cold/pushed-over"},
+		{"a cold worker pushed over", 0, func(l *Ledger, _ *Try, _ *Attempt) { l.Fall(Fall{Sent: 3, Bears: 1}) }, "cold/pushed-over"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := NewLedger()
@@ -145,7 +145,7 @@
 			l.Attempt(a)
 			c.do(l, try, a)
 			v := Judge(l, terms())
-			var got []string
+			got := make([]string, 0, len(v.Breaches))
 			for _, b := range v.Breaches {
 				got = append(got, b.Rule+"/"+b.Kind)
 				if len(b.Lines) == 0 || !slices.Contains(Rules, b.Rule) || !strings.Contains(b.String(), b.Lines[0]) {
--- a/internal/testbed/lab.go
+++ b/internal/testbed/lab.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("a folder for the configurations: %w", err)
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }() // what is left lies in the temporary directory
 	ceiling := 0.0
 	if o.Ceiling {
 		if ceiling, err = Ceiling(ctx); err != nil {
@@ -159,7 +159,7 @@
 	for _, d := range r.dispatchers {
 		go func() { errs <- d.start(ctx) }()
 	}
-	var all []error
+	all := make([]error, 0, len(r.dispatchers))
 	for range r.dispatchers {
 		all = append(all, <-errs)
 	}
--- a/internal/testbed/lab_test.go
+++ b/internal/testbed/lab_test.go
@@ -230,7 +230,7 @@
 
 // Baselines serve behind the same store and keep the rules.
 func TestTableOfBaselines(t *testing.T) {
-	var cells []Cell
+	cells := make([]Cell, 0, len(baseline.Policies))
 	for _, p := range baseline.Policies {
 		cells = append(cells, Cell{"calm", p, Options{Scenario: loadDay(t, "calm", 2*time.Second), Seed: 1, Policy: p, Launch: launchTest(p)}})
 	}
--- a/internal/testbed/loadgen/client.go
+++ b/internal/testbed/loadgen/client.go
@@ -88,7 +88,7 @@
 	defer buffers.Put(p)
 	*p = q.appendTo((*p)[:0], c.host)
 	c.SetWriteDeadline(time.Now().Add(q.Left))
-	_, err := c.Conn.Write(*p)
+	_, err := c.Write(*p)
 	return err
 }
 
@@ -98,7 +98,7 @@
 // Receive reads the answer, and whether the connection may be used again.
 func (c *Conn) Receive(until time.Time) (a Answer, again bool, err error) {
 	c.SetReadDeadline(until)
-	res, err := http.ReadResponse(c.r, nil)
+	res, err := http.ReadResponse(c.r, nil) //nolint:bodyclose // the connection owns the body; closing it would read what is past answerMost
 	if err != nil {
 		return a, false, err
 	}
--- a/internal/testbed/loadgen/closed.go
+++ b/internal/testbed/loadgen/closed.go
@@ -70,7 +70,8 @@
 					a, again, err = c.Receive(at.Add(q.Left))
 				}
 				if err == nil && a.Status == 200 {
-					h.RecordValue(max(1, time.Since(at).Microseconds()))
+					// No request takes longer than Left, far below the histogram's maximum.
+					_ = h.RecordValue(max(1, time.Since(at).Microseconds()))
 				} else {
 					failed.Add(1)
 				}
--- a/internal/testbed/loadgen/rude.go
+++ b/internal/testbed/loadgen/rude.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -29,6 +30,9 @@
 	rudeGap  = 2 * time.Millisecond
 )
 
+// headEnd ends the head of a request.
+const headEnd = "\r\n\r\n"
+
 // rudeness is what a rude client sends. class is a class that exists.
 func rudeness(r *rand.Rand, class string) []byte {
 	head := func(lines ...string) []byte {
@@ -37,11 +41,12 @@
 	id, cl, dl := fmt.Sprintf("X-Request-Id: rude%x", r.Uint64()), "X-Class: "+class, "X-Deadline-Ms: 2000"
 	switch r.IntN(12) {
 	case 0:
-		b := make([]byte, 200)
+		const noise = 200
+		b := make([]byte, noise, noise+len(headEnd))
 		for i := range b {
 			b[i] = byte(r.Uint32())
 		}
-		return append(b, "\r\n\r\n"...)
+		return append(b, headEnd...)
 	case 1: // a head without end
 		return []byte("GET / HTTP/1.1\r\nHost: lab\r\nX-Long: " + strings.Repeat("a", 32<<10))
 	case 2:
@@ -97,8 +102,9 @@
 	defer context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })()
 	conn.SetDeadline(time.Now().Add(rudeWait))
 	u.Sent.Add(1)
-	conn.Write(what) // it may be turned down before it is through
-	res, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	// It may be turned down before it is through.
+	_, _ = conn.Write(what)
+	res, err := http.ReadResponse(bufio.NewReader(conn), nil) //nolint:bodyclose // the connection owns the body and is closed
 	var timeout net.Error
 	switch {
 	case ctx.Err() != nil:
@@ -106,21 +112,15 @@
 	case err == nil && res.StatusCode == http.StatusOK:
 		u.Served.Add(1)
 	case err == nil:
-		io.Copy(io.Discard, io.LimitReader(res.Body, 64<<10))
+		_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, 64<<10)) // answered, whole or not
 		u.Answered.Add(1)
-	case errorsAs(err, &timeout) && timeout.Timeout():
+	case errors.As(err, &timeout) && timeout.Timeout():
 		u.Ignored.Add(1)
 	default: // closed
 		u.Answered.Add(1)
 	}
 }
 
-func errorsAs(err error, to *net.Error) bool {
-	e, ok := err.(net.Error)
-	*to = e
-	return ok
-}
-
 // Idle holds n silent connections to a dispatcher until ctx ends; one that is closed is opened again after a while.
 func Idle(ctx context.Context, addr string, n int) {
 	var all sync.WaitGroup
@@ -132,7 +132,7 @@
 				conn, err := net.DialTimeout("tcp", addr, dialWait)
 				if err == nil {
 					stop := context.AfterFunc(ctx, func() { conn.Close() })
-					io.Copy(io.Discard, conn)
+					_, _ = io.Copy(io.Discard, conn) // until the connection ends, however it does
 					stop()
 					conn.Close()
 				}
--- a/internal/testbed/mutant/planted.go
+++ b/internal/testbed/mutant/planted.go
@@ -225,14 +225,15 @@
 	}
 	left, _ := time.ParseDuration(r.Header.Get("X-Deadline-Ms") + "ms")
 	end := time.Now().Add(left - 30*time.Millisecond)
+	lasting := context.WithoutCancel(r.Context()) // what is sent to workers outlasts a client that leaves
 	switch {
 	case d.some("made-up"):
-		w.Write([]byte("all is well"))
+		_, _ = w.Write([]byte("all is well")) // the client may have gone
 		return
 	case d.some("after-final"):
 		go func() {
 			time.Sleep(400 * time.Millisecond)
-			d.ask(context.Background(), r, body)
+			_, _, _ = d.ask(lasting, r, body) // sending it is the fault; nobody waits for the result
 		}()
 		w.WriteHeader(http.StatusInternalServerError)
 		return
@@ -242,7 +243,7 @@
 	case d.some("changed"):
 		body = body[:len(body)/2]
 	}
-	ctx, cancel := context.WithDeadline(context.Background(), end)
+	ctx, cancel := context.WithDeadline(lasting, end)
 	defer cancel()
 	status, result := d.serve(ctx, r, body)
 	switch {
@@ -262,7 +263,7 @@
 		return
 	}
 	w.WriteHeader(status)
-	w.Write(result)
+	_, _ = w.Write(result) // the client may have gone
 }
 
 // serve asks workers, up to three times where the class allows it.
--- a/internal/testbed/overhead.go
+++ b/internal/testbed/overhead.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return fmt.Errorf("a folder for the configuration: %w", err)
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }() // what is left lies in the temporary directory
 	addresses, err := FreeAddresses(1)
 	if err != nil {
 		return err
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -109,7 +109,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.whole != nil {
-		t.whole.Write(p) // what cannot be written there is in the tail
+		_, _ = t.whole.Write(p) // what cannot be written there is in the tail
 	}
 	t.buf = append(t.buf, p...)
 	if len(t.buf) > tailMost {
@@ -273,7 +273,7 @@
 	if moment != invariant.Reloaded {
 		p.ended = ends
 	}
-	p.cmd.Process.Signal(sig)
+	_ = p.cmd.Process.Signal(sig) // fails on a process that has just ended, which its waiter records
 	return p
 }
 
@@ -311,7 +311,7 @@
 	d.mu.Lock()
 	p.ended = invariant.Overstayed
 	d.mu.Unlock()
-	p.cmd.Process.Kill()
+	_ = p.cmd.Process.Kill() // fails on a process that has just ended
 	<-p.done
 }
 
--- a/internal/testbed/report/html.go
+++ b/internal/testbed/report/html.go
@@ -41,7 +41,10 @@
 }
 
 func (r *Report) page() ([]byte, error) {
-	var asked, good, p50, p99 plotter.XYs
+	asked := make(plotter.XYs, 0, len(r.Series))
+	p50 := make(plotter.XYs, 0, len(r.Series))
+	p99 := make(plotter.XYs, 0, len(r.Series))
+	var good plotter.XYs
 	for _, p := range r.Series {
 		asked = append(asked, plotter.XY{X: p.At, Y: float64(p.Asked)})
 		if p.Worth > 0 {
@@ -120,7 +123,7 @@
 			return "", err
 		}
 		band.Color = color.RGBA{200, 160, 60, 40}
-		band.LineStyle.Width = 0
+		band.Width = 0
 		p.Add(band)
 	}
 	for i, l := range lines {
@@ -144,7 +147,7 @@
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = "Part of the work done by each worker (blue) and of the capacity (grey)", "part"
 	did, can := make(plotter.Values, len(r.Workers)), make(plotter.Values, len(r.Workers))
-	var names []string
+	names := make([]string, 0, len(r.Workers))
 	for i, w := range r.Workers {
 		did[i], can[i] = w.Share, w.Capacity
 		names = append(names, w.Name)
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -167,7 +167,9 @@
 }
 
 // Add adds a time.
-func (h Histogram) Add(d time.Duration) { h.h.RecordValue(max(1, d.Microseconds())) }
+func (h Histogram) Add(d time.Duration) {
+	_ = h.h.RecordValue(max(1, d.Microseconds())) // fails for more than an hour only: no run takes that long
+}
 
 // At is a percentile, in milliseconds; 0 where there is nothing.
 func (h Histogram) At(p float64) float64 {
@@ -281,11 +283,11 @@
 func replace(path string, raw []byte) error {
 	next := path + ".part"
 	if err := os.WriteFile(next, raw, 0o644); err != nil {
-		os.Remove(next) // what a full disk has left of it
+		_ = os.Remove(next) // what a full disk has left of it; the error that matters is that of the write
 		return fmt.Errorf("writing a result: %w", err)
 	}
 	if err := os.Rename(next, path); err != nil {
-		os.Remove(next)
+		_ = os.Remove(next) // the error that matters is that of the rename
 		return fmt.Errorf("writing a result: %w", err)
 	}
 	return nil
@@ -341,7 +343,7 @@
 		ceiling = fmt.Sprintf("; ceiling %.0f requests/s straight at a worker", r.Rig.Ceiling)
 	}
 	row("the rig", "late by %.1f ms at p99, %.1f at the most%s", r.Rig.LagP99, r.Rig.LagMax, ceiling)
-	var rules []string
+	rules := make([]string, 0, len(invariant.Rules))
 	for _, name := range invariant.Rules {
 		rules = append(rules, fmt.Sprintf("%s %d", name, r.Rules[name]))
 	}
@@ -388,7 +390,7 @@
 			seen[k] = true
 		}
 	}
-	var out []string
+	out := make([]string, 0, len(seen))
 	for k := range seen {
 		out = append(out, k)
 	}
--- a/internal/testbed/scenario/check.go
+++ b/internal/testbed/scenario/check.go
@@ -189,7 +189,7 @@
 	f, at := &s.Faults[i], fmt.Sprintf("fault[%d].", i)
 	info, ok := kindInfo(f.Kind)
 	if !ok {
-		var all []string
+		all := make([]string, 0, len(Kinds))
 		for _, k := range Kinds {
 			all = append(all, k.Kind)
 		}
--- a/internal/testbed/scenario/day.go
+++ b/internal/testbed/scenario/day.go
@@ -293,9 +293,11 @@
 		for _, x := range v {
 			switch x := x.(type) {
 			case string:
-				h.WriteString(x + "\x00")
+				_, _ = h.WriteString(x + "\x00") // a hash takes all
 			default:
-				binary.Write(h, binary.LittleEndian, x)
+				if err := binary.Write(h, binary.LittleEndian, x); err != nil {
+					panic(err) // a value without a fixed size: a mistake in the calls below
+				}
 			}
 		}
 	}
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -235,7 +235,7 @@
 	if err != nil {
 		panic(err) // the folder is part of the program
 	}
-	var names []string
+	names := make([]string, 0, len(files))
 	for _, f := range files {
 		names = append(names, strings.TrimSuffix(f.Name(), ".toml"))
 	}
@@ -350,7 +350,7 @@
 		i int
 		r float64
 	}
-	var rests []rest
+	rests := make([]rest, 0, len(s.Workers))
 	s.Workers = slices.Clone(s.Workers)
 	for i := range s.Workers {
 		exact := float64(s.Workers[i].Count) * float64(n) / float64(total)
--- a/internal/testbed/simulation/histories.go
+++ b/internal/testbed/simulation/histories.go
@@ -253,7 +253,10 @@
 	if err != nil {
 		return nil, err
 	}
-	for w.ticks = 0; w.ticks < o.Ticks && len(w.result.Broken) == 0 && !(o.ToEnd && w.result.Ended > 0); w.ticks++ {
+	for w.ticks = 0; w.ticks < o.Ticks && len(w.result.Broken) == 0; w.ticks++ {
+		if o.ToEnd && w.result.Ended > 0 {
+			break
+		}
 		w.now = time.Duration(w.ticks) * tick
 		w.step()
 	}
@@ -508,7 +511,8 @@
 	m.joined = true
 	learner := raftpb.ConfChangeAddLearnerNode
 	l.safely(func(c *consensus.Core) {
-		c.ProposeConfChange([]*raftpb.ConfChangeSingle{{Type: &learner, NodeId: &m.id}}, raw)
+		// A proposal that is dropped is made again at a later tick.
+		_ = c.ProposeConfChange([]*raftpb.ConfChangeSingle{{Type: &learner, NodeId: &m.id}}, raw)
 	})
 }
 
@@ -544,7 +548,9 @@
 				changes = append(changes, &raftpb.ConfChangeSingle{Type: &remove, NodeId: &o.RaftID})
 			}
 		}
-		m.safely(func(c *consensus.Core) { c.ProposeConfChange(changes, nil) })
+		m.safely(func(c *consensus.Core) {
+			_ = c.ProposeConfChange(changes, nil) // made again at a later tick if it is dropped
+		})
 		return
 	}
 }
@@ -629,7 +635,9 @@
 	}
 	w.result.Cost[m.index].Proposed += len(raw)
 	w.offered[string(raw)] = w.now
-	m.safely(func(k *consensus.Core) { k.Propose(raw) })
+	m.safely(func(k *consensus.Core) {
+		_ = k.Propose(raw) // a proposal may be dropped, as in a real group
+	})
 }
 
 // sends has a member send to machines, as its lease lets it, and judges each send.
@@ -770,7 +778,7 @@
 	case Down:
 		w.downs = append(w.downs, down{t.Other, w.ticks, until})
 	case Kill, Wipe:
-		lost := t.Kind == Wipe && w.whole(m)
+		lost := t.Kind == Wipe && w.whole()
 		m.stopped = 0
 		// What it left behind runs to its end.
 		var err error
@@ -792,7 +800,7 @@
 }
 
 // whole tells whether all voters have their place: one more disk may be lost.
-func (w *world) whole(but *member) bool {
+func (w *world) whole() bool {
 	for _, m := range w.members[:w.o.Voters] {
 		if m.core == nil || !m.joined || !slices.Contains(m.core.Status().Voters, m.id) {
 			return false
--- a/internal/testbed/simulation/measure.go
+++ b/internal/testbed/simulation/measure.go
@@ -33,7 +33,7 @@
 			voters = 5
 		}
 		for _, fault := range []string{"none", "leader stands still"} {
-			var led, settled, force, clear, plan []time.Duration
+			var led, settled, force, cleared, plan []time.Duration
 			var idle, idleOther, messages, step, proposed float64
 			for seed := range uint64(runs) {
 				o := Options{Seed: seed + 1, Members: n, Voters: voters, Machines: measuredMachines, Zones: measuredZones, Troubles: []Trouble{}}
@@ -49,7 +49,7 @@
 					return fmt.Errorf("%d members, seed %d: %s", n, o.Seed, r.Line(o.Seed))
 				}
 				led, settled, force = append(led, r.Led...), append(settled, r.Settled...), append(force, r.InForce...)
-				clear, plan = append(clear, r.Clear-r.Started), append(plan, r.Ended-r.Started)
+				cleared, plan = append(cleared, r.Clear-r.Started), append(plan, r.Ended-r.Started)
 				if fault != "none" {
 					continue
 				}
@@ -76,7 +76,7 @@
 			if fault == "none" {
 				costs = fmt.Sprintf("%.1f, %.1f\t%.0f\t%.1f, %.2f", idle, idleOther, messages, step, proposed)
 			}
-			fmt.Fprintf(t, "%d\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", n, voters, fault, spread(led), spread(settled), spread(force), spread(clear), spread(plan), costs)
+			fmt.Fprintf(t, "%d\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", n, voters, fault, spread(led), spread(settled), spread(force), spread(cleared), spread(plan), costs)
 		}
 	}
 	return t.Flush()
--- a/internal/testbed/stage.go
+++ b/internal/testbed/stage.go
@@ -96,7 +96,7 @@
 	old.ended = invariant.Exited
 	d.mu.Unlock()
 	now(invariant.Terminated, "")
-	old.cmd.Process.Signal(syscall.SIGTERM)
+	_ = old.cmd.Process.Signal(syscall.SIGTERM) // fails on a process that has just ended
 	d.gone(old, s.run.stopWithin())
 }
 
--- a/internal/testbed/trouble.go
+++ b/internal/testbed/trouble.go
@@ -80,7 +80,7 @@
 		}
 	case scenario.ListMove:
 		for _, d := range e.Dispatchers {
-			if f.Discovery.Agents[d].Move() == nil {
+			if f.Discovery.Agents[d].Move() == nil { //nolint:contextcheck // Move shuts its old server down at once, with a context that has ended
 				t.reload(d)
 			}
 		}
