--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 )
 
-// figure is one figure of a result.
+// figure is one compared figure of a result: its name, how to read it and the format of its value.
 type figure struct {
 	name string
 	of   func(*Report) float64
@@ -41,11 +41,12 @@
 	{"crashes", func(r *Report) float64 { return float64(r.Crashes) }, "%.0f"},
 }
 
-// ErrDays says that two results are of different days.
+// ErrDays is returned by Compare for two results of different generated days.
 var ErrDays = errors.New("the two results are of different days: what differs is the day as much as the program")
 
-// Compare prints how pairs of results differ, each pair of one day. The noise of goodput is told where it can be: over
-// pairs by their spread, in a single pair by the spread over its stretches.
+// Compare writes how pairs of results differ; a and b name the two sides. Both results of a pair must be of the same
+// day, else it fails with ErrDays. The noise of goodput is given by the spread over the pairs, and within a pair by the
+// spread over its intervals.
 func Compare(w io.Writer, pairs [][2]*Report, a, b string) error {
 	if len(pairs) == 0 {
 		return errors.New("there is nothing to compare")
@@ -91,7 +92,8 @@
 	}
 }
 
-// noise is the difference of goodput, and its standard error by the spread over stretches of the run, weighed by worth.
+// noise returns the difference of goodput and its standard error, from the spread over the intervals of the run weighted
+// by worth.
 func noise(a, b *Report) (mean, se float64) {
 	var diffs, weights []float64
 	total := 0.0
@@ -115,7 +117,7 @@
 	return mean, math.Sqrt(se)
 }
 
-// Median of some figures.
+// Median returns the median of v, or 0 for an empty slice; v keeps its order.
 func Median(v []float64) float64 {
 	if len(v) == 0 {
 		return 0
@@ -128,7 +130,7 @@
 	return (s[len(s)/2-1] + s[len(s)/2]) / 2
 }
 
-// leastOf is the goodput of the worst-served part.
+// leastOf returns the goodput of the worst-served part.
 func leastOf(parts []PartLine) float64 {
 	least := 1.0
 	for _, p := range parts {
--- a/internal/testbed/report/html.go
+++ b/internal/testbed/report/html.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"html/template"
 	"image/color"
+	"sort"
 
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
@@ -31,7 +32,7 @@
 	xy   plotter.XYs
 }
 
-// HTML writes the result as one page without outside links.
+// HTML writes the result to a file as one page without external links and replaces an existing file atomically.
 func (r *Report) HTML(path string) error {
 	page, err := r.page()
 	if err != nil {
@@ -99,7 +100,23 @@
 	return out.Bytes(), err
 }
 
-// curve draws lines over time, with the troubles as bands behind.
+// reasons returns the outcomes that occur in a series, sorted.
+func reasons(series []Point) []string {
+	seen := map[string]bool{}
+	for _, p := range series {
+		for k := range p.Outcomes {
+			seen[k] = true
+		}
+	}
+	out := make([]string, 0, len(seen))
+	for k := range seen {
+		out = append(out, k)
+	}
+	sort.Strings(out)
+	return out
+}
+
+// curve draws lines over time, with the faults as bands behind them.
 func (r *Report) curve(title, y string, most float64, lines []line) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", y
@@ -142,7 +159,7 @@
 	return svgOf(p, plotHigh)
 }
 
-// bars draws each worker's part of the work beside its part of the capacity.
+// bars draws each worker's share of the work beside its share of the capacity.
 func (r *Report) bars() (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = "Part of the work done by each worker (blue) and of the capacity (grey)", "part"
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -1,5 +1,5 @@
-// Package report holds what a run of the lab came to, and shows it: to people as text and as one self-contained page, to
-// machines as JSON.
+// Package report holds the result of a testbed run and presents it: as text and as one self-contained HTML page for
+// people, as JSON for programs. It also compares results of the same generated day.
 package report
 
 import (
@@ -9,9 +9,6 @@
 	"io"
 	"math"
 	"os"
-	"sort"
-	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
@@ -19,10 +16,10 @@
 	"birchfork/internal/testbed/invariant"
 )
 
-// Version is that of the JSON form; a file of another one is turned down.
+// Version is the version of the JSON form; Decode rejects every other one.
 const Version = 1
 
-// Report is one run. Times are seconds since the day's start unless the name has another unit.
+// Report is the result of one run. It is not safe for concurrent use. Times are seconds since the day's start unless the name has another unit.
 type Report struct {
 	Version     int     `json:"version"`
 	Scenario    string  `json:"scenario"`
@@ -75,7 +72,8 @@
 	Rig      Rig            `json:"rig"`
 }
 
-// Latency is of served requests, from when they were wanted to their last byte, with all tries.
+// Latency holds percentiles, in milliseconds, of served requests: from the scheduled arrival to the last byte of the
+// response, with all retries.
 type Latency struct {
 	P50  float64 `json:"p50"`
 	P90  float64 `json:"p90"`
@@ -84,7 +82,7 @@
 	Max  float64 `json:"max"`
 }
 
-// WorkerLine is one worker's part.
+// WorkerLine is one worker's part in a run.
 type WorkerLine struct {
 	Name       string  `json:"name"`
 	Kind       string  `json:"kind"`
@@ -94,7 +92,7 @@
 	PushedOver int     `json:"pushed_over"`
 }
 
-// PartLine is one class or tenant.
+// PartLine sums up the requests of one class or tenant.
 type PartLine struct {
 	Name     string  `json:"name"`
 	Requests int     `json:"requests"`
@@ -103,7 +101,7 @@
 	Latency  Latency `json:"latency_ms"`
 }
 
-// Point is a stretch of the run, by when requests were wanted.
+// Point is one interval of the run; a request belongs to the interval of its scheduled arrival.
 type Point struct {
 	At       float64        `json:"at"`
 	Asked    int            `json:"asked"`
@@ -115,7 +113,7 @@
 	Outcomes map[string]int `json:"outcomes"` // of the wishes' last tries
 }
 
-// FaultMark is a trouble on the time axis.
+// FaultMark is an injected fault on the time axis.
 type FaultMark struct {
 	Kind  string  `json:"kind"`
 	At    float64 `json:"at"`
@@ -123,7 +121,7 @@
 	Whom  string  `json:"whom"`
 }
 
-// RudeLine is what rude clients met.
+// RudeLine counts what misbehaving clients sent and how they were answered.
 type RudeLine struct {
 	Sent     int64 `json:"sent"`
 	Answered int64 `json:"answered"`
@@ -132,7 +130,7 @@
 	NoPlace  int64 `json:"no_place"`
 }
 
-// StartedLine is how dispatchers did in the first 5 s after they started again, and the others at the same time.
+// StartedLine compares requests at dispatchers in the first 5 s after a restart with those at the others meanwhile.
 type StartedLine struct {
 	Tries       int `json:"tries"`
 	InTime      int `json:"in_time"`
@@ -140,7 +138,7 @@
 	OtherInTime int `json:"other_in_time"`
 }
 
-// Rig is the lab's own doing.
+// Rig says how precise the testbed itself was.
 type Rig struct {
 	LagP99  float64 `json:"lag_p99_ms"` // how late arrivals were begun
 	LagMax  float64 `json:"lag_max_ms"`
@@ -148,7 +146,7 @@
 	Slack   float64 `json:"slack_ms"`      // that the judge gave every time limit
 }
 
-// Broken tells whether a rule was broken or a dispatcher crashed.
+// Broken reports whether a rule was violated or a dispatcher crashed.
 func (r *Report) Broken() bool {
 	for _, n := range r.Rules {
 		if n > 0 {
@@ -158,20 +156,21 @@
 	return r.Crashes > 0
 }
 
-// Histogram collects latencies, in microseconds, up to an hour, to three digits.
+// Histogram collects latencies in microseconds, up to an hour, to three significant digits. It is not safe for
+// concurrent use.
 type Histogram struct{ h *hdrhistogram.Histogram }
 
-// NewHistogram returns an empty one.
+// NewHistogram returns an empty histogram.
 func NewHistogram() Histogram {
 	return Histogram{hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)}
 }
 
-// Add adds a time.
+// Add records a duration; one below a microsecond counts as one microsecond.
 func (h Histogram) Add(d time.Duration) {
 	_ = h.h.RecordValue(max(1, d.Microseconds())) // fails for more than an hour only: no run takes that long
 }
 
-// At is a percentile, in milliseconds; 0 where there is nothing.
+// At returns the percentile p (0 to 100) in milliseconds, or 0 for an empty histogram.
 func (h Histogram) At(p float64) float64 {
 	if h.h.TotalCount() == 0 {
 		return 0
@@ -179,19 +178,20 @@
 	return float64(h.h.ValueAtPercentile(p)) / 1000
 }
 
-// Latency are the usual percentiles.
+// Latency returns the percentiles that a report shows.
 func (h Histogram) Latency() Latency {
 	return Latency{h.At(50), h.At(90), h.At(99), h.At(99.9), h.At(100)}
 }
 
-// How service counts as it was before: so much of it, in so many stretches one after the other.
+// Service counts as recovered when goodput is at least asBefore of its median before the first fault, in inARow
+// consecutive intervals; notAtAll is the recovery time of a run where that did not happen.
 const (
 	asBefore = 0.95
 	inARow   = 3
 	notAtAll = -1.0
 )
 
-// Troubled fills in how service was while a trouble was on, and how soon it came back after the last one.
+// Troubled computes InTrouble and Recovery from the series and the faults.
 func (r *Report) Troubled() {
 	first, last := math.Inf(1), 0.0
 	for _, f := range r.Faults {
@@ -232,10 +232,10 @@
 	}
 }
 
-// sizeMost bounds a kept result.
+// sizeMost bounds the size of a stored result, in bytes.
 const sizeMost = 256 << 20
 
-// Load reads a kept result.
+// Load reads a result from a file that Save wrote.
 func Load(path string) (*Report, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -253,7 +253,7 @@
 	return r, nil
 }
 
-// Decode reads a result.
+// Decode parses the JSON form of a result. It fails on another version and on a series that cannot be.
 func Decode(raw []byte) (*Report, error) {
 	var r Report
 	if err := json.Unmarshal(raw, &r); err != nil {
@@ -270,7 +270,7 @@
 	return &r, nil
 }
 
-// Save writes the result to a file, in place of an old one at once.
+// Save writes the result to a file as JSON and replaces an existing file atomically.
 func (r *Report) Save(path string) error {
 	raw, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
@@ -279,7 +279,7 @@
 	return replace(path, append(raw, '\n'))
 }
 
-// replace writes a file whole or not at all.
+// replace writes a file atomically.
 func replace(path string, raw []byte) error {
 	next := path + ".part"
 	if err := os.WriteFile(next, raw, 0o644); err != nil {
@@ -292,108 +292,3 @@
 	}
 	return nil
 }
-
-// breachesShown is how many breaches a summary prints.
-const breachesShown = 12
-
-// Text prints a summary.
-func (r *Report) Text(w io.Writer) error {
-	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	row := func(name, format string, v ...any) { fmt.Fprintf(t, "%s\t%s\n", name, fmt.Sprintf(format, v...)) }
-	row("scenario", "%s, seed %d, day %s, policy %s%s", r.Scenario, r.Seed, r.Day, r.Policy, planted(r.Planted))
-	row("played", "%.0f s, %.0f requests/s (%.2f of the capacity), %d workers, %d dispatchers", r.Seconds, r.Rate, r.Load, len(r.Workers), r.Dispatchers)
-	row("requests", "%d: %d served, %d in time, %d refused, %d failed", r.Requests, r.Served, r.ServedInTime, r.Refused, r.Failed)
-	row("goodput", "%.3f (worth in time over worth asked)", r.Goodput)
-	if len(r.Faults) > 0 {
-		back := fmt.Sprintf("as before %.1f s after the last", r.Recovery)
-		if r.Recovery < 0 {
-			back = "not as before again within the run"
-		}
-		row("in trouble", "goodput %.3f while a trouble was on; %s", r.InTrouble, back)
-	}
-	row("latency ms", "p50 %.0f  p90 %.0f  p99 %.0f  p99.9 %.0f  max %.0f", r.Latency.P50, r.Latency.P90, r.Latency.P99, r.Latency.P999, r.Latency.Max)
-	row("tries", "%.3f retries a request; %d attempts at workers; %.1f%% of their work served nobody", r.RetriesPerRequest, r.Attempts, 100*r.WastedWork)
-	for _, c := range r.Classes {
-		row("class "+c.Name, "%d, goodput %.3f, p50 %.0f ms, p99 %.0f ms", c.Requests, c.Goodput, c.Latency.P50, c.Latency.P99)
-	}
-	for _, c := range r.Tenants {
-		row("tenant "+c.Name, "%d, goodput %.3f, p99 %.0f ms", c.Requests, c.Goodput, c.Latency.P99)
-	}
-	row("dispatchers", "%.0f us of CPU a request, %.1f MB at the most, %d descriptors at the most", r.CPUPerRequest, r.RSSPeakMB, r.FDPeak)
-	var shares []string
-	for i, k := range r.Workers {
-		if i == 12 {
-			shares = append(shares, fmt.Sprintf("and %d more", len(r.Workers)-i))
-			break
-		}
-		shares = append(shares, fmt.Sprintf("%s %.0f%%", k.Name, 100*k.Share))
-	}
-	row("work by worker", "%s", strings.Join(shares, "  "))
-	for _, f := range r.Faults {
-		row("trouble", "%.1f to %.1f s: %s %s", f.At, f.Until, f.Kind, f.Whom)
-	}
-	if u := r.Rude; u != nil {
-		row("rude clients", "%d sent: %d answered or closed, %d ignored, %d served", u.Sent, u.Answered, u.Ignored, u.Served)
-	}
-	if s := r.Started; s != nil {
-		row("right after a start", "%d of %d in time within 5 s; of the others' meanwhile %d of %d", s.InTime, s.Tries, s.OtherInTime, s.OtherTries)
-	}
-	ceiling := ""
-	if r.Rig.Ceiling > 0 {
-		ceiling = fmt.Sprintf("; ceiling %.0f requests/s straight at a worker", r.Rig.Ceiling)
-	}
-	row("the rig", "late by %.1f ms at p99, %.1f at the most%s", r.Rig.LagP99, r.Rig.LagMax, ceiling)
-	rules := make([]string, 0, len(invariant.Rules))
-	for _, name := range invariant.Rules {
-		rules = append(rules, fmt.Sprintf("%s %d", name, r.Rules[name]))
-	}
-	row("rules broken", "%s; crashes %d", strings.Join(rules, ", "), r.Crashes)
-	if err := t.Flush(); err != nil {
-		return err
-	}
-	for i, b := range r.Breaches {
-		if i == breachesShown {
-			fmt.Fprintf(w, "... and more; --json keeps the first %d\n", len(r.Breaches))
-			break
-		}
-		fmt.Fprintln(w, b)
-	}
-	for _, c := range r.CrashNotes {
-		fmt.Fprintln(w, "crash:", c)
-	}
-	if r.RanLate {
-		fmt.Fprintln(w, "The rig itself ran late: this machine was too busy, and the figures are worth little.")
-	}
-	if r.Interrupted {
-		fmt.Fprintln(w, "The run was broken off: the figures are of its first part.")
-	}
-	verdict := "All rules were kept."
-	if r.Broken() {
-		verdict = "A rule was broken, or a dispatcher crashed."
-	}
-	_, err := fmt.Fprintln(w, verdict)
-	return err
-}
-
-func planted(name string) string {
-	if name == "" {
-		return ""
-	}
-	return ", planted fault " + name
-}
-
-// reasons are the outcomes of a series in a steady order.
-func reasons(series []Point) []string {
-	seen := map[string]bool{}
-	for _, p := range series {
-		for k := range p.Outcomes {
-			seen[k] = true
-		}
-	}
-	out := make([]string, 0, len(seen))
-	for k := range seen {
-		out = append(out, k)
-	}
-	sort.Strings(out)
-	return out
-}
--- /dev/null
+++ b/internal/testbed/report/text.go
@@ -0,0 +1,165 @@
+package report
+
+import (
+	"fmt"
+	"io"
+	"strings"
+	"text/tabwriter"
+
+	"birchfork/internal/testbed/invariant"
+)
+
+// Limits of what a summary prints; the JSON form holds more.
+const (
+	breachesShown = 12
+	workersShown  = 12
+)
+
+// Text writes a summary of the run for people to read.
+func (r *Report) Text(w io.Writer) error {
+	t := &textTable{tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)}
+	r.writeRun(t)
+	r.writeRequests(t)
+	r.writeParts(t)
+	r.writeProcesses(t)
+	r.writeConditions(t)
+	r.writeRig(t)
+	r.writeRules(t)
+	if err := t.w.Flush(); err != nil {
+		return err
+	}
+	r.writeBreaches(w)
+	r.writeRemarks(w)
+	_, err := fmt.Fprintln(w, r.conclusion())
+	return err
+}
+
+// textTable is a table of two columns: a figure's name and its value.
+type textTable struct{ w *tabwriter.Writer }
+
+// row adds a row; format and values make its second column.
+func (t *textTable) row(name, format string, values ...any) {
+	fmt.Fprintf(t.w, "%s\t%s\n", name, fmt.Sprintf(format, values...))
+}
+
+// writeRun writes what was played.
+func (r *Report) writeRun(t *textTable) {
+	t.row("scenario", "%s, seed %d, day %s, policy %s%s", r.Scenario, r.Seed, r.Day, r.Policy, planted(r.Planted))
+	t.row("played", "%.0f s, %.0f requests/s (%.2f of the capacity), %d workers, %d dispatchers",
+		r.Seconds, r.Rate, r.Load, len(r.Workers), r.Dispatchers)
+}
+
+// writeRequests writes how requests ended, their latency and what retries cost.
+func (r *Report) writeRequests(t *textTable) {
+	t.row("requests", "%d: %d served, %d in time, %d refused, %d failed", r.Requests, r.Served, r.ServedInTime, r.Refused, r.Failed)
+	t.row("goodput", "%.3f (worth in time over worth asked)", r.Goodput)
+	if len(r.Faults) > 0 {
+		t.row("in trouble", "goodput %.3f while a trouble was on; %s", r.InTrouble, r.recoveryText())
+	}
+	l := &r.Latency
+	t.row("latency ms", "p50 %.0f  p90 %.0f  p99 %.0f  p99.9 %.0f  max %.0f", l.P50, l.P90, l.P99, l.P999, l.Max)
+	t.row("tries", "%.3f retries a request; %d attempts at workers; %.1f%% of their work served nobody",
+		r.RetriesPerRequest, r.Attempts, 100*r.WastedWork)
+}
+
+// recoveryText says how long service took to recover from the last fault.
+func (r *Report) recoveryText() string {
+	if r.Recovery < 0 {
+		return "not as before again within the run"
+	}
+	return fmt.Sprintf("as before %.1f s after the last", r.Recovery)
+}
+
+// writeParts writes a row per class and per tenant.
+func (r *Report) writeParts(t *textTable) {
+	for _, c := range r.Classes {
+		t.row("class "+c.Name, "%d, goodput %.3f, p50 %.0f ms, p99 %.0f ms", c.Requests, c.Goodput, c.Latency.P50, c.Latency.P99)
+	}
+	for _, c := range r.Tenants {
+		t.row("tenant "+c.Name, "%d, goodput %.3f, p99 %.0f ms", c.Requests, c.Goodput, c.Latency.P99)
+	}
+}
+
+// writeProcesses writes what the dispatchers used, and each worker's share of the work.
+func (r *Report) writeProcesses(t *textTable) {
+	t.row("dispatchers", "%.0f us of CPU a request, %.1f MB at the most, %d descriptors at the most", r.CPUPerRequest, r.RSSPeakMB, r.FDPeak)
+	shares := make([]string, 0, workersShown+1)
+	for i, k := range r.Workers {
+		if i == workersShown {
+			shares = append(shares, fmt.Sprintf("and %d more", len(r.Workers)-i))
+			break
+		}
+		shares = append(shares, fmt.Sprintf("%s %.0f%%", k.Name, 100*k.Share))
+	}
+	t.row("work by worker", "%s", strings.Join(shares, "  "))
+}
+
+// writeConditions writes the faults, the misbehaving clients and how service was right after restarts.
+func (r *Report) writeConditions(t *textTable) {
+	for _, f := range r.Faults {
+		t.row("trouble", "%.1f to %.1f s: %s %s", f.At, f.Until, f.Kind, f.Whom)
+	}
+	if u := r.Rude; u != nil {
+		t.row("rude clients", "%d sent: %d answered or closed, %d ignored, %d served", u.Sent, u.Answered, u.Ignored, u.Served)
+	}
+	if s := r.Started; s != nil {
+		t.row("right after a start", "%d of %d in time within 5 s; of the others' meanwhile %d of %d", s.InTime, s.Tries, s.OtherInTime, s.OtherTries)
+	}
+}
+
+// writeRig writes how far the testbed itself limits the figures.
+func (r *Report) writeRig(t *textTable) {
+	ceiling := ""
+	if r.Rig.Ceiling > 0 {
+		ceiling = fmt.Sprintf("; ceiling %.0f requests/s straight at a worker", r.Rig.Ceiling)
+	}
+	t.row("the rig", "late by %.1f ms at p99, %.1f at the most%s", r.Rig.LagP99, r.Rig.LagMax, ceiling)
+}
+
+// writeRules writes the number of violations of each rule.
+func (r *Report) writeRules(t *textTable) {
+	rules := make([]string, 0, len(invariant.Rules))
+	for _, name := range invariant.Rules {
+		rules = append(rules, fmt.Sprintf("%s %d", name, r.Rules[name]))
+	}
+	t.row("rules broken", "%s; crashes %d", strings.Join(rules, ", "), r.Crashes)
+}
+
+// writeBreaches writes the first violations with what proves them, then the crashes.
+func (r *Report) writeBreaches(w io.Writer) {
+	for i, b := range r.Breaches {
+		if i == breachesShown {
+			fmt.Fprintf(w, "... and more; --json keeps the first %d\n", len(r.Breaches))
+			break
+		}
+		fmt.Fprintln(w, b)
+	}
+	for _, c := range r.CrashNotes {
+		fmt.Fprintln(w, "crash:", c)
+	}
+}
+
+// writeRemarks warns of a run whose figures say less than usual.
+func (r *Report) writeRemarks(w io.Writer) {
+	if r.RanLate {
+		fmt.Fprintln(w, "The rig itself ran late: this machine was too busy, and the figures are worth little.")
+	}
+	if r.Interrupted {
+		fmt.Fprintln(w, "The run was broken off: the figures are of its first part.")
+	}
+}
+
+// conclusion is the summary's last line.
+func (r *Report) conclusion() string {
+	if r.Broken() {
+		return "A rule was broken, or a dispatcher crashed."
+	}
+	return "All rules were kept."
+}
+
+func planted(name string) string {
+	if name == "" {
+		return ""
+	}
+	return ", planted fault " + name
+}
