--- a/internal/testbed/loadgen/client.go
+++ b/internal/testbed/loadgen/client.go
@@ -1,5 +1,5 @@
-// Package loadgen plays the clients: an open loop whose arrivals wait for no answer, clients that ask again, rude ones, and
-// a closed loop for measuring what a dispatcher adds.
+// Package loadgen generates the load of a testbed run: an open loop whose arrivals do not wait for answers, with retrying
+// and misbehaving clients, and a closed loop that measures the overhead of a dispatcher.
 package loadgen
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Request is what a client sends.
+// Request is one HTTP request of a client; Left is the time to its deadline.
 type Request struct {
 	ID, Class, Tenant string
 	Target            string
@@ -26,7 +26,7 @@
 	Body              []byte
 }
 
-// appendTo writes the request as it goes out.
+// appendTo appends the request's bytes to b.
 func (q *Request) appendTo(b []byte, host string) []byte {
 	b = append(append(append(b, "POST "...), q.Target...), " HTTP/1.1\r\nHost: "...)
 	b = append(append(b, host...), "\r\nX-Request-Id: "...)
@@ -47,7 +47,7 @@
 	return append(append(b, "\r\n\r\n"...), q.Body...)
 }
 
-// Answer is a whole answer.
+// Answer is a whole response.
 type Answer struct {
 	Status     int
 	Body       []byte
@@ -55,13 +55,13 @@
 	NotRun     bool // a worker's own word, where one is asked straight
 }
 
-// Hash tells results apart.
+// Hash returns a hash of the body.
 func (a *Answer) Hash() uint64 { return xxhash.Sum64(a.Body) }
 
-// answerMost bounds an answer: a result of 64 KiB and its head.
+// answerMost bounds the body of an answer, in bytes.
 const answerMost = 1 << 20
 
-// Conn is a connection to a dispatcher.
+// Conn is a client's connection to a dispatcher. It is not safe for concurrent use.
 type Conn struct {
 	net.Conn
 	r     *bufio.Reader
@@ -70,7 +70,7 @@
 	last  func() // says that more came than the last answer
 }
 
-// Dial opens a connection.
+// Dial opens a connection; it fails after wait.
 func Dial(addr string, wait time.Duration) (*Conn, error) {
 	raw, err := net.DialTimeout("tcp", addr, wait)
 	if err != nil {
@@ -82,7 +82,7 @@
 // buffers are for requests on their way out.
 var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 4<<10); return &b }}
 
-// Send writes a request.
+// Send writes a request, within its Left.
 func (c *Conn) Send(q *Request) error {
 	p := buffers.Get().(*[]byte)
 	defer buffers.Put(p)
@@ -92,10 +92,11 @@
 	return err
 }
 
-// errMore says that something came that answers nothing.
+// errMore is returned where more bytes came than one answer.
 var errMore = errors.New("more came than the answer")
 
-// Receive reads the answer, and whether the connection may be used again.
+// Receive reads the answer; again tells whether the connection may be used for another request. The error is errMore
+// where more came than the answer, else that of the connection, which times out at until.
 func (c *Conn) Receive(until time.Time) (a Answer, again bool, err error) {
 	c.SetReadDeadline(until)
 	res, err := http.ReadResponse(c.r, nil) //nolint:bodyclose // the connection owns the body; closing it would read what is past answerMost
@@ -117,7 +118,7 @@
 	return a, !res.Close, nil
 }
 
-// pool keeps the idle connections to one dispatcher.
+// pool holds the idle connections to one dispatcher. It is safe for concurrent use.
 type pool struct {
 	mu   sync.Mutex
 	idle []*Conn
@@ -165,7 +166,7 @@
 	p.idle = nil
 }
 
-// peek looks whether anything has come on an idle connection; EAGAIN: nothing has.
+// peek checks whether anything has come on an idle connection, without reading it; EAGAIN means that nothing has.
 func (c *Conn) peek() (n int, err error) {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
--- a/internal/testbed/loadgen/closed.go
+++ b/internal/testbed/loadgen/closed.go
@@ -13,32 +13,32 @@
 	"birchfork/internal/testbed/fakes"
 )
 
-// Book takes any request of the closed loop: all are alike.
+// Book describes the requests of the closed loop to the fake workers; all are alike.
 type Book struct{ Order fakes.Order }
 
-// Find finds all.
+// Find returns the same order for every request id.
 func (b Book) Find(string) (fakes.Order, bool) { return b.Order, true }
 
 // closedTarget is what the closed loop asks for.
 const closedTarget = "/search/lab"
 
-// NewBook is the closed loop's book: jobs of so much work, with a body of so many bytes.
+// NewBook returns the book of a closed loop whose requests need work and have a body of so many bytes.
 func NewBook(work time.Duration, body int) Book {
 	return Book{fakes.Order{Work: work, Slots: 1, Target: closedTarget, Body: xxhash.Sum64(make([]byte, body))}}
 }
 
-// Closed is what a closed loop met.
+// Closed is the result of a closed loop.
 type Closed struct {
 	Requests, Failed int64
 	Took             time.Duration
 	Latency          *hdrhistogram.Histogram // microseconds
 }
 
-// PerSecond is the throughput.
+// PerSecond returns the throughput in requests per second.
 func (c *Closed) PerSecond() float64 { return float64(c.Requests) / c.Took.Seconds() }
 
-// RunClosed lets n clients ask one address as fast as they are answered, for a while. run makes ids unlike those of
-// other loops.
+// RunClosed lets n clients send requests to one address for length, each the next one as soon as the last is answered.
+// run is the prefix that keeps request ids apart from those of other loops.
 func RunClosed(ctx context.Context, addr, run string, n, body int, length time.Duration) *Closed {
 	out := &Closed{Latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 	var mu sync.Mutex
--- a/internal/testbed/loadgen/load.go
+++ b/internal/testbed/loadgen/load.go
@@ -2,15 +2,11 @@
 
 import (
 	"context"
-	"errors"
-	"fmt"
 	"math/rand/v2"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"birchfork/internal/testbed/fakes"
 	"birchfork/internal/testbed/invariant"
 	"birchfork/internal/testbed/scenario"
@@ -23,7 +19,7 @@
 	overtime  = 400 * time.Millisecond // past its time a client of the lab stays, to see a late answer
 )
 
-// Result is what became of a wish.
+// Result is the outcome of a client's request with all its retries.
 type Result struct {
 	Tries   int
 	Outcome invariant.Outcome // of the last try
@@ -31,7 +27,7 @@
 	Asked   bool              // it was begun before the run was broken off
 }
 
-// Load plays the day's clients.
+// Load plays the clients of a generated day as an open loop. Run is called once; Find is safe for concurrent use.
 type Load struct {
 	day    *scenario.Day
 	ledger *invariant.Ledger
@@ -47,17 +43,17 @@
 	Done  atomic.Int64        // wishes that have ended
 }
 
-// Front is one dispatcher as clients reach it.
+// Front is the clients' access to one dispatcher. It is safe for concurrent use.
 type Front struct {
 	Address string
 	down    atomic.Bool
 	pool    pool
 }
 
-// Down says that the front deals out no further connections to the dispatcher, or does again.
+// Down makes clients send new tries to other dispatchers, or ends that.
 func (f *Front) Down(on bool) { f.down.Store(on) }
 
-// New returns the clients of a day.
+// New returns the clients of a day; addresses are those of the dispatchers, in their order.
 func New(day *scenario.Day, l *invariant.Ledger, addresses []string) *Load {
 	x := &Load{day: day, ledger: l, results: make([]Result, len(day.Wishes)), Lag: func(time.Duration) {}}
 	for _, a := range addresses {
@@ -71,10 +67,10 @@
 	return x
 }
 
-// Front is the way to a dispatcher.
+// Front returns the access to dispatcher i.
 func (x *Load) Front(i int) *Front { return x.fronts[i] }
 
-// Find is the fleet's look into what clients sent.
+// Find returns what a client sent under a request id, and notes that a worker has seen it.
 func (x *Load) Find(id string) (fakes.Order, bool) {
 	o, ok := x.book.Load(id)
 	if !ok {
@@ -91,14 +87,14 @@
 	seen atomic.Bool
 }
 
-// Origin is the day's start on the ledger's clock.
+// Origin returns the day's start on the ledger's clock; it is valid once Began was called.
 func (x *Load) Origin() time.Duration { return x.origin }
 
-// Results are what became of the wishes; call it when Run has returned.
+// Results returns the outcome of each client request, in the order of the day. It is valid once Run has returned.
 func (x *Load) Results() []Result { return x.results }
 
-// Run plays the arrivals at their times, whatever becomes of those before, and returns when all have ended. Where ctx
-// ends, no further one is begun.
+// Run starts each request at its time, however earlier ones go, and returns when all have ended. When ctx ends, no
+// further one is started.
 func (x *Load) Run(ctx context.Context) {
 	x.origin = x.ledger.Now()
 	if x.Began != nil {
@@ -151,7 +147,8 @@
 			continue
 		}
 		res.Tries, res.Outcome, res.Ended = n+1, t.Outcome, t.Ended
-		if t.Outcome == invariant.Served || t.Outcome == invariant.Left || n >= clients.Retries || !asksAgain(class, t) || ctx.Err() != nil {
+		settled := t.Outcome == invariant.Served || t.Outcome == invariant.Left
+		if settled || n >= clients.Retries || !asksAgain(class, t) || ctx.Err() != nil {
 			return
 		}
 		wait := clients.RetryWait
@@ -199,112 +196,3 @@
 	}
 	return (home + n) % len(x.fronts)
 }
-
-// try sends one request and waits for its answer.
-func (x *Load) try(wish, n, crossed int, end time.Duration) (*invariant.Try, Answer) {
-	w := &x.day.Wishes[wish]
-	class := &x.day.Scenario.Classes[w.Class]
-	id := fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprintf("%d/%d/%d/%d", x.day.Seed, wish, n, crossed)))
-	t := &invariant.Try{ID: id, Wish: wish, Number: n, Class: w.Class}
-	q := &Request{
-		ID: id, Class: class.Name, Target: "/" + class.Name + "/lab?w=" + fmt.Sprint(wish), Retry: n > 0 && x.day.Scenario.Clients.Mark,
-		Body: x.pad[wish%1024:][:w.Body],
-	}
-	if len(q.Body) == 0 {
-		q.Body = nil
-	}
-	if w.Tenant >= 0 {
-		q.Tenant = x.day.Scenario.Tenants[w.Tenant].Name
-	}
-	if class.Slots > 1 || class.Memory > 0 {
-		q.Extras = fmt.Sprintf("slots=%d,memory=%g", class.Slots, class.Memory)
-	}
-	x.book.Store(id, &booked{Order: fakes.Order{Work: w.Work, Slots: class.Slots, Memory: class.Memory, Kind: class.Kind, Target: q.Target, Body: xxhash.Sum64(q.Body)}})
-	x.ledger.Try(t)
-	var a Answer
-	settle := func(o invariant.Outcome) {
-		x.ledger.Do(func() {
-			t.Outcome, t.Status, t.Ended = o, a.Status, x.ledger.Now()
-			if o == invariant.Served {
-				t.Result = a.Hash()
-			}
-		})
-	}
-	var c *Conn
-	for hop := 0; ; {
-		t.Dispatcher = x.front(w.Dispatcher, hop)
-		f := x.fronts[t.Dispatcher]
-		if c = f.pool.take(); c == nil {
-			var err error
-			if c, err = Dial(f.Address, dialWait); err != nil {
-				if hop++; hop >= 2*len(x.fronts) || x.ledger.Now()+elsewhere >= end {
-					settle(invariant.Unsent)
-					return t, a
-				}
-				time.Sleep(elsewhere)
-				continue
-			}
-		}
-		q.Left = (end - x.ledger.Now()).Truncate(time.Millisecond)
-		if q.Left < time.Millisecond {
-			f.pool.put(c)
-			settle(invariant.Unsent)
-			return t, a
-		}
-		t.Fresh = c.fresh
-		before := x.ledger.Now()
-		err := c.Send(q)
-		x.ledger.Do(func() { t.Sent, t.Due = x.ledger.Now(), before+q.Left })
-		if err == nil {
-			var again bool
-			stays, leaves := t.Due+overtime, x.origin+w.At+w.Leaves
-			going := w.Leaves > 0 && leaves < stays
-			if going {
-				stays = leaves
-			}
-			a, again, err = c.Receive(time.Now().Add(stays - x.ledger.Now()))
-			if err != nil && going && x.ledger.Now() >= leaves {
-				c.Close()
-				settle(invariant.Left)
-				return t, a
-			}
-			if err == nil || errors.Is(err, errMore) {
-				settle(outcomeOf(a.Status))
-				if err != nil {
-					x.ledger.Do(func() { t.Twice = true })
-				}
-				c.last = func() { x.ledger.Do(func() { t.Twice = true }) }
-				if again {
-					f.pool.put(c)
-				} else {
-					c.Close()
-				}
-				return t, a
-			}
-		}
-		c.Close()
-		var timeout interface{ Timeout() bool }
-		switch {
-		case errors.As(err, &timeout) && timeout.Timeout():
-			settle(invariant.Unknown)
-			return t, a
-		case t.Sent == 0:
-			settle(invariant.Unsent)
-		default:
-			settle(invariant.Closed)
-		}
-		return t, a
-	}
-}
-
-// outcomeOf is what a status says.
-func outcomeOf(status int) invariant.Outcome {
-	switch status {
-	case 200:
-		return invariant.Served
-	case 429, 503:
-		return invariant.Refused
-	default:
-		return invariant.Failed
-	}
-}
--- a/internal/testbed/loadgen/rude.go
+++ b/internal/testbed/loadgen/rude.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// Rude counts what rude clients met.
+// Rude counts what misbehaving clients sent and how it was answered. It is safe for concurrent use.
 type Rude struct {
 	Sent     atomic.Int64 // what they sent
 	Answered atomic.Int64 // an error or a close, in time
@@ -24,7 +24,7 @@
 	NoPlace  atomic.Int64 // no connection came up
 }
 
-// Bounds of rude clients.
+// Times of misbehaving clients.
 const (
 	rudeWait = 3 * time.Second // for an error or a close
 	rudeGap  = 2 * time.Millisecond
@@ -33,7 +33,7 @@
 // headEnd ends the head of a request.
 const headEnd = "\r\n\r\n"
 
-// rudeness is what a rude client sends. class is a class that exists.
+// rudeness returns what a misbehaving client sends; class is a class that exists.
 func rudeness(r *rand.Rand, class string) []byte {
 	head := func(lines ...string) []byte {
 		return []byte(fmt.Sprintf("POST /%s/x HTTP/1.1\r\nHost: lab\r\n%s\r\n\r\n", class, strings.Join(lines, "\r\n")))
@@ -72,7 +72,7 @@
 	}
 }
 
-// Play sends rude requests to a dispatcher from n clients until ctx ends.
+// Play sends malformed requests to a dispatcher from n clients until ctx ends.
 func (u *Rude) Play(ctx context.Context, addr, class string, n int, seed uint64) {
 	var all sync.WaitGroup
 	for i := range n {
@@ -121,7 +121,7 @@
 	}
 }
 
-// Idle holds n silent connections to a dispatcher until ctx ends; one that is closed is opened again after a while.
+// Idle holds n connections to a dispatcher, without sending, until ctx ends; one that is closed is opened again.
 func Idle(ctx context.Context, addr string, n int) {
 	var all sync.WaitGroup
 	for range n {
