--- a/internal/testbed/invariant/judge.go
+++ b/internal/testbed/invariant/judge.go
@@ -18,7 +18,7 @@
 // Rules are the names in their order.
 var Rules = []string{Answers, Effects, Drains, Cold}
 
-// Class is what the judge has to know of a class.
+// Class describes a request class, as far as the rules depend on it.
 type Class struct {
 	Name   string
 	Safe   bool
@@ -27,13 +27,13 @@
 	Window time.Duration
 }
 
-// Worker is what the judge has to know of a worker.
+// Worker describes a worker, as far as the rules depend on it.
 type Worker struct {
 	Name, Zone string
 	Cell       int
 }
 
-// Terms are the rules in figures.
+// Terms holds the parameters of the rules.
 type Terms struct {
 	Classes    []Class
 	Workers    []Worker
@@ -46,7 +46,7 @@
 // DefaultSlack is what the platform's protocol gives on sockets.
 const DefaultSlack = 50 * time.Millisecond
 
-// Breach is one broken rule, with what proves it.
+// Breach is one violation of a rule, with the records that prove it.
 type Breach struct {
 	Rule  string        `json:"rule"`
 	Kind  string        `json:"kind"`
@@ -64,10 +64,10 @@
 	return fmt.Sprintf("%s/%s at %s by %s\n    %s", b.Rule, b.Kind, at(b.At), who, strings.Join(b.Lines, "\n    "))
 }
 
-// at is a moment as a line of proof names it.
+// at formats a time for a line of proof.
 func at(d time.Duration) string { return fmt.Sprintf("%.3fs", d.Seconds()) }
 
-// Verdict is what the judge found.
+// Verdict is the result of a check.
 type Verdict struct {
 	Breaches []Breach
 	Crashes  []Moment
@@ -75,7 +75,7 @@
 	Excused  int // tries that were open when we killed their dispatcher, or that it closed unread
 }
 
-// Count is how many breaches each rule has; rules that hold have 0.
+// Count returns the number of violations by rule; a rule that holds has 0.
 func (v *Verdict) Count() map[string]int {
 	out := map[string]int{}
 	for _, r := range Rules {
@@ -87,7 +87,7 @@
 	return out
 }
 
-// Judge judges a run that has ended.
+// Judge checks the rules against the records of a run that has ended.
 func Judge(l *Ledger, t Terms) *Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -166,7 +166,7 @@
 	return fmt.Sprintf("%s %srequest %s sent, due %s; %s (status %d) at %s", at(t.Sent), class, t.ID, at(t.Due), t.Outcome, t.Status, at(t.Ended))
 }
 
-// lines are a try with all its attempts.
+// lines returns the proof for a try: the try and all its attempts.
 func (c *court) lines(t *Try) []string {
 	attempts := c.attempts[t.ID]
 	out := make([]string, 0, 1+len(attempts))
@@ -177,7 +177,7 @@
 	return out
 }
 
-// stoodIn tells whether a dispatcher stood still, stopped by us, at some moment between two, or had done so just before.
+// stoodIn reports whether the testbed had a dispatcher stopped at some time between from and to, or just before.
 func (c *court) stoodIn(who int, from, to time.Duration) bool {
 	stopped := time.Duration(-1)
 	for _, m := range c.ledger.moments {
@@ -198,7 +198,7 @@
 // wakes is how long a dispatcher that stood still may take to be through with what came meanwhile.
 const wakes = 500 * time.Millisecond
 
-// killedIn tells whether we killed a dispatcher outright between two moments.
+// killedIn reports whether the testbed killed a dispatcher between from and to.
 func (c *court) killedIn(who int, from, to time.Duration) bool {
 	for _, m := range c.ledger.moments {
 		if m.Dispatcher == who && m.What == Killed && m.At >= from-c.terms.Slack && m.At <= to+c.terms.Slack {
@@ -208,7 +208,7 @@
 	return false
 }
 
-// answer judges rule one for one try.
+// answer checks the rule Answers for one try.
 func (c *court) answer(t *Try) {
 	all := c.attempts[t.ID]
 	switch t.Outcome {
@@ -250,7 +250,7 @@
 	return (a.End == Returned || a.End == TurnedAway) && a.Ended <= by
 }
 
-// effects judges rule two for one try.
+// effects checks the rule Effects for one try.
 func (c *court) effects(t *Try) {
 	all := c.attempts[t.ID]
 	if c.terms.Attempts > 0 && len(all) > c.terms.Attempts {
@@ -312,7 +312,7 @@
 	life  int
 }
 
-// drains judges rule three.
+// drains checks the rule Drains for all attempts.
 func (c *court) drains() {
 	type pair struct{ dispatcher, worker int }
 	news := map[pair][]told{}
--- a/internal/testbed/invariant/ledger.go
+++ b/internal/testbed/invariant/ledger.go
@@ -1,5 +1,5 @@
-// Package invariant holds what clients, workers and discovery saw of a run, and judges the four rules by it. It never asks
-// a dispatcher. All times are on one clock, since the run's start.
+// Package invariant records what clients, workers and discovery observed during a run, and checks the four rules against
+// that. It never asks a dispatcher. All times are on one clock, since the run's start.
 package invariant
 
 import (
@@ -90,7 +90,7 @@
 
 func (s State) String() string { return stateNames[s] }
 
-// Telling is news of one worker at one dispatcher.
+// Telling is a change of one worker's state on its way to one dispatcher.
 type Telling struct {
 	Dispatcher, Worker, Life int
 	State                    State
@@ -98,7 +98,7 @@
 	Written                  time.Duration // when it went down the watch; 0: not yet
 }
 
-// Fall is a worker that was pushed over cold.
+// Fall is a worker that was overloaded while it warmed up.
 type Fall struct {
 	Worker, Life int
 	At           time.Duration
@@ -106,7 +106,7 @@
 	Warmth       float64
 }
 
-// Moment is something that happened to a dispatcher's process.
+// Moment is an event of a dispatcher's process.
 type Moment struct {
 	Dispatcher int
 	At         time.Duration
@@ -114,7 +114,7 @@
 	Detail     string
 }
 
-// What happened.
+// What is the kind of a Moment.
 type What uint8
 
 // The moments.
@@ -135,14 +135,14 @@
 
 func (w What) String() string { return whatNames[w] }
 
-// Odd is something that a worker was sent and could not use.
+// Odd is input that a worker was sent and could not parse.
 type Odd struct {
 	Worker, Dispatcher int
 	At                 time.Duration
 	What               string
 }
 
-// Ledger takes down what is seen. Its methods may be called from anywhere.
+// Ledger records what is observed. It is safe for concurrent use.
 type Ledger struct {
 	start time.Time
 
@@ -155,78 +155,68 @@
 	odds     []Odd
 }
 
-// NewLedger begins a ledger; its clock starts now.
+// NewLedger returns an empty ledger whose clock starts now.
 func NewLedger() *Ledger { return &Ledger{start: time.Now()} }
 
-// Now is the time since the start.
+// Now returns the time since the start.
 func (l *Ledger) Now() time.Duration { return time.Since(l.start) }
 
-// At is a moment on the ledger's clock.
+// At converts t to the ledger's clock.
 func (l *Ledger) At(t time.Time) time.Duration { return t.Sub(l.start) }
 
-// Restart sets the clock to zero, before anything is written.
-func (l *Ledger) Restart() { l.start = time.Now() }
-
 func note[T any](l *Ledger, list *[]T, v T) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	*list = append(*list, v)
 }
 
-// Try takes down a try; it is changed through Do only.
+// Try records a try; change it through Do only.
 func (l *Ledger) Try(t *Try) { note(l, &l.tries, t) }
 
-// Attempt takes down an attempt; it is changed through Do only.
+// Attempt records an attempt; change it through Do only.
 func (l *Ledger) Attempt(a *Attempt) { note(l, &l.attempts, a) }
 
-// Telling takes down news; it is changed through Do only.
+// Telling records a change of a worker's state; change the entry through Do only.
 func (l *Ledger) Telling(t *Telling) { note(l, &l.tellings, t) }
 
-// Fall takes down a fall.
+// Fall records an overload of a worker that warmed up.
 func (l *Ledger) Fall(f Fall) { note(l, &l.falls, f) }
 
-// Moment takes down a moment of a dispatcher.
+// Moment records an event of a dispatcher's process.
 func (l *Ledger) Moment(m Moment) { note(l, &l.moments, m) }
 
-// Odd takes down what made no sense.
+// Odd records input that a worker could not parse.
 func (l *Ledger) Odd(o Odd) { note(l, &l.odds, o) }
 
-// Do changes an entry.
+// Do runs f, which changes an entry, under the ledger's lock.
 func (l *Ledger) Do(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f()
 }
 
-// Tries are all tries so far; call it when the run is over.
+// Tries returns all tries. The slice is not a copy: call it when the run is over.
 func (l *Ledger) Tries() []*Try {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.tries
 }
 
-// Attempts are all attempts so far; call it when the run is over.
+// Attempts returns all attempts. The slice is not a copy: call it when the run is over.
 func (l *Ledger) Attempts() []*Attempt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.attempts
 }
 
-// Tellings are all that discovery has told so far; call it when the run is over.
+// Tellings returns all state changes. The slice is not a copy: call it when the run is over.
 func (l *Ledger) Tellings() []*Telling {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.tellings
 }
 
-// Falls are all falls so far.
-func (l *Ledger) Falls() []Fall {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.falls
-}
-
-// Moments are all moments of dispatchers so far.
+// Moments returns all events of dispatchers' processes so far.
 func (l *Ledger) Moments() []Moment {
 	l.mu.Lock()
 	defer l.mu.Unlock()
