--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -1,6 +1,6 @@
-// Package baseline holds plain policies that the lab measures the mechanism against. They stand behind the same store as
-// the decision module and keep the four rules, but hold nothing back and learn nothing: a request goes out at once, to a
-// worker drawn at random, the next in turn, or the one with the fewest of our own requests. They serve nobody else.
+// Package baseline holds simple policies that the testbed compares the decision module with. They run behind the same
+// engine and keep the four rules, but do not shed load and learn nothing: a request is sent at once to a random worker,
+// the next in turn, or the one with the fewest open requests. Only the testbed uses them.
 package baseline
 
 import (
@@ -13,14 +13,14 @@
 	"birchfork/dispatch"
 )
 
-// The policies.
+// The names of the policies.
 const (
 	Random     = "random"
 	RoundRobin = "round-robin"
 	Least      = "least"
 )
 
-// Policies are all of them.
+// Policies lists all policies.
 var Policies = []string{Random, RoundRobin, Least}
 
 // Times of a baseline.
@@ -30,7 +30,7 @@
 	drawMost = 16                        // draws until a warm enough worker is found
 )
 
-// Decider decides by one plain policy.
+// Decider decides by one simple policy. It is not safe for concurrent use.
 type Decider struct {
 	s       dispatch.Settings
 	policy  string
@@ -69,7 +69,7 @@
 	neverRan bool
 }
 
-// New returns a policy by its name.
+// New returns the decider of a policy; seed determines its random choices. It fails for an unknown policy.
 func New(policy string, s dispatch.Settings, seed uint64) (*Decider, error) {
 	if !slices.Contains(Policies, policy) {
 		return nil, fmt.Errorf("no policy %q; there are %s", policy, strings.Join(Policies, ", "))
@@ -77,7 +77,7 @@
 	return &Decider{s: s, policy: policy, r: rand.New(rand.NewPCG(seed, 1)), jobs: map[dispatch.RequestID]*job{}}, nil
 }
 
-// Handle takes one event and returns what is to be done.
+// Handle processes one event at the time now and appends the resulting actions to out.
 func (d *Decider) Handle(now dispatch.Time, e *dispatch.Event, out []dispatch.Action) []dispatch.Action {
 	d.now, d.out = now, out
 	switch e.Kind {
@@ -132,7 +132,7 @@
 	}
 }
 
-// warmth is the share of its capacity that a worker has at the least.
+// warmth returns the part of its capacity that a worker has at least, by its age.
 func (d *Decider) warmth(w *worker) float64 {
 	age := max(0, d.now-w.started)
 	if w.started <= 0 || age >= d.s.SlowStartWindow {
@@ -248,7 +248,7 @@
 	d.forget(j)
 }
 
-// forget drops a request whose attempts have all ended.
+// forget drops a closed request whose attempts have all ended.
 func (d *Decider) forget(j *job) {
 	if !j.open && !slices.ContainsFunc(j.attempts, func(a attempt) bool { return a.out }) && d.jobs[j.id] == j {
 		delete(d.jobs, j.id)
