--- /dev/null
+++ b/internal/frontend/bench_test.go
@@ -0,0 +1,99 @@
+package frontend
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// benchmarkRequest measures one request after the other on a kept connection, from the client's bytes to the worker's and back. The
+// allocations it reports are those of the dispatcher with a constant number of the client's and the worker's in the test.
+func benchmarkRequest(b *testing.B, body string) {
+	h := newHarness(b, startScriptedWorker(b, len(body)), 0)
+	conn, err := net.Dial("tcp", strings.TrimPrefix(h.url, "http://"))
+	if err != nil {
+		b.Fatal(err)
+	}
+	defer conn.Close()
+	in := bufio.NewReader(conn)
+	var message []byte
+	b.ReportAllocs()
+	for i := 0; b.Loop(); i++ {
+		message = append(message[:0], "POST /search HTTP/1.1\r\nHost: h\r\nX-Class: search\r\nX-Deadline-Ms: 5000\r\nX-Request-Id: "...)
+		message = fmt.Appendf(message, "%08d\r\nContent-Length: %d\r\n\r\n%s", i, len(body), body)
+		if _, err := conn.Write(message); err != nil {
+			b.Fatal(err)
+		}
+		res, err := http.ReadResponse(in, nil)
+		if err != nil {
+			b.Fatal(err)
+		}
+		if _, err := io.Copy(io.Discard, res.Body); err != nil || res.StatusCode != http.StatusOK {
+			b.Fatalf("status %d, %v", res.StatusCode, err)
+		}
+	}
+}
+
+// startScriptedWorker starts a worker that answers requests with a body of a given size and an id of eight characters, with as little
+// work of its own as it can. It returns its address.
+func startScriptedWorker(b *testing.B, bodySize int) string {
+	b.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		b.Fatal(err)
+	}
+	b.Cleanup(func() { listener.Close() })
+	serve := func(conn net.Conn) {
+		defer conn.Close()
+		in := bufio.NewReaderSize(conn, 1<<17)
+		answer := []byte(okHead + chunk(statusLine("00000000", "started", "")) + chunk(statusLine("00000000", "done", `,"result":"r"`)) + "0\r\n\r\n")
+		id := make([]byte, 0, 8)
+		for {
+			for {
+				line, err := in.ReadSlice('\n')
+				if err != nil {
+					return
+				}
+				if value, ok := strings.CutPrefix(string(line), "X-Request-Id: "); ok {
+					id = append(id[:0], strings.TrimSpace(value)...)
+				}
+				if len(line) == 2 {
+					break
+				}
+			}
+			if _, err := in.Discard(bodySize); err != nil {
+				return
+			}
+			text := string(answer)
+			for at := range text {
+				if strings.HasPrefix(text[at:], `"id":"`) {
+					copy(answer[at+len(`"id":"`):], id)
+				}
+			}
+			if _, err := conn.Write(answer); err != nil {
+				return
+			}
+		}
+	}
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go serve(conn)
+		}
+	}()
+	return listener.Addr().String()
+}
+
+func BenchmarkHandler_Request(b *testing.B) {
+	for _, size := range []int{0, 1 << 10, 32 << 10} {
+		b.Run(strconv.Itoa(size), func(b *testing.B) { benchmarkRequest(b, strings.Repeat("x", size)) })
+	}
+}
