--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -274,7 +274,7 @@
 	pool := upstream.NewPool(dial, &e.Counters, 8, time.Minute)
 	t.Cleanup(pool.Close)
 	clients := &frontend.ConnTracker{SoftLimit: 50, Counters: &e.Counters}
-	server := frontend.NewHandler(e, &frontend.Transport{Pool: pool, Counters: &e.Counters}, clients)
+	server := frontend.NewHandler(e, &upstream.Transport{Pool: pool, Counters: &e.Counters}, clients)
 	server.SetRetryAfter(200*time.Millisecond, 2*time.Second)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/frontend/bench_test.go
+++ b/internal/frontend/bench_test.go
@@ -9,6 +9,8 @@
 	"strconv"
 	"strings"
 	"testing"
+
+	"birchfork/internal/upstream/upstreamtest"
 )
 
 // benchmarkRequest measures one request after the other on a kept connection, from the client's bytes to the worker's and back. The
@@ -51,7 +53,7 @@
 	serve := func(conn net.Conn) {
 		defer conn.Close()
 		in := bufio.NewReaderSize(conn, 1<<17)
-		answer := []byte(okHead + chunk(statusLine("00000000", "started", "")) + chunk(statusLine("00000000", "done", `,"result":"r"`)) + "0\r\n\r\n")
+		answer := []byte(upstreamtest.OKHead + upstreamtest.Chunk(upstreamtest.StatusLine("00000000", "started", "")) + upstreamtest.Chunk(upstreamtest.StatusLine("00000000", "done", `,"result":"r"`)) + "0\r\n\r\n")
 		id := make([]byte, 0, 8)
 		for {
 			for {
--- a/internal/frontend/call.go
+++ b/internal/frontend/call.go
@@ -5,6 +5,8 @@
 	"io"
 	"net/http"
 	"sync/atomic"
+
+	"birchfork/internal/upstream"
 )
 
 // MemoryBudget bounds the bytes that bodies hold together. The zero Budget has none to spare.
@@ -21,14 +23,10 @@
 	return false
 }
 
-// upstreamRequest is what goes to a worker for one request, the same in all its attempts. It is held by the request and by each
-// attempt; the last to release it gives its place back.
+// upstreamRequest is what goes to workers for one request. It is held by the request and by each attempt; the last to release it gives
+// its place back.
 type upstreamRequest struct {
-	method, target string // as the client sent them
-	id             string
-	headers        []byte // further ones that go on, each with its line end
-	body           []byte
-	clientConn     *clientConn // that it came on; nil: none that can be looked at
+	upstream.Request
 
 	budget     *MemoryBudget
 	reserved   int64 // bytes of the budget that the body holds
@@ -55,22 +53,22 @@
 	if httpRequest.ContentLength >= 0 {
 		initialCapacity = min(httpRequest.ContentLength, unbudgetedBodyBytes) + 1 // room to read the end
 	}
-	r.body = make([]byte, 0, initialCapacity)
+	r.Body = make([]byte, 0, initialCapacity)
 	for {
-		if len(r.body) == cap(r.body) {
-			newCapacity := min(2*int64(cap(r.body)), maxBodyBytes+1)
+		if len(r.Body) == cap(r.Body) {
+			newCapacity := min(2*int64(cap(r.Body)), maxBodyBytes+1)
 			if additional := newCapacity - r.reserved; newCapacity > unbudgetedBodyBytes+1 {
 				if !r.budget.reserve(additional) {
 					return errOverLimit
 				}
 				r.reserved = newCapacity
 			}
-			r.body = append(make([]byte, 0, newCapacity), r.body...)
+			r.Body = append(make([]byte, 0, newCapacity), r.Body...)
 		}
-		n, err := httpRequest.Body.Read(r.body[len(r.body):cap(r.body)])
-		r.body = r.body[:len(r.body)+n]
+		n, err := httpRequest.Body.Read(r.Body[len(r.Body):cap(r.Body)])
+		r.Body = r.Body[:len(r.Body)+n]
 		switch {
-		case len(r.body) > maxBodyBytes:
+		case len(r.Body) > maxBodyBytes:
 			return errBodyTooLong
 		case errors.Is(err, io.EOF):
 			return nil
--- a/internal/frontend/clients.go
+++ b/internal/frontend/clients.go
@@ -388,9 +388,9 @@
 	return err == nil && n > 0
 }
 
-// clientGone tells whether the client has ended its sending, by a look at what has come and nobody has read. Guards against a request that
+// ClientGone tells whether the client has ended its sending, by a look at what has come and nobody has read. Guards against a request that
 // is sent on though its client left before we came to read that, as after a stall: net/http tells it once it has read it.
-func (c *clientConn) clientGone() bool {
+func (c *clientConn) ClientGone() bool {
 	if c == nil || c.rawConn == nil {
 		return false
 	}
--- a/internal/frontend/endings_test.go
+++ b/internal/frontend/endings_test.go
@@ -19,15 +19,16 @@
 	"birchfork/internal/engine"
 	"birchfork/internal/engine/enginetest"
 	"birchfork/internal/upstream"
+	"birchfork/internal/upstream/upstreamtest"
 )
 
 // Crossings at an end, each forced on real sockets: docs/endings.md names the end that each belongs to.
 
 // startGatedWorker is a worker that answers only once it is opened; it tells each request that it has.
-func startGatedWorker(t *testing.T) (w *fakeWorker, open func()) {
+func startGatedWorker(t *testing.T) (w *upstreamtest.Worker, open func()) {
 	t.Helper()
 	release := make(chan bool)
-	w = startWorker(t, func(c net.Conn, r *http.Request) bool { <-release; return respondDone(c, r) })
+	w = upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool { <-release; return upstreamtest.RespondDone(c, r) })
 	var opened atomic.Bool
 	open = func() {
 		if !opened.Swap(true) {
@@ -54,8 +55,8 @@
 
 // At the end of all an order to send and the end are both ready, and which of two ready cases a select takes is chance.
 func TestHandler_ForceCloseSendsNothing(t *testing.T) {
-	w := startWorker(t, respondDone)
-	h := newHarness(t, w.addr, 0)
+	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
+	h := newHarness(t, w.Address, 0)
 	h.handler.DisableKeepAlives()
 	h.handler.ForceClose()
 	for i := range 40 { // without the guard half of them go out
@@ -64,7 +65,7 @@
 			t.Fatalf("request %d: status %d", i, status)
 		}
 	}
-	if n := w.requestCount(); n != 0 {
+	if n := w.RequestCount(); n != 0 {
 		t.Fatalf("%d of 40 requests that were read after the end were sent on", n)
 	}
 	h.settled(t)
@@ -73,9 +74,9 @@
 // net/http stops looking at the first byte behind a request, so a client that goes after that was seen only by its answer.
 func TestHandler_SeesClientGoBehindSurplusBytes(t *testing.T) {
 	w, open := startGatedWorker(t)
-	h := newHarness(t, w.addr, 0)
+	h := newHarness(t, w.Address, 0)
 	c := sendRaw(t, h, rawRequestHead+"Content-Length: 0\r\n\r\n")
-	waitFor(t, "the worker has it", func() bool { return w.requestCount() == 1 })
+	waitFor(t, "the worker has it", func() bool { return w.RequestCount() == 1 })
 	serverSide := serverSideConn(t, h)
 	io.WriteString(c, "POST /search HT")
 	waitFor(t, "the further bytes are read", func() bool {
@@ -92,9 +93,9 @@
 // Whoever sends on and on behind its request is no client to wait for, and what it sends takes no memory.
 func TestHandler_SurplusFloodEndsRequest(t *testing.T) {
 	w, _ := startGatedWorker(t)
-	h := newHarness(t, w.addr, 0)
+	h := newHarness(t, w.Address, 0)
 	c := sendRaw(t, h, rawRequestHead+"Content-Length: 0\r\n\r\n")
-	waitFor(t, "the worker has it", func() bool { return w.requestCount() == 1 })
+	waitFor(t, "the worker has it", func() bool { return w.RequestCount() == 1 })
 	go c.Write(make([]byte, 4*maxSurplusBytes))
 	waitFor(t, "the client counts as gone", func() bool { return h.engine.Counters.ClientsGone.Load() == 1 })
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
@@ -106,9 +107,9 @@
 // A client that has ended its sending alone still reads: it must not take net/http's own empty answer for a result.
 func TestHandler_HalfClosedClientGetsNoResponse(t *testing.T) {
 	w, _ := startGatedWorker(t)
-	h := newHarness(t, w.addr, 0)
+	h := newHarness(t, w.Address, 0)
 	c := sendRaw(t, h, rawRequestHead+"Content-Length: 0\r\n\r\n")
-	waitFor(t, "the worker has it", func() bool { return w.requestCount() == 1 })
+	waitFor(t, "the worker has it", func() bool { return w.RequestCount() == 1 })
 	c.(*net.TCPConn).CloseWrite()
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	b, err := io.ReadAll(c)
@@ -122,29 +123,29 @@
 func departedClient(t *testing.T) *clientConn {
 	t.Helper()
 	c, far := connectClient(t, &ConnTracker{Counters: new(engine.Counters)})
-	if c.clientGone() {
+	if c.ClientGone() {
 		t.Fatal("a client that is there counts as gone")
 	}
 	far.Close()
-	waitFor(t, "its leaving is here", c.clientGone)
+	waitFor(t, "its leaving is here", c.ClientGone)
 	return c
 }
 
 // A client whose leaving has come and was not read yet, as after a stall, must get nothing sent on.
 func TestTransport_SendsNothingForGoneClient(t *testing.T) {
-	w := startWorker(t, respondDone)
-	h := newHarness(t, w.addr, 0)
-	_, a := openAttempt(t, h.engine, "search", 5*time.Second)
-	(&Transport{Pool: h.pool, Counters: &h.engine.Counters}).do(a, &upstreamRequest{method: "POST", target: "/search", id: "id-1", clientConn: departedClient(t)})
-	if h.engine.Counters.Outcomes[dispatch.ResultNotSent].Load() != 1 || w.requestCount() != 0 {
-		t.Fatalf("%d requests at the worker, %v", w.requestCount(), h.engine.Counters.Fields())
+	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
+	h := newHarness(t, w.Address, 0)
+	_, a := upstreamtest.OpenAttempt(t, h.engine, "search", 5*time.Second)
+	(&upstream.Transport{Pool: h.pool, Counters: &h.engine.Counters}).Do(a, &upstream.Request{Method: "POST", Target: "/search", ID: "id-1", Client: departedClient(t)})
+	if h.engine.Counters.Outcomes[dispatch.ResultNotSent].Load() != 1 || w.RequestCount() != 0 {
+		t.Fatalf("%d requests at the worker, %v", w.RequestCount(), h.engine.Counters.Fields())
 	}
 }
 
 // A request that is read after its client has left is not opened at all.
 func TestHandler_GoneClientIsNotOpened(t *testing.T) {
-	w := startWorker(t, respondDone)
-	h := newHarness(t, w.addr, 0)
+	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
+	h := newHarness(t, w.Address, 0)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -163,8 +164,8 @@
 	go server.Serve(h.handler.Conns.WrapListener(delayed))
 	close(delayed.ready) // all of it has come, and all have left, before the first is read
 	waitFor(t, "all were read", func() bool { return h.engine.Counters.ClientsGoneEarly.Load() == 20 })
-	if sent, accepted := h.engine.Counters.AttemptsSent.Load(), h.engine.Counters.Accepted.Load(); sent != 0 || accepted != 0 || w.requestCount() != 0 {
-		t.Fatalf("%d opened, %d attempts, %d at the worker", accepted, sent, w.requestCount())
+	if sent, accepted := h.engine.Counters.AttemptsSent.Load(), h.engine.Counters.Accepted.Load(); sent != 0 || accepted != 0 || w.RequestCount() != 0 {
+		t.Fatalf("%d opened, %d attempts, %d at the worker", accepted, sent, w.RequestCount())
 	}
 }
 
@@ -207,11 +208,11 @@
 	t.Helper()
 	const size = 512 << 10 // more than a client takes before it reads
 	result := strings.Repeat("r", size)
-	w := startWorker(t, func(c net.Conn, r *http.Request) bool {
-		io.WriteString(c, okHead+chunk(statusLine(r.Header.Get("X-Request-Id"), "done", `,"result":"`+result+`"`))+"0\r\n\r\n")
+	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool {
+		io.WriteString(c, upstreamtest.OKHead+upstreamtest.Chunk(upstreamtest.StatusLine(r.Header.Get("X-Request-Id"), "done", `,"result":"`+result+`"`))+"0\r\n\r\n")
 		return true
 	})
-	h := newHarness(t, w.addr, 0)
+	h := newHarness(t, w.Address, 0)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -255,7 +256,7 @@
 	observations := make(chan observation, 8)
 	first := atomic.Bool{}
 	first.Store(true)
-	w := startWorker(t, func(c net.Conn, r *http.Request) bool {
+	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool {
 		ms, _ := strconv.ParseInt(r.Header.Get("X-Deadline-Ms"), 10, 64)
 		observations <- observation{time.Now(), ms}
 		if first.Swap(false) {
@@ -263,11 +264,11 @@
 			io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 			return true
 		}
-		return respondDone(c, r)
+		return upstreamtest.RespondDone(c, r)
 	})
-	h := newHarness(t, w.addr, 0)
+	h := newHarness(t, w.Address, 0)
 	h.handler.Engine = enginetest.NewWith(t, 0, strings.Replace(enginetest.Settings, `"attempts_cap":1`, `"attempts_cap":3`, 1))
-	h.handler.Engine.UpdateEndpoints(listWithWorker(w.addr))
+	h.handler.Engine.UpdateEndpoints(upstreamtest.ListWithWorker(w.Address))
 	if status, _, _ := doRequest(t, newRequest(t, h.url, "search", "a", "")); status != 200 {
 		t.Fatalf("status %d", status)
 	}
@@ -281,11 +282,11 @@
 func TestTransport_RetryStaysWithinWindow(t *testing.T) {
 	e := enginetest.NewWith(t, 0, strings.NewReplacer(`"attempts_cap":1`, `"attempts_cap":3`, `"name":"search","deadline":5,"aim":0.4,"effect":"free"`,
 		`"name":"search","deadline":5,"aim":4,"effect":"guarded","group":"all","window":0.2`).Replace(enginetest.Settings))
-	w := startWorker(t, func(c net.Conn, r *http.Request) bool { // whichever is tried first fails
+	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool { // whichever is tried first fails
 		io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
-	l := listWithWorker(w.addr)
+	l := upstreamtest.ListWithWorker(w.Address)
 	l.Endpoints = append(l.Endpoints, l.Endpoints[0])
 	l.Endpoints[1].Name = "v"
 	e.UpdateEndpoints(l)
@@ -298,10 +299,10 @@
 		return (&net.Dialer{}).DialContext(ctx, "tcp", a)
 	}, &e.Counters, 8, time.Nanosecond) // none is kept
 	defer pool.Close()
-	h.handler.Engine, h.handler.Transport = e, &Transport{Pool: pool, Counters: &e.Counters}
+	h.handler.Engine, h.handler.Transport = e, &upstream.Transport{Pool: pool, Counters: &e.Counters}
 	status, _, _ := doRequest(t, newRequest(t, h.url, "search", "a", ""))
-	if dials.Load() < 2 || w.requestCount() != 1 || status == 200 {
-		t.Fatalf("status %d, %d requests at workers, %d dials", status, w.requestCount(), dials.Load())
+	if dials.Load() < 2 || w.RequestCount() != 1 || status == 200 {
+		t.Fatalf("status %d, %d requests at workers, %d dials", status, w.RequestCount(), dials.Load())
 	}
 	if e.Counters.Outcomes[dispatch.ResultNotSent].Load() != 1 {
 		t.Fatal(e.Counters.Fields())
--- a/internal/frontend/front.go
+++ b/internal/frontend/front.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"birchfork/internal/engine"
+	"birchfork/internal/upstream"
 )
 
 // Bounds on what a client may send, and times.
@@ -40,7 +41,7 @@
 // Handler serves clients. It is an http.Handler.
 type Handler struct {
 	Engine     *engine.Engine
-	Transport  *Transport
+	Transport  *upstream.Transport
 	Conns      *ConnTracker
 	BodyBudget MemoryBudget // for what bodies hold in memory
 
@@ -53,7 +54,7 @@
 }
 
 // NewHandler returns a front for the requests of s.
-func NewHandler(e *engine.Engine, transport *Transport, conns *ConnTracker) *Handler {
+func NewHandler(e *engine.Engine, transport *upstream.Transport, conns *ConnTracker) *Handler {
 	return &Handler{Engine: e, Transport: transport, Conns: conns, startedAt: time.Now(), forceClose: make(chan struct{})}
 }
 
@@ -131,7 +132,7 @@
 	deadline := receivedAt.Add(spec.TimeLeft - responseMargin)
 	spec.TimeLeft = time.Until(deadline)
 	switch {
-	case outgoing.clientConn.clientGone():
+	case outgoing.Client.ClientGone():
 		h.Engine.Counters.ClientsGoneEarly.Add(1)
 		abortConnection()
 	case h.Conns.OverLimit():
@@ -171,7 +172,7 @@
 			outgoing.retain()
 			go func() {
 				defer outgoing.release()
-				h.Transport.do(decision.Attempt, outgoing)
+				h.Transport.Do(decision.Attempt, &outgoing.Request)
 			}()
 			continue
 		case engine.DecisionServe:
@@ -283,13 +284,16 @@
 	if !isPlainText(target, maxTargetLength) {
 		return spec, nil, errors.New("the path is no plain word of 4096 characters at most")
 	}
-	outgoing = &upstreamRequest{method: r.Method, target: target, id: spec.ID, clientConn: connFromContext(r.Context()), budget: &h.BodyBudget}
+	outgoing = &upstreamRequest{
+		Request: upstream.Request{Method: r.Method, Target: target, ID: spec.ID, Client: connFromContext(r.Context())},
+		budget:  &h.BodyBudget,
+	}
 	for _, name := range forwardedHeaders {
 		if value := r.Header.Get(name); value != "" {
 			if !isPlainText(strings.ReplaceAll(value, " ", "_"), maxHeaderValueLength) {
 				return spec, nil, errors.New(name + ": it is no plain text of 1024 characters at most")
 			}
-			outgoing.headers = append(append(append(append(outgoing.headers, name...), ": "...), value...), "\r\n"...)
+			outgoing.Headers = append(append(append(append(outgoing.Headers, name...), ": "...), value...), "\r\n"...)
 		}
 	}
 	outgoing.retain()
--- a/internal/frontend/front_test.go
+++ b/internal/frontend/front_test.go
@@ -17,6 +17,7 @@
 
 	"birchfork/dispatch"
 	"birchfork/internal/engine"
+	"birchfork/internal/upstream/upstreamtest"
 )
 
 func TestHandler_BadRequestsNeverReachDispatcher(t *testing.T) {
@@ -77,13 +78,13 @@
 
 // A body of 64 KiB is allowed.
 func TestHandler_ForwardsLargestBody(t *testing.T) {
-	w := startWorker(t, respondDone)
-	h := newHarness(t, w.addr, 0)
+	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
+	h := newHarness(t, w.Address, 0)
 	if status, _, _ := doRequest(t, newRequest(t, h.url, "search", "a", strings.Repeat("x", maxBodyBytes))); status != 200 {
 		t.Fatalf("status %d", status)
 	}
-	if len(w.bodies[0]) != maxBodyBytes {
-		t.Fatalf("%d bytes came", len(w.bodies[0]))
+	if _, body := w.Request(0); len(body) != maxBodyBytes {
+		t.Fatalf("%d bytes came", len(body))
 	}
 }
 
@@ -116,8 +117,8 @@
 func TestHandler_UnreadResponseTimesOut(t *testing.T) {
 	defer func(d time.Duration) { writeTimeout = d }(writeTimeout)
 	writeTimeout = 50 * time.Millisecond
-	w := startWorker(t, respondDone)
-	h := newHarness(t, w.addr, 0)
+	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
+	h := newHarness(t, w.Address, 0)
 	near, far := net.Pipe() // takes nothing in by itself
 	defer far.Close()
 	go h.server.Serve(h.handler.Conns.WrapListener(&singleConnListener{conn: near, done: make(chan bool)}))
@@ -156,8 +157,8 @@
 func TestHandler_WriteTimeoutIsPerResponse(t *testing.T) {
 	defer func(d time.Duration) { writeTimeout = d }(writeTimeout)
 	writeTimeout = 200 * time.Millisecond
-	w := startWorker(t, respondDone)
-	h := newHarness(t, w.addr, 0)
+	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
+	h := newHarness(t, w.Address, 0)
 	c := sendRaw(t, h, rawRequestHead+"Content-Length: 0\r\n\r\n")
 	in := bufio.NewReader(c)
 	for i, want := range []int{200, 200, 503} {
@@ -181,11 +182,11 @@
 func TestHandler_RequestTimeoutEndsWithBody(t *testing.T) {
 	defer func(d time.Duration) { requestTimeout = d }(requestTimeout)
 	requestTimeout = 300 * time.Millisecond
-	w := startWorker(t, func(c net.Conn, r *http.Request) bool {
+	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool {
 		time.Sleep(2 * requestTimeout)
-		return respondDone(c, r)
+		return upstreamtest.RespondDone(c, r)
 	})
-	h := newHarness(t, w.addr, 0)
+	h := newHarness(t, w.Address, 0)
 	r := newRequest(t, h.url, "search", "a", "body")
 	if status, _, _ := doRequest(t, r); status != 200 || h.engine.Counters.ClientsGone.Load() != 0 {
 		t.Fatalf("status %d, %d gone", status, h.engine.Counters.ClientsGone.Load())
@@ -194,10 +195,10 @@
 
 func TestHandler_ClientCloseEndsRequest(t *testing.T) {
 	release := make(chan bool)
-	w := startWorker(t, func(c net.Conn, r *http.Request) bool { <-release; return respondDone(c, r) })
-	h := newHarness(t, w.addr, 0)
+	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool { <-release; return upstreamtest.RespondDone(c, r) })
+	h := newHarness(t, w.Address, 0)
 	c := sendRaw(t, h, rawRequestHead+"Content-Length: 0\r\n\r\n")
-	waitFor(t, "the worker has it", func() bool { return w.requestCount() == 1 })
+	waitFor(t, "the worker has it", func() bool { return w.RequestCount() == 1 })
 	c.Close()
 	waitFor(t, "the client counts as gone", func() bool { return h.engine.Counters.ClientsGone.Load() == 1 })
 	close(release)
@@ -224,8 +225,8 @@
 
 func TestHandler_OpenRequestLimit(t *testing.T) {
 	release := make(chan bool)
-	w := startWorker(t, func(c net.Conn, r *http.Request) bool { <-release; return respondDone(c, r) })
-	h := newHarness(t, w.addr, 1)
+	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool { <-release; return upstreamtest.RespondDone(c, r) })
+	h := newHarness(t, w.Address, 1)
 	sendRaw(t, h, rawRequestHead+"Content-Length: 0\r\n\r\n")
 	waitFor(t, "the first is open", func() bool { return h.engine.OpenRequests() == 1 })
 	if status, _, _ := doRequest(t, newRequest(t, h.url, "search", "b", "")); status != 503 || h.engine.Counters.RejectedOverLimit.Load() != 1 {
@@ -238,8 +239,8 @@
 // What is held when the platform is about to kill us still gets its answer.
 func TestHandler_ForceCloseFailsQueued(t *testing.T) {
 	release := make(chan bool)
-	w := startWorker(t, func(c net.Conn, r *http.Request) bool { <-release; return false })
-	h := newHarness(t, w.addr, 0)
+	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool { <-release; return false })
+	h := newHarness(t, w.Address, 0)
 	answered := make(chan int, 1)
 	go func() {
 		rec := httptest.NewRecorder()
@@ -252,7 +253,7 @@
 		h.handler.ServeHTTP(rec, r.WithContext(contextWithConn(r.Context(), h.handler.Conns.track(near))))
 		answered <- rec.Code
 	}()
-	waitFor(t, "the worker has it", func() bool { return w.requestCount() == 1 })
+	waitFor(t, "the worker has it", func() bool { return w.RequestCount() == 1 })
 	h.handler.DisableKeepAlives()
 	h.handler.ForceClose()
 	if code := <-answered; code != 500 || h.engine.Counters.Overdue.Load() != 1 {
@@ -275,7 +276,7 @@
 	if up() != 503 {
 		t.Fatal("up without any worker")
 	}
-	l := listWithWorker("127.0.0.1:1")
+	l := upstreamtest.ListWithWorker("127.0.0.1:1")
 	l.Stale = true
 	h.engine.UpdateEndpoints(l)
 	if up() != 503 {
@@ -286,7 +287,7 @@
 		t.Fatal("not up by the old list, though discovery is silent")
 	}
 	h.handler.startedAt = time.Now()
-	h.engine.UpdateEndpoints(listWithWorker("127.0.0.1:1"))
+	h.engine.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1"))
 	if up() != 200 {
 		t.Fatal("not up")
 	}
@@ -298,8 +299,8 @@
 
 // While stopping all is served as before, but no connection is kept.
 func TestHandler_ServesWithKeepAlivesDisabled(t *testing.T) {
-	w := startWorker(t, respondDone)
-	h := newHarness(t, w.addr, 0)
+	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
+	h := newHarness(t, w.Address, 0)
 	h.handler.DisableKeepAlives()
 	c := sendRaw(t, h, rawRequestHead+"Content-Length: 0\r\n\r\n")
 	in := bufio.NewReader(c)
@@ -321,8 +322,8 @@
 
 // Connections beyond the limit are accepted all the same: what waits in the kernel counts as taken. Idle ones give way.
 func TestConnTracker_EvictsIdle(t *testing.T) {
-	w := startWorker(t, respondDone)
-	h := newHarness(t, w.addr, 0)
+	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
+	h := newHarness(t, w.Address, 0)
 	h.setSoftLimit(2)
 	var conns []net.Conn
 	for i := range 4 {
@@ -408,8 +409,8 @@
 
 func TestHandler_RejectsOverSoftLimit(t *testing.T) {
 	release := make(chan bool)
-	w := startWorker(t, func(c net.Conn, r *http.Request) bool { <-release; return respondDone(c, r) })
-	h := newHarness(t, w.addr, 0)
+	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool { <-release; return upstreamtest.RespondDone(c, r) })
+	h := newHarness(t, w.Address, 0)
 	h.setSoftLimit(1)
 	sendRaw(t, h, rawRequestHead+"Content-Length: 0\r\n\r\n")
 	waitFor(t, "the first is open", func() bool { return h.engine.OpenRequests() == 1 })
@@ -476,8 +477,8 @@
 		{"an expectation nobody knows", rawRequestHead + "Expect: magic\r\nContent-Length: 0\r\n\r\n", 417, "unreadable"},
 		{"a key with such a letter", rawRequestHead + "X-Key: \xff\r\nContent-Length: 0\r\n\r\n", 400, "bad_heads"},
 	} {
-		w := startWorker(t, respondDone)
-		h := newHarness(t, w.addr, 0)
+		w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
+		h := newHarness(t, w.Address, 0)
 		conn := sendRaw(t, h, "")
 		go io.WriteString(conn, c.send)
 		status, closed := readToClose(t, conn)
@@ -485,8 +486,8 @@
 			t.Errorf("%s: status %d, closed %v", c.name, status, closed)
 		}
 		waitFor(t, c.name+" is counted", func() bool { return h.engine.Counters.Fields()[c.counter] == int64(1) })
-		if w.requestCount() != 0 || h.engine.Counters.Accepted.Load() != 0 {
-			t.Errorf("%s: %d requests came to the worker", c.name, w.requestCount())
+		if w.RequestCount() != 0 || h.engine.Counters.Accepted.Load() != 0 {
+			t.Errorf("%s: %d requests came to the worker", c.name, w.RequestCount())
 		}
 	}
 }
@@ -524,14 +525,17 @@
 
 // A chunked body alone is in order. What is behind it is not read.
 func TestHandler_ChunkedBody(t *testing.T) {
-	w := startWorker(t, respondDone)
-	h := newHarness(t, w.addr, 0)
+	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
+	h := newHarness(t, w.Address, 0)
 	c := sendRaw(t, h, rawRequestHead+"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"+rawRequestHead+"Content-Length: 0\r\n\r\n")
 	if status, closed := readToClose(t, c); status != 200 || !closed {
 		t.Fatalf("status %d, closed %v", status, closed)
 	}
-	if w.requestCount() != 1 || w.bodies[0] != "abcde" {
-		t.Fatalf("%d requests, %q", w.requestCount(), w.bodies)
+	if n := w.RequestCount(); n != 1 {
+		t.Fatalf("%d requests", n)
+	}
+	if _, body := w.Request(0); body != "abcde" {
+		t.Fatalf("body %q", body)
 	}
 }
 
@@ -576,8 +580,8 @@
 // Clients that say nothing give way to those that speak, the longest silent first, and never one with a request taken.
 func TestConnTracker_EvictsSilent(t *testing.T) {
 	release := make(chan bool)
-	w := startWorker(t, func(c net.Conn, r *http.Request) bool { <-release; return respondDone(c, r) })
-	h := newHarness(t, w.addr, 0)
+	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool { <-release; return upstreamtest.RespondDone(c, r) })
+	h := newHarness(t, w.Address, 0)
 	h.setSoftLimit(4)
 	h.handler.Conns.HardLimit = 6
 	busy := sendRaw(t, h, rawRequestHead+"Content-Length: 0\r\n\r\n")
@@ -610,13 +614,13 @@
 // Bodies hold memory only as far as they have come, and together no more than their budget; small ones always fit.
 func TestHandler_BodiesStayWithinBudget(t *testing.T) {
 	release := make(chan bool)
-	w := startWorker(t, func(c net.Conn, r *http.Request) bool { <-release; return respondDone(c, r) })
-	h := newHarness(t, w.addr, 0)
+	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool { <-release; return upstreamtest.RespondDone(c, r) })
+	h := newHarness(t, w.Address, 0)
 	h.handler.BodyBudget.SetLimit(100 << 10)
 	big := strings.Repeat("x", 60<<10)
 	first := make(chan int)
 	go func() { status, _, _ := doRequest(t, newRequest(t, h.url, "search", "a", big)); first <- status }()
-	waitFor(t, "the first is at the worker", func() bool { return w.requestCount() == 1 })
+	waitFor(t, "the first is at the worker", func() bool { return w.RequestCount() == 1 })
 	if status, _, _ := doRequest(t, newRequest(t, h.url, "search", "b", big)); status != 503 {
 		t.Errorf("the second: status %d", status)
 	}
--- a/internal/frontend/golden_frontend_test.go
+++ b/internal/frontend/golden_frontend_test.go
@@ -19,6 +19,7 @@
 	"birchfork/internal/admission"
 	"birchfork/internal/goldentest"
 	"birchfork/internal/routes"
+	"birchfork/internal/upstream/upstreamtest"
 )
 
 // goldenCounters names the counters that the golden files of clients record.
@@ -109,13 +110,13 @@
 		change map[string]string
 		setUp  func(h *harness)
 	}{
-		{"served", respondDone, nil, nil},
-		{"served, with the connection to be closed", respondDone, map[string]string{"Connection": "close"}, nil},
-		{"served while stopping", respondDone, nil, func(h *harness) { h.handler.DisableKeepAlives() }},
-		{"served with an empty result", answer(okHead + chunk(statusLine("ID", "done", `,"result":""`)) + "0\r\n\r\n"), nil, nil},
+		{"served", upstreamtest.RespondDone, nil, nil},
+		{"served, with the connection to be closed", upstreamtest.RespondDone, map[string]string{"Connection": "close"}, nil},
+		{"served while stopping", upstreamtest.RespondDone, nil, func(h *harness) { h.handler.DisableKeepAlives() }},
+		{"served with an empty result", answer(upstreamtest.OKHead + upstreamtest.Chunk(upstreamtest.StatusLine("ID", "done", `,"result":""`)) + "0\r\n\r\n"), nil, nil},
 		{"served with a result of every kind of character",
-			answer(okHead + chunk(statusLine("ID", "done", `,"result":"\u0000\t\r\n\"\\\u00e9\u20ac\ud83d\ude00"`)) + "0\r\n\r\n"), nil, nil},
-		{"failed by the worker's line", answer(okHead + chunk(statusLine("ID", "failed", "")) + "0\r\n\r\n"), nil, nil},
+			answer(upstreamtest.OKHead + upstreamtest.Chunk(upstreamtest.StatusLine("ID", "done", `,"result":"\u0000\t\r\n\"\\\u00e9\u20ac\ud83d\ude00"`)) + "0\r\n\r\n"), nil, nil},
+		{"failed by the worker's line", answer(upstreamtest.OKHead + upstreamtest.Chunk(upstreamtest.StatusLine("ID", "failed", "")) + "0\r\n\r\n"), nil, nil},
 		{"failed by the worker's status", answer("HTTP/1.1 500 x\r\n" + empty), nil, nil},
 		{"rejected, as the worker did not run it", answer("HTTP/1.1 503 x\r\nX-Not-Run: 1\r\n" + empty), nil, nil},
 		{"rejected, with the route's Retry-After", answer("HTTP/1.1 503 x\r\nX-Not-Run: 1\r\n" + empty), nil, func(h *harness) {
@@ -124,7 +125,7 @@
 		{"found unusable by the worker", answer("HTTP/1.1 400 x\r\n" + empty), nil, nil},
 		{"ended by the process's end", func(net.Conn, *http.Request) bool { return false }, nil, func(h *harness) { h.handler.ForceClose() }},
 	} {
-		h := newHarness(t, startWorker(t, c.worker).addr, 0)
+		h := newHarness(t, upstreamtest.StartWorker(t, c.worker).Address, 0)
 		if c.setUp != nil {
 			c.setUp(h)
 		}
@@ -163,7 +164,7 @@
 	} {
 		for _, retryAfter := range []time.Duration{0, 250 * time.Millisecond} {
 			worker, open := startGatedWorker(t)
-			h := newHarness(t, worker.addr, 1)
+			h := newHarness(t, worker.Address, 1)
 			sendRaw(t, h, rawRequest("POST /search", nil, ""))
 			waitFor(t, "the first request is open", func() bool { return h.engine.OpenRequests() == 1 })
 			c.setUp(h)
@@ -176,7 +177,7 @@
 	}
 	for _, maxRetryAfter := range []time.Duration{0, 200 * time.Millisecond, time.Minute} {
 		worker, open := startGatedWorker(t)
-		h := newHarness(t, worker.addr, 0)
+		h := newHarness(t, worker.Address, 0)
 		limitSearch(t, h, admission.RouteConfig{MaxConcurrent: 1, RetryAfter: 750 * time.Millisecond})
 		sendRaw(t, h, rawRequest("POST /search", nil, ""))
 		waitFor(t, "the first request is open", func() bool { return h.engine.OpenRequests() == 1 })
@@ -245,7 +246,7 @@
 	}
 	worker, open := startGatedWorker(t)
 	defer open()
-	h := newHarness(t, worker.addr, 0)
+	h := newHarness(t, worker.Address, 0)
 	sendRaw(t, h, rawRequest("POST /search", nil, ""))
 	waitFor(t, "the first request is open", func() bool { return h.engine.OpenRequests() == 1 })
 	sent := rawRequest("POST /search", nil, "")
@@ -293,14 +294,14 @@
 		name  string
 		setUp func(h *harness)
 	}{
-		{"up", func(h *harness) { h.engine.UpdateEndpoints(listWithWorker("127.0.0.1:1")) }},
+		{"up", func(h *harness) { h.engine.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1")) }},
 		{"no worker", func(h *harness) {}},
 		{"leaving", func(h *harness) {
-			h.engine.UpdateEndpoints(listWithWorker("127.0.0.1:1"))
+			h.engine.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1"))
 			h.handler.FailHealthChecks()
 		}},
 		{"stopping", func(h *harness) {
-			h.engine.UpdateEndpoints(listWithWorker("127.0.0.1:1"))
+			h.engine.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1"))
 			h.handler.DisableKeepAlives()
 		}},
 	} {
--- a/internal/server/node.go
+++ b/internal/server/node.go
@@ -184,7 +184,7 @@
 		s.engine.UpdateEndpoints(endpoints)
 	}
 	conns := &frontend.ConnTracker{Counters: &s.engine.Counters}
-	s.handler = frontend.NewHandler(s.engine, &frontend.Transport{Pool: s.pool, Counters: &s.engine.Counters}, conns)
+	s.handler = frontend.NewHandler(s.engine, &upstream.Transport{Pool: s.pool, Counters: &s.engine.Counters}, conns)
 	s.applyBudgets()
 	s.setRetryAfter(c.Settings)
 	s.httpServer = s.handler.HTTPServer()
--- a/internal/frontend/runner.go
+++ b/internal/upstream/transport.go
@@ -1,4 +1,4 @@
-package frontend
+package upstream
 
 import (
 	"bufio"
@@ -9,37 +9,24 @@
 	"fmt"
 	"io"
 	"net/http"
-	"strconv"
 	"time"
 
 	"birchfork/dispatch"
 	"birchfork/internal/engine"
-	"birchfork/internal/upstream"
 )
 
+// MaxLineBytes bounds a line of a worker's answer: a result of 64 KiB with every byte escaped fits.
+const MaxLineBytes = 1 << 20
+
 // Bounds on what a worker may say.
 const (
 	maxResponseHeadBytes = 64 << 10        // bytes of an answer's head
-	maxLineBytes         = 1 << 20         // bytes of a line: a result of 64 KiB with every byte escaped fits
 	maxDrainBytes        = 64 << 10        // bytes of an answer that is no job's
 	drainTimeout         = 1 * time.Second // for an answer's end after its last line
 
 	silentAfter = 500 * time.Millisecond // without a head for so long: the connection may lead nowhere any more
 )
 
-// appendHTTP writes the request as it goes out. left tells the worker how long the answer is waited for.
-func (r *upstreamRequest) appendHTTP(b []byte, host string, timeLeft time.Duration) []byte {
-	b = append(append(append(append(b, r.method...), ' '), r.target...), " HTTP/1.1\r\nHost: "...)
-	b = append(append(b, host...), "\r\nX-Request-Id: "...)
-	b = append(append(b, r.id...), "\r\nX-Deadline-Ms: "...)
-	b = strconv.AppendInt(b, max(timeLeft.Milliseconds(), 1), 10)
-	b = append(b, "\r\nContent-Length: "...)
-	b = strconv.AppendInt(b, int64(len(r.body)), 10)
-	b = append(b, "\r\n"...)
-	b = append(b, r.headers...)
-	return append(append(b, "\r\n"...), r.body...)
-}
-
 // statusUpdate is a line of a worker's answer.
 type statusUpdate struct {
 	ID       string          `json:"id"`
@@ -107,7 +94,7 @@
 
 // Transport carries attempts out at workers.
 type Transport struct {
-	Pool     *upstream.Pool
+	Pool     *Pool
 	Counters *engine.Counters
 }
 
@@ -115,27 +102,27 @@
 type exchangeOutcome struct {
 	result    dispatch.Result
 	jobResult []byte
-	drain     func(*upstream.Conn) bool
+	drain     func(*Conn) bool
 	silent    bool // nothing came back for long
 
 	rejected bool // the worker cannot use the request
 }
 
-// do carries one attempt out, from its connection to its end. It is the connection's one owner: the connection
+// Do carries one attempt out, from its connection to its end. It is the connection's one owner: the connection
 // goes back to the pool after a whole answer and is closed in every other case.
-func (t *Transport) do(attempt *engine.Attempt, request *upstreamRequest) {
+func (t *Transport) Do(attempt *engine.Attempt, request *Request) {
 	ctx := attempt.Context()
 	conn, err := t.Pool.Get(ctx, attempt.Address())
 	if err != nil {
 		result := dispatch.ResultUnreachable
-		if errors.Is(err, upstream.ErrNoFileDescriptor) || ctx.Err() != nil { // our own limit or time: no fault of the worker's
+		if errors.Is(err, ErrNoFileDescriptor) || ctx.Err() != nil { // our own limit or time: no fault of the worker's
 			result = dispatch.ResultNotSent
 		}
 		attempt.Finish(result, nil)
 		return
 	}
 	// Guards against a drain, a deadline or the client's leaving that came during the dial.
-	if !attempt.MaySend() || request.clientConn.clientGone() {
+	if !attempt.MaySend() || request.clientGone() {
 		t.Pool.Put(conn)
 		attempt.Finish(dispatch.ResultNotSent, nil)
 		return
@@ -167,9 +154,9 @@
 }
 
 // exchange writes the request and reads the answer up to its outcome.
-func (t *Transport) exchange(attempt *engine.Attempt, request *upstreamRequest, conn *upstream.Conn) exchangeOutcome {
+func (t *Transport) exchange(attempt *engine.Attempt, request *Request, conn *Conn) exchangeOutcome {
 	deadline, _ := attempt.Context().Deadline()
-	message := request.appendHTTP(make([]byte, 0, 512+len(request.body)), attempt.Address(), time.Until(deadline))
+	message := request.appendHTTP(make([]byte, 0, 512+len(request.Body)), attempt.Address(), time.Until(deadline))
 	if attempt.NeedsLease() {
 		// Guards against a runner that was taken out while we stood still in the middle of the request: it begins with the
 		// last byte.
@@ -186,16 +173,16 @@
 	}
 	writtenAt := time.Now()
 	conn.SetReadLimit(maxResponseHeadBytes)
-	response, err := http.ReadResponse(conn.Reader, &http.Request{Method: request.method})
+	response, err := http.ReadResponse(conn.Reader, &http.Request{Method: request.Method})
 	if err != nil {
 		if !isConnEnd(err) || conn.ReadLimitReached() {
 			t.Counters.BadWorkerLines.Add(1)
 		}
 		return exchangeOutcome{result: readFailed(attempt), silent: time.Since(writtenAt) >= silentAfter}
 	}
-	conn.SetReadLimit(upstream.Unlimited)
+	conn.SetReadLimit(Unlimited)
 	lines := bufio.NewReader(response.Body)
-	drain := func(conn *upstream.Conn) bool { return drainResponse(conn, response, lines) }
+	drain := func(conn *Conn) bool { return drainResponse(conn, response, lines) }
 	if response.StatusCode != http.StatusOK {
 		// Guards against judging workers, and trying one after the other, by requests that are none: with the id of
 		// another's, say, that is open at another dispatcher.
@@ -203,7 +190,7 @@
 		return exchangeOutcome{result: resultOfStatus(response), rejected: rejected, drain: drain}
 	}
 	for {
-		line, err := readLine(lines, maxLineBytes)
+		line, err := readLine(lines, MaxLineBytes)
 		if err != nil {
 			if !isConnEnd(err) {
 				t.Counters.BadWorkerLines.Add(1)
@@ -213,7 +200,7 @@
 		if len(line) == 0 {
 			continue
 		}
-		n, result, err := decodeStatusUpdate(line, request.id)
+		n, result, err := decodeStatusUpdate(line, request.ID)
 		if err != nil {
 			t.Counters.BadWorkerLines.Add(1)
 			return exchangeOutcome{result: readFailed(attempt)}
@@ -266,7 +253,7 @@
 
 // drainResponse reads what is left of an answer whose outcome is known. Only a connection whose answer ended in order, and
 // soon, is used again.
-func drainResponse(conn *upstream.Conn, response *http.Response, r io.Reader) bool {
+func drainResponse(conn *Conn, response *http.Response, r io.Reader) bool {
 	defer response.Body.Close()
 	if response.Close || response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
 		return false
--- /dev/null
+++ b/internal/upstream/transport_test.go
@@ -0,0 +1,201 @@
+package upstream
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"birchfork/dispatch"
+	"birchfork/internal/engine"
+	"birchfork/internal/engine/enginetest"
+	"birchfork/internal/upstream/upstreamtest"
+)
+
+// newTransport returns a transport whose connections dial opens.
+func newTransport(e *engine.Engine, dial DialFunc) *Transport {
+	return &Transport{Pool: NewPool(dial, &e.Counters, 8, time.Minute), Counters: &e.Counters}
+}
+
+// closeSpy tells when a connection is closed.
+type closeSpy struct {
+	net.Conn
+	onClose func()
+	linger  *int // seconds
+}
+
+func (s closeSpy) SetLinger(seconds int) error {
+	*s.linger = seconds
+	return nil
+}
+
+func (s closeSpy) Close() error {
+	s.onClose()
+	return s.Conn.Close()
+}
+
+// A vanished machine takes the request and says nothing: the attempt must end by itself, its connection with it, and
+// before its end is told: a further attempt would be a second copy while the connection is open. What the kernel holds of the
+// request goes with it.
+func TestTransport_SilentWorkerTimesOut(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		e := enginetest.New(t, 0)
+		e.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1"))
+		near, far := net.Pipe()
+		go io.Copy(io.Discard, far)
+		early, linger := false, -1
+		spy := closeSpy{near, func() { early = early || e.Counters.Outcomes[dispatch.ResultTimedOut].Load() == 0 }, &linger}
+		transport := newTransport(e, func(context.Context, string) (net.Conn, error) { return spy, nil })
+		_, a := upstreamtest.OpenAttempt(t, e, "quick", 60*time.Millisecond)
+		transport.Do(a, &Request{Method: "POST", Target: "/search", ID: "id-1"})
+		if e.Counters.Outcomes[dispatch.ResultTimedOut].Load() != 1 {
+			t.Fatal(e.Counters.Fields())
+		}
+		if open, _ := transport.Pool.Counts(); open != 0 || !early || linger != 0 {
+			t.Fatalf("%d connections stayed open; closed before the end was told: %v; what is written lingers for %d s", open, early, linger)
+		}
+	})
+}
+
+// The other idle connections of a machine that vanished would swallow further jobs; a new one tells that it is gone.
+func TestTransport_SilentWorkerLosesIdleConns(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		e := enginetest.New(t, 0)
+		e.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1"))
+		transport := newTransport(e, func(context.Context, string) (net.Conn, error) {
+			near, far := net.Pipe()
+			go io.Copy(io.Discard, far)
+			return near, nil
+		})
+		var idle []*Conn
+		for range 2 {
+			c, err := transport.Pool.Get(t.Context(), "127.0.0.1:1")
+			if err != nil {
+				t.Fatal(err)
+			}
+			idle = append(idle, c)
+		}
+		for _, c := range idle {
+			transport.Pool.Put(c)
+		}
+		_, a := upstreamtest.OpenAttempt(t, e, "search", 5*time.Second)
+		transport.Do(a, &Request{Method: "POST", Target: "/search", ID: "id-1"})
+		if open, _ := transport.Pool.Counts(); open != 0 || e.Counters.ReusedConns.Load() != 1 {
+			t.Fatalf("%d connections are left, %d were used again", open, e.Counters.ReusedConns.Load())
+		}
+	})
+}
+
+// The request's last byte never left, so the job cannot have run: not even an unsafe one is lost.
+func TestTransport_PartialWriteNeverRan(t *testing.T) {
+	e := enginetest.New(t, 0)
+	e.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1"))
+	near, far := net.Pipe()
+	go func() {
+		io.ReadFull(far, make([]byte, 30))
+		far.Close()
+	}()
+	transport := newTransport(e, func(context.Context, string) (net.Conn, error) { return near, nil })
+	_, a := upstreamtest.OpenAttempt(t, e, "search", 5*time.Second)
+	transport.Do(a, &Request{Method: "POST", Target: "/search", ID: "id-1", Body: make([]byte, 1000)})
+	if e.Counters.Outcomes[dispatch.ResultUnreachable].Load() != 1 {
+		t.Fatal(e.Counters.Fields())
+	}
+}
+
+// Nothing may go to a worker that was told to drain while the connection to it was set up.
+func TestTransport_DrainDuringDial(t *testing.T) {
+	e := enginetest.New(t, 0)
+	e.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1"))
+	near, far := net.Pipe()
+	transport := newTransport(e, func(context.Context, string) (net.Conn, error) {
+		list := upstreamtest.ListWithWorker("127.0.0.1:1")
+		list.Endpoints[0].State = dispatch.Draining
+		e.UpdateEndpoints(list)
+		return near, nil
+	})
+	r, a := upstreamtest.OpenAttempt(t, e, "search", 5*time.Second)
+	transport.Do(a, &Request{Method: "POST", Target: "/search", ID: "id-1"})
+	if e.Counters.Outcomes[dispatch.ResultNotSent].Load() != 1 {
+		t.Fatal(e.Counters.Fields())
+	}
+	far.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
+	if n, err := far.Read(make([]byte, 1)); n != 0 || errors.Is(err, io.EOF) {
+		t.Fatalf("%d bytes came, %v: the unused connection should stay, silent", n, err)
+	}
+	r.Close()
+}
+
+// A worker is suspected when it takes no connection, so a dial that our own time cut short must not count as that.
+func TestTransport_DialTimeouts(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		dial DialFunc
+		want dispatch.Result
+	}{
+		{"by its own time-out", func(context.Context, string) (net.Conn, error) { return nil, os.ErrDeadlineExceeded }, dispatch.ResultUnreachable},
+		{"by the request's deadline", func(ctx context.Context, _ string) (net.Conn, error) {
+			<-ctx.Done()
+			return nil, ctx.Err()
+		}, dispatch.ResultNotSent},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			e := enginetest.New(t, 0)
+			e.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1"))
+			transport := newTransport(e, c.dial)
+			_, a := upstreamtest.OpenAttempt(t, e, "quick", 60*time.Millisecond)
+			transport.Do(a, &Request{Method: "POST", Target: "/search", ID: "id-1"})
+			if e.Counters.Outcomes[c.want].Load() != 1 {
+				t.Errorf("%s: %v", c.name, e.Counters.Fields())
+			}
+		})
+	}
+}
+
+func TestTransport_NoDescriptorLeft(t *testing.T) {
+	e := enginetest.New(t, 0)
+	e.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1"))
+	transport := &Transport{Pool: NewPool(nil, &e.Counters, 0, time.Minute), Counters: &e.Counters}
+	_, a := upstreamtest.OpenAttempt(t, e, "search", 5*time.Second)
+	transport.Do(a, &Request{})
+	if e.Counters.Outcomes[dispatch.ResultNotSent].Load() != 1 || e.Counters.NoFileDescriptor.Load() != 1 {
+		t.Fatal(e.Counters.Fields())
+	}
+}
+
+func FuzzTransportResponse(f *testing.F) {
+	f.Add([]byte(upstreamtest.OKHead + upstreamtest.Chunk(upstreamtest.StatusLine("id-1", "done", `,"result":"r"`)) + "0\r\n\r\n"))
+	f.Add([]byte("HTTP/1.1 503 x\r\nX-Not-Run: 1\r\n\r\n"))
+	f.Add([]byte(upstreamtest.OKHead + "5\r\n{\"id\"\r\n"))
+	f.Fuzz(func(t *testing.T, raw []byte) {
+		e := enginetest.New(t, 0)
+		e.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1"))
+		near, far := net.Pipe()
+		go func() {
+			http.ReadRequest(bufio.NewReader(far))
+			far.Write(raw)
+			far.Close()
+		}()
+		transport := newTransport(e, func(context.Context, string) (net.Conn, error) { return near, nil })
+		r, err := e.Open(engine.RequestSpec{ID: "id-1", Class: "search", TimeLeft: 5 * time.Second})
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer r.Close()
+		a := (<-r.Decisions()).Attempt
+		transport.Do(a, &Request{Method: "POST", Target: "/search", ID: "id-1"})
+		ended := int64(0)
+		for i := range e.Counters.Outcomes {
+			ended += e.Counters.Outcomes[i].Load()
+		}
+		if open, idle := transport.Pool.Counts(); ended != 1 || open != idle {
+			t.Fatalf("%d ends, %d connections in use", ended, open-idle)
+		}
+	})
+}
--- /dev/null
+++ b/internal/upstream/upstreamtest/upstreamtest.go
@@ -0,0 +1,141 @@
+// Package upstreamtest has workers and attempts for the tests of the packages that talk to workers.
+package upstreamtest
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"testing"
+	"time"
+
+	"birchfork/dispatch"
+	"birchfork/internal/engine"
+)
+
+// Worker is a worker whose answers a test writes by hand. Its methods are safe for concurrent use.
+type Worker struct {
+	Address  string
+	mu       sync.Mutex
+	requests []*http.Request
+	bodies   []string
+	accepted int
+}
+
+// StartWorker starts a worker that ends with the test. For each request it calls answer, which writes what it likes to the connection; the
+// connection is closed when answer returns false.
+func StartWorker(t testing.TB, answer func(c net.Conn, r *http.Request) bool) *Worker {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	w := &Worker{Address: l.Addr().String()}
+	var conns sync.WaitGroup
+	t.Cleanup(func() {
+		l.Close()
+		conns.Wait()
+	})
+	ctx, stop := context.WithCancel(context.Background())
+	t.Cleanup(stop)
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			w.mu.Lock()
+			w.accepted++
+			w.mu.Unlock()
+			conns.Add(1)
+			go func() {
+				defer conns.Done()
+				defer c.Close()
+				defer context.AfterFunc(ctx, func() { c.Close() })()
+				in := bufio.NewReader(c)
+				for {
+					r, err := http.ReadRequest(in)
+					if err != nil {
+						return
+					}
+					body, err := io.ReadAll(r.Body)
+					if err != nil {
+						return
+					}
+					w.mu.Lock()
+					w.requests = append(w.requests, r)
+					w.bodies = append(w.bodies, string(body))
+					w.mu.Unlock()
+					if !answer(c, r) {
+						return
+					}
+				}
+			}()
+		}
+	}()
+	return w
+}
+
+// RequestCount returns how many requests the worker has received.
+func (w *Worker) RequestCount() int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return len(w.requests)
+}
+
+// Request returns the i-th request that the worker has received, and its body.
+func (w *Worker) Request(i int) (r *http.Request, body string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.requests[i], w.bodies[i]
+}
+
+// ConnCount returns how many connections the worker has accepted.
+func (w *Worker) ConnCount() int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.accepted
+}
+
+// OKHead is the head of a chunked answer with status 200.
+const OKHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+
+// Chunk returns one chunk of a chunked body.
+func Chunk(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
+
+// StatusLine returns one line of a worker's answer about the request id; fields are further fields, each with a comma before it.
+func StatusLine(id, state, fields string) string {
+	return fmt.Sprintf(`{"id":%q,"from":"w","state":%q%s}`+"\n", id, state, fields)
+}
+
+// RespondDone writes a complete answer with a result.
+func RespondDone(c net.Conn, r *http.Request) bool {
+	id := r.Header.Get("X-Request-Id")
+	io.WriteString(c, OKHead+Chunk(StatusLine(id, "started", ""))+Chunk(StatusLine(id, "running", `,"share":0.4`))+
+		Chunk(StatusLine(id, "done", `,"result":"made \"it\""`))+"0\r\n\r\n")
+	return true
+}
+
+// ListWithWorker returns a complete list with one ready worker, named w.
+func ListWithWorker(addr string) engine.EndpointList {
+	return engine.EndpointList{Version: 1, Snapshot: true, Endpoints: []engine.Endpoint{
+		{Name: "w", Address: addr, Zone: "a", Kind: "big", Cell: -1, State: dispatch.Ready}}}
+}
+
+// OpenAttempt opens a request with the id id-1 until the test ends, and returns it with its first attempt.
+func OpenAttempt(t *testing.T, e *engine.Engine, class string, timeLeft time.Duration) (*engine.Request, *engine.Attempt) {
+	t.Helper()
+	request, err := e.Open(engine.RequestSpec{ID: "id-1", Class: class, TimeLeft: timeLeft})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(request.Close)
+	decision := <-request.Decisions()
+	if decision.Attempt == nil {
+		t.Fatalf("decision %+v", decision)
+	}
+	return request, decision.Attempt
+}
