--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"birchfork/internal/upstream"
+	"birchfork/internal/socket"
 )
 
 // Bounds on callers.
@@ -202,7 +202,7 @@
 	if err != nil {
 		return false
 	}
-	n, err := upstream.Peek(raw)
+	n, err := socket.Peek(raw)
 	return err == nil && n > 0
 }
 
--- a/internal/frontend/clients.go
+++ b/internal/frontend/clients.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"birchfork/internal/engine"
-	"birchfork/internal/upstream"
+	"birchfork/internal/socket"
 )
 
 // ConnTracker owns the connections from clients and keeps their number. Connections are always accepted, since one that
@@ -384,7 +384,7 @@
 	if c.rawConn == nil {
 		return false
 	}
-	n, err := upstream.Peek(c.rawConn)
+	n, err := socket.Peek(c.rawConn)
 	return err == nil && n > 0
 }
 
@@ -394,7 +394,7 @@
 	if c == nil || c.rawConn == nil {
 		return false
 	}
-	n, err := upstream.Peek(c.rawConn)
+	n, err := socket.Peek(c.rawConn)
 	return n == 0 && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
 }
 
@@ -454,7 +454,7 @@
 func (c *clientConn) lingeringClose() {
 	defer c.closeNow()
 	c.rawConn.Read(func(fd uintptr) bool {
-		n, err := upstream.PeekFD(fd)
+		n, err := socket.PeekFD(fd)
 		return n <= 0 && !errors.Is(err, syscall.EAGAIN)
 	})
 	c.rawConn.Control(func(fd uintptr) {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"birchfork/internal/engine"
+	"birchfork/internal/socket"
 )
 
 // ErrNoFileDescriptor says that no further connection may be opened: our own limit, no fault of the worker's.
@@ -245,23 +246,6 @@
 	if err != nil {
 		return false
 	}
-	_, err = Peek(raw)
+	_, err = socket.Peek(raw)
 	return errors.Is(err, syscall.EAGAIN)
 }
-
-// Peek looks at what has come on a connection and leaves it there: n is 0 at its end, and err is EAGAIN where nothing
-// has come. It does not wait, nor for another read that does.
-func Peek(raw syscall.RawConn) (n int, err error) {
-	outer := raw.Control(func(fd uintptr) { n, err = PeekFD(fd) })
-	if outer != nil {
-		return 0, outer
-	}
-	return n, err
-}
-
-// PeekFD does the same where the descriptor is at hand.
-func PeekFD(fd uintptr) (n int, err error) {
-	var b [1]byte
-	n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-	return n, err
-}
