--- a/internal/upstream/upstreamtest/upstreamtest.go
+++ b/internal/upstream/upstreamtest/upstreamtest.go
@@ -34,14 +34,14 @@
 		t.Fatal(err)
 	}
 	w := &Worker{Address: l.Addr().String()}
-	var conns sync.WaitGroup
+	ctx, cancel := context.WithCancel(context.Background())
+	var serving sync.WaitGroup // the accept loop and the connections
 	t.Cleanup(func() {
+		cancel()
 		l.Close()
-		conns.Wait()
+		serving.Wait()
 	})
-	ctx, stop := context.WithCancel(context.Background())
-	t.Cleanup(stop)
-	go func() {
+	serving.Go(func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
@@ -50,35 +50,36 @@
 			w.mu.Lock()
 			w.accepted++
 			w.mu.Unlock()
-			conns.Add(1)
-			go func() {
-				defer conns.Done()
-				defer c.Close()
-				defer context.AfterFunc(ctx, func() { c.Close() })()
-				in := bufio.NewReader(c)
-				for {
-					r, err := http.ReadRequest(in)
-					if err != nil {
-						return
-					}
-					body, err := io.ReadAll(r.Body)
-					if err != nil {
-						return
-					}
-					w.mu.Lock()
-					w.requests = append(w.requests, r)
-					w.bodies = append(w.bodies, string(body))
-					w.mu.Unlock()
-					if !answer(c, r) {
-						return
-					}
-				}
-			}()
+			serving.Go(func() { w.serve(ctx, c, answer) })
 		}
-	}()
+	})
 	return w
 }
 
+// serve answers the requests on one connection until answer returns false or ctx ends.
+func (w *Worker) serve(ctx context.Context, c net.Conn, answer func(c net.Conn, r *http.Request) bool) {
+	defer c.Close()
+	defer context.AfterFunc(ctx, func() { c.Close() })()
+	in := bufio.NewReader(c)
+	for {
+		r, err := http.ReadRequest(in)
+		if err != nil {
+			return
+		}
+		body, err := io.ReadAll(r.Body)
+		if err != nil {
+			return
+		}
+		w.mu.Lock()
+		w.requests = append(w.requests, r)
+		w.bodies = append(w.bodies, string(body))
+		w.mu.Unlock()
+		if !answer(c, r) {
+			return
+		}
+	}
+}
+
 // RequestCount returns how many requests the worker has received.
 func (w *Worker) RequestCount() int {
 	w.mu.Lock()
