--- /dev/null
+++ b/internal/upstream/conn.go
@@ -0,0 +1,77 @@
+package upstream
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net"
+	"sync"
+	"syscall"
+	"time"
+
+	"birchfork/internal/socket"
+)
+
+// unlimited is a read limit that is never reached.
+const unlimited = 1 << 62
+
+// Conn is a connection to a worker that belongs to a Pool. Whoever got it from the pool owns it until Put, Close or Reset; Reader and the
+// read limit are not safe for concurrent use, the rest is as safe as net.Conn.
+type Conn struct {
+	net.Conn
+	Reader *bufio.Reader // what the worker sends, up to the read limit
+
+	pool      *Pool
+	address   string
+	input     io.LimitedReader
+	idleSince time.Time // set by Put
+	closeOnce sync.Once
+}
+
+func newConn(pool *Pool, address string, raw net.Conn) *Conn {
+	c := &Conn{Conn: raw, pool: pool, address: address, input: io.LimitedReader{R: raw, N: unlimited}}
+	c.Reader = bufio.NewReader(&c.input)
+	return c
+}
+
+// setReadLimit bounds the bytes that may still be read from the connection; Reader returns io.EOF behind them.
+func (c *Conn) setReadLimit(n int64) { c.input.N = n }
+
+// readLimitReached reports whether all bytes up to the read limit have been read.
+func (c *Conn) readLimitReached() bool { return c.input.N <= 0 }
+
+// interrupt makes the read or write that is in progress fail with a timeout, and all later ones.
+func (c *Conn) interrupt() { c.SetDeadline(time.Unix(1, 0)) }
+
+// Close closes the connection and gives its place in the pool back. Only the first call has an effect.
+func (c *Conn) Close() error {
+	var err error
+	c.closeOnce.Do(func() {
+		err = c.Conn.Close()
+		c.pool.releasePlace()
+	})
+	return err
+}
+
+// Reset closes the connection like Close, and drops what was written and has not been delivered: the kernel sends nothing more of it.
+func (c *Conn) Reset() error {
+	if tcp, ok := c.Conn.(interface{ SetLinger(seconds int) error }); ok {
+		_ = tcp.SetLinger(0) // fails only on a connection that is broken already
+	}
+	return c.Close()
+}
+
+// isReusable reports whether an idle connection is open and silent. A close or reset that has arrived shows here, before a request is
+// written that would be lost with it.
+func (c *Conn) isReusable() bool {
+	sc, ok := c.Conn.(syscall.Conn)
+	if !ok {
+		return true
+	}
+	raw, err := sc.SyscallConn()
+	if err != nil {
+		return false
+	}
+	_, err = socket.Peek(raw)
+	return errors.Is(err, syscall.EAGAIN)
+}
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -23,7 +23,7 @@
 		{"w:1", 999 * time.Microsecond, &Request{Method: "POST", Target: "/book", ID: "id-3", Body: []byte("x")}},
 		{"w:1", -time.Second, &Request{Method: "POST", Target: "/book", ID: "id-4"}},
 	} {
-		fmt.Fprintf(&b, "== %v left at %s\n%s\n", c.timeLeft, c.host, goldentest.QuoteLines(string(c.request.appendHTTP(nil, c.host, c.timeLeft))))
+		fmt.Fprintf(&b, "== %v left at %s\n%s\n", c.timeLeft, c.host, goldentest.QuoteLines(string(c.request.encode(c.host, c.timeLeft))))
 	}
 	goldentest.Check(t, "request.txt", []byte(b.String()))
 }
@@ -64,12 +64,12 @@
 		`null`,
 		`hello`,
 	} {
-		update, result, err := decodeStatusUpdate([]byte(sent), "ID")
+		update, err := decodeStatusUpdate([]byte(sent), "ID")
 		if err != nil {
 			fmt.Fprintf(&b, "%s\n  not understood\n", sent)
 			continue
 		}
-		fmt.Fprintf(&b, "%s\n  state %q, share %v, result %q\n", sent, update.State, update.Progress, result)
+		fmt.Fprintf(&b, "%s\n  state %q, share %v, result %q\n", sent, update.State, update.Progress, update.Result)
 	}
 	goldentest.Check(t, "status-updates.txt", []byte(b.String()))
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,91 +1,77 @@
-// Package upstream holds connections to workers.
 package upstream
 
 import (
-	"bufio"
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"net"
+	"slices"
 	"sync"
 	"syscall"
 	"time"
 
 	"birchfork/internal/engine"
-	"birchfork/internal/socket"
 )
 
-// ErrNoFileDescriptor says that no further connection may be opened: our own limit, no fault of the worker's.
-var ErrNoFileDescriptor = errors.New("no descriptor is left for a connection")
+// ErrNoFileDescriptor is the error of Pool.Get where no further connection may be opened: this process has reached its limit, and the
+// worker is not at fault.
+var ErrNoFileDescriptor = errors.New("no file descriptor left")
 
-// DialFunc opens a connection to a worker.
-type DialFunc func(ctx context.Context, addr string) (net.Conn, error)
+// DialFunc opens a connection to a worker's address.
+type DialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// Pool owns the connections to workers. A Conn that Get returned is its taker's until Put or Close.
+// Pool owns the connections to workers: it opens them, keeps idle ones for reuse and bounds their number. It is safe for concurrent use.
 type Pool struct {
+	counters *engine.Counters
+
+	mu          sync.Mutex
 	dial        DialFunc
-	counters    *engine.Counters
 	maxConns    int           // connections open at a time
-	idleTimeout time.Duration // idle ones are closed after this
-
-	mu   sync.Mutex
-	idle []*Conn // longest idle first
-	open int     // idle ones, those in use and those being set up
-
-	closed bool
+	idleTimeout time.Duration // after which idle connections are closed
+	idle        []*Conn       // longest idle first
+	open        int           // connections that are idle, in use or being set up
+	closed      bool          // connections that are put back are closed
 }
 
-// NewPool returns an empty pool.
+// NewPool returns an empty pool of at most maxConns connections, which it counts in counters.
 func NewPool(dial DialFunc, counters *engine.Counters, maxConns int, idleTimeout time.Duration) *Pool {
 	return &Pool{dial: dial, counters: counters, maxConns: maxConns, idleTimeout: idleTimeout}
 }
 
-// Conn is a connection to a worker with its buffer.
-type Conn struct {
-	net.Conn
-	Reader *bufio.Reader
-
-	pool      *Pool
-	address   string
-	input     io.LimitedReader
-	idleSince time.Time
-	closeOnce sync.Once
+// Get returns an idle connection to address, the last that was put back first, or opens one. The caller owns it until Put, Close or Reset.
+// The error is ErrNoFileDescriptor where the limit leaves none, else that of dialing.
+func (p *Pool) Get(ctx context.Context, address string) (*Conn, error) {
+	if conn := p.reuse(address); conn != nil {
+		return conn, nil
+	}
+	return p.openConn(ctx, address)
 }
 
-// Unlimited is a limit on input that is never met.
-const Unlimited = 1 << 62
-
-// SetReadLimit bounds what may still be read from the connection.
-func (c *Conn) SetReadLimit(n int64) { c.input.N = n }
-
-// ReadLimitReached tells whether that limit was met.
-func (c *Conn) ReadLimitReached() bool { return c.input.N <= 0 }
-
-// Get returns an idle connection to addr that is still open, or a new one.
-func (p *Pool) Get(ctx context.Context, address string) (*Conn, error) {
+// reuse takes an idle connection to address that is still open; nil where there is none.
+func (p *Pool) reuse(address string) *Conn {
 	for {
 		conn := p.takeIdle(address)
 		if conn == nil {
-			break
+			return nil
 		}
-		if conn.stillOpen() {
+		if conn.isReusable() {
 			p.counters.ReusedConns.Add(1)
-			return conn, nil
+			return conn
 		}
 		p.counters.StaleConns.Add(1)
-		conn.Close()
+		_ = conn.Close()
 	}
-	if !p.reserve() {
+}
+
+func (p *Pool) openConn(ctx context.Context, address string) (*Conn, error) {
+	dial, ok := p.reservePlace()
+	if !ok {
 		p.counters.NoFileDescriptor.Add(1)
 		return nil, ErrNoFileDescriptor
 	}
-	p.mu.Lock()
-	dial := p.dial
-	p.mu.Unlock()
 	raw, err := dial(ctx, address)
 	if err != nil {
-		p.release()
+		p.releasePlace()
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 			p.counters.NoFileDescriptor.Add(1)
 			return nil, fmt.Errorf("%w: %w", ErrNoFileDescriptor, err)
@@ -93,95 +79,80 @@
 		return nil, fmt.Errorf("connecting: %w", err)
 	}
 	p.counters.Dials.Add(1)
-	conn := &Conn{Conn: raw, pool: p, address: address, input: io.LimitedReader{R: raw, N: Unlimited}}
-	conn.Reader = bufio.NewReader(&conn.input)
-	return conn, nil
+	return newConn(p, address, raw), nil
 }
 
+// takeIdle takes the connection to address that has been idle for the shortest time; nil where there is none.
 func (p *Pool) takeIdle(address string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for i := len(p.idle) - 1; i >= 0; i-- {
-		if conn := p.idle[i]; conn.address == address && time.Since(conn.idleSince) < p.idleTimeout {
-			p.idle = append(p.idle[:i], p.idle[i+1:]...)
+	for i, conn := range slices.Backward(p.idle) {
+		if conn.address == address && time.Since(conn.idleSince) < p.idleTimeout {
+			p.idle = slices.Delete(p.idle, i, i+1)
 			return conn
 		}
 	}
 	return nil
 }
 
-// reserve counts a connection that is to be opened; the longest idle one goes where the limit is reached.
-func (p *Pool) reserve() bool {
+// reservePlace counts a connection that is to be opened with the function that it returns. Where the limit is reached the longest idle
+// connection is closed; ok is false where there is none.
+func (p *Pool) reservePlace() (dial DialFunc, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.open >= p.maxConns && len(p.idle) > 0 {
-		oldest := p.idle[0]
-		p.closeIdle(func(conn *Conn) bool { return conn == oldest })
+		longestIdle := p.idle[0]
+		p.closeIdle(func(conn *Conn) bool { return conn == longestIdle })
 	}
 	if p.open >= p.maxConns {
-		return false
+		return nil, false
 	}
 	p.open++
-	return true
-}
-
-// Reconfigure sets how connections are opened from now on, and after which time idle ones are closed.
-func (p *Pool) Reconfigure(dial DialFunc, idleTimeout time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.dial, p.idleTimeout = dial, idleTimeout
-}
-
-// SetMaxConns sets how many connections may be open; idle ones go that are too many now.
-func (p *Pool) SetMaxConns(maxConns int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.maxConns = maxConns
-	excess := p.open - maxConns
-	p.closeIdle(func(*Conn) bool {
-		excess--
-		return excess >= 0
-	})
+	return p.dial, true
 }
 
-func (p *Pool) release() {
+// releasePlace gives back what reservePlace reserved.
+func (p *Pool) releasePlace() {
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
 }
 
-// Reset closes the connection and drops what was written and has not arrived.
-func (c *Conn) Reset() error {
-	if tcp, ok := c.Conn.(interface{ SetLinger(int) error }); ok {
-		tcp.SetLinger(0)
-	}
-	return c.Close()
-}
-
-// Put gives a connection back after a whole answer, for further use.
+// Put gives a connection back after a complete response. A connection on which the worker has sent more than that is closed.
 func (p *Pool) Put(conn *Conn) {
-	if conn.Reader.Buffered() > 0 || conn.SetDeadline(time.Time{}) != nil { // it said more than its answer
-		conn.Close()
+	surplus := conn.Reader.Buffered() > 0
+	if surplus || conn.SetDeadline(time.Time{}) != nil {
+		_ = conn.Close()
 		return
 	}
-	conn.SetReadLimit(Unlimited)
+	conn.setReadLimit(unlimited)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	conn.idleSince = time.Now()
 	p.idle = append(p.idle, conn)
 	if p.closed {
-		p.closeIdle(func(*Conn) bool { return true })
+		p.closeAllIdle()
 	}
 }
 
-// Close closes the connection and gives its descriptor back, once.
-func (c *Conn) Close() error {
-	var err error
-	c.closeOnce.Do(func() {
-		err = c.Conn.Close()
-		c.pool.release()
+// Reconfigure sets how connections are opened from now on, and after which time idle ones are closed.
+func (p *Pool) Reconfigure(dial DialFunc, idleTimeout time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.dial = dial
+	p.idleTimeout = idleTimeout
+}
+
+// SetMaxConns sets how many connections may be open. Idle ones that are now too many are closed, the longest idle first.
+func (p *Pool) SetMaxConns(maxConns int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.maxConns = maxConns
+	excess := p.open - maxConns
+	p.closeIdle(func(*Conn) bool {
+		excess--
+		return excess >= 0
 	})
-	return err
 }
 
 // CloseIdleTo closes the idle connections to an address.
@@ -191,7 +162,7 @@
 	p.closeIdle(func(conn *Conn) bool { return conn.address == address })
 }
 
-// CloseExpired closes connections that have been idle for long. A worker closes them at its own time, and a request that
+// CloseExpired closes connections that have been idle for the idle timeout. A worker closes them at a time of its own, and a request that
 // crosses that close would be lost.
 func (p *Pool) CloseExpired() {
 	p.mu.Lock()
@@ -199,18 +170,27 @@
 	p.closeIdle(func(conn *Conn) bool { return time.Since(conn.idleSince) >= p.idleTimeout })
 }
 
-// Close closes all idle connections, and from now on those that are put back.
+// Close closes all idle connections, and from now on those that are put back. Connections in use stay open until then.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	p.closeIdle(func(*Conn) bool { return true })
+	p.closeAllIdle()
 }
 
-// closeIdle closes the idle connections that are picked. The lock is held.
+// Counts returns how many connections are open, and how many of them are idle.
+func (p *Pool) Counts() (open, idle int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.open, len(p.idle)
+}
+
+func (p *Pool) closeAllIdle() { p.closeIdle(func(*Conn) bool { return true }) }
+
+// closeIdle closes the idle connections that match, longest idle first. The lock is held.
 func (p *Pool) closeIdle(matches func(*Conn) bool) {
-	kept := p.idle[:0]
 	var closing []*Conn
+	kept := p.idle[:0]
 	for _, conn := range p.idle {
 		if matches(conn) {
 			closing = append(closing, conn)
@@ -221,31 +201,9 @@
 	clear(p.idle[len(kept):])
 	p.idle = kept
 	for _, conn := range closing {
-		conn.closeOnce.Do(func() {
+		conn.closeOnce.Do(func() { // not Conn.Close, which takes the lock
 			conn.Conn.Close()
 			p.open--
 		})
 	}
 }
-
-// Counts is how many connections are open, and how many of them idle.
-func (p *Pool) Counts() (open, idle int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.open, len(p.idle)
-}
-
-// stillOpen tells whether an idle connection is open and silent. A close or reset that has come already shows here,
-// before a request is written that would be lost with it.
-func (c *Conn) stillOpen() bool {
-	sc, ok := c.Conn.(syscall.Conn)
-	if !ok {
-		return true
-	}
-	raw, err := sc.SyscallConn()
-	if err != nil {
-		return false
-	}
-	_, err = socket.Peek(raw)
-	return errors.Is(err, syscall.EAGAIN)
-}
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -122,11 +122,11 @@
 			t.Fatal(err)
 		}
 		pool.Put(first)
-		if !first.stillOpen() {
+		if !first.isReusable() {
 			t.Fatalf("%s: open before it", name)
 		}
 		spoil(remote)
-		for deadline := time.Now().Add(5 * time.Second); first.stillOpen(); time.Sleep(time.Millisecond) {
+		for deadline := time.Now().Add(5 * time.Second); first.isReusable(); time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
 				t.Fatalf("%s: the connection still passes for open", name)
 			}
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -2,12 +2,8 @@
 
 import (
 	"bufio"
-	"bytes"
 	"context"
-	"encoding/json"
 	"errors"
-	"fmt"
-	"io"
 	"net/http"
 	"time"
 
@@ -15,110 +11,33 @@
 	"birchfork/internal/engine"
 )
 
-// MaxLineBytes bounds a line of a worker's answer: a result of 64 KiB with every byte escaped fits.
-const MaxLineBytes = 1 << 20
+// silentAfter is how long a worker may take until the head of its answer before its connections are taken for dead, if none came at all.
+const silentAfter = 500 * time.Millisecond
 
-// Bounds on what a worker may say.
-const (
-	maxResponseHeadBytes = 64 << 10        // bytes of an answer's head
-	maxDrainBytes        = 64 << 10        // bytes of an answer that is no job's
-	drainTimeout         = 1 * time.Second // for an answer's end after its last line
-
-	silentAfter = 500 * time.Millisecond // without a head for so long: the connection may lead nowhere any more
-)
-
-// statusUpdate is a line of a worker's answer.
-type statusUpdate struct {
-	ID       string          `json:"id"`
-	State    string          `json:"state"`
-	Progress float64         `json:"share"`
-	Result   json.RawMessage `json:"result"`
-}
-
-var (
-	errWrongID         = errors.New("the line is about another request")
-	errUnknownState    = errors.New("the state is unknown")
-	errTooLong         = errors.New("the line is too long")
-	errInvalidProgress = errors.New("the share is not from 0 to 1")
-	errNoResult        = errors.New("a finished job without a result")
-)
-
-// decodeStatusUpdate decodes a line about the request id.
-func decodeStatusUpdate(line []byte, id string) (update statusUpdate, result []byte, err error) {
-	if err := json.Unmarshal(line, &update); err != nil {
-		return update, nil, fmt.Errorf("not a JSON object: %w", err)
-	}
-	if update.ID != id {
-		return update, nil, errWrongID
-	}
-	switch update.State {
-	case "started", "failed", "returned", "lost":
-	case "running":
-		if !(update.Progress >= 0 && update.Progress <= 1) {
-			return update, nil, errInvalidProgress
-		}
-	case "done":
-		var text *string
-		if json.Unmarshal(update.Result, &text) != nil || text == nil {
-			return update, nil, errNoResult
-		}
-		return update, []byte(*text), nil
-	default:
-		return update, nil, errUnknownState
-	}
-	return update, nil, nil
-}
-
-// readLine returns the next line without its end. A last line may lack its end only where the answer ended whole.
-func readLine(r *bufio.Reader, maxBytes int) ([]byte, error) {
-	var line []byte
-	for {
-		part, err := r.ReadSlice('\n')
-		if len(line)+len(part) > maxBytes {
-			return nil, errTooLong
-		}
-		switch {
-		case err == nil && line == nil:
-			return bytes.TrimRight(part, "\r\n"), nil
-		case err == nil:
-			return bytes.TrimRight(append(line, part...), "\r\n"), nil
-		case errors.Is(err, bufio.ErrBufferFull):
-			line = append(line, part...)
-		case errors.Is(err, io.EOF) && len(line)+len(part) > 0:
-			return append(line, part...), nil
-		default:
-			return nil, err
-		}
-	}
-}
-
-// Transport carries attempts out at workers.
+// Transport carries out attempts over the connections of a pool. It is safe for concurrent use.
 type Transport struct {
 	Pool     *Pool
 	Counters *engine.Counters
 }
 
-// exchangeOutcome is how an attempt ended, and what is left of the answer that said so; rest is nil where nothing whole is left.
-type exchangeOutcome struct {
-	result    dispatch.Result
-	jobResult []byte
-	drain     func(*Conn) bool
-	silent    bool // nothing came back for long
+// outcome is how an attempt ended.
+type outcome struct {
+	result         dispatch.Result
+	jobResult      []byte // if result is ResultOK
+	invalidRequest bool   // the worker cannot use the request
+	silent         bool   // nothing came back for long
 
-	rejected bool // the worker cannot use the request
+	// What is left of the answer that decided the result; nil unless that was well-formed so far.
+	response *http.Response
+	body     *bufio.Reader
 }
 
-// Do carries one attempt out, from its connection to its end. It is the connection's one owner: the connection
-// goes back to the pool after a whole answer and is closed in every other case.
+// Do carries out one attempt and reports its progress and its end to the engine. It owns the attempt's connection: that goes back to the
+// pool after a complete answer and is closed in every other case. Do returns when the connection is released.
 func (t *Transport) Do(attempt *engine.Attempt, request *Request) {
-	ctx := attempt.Context()
-	conn, err := t.Pool.Get(ctx, attempt.Address())
+	conn, err := t.Pool.Get(attempt.Context(), attempt.Address())
 	if err != nil {
-		result := dispatch.ResultUnreachable
-		if errors.Is(err, ErrNoFileDescriptor) || ctx.Err() != nil { // our own limit or time: no fault of the worker's
-			result = dispatch.ResultNotSent
-		}
-		attempt.Finish(result, nil)
+		attempt.Finish(resultOfConnectError(attempt, err), nil)
 		return
 	}
 	// Guards against a drain, a deadline or the client's leaving that came during the dial.
@@ -127,111 +46,133 @@
 		attempt.Finish(dispatch.ResultNotSent, nil)
 		return
 	}
-	// The end of ctx, a time-out or a cancel, breaks off whatever the connection is at.
-	stopInterrupt := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
+	// A timeout or a cancellation breaks off whatever the connection is at.
+	stopInterrupt := context.AfterFunc(attempt.Context(), conn.interrupt)
 	outcome := t.exchange(attempt, request, conn)
-	usable := stopInterrupt() && outcome.drain != nil
-	if !usable {
-		// Before the outcome is told: a further attempt may not meet this one on an open connection. Guards with the reset
-		// against a link that was silent: the kernel would go on sending what was written, after the final answer too.
-		conn.Reset()
+	interrupted := !stopInterrupt()
+	reusable := !interrupted && outcome.response != nil
+	if !reusable {
+		// Before the outcome is reported: a further attempt must not run beside this one's open connection. The reset guards against a
+		// link that is silent, on which the kernel would go on sending what was written, even after the final answer.
+		_ = conn.Reset()
 	}
 	if outcome.silent {
-		// Guards against a machine that vanished: its idle connections look open and swallow what they are given, while
-		// a new one does not come up, which tells in time that a job never ran.
+		// Guards against a machine that vanished: its idle connections look open and swallow what they are given, while a new one does not
+		// come up, which shows in time that a job never ran.
 		t.Pool.CloseIdleTo(attempt.Address())
 	}
-	if outcome.rejected {
-		attempt.ReportInvalidRequest()
-	} else {
-		attempt.Finish(outcome.result, outcome.jobResult)
-	}
-	if usable && outcome.drain(conn) {
+	outcome.report(attempt)
+	if reusable && drain(conn, outcome.response, outcome.body) {
 		t.Pool.Put(conn)
 	} else {
-		conn.Close()
+		_ = conn.Close()
+	}
+}
+
+func (o *outcome) report(attempt *engine.Attempt) {
+	if o.invalidRequest {
+		attempt.ReportInvalidRequest()
+		return
 	}
+	attempt.Finish(o.result, o.jobResult)
 }
 
-// exchange writes the request and reads the answer up to its outcome.
-func (t *Transport) exchange(attempt *engine.Attempt, request *Request, conn *Conn) exchangeOutcome {
+// exchange writes the request and reads the answer up to the outcome.
+func (t *Transport) exchange(attempt *engine.Attempt, request *Request, conn *Conn) outcome {
+	if result, sent := send(attempt, request, conn); !sent {
+		return outcome{result: result}
+	}
+	sentAt := time.Now()
+	response, err := t.readHead(conn, request.Method)
+	if err != nil {
+		return outcome{result: resultOfReadError(attempt), silent: time.Since(sentAt) >= silentAfter}
+	}
+	body := bufio.NewReader(response.Body)
+	if response.StatusCode != http.StatusOK {
+		// Guards against recording failures of workers, and trying one after the other, for requests that none of them can use: with the
+		// id of another request, say, that is open at another dispatcher.
+		invalidRequest := response.StatusCode >= 400 && response.StatusCode < 500
+		return outcome{result: resultOfStatus(response), invalidRequest: invalidRequest, response: response, body: body}
+	}
+	return t.readUpdates(attempt, request.ID, response, body)
+}
+
+// send writes the request. Where that was not sent as a whole, the worker cannot have run it, and result is the attempt's.
+func send(attempt *engine.Attempt, request *Request, conn *Conn) (result dispatch.Result, sent bool) {
 	deadline, _ := attempt.Context().Deadline()
-	message := request.appendHTTP(make([]byte, 0, 512+len(request.Body)), attempt.Address(), time.Until(deadline))
+	message := request.encode(attempt.Address(), time.Until(deadline))
 	if attempt.NeedsLease() {
-		// Guards against a runner that was taken out while we stood still in the middle of the request: it begins with the
-		// last byte.
-		if _, err := conn.Write(message[:len(message)-1]); err != nil {
-			return writeFailed(attempt)
+		// Guards against a worker that was put under maintenance while this process stood still in the middle of the request: a worker
+		// begins with the last byte.
+		lastByte := len(message) - 1
+		if _, err := conn.Write(message[:lastByte]); err != nil {
+			return resultOfWriteError(attempt), false
 		}
 		if !attempt.MaySend() {
-			return exchangeOutcome{result: dispatch.ResultNotSent}
+			return dispatch.ResultNotSent, false
 		}
-		message = message[len(message)-1:]
+		message = message[lastByte:]
 	}
-	if n, err := conn.Write(message); err != nil && n < len(message) { // its last byte never left: it cannot have run
-		return writeFailed(attempt)
+	n, err := conn.Write(message)
+	if err != nil && n < len(message) {
+		return resultOfWriteError(attempt), false
 	}
-	writtenAt := time.Now()
-	conn.SetReadLimit(maxResponseHeadBytes)
-	response, err := http.ReadResponse(conn.Reader, &http.Request{Method: request.Method})
+	return 0, true
+}
+
+// readHead reads the status line and the headers of the answer.
+func (t *Transport) readHead(conn *Conn, method string) (*http.Response, error) {
+	conn.setReadLimit(maxHeadBytes)
+	response, err := http.ReadResponse(conn.Reader, &http.Request{Method: method})
 	if err != nil {
-		if !isConnEnd(err) || conn.ReadLimitReached() {
+		if !isConnEnd(err) || conn.readLimitReached() {
 			t.Counters.BadWorkerLines.Add(1)
 		}
-		return exchangeOutcome{result: readFailed(attempt), silent: time.Since(writtenAt) >= silentAfter}
-	}
-	conn.SetReadLimit(Unlimited)
-	lines := bufio.NewReader(response.Body)
-	drain := func(conn *Conn) bool { return drainResponse(conn, response, lines) }
-	if response.StatusCode != http.StatusOK {
-		// Guards against judging workers, and trying one after the other, by requests that are none: with the id of
-		// another's, say, that is open at another dispatcher.
-		rejected := response.StatusCode >= 400 && response.StatusCode < 500
-		return exchangeOutcome{result: resultOfStatus(response), rejected: rejected, drain: drain}
+		return nil, err
 	}
+	conn.setReadLimit(unlimited)
+	return response, nil
+}
+
+// readUpdates reads the lines of the answer up to a final one, and reports the others to the engine.
+func (t *Transport) readUpdates(attempt *engine.Attempt, id string, response *http.Response, body *bufio.Reader) outcome {
 	for {
-		line, err := readLine(lines, MaxLineBytes)
+		update, err := readStatusUpdate(body, id)
 		if err != nil {
 			if !isConnEnd(err) {
 				t.Counters.BadWorkerLines.Add(1)
 			}
-			return exchangeOutcome{result: readFailed(attempt)}
-		}
-		if len(line) == 0 {
-			continue
-		}
-		n, result, err := decodeStatusUpdate(line, request.ID)
-		if err != nil {
-			t.Counters.BadWorkerLines.Add(1)
-			return exchangeOutcome{result: readFailed(attempt)}
+			return outcome{result: resultOfReadError(attempt)}
 		}
-		switch n.State {
-		case "started":
+		switch update.State {
+		case stateStarted:
 			attempt.ReportStarted()
-		case "running":
-			attempt.ReportProgress(n.Progress)
-		case "done":
-			return exchangeOutcome{result: dispatch.ResultOK, jobResult: result, drain: drain}
-		case "failed":
-			return exchangeOutcome{result: dispatch.ResultFailed, drain: drain}
-		case "returned":
-			return exchangeOutcome{result: dispatch.ResultOverloaded, drain: drain}
-		case "lost":
-			return exchangeOutcome{result: dispatch.ResultDisconnected, drain: drain}
+		case stateRunning:
+			attempt.ReportProgress(update.Progress)
+		default:
+			return outcome{result: resultOfState(update.State), jobResult: update.Result, response: response, body: body}
 		}
 	}
 }
 
-// writeFailed is the outcome of a request that could not be written whole.
-func writeFailed(attempt *engine.Attempt) exchangeOutcome {
+// resultOfConnectError returns the result of an attempt that got no connection. This process's own limits are no fault of the worker's.
+func resultOfConnectError(attempt *engine.Attempt, err error) dispatch.Result {
+	if errors.Is(err, ErrNoFileDescriptor) || attempt.Context().Err() != nil {
+		return dispatch.ResultNotSent
+	}
+	return dispatch.ResultUnreachable
+}
+
+// resultOfWriteError returns the result of an attempt whose request could not be written as a whole.
+func resultOfWriteError(attempt *engine.Attempt) dispatch.Result {
 	if attempt.Cancelled() {
-		return exchangeOutcome{result: dispatch.ResultNotSent}
+		return dispatch.ResultNotSent
 	}
-	return exchangeOutcome{result: dispatch.ResultUnreachable}
+	return dispatch.ResultUnreachable
 }
 
-// readFailed is the outcome of an answer that did not come whole.
-func readFailed(attempt *engine.Attempt) dispatch.Result {
+// resultOfReadError returns the result of an attempt whose answer did not arrive as a whole.
+func resultOfReadError(attempt *engine.Attempt) dispatch.Result {
 	switch {
 	case attempt.Cancelled():
 		return dispatch.ResultCancelled
@@ -241,32 +182,3 @@
 		return dispatch.ResultDisconnected
 	}
 }
-
-// resultOfStatus is what a status other than 200 says.
-func resultOfStatus(response *http.Response) dispatch.Result {
-	rejected := response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusGatewayTimeout
-	if rejected && response.Header.Get("X-Not-Run") == "1" {
-		return dispatch.ResultOverloaded
-	}
-	return dispatch.ResultFailed
-}
-
-// drainResponse reads what is left of an answer whose outcome is known. Only a connection whose answer ended in order, and
-// soon, is used again.
-func drainResponse(conn *Conn, response *http.Response, r io.Reader) bool {
-	defer response.Body.Close()
-	if response.Close || response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
-		return false
-	}
-	if conn.SetDeadline(time.Now().Add(drainTimeout)) != nil {
-		return false
-	}
-	n, err := io.Copy(io.Discard, io.LimitReader(r, maxDrainBytes))
-	return err == nil && n < maxDrainBytes
-}
-
-// isConnEnd tells a connection that ended or broke from one that carried nonsense.
-func isConnEnd(err error) bool {
-	var timeout interface{ Timeout() bool }
-	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &timeout)
-}
