--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"io"
 	"net"
 	"os"
 	"syscall"
@@ -14,7 +15,7 @@
 	"birchfork/internal/engine"
 )
 
-// pipeDialer is a Dial that keeps the far ends.
+// pipeDialer is a DialFunc that keeps the remote ends of the connections it opens.
 type pipeDialer struct{ remotes []net.Conn }
 
 func (p *pipeDialer) dial(context.Context, string) (net.Conn, error) {
@@ -32,6 +33,7 @@
 	return conn
 }
 
+// Idle connections are reused for their own address until the idle timeout.
 func TestPool_ReusesIdleConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var counters engine.Counters
@@ -56,6 +58,7 @@
 	})
 }
 
+// At the limit the longest idle connection gives way, and none in use; closing one twice gives one place back.
 func TestPool_KeepsMaxConns(t *testing.T) {
 	var counters engine.Counters
 	pool := NewPool((&pipeDialer{}).dial, &counters, 2, time.Minute)
@@ -72,14 +75,15 @@
 	if got := mustGet(t, pool, "h:1"); got != first {
 		t.Fatal("the one that had been idle for less was closed")
 	}
-	third.Close()
-	third.Close()
-	first.Close()
+	_ = third.Close()
+	_ = third.Close()
+	_ = first.Close()
 	if open, _ := pool.Counts(); open != 0 {
 		t.Fatalf("%d open after all were closed", open)
 	}
 }
 
+// CloseIdleTo closes idle connections to the address, and none in use.
 func TestPool_CloseIdleTo(t *testing.T) {
 	var counters engine.Counters
 	pool := NewPool((&pipeDialer{}).dial, &counters, 9, time.Minute)
@@ -100,13 +104,13 @@
 	}
 }
 
-// A connection that its worker has closed or reset, or that says what nobody asked for, must not get a request: the
-// request would be lost though it never went out.
+// A connection that its worker has closed or reset, or on which it has sent what nobody asked for, must not get a request: the request
+// would be lost though it never went out.
 func TestPool_DetectsEndedIdleConnection(t *testing.T) {
 	for name, spoil := range map[string]func(net.Conn){
 		"closed": func(c net.Conn) { c.Close() },
-		"reset":  func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
-		"spoke":  func(c net.Conn) { c.Write([]byte("HTTP/1.1 408 x\r\n")) },
+		"reset":  func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); c.Close() },
+		"spoke":  func(c net.Conn) { io.WriteString(c, "HTTP/1.1 408 x\r\n") },
 	} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -143,6 +147,7 @@
 	}
 }
 
+// A failed dial takes no place, and is the worker's fault unless this process has no descriptor left.
 func TestPool_FailedDialReleasesItsSlot(t *testing.T) {
 	var counters engine.Counters
 	fail := error(syscall.ECONNREFUSED)
@@ -161,7 +166,7 @@
 	}
 }
 
-// A limit that sinks closes idle connections at once, the longest idle first, and no more than are too many.
+// A lower limit closes idle connections at once, the longest idle first, and no more than are too many.
 func TestPool_SetMaxConnsClosesIdle(t *testing.T) {
 	var counters engine.Counters
 	pool := NewPool((&pipeDialer{}).dial, &counters, 4, time.Minute)
@@ -179,7 +184,7 @@
 		t.Fatalf("over the limit: %v", err)
 	}
 	pool.SetMaxConns(1)
-	third.Close()
+	_ = third.Close()
 	pool.Put(second)
 	if open, _ := pool.Counts(); open != 1 {
 		t.Fatalf("%d open", open)
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -83,7 +83,7 @@
 		return outcome{result: result}
 	}
 	sentAt := time.Now()
-	response, err := t.readHead(conn, request.Method)
+	response, err := t.readHead(conn, request.Method) //nolint:bodyclose // it ends with the connection, or in drain
 	if err != nil {
 		return outcome{result: resultOfReadError(attempt), silent: time.Since(sentAt) >= silentAfter}
 	}
--- a/internal/upstream/transport_test.go
+++ b/internal/upstream/transport_test.go
@@ -18,12 +18,15 @@
 	"birchfork/internal/upstream/upstreamtest"
 )
 
+// discard reads a connection to its end.
+func discard(c net.Conn) { _, _ = io.Copy(io.Discard, c) }
+
 // newTransport returns a transport whose connections dial opens.
 func newTransport(e *engine.Engine, dial DialFunc) *Transport {
 	return &Transport{Pool: NewPool(dial, &e.Counters, 8, time.Minute), Counters: &e.Counters}
 }
 
-// closeSpy tells when a connection is closed.
+// closeSpy is a connection that calls onClose before it is closed and keeps the last linger time that was set.
 type closeSpy struct {
 	net.Conn
 	onClose func()
@@ -40,15 +43,15 @@
 	return s.Conn.Close()
 }
 
-// A vanished machine takes the request and says nothing: the attempt must end by itself, its connection with it, and
-// before its end is told: a further attempt would be a second copy while the connection is open. What the kernel holds of the
-// request goes with it.
+// A machine that vanished takes the request and sends nothing. The attempt has to end by its timeout, and its connection has to be closed
+// before that is reported: a retry would run beside the first attempt while the connection is open. What the kernel still holds of the
+// request has to be dropped.
 func TestTransport_SilentWorkerTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := enginetest.New(t, 0)
 		e.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1"))
 		near, far := net.Pipe()
-		go io.Copy(io.Discard, far)
+		go discard(far)
 		early, linger := false, -1
 		spy := closeSpy{near, func() { early = early || e.Counters.Outcomes[dispatch.ResultTimedOut].Load() == 0 }, &linger}
 		transport := newTransport(e, func(context.Context, string) (net.Conn, error) { return spy, nil })
@@ -63,17 +66,17 @@
 	})
 }
 
-// The other idle connections of a machine that vanished would swallow further jobs; a new one tells that it is gone.
+// The other idle connections to a machine that vanished would swallow further requests; only a new one shows that it is gone.
 func TestTransport_SilentWorkerLosesIdleConns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := enginetest.New(t, 0)
 		e.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1"))
 		transport := newTransport(e, func(context.Context, string) (net.Conn, error) {
 			near, far := net.Pipe()
-			go io.Copy(io.Discard, far)
+			go discard(far)
 			return near, nil
 		})
-		var idle []*Conn
+		idle := make([]*Conn, 0, 2)
 		for range 2 {
 			c, err := transport.Pool.Get(t.Context(), "127.0.0.1:1")
 			if err != nil {
@@ -92,13 +95,13 @@
 	})
 }
 
-// The request's last byte never left, so the job cannot have run: not even an unsafe one is lost.
+// A request whose last byte never left cannot have run, so even one that must not be repeated is not lost.
 func TestTransport_PartialWriteNeverRan(t *testing.T) {
 	e := enginetest.New(t, 0)
 	e.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1"))
 	near, far := net.Pipe()
 	go func() {
-		io.ReadFull(far, make([]byte, 30))
+		_, _ = io.ReadFull(far, make([]byte, 30)) // a part of the request
 		far.Close()
 	}()
 	transport := newTransport(e, func(context.Context, string) (net.Conn, error) { return near, nil })
@@ -109,7 +112,7 @@
 	}
 }
 
-// Nothing may go to a worker that was told to drain while the connection to it was set up.
+// Nothing may be sent to a worker that began to drain while the connection to it was set up.
 func TestTransport_DrainDuringDial(t *testing.T) {
 	e := enginetest.New(t, 0)
 	e.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1"))
@@ -132,7 +135,7 @@
 	r.Close()
 }
 
-// A worker is suspected when it takes no connection, so a dial that our own time cut short must not count as that.
+// A worker that accepts no connection counts as unreachable; a dial that the request's own deadline cut short must not.
 func TestTransport_DialTimeouts(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -158,6 +161,7 @@
 	}
 }
 
+// The limit on connections is this process's own: no worker is at fault.
 func TestTransport_NoDescriptorLeft(t *testing.T) {
 	e := enginetest.New(t, 0)
 	e.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1"))
@@ -169,6 +173,7 @@
 	}
 }
 
+// Whatever a worker sends, the attempt ends once and its connection is released.
 func FuzzTransportResponse(f *testing.F) {
 	f.Add([]byte(upstreamtest.OKHead + upstreamtest.Chunk(upstreamtest.StatusLine("id-1", "done", `,"result":"r"`)) + "0\r\n\r\n"))
 	f.Add([]byte("HTTP/1.1 503 x\r\nX-Not-Run: 1\r\n\r\n"))
@@ -178,8 +183,8 @@
 		e.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1"))
 		near, far := net.Pipe()
 		go func() {
-			http.ReadRequest(bufio.NewReader(far))
-			far.Write(raw)
+			_, _ = http.ReadRequest(bufio.NewReader(far))
+			_, _ = far.Write(raw) // the transport may have closed the connection
 			far.Close()
 		}()
 		transport := newTransport(e, func(context.Context, string) (net.Conn, error) { return near, nil })
