--- /dev/null
+++ b/internal/discovery/backoff_test.go
@@ -0,0 +1,116 @@
+package discovery
+
+import (
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// congestedDiscovery is a discovery in virtual time that carries one request after the other and lets each wait for queueTimeout at most: a
+// request that has waited in vain costs it as much as one that was answered.
+type congestedDiscovery struct {
+	requestDuration, queueTimeout time.Duration
+	queueLength                   int
+	freeAt                        time.Duration // when it has carried all that it has admitted
+}
+
+func (d *congestedDiscovery) call(now time.Duration) (end time.Duration, err error) {
+	if d.freeAt-now >= time.Duration(d.queueLength)*d.requestDuration {
+		return now + time.Millisecond, busyError{status: 503}
+	}
+	d.freeAt = max(d.freeAt, now) + d.requestDuration
+	if d.freeAt-now > d.queueTimeout {
+		return now + d.queueTimeout, busyError{status: 503}
+	}
+	return d.freeAt, nil
+}
+
+// Dispatchers that are cut off at the same moment would keep discovery from answering any of them if they came back together.
+func TestBackoff_RecoversFromThunderingHerd(t *testing.T) {
+	for _, fleet := range []int{3, 20, 80, 300} {
+		discovery := congestedDiscovery{requestDuration: 180 * time.Millisecond, queueTimeout: 2 * time.Second, queueLength: 26}
+		r := rand.New(rand.NewPCG(1, uint64(fleet)))
+		type caller struct {
+			at time.Duration
+			backoff
+		}
+		callers := make([]caller, fleet)
+		for i := range callers {
+			callers[i].backoff = backoff{window: time.Duration(fleet) * requestCost, timing: polledTiming, random: r.Float64}
+			callers[i].at = callers[i].delay(true, io.EOF)
+		}
+		received, calls, last := 0, 0, time.Duration(0)
+		for received < fleet && calls < 100*fleet {
+			first := &callers[0]
+			for i := range callers {
+				if callers[i].at < first.at {
+					first = &callers[i]
+				}
+			}
+			end, err := discovery.call(first.at)
+			calls++
+			if err == nil {
+				received++
+				last = max(last, end)
+				first.at = time.Hour
+			} else {
+				first.at = end + first.delay(false, err)
+			}
+		}
+		if maxTime := 5 * max(time.Duration(fleet)*requestCost, time.Second); received < fleet || last > maxTime || calls > 5*fleet {
+			t.Errorf("%d dispatchers: %d told by %v after %d calls, want all by %v", fleet, received, last, calls, maxTime)
+		}
+	}
+}
+
+// The shortest and the longest delay after each kind of failure, one behind the other.
+func TestBackoff_DelayBounds(t *testing.T) {
+	shortest := backoff{window: 80 * requestCost, timing: polledTiming, random: func() float64 { return 0 }}
+	longest := backoff{window: 80 * requestCost, timing: polledTiming, random: func() float64 { return 1 }}
+	// At a request carried in 186 ms, the verifications of 80 dispatchers take 15 of these seconds: there is room for other requests.
+	if minDelay, maxDelay := shortest.verifyDelay(), longest.verifyDelay(); minDelay != 32*time.Second || maxDelay != 64*time.Second {
+		t.Errorf("a check after %v to %v, want 32 s to 64 s", minDelay, maxDelay)
+	}
+	for i, want := range []struct {
+		received           bool
+		err                error
+		minDelay, maxDelay time.Duration
+	}{
+		{true, io.EOF, 25 * time.Millisecond, 50 * time.Millisecond},
+		{false, io.EOF, 50 * time.Millisecond, 100 * time.Millisecond},
+		{false, busyError{status: 503}, 4 * time.Second, 16 * time.Second},
+		{false, fmt.Errorf("asking: %w", busyError{status: 429}), 8 * time.Second, 32 * time.Second},
+		{false, busyError{status: 503}, 16 * time.Second, 64 * time.Second},
+		{false, busyError{status: 503}, 16 * time.Second, 64 * time.Second},
+		{true, busyError{status: 503, retryAfter: time.Second}, 5 * time.Second, 17 * time.Second},
+		{true, busyError{status: 503, retryAfter: time.Hour}, 68 * time.Second, 80 * time.Second},
+		{true, busyError{status: 503}, 4 * time.Second, 16 * time.Second},
+		{false, io.EOF, 25 * time.Millisecond, 50 * time.Millisecond},
+	} {
+		if minDelay, maxDelay := shortest.delay(want.received, want.err), longest.delay(want.received, want.err); minDelay != want.minDelay || maxDelay != want.maxDelay {
+			t.Errorf("wait %d: %v to %v, want %v to %v", i, minDelay, maxDelay, want.minDelay, want.maxDelay)
+		}
+	}
+}
+
+// Discovery that carries a limited rate of requests is kept from answering any by those that are given up and repeated at once. In a fleet
+// that is too large for its rate they are spread as if discovery had said that it is busy. A local agent has no such bound.
+func TestBackoff_SpreadsUnansweredRequests(t *testing.T) {
+	lost := fmt.Errorf("%w: timeout", errNoResponse)
+	for _, c := range []struct {
+		name      string
+		fleet     int
+		profile   timing
+		wantsSpan bool
+	}{{"few that ask", 9, polledTiming, false}, {"many that ask", 80, polledTiming, true}, {"many with agents", 300, pushedTiming, false}} {
+		b := backoff{window: time.Duration(c.fleet) * requestCost, timing: c.profile, random: func() float64 { return 0 }}
+		for i := range 5 {
+			delay := b.delay(false, lost)
+			if c.wantsSpan && delay < b.window/4 || !c.wantsSpan && delay > c.profile.maxRetryDelay {
+				t.Errorf("%s: %v after call %d, of a spread of %v: %v", c.name, delay, i, b.window, c.wantsSpan)
+			}
+		}
+	}
+}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -134,11 +134,11 @@
 	requests := make(chan string, len(answers))
 	serve := func(c net.Conn, answer string) {
 		defer c.Close()
-		var bytesSeen bytes.Buffer
-		if _, err := http.ReadRequest(bufio.NewReader(io.TeeReader(c, &bytesSeen))); err != nil {
+		var requestBytes bytes.Buffer
+		if _, err := http.ReadRequest(bufio.NewReader(io.TeeReader(c, &requestBytes))); err != nil {
 			return
 		}
-		requests <- bytesSeen.String()
+		requests <- requestBytes.String()
 		_, err := io.WriteString(c, answer)
 		for ; err == nil && !strings.HasSuffix(answer, "0\r\n\r\n"); _, err = io.WriteString(c, chunk("\n")) {
 			time.Sleep(100 * time.Millisecond)
--- /dev/null
+++ b/internal/discovery/request.go
@@ -0,0 +1,168 @@
+package discovery
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"time"
+
+	"birchfork/internal/engine"
+)
+
+// Bounds of a response.
+const (
+	readBufferBytes = 64 << 10
+	maxListBytes    = 8 << 20 // of one list
+)
+
+var (
+	// errNoResponse ends a request whose response did not begin in time, or not at all.
+	errNoResponse = errors.New("no response")
+	// errListTooLong ends a request with a list of more than maxListBytes.
+	errListTooLong = errors.New("list too long")
+)
+
+// busyError ends a request that discovery had no room for.
+type busyError struct {
+	status     int
+	retryAfter time.Duration // as discovery asks for; 0: it does not
+}
+
+func (e busyError) Error() string { return "status " + strconv.Itoa(e.status) }
+
+// parseRetryAfter returns the value of Retry-After, in whole or decimal seconds and up to an hour; 0 where it is missing or malformed.
+func parseRetryAfter(header http.Header) time.Duration {
+	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
+	if err != nil || !(seconds > 0) {
+		return 0
+	}
+	return time.Duration(min(seconds, time.Hour.Seconds()) * float64(time.Second))
+}
+
+// readLists sends one request and calls handle for each list of the response, until one cannot be read or handle returns an error. A watch
+// ends where no line has come for the watch's idle timeout; a snapshot has to be complete within its timeouts. The error is never nil: it is
+// io.EOF where the response ended in order, busyError where discovery is busy, and errNoResponse where nothing came.
+func (w *watch) readLists(ctx context.Context, target string, handle func(engine.EndpointList) error) error {
+	requestDeadline := time.Now().Add(w.requestTimeout)
+	conn, err := dial(ctx, w.address, requestDeadline)
+	if err != nil {
+		return err
+	}
+	defer conn.Close()
+	defer context.AfterFunc(ctx, conn.interrupt)()
+	response, err := w.sendRequest(conn, target, requestDeadline) //nolint:bodyclose // closing it would read what is left of a watch
+	if err != nil {
+		return err
+	}
+	onLine := func() error { return conn.extend(time.Now().Add(w.watchIdleTimeout)) }
+	if target == snapshotTarget { // a list on several lines that stops in the middle must not live by these
+		onLine = func() error { return conn.extend(requestDeadline.Add(w.listTimeout)) }
+	}
+	if err := onLine(); err != nil {
+		return err
+	}
+	return w.decodeLists(&listReader{source: response.Body, onLine: onLine}, handle)
+}
+
+// sendRequest sends a request and reads the head of the response. The response's body is to be left open: closing it would read what is left
+// of a watch. It ends with the connection.
+func (w *watch) sendRequest(conn *requestConn, target string, deadline time.Time) (*http.Response, error) {
+	if err := conn.extend(deadline); err != nil {
+		return nil, err
+	}
+	request := "GET " + target + " HTTP/1.1\r\nHost: " + w.address + "\r\nAccept: application/json\r\n\r\n"
+	if _, err := conn.Write([]byte(request)); err != nil {
+		return nil, fmt.Errorf("sending the request: %w", err)
+	}
+	response, err := http.ReadResponse(bufio.NewReaderSize(conn, readBufferBytes), nil)
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", errNoResponse, err)
+	}
+	switch response.StatusCode {
+	case http.StatusOK:
+		return response, nil
+	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
+		w.watcher.Engine.Counters.DiscoveryBusy.Add(1)
+		return nil, busyError{response.StatusCode, parseRetryAfter(response.Header)}
+	default:
+		return nil, fmt.Errorf("status %d", response.StatusCode)
+	}
+}
+
+// decodeLists calls handle for each list of a response. Malformed lists and entries are counted.
+func (w *watch) decodeLists(body *listReader, handle func(engine.EndpointList) error) error {
+	malformedUpdates := &w.watcher.Engine.Counters.MalformedUpdates
+	decoder := json.NewDecoder(body) // not line by line: a list may stand on several lines
+	for {
+		body.bytesLeft = maxListBytes
+		var raw json.RawMessage
+		if err := decoder.Decode(&raw); err != nil {
+			var syntaxErr *json.SyntaxError
+			if errors.As(err, &syntaxErr) {
+				malformedUpdates.Add(1)
+			}
+			return fmt.Errorf("reading a list: %w", err)
+		}
+		list, malformed, err := DecodeList(raw)
+		malformedUpdates.Add(int64(malformed))
+		if err != nil {
+			malformedUpdates.Add(1)
+			return err
+		}
+		if err := handle(list); err != nil {
+			return err
+		}
+	}
+}
+
+// requestConn is the connection of one request.
+type requestConn struct {
+	net.Conn
+	ctx context.Context // of the request
+}
+
+// dial connects to an address until a deadline.
+func dial(ctx context.Context, address string, deadline time.Time) (*requestConn, error) {
+	dialer := net.Dialer{Deadline: deadline, KeepAlive: -1}
+	conn, err := dialer.DialContext(ctx, "tcp", address)
+	if err != nil {
+		return nil, fmt.Errorf("connecting: %w", err)
+	}
+	return &requestConn{conn, ctx}, nil
+}
+
+// extend sets the deadline of reads and writes. It fails where the request's context has ended: the deadline that interrupt set must stay.
+func (c *requestConn) extend(deadline time.Time) error {
+	return errors.Join(c.SetDeadline(deadline), c.ctx.Err())
+}
+
+// interrupt makes the read or write that is in progress fail, and all later ones.
+func (c *requestConn) interrupt() { c.SetDeadline(time.Unix(1, 0)) }
+
+// listReader reads the body of a response. A line, which may be empty, shows that discovery lives; bytes that end none do not.
+type listReader struct {
+	source    io.Reader
+	bytesLeft int          // until the list is too long
+	onLine    func() error // called when a line has ended
+}
+
+func (r *listReader) Read(p []byte) (int, error) {
+	if r.bytesLeft <= 0 {
+		return 0, errListTooLong
+	}
+	n, err := r.source.Read(p[:min(len(p), r.bytesLeft)])
+	r.bytesLeft -= n
+	if bytes.IndexByte(p[:n], '\n') >= 0 {
+		if deadlineErr := r.onLine(); deadlineErr != nil {
+			return 0, deadlineErr
+		}
+	}
+	return n, err
+}
--- /dev/null
+++ b/internal/discovery/watch_test.go
@@ -0,0 +1,198 @@
+package discovery
+
+import (
+	"context"
+	"io"
+	"math/rand/v2"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"birchfork/internal/engine/enginetest"
+)
+
+// Each time a watch begins it fetches the complete list first: the version that it had may mean nothing to a new agent.
+func TestWatch_FetchesSnapshotThenFollows(t *testing.T) {
+	e := enginetest.New(t, 0)
+	stay := make(chan bool)
+	defer close(stay)
+	whole := func(index int) func(c net.Conn) {
+		return func(c net.Conn) { io.WriteString(c, okHead+updateChunk(index, true, entryUp)+"0\r\n\r\n") }
+	}
+	addr, requests := startDiscovery(t,
+		whole(5),
+		func(c net.Conn) { // breaks in the middle of a line
+			io.WriteString(c, okHead+updateChunk(6, false)+chunk("\n")+"ff\r\n{\"index\":6,")
+		},
+		func(c net.Conn) { io.WriteString(c, "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n") },
+		whole(3),
+		func(c net.Conn) { // a line that makes no sense: what it held is missed
+			io.WriteString(c, okHead+updateChunk(4, false)+chunk("{]\n")+updateChunk(9, false))
+		},
+		func(c net.Conn) { // a list may stand on several lines
+			io.WriteString(c, okHead+chunk("{\n  \"index\": 8,\n  \"snapshot\": true,\n  \"endpoints\": [\n"+entryUp+"\n]\n}\n")+"0\r\n\r\n")
+		},
+		func(c net.Conn) { io.WriteString(c, okHead+updateChunk(9, false, entryDraining)); <-stay },
+	)
+	startWatcher(t, e, addr)
+	for _, want := range []string{"", "?follow=1&since=5", "", "", "?follow=1&since=3", "", "?follow=1&since=8"} {
+		if got := <-requests; got != "GET /discovery/hosts"+want {
+			t.Errorf("requested %q, want %q", got, want)
+		}
+	}
+	waitFor(t, "the drain is told", func() bool { available, _ := e.Ready(); return !available })
+	if e.Counters.WatchFailures.Load() != 3 || e.Counters.MalformedUpdates.Load() != 1 || e.Counters.EndpointUpdates.Load() != 6 {
+		t.Error(e.Counters.Fields())
+	}
+}
+
+// A watch over a link that vanished is open and silent for ever.
+func TestWatch_TimesOutWhenSilent(t *testing.T) {
+	e := enginetest.New(t, 0)
+	release := make(chan bool)
+	defer close(release)
+	addr, _ := startDiscovery(t, func(c net.Conn) { io.WriteString(c, okHead); <-release })
+	w := &watch{address: addr, backoff: backoff{random: rand.Float64}, watcher: &Watcher{Engine: e, Log: enginetest.DiscardLogger()},
+		timing: timing{watchIdleTimeout: time.Minute, requestTimeout: 30 * time.Millisecond}}
+	received, err := w.follow(context.Background())
+	if received || err == nil || !strings.Contains(err.Error(), "timeout") {
+		t.Fatalf("%v, %v", received, err)
+	}
+}
+
+// A start from a known list takes one request in place of two, and one later that shows that the version meant something.
+func TestWatch_ResumesFromKnownList(t *testing.T) {
+	e := enginetest.New(t, 0)
+	stay := make(chan bool)
+	defer close(stay)
+	busy := func(c net.Conn) { io.WriteString(c, "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n") }
+	addr, requests := startDiscovery(t,
+		busy,
+		func(c net.Conn) { // a watch that stays alive by its empty lines
+			io.WriteString(c, okHead+updateChunk(9, false, entryUp))
+			for {
+				select {
+				case <-stay:
+					return
+				case <-time.After(500 * time.Millisecond):
+					io.WriteString(c, chunk("\n"))
+				}
+			}
+		},
+		busy, // the verification is not answered, and is repeated
+		func(c net.Conn) { io.WriteString(c, okHead+updateChunk(9, true)+"0\r\n\r\n") },
+	)
+	NewWatcher(t.Context(), e, enginetest.DiscardLogger(), Source{Address: addr, FleetSize: 1, HasList: true, Version: 7})
+	want := []string{"?follow=1&since=7", "?follow=1&since=7", "", ""}
+	for _, want := range want {
+		if got := <-requests; got != "GET /discovery/hosts"+want {
+			t.Errorf("requested %q, want %q", got, want)
+		}
+	}
+	waitFor(t, "the check is taken", func() bool { available, _ := e.Ready(); return !available && e.Counters.EndpointUpdates.Load() == 2 })
+}
+
+// A version of another agent, or of the same one before it was restarted, means nothing.
+func TestWatch_RefetchesAfterForeignVersion(t *testing.T) {
+	whole := func(c net.Conn) { io.WriteString(c, okHead+updateChunk(3, true, entryUp)+"0\r\n\r\n") }
+	lasting := func(line string) func(c net.Conn) { // a watch that ends only with its client
+		return func(c net.Conn) {
+			_, err := io.WriteString(c, okHead+line)
+			for ; err == nil; _, err = io.WriteString(c, chunk("\n")) {
+				time.Sleep(20 * time.Millisecond)
+			}
+		}
+	}
+	for name, watches := range map[string][]func(c net.Conn){
+		"by the watch": {lasting(updateChunk(2, false))},
+		"by the check": {lasting(updateChunk(50, false)), whole}, // the agent sends nothing where it does not know the version
+	} {
+		t.Run(name, func(t *testing.T) {
+			e := enginetest.New(t, 0)
+			addr, requests := startDiscovery(t, append(watches, whole, lasting(updateChunk(3, false)))...)
+			NewWatcher(t.Context(), e, enginetest.DiscardLogger(), Source{Address: addr, FleetSize: 1, HasList: true, Version: 50})
+			waitFor(t, "the whole list is taken", func() bool { available, _ := e.Ready(); return available })
+			waitFor(t, "the watch goes on from it", func() bool { return <-requests == "GET /discovery/hosts?follow=1&since=3" })
+		})
+	}
+}
+
+// Whatever discovery answers in place of its list, the last good one stays, and a drain that it sends later still counts.
+func TestWatch_KeepsLastListOnBadResponse(t *testing.T) {
+	for name, bad := range map[string]func(c net.Conn){
+		"closes without a word": func(net.Conn) {},
+		"turns away":            func(c net.Conn) { io.WriteString(c, "HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n") },
+		"half a list": func(c net.Conn) {
+			io.WriteString(c, okHead+chunk(`{"index":6,"snapshot":true,"endpoints":[`)+"0\r\n\r\n")
+		},
+		"breaks within a line":   func(c net.Conn) { io.WriteString(c, okHead+"ff\r\n{\"index\":6,") },
+		"a head that is no HTTP": func(c net.Conn) { io.WriteString(c, "SSH-2.0-agent\r\n") },
+	} {
+		t.Run(name, func(t *testing.T) {
+			e := enginetest.New(t, 0)
+			l, _, err := DecodeList([]byte(`{"index":5,"snapshot":true,"endpoints":[` + entryUp + `]}`))
+			if err != nil {
+				t.Fatal(err)
+			}
+			e.UpdateEndpoints(l)
+			stay, retried := make(chan bool), make(chan bool)
+			defer close(stay)
+			addr, _ := startDiscovery(t, bad, bad, func(c net.Conn) {
+				close(retried)
+				<-stay
+				io.WriteString(c, okHead+updateChunk(6, true, entryDraining)+"0\r\n\r\n")
+			})
+			NewWatcher(t.Context(), e, enginetest.DiscardLogger(), Source{Address: addr, FleetSize: 1, HasList: true, Version: 5})
+			<-retried
+			if available, _ := e.Ready(); !available || e.Counters.WatchFailures.Load() != 2 {
+				t.Fatalf("after two bad answers: ready %v, %v", available, e.Counters.Fields())
+			}
+			stay <- true
+			waitFor(t, "the drain is told", func() bool { available, _ := e.Ready(); return !available })
+		})
+	}
+}
+
+// A local agent that is silent is retried at short intervals, as what it has counts as known as soon as it responds.
+func TestWatch_RetriesSilentAgentSoon(t *testing.T) {
+	e := enginetest.New(t, 0)
+	stay := make(chan bool)
+	defer close(stay)
+	silent := func(net.Conn) { <-stay }
+	addr, requests := startDiscovery(t, silent, silent, silent, silent, func(c net.Conn) { io.WriteString(c, okHead+updateChunk(1, true, entryUp)+"0\r\n\r\n") })
+	began := time.Now()
+	NewWatcher(t.Context(), e, enginetest.DiscardLogger(), Source{Address: addr, Pushed: true, FleetSize: 300})
+	waitFor(t, "its list is taken", func() bool { available, _ := e.Ready(); return available })
+	for range 4 {
+		<-requests
+	}
+	if elapsed := time.Since(began); elapsed > 5*time.Second { // one call alone would have waited for so long
+		t.Errorf("it was asked five times in %v", elapsed)
+	}
+}
+
+// A complete list that stops in the middle is given up within the timeouts of a request, however its lines stand.
+func TestWatch_TimesOutOnStalledList(t *testing.T) {
+	e := enginetest.New(t, 0)
+	stay := make(chan bool)
+	defer close(stay)
+	addr, _ := startDiscovery(t, func(c net.Conn) {
+		io.WriteString(c, okHead)
+		for range 100 { // indented, a line now and then, and never complete
+			if _, err := io.WriteString(c, chunk("\n")); err != nil {
+				return
+			}
+			select {
+			case <-stay:
+			case <-time.After(20 * time.Millisecond):
+			}
+		}
+	})
+	w := &watch{address: addr, backoff: backoff{random: rand.Float64}, watcher: &Watcher{Engine: e, Log: enginetest.DiscardLogger()},
+		timing: timing{watchIdleTimeout: time.Minute, requestTimeout: 50 * time.Millisecond, listTimeout: 50 * time.Millisecond}}
+	received, err := w.follow(context.Background())
+	if received || err == nil || !strings.Contains(err.Error(), "timeout") {
+		t.Fatalf("%v, %v", received, err)
+	}
+}
