--- /dev/null
+++ b/internal/frontend/body.go
@@ -0,0 +1,98 @@
+package frontend
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"sync/atomic"
+
+	"birchfork/internal/upstream"
+)
+
+// Sizes of a request's body, in bytes.
+const (
+	maxBodyBytes        = 64 << 10
+	unbudgetedBodyBytes = 4 << 10 // held outside the budget: the limit on connections bounds them
+	initialBodyBytes    = 512     // of memory, where the length is not known
+)
+
+// MemoryBudget bounds the bytes that request bodies hold together. The zero budget has none to give. It is safe for concurrent use.
+type MemoryBudget struct{ limit, available atomic.Int64 }
+
+// SetLimit sets the size of the whole budget. What is reserved stays so, even where that is more than the new limit.
+func (b *MemoryBudget) SetLimit(n int64) { b.available.Add(n - b.limit.Swap(n)) }
+
+// reserve takes n bytes, or none where fewer are available.
+func (b *MemoryBudget) reserve(n int64) bool {
+	if b.available.Add(-n) >= 0 {
+		return true
+	}
+	b.available.Add(n)
+	return false
+}
+
+func (b *MemoryBudget) release(n int64) { b.available.Add(n) }
+
+// outgoingRequest is what goes to workers for one request, with the memory that its body holds. It is retained by the request and by each
+// attempt; the last to release it gives the memory back to the budget.
+type outgoingRequest struct {
+	upstream.Request
+
+	budget     *MemoryBudget
+	reserved   int64 // bytes of the budget
+	references atomic.Int32
+}
+
+func (r *outgoingRequest) retain() { r.references.Add(1) }
+
+func (r *outgoingRequest) release() {
+	if r.references.Add(-1) == 0 {
+		r.budget.release(r.reserved)
+	}
+}
+
+// errBodyTooLong is the error of a body of more than maxBodyBytes.
+var errBodyTooLong = errors.New("the body is over 64 KiB")
+
+// readBody reads the body. Memory is reserved as bytes come, not as a client announces them; a small body needs none of the budget, so that
+// clients with huge ones do not crowd out the usual ones. The error is errBodyTooLong, errOverLimit, or that of the read.
+func (r *outgoingRequest) readBody(httpRequest *http.Request) error {
+	if httpRequest.ContentLength > maxBodyBytes { // answered before it is read
+		return errBodyTooLong
+	}
+	capacity := int64(initialBodyBytes)
+	if httpRequest.ContentLength >= 0 {
+		capacity = min(httpRequest.ContentLength, unbudgetedBodyBytes) + 1 // one more to see the end
+	}
+	r.Body = make([]byte, 0, capacity)
+	for {
+		if len(r.Body) == cap(r.Body) {
+			if err := r.growBody(); err != nil {
+				return err
+			}
+		}
+		n, err := httpRequest.Body.Read(r.Body[len(r.Body):cap(r.Body)])
+		r.Body = r.Body[:len(r.Body)+n]
+		switch {
+		case len(r.Body) > maxBodyBytes:
+			return errBodyTooLong
+		case errors.Is(err, io.EOF):
+			return nil
+		case err != nil:
+			return err
+		}
+	}
+}
+
+// growBody doubles the memory of the body, up to one byte more than the longest that is allowed.
+func (r *outgoingRequest) growBody() error {
+	capacity := min(2*int64(cap(r.Body)), maxBodyBytes+1)
+	if capacity > unbudgetedBodyBytes+1 {
+		if !r.budget.reserve(capacity - r.reserved) {
+			return errOverLimit
+		}
+		r.reserved = capacity
+	}
+	r.Body = append(make([]byte, 0, capacity), r.Body...)
+	return nil
+}
--- /dev/null
+++ b/internal/frontend/clientconn.go
@@ -0,0 +1,294 @@
+package frontend
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"sync"
+	"syscall"
+	"time"
+
+	"birchfork/internal/socket"
+)
+
+// evictionClass orders the connections of clients: lower classes are closed first where there are too many.
+type evictionClass int
+
+// The eviction classes, in their order.
+const (
+	evictClosing  evictionClass = iota // has had its final response
+	evictUnproven                      // has had time enough for a proper request, and sent none
+	evictIdle                          // has had a response, and awaits none
+	evictNew                           // has just connected
+	evictNever                         // awaits a response
+)
+
+// newConnPeriod is how long a new connection may take to send something before it counts as unproven.
+const newConnPeriod = 50 * time.Millisecond
+
+// maxSurplusBytes bounds what may arrive behind a request that has not been answered. Clients send one request at a time; whoever sends more
+// than another whole one on top awaits nothing that could be answered in order.
+const maxSurplusBytes = maxHeaderBytes + maxBodyBytes
+
+// discardBytes is the size of the buffers for bytes that are dropped.
+const discardBytes = 4 << 10
+
+// errTooMuchSurplus ends a connection with more than maxSurplusBytes behind a request.
+var errTooMuchSurplus = errors.New("too many bytes behind a request that is not answered yet")
+
+// clientConn is the connection of a client. It sees all bytes that net/http reads, and so knows what net/http does not tell: whether any of a
+// request has arrived, how the request was framed, and whether more arrived than the request. It is safe for concurrent use.
+type clientConn struct {
+	net.Conn
+	rawConn     syscall.RawConn // nil: the connection has no file descriptor
+	tracker     *ConnTracker
+	closeOnce   sync.Once // of Close
+	releaseOnce sync.Once // of closeNow
+
+	mu               sync.Mutex
+	evicted          bool      // it is being closed by us: nothing is read any more
+	since            time.Time // its last response was written, or it connected
+	proven           bool      // a proper request has been answered
+	awaitingResponse bool      // a whole request has arrived, and its response is not begun
+	surplusBytes     int       // that arrived behind that request and were dropped
+	responding       bool      // the response is being written; what arrives now is a next request
+	responded        bool      // our last writing was a complete response
+	noMoreRequests   bool      // no further request is read
+	writeClosed      bool      // our sending has ended
+
+	// The request that is arriving.
+	head           headScanner
+	requestStarted bool  // any of it has arrived
+	bodyLeft       int64 // bytes of its body that have not, by its Content-Length
+	surplus        bool  // more has arrived than the request
+}
+
+// Read reads and follows the framing of requests. A connection that is evicted gives nothing any more: evict and Read exclude each other, so
+// that no request is read from it and then lost. What arrives behind a request that awaits its response is dropped, as that response is the
+// connection's last then: net/http would stop reading at the first such byte, and not see the client leave.
+func (c *clientConn) Read(p []byte) (n int, err error) {
+	if c.rawConn == nil || len(p) == 0 {
+		n, err = c.Conn.Read(p)
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.trackFraming(p[:n])
+		return n, err
+	}
+	rawErr := c.rawConn.Read(func(fd uintptr) (done bool) {
+		n, done, err = c.readFD(int(fd), p)
+		return done
+	})
+	var timeout net.Error
+	switch {
+	case errors.As(rawErr, &timeout) && timeout.Timeout():
+		return 0, rawErr
+	case rawErr != nil:
+		return 0, &net.OpError{Op: "read", Net: "tcp", Err: rawErr}
+	case err != nil:
+		return 0, &net.OpError{Op: "read", Net: "tcp", Err: err}
+	case n == 0:
+		return 0, io.EOF
+	}
+	return n, nil
+}
+
+// readFD reads once from the connection's file descriptor. done is false where nothing has arrived: the runtime then calls it again once
+// something has. The end of the stream is n = 0 and no error.
+func (c *clientConn) readFD(fd int, p []byte) (n int, done bool, err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.evicted {
+		return 0, true, net.ErrClosed
+	}
+	if c.awaitingResponse {
+		done, err = c.discardSurplus(fd)
+		return 0, done, err
+	}
+	n, err = readRetrying(fd, p)
+	if errors.Is(err, syscall.EAGAIN) {
+		return 0, false, nil
+	}
+	c.trackFraming(p[:max(n, 0)])
+	return n, true, err
+}
+
+// discardSurplus drops the bytes that have arrived. done is true at the end of the stream, or after maxSurplusBytes. The lock is held.
+func (c *clientConn) discardSurplus(fd int) (done bool, err error) {
+	var discard [discardBytes]byte
+	for {
+		n, err := readRetrying(fd, discard[:])
+		switch {
+		case errors.Is(err, syscall.EAGAIN):
+			return false, nil
+		case err != nil || n == 0:
+			return true, err
+		}
+		c.surplus = true
+		c.surplusBytes += n
+		if c.surplusBytes > maxSurplusBytes {
+			return true, errTooMuchSurplus
+		}
+	}
+}
+
+// readRetrying reads from a file descriptor, again where a signal has interrupted that.
+func readRetrying(fd int, p []byte) (n int, err error) {
+	for {
+		n, err = syscall.Read(fd, p)
+		if !errors.Is(err, syscall.EINTR) {
+			return n, err
+		}
+	}
+}
+
+// trackFraming follows the framing of what has been read. The lock is held.
+func (c *clientConn) trackFraming(data []byte) {
+	if len(data) == 0 {
+		return
+	}
+	if c.awaitingResponse {
+		c.surplus = true
+		return
+	}
+	c.requestStarted = true
+	if !c.head.done {
+		data = data[c.head.scan(data):]
+		if !c.head.done {
+			return
+		}
+		c.bodyLeft = c.head.length
+	}
+	c.bodyLeft -= int64(len(data))
+	if c.bodyLeft < 0 && !c.head.hasTransferEncoding {
+		c.surplus = true
+	}
+}
+
+// ambiguousLength reports whether the request's length was given in two ways: another reader may take another place for its end, behind which
+// a request of its own is hidden.
+func (c *clientConn) ambiguousLength() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.head.invalidLength || c.head.hasTransferEncoding && c.head.hasLength
+}
+
+// completeRequest notes that a whole request has arrived. It returns false where more has arrived than that: clients send one at a time, so its
+// length was wrong.
+func (c *clientConn) completeRequest() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.evicted || c.surplus || c.hasUnread() {
+		c.surplus = true
+		return false
+	}
+	c.awaitingResponse = true
+	return true
+}
+
+// beginResponse notes that the response begins, and returns whether that has to be the last one on the connection: it is final, or where the
+// next request begins is not known, as behind a body with a transfer coding.
+func (c *clientConn) beginResponse(final bool) (last bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.noMoreRequests = final || c.surplus || c.head.hasTransferEncoding
+	c.proven = c.proven || c.awaitingResponse
+	c.awaitingResponse = false
+	c.surplusBytes = 0
+	c.responding = true
+	c.requestStarted = false
+	c.bodyLeft = 0
+	c.head = headScanner{line: c.head.line[:0]}
+	return c.noMoreRequests
+}
+
+// endResponse notes that the response is written.
+func (c *clientConn) endResponse() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.responding = false
+	c.responded = true
+	c.since = time.Now()
+}
+
+// evictionClass returns when the connection goes where there are too many, and since when it is silent.
+func (c *clientConn) evictionClass(now time.Time) (class evictionClass, since time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	switch {
+	case c.mustKeep():
+		return evictNever, c.since
+	case c.noMoreRequests:
+		return evictClosing, c.since
+	case c.isNew(now):
+		return evictNew, c.since
+	case !c.proven:
+		return evictUnproven, c.since
+	}
+	return evictIdle, c.since
+}
+
+// evict marks the connection as closed by us, and reports whether it did. It does not where a response is awaited, or, unless includeUnread is
+// set, where a request may have arrived that nobody has read.
+func (c *clientConn) evict(includeUnread bool) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.mustKeep() {
+		return false
+	}
+	mayBringRequest := !c.noMoreRequests && !c.requestStarted
+	if !includeUnread && mayBringRequest && c.hasUnread() {
+		return false
+	}
+	c.evicted = true
+	return true
+}
+
+// pending reports whether a response is awaited on the connection, a request has begun to arrive, or one may arrive at once.
+func (c *clientConn) pending() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.awaitingResponse || c.responding {
+		return true
+	}
+	if c.evicted || c.noMoreRequests {
+		return false
+	}
+	return c.requestStarted || c.hasUnread() || c.isNew(time.Now())
+}
+
+// mustKeep reports whether the connection must not be evicted, or is already. The lock is held.
+func (c *clientConn) mustKeep() bool { return c.awaitingResponse || c.responding || c.evicted }
+
+// isNew reports whether the connection has had no time yet to send a request. The lock is held.
+func (c *clientConn) isNew(now time.Time) bool { return !c.proven && now.Sub(c.since) < newConnPeriod }
+
+// hasUnread reports whether bytes have arrived that nobody has read. The lock is held.
+func (c *clientConn) hasUnread() bool {
+	if c.rawConn == nil {
+		return false
+	}
+	n, err := socket.Peek(c.rawConn)
+	return err == nil && n > 0
+}
+
+// ClientGone reports whether the client has ended its sending, by a look at what has arrived and nobody has read. Guards against a request that
+// is sent to a worker though its client left before we came to read that, as after a stall: net/http reports it once it has read it.
+func (c *clientConn) ClientGone() bool {
+	if c.rawConn == nil {
+		return false
+	}
+	n, err := socket.Peek(c.rawConn)
+	return n == 0 && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
+}
+
+// connContextKey is the key of a request's connection in its context.
+type connContextKey struct{}
+
+func contextWithConn(ctx context.Context, conn net.Conn) context.Context {
+	return context.WithValue(ctx, connContextKey{}, conn)
+}
+
+func connFromContext(ctx context.Context) *clientConn {
+	return ctx.Value(connContextKey{}).(*clientConn)
+}
--- /dev/null
+++ b/internal/frontend/conntracker.go
@@ -0,0 +1,201 @@
+package frontend
+
+import (
+	"context"
+	"net"
+	"sync"
+	"syscall"
+	"time"
+
+	"birchfork/internal/engine"
+)
+
+// closePollInterval is a fraction of what WaitClosed waits for: a client's close, some milliseconds after our own.
+const closePollInterval = time.Millisecond
+
+// ConnTracker owns the connections of clients and limits their number. Connections are always accepted, since one that waits in the kernel
+// takes a place as well: where there are too many, one is closed that awaits no response. It is safe for concurrent use; the limits are set
+// before the first connection, and by SetLimits from then on.
+type ConnTracker struct {
+	SoftLimit int // connections up to which requests are accepted, and idle connections are kept
+	HardLimit int // connections up to which those are kept on which a request may have arrived unread; 0: no limit
+	Counters  *engine.Counters
+
+	mu    sync.Mutex
+	conns map[*clientConn]bool
+}
+
+// WrapListener returns a listener whose connections the tracker owns.
+func (t *ConnTracker) WrapListener(listener net.Listener) net.Listener {
+	return &trackingListener{listener, t}
+}
+
+type trackingListener struct {
+	net.Listener
+	tracker *ConnTracker
+}
+
+// Accept returns the next connection, and closes others where there are too many with it.
+func (l *trackingListener) Accept() (net.Conn, error) {
+	raw, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	return l.tracker.track(raw), nil
+}
+
+func (t *ConnTracker) track(raw net.Conn) *clientConn {
+	conn := &clientConn{Conn: raw, tracker: t, since: time.Now()}
+	if sc, ok := raw.(syscall.Conn); ok {
+		conn.rawConn, _ = sc.SyscallConn()
+	}
+	t.Counters.ClientConns.Add(1)
+	t.mu.Lock()
+	if t.conns == nil {
+		t.conns = map[*clientConn]bool{}
+	}
+	t.conns[conn] = true
+	evicted := t.evictExcess(conn)
+	t.mu.Unlock()
+	t.closeEvicted(evicted)
+	return conn
+}
+
+// SetLimits sets the limits on connections. Those that are now too many are closed if they await no response.
+func (t *ConnTracker) SetLimits(soft, hard int) {
+	t.mu.Lock()
+	t.SoftLimit = soft
+	t.HardLimit = hard
+	evicted := t.evictExcess(nil)
+	t.mu.Unlock()
+	t.closeEvicted(evicted)
+}
+
+// closeEvicted closes connections that were evicted over a limit. It returns when their file descriptors are free.
+func (t *ConnTracker) closeEvicted(evicted []*clientConn) {
+	for _, conn := range evicted {
+		t.Counters.ClientConnsClosed.Add(1)
+		_ = conn.closeNow()
+	}
+}
+
+// evictExcess evicts connections that are too many, but not the newest. The lock is held. One look at each finds the next to go: a crowd that
+// comes over the limit costs a descriptor per connection, and must not cost those that are served their time.
+func (t *ConnTracker) evictExcess(newest *clientConn) (evicted []*clientConn) {
+	if len(t.conns) <= t.SoftLimit {
+		return nil
+	}
+	evicted = t.evictDownTo(t.SoftLimit, newest, false, evicted)
+	return t.evictDownTo(t.HardLimit, newest, true, evicted)
+}
+
+// evictDownTo evicts connections until limit are left, if that is not 0, and appends them to evicted. The lock is held.
+func (t *ConnTracker) evictDownTo(limit int, newest *clientConn, includeUnread bool, evicted []*clientConn) []*clientConn {
+	var skipped map[*clientConn]bool // candidates that must not be closed yet
+	for limit > 0 && len(t.conns) > limit {
+		candidate := t.nextToEvict(newest, skipped)
+		if candidate == nil {
+			break
+		}
+		if candidate.evict(includeUnread) {
+			delete(t.conns, candidate)
+			evicted = append(evicted, candidate)
+			continue
+		}
+		if skipped == nil {
+			skipped = map[*clientConn]bool{}
+		}
+		skipped[candidate] = true
+	}
+	return evicted
+}
+
+// nextToEvict returns the connection of the first eviction class, and in that the one that is silent for longest, but not the newest and none
+// that were skipped; nil where none may be evicted. The lock is held.
+func (t *ConnTracker) nextToEvict(newest *clientConn, skipped map[*clientConn]bool) (best *clientConn) {
+	now := time.Now()
+	var bestClass evictionClass
+	var bestSince time.Time
+	for conn := range t.conns {
+		if conn == newest || skipped[conn] {
+			continue
+		}
+		class, since := conn.evictionClass(now)
+		if class == evictNever {
+			continue
+		}
+		goesBefore := class < bestClass || class == bestClass && since.Before(bestSince)
+		if best == nil || goesBefore {
+			best = conn
+			bestClass = class
+			bestSince = since
+		}
+	}
+	return best
+}
+
+// CloseIdle closes the connections that are idle behind a response.
+func (t *ConnTracker) CloseIdle() {
+	for _, conn := range t.evictIdle() {
+		_ = conn.closeNow()
+	}
+}
+
+func (t *ConnTracker) evictIdle() (idle []*clientConn) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := time.Now()
+	for conn := range t.conns {
+		class, _ := conn.evictionClass(now)
+		if class == evictIdle && conn.evict(false) {
+			delete(t.conns, conn)
+			idle = append(idle, conn)
+		}
+	}
+	return idle
+}
+
+// OverLimit reports whether there are more connections than requests are accepted from.
+func (t *ConnTracker) OverLimit() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.conns) > t.SoftLimit
+}
+
+// Count returns the number of connections.
+func (t *ConnTracker) Count() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.conns)
+}
+
+// Pending returns the number of connections that await a response, on which a request has begun to arrive, or that may bring one at once.
+func (t *ConnTracker) Pending() (n int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for conn := range t.conns {
+		if conn.pending() {
+			n++
+		}
+	}
+	return n
+}
+
+// WaitClosed returns when no connection is left, or ctx ends.
+func (t *ConnTracker) WaitClosed(ctx context.Context) {
+	ticker := time.NewTicker(closePollInterval)
+	defer ticker.Stop()
+	for ctx.Err() == nil && t.Count() > 0 {
+		select {
+		case <-ctx.Done():
+		case <-ticker.C:
+		}
+	}
+}
+
+// forget removes a connection that is closed.
+func (t *ConnTracker) forget(conn *clientConn) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.conns, conn)
+}
--- a/internal/frontend/front_test.go
+++ b/internal/frontend/front_test.go
@@ -396,7 +396,7 @@
 }
 
 // countClass counts the connections of a rank.
-func (h *harness) countClass(class int) (n int) {
+func (h *harness) countClass(class evictionClass) (n int) {
 	h.handler.Conns.mu.Lock()
 	defer h.handler.Conns.mu.Unlock()
 	for c := range h.handler.Conns.conns {
--- /dev/null
+++ b/internal/frontend/handler.go
@@ -0,0 +1,192 @@
+package frontend
+
+import (
+	"context"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"birchfork/internal/engine"
+	"birchfork/internal/upstream"
+)
+
+// Timeouts of connections. Tests shorten the first two.
+var (
+	writeTimeout   = 2 * time.Second         // for a client to take its response
+	requestTimeout = 2500 * time.Millisecond // for a client to send a request, from connecting or from its first byte on
+)
+
+const (
+	idleTimeout      = 5 * time.Minute      // for a client's next request
+	responseMargin   = 3 * time.Millisecond // of a client's deadline, for the response to reach it: the client's time runs since it sent
+	firstListTimeout = 1 * time.Second      // for discovery's first list; then the list from before has to do
+)
+
+// Handler serves the requests of clients. It is an http.Handler for connections that its ConnTracker has accepted, and is safe for concurrent
+// use.
+type Handler struct {
+	Engine     *engine.Engine
+	Transport  *upstream.Transport
+	Conns      *ConnTracker
+	BodyBudget MemoryBudget // of the request bodies held in memory
+
+	startedAt          time.Time
+	retryAfter         atomic.Int64 // nanoseconds, see SetRetryAfter
+	maxRetryAfter      atomic.Int64 // likewise
+	failHealthChecks   atomic.Bool
+	keepAlivesDisabled atomic.Bool
+	forceClose         chan struct{} // closed by ForceClose
+}
+
+// NewHandler returns a handler that opens requests at an engine and sends their attempts over transport.
+func NewHandler(e *engine.Engine, transport *upstream.Transport, conns *ConnTracker) *Handler {
+	return &Handler{Engine: e, Transport: transport, Conns: conns, startedAt: time.Now(), forceClose: make(chan struct{})}
+}
+
+// SetRetryAfter sets the Retry-After of responses to requests that are over a limit of this process. maxDelay is the longest that the settings
+// allow, also for the limits of routes; 0 where they allow none.
+func (h *Handler) SetRetryAfter(delay, maxDelay time.Duration) {
+	h.retryAfter.Store(int64(min(delay, maxDelay)))
+	h.maxRetryAfter.Store(int64(maxDelay))
+}
+
+// HTTPServer returns the HTTP server of the handler. Its listener has to come from Conns.WrapListener.
+func (h *Handler) HTTPServer() *http.Server {
+	return &http.Server{
+		Handler:                      h,
+		ConnContext:                  contextWithConn,
+		ReadHeaderTimeout:            requestTimeout,
+		ReadTimeout:                  requestTimeout,
+		IdleTimeout:                  idleTimeout,
+		MaxHeaderBytes:               maxHeaderBytes,
+		DisableGeneralOptionsHandler: true, // it would answer some requests by itself, and keep their connections
+	}
+}
+
+// FailHealthChecks makes /up answer that the dispatcher is not up. Requests are served as before.
+func (h *Handler) FailHealthChecks() { h.failHealthChecks.Store(true) }
+
+// DisableKeepAlives fails health checks, and closes each connection behind its next response.
+func (h *Handler) DisableKeepAlives() {
+	h.FailHealthChecks()
+	h.keepAlivesDisabled.Store(true)
+}
+
+// KeepAlivesDisabled reports whether DisableKeepAlives has been called.
+func (h *Handler) KeepAlivesDisabled() bool { return h.keepAlivesDisabled.Load() }
+
+// ForceClose ends all open requests, and those that still come: they fail, or are shed where nothing of them can have run. It must be called
+// once at most.
+func (h *Handler) ForceClose() { close(h.forceClose) }
+
+// Up reports whether the dispatcher can serve requests: it is ready, and a worker is up.
+func (h *Handler) Up() bool {
+	available, _ := h.Engine.Ready()
+	return available && h.Ready()
+}
+
+// Ready reports whether this process can serve requests, were any worker up: health checks are not failed, and discovery has sent its list
+// since the start, or has been silent for so long that the list from before has to do.
+func (h *Handler) Ready() bool {
+	_, synced := h.Engine.Ready()
+	knowsWorkers := synced || time.Since(h.startedAt) > firstListTimeout
+	return knowsWorkers && !h.failHealthChecks.Load()
+}
+
+// ServeHTTP answers one request: a health check, or a request for a worker.
+func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	counters := &h.Engine.Counters
+	isRead := r.Method == http.MethodGet || r.Method == http.MethodHead
+	switch {
+	case connFromContext(r.Context()).ambiguousLength():
+		h.reject(w, r, &requestError{http.StatusBadRequest, "its length is given in two ways", &counters.BadFraming})
+	case r.URL.Path == "/up" && isRead:
+		h.answerHealthCheck(w, r)
+	case r.Method != http.MethodPost:
+		h.reject(w, r, &requestError{http.StatusMethodNotAllowed, "jobs come by POST", &counters.BadMethods})
+	default:
+		h.serveRequest(w, r)
+	}
+}
+
+func (h *Handler) answerHealthCheck(w http.ResponseWriter, r *http.Request) {
+	status := http.StatusOK
+	if !h.Up() {
+		status = http.StatusServiceUnavailable
+	}
+	h.writeUncounted(w, r, status, nil, false)
+}
+
+// serveRequest reads a request, opens it at the engine, carries out the engine's decisions and writes the response.
+func (h *Handler) serveRequest(w http.ResponseWriter, r *http.Request) {
+	receivedAt := time.Now()
+	spec, outgoing, err := h.readRequest(r)
+	if err != nil {
+		h.reject(w, r, err)
+		return
+	}
+	defer outgoing.release()
+	deadline := receivedAt.Add(spec.TimeLeft - responseMargin)
+	spec.TimeLeft = time.Until(deadline)
+	if outgoing.Client.ClientGone() {
+		h.Engine.Counters.ClientsGoneEarly.Add(1)
+		abortConnection()
+	}
+	if h.Conns.OverLimit() {
+		h.reject(w, r, errOverLimit)
+		return
+	}
+	request, err := h.Engine.Open(spec)
+	if err != nil {
+		h.reject(w, r, err)
+		return
+	}
+	defer request.Close()
+	// Guards against a response that the engine owes and does not give; it ends requests a little earlier by itself.
+	overdue := time.NewTimer(time.Until(deadline) + responseMargin)
+	defer overdue.Stop()
+	h.respond(w, r, h.awaitFinalDecision(r.Context(), request, outgoing, overdue.C))
+}
+
+// awaitFinalDecision starts the attempts that the engine decides on, each in a goroutine that ends with the attempt, and returns the decision
+// that ends the request.
+func (h *Handler) awaitFinalDecision(ctx context.Context, request *engine.Request, outgoing *outgoingRequest, overdue <-chan time.Time) engine.Decision {
+	for {
+		decision := h.nextDecision(ctx, request, overdue)
+		if decision.Kind != engine.DecisionSend {
+			return decision
+		}
+		outgoing.retain()
+		go func() {
+			defer outgoing.release()
+			h.Transport.Do(decision.Attempt, &outgoing.Request) //nolint:contextcheck // an attempt has its own, and may outlive the request
+		}()
+	}
+}
+
+// nextDecision returns the engine's next decision on a request, or the one that ends it where it is overdue or ForceClose is called. It does
+// not return where the client has gone.
+func (h *Handler) nextDecision(ctx context.Context, request *engine.Request, overdue <-chan time.Time) engine.Decision {
+	// First what ends the request: the select below takes any of several cases that are ready, and nothing may be sent past the end.
+	select {
+	case <-ctx.Done():
+		abortConnection()
+	case <-h.forceClose:
+		return request.Abort()
+	default:
+	}
+	select {
+	case decision := <-request.Decisions():
+		return decision
+	case <-ctx.Done():
+		abortConnection()
+	case <-h.forceClose:
+	case <-overdue:
+	}
+	return request.Abort()
+}
+
+// abortConnection ends the service of a request whose client has gone: the connection is closed with nothing written. Guards against the empty
+// response with status 200 that net/http writes for a handler that wrote none: a client that has ended only its sending would take it for a
+// result.
+func abortConnection() { panic(http.ErrAbortHandler) }
--- /dev/null
+++ b/internal/frontend/headscanner.go
@@ -0,0 +1,73 @@
+package frontend
+
+import (
+	"bytes"
+	"strconv"
+)
+
+// maxScannedLine is how much of a line is looked at, in bytes. No longer one gives a length in good faith.
+const maxScannedLine = 128
+
+// headScanner finds the end of a request's head and how the request is framed, in the bytes as they arrive. It takes lines as net/http does,
+// which by itself drops one of two contradicting lengths without a word.
+type headScanner struct {
+	line                []byte // the beginning of the line that is arriving
+	sawLine             bool   // a line has arrived that is not empty
+	hasLength           bool   // there is a Content-Length ...
+	length              int64  // ... of so many bytes
+	hasTransferEncoding bool
+	invalidLength       bool // the Content-Length is no number, or there are two
+	done                bool // the head is complete
+}
+
+// scan takes the next bytes and returns how many of them belong to the head.
+func (s *headScanner) scan(data []byte) int {
+	scanned := 0
+	for {
+		rest := data[scanned:]
+		end := bytes.IndexByte(rest, '\n')
+		if end < 0 {
+			s.appendLine(rest)
+			return len(data)
+		}
+		s.appendLine(rest[:end])
+		scanned += end + 1
+		s.scanLine(bytes.TrimSuffix(s.line, []byte{'\r'}))
+		s.line = s.line[:0]
+		if s.done {
+			return scanned
+		}
+	}
+}
+
+// appendLine keeps a further part of a line, up to maxScannedLine.
+func (s *headScanner) appendLine(part []byte) {
+	kept := min(len(part), maxScannedLine-len(s.line))
+	s.line = append(s.line, part[:kept]...)
+}
+
+func (s *headScanner) scanLine(line []byte) {
+	if len(line) == 0 {
+		s.done = s.sawLine // net/http passes over some line ends before a request
+		return
+	}
+	s.sawLine = true
+	name, value, _ := bytes.Cut(line, []byte{':'})
+	switch {
+	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
+		s.hasTransferEncoding = true
+	case bytes.EqualFold(name, []byte("Content-Length")):
+		s.scanLength(value, len(line) == maxScannedLine)
+	}
+}
+
+// scanLength takes the value of a Content-Length. cut says that the line may have been longer.
+func (s *headScanner) scanLength(value []byte, cut bool) {
+	length, err := strconv.ParseUint(string(bytes.Trim(value, " \t")), 10, 63)
+	contradicts := s.hasLength && int64(length) != s.length
+	if err != nil || cut || contradicts {
+		s.invalidLength = true
+	}
+	s.hasLength = true
+	s.length = int64(length)
+}
--- /dev/null
+++ b/internal/frontend/response.go
@@ -0,0 +1,120 @@
+package frontend
+
+import (
+	"errors"
+	"net/http"
+	"strconv"
+	"sync/atomic"
+	"time"
+
+	"birchfork/internal/engine"
+)
+
+// requestError says what is wrong with a request, how that is answered and where it is counted. It is the error of requests that are answered
+// with a status of 4xx.
+type requestError struct {
+	status  int
+	reason  string // the body of the response
+	counter *atomic.Int64
+}
+
+func (e *requestError) Error() string { return e.reason }
+
+// errOverLimit is the error of a request for which a limit of this process leaves no room.
+var errOverLimit = errors.New("no place left")
+
+// respond writes the response to a request that the engine has decided on.
+func (h *Handler) respond(w http.ResponseWriter, r *http.Request, decision engine.Decision) {
+	switch decision.Kind {
+	case engine.DecisionServe:
+		h.writeFinal(w, r, http.StatusOK, decision.Result)
+	case engine.DecisionShed:
+		setRetryAfter(w, decision.RetryAfter)
+		h.writeFinal(w, r, http.StatusServiceUnavailable, []byte("refused\n"))
+	case engine.DecisionFail:
+		h.writeFinal(w, r, http.StatusInternalServerError, []byte("failed\n"))
+	case engine.DecisionInvalid:
+		h.reject(w, r, &requestError{http.StatusBadRequest, "a worker cannot use it", &h.Engine.Counters.RejectedByWorkers})
+	}
+}
+
+// reject answers a request that never ran, as err says why.
+func (h *Handler) reject(w http.ResponseWriter, r *http.Request, err error) {
+	var limited *engine.LimitError
+	switch {
+	case errors.Is(err, errOverLimit), errors.Is(err, engine.ErrTooManyOpen):
+		h.rejectOverLimit(w, r)
+	case errors.As(err, &limited):
+		h.rejectOverRouteLimit(w, r, limited)
+	default:
+		h.rejectBadRequest(w, r, err)
+	}
+}
+
+// rejectOverLimit closes the connection, so that its place is free: a client that tries again does so after a while, on another one.
+func (h *Handler) rejectOverLimit(w http.ResponseWriter, r *http.Request) {
+	h.Engine.Counters.RejectedOverLimit.Add(1)
+	setRetryAfter(w, time.Duration(h.retryAfter.Load()))
+	h.writeUncounted(w, r, http.StatusServiceUnavailable, []byte("no place left\n"), true)
+}
+
+// rejectOverRouteLimit keeps the connection: the client has done nothing wrong, and tries again on it.
+func (h *Handler) rejectOverRouteLimit(w http.ResponseWriter, r *http.Request, limited *engine.LimitError) {
+	setRetryAfter(w, min(limited.RetryAfter, time.Duration(h.maxRetryAfter.Load())))
+	h.writeUncounted(w, r, http.StatusServiceUnavailable, []byte(limited.Error()+"\n"), false)
+}
+
+// rejectBadRequest closes the connection, as what is behind a request that cannot be read is no next request.
+func (h *Handler) rejectBadRequest(w http.ResponseWriter, r *http.Request, err error) {
+	counters := &h.Engine.Counters
+	var bad *requestError
+	switch {
+	case errors.As(err, &bad):
+	case errors.Is(err, engine.ErrUnknownClass):
+		bad = &requestError{http.StatusNotFound, err.Error(), &counters.BadClasses}
+	case errors.Is(err, engine.ErrDuplicateID):
+		bad = &requestError{http.StatusBadRequest, err.Error(), &counters.BadIDs}
+	default:
+		bad = &requestError{http.StatusBadRequest, err.Error(), &counters.BadHeaders}
+	}
+	counters.BadRequests.Add(1)
+	bad.counter.Add(1)
+	h.writeUncounted(w, r, bad.status, []byte(bad.reason+"\n"), true)
+}
+
+// setRetryAfter sets the header in seconds, with three decimals; a delay of 0 sets none.
+func setRetryAfter(w http.ResponseWriter, delay time.Duration) {
+	if delay > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(delay.Seconds(), 'f', 3, 64))
+	}
+}
+
+// writeFinal writes the response to a request that the engine has accepted, and counts where that fails.
+func (h *Handler) writeFinal(w http.ResponseWriter, r *http.Request, status int, body []byte) {
+	if h.write(w, r, status, body, false) != nil {
+		h.Engine.Counters.WriteFailures.Add(1)
+	}
+}
+
+// writeUncounted writes any other response. Where that fails the connection ends, and nobody waits for more.
+func (h *Handler) writeUncounted(w http.ResponseWriter, r *http.Request, status int, body []byte, final bool) {
+	_ = h.write(w, r, status, body, final)
+}
+
+// write writes a response within writeTimeout, which bounds how long a client that does not take it holds its connection. The connection is
+// closed behind it where final is set or keep-alives are disabled.
+func (h *Handler) write(w http.ResponseWriter, r *http.Request, status int, body []byte, final bool) error {
+	conn := connFromContext(r.Context())
+	if conn.beginResponse(final || h.keepAlivesDisabled.Load()) {
+		w.Header().Set("Connection", "close")
+	}
+	defer conn.endResponse()
+	controller := http.NewResponseController(w)
+	_ = controller.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails on a closed connection, as the write does then
+	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
+	w.WriteHeader(status)
+	if _, err := w.Write(body); err != nil {
+		return err
+	}
+	return controller.Flush() // a failure with a short response would show after our return otherwise
+}
--- /dev/null
+++ b/internal/frontend/sharedlistener.go
@@ -0,0 +1,124 @@
+package frontend
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// descriptorRetryDelay is how long Accept waits for a free file descriptor.
+const descriptorRetryDelay = time.Millisecond
+
+// SharedListener is a TCP listener beside which other processes of this dispatcher may listen at the same address. It is safe for concurrent
+// use.
+type SharedListener struct {
+	*net.TCPListener
+	draining  atomic.Bool
+	closeOnce sync.Once
+	closed    chan struct{} // closed by Close
+}
+
+// ListenShared listens at an address at which other processes of this dispatcher listen, or will. It fails where a listener has the address that
+// is not shared.
+func ListenShared(address string) (*SharedListener, error) {
+	config := net.ListenConfig{Control: setReusePort}
+	listener, err := config.Listen(context.Background(), "tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	tcpListener, ok := listener.(*net.TCPListener)
+	if !ok {
+		listener.Close()
+		return nil, fmt.Errorf("%s is no TCP address", address)
+	}
+	return &SharedListener{TCPListener: tcpListener, closed: make(chan struct{})}, nil
+}
+
+func setReusePort(_, _ string, raw syscall.RawConn) (err error) {
+	controlErr := raw.Control(func(fd uintptr) {
+		err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+	})
+	return errors.Join(controlErr, err)
+}
+
+// Drain makes Accept return the connections that the kernel has accepted already, and then ends the listening: all later connections are those
+// of the other process.
+func (l *SharedListener) Drain() {
+	l.draining.Store(true)
+	_ = l.SetDeadline(time.Unix(1, 0)) // wakes an Accept that waits; fails on a closed listener, where none does
+}
+
+// Accept returns the next connection. Behind the last one of Drain it waits for Close, as a server takes an error for a fault.
+func (l *SharedListener) Accept() (net.Conn, error) {
+	if !l.draining.Load() {
+		conn, err := l.TCPListener.Accept()
+		wokenByDrain := errors.Is(err, os.ErrDeadlineExceeded) && l.draining.Load()
+		if !wokenByDrain {
+			return conn, err
+		}
+	}
+	if conn := l.acceptPending(); conn != nil {
+		return conn, nil
+	}
+	l.TCPListener.Close() // at once: what arrives between the last look and this is lost
+	<-l.closed
+	return nil, net.ErrClosed
+}
+
+// acceptPending returns a connection that the kernel has accepted; nil where there is none, or the listener is closed.
+func (l *SharedListener) acceptPending() net.Conn {
+	raw, err := l.SyscallConn()
+	if err != nil {
+		return nil
+	}
+	for {
+		fd, err := acceptFD(raw)
+		switch {
+		case errors.Is(err, unix.EINTR), errors.Is(err, unix.ECONNABORTED):
+			continue
+		case errors.Is(err, unix.EMFILE), errors.Is(err, unix.ENFILE): // connections that end free some
+			time.Sleep(descriptorRetryDelay)
+			continue
+		case err != nil:
+			return nil
+		}
+		file := os.NewFile(uintptr(fd), "")
+		conn, err := net.FileConn(file) // has a file descriptor of its own
+		file.Close()
+		if err != nil {
+			return nil
+		}
+		return conn
+	}
+}
+
+// acceptFD accepts a connection without waiting for one.
+func acceptFD(listener syscall.RawConn) (fd int, err error) {
+	controlErr := listener.Control(func(listenerFD uintptr) {
+		fd, _, err = unix.Accept4(int(listenerFD), unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+	})
+	if controlErr != nil {
+		return 0, controlErr
+	}
+	return fd, err
+}
+
+// Close ends the listening, and Accept. It may be called more than once.
+func (l *SharedListener) Close() (err error) {
+	l.closeOnce.Do(func() {
+		err = l.TCPListener.Close()
+		close(l.closed)
+	})
+	if errors.Is(err, net.ErrClosed) {
+		return nil
+	}
+	return err
+}
