--- a/internal/frontend/bench_test.go
+++ b/internal/frontend/bench_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"strconv"
@@ -31,12 +30,8 @@
 		if _, err := conn.Write(message); err != nil {
 			b.Fatal(err)
 		}
-		res, err := http.ReadResponse(in, nil)
-		if err != nil {
-			b.Fatal(err)
-		}
-		if _, err := io.Copy(io.Discard, res.Body); err != nil || res.StatusCode != http.StatusOK {
-			b.Fatalf("status %d, %v", res.StatusCode, err)
+		if status, _, err := readResponse(in); err != nil || status != http.StatusOK {
+			b.Fatalf("status %d, %v", status, err)
 		}
 	}
 }
--- a/internal/frontend/golden_frontend_test.go
+++ b/internal/frontend/golden_test.go
@@ -57,6 +57,7 @@
 	if err != nil {
 		t.Fatalf("%q: %v", sent, err)
 	}
+	defer res.Body.Close()
 	if _, err := io.Copy(io.Discard, res.Body); err != nil {
 		t.Fatalf("%q: %v", sent, err)
 	}
@@ -157,7 +158,7 @@
 		setUp func(h *harness)
 		sent  string
 	}{
-		{"too many open requests", func(h *harness) {}, rawRequest("POST /search", map[string]string{"X-Request-Id": "b"}, "")},
+		{"too many open requests", func(*harness) {}, rawRequest("POST /search", map[string]string{"X-Request-Id": "b"}, "")},
 		{"too many connections", func(h *harness) { h.setSoftLimit(1) }, rawRequest("POST /search", map[string]string{"X-Request-Id": "b"}, "")},
 		{"too many bytes of bodies", func(h *harness) { h.handler.BodyBudget.SetLimit(1) },
 			rawRequest("POST /search", map[string]string{"X-Request-Id": "b"}, strings.Repeat("x", 8<<10))},
@@ -255,7 +256,7 @@
 	goldentest.Check(t, "frontend-bad-requests.txt", []byte(b.String()))
 }
 
-// maxGoldenText is longer than any text that the front takes.
+// maxGoldenText is longer than any text that the handler accepts.
 const maxGoldenText = 5000
 
 // TestGoldenHead records what the headers of a proper request are decoded to.
@@ -295,7 +296,7 @@
 		setUp func(h *harness)
 	}{
 		{"up", func(h *harness) { h.engine.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1")) }},
-		{"no worker", func(h *harness) {}},
+		{"no worker", func(*harness) {}},
 		{"leaving", func(h *harness) {
 			h.engine.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1"))
 			h.handler.FailHealthChecks()
--- a/internal/frontend/golden_upstream_test.go
+++ b/internal/frontend/golden_upstream_test.go
@@ -58,15 +58,15 @@
 			return
 		}
 		defer c.Close()
-		var bytesSeen strings.Builder
-		r, err := http.ReadRequest(bufio.NewReader(io.TeeReader(c, &bytesSeen)))
+		var requestBytes strings.Builder
+		r, err := http.ReadRequest(bufio.NewReader(io.TeeReader(c, &requestBytes)))
 		if err != nil {
 			return
 		}
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
-		received <- bytesSeen.String()
+		received <- requestBytes.String()
 		upstreamtest.RespondDone(c, r)
 	}()
 	return l.Addr().String()
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -157,9 +157,9 @@
 			return decision
 		}
 		outgoing.retain()
-		go func() {
+		go func() { //nolint:contextcheck // an attempt has a context of its own, and may outlive the request
 			defer outgoing.release()
-			h.Transport.Do(decision.Attempt, &outgoing.Request) //nolint:contextcheck // an attempt has its own, and may outlive the request
+			h.Transport.Do(decision.Attempt, &outgoing.Request)
 		}()
 	}
 }
--- /dev/null
+++ b/internal/frontend/handler_test.go
@@ -0,0 +1,271 @@
+package frontend
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"birchfork/internal/upstream/upstreamtest"
+)
+
+// A request that no worker can take in time is shed, with a Retry-After within the settings.
+func TestHandler_ShedRequestGetsRetryAfter(t *testing.T) {
+	h := newHarness(t, "", 0) // no worker is known: jobs are held until nobody can wait for them any more
+	r := newRequest(t, h.url, "search", "a", "")
+	r.Header.Set("X-Deadline-Ms", "1000")
+	status, _, head := doRequest(t, r)
+	if status != 503 || h.engine.Counters.Shed.Load() != 1 {
+		t.Fatalf("status %d, %v", status, h.engine.Counters.Fields())
+	}
+	if v := head.Get("Retry-After"); v != "" {
+		if e, err := strconv.ParseFloat(v, 64); err != nil || e < 0 || e > 2 {
+			t.Fatalf("Retry-After %q", v)
+		}
+	}
+}
+
+// The engine's limit on open requests rejects those beyond it.
+func TestHandler_OpenRequestLimit(t *testing.T) {
+	release := make(chan bool)
+	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool { <-release; return upstreamtest.RespondDone(c, r) })
+	h := newHarness(t, w.Address, 1)
+	sendRaw(t, h, rawRequestHead+"Content-Length: 0\r\n\r\n")
+	waitFor(t, "the first is open", func() bool { return h.engine.OpenRequests() == 1 })
+	if status, _, _ := doRequest(t, newRequest(t, h.url, "search", "b", "")); status != 503 || h.engine.Counters.RejectedOverLimit.Load() != 1 {
+		t.Fatalf("status %d", status)
+	}
+	close(release)
+	h.settled(t)
+}
+
+// Over the soft limit on connections new requests are rejected, with the Retry-After that is set.
+func TestHandler_RejectsOverSoftLimit(t *testing.T) {
+	release := make(chan bool)
+	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool { <-release; return upstreamtest.RespondDone(c, r) })
+	h := newHarness(t, w.Address, 0)
+	h.setSoftLimit(1)
+	sendRaw(t, h, rawRequestHead+"Content-Length: 0\r\n\r\n")
+	waitFor(t, "the first is open", func() bool { return h.engine.OpenRequests() == 1 })
+	for want, delay := range map[string]time.Duration{"": 0, "0.200": 200 * time.Millisecond} {
+		h.handler.SetRetryAfter(delay, delay)
+		n := h.engine.Counters.RejectedOverLimit.Load()
+		status, _, head := doRequest(t, newRequest(t, h.url, "search", "b"+want, ""))
+		if status != 503 || h.engine.Counters.RejectedOverLimit.Load() != n+1 {
+			t.Fatalf("status %d, %v", status, head)
+		}
+		if got := head.Get("Retry-After"); got != want {
+			t.Errorf("Retry-After %q, want %q", got, want)
+		}
+	}
+	close(release)
+	h.settled(t)
+}
+
+// A queued request still gets its response when the platform is about to kill the process.
+func TestHandler_ForceCloseFailsQueued(t *testing.T) {
+	release := make(chan bool)
+	w := upstreamtest.StartWorker(t, func(net.Conn, *http.Request) bool { <-release; return false })
+	h := newHarness(t, w.Address, 0)
+	answered := make(chan int, 1)
+	go func() {
+		rec := httptest.NewRecorder()
+		r := httptest.NewRequest("POST", "/search", nil)
+		for k, v := range map[string]string{"X-Request-Id": "a", "X-Class": "search", "X-Deadline-Ms": "5000"} {
+			r.Header.Set(k, v)
+		}
+		near, far := net.Pipe()
+		defer far.Close()
+		h.handler.ServeHTTP(rec, r.WithContext(contextWithConn(r.Context(), h.handler.Conns.track(near))))
+		answered <- rec.Code
+	}()
+	waitFor(t, "the worker has it", func() bool { return w.RequestCount() == 1 })
+	h.handler.DisableKeepAlives()
+	h.handler.ForceClose()
+	if code := <-answered; code != 500 || h.engine.Counters.Overdue.Load() != 1 {
+		t.Fatalf("status %d", code)
+	}
+	close(release)
+	h.settled(t)
+}
+
+// At the forced end a decision to send and the end are both ready, and a select takes any of several cases that are ready.
+func TestHandler_ForceCloseSendsNothing(t *testing.T) {
+	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
+	h := newHarness(t, w.Address, 0)
+	h.handler.DisableKeepAlives()
+	h.handler.ForceClose()
+	for i := range 40 { // without the guard half of them would be sent
+		status, _, _ := doRequest(t, newRequest(t, h.url, "book", strconv.Itoa(i), ""))
+		if status != 503 { // nothing of it ran, so it is shed, and the client may try again
+			t.Fatalf("request %d: status %d", i, status)
+		}
+	}
+	if n := w.RequestCount(); n != 0 {
+		t.Fatalf("%d of 40 requests that were read after the end were sent on", n)
+	}
+	h.settled(t)
+}
+
+// The health check passes while a worker is up and the process is not to stop.
+func TestHandler_Up(t *testing.T) {
+	h := newHarness(t, "", 0)
+	up := func() int {
+		res, err := http.Get(h.url + "/up")
+		if err != nil {
+			t.Fatal(err)
+		}
+		res.Body.Close()
+		return res.StatusCode
+	}
+	if up() != 503 {
+		t.Fatal("up without any worker")
+	}
+	l := upstreamtest.ListWithWorker("127.0.0.1:1")
+	l.Stale = true
+	h.engine.UpdateEndpoints(l)
+	if up() != 503 {
+		t.Fatal("up by an old list before discovery could speak")
+	}
+	h.handler.startedAt = h.handler.startedAt.Add(-2 * firstListTimeout)
+	if up() != 200 {
+		t.Fatal("not up by the old list, though discovery is silent")
+	}
+	h.handler.startedAt = time.Now()
+	h.engine.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1"))
+	if up() != 200 {
+		t.Fatal("not up")
+	}
+	h.handler.DisableKeepAlives()
+	if up() != 503 {
+		t.Fatal("up while stopping")
+	}
+}
+
+// Without keep-alives requests are served as before, and connections are closed behind the response.
+func TestHandler_ServesWithKeepAlivesDisabled(t *testing.T) {
+	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
+	h := newHarness(t, w.Address, 0)
+	h.handler.DisableKeepAlives()
+	c := sendRaw(t, h, rawRequestHead+"Content-Length: 0\r\n\r\n")
+	in := bufio.NewReader(c)
+	if status, last, err := readResponse(in); err != nil || status != 200 || !last {
+		t.Fatalf("status %d, last %v, %v", status, last, err)
+	}
+	if _, err := in.ReadByte(); err != io.EOF {
+		t.Fatalf("the connection did not end: %v", err)
+	}
+}
+
+// A client that never takes its response must not hold its connection and the request for ever.
+func TestHandler_UnreadResponseTimesOut(t *testing.T) {
+	defer func(d time.Duration) { writeTimeout = d }(writeTimeout)
+	writeTimeout = 50 * time.Millisecond
+	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
+	h := newHarness(t, w.Address, 0)
+	near, far := net.Pipe() // takes nothing in by itself
+	defer far.Close()
+	h.serve(t, &singleConnListener{conn: near, done: make(chan bool)})
+	io.WriteString(far, rawRequestHead+"Content-Length: 0\r\n\r\n")
+	waitFor(t, "the answer is given up", func() bool { return h.engine.Counters.WriteFailures.Load() == 1 })
+}
+
+// singleConnListener is a listener with one connection.
+type singleConnListener struct {
+	conn net.Conn
+	done chan bool
+}
+
+func (l *singleConnListener) Accept() (net.Conn, error) {
+	if c := l.conn; c != nil {
+		l.conn = nil
+		return c, nil
+	}
+	<-l.done
+	return nil, net.ErrClosed
+}
+
+func (l *singleConnListener) Close() error { close(l.done); return nil }
+
+func (l *singleConnListener) Addr() net.Addr { return &net.TCPAddr{} }
+
+// The write timeout counts for one response alone, not for the next one on the same connection.
+func TestHandler_WriteTimeoutIsPerResponse(t *testing.T) {
+	defer func(d time.Duration) { writeTimeout = d }(writeTimeout)
+	writeTimeout = 200 * time.Millisecond
+	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
+	h := newHarness(t, w.Address, 0)
+	c := sendRaw(t, h, rawRequestHead+"Content-Length: 0\r\n\r\n")
+	in := bufio.NewReader(c)
+	for i, want := range []int{200, 200, 503} {
+		if status, _, err := readResponse(in); err != nil || status != want {
+			t.Fatalf("response %d: status %d, %v", i, status, err)
+		}
+		time.Sleep(2 * writeTimeout)
+		if i == 0 {
+			io.WriteString(c, strings.Replace(rawRequestHead, "Id: a", "Id: b", 1)+"Content-Length: 0\r\n\r\n")
+		}
+		if i == 1 {
+			h.handler.DisableKeepAlives()
+			io.WriteString(c, "GET /up HTTP/1.1\r\nHost: h\r\n\r\n")
+		}
+	}
+}
+
+// The timeout of reading a request must not be taken for the client's leaving later.
+func TestHandler_RequestTimeoutEndsWithBody(t *testing.T) {
+	defer func(d time.Duration) { requestTimeout = d }(requestTimeout)
+	requestTimeout = 300 * time.Millisecond
+	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool {
+		time.Sleep(2 * requestTimeout)
+		return upstreamtest.RespondDone(c, r)
+	})
+	h := newHarness(t, w.Address, 0)
+	r := newRequest(t, h.url, "search", "a", "body")
+	if status, _, _ := doRequest(t, r); status != 200 || h.engine.Counters.ClientsGone.Load() != 0 {
+		t.Fatalf("status %d, %d gone", status, h.engine.Counters.ClientsGone.Load())
+	}
+}
+
+// A client that does not send its request in time, from its connecting on, must not hold a connection.
+func TestHandler_SlowRequestsTimeOut(t *testing.T) {
+	defer func(d time.Duration) { requestTimeout = d }(requestTimeout)
+	requestTimeout = 100 * time.Millisecond
+	h := newHarness(t, "", 0)
+	for name, send := range map[string]string{
+		"nothing": "", "half a head": rawRequestHead, "half a body": rawRequestHead + "Content-Length: 10\r\n\r\nhalf",
+		"a chunk": rawRequestHead + "Transfer-Encoding: chunked\r\n\r\n5\r\nab",
+	} {
+		c := sendRaw(t, h, send)
+		stop := make(chan bool)
+		if send != "" {
+			go func() { // drips on
+				for {
+					select {
+					case <-stop:
+						return
+					case <-time.After(10 * time.Millisecond):
+						_, _ = c.Write([]byte("x")) // until the connection is closed
+					}
+				}
+			}()
+		}
+		if name == "half a body" {
+			close(stop)
+		}
+		if status, closed := readToClose(t, c); status != 0 && status != 400 || !closed {
+			t.Errorf("%s: status %d, closed %v", name, status, closed)
+		}
+		if name != "half a body" {
+			close(stop)
+		}
+	}
+	if h.engine.Counters.Accepted.Load() != 0 {
+		t.Error("something was taken")
+	}
+}
--- a/internal/frontend/headscanner.go
+++ b/internal/frontend/headscanner.go
@@ -61,11 +61,11 @@
 	}
 }
 
-// scanLength takes the value of a Content-Length. cut says that the line may have been longer.
-func (s *headScanner) scanLength(value []byte, cut bool) {
+// scanLength takes the value of a Content-Length. truncated says that the line may have been longer.
+func (s *headScanner) scanLength(value []byte, truncated bool) {
 	length, err := strconv.ParseUint(string(bytes.Trim(value, " \t")), 10, 63)
 	contradicts := s.hasLength && int64(length) != s.length
-	if err != nil || cut || contradicts {
+	if err != nil || truncated || contradicts {
 		s.invalidLength = true
 	}
 	s.hasLength = true
--- /dev/null
+++ b/internal/frontend/request_test.go
@@ -0,0 +1,149 @@
+package frontend
+
+import (
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"birchfork/internal/engine"
+	"birchfork/internal/upstream/upstreamtest"
+)
+
+// A request with a fault gets the status for it, and is not opened at the engine.
+func TestHandler_BadRequestsNeverReachDispatcher(t *testing.T) {
+	h := newHarness(t, "", 0)
+	for _, c := range []struct {
+		name   string
+		change func(r *http.Request)
+		want   int
+	}{
+		{"no id", func(r *http.Request) { r.Header.Del("X-Request-Id") }, 400},
+		{"an empty id", func(r *http.Request) { r.Header.Set("X-Request-Id", "") }, 400},
+		{"two ids", func(r *http.Request) { r.Header.Add("X-Request-Id", "b") }, 400},
+		{"an id with a space", func(r *http.Request) { r.Header.Set("X-Request-Id", "a b") }, 400},
+		{"a long id", func(r *http.Request) { r.Header.Set("X-Request-Id", strings.Repeat("a", 257)) }, 400},
+		{"no class", func(r *http.Request) { r.Header.Del("X-Class") }, 400},
+		{"another class than the path", func(r *http.Request) { r.Header.Set("X-Class", "book") }, 400},
+		{"an unknown class", func(r *http.Request) { r.Header.Set("X-Class", "odd"); r.URL.Path = "/odd" }, 404},
+		{"an unknown tenant", func(r *http.Request) { r.Header.Set("X-Tenant", "odd") }, 400},
+		{"no deadline", func(r *http.Request) { r.Header.Del("X-Deadline-Ms") }, 400},
+		{"a deadline in words", func(r *http.Request) { r.Header.Set("X-Deadline-Ms", "soon") }, 400},
+		{"a deadline of 0", func(r *http.Request) { r.Header.Set("X-Deadline-Ms", "0") }, 400},
+		{"a deadline below 0", func(r *http.Request) { r.Header.Set("X-Deadline-Ms", "-5") }, 400},
+		{"an endless deadline", func(r *http.Request) { r.Header.Set("X-Deadline-Ms", "99999999999") }, 400},
+		{"slots in words", func(r *http.Request) { r.Header.Set("X-Extras", "slots=two") }, 400},
+		{"half a slot", func(r *http.Request) { r.Header.Set("X-Extras", "slots=0.5") }, 400},
+		{"extras without values", func(r *http.Request) { r.Header.Set("X-Extras", "slots") }, 400},
+		{"memory below 0", func(r *http.Request) { r.Header.Set("X-Extras", "memory=-1") }, 400},
+		{"a GET", func(r *http.Request) { r.Method = "GET" }, 405},
+		{"a body over 64 KiB", func(r *http.Request) {
+			r.Body = io.NopCloser(strings.NewReader(strings.Repeat("x", maxBodyBytes+1)))
+			r.ContentLength = maxBodyBytes + 1
+		}, 413},
+		{"a chunked body over 64 KiB", func(r *http.Request) {
+			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", maxBodyBytes+1))), -1
+		}, 413},
+	} {
+		r := newRequest(t, h.url, "search", "a", "")
+		c.change(r)
+		if status, _, _ := doRequest(t, r); status != c.want {
+			t.Errorf("%s: status %d, want %d", c.name, status, c.want)
+		}
+	}
+	if h.engine.Counters.Accepted.Load() != 0 || h.engine.Counters.BadRequests.Load() != 21 {
+		t.Fatal(h.engine.Counters.Fields())
+	}
+}
+
+// Each header is decoded to its field.
+func TestDecodeHead(t *testing.T) {
+	r := newRequest(t, "http://h", "search", "a", "")
+	r.Header.Set("X-Retry", "1")
+	r.Header.Set("X-Extras", "slots=4, memory=2.5,other=7")
+	spec, err := decodeHead(r)
+	want := engine.RequestSpec{ID: "a", Class: "search", Tenant: "acme", TimeLeft: 5 * time.Second, Slots: 4, Memory: 2.5, Retry: true}
+	if err != nil || spec != want {
+		t.Fatalf("%+v, %v", spec, err)
+	}
+}
+
+// A head that is accepted has values that are safe to use.
+func FuzzDecodeHead(f *testing.F) {
+	f.Add("a", "search", "480", "slots=1,memory=0.5", "/search/x")
+	f.Add("", "", "-1", "=,", "//")
+	f.Fuzz(func(t *testing.T, id, class, ms, extras, path string) {
+		r := httptest.NewRequest("POST", "/", nil)
+		r.URL.Path = path
+		for k, v := range map[string]string{"X-Request-Id": id, "X-Class": class, "X-Deadline-Ms": ms, "X-Extras": extras} {
+			r.Header.Set(k, v)
+		}
+		j, err := decodeHead(r)
+		if err == nil && (j.ID == "" || j.Class == "" || j.TimeLeft <= 0 || j.Slots < 1 || !(j.Memory >= 0)) {
+			t.Fatalf("%+v passed", j)
+		}
+	})
+}
+
+// A request that cannot be read, or that hides another behind its end, gets a response, is not forwarded, and ends its connection.
+func TestHandler_MalformedRequests(t *testing.T) {
+	hidden := "POST /search HTTP/1.1\r\nHost: h\r\nX-Request-Id: hidden\r\nX-Class: search\r\nX-Deadline-Ms: 5000\r\n" +
+		"Content-Length: 0\r\n\r\n"
+	both := rawRequestHead + "Transfer-Encoding: chunked\r\nContent-Length: " + strconv.Itoa(len(hidden)+5) + "\r\n\r\n0\r\n\r\n" + hidden
+	for _, c := range []struct {
+		name, send string
+		status     int // 0: a close will do
+		counter    string
+	}{
+		{"both lengths", both, 400, "bad_framing"},
+		{"both lengths, folded and in odd case", rawRequestHead + "tRansfer-encoding:\r\n chunked\r\ncontent-length: 5\r\n\r\n0\r\n\r\n" + hidden, 400, "bad_framing"},
+		{"both lengths, bare line ends", strings.ReplaceAll(both, "\r\n", "\n"), 400, "bad_framing"},
+		{"both lengths to HTTP/1.0", strings.Replace(both, "HTTP/1.1", "HTTP/1.0", 1), 400, "bad_framing"},
+		{"both lengths to a GET", strings.Replace(both, "POST /search", "GET /up", 1), 400, "bad_framing"},
+		{"a number hidden by spaces", rawRequestHead + "Content-Length: " + strings.Repeat(" ", 200) + "3\r\n\r\nabc", 400, "bad_framing"},
+		{"a length below the body's", rawRequestHead + "Content-Length: 3\r\n\r\nabcdef", 400, "bad_framing"},
+		{"two requests at once", rawRequestHead + "Content-Length: 0\r\n\r\n" + hidden, 400, "bad_framing"},
+		{"two lengths", rawRequestHead + "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", 400, "unreadable"},
+		{"a negative length", rawRequestHead + "Content-Length: -3\r\n\r\nabc", 400, "unreadable"},
+		{"a length of words", rawRequestHead + "Content-Length: three\r\n\r\nabc", 400, "unreadable"},
+		{"a huge length", rawRequestHead + "Content-Length: 60000000\r\n\r\nabc", 413, "bad_sizes"},
+		{"an endless length", rawRequestHead + "Content-Length: 99999999999999999999\r\n\r\nabc", 400, "unreadable"},
+		{"an unknown coding", rawRequestHead + "Transfer-Encoding: odd\r\n\r\n" + hidden, 501, "unreadable"},
+		{"nonsense for chunks", rawRequestHead + "Transfer-Encoding: chunked\r\n\r\nzz\r\n" + hidden, 400, "bad_bodies"},
+		{"no HTTP", "\x16\x03\x01\x00\xa5 hello\r\n\r\n", 400, "unreadable"},
+		{"a head without end", rawRequestHead + strings.Repeat("X-More: "+strings.Repeat("a", 1000)+"\r\n", 40), 431, "unreadable"},
+		{"an unknown class with a request behind it", strings.ReplaceAll(rawRequestHead, "search", "odd") + "Content-Length: 3\r\n\r\nabc" + hidden, 400, "bad_framing"},
+		{"a class with a letter that workers cannot read", strings.ReplaceAll(rawRequestHead, "/search", "/search/\xff") + "Content-Length: 0\r\n\r\n", 400, "bad_heads"},
+		{"a question to nobody", "OPTIONS * HTTP/1.1\r\nHost: h\r\n\r\n", 405, "bad_methods"},
+		{"a deadline with a sign", strings.Replace(rawRequestHead, "5000", "+5000", 1) + "Content-Length: 0\r\n\r\n", 400, "bad_heads"},
+		{"an expectation nobody knows", rawRequestHead + "Expect: magic\r\nContent-Length: 0\r\n\r\n", 417, "unreadable"},
+		{"a key with such a letter", rawRequestHead + "X-Key: \xff\r\nContent-Length: 0\r\n\r\n", 400, "bad_heads"},
+	} {
+		w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
+		h := newHarness(t, w.Address, 0)
+		conn := sendRaw(t, h, "")
+		go io.WriteString(conn, c.send)
+		status, closed := readToClose(t, conn)
+		if status != c.status || !closed {
+			t.Errorf("%s: status %d, closed %v", c.name, status, closed)
+		}
+		waitFor(t, c.name+" is counted", func() bool { return h.engine.Counters.Fields()[c.counter] == int64(1) })
+		if w.RequestCount() != 0 || h.engine.Counters.Accepted.Load() != 0 {
+			t.Errorf("%s: %d requests came to the worker", c.name, w.RequestCount())
+		}
+	}
+}
+
+// A request whose body does not arrive as a whole is not opened at the engine.
+func TestHandler_PartialRequestIsNotForwarded(t *testing.T) {
+	h := newHarness(t, "", 0)
+	c := sendRaw(t, h, rawRequestHead+"Content-Length: 10\r\n\r\nhalf")
+	c.Close()
+	waitFor(t, "the request is counted as bad", func() bool { return h.engine.Counters.BadRequests.Load() == 1 })
+	if h.engine.Counters.Accepted.Load() != 0 {
+		t.Fatal("it was taken")
+	}
+}
--- a/internal/frontend/shared_test.go
+++ b/internal/frontend/sharedlistener_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// What the kernel has accepted for a listener that finishes is taken, all of it; what comes later is the other's.
+// A listener that drains returns all connections that the kernel has accepted for it; later ones are those of the other listener.
 func TestSharedListener_DrainAcceptsPending(t *testing.T) {
 	first, err := ListenShared("127.0.0.1:0")
 	if err != nil {
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatalf("nobody can listen beside it: %v", err)
 	}
-	defer second.Close()
+	defer func() { _ = second.Close() }()
 	accepted := make(chan net.Conn, connCount)
 	ended := make(chan error, 1)
 	go func() {
@@ -68,7 +68,9 @@
 		t.Fatalf("Accept ended before Close: %v", err)
 	default:
 	}
-	first.Close()
+	if err := first.Close(); err != nil {
+		t.Errorf("closed once: %v", err)
+	}
 	if err := <-ended; !errors.Is(err, net.ErrClosed) {
 		t.Errorf("%v", err)
 	}
@@ -80,6 +82,7 @@
 	}
 }
 
+// An address with a listener that is not shared cannot be shared.
 func TestListenShared_AddressInUse(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/frontend/upstream_test.go
+++ b/internal/frontend/upstream_test.go
@@ -5,17 +5,21 @@
 	"io"
 	"net"
 	"net/http"
+	"strconv"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
 	"birchfork/dispatch"
 	"birchfork/internal/engine"
+	"birchfork/internal/engine/enginetest"
 	"birchfork/internal/upstream"
 	"birchfork/internal/upstream/upstreamtest"
 )
 
+// A worker gets the request as the client sent it, and the client the worker's result; the connection is used again.
 func TestTransport_ForwardsRequestAndResult(t *testing.T) {
 	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
 	h := newHarness(t, w.Address, 0)
@@ -45,7 +49,7 @@
 	}
 }
 
-// Each row of the protocol's table, and what a broken worker may make of it.
+// Each answer of the protocol, and what a broken worker may make of it, has its outcome.
 func TestTransport_Outcomes(t *testing.T) {
 	long := strings.Repeat("x", upstream.MaxLineBytes+8192)
 	for _, c := range []struct {
@@ -88,7 +92,7 @@
 		{"empty lines between", upstreamtest.OKHead + upstreamtest.Chunk("\n\r\n"+upstreamtest.StatusLine("ID", "done", `,"result":"r"`)+"\n") + "0\r\n\r\n", true, dispatch.ResultOK, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := upstreamtest.StartWorker(t, func(conn net.Conn, r *http.Request) bool {
+			w := upstreamtest.StartWorker(t, func(conn net.Conn, _ *http.Request) bool {
 				io.WriteString(conn, c.answer)
 				return c.keep
 			})
@@ -114,6 +118,7 @@
 	}
 }
 
+// A request whose worker accepts no connection never ran, and is shed.
 func TestTransport_ConnectionRefused(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -122,14 +127,76 @@
 	l.Close()
 	h := newHarness(t, l.Addr().String(), 0)
 	if status, _, _ := doRequest(t, newRequest(t, h.url, "book", "id-1", "")); status != 503 {
-		t.Fatalf("status %d, want a refusal", status)
+		t.Fatalf("status %d, want it shed", status)
 	}
 	if h.settled(t); h.engine.Counters.Outcomes[dispatch.ResultUnreachable].Load() != 1 {
 		t.Fatal(h.engine.Counters.Fields())
 	}
 }
 
-// An answer that goes on for ever after its outcome must not hold its connection for ever, nor be mixed with the next.
+// A retry tells its worker the time that the client still has, not what it had at the first attempt.
+func TestTransport_RetrySendsTimeLeft(t *testing.T) {
+	type observation struct {
+		at time.Time
+		ms int64
+	}
+	observations := make(chan observation, 8)
+	first := atomic.Bool{}
+	first.Store(true)
+	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool {
+		ms, _ := strconv.ParseInt(r.Header.Get("X-Deadline-Ms"), 10, 64)
+		observations <- observation{time.Now(), ms}
+		if first.Swap(false) {
+			time.Sleep(60 * time.Millisecond) // time that the first attempt takes from the client
+			io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+			return true
+		}
+		return upstreamtest.RespondDone(c, r)
+	})
+	h := newHarness(t, w.Address, 0)
+	h.handler.Engine = enginetest.NewWith(t, 0, strings.Replace(enginetest.Settings, `"attempts_cap":1`, `"attempts_cap":3`, 1))
+	h.handler.Engine.UpdateEndpoints(upstreamtest.ListWithWorker(w.Address))
+	if status, _, _ := doRequest(t, newRequest(t, h.url, "search", "a", "")); status != 200 {
+		t.Fatalf("status %d", status)
+	}
+	retried, two := <-observations, <-observations
+	if elapsed := two.at.Sub(retried.at).Milliseconds(); elapsed < 60 || two.ms > retried.ms-elapsed+1 {
+		t.Fatalf("%d ms told at first, %d ms %d ms later", retried.ms, two.ms, elapsed)
+	}
+}
+
+// A retry is not sent where the window in which workers drop repeats has ended while its connection was set up.
+func TestTransport_RetryStaysWithinWindow(t *testing.T) {
+	e := enginetest.NewWith(t, 0, strings.NewReplacer(`"attempts_cap":1`, `"attempts_cap":3`, `"name":"search","deadline":5,"aim":0.4,"effect":"free"`,
+		`"name":"search","deadline":5,"aim":4,"effect":"guarded","group":"all","window":0.2`).Replace(enginetest.Settings))
+	w := upstreamtest.StartWorker(t, func(c net.Conn, _ *http.Request) bool { // whichever is tried first fails
+		io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
+		return true
+	})
+	l := upstreamtest.ListWithWorker(w.Address)
+	l.Endpoints = append(l.Endpoints, l.Endpoints[0])
+	l.Endpoints[1].Name = "v"
+	e.UpdateEndpoints(l)
+	h := newHarness(t, "", 0)
+	var dials atomic.Int32
+	pool := upstream.NewPool(func(ctx context.Context, a string) (net.Conn, error) {
+		if dials.Add(1) == 2 { // the repeat's connection comes up when its window is over
+			time.Sleep(250 * time.Millisecond)
+		}
+		return (&net.Dialer{}).DialContext(ctx, "tcp", a)
+	}, &e.Counters, 8, time.Nanosecond) // none is kept
+	defer pool.Close()
+	h.handler.Engine, h.handler.Transport = e, &upstream.Transport{Pool: pool, Counters: &e.Counters}
+	status, _, _ := doRequest(t, newRequest(t, h.url, "search", "a", ""))
+	if dials.Load() < 2 || w.RequestCount() != 1 || status == 200 {
+		t.Fatalf("status %d, %d requests at workers, %d dials", status, w.RequestCount(), dials.Load())
+	}
+	if e.Counters.Outcomes[dispatch.ResultNotSent].Load() != 1 {
+		t.Fatal(e.Counters.Fields())
+	}
+}
+
+// An answer that does not end behind its outcome must not hold its connection for ever, nor be mixed with the next one.
 func TestTransport_ClosesConnOnEndlessResponse(t *testing.T) {
 	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool {
 		io.WriteString(c, upstreamtest.OKHead+upstreamtest.Chunk(upstreamtest.StatusLine(r.Header.Get("X-Request-Id"), "done", `,"result":"r"`)))
@@ -149,7 +216,7 @@
 	}
 }
 
-// A late second line of an earlier answer must not pass for the answer of the next request.
+// A late part of an earlier answer must not be taken for the answer to the next request.
 func TestTransport_ReusedConnStartsClean(t *testing.T) {
 	first := true
 	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool {
@@ -175,7 +242,7 @@
 	}
 }
 
-// writeSpy is a connection that tells of its writes.
+// writeSpy is a connection that calls onWrite with the size of each write.
 type writeSpy struct {
 	net.Conn
 	onWrite func(n int)
@@ -187,15 +254,15 @@
 	return n, err
 }
 
-// Under the group's lease the last byte of a request is a write of its own, and stays where the lease ends before it: the
-// runner never begins, and the client is told that asking again is harmless.
+// Under the group's lease the last byte of a request is a write of its own, which does not happen where the lease ends before it: the worker
+// never begins, and the request is shed, after which the client may try again.
 func TestTransport_LastByteNeedsLease(t *testing.T) {
 	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
 	h := newHarness(t, w.Address, 0)
 	var mu sync.Mutex
 	var sizes []int
 	leaseEnds := true
-	h.pool.Reconfigure(func(ctx context.Context, a string) (net.Conn, error) {
+	h.pool.Reconfigure(func(_ context.Context, a string) (net.Conn, error) {
 		c, err := net.Dial("tcp", a)
 		return &writeSpy{c, func(n int) {
 			mu.Lock()
@@ -219,7 +286,7 @@
 			received = last.Header.Get("X-Request-Id") == id
 		}
 		if complete := len(sizes) == 2 && sizes[1] == 1; status != want || received != complete || complete != (want == 200) || len(sizes) > 2 {
-			t.Errorf("%s: status %d, want %d; the runner saw it: %t; writes of %v bytes", id, status, want, received, sizes)
+			t.Errorf("%s: status %d, want %d; the worker saw it: %t; writes of %v bytes", id, status, want, received, sizes)
 		}
 		mu.Unlock()
 	}
