--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -13,10 +13,12 @@
 	"slices"
 	"strings"
 	"testing"
+
+	"birchfork/internal/goldentest"
 )
 
-// Files in testdata/golden hold conversations between a drawn simulator and this program: one whole, of the others the
-// digests of both directions. They prove that the same seed brings the same decisions. UPDATE_GOLDEN=1 writes them.
+// testdata/golden holds conversations between a random simulator and this program: one in full, of the others the digests
+// of both directions. They prove that the same seed gives the same decisions. UPDATE_GOLDEN=1 writes it.
 
 // simulator draws events for a few dispatchers and answers what they do.
 type simulator struct {
@@ -263,7 +265,7 @@
 	return int64(n*1e6 + 0.5)
 }
 
-// converse plays a drawn conversation with run, and copies both directions.
+// converse plays a random conversation with run, and copies both directions.
 func converse(t *testing.T, seed uint64, batches int, in, out io.Writer) {
 	t.Helper()
 	fromSim, toRun := io.Pipe()
@@ -278,7 +280,9 @@
 	for range batches {
 		s.batch()
 	}
-	toRun.Close()
+	if err := toRun.Close(); err != nil {
+		t.Fatal(err)
+	}
 	if err := <-ended; err != nil {
 		t.Fatal(err)
 	}
@@ -287,8 +291,8 @@
 func TestGolden_Conversation(t *testing.T) {
 	var in, out, replayed bytes.Buffer
 	converse(t, 7, 60, &in, &out)
-	compareGolden(t, "conversation.in", in.Bytes())
-	compareGolden(t, "conversation.out", out.Bytes())
+	goldentest.Check(t, "conversation.in", in.Bytes())
+	goldentest.Check(t, "conversation.out", out.Bytes())
 	recorded, err := os.ReadFile(filepath.Join("testdata", "golden", "conversation.in"))
 	if err != nil {
 		t.Fatal(err)
@@ -296,7 +300,7 @@
 	if err := run(bytes.NewReader(recorded), &replayed); err != nil {
 		t.Fatal(err)
 	}
-	compareGolden(t, "conversation.out", replayed.Bytes())
+	goldentest.Check(t, "conversation.out", replayed.Bytes())
 }
 
 func TestGolden_Conversations(t *testing.T) {
@@ -315,34 +319,5 @@
 	for _, verb := range slices.Sorted(maps.Keys(verbs)) {
 		fmt.Fprintf(&digests, "%d of %s\n", verbs[verb], verb)
 	}
-	compareGolden(t, "conversations.txt", digests.Bytes())
-}
-
-// compareGolden compares got with testdata/golden/name. With UPDATE_GOLDEN=1 in the environment it writes the file instead.
-func compareGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	if os.Getenv("UPDATE_GOLDEN") == "1" {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatalf("%v: UPDATE_GOLDEN=1 writes it", err)
-	}
-	if bytes.Equal(got, want) {
-		return
-	}
-	gotLines, wantLines := strings.Split(string(got), "\n"), strings.Split(string(want), "\n")
-	for i := range min(len(gotLines), len(wantLines)) {
-		if gotLines[i] != wantLines[i] {
-			t.Fatalf("%s:%d: got\n%s\nwant\n%s", path, i+1, gotLines[i], wantLines[i])
-		}
-	}
-	t.Fatalf("%s: got %d lines, want %d", path, len(gotLines), len(wantLines))
+	goldentest.Check(t, "conversations.txt", digests.Bytes())
 }
--- a/dispatch/random_test.go
+++ b/dispatch/random_test.go
@@ -7,142 +7,6 @@
 	"testing"
 )
 
-// ruleChecker checks the four rules from outside, by the events handed over and the actions that came back.
-type ruleChecker struct {
-	settings     Settings
-	requests     map[RequestID]*observedRequest
-	workers      map[WorkerID]Worker
-	version      uint64
-	warmingSends map[WorkerID][]Time // sends while cold
-	disabled     map[WorkerID]bool   // by hand
-	disabledAt   map[WorkerID]Time
-	enabledAt    map[WorkerID]Time
-	responses    int
-	sends        int
-}
-
-type observedRequest struct {
-	class       Class
-	maxAttempts int
-	deadline    Time
-	open        bool
-	attempts    []observedAttempt
-}
-
-type observedAttempt struct {
-	worker   WorkerID
-	sentAt   Time
-	inFlight bool
-	neverRan bool
-}
-
-func (c *ruleChecker) observeEndpoints(event *Event) {
-	if event.Version < c.version {
-		return
-	}
-	c.version = event.Version
-	if event.Kind == EndpointSnapshot {
-		for id, w := range c.workers {
-			w.State = Gone
-			c.workers[id] = w
-		}
-	}
-	for _, w := range event.Workers {
-		if old, ok := c.workers[w.ID]; ok && w.StartedAt > old.StartedAt {
-			c.warmingSends[w.ID] = nil
-		}
-		c.workers[w.ID] = w
-	}
-}
-
-func (c *ruleChecker) check(now Time, action Action) error {
-	observed := c.requests[action.Request]
-	switch {
-	case action.Kind == SendToPeer && (!c.settings.PeerMessages || action.Peer < 0 || action.Peer >= c.settings.GroupSize || action.Peer == c.settings.Ordinal):
-		return fmt.Errorf("a note to %d", action.Peer)
-	case action.Kind == Cancel && (!c.settings.CanCancel || observed == nil || action.Attempt >= len(observed.attempts)):
-		return fmt.Errorf("%v, of an attempt never made or not allowed", action)
-	case action.Kind != Send && action.Kind != Reject && action.Kind != Fail:
-		return nil
-	}
-	if observed == nil || !observed.open {
-		return fmt.Errorf("rule one: %v for a request that is not open", action)
-	}
-	if now > observed.deadline {
-		return fmt.Errorf("rule one: %v at %v, %v after the deadline", action, now, now-observed.deadline)
-	}
-	class := observed.class
-	if action.Kind != Send {
-		c.responses++
-		observed.open = false
-		for _, previous := range observed.attempts {
-			if action.Kind == Reject && !previous.neverRan && class.Idempotency != Idempotent && (class.Idempotency == NonIdempotent || class.DedupScope != DedupEverywhere) {
-				return fmt.Errorf("rule two: refused though it may have run")
-			}
-		}
-		return nil
-	}
-	c.sends++
-	w, inFlight := c.workers[action.Worker], 0
-	for _, previous := range observed.attempts {
-		if previous.inFlight {
-			inFlight++
-		}
-		previousWorker := c.workers[previous.worker]
-		switch {
-		case previous.neverRan:
-			continue
-		case previous.inFlight && !c.settings.CanHedge:
-			return fmt.Errorf("a second copy where none is allowed")
-		case class.Idempotency == NonIdempotent:
-			return fmt.Errorf("rule two: an unsafe job sent again")
-		case class.Idempotency == Deduplicated && now > previous.sentAt+class.DedupWindow:
-			return fmt.Errorf("rule two: sent again after the window")
-		case class.Idempotency == Deduplicated && class.DedupScope == DedupZone && previousWorker.Zone != w.Zone,
-			class.Idempotency == Deduplicated && class.DedupScope == DedupCell && previousWorker.Cell != w.Cell:
-			return fmt.Errorf("rule two: sent again outside the group")
-		}
-	}
-	if inFlight > 1 {
-		return fmt.Errorf("three attempts out at once")
-	}
-	if len(observed.attempts) >= min(observed.maxAttempts, c.settings.MaxAttempts) {
-		return fmt.Errorf("too many attempts")
-	}
-	if c.disabled[action.Worker] {
-		return fmt.Errorf("rule three: sent to worker %d, which is out by hand", action.Worker)
-	}
-	if w, ok := c.workers[action.Worker]; !ok || w.State != Ready {
-		return fmt.Errorf("rule three: sent to a worker in state %v, known %v", w.State, ok)
-	}
-	observed.attempts = append(observed.attempts, observedAttempt{worker: action.Worker, sentAt: now, inFlight: true})
-	return c.checkSlowStart(now, w)
-}
-
-// checkSlowStart counts sends. Every job of the test takes a work of 100 ms or more at paces of 1 or more, and no worker
-// ever shows more than slotsMost at once, so a count above the bound breaks the budget for sure.
-func (c *ruleChecker) checkSlowStart(now Time, w Worker) error {
-	start := w.StartedAt
-	if start <= c.disabledAt[w.ID] {
-		start = c.enabledAt[w.ID]
-	}
-	if age := now - start; start > 0 && age < c.settings.SlowStartWindow {
-		sends := append(c.warmingSends[w.ID], now)
-		for sends[0]+c.settings.OverloadWindow < now {
-			sends = sends[1:]
-		}
-		c.warmingSends[w.ID] = sends
-		factor := c.settings.SlowStartMinFactor + (1-c.settings.SlowStartMinFactor)*float64(max(age, 0))/float64(c.settings.SlowStartWindow)
-		limit := c.settings.OverloadMultiple * factor * maxSlots * float64(c.settings.OverloadWindow) / float64(100*ms)
-		if float64(len(sends)) > limit+1 {
-			return fmt.Errorf("rule four: %d sends in a window to worker %d at warmth %v", len(sends), w.ID, factor)
-		}
-	}
-	return nil
-}
-
-const maxSlots = 4
-
 // TestHandle_KeepsRulesUnderRandomEvents feeds seeded random events, contradictory, late and duplicate ones among them, and
 // checks the four rules. It models no worker and measures nothing.
 func TestHandle_KeepsRulesUnderRandomEvents(t *testing.T) {
@@ -224,7 +88,7 @@
 			return 0, err
 		}
 	}
-	for range 3000 { // silence: every open request must get its answer in time
+	for range 3000 { // no more events: every open request must get its answer in time
 		stream.now += 5 * ms
 		if err := stream.fireTimers(); err != nil {
 			return 0, err
@@ -316,7 +180,7 @@
 func (s *randomStream) endpointEvent(kind EventKind) Event {
 	event := Event{Kind: kind, Version: s.checker.version + uint64(s.rng.IntN(3))}
 	if s.rng.IntN(4) == 0 && s.checker.version > 0 {
-		event.Version = s.checker.version - 1 // late news
+		event.Version = s.checker.version - 1 // a late event
 	}
 	for id := range s.workers {
 		if kind == EndpointUpdate && s.rng.IntN(s.workers/2) > 2 {
@@ -343,7 +207,7 @@
 	rng := s.rng
 	id := RequestID(rng.IntN(len(s.checker.requests) + 1))
 	attempt := 0
-	for range 20 { // mostly one with an attempt out
+	for range 20 { // mostly one with an attempt in flight
 		if observed := s.checker.requests[id]; observed != nil && slices.ContainsFunc(observed.attempts, func(s observedAttempt) bool { return s.inFlight }) {
 			break
 		}
@@ -353,7 +217,7 @@
 	}
 	if observed := s.checker.requests[id]; observed != nil && len(observed.attempts) > 0 {
 		attempt = rng.IntN(len(observed.attempts) + 1)
-		// A worker of this test runs slotsMost at the most, so that a peak can be bounded.
+		// A worker of this test runs maxSlots at the most, so that a peak can be bounded.
 		if rng.IntN(2) == 0 && attempt < len(observed.attempts) && s.running(observed.attempts[attempt].worker) < maxSlots {
 			return Event{Kind: AttemptStarted, Request: id, Attempt: attempt}
 		}
@@ -389,14 +253,14 @@
 		return e
 	case n < 96:
 		return Event{Kind: RequestAbandoned, Request: id}
-	case n < 99: // notes: nonsense, old, from nobody
+	case n < 99: // messages: nonsense, old, from nobody
 		return Event{Kind: PeerMessageReceived, Peer: rng.IntN(s.checker.settings.GroupSize+4) - 2, Message: PeerMessage{Kind: PeerMessageKind(rng.IntN(4)), Tag: uint64(rng.IntN(20)) * 7919,
 			Slots: rng.Float64()*9 - 2}}
 	}
 	return Event{Kind: TimerFired}
 }
 
-// settingsEvent makes up other settings: effects change under their class's name, attempts and second copies come and go.
+// settingsEvent makes up other settings: idempotency changes under a class's name, attempts and hedging come and go.
 func (s *randomStream) settingsEvent() Event {
 	settings := s.checker.settings
 	settings.Classes = slices.Clone(settings.Classes)
