--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -60,7 +60,7 @@
 			}
 		}
 		if maxTime := 5 * max(time.Duration(fleet)*requestCost, time.Second); received < fleet || last > maxTime || calls > 5*fleet {
-			t.Errorf("%d dispatchers: %d told by %v after %d calls, want all by %v", fleet, received, last, calls, maxTime)
+			t.Errorf("%d dispatchers: %d had the list by %v after %d calls, want all by %v", fleet, received, last, calls, maxTime)
 		}
 	}
 }
@@ -104,7 +104,7 @@
 		fleet     int
 		profile   timing
 		wantsSpan bool
-	}{{"few that ask", 9, polledTiming, false}, {"many that ask", 80, polledTiming, true}, {"many with agents", 300, pushedTiming, false}} {
+	}{{"few that poll", 9, polledTiming, false}, {"many that poll", 80, polledTiming, true}, {"many with agents", 300, pushedTiming, false}} {
 		b := backoff{window: time.Duration(c.fleet) * requestCost, timing: c.profile, random: func() float64 { return 0 }}
 		for i := range 5 {
 			delay := b.delay(false, lost)
--- a/internal/discovery/timing_test.go
+++ b/internal/discovery/timing_test.go
@@ -7,12 +7,12 @@
 
 // Whatever became of a request or a watch, a change counts as known 6 s after discovery had it and could be reached.
 func TestTiming_MeetsPropagationDeadline(t *testing.T) {
-	for name, profile := range map[string]timing{"asked": polledTiming, "pushed": pushedTiming} {
+	for name, profile := range map[string]timing{"polled": polledTiming, "pushed": pushedTiming} {
 		if sum := profile.afterSilence(); sum > propagationDeadline {
 			t.Errorf("%s: a watch that falls silent and a call that comes to nothing take %v, want %v at the most", name, sum, propagationDeadline)
 		}
 		if sum := profile.afterBusy(); sum > propagationDeadline {
-			t.Errorf("%s: calls that are turned away take %v, want %v at the most", name, sum, propagationDeadline)
+			t.Errorf("%s: requests that are busy take %v, want %v at the most", name, sum, propagationDeadline)
 		}
 		if profile.watchIdleTimeout < 2*time.Second+500*time.Millisecond {
 			t.Errorf("%s: a watch is given up after %v, and its empty lines come every 2 s", name, profile.watchIdleTimeout)
--- a/internal/frontend/bench_test.go
+++ b/internal/frontend/bench_test.go
@@ -48,7 +48,7 @@
 	serve := func(conn net.Conn) {
 		defer conn.Close()
 		in := bufio.NewReaderSize(conn, 1<<17)
-		answer := []byte(upstreamtest.OKHead + upstreamtest.Chunk(upstreamtest.StatusLine("00000000", "started", "")) + upstreamtest.Chunk(upstreamtest.StatusLine("00000000", "done", `,"result":"r"`)) + "0\r\n\r\n")
+		answer := []byte(upstreamtest.Answer(upstreamtest.StatusLine("00000000", "started", ""), upstreamtest.StatusLine("00000000", "done", `,"result":"r"`)))
 		id := make([]byte, 0, 8)
 		for {
 			for {
--- a/internal/frontend/clientgone_test.go
+++ b/internal/frontend/clientgone_test.go
@@ -60,7 +60,7 @@
 	waitFor(t, "the client counts as gone", func() bool { return h.engine.Counters.ClientsGone.Load() == 1 })
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if b, _ := io.ReadAll(c); len(b) != 0 {
-		t.Fatalf("it was told %q", b)
+		t.Fatalf("it received %q", b)
 	}
 }
 
@@ -76,7 +76,7 @@
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	b, err := io.ReadAll(c)
 	if len(b) != 0 || err != nil && !strings.Contains(err.Error(), "reset") {
-		t.Fatalf("it was told %q, %v", b, err)
+		t.Fatalf("it received %q, %v", b, err)
 	}
 	waitFor(t, "it counts as gone", func() bool { return h.engine.Counters.ClientsGone.Load() == 1 })
 }
--- a/internal/frontend/golden_test.go
+++ b/internal/frontend/golden_test.go
@@ -114,10 +114,10 @@
 		{"served", upstreamtest.RespondDone, nil, nil},
 		{"served, with the connection to be closed", upstreamtest.RespondDone, map[string]string{"Connection": "close"}, nil},
 		{"served while stopping", upstreamtest.RespondDone, nil, func(h *harness) { h.handler.DisableKeepAlives() }},
-		{"served with an empty result", answer(upstreamtest.OKHead + upstreamtest.Chunk(upstreamtest.StatusLine("ID", "done", `,"result":""`)) + "0\r\n\r\n"), nil, nil},
+		{"served with an empty result", answer(upstreamtest.Answer(upstreamtest.StatusLine("ID", "done", `,"result":""`))), nil, nil},
 		{"served with a result of every kind of character",
-			answer(upstreamtest.OKHead + upstreamtest.Chunk(upstreamtest.StatusLine("ID", "done", `,"result":"\u0000\t\r\n\"\\\u00e9\u20ac\ud83d\ude00"`)) + "0\r\n\r\n"), nil, nil},
-		{"failed by the worker's line", answer(upstreamtest.OKHead + upstreamtest.Chunk(upstreamtest.StatusLine("ID", "failed", "")) + "0\r\n\r\n"), nil, nil},
+			answer(upstreamtest.Answer(upstreamtest.StatusLine("ID", "done", `,"result":"\u0000\t\r\n\"\\\u00e9\u20ac\ud83d\ude00"`))), nil, nil},
+		{"failed by the worker's line", answer(upstreamtest.Answer(upstreamtest.StatusLine("ID", "failed", ""))), nil, nil},
 		{"failed by the worker's status", answer("HTTP/1.1 500 x\r\n" + empty), nil, nil},
 		{"rejected, as the worker did not run it", answer("HTTP/1.1 503 x\r\nX-Not-Run: 1\r\n" + empty), nil, nil},
 		{"rejected, with the route's Retry-After", answer("HTTP/1.1 503 x\r\nX-Not-Run: 1\r\n" + empty), nil, func(h *harness) {
@@ -193,11 +193,35 @@
 
 // TestGoldenBadRequests records status and text of the answer to each kind of request that is no proper one.
 func TestGoldenBadRequests(t *testing.T) {
+	var b strings.Builder
+	for _, c := range badRequests() {
+		h := newHarness(t, "", 0)
+		got, closed := exchangeRaw(t, h, c.sent)
+		if h.engine.Counters.Accepted.Load() != 0 {
+			t.Errorf("%s: the request was taken", c.name)
+		}
+		b.WriteString(formatExchange(t, c.name, c.sent, got, closed, h.countersText()))
+	}
+	worker, open := startGatedWorker(t)
+	defer open()
+	h := newHarness(t, worker.Address, 0)
+	sendRaw(t, h, rawRequest("POST /search", nil, ""))
+	waitFor(t, "the first request is open", func() bool { return h.engine.OpenRequests() == 1 })
+	sent := rawRequest("POST /search", nil, "")
+	got, closed := exchangeRaw(t, h, sent)
+	b.WriteString(formatExchange(t, "an id that is open", sent, got, closed, h.countersText()))
+	goldentest.Check(t, "frontend-bad-requests.txt", []byte(b.String()))
+}
+
+// namedRequest is a request in bytes.
+type namedRequest struct{ name, sent string }
+
+// badRequests are requests with one fault each.
+func badRequests() []namedRequest {
 	long := strings.Repeat("a", maxGoldenText)
 	post := func(change map[string]string) string { return rawRequest("POST /search", change, "") }
 	with := func(name, value string) string { return post(map[string]string{name: value}) }
-	var b strings.Builder
-	for _, c := range []struct{ name, sent string }{
+	return []namedRequest{
 		{"no id", with("X-Request-Id", "")},
 		{"two ids", with("X-Request-Id", "a\r\nX-Request-Id: b")},
 		{"an id with a space", with("X-Request-Id", "a b")},
@@ -237,23 +261,7 @@
 		{"both lengths", rawRequest("POST /search", map[string]string{"Content-Length": "5", "Transfer-Encoding": "chunked"}, "0\r\n\r\n")},
 		{"a length below the body's", rawRequest("POST /search", map[string]string{"Content-Length": "3"}, "abcdef")},
 		{"a further request behind it", rawRequest("POST /search", nil, "") + rawRequest("POST /search", nil, "")},
-	} {
-		h := newHarness(t, "", 0)
-		got, closed := exchangeRaw(t, h, c.sent)
-		if h.engine.Counters.Accepted.Load() != 0 {
-			t.Errorf("%s: the request was taken", c.name)
-		}
-		b.WriteString(formatExchange(t, c.name, c.sent, got, closed, h.countersText()))
 	}
-	worker, open := startGatedWorker(t)
-	defer open()
-	h := newHarness(t, worker.Address, 0)
-	sendRaw(t, h, rawRequest("POST /search", nil, ""))
-	waitFor(t, "the first request is open", func() bool { return h.engine.OpenRequests() == 1 })
-	sent := rawRequest("POST /search", nil, "")
-	got, closed := exchangeRaw(t, h, sent)
-	b.WriteString(formatExchange(t, "an id that is open", sent, got, closed, h.countersText()))
-	goldentest.Check(t, "frontend-bad-requests.txt", []byte(b.String()))
 }
 
 // maxGoldenText is longer than any text that the handler accepts.
--- a/internal/frontend/lingeringclose_test.go
+++ b/internal/frontend/lingeringclose_test.go
@@ -44,7 +44,7 @@
 	const size = 512 << 10 // more than a client takes before it reads
 	result := strings.Repeat("r", size)
 	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool {
-		io.WriteString(c, upstreamtest.OKHead+upstreamtest.Chunk(upstreamtest.StatusLine(r.Header.Get("X-Request-Id"), "done", `,"result":"`+result+`"`))+"0\r\n\r\n")
+		io.WriteString(c, upstreamtest.Answer(upstreamtest.StatusLine(r.Header.Get("X-Request-Id"), "done", `,"result":"`+result+`"`)))
 		return true
 	})
 	h := newHarness(t, w.Address, 0)
--- a/internal/frontend/sharedlistener_test.go
+++ b/internal/frontend/sharedlistener_test.go
@@ -7,6 +7,34 @@
 	"testing"
 )
 
+// connect opens connections to an address until the test ends.
+func connect(t *testing.T, address string, count int) {
+	t.Helper()
+	for range count {
+		c, err := net.Dial("tcp", address)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { c.Close() })
+	}
+}
+
+// acceptAll accepts connections, with room for count, until the listener's Accept fails, and hands over its error.
+func acceptAll(listener net.Listener, count int) (accepted <-chan net.Conn, ended <-chan error) {
+	conns, failed := make(chan net.Conn, count), make(chan error, 1)
+	go func() {
+		for {
+			c, err := listener.Accept()
+			if err != nil {
+				failed <- err
+				return
+			}
+			conns <- c
+		}
+	}()
+	return conns, failed
+}
+
 // A listener that drains returns all connections that the kernel has accepted for it; later ones are those of the other listener.
 func TestSharedListener_DrainAcceptsPending(t *testing.T) {
 	first, err := ListenShared("127.0.0.1:0")
@@ -15,30 +43,13 @@
 	}
 	address := first.Addr().String()
 	const connCount = 40
-	for range connCount {
-		c, err := net.Dial("tcp", address)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
-	}
+	connect(t, address, connCount)
 	second, err := ListenShared(address)
 	if err != nil {
 		t.Fatalf("nobody can listen beside it: %v", err)
 	}
 	defer func() { _ = second.Close() }()
-	accepted := make(chan net.Conn, connCount)
-	ended := make(chan error, 1)
-	go func() {
-		for {
-			c, err := first.Accept()
-			if err != nil {
-				ended <- err
-				return
-			}
-			accepted <- c
-		}
-	}()
+	accepted, ended := acceptAll(first, connCount)
 	first.Drain()
 	for range connCount {
 		(<-accepted).Close()
@@ -49,13 +60,7 @@
 			break
 		}
 	}
-	for range connCount {
-		c, err := net.Dial("tcp", address)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
-	}
+	connect(t, address, connCount)
 	for range connCount {
 		c, err := second.Accept()
 		if err != nil {
--- a/internal/frontend/upstream_test.go
+++ b/internal/frontend/upstream_test.go
@@ -49,25 +49,28 @@
 	}
 }
 
-// Each answer of the protocol, and what a broken worker may make of it, has its outcome.
-func TestTransport_Outcomes(t *testing.T) {
+// answerCase is an answer of a worker to the request ID, and what becomes of it.
+type answerCase struct {
+	name   string
+	answer string
+	keep   bool // the worker leaves the connection open
+	want   dispatch.Result
+	reused bool
+	bad    int64
+}
+
+// answerCases are the answers of the protocol, and what a broken worker may make of them.
+func answerCases() []answerCase {
 	long := strings.Repeat("x", upstream.MaxLineBytes+8192)
-	for _, c := range []struct {
-		name   string
-		answer string // to the request ID
-		keep   bool   // the worker leaves the connection open
-		want   dispatch.Result
-		reused bool
-		bad    int64
-	}{
-		{"done", upstreamtest.OKHead + upstreamtest.Chunk(upstreamtest.StatusLine("ID", "done", `,"result":"r"`)) + "0\r\n\r\n", true, dispatch.ResultOK, true, 0},
+	return []answerCase{
+		{"done", upstreamtest.Answer(upstreamtest.StatusLine("ID", "done", `,"result":"r"`)), true, dispatch.ResultOK, true, 0},
 		{"done, then closed", upstreamtest.OKHead + upstreamtest.Chunk(upstreamtest.StatusLine("ID", "done", `,"result":""`)), false, dispatch.ResultOK, false, 0},
 		{"done without a chunked form", "HTTP/1.1 200 OK\r\n\r\n" + upstreamtest.StatusLine("ID", "done", `,"result":"r"`), false, dispatch.ResultOK, false, 0},
-		{"done, told to close", "HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n" +
+		{"done, with a close", "HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n" +
 			upstreamtest.Chunk(upstreamtest.StatusLine("ID", "done", `,"result":"r"`)) + "0\r\n\r\n", true, dispatch.ResultOK, false, 0},
-		{"failed", upstreamtest.OKHead + upstreamtest.Chunk(upstreamtest.StatusLine("ID", "failed", "")) + "0\r\n\r\n", true, dispatch.ResultFailed, true, 0},
-		{"returned", upstreamtest.OKHead + upstreamtest.Chunk(upstreamtest.StatusLine("ID", "returned", "")) + "0\r\n\r\n", true, dispatch.ResultOverloaded, true, 0},
-		{"lost", upstreamtest.OKHead + upstreamtest.Chunk(upstreamtest.StatusLine("ID", "lost", "")) + "0\r\n\r\n", true, dispatch.ResultDisconnected, true, 0},
+		{"failed", upstreamtest.Answer(upstreamtest.StatusLine("ID", "failed", "")), true, dispatch.ResultFailed, true, 0},
+		{"returned", upstreamtest.Answer(upstreamtest.StatusLine("ID", "returned", "")), true, dispatch.ResultOverloaded, true, 0},
+		{"lost", upstreamtest.Answer(upstreamtest.StatusLine("ID", "lost", "")), true, dispatch.ResultDisconnected, true, 0},
 		{"500", "HTTP/1.1 500 x\r\nContent-Length: 2\r\n\r\nno", true, dispatch.ResultFailed, true, 0},
 		{"503 not run", "HTTP/1.1 503 x\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true, dispatch.ResultOverloaded, true, 0},
 		{"504 not run", "HTTP/1.1 504 x\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true, dispatch.ResultOverloaded, true, 0},
@@ -77,44 +80,52 @@
 		{"404", "HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n", true, dispatch.ResultNotSent, true, 0},
 		{"closed at once", "", false, dispatch.ResultDisconnected, false, 0},
 		{"half a head", "HTTP/1.1 200 OK\r\nTransf", false, dispatch.ResultDisconnected, false, 1},
-		{"ended before the last line", upstreamtest.OKHead + upstreamtest.Chunk(upstreamtest.StatusLine("ID", "started", "")) + "0\r\n\r\n", true, dispatch.ResultDisconnected, false, 0},
+		{"ended before the last line", upstreamtest.Answer(upstreamtest.StatusLine("ID", "started", "")), true, dispatch.ResultDisconnected, false, 0},
 		{"broke after a start", upstreamtest.OKHead + upstreamtest.Chunk(upstreamtest.StatusLine("ID", "started", "")), false, dispatch.ResultDisconnected, false, 0},
 		{"a cut chunk", upstreamtest.OKHead + "ff\r\n" + `{"id":"ID","state":"done","result":"r"}`, false, dispatch.ResultDisconnected, false, 0},
-		{"half a last line", upstreamtest.OKHead + upstreamtest.Chunk(`{"id":"ID","state":"done","resu`) + "0\r\n\r\n", true, dispatch.ResultDisconnected, false, 1},
+		{"half a last line", upstreamtest.Answer(`{"id":"ID","state":"done","resu`), true, dispatch.ResultDisconnected, false, 1},
 		{"no HTTP", "hello\r\n\r\n", true, dispatch.ResultDisconnected, false, 1},
 		{"an endless head", "HTTP/1.1 200 OK\r\nX: " + long, true, dispatch.ResultDisconnected, false, 1},
 		{"an endless line", upstreamtest.OKHead + upstreamtest.Chunk(long), true, dispatch.ResultDisconnected, false, 1},
-		{"another's id", upstreamtest.OKHead + upstreamtest.Chunk(upstreamtest.StatusLine("other", "done", `,"result":"r"`)) + "0\r\n\r\n", true, dispatch.ResultDisconnected, false, 1},
-		{"an unknown state", upstreamtest.OKHead + upstreamtest.Chunk(upstreamtest.StatusLine("ID", "resting", "")) + "0\r\n\r\n", true, dispatch.ResultDisconnected, false, 1},
-		{"no result", upstreamtest.OKHead + upstreamtest.Chunk(upstreamtest.StatusLine("ID", "done", "")) + "0\r\n\r\n", true, dispatch.ResultDisconnected, false, 1},
-		{"a share beyond 1", upstreamtest.OKHead + upstreamtest.Chunk(upstreamtest.StatusLine("ID", "running", `,"share":1.5`)) + "0\r\n\r\n", true, dispatch.ResultDisconnected, false, 1},
+		{"another's id", upstreamtest.Answer(upstreamtest.StatusLine("other", "done", `,"result":"r"`)), true, dispatch.ResultDisconnected, false, 1},
+		{"an unknown state", upstreamtest.Answer(upstreamtest.StatusLine("ID", "resting", "")), true, dispatch.ResultDisconnected, false, 1},
+		{"no result", upstreamtest.Answer(upstreamtest.StatusLine("ID", "done", "")), true, dispatch.ResultDisconnected, false, 1},
+		{"a share beyond 1", upstreamtest.Answer(upstreamtest.StatusLine("ID", "running", `,"share":1.5`)), true, dispatch.ResultDisconnected, false, 1},
 		{"a bad chunk size", upstreamtest.OKHead + "zz\r\n", true, dispatch.ResultDisconnected, false, 1},
 		{"empty lines between", upstreamtest.OKHead + upstreamtest.Chunk("\n\r\n"+upstreamtest.StatusLine("ID", "done", `,"result":"r"`)+"\n") + "0\r\n\r\n", true, dispatch.ResultOK, true, 0},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			w := upstreamtest.StartWorker(t, func(conn net.Conn, _ *http.Request) bool {
-				io.WriteString(conn, c.answer)
-				return c.keep
-			})
-			h := newHarness(t, w.Address, 0)
-			status, _, _ := doRequest(t, newRequest(t, h.url, "book", "ID", ""))
-			h.settled(t)
-			if got := h.engine.Counters.Outcomes[c.want].Load(); got != 1 {
-				t.Fatalf("no outcome %d: %v", c.want, h.engine.Counters.Fields())
-			}
-			if (status == 200) != (c.want == dispatch.ResultOK) || (status == 400) != (c.want == dispatch.ResultNotSent) {
-				t.Errorf("status %d", status)
-			}
-			if rejected := status == 503 || status == 429; rejected != (c.want == dispatch.ResultOverloaded) {
-				t.Errorf("status %d for a job that may have run", status)
-			}
-			if _, idle := h.pool.Counts(); (idle == 1) != c.reused {
-				t.Errorf("%d idle connections", idle)
-			}
-			if n := h.engine.Counters.BadWorkerLines.Load(); n != c.bad {
-				t.Errorf("%d bad lines counted", n)
-			}
-		})
+	}
+}
+
+// Each answer of a worker has its outcome.
+func TestTransport_Outcomes(t *testing.T) {
+	for _, c := range answerCases() {
+		t.Run(c.name, func(t *testing.T) { c.check(t) })
+	}
+}
+
+func (c *answerCase) check(t *testing.T) {
+	t.Helper()
+	w := upstreamtest.StartWorker(t, func(conn net.Conn, _ *http.Request) bool {
+		io.WriteString(conn, c.answer)
+		return c.keep
+	})
+	h := newHarness(t, w.Address, 0)
+	status, _, _ := doRequest(t, newRequest(t, h.url, "book", "ID", ""))
+	h.settled(t)
+	if got := h.engine.Counters.Outcomes[c.want].Load(); got != 1 {
+		t.Fatalf("no outcome %d: %v", c.want, h.engine.Counters.Fields())
+	}
+	if (status == 200) != (c.want == dispatch.ResultOK) || (status == 400) != (c.want == dispatch.ResultNotSent) {
+		t.Errorf("status %d", status)
+	}
+	if rejected := status == 503 || status == 429; rejected != (c.want == dispatch.ResultOverloaded) {
+		t.Errorf("status %d for a job that may have run", status)
+	}
+	if _, idle := h.pool.Counts(); (idle == 1) != c.reused {
+		t.Errorf("%d idle connections", idle)
+	}
+	if n := h.engine.Counters.BadWorkerLines.Load(); n != c.bad {
+		t.Errorf("%d bad lines counted", n)
 	}
 }
 
@@ -161,7 +172,7 @@
 	}
 	retried, two := <-observations, <-observations
 	if elapsed := two.at.Sub(retried.at).Milliseconds(); elapsed < 60 || two.ms > retried.ms-elapsed+1 {
-		t.Fatalf("%d ms told at first, %d ms %d ms later", retried.ms, two.ms, elapsed)
+		t.Fatalf("%d ms sent at first, %d ms sent %d ms later", retried.ms, two.ms, elapsed)
 	}
 }
 
@@ -226,7 +237,7 @@
 			more = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 		}
 		first = false
-		io.WriteString(c, upstreamtest.OKHead+upstreamtest.Chunk(upstreamtest.StatusLine(id, "done", `,"result":"`+id+`"`))+"0\r\n\r\n"+more)
+		io.WriteString(c, upstreamtest.Answer(upstreamtest.StatusLine(id, "done", `,"result":"`+id+`"`))+more)
 		return true
 	})
 	h := newHarness(t, w.Address, 0)
--- a/internal/upstream/transport_test.go
+++ b/internal/upstream/transport_test.go
@@ -61,7 +61,7 @@
 			t.Fatal(e.Counters.Fields())
 		}
 		if open, _ := transport.Pool.Counts(); open != 0 || !early || linger != 0 {
-			t.Fatalf("%d connections stayed open; closed before the end was told: %v; what is written lingers for %d s", open, early, linger)
+			t.Fatalf("%d connections stayed open; closed before the end was reported: %v; what is written lingers for %d s", open, early, linger)
 		}
 	})
 }
@@ -175,7 +175,7 @@
 
 // Whatever a worker sends, the attempt ends once and its connection is released.
 func FuzzTransportResponse(f *testing.F) {
-	f.Add([]byte(upstreamtest.OKHead + upstreamtest.Chunk(upstreamtest.StatusLine("id-1", "done", `,"result":"r"`)) + "0\r\n\r\n"))
+	f.Add([]byte(upstreamtest.Answer(upstreamtest.StatusLine("id-1", "done", `,"result":"r"`))))
 	f.Add([]byte("HTTP/1.1 503 x\r\nX-Not-Run: 1\r\n\r\n"))
 	f.Add([]byte(upstreamtest.OKHead + "5\r\n{\"id\"\r\n"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
--- a/internal/upstream/upstreamtest/upstreamtest.go
+++ b/internal/upstream/upstreamtest/upstreamtest.go
@@ -112,11 +112,22 @@
 	return fmt.Sprintf(`{"id":%q,"from":"w","state":%q%s}`+"\n", id, state, fields)
 }
 
+// Answer returns a complete chunked answer with status 200, one chunk for each line.
+func Answer(lines ...string) string {
+	answer := OKHead
+	for _, line := range lines {
+		answer += Chunk(line)
+	}
+	return answer + "0\r\n\r\n"
+}
+
 // RespondDone writes a complete answer with a result.
 func RespondDone(c net.Conn, r *http.Request) bool {
 	id := r.Header.Get("X-Request-Id")
-	io.WriteString(c, OKHead+Chunk(StatusLine(id, "started", ""))+Chunk(StatusLine(id, "running", `,"share":0.4`))+
-		Chunk(StatusLine(id, "done", `,"result":"made \"it\""`))+"0\r\n\r\n")
+	io.WriteString(c, Answer(
+		StatusLine(id, "started", ""),
+		StatusLine(id, "running", `,"share":0.4`),
+		StatusLine(id, "done", `,"result":"made \"it\""`)))
 	return true
 }
 
