--- a/internal/frontend/shared_test.go
+++ b/internal/frontend/sharedlistener_test.go
@@ -7,38 +7,49 @@
 	"testing"
 )
 
-// What the kernel has accepted for a listener that finishes is taken, all of it; what comes later is the other's.
-func TestSharedListener_DrainAcceptsPending(t *testing.T) {
-	first, err := ListenShared("127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	address := first.Addr().String()
-	const connCount = 40
-	for range connCount {
+// connect opens connections to an address until the test ends.
+func connect(t *testing.T, address string, count int) {
+	t.Helper()
+	for range count {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-	}
-	second, err := ListenShared(address)
-	if err != nil {
-		t.Fatalf("nobody can listen beside it: %v", err)
+		t.Cleanup(func() { c.Close() })
 	}
-	defer second.Close()
-	accepted := make(chan net.Conn, connCount)
-	ended := make(chan error, 1)
+}
+
+// acceptAll accepts connections, with room for count, until the listener's Accept fails, and hands over its error.
+func acceptAll(listener net.Listener, count int) (accepted <-chan net.Conn, ended <-chan error) {
+	conns, failed := make(chan net.Conn, count), make(chan error, 1)
 	go func() {
 		for {
-			c, err := first.Accept()
+			c, err := listener.Accept()
 			if err != nil {
-				ended <- err
+				failed <- err
 				return
 			}
-			accepted <- c
+			conns <- c
 		}
 	}()
+	return conns, failed
+}
+
+// A listener that drains returns all connections that the kernel has accepted for it; later ones are those of the other listener.
+func TestSharedListener_DrainAcceptsPending(t *testing.T) {
+	first, err := ListenShared("127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	address := first.Addr().String()
+	const connCount = 40
+	connect(t, address, connCount)
+	second, err := ListenShared(address)
+	if err != nil {
+		t.Fatalf("nobody can listen beside it: %v", err)
+	}
+	defer func() { _ = second.Close() }()
+	accepted, ended := acceptAll(first, connCount)
 	first.Drain()
 	for range connCount {
 		(<-accepted).Close()
@@ -49,13 +60,7 @@
 			break
 		}
 	}
-	for range connCount {
-		c, err := net.Dial("tcp", address)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
-	}
+	connect(t, address, connCount)
 	for range connCount {
 		c, err := second.Accept()
 		if err != nil {
@@ -68,7 +73,9 @@
 		t.Fatalf("Accept ended before Close: %v", err)
 	default:
 	}
-	first.Close()
+	if err := first.Close(); err != nil {
+		t.Errorf("closed once: %v", err)
+	}
 	if err := <-ended; !errors.Is(err, net.ErrClosed) {
 		t.Errorf("%v", err)
 	}
@@ -80,6 +87,7 @@
 	}
 }
 
+// An address with a listener that is not shared cannot be shared.
 func TestListenShared_AddressInUse(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
