--- a/cmd/birchfork/testbed.go
+++ b/cmd/birchfork/testbed.go
@@ -57,7 +57,7 @@
 		fmt.Fprintf(out.stdout, "  %-16s %s\n", k.Kind, k.About)
 	}
 	fmt.Fprintln(out.stdout, "mutants:")
-	for _, f := range mutant.Faults {
+	for _, f := range mutant.Mutants {
 		fmt.Fprintf(out.stdout, "  %-16s %s\n", f.Name, f.About)
 	}
 	return nil
--- a/cmd/birchfork/testbed_cluster.go
+++ b/cmd/birchfork/testbed_cluster.go
@@ -74,9 +74,9 @@
 	case c.Failpoint != "":
 		return cluster.Load("proof-" + c.Failpoint)
 	}
-	random := cluster.Usual()
+	random := cluster.DefaultScenario()
 	random.Name = "storm"
-	random.Storm = defaultRandomFaults
+	random.RandomFaults = defaultRandomFaults
 	return []cluster.Scenario{random}, nil
 }
 
@@ -84,14 +84,14 @@
 func (c *testbedClusterRun) replaceFigures(s *cluster.Scenario) {
 	s.Members = cmp.Or(c.Members, s.Members)
 	s.For = cmp.Or(c.For, s.For)
-	s.Out = cmp.Or(c.MaxUnavailable, s.Out)
+	s.MaxUnavailable = cmp.Or(c.MaxUnavailable, s.MaxUnavailable)
 	s.Work = cmp.Or(c.Work, s.Work)
 	s.Lease = cmp.Or(c.Lease, s.Lease)
-	s.Plant = cmp.Or(c.Failpoint, s.Plant)
+	s.Failpoint = cmp.Or(c.Failpoint, s.Failpoint)
 	s.Diskless = s.Diskless || c.Diskless
-	s.Say = cmp.Or(c.RandomOverrides, s.Say)
+	s.RandomOverrides = cmp.Or(c.RandomOverrides, s.RandomOverrides)
 	if c.RandomFaults != -1 {
-		s.Storm = c.RandomFaults
+		s.RandomFaults = c.RandomFaults
 	}
 	if c.Machines != -1 {
 		s.Machines = c.Machines
@@ -145,7 +145,7 @@
 // report prints the result of a run and writes it to the files that are named.
 func (c *testbedClusterRun) report(out output, result *cluster.Result, seed uint64) error {
 	fmt.Fprintln(out.stdout, result.Line(seed))
-	for _, breach := range result.Report.Breaches {
+	for _, breach := range result.Report.Violations {
 		fmt.Fprintln(out.stdout, "   ", breach)
 	}
 	for _, crash := range result.Report.CrashNotes {
@@ -180,6 +180,6 @@
 	for _, s := range all {
 		fmt.Fprintf(t, "%s\t%s\n", s.Name, s.About)
 	}
-	fmt.Fprintf(t, "\nfaults\t%s\nfailpoints\t%s\nrules\t%s\n", strings.Join(cluster.Kinds, ", "), strings.Join(failpoint.Names, ", "), strings.Join(cluster.Rules, ", "))
+	fmt.Fprintf(t, "\nfaults\t%s\nfailpoints\t%s\nrules\t%s\n", strings.Join(cluster.FaultKinds, ", "), strings.Join(failpoint.Names, ", "), strings.Join(cluster.Rules, ", "))
 	return t.Flush()
 }
--- a/cmd/birchfork/testbed_replication.go
+++ b/cmd/birchfork/testbed_replication.go
@@ -49,7 +49,7 @@
 				bad++
 				fmt.Fprintf(out.stdout, "%d members, seed %d: BROKEN %v\n", n, c.Seed+uint64(i), r.Broken)
 			}
-			one = append(one, r.One)
+			one = append(one, r.ConvergedAfter)
 			messages, bytes = messages+float64(r.Messages), bytes+float64(r.Bytes)
 			idle, idleBytes = idle+float64(r.Idle.Messages), idleBytes+float64(r.Idle.Bytes)
 		}
@@ -68,14 +68,14 @@
 	return nil
 }
 
-func (c *testbedReplication) simulate(members int) []*simulation.CopiesResult {
-	all := make([]*simulation.CopiesResult, c.Runs)
+func (c *testbedReplication) simulate(members int) []*simulation.ReplicationResult {
+	all := make([]*simulation.ReplicationResult, c.Runs)
 	var done sync.WaitGroup
 	for core := range runtime.GOMAXPROCS(0) {
 		done.Go(func() {
 			for i := core; i < c.Runs; i += runtime.GOMAXPROCS(0) {
-				all[i] = simulation.PlayCopies(simulation.CopiesOptions{
-					Seed: c.Seed + uint64(i), Members: members, Words: c.Overrides, Runners: c.Workers, Say: c.WriteFor, Cut: c.PartitionFor, Faults: c.Faults, Idle: c.IdleFor,
+				all[i] = simulation.SimulateReplication(simulation.ReplicationOptions{
+					Seed: c.Seed + uint64(i), Members: members, Overrides: c.Overrides, Workers: c.Workers, WriteFor: c.WriteFor, PartitionFor: c.PartitionFor, Faults: c.Faults, IdleFor: c.IdleFor,
 				})
 			}
 		})
--- a/cmd/birchfork/testbed_simulation.go
+++ b/cmd/birchfork/testbed_simulation.go
@@ -31,8 +31,8 @@
 
 // Run simulates histories on all cores of the machine; the same seeds give the same histories.
 func (c *testbedSimulation) Run(out output) error {
-	if c.Fault != "" && !slices.Contains(simulation.Faults, c.Fault) {
-		return fmt.Errorf("--fault: %q is none of: %s", c.Fault, strings.Join(simulation.Faults, "; "))
+	if c.Fault != "" && !slices.Contains(simulation.Mutants, c.Fault) {
+		return fmt.Errorf("--fault: %q is none of: %s", c.Fault, strings.Join(simulation.Mutants, "; "))
 	}
 	if len(c.Behind) > 0 {
 		return simulation.CatchUp(out.stdout, c.Behind)
@@ -87,7 +87,7 @@
 		workers.Go(func() {
 			for i := next.Add(1) - 1; i < int64(c.Runs); i = next.Add(1) - 1 {
 				options := c.options(out, c.Seed+uint64(i))
-				history, err := simulation.Play(options)
+				history, err := simulation.Simulate(options)
 				mu.Lock()
 				if err != nil {
 					result.err = errors.Join(result.err, err)
@@ -104,9 +104,9 @@
 
 // options returns the options of the history with a seed.
 func (c *testbedSimulation) options(out output, seed uint64) simulation.Options {
-	options := simulation.Options{Seed: seed, Members: c.Members, Voters: c.Voters, Ticks: c.Ticks, Calm: c.FaultInterval, Fault: c.Fault}
+	options := simulation.Options{Seed: seed, Members: c.Members, Voters: c.Voters, Ticks: c.Ticks, FaultInterval: c.FaultInterval, Fault: c.Fault}
 	if c.Trace && c.Runs == 1 {
-		options.Story = out.stdout
+		options.Trace = out.stdout
 	}
 	return options
 }
@@ -126,13 +126,13 @@
 
 // explain prints the trace of a history that violates a rule, reduced to the fewest faults that still do.
 func (c *testbedSimulation) explain(out output, options simulation.Options) error {
-	minimal, _, err := simulation.CutDown(options)
+	minimal, _, err := simulation.Minimize(options)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out.stdout, "seed %d, reduced to %d ticks and %d faults:\n", minimal.Seed, minimal.Ticks, len(minimal.Troubles))
-	minimal.Story = out.stdout
-	result, err := simulation.Play(minimal)
+	fmt.Fprintf(out.stdout, "seed %d, reduced to %d ticks and %d faults:\n", minimal.Seed, minimal.Ticks, len(minimal.Faults))
+	minimal.Trace = out.stdout
+	result, err := simulation.Simulate(minimal)
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/baseline/baseline_test.go
+++ b/internal/testbed/baseline/baseline_test.go
@@ -10,7 +10,7 @@
 
 // Whatever comes, a baseline keeps what a dispatcher can keep by itself: one final answer in time, nothing sent after,
 // nothing unsafe again that may have run, no refusal of it, nothing to a worker that is not ready.
-func TestBaselinesKeepTheRules(t *testing.T) {
+func TestDecider_KeepsRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := dispatch.Settings{
 			Classes:     []dispatch.Class{{Idempotency: dispatch.Idempotent, WorkerKind: -1}, {Idempotency: dispatch.NonIdempotent, WorkerKind: 1}},
--- a/internal/testbed/cluster/groups_test.go
+++ b/internal/testbed/cluster/harness_test.go
@@ -16,17 +16,17 @@
 	"birchfork/internal/server"
 )
 
-// asMember in the environment makes this test's own binary a member, with the fault that it names.
-const asMember = "GROUPS_TEST_MEMBER"
+// asMemberEnv in the environment makes this test's own binary a member, with the fault that it names.
+const asMemberEnv = "GROUPS_TEST_MEMBER"
 
-const sound = "none"
+const noFailpoint = "none"
 
 func TestMain(m *testing.M) {
-	who := os.Getenv(asMember)
+	who := os.Getenv(asMemberEnv)
 	if who == "" {
 		os.Exit(m.Run())
 	}
-	if who != sound {
+	if who != noFailpoint {
 		failpoint.Set(who)
 	}
 	c, err := server.LoadWithOperator(os.Args[1], os.Args[2], os.Getenv("EDGE_OPERATOR"))
@@ -49,10 +49,10 @@
 
 func launch(fault, config, operator string) *exec.Cmd {
 	if fault == "" {
-		fault = sound
+		fault = noFailpoint
 	}
 	cmd := exec.Command(os.Args[0], config, operator)
-	cmd.Env = append(os.Environ(), asMember+"="+fault)
+	cmd.Env = append(os.Environ(), asMemberEnv+"="+fault)
 	return cmd
 }
 
@@ -64,7 +64,7 @@
 		t.Fatal(err)
 	}
 	for _, name := range failpoint.Names {
-		if !slices.ContainsFunc(all, func(s Scenario) bool { return s.Plant == name && s.Caught != "" }) {
+		if !slices.ContainsFunc(all, func(s Scenario) bool { return s.Failpoint == name && s.Caught != "" }) {
 			t.Errorf("no scenario catches %s", name)
 		}
 	}
@@ -93,21 +93,21 @@
 				return
 			}
 			r := play(1)
-			for _, b := range r.Report.Breaches {
+			for _, b := range r.Report.Violations {
 				t.Errorf("%s", b)
 			}
 			for _, c := range r.Report.CrashNotes {
 				t.Errorf("%s", c)
 			}
-			if len(r.Works) != s.Machines || s.Machines > 0 && r.Ended == 0 {
-				t.Errorf("%d machines were worked on; the plan: %s", len(r.Works), r.Last)
+			if len(r.MachineWorks) != s.Machines || s.Machines > 0 && r.Ended == 0 {
+				t.Errorf("%d machines were worked on; the plan: %s", len(r.MachineWorks), r.LastStatus)
 			}
 		})
 	}
 }
 
 // What is wrong with a scenario is told by line and key, all at once.
-func TestBadScenarios(t *testing.T) {
+func TestDecode_NamesEveryFault(t *testing.T) {
 	_, err := Decode("f", []byte(`[[scenario]]
 members = 2
 machines = 20
--- a/internal/testbed/cluster/link.go
+++ b/internal/testbed/cluster/link.go
@@ -36,7 +36,7 @@
 	after int           // connections are reset after so many bytes; 0: never
 }
 
-const pieceMost = 4 << 10
+const maxChunkBytes = 4 << 10
 
 // newLink forwards from an address of a host of the caller's choice. That of a member is not to be one: its free port is to stay
 // so until it listens.
@@ -146,7 +146,7 @@
 }
 
 func (k *link) copy(to, from net.Conn, held func(fault) bool) {
-	buf := make([]byte, pieceMost)
+	buf := make([]byte, maxChunkBytes)
 	sent := 0
 	for {
 		n, err := from.Read(buf)
--- a/internal/testbed/cluster/plain.go
+++ b/internal/testbed/cluster/plain.go
@@ -18,8 +18,8 @@
 // Plain makes a day's dispatchers a group, with no faults between them, until close is called.
 func Plain(o *testbed.Options) (done func(), err error) {
 	n := o.Scenario.Dispatchers
-	if n < membersLeast {
-		return nil, fmt.Errorf("%d dispatchers are no group; at least %d", n, membersLeast)
+	if n < minMembers {
+		return nil, fmt.Errorf("%d dispatchers are no group; at least %d", n, minMembers)
 	}
 	dir, err := os.MkdirTemp("", "birchfork-group-")
 	if err != nil {
@@ -49,7 +49,7 @@
 		cmd.Env = append(cmd.Env, "TMPDIR="+dir)
 		return cmd
 	}
-	o.Beside = func(ctx context.Context, _ *testbed.Stage) {
+	o.Alongside = func(ctx context.Context, _ *testbed.Environment) {
 		for c := (&coordinator.Client{Addresses: links[:1]}); ctx.Err() == nil; sleep(ctx, 100*time.Millisecond) {
 			if r, err := c.Do(ctx, coordinator.Call{Bootstrap: true}); err == nil && r.Code == maintenance.CodeOK {
 				return
--- a/internal/testbed/cluster/result.go
+++ b/internal/testbed/cluster/result.go
@@ -24,12 +24,12 @@
 		return nil, err
 	}
 	for i := range s.Classes {
-		s.Classes[i].Patience = 2 * time.Second
+		s.Classes[i].Deadline = 2 * time.Second
 	}
 	s.Terms.ConnectTimeout = 300 * time.Millisecond
 	s.Classes[0].Work = 600 * time.Millisecond
 	s.Uneven = 0
-	s.Terms.WarmWithin = time.Second
+	s.Terms.SlowStartWindow = time.Second
 	s.List.Lag, s.List.Jitter = 100*time.Millisecond, 100*time.Millisecond
 	return s, nil
 }
@@ -37,7 +37,7 @@
 // Rules broken in a run, by name.
 func (r *Result) broken() map[string]int {
 	out := map[string]int{}
-	for _, b := range r.Report.Breaches {
+	for _, b := range r.Report.Violations {
 		out[b.Rule]++
 	}
 	if r.Report.Crashes > 0 {
@@ -60,12 +60,12 @@
 		verdict = "BROKEN " + strings.Join(broken, ", ")
 	}
 	words := ""
-	if n := len(r.Reached); n > 0 {
-		all := slices.Sorted(slices.Values(r.Reached))
+	if n := len(r.Convergence); n > 0 {
+		all := slices.Sorted(slices.Values(r.Convergence))
 		words = fmt.Sprintf("words at all members after %.2f s, the last after %.2f s, ", all[n/2].Seconds(), all[n-1].Seconds())
 	}
 	return fmt.Sprintf("seed %d: %s; %s%d machines, first one after %.1f s, plan through after %.1f s, %.1f s without a settled answer, %d calls (%d open), goodput %.3f, %.0f kB, %.1f MB; %s",
-		seed, verdict, words, len(r.Works), r.First.Seconds(), max(r.Ended-r.Origin, 0).Seconds(), r.Silence.Seconds(), r.Calls, r.Unclear,
+		seed, verdict, words, len(r.MachineWorks), r.FirstRelease.Seconds(), max(r.Ended-r.Origin, 0).Seconds(), r.Silence.Seconds(), r.Calls, r.UncommittedCalls,
 		r.Report.Goodput, float64(r.Bytes)/1000, r.Report.RSSPeakMB, r.story())
 }
 
@@ -116,7 +116,7 @@
 		s.silence = hdrhistogram.New(1, int64(time.Hour/time.Millisecond), 3)
 	}
 	s.Runs++
-	s.Machines += len(r.Works)
+	s.Machines += len(r.MachineWorks)
 	if len(r.broken()) > 0 {
 		s.Broken++
 	}
--- a/internal/testbed/config.go
+++ b/internal/testbed/config.go
@@ -30,8 +30,8 @@
 	var customers []object //nolint:prealloc // without a tenant it stays nil: null in the JSON
 	for _, c := range s.Classes {
 		classes = append(classes, object{
-			"name": c.Name, "aim": seconds(c.Aim), "deadline": seconds(c.Patience), "effect": effects[c.Effect], "group": c.Group,
-			"late_worth": c.Late, "window": seconds(c.Window), "worth": c.Worth, "stream": false,
+			"name": c.Name, "aim": seconds(c.LatencyObjective), "deadline": seconds(c.Deadline), "effect": effects[c.Effect], "group": c.Group,
+			"late_worth": c.LateWeight, "window": seconds(c.Window), "worth": c.PriorityWeight, "stream": false,
 		})
 		stretch, kinds = append(stretch, c.Stretch), append(kinds, slices.Index(machines, c.Kind)) // -1: all
 	}
@@ -42,18 +42,18 @@
 	settings := object{
 		"classes": classes, "customers": customers, "zones": s.Zones, "zone": s.Zones[i%len(s.Zones)],
 		"machine_types": machines, "group_size": s.Dispatchers, "ordinal": i, "tick": 0.002,
-		"over_share_worth": t.OverShareWorth, "registry_mode": "automatic", "worth_by": "request",
+		"over_share_worth": t.OverQuotaWeight, "registry_mode": "automatic", "worth_by": "request",
 		"extra": object{"class_stretch": stretch, "class_kind": kinds, "progress": seconds(t.Progress), "tells_start": t.Notes},
 		"policy_limits": object{
 			"attempts_cap": t.Attempts, "cancel": true, "connect_timeout": seconds(t.ConnectTimeout),
-			"idle_close": seconds(t.IdleClose), "max_retry_after": seconds(t.MostRetryAfter), "open_cap": openCap,
-			"peers": false, "probes": false, "retry_after": t.RetryAfter, "second_copies": t.SecondCopies,
+			"idle_close": seconds(t.IdleClose), "max_retry_after": seconds(t.MaxRetryAfter), "open_cap": openCap,
+			"peers": false, "probes": false, "retry_after": t.RetryAfter, "second_copies": t.Hedging,
 		},
 		"prices": object{"waste": 0.04, "late_fail": 0.05, "cross_zone": 0.0},
 		"report": object{"how": "off"},
 		"safety": object{
-			"ask_within": 10.0, "cold_from": t.ColdFrom, "fall": seconds(t.FallWindow), "fall_multiple": t.FallMultiple,
-			"stop_sending_within": seconds(t.DrainGrace), "warm_within": seconds(t.WarmWithin),
+			"ask_within": 10.0, "cold_from": t.SlowStartMinFactor, "fall": seconds(t.OverloadWindow), "fall_multiple": t.OverloadMultiple,
+			"stop_sending_within": seconds(t.DrainGrace), "warm_within": seconds(t.SlowStartWindow),
 		},
 	}
 	return json.MarshalIndent(object{
--- a/internal/testbed/fakes/discovery.go
+++ b/internal/testbed/fakes/discovery.go
@@ -40,11 +40,11 @@
 
 var stateOf = map[string]invariant.State{StatusUp: invariant.Up, StatusDraining: invariant.Draining, StatusRemoved: invariant.Removed}
 
-// News is one change: Endpoint as each dispatcher gets it.
-type News struct {
-	Worker   int // -1: none of the fleet's
-	Life     int
-	Endpoint func(dispatcher int) Endpoint
+// EndpointUpdate is one change: Endpoint as each dispatcher gets it.
+type EndpointUpdate struct {
+	Worker      int // -1: none of the fleet's
+	Incarnation int
+	Endpoint    func(dispatcher int) Endpoint
 }
 
 // Discovery is the list with an agent for each dispatcher.
@@ -70,7 +70,7 @@
 }
 
 // Publish sends a change on its way; at once: it is there at once, as at the start of a day.
-func (d *Discovery) Publish(n News, atOnce bool) {
+func (d *Discovery) Publish(n EndpointUpdate, atOnce bool) {
 	for _, a := range d.Agents {
 		a.send(n, atOnce)
 	}
@@ -111,10 +111,10 @@
 // entry is an endpoint with what the ledger wants to know.
 type entry struct {
 	Endpoint
-	index   uint64
-	worker  int
-	life    int
-	telling *invariant.Telling
+	index       uint64
+	worker      int
+	incarnation int
+	telling     *invariant.Delivery
 }
 
 // listen opens a new address.
@@ -161,8 +161,8 @@
 	return nil
 }
 
-// Late sets how many times the usual lag news takes.
-func (a *Agent) Late(factor float64) {
+// SetDelay sets how many times the usual lag news takes.
+func (a *Agent) SetDelay(factor float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.factor = factor
@@ -199,10 +199,10 @@
 	_ = a.server.Close() // its connections end either way
 }
 
-func (a *Agent) send(n News, atOnce bool) {
+func (a *Agent) send(n EndpointUpdate, atOnce bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	e := entry{Endpoint: n.Endpoint(a.dispatcher), worker: n.Worker, life: n.Life}
+	e := entry{Endpoint: n.Endpoint(a.dispatcher), worker: n.Worker, incarnation: n.Incarnation}
 	if atOnce {
 		a.apply(e)
 		return
@@ -235,10 +235,10 @@
 	a.index++
 	e.index = a.index
 	if e.worker >= 0 {
-		e.telling = &invariant.Telling{
-			Dispatcher: a.dispatcher, Worker: e.worker, Life: e.life, State: stateOf[e.Status], Has: a.ledger.Now(),
+		e.telling = &invariant.Delivery{
+			Dispatcher: a.dispatcher, Worker: e.worker, Incarnation: e.incarnation, State: stateOf[e.Status], Has: a.ledger.Now(),
 		}
-		a.ledger.Telling(e.telling)
+		a.ledger.Delivery(e.telling)
 	}
 	if _, ok := a.view[e.Name]; !ok {
 		a.names = append(a.names, e.Name)
@@ -300,9 +300,9 @@
 	return out
 }
 
-// told takes down that entries have been written to the dispatcher. Who asks again is told again: a process that began
+// recordDelivery takes down that entries have been written to the dispatcher. Who asks again is told again: a process that began
 // since then knows only what it was told itself.
-func (a *Agent) told(all []entry, again bool) {
+func (a *Agent) recordDelivery(all []entry, again bool) {
 	now := a.ledger.Now()
 	for _, e := range all {
 		t := e.telling
@@ -310,7 +310,7 @@
 			continue
 		}
 		if again {
-			a.ledger.Telling(&invariant.Telling{Dispatcher: t.Dispatcher, Worker: t.Worker, Life: t.Life, State: t.State, Has: now, Written: now})
+			a.ledger.Delivery(&invariant.Delivery{Dispatcher: t.Dispatcher, Worker: t.Worker, Incarnation: t.Incarnation, State: t.State, Has: now, Written: now})
 			continue
 		}
 		a.ledger.Do(func() {
@@ -339,7 +339,7 @@
 		m, all := a.whole(), a.all()
 		a.mu.Unlock()
 		if json.NewEncoder(w).Encode(m) == nil {
-			a.told(all, true)
+			a.recordDelivery(all, true)
 		}
 		return
 	}
@@ -378,7 +378,7 @@
 			if control.Flush() != nil {
 				return
 			}
-			a.told(told, first)
+			a.recordDelivery(told, first)
 		}
 		select {
 		case <-wake:
--- a/internal/testbed/fakes/discovery_test.go
+++ b/internal/testbed/fakes/discovery_test.go
@@ -9,7 +9,7 @@
 )
 
 // News that comes a moment after other news arrives behind it: a worker that goes and comes back at once is there.
-func TestNewsKeepsItsOrder(t *testing.T) {
+func TestAgent_KeepsUpdateOrder(t *testing.T) {
 	d, err := NewDiscovery(invariant.NewLedger(), 1, 10, time.Millisecond, 0, rand.New(rand.NewPCG(1, 2)))
 	if err != nil {
 		t.Fatal(err)
@@ -19,7 +19,7 @@
 	a := d.Agents[0]
 	for range rounds {
 		for _, status := range []string{StatusRemoved, StatusUp} {
-			d.Publish(News{Worker: -1, Endpoint: func(int) Endpoint { return Endpoint{Name: "w", Status: status} }}, false)
+			d.Publish(EndpointUpdate{Worker: -1, Endpoint: func(int) Endpoint { return Endpoint{Name: "w", Status: status} }}, false)
 		}
 	}
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
--- a/internal/testbed/fakes/fleet.go
+++ b/internal/testbed/fakes/fleet.go
@@ -18,8 +18,8 @@
 
 // How long a draining worker stands there: past the grace, so that what is sent too late is seen, and at the most.
 const (
-	drainStays    = time.Second // past the grace
-	drainPatience = 5 * time.Second
+	drainStays   = time.Second // past the grace
+	drainTimeout = 5 * time.Second
 )
 
 // Fleet is all workers with discovery.
@@ -27,9 +27,9 @@
 	Workers   []*Worker
 	Discovery *Discovery
 
-	day    *scenario.Day
-	ledger *invariant.Ledger
-	at     func(dispatcher int, address string) string
+	day           *scenario.Day
+	ledger        *invariant.Ledger
+	workersByName func(dispatcher int, address string) string
 
 	mu      sync.Mutex
 	renamed map[int]string
@@ -52,8 +52,8 @@
 			return r.Float64()
 		},
 	}
-	f := &Fleet{day: day, ledger: l, at: at, renamed: map[int]string{}, quit: make(chan struct{})}
-	cfg.Fell = func(i int) { f.after(0, func() { f.publish(i, StatusRemoved, false, false) }) }
+	f := &Fleet{day: day, ledger: l, workersByName: at, renamed: map[int]string{}, quit: make(chan struct{})}
+	cfg.OnOverload = func(i int) { f.after(0, func() { f.publish(i, StatusRemoved, false, false) }) }
 	for i, w := range day.Workers {
 		f.Workers = append(f.Workers, NewWorker(cfg, w.Name, i, SpecOf(w, t)))
 	}
@@ -64,11 +64,11 @@
 		return nil, err
 	}
 	for i, w := range f.Workers {
-		if err := w.Start(!day.Workers[i].Cold); err != nil {
+		if err := w.Start(!day.Workers[i].WarmingUp); err != nil {
 			f.Close()
 			return nil, err
 		}
-		f.publish(i, StatusUp, day.Workers[i].Cold, true)
+		f.publish(i, StatusUp, day.Workers[i].WarmingUp, true)
 	}
 	return f, nil
 }
@@ -76,8 +76,8 @@
 // SpecOf is what a day's worker can do.
 func SpecOf(w scenario.Worker, t *scenario.Terms) Spec {
 	return Spec{
-		Kind: w.Kind, Cores: w.Cores, Speed: w.Speed, Memory: w.Memory, Queue: w.Queue, ColdFrom: t.ColdFrom, WarmWithin: t.WarmWithin,
-		FallMultiple: t.FallMultiple, FallWindow: t.FallWindow, Progress: t.Progress,
+		Kind: w.Kind, Cores: w.Cores, Speed: w.Speed, Memory: w.Memory, Queue: w.Queue, SlowStartMinFactor: t.SlowStartMinFactor, SlowStartWindow: t.SlowStartWindow,
+		OverloadMultiple: t.OverloadMultiple, OverloadWindow: t.OverloadWindow, Progress: t.Progress,
 	}
 }
 
@@ -88,10 +88,10 @@
 	if cold {
 		since = time.Now().UnixMilli()
 	}
-	f.Discovery.Publish(News{Worker: i, Life: w.Life(), Endpoint: func(dispatcher int) Endpoint {
+	f.Discovery.Publish(EndpointUpdate{Worker: i, Incarnation: w.Incarnation(), Endpoint: func(dispatcher int) Endpoint {
 		address := w.Address(dispatcher)
-		if f.at != nil && address != "" {
-			address = f.at(dispatcher, address)
+		if f.workersByName != nil && address != "" {
+			address = f.workersByName(dispatcher, address)
 		}
 		return Endpoint{
 			Name: f.name(i), Address: address, Zone: d.Zone, Type: d.Kind, Group: d.Cell, Status: status,
@@ -131,7 +131,7 @@
 	// It takes jobs until all dispatchers have had time to learn of it, as real ones do.
 	learned := f.day.Scenario.List.Lag + f.day.Scenario.List.Jitter
 	f.after(learned, func() {
-		done := f.Workers[i].Drain(f.day.Scenario.Terms.DrainGrace+drainStays, drainPatience)
+		done := f.Workers[i].Drain(f.day.Scenario.Terms.DrainGrace+drainStays, drainTimeout)
 		select {
 		case <-done:
 		case <-f.quit:
@@ -185,7 +185,7 @@
 		status = StatusRemoved
 	}
 	for g := range n {
-		f.Discovery.Publish(News{Worker: -1, Endpoint: func(int) Endpoint {
+		f.Discovery.Publish(EndpointUpdate{Worker: -1, Endpoint: func(int) Endpoint {
 			return Endpoint{
 				Name: fmt.Sprintf("ghost%d", g+1), Address: fmt.Sprintf("127.0.0.1:%d", g+1), Zone: f.day.Scenario.Zones[0],
 				Type: f.day.Workers[0].Kind, Status: status, Weight: 1,
--- a/internal/testbed/fakes/machine.go
+++ b/internal/testbed/fakes/machine.go
@@ -10,20 +10,20 @@
 
 // Spec is what a machine can do.
 type Spec struct {
-	Kind         string
-	Cores        int     // jobs' slots that run at once
-	Speed        float64 // against the yardstick core
-	Memory       float64 // units that running jobs may take together
-	Queue        int     // jobs that may wait; more are turned away
-	ColdFrom     float64 // share of its capacity that it starts with
-	WarmWithin   time.Duration
-	FallMultiple float64 // cold and sent more than this multiple of what it can do ...
-	FallWindow   time.Duration
-	Progress     time.Duration // between progress notes of a running job; 0: none
+	Kind               string
+	Cores              int     // jobs' slots that run at once
+	Speed              float64 // against the yardstick core
+	Memory             float64 // units that running jobs may take together
+	Queue              int     // jobs that may wait; more are turned away
+	SlowStartMinFactor float64 // share of its capacity that it starts with
+	SlowStartWindow    time.Duration
+	OverloadMultiple   float64 // cold and sent more than this multiple of what it can do ...
+	OverloadWindow     time.Duration
+	Progress           time.Duration // between progress notes of a running job; 0: none
 }
 
-// coldStep bounds how long a pace is taken as even while a machine warms up.
-const coldStep = 20 * time.Millisecond
+// warmUpStep bounds how long a pace is taken as even while a machine warms up.
+const warmUpStep = 20 * time.Millisecond
 
 // Job is one job at a machine.
 type Job struct {
@@ -41,26 +41,26 @@
 // failTime is how long a failing job takes.
 const failTime = 2 * time.Millisecond
 
-// NoteKind tells notes apart.
-type NoteKind uint8
+// JobEventKind tells notes apart.
+type JobEventKind uint8
 
 // The notes of a machine.
 const (
-	Began NoteKind = iota
+	Began JobEventKind = iota
 	Progressed
 	Finished
 	Failed
-	Fell // the machine itself, pushed over cold
+	Overloaded // the machine itself, pushed over cold
 )
 
-// Note is something that a machine tells.
-type Note struct {
-	Kind  NoteKind
-	Job   *Job
-	Share float64 // done
+// JobEvent is something that a machine tells.
+type JobEvent struct {
+	Kind     JobEventKind
+	Job      *Job
+	Progress float64 // done
 
 	// Of Fell: the work sent within the window and what the machine bears, in seconds on a core of speed 1.
-	Sent, Bears, Warmth float64
+	Sent, Allowed, SlowStartFactor float64
 }
 
 // Machine is a worker's first-come queue and its cores. It has no clock and does no I/O: the caller tells the time,
@@ -78,7 +78,7 @@
 	sent    []sentWork // within the fall window, while cold
 	over    time.Duration
 	pushed  bool
-	fallen  bool
+	crashed bool
 }
 
 type sentWork struct {
@@ -90,34 +90,34 @@
 func NewMachine(s Spec, now time.Duration, warm bool) *Machine {
 	m := &Machine{spec: s, started: now, now: now, slow: 1}
 	if warm {
-		m.started = now - s.WarmWithin
+		m.started = now - s.SlowStartWindow
 	}
 	return m
 }
 
-// Warmth is the share of its capacity that it has.
-func (m *Machine) Warmth(now time.Duration) float64 {
+// SlowStartFactor is the share of its capacity that it has.
+func (m *Machine) SlowStartFactor(now time.Duration) float64 {
 	age := now - m.started
-	if age >= m.spec.WarmWithin {
+	if age >= m.spec.SlowStartWindow {
 		return 1
 	}
-	return m.spec.ColdFrom + (1-m.spec.ColdFrom)*float64(age)/float64(m.spec.WarmWithin)
+	return m.spec.SlowStartMinFactor + (1-m.spec.SlowStartMinFactor)*float64(age)/float64(m.spec.SlowStartWindow)
 }
 
-// pace is how much of a job a slot does in a second at a moment.
-func (m *Machine) pace(at time.Duration) float64 {
-	if m.hung || m.fallen {
+// speedFactor is how much of a job a slot does in a second at a moment.
+func (m *Machine) speedFactor(at time.Duration) float64 {
+	if m.hung || m.crashed {
 		return 0
 	}
-	return m.spec.Speed * m.Warmth(at) / m.slow
+	return m.spec.Speed * m.SlowStartFactor(at) / m.slow
 }
 
 // Offer gives the machine a job. It returns false where its queue is full or it lies on the ground.
 func (m *Machine) Offer(j *Job) bool {
-	if m.Warmth(m.now) < 1 {
+	if m.SlowStartFactor(m.now) < 1 {
 		m.sent = append(m.sent, sentWork{m.now, j.Work})
 	}
-	if m.fallen || len(m.queue) >= m.spec.Queue || j.Slots > m.spec.Cores || j.Memory > m.spec.Memory {
+	if m.crashed || len(m.queue) >= m.spec.Queue || j.Slots > m.spec.Cores || j.Memory > m.spec.Memory {
 		return false
 	}
 	j.left, j.placed = j.Work, true
@@ -152,14 +152,14 @@
 // Hang stops or resumes all work.
 func (m *Machine) Hang(on bool) { m.hung = on }
 
-// Fallen tells whether it was pushed over.
-func (m *Machine) Fallen() bool { return m.fallen }
+// Crashed tells whether it was pushed over.
+func (m *Machine) Crashed() bool { return m.crashed }
 
 // Busy is how many jobs it has.
 func (m *Machine) Busy() (running, waiting int) { return len(m.running), len(m.queue) }
 
 // Advance goes on to a moment and returns what happened up to then, in order.
-func (m *Machine) Advance(now time.Duration) (notes []Note) {
+func (m *Machine) Advance(now time.Duration) (notes []JobEvent) {
 	for m.now < now {
 		step := min(now, m.event())
 		m.work(step)
@@ -177,9 +177,9 @@
 // event is the next moment at which something changes by itself.
 func (m *Machine) event() time.Duration {
 	at := time.Duration(math.MaxInt64)
-	pace := m.pace(m.now)
+	pace := m.speedFactor(m.now)
 	for _, j := range m.running {
-		if m.hung || m.fallen {
+		if m.hung || m.crashed {
 			break
 		}
 		if j.Fails {
@@ -193,15 +193,15 @@
 			at = min(at, j.noted+m.spec.Progress)
 		}
 	}
-	if m.Warmth(m.now) < 1 && !m.fallen && (len(m.running) > 0 || len(m.sent) > 0) {
-		at = min(at, m.now+coldStep)
+	if m.SlowStartFactor(m.now) < 1 && !m.crashed && (len(m.running) > 0 || len(m.sent) > 0) {
+		at = min(at, m.now+warmUpStep)
 	}
 	return max(at, m.now+1)
 }
 
 // work lets the running jobs run until a moment, at the mean pace of the step.
 func (m *Machine) work(to time.Duration) {
-	pace := (m.pace(m.now) + m.pace(to)) / 2
+	pace := (m.speedFactor(m.now) + m.speedFactor(to)) / 2
 	for _, j := range m.running {
 		j.left -= pace * (to - m.now).Seconds()
 	}
@@ -209,25 +209,25 @@
 }
 
 // settle ends what is done, begins what fits, and looks whether the machine is pushed over.
-func (m *Machine) settle() (notes []Note) {
+func (m *Machine) settle() (notes []JobEvent) {
 	for _, j := range slices.Clone(m.running) {
 		switch {
-		case m.fallen || m.hung:
+		case m.crashed || m.hung:
 		case j.Fails && m.now >= j.noted+failTime:
 			m.release(j)
 			j.placed = false
-			notes = append(notes, Note{Kind: Failed, Job: j})
+			notes = append(notes, JobEvent{Kind: Failed, Job: j})
 		case !j.Fails && j.left <= 1e-9:
 			m.release(j)
 			j.placed = false
-			notes = append(notes, Note{Kind: Finished, Job: j})
+			notes = append(notes, JobEvent{Kind: Finished, Job: j})
 		case m.spec.Progress > 0 && m.now >= j.noted+m.spec.Progress:
 			j.noted = m.now
-			notes = append(notes, Note{Kind: Progressed, Job: j, Share: max(0, 1-j.left/j.Work)})
+			notes = append(notes, JobEvent{Kind: Progressed, Job: j, Progress: max(0, 1-j.left/j.Work)})
 		}
 	}
 	// In order: the first waits until it fits, and all behind it wait too.
-	for len(m.queue) > 0 && !m.hung && !m.fallen {
+	for len(m.queue) > 0 && !m.hung && !m.crashed {
 		j := m.queue[0]
 		if m.slots+j.Slots > m.spec.Cores || m.memory+j.Memory > m.spec.Memory {
 			break
@@ -237,20 +237,20 @@
 		m.memory += j.Memory
 		j.running, j.noted = true, m.now
 		m.running = append(m.running, j)
-		notes = append(notes, Note{Kind: Began, Job: j})
+		notes = append(notes, JobEvent{Kind: Began, Job: j})
 	}
 	return append(notes, m.lean()...)
 }
 
 // lean pushes a cold machine over when for the whole window it has been sent more than it bears: the stated multiple of
 // what it can do, and one job of mean size in each core, since what goes straight into a free core is no crowd.
-func (m *Machine) lean() []Note {
-	warmth := m.Warmth(m.now)
-	if warmth >= 1 || m.fallen {
+func (m *Machine) lean() []JobEvent {
+	warmth := m.SlowStartFactor(m.now)
+	if warmth >= 1 || m.crashed {
 		m.sent, m.pushed = nil, false
 		return nil
 	}
-	m.sent = slices.DeleteFunc(m.sent, func(s sentWork) bool { return s.at < m.now-m.spec.FallWindow })
+	m.sent = slices.DeleteFunc(m.sent, func(s sentWork) bool { return s.at < m.now-m.spec.OverloadWindow })
 	sum := 0.0
 	for _, s := range m.sent {
 		sum += s.work
@@ -259,8 +259,8 @@
 	if len(m.sent) > 0 {
 		mean = sum / float64(len(m.sent))
 	}
-	can := float64(m.spec.Cores) * m.spec.Speed * warmth * m.spec.FallWindow.Seconds()
-	bears := m.spec.FallMultiple*can + float64(m.spec.Cores)*mean
+	can := float64(m.spec.Cores) * m.spec.Speed * warmth * m.spec.OverloadWindow.Seconds()
+	bears := m.spec.OverloadMultiple*can + float64(m.spec.Cores)*mean
 	if sum <= bears {
 		m.pushed = false
 		return nil
@@ -268,9 +268,9 @@
 	if !m.pushed {
 		m.pushed, m.over = true, m.now
 	}
-	if m.now-m.over < m.spec.FallWindow {
+	if m.now-m.over < m.spec.OverloadWindow {
 		return nil
 	}
-	m.fallen = true
-	return []Note{{Kind: Fell, Sent: sum, Bears: bears, Warmth: warmth}}
+	m.crashed = true
+	return []JobEvent{{Kind: Overloaded, Sent: sum, Allowed: bears, SlowStartFactor: warmth}}
 }
--- a/internal/testbed/fakes/machine_test.go
+++ b/internal/testbed/fakes/machine_test.go
@@ -9,11 +9,11 @@
 )
 
 func spec() Spec {
-	return Spec{Cores: 2, Speed: 2, Memory: 2, Queue: 100, ColdFrom: 0.12, WarmWithin: 10 * time.Second, FallMultiple: 2.5, FallWindow: time.Second}
+	return Spec{Cores: 2, Speed: 2, Memory: 2, Queue: 100, SlowStartMinFactor: 0.12, SlowStartWindow: 10 * time.Second, OverloadMultiple: 2.5, OverloadWindow: time.Second}
 }
 
 // count counts notes of a kind.
-func count(notes []Note, k NoteKind) (n int) {
+func count(notes []JobEvent, k JobEventKind) (n int) {
 	for _, x := range notes {
 		if x.Kind == k {
 			n++
@@ -24,16 +24,16 @@
 
 // Whatever comes: jobs begin in order, no more run than fit, each ends once, and a job takes its work at the machine's
 // pace and not less.
-func TestMachineKeepsOrderAndWork(t *testing.T) {
+func TestMachine_KeepsOrderAndWork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := spec()
 		s.Cores, s.Memory = rapid.IntRange(1, 4).Draw(t, "cores"), 4
-		s.FallMultiple = 1e9
+		s.OverloadMultiple = 1e9
 		m := NewMachine(s, 0, rapid.Bool().Draw(t, "warm"))
 		now := time.Duration(0)
 		began, ended := map[*Job]time.Duration{}, map[*Job]int{}
 		var order, jobs []*Job
-		take := func(notes []Note) {
+		take := func(notes []JobEvent) {
 			for _, n := range notes {
 				switch n.Kind {
 				case Began:
@@ -110,7 +110,7 @@
 	return -1
 }
 
-func TestJobsTakeTheirTime(t *testing.T) {
+func TestMachine_JobsTakeTheirTime(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		do   func(*Machine)
@@ -125,7 +125,7 @@
 		m := NewMachine(spec(), 0, c.warm)
 		c.do(m)
 		m.Offer(&Job{Work: 1, Slots: 1})
-		var notes []Note
+		var notes []JobEvent
 		for at, ok := time.Duration(0), true; ok && count(notes, Finished) == 0; at, ok = m.Next() {
 			notes = append(notes, m.Advance(at)...)
 		}
@@ -136,7 +136,7 @@
 }
 
 // A cold machine falls under a steady crowd, not under what its cores take, and a warm one never does.
-func TestOnlyACrowdPushesAColdMachineOver(t *testing.T) {
+func TestMachine_OnlyOverloadCrashesWarmingMachine(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		rate float64 // work a second
@@ -149,19 +149,19 @@
 		fell := 0
 		for i := range 200 {
 			now := time.Duration(i) * 20 * time.Millisecond
-			fell += count(m.Advance(now), Fell)
+			fell += count(m.Advance(now), Overloaded)
 			if i < c.most {
 				m.Offer(&Job{Work: c.rate * 0.02, Slots: 1})
 			}
-			fell += count(m.Advance(now), Fell)
+			fell += count(m.Advance(now), Overloaded)
 		}
-		if (fell > 0) != c.want || fell > 1 || m.Fallen() != c.want {
+		if (fell > 0) != c.want || fell > 1 || m.Crashed() != c.want {
 			t.Errorf("%s: it fell %d times", c.name, fell)
 		}
 	}
 	m := NewMachine(spec(), 0, false) // one heavy job alone
 	m.Offer(&Job{Work: 30, Slots: 1})
-	if n := count(m.Advance(8*time.Second), Fell); n != 0 {
+	if n := count(m.Advance(8*time.Second), Overloaded); n != 0 {
 		t.Error("a single job pushed it over")
 	}
 }
--- a/internal/testbed/fakes/cut.go
+++ b/internal/testbed/fakes/partition.go
@@ -10,13 +10,13 @@
 // packets, but the kernel drops the first packet of a connection to a listener whose backlog is full. So the backlog is
 // set to nothing, and filled.
 const (
-	fillMost = 4
-	fillWait = 60 * time.Millisecond
-	backlog  = 4096
+	maxBacklogConns = 4
+	fillWait        = 60 * time.Millisecond
+	backlog         = 4096
 )
 
-// cut makes the link silent. It takes some dozen milliseconds.
-func (k *link) cut() {
+// partition makes the link silent. It takes some dozen milliseconds.
+func (k *link) partition() {
 	k.w.mu.Lock()
 	if k.healed != nil {
 		k.w.mu.Unlock()
@@ -26,7 +26,7 @@
 	_ = k.listener.SetDeadline(time.Unix(1, 0)) // fails on a closed listener, which accepts nothing anyway
 	k.w.mu.Unlock()
 	k.setBacklog(0)
-	for range fillMost {
+	for range maxBacklogConns {
 		c, err := net.DialTimeout("tcp", k.listener.Addr().String(), fillWait)
 		if err != nil {
 			break // it does not come up any more
@@ -66,12 +66,12 @@
 	}) // fails on a closed listener, which has no backlog
 }
 
-// clearTime is how long after a silence what had got through in the kernel is looked for.
-const clearTime = 2 * time.Millisecond
+// clearDuration is how long after a silence what had got through in the kernel is looked for.
+const clearDuration = 2 * time.Millisecond
 
 // clear resets the connections that came up in the kernel during a silence: to the machine they never did.
 func (k *link) clear() {
-	_ = k.listener.SetDeadline(time.Now().Add(clearTime)) // on a closed listener the next Accept fails
+	_ = k.listener.SetDeadline(time.Now().Add(clearDuration)) // on a closed listener the next Accept fails
 	defer func() { _ = k.listener.SetDeadline(time.Time{}) }()
 	for {
 		c, err := k.listener.AcceptTCP()
--- a/internal/testbed/fakes/worker.go
+++ b/internal/testbed/fakes/worker.go
@@ -33,15 +33,15 @@
 
 // Config is what all workers of a fleet share.
 type Config struct {
-	Ledger      *invariant.Ledger
-	Book        Book
-	Dispatchers int
-	Notes       bool          // workers tell of starts and progress
-	IdleClose   time.Duration // idle connections are closed after this
-	Fails       func() float64
-	Fell        func(worker int) // a worker was pushed over; may be nil
-	Mute        bool             // nothing is taken down: for measuring the rig's own ceiling
-	Net         Net              // that the workers' hosts are in
+	Ledger         *invariant.Ledger
+	Book           Book
+	Dispatchers    int
+	Notes          bool          // workers tell of starts and progress
+	IdleClose      time.Duration // idle connections are closed after this
+	Fails          func() float64
+	OnOverload     func(worker int) // a worker was pushed over; may be nil
+	SuppressOutput bool             // nothing is taken down: for measuring the rig's own ceiling
+	Net            Net              // that the workers' hosts are in
 }
 
 // Worker is one stand-in. Each start is a life of its own, with addresses of its own: one for each dispatcher, so that
@@ -53,19 +53,19 @@
 	cfg  *Config
 	spec Spec
 
-	mu       sync.Mutex
-	life     int
-	machine  *Machine
-	links    []*link
-	timer    *time.Timer
-	draining bool
-	errShare float64
-	errFor   map[int]bool  // dispatchers all of whose jobs fail
-	served   int           // jobs begun
-	did      time.Duration // work done, on a core of speed 1
-	falls    int
-	idle     chan struct{} // closed when a drain has come to its end
-	mayEnd   bool          // a drain has lasted long enough to end when nothing is left
+	mu          sync.Mutex
+	incarnation int
+	machine     *Machine
+	links       []*link
+	timer       *time.Timer
+	draining    bool
+	errorShare  float64
+	errFor      map[int]bool  // dispatchers all of whose jobs fail
+	served      int           // jobs begun
+	did         time.Duration // work done, on a core of speed 1
+	falls       int
+	idle        chan struct{} // closed when a drain has come to its end
+	mayEnd      bool          // a drain has lasted long enough to end when nothing is left
 }
 
 // NewWorker returns a worker that is not running.
@@ -78,8 +78,8 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.kill() // troubles may overlap
-	w.life++
-	w.draining, w.errShare, w.idle = false, 0, nil
+	w.incarnation++
+	w.draining, w.errorShare, w.idle = false, 0, nil
 	w.machine = NewMachine(w.spec, w.cfg.Ledger.Now(), warm)
 	w.timer = time.AfterFunc(time.Hour, func() { w.due() })
 	w.timer.Stop()
@@ -92,7 +92,7 @@
 			}
 			return fmt.Errorf("worker %s: listening: %w", w.Name, err)
 		}
-		k := &link{w: w, life: w.life, dispatcher: d, listener: l.(*net.TCPListener), conns: map[*conn]bool{}}
+		k := &link{w: w, incarnation: w.incarnation, dispatcher: d, listener: l.(*net.TCPListener), conns: map[*conn]bool{}}
 		w.links = append(w.links, k)
 		go k.accept()
 	}
@@ -112,11 +112,11 @@
 	return w.links[dispatcher].listener.Addr().String()
 }
 
-// Life is which start of the worker this is.
-func (w *Worker) Life() int {
+// Incarnation is which start of the worker this is.
+func (w *Worker) Incarnation() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.life
+	return w.incarnation
 }
 
 // Stats are how many jobs began, how much work was done, and how often the worker was pushed over.
@@ -163,11 +163,11 @@
 		return done
 	}
 	w.draining, w.idle, w.mayEnd = true, done, false
-	life := w.life
+	life := w.incarnation
 	time.AfterFunc(least, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.life == life && w.machine != nil && w.idle != nil {
+		if w.incarnation == life && w.machine != nil && w.idle != nil {
 			w.mayEnd = true
 			w.step(func(*Machine) {})
 		}
@@ -175,16 +175,16 @@
 	time.AfterFunc(patience, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.life == life && w.machine != nil && w.idle != nil {
-			w.handBack()
+		if w.incarnation == life && w.machine != nil && w.idle != nil {
+			w.returnQueued()
 			w.kill()
 		}
 	})
 	return done
 }
 
-// handBack returns what waits, unstarted.
-func (w *Worker) handBack() {
+// returnQueued returns what waits, unstarted.
+func (w *Worker) returnQueued() {
 	for _, k := range w.links {
 		for c := range k.conns {
 			if c.job != nil && !c.attempt.Ran {
@@ -208,7 +208,7 @@
 func (w *Worker) Err(share float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.errShare = share
+	w.errorShare = share
 }
 
 // ErrFor makes all jobs of one dispatcher fail at once, or ends that.
@@ -221,8 +221,8 @@
 	w.errFor[dispatcher] = on
 }
 
-// Cut makes the worker silent towards one dispatcher, or heals that.
-func (w *Worker) Cut(dispatcher int, on bool) {
+// Partition makes the worker silent towards one dispatcher, or heals that.
+func (w *Worker) Partition(dispatcher int, on bool) {
 	w.mu.Lock()
 	var k *link
 	if w.machine != nil && dispatcher < len(w.links) {
@@ -233,7 +233,7 @@
 		return
 	}
 	if on {
-		k.cut()
+		k.partition()
 		return
 	}
 	w.mu.Lock()
@@ -258,12 +258,12 @@
 // step brings the machine to the present, changes it and carries out what it tells. The lock is held.
 func (w *Worker) step(f func(*Machine)) {
 	m, now := w.machine, w.cfg.Ledger.Now()
-	w.tell(m.Advance(now))
+	w.reportEvents(m.Advance(now))
 	if w.machine != m {
 		return // it fell
 	}
 	f(m)
-	w.tell(m.Advance(now))
+	w.reportEvents(m.Advance(now))
 	if w.machine != m {
 		return
 	}
@@ -277,15 +277,15 @@
 	}
 }
 
-// tell passes notes on to those whose jobs they are about.
-func (w *Worker) tell(notes []Note) {
+// reportEvents passes notes on to those whose jobs they are about.
+func (w *Worker) reportEvents(notes []JobEvent) {
 	for _, n := range notes {
-		if n.Kind == Fell {
+		if n.Kind == Overloaded {
 			w.falls++
-			w.cfg.Ledger.Fall(invariant.Fall{Worker: w.Index, Life: w.life, At: w.cfg.Ledger.Now(), Sent: n.Sent, Bears: n.Bears, Warmth: n.Warmth})
+			w.cfg.Ledger.Overload(invariant.Overload{Worker: w.Index, Incarnation: w.incarnation, At: w.cfg.Ledger.Now(), Sent: n.Sent, Allowed: n.Allowed, SlowStartFactor: n.SlowStartFactor})
 			w.kill() // and it stays down
-			if w.cfg.Fell != nil {
-				go w.cfg.Fell(w.Index)
+			if w.cfg.OnOverload != nil {
+				go w.cfg.OnOverload(w.Index)
 			}
 			return
 		}
@@ -302,7 +302,7 @@
 			}
 		case Progressed:
 			if w.cfg.Notes {
-				c.say(`"state":"running","share":` + strconv.FormatFloat(min(n.Share, 1), 'f', 3, 64))
+				c.say(`"state":"running","share":` + strconv.FormatFloat(min(n.Progress, 1), 'f', 3, 64))
 			}
 		case Finished:
 			w.did += c.work
@@ -325,14 +325,14 @@
 
 // link is what one dispatcher reaches of a worker's life.
 type link struct {
-	w          *Worker
-	life       int
-	dispatcher int
-	listener   *net.TCPListener
-	conns      map[*conn]bool
-	jobs       map[*Job]*conn
-	healed     chan struct{} // not nil: the link is cut, and until when
-	fill       []net.Conn    // what keeps the kernel from bringing connections up while it is cut
+	w           *Worker
+	incarnation int
+	dispatcher  int
+	listener    *net.TCPListener
+	conns       map[*conn]bool
+	jobs        map[*Job]*conn
+	healed      chan struct{} // not nil: the link is cut, and until when
+	fill        []net.Conn    // what keeps the kernel from bringing connections up while it is cut
 }
 
 func (k *link) accept() {
@@ -353,7 +353,7 @@
 		}
 		c := &conn{k: k, TCPConn: raw}
 		k.w.mu.Lock()
-		if k.w.machine == nil || k.w.life != k.life {
+		if k.w.machine == nil || k.w.incarnation != k.incarnation {
 			k.w.mu.Unlock()
 			_ = raw.Close() // its worker is gone
 			return
@@ -445,8 +445,8 @@
 }
 
 func (w *Worker) odd(dispatcher int, what string) {
-	if !w.cfg.Mute {
-		w.cfg.Ledger.Odd(invariant.Odd{Worker: w.Index, Dispatcher: dispatcher, At: w.cfg.Ledger.Now(), What: what})
+	if !w.cfg.SuppressOutput {
+		w.cfg.Ledger.ProtocolFault(invariant.ProtocolFault{Worker: w.Index, Dispatcher: dispatcher, At: w.cfg.Ledger.Now(), What: what})
 	}
 }
 
@@ -455,7 +455,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	defer c.flush()
-	if w.machine == nil || w.life != c.k.life {
+	if w.machine == nil || w.incarnation != c.k.incarnation {
 		c.reset(invariant.Died)
 		return
 	}
@@ -479,7 +479,7 @@
 		c.head(http.StatusBadRequest, "")
 		return
 	}
-	a := &invariant.Attempt{ID: id, Worker: w.Index, Life: w.life, Dispatcher: c.k.dispatcher, First: c.first, Last: w.cfg.Ledger.Now()}
+	a := &invariant.Attempt{ID: id, Worker: w.Index, Incarnation: w.incarnation, Dispatcher: c.k.dispatcher, First: c.first, Last: w.cfg.Ledger.Now()}
 	switch {
 	case req.Method != http.MethodPost || req.RequestURI != order.Target:
 		a.Changed = fmt.Sprintf("%s %s came in place of POST %s", req.Method, req.RequestURI, order.Target)
@@ -487,18 +487,18 @@
 		a.Changed = fmt.Sprintf("the body of %d bytes is not the client's", len(body))
 	}
 	c.id, c.attempt, c.work = id, a, order.Work
-	if !w.cfg.Mute {
+	if !w.cfg.SuppressOutput {
 		w.cfg.Ledger.Attempt(a)
 	}
 	j := &Job{Work: order.Work.Seconds(), Slots: order.Slots, Memory: order.Memory}
-	j.Fails = w.errFor[c.k.dispatcher] || w.errShare > 0 && w.cfg.Fails() < w.errShare
+	j.Fails = w.errFor[c.k.dispatcher] || w.errorShare > 0 && w.cfg.Fails() < w.errorShare
 	if w.draining || order.Kind != "" && order.Kind != w.spec.Kind {
-		c.turnAway()
+		c.reject()
 		return
 	}
 	w.step(func(m *Machine) {
 		if !m.Offer(j) {
-			c.turnAway()
+			c.reject()
 			return
 		}
 		c.job = j
@@ -515,7 +515,7 @@
 	c.out = append(c.out, fmt.Sprintf("HTTP/1.1 %d %s\r\n%sContent-Length: 0\r\n\r\n", status, http.StatusText(status), more)...)
 }
 
-func (c *conn) turnAway() {
+func (c *conn) reject() {
 	c.head(http.StatusServiceUnavailable, "X-Not-Run: 1\r\n")
 	c.over(invariant.TurnedAway)
 }
@@ -549,7 +549,7 @@
 // done answers with a result that only this attempt has.
 func (c *conn) done() {
 	a := c.attempt
-	result := fmt.Sprintf("%s ran at %s, life %d, from %d", c.id, c.k.w.Name, a.Life, a.Last)
+	result := fmt.Sprintf("%s ran at %s, life %d, from %d", c.id, c.k.w.Name, a.Incarnation, a.Last)
 	c.k.w.cfg.Ledger.Do(func() { a.Result = xxhash.Sum64String(result) })
 	c.last(`"state":"done","result":`+strconv.Quote(result), invariant.Done)
 }
@@ -591,7 +591,7 @@
 	w, j := c.k.w, c.job
 	c.over(end)
 	delete(c.k.conns, c)
-	if j != nil && w.machine != nil && w.life == c.k.life {
+	if j != nil && w.machine != nil && w.incarnation == c.k.incarnation {
 		w.machine.Drop(j)
 		w.step(func(*Machine) {})
 	}
--- a/internal/testbed/trouble.go
+++ b/internal/testbed/faults.go
@@ -11,47 +11,47 @@
 	"birchfork/internal/testbed/scenario"
 )
 
-// troubles carries the timetable out. Several may hit the same worker at once: what holds there is worked out anew from
+// faultInjector carries the timetable out. Several may hit the same worker at once: what holds there is worked out anew from
 // all that are on.
-type troubles struct {
-	run  *run
-	rude loadgen.Rude
+type faultInjector struct {
+	run         *run
+	misbehaving loadgen.MisbehavingClients
 
 	mu    sync.Mutex
 	on    []*scenario.Event
 	waits sync.WaitGroup
 }
 
-// play begins each trouble at its time and ends it at its end, until ctx ends.
-func (t *troubles) play(ctx context.Context) {
-	for i := range t.run.day.Events {
-		e := &t.run.day.Events[i]
+// injectAll begins each trouble at its time and ends it at its end, until ctx ends.
+func (injector *faultInjector) injectAll(ctx context.Context) {
+	for i := range injector.run.day.Events {
+		e := &injector.run.day.Events[i]
 		if e.Kind == scenario.Jump || e.Kind == scenario.Flood {
 			continue // drawn into the arrivals
 		}
-		t.waits.Add(1)
+		injector.waits.Add(1)
 		go func() {
-			defer t.waits.Done()
-			if t.until(ctx, e.At) {
-				t.one(ctx, e)
+			defer injector.waits.Done()
+			if injector.until(ctx, e.At) {
+				injector.inject(ctx, e)
 			}
 		}()
 	}
 }
 
 // until waits for a moment of the day; false: the run has ended before.
-func (t *troubles) until(ctx context.Context, at time.Duration) bool {
+func (injector *faultInjector) until(ctx context.Context, at time.Duration) bool {
 	select {
-	case <-time.After(t.run.load.Origin() + at - t.run.ledger.Now()):
+	case <-time.After(injector.run.load.Origin() + at - injector.run.ledger.Now()):
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// one is the life of one trouble.
-func (t *troubles) one(ctx context.Context, e *scenario.Event) {
-	f, length := t.run.fleet, e.Until-e.At
+// inject is the life of one trouble.
+func (injector *faultInjector) inject(ctx context.Context, e *scenario.Event) {
+	f, length := injector.run.fleet, e.Until-e.At
 	switch e.Kind {
 	case scenario.WorkerKill:
 		for _, w := range e.Workers {
@@ -63,52 +63,52 @@
 		}
 	case scenario.Release:
 		for k, w := range e.Workers {
-			if !t.until(ctx, e.At+length*time.Duration(k)/time.Duration(len(e.Workers))) {
+			if !injector.until(ctx, e.At+length*time.Duration(k)/time.Duration(len(e.Workers))) {
 				return
 			}
 			f.Drain(w, 0)
 		}
-	case scenario.WorkerHang, scenario.WorkerSlow, scenario.WorkerErr, scenario.Silent, scenario.LinkCut,
+	case scenario.WorkerHang, scenario.WorkerSlow, scenario.WorkerErr, scenario.Silent, scenario.LinkPartition,
 		scenario.ListLate, scenario.ListSilent:
-		t.set(e, true)
-		t.until(ctx, e.Until)
-		t.set(e, false)
+		injector.set(e, true)
+		injector.until(ctx, e.Until)
+		injector.set(e, false)
 	case scenario.ListWrong:
 		f.Ghosts(e.Count, true)
-		if t.until(ctx, e.Until) {
+		if injector.until(ctx, e.Until) {
 			f.Ghosts(e.Count, false)
 		}
 	case scenario.ListMove:
 		for _, d := range e.Dispatchers {
 			if f.Discovery.Agents[d].Move() == nil { //nolint:contextcheck // Move shuts its old server down at once, with a context that has ended
-				t.reload(d)
+				injector.reload(d)
 			}
 		}
 	case scenario.DispHup:
 		for _, d := range e.Dispatchers {
-			t.reload(d)
+			injector.reload(d)
 		}
 	case scenario.DispKill, scenario.DispTerm:
-		t.restart(ctx, e)
-	case scenario.IdleClients, scenario.Rude:
-		t.visit(ctx, e)
+		injector.restart(ctx, e)
+	case scenario.IdleClients, scenario.MisbehavingClients:
+		injector.visit(ctx, e)
 	}
 }
 
 // set turns a trouble on or off and works out what holds now.
-func (t *troubles) set(e *scenario.Event, on bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (injector *faultInjector) set(e *scenario.Event, on bool) {
+	injector.mu.Lock()
+	defer injector.mu.Unlock()
 	if on {
-		t.on = append(t.on, e)
+		injector.on = append(injector.on, e)
 	} else {
-		t.on = slices.DeleteFunc(t.on, func(o *scenario.Event) bool { return o == e })
+		injector.on = slices.DeleteFunc(injector.on, func(o *scenario.Event) bool { return o == e })
 	}
 	switch e.Kind {
 	case scenario.ListLate, scenario.ListSilent:
 		for _, d := range e.Dispatchers {
 			factor, silent := 1.0, false
-			for _, o := range t.on {
+			for _, o := range injector.on {
 				if slices.Contains(o.Dispatchers, d) {
 					silent = silent || o.Kind == scenario.ListSilent
 					if o.Kind == scenario.ListLate {
@@ -116,20 +116,20 @@
 					}
 				}
 			}
-			t.run.fleet.Discovery.Agents[d].Late(factor)
-			t.run.fleet.Discovery.Agents[d].Silence(silent)
+			injector.run.fleet.Discovery.Agents[d].SetDelay(factor)
+			injector.run.fleet.Discovery.Agents[d].Silence(silent)
 		}
-	case scenario.Silent, scenario.LinkCut:
+	case scenario.Silent, scenario.LinkPartition:
 		var cuts sync.WaitGroup
 		for _, w := range e.Workers {
 			for _, d := range e.Dispatchers {
-				cut := slices.ContainsFunc(t.on, func(o *scenario.Event) bool {
-					return (o.Kind == scenario.Silent || o.Kind == scenario.LinkCut) && slices.Contains(o.Workers, w) && slices.Contains(o.Dispatchers, d)
+				cut := slices.ContainsFunc(injector.on, func(o *scenario.Event) bool {
+					return (o.Kind == scenario.Silent || o.Kind == scenario.LinkPartition) && slices.Contains(o.Workers, w) && slices.Contains(o.Dispatchers, d)
 				})
 				cuts.Add(1)
 				go func() {
 					defer cuts.Done()
-					t.run.fleet.Workers[w].Cut(d, cut)
+					injector.run.fleet.Workers[w].Partition(d, cut)
 				}()
 			}
 		}
@@ -137,7 +137,7 @@
 	default:
 		for _, w := range e.Workers {
 			slow, hung, fails := 1.0, false, 0.0
-			for _, o := range t.on {
+			for _, o := range injector.on {
 				if !slices.Contains(o.Workers, w) {
 					continue
 				}
@@ -150,7 +150,7 @@
 					fails = max(fails, o.Share)
 				}
 			}
-			k := t.run.fleet.Workers[w]
+			k := injector.run.fleet.Workers[w]
 			k.Slow(slow)
 			k.Hang(hung)
 			k.Err(fails)
@@ -158,28 +158,28 @@
 	}
 }
 
-func (t *troubles) reload(d int) {
-	k := t.run.dispatchers[d]
+func (injector *faultInjector) reload(d int) {
+	k := injector.run.dispatchers[d]
 	if k.configure() == nil {
 		k.signal(sighup, invariant.Reloaded, invariant.Reloaded)
 	}
 }
 
 // restart ends dispatchers and starts them again.
-func (t *troubles) restart(ctx context.Context, e *scenario.Event) {
+func (injector *faultInjector) restart(ctx context.Context, e *scenario.Event) {
 	var all sync.WaitGroup
 	for _, d := range e.Dispatchers {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			t.run.restartOne(ctx, d, e.Kind == scenario.DispKill, e.Until-e.At, nil)
+			injector.run.restartOne(ctx, d, e.Kind == scenario.DispKill, e.Until-e.At, nil)
 		}()
 	}
 	all.Wait()
 }
 
 // visit sends clients that are none.
-func (t *troubles) visit(ctx context.Context, e *scenario.Event) {
+func (injector *faultInjector) visit(ctx context.Context, e *scenario.Event) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var all sync.WaitGroup
@@ -187,16 +187,16 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			addr := t.run.dispatchers[d].listen
-			if e.Kind == scenario.Rude {
-				seed := scenario.Rand(t.run.day.Seed+uint64(d), scenario.StreamRude).Uint64()
-				t.rude.Play(ctx, addr, t.run.day.Scenario.Classes[0].Name, e.Count, seed)
+			addr := injector.run.dispatchers[d].listen
+			if e.Kind == scenario.MisbehavingClients {
+				seed := scenario.Rand(injector.run.day.Seed+uint64(d), scenario.StreamMisbehaving).Uint64()
+				injector.misbehaving.Run(ctx, addr, injector.run.day.Scenario.Classes[0].Name, e.Count, seed)
 			} else {
 				loadgen.Idle(ctx, addr, e.Count)
 			}
 		}()
 	}
-	t.until(ctx, e.Until)
+	injector.until(ctx, e.Until)
 	cancel()
 	all.Wait()
 }
--- a/internal/testbed/invariant/judge_test.go
+++ b/internal/testbed/invariant/check_test.go
@@ -14,7 +14,7 @@
 		Classes: []Class{{Name: "search", Safe: true}, {Name: "ticket"}, {Name: "book", Keyed: true, Group: "cell", Window: time.Second},
 			{Name: "note", Keyed: true, Group: "all", Window: time.Second}},
 		Workers:  []Worker{{"w1", "a", 0}, {"w2", "a", 0}, {"w3", "b", 1}},
-		Attempts: 3, DrainGrace: 500 * ms, Slack: 50 * ms, ToldWithin: 6 * time.Second,
+		Attempts: 3, DrainGrace: 500 * ms, Slack: 50 * ms, PropagationDeadline: 6 * time.Second,
 	}
 }
 
@@ -29,7 +29,7 @@
 	return &Attempt{ID: "a", Worker: worker, First: at, Last: at, Ended: at + 100*ms, End: Done, Ran: true, Result: 7}
 }
 
-func TestBreachesAreNamed(t *testing.T) {
+func TestCheck_NamesViolations(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		class int
@@ -62,7 +62,7 @@
 		{"a send after the answer", 0, func(l *Ledger, t *Try, _ *Attempt) { l.Attempt(again(1, t.Ended+60*ms)) }, "answers/sent-after-final"},
 		{"a send that crosses the answer", 0, func(l *Ledger, t *Try, _ *Attempt) { l.Attempt(again(1, t.Ended+40*ms)) }, ""},
 		{"another body", 0, func(_ *Ledger, _ *Try, a *Attempt) { a.Changed = "shorter" }, "answers/changed"},
-		{"what no worker can read", 0, func(l *Ledger, _ *Try, _ *Attempt) { l.Odd(Odd{What: "junk"}) }, "answers/nonsense"},
+		{"what no worker can read", 0, func(l *Ledger, _ *Try, _ *Attempt) { l.ProtocolFault(ProtocolFault{What: "junk"}) }, "answers/nonsense"},
 
 		{"a safe one twice", 0, func(l *Ledger, _ *Try, _ *Attempt) { l.Attempt(again(1, 1100*ms)) }, ""},
 		{"a safe one too often", 0, func(l *Ledger, _ *Try, _ *Attempt) {
@@ -97,46 +97,46 @@
 		{"a refusal of a keyed one that a cell drops", 2, func(_ *Ledger, t *Try, a *Attempt) { t.Outcome, a.End = Refused, Errored }, "effects/refused-what-may-have-run"},
 
 		{"a send within the grace", 0, func(l *Ledger, _ *Try, _ *Attempt) {
-			l.Telling(&Telling{State: Draining, Has: 400 * ms, Written: 470 * ms})
+			l.Delivery(&Delivery{State: Draining, Has: 400 * ms, Written: 470 * ms})
 		}, ""},
 		{"a send past the grace", 0, func(l *Ledger, _ *Try, _ *Attempt) {
-			l.Telling(&Telling{State: Draining, Has: 400 * ms, Written: 450 * ms})
+			l.Delivery(&Delivery{State: Draining, Has: 400 * ms, Written: 450 * ms})
 		}, "drains/sent-after-drain"},
 		{"a drain, then its end: the first counts", 0, func(l *Ledger, _ *Try, _ *Attempt) {
-			l.Telling(&Telling{State: Draining, Has: 400 * ms, Written: 400 * ms})
-			l.Telling(&Telling{State: Removed, Has: 900 * ms, Written: 900 * ms})
+			l.Delivery(&Delivery{State: Draining, Has: 400 * ms, Written: 400 * ms})
+			l.Delivery(&Delivery{State: Removed, Has: 900 * ms, Written: 900 * ms})
 		}, "drains/sent-after-drain"},
 		{"a drain, then back", 0, func(l *Ledger, _ *Try, _ *Attempt) {
-			l.Telling(&Telling{State: Draining, Has: 300 * ms, Written: 300 * ms})
-			l.Telling(&Telling{State: Up, Life: 2, Has: 900 * ms, Written: 900 * ms})
+			l.Delivery(&Delivery{State: Draining, Has: 300 * ms, Written: 300 * ms})
+			l.Delivery(&Delivery{State: Up, Incarnation: 2, Has: 900 * ms, Written: 900 * ms})
 		}, ""},
 		{"another worker's drain", 0, func(l *Ledger, _ *Try, _ *Attempt) {
-			l.Telling(&Telling{Worker: 1, State: Draining, Has: 300 * ms, Written: 300 * ms})
+			l.Delivery(&Delivery{Worker: 1, State: Draining, Has: 300 * ms, Written: 300 * ms})
 		}, ""},
 		{"another dispatcher's news", 0, func(l *Ledger, _ *Try, _ *Attempt) {
-			l.Telling(&Telling{Dispatcher: 1, State: Draining, Has: 300 * ms, Written: 300 * ms})
+			l.Delivery(&Delivery{Dispatcher: 1, State: Draining, Has: 300 * ms, Written: 300 * ms})
 		}, ""},
 		{"news that a process before was told", 0, func(l *Ledger, _ *Try, _ *Attempt) {
-			l.Telling(&Telling{State: Draining, Has: 300 * ms, Written: 300 * ms})
+			l.Delivery(&Delivery{State: Draining, Has: 300 * ms, Written: 300 * ms})
 			l.Moment(Moment{At: 900 * ms, What: Started})
 		}, ""},
 		{"news that nobody took counts as told later", 0, func(l *Ledger, t *Try, a *Attempt) {
 			a.First, a.Last, a.Ended = 9000*ms, 9000*ms, 9100*ms
 			t.Sent, t.Due, t.Ended = 8990*ms, 12000*ms, 9100*ms
-			l.Telling(&Telling{State: Draining, Has: 300 * ms})
+			l.Delivery(&Delivery{State: Draining, Has: 300 * ms})
 		}, "drains/sent-after-drain"},
 
 		{"news that nobody took, and newer that came", 0, func(l *Ledger, t *Try, a *Attempt) {
 			a.First, a.Last, a.Ended = 9000*ms, 9000*ms, 9100*ms
 			t.Sent, t.Due, t.Ended = 8990*ms, 12000*ms, 9100*ms
-			l.Telling(&Telling{State: Draining, Has: 300 * ms})
-			l.Telling(&Telling{State: Up, Life: 2, Has: 800 * ms, Written: 800 * ms})
+			l.Delivery(&Delivery{State: Draining, Has: 300 * ms})
+			l.Delivery(&Delivery{State: Up, Incarnation: 2, Has: 800 * ms, Written: 800 * ms})
 		}, ""},
 		{"an older word written later than a newer one", 0, func(l *Ledger, _ *Try, _ *Attempt) {
-			l.Telling(&Telling{State: Draining, Has: 300 * ms, Written: 300 * ms})
-			l.Telling(&Telling{State: Up, Has: 200 * ms, Written: 900 * ms})
+			l.Delivery(&Delivery{State: Draining, Has: 300 * ms, Written: 300 * ms})
+			l.Delivery(&Delivery{State: Up, Has: 200 * ms, Written: 900 * ms})
 		}, "drains/sent-after-drain"},
-		{"a cold worker pushed over", 0, func(l *Ledger, _ *Try, _ *Attempt) { l.Fall(Fall{Sent: 3, Bears: 1}) }, "cold/pushed-over"},
+		{"a cold worker pushed over", 0, func(l *Ledger, _ *Try, _ *Attempt) { l.Overload(Overload{Sent: 3, Allowed: 1}) }, "cold/pushed-over"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := NewLedger()
@@ -144,9 +144,9 @@
 			l.Try(try)
 			l.Attempt(a)
 			c.do(l, try, a)
-			v := Judge(l, terms())
-			got := make([]string, 0, len(v.Breaches))
-			for _, b := range v.Breaches {
+			v := Check(l, terms())
+			got := make([]string, 0, len(v.Violations))
+			for _, b := range v.Violations {
 				got = append(got, b.Rule+"/"+b.Kind)
 				if len(b.Lines) == 0 || !slices.Contains(Rules, b.Rule) || !strings.Contains(b.String(), b.Lines[0]) {
 					t.Errorf("a breach without proof: %+v", b)
@@ -160,7 +160,7 @@
 }
 
 // What a killed dispatcher held is excused, what another holds is lost.
-func TestLostAndExcusedAreCounted(t *testing.T) {
+func TestCheck_CountsLostAndExcused(t *testing.T) {
 	l := NewLedger()
 	for i, d := range []int{0, 0, 1} {
 		id := string(rune('a' + i))
@@ -169,7 +169,7 @@
 	}
 	l.Moment(Moment{Dispatcher: 0, At: 1000 * ms, What: Killed})
 	l.Moment(Moment{Dispatcher: 1, At: 1000 * ms, What: Crashed})
-	v := Judge(l, terms())
+	v := Check(l, terms())
 	if v.Lost != 1 || v.Excused != 2 || len(v.Crashes) != 1 || v.Count()[Answers] != 1 {
 		t.Errorf("lost %d, excused %d, crashes %v, %v", v.Lost, v.Excused, v.Crashes, v.Count())
 	}
--- a/internal/testbed/invariant/ledger.go
+++ b/internal/testbed/invariant/ledger.go
@@ -30,7 +30,7 @@
 // Try is one request as its client saw it.
 type Try struct {
 	ID         string
-	Wish       int
+	Request    int
 	Number     int // 0: the first try of its wish
 	Class      int
 	Dispatcher int
@@ -66,7 +66,7 @@
 type Attempt struct {
 	ID          string
 	Worker      int
-	Life        int // which start of the worker
+	Incarnation int // which start of the worker
 	Dispatcher  int
 	First, Last time.Duration // its first and last byte came
 	Ended       time.Duration
@@ -90,20 +90,20 @@
 
 func (s State) String() string { return stateNames[s] }
 
-// Telling is a change of one worker's state on its way to one dispatcher.
-type Telling struct {
-	Dispatcher, Worker, Life int
-	State                    State
-	Has                      time.Duration // since when the dispatcher's agent has it
-	Written                  time.Duration // when it went down the watch; 0: not yet
+// Delivery is a change of one worker's state on its way to one dispatcher.
+type Delivery struct {
+	Dispatcher, Worker, Incarnation int
+	State                           State
+	Has                             time.Duration // since when the dispatcher's agent has it
+	Written                         time.Duration // when it went down the watch; 0: not yet
 }
 
-// Fall is a worker that was overloaded while it warmed up.
-type Fall struct {
-	Worker, Life int
-	At           time.Duration
-	Sent, Bears  float64 // work within the window, in seconds on a core of speed 1
-	Warmth       float64
+// Overload is a worker that was overloaded while it warmed up.
+type Overload struct {
+	Worker, Incarnation int
+	At                  time.Duration
+	Sent, Allowed       float64 // work within the window, in seconds on a core of speed 1
+	SlowStartFactor     float64
 }
 
 // Moment is an event of a dispatcher's process.
@@ -135,8 +135,8 @@
 
 func (w What) String() string { return whatNames[w] }
 
-// Odd is input that a worker was sent and could not parse.
-type Odd struct {
+// ProtocolFault is input that a worker was sent and could not parse.
+type ProtocolFault struct {
 	Worker, Dispatcher int
 	At                 time.Duration
 	What               string
@@ -146,13 +146,13 @@
 type Ledger struct {
 	start time.Time
 
-	mu       sync.Mutex
-	tries    []*Try
-	attempts []*Attempt
-	tellings []*Telling
-	falls    []Fall
-	moments  []Moment
-	odds     []Odd
+	mu             sync.Mutex
+	tries          []*Try
+	attempts       []*Attempt
+	deliveries     []*Delivery
+	overloads      []Overload
+	moments        []Moment
+	protocolFaults []ProtocolFault
 }
 
 // NewLedger returns an empty ledger whose clock starts now.
@@ -176,17 +176,17 @@
 // Attempt records an attempt; change it through Do only.
 func (l *Ledger) Attempt(a *Attempt) { note(l, &l.attempts, a) }
 
-// Telling records a change of a worker's state; change the entry through Do only.
-func (l *Ledger) Telling(t *Telling) { note(l, &l.tellings, t) }
+// Delivery records a change of a worker's state; change the entry through Do only.
+func (l *Ledger) Delivery(t *Delivery) { note(l, &l.deliveries, t) }
 
-// Fall records an overload of a worker that warmed up.
-func (l *Ledger) Fall(f Fall) { note(l, &l.falls, f) }
+// Overload records an overload of a worker that warmed up.
+func (l *Ledger) Overload(f Overload) { note(l, &l.overloads, f) }
 
 // Moment records an event of a dispatcher's process.
 func (l *Ledger) Moment(m Moment) { note(l, &l.moments, m) }
 
-// Odd records input that a worker could not parse.
-func (l *Ledger) Odd(o Odd) { note(l, &l.odds, o) }
+// ProtocolFault records input that a worker could not parse.
+func (l *Ledger) ProtocolFault(o ProtocolFault) { note(l, &l.protocolFaults, o) }
 
 // Do runs f, which changes an entry, under the ledger's lock.
 func (l *Ledger) Do(f func()) {
@@ -209,11 +209,11 @@
 	return l.attempts
 }
 
-// Tellings returns all state changes. The slice is not a copy: call it when the run is over.
-func (l *Ledger) Tellings() []*Telling {
+// Deliveries returns all state changes. The slice is not a copy: call it when the run is over.
+func (l *Ledger) Deliveries() []*Delivery {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.tellings
+	return l.deliveries
 }
 
 // Moments returns all events of dispatchers' processes so far.
--- a/internal/testbed/loadgen/client.go
+++ b/internal/testbed/loadgen/client.go
@@ -58,8 +58,8 @@
 // Hash returns a hash of the body.
 func (a *Answer) Hash() uint64 { return xxhash.Sum64(a.Body) }
 
-// answerMost bounds the body of an answer, in bytes.
-const answerMost = 1 << 20
+// maxResponseBytes bounds the body of an answer, in bytes.
+const maxResponseBytes = 1 << 20
 
 // Conn is a client's connection to a dispatcher. It is not safe for concurrent use.
 type Conn struct {
@@ -104,7 +104,7 @@
 		return a, false, err
 	}
 	a.Status = res.StatusCode
-	a.Body, err = io.ReadAll(io.LimitReader(res.Body, answerMost))
+	a.Body, err = io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if err != nil {
 		return a, false, err
 	}
--- a/internal/testbed/loadgen/load.go
+++ b/internal/testbed/loadgen/generator.go
@@ -21,18 +21,18 @@
 
 // Result is the outcome of a client's request with all its retries.
 type Result struct {
-	Tries   int
-	Outcome invariant.Outcome // of the last try
-	Ended   time.Duration     // since the run's start; when its last try ended
-	Asked   bool              // it was begun before the run was broken off
+	Tries     int
+	Outcome   invariant.Outcome // of the last try
+	Ended     time.Duration     // since the run's start; when its last try ended
+	Requested bool              // it was begun before the run was broken off
 }
 
-// Load plays the clients of a generated day as an open loop. Run is called once; Find is safe for concurrent use.
-type Load struct {
-	day    *scenario.Day
-	ledger *invariant.Ledger
-	fronts []*Front
-	pad    []byte
+// Generator plays the clients of a generated day as an open loop. Run is called once; Find is safe for concurrent use.
+type Generator struct {
+	day         *scenario.Day
+	ledger      *invariant.Ledger
+	dispatchers []*Dispatcher
+	pad         []byte
 
 	book    sync.Map // id to fleet.Order
 	results []Result
@@ -43,21 +43,21 @@
 	Done  atomic.Int64        // wishes that have ended
 }
 
-// Front is the clients' access to one dispatcher. It is safe for concurrent use.
-type Front struct {
+// Dispatcher is the clients' access to one dispatcher. It is safe for concurrent use.
+type Dispatcher struct {
 	Address string
 	down    atomic.Bool
 	pool    pool
 }
 
 // Down makes clients send new tries to other dispatchers, or ends that.
-func (f *Front) Down(on bool) { f.down.Store(on) }
+func (f *Dispatcher) Down(on bool) { f.down.Store(on) }
 
 // New returns the clients of a day; addresses are those of the dispatchers, in their order.
-func New(day *scenario.Day, l *invariant.Ledger, addresses []string) *Load {
-	x := &Load{day: day, ledger: l, results: make([]Result, len(day.Wishes)), Lag: func(time.Duration) {}}
+func New(day *scenario.Day, l *invariant.Ledger, addresses []string) *Generator {
+	x := &Generator{day: day, ledger: l, results: make([]Result, len(day.Requests)), Lag: func(time.Duration) {}}
 	for _, a := range addresses {
-		x.fronts = append(x.fronts, &Front{Address: a})
+		x.dispatchers = append(x.dispatchers, &Dispatcher{Address: a})
 	}
 	r := rand.New(rand.NewPCG(day.Seed, 0))
 	x.pad = make([]byte, 1<<16)
@@ -67,12 +67,12 @@
 	return x
 }
 
-// Front returns the access to dispatcher i.
-func (x *Load) Front(i int) *Front { return x.fronts[i] }
+// Dispatcher returns the access to dispatcher i.
+func (g *Generator) Dispatcher(i int) *Dispatcher { return g.dispatchers[i] }
 
 // Find returns what a client sent under a request id, and notes that a worker has seen it.
-func (x *Load) Find(id string) (fakes.Order, bool) {
-	o, ok := x.book.Load(id)
+func (g *Generator) Find(id string) (fakes.Order, bool) {
+	o, ok := g.book.Load(id)
 	if !ok {
 		return fakes.Order{}, false
 	}
@@ -88,24 +88,24 @@
 }
 
 // Origin returns the day's start on the ledger's clock; it is valid once Began was called.
-func (x *Load) Origin() time.Duration { return x.origin }
+func (g *Generator) Origin() time.Duration { return g.origin }
 
 // Results returns the outcome of each client request, in the order of the day. It is valid once Run has returned.
-func (x *Load) Results() []Result { return x.results }
+func (g *Generator) Results() []Result { return g.results }
 
 // Run starts each request at its time, however earlier ones go, and returns when all have ended. When ctx ends, no
 // further one is started.
-func (x *Load) Run(ctx context.Context) {
-	x.origin = x.ledger.Now()
-	if x.Began != nil {
-		x.Began()
+func (g *Generator) Run(ctx context.Context) {
+	g.origin = g.ledger.Now()
+	if g.Began != nil {
+		g.Began()
 	}
 	var out sync.WaitGroup
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	for i := range x.day.Wishes {
-		w := &x.day.Wishes[i]
-		if wait := x.origin + w.At - x.ledger.Now(); wait > 0 {
+	for i := range g.day.Requests {
+		w := &g.day.Requests[i]
+		if wait := g.origin + w.At - g.ledger.Now(); wait > 0 {
 			timer.Reset(wait)
 			select {
 			case <-timer.C:
@@ -115,31 +115,31 @@
 		if ctx.Err() != nil {
 			break
 		}
-		x.Lag(x.ledger.Now() - x.origin - w.At)
+		g.Lag(g.ledger.Now() - g.origin - w.At)
 		out.Add(1)
 		go func() {
 			defer out.Done()
-			defer x.Done.Add(1)
-			x.wish(ctx, i)
+			defer g.Done.Add(1)
+			g.request(ctx, i)
 		}()
 	}
 	out.Wait()
-	for _, f := range x.fronts {
+	for _, f := range g.dispatchers {
 		f.pool.close()
 	}
 }
 
-// wish is the life of one wish: its tries, one after the other.
-func (x *Load) wish(ctx context.Context, i int) {
-	w, res := &x.day.Wishes[i], &x.results[i]
-	class := &x.day.Scenario.Classes[w.Class]
-	clients := &x.day.Scenario.Clients
-	end := x.origin + w.At + class.Patience
-	res.Asked = true
+// request is the life of one wish: its tries, one after the other.
+func (g *Generator) request(ctx context.Context, i int) {
+	w, res := &g.day.Requests[i], &g.results[i]
+	class := &g.day.Scenario.Classes[w.Class]
+	clients := &g.day.Scenario.Clients
+	end := g.origin + w.At + class.Deadline
+	res.Requested = true
 	crossed := 0
 	for n := 0; ; n++ {
-		t, a := x.try(i, n, crossed, end)
-		if x.crossed(t) && ctx.Err() == nil && x.ledger.Now() < end {
+		t, a := g.sendTry(i, n, crossed, end)
+		if g.crossed(t) && ctx.Err() == nil && g.ledger.Now() < end {
 			// A close between requests crossed this one: it is sent once more. The lab gives it another id, so that the
 			// judge can tell the two apart where a dispatcher has read both.
 			crossed++
@@ -148,14 +148,14 @@
 		}
 		res.Tries, res.Outcome, res.Ended = n+1, t.Outcome, t.Ended
 		settled := t.Outcome == invariant.Served || t.Outcome == invariant.Left
-		if settled || n >= clients.Retries || !asksAgain(class, t) || ctx.Err() != nil {
+		if settled || n >= clients.Retries || !shouldRetry(class, t) || ctx.Err() != nil {
 			return
 		}
 		wait := clients.RetryWait
 		if w.Obeys && a.RetryAfter > 0 {
 			wait = a.RetryAfter
 		}
-		if x.ledger.Now()+wait >= end-5*time.Millisecond {
+		if g.ledger.Now()+wait >= end-5*time.Millisecond {
 			return
 		}
 		select {
@@ -167,16 +167,16 @@
 }
 
 // crossed tells whether a kept connection was closed on a request that nobody has read.
-func (x *Load) crossed(t *invariant.Try) bool {
+func (g *Generator) crossed(t *invariant.Try) bool {
 	if t.Outcome != invariant.Closed || t.Fresh {
 		return false
 	}
-	b, ok := x.book.Load(t.ID)
+	b, ok := g.book.Load(t.ID)
 	return ok && !b.(*booked).seen.Load()
 }
 
-// asksAgain tells whether a client asks again by itself.
-func asksAgain(c *scenario.Class, t *invariant.Try) bool {
+// shouldRetry tells whether a client asks again by itself.
+func shouldRetry(c *scenario.Class, t *invariant.Try) bool {
 	switch c.Retry {
 	case scenario.RetryNone:
 		return false
@@ -187,12 +187,12 @@
 	}
 }
 
-// front is where a try goes: home, or where home is down the next that is up.
-func (x *Load) front(home, n int) int {
-	for k := range x.fronts {
-		if i := (home + n + k) % len(x.fronts); !x.fronts[i].down.Load() {
+// dispatcherFor is where a try goes: home, or where home is down the next that is up.
+func (g *Generator) dispatcherFor(home, n int) int {
+	for k := range g.dispatchers {
+		if i := (home + n + k) % len(g.dispatchers); !g.dispatchers[i].down.Load() {
 			return i
 		}
 	}
-	return (home + n) % len(x.fronts)
+	return (home + n) % len(g.dispatchers)
 }
--- a/internal/testbed/loadgen/rude.go
+++ b/internal/testbed/loadgen/misbehaving.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// Rude counts what misbehaving clients sent and how it was answered. It is safe for concurrent use.
-type Rude struct {
+// MisbehavingClients counts what misbehaving clients sent and how it was answered. It is safe for concurrent use.
+type MisbehavingClients struct {
 	Sent     atomic.Int64 // what they sent
 	Answered atomic.Int64 // an error or a close, in time
 	Ignored  atomic.Int64 // neither
@@ -26,15 +26,15 @@
 
 // Times of misbehaving clients.
 const (
-	rudeWait = 3 * time.Second // for an error or a close
-	rudeGap  = 2 * time.Millisecond
+	responseTimeout      = 3 * time.Second // for an error or a close
+	misbehaviourInterval = 2 * time.Millisecond
 )
 
 // headEnd ends the head of a request.
 const headEnd = "\r\n\r\n"
 
-// rudeness returns what a misbehaving client sends; class is a class that exists.
-func rudeness(r *rand.Rand, class string) []byte {
+// misbehaviours returns what a misbehaving client sends; class is a class that exists.
+func misbehaviours(r *rand.Rand, class string) []byte {
 	head := func(lines ...string) []byte {
 		return []byte(fmt.Sprintf("POST /%s/x HTTP/1.1\r\nHost: lab\r\n%s\r\n\r\n", class, strings.Join(lines, "\r\n")))
 	}
@@ -72,8 +72,8 @@
 	}
 }
 
-// Play sends malformed requests to a dispatcher from n clients until ctx ends.
-func (u *Rude) Play(ctx context.Context, addr, class string, n int, seed uint64) {
+// Run sends malformed requests to a dispatcher from n clients until ctx ends.
+func (u *MisbehavingClients) Run(ctx context.Context, addr, class string, n int, seed uint64) {
 	var all sync.WaitGroup
 	for i := range n {
 		all.Add(1)
@@ -81,10 +81,10 @@
 			defer all.Done()
 			r := rand.New(rand.NewPCG(seed, uint64(i)))
 			for ctx.Err() == nil {
-				u.once(ctx, addr, rudeness(r, class))
+				u.once(ctx, addr, misbehaviours(r, class))
 				select {
 				case <-ctx.Done():
-				case <-time.After(rudeGap):
+				case <-time.After(misbehaviourInterval):
 				}
 			}
 		}()
@@ -92,7 +92,7 @@
 	all.Wait()
 }
 
-func (u *Rude) once(ctx context.Context, addr string, what []byte) {
+func (u *MisbehavingClients) once(ctx context.Context, addr string, what []byte) {
 	conn, err := net.DialTimeout("tcp", addr, dialWait)
 	if err != nil {
 		u.NoPlace.Add(1)
@@ -100,7 +100,7 @@
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })()
-	conn.SetDeadline(time.Now().Add(rudeWait))
+	conn.SetDeadline(time.Now().Add(responseTimeout))
 	u.Sent.Add(1)
 	// It may be turned down before it is through.
 	_, _ = conn.Write(what)
--- a/internal/testbed/loadgen/try.go
+++ b/internal/testbed/loadgen/try.go
@@ -15,23 +15,23 @@
 
 // exchange is one try of a client's request under way: what it sends, what came back and its entry in the ledger.
 type exchange struct {
-	load    *Load
-	wish    *scenario.Wish
+	load    *Generator
+	wish    *scenario.Request
 	end     time.Duration // when the client's time is up, on the ledger's clock
 	try     *invariant.Try
 	request *Request
 	answer  Answer
 }
 
-// try sends one request and waits for its answer.
-func (x *Load) try(wish, n, crossed int, end time.Duration) (*invariant.Try, Answer) {
-	e := x.newExchange(wish, n, crossed, end)
+// sendTry sends one request and waits for its answer.
+func (g *Generator) sendTry(wish, n, crossed int, end time.Duration) (*invariant.Try, Answer) {
+	e := g.newExchange(wish, n, crossed, end)
 	conn, front := e.connect()
 	if conn == nil {
 		e.settle(invariant.Unsent)
 		return e.try, e.answer
 	}
-	e.request.Left = (end - x.ledger.Now()).Truncate(time.Millisecond)
+	e.request.Left = (end - g.ledger.Now()).Truncate(time.Millisecond)
 	if e.request.Left < time.Millisecond {
 		front.pool.put(conn)
 		e.settle(invariant.Unsent)
@@ -46,26 +46,26 @@
 }
 
 // newExchange makes the request of a try and enters it in the book and in the ledger.
-func (x *Load) newExchange(wish, n, crossed int, end time.Duration) *exchange {
-	w := &x.day.Wishes[wish]
-	class := &x.day.Scenario.Classes[w.Class]
-	id := fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprintf("%d/%d/%d/%d", x.day.Seed, wish, n, crossed)))
+func (g *Generator) newExchange(wish, n, crossed int, end time.Duration) *exchange {
+	w := &g.day.Requests[wish]
+	class := &g.day.Scenario.Classes[w.Class]
+	id := fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprintf("%d/%d/%d/%d", g.day.Seed, wish, n, crossed)))
 	q := &Request{
 		ID:     id,
 		Class:  class.Name,
 		Target: fmt.Sprintf("/%s/lab?w=%d", class.Name, wish),
-		Retry:  n > 0 && x.day.Scenario.Clients.Mark,
+		Retry:  n > 0 && g.day.Scenario.Clients.Mark,
 	}
 	if w.Body > 0 {
-		q.Body = x.pad[wish%1024:][:w.Body]
+		q.Body = g.pad[wish%1024:][:w.Body]
 	}
 	if w.Tenant >= 0 {
-		q.Tenant = x.day.Scenario.Tenants[w.Tenant].Name
+		q.Tenant = g.day.Scenario.Tenants[w.Tenant].Name
 	}
 	if class.Slots > 1 || class.Memory > 0 {
 		q.Extras = fmt.Sprintf("slots=%d,memory=%g", class.Slots, class.Memory)
 	}
-	x.book.Store(id, &booked{Order: fakes.Order{
+	g.book.Store(id, &booked{Order: fakes.Order{
 		Work:   w.Work,
 		Slots:  class.Slots,
 		Memory: class.Memory,
@@ -73,17 +73,17 @@
 		Target: q.Target,
 		Body:   xxhash.Sum64(q.Body),
 	}})
-	t := &invariant.Try{ID: id, Wish: wish, Number: n, Class: w.Class}
-	x.ledger.Try(t)
-	return &exchange{load: x, wish: w, end: end, try: t, request: q}
+	t := &invariant.Try{ID: id, Request: wish, Number: n, Class: w.Class}
+	g.ledger.Try(t)
+	return &exchange{load: g, wish: w, end: end, try: t, request: q}
 }
 
 // connect returns a connection to the client's dispatcher, or to the next that accepts one; nil if none does in time.
-func (e *exchange) connect() (*Conn, *Front) {
+func (e *exchange) connect() (*Conn, *Dispatcher) {
 	x := e.load
 	for hop := 0; ; {
-		e.try.Dispatcher = x.front(e.wish.Dispatcher, hop)
-		front := x.fronts[e.try.Dispatcher]
+		e.try.Dispatcher = x.dispatcherFor(e.wish.Dispatcher, hop)
+		front := x.dispatchers[e.try.Dispatcher]
 		if conn := front.pool.take(); conn != nil {
 			return conn, front
 		}
@@ -92,7 +92,7 @@
 			return conn, front
 		}
 		hop++
-		if hop >= 2*len(x.fronts) || x.ledger.Now()+elsewhere >= e.end {
+		if hop >= 2*len(x.dispatchers) || x.ledger.Now()+elsewhere >= e.end {
 			return nil, nil
 		}
 		time.Sleep(elsewhere)
@@ -110,7 +110,7 @@
 }
 
 // receive waits for the answer, a little past the request's deadline, or until the client leaves as planned.
-func (e *exchange) receive(conn *Conn, front *Front) {
+func (e *exchange) receive(conn *Conn, front *Dispatcher) {
 	x := e.load
 	stays := e.try.Due + overtime
 	leavesAt := x.origin + e.wish.At + e.wish.Leaves
--- a/internal/testbed/mutant/planted.go
+++ b/internal/testbed/mutant/mutant.go
@@ -22,14 +22,14 @@
 	"time"
 )
 
-// Fault is one selectable fault, with the violation that the invariant checker has to report.
-type Fault struct {
-	Name, About  string
-	Rule, Breach string // empty: a crash
+// Mutant is one selectable fault, with the violation that the invariant checker has to report.
+type Mutant struct {
+	Name, About     string
+	Rule, Violation string // empty: a crash
 }
 
-// Faults lists all faults; "none" is the same dispatcher without one.
-var Faults = []Fault{
+// Mutants lists all faults; "none" is the same dispatcher without one.
+var Mutants = []Mutant{
 	{"none", "keeps all rules", "", ""},
 	{"unsafe-twice", "sends a never-twice job again after a failure", "effects", "sent-again"},
 	{"refuses-what-ran", "answers a failed never-twice job with a refusal", "effects", "refused-what-may-have-run"},
@@ -48,15 +48,15 @@
 }
 
 // Find returns a fault by its name; the error of an unknown one lists the names.
-func Find(name string) (Fault, error) {
+func Find(name string) (Mutant, error) {
 	var all []string
-	for _, f := range Faults {
+	for _, f := range Mutants {
 		if f.Name == name {
 			return f, nil
 		}
 		all = append(all, f.Name)
 	}
-	return Fault{}, fmt.Errorf("no fault %q can be planted; there are %s", name, strings.Join(all, ", "))
+	return Mutant{}, fmt.Errorf("no fault %q can be planted; there are %s", name, strings.Join(all, ", "))
 }
 
 // config is what the faulty dispatcher reads of the platform's configuration.
@@ -232,7 +232,7 @@
 	case d.some("after-final"):
 		go func() {
 			time.Sleep(400 * time.Millisecond)
-			_, _, _ = d.ask(lasting, r, body) // sending it is the fault; nobody waits for the result
+			_, _, _ = d.forward(lasting, r, body) // sending it is the fault; nobody waits for the result
 		}()
 		w.WriteHeader(http.StatusInternalServerError)
 		return
@@ -273,7 +273,7 @@
 	}
 	mayHaveRun := false
 	for range most {
-		result, ran, err := d.ask(ctx, r, body)
+		result, ran, err := d.forward(ctx, r, body)
 		if err == nil && (d.fault != "many-attempts" || d.unsafe[r.Header.Get("X-Class")]) {
 			return http.StatusOK, result
 		}
@@ -290,8 +290,8 @@
 
 var errFailed = errors.New("the worker failed")
 
-// ask sends a request to one worker; ran tells whether it may have run.
-func (d *dispatcher) ask(ctx context.Context, r *http.Request, body []byte) (result []byte, ran bool, err error) {
+// forward sends a request to one worker; ran tells whether it may have run.
+func (d *dispatcher) forward(ctx context.Context, r *http.Request, body []byte) (result []byte, ran bool, err error) {
 	address, ok := d.choose()
 	if !ok {
 		return nil, false, errFailed
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -34,8 +34,8 @@
 // spawner starts processes from one thread that lives as long as it does: the kernel ends them with that thread, also
 // where this program is killed outright.
 type spawner struct {
-	ask  chan spawn
-	quit chan struct{}
+	requests chan spawn
+	quit     chan struct{}
 }
 
 type spawn struct {
@@ -44,12 +44,12 @@
 }
 
 func newSpawner() *spawner {
-	s := &spawner{ask: make(chan spawn), quit: make(chan struct{})}
+	s := &spawner{requests: make(chan spawn), quit: make(chan struct{})}
 	go func() {
 		runtime.LockOSThread() // and never unlocked: the thread ends with the goroutine
 		for {
 			select {
-			case a := <-s.ask:
+			case a := <-s.requests:
 				a.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 				a.done <- a.cmd.Start()
 			case <-s.quit:
@@ -62,7 +62,7 @@
 
 func (s *spawner) start(cmd *exec.Cmd) error {
 	a := spawn{cmd, make(chan error, 1)}
-	s.ask <- a
+	s.requests <- a
 	return <-a.done
 }
 
@@ -103,7 +103,7 @@
 	buf []byte
 }
 
-const tailMost = 4 << 10
+const maxTailBytes = 4 << 10
 
 func (t *tail) Write(p []byte) (int, error) {
 	t.mu.Lock()
@@ -112,8 +112,8 @@
 		_, _ = t.whole.Write(p) // what cannot be written there is in the tail
 	}
 	t.buf = append(t.buf, p...)
-	if len(t.buf) > tailMost {
-		t.buf = append(t.buf[:0], t.buf[len(t.buf)-tailMost:]...)
+	if len(t.buf) > maxTailBytes {
+		t.buf = append(t.buf[:0], t.buf[len(t.buf)-maxTailBytes:]...)
 	}
 	return len(p), nil
 }
@@ -143,8 +143,8 @@
 		list = d.run.listAt(d.index, list)
 	}
 	terms := d.run.day.Scenario
-	if d.run.told != nil {
-		terms = d.run.told(d.index, terms)
+	if d.run.onDelivery != nil {
+		terms = d.run.onDelivery(d.index, terms)
 	}
 	if d.known == nil || !d.run.oldLists {
 		d.known = agent.Known()
@@ -170,7 +170,7 @@
 		return err
 	}
 	d.run.ledger.Moment(invariant.Moment{Dispatcher: d.index, At: d.run.ledger.Now(), What: invariant.Ready})
-	d.run.load.Front(d.index).Down(false)
+	d.run.load.Dispatcher(d.index).Down(false)
 	return nil
 }
 
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -18,10 +18,10 @@
 
 var figures = []figure{
 	{"goodput", func(r *Report) float64 { return r.Goodput }, "%.4f"},
-	{"goodput in trouble", func(r *Report) float64 { return r.InTrouble }, "%.4f"},
+	{"goodput in trouble", func(r *Report) float64 { return r.GoodputInFault }, "%.4f"},
 	{"seconds to recover", func(r *Report) float64 { return r.Recovery }, "%.1f"},
-	{"least of a tenant", func(r *Report) float64 { return leastOf(r.Tenants) }, "%.4f"},
-	{"least of a class", func(r *Report) float64 { return leastOf(r.Classes) }, "%.4f"},
+	{"least of a tenant", func(r *Report) float64 { return minOf(r.Tenants) }, "%.4f"},
+	{"least of a class", func(r *Report) float64 { return minOf(r.Classes) }, "%.4f"},
 	{"served in time", func(r *Report) float64 { return float64(r.ServedInTime) }, "%.0f"},
 	{"refused", func(r *Report) float64 { return float64(r.Refused) }, "%.0f"},
 	{"failed", func(r *Report) float64 { return float64(r.Failed) }, "%.0f"},
@@ -99,9 +99,9 @@
 	total := 0.0
 	for i := range min(len(a.Series), len(b.Series)) {
 		x, y := a.Series[i], b.Series[i]
-		if x.Worth > 0 && y.Worth > 0 {
-			diffs, weights = append(diffs, x.Good/x.Worth-y.Good/y.Worth), append(weights, x.Worth)
-			total += x.Worth
+		if x.Value > 0 && y.Value > 0 {
+			diffs, weights = append(diffs, x.Good/x.Value-y.Good/y.Value), append(weights, x.Value)
+			total += x.Value
 		}
 	}
 	if len(diffs) < 2 {
@@ -130,8 +130,8 @@
 	return (s[len(s)/2-1] + s[len(s)/2]) / 2
 }
 
-// leastOf returns the goodput of the worst-served part.
-func leastOf(parts []PartLine) float64 {
+// minOf returns the goodput of the worst-served part.
+func minOf(parts []PartLine) float64 {
 	least := 1.0
 	for _, p := range parts {
 		if p.Requests > 0 {
--- a/internal/testbed/report/html.go
+++ b/internal/testbed/report/html.go
@@ -47,9 +47,9 @@
 	p99 := make(plotter.XYs, 0, len(r.Series))
 	var good plotter.XYs
 	for _, p := range r.Series {
-		asked = append(asked, plotter.XY{X: p.At, Y: float64(p.Asked)})
-		if p.Worth > 0 {
-			good = append(good, plotter.XY{X: p.At, Y: p.Good / p.Worth})
+		asked = append(asked, plotter.XY{X: p.At, Y: float64(p.Requested)})
+		if p.Value > 0 {
+			good = append(good, plotter.XY{X: p.At, Y: p.Good / p.Value})
 		}
 		p50 = append(p50, plotter.XY{X: p.At, Y: p.P50})
 		p99 = append(p99, plotter.XY{X: p.At, Y: p.P99})
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -27,7 +27,7 @@
 	Seed        uint64  `json:"seed"`
 	Day         string  `json:"day"` // digest of all that was drawn
 	Policy      string  `json:"policy"`
-	Planted     string  `json:"planted,omitempty"`
+	Mutant      string  `json:"planted,omitempty"`
 	Seconds     float64 `json:"seconds"`
 	Rate        float64 `json:"rate"`
 	Load        float64 `json:"load"` // work asked for as a part of the capacity
@@ -35,23 +35,23 @@
 	Interrupted bool    `json:"interrupted"`
 	RanLate     bool    `json:"ran_late"` // the rig itself was late: the figures are worth little
 
-	Requests     int     `json:"requests"` // wishes; a client's retries are folded into its first try
-	Tries        int     `json:"tries"`
-	Attempts     int     `json:"attempts"` // at workers
-	Served       int     `json:"served"`
-	ServedInTime int     `json:"served_in_time"`
-	Refused      int     `json:"refused"`
-	Failed       int     `json:"failed"` // all others: served + refused + failed = requests
-	Lost         int     `json:"lost"`   // tries with no final answer, by a dispatcher's fault
-	Excused      int     `json:"excused"`
-	Goodput      float64 `json:"goodput"`            // worth in time over worth asked
-	InTrouble    float64 `json:"goodput_in_trouble"` // the same of what was asked for while a trouble was on; 0: there was none
-	Recovery     float64 `json:"recovery_s"`         // from the last trouble's end until service was as before; -1: not in this run
+	Requests       int     `json:"requests"` // wishes; a client's retries are folded into its first try
+	Tries          int     `json:"tries"`
+	Attempts       int     `json:"attempts"` // at workers
+	Served         int     `json:"served"`
+	ServedInTime   int     `json:"served_in_time"`
+	Refused        int     `json:"refused"`
+	Failed         int     `json:"failed"` // all others: served + refused + failed = requests
+	Lost           int     `json:"lost"`   // tries with no final answer, by a dispatcher's fault
+	Excused        int     `json:"excused"`
+	Goodput        float64 `json:"goodput"`            // worth in time over worth asked
+	GoodputInFault float64 `json:"goodput_in_trouble"` // the same of what was asked for while a trouble was on; 0: there was none
+	Recovery       float64 `json:"recovery_s"`         // from the last trouble's end until service was as before; -1: not in this run
 
-	Rules      map[string]int     `json:"rules"`
-	Breaches   []invariant.Breach `json:"breaches,omitempty"` // the first ones
-	Crashes    int                `json:"crashes"`
-	CrashNotes []string           `json:"crash_notes,omitempty"`
+	Rules      map[string]int        `json:"rules"`
+	Violations []invariant.Violation `json:"breaches,omitempty"` // the first ones
+	Crashes    int                   `json:"crashes"`
+	CrashNotes []string              `json:"crash_notes,omitempty"`
 
 	Latency           Latency `json:"latency_ms"`
 	RetriesPerRequest float64 `json:"retries_per_request"`
@@ -61,15 +61,15 @@
 	RSSPeakMB     float64 `json:"rss_peak_mb"`        // of the largest dispatcher
 	FDPeak        int     `json:"fd_peak"`
 
-	Workers  []WorkerLine   `json:"workers"`
-	Classes  []PartLine     `json:"classes"`
-	Tenants  []PartLine     `json:"tenants,omitempty"`
-	Outcomes map[string]int `json:"outcomes"` // of tries, as clients saw them
-	Series   []Point        `json:"series"`
-	Faults   []FaultMark    `json:"faults,omitempty"`
-	Rude     *RudeLine      `json:"rude,omitempty"`
-	Started  *StartedLine   `json:"started,omitempty"`
-	Rig      Rig            `json:"rig"`
+	Workers     []WorkerLine     `json:"workers"`
+	Classes     []PartLine       `json:"classes"`
+	Tenants     []PartLine       `json:"tenants,omitempty"`
+	Outcomes    map[string]int   `json:"outcomes"` // of tries, as clients saw them
+	Series      []Point          `json:"series"`
+	Faults      []FaultMark      `json:"faults,omitempty"`
+	Misbehaving *MisbehavingLine `json:"rude,omitempty"`
+	Started     *StartedLine     `json:"started,omitempty"`
+	Testbed     TestbedLine      `json:"rig"`
 }
 
 // Latency holds percentiles, in milliseconds, of served requests: from the scheduled arrival to the last byte of the
@@ -103,14 +103,14 @@
 
 // Point is one interval of the run; a request belongs to the interval of its scheduled arrival.
 type Point struct {
-	At       float64        `json:"at"`
-	Asked    int            `json:"asked"`
-	InTime   int            `json:"in_time"`
-	Worth    float64        `json:"worth"`
-	Good     float64        `json:"good"` // worth in time
-	P50      float64        `json:"p50_ms"`
-	P99      float64        `json:"p99_ms"`
-	Outcomes map[string]int `json:"outcomes"` // of the wishes' last tries
+	At        float64        `json:"at"`
+	Requested int            `json:"asked"`
+	InTime    int            `json:"in_time"`
+	Value     float64        `json:"worth"`
+	Good      float64        `json:"good"` // worth in time
+	P50       float64        `json:"p50_ms"`
+	P99       float64        `json:"p99_ms"`
+	Outcomes  map[string]int `json:"outcomes"` // of the wishes' last tries
 }
 
 // FaultMark is an injected fault on the time axis.
@@ -121,8 +121,8 @@
 	Whom  string  `json:"whom"`
 }
 
-// RudeLine counts what misbehaving clients sent and how they were answered.
-type RudeLine struct {
+// MisbehavingLine counts what misbehaving clients sent and how they were answered.
+type MisbehavingLine struct {
 	Sent     int64 `json:"sent"`
 	Answered int64 `json:"answered"`
 	Ignored  int64 `json:"ignored"`
@@ -138,8 +138,8 @@
 	OtherInTime int `json:"other_in_time"`
 }
 
-// Rig says how precise the testbed itself was.
-type Rig struct {
+// TestbedLine says how precise the testbed itself was.
+type TestbedLine struct {
 	LagP99  float64 `json:"lag_p99_ms"` // how late arrivals were begun
 	LagMax  float64 `json:"lag_max_ms"`
 	Ceiling float64 `json:"ceiling_per_s"` // requests a second straight at a stand-in worker; 0: not measured
@@ -191,35 +191,35 @@
 	notAtAll = -1.0
 )
 
-// Troubled computes InTrouble and Recovery from the series and the faults.
-func (r *Report) Troubled() {
+// HadFault computes InTrouble and Recovery from the series and the faults.
+func (r *Report) HadFault() {
 	first, last := math.Inf(1), 0.0
 	for _, f := range r.Faults {
 		first, last = min(first, f.At), max(last, f.At, f.Until)
 	}
 	var before []float64
 	good, worth, row := 0.0, 0.0, 0
-	r.InTrouble, r.Recovery = 0, 0
+	r.GoodputInFault, r.Recovery = 0, 0
 	if len(r.Faults) == 0 {
 		return
 	}
 	r.Recovery = notAtAll
 	for _, p := range r.Series {
-		if p.Worth > 0 && p.At < first {
-			before = append(before, p.Good/p.Worth)
+		if p.Value > 0 && p.At < first {
+			before = append(before, p.Good/p.Value)
 		}
 	}
 	usual := Median(before)
 	for _, p := range r.Series {
 		for _, f := range r.Faults {
 			if p.At >= f.At && p.At < f.Until {
-				good, worth = good+p.Good, worth+p.Worth
+				good, worth = good+p.Good, worth+p.Value
 				break
 			}
 		}
 		switch {
-		case p.At < last || r.Recovery >= 0 || p.Worth == 0:
-		case p.Good/p.Worth < asBefore*usual:
+		case p.At < last || r.Recovery >= 0 || p.Value == 0:
+		case p.Good/p.Value < asBefore*usual:
 			row = 0
 		default:
 			if row++; row == inARow {
@@ -228,12 +228,12 @@
 		}
 	}
 	if worth > 0 {
-		r.InTrouble = good / worth
+		r.GoodputInFault = good / worth
 	}
 }
 
-// sizeMost bounds the size of a stored result, in bytes.
-const sizeMost = 256 << 20
+// maxFileBytes bounds the size of a stored result, in bytes.
+const maxFileBytes = 256 << 20
 
 // Load reads a result from a file that Save wrote.
 func Load(path string) (*Report, error) {
@@ -242,7 +242,7 @@
 		return nil, fmt.Errorf("reading a result: %w", err)
 	}
 	defer f.Close()
-	raw, err := io.ReadAll(io.LimitReader(f, sizeMost))
+	raw, err := io.ReadAll(io.LimitReader(f, maxFileBytes))
 	if err != nil {
 		return nil, fmt.Errorf("reading a result: %w", err)
 	}
@@ -263,7 +263,7 @@
 		return nil, fmt.Errorf("this is no result of the lab that this program can read: version %d, not %d", r.Version, Version)
 	}
 	for _, p := range r.Series {
-		if math.IsNaN(p.At) || p.At < 0 || p.Asked < 0 {
+		if math.IsNaN(p.At) || p.At < 0 || p.Requested < 0 {
 			return nil, errors.New("its series makes no sense")
 		}
 	}
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -7,7 +7,7 @@
 )
 
 func FuzzDecode(f *testing.F) {
-	raw, err := json.Marshal(&Report{Version: Version, Series: []Point{{At: 1, Asked: 2, Outcomes: map[string]int{"served": 2}}}, Rules: map[string]int{"answers": 1}})
+	raw, err := json.Marshal(&Report{Version: Version, Series: []Point{{At: 1, Requested: 2, Outcomes: map[string]int{"served": 2}}}, Rules: map[string]int{"answers": 1}})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/testbed/report/text.go
+++ b/internal/testbed/report/text.go
@@ -11,8 +11,8 @@
 
 // Limits of what a summary prints; the JSON form holds more.
 const (
-	breachesShown = 12
-	workersShown  = 12
+	maxViolationsShown = 12
+	workersShown       = 12
 )
 
 // Text writes a summary of the run for people to read.
@@ -44,7 +44,7 @@
 
 // writeRun writes what was played.
 func (r *Report) writeRun(t *textTable) {
-	t.row("scenario", "%s, seed %d, day %s, policy %s%s", r.Scenario, r.Seed, r.Day, r.Policy, planted(r.Planted))
+	t.row("scenario", "%s, seed %d, day %s, policy %s%s", r.Scenario, r.Seed, r.Day, r.Policy, mutantLine(r.Mutant))
 	t.row("played", "%.0f s, %.0f requests/s (%.2f of the capacity), %d workers, %d dispatchers",
 		r.Seconds, r.Rate, r.Load, len(r.Workers), r.Dispatchers)
 }
@@ -54,7 +54,7 @@
 	t.row("requests", "%d: %d served, %d in time, %d refused, %d failed", r.Requests, r.Served, r.ServedInTime, r.Refused, r.Failed)
 	t.row("goodput", "%.3f (worth in time over worth asked)", r.Goodput)
 	if len(r.Faults) > 0 {
-		t.row("in trouble", "goodput %.3f while a trouble was on; %s", r.InTrouble, r.recoveryText())
+		t.row("in trouble", "goodput %.3f while a trouble was on; %s", r.GoodputInFault, r.recoveryText())
 	}
 	l := &r.Latency
 	t.row("latency ms", "p50 %.0f  p90 %.0f  p99 %.0f  p99.9 %.0f  max %.0f", l.P50, l.P90, l.P99, l.P999, l.Max)
@@ -99,7 +99,7 @@
 	for _, f := range r.Faults {
 		t.row("trouble", "%.1f to %.1f s: %s %s", f.At, f.Until, f.Kind, f.Whom)
 	}
-	if u := r.Rude; u != nil {
+	if u := r.Misbehaving; u != nil {
 		t.row("rude clients", "%d sent: %d answered or closed, %d ignored, %d served", u.Sent, u.Answered, u.Ignored, u.Served)
 	}
 	if s := r.Started; s != nil {
@@ -110,10 +110,10 @@
 // writeRig writes how far the testbed itself limits the figures.
 func (r *Report) writeRig(t *textTable) {
 	ceiling := ""
-	if r.Rig.Ceiling > 0 {
-		ceiling = fmt.Sprintf("; ceiling %.0f requests/s straight at a worker", r.Rig.Ceiling)
+	if r.Testbed.Ceiling > 0 {
+		ceiling = fmt.Sprintf("; ceiling %.0f requests/s straight at a worker", r.Testbed.Ceiling)
 	}
-	t.row("the rig", "late by %.1f ms at p99, %.1f at the most%s", r.Rig.LagP99, r.Rig.LagMax, ceiling)
+	t.row("the rig", "late by %.1f ms at p99, %.1f at the most%s", r.Testbed.LagP99, r.Testbed.LagMax, ceiling)
 }
 
 // writeRules writes the number of violations of each rule.
@@ -127,9 +127,9 @@
 
 // writeBreaches writes the first violations with what proves them, then the crashes.
 func (r *Report) writeBreaches(w io.Writer) {
-	for i, b := range r.Breaches {
-		if i == breachesShown {
-			fmt.Fprintf(w, "... and more; --json keeps the first %d\n", len(r.Breaches))
+	for i, b := range r.Violations {
+		if i == maxViolationsShown {
+			fmt.Fprintf(w, "... and more; --json keeps the first %d\n", len(r.Violations))
 			break
 		}
 		fmt.Fprintln(w, b)
@@ -157,7 +157,7 @@
 	return "All rules were kept."
 }
 
-func planted(name string) string {
+func mutantLine(name string) string {
 	if name == "" {
 		return ""
 	}
--- a/internal/testbed/lab.go
+++ b/internal/testbed/run.go
@@ -29,37 +29,37 @@
 
 // Times of a run.
 const (
-	stragglers   = 500 * time.Millisecond // after the last answer, to see what is sent too late
-	sampleEvery  = 250 * time.Millisecond
-	lagEvery     = 5 * time.Millisecond
-	lateFrom     = 40 * time.Millisecond // the rig's own lag at p99 from which a run says so
-	toldWithin   = 6 * time.Second       // news counts as told so long after it is there to be taken
-	stopMost     = 3 * time.Second       // the platform kills no sooner than the longest patience, or this ...
-	stopSpare    = 700 * time.Millisecond
-	seriesBucket = 500 * time.Millisecond
-	ceilingTime  = 300 * time.Millisecond
-	ceilingConns = 32
-	breachesKept = 200
+	stragglers          = 500 * time.Millisecond // after the last answer, to see what is sent too late
+	sampleEvery         = 250 * time.Millisecond
+	lagEvery            = 5 * time.Millisecond
+	lateFrom            = 40 * time.Millisecond // the rig's own lag at p99 from which a run says so
+	propagationDeadline = 6 * time.Second       // news counts as told so long after it is there to be taken
+	maxStopTime         = 3 * time.Second       // the platform kills no sooner than the longest patience, or this ...
+	stopSpare           = 700 * time.Millisecond
+	seriesBucket        = 500 * time.Millisecond
+	ceilingTime         = 300 * time.Millisecond
+	ceilingConns        = 32
+	maxViolations       = 200
 )
 
 // Options is what a run is made of.
 type Options struct {
-	Scenario *scenario.Scenario
-	Seed     uint64
-	Storm    bool
-	Policy   string // for the report
-	Planted  string // for the report
-	Launch   Launch
-	Ceiling  bool // measure the rig's own ceiling first
+	Scenario     *scenario.Scenario
+	Seed         uint64
+	RandomFaults bool
+	Policy       string // for the report
+	Mutant       string // for the report
+	Launch       Launch
+	Ceiling      bool // measure the rig's own ceiling first
 
-	Beside func(context.Context, *Stage)   // plays beside the day's troubles, from its start; its context ends with the day
-	Judge  func(*Stage) []invariant.Breach // what the rules are beside the four; both may be nil
+	Alongside func(context.Context, *Environment)      // plays beside the day's troubles, from its start; its context ends with the day
+	CheckMore func(*Environment) []invariant.Violation // what the rules are beside the four; both may be nil
 
 	// UpWithin is how long a dispatcher may take to serve, where that is longer than usual: it may have to wait for others.
 	UpWithin time.Duration
 
 	// Told is what a dispatcher is told of the day's terms, in place of the day's own; nil: those.
-	Told func(dispatcher int, s *scenario.Scenario) *scenario.Scenario
+	OnDelivery func(dispatcher int, s *scenario.Scenario) *scenario.Scenario
 
 	Logs     string // a folder for all that dispatchers log, a file each; empty: none
 	OldLists bool   // configurations keep the list of the day's start over a restart, as those of a deployment do
@@ -75,27 +75,27 @@
 	day         *scenario.Day
 	ledger      *invariant.Ledger
 	fleet       *fakes.Fleet
-	load        *loadgen.Load
+	load        *loadgen.Generator
 	launch      Launch
 	spawner     *spawner
 	dispatchers []*dispatcher
-	troubles    *troubles
+	faults      *faultInjector
 	lag         report.Histogram
 	beats       report.Histogram
-	beside      func(context.Context, *Stage)
+	alongside   func(context.Context, *Environment)
 	listAt      func(dispatcher int, address string) string
 	upWithin    time.Duration
 	oldLists    bool
 	logs        string
-	told        func(dispatcher int, s *scenario.Scenario) *scenario.Scenario
+	onDelivery  func(dispatcher int, s *scenario.Scenario) *scenario.Scenario
 }
 
 // Run plays a day. A run that ctx ends early is reported as far as it came. An error means that nothing could be played.
 func Run(ctx context.Context, o Options) (*report.Report, error) {
 	r := &run{
-		day: o.Scenario.Draw(o.Seed, o.Storm), ledger: invariant.NewLedger(), launch: o.Launch, spawner: newSpawner(),
-		lag: report.NewHistogram(), beats: report.NewHistogram(), beside: o.Beside,
-		listAt: o.ListAt, upWithin: o.UpWithin, told: o.Told, oldLists: o.OldLists, logs: o.Logs,
+		day: o.Scenario.Draw(o.Seed, o.RandomFaults), ledger: invariant.NewLedger(), launch: o.Launch, spawner: newSpawner(),
+		lag: report.NewHistogram(), beats: report.NewHistogram(), alongside: o.Alongside,
+		listAt: o.ListAt, upWithin: o.UpWithin, onDelivery: o.OnDelivery, oldLists: o.OldLists, logs: o.Logs,
 	}
 	defer close(r.spawner.quit)
 	dir, err := os.MkdirTemp("", "birchfork-lab-")
@@ -128,12 +128,12 @@
 		return nil, err
 	}
 	r.play(ctx, o.Progress)
-	v := invariant.Judge(r.ledger, r.terms())
-	if o.Judge != nil {
-		v.Breaches = append(v.Breaches, o.Judge(&Stage{r})...)
+	v := invariant.Check(r.ledger, r.terms())
+	if o.CheckMore != nil {
+		v.Violations = append(v.Violations, o.CheckMore(&Environment{r})...)
 	}
 	rep := r.report(v)
-	rep.Policy, rep.Planted, rep.Interrupted, rep.Rig.Ceiling = o.Policy, o.Planted, ctx.Err() != nil, ceiling
+	rep.Policy, rep.Mutant, rep.Interrupted, rep.Testbed.Ceiling = o.Policy, o.Mutant, ctx.Err() != nil, ceiling
 	return rep, nil
 }
 
@@ -174,15 +174,15 @@
 	watch := make(chan struct{})
 	go func() { defer close(watch); r.watch(watched, progress) }()
 	r.load.Lag = func(d time.Duration) { r.lag.Add(max(d, 0)) }
-	r.troubles = &troubles{run: r}
+	r.faults = &faultInjector{run: r}
 	done := make(chan struct{})
 	began := make(chan struct{})
 	r.load.Began = func() { close(began) }
 	go func() { defer close(done); r.load.Run(during) }()
 	<-began
-	r.troubles.play(during)
-	if r.beside != nil {
-		r.troubles.waits.Go(func() { r.beside(during, &Stage{r}) })
+	r.faults.injectAll(during)
+	if r.alongside != nil {
+		r.faults.waits.Go(func() { r.alongside(during, &Environment{r}) })
 	}
 	<-done
 	if rest := r.load.Origin() + r.day.Scenario.For - r.ledger.Now(); rest > 0 {
@@ -192,7 +192,7 @@
 		}
 	}
 	over()
-	r.troubles.waits.Wait()
+	r.faults.waits.Wait()
 	time.Sleep(stragglers)
 	for _, d := range r.dispatchers {
 		d.sample()
@@ -221,7 +221,7 @@
 				d.sample()
 			}
 			if progress != nil {
-				progress(int(r.load.Done.Load()), len(r.day.Wishes))
+				progress(int(r.load.Done.Load()), len(r.day.Requests))
 			}
 			last = time.Now() // sampling is no lag of the clock's
 		}
@@ -232,9 +232,9 @@
 func (r *run) stopWithin() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range r.day.Scenario.Classes {
-		longest = max(longest, c.Patience)
+		longest = max(longest, c.Deadline)
 	}
-	return min(longest, stopMost) + stopSpare
+	return min(longest, maxStopTime) + stopSpare
 }
 
 // stopAll ends all dispatchers in order.
@@ -259,7 +259,7 @@
 func (r *run) terms() invariant.Terms {
 	s := r.day.Scenario
 	t := invariant.Terms{
-		Attempts: s.Terms.Attempts, DrainGrace: s.Terms.DrainGrace, ToldWithin: toldWithin,
+		Attempts: s.Terms.Attempts, DrainGrace: s.Terms.DrainGrace, PropagationDeadline: propagationDeadline,
 		Slack: invariant.DefaultSlack + r.ownLag(),
 	}
 	for _, c := range s.Classes {
@@ -285,17 +285,17 @@
 		Version: report.Version, Scenario: s.Name, About: s.About, Seed: r.day.Seed, Day: r.day.Digest(),
 		Seconds: s.For.Seconds(), Rate: s.Rate, Load: s.Load(), Dispatchers: s.Dispatchers,
 		Rules: v.Count(), Crashes: len(v.Crashes), Lost: v.Lost, Excused: v.Excused, Outcomes: map[string]int{},
-		Rig: report.Rig{
+		Testbed: report.TestbedLine{
 			LagP99: max(r.lag.At(99), r.beats.At(99)), LagMax: max(r.lag.At(100), r.beats.At(100)),
 			Slack: r.terms().Slack.Seconds() * 1000,
 		},
 	}
-	out.RanLate = out.Rig.LagP99 > lateFrom.Seconds()*1000
-	out.Breaches = v.Breaches[:min(len(v.Breaches), breachesKept)]
+	out.RanLate = out.Testbed.LagP99 > lateFrom.Seconds()*1000
+	out.Violations = v.Violations[:min(len(v.Violations), maxViolations)]
 	for _, c := range v.Crashes {
 		out.CrashNotes = append(out.CrashNotes, strings.TrimRight(fmt.Sprintf("dispatcher %d %s at %.3fs: %s", c.Dispatcher, c.What, c.At.Seconds(), c.Detail), ": "))
 	}
-	r.countWishes(out, origin)
+	r.countRequests(out, origin)
 	r.countWork(out)
 	out.Started = r.countStarted()
 	total := usage{}
@@ -309,13 +309,13 @@
 	for _, e := range r.day.Events {
 		out.Faults = append(out.Faults, report.FaultMark{Kind: e.Kind, At: e.At.Seconds(), Until: e.Until.Seconds(), Whom: r.whom(&e)})
 	}
-	out.Troubled()
-	if u := &r.troubles.rude; u.Sent.Load() > 0 {
-		out.Rude = &report.RudeLine{
+	out.HadFault()
+	if u := &r.faults.misbehaving; u.Sent.Load() > 0 {
+		out.Misbehaving = &report.MisbehavingLine{
 			Sent: u.Sent.Load(), Answered: u.Answered.Load(), Ignored: u.Ignored.Load(), Served: u.Served.Load(), NoPlace: u.NoPlace.Load(),
 		}
-		if out.Rude.Served > 0 { // a job was made of what is none
-			out.Rules[invariant.Answers] += int(out.Rude.Served)
+		if out.Misbehaving.Served > 0 { // a job was made of what is none
+			out.Rules[invariant.Answers] += int(out.Misbehaving.Served)
 		}
 	}
 	return out
@@ -329,7 +329,7 @@
 	case scenario.Flood:
 		return fmt.Sprintf("%s, %g times", r.day.Scenario.Tenants[e.Tenant].Name, e.Factor)
 	case scenario.ListLate, scenario.ListSilent, scenario.ListWrong, scenario.ListMove, scenario.DispKill, scenario.DispTerm,
-		scenario.DispHup, scenario.IdleClients, scenario.Rude:
+		scenario.DispHup, scenario.IdleClients, scenario.MisbehavingClients:
 		if len(e.Dispatchers) == len(r.dispatchers) {
 			return "all dispatchers"
 		}
@@ -345,53 +345,55 @@
 	return strings.Join(names, " ")
 }
 
-// part collects a class, a tenant or a stretch of time.
-type part struct {
-	asked, inTime int
-	worth, good   float64
-	latency       report.Histogram
-	outcomes      map[string]int
+// summary collects a class, a tenant or a stretch of time.
+type summary struct {
+	requested, inTime int
+	value, good       float64
+	latency           report.Histogram
+	outcomes          map[string]int
 }
 
-func newPart() *part { return &part{latency: report.NewHistogram(), outcomes: map[string]int{}} }
+func newSummary() *summary {
+	return &summary{latency: report.NewHistogram(), outcomes: map[string]int{}}
+}
 
-func (p *part) goodput() float64 {
-	if p.worth == 0 {
+func (p *summary) goodput() float64 {
+	if p.value == 0 {
 		return 0
 	}
-	return p.good / p.worth
+	return p.good / p.value
 }
 
-// countWishes counts what became of the clients' wishes.
-func (r *run) countWishes(out *report.Report, origin time.Duration) {
+// countRequests counts what became of the clients' wishes.
+func (r *run) countRequests(out *report.Report, origin time.Duration) {
 	s := r.day.Scenario
-	whole := newPart()
-	classes, tenants := make([]*part, len(s.Classes)), make([]*part, len(s.Tenants))
+	whole := newSummary()
+	classes, tenants := make([]*summary, len(s.Classes)), make([]*summary, len(s.Tenants))
 	for i := range classes {
-		classes[i] = newPart()
+		classes[i] = newSummary()
 	}
 	for i := range tenants {
-		tenants[i] = newPart()
+		tenants[i] = newSummary()
 	}
-	buckets := make([]*part, int((s.For+seriesBucket-1)/seriesBucket))
+	buckets := make([]*summary, int((s.For+seriesBucket-1)/seriesBucket))
 	for i := range buckets {
-		buckets[i] = newPart()
+		buckets[i] = newSummary()
 	}
 	retries := 0
 	for i, res := range r.load.Results() {
-		if !res.Asked {
+		if !res.Requested {
 			continue
 		}
-		w := &r.day.Wishes[i]
+		w := &r.day.Requests[i]
 		out.Requests++
 		retries += res.Tries - 1
 		took := res.Ended - origin - w.At
-		worth := r.day.Worth(w)
+		worth := r.day.Value(w)
 		good, inTime := 0.0, false
 		switch res.Outcome {
 		case invariant.Served:
 			out.Served++
-			good, inTime = worth*s.Classes[w.Class].Late, took <= r.day.Wanted(w)
+			good, inTime = worth*s.Classes[w.Class].LateWeight, took <= r.day.Wanted(w)
 			if inTime {
 				good = worth
 				out.ServedInTime++
@@ -401,13 +403,13 @@
 		default:
 			out.Failed++
 		}
-		parts := []*part{whole, classes[w.Class], buckets[min(int(w.At/seriesBucket), len(buckets)-1)]}
+		parts := []*summary{whole, classes[w.Class], buckets[min(int(w.At/seriesBucket), len(buckets)-1)]}
 		if w.Tenant >= 0 {
 			parts = append(parts, tenants[w.Tenant])
 		}
 		for _, p := range parts {
-			p.asked++
-			p.worth += worth
+			p.requested++
+			p.value += worth
 			p.good += good
 			p.outcomes[res.Outcome.String()]++
 			if inTime {
@@ -427,17 +429,17 @@
 		out.Tenants = append(out.Tenants, tenants[i].line(t.Name))
 	}
 	for i, p := range buckets {
-		if p.asked > 0 || !out.Interrupted {
+		if p.requested > 0 || !out.Interrupted {
 			out.Series = append(out.Series, report.Point{
-				At: (time.Duration(i) * seriesBucket).Seconds(), Asked: p.asked, InTime: p.inTime, Worth: p.worth, Good: p.good,
+				At: (time.Duration(i) * seriesBucket).Seconds(), Requested: p.requested, InTime: p.inTime, Value: p.value, Good: p.good,
 				P50: p.latency.At(50), P99: p.latency.At(99), Outcomes: p.outcomes,
 			})
 		}
 	}
 }
 
-func (p *part) line(name string) report.PartLine {
-	return report.PartLine{Name: name, Requests: p.asked, InTime: p.inTime, Goodput: p.goodput(), Latency: p.latency.Latency()}
+func (p *summary) line(name string) report.PartLine {
+	return report.PartLine{Name: name, Requests: p.requested, InTime: p.inTime, Goodput: p.goodput(), Latency: p.latency.Latency()}
 }
 
 // countWork counts what workers did, and how much of it served nobody.
@@ -490,7 +492,7 @@
 
 // straight is one wide worker that nobody stands before.
 func straight(book fakes.Book) (*fakes.Worker, error) {
-	cfg := &fakes.Config{Ledger: invariant.NewLedger(), Book: book, Dispatchers: 1, Notes: true, Fails: func() float64 { return 1 }, Mute: true}
-	w := fakes.NewWorker(cfg, "w1", 0, fakes.Spec{Cores: 1024, Speed: 1, Memory: 1 << 20, Queue: 1 << 20, WarmWithin: 1, FallMultiple: 100, FallWindow: time.Second})
+	cfg := &fakes.Config{Ledger: invariant.NewLedger(), Book: book, Dispatchers: 1, Notes: true, Fails: func() float64 { return 1 }, SuppressOutput: true}
+	w := fakes.NewWorker(cfg, "w1", 0, fakes.Spec{Cores: 1024, Speed: 1, Memory: 1 << 20, Queue: 1 << 20, SlowStartWindow: 1, OverloadMultiple: 100, OverloadWindow: time.Second})
 	return w, w.Start(true)
 }
--- a/internal/testbed/lab_test.go
+++ b/internal/testbed/run_test.go
@@ -107,18 +107,18 @@
 }
 
 // Each planted fault is caught by the name of its breach; the same dispatcher without one keeps all rules.
-func TestPlantedFaultsAreCaughtByName(t *testing.T) {
+func TestRun_CatchesMutants(t *testing.T) {
 	s := loadDay(t, "proof", 0)
 	var all sync.WaitGroup
 	side := make(chan struct{}, 5) // days at a time
-	for _, f := range mutant.Faults {
+	for _, f := range mutant.Mutants {
 		all.Add(1)
 		go func() {
 			defer all.Done()
 			side <- struct{}{}
 			defer func() { <-side }()
 			play := func() (*report.Report, error) {
-				return Run(t.Context(), Options{Scenario: s, Seed: 1, Policy: "rules", Planted: f.Name, Launch: launchTest("plant:" + f.Name)})
+				return Run(t.Context(), Options{Scenario: s, Seed: 1, Policy: "rules", Mutant: f.Name, Launch: launchTest("plant:" + f.Name)})
 			}
 			r, err := play()
 			for again := 0; err == nil && r.RanLate && again < 3; again++ { // a day on which the rig itself had to wait says nothing
@@ -129,16 +129,16 @@
 				return
 			}
 			switch {
-			case f.Breach == "":
+			case f.Violation == "":
 				if r.Broken() {
 					t.Errorf("%s: %v, %v", f.Name, r.Rules, r.CrashNotes)
 				}
 			case f.Rule == "":
-				if r.Crashes == 0 || !strings.Contains(strings.Join(r.CrashNotes, "\n"), f.Breach) {
-					t.Errorf("%s: no crash told as %q: %v", f.Name, f.Breach, r.CrashNotes)
+				if r.Crashes == 0 || !strings.Contains(strings.Join(r.CrashNotes, "\n"), f.Violation) {
+					t.Errorf("%s: no crash told as %q: %v", f.Name, f.Violation, r.CrashNotes)
 				}
-			case !slices.ContainsFunc(r.Breaches, func(b invariant.Breach) bool { return b.Rule == f.Rule && b.Kind == f.Breach }):
-				t.Errorf("%s: no breach %s/%s: %v", f.Name, f.Rule, f.Breach, r.Rules)
+			case !slices.ContainsFunc(r.Violations, func(b invariant.Violation) bool { return b.Rule == f.Rule && b.Kind == f.Violation }):
+				t.Errorf("%s: no breach %s/%s: %v", f.Name, f.Rule, f.Violation, r.Rules)
 			case r.Rules[f.Rule] == 0:
 				t.Errorf("%s: the rule %s counts no breach", f.Name, f.Rule)
 			}
@@ -149,7 +149,7 @@
 
 // A day with troubles at once: counts agree with each other and with what was drawn, all rules are kept, and nothing is
 // left behind.
-func TestDayLeavesNothingBehind(t *testing.T) {
+func TestRun_LeavesNothingBehind(t *testing.T) {
 	leaks := goleak.IgnoreCurrent()
 	before := descriptors(t)
 	s := loadDay(t, "all-at-once", 4*time.Second)
@@ -163,13 +163,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := len(s.Draw(3, false).Wishes); r.Requests != want || r.Served+r.Refused+r.Failed != want || want < 100 {
+	if want := len(s.Draw(3, false).Requests); r.Requests != want || r.Served+r.Refused+r.Failed != want || want < 100 {
 		t.Errorf("%d requests (%d drawn): %d served, %d refused, %d failed", r.Requests, want, r.Served, r.Refused, r.Failed)
 	}
 	if r.Broken() || r.Interrupted || r.Lost != 0 {
-		t.Errorf("rules %v, crashes %v, interrupted %v, lost %d:\n%v", r.Rules, r.CrashNotes, r.Interrupted, r.Lost, r.Breaches)
+		t.Errorf("rules %v, crashes %v, interrupted %v, lost %d:\n%v", r.Rules, r.CrashNotes, r.Interrupted, r.Lost, r.Violations)
 	}
-	if r.Served == 0 || r.Attempts < r.Served || r.CPUPerRequest <= 0 || r.RSSPeakMB <= 0 || r.Rude == nil || r.Rude.Served != 0 ||
+	if r.Served == 0 || r.Attempts < r.Served || r.CPUPerRequest <= 0 || r.RSSPeakMB <= 0 || r.Misbehaving == nil || r.Misbehaving.Served != 0 ||
 		r.Outcomes["left"] == 0 {
 		t.Errorf("figures that make no sense: %+v", r)
 	}
@@ -190,11 +190,11 @@
 }
 
 // A run that is broken off ends its dispatchers and reports its first part, marked.
-func TestInterruptedRunReportsItsFirstPart(t *testing.T) {
+func TestRun_InterruptedReportsFirstPart(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	o := Options{Scenario: loadDay(t, "calm", 0), Seed: 1, Policy: PolicyRules, Launch: launchTest(PolicyRules)}
-	all := len(o.Scenario.Draw(1, false).Wishes)
+	all := len(o.Scenario.Draw(1, false).Requests)
 	o.Progress = func(done, _ int) {
 		if done > 20 {
 			cancel()
@@ -213,7 +213,7 @@
 }
 
 // A dispatcher that does not come up is an error with its own words, and nothing is left.
-func TestDispatcherThatDoesNotComeUp(t *testing.T) {
+func TestRun_DispatcherDoesNotStart(t *testing.T) {
 	_, err := Run(t.Context(), Options{Scenario: loadDay(t, "calm", time.Second), Seed: 1, Launch: func(string) *exec.Cmd {
 		return exec.Command("sh", "-c", "echo out of order >&2; exit 1")
 	}})
@@ -229,7 +229,7 @@
 }
 
 // Baselines serve behind the same store and keep the rules.
-func TestTableOfBaselines(t *testing.T) {
+func TestTable_Baselines(t *testing.T) {
 	cells := make([]Cell, 0, len(baseline.Policies))
 	for _, p := range baseline.Policies {
 		cells = append(cells, Cell{"calm", p, Options{Scenario: loadDay(t, "calm", 2*time.Second), Seed: 1, Policy: p, Launch: launchTest(p)}})
@@ -241,7 +241,7 @@
 	}
 }
 
-func TestOverheadCountsRequests(t *testing.T) {
+func TestOverhead_CountsRequests(t *testing.T) {
 	var out strings.Builder
 	err := Overhead(t.Context(), &out, OverheadOptions{Launch: launchTest(PolicyRules), Clients: []int{1, 8}, Length: 200 * time.Millisecond, Rounds: 1})
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
@@ -251,10 +251,10 @@
 }
 
 // The page stands by itself, and a kept result reads back as it was.
-func TestResultIsKeptAndDrawn(t *testing.T) {
+func TestReport_SavedAndDrawn(t *testing.T) {
 	r := &report.Report{
 		Version: report.Version, Scenario: "<b>", Seconds: 2, Rules: map[string]int{}, Workers: []report.WorkerLine{{Name: "w1", Share: 1, Capacity: 1}},
-		Series: []report.Point{{At: 0, Asked: 3, Worth: 3, Good: 2, P50: 4, P99: 9, Outcomes: map[string]int{"served": 2, "refused": 1}}, {At: 0.5}},
+		Series: []report.Point{{At: 0, Requested: 3, Value: 3, Good: 2, P50: 4, P99: 9, Outcomes: map[string]int{"served": 2, "refused": 1}}, {At: 0.5}},
 		Faults: []report.FaultMark{{Kind: "jump", At: 0.5, Until: 1}},
 	}
 	dir := t.TempDir()
--- a/internal/testbed/scenario/check.go
+++ b/internal/testbed/scenario/check.go
@@ -11,16 +11,16 @@
 
 // check names what is wrong with a scenario whose form is right.
 func (s *Scenario) check(d *tomlfile.Document) {
-	within(d, "for", s.For, time.Second, MostTime)
+	within(d, "for", s.For, time.Second, MaxTime)
 	number(d, "rate", s.Rate, 0.1, 100_000)
-	number(d, "dispatchers", float64(s.Dispatchers), 1, MostDispatchers)
+	number(d, "dispatchers", float64(s.Dispatchers), 1, MaxDispatchers)
 	number(d, "uneven", s.Uneven, 0, 1)
 	number(d, "burst.share", s.Burst.Share, 0, 1)
 	if s.Burst.Share > 0 {
 		number(d, "burst.size", float64(s.Burst.Size), 2, 10_000)
 	}
-	if n := s.Rate * s.For.Seconds(); n > MostRequests {
-		d.AddErrorf("rate", "%.0f requests in all are more than the %d that a run may have: lower rate or for", n, MostRequests)
+	if n := s.Rate * s.For.Seconds(); n > MaxRequests {
+		d.AddErrorf("rate", "%.0f requests in all are more than the %d that a run may have: lower rate or for", n, MaxRequests)
 	}
 	number(d, "limits.cores", s.Limits.Cores, 0.01, 256)
 	number(d, "limits.memory_mb", float64(s.Limits.MemoryMB), 32, 65536)
@@ -40,8 +40,8 @@
 	s.checkClasses(d)
 	s.checkTenants(d)
 	s.checkWorkers(d)
-	if len(s.Faults) > mostFaults {
-		d.AddErrorf("fault", "%d are more than %d", len(s.Faults), mostFaults)
+	if len(s.Faults) > maxFaults {
+		d.AddErrorf("fault", "%d are more than %d", len(s.Faults), maxFaults)
 		return
 	}
 	for i := range s.Faults {
@@ -90,20 +90,20 @@
 	t := &s.Terms
 	number(d, "terms.attempts", float64(t.Attempts), 1, 64)
 	within(d, "terms.drain_grace", t.DrainGrace, 0, time.Minute)
-	number(d, "terms.cold_from", t.ColdFrom, 0.01, 1)
-	within(d, "terms.warm_within", t.WarmWithin, 0, time.Hour)
-	number(d, "terms.fall_multiple", t.FallMultiple, 1, 100)
-	within(d, "terms.fall_window", t.FallWindow, 100*time.Millisecond, time.Minute)
-	within(d, "terms.most_retry_after", t.MostRetryAfter, 0, time.Minute)
+	number(d, "terms.cold_from", t.SlowStartMinFactor, 0.01, 1)
+	within(d, "terms.warm_within", t.SlowStartWindow, 0, time.Hour)
+	number(d, "terms.fall_multiple", t.OverloadMultiple, 1, 100)
+	within(d, "terms.fall_window", t.OverloadWindow, 100*time.Millisecond, time.Minute)
+	within(d, "terms.most_retry_after", t.MaxRetryAfter, 0, time.Minute)
 	within(d, "terms.connect_timeout", t.ConnectTimeout, time.Millisecond, time.Minute)
 	within(d, "terms.idle_close", t.IdleClose, time.Second, time.Hour)
 	within(d, "terms.progress", t.Progress, 0, time.Minute)
-	number(d, "terms.over_share_worth", t.OverShareWorth, 0, 1)
+	number(d, "terms.over_share_worth", t.OverQuotaWeight, 0, 1)
 }
 
 func (s *Scenario) checkClasses(d *tomlfile.Document) {
-	if len(s.Classes) == 0 || len(s.Classes) > mostClasses {
-		d.AddErrorf("class", "there are %d: write one [[class]] at least, %d at most", len(s.Classes), mostClasses)
+	if len(s.Classes) == 0 || len(s.Classes) > maxClasses {
+		d.AddErrorf("class", "there are %d: write one [[class]] at least, %d at most", len(s.Classes), maxClasses)
 	}
 	seen, sum := map[string]bool{}, 0.0
 	for i := range s.Classes {
@@ -114,11 +114,11 @@
 		sum += c.Share
 		within(d, at+"work", c.Work, time.Microsecond, time.Hour)
 		number(d, at+"spread", c.Spread, 0, 3)
-		within(d, at+"aim", c.Aim, 0, time.Hour)
+		within(d, at+"aim", c.LatencyObjective, 0, time.Hour)
 		number(d, at+"stretch", c.Stretch, 0, 1000)
-		within(d, at+"patience", c.Patience, 10*time.Millisecond, time.Hour)
-		number(d, at+"worth", c.Worth, 0.001, 1e6)
-		number(d, at+"late_worth", c.Late, 0, 1)
+		within(d, at+"patience", c.Deadline, 10*time.Millisecond, time.Hour)
+		number(d, at+"worth", c.PriorityWeight, 0.001, 1e6)
+		number(d, at+"late_worth", c.LateWeight, 0, 1)
 		oneOf(d, at+"group", c.Group, "all", "zone", "cell")
 		within(d, at+"window", c.Window, 0, time.Hour)
 		if c.Effect == Keyed && c.Window == 0 {
@@ -127,11 +127,11 @@
 		number(d, at+"slots", float64(c.Slots), 1, 1024)
 		number(d, at+"memory", c.Memory, 0, 1<<20)
 		oneOf(d, at+"retry", c.Retry, RetryAny, RetryRefused, RetryNone)
-		if len(c.Body) != 2 || c.Body[0] < 0 || c.Body[1] < c.Body[0] || c.Body[1] > mostBody {
-			d.AddErrorf(at+"body", "%v is not the least and the most bytes, %d at most", c.Body, mostBody)
+		if len(c.Body) != 2 || c.Body[0] < 0 || c.Body[1] < c.Body[0] || c.Body[1] > maxBody {
+			d.AddErrorf(at+"body", "%v is not the least and the most bytes, %d at most", c.Body, maxBody)
 		}
-		if c.Aim+time.Duration(c.Stretch*float64(c.Work)) > c.Patience {
-			d.AddErrorf(at+"patience", "%v is shorter than the time in which the answer is wanted, %v plus %v times the work", c.Patience, c.Aim, c.Stretch)
+		if c.LatencyObjective+time.Duration(c.Stretch*float64(c.Work)) > c.Deadline {
+			d.AddErrorf(at+"patience", "%v is shorter than the time in which the answer is wanted, %v plus %v times the work", c.Deadline, c.LatencyObjective, c.Stretch)
 		}
 		if c.Kind != "" && !slices.ContainsFunc(s.Workers, func(w Workers) bool { return w.Kind == c.Kind }) {
 			d.AddErrorf(at+"kind", "%q is no kind of the workers", c.Kind)
@@ -146,8 +146,8 @@
 }
 
 func (s *Scenario) checkTenants(d *tomlfile.Document) {
-	if len(s.Tenants) > mostTenants {
-		d.AddErrorf("tenant", "%d are more than %d", len(s.Tenants), mostTenants)
+	if len(s.Tenants) > maxTenants {
+		d.AddErrorf("tenant", "%d are more than %d", len(s.Tenants), maxTenants)
 	}
 	seen, sum := map[string]bool{}, 0.0
 	for i, t := range s.Tenants {
@@ -169,7 +169,7 @@
 	for i, w := range s.Workers {
 		at := fmt.Sprintf("workers[%d].", i)
 		name(d, at+"kind", w.Kind, map[string]bool{}) // a kind may stand twice, with other figures
-		number(d, at+"count", float64(w.Count), 1, MostWorkers)
+		number(d, at+"count", float64(w.Count), 1, MaxWorkers)
 		number(d, at+"cores", float64(w.Cores), 1, 1024)
 		if len(w.Speed) != 2 || !(w.Speed[0] > 0) || w.Speed[1] < w.Speed[0] || w.Speed[1] > 1000 {
 			d.AddErrorf(at+"speed", "%v is not the least and the most speed, both above 0", w.Speed)
@@ -180,8 +180,8 @@
 			d.AddErrorf(at+"zone", "%q is not one of zones", w.Zone)
 		}
 	}
-	if n := s.WorkerCount(); n > MostWorkers {
-		d.AddErrorf("workers", "%d in all are more than %d", n, MostWorkers)
+	if n := s.WorkerCount(); n > MaxWorkers {
+		d.AddErrorf("workers", "%d in all are more than %d", n, MaxWorkers)
 	}
 }
 
@@ -199,7 +199,7 @@
 	if f.At < 0 || f.At >= s.For {
 		d.AddErrorf(at+"at", "%v is not within the run of %v", f.At, s.For)
 	}
-	if info.Lasts && f.For <= 0 {
+	if info.HasDuration && f.For <= 0 {
 		d.AddErrorf(at+"for", "%s needs how long it lasts", f.Kind)
 	}
 	for _, need := range info.Needs {
@@ -216,7 +216,7 @@
 			}
 		}
 	}
-	number(d, at+"workers", f.Workers, 0, MostWorkers)
+	number(d, at+"workers", f.Workers, 0, MaxWorkers)
 	for k, n := range f.Names {
 		if !slices.Contains(s.WorkerNames(), n) {
 			d.AddErrorf(fmt.Sprintf("%snames[%d]", at, k), "%q is no worker: they are named w1 to w%d", n, s.WorkerCount())
--- a/internal/testbed/scenario/day.go
+++ b/internal/testbed/scenario/day.go
@@ -17,17 +17,17 @@
 	streamWorkers
 	streamFaults
 	streamStorm
-	StreamLag  // for the lists' lags
-	StreamRude // for rude clients
-	StreamErr  // for failing workers
+	StreamLag         // for the lists' lags
+	StreamMisbehaving // for rude clients
+	StreamErr         // for failing workers
 	streamLeave
 )
 
 // Rand is a random source for one matter of a seed.
 func Rand(seed, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
 
-// Wish is what one client wants: its tries are requests.
-type Wish struct {
+// Request is what one client wants: its tries are requests.
+type Request struct {
 	At         time.Duration // since the day's start
 	Class      int
 	Tenant     int // -1: none
@@ -35,7 +35,7 @@
 	Work       time.Duration
 	Body       int // bytes
 	Obeys      bool
-	OverShare  bool          // beyond its tenant's quota
+	OverQuota  bool          // beyond its tenant's quota
 	Leaves     time.Duration // so long after it was asked for its client goes; 0: it stays
 }
 
@@ -47,7 +47,7 @@
 	Speed            float64
 	Memory           float64
 	Queue            int
-	Cold             bool
+	WarmingUp        bool
 }
 
 // Event is a trouble with those whom it hits.
@@ -66,7 +66,7 @@
 type Day struct {
 	Scenario *Scenario
 	Seed     uint64
-	Wishes   []Wish
+	Requests []Request
 	Workers  []Worker
 	Events   []Event
 }
@@ -77,10 +77,10 @@
 	d.drawWorkers()
 	faults := s.Faults
 	if storm {
-		faults = append(slices.Clone(faults), s.storm(seed)...)
+		faults = append(slices.Clone(faults), s.randomFaults(seed)...)
 	}
 	d.drawFaults(faults)
-	d.drawWishes()
+	d.drawRequests()
 	return d
 }
 
@@ -95,7 +95,7 @@
 			}
 			d.Workers = append(d.Workers, Worker{
 				Name: names[i], Kind: w.Kind, Zone: zone, Cell: i / 4, Cores: w.Cores,
-				Speed: w.Speed[0] + (w.Speed[1]-w.Speed[0])*r.Float64(), Memory: w.Memory, Queue: w.Queue, Cold: w.Cold,
+				Speed: w.Speed[0] + (w.Speed[1]-w.Speed[0])*r.Float64(), Memory: w.Memory, Queue: w.Queue, WarmingUp: w.WarmingUp,
 			})
 		}
 	}
@@ -113,7 +113,7 @@
 			for i := range d.Scenario.Dispatchers {
 				e.Dispatchers = append(e.Dispatchers, i)
 			}
-			if f.Kind == LinkCut { // all would be the machine's own silence
+			if f.Kind == LinkPartition { // all would be the machine's own silence
 				e.Dispatchers = e.Dispatchers[:1]
 			}
 		}
@@ -180,7 +180,7 @@
 	return slices.Compact(out)
 }
 
-func (d *Day) drawWishes() {
+func (d *Day) drawRequests() {
 	s, r, leave := d.Scenario, Rand(d.Seed, streamArrivals), Rand(d.Seed, streamLeave)
 	parts := make([]float64, len(s.Tenants))
 	classes := make([]float64, len(s.Classes))
@@ -212,22 +212,22 @@
 				n = s.Burst.Size
 			}
 			for range n {
-				w := Wish{At: at, Class: pick(r, classes), Tenant: -1, Dispatcher: pick(r, homes)}
+				w := Request{At: at, Class: weightedChoice(r, classes), Tenant: -1, Dispatcher: weightedChoice(r, homes)}
 				if len(parts) > 0 {
-					w.Tenant = pick(r, parts)
+					w.Tenant = weightedChoice(r, parts)
 				}
 				c := &s.Classes[w.Class]
 				w.Work = max(time.Microsecond, time.Duration(float64(c.Work)*math.Exp(c.Spread*r.NormFloat64()-c.Spread*c.Spread/2)))
 				w.Body = c.Body[0] + r.IntN(c.Body[1]-c.Body[0]+1)
 				w.Obeys = r.Float64() < s.Clients.Obedient
 				if w.Tenant >= 0 {
-					w.OverShare = !quotas[w.Tenant].take(at, s.Tenants[w.Tenant].Quota)
+					w.OverQuota = !quotas[w.Tenant].take(at, s.Tenants[w.Tenant].Quota)
 				}
 				if s.Clients.Leave > 0 && leave.Float64() < s.Clients.Leave {
-					w.Leaves = 1 + time.Duration(leave.Float64()*float64(c.Aim+c.Work))
+					w.Leaves = 1 + time.Duration(leave.Float64()*float64(c.LatencyObjective+c.Work))
 				}
-				d.Wishes = append(d.Wishes, w)
-				if len(d.Wishes) >= MostRequests {
+				d.Requests = append(d.Requests, w)
+				if len(d.Requests) >= MaxRequests {
 					return
 				}
 			}
@@ -235,8 +235,8 @@
 	}
 }
 
-// pick draws an index by weights.
-func pick(r *rand.Rand, weights []float64) int {
+// weightedChoice draws an index by weights.
+func weightedChoice(r *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
@@ -272,16 +272,16 @@
 }
 
 // Wanted is how long after it was asked for a wish is worth its full worth.
-func (d *Day) Wanted(w *Wish) time.Duration {
+func (d *Day) Wanted(w *Request) time.Duration {
 	c := &d.Scenario.Classes[w.Class]
-	return c.Aim + time.Duration(c.Stretch*float64(w.Work))
+	return c.LatencyObjective + time.Duration(c.Stretch*float64(w.Work))
 }
 
-// Worth is what a wish is worth when it is answered in time.
-func (d *Day) Worth(w *Wish) float64 {
-	v := d.Scenario.Classes[w.Class].Worth
-	if w.OverShare {
-		v *= d.Scenario.Terms.OverShareWorth
+// Value is what a wish is worth when it is answered in time.
+func (d *Day) Value(w *Request) float64 {
+	v := d.Scenario.Classes[w.Class].PriorityWeight
+	if w.OverQuota {
+		v *= d.Scenario.Terms.OverQuotaWeight
 	}
 	return v
 }
@@ -301,11 +301,11 @@
 			}
 		}
 	}
-	for _, w := range d.Wishes {
-		put(int64(w.At), int64(w.Class), int64(w.Tenant), int64(w.Dispatcher), int64(w.Work), int64(w.Body), w.Obeys, w.OverShare, int64(w.Leaves))
+	for _, w := range d.Requests {
+		put(int64(w.At), int64(w.Class), int64(w.Tenant), int64(w.Dispatcher), int64(w.Work), int64(w.Body), w.Obeys, w.OverQuota, int64(w.Leaves))
 	}
 	for _, w := range d.Workers {
-		put(w.Name, w.Kind, w.Zone, int64(w.Cores), w.Speed, w.Memory, int64(w.Queue), w.Cold)
+		put(w.Name, w.Kind, w.Zone, int64(w.Cores), w.Speed, w.Memory, int64(w.Queue), w.WarmingUp)
 	}
 	for _, e := range d.Events {
 		put(e.Kind, int64(e.At), int64(e.Until), e.Factor, e.Share, int64(e.Count), int64(e.Tenant))
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -18,14 +18,14 @@
 
 // Bounds on a scenario: a run is bounded in time and requests, and one machine carries it.
 const (
-	MostTime        = time.Hour
-	MostRequests    = 5_000_000
-	MostWorkers     = 10_000
-	MostDispatchers = 4_000 // in the model; sockets carry fewer
-	mostFaults      = 1_000
-	mostClasses     = 64
-	mostTenants     = 256
-	mostBody        = 64 << 10
+	MaxTime        = time.Hour
+	MaxRequests    = 5_000_000
+	MaxWorkers     = 10_000
+	MaxDispatchers = 4_000 // in the model; sockets carry fewer
+	maxFaults      = 1_000
+	maxClasses     = 64
+	maxTenants     = 256
+	maxBody        = 64 << 10
 )
 
 // Scenario is the file.
@@ -63,20 +63,20 @@
 
 // Terms are the rules in figures, and what the platform allows.
 type Terms struct {
-	Attempts       int           `toml:"attempts"`
-	DrainGrace     time.Duration `toml:"drain_grace"`
-	ColdFrom       float64       `toml:"cold_from"`
-	WarmWithin     time.Duration `toml:"warm_within"`
-	FallMultiple   float64       `toml:"fall_multiple"`
-	FallWindow     time.Duration `toml:"fall_window"`
-	SecondCopies   bool          `toml:"second_copies"`
-	RetryAfter     bool          `toml:"retry_after"`
-	MostRetryAfter time.Duration `toml:"most_retry_after"`
-	ConnectTimeout time.Duration `toml:"connect_timeout"`
-	IdleClose      time.Duration `toml:"idle_close"`
-	Notes          bool          `toml:"notes"` // workers tell of starts ...
-	Progress       time.Duration `toml:"progress"`
-	OverShareWorth float64       `toml:"over_share_worth"`
+	Attempts           int           `toml:"attempts"`
+	DrainGrace         time.Duration `toml:"drain_grace"`
+	SlowStartMinFactor float64       `toml:"cold_from"`
+	SlowStartWindow    time.Duration `toml:"warm_within"`
+	OverloadMultiple   float64       `toml:"fall_multiple"`
+	OverloadWindow     time.Duration `toml:"fall_window"`
+	Hedging            bool          `toml:"second_copies"`
+	RetryAfter         bool          `toml:"retry_after"`
+	MaxRetryAfter      time.Duration `toml:"most_retry_after"`
+	ConnectTimeout     time.Duration `toml:"connect_timeout"`
+	IdleClose          time.Duration `toml:"idle_close"`
+	Notes              bool          `toml:"notes"` // workers tell of starts ...
+	Progress           time.Duration `toml:"progress"`
+	OverQuotaWeight    float64       `toml:"over_share_worth"`
 }
 
 // List is how news of the workers travels.
@@ -97,23 +97,23 @@
 
 // Class is a class of jobs.
 type Class struct {
-	Name     string        `toml:"name"`
-	Effect   string        `toml:"effect"`
-	Share    float64       `toml:"share"`  // of the arrivals, against the other classes' shares
-	Work     time.Duration `toml:"work"`   // mean running time on a core of speed 1
-	Spread   float64       `toml:"spread"` // sigma of the logarithm of running times
-	Aim      time.Duration `toml:"aim"`    // wanted within aim plus stretch times the job's own work
-	Stretch  float64       `toml:"stretch"`
-	Patience time.Duration `toml:"patience"` // over all tries
-	Worth    float64       `toml:"worth"`
-	Late     float64       `toml:"late_worth"`
-	Group    string        `toml:"group"`
-	Window   time.Duration `toml:"window"`
-	Slots    int           `toml:"slots"`
-	Memory   float64       `toml:"memory"`
-	Body     []int         `toml:"body"`  // least and most bytes
-	Retry    string        `toml:"retry"` // after which answers clients ask again
-	Kind     string        `toml:"kind"`  // of the workers that run it; empty: all
+	Name             string        `toml:"name"`
+	Effect           string        `toml:"effect"`
+	Share            float64       `toml:"share"`  // of the arrivals, against the other classes' shares
+	Work             time.Duration `toml:"work"`   // mean running time on a core of speed 1
+	Spread           float64       `toml:"spread"` // sigma of the logarithm of running times
+	LatencyObjective time.Duration `toml:"aim"`    // wanted within aim plus stretch times the job's own work
+	Stretch          float64       `toml:"stretch"`
+	Deadline         time.Duration `toml:"patience"` // over all tries
+	PriorityWeight   float64       `toml:"worth"`
+	LateWeight       float64       `toml:"late_worth"`
+	Group            string        `toml:"group"`
+	Window           time.Duration `toml:"window"`
+	Slots            int           `toml:"slots"`
+	Memory           float64       `toml:"memory"`
+	Body             []int         `toml:"body"`  // least and most bytes
+	Retry            string        `toml:"retry"` // after which answers clients ask again
+	Kind             string        `toml:"kind"`  // of the workers that run it; empty: all
 }
 
 // The effects of a class.
@@ -139,14 +139,14 @@
 
 // Workers is a kind of machine with how many there are of it.
 type Workers struct {
-	Kind   string    `toml:"kind"`
-	Count  int       `toml:"count"`
-	Cores  int       `toml:"cores"`
-	Speed  []float64 `toml:"speed"`  // least and most
-	Memory float64   `toml:"memory"` // units; 0: one for each core
-	Queue  int       `toml:"queue"`  // jobs that may wait there; more are turned away
-	Zone   string    `toml:"zone"`   // empty: spread over the zones
-	Cold   bool      `toml:"cold"`   // has just started when the day begins
+	Kind      string    `toml:"kind"`
+	Count     int       `toml:"count"`
+	Cores     int       `toml:"cores"`
+	Speed     []float64 `toml:"speed"`  // least and most
+	Memory    float64   `toml:"memory"` // units; 0: one for each core
+	Queue     int       `toml:"queue"`  // jobs that may wait there; more are turned away
+	Zone      string    `toml:"zone"`   // empty: spread over the zones
+	WarmingUp bool      `toml:"cold"`   // has just started when the day begins
 }
 
 // Fault is one trouble on the timetable.
@@ -165,33 +165,33 @@
 
 // The kinds of trouble.
 const (
-	WorkerKill   = "worker-kill"
-	WorkerHang   = "worker-hang"
-	WorkerSlow   = "worker-slow"
-	WorkerErr    = "worker-err"
-	WorkerDrain  = "worker-drain"
-	Release      = "release"
-	Silent       = "machine-silent"
-	LinkCut      = "link-cut"
-	ListLate     = "list-late"
-	ListSilent   = "list-silent"
-	ListWrong    = "list-wrong"
-	ListMove     = "list-move"
-	DispKill     = "dispatcher-kill"
-	DispTerm     = "dispatcher-term"
-	DispHup      = "dispatcher-hup"
-	IdleClients  = "idle-clients"
-	Rude         = "rude-clients"
-	Jump         = "jump"
-	Flood        = "tenant-flood"
-	sharedSuffix = "all workers unless some are named"
+	WorkerKill         = "worker-kill"
+	WorkerHang         = "worker-hang"
+	WorkerSlow         = "worker-slow"
+	WorkerErr          = "worker-err"
+	WorkerDrain        = "worker-drain"
+	Release            = "release"
+	Silent             = "machine-silent"
+	LinkPartition      = "link-cut"
+	ListLate           = "list-late"
+	ListSilent         = "list-silent"
+	ListWrong          = "list-wrong"
+	ListMove           = "list-move"
+	DispKill           = "dispatcher-kill"
+	DispTerm           = "dispatcher-term"
+	DispHup            = "dispatcher-hup"
+	IdleClients        = "idle-clients"
+	MisbehavingClients = "rude-clients"
+	Jump               = "jump"
+	Flood              = "tenant-flood"
+	sharedSuffix       = "all workers unless some are named"
 )
 
 // KindInfo says what a kind of trouble does and which keys it needs.
 type KindInfo struct {
 	Kind, About string
 	Needs       []string // keys that have to be given
-	Lasts       bool     // it has a length
+	HasDuration bool     // it has a length
 }
 
 // Kinds are all kinds of trouble.
@@ -203,7 +203,7 @@
 	{WorkerDrain, "drains, ends what it has, is gone; after the time it comes back cold", nil, true},
 	{Release, "within the time all are drained and started again cold, one after the other", nil, true},
 	{Silent, "the machine says nothing: connections stay open, new ones do not come up; then all are reset", nil, true},
-	{LinkCut, "the same for some dispatchers only", nil, true},
+	{LinkPartition, "the same for some dispatchers only", nil, true},
 	{ListLate, "news takes so many times as long", []string{"factor"}, true},
 	{ListSilent, "discovery says nothing and learns nothing", nil, true},
 	{ListWrong, "the list names so many workers that are not there", []string{"count"}, true},
@@ -212,7 +212,7 @@
 	{DispTerm, "dispatchers get SIGTERM and start again when they have ended", nil, false},
 	{DispHup, "dispatchers get SIGHUP with the configuration as it was", nil, false},
 	{IdleClients, "so many connections that say nothing, at each dispatcher", []string{"count"}, true},
-	{Rude, "so many clients that send what cannot be read, at each dispatcher", []string{"count"}, true},
+	{MisbehavingClients, "so many clients that send what cannot be read, at each dispatcher", []string{"count"}, true},
 	{Jump, "so many times the traffic", []string{"factor"}, true},
 	{Flood, "so many times the traffic of one tenant", []string{"factor", "tenant"}, true},
 }
@@ -278,10 +278,10 @@
 		For: 20 * time.Second, Rate: 60, Dispatchers: 2, Zones: []string{"one"},
 		Limits: Limits{Cores: 1, MemoryMB: 64, Sockets: 512},
 		Terms: Terms{
-			Attempts: 6, DrainGrace: 500 * time.Millisecond, ColdFrom: 0.12, WarmWithin: 12 * time.Second,
-			FallMultiple: 2.5, FallWindow: 1500 * time.Millisecond, SecondCopies: true, RetryAfter: true,
-			MostRetryAfter: 2 * time.Second, ConnectTimeout: 250 * time.Millisecond, IdleClose: 30 * time.Second,
-			Notes: true, Progress: time.Second, OverShareWorth: 0.05,
+			Attempts: 6, DrainGrace: 500 * time.Millisecond, SlowStartMinFactor: 0.12, SlowStartWindow: 12 * time.Second,
+			OverloadMultiple: 2.5, OverloadWindow: 1500 * time.Millisecond, Hedging: true, RetryAfter: true,
+			MaxRetryAfter: 2 * time.Second, ConnectTimeout: 250 * time.Millisecond, IdleClose: 30 * time.Second,
+			Notes: true, Progress: time.Second, OverQuotaWeight: 0.05,
 		},
 		List:    List{Lag: 500 * time.Millisecond, Jitter: 500 * time.Millisecond, Keep: 64},
 		Clients: Clients{Retries: 3, RetryWait: 100 * time.Millisecond, Obedient: 0.5, Mark: true},
@@ -415,8 +415,8 @@
 	if c.Slots == 0 {
 		c.Slots = 1
 	}
-	if c.Worth == 0 {
-		c.Worth = 1
+	if c.PriorityWeight == 0 {
+		c.PriorityWeight = 1
 	}
 	if c.Body == nil {
 		c.Body = []int{100, 1000}
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -18,7 +18,7 @@
 	return s
 }
 
-func TestShippedScenariosLoad(t *testing.T) {
+func TestLoad_BuiltInScenarios(t *testing.T) {
 	if len(Shipped()) < 7 {
 		t.Fatalf("only %v come with the program", Shipped())
 	}
@@ -37,7 +37,7 @@
 }
 
 // The same seed gives the same day, storms and all; another seed another.
-func TestSameSeedSameDay(t *testing.T) {
+func TestDraw_IsDeterministic(t *testing.T) {
 	s := mustLoad(t, "all-at-once")
 	if a, b := s.Draw(5, true).Digest(), s.Draw(5, true).Digest(); a != b {
 		t.Errorf("one seed, two days: %s and %s", a, b)
@@ -48,19 +48,19 @@
 	// A trouble that is no traffic moves no arrival.
 	calm, drained := mustLoad(t, "calm"), mustLoad(t, "release")
 	a, b := calm.Draw(3, false), drained.Draw(3, false)
-	for i := range a.Wishes {
-		if a.Wishes[i] != b.Wishes[i] {
+	for i := range a.Requests {
+		if a.Requests[i] != b.Requests[i] {
 			t.Fatalf("arrival %d differs", i)
 		}
 	}
 }
 
-func TestTrafficFollowsTheTimetable(t *testing.T) {
+func TestDraw_TrafficFollowsTimetable(t *testing.T) {
 	s := mustLoad(t, "flood")
 	s.Rate, s.For = 400, 20*time.Second
 	d := s.Draw(1, false)
 	lake, all, over := [2]float64{}, [2]float64{}, 0
-	for _, w := range d.Wishes {
+	for _, w := range d.Requests {
 		i := 0
 		if w.At >= 4*time.Second && w.At < 14*time.Second {
 			i = 1
@@ -68,7 +68,7 @@
 		all[i]++
 		if s.Tenants[w.Tenant].Name == "lake" {
 			lake[i]++
-			if w.OverShare && i == 1 {
+			if w.OverQuota && i == 1 {
 				over++
 			}
 		}
@@ -81,22 +81,22 @@
 	}
 }
 
-func TestBurstsKeepTheRate(t *testing.T) {
+func TestDraw_BurstsKeepRate(t *testing.T) {
 	s := mustLoad(t, "calm")
 	s.Rate, s.Burst = 500, Burst{Share: 0.5, Size: 10}
 	d := s.Draw(1, false)
 	same := 0
-	for i := 1; i < len(d.Wishes); i++ {
-		if d.Wishes[i].At == d.Wishes[i-1].At {
+	for i := 1; i < len(d.Requests); i++ {
+		if d.Requests[i].At == d.Requests[i-1].At {
 			same++
 		}
 	}
-	if n := float64(len(d.Wishes)); math.Abs(n/10000-1) > 0.1 || math.Abs(float64(same)/n-0.45) > 0.06 {
+	if n := float64(len(d.Requests)); math.Abs(n/10000-1) > 0.1 || math.Abs(float64(same)/n-0.45) > 0.06 {
 		t.Errorf("%v arrivals, %d at one moment with another", n, same)
 	}
 }
 
-func TestEveryFaultOfAScenarioIsNamed(t *testing.T) {
+func TestDecode_NamesEveryFault(t *testing.T) {
 	raw, err := Text("calm")
 	if err != nil {
 		t.Fatal(err)
@@ -183,8 +183,8 @@
 			return // lawful, and too long to draw here
 		}
 		d := s.Draw(1, true)
-		for i, w := range d.Wishes {
-			if w.At < 0 || w.At >= s.For || w.Work <= 0 || w.Dispatcher >= s.Dispatchers || i > 0 && w.At < d.Wishes[i-1].At {
+		for i, w := range d.Requests {
+			if w.At < 0 || w.At >= s.For || w.Work <= 0 || w.Dispatcher >= s.Dispatchers || i > 0 && w.At < d.Requests[i-1].At {
 				t.Fatalf("wish %d makes no sense: %+v", i, w)
 			}
 		}
--- a/internal/testbed/scenario/storm.go
+++ b/internal/testbed/scenario/storm.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// storm draws troubles, several at once. None begins in the first tenth or ends in the last fifth, so that a run shows
+// randomFaults draws troubles, several at once. None begins in the first tenth or ends in the last fifth, so that a run shows
 // how it comes back.
-func (s *Scenario) storm(seed uint64) []Fault {
+func (s *Scenario) randomFaults(seed uint64) []Fault {
 	r := Rand(seed, streamStorm)
 	n := 3 + r.IntN(4) + int(s.For/(30*time.Second))
 	var out []Fault
@@ -21,20 +21,20 @@
 		f.At = time.Duration((0.1 + 0.5*r.Float64()) * float64(s.For))
 		most := 0.8*float64(s.For) - float64(f.At)
 		f.For = time.Duration(most * (0.2 + 0.8*r.Float64()))
-		if !info.Lasts {
+		if !info.HasDuration {
 			f.For = 0
 		}
-		s.stormFigures(r, &f)
+		s.randomFaultFigures(r, &f)
 		out = append(out, f)
 	}
 	return out
 }
 
-// stormFigures draws how bad a trouble is: bad enough to be seen, and not so bad that nothing could be served.
-func (s *Scenario) stormFigures(r *rand.Rand, f *Fault) {
+// randomFaultFigures draws how bad a trouble is: bad enough to be seen, and not so bad that nothing could be served.
+func (s *Scenario) randomFaultFigures(r *rand.Rand, f *Fault) {
 	part := 0.05 + 0.25*r.Float64()
 	switch f.Kind {
-	case WorkerKill, WorkerHang, WorkerErr, WorkerDrain, Silent, LinkCut:
+	case WorkerKill, WorkerHang, WorkerErr, WorkerDrain, Silent, LinkPartition:
 		f.Workers = part
 		f.Share = 0.4 + 0.55*r.Float64()
 	case Release:
@@ -50,7 +50,7 @@
 		f.Count = 1 + r.IntN(3)
 	case IdleClients:
 		f.Count = 20 + r.IntN(200)
-	case Rude:
+	case MisbehavingClients:
 		f.Count = 1 + r.IntN(5)
 	case Jump:
 		f.Factor = 1.6 + 0.7*r.Float64()
--- a/internal/testbed/simulation/golden_test.go
+++ b/internal/testbed/simulation/golden_test.go
@@ -12,7 +12,7 @@
 // The same seeds give the histories that earlier builds played: 200 of the group's cores and 20 of replicated state, each by its digest.
 // With the race detector, which makes them ten times as long, every fifth is played. The file is written where UPDATE_GOLDEN is set, by a
 // build without it.
-func TestHistories_KeepTheirDigests(t *testing.T) {
+func TestSimulate_KeepsDigests(t *testing.T) {
 	const path, cores, replicas = "testdata/golden/digests.txt", 200, 20
 	lines := make([]string, cores+replicas)
 	var group sync.WaitGroup
@@ -23,11 +23,11 @@
 			defer func() { <-slots }()
 			seed := uint64(i)
 			if i >= cores {
-				r := PlayCopies(CopiesOptions{Seed: seed - cores, Members: 3 + i%5, Words: 30, Runners: 6, Say: 20 * time.Second, Faults: 10})
+				r := SimulateReplication(ReplicationOptions{Seed: seed - cores, Members: 3 + i%5, Overrides: 30, Workers: 6, WriteFor: 20 * time.Second, Faults: 10})
 				lines[i] = fmt.Sprintf("replicas %d %016x %d", seed-cores, r.Digest, r.Messages)
 				return
 			}
-			r, err := Play(Options{Seed: seed, Members: 3, Voters: 3, Ticks: 700})
+			r, err := Simulate(Options{Seed: seed, Members: 3, Voters: 3, Ticks: 700})
 			if err != nil {
 				lines[i] = err.Error()
 				return
--- a/internal/testbed/simulation/measure.go
+++ b/internal/testbed/simulation/measure.go
@@ -36,25 +36,25 @@
 			var led, settled, force, cleared, plan []time.Duration
 			var idle, idleOther, messages, step, proposed float64
 			for seed := range uint64(runs) {
-				o := Options{Seed: seed + 1, Members: n, Voters: voters, Machines: measuredMachines, Zones: measuredZones, Troubles: []Trouble{}}
-				o.Ticks, o.ToEnd = measuredTicks, true
+				o := Options{Seed: seed + 1, Members: n, Voters: voters, Machines: measuredMachines, Zones: measuredZones, Faults: []Fault{}}
+				o.Ticks, o.StopWithPlan = measuredTicks, true
 				if fault != "none" {
-					o.Troubles = []Trouble{{Tick: leaderLost, Kind: Stop, Member: -1, For: 200}}
+					o.Faults = []Fault{{Tick: leaderLost, Kind: Stop, Member: -1, For: 200}}
 				}
-				r, err := Play(o)
+				r, err := Simulate(o)
 				if err != nil {
 					return err
 				}
 				if len(r.Broken) > 0 || r.Ended == 0 {
 					return fmt.Errorf("%d members, seed %d: %s", n, o.Seed, r.Line(o.Seed))
 				}
-				led, settled, force = append(led, r.Led...), append(settled, r.Settled...), append(force, r.InForce...)
-				cleared, plan = append(cleared, r.Clear-r.Started), append(plan, r.Ended-r.Started)
+				led, settled, force = append(led, r.Elected...), append(settled, r.Committed...), append(force, r.Applied...)
+				cleared, plan = append(cleared, r.Drained-r.Started), append(plan, r.Ended-r.Started)
 				if fault != "none" {
 					continue
 				}
-				o.Ticks, o.Idle = int(r.Founded/tick)+measuredIdle, true
-				still, err := Play(o)
+				o.Ticks, o.Idle = int(r.Bootstrapped/tick)+measuredIdle, true
+				still, err := Simulate(o)
 				if err != nil {
 					return err
 				}
@@ -68,7 +68,7 @@
 				idle += float64(lead.Bytes) / 1000 / seconds / float64(runs)
 				idleOther += float64(all-lead.Bytes) / float64(n-1) / 1000 / seconds / float64(runs)
 				lead = slices.MaxFunc(r.Cost, func(a, b Cost) int { return a.Bytes - b.Bytes })
-				steps := float64(len(r.Settled)) * float64(runs)
+				steps := float64(len(r.Committed)) * float64(runs)
 				step += (float64(lead.Bytes)/1000 - idle*float64(runs)/float64(seed+1)*(r.Ended-r.Started).Seconds()) / steps
 				proposed += float64(lead.Proposed) / 1000 / steps
 			}
@@ -76,14 +76,14 @@
 			if fault == "none" {
 				costs = fmt.Sprintf("%.1f, %.1f\t%.0f\t%.1f, %.2f", idle, idleOther, messages, step, proposed)
 			}
-			fmt.Fprintf(t, "%d\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", n, voters, fault, spread(led), spread(settled), spread(force), spread(cleared), spread(plan), costs)
+			fmt.Fprintf(t, "%d\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", n, voters, fault, quantiles(led), quantiles(settled), quantiles(force), quantiles(cleared), quantiles(plan), costs)
 		}
 	}
 	return t.Flush()
 }
 
-// spread is the median and the worst.
-func spread(all []time.Duration) string {
+// quantiles is the median and the worst.
+func quantiles(all []time.Duration) string {
 	if len(all) == 0 {
 		return "-"
 	}
@@ -97,7 +97,7 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "entries behind\tcaught up after s\tmessages to it and from it\tkB")
 	for _, n := range behind {
-		o := Options{Seed: 1, Members: 3, Voters: 3, Ticks: measuredIdle, Idle: true, Troubles: []Trouble{}}
+		o := Options{Seed: 1, Members: 3, Voters: 3, Ticks: measuredIdle, Idle: true, Faults: []Fault{}}
 		v, err := begin(o)
 		if err != nil {
 			return err
@@ -116,7 +116,7 @@
 		}
 		part := func(until int) {
 			for i := range v.members {
-				v.cut[[2]int{late.index, i}], v.cut[[2]int{i, late.index}] = until, until
+				v.partitions[[2]int{late.index, i}], v.partitions[[2]int{i, late.index}] = until, until
 			}
 		}
 		part(1 << 60)
--- a/internal/testbed/simulation/histories.go
+++ b/internal/testbed/simulation/simulation.go
@@ -38,44 +38,44 @@
 
 // Sizes of a history that says nothing of them.
 const (
-	usualMachines = 6
-	usualZones    = 2
-	usualOut      = 2
-	usualCalm     = 48
+	defaultMachines       = 6
+	defaultZones          = 2
+	defaultMaxUnavailable = 2
+	defaultFaultInterval  = 48
 )
 
 // Options is what a history is drawn by.
 type Options struct {
-	Seed     uint64
-	Members  int
-	Voters   int
-	Ticks    int
-	Machines int       // of the plan, one runner each, every second one named by its host; 0: 6
-	Zones    int       // of the runners, and one machine of each may be away; 0: 2
-	Fault    string    // planted; empty: none
-	Calm     int       // ticks from one trouble to the next, on the average; 0: 48
-	Troubles []Trouble // in place of those drawn by the seed; nil: those
-	Idle     bool      // staff hand nothing in
-	ToEnd    bool      // no further than the plan's end
-	Story    io.Writer // what happens; may be nil
+	Seed          uint64
+	Members       int
+	Voters        int
+	Ticks         int
+	Machines      int       // of the plan, one runner each, every second one named by its host; 0: 6
+	Zones         int       // of the runners, and one machine of each may be away; 0: 2
+	Fault         string    // planted; empty: none
+	FaultInterval int       // ticks from one trouble to the next, on the average; 0: 48
+	Faults        []Fault   // in place of those drawn by the seed; nil: those
+	Idle          bool      // staff hand nothing in
+	StopWithPlan  bool      // no further than the plan's end
+	Trace         io.Writer // what happens; may be nil
 }
 
 // The faults that can be planted.
 const (
-	NoLease    = "no lease at the send"
-	LongLease  = "a lease that is longer than what is waited for"
-	FromAnswer = "a lease that counts from its answer"
-	NoConfirm  = "a lease without a quorum's word"
-	Forgets    = "a voter that forgets under its old id"
-	FewWords   = "clear without a follower's word"
-	NoBudget   = "a budget that is not counted"
-	TwiceTime  = "time that counts twice"
-	Uncounted  = "machines away by themselves that nobody counts"
-	NamesAlone = "hosts that nobody keeps away from"
+	NoLease            = "no lease at the send"
+	LongLease          = "a lease that is longer than what is waited for"
+	LeaseFromReply     = "a lease that counts from its answer"
+	LeaseWithoutQuorum = "a lease without a quorum's word"
+	LosesState         = "a voter that forgets under its old id"
+	FewReports         = "clear without a follower's word"
+	NoBudget           = "a budget that is not counted"
+	CountsTimeTwice    = "time that counts twice"
+	IgnoresUnavailable = "machines away by themselves that nobody counts"
+	IgnoresHosts       = "hosts that nobody keeps away from"
 )
 
-// Faults are their names.
-var Faults = []string{NoLease, LongLease, FromAnswer, NoConfirm, Forgets, FewWords, NoBudget, TwiceTime, Uncounted, NamesAlone}
+// Mutants are their names.
+var Mutants = []string{NoLease, LongLease, LeaseFromReply, LeaseWithoutQuorum, LosesState, FewReports, NoBudget, CountsTimeTwice, IgnoresUnavailable, IgnoresHosts}
 
 // Result is what a history came to.
 type Result struct {
@@ -90,9 +90,9 @@
 
 // Times are when things were first so, on the world's clock; 0: never.
 type Times struct {
-	Founded, Started, Clear, Ended time.Duration
-	Settled, InForce               []time.Duration // from each proposal until it was settled, and until all members had it in force
-	Led                            []time.Duration // from each loss of the leader by a trouble until another one led
+	Bootstrapped, Started, Drained, Ended time.Duration
+	Committed, Applied                    []time.Duration // from each proposal until it was settled, and until all members had it in force
+	Elected                               []time.Duration // from each loss of the leader by a trouble until another one led
 }
 
 // Cost is what one member sent of raft's, and how much it proposed.
@@ -100,29 +100,29 @@
 
 // world is one history.
 type world struct {
-	o       Options
-	r       *rand.Rand
-	now     time.Duration
-	members []*member
-	wire    []parcel
-	cut     map[[2]int]int // links that lose all, until this tick
-	ticks   int
-	result  *Result
-	hash    hash.Hash64
-	settled map[uint64]string        // what each entry was, as the first member applied it
-	out     map[string]time.Duration // machines that staff were told to be clear, since when
-	given   map[string]bool          // those that they gave back
-	runs    []attemptAt
-	ids     map[uint64]int
-	next    uint64
-	leader  int
-	due     []Trouble  // not yet
-	names   [][]called // of each machine's runner, the newest last
-	downs   []down
-	began   map[string]bool          // machines that were seen to be taken
-	offered map[string]time.Duration // proposals, by their text
-	forces  map[uint64]int           // members that have an entry in force
-	lost    time.Duration            // since when a leader is lost by a trouble; 0: none is
+	options    Options
+	random     *rand.Rand
+	now        time.Duration
+	members    []*member
+	wire       []parcel
+	partitions map[[2]int]int // links that lose all, until this tick
+	ticks      int
+	result     *Result
+	hash       hash.Hash64
+	settled    map[uint64]string        // what each entry was, as the first member applied it
+	out        map[string]time.Duration // machines that staff were told to be clear, since when
+	given      map[string]bool          // those that they gave back
+	runs       []attemptAt
+	ids        map[uint64]int
+	next       uint64
+	leader     int
+	due        []Fault    // not yet
+	names      [][]called // of each machine's runner, the newest last
+	downs      []down
+	began      map[string]bool          // machines that were seen to be taken
+	offered    map[string]time.Duration // proposals, by their text
+	forces     map[uint64]int           // members that have an entry in force
+	lost       time.Duration            // since when a leader is lost by a trouble; 0: none is
 }
 
 // called is a runner's name since a tick.
@@ -152,24 +152,24 @@
 
 // member is one member of the world.
 type member struct {
-	w       *world
-	index   int
-	id      uint64
-	life    string
-	disk    *consensus.Storage
-	core    *consensus.Core // nil: it is down
-	state   *maintenance.State
-	had     time.Duration // since when the state has its Seq, on its own clock
-	since   time.Duration // of this process
-	until   time.Duration // of the lease, on its own clock
-	speed   float64       // of its clock
-	stopped int           // stands still until this tick
-	heard   int           // the tick of a leader's last word
-	wait    int           // ticks of silence until it campaigns
-	words   map[string]maintenance.MemberReport
-	asked   int // the tick of its last report
-	knows   bool
-	joined  bool
+	w           *world
+	index       int
+	id          uint64
+	incarnation string
+	disk        *consensus.Storage
+	core        *consensus.Core // nil: it is down
+	state       *maintenance.State
+	had         time.Duration // since when the state has its Seq, on its own clock
+	since       time.Duration // of this process
+	until       time.Duration // of the lease, on its own clock
+	speed       float64       // of its clock
+	stopped     int           // stands still until this tick
+	lastReports int           // the tick of a leader's last word
+	wait        int           // ticks of silence until it campaigns
+	reports     map[string]maintenance.MemberReport
+	requestedAt int // the tick of its last report
+	knows       bool
+	joined      bool
 }
 
 // Apply, Snapshot and Restore make a member the state machine of its core.
@@ -181,15 +181,15 @@
 	}
 	at, offered := m.w.offered[string(data)]
 	if m.w.forces[index]++; m.w.forces[index] == len(m.w.members) && offered {
-		m.w.result.InForce = append(m.w.result.InForce, m.w.now-at)
+		m.w.result.Applied = append(m.w.result.Applied, m.w.now-at)
 	}
 	if first, ok := m.w.settled[index]; !ok {
 		m.w.settled[index] = string(data)
 		if offered {
-			m.w.result.Settled = append(m.w.result.Settled, m.w.now-at)
+			m.w.result.Committed = append(m.w.result.Committed, m.w.now-at)
 		}
 		fmt.Fprintf(m.w.hash, "%d %s\n", index, data)
-		m.w.taken(m.state, int(at/tick))
+		m.w.inMaintenance(m.state, int(at/tick))
 	} else if first != string(data) {
 		m.w.broken("one order: entry %d is %s at member %d and was %s", index, data, m.index, first)
 	}
@@ -207,12 +207,12 @@
 
 func (w *world) broken(format string, v ...any) {
 	w.result.Broken = append(w.result.Broken, fmt.Sprintf("%.2fs ", w.now.Seconds())+fmt.Sprintf(format, v...))
-	w.tell("BROKEN "+format, v...)
+	w.trace("BROKEN "+format, v...)
 }
 
-func (w *world) tell(format string, v ...any) {
-	if w.o.Story != nil {
-		fmt.Fprintf(w.o.Story, "%7.2fs "+format+"\n", append([]any{w.now.Seconds()}, v...)...)
+func (w *world) trace(format string, v ...any) {
+	if w.options.Trace != nil {
+		fmt.Fprintf(w.options.Trace, "%7.2fs "+format+"\n", append([]any{w.now.Seconds()}, v...)...)
 	}
 }
 
@@ -226,20 +226,20 @@
 // begin is a world before its first tick.
 func begin(o Options) (*world, error) {
 	w := &world{
-		o: o, r: rand.New(rand.NewPCG(o.Seed, 4711)), cut: map[[2]int]int{}, result: &Result{}, hash: xxhash.New(),
+		options: o, random: rand.New(rand.NewPCG(o.Seed, 4711)), partitions: map[[2]int]int{}, result: &Result{}, hash: xxhash.New(),
 		settled: map[uint64]string{}, out: map[string]time.Duration{}, given: map[string]bool{}, ids: map[uint64]int{}, leader: -1,
 		began: map[string]bool{}, offered: map[string]time.Duration{}, forces: map[uint64]int{},
 	}
-	w.o.Machines, w.o.Zones = cmp.Or(o.Machines, usualMachines), cmp.Or(o.Zones, usualZones)
-	if w.due = o.Troubles; w.due == nil {
-		w.due = Draw(o)
+	w.options.Machines, w.options.Zones = cmp.Or(o.Machines, defaultMachines), cmp.Or(o.Zones, defaultZones)
+	if w.due = o.Faults; w.due == nil {
+		w.due = DrawFaults(o)
 	}
 	w.result.Cost = make([]Cost, o.Members)
-	for i := range w.o.Machines {
-		w.names = append(w.names, []called{{0, runner(i)}})
+	for i := range w.options.Machines {
+		w.names = append(w.names, []called{{0, workerName(i)}})
 	}
 	for i := range o.Members {
-		w.members = append(w.members, &member{w: w, index: i, speed: 1 + (w.r.Float64()*2-1)/(2*drift+2)})
+		w.members = append(w.members, &member{w: w, index: i, speed: 1 + (w.random.Float64()*2-1)/(2*drift+2)})
 		if err := w.begin(w.members[i], i == 0); err != nil {
 			return nil, err
 		}
@@ -247,21 +247,21 @@
 	return w, nil
 }
 
-// Play plays one history.
-func Play(o Options) (*Result, error) {
+// Simulate plays one history.
+func Simulate(o Options) (*Result, error) {
 	w, err := begin(o)
 	if err != nil {
 		return nil, err
 	}
 	for w.ticks = 0; w.ticks < o.Ticks && len(w.result.Broken) == 0; w.ticks++ {
-		if o.ToEnd && w.result.Ended > 0 {
+		if o.StopWithPlan && w.result.Ended > 0 {
 			break
 		}
 		w.now = time.Duration(w.ticks) * tick
 		w.step()
 	}
 	w.result.Ticks = w.ticks
-	for i := range w.o.Machines {
+	for i := range w.options.Machines {
 		through := false
 		for _, m := range w.members {
 			if _, p := m.state.FindMachine("", machine(i)); p != nil && p.Phase == maintenance.MachineDone {
@@ -279,16 +279,16 @@
 // begin starts a member on an empty disk, as another life.
 func (w *world) begin(m *member, found bool) error {
 	w.next++
-	m.id, m.life = w.next, fmt.Sprintf("life%d", w.next)
+	m.id, m.incarnation = w.next, fmt.Sprintf("life%d", w.next)
 	w.ids[m.id] = m.index
 	var err error
-	if m.disk, err = consensus.OpenStorage("", consensus.Identity{Name: fmt.Sprint(m.index), Incarnation: m.life, RaftID: m.id}); err != nil {
+	if m.disk, err = consensus.OpenStorage("", consensus.Identity{Name: fmt.Sprint(m.index), Incarnation: m.incarnation, RaftID: m.id}); err != nil {
 		return err
 	}
 	if found {
 		s := maintenance.New()
 		s.AppliedIndex = 1
-		s.Members["0"] = &maintenance.Member{Name: "0", Incarnation: m.life, RaftID: m.id, Voter: true}
+		s.Members["0"] = &maintenance.Member{Name: "0", Incarnation: m.incarnation, RaftID: m.id, Voter: true}
 		raw, err := s.Encode()
 		if err != nil {
 			return err
@@ -303,9 +303,9 @@
 
 // start starts a member's process on its disk.
 func (w *world) start(m *member) (err error) {
-	m.state, m.had, m.since, m.until, m.words, m.heard = maintenance.New(), m.clock(), w.now, 0, map[string]maintenance.MemberReport{}, w.ticks
+	m.state, m.had, m.since, m.until, m.reports, m.lastReports = maintenance.New(), m.clock(), w.now, 0, map[string]maintenance.MemberReport{}, w.ticks
 	m.knows = m.disk.Identity().Confirmed
-	m.wait = silence + w.r.IntN(silence)
+	m.wait = silence + w.random.IntN(silence)
 	m.core, err = consensus.NewCore(consensus.Options{Storage: m.disk, StateMachine: m, Log: nobody, Send: func(to uint64, raw []byte, _ bool) {
 		msg := &raftpb.Message{}
 		if err := proto.Unmarshal(raw, msg); err != nil {
@@ -314,7 +314,7 @@
 		if i, ok := w.ids[to]; ok && w.members[i].id == to {
 			w.send(parcel{from: m.index, to: i, raft: msg})
 		}
-	}}, w.o.Seed+w.next)
+	}}, w.options.Seed+w.next)
 	return err
 }
 
@@ -325,12 +325,12 @@
 		c.Messages++
 		c.Bytes += proto.Size(p.raft)
 	}
-	if w.cut[[2]int{p.from, p.to}] > w.ticks || w.r.IntN(50) == 0 {
+	if w.partitions[[2]int{p.from, p.to}] > w.ticks || w.random.IntN(50) == 0 {
 		return
 	}
-	p.at = w.ticks + 1 + w.r.IntN(2)
-	if w.r.IntN(40) == 0 {
-		p.at += w.r.IntN(40) // held on the way
+	p.at = w.ticks + 1 + w.random.IntN(2)
+	if w.random.IntN(40) == 0 {
+		p.at += w.random.IntN(40) // held on the way
 	}
 	w.wire = append(w.wire, p)
 }
@@ -342,7 +342,7 @@
 
 // step is one tick of the world.
 func (w *world) step() {
-	w.trouble()
+	w.injectFault()
 	due := w.wire[:0:0]
 	left := w.wire[:0:0]
 	for _, p := range w.wire {
@@ -362,7 +362,7 @@
 		}
 	}
 	w.runs = slices.DeleteFunc(w.runs, func(a attemptAt) bool { return a.ends <= w.now })
-	w.staff()
+	w.operate()
 }
 
 // safely carries out what may panic: a core that finds what cannot be takes part no more.
@@ -372,7 +372,7 @@
 	}
 	defer func() {
 		if v := recover(); v != nil {
-			m.w.tell("member %d takes part no more: %v", m.index, v)
+			m.w.trace("member %d takes part no more: %v", m.index, v)
 			m.core = nil
 		}
 	}()
@@ -393,7 +393,7 @@
 	}
 	switch p.raft.GetType() {
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
-		m.heard = w.ticks
+		m.lastReports = w.ticks
 	}
 	m.safely(func(c *consensus.Core) { c.Step(p.raft) })
 }
@@ -410,27 +410,27 @@
 			w.leader = m.index
 			w.result.Leaders++
 			if w.lost > 0 {
-				w.result.Led = append(w.result.Led, w.now-w.lost)
+				w.result.Elected = append(w.result.Elected, w.now-w.lost)
 				w.lost = 0
 			}
-			w.tell("member %d leads, term %d", m.index, s.Term)
+			w.trace("member %d leads, term %d", m.index, s.Term)
 		}
-		m.heard = w.ticks
+		m.lastReports = w.ticks
 		w.lead(m)
-	} else if w.ticks-m.heard > m.wait && m.joined && slices.Contains(s.Voters, m.id) {
-		m.heard, m.wait = w.ticks, silence+w.r.IntN(silence)
+	} else if w.ticks-m.lastReports > m.wait && m.joined && slices.Contains(s.Voters, m.id) {
+		m.lastReports, m.wait = w.ticks, silence+w.random.IntN(silence)
 		m.safely((*consensus.Core).Campaign)
 	}
-	if w.ticks-m.asked >= int(renew/tick) {
-		m.asked = w.ticks
+	if w.ticks-m.requestedAt >= int(renew/tick) {
+		m.requestedAt = w.ticks
 		w.report(m)
 	}
 	w.sends(m)
 }
 
-// word is what a member tells of itself.
-func (m *member) word() maintenance.MemberReport {
-	word := maintenance.MemberReport{Incarnation: m.life, Applied: m.state.AppliedIndex, SoleProcess: m.w.now-m.since > attempt}
+// statusReport is what a member tells of itself.
+func (m *member) statusReport() maintenance.MemberReport {
+	word := maintenance.MemberReport{Incarnation: m.incarnation, Applied: m.state.AppliedIndex, SoleProcess: m.w.now-m.since > attempt}
 	for _, a := range m.w.runs {
 		if a.member == m.index && !slices.Contains(word.BusyWorkers, a.name) {
 			word.BusyWorkers, word.BusyHosts = append(word.BusyWorkers, a.name), append(word.BusyHosts, host(a.machine))
@@ -442,22 +442,22 @@
 // report has a member ask whoever leads, as far as it knows, for its lease, or to be taken in.
 func (w *world) report(m *member) {
 	began := m.clock()
-	word, life, index := m.word(), m.life, m.index
+	word, life, index := m.statusReport(), m.incarnation, m.index
 	for _, l := range w.members { // it asks the leader; of several that take themselves for one, any
-		if l.core == nil || !l.core.Status().IsLeader || w.r.IntN(4) == 0 && l.index != m.index {
+		if l.core == nil || !l.core.Status().IsLeader || w.random.IntN(4) == 0 && l.index != m.index {
 			continue
 		}
 		answer := func(c uint64) {
 			do := func() {
-				if m.life != life || m.core == nil || m.state.AppliedIndex < c {
+				if m.incarnation != life || m.core == nil || m.state.AppliedIndex < c {
 					return
 				}
-				if w.o.Fault == FromAnswer {
+				if w.options.Fault == LeaseFromReply {
 					began = m.clock() + lease
 				}
 				m.knows = m.disk.MarkConfirmed() == nil
 				m.until = began + lease
-				if w.o.Fault == LongLease {
+				if w.options.Fault == LongLease {
 					m.until += 20 * lease
 				}
 			}
@@ -485,15 +485,15 @@
 			return
 		}
 		if is := l.state.Members[name]; is == nil || is.Incarnation != life {
-			if m.life == life {
+			if m.incarnation == life {
 				w.take(l, m)
 			}
 			return
 		}
-		l.words[name] = word
+		l.reports[name] = word
 		answer(l.state.AppliedIndex)
 	}
-	if w.o.Fault == NoConfirm {
+	if w.options.Fault == LeaseWithoutQuorum {
 		grant(0, nil)
 		return
 	}
@@ -503,7 +503,7 @@
 // take takes a member in as a follower.
 func (w *world) take(l, m *member) {
 	raw, err := json.Marshal(maintenance.Command{Kind: maintenance.CommandJoinMember, Member: &maintenance.Member{
-		Name: fmt.Sprint(m.index), Incarnation: m.life, RaftID: m.id, Voter: m.index < w.o.Voters,
+		Name: fmt.Sprint(m.index), Incarnation: m.incarnation, RaftID: m.id, Voter: m.index < w.options.Voters,
 	}})
 	if err != nil {
 		panic(err)
@@ -519,15 +519,15 @@
 // lead proposes what has been heard, and who votes.
 func (w *world) lead(m *member) {
 	s := m.core.Status()
-	m.words[fmt.Sprint(m.index)] = m.word()
+	m.reports[fmt.Sprint(m.index)] = m.statusReport()
 	adv := &maintenance.Advance{
 		StateSeq: m.state.Seq, Elapsed: m.clock() - m.had, FenceTimeout: (lease + attempt) * (drift + 1) / drift, WarmUp: warm,
-		Reports: m.words, Fleet: map[string]maintenance.Worker{},
+		Reports: m.reports, Fleet: map[string]maintenance.Worker{},
 	}
-	switch w.o.Fault {
-	case FewWords:
+	switch w.options.Fault {
+	case FewReports:
 		adv.FenceTimeout = 1
-	case TwiceTime:
+	case CountsTimeTwice:
 		adv.Elapsed *= 4
 	}
 	w.fleet(m, adv.Fleet)
@@ -555,9 +555,9 @@
 	}
 }
 
-func machine(i int) string { return fmt.Sprint("m", i) }
-func runner(i int) string  { return fmt.Sprint("r", i) }
-func host(i int) string    { return fmt.Sprint("h", i) }
+func machine(i int) string    { return fmt.Sprint("m", i) }
+func workerName(i int) string { return fmt.Sprint("r", i) }
+func host(i int) string       { return fmt.Sprint("h", i) }
 
 // lag is how late a member hears of a runner, in ticks.
 func (m *member) lag(machine int) int { return (7*m.index + 3*machine) % listLag }
@@ -575,8 +575,8 @@
 
 // fleet is the list as a member has it.
 func (w *world) fleet(m *member, all map[string]maintenance.Worker) {
-	for i := range w.o.Machines {
-		r := maintenance.Worker{Zone: fmt.Sprint(i % w.o.Zones), Kind: "k", Host: host(i), Weight: float64(1 + i%5)}
+	for i := range w.options.Machines {
+		r := maintenance.Worker{Zone: fmt.Sprint(i % w.options.Zones), Kind: "k", Host: host(i), Weight: float64(1 + i%5)}
 		now := m.name(i)
 		for _, c := range w.names[i] {
 			if c.name == now {
@@ -587,7 +587,7 @@
 			all[c.name] = old
 		}
 		for _, d := range w.downs {
-			if w.o.Fault != Uncounted && d.machine == i && d.from+m.lag(i) <= w.ticks && w.ticks < d.until+m.lag(i) {
+			if w.options.Fault != IgnoresUnavailable && d.machine == i && d.from+m.lag(i) <= w.ticks && w.ticks < d.until+m.lag(i) {
 				r.Unavailable = true
 			}
 		}
@@ -595,10 +595,10 @@
 	}
 }
 
-// taken judges each choice of a machine when it is first seen to be settled: with those that plans have, and those that had been
+// inMaintenance judges each choice of a machine when it is first seen to be settled: with those that plans have, and those that had been
 // away by themselves for so long that all had heard of it when it was proposed, no more than the plan allows. A choice that one
 // leader proposed may be settled by the next one, seconds later.
-func (w *world) taken(s *maintenance.State, proposed int) {
+func (w *world) inMaintenance(s *maintenance.State, proposed int) {
 	for _, u := range s.Plans {
 		for at, p := range u.MachineStates {
 			if p.Phase != maintenance.MachineDraining || w.began[p.Name] {
@@ -618,8 +618,8 @@
 				}
 				broken = broken || i == at && slices.ContainsFunc(w.downs, func(d down) bool { return d.machine == i && d.from < w.ticks })
 			}
-			if away > usualOut && !broken && w.o.Fault != NoBudget {
-				w.broken("budget: %d machines are away when %s is taken, %d may be", away, p.Name, usualOut)
+			if away > defaultMaxUnavailable && !broken && w.options.Fault != NoBudget {
+				w.broken("budget: %d machines are away when %s is taken, %d may be", away, p.Name, defaultMaxUnavailable)
 			}
 		}
 	}
@@ -647,53 +647,53 @@
 	}
 	leased, away := m.state.Leased(), m.state.InMaintenance()
 	in := func(b maintenance.WorkerSet, name string, i int) bool {
-		return b.Workers[name] || b.Hosts[host(i)] && w.o.Fault != NamesAlone
+		return b.Workers[name] || b.Hosts[host(i)] && w.options.Fault != IgnoresHosts
 	}
 	for range 2 {
-		i := w.r.IntN(w.o.Machines)
+		i := w.random.IntN(w.options.Machines)
 		name := m.name(i)
 		free := m.knows && !in(leased, name, i) || m.clock() < m.until
-		if in(away, name, i) || !free && w.o.Fault != NoLease {
+		if in(away, name, i) || !free && w.options.Fault != NoLease {
 			continue
 		}
 		if since, ok := w.out[machine(i)]; ok {
 			w.broken("clear: member %d sends to %s, which staff have since %.2fs", m.index, machine(i), since.Seconds())
 		}
-		w.runs = append(w.runs, attemptAt{i, name, m.index, w.now + time.Duration(w.r.Int64N(int64(attempt)))})
+		w.runs = append(w.runs, attemptAt{i, name, m.index, w.now + time.Duration(w.random.Int64N(int64(attempt)))})
 	}
 }
 
-// staff hand the plan in, work on what is clear and say done, at whoever leads by its own lights.
-func (w *world) staff() {
+// operate hand the plan in, work on what is clear and say done, at whoever leads by its own lights.
+func (w *world) operate() {
 	var l *member
 	for _, m := range w.members {
 		if m.up() && m.core.Status().IsLeader {
 			l = m
 		}
 	}
-	if l == nil || w.ticks < 60 || len(l.state.Members) < w.o.Members {
+	if l == nil || w.ticks < 60 || len(l.state.Members) < w.options.Members {
 		return
 	}
-	if w.result.Founded == 0 {
-		w.result.Founded = w.now
+	if w.result.Bootstrapped == 0 {
+		w.result.Bootstrapped = w.now
 		clear(w.result.Cost)
 	}
-	if w.o.Idle {
+	if w.options.Idle {
 		return
 	}
 	if len(l.state.Plans) == 0 {
-		p := &maintenance.Plan{Name: "p", MaxUnavailable: usualOut, MaxUnavailablePerZone: 1, OnOverdue: maintenance.OverdueWait}
-		for i := range w.o.Machines {
+		p := &maintenance.Plan{Name: "p", MaxUnavailable: defaultMaxUnavailable, MaxUnavailablePerZone: 1, OnOverdue: maintenance.OverdueWait}
+		for i := range w.options.Machines {
 			m := maintenance.Machine{Name: machine(i)}
 			if i%2 == 0 {
-				m.Workers = []string{runner(i)}
+				m.Workers = []string{workerName(i)}
 			} else {
 				m.Host = host(i)
 			}
 			p.Machines = append(p.Machines, m)
 		}
-		if w.o.Fault == NoBudget {
-			p.MaxUnavailable, p.MaxUnavailablePerZone = w.o.Machines, 0
+		if w.options.Fault == NoBudget {
+			p.MaxUnavailable, p.MaxUnavailablePerZone = w.options.Machines, 0
 		}
 		w.propose(l, maintenance.Command{ID: "hand", Kind: maintenance.CommandSubmitPlan, Plan: p})
 		w.propose(l, maintenance.Command{ID: "start", Kind: maintenance.CommandStartPlan, Name: "p"})
@@ -710,18 +710,18 @@
 	for i, p := range u.MachineStates {
 		since, out := w.out[p.Name]
 		switch {
-		case p.Phase == maintenance.MachineDrained && w.r.IntN(4) == 0:
-			if w.result.Clear == 0 {
-				w.result.Clear = w.now
+		case p.Phase == maintenance.MachineDrained && w.random.IntN(4) == 0:
+			if w.result.Drained == 0 {
+				w.result.Drained = w.now
 			}
 			w.propose(l, maintenance.Command{ID: fmt.Sprint("take", p.Name), Kind: maintenance.CommandClaimMachine, Machine: p.Name})
 		case p.Phase == maintenance.MachineInMaintenance && w.given[p.Name]: // the answer may have been lost
 			w.propose(l, maintenance.Command{ID: fmt.Sprint("done", p.Name), Kind: maintenance.CommandReturnMachine, Machine: p.Name})
 		case p.Phase == maintenance.MachineInMaintenance && !out:
-			w.tell("%s is clear, says member %d", p.Name, l.index)
+			w.trace("%s is clear, says member %d", p.Name, l.index)
 			w.out[p.Name] = w.now
-			if len(w.out) > usualOut {
-				w.broken("budget: %d machines are with staff, %d may be", len(w.out), usualOut)
+			if len(w.out) > defaultMaxUnavailable {
+				w.broken("budget: %d machines are with staff, %d may be", len(w.out), defaultMaxUnavailable)
 			}
 			for _, a := range w.runs {
 				if a.machine == i {
@@ -729,7 +729,7 @@
 				}
 			}
 			if i%2 == 1 { // its runner comes up under another name
-				w.names[i] = append(w.names[i], called{w.ticks + int(work/tick)/2, fmt.Sprintf("%s-%d", runner(i), w.ticks)})
+				w.names[i] = append(w.names[i], called{w.ticks + int(work/tick)/2, fmt.Sprintf("%s-%d", workerName(i), w.ticks)})
 			}
 		case out && w.now-since > work:
 			delete(w.out, p.Name) // from here it may be sent to
@@ -738,17 +738,17 @@
 	}
 }
 
-// trouble carries out what goes wrong in this tick.
-func (w *world) trouble() {
+// injectFault carries out what goes wrong in this tick.
+func (w *world) injectFault() {
 	for len(w.due) > 0 && w.due[0].Tick <= w.ticks {
 		t := w.due[0]
 		w.due = w.due[1:]
-		w.tell("%s", t)
+		w.trace("%s", t)
 		w.one(t)
 	}
 }
 
-func (w *world) one(t Trouble) {
+func (w *world) one(t Fault) {
 	if t.Member < 0 {
 		if t.Member = w.leader; t.Member < 0 {
 			return
@@ -757,23 +757,23 @@
 	}
 	m, until := w.members[t.Member], w.ticks+t.For
 	switch t.Kind {
-	case Cut:
+	case Partition:
 		for i := range w.members {
 			if t.Way != 1 {
-				w.cut[[2]int{m.index, i}] = until
+				w.partitions[[2]int{m.index, i}] = until
 			}
 			if t.Way != 2 {
-				w.cut[[2]int{i, m.index}] = until
+				w.partitions[[2]int{i, m.index}] = until
 			}
 		}
 	case Link:
-		w.cut[[2]int{m.index, t.Other}] = until
+		w.partitions[[2]int{m.index, t.Other}] = until
 	case Stop:
 		m.stopped = until
 	case Asleep:
 		m.stopped = until
 		for i := range w.members {
-			w.cut[[2]int{m.index, i}], w.cut[[2]int{i, m.index}] = until+30, until+30
+			w.partitions[[2]int{m.index, i}], w.partitions[[2]int{i, m.index}] = until+30, until+30
 		}
 	case Down:
 		w.downs = append(w.downs, down{t.Other, w.ticks, until})
@@ -783,7 +783,7 @@
 		// What it left behind runs to its end.
 		var err error
 		switch {
-		case lost && w.o.Fault == Forgets:
+		case lost && w.options.Fault == LosesState:
 			if m.disk, err = consensus.OpenStorage("", m.disk.Identity()); err == nil {
 				err = w.start(m)
 			}
@@ -801,7 +801,7 @@
 
 // whole tells whether all voters have their place: one more disk may be lost.
 func (w *world) whole() bool {
-	for _, m := range w.members[:w.o.Voters] {
+	for _, m := range w.members[:w.options.Voters] {
 		if m.core == nil || !m.joined || !slices.Contains(m.core.Status().Voters, m.id) {
 			return false
 		}
--- a/internal/testbed/simulation/histories_test.go
+++ b/internal/testbed/simulation/simulation_test.go
@@ -7,7 +7,7 @@
 	if o.Members == 0 {
 		o.Members, o.Voters, o.Ticks = 3, 3, 700
 	}
-	r, err := Play(o)
+	r, err := Simulate(o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -15,7 +15,7 @@
 }
 
 // Simulated histories of three and five members, and of five of which three vote: no rule is broken, and most plans go through.
-func TestHistories(t *testing.T) {
+func TestSimulate_KeepsRules(t *testing.T) {
 	done := 0
 	for seed := range uint64(12) {
 		for _, o := range []Options{{Members: 3, Voters: 3, Ticks: 700}, {Members: 5, Voters: 5, Ticks: 700}, {Members: 5, Voters: 3, Ticks: 700}} {
@@ -33,7 +33,7 @@
 }
 
 // The same seed gives the same history.
-func TestOneSeedOneHistory(t *testing.T) {
+func TestSimulate_IsDeterministic(t *testing.T) {
 	for seed := range uint64(4) {
 		if a, b := play(t, Options{Seed: seed}), play(t, Options{Seed: seed}); a.Line(seed) != b.Line(seed) {
 			t.Errorf("%s\n%s", a.Line(seed), b.Line(seed))
@@ -42,32 +42,32 @@
 }
 
 // Each planted fault breaks a rule, which is named, at a seed that is known to show it; one is cut down.
-func TestPlantedFaultsBreakARule(t *testing.T) {
+func TestSimulate_CatchesMutants(t *testing.T) {
 	for fault, want := range map[string]struct {
 		rule string // empty: any
 		seed uint64
 		calm int
 	}{
-		NoLease: {"clear", 6, 12}, LongLease: {"clear", 12, 12}, FromAnswer: {"clear", 360, 12}, NoConfirm: {"clear", 89, 60}, Forgets: {"", 11, 12},
-		FewWords: {"clear", 3, 12}, NoBudget: {"budget", 10, 12}, TwiceTime: {"", 13, 12}, Uncounted: {"budget", 2, 12}, NamesAlone: {"clear", 5, 12},
+		NoLease: {"clear", 6, 12}, LongLease: {"clear", 12, 12}, LeaseFromReply: {"clear", 360, 12}, LeaseWithoutQuorum: {"clear", 89, 60}, LosesState: {"", 11, 12},
+		FewReports: {"clear", 3, 12}, NoBudget: {"budget", 10, 12}, CountsTimeTwice: {"", 13, 12}, IgnoresUnavailable: {"budget", 2, 12}, IgnoresHosts: {"clear", 5, 12},
 	} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			o := Options{Members: 3, Voters: 3, Ticks: 700, Seed: want.seed, Fault: fault, Calm: want.calm}
+			o := Options{Members: 3, Voters: 3, Ticks: 700, Seed: want.seed, Fault: fault, FaultInterval: want.calm}
 			r := play(t, o)
 			if len(r.Broken) == 0 || want.rule != "" && r.rule() != want.rule {
 				t.Errorf("%s, want %q", r.Line(o.Seed), want.rule)
 			}
-			if fault != FewWords {
+			if fault != FewReports {
 				return
 			}
-			less, now, err := CutDown(o)
-			if err != nil || now.rule() != r.rule() || len(less.Troubles) >= len(Draw(o))/4 || less.Ticks > r.Ticks {
-				t.Errorf("cut down to %d ticks and %d troubles, %v; %v", less.Ticks, len(less.Troubles), now.Broken, err)
+			less, now, err := Minimize(o)
+			if err != nil || now.rule() != r.rule() || len(less.Faults) >= len(DrawFaults(o))/4 || less.Ticks > r.Ticks {
+				t.Errorf("cut down to %d ticks and %d troubles, %v; %v", less.Ticks, len(less.Faults), now.Broken, err)
 			}
 		})
 	}
-	if len(Faults) != 10 {
-		t.Errorf("%d faults can be planted, 10 are", len(Faults))
+	if len(Mutants) != 10 {
+		t.Errorf("%d faults can be planted, 10 are", len(Mutants))
 	}
 }
