--- a/internal/replica/golden_test.go
+++ b/internal/replica/golden_test.go
@@ -1,3 +1,5 @@
+//go:build !lean
+
 package replica
 
 import (
