--- a/cmd/birchfork-members/main.go
+++ b/cmd/birchfork-discovery-agent/main.go
@@ -19,9 +19,9 @@
 	"github.com/sirupsen/logrus"
 	clientv3 "go.etcd.io/etcd/client/v3"
 
-	"birchfork/internal/members"
-	"birchfork/internal/membership/etcd"
-	"birchfork/rules"
+	"birchfork/dispatch"
+	"birchfork/internal/discoveryagent"
+	"birchfork/internal/endpointsource/etcd"
 )
 
 type commands struct {
@@ -42,13 +42,13 @@
 
 // Run serves.
 func (serve) Run(ctx context.Context, c *commands, out output) error {
-	cfg, err := members.Load(c.Config)
+	cfg, err := discoveryagent.Load(c.Config)
 	if err != nil {
 		return err
 	}
 	log := logrus.New()
 	log.SetOutput(out.err)
-	return members.Serve(ctx, cfg, log, func(addr string) {
+	return discoveryagent.Serve(ctx, cfg, log, func(addr string) {
 		log.WithFields(logrus.Fields{"listen": addr, "sources": len(cfg.Sources)}).Info("serving")
 	})
 }
@@ -57,7 +57,7 @@
 
 // Run names every fault.
 func (check) Run(c *commands, out output) error {
-	cfg, err := members.Load(c.Config)
+	cfg, err := discoveryagent.Load(c.Config)
 	if err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 
 // store opens the first etcd source.
 func (c *commands) store() (*clientv3.Client, string, error) {
-	cfg, err := members.Load(c.Config)
+	cfg, err := discoveryagent.Load(c.Config)
 	if err != nil {
 		return nil, "", err
 	}
@@ -263,7 +263,7 @@
 		return fmt.Sprintf("%-20s unusable: %v", name, err)
 	}
 	state := etcd.Up
-	if e.State != rules.Ready {
+	if e.State != dispatch.Ready {
 		state = etcd.Draining
 	}
 	return fmt.Sprintf("%-20s %-9s %-22s zone %q, kind %q", name, state, e.Address, e.Zone, e.Kind)
--- a/cmd/birchfork/labcopies.go
+++ b/cmd/birchfork/labcopies.go
@@ -11,8 +11,8 @@
 	"text/tabwriter"
 	"time"
 
-	"birchfork/internal/lab/histories"
-	"birchfork/internal/replica"
+	"birchfork/internal/replication"
+	"birchfork/internal/testbed/simulation"
 )
 
 // labCopies plays simulated copies of staff's words.
@@ -33,8 +33,8 @@
 	switch {
 	case slices.Min(l.Members) < 2 || l.Words < 1 || l.Runs < 1:
 		return errors.New("--members is 2 or more, --words and --runs are above 0")
-	case l.Words > replica.WordsMost && l.Runners == 0:
-		return fmt.Errorf("--words: %d runners with a word are more than the %d that a member takes", l.Words, replica.WordsMost)
+	case l.Words > replication.MaxOverrides && l.Runners == 0:
+		return fmt.Errorf("--words: %d runners with a word are more than the %d that a member takes", l.Words, replication.MaxOverrides)
 	}
 	t := tabwriter.NewWriter(out.std, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "simulated: members\thistories\tbroken\tone after s: median, worst\tmessages a member\tkB a member\tidle, a member and second: messages, bytes")
@@ -68,13 +68,13 @@
 	return nil
 }
 
-func (l *labCopies) play(members int) []*histories.CopiesResult {
-	all := make([]*histories.CopiesResult, l.Runs)
+func (l *labCopies) play(members int) []*simulation.CopiesResult {
+	all := make([]*simulation.CopiesResult, l.Runs)
 	var done sync.WaitGroup
 	for core := range runtime.GOMAXPROCS(0) {
 		done.Go(func() {
 			for i := core; i < l.Runs; i += runtime.GOMAXPROCS(0) {
-				all[i] = histories.PlayCopies(histories.CopiesOptions{
+				all[i] = simulation.PlayCopies(simulation.CopiesOptions{
 					Seed: l.Seed + uint64(i), Members: members, Words: l.Words, Runners: l.Runners, Say: l.Say, Cut: l.Cut, Faults: l.Faults, Idle: l.Idle,
 				})
 			}
--- a/cmd/birchfork/labgroup.go
+++ b/cmd/birchfork/labgroup.go
@@ -22,10 +22,10 @@
 
 	"github.com/sirupsen/logrus"
 
-	"birchfork/internal/lab/groups"
-	"birchfork/internal/lab/histories"
-	"birchfork/internal/node"
-	"birchfork/internal/plant"
+	"birchfork/internal/failpoint"
+	"birchfork/internal/server"
+	"birchfork/internal/testbed/cluster"
+	"birchfork/internal/testbed/simulation"
 )
 
 // labGroup plays groups.
@@ -54,19 +54,19 @@
 }
 
 // load returns the scenarios with what the flags put in place of theirs.
-func (l *labGroupPlay) load() ([]groups.Scenario, error) {
-	if l.Plant != "" && !slices.Contains(plant.Names, l.Plant) {
-		return nil, fmt.Errorf("--plant: %q is none of %s", l.Plant, strings.Join(plant.Names, ", "))
+func (l *labGroupPlay) load() ([]cluster.Scenario, error) {
+	if l.Plant != "" && !slices.Contains(failpoint.Names, l.Plant) {
+		return nil, fmt.Errorf("--plant: %q is none of %s", l.Plant, strings.Join(failpoint.Names, ", "))
 	}
 	name := l.Scenario
 	if name == "" && l.Plant != "" {
 		name = "proof-" + l.Plant
 	}
-	all := []groups.Scenario{groups.Usual()}
+	all := []cluster.Scenario{cluster.Usual()}
 	all[0].Name, all[0].Storm = "storm", 4
 	if name != "" {
 		var err error
-		if all, err = groups.Load(name); err != nil {
+		if all, err = cluster.Load(name); err != nil {
 			return nil, err
 		}
 	}
@@ -101,7 +101,7 @@
 	if err != nil {
 		return fmt.Errorf("finding this program: %w", err)
 	}
-	o := groups.Options{Logs: l.Logs, Launch: func(fault, config, operator string) *exec.Cmd {
+	o := cluster.Options{Logs: l.Logs, Launch: func(fault, config, operator string) *exec.Cmd {
 		if fault != "" {
 			return exec.Command(exe, "lab", "member", "--plant", fault, "--config", config, "--operator", operator)
 		}
@@ -109,11 +109,11 @@
 	}}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	var sum groups.Sum
+	var sum cluster.Sum
 	for i := 0; i < l.Runs && ctx.Err() == nil; i++ {
 		o.Seed = l.Seed + uint64(i)
 		for _, o.Scenario = range all {
-			r, err := groups.Run(ctx, o)
+			r, err := cluster.Run(ctx, o)
 			if err != nil {
 				return fmt.Errorf("seed %d: %w", o.Seed, err)
 			}
@@ -151,10 +151,10 @@
 // Run lists what there is.
 func (l *labGroupList) Run(out output) error {
 	if l.Text {
-		_, err := fmt.Fprint(out.std, groups.Shipped())
+		_, err := fmt.Fprint(out.std, cluster.Shipped())
 		return err
 	}
-	all, err := groups.Decode("shipped.toml", []byte(groups.Shipped()))
+	all, err := cluster.Decode("shipped.toml", []byte(cluster.Shipped()))
 	if err != nil {
 		return err
 	}
@@ -162,7 +162,7 @@
 	for _, s := range all {
 		fmt.Fprintf(t, "%s\t%s\n", s.Name, s.About)
 	}
-	fmt.Fprintf(t, "\nfaults\t%s\nplanted\t%s\nrules\t%s\n", strings.Join(groups.Kinds, ", "), strings.Join(plant.Names, ", "), strings.Join(groups.Rules, ", "))
+	fmt.Fprintf(t, "\nfaults\t%s\nplanted\t%s\nrules\t%s\n", strings.Join(cluster.Kinds, ", "), strings.Join(failpoint.Names, ", "), strings.Join(cluster.Rules, ", "))
 	return t.Flush()
 }
 
@@ -182,21 +182,21 @@
 
 // Run plays them on all cores; the same seeds give the same histories. What they leave behind is cheap to keep for a while.
 func (l *labHistories) Run(out output) error {
-	if l.Fault != "" && !slices.Contains(histories.Faults, l.Fault) {
-		return fmt.Errorf("--fault: %q is none of: %s", l.Fault, strings.Join(histories.Faults, "; "))
+	if l.Fault != "" && !slices.Contains(simulation.Faults, l.Fault) {
+		return fmt.Errorf("--fault: %q is none of: %s", l.Fault, strings.Join(simulation.Faults, "; "))
 	}
 	if len(l.Behind) > 0 {
-		return histories.CatchUp(out.std, l.Behind)
+		return simulation.CatchUp(out.std, l.Behind)
 	}
 	if len(l.Measure) > 0 {
 		sizes := l.Measure
 		if slices.Contains(sizes, 0) {
-			sizes = histories.Sizes
+			sizes = simulation.Sizes
 		}
 		if slices.Min(sizes) < 3 {
 			return errors.New("--measure: fewer than 3 members are no group")
 		}
-		return histories.Measure(out.std, sizes, min(l.Runs, measuredRuns))
+		return simulation.Measure(out.std, sizes, min(l.Runs, measuredRuns))
 	}
 	if l.Members < 1 || l.Voters < 1 || l.Voters > l.Members || l.Runs < 1 || l.Ticks < 1 || l.Calm < 1 {
 		return errors.New("--members, --voters, --runs, --ticks and --calm are above 0, and no more vote than there are")
@@ -207,15 +207,15 @@
 	var all sync.WaitGroup
 	var failed error
 	broken, done := 0, 0
-	var first *histories.Options
+	var first *simulation.Options
 	for range runtime.GOMAXPROCS(0) {
 		all.Go(func() {
 			for i := next.Add(1) - 1; i < int64(l.Runs); i = next.Add(1) - 1 {
-				o := histories.Options{Seed: l.Seed + uint64(i), Members: l.Members, Voters: l.Voters, Ticks: l.Ticks, Calm: l.Calm, Fault: l.Fault}
+				o := simulation.Options{Seed: l.Seed + uint64(i), Members: l.Members, Voters: l.Voters, Ticks: l.Ticks, Calm: l.Calm, Fault: l.Fault}
 				if l.Story && l.Runs == 1 {
 					o.Story = out.std
 				}
-				r, err := histories.Play(o)
+				r, err := simulation.Play(o)
 				mu.Lock()
 				if failed = errors.Join(failed, err); err == nil {
 					if done += r.Done; len(r.Broken) > 0 {
@@ -243,14 +243,14 @@
 const measuredRuns = 5
 
 // tell tells the story of a history that breaks a rule, cut down as far as it goes.
-func (l *labHistories) tell(out output, o histories.Options) error {
-	less, r, err := histories.CutDown(o)
+func (l *labHistories) tell(out output, o simulation.Options) error {
+	less, r, err := simulation.CutDown(o)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(out.std, "seed %d, cut down to %d ticks and %d troubles:\n", less.Seed, less.Ticks, len(less.Troubles))
 	less.Story = out.std
-	if r, err = histories.Play(less); err == nil {
+	if r, err = simulation.Play(less); err == nil {
 		fmt.Fprintln(out.std, r.Line(less.Seed))
 	}
 	return err
@@ -265,16 +265,16 @@
 
 // Run serves with the fault.
 func (l *labMember) Run(out output) error {
-	if !slices.Contains(append([]string{plant.DiskFails, plant.DiskStalls, plant.NewerWords, plant.Older, plant.ClocksApart}, plant.Names...), l.Plant) {
+	if !slices.Contains(append([]string{failpoint.DiskFull, failpoint.DiskStall, failpoint.NewerEntries, failpoint.OlderBuild, failpoint.ClockSkew}, failpoint.Names...), l.Plant) {
 		return errors.New("--plant: there is no such fault")
 	}
-	plant.Set(l.Plant)
-	c, err := node.LoadAll(l.Config, l.Operator, os.Getenv("EDGE_OPERATOR"))
+	failpoint.Set(l.Plant)
+	c, err := server.LoadWithOperator(l.Config, l.Operator, os.Getenv("EDGE_OPERATOR"))
 	if err != nil {
 		return err
 	}
 	log := logrus.New()
 	log.SetOutput(out.err)
 	log.SetLevel(logrus.WarnLevel)
-	return node.Run(c, log, nil)
+	return server.Run(c, log, nil)
 }
--- /dev/null
+++ b/dispatch/random_test.go
@@ -0,0 +1,418 @@
+package dispatch
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+)
+
+// ruleChecker checks the four rules from outside, by the events handed over and the actions that came back.
+type ruleChecker struct {
+	settings     Settings
+	requests     map[RequestID]*observedRequest
+	workers      map[WorkerID]Worker
+	version      uint64
+	warmingSends map[WorkerID][]Time // sends while cold
+	disabled     map[WorkerID]bool   // by hand
+	disabledAt   map[WorkerID]Time
+	enabledAt    map[WorkerID]Time
+	responses    int
+	sends        int
+}
+
+type observedRequest struct {
+	class       Class
+	maxAttempts int
+	deadline    Time
+	open        bool
+	attempts    []observedAttempt
+}
+
+type observedAttempt struct {
+	worker   WorkerID
+	sentAt   Time
+	inFlight bool
+	neverRan bool
+}
+
+func (c *ruleChecker) observeEndpoints(event *Event) {
+	if event.Version < c.version {
+		return
+	}
+	c.version = event.Version
+	if event.Kind == EndpointSnapshot {
+		for id, w := range c.workers {
+			w.State = Gone
+			c.workers[id] = w
+		}
+	}
+	for _, w := range event.Workers {
+		if old, ok := c.workers[w.ID]; ok && w.StartedAt > old.StartedAt {
+			c.warmingSends[w.ID] = nil
+		}
+		c.workers[w.ID] = w
+	}
+}
+
+func (c *ruleChecker) check(now Time, action Action) error {
+	observed := c.requests[action.Request]
+	switch {
+	case action.Kind == SendToPeer && (!c.settings.PeerMessages || action.Peer < 0 || action.Peer >= c.settings.GroupSize || action.Peer == c.settings.Ordinal):
+		return fmt.Errorf("a note to %d", action.Peer)
+	case action.Kind == Cancel && (!c.settings.CanCancel || observed == nil || action.Attempt >= len(observed.attempts)):
+		return fmt.Errorf("%v, of an attempt never made or not allowed", action)
+	case action.Kind != Send && action.Kind != Reject && action.Kind != Fail:
+		return nil
+	}
+	if observed == nil || !observed.open {
+		return fmt.Errorf("rule one: %v for a request that is not open", action)
+	}
+	if now > observed.deadline {
+		return fmt.Errorf("rule one: %v at %v, %v after the deadline", action, now, now-observed.deadline)
+	}
+	class := observed.class
+	if action.Kind != Send {
+		c.responses++
+		observed.open = false
+		for _, previous := range observed.attempts {
+			if action.Kind == Reject && !previous.neverRan && class.Idempotency != Idempotent && (class.Idempotency == NonIdempotent || class.DedupScope != DedupEverywhere) {
+				return fmt.Errorf("rule two: refused though it may have run")
+			}
+		}
+		return nil
+	}
+	c.sends++
+	w, inFlight := c.workers[action.Worker], 0
+	for _, previous := range observed.attempts {
+		if previous.inFlight {
+			inFlight++
+		}
+		previousWorker := c.workers[previous.worker]
+		switch {
+		case previous.neverRan:
+			continue
+		case previous.inFlight && !c.settings.CanHedge:
+			return fmt.Errorf("a second copy where none is allowed")
+		case class.Idempotency == NonIdempotent:
+			return fmt.Errorf("rule two: an unsafe job sent again")
+		case class.Idempotency == Deduplicated && now > previous.sentAt+class.DedupWindow:
+			return fmt.Errorf("rule two: sent again after the window")
+		case class.Idempotency == Deduplicated && class.DedupScope == DedupZone && previousWorker.Zone != w.Zone,
+			class.Idempotency == Deduplicated && class.DedupScope == DedupCell && previousWorker.Cell != w.Cell:
+			return fmt.Errorf("rule two: sent again outside the group")
+		}
+	}
+	if inFlight > 1 {
+		return fmt.Errorf("three attempts out at once")
+	}
+	if len(observed.attempts) >= min(observed.maxAttempts, c.settings.MaxAttempts) {
+		return fmt.Errorf("too many attempts")
+	}
+	if c.disabled[action.Worker] {
+		return fmt.Errorf("rule three: sent to worker %d, which is out by hand", action.Worker)
+	}
+	if w, ok := c.workers[action.Worker]; !ok || w.State != Ready {
+		return fmt.Errorf("rule three: sent to a worker in state %v, known %v", w.State, ok)
+	}
+	observed.attempts = append(observed.attempts, observedAttempt{worker: action.Worker, sentAt: now, inFlight: true})
+	return c.checkSlowStart(now, w)
+}
+
+// checkSlowStart counts sends. Every job of the test takes a work of 100 ms or more at paces of 1 or more, and no worker
+// ever shows more than slotsMost at once, so a count above the bound breaks the budget for sure.
+func (c *ruleChecker) checkSlowStart(now Time, w Worker) error {
+	start := w.StartedAt
+	if start <= c.disabledAt[w.ID] {
+		start = c.enabledAt[w.ID]
+	}
+	if age := now - start; start > 0 && age < c.settings.SlowStartWindow {
+		sends := append(c.warmingSends[w.ID], now)
+		for sends[0]+c.settings.OverloadWindow < now {
+			sends = sends[1:]
+		}
+		c.warmingSends[w.ID] = sends
+		factor := c.settings.SlowStartMinFactor + (1-c.settings.SlowStartMinFactor)*float64(max(age, 0))/float64(c.settings.SlowStartWindow)
+		limit := c.settings.OverloadMultiple * factor * maxSlots * float64(c.settings.OverloadWindow) / float64(100*ms)
+		if float64(len(sends)) > limit+1 {
+			return fmt.Errorf("rule four: %d sends in a window to worker %d at warmth %v", len(sends), w.ID, factor)
+		}
+	}
+	return nil
+}
+
+const maxSlots = 4
+
+// TestHandle_KeepsRulesUnderRandomEvents feeds seeded random events, contradictory, late and duplicate ones among them, and
+// checks the four rules. It models no worker and measures nothing.
+func TestHandle_KeepsRulesUnderRandomEvents(t *testing.T) {
+	total := 0
+	for seed := range uint64(90) {
+		sends, err := runRandomStream(seed, nil)
+		if err != nil {
+			t.Fatalf("seed %d: %v", seed, err)
+		}
+		total += sends
+	}
+	if total < 5000 {
+		t.Fatalf("only %d sends in all: the test tests little", total)
+	}
+}
+
+func TestHandle_IsDeterministic(t *testing.T) {
+	for seed := range uint64(5) {
+		var a, b []string
+		if _, err := runRandomStream(seed, &a); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := runRandomStream(seed, &b); err != nil {
+			t.Fatal(err)
+		}
+		if len(a) < 100 || !slices.Equal(a, b) {
+			t.Fatalf("seed %d: two runs differ, or did little (%d actions)", seed, len(a))
+		}
+	}
+}
+
+type randomStream struct {
+	rng        *rand.Rand
+	dispatcher *Dispatcher
+	checker    *ruleChecker
+	now        Time
+	timers     []Time
+	record     *[]string
+	observe    func(now Time, a Action) // of every action; nil: nobody
+	workers    int
+}
+
+func runRandomStream(seed uint64, record *[]string) (sends int, err error) {
+	rng := rand.New(rand.NewPCG(seed, 99))
+	settings := testSettings()
+	settings.CanHedge = seed%2 == 0
+	settings.EndpointsOnRequest = seed%3 == 0
+	settings.ReportsStart = seed%5 != 0
+	settings.GroupSize = 1 + rng.IntN(4)
+	workers := 8
+	if seed%6 == 5 { // a large fleet and group
+		settings.GroupSize, workers = 100+rng.IntN(500), 300
+	}
+	settings.Ordinal, settings.PeerMessages = rng.IntN(settings.GroupSize), seed%7 < 3
+	settings.PriceWaste = float64(rng.IntN(2)) * 0.2
+	settings.Classes[classNonIdempotent].LateWeight = 0
+	settings.PriceCrossZone = float64(rng.IntN(3)) * 0.05
+	settings.PriceFetch, settings.WeightsShowLoad = float64(seed/2%2)*0.1, seed%3 == 1
+	settings.RetryAfter, settings.MaxRetryAfter = true, Second
+	settings.Tenants, settings.OverQuotaWeight = []Tenant{{QuotaRPS: 20}, {QuotaRPS: 3}}, 0.1
+	dispatcher, err := New(settings, seed)
+	if err != nil {
+		return 0, err
+	}
+	stream := &randomStream{rng: rng, dispatcher: dispatcher, workers: workers, now: 100 * Second, record: record, checker: &ruleChecker{
+		settings: settings, requests: map[RequestID]*observedRequest{}, workers: map[WorkerID]Worker{}, warmingSends: map[WorkerID][]Time{},
+		disabled: map[WorkerID]bool{}, enabledAt: map[WorkerID]Time{}, disabledAt: map[WorkerID]Time{}}}
+	if err := stream.handle(stream.endpointEvent(EndpointSnapshot)); err != nil {
+		return 0, err
+	}
+	for range 3000 {
+		if rng.IntN(4) > 0 { // sometimes the clock stands still
+			stream.now += Time(rng.IntN(30000))
+		}
+		if err := stream.fireTimers(); err != nil {
+			return 0, err
+		}
+		if err := stream.handle(stream.nextEvent()); err != nil {
+			return 0, err
+		}
+	}
+	for range 3000 { // silence: every open request must get its answer in time
+		stream.now += 5 * ms
+		if err := stream.fireTimers(); err != nil {
+			return 0, err
+		}
+	}
+	for id, observed := range stream.checker.requests {
+		if observed.open {
+			return 0, fmt.Errorf("rule one: request %d never got an answer", id)
+		}
+	}
+	return stream.checker.sends, nil
+}
+
+func (s *randomStream) handle(event Event) error {
+	switch event.Kind {
+	case EndpointSnapshot, EndpointUpdate:
+		s.checker.observeEndpoints(&event)
+	case WorkerDisabled:
+		if !s.checker.disabled[event.Worker] {
+			s.checker.disabledAt[event.Worker] = s.now
+		}
+		s.checker.disabled[event.Worker] = true
+	case WorkerEnabled:
+		if s.checker.disabled[event.Worker] {
+			s.checker.warmingSends[event.Worker] = nil
+		}
+		enabledAt := max(s.checker.enabledAt[event.Worker], s.now-event.Elapsed)
+		if !s.checker.disabled[event.Worker] {
+			s.checker.disabledAt[event.Worker] = enabledAt
+		}
+		s.checker.disabled[event.Worker], s.checker.enabledAt[event.Worker] = false, enabledAt
+	case SettingsChanged:
+		s.checker.settings = *event.Settings
+	case RequestArrived:
+		if observed := s.checker.requests[event.Request]; observed == nil {
+			s.checker.requests[event.Request] = &observedRequest{class: s.checker.settings.Classes[event.Class], maxAttempts: s.checker.settings.MaxAttempts, deadline: s.now + event.TimeLeft, open: true}
+		}
+	case AttemptEnded:
+		if observed := s.checker.requests[event.Request]; observed != nil && event.Attempt < len(observed.attempts) && observed.attempts[event.Attempt].inFlight {
+			previous := &observed.attempts[event.Attempt]
+			previous.inFlight = false
+			previous.neverRan = event.Result == ResultOverloaded || event.Result == ResultUnreachable || event.Result == ResultNotSent
+			if event.Final {
+				observed.open = false
+			}
+		}
+	case RequestAbandoned:
+		if observed := s.checker.requests[event.Request]; observed != nil {
+			observed.open = false
+		}
+	}
+	for _, action := range s.dispatcher.Handle(s.now, &event, nil) {
+		if s.record != nil {
+			*s.record = append(*s.record, fmt.Sprint(s.now, action))
+		}
+		if s.observe != nil {
+			s.observe(s.now, action)
+		}
+		if action.Kind == SetTimer {
+			if action.Wait < 0 {
+				return fmt.Errorf("a timer of %v", action.Wait)
+			}
+			s.timers = append(s.timers, s.now+action.Wait)
+		}
+		if err := s.checker.check(s.now, action); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// fireTimers delivers the timers that are due, at their time.
+func (s *randomStream) fireTimers() error {
+	end := s.now
+	for {
+		slices.Sort(s.timers)
+		if len(s.timers) == 0 || s.timers[0] > end {
+			s.now = end
+			return nil
+		}
+		s.now = max(s.timers[0], s.now-30*ms)
+		s.timers = s.timers[1:]
+		if err := s.handle(Event{Kind: TimerFired}); err != nil {
+			return err
+		}
+	}
+}
+
+func (s *randomStream) endpointEvent(kind EventKind) Event {
+	event := Event{Kind: kind, Version: s.checker.version + uint64(s.rng.IntN(3))}
+	if s.rng.IntN(4) == 0 && s.checker.version > 0 {
+		event.Version = s.checker.version - 1 // late news
+	}
+	for id := range s.workers {
+		if kind == EndpointUpdate && s.rng.IntN(s.workers/2) > 2 {
+			continue
+		}
+		old := s.checker.workers[WorkerID(id)]
+		w := Worker{ID: WorkerID(id), Tag: uint64(id) * 7919, Zone: id % 2, Kind: id % 2, Cell: id % 3, StartedAt: old.StartedAt,
+			Weight: float64(s.rng.IntN(4))}
+		switch s.rng.IntN(30) {
+		case 0:
+			w.State = Draining
+		case 1:
+			w.State = Gone
+		case 2:
+			w.StartedAt = s.now - Time(s.rng.IntN(2000))*ms
+		}
+		event.Workers = append(event.Workers, w)
+	}
+	return event
+}
+
+// nextEvent makes up the next event.
+func (s *randomStream) nextEvent() Event {
+	rng := s.rng
+	id := RequestID(rng.IntN(len(s.checker.requests) + 1))
+	attempt := 0
+	for range 20 { // mostly one with an attempt out
+		if observed := s.checker.requests[id]; observed != nil && slices.ContainsFunc(observed.attempts, func(s observedAttempt) bool { return s.inFlight }) {
+			break
+		}
+		if n := min(len(s.checker.requests), 60); n > 0 {
+			id = RequestID(len(s.checker.requests) - 1 - rng.IntN(n))
+		}
+	}
+	if observed := s.checker.requests[id]; observed != nil && len(observed.attempts) > 0 {
+		attempt = rng.IntN(len(observed.attempts) + 1)
+		// A worker of this test runs slotsMost at the most, so that a peak can be bounded.
+		if rng.IntN(2) == 0 && attempt < len(observed.attempts) && s.running(observed.attempts[attempt].worker) < maxSlots {
+			return Event{Kind: AttemptStarted, Request: id, Attempt: attempt}
+		}
+	}
+	switch n := rng.IntN(100); {
+	case n < 30:
+		left := 5 * Second
+		if rng.IntN(3) == 0 {
+			left = Time(rng.IntN(6000)) * ms
+		}
+		return Event{Kind: RequestArrived, Request: RequestID(len(s.checker.requests)), Class: rng.IntN(4), Tenant: rng.IntN(3) - 1,
+			ExpectedWork: 100*ms + Time(rng.IntN(300))*ms, TimeLeft: left + 2*ms, Slots: 1, Retry: rng.IntN(4) == 0,
+			AffinityKey: uint64(rng.IntN(5))}
+	case n < 75:
+		result := Result(max(0, rng.IntN(2*int(ResultUnknown)+4)-int(ResultUnknown)-1))
+		return Event{Kind: AttemptEnded, Request: id, Attempt: attempt, Result: result, Final: result == ResultOK || rng.IntN(20) == 0,
+			Report: LoadReport{Known: true, FreeSlots: rng.Float64() * 1e9, QueueLength: -5}}
+	case n < 85:
+		return Event{Kind: AttemptProgressed, Request: id, Attempt: attempt, Progress: rng.Float64() * 3}
+	case n < 90:
+		return s.endpointEvent(EndpointUpdate)
+	case n < 92:
+		return s.endpointEvent(EndpointSnapshot)
+	case n < 93:
+		return Event{Kind: EndpointWatchLost}
+	case n < 94 && rng.IntN(4) == 0:
+		return s.settingsEvent()
+	case n < 94:
+		e := Event{Kind: WorkerDisabled + EventKind(rng.IntN(3)), Worker: WorkerID(rng.IntN(s.workers + 2))}
+		if e.Kind == WorkerEnabled {
+			e.Elapsed = Time(rng.IntN(2)*rng.IntN(1000)) * ms
+		}
+		return e
+	case n < 96:
+		return Event{Kind: RequestAbandoned, Request: id}
+	case n < 99: // notes: nonsense, old, from nobody
+		return Event{Kind: PeerMessageReceived, Peer: rng.IntN(s.checker.settings.GroupSize+4) - 2, Message: PeerMessage{Kind: PeerMessageKind(rng.IntN(4)), Tag: uint64(rng.IntN(20)) * 7919,
+			Slots: rng.Float64()*9 - 2}}
+	}
+	return Event{Kind: TimerFired}
+}
+
+// settingsEvent makes up other settings: effects change under their class's name, attempts and second copies come and go.
+func (s *randomStream) settingsEvent() Event {
+	settings := s.checker.settings
+	settings.Classes = slices.Clone(settings.Classes)
+	i := s.rng.IntN(len(settings.Classes))
+	settings.Classes[i].Idempotency, settings.Classes[i].DedupWindow = Idempotency(s.rng.IntN(3)), Time(1+s.rng.IntN(4))*Second
+	settings.MaxAttempts, settings.CanHedge = 1+s.rng.IntN(4), s.rng.IntN(2) == 0
+	event := Event{Kind: SettingsChanged, Settings: &settings, OldTenants: []int{0, 1}}
+	for c := range settings.Classes {
+		event.OldClasses = append(event.OldClasses, c-s.rng.IntN(2))
+	}
+	return event
+}
+
+func (s *randomStream) running(w WorkerID) int {
+	if int(w) < len(s.dispatcher.workers) && s.dispatcher.workers[w] != nil {
+		return int(s.dispatcher.workers[w].slotsRunning)
+	}
+	return 0
+}
--- /dev/null
+++ b/dispatch/retune_test.go
@@ -0,0 +1,126 @@
+package dispatch
+
+import "testing"
+
+func (h *harness) changeSettings(s Settings, classes ...int) []Action {
+	return h.handle(Event{Kind: SettingsChanged, Settings: &s, OldClasses: classes})
+}
+
+// A job keeps the class that it came under, and new ones have the new: here a safe class turns into an unsafe one.
+func TestSettingsChanged_OpenRequestsKeepClass(t *testing.T) {
+	s := testSettings()
+	h := newHarness(t, s, fleet(3)...)
+	old, actions := h.arrive(classIdempotent, 100*ms)
+	if len(sendTargets(actions)) != 1 {
+		t.Fatalf("%v", actions)
+	}
+	s.Classes = []Class{s.Classes[classNonIdempotent], s.Classes[classIdempotent]}
+	h.changeSettings(s, -1, classNonIdempotent) // the first is new under its name
+	if actions := h.handle(Event{Kind: AttemptEnded, Request: old, Result: ResultFailed}); len(sendTargets(actions)) != 1 {
+		t.Fatalf("a safe job was not repeated: %v", actions)
+	}
+	young, actions := h.arrive(0, 100*ms)
+	if len(sendTargets(actions)) != 1 {
+		t.Fatalf("%v", actions)
+	}
+	if actions := h.handle(Event{Kind: AttemptEnded, Request: young, Result: ResultFailed}); len(actions) != 1 || actions[0].Kind != Fail {
+		t.Fatalf("an unsafe job that failed: %v", actions)
+	}
+	if _, actions := h.arrive(2, 100*ms); len(actions) != 0 {
+		t.Fatalf("a class that is gone: %v", actions)
+	}
+}
+
+// What a class has learned goes on under its name, wherever it stands now.
+func TestSettingsChanged_KeepsClassEstimates(t *testing.T) {
+	s := testSettings()
+	h := newHarness(t, s, fleet(1)...)
+	h.dispatcher.classes[classDedupEverywhere].meanRun, h.dispatcher.classes[classDedupEverywhere].runCount = 12345, 9
+	s.Classes = []Class{s.Classes[classDedupEverywhere], s.Classes[classNonIdempotent]}
+	s.Classes[0].LatencyObjective++
+	h.changeSettings(s, classDedupEverywhere, 77)
+	if c := h.dispatcher.classes[0]; c.meanRun != 12345 || c.runCount != 9 || c.LatencyObjective != s.Classes[0].LatencyObjective {
+		t.Errorf("%+v", c)
+	}
+	if c := h.dispatcher.classes[1]; c.meanRun != float64(c.LatencyObjective) || c.runCount != 0 {
+		t.Errorf("a class from nowhere: %+v", c)
+	}
+}
+
+// Fewer attempts bind jobs under way at once; more bind only those that come.
+func TestSettingsChanged_FewerAttemptsApplyAtOnce(t *testing.T) {
+	s := testSettings()
+	h := newHarness(t, s, fleet(4)...)
+	id, _ := h.arrive(classIdempotent, 100*ms)
+	few := s
+	few.MaxAttempts = 1
+	h.changeSettings(few, 0, 1, 2, 3)
+	if actions := h.handle(Event{Kind: AttemptEnded, Request: id, Result: ResultFailed}); len(actions) != 1 || actions[0].Kind != Reject {
+		t.Fatalf("after its only attempt: %v", actions)
+	}
+	id, _ = h.arrive(classIdempotent, 100*ms)
+	h.changeSettings(s, 0, 1, 2, 3)
+	if actions := h.handle(Event{Kind: AttemptEnded, Request: id, Result: ResultFailed}); len(actions) != 1 || actions[0].Kind != Reject {
+		t.Fatalf("one that came while one attempt was allowed: %v", actions)
+	}
+	id, _ = h.arrive(classIdempotent, 100*ms)
+	if actions := h.handle(Event{Kind: AttemptEnded, Request: id, Result: ResultFailed}); len(sendTargets(actions)) != 1 {
+		t.Fatalf("one that came since: %v", actions)
+	}
+}
+
+// A job that is held for an attempt that it may not make any more ends at once, as its effect allows.
+func TestSettingsChanged_EndsQueuedWithoutAttempts(t *testing.T) {
+	s := testSettings()
+	h := newHarness(t, s, fleet(2)...)
+	id, _ := h.arrive(classIdempotent, 100*ms)
+	h.handle(Event{Kind: EndpointSnapshot, Version: 2}) // nobody to send to
+	if actions := h.handle(Event{Kind: AttemptEnded, Request: id, Result: ResultFailed}); len(actions) != 0 {
+		t.Fatalf("it is not held: %v", actions)
+	}
+	second, actions := h.arrive(classIdempotent, 100*ms)
+	if len(actions) != 0 {
+		t.Fatalf("%v", actions)
+	}
+	s.MaxAttempts = 1
+	if actions := h.changeSettings(s, 0, 1, 2, 3); len(actions) != 1 || actions[0].Kind != Reject || actions[0].Request != id {
+		t.Fatalf("%v, want the end of %d alone and not of %d, which has made none", actions, id, second)
+	}
+}
+
+// New zones and kinds come behind those that are known, and each worker stays with what its own have shown.
+func TestSettingsChanged_KeepsZoneAndKindNumbers(t *testing.T) {
+	s := testSettings()
+	h := newHarness(t, s, Worker{ID: 0, Zone: 0, Kind: 1}, Worker{ID: 1, Zone: 5, Kind: 7})
+	h.dispatcher.kinds[1].slowdown, h.dispatcher.kinds[2].slowdown = 3, 4
+	h.dispatcher.zones[0].queueWait, h.dispatcher.zones[2].queueWait = 5, 6
+	s.ZoneCount, s.KindCount, s.Zone = 4, 3, 3
+	h.changeSettings(s, 0, 1, 2, 3)
+	a, b := h.dispatcher.workers[0], h.dispatcher.workers[1]
+	if a.kind.slowdown != 3 || b.kind.slowdown != 4 || h.dispatcher.zoneOf(a).queueWait != 5 || h.dispatcher.zoneOf(b).queueWait != 6 || len(h.dispatcher.readyInZone) != 0 {
+		t.Fatalf("%v %v %v %v", a.kind, b.kind, h.dispatcher.zoneOf(a), h.dispatcher.zoneOf(b))
+	}
+	s.ZoneCount, s.KindCount, s.Zone = 1, 1, 0 // fewer are named: those that are known stay
+	h.changeSettings(s, 0, 1, 2, 3)
+	if h.dispatcher.settings.ZoneCount != 4 || len(h.dispatcher.zones) != 5 || len(h.dispatcher.readyInZone) != 1 || a.kind.slowdown != 3 {
+		t.Fatalf("%+v", h.dispatcher.settings)
+	}
+}
+
+func TestSettingsChanged_IgnoresInvalid(t *testing.T) {
+	s := testSettings()
+	h := newHarness(t, s, fleet(1)...)
+	h.handle(Event{Kind: SettingsChanged})
+	for _, bad := range []func(*Settings){
+		func(s *Settings) { s.Classes = nil },
+		func(s *Settings) { s.MaxAttempts = 0 },
+		func(s *Settings) { s.Zone = s.ZoneCount },
+	} {
+		b := s
+		bad(&b)
+		h.changeSettings(b, 0)
+	}
+	if h.dispatcher.settings.MaxAttempts != s.MaxAttempts || len(h.dispatcher.classes) != len(s.Classes) {
+		t.Fatalf("%+v", h.dispatcher.settings)
+	}
+}
--- /dev/null
+++ b/internal/admission/golden_test.go
@@ -0,0 +1,129 @@
+package admission
+
+import (
+	"bytes"
+	"fmt"
+	"hash/fnv"
+	"io"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Files in testdata/golden hold the reasons' names, which are parts of the counters' names that operators read, and what
+// is decided on drawn histories. UPDATE_GOLDEN=1 writes them.
+
+func TestGolden_ReasonNames(t *testing.T) {
+	var out bytes.Buffer
+	for r := range NumReasons + 2 {
+		fmt.Fprintf(&out, "%d %s\n", r, r)
+	}
+	compareGolden(t, "reasons.txt", out.Bytes())
+}
+
+// goldenConfig draws a configuration.
+func goldenConfig(random *rand.Rand) Config {
+	config := Config{MaxOpen: random.IntN(60), Adaptive: random.IntN(2) == 0, MinOpen: 1 + random.IntN(8), MaxBuckets: 1 + random.IntN(2000)}
+	rates := []float64{0, 0.1, 1, 7.5, 100, 1e6, 1e12, 1e-9}
+	for i := range 1 + random.IntN(4) {
+		config.Routes = append(config.Routes, RouteConfig{
+			Name: fmt.Sprint("r", i), RateLimited: random.IntN(2) == 0, Rate: rates[random.IntN(len(rates))], Burst: random.IntN(6), RateScope: RateScope(random.IntN(3)),
+			MaxConcurrent: random.IntN(25), MaxQueued: random.IntN(9), RetryBudgeted: random.IntN(2) == 0, RetryBudget: random.Float64(), MinRetriesPerSecond: 5 * random.Float64(),
+			Priority: random.IntN(MaxPriority + 1), RetryAfter: time.Duration(random.IntN(2000)) * time.Millisecond,
+		})
+	}
+	for i := range random.IntN(4) {
+		config.Tenants = append(config.Tenants, TenantConfig{Name: fmt.Sprint("t", i), Weight: 0.1 + 5*random.Float64()})
+	}
+	return config
+}
+
+// playHistory draws a history of requests, ends and reloads, and writes each decision.
+func playHistory(w io.Writer, seed uint64, steps int) [NumReasons]int64 {
+	random := rand.New(rand.NewPCG(seed, 1))
+	config := goldenConfig(random)
+	limiter := New(config)
+	now := time.Duration(0)
+	var open []Permit
+	for range steps {
+		now += time.Duration(random.IntN(30)-2) * time.Millisecond
+		switch kind := random.IntN(120); {
+		case kind == 0:
+			config = goldenConfig(random)
+			limiter.Reconfigure(now, config)
+			fmt.Fprintf(w, "%d swap: open %d, limit %d\n", now, limiter.OpenRequests(), limiter.CurrentLimit())
+		case kind < 45 && len(open) > 0:
+			i, outcome := random.IntN(len(open)), Outcome(random.IntN(3))
+			limiter.Release(now, open[i], outcome)
+			open = append(open[:i], open[i+1:]...)
+			fmt.Fprintf(w, "%d done %d: open %d, limit %d\n", now, outcome, limiter.OpenRequests(), limiter.CurrentLimit())
+		case kind < 60 && len(open) > 0:
+			i := random.IntN(len(open))
+			limiter.MarkSent(&open[i])
+			fmt.Fprintf(w, "%d sent\n", now)
+		default:
+			request := Request{Route: random.IntN(len(config.Routes)), Tenant: random.IntN(5) - 1, Key: random.Uint64N(2500), Retry: random.IntN(4) == 0}
+			decision := limiter.Admit(now, request)
+			if decision.Reason == Admitted {
+				open = append(open, decision.Permit)
+			}
+			fmt.Fprintf(w, "%d route %d, tenant %d, key %d, retry %v: %d %s, wait %d, held %v, on the route %d, open %d, limit %d\n",
+				now, request.Route, request.Tenant, request.Key, request.Retry, decision.Reason, decision.Reason, decision.RetryAfter, decision.Permit.Valid(), limiter.OpenOnRoute(request.Route), limiter.OpenRequests(), limiter.CurrentLimit())
+		}
+	}
+	for i, n := range limiter.Counts() {
+		fmt.Fprintf(w, "%s %d\n", Reason(i), n)
+	}
+	return limiter.Counts()
+}
+
+func TestGolden_Decisions(t *testing.T) {
+	var out bytes.Buffer
+	playHistory(&out, 1, 400)
+	compareGolden(t, "history.txt", out.Bytes())
+	out.Reset()
+	var sum [NumReasons]int64
+	for seed := range uint64(100) {
+		h := fnv.New64a()
+		for i, n := range playHistory(h, seed, 2000) {
+			sum[i] += n
+		}
+		fmt.Fprintf(&out, "seed %d: %016x\n", seed, h.Sum64())
+	}
+	for i, n := range sum {
+		fmt.Fprintf(&out, "%s %d\n", Reason(i), n)
+	}
+	compareGolden(t, "histories.txt", out.Bytes())
+}
+
+// compareGolden compares got with testdata/golden/name. With UPDATE_GOLDEN=1 in the environment it writes the file instead.
+func compareGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if os.Getenv("UPDATE_GOLDEN") == "1" {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatalf("%v: UPDATE_GOLDEN=1 writes it", err)
+	}
+	if bytes.Equal(got, want) {
+		return
+	}
+	gotLines, wantLines := strings.Split(string(got), "\n"), strings.Split(string(want), "\n")
+	for i := range min(len(gotLines), len(wantLines)) {
+		if gotLines[i] != wantLines[i] {
+			t.Fatalf("%s:%d: got\n%s\nwant\n%s", path, i+1, gotLines[i], wantLines[i])
+		}
+	}
+	t.Fatalf("%s: got %d lines, want %d", path, len(gotLines), len(wantLines))
+}
--- /dev/null
+++ b/internal/consensus/core_test.go
@@ -0,0 +1,176 @@
+package consensus
+
+import (
+	"encoding/binary"
+	"fmt"
+	"io"
+	"slices"
+	"testing"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/sirupsen/logrus"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+)
+
+// hashChain is a state machine that tells every order of entries from every other.
+type hashChain struct {
+	t         *testing.T
+	lastIndex uint64
+	sum       uint64
+}
+
+func (c *hashChain) Apply(index uint64, data []byte) {
+	if index <= c.lastIndex {
+		c.t.Errorf("entry %d comes after %d", index, c.lastIndex)
+	}
+	c.lastIndex, c.sum = index, xxhash.Sum64(append(binary.BigEndian.AppendUint64(nil, c.sum), data...))
+}
+
+func (c *hashChain) Snapshot() ([]byte, error) {
+	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, c.lastIndex), c.sum), nil
+}
+
+func (c *hashChain) Restore(data []byte) error {
+	c.lastIndex, c.sum = binary.BigEndian.Uint64(data), binary.BigEndian.Uint64(data[8:])
+	return nil
+}
+
+// testNetwork carry messages between cores at once; those to a core that is cut off are lost.
+type testNetwork struct {
+	t           *testing.T
+	cores       map[uint64]*Core
+	chains      map[uint64]*hashChain
+	dirs        map[uint64]string
+	partitioned map[uint64]bool
+	queue       []*raftpb.Message
+	snapshots   int
+}
+
+func (n *testNetwork) start(id uint64) {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	storage, err := OpenStorage(n.dirs[id], Identity{Group: "g", Name: fmt.Sprint(id), Incarnation: "l", RaftID: id})
+	if err == nil && storage.IsEmpty() && id == 1 {
+		err = Bootstrap(storage, "f", make([]byte, 16))
+	}
+	if err != nil {
+		n.t.Fatal(err)
+	}
+	n.chains[id] = &hashChain{t: n.t}
+	n.cores[id], err = NewCore(Options{Storage: storage, StateMachine: n.chains[id], Log: log, Send: func(to uint64, raw []byte, snapshot bool) {
+		message := &raftpb.Message{}
+		if err := proto.Unmarshal(raw, message); err != nil {
+			n.t.Fatal(err)
+		}
+		if snapshot && !n.partitioned[to] {
+			n.snapshots++
+		}
+		n.queue = append(n.queue, message)
+	}}, id)
+	if err != nil {
+		n.t.Fatal(err)
+	}
+}
+
+// run lets ticks go by, and delivers all that is said in each.
+func (n *testNetwork) run(ticks int) {
+	for range ticks {
+		for id := uint64(1); id <= 3; id++ {
+			n.cores[id].Tick(true)
+		}
+		for len(n.queue) > 0 {
+			message := n.queue[0]
+			n.queue = n.queue[1:]
+			if !n.partitioned[message.GetTo()] && !n.partitioned[message.GetFrom()] && n.cores[message.GetTo()] != nil {
+				n.cores[message.GetTo()].Step(message)
+			}
+		}
+	}
+}
+
+func (n *testNetwork) checkEqual(when string) {
+	n.t.Helper()
+	for id := uint64(2); id <= 3; id++ {
+		if *n.chains[id] != *n.chains[1] {
+			n.t.Errorf("%s: member %d has %+v, the leader %+v", when, id, *n.chains[id], *n.chains[1])
+		}
+	}
+}
+
+// The log is cut, on the disk and in memory; who is a little behind catches up by it, who is far behind by a snapshot, and a
+// restart goes on from what the disk has.
+func TestCore_CompactsLogAndCatchesUp(t *testing.T) {
+	network := &testNetwork{t: t, cores: map[uint64]*Core{}, chains: map[uint64]*hashChain{}, dirs: map[uint64]string{}, partitioned: map[uint64]bool{}}
+	for id := uint64(1); id <= 3; id++ {
+		network.dirs[id] = t.TempDir()
+		network.start(id)
+	}
+	network.cores[1].Campaign()
+	for id := uint64(2); id <= 3; id++ {
+		learner := raftpb.ConfChangeAddLearnerNode
+		network.partitioned[id] = true
+		if err := network.cores[1].ProposeConfChange([]*raftpb.ConfChangeSingle{{Type: &learner, NodeId: &id}}, []byte("in")); err != nil {
+			t.Fatal(err)
+		}
+		network.run(2)
+		if slices.Contains(network.cores[1].CaughtUp(), id) {
+			t.Errorf("member %d counts as caught up before it has anything", id)
+		}
+		network.partitioned[id] = false
+		for range 3 * electionTicks { // it counts as heard of from a heartbeat that it answers until raft looks anew
+			if network.run(1); slices.Contains(network.cores[1].CaughtUp(), id) {
+				break
+			}
+		}
+		if !slices.Contains(network.cores[1].CaughtUp(), id) {
+			t.Errorf("member %d does not count as caught up", id)
+		}
+	}
+	propose := func(n int) {
+		t.Helper()
+		for i := range n {
+			if err := network.cores[1].Propose(fmt.Appendf(nil, "entry %d", i)); err != nil {
+				t.Fatal(err)
+			}
+			if i%50 == 0 {
+				network.run(1)
+			}
+		}
+		network.run(5)
+	}
+	propose(20)
+	network.checkEqual("in")
+	joins := network.snapshots
+	network.partitioned[3] = true
+	propose(trailingEntries / 2)
+	network.partitioned[3] = false
+	network.run(20)
+	network.checkEqual("a little behind")
+	if network.snapshots != joins {
+		t.Errorf("%d snapshots for one that the log had all for", network.snapshots-joins)
+	}
+	network.partitioned[3] = true
+	propose(snapshotThreshold + 2*trailingEntries)
+	network.partitioned[3] = false
+	network.run(40)
+	network.checkEqual("far behind")
+	if network.snapshots == joins {
+		t.Error("it came without a snapshot")
+	}
+	first, err := network.cores[1].options.Storage.memory.FirstIndex()
+	if err != nil || first < snapshotThreshold-trailingEntries {
+		t.Errorf("the log begins at %d still: %v", first, err)
+	}
+	for id := uint64(1); id <= 3; id++ {
+		if err := network.cores[id].options.Storage.Close(); err != nil {
+			t.Fatal(err)
+		}
+		network.start(id)
+		network.cores[id].process()
+	}
+	network.checkEqual("started again")
+	if last, _ := network.cores[1].options.Storage.memory.LastIndex(); network.chains[1].lastIndex != last {
+		t.Errorf("the leader has %d of %d entries in force", network.chains[1].lastIndex, last)
+	}
+}
--- /dev/null
+++ b/internal/consensus/disk_test.go
@@ -0,0 +1,202 @@
+package consensus
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/sirupsen/logrus"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"birchfork/internal/boltstore"
+)
+
+var testIdentity = Identity{Group: "g", Name: "a", Incarnation: "first", RaftID: 7}
+
+// newStorageDir is a folder whose disk has a vote and three entries.
+func newStorageDir(t *testing.T) (dir string, raw []byte) {
+	t.Helper()
+	dir = t.TempDir()
+	storage, err := OpenStorage(dir, testIdentity)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := Bootstrap(storage, "f", []byte("state")); err != nil {
+		t.Fatal(err)
+	}
+	var entries []*raftpb.Entry
+	for i := uint64(2); i < 5; i++ {
+		entries = append(entries, &raftpb.Entry{Index: proto.Uint64(i), Term: proto.Uint64(3), Data: bytes.Repeat([]byte{byte(i)}, 40)})
+	}
+	if err := storage.save(&raftpb.HardState{Term: proto.Uint64(3), Vote: proto.Uint64(9), Commit: proto.Uint64(4)}, entries, nil); err != nil {
+		t.Fatal(err)
+	}
+	if err := storage.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if raw, err = os.ReadFile(filepath.Join(dir, storageFile)); err != nil {
+		t.Fatal(err)
+	}
+	return dir, raw
+}
+
+// What a disk has is there again under its first life; another member's is refused by name, and stays as it is.
+func TestStorage_BelongsToOneMember(t *testing.T) {
+	dir, raw := newStorageDir(t)
+	storage, err := OpenStorage(dir, Identity{Group: "g", Name: "a", Incarnation: "second", RaftID: 8})
+	if err != nil {
+		t.Fatal(err)
+	}
+	hardState, _, _ := storage.memory.InitialState()
+	if storage.Identity().Incarnation != "first" || storage.Identity().ClusterID != "f" || storage.Position() != (Position{Term: 3, LastIndex: 4, LastTerm: 3}) || hardState.GetVote() != 9 || storage.IsEmpty() {
+		t.Errorf("%+v, mark %+v, %v", storage.Identity(), storage.Position(), hardState)
+	}
+	if _, err := OpenStorage(dir, testIdentity); !errors.Is(err, boltstore.ErrLocked) {
+		t.Errorf("a second owner: %v", err)
+	}
+	storage.Close()
+	for _, other := range []Identity{{Group: "h", Name: "a"}, {Group: "g", Name: "b"}} {
+		if _, err := OpenStorage(dir, other); !errors.Is(err, boltstore.ErrForeign) {
+			t.Errorf("%+v: %v", other, err)
+		}
+	}
+	if now, _ := os.ReadFile(filepath.Join(dir, storageFile)); !bytes.Equal(now, raw) {
+		t.Error("a disk that was refused was changed")
+	}
+}
+
+// A file that is torn or has a flipped bit either tells what it had, or is put aside for another life: never a part of a vote.
+func TestStorage_CorruptFileBeginsNewIncarnation(t *testing.T) {
+	_, raw := newStorageDir(t)
+	complete, replaced := 0, 0
+	try := func(what string, at int, raw []byte) {
+		dir := t.TempDir()
+		path := filepath.Join(dir, storageFile)
+		if err := os.WriteFile(path, raw, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		storage, err := OpenStorage(dir, Identity{Group: "g", Name: "a", Incarnation: "second", RaftID: 8})
+		switch {
+		case errors.Is(err, boltstore.ErrForeign): // its name has the flipped bit
+			return
+		case err != nil:
+			t.Errorf("%s at %d: %v", what, at, err)
+			return
+		}
+		defer storage.Close()
+		hardState, _, _ := storage.memory.InitialState()
+		same := true
+		if storage.Position().LastIndex == 4 {
+			entries, err := storage.memory.Entries(2, 5, 1<<20)
+			for i, e := range entries {
+				same = same && err == nil && bytes.Equal(e.GetData(), bytes.Repeat([]byte{byte(2 + i)}, 40))
+			}
+		}
+		switch {
+		case storage.Identity().Incarnation == "first" && storage.Position() == Position{Term: 3, LastIndex: 4, LastTerm: 3} && hardState.GetVote() == 9 && same:
+			complete++
+		case storage.Identity().Incarnation == "second" && storage.IsEmpty():
+			replaced++
+		case storage.Identity().Incarnation == "first" && storage.Position().LastIndex < 4: // a state that it had, on its older root
+		default:
+			t.Errorf("%s at %d: %+v, mark %+v, %v", what, at, storage.Identity(), storage.Position(), hardState)
+		}
+	}
+	for n := 0; n < len(raw); n += 509 {
+		try("torn", n, raw[:n])
+	}
+	flip := func(n int) {
+		flipped := bytes.Clone(raw)
+		flipped[n] ^= 4
+		try("flipped", n, flipped)
+	}
+	for n := 3; n < len(raw); n += 211 {
+		flip(n)
+	}
+	entry := bytes.Repeat([]byte{3}, 40) // every copy of it, wherever the file has it
+	for at := bytes.Index(raw, entry); at >= 0; {
+		flip(at + 7)
+		next := bytes.Index(raw[at+len(entry):], entry)
+		if next < 0 {
+			break
+		}
+		at += len(entry) + next
+	}
+	if complete == 0 || replaced == 0 {
+		t.Errorf("%d read whole, %d put aside", complete, replaced)
+	}
+}
+
+// Entries of another leader's go, on the disk too, where others stand in their place.
+func TestStorage_ReplacesConflictingEntries(t *testing.T) {
+	dir, _ := newStorageDir(t)
+	for i := range 2 {
+		storage, err := OpenStorage(dir, testIdentity)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if i == 0 {
+			if err := storage.save(nil, []*raftpb.Entry{{Index: proto.Uint64(3), Term: proto.Uint64(4)}}, nil); err != nil {
+				t.Fatal(err)
+			}
+		}
+		if term, err := storage.memory.Term(3); storage.Position().LastIndex != 3 || term != 4 || err != nil {
+			t.Errorf("mark %+v, entry 3 of term %d, %v", storage.Position(), term, err)
+		}
+		storage.Close()
+	}
+}
+
+// What is for another life is refused, and how far a member has come is told by what it promises alone.
+func TestNode_Receive(t *testing.T) {
+	storage, err := OpenStorage("", testIdentity)
+	if err != nil {
+		t.Fatal(err)
+	}
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	node, err := Start(Options{Storage: storage, StateMachine: &hashChain{t: t}, Log: log, Send: func(uint64, []byte, bool) {}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer node.Close()
+	for _, c := range []struct {
+		kind   raftpb.MessageType
+		to     uint64
+		reject bool
+		want   Position
+		bad    bool
+	}{
+		{raftpb.MsgAppResp, 7, false, Position{Term: 5, LastIndex: 9}, false}, {raftpb.MsgAppResp, 7, true, Position{Term: 5, LastIndex: 0}, false},
+		{raftpb.MsgVote, 7, false, Position{Term: 5, LastIndex: 0}, false}, {raftpb.MsgPreVote, 7, false, Position{}, false},
+		{raftpb.MsgPreVoteResp, 7, false, Position{}, false}, {raftpb.MsgVote, 8, false, Position{}, true},
+	} {
+		raw, err := proto.Marshal(&raftpb.Message{
+			Type: &c.kind, To: &c.to, From: proto.Uint64(3), Term: proto.Uint64(5), Index: proto.Uint64(9), Reject: &c.reject,
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+		if _, position, err := node.Receive(raw); position != c.want || (err != nil) != c.bad {
+			t.Errorf("%v to %d: %+v, %v", c.kind, c.to, position, err)
+		}
+	}
+	if _, _, err := node.Receive([]byte{0xff}); err == nil {
+		t.Error("bytes that are no message were taken")
+	}
+}
+
+func TestPosition_Misses(t *testing.T) {
+	for _, c := range []struct {
+		position, promised Position
+		misses             bool
+	}{{Position{Term: 3, LastIndex: 9}, Position{Term: 3, LastIndex: 9}, false}, {Position{Term: 3, LastIndex: 9}, Position{Term: 4, LastIndex: 2}, true}, {Position{Term: 5, LastIndex: 9}, Position{Term: 4, LastIndex: 10}, true}, {Position{Term: 5, LastIndex: 9}, Position{}, false}} {
+		if c.position.Misses(c.promised) != c.misses {
+			t.Errorf("%+v behind %+v is %t", c.position, c.promised, !c.misses)
+		}
+	}
+}
--- a/internal/members/members.go
+++ b/internal/discoveryagent/members.go
@@ -1,6 +1,6 @@
-// Package members runs the agent: sources of workers, merged into one list, told to the dispatchers on this machine in
+// Package discoveryagent runs the agent: sources of workers, merged into one list, told to the dispatchers on this machine in
 // discovery's own words. It is a process of its own, as etcd's client would cost every dispatcher 10 MB.
-package members
+package discoveryagent
 
 import (
 	"context"
@@ -20,9 +20,9 @@
 	clientv3 "go.etcd.io/etcd/client/v3"
 	"go.uber.org/zap"
 
-	"birchfork/internal/membership"
-	"birchfork/internal/membership/etcd"
-	"birchfork/internal/membership/file"
+	"birchfork/internal/endpointsource"
+	"birchfork/internal/endpointsource/etcd"
+	"birchfork/internal/endpointsource/file"
 	"birchfork/internal/tomlfile"
 )
 
@@ -61,7 +61,7 @@
 		return nil, fmt.Errorf("reading the agent's file: %w", err)
 	}
 	defer f.Close()
-	raw, err := io.ReadAll(io.LimitReader(f, tomlfile.SizeMost+1))
+	raw, err := io.ReadAll(io.LimitReader(f, tomlfile.MaxSize+1))
 	if err != nil {
 		return nil, fmt.Errorf("reading the agent's file: %w", err)
 	}
@@ -72,50 +72,50 @@
 func Decode(name string, raw []byte) (*Config, error) {
 	c := &Config{Listen: "127.0.0.1:8500", ChangeOver: 10 * time.Second, ChangeBack: 10 * time.Second, EmptyGuard: 30 * time.Second}
 	d := tomlfile.Read(name, raw, c)
-	if len(d.Faults()) > 0 {
+	if len(d.Errors()) > 0 {
 		return nil, d.Err()
 	}
 	if host, port, err := net.SplitHostPort(c.Listen); err != nil || port == "" || !loopback(host) {
-		d.Fault("listen", "%q is no host:port on this machine, such as 127.0.0.1:8500: the agent serves the dispatchers beside it", c.Listen)
+		d.AddErrorf("listen", "%q is no host:port on this machine, such as 127.0.0.1:8500: the agent serves the dispatchers beside it", c.Listen)
 	}
 	for _, t := range []struct {
 		key string
 		v   time.Duration
 	}{{"change_over", c.ChangeOver}, {"change_back", c.ChangeBack}, {"empty_guard", c.EmptyGuard}} {
 		if t.v < 0 || t.v > time.Hour {
-			d.Fault(t.key, "%v is not from 0s to 1h", t.v)
+			d.AddErrorf(t.key, "%v is not from 0s to 1h", t.v)
 		}
 	}
 	if len(c.Sources) == 0 {
-		d.Fault("source", "there is none: write one [[source]] at least")
+		d.AddErrorf("source", "there is none: write one [[source]] at least")
 	}
 	for i, s := range c.Sources {
 		at := fmt.Sprintf("source[%d].", i)
 		switch s.Kind {
 		case KindFile:
 			if s.Path == "" {
-				d.Fault(at+"path", "a file source needs its path")
+				d.AddErrorf(at+"path", "a file source needs its path")
 			}
 		case KindEtcd:
 			if len(s.Endpoints) == 0 {
-				d.Fault(at+"endpoints", "an etcd source needs one endpoint at least, host:port")
+				d.AddErrorf(at+"endpoints", "an etcd source needs one endpoint at least, host:port")
 			}
 			for k, e := range s.Endpoints {
 				if _, port, err := net.SplitHostPort(e); err != nil || port == "" {
-					d.Fault(fmt.Sprintf("%sendpoints[%d]", at, k), "%q is not host:port", e)
+					d.AddErrorf(fmt.Sprintf("%sendpoints[%d]", at, k), "%q is not host:port", e)
 				}
 			}
 			if !strings.HasPrefix(s.Prefix, "/") || !strings.HasSuffix(s.Prefix, "/") || s.Prefix == "/" {
-				d.Fault(at+"prefix", "%q does not begin and end with /, such as /birchfork/workers/", s.Prefix)
+				d.AddErrorf(at+"prefix", "%q does not begin and end with /, such as /birchfork/workers/", s.Prefix)
 			}
 			if (s.User == "") != (s.PasswordFile == "") {
-				d.Fault(at+"user", "user and password_file go together")
+				d.AddErrorf(at+"user", "user and password_file go together")
 			}
 			if (s.Cert == "") != (s.Key == "") || s.Cert != "" && s.CA == "" {
-				d.Fault(at+"cert", "cert and key go together, with ca")
+				d.AddErrorf(at+"cert", "cert and key go together, with ca")
 			}
 		default:
-			d.Fault(at+"kind", "%q is neither %s nor %s", s.Kind, KindEtcd, KindFile)
+			d.AddErrorf(at+"kind", "%q is neither %s nor %s", s.Kind, KindEtcd, KindFile)
 		}
 	}
 	if err := d.Err(); err != nil {
@@ -177,7 +177,7 @@
 func Serve(ctx context.Context, c *Config, log logrus.FieldLogger, ready func(addr string)) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	front := membership.NewFront(membership.Config{
+	front := endpointsource.NewFront(endpointsource.Config{
 		Sources: len(c.Sources), ChangeOver: c.ChangeOver, ChangeBack: c.ChangeBack, EmptyGuard: c.EmptyGuard,
 	})
 	var sources sync.WaitGroup
@@ -185,7 +185,7 @@
 	defer stop()
 	for i := range c.Sources {
 		s := &c.Sources[i]
-		tell, lost := func(n membership.News) { front.Tell(i, n) }, func() { front.Lost(i) }
+		tell, lost := func(n endpointsource.News) { front.Tell(i, n) }, func() { front.Lost(i) }
 		run := (&file.Source{Path: s.Path, Log: log, Tell: tell, Lost: lost}).Run
 		if s.Kind == KindEtcd {
 			client, err := s.Client()
--- a/internal/membership/etcd/etcd.go
+++ b/internal/endpointsource/etcd/etcd.go
@@ -19,9 +19,9 @@
 	"go.etcd.io/etcd/api/v3/v3rpc/rpctypes"
 	clientv3 "go.etcd.io/etcd/client/v3"
 
-	"birchfork/internal/membership"
-	"birchfork/internal/store"
-	"birchfork/rules"
+	"birchfork/dispatch"
+	"birchfork/internal/endpointsource"
+	"birchfork/internal/engine"
 )
 
 // SchemaVersion is that of a worker's value.
@@ -57,8 +57,8 @@
 )
 
 // Decode reads a worker. A value that cannot be used is an error, and what comes back drains: it is not known to want jobs.
-func Decode(name string, raw []byte) (store.Entry, error) {
-	bad := store.Entry{Name: name, Cell: -1, State: rules.Draining}
+func Decode(name string, raw []byte) (engine.Endpoint, error) {
+	bad := engine.Endpoint{Name: name, Cell: -1, State: dispatch.Draining}
 	if len(raw) > valueMost {
 		return bad, fmt.Errorf("its value has %d bytes, more than %d", len(raw), valueMost)
 	}
@@ -69,7 +69,7 @@
 	if v.V != SchemaVersion {
 		return bad, fmt.Errorf("its value is of version %d, not %d", v.V, SchemaVersion)
 	}
-	e := store.Entry{Name: name, Address: v.Address, Zone: v.Zone, Kind: v.Kind, Cell: -1, Weight: max(v.Weight, 0), Since: min(max(v.SinceMs, 0), sinceMost)}
+	e := engine.Endpoint{Name: name, Address: v.Address, Zone: v.Zone, Kind: v.Kind, Cell: -1, Weight: max(v.Weight, 0), StartedAtMillis: min(max(v.SinceMs, 0), sinceMost)}
 	if v.Cell != nil {
 		e.Cell = *v.Cell
 	}
@@ -79,7 +79,7 @@
 	switch v.State {
 	case "", Up:
 	case Draining:
-		e.State = rules.Draining
+		e.State = dispatch.Draining
 	default:
 		return bad, fmt.Errorf("its state %q is neither up nor draining", v.State)
 	}
@@ -101,7 +101,7 @@
 	Client *clientv3.Client
 	Prefix string
 	Log    logrus.FieldLogger
-	Tell   func(membership.News)
+	Tell   func(endpointsource.News)
 	Lost   func()
 
 	Counters Counters
@@ -146,7 +146,7 @@
 		s.Counters.Restored.Add(1)
 		s.Log.WithFields(logrus.Fields{"revision": res.Header.Revision, "seen": s.seen}).Warn("etcd's revisions went backwards: it was restored from an older copy")
 	}
-	n := membership.News{Whole: true, Revision: uint64(res.Header.Revision)}
+	n := endpointsource.News{Whole: true, Revision: uint64(res.Header.Revision)}
 	for _, kv := range res.Kvs {
 		n.Entries = append(n.Entries, s.entry(kv))
 	}
@@ -195,12 +195,12 @@
 func (s *Source) tell(events []*clientv3.Event) {
 	for len(events) > 0 {
 		rev := events[0].Kv.ModRevision
-		n := membership.News{Revision: uint64(rev)}
+		n := endpointsource.News{Revision: uint64(rev)}
 		for len(events) > 0 && events[0].Kv.ModRevision == rev {
 			e := events[0]
 			events = events[1:]
 			if e.Type == clientv3.EventTypeDelete {
-				n.Entries = append(n.Entries, store.Entry{Name: s.name(e.Kv), Cell: -1, State: rules.Gone})
+				n.Entries = append(n.Entries, engine.Endpoint{Name: s.name(e.Kv), Cell: -1, State: dispatch.Gone})
 			} else {
 				n.Entries = append(n.Entries, s.entry(e.Kv))
 			}
@@ -218,7 +218,7 @@
 	return strings.TrimPrefix(string(kv.Key), s.Prefix)
 }
 
-func (s *Source) entry(kv *mvccpb.KeyValue) store.Entry {
+func (s *Source) entry(kv *mvccpb.KeyValue) engine.Endpoint {
 	e, err := Decode(s.name(kv), kv.Value)
 	if err != nil {
 		s.Counters.BadValues.Add(1)
--- a/internal/membership/file/file_test.go
+++ b/internal/endpointsource/file/file_test.go
@@ -11,15 +11,15 @@
 
 	"github.com/sirupsen/logrus"
 
-	"birchfork/internal/membership"
-	"birchfork/rules"
+	"birchfork/dispatch"
+	"birchfork/internal/endpointsource"
 )
 
 const two = "[[worker]]\nname='a'\naddress='127.0.0.1:1'\n[[worker]]\nname='b'\naddress='127.0.0.1:2'\nstate='draining'\n"
 
 func TestDecodeNamesEveryFault(t *testing.T) {
 	l, err := Decode("f", []byte(two))
-	if err != nil || len(l) != 2 || l[0].State != rules.Ready || l[0].Cell != -1 || l[1].State != rules.Draining {
+	if err != nil || len(l) != 2 || l[0].State != dispatch.Ready || l[0].Cell != -1 || l[1].State != dispatch.Draining {
 		t.Fatalf("%+v, %v", l, err)
 	}
 	_, err = Decode("f", []byte("[[worker]]\nname='a'\naddress='x'\nstate='on'\nweight=-1\n[[worker]]\nname='a'\naddress='127.0.0.1:1'\n"))
@@ -43,9 +43,9 @@
 	write(two)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	told := make(chan membership.News, 16)
+	told := make(chan endpointsource.News, 16)
 	var lost atomic.Int64
-	s := &Source{Path: path, Log: log, Tell: func(n membership.News) { told <- n }, Lost: func() { lost.Add(1) }}
+	s := &Source{Path: path, Log: log, Tell: func(n endpointsource.News) { told <- n }, Lost: func() { lost.Add(1) }}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); s.Run(ctx) }()
--- a/internal/membership/front_test.go
+++ b/internal/endpointsource/front_test.go
@@ -1,4 +1,4 @@
-package membership
+package endpointsource
 
 import (
 	"bufio"
@@ -10,9 +10,9 @@
 	"testing/synctest"
 	"time"
 
-	"birchfork/internal/store"
-	"birchfork/internal/wire"
-	"birchfork/rules"
+	"birchfork/dispatch"
+	"birchfork/internal/discovery"
+	"birchfork/internal/engine"
 )
 
 // What a dispatcher's own decoder makes of the front's words, whole and as a watch, is the view's list; many changes of one
@@ -33,29 +33,29 @@
 	if res := get("/discovery/hosts"); res.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("with nothing told: %d, and an empty list would count", res.StatusCode)
 	}
-	f.Tell(0, News{Whole: true, Entries: []store.Entry{entry("a", rules.Ready, 1), entry("b", rules.Draining, 2)}})
+	f.Tell(0, News{Whole: true, Entries: []engine.Endpoint{entry("a", dispatch.Ready, 1), entry("b", dispatch.Draining, 2)}})
 	res := get("/discovery/hosts")
 	var raw json.RawMessage
 	if err := json.NewDecoder(res.Body).Decode(&raw); err != nil {
 		t.Fatal(err)
 	}
 	res.Body.Close()
-	l, bad, err := wire.DecodeList(raw)
-	if err != nil || bad != 0 || !l.Whole || len(l.Entries) != 2 {
+	l, bad, err := discovery.DecodeList(raw)
+	if err != nil || bad != 0 || !l.Snapshot || len(l.Endpoints) != 2 {
 		t.Fatalf("%+v, %d bad, %v", l, bad, err)
 	}
 	for i := range 1000 {
-		f.Tell(0, News{Entries: []store.Entry{entry("a", [...]rules.State{rules.Ready, rules.Draining}[i%2], int64(i))}})
+		f.Tell(0, News{Entries: []engine.Endpoint{entry("a", [...]dispatch.WorkerState{dispatch.Ready, dispatch.Draining}[i%2], int64(i))}})
 	}
-	f.Tell(0, News{Entries: []store.Entry{entry("b", rules.Gone, 0)}})
-	res = get(fmt.Sprintf("/discovery/hosts?follow=1&since=%d", l.Index))
+	f.Tell(0, News{Entries: []engine.Endpoint{entry("b", dispatch.Gone, 0)}})
+	res = get(fmt.Sprintf("/discovery/hosts?follow=1&since=%d", l.Version))
 	defer res.Body.Close()
 	line, err := bufio.NewReader(res.Body).ReadBytes('\n')
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, bad, err = wire.DecodeList(line)
-	if err != nil || bad != 0 || l.Whole || len(l.Entries) != 2 || l.Entries[0].Since != 999 || l.Entries[0].State != rules.Draining || l.Entries[1].State != rules.Gone {
+	l, bad, err = discovery.DecodeList(line)
+	if err != nil || bad != 0 || l.Snapshot || len(l.Endpoints) != 2 || l.Endpoints[0].StartedAtMillis != 999 || l.Endpoints[0].State != dispatch.Draining || l.Endpoints[1].State != dispatch.Gone {
 		t.Errorf("the watch's first line: %+v, %v", l, err)
 	}
 	if res := get("/discovery/hosts?follow=1&since=x"); res.StatusCode != http.StatusBadRequest {
@@ -71,8 +71,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := NewFront(Config{Sources: 2, ChangeOver: 5 * time.Second, ChangeBack: 3 * time.Second, EmptyGuard: 10 * time.Second})
 		defer f.Close()
-		f.Tell(0, News{Whole: true, Entries: []store.Entry{entry("a", rules.Ready, 1)}})
-		f.Tell(1, News{Whole: true, Entries: []store.Entry{entry("b", rules.Ready, 1)}})
+		f.Tell(0, News{Whole: true, Entries: []engine.Endpoint{entry("a", dispatch.Ready, 1)}})
+		f.Tell(1, News{Whole: true, Entries: []engine.Endpoint{entry("b", dispatch.Ready, 1)}})
 		f.Lost(0)
 		time.Sleep(4 * time.Second)
 		if s := f.Status(); s.Source != 0 {
--- a/internal/lab/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -10,7 +10,7 @@
 	"slices"
 	"strings"
 
-	"birchfork/rules"
+	"birchfork/dispatch"
 )
 
 // The policies.
@@ -25,39 +25,39 @@
 
 // Times of a baseline.
 const (
-	endSpare = 5 * rules.Millisecond  // an answer is given so long before the client's time is up
-	holdTick = 10 * rules.Millisecond // without a ready worker a request is tried again after this
-	drawMost = 16                     // draws until a warm enough worker is found
+	endSpare = 5 * dispatch.Millisecond  // an answer is given so long before the client's time is up
+	holdTick = 10 * dispatch.Millisecond // without a ready worker a request is tried again after this
+	drawMost = 16                        // draws until a warm enough worker is found
 )
 
 // Decider decides by one plain policy.
 type Decider struct {
-	s       rules.Settings
+	s       dispatch.Settings
 	policy  string
 	r       *rand.Rand
-	now     rules.Time
+	now     dispatch.Time
 	workers []worker
 	ready   []int // indexes of ready workers
 	next    int
-	jobs    map[rules.RequestID]*job
+	jobs    map[dispatch.RequestID]*job
 	ends    ends
 	held    []*job
-	armed   rules.Time
-	out     []rules.Action
+	armed   dispatch.Time
+	out     []dispatch.Action
 }
 
 type worker struct {
 	kind    int
-	state   rules.State
+	state   dispatch.WorkerState
 	known   bool
-	started rules.Time
+	started dispatch.Time
 	open    int // our requests there
 }
 
 type job struct {
-	id       rules.RequestID
-	class    *rules.Class
-	end      rules.Time
+	id       dispatch.RequestID
+	class    *dispatch.Class
+	end      dispatch.Time
 	attempts []attempt
 	open     bool
 	waits    bool
@@ -70,57 +70,57 @@
 }
 
 // New returns a policy by its name.
-func New(policy string, s rules.Settings, seed uint64) (*Decider, error) {
+func New(policy string, s dispatch.Settings, seed uint64) (*Decider, error) {
 	if !slices.Contains(Policies, policy) {
 		return nil, fmt.Errorf("no policy %q; there are %s", policy, strings.Join(Policies, ", "))
 	}
-	return &Decider{s: s, policy: policy, r: rand.New(rand.NewPCG(seed, 1)), jobs: map[rules.RequestID]*job{}}, nil
+	return &Decider{s: s, policy: policy, r: rand.New(rand.NewPCG(seed, 1)), jobs: map[dispatch.RequestID]*job{}}, nil
 }
 
 // Handle takes one event and returns what is to be done.
-func (d *Decider) Handle(now rules.Time, e *rules.Event, out []rules.Action) []rules.Action {
+func (d *Decider) Handle(now dispatch.Time, e *dispatch.Event, out []dispatch.Action) []dispatch.Action {
 	d.now, d.out = now, out
 	switch e.Kind {
-	case rules.ListSnapshot, rules.ListChange:
+	case dispatch.EndpointSnapshot, dispatch.EndpointUpdate:
 		d.news(e)
-	case rules.Arrived:
+	case dispatch.RequestArrived:
 		if e.Class < 0 || e.Class >= len(d.s.Classes) {
 			break
 		}
-		j := &job{id: e.Request, class: &d.s.Classes[e.Class], end: now + e.Left - endSpare, open: true}
+		j := &job{id: e.Request, class: &d.s.Classes[e.Class], end: now + e.TimeLeft - endSpare, open: true}
 		d.jobs[j.id] = j
 		heap.Push(&d.ends, j)
 		d.place(j)
-	case rules.Ended:
+	case dispatch.AttemptEnded:
 		d.ended(e)
-	case rules.ClientGone:
+	case dispatch.RequestAbandoned:
 		if j := d.jobs[e.Request]; j != nil {
 			d.close(j)
 		}
-	case rules.TimerFired:
+	case dispatch.TimerFired:
 		d.armed = 0
-	case rules.Retuned: // jobs under way point to their class, which stays
+	case dispatch.SettingsChanged: // jobs under way point to their class, which stays
 		d.s = *e.Settings
 	}
 	d.due()
 	return d.out
 }
 
-func (d *Decider) news(e *rules.Event) {
-	if e.Kind == rules.ListSnapshot {
+func (d *Decider) news(e *dispatch.Event) {
+	if e.Kind == dispatch.EndpointSnapshot {
 		for i := range d.workers {
-			d.workers[i].state = rules.Gone
+			d.workers[i].state = dispatch.Gone
 		}
 	}
 	for _, w := range e.Workers {
 		for int(w.ID) >= len(d.workers) {
-			d.workers = append(d.workers, worker{state: rules.Gone})
+			d.workers = append(d.workers, worker{state: dispatch.Gone})
 		}
 		d.workers[w.ID].state, d.workers[w.ID].started, d.workers[w.ID].known, d.workers[w.ID].kind = w.State, w.StartedAt, true, w.Kind
 	}
 	d.ready = d.ready[:0]
 	for i, w := range d.workers {
-		if w.known && w.state == rules.Ready {
+		if w.known && w.state == dispatch.Ready {
 			d.ready = append(d.ready, i)
 		}
 	}
@@ -135,14 +135,14 @@
 // warmth is the share of its capacity that a worker has at the least.
 func (d *Decider) warmth(w *worker) float64 {
 	age := max(0, d.now-w.started)
-	if w.started <= 0 || age >= d.s.WarmWithin {
+	if w.started <= 0 || age >= d.s.SlowStartWindow {
 		return 1
 	}
-	return d.s.ColdFrom + (1-d.s.ColdFrom)*float64(age)/float64(d.s.WarmWithin)
+	return d.s.SlowStartMinFactor + (1-d.s.SlowStartMinFactor)*float64(age)/float64(d.s.SlowStartWindow)
 }
 
 // choose returns a ready worker that runs the class, or -1. A cold one is taken as seldom as it is cold.
-func (d *Decider) choose(c *rules.Class) int {
+func (d *Decider) choose(c *dispatch.Class) int {
 	if len(d.ready) == 0 {
 		return -1
 	}
@@ -151,7 +151,7 @@
 		for _, i := range d.ready {
 			w := &d.workers[i]
 			warm := d.warmth(w)
-			if c.Kind >= 0 && w.kind != c.Kind || warm < 1 && d.r.Float64() >= warm {
+			if c.WorkerKind >= 0 && w.kind != c.WorkerKind || warm < 1 && d.r.Float64() >= warm {
 				continue
 			}
 			u := (float64(w.open) + d.r.Float64()/2) / warm // ties at random
@@ -167,7 +167,7 @@
 			d.next++
 			i = d.ready[d.next%len(d.ready)]
 		}
-		if c.Kind >= 0 && d.workers[i].kind != c.Kind {
+		if c.WorkerKind >= 0 && d.workers[i].kind != c.WorkerKind {
 			continue
 		}
 		if warm := d.warmth(&d.workers[i]); warm >= 1 || d.r.Float64() < warm {
@@ -194,11 +194,11 @@
 	}
 	d.workers[i].open++
 	j.attempts = append(j.attempts, attempt{worker: i, out: true})
-	d.out = append(d.out, rules.Action{Kind: rules.Send, Request: j.id, Worker: rules.WorkerID(i)})
+	d.out = append(d.out, dispatch.Action{Kind: dispatch.Send, Request: j.id, Worker: dispatch.WorkerID(i)})
 }
 
 // ended takes an outcome, and tries elsewhere where that can have no second effect.
-func (d *Decider) ended(e *rules.Event) {
+func (d *Decider) ended(e *dispatch.Event) {
 	j := d.jobs[e.Request]
 	if j == nil || e.Attempt < 0 || e.Attempt >= len(j.attempts) || !j.attempts[e.Attempt].out {
 		return
@@ -206,14 +206,14 @@
 	a := &j.attempts[e.Attempt]
 	a.out = false
 	switch e.Result {
-	case rules.Full, rules.Unreachable, rules.NotSent:
+	case dispatch.ResultOverloaded, dispatch.ResultUnreachable, dispatch.ResultNotSent:
 		a.neverRan = true
 	}
 	d.workers[a.worker].open--
 	switch {
-	case e.Final || e.Result == rules.OK:
+	case e.Final || e.Result == dispatch.ResultOK:
 		d.close(j)
-	case j.open && (a.neverRan || j.class.Effect == rules.Safe):
+	case j.open && (a.neverRan || j.class.Idempotency == dispatch.Idempotent):
 		d.place(j)
 	case j.open:
 		d.finish(j)
@@ -223,13 +223,13 @@
 
 // finish answers: a refusal where asking again is harmless, else a failure.
 func (d *Decider) finish(j *job) {
-	kind := rules.Refuse
+	kind := dispatch.Reject
 	for _, a := range j.attempts {
-		if !a.neverRan && j.class.Effect != rules.Safe {
-			kind = rules.GiveUp
+		if !a.neverRan && j.class.Idempotency != dispatch.Idempotent {
+			kind = dispatch.Fail
 		}
 	}
-	d.out = append(d.out, rules.Action{Kind: kind, Request: j.id})
+	d.out = append(d.out, dispatch.Action{Kind: kind, Request: j.id})
 	d.close(j)
 }
 
@@ -241,7 +241,7 @@
 	j.open = false
 	for i, a := range j.attempts {
 		if a.out && d.s.CanCancel {
-			d.out = append(d.out, rules.Action{Kind: rules.Cancel, Request: j.id, Attempt: i})
+			d.out = append(d.out, dispatch.Action{Kind: dispatch.Cancel, Request: j.id, Attempt: i})
 		}
 	}
 	d.held = slices.DeleteFunc(d.held, func(h *job) bool { return h == j })
@@ -268,7 +268,7 @@
 		j.waits = false
 		d.place(j)
 	}
-	at := rules.Time(0)
+	at := dispatch.Time(0)
 	if len(d.ends) > 0 {
 		at = d.ends[0].end
 	}
@@ -277,7 +277,7 @@
 	}
 	if at > 0 && (d.armed == 0 || at < d.armed) {
 		d.armed = at
-		d.out = append(d.out, rules.Action{Kind: rules.SetTimer, Wait: max(at-d.now, rules.Millisecond)})
+		d.out = append(d.out, dispatch.Action{Kind: dispatch.SetTimer, Wait: max(at-d.now, dispatch.Millisecond)})
 	}
 }
 
--- a/internal/lab/groups/groups.go
+++ b/internal/testbed/cluster/groups.go
@@ -1,4 +1,4 @@
-package groups
+package cluster
 
 import (
 	"context"
@@ -14,14 +14,14 @@
 	"sync"
 	"time"
 
-	"birchfork/internal/council"
-	"birchfork/internal/lab"
-	"birchfork/internal/lab/fleet"
-	"birchfork/internal/lab/report"
-	"birchfork/internal/lab/scenario"
-	"birchfork/internal/outage"
-	"birchfork/internal/plant"
-	"birchfork/internal/spread"
+	"birchfork/internal/coordinator"
+	"birchfork/internal/failpoint"
+	"birchfork/internal/gossip"
+	"birchfork/internal/maintenance"
+	"birchfork/internal/testbed"
+	"birchfork/internal/testbed/fakes"
+	"birchfork/internal/testbed/report"
+	"birchfork/internal/testbed/scenario"
 )
 
 // Options is what a run is made of.
@@ -119,7 +119,7 @@
 	dir   string
 	real  []string // where each member listens for the others
 	links map[[2]int]*link
-	stage *lab.Stage
+	stage *testbed.Stage
 
 	mu     sync.Mutex
 	outer  []outer // to workers and discovery, in runs with faults there
@@ -151,7 +151,7 @@
 // seen is an answer on how things stand.
 type seen struct {
 	asked, came time.Duration
-	status      council.Status
+	status      coordinator.Status
 }
 
 // Run plays a day with a group.
@@ -181,22 +181,22 @@
 	}
 	g.result.Faults = append(slices.Clone(o.Faults), g.draw()...)
 	g.o.Words = append(slices.Clone(g.o.Words), g.drawWords()...)
-	rep, err := lab.Run(ctx, lab.Options{
-		Scenario: g.day, Seed: o.Seed, Policy: lab.PolicyRules, Beside: g.play, Judge: g.judge, WorkerAt: g.by(Far), ListAt: g.by(Unlist),
+	rep, err := testbed.Run(ctx, testbed.Options{
+		Scenario: g.day, Seed: o.Seed, Policy: testbed.PolicyRules, Beside: g.play, Judge: g.judge, WorkerAt: g.by(Far), ListAt: g.by(Unlist),
 		UpWithin: o.For, // without a majority a member without its disk sends nothing, and so does not serve
 		Told:     g.terms,
 		OldLists: o.OldLists, Logs: o.Logs,
 		Launch: func(config string) *exec.Cmd {
 			name := strings.TrimSuffix(filepath.Base(config), ".json")
 			fault := o.Plant
-			for its, member := range map[string]int{plant.DiskFails: o.Failing, plant.DiskStalls: o.Stalling, plant.NewerWords: o.Newer} {
+			for its, member := range map[string]int{failpoint.DiskFull: o.Failing, failpoint.DiskStall: o.Stalling, failpoint.NewerEntries: o.Newer} {
 				if member > 0 && name == fmt.Sprintf("d%d", member) {
 					fault = its
 				}
 			}
 			g.mu.Lock()
 			if g.starts[name]++; o.Older > 0 && name == fmt.Sprintf("d%d", o.Older) && g.starts[name] == 1 {
-				fault = plant.Older
+				fault = failpoint.OlderBuild
 			}
 			g.mu.Unlock()
 			cmd := o.Launch(fault, config, g.operator(name))
@@ -223,7 +223,7 @@
 	var last time.Duration
 	slices.SortFunc(g.seen, func(a, b seen) int { return int(a.came - b.came) })
 	for _, s := range g.seen {
-		if !s.status.Settled {
+		if !s.status.Confirmed {
 			continue
 		}
 		if last > 0 {
@@ -242,7 +242,7 @@
 func (g *rig) lay() error {
 	n := g.o.Members
 	var err error
-	if g.real, err = lab.FreeAddresses(n); err != nil {
+	if g.real, err = testbed.FreeAddresses(n); err != nil {
 		return err
 	}
 	for from := range n {
@@ -250,7 +250,7 @@
 			if to == from {
 				continue
 			}
-			if g.links[[2]int{from, to}], err = newLink(fleet.Loopback(), g.real[to]); err != nil {
+			if g.links[[2]int{from, to}], err = newLink(fakes.Loopback(), g.real[to]); err != nil {
 				return err
 			}
 		}
@@ -414,7 +414,7 @@
 }
 
 // play has staff and faults play beside the day.
-func (g *rig) play(ctx context.Context, s *lab.Stage) {
+func (g *rig) play(ctx context.Context, s *testbed.Stage) {
 	g.stage = s
 	var all sync.WaitGroup
 	defer all.Wait()
@@ -475,7 +475,7 @@
 func (g *rig) used(ctx context.Context) (cpu time.Duration, messages, bytes int64) {
 	for i := range g.real {
 		cpu += g.stage.CPU(i)
-		if r, err := (&council.Client{At: g.real[i : i+1]}).Ask(ctx, council.Call{Status: true, Local: true}); err == nil && r.Status != nil {
+		if r, err := (&coordinator.Client{Addresses: g.real[i : i+1]}).Do(ctx, coordinator.Call{Status: true, Local: true}); err == nil && r.Status != nil {
 			messages, bytes = messages+r.Status.Links["taken"], bytes+r.Status.Links["bytes_in"]
 		}
 	}
@@ -487,7 +487,7 @@
 	say := func(w int, out bool) {
 		for i := range g.real {
 			for ctx.Err() == nil {
-				if r, err := spread.Ask(ctx, g.real[i], spread.Call{Runner: g.stage.Day().Workers[w].Name, Out: out}); err == nil && !r.Wrong {
+				if r, err := gossip.CallMember(ctx, g.real[i], gossip.Call{Worker: g.stage.Day().Workers[w].Name, Disabled: out}); err == nil && !r.Invalid {
 					break
 				}
 				sleep(ctx, 100*time.Millisecond)
@@ -515,8 +515,8 @@
 
 // again has staff pause the plan and resume it, and then an answer of theirs count as lost: the first call comes again.
 func (g *rig) again(ctx context.Context) {
-	halt := &outage.Command{ID: fmt.Sprintf("halt-%d", g.o.Seed), Kind: outage.Halt, Name: "work"}
-	if g.surely(ctx, halt) && g.surely(ctx, &outage.Command{Kind: outage.Resume, Name: "work"}) {
+	halt := &maintenance.Command{ID: fmt.Sprintf("halt-%d", g.o.Seed), Kind: maintenance.CommandPausePlan, Name: "work"}
+	if g.surely(ctx, halt) && g.surely(ctx, &maintenance.Command{Kind: maintenance.CommandResumePlan, Name: "work"}) {
 		halt.ID = fmt.Sprintf("halt-%d", g.o.Seed)
 		g.surely(ctx, halt)
 	}
@@ -529,13 +529,13 @@
 }
 
 // at are the members in an order that begins with one.
-func (g *rig) at(first int) *council.Client {
-	return &council.Client{At: append(slices.Clone(g.real[first:]), g.real[:first]...)}
+func (g *rig) at(first int) *coordinator.Client {
+	return &coordinator.Client{Addresses: append(slices.Clone(g.real[first:]), g.real[:first]...)}
 }
 
 // call makes a call of staff at any member.
-func (g *rig) call(ctx context.Context, c council.Call) (*council.Reply, error) {
-	r, err := g.at(rand.IntN(len(g.real))).Ask(ctx, c)
+func (g *rig) call(ctx context.Context, c coordinator.Call) (*coordinator.Reply, error) {
+	r, err := g.at(rand.IntN(len(g.real))).Do(ctx, c)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.result.Calls++
@@ -549,17 +549,17 @@
 func (g *rig) found(ctx context.Context) error {
 	last := ""
 	for ; ctx.Err() == nil; sleep(ctx, 50*time.Millisecond) {
-		r, err := g.at(0).Ask(ctx, council.Call{Found: true})
+		r, err := g.at(0).Do(ctx, coordinator.Call{Bootstrap: true})
 		if err != nil {
 			return err
 		}
-		if last = r.Text; r.Code != outage.Yes {
+		if last = r.Text; r.Code != maintenance.CodeOK {
 			continue
 		}
 		break
 	}
 	for ; ctx.Err() == nil; sleep(ctx, 50*time.Millisecond) {
-		r, err := g.at(0).Ask(ctx, council.Call{Status: true})
+		r, err := g.at(0).Do(ctx, coordinator.Call{Status: true})
 		if err != nil {
 			return err
 		}
@@ -568,7 +568,7 @@
 			continue
 		}
 		for _, m := range r.Status.Members {
-			if m.Votes && m.Heard >= 0 {
+			if m.IsVoter && m.LastReport >= 0 {
 				votes++
 			}
 		}
@@ -599,28 +599,28 @@
 // begin has staff hand a plan in and start it, and waits until it runs; false: it does not.
 func (g *rig) begin(ctx context.Context) bool {
 	day := g.stage.Day()
-	plans := make([]*outage.Plan, max(g.o.Plans, 1))
+	plans := make([]*maintenance.Plan, max(g.o.Plans, 1))
 	for i := range plans {
-		plans[i] = &outage.Plan{Name: planName(i), Out: g.o.Out, Overdue: outage.Wait}
+		plans[i] = &maintenance.Plan{Name: planName(i), MaxUnavailable: g.o.Out, OnOverdue: maintenance.OverdueWait}
 	}
 	for i := range g.o.Machines {
 		p := plans[i%len(plans)]
-		m := outage.Machine{Name: machine(i), Runners: []string{day.Workers[worker(day, i)].Name}}
+		m := maintenance.Machine{Name: machine(i), Workers: []string{day.Workers[worker(day, i)].Name}}
 		if g.o.Hosts {
-			m.Runners, m.Host = nil, g.stage.Fleet().Workers[worker(day, i)].Host()
+			m.Workers, m.Host = nil, g.stage.Fleet().Workers[worker(day, i)].Host()
 		}
 		p.Machines = append(p.Machines, m)
 	}
 	for _, p := range plans {
-		for _, c := range []*outage.Command{{Kind: outage.HandIn, Plan: p}, {Kind: outage.Start, Name: p.Name}} {
+		for _, c := range []*maintenance.Command{{Kind: maintenance.CommandSubmitPlan, Plan: p}, {Kind: maintenance.CommandStartPlan, Name: p.Name}} {
 			if !g.surely(ctx, c) {
 				return false
 			}
 		}
 	}
 	for ; ctx.Err() == nil; sleep(ctx, 50*time.Millisecond) {
-		r, err := g.at(0).Ask(ctx, council.Call{Status: true})
-		if err == nil && g.plansAre(r.Status, outage.Running) {
+		r, err := g.at(0).Do(ctx, coordinator.Call{Status: true})
+		if err == nil && g.plansAre(r.Status, maintenance.PlanRunning) {
 			return true
 		}
 	}
@@ -636,22 +636,22 @@
 }
 
 // plansAre tells whether all of staff's plans are known to be in a phase.
-func (g *rig) plansAre(s *council.Status, phase outage.Phase) bool {
+func (g *rig) plansAre(s *coordinator.Status, phase maintenance.PlanPhase) bool {
 	if s == nil || len(s.Plans) < max(g.o.Plans, 1) {
 		return false
 	}
-	return !slices.ContainsFunc(s.Plans, func(p council.PlanStatus) bool { return p.Phase != phase })
+	return !slices.ContainsFunc(s.Plans, func(p coordinator.PlanStatus) bool { return p.Phase != phase })
 }
 
 // surely makes a call until it is answered with yes; a lost answer's call is made again under its id.
-func (g *rig) surely(ctx context.Context, c *outage.Command) bool {
+func (g *rig) surely(ctx context.Context, c *maintenance.Command) bool {
 	for ; ctx.Err() == nil; sleep(ctx, 100*time.Millisecond) {
-		r, err := g.call(ctx, council.Call{Command: c})
-		if err == nil && r.Code == outage.Yes {
+		r, err := g.call(ctx, coordinator.Call{Command: c})
+		if err == nil && r.Code == maintenance.CodeOK {
 			return true
 		}
 		if err == nil && !strings.HasPrefix(r.Text, "no member has settled") {
-			if c.ID = ""; r.Code == outage.Wrong {
+			if c.ID = ""; r.Code == maintenance.CodeInvalid {
 				g.note(fmt.Sprintf("%s: %s", c.Kind, r.Text))
 				return false
 			}
@@ -663,7 +663,7 @@
 // work waits for one machine, works on it, starts its runner anew and gives it back.
 func (g *rig) work(ctx context.Context, i int) {
 	l := g.stage.Ledger()
-	if !g.surely(ctx, &outage.Command{Kind: outage.Take, Machine: machine(i)}) {
+	if !g.surely(ctx, &maintenance.Command{Kind: maintenance.CommandClaimMachine, Machine: machine(i)}) {
 		return
 	}
 	g.mu.Lock()
@@ -690,25 +690,25 @@
 	g.stage.Fleet().Down(w)
 	sleep(ctx, restarts)
 	g.stage.Fleet().Up(w)
-	g.surely(ctx, &outage.Command{Kind: outage.Return, Machine: machine(i)})
+	g.surely(ctx, &maintenance.Command{Kind: maintenance.CommandReturnMachine, Machine: machine(i)})
 }
 
 // look asks a member now and then how things stand.
 func (g *rig) look(ctx context.Context, member int) {
 	l := g.stage.Ledger()
-	c := &council.Client{At: []string{g.real[member]}}
+	c := &coordinator.Client{Addresses: []string{g.real[member]}}
 	for i := 0; ctx.Err() == nil; i++ {
 		sleep(ctx, 100*time.Millisecond)
 		asked := l.Now()
-		r, err := c.Ask(ctx, council.Call{Status: true, Local: i%2 == 0})
+		r, err := c.Do(ctx, coordinator.Call{Status: true, Local: i%2 == 0})
 		if err != nil || r.Status == nil {
 			continue
 		}
 		g.mu.Lock()
 		g.seen = append(g.seen, seen{asked, l.Now(), *r.Status})
-		if s := r.Status; s.Settled && len(s.Plans) > 0 && g.result.Ended == 0 {
+		if s := r.Status; s.Confirmed && len(s.Plans) > 0 && g.result.Ended == 0 {
 			g.result.Last = fmt.Sprintf("%+v", s.Plans[0])
-			if g.plansAre(s, outage.Ended) {
+			if g.plansAre(s, maintenance.PlanEnded) {
 				g.result.Ended = l.Now()
 			}
 		}
@@ -722,7 +722,7 @@
 	defer g.mu.Unlock()
 	for i := len(g.seen) - 1; i >= 0; i-- {
 		var n int
-		if _, err := fmt.Sscanf(g.seen[i].status.Leader, "d%d", &n); err == nil && g.seen[i].status.Settled {
+		if _, err := fmt.Sscanf(g.seen[i].status.Leader, "d%d", &n); err == nil && g.seen[i].status.Confirmed {
 			return n
 		}
 	}
@@ -849,7 +849,7 @@
 // vouch has staff say that the disk of a member that came down with its machine is its last one, once it has waited for long.
 func (g *rig) vouch(ctx context.Context, f Fault) {
 	for sleep(ctx, f.For+vouchAfter); ctx.Err() == nil; sleep(ctx, time.Second) {
-		(&council.Client{At: g.real[f.Member : f.Member+1]}).Ask(ctx, council.Call{Vouch: true})
+		(&coordinator.Client{Addresses: g.real[f.Member : f.Member+1]}).Do(ctx, coordinator.Call{ConfirmDisk: true})
 	}
 }
 
--- a/internal/lab/groups/groups_test.go
+++ b/internal/testbed/cluster/groups_test.go
@@ -1,4 +1,4 @@
-package groups
+package cluster
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"birchfork/internal/node"
-	"birchfork/internal/plant"
+	"birchfork/internal/failpoint"
+	"birchfork/internal/server"
 )
 
 // asMember in the environment makes this test's own binary a member, with the fault that it names.
@@ -27,9 +27,9 @@
 		os.Exit(m.Run())
 	}
 	if who != sound {
-		plant.Set(who)
+		failpoint.Set(who)
 	}
-	c, err := node.LoadAll(os.Args[1], os.Args[2], os.Getenv("EDGE_OPERATOR"))
+	c, err := server.LoadWithOperator(os.Args[1], os.Args[2], os.Getenv("EDGE_OPERATOR"))
 	if err == nil {
 		log := logrus.New()
 		if dir := os.Getenv("GROUPS_TEST_LOGS"); dir != "" { // to look into a failure
@@ -39,7 +39,7 @@
 				log.SetOutput(f)
 			}
 		}
-		err = node.Run(c, log, nil)
+		err = server.Run(c, log, nil)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -63,7 +63,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, name := range plant.Names {
+	for _, name := range failpoint.Names {
 		if !slices.ContainsFunc(all, func(s Scenario) bool { return s.Plant == name && s.Caught != "" }) {
 			t.Errorf("no scenario catches %s", name)
 		}
--- a/internal/lab/groups/result.go
+++ b/internal/testbed/cluster/result.go
@@ -1,4 +1,4 @@
-package groups
+package cluster
 
 import (
 	"encoding/json"
@@ -10,8 +10,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"birchfork/internal/lab/judge"
-	"birchfork/internal/lab/scenario"
+	"birchfork/internal/testbed/invariant"
+	"birchfork/internal/testbed/scenario"
 )
 
 // day is a usual day for so many members: short jobs, quick lists, no trouble of its own.
@@ -50,7 +50,7 @@
 func (r *Result) Line(seed uint64) string {
 	var broken []string
 	all := r.broken()
-	for _, rule := range slices.Concat(Rules, judge.Rules, []string{"crash"}) {
+	for _, rule := range slices.Concat(Rules, invariant.Rules, []string{"crash"}) {
 		if n := all[rule]; n > 0 {
 			broken = append(broken, fmt.Sprintf("%s %d", rule, n))
 		}
--- a/internal/lab/groups/words.go
+++ b/internal/testbed/cluster/words.go
@@ -1,4 +1,4 @@
-package groups
+package cluster
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
-	"birchfork/internal/lab"
-	"birchfork/internal/lab/judge"
-	"birchfork/internal/spread"
+	"birchfork/internal/gossip"
+	"birchfork/internal/testbed"
+	"birchfork/internal/testbed/invariant"
 )
 
 // WordsRule is broken when a word of staff does not bind, is lost, or members do not become one again.
@@ -45,8 +45,8 @@
 	l := g.stage.Ledger()
 	s := spoken{Word: w, name: g.stage.Day().Workers[w.Worker].Name, asked: l.Now()}
 	for ; ctx.Err() == nil; sleep(ctx, 100*time.Millisecond) {
-		r, err := spread.Ask(ctx, g.real[w.Member], spread.Call{Runner: s.name, Out: w.Out})
-		if err != nil || r.Wrong {
+		r, err := gossip.CallMember(ctx, g.real[w.Member], gossip.Call{Worker: s.name, Disabled: w.Out})
+		if err != nil || r.Invalid {
 			continue // not there just now
 		}
 		s.came = l.Now()
@@ -65,7 +65,7 @@
 	}
 	for ; ctx.Err() == nil; sleep(ctx, every) {
 		asked := g.stage.Ledger().Now()
-		if r, err := spread.Ask(ctx, g.real[member], spread.Call{}); err == nil {
+		if r, err := gossip.CallMember(ctx, g.real[member], gossip.Call{}); err == nil {
 			g.mu.Lock()
 			g.told[member] = told{asked, r}
 			g.reached(member, r)
@@ -75,11 +75,11 @@
 }
 
 // reached notes the words "out" that a member has, when it tells of them first. The lock is held.
-func (g *rig) reached(member int, r *spread.Reply) {
-	for _, w := range r.Words {
+func (g *rig) reached(member int, r *gossip.Reply) {
+	for _, w := range r.Overrides {
 		for i := range g.spoken {
 			s := &g.spoken[i]
-			if s.name != w.Runner || !s.Out || !w.Out || s.by[member] {
+			if s.name != w.Worker || !s.Out || !w.Disabled || s.by[member] {
 				continue
 			}
 			if s.by == nil {
@@ -95,7 +95,7 @@
 // told is a member's answer on its words.
 type told struct {
 	asked time.Duration
-	reply *spread.Reply
+	reply *gossip.Reply
 }
 
 // calm is the first moment from one on at which nothing was wrong for as long as a word may take.
@@ -128,12 +128,12 @@
 }
 
 // wordBreaches judges by what workers saw, and by what members tell at the end. The lock is held.
-func (g *rig) wordBreaches(s *lab.Stage) (out []judge.Breach) {
+func (g *rig) wordBreaches(s *testbed.Stage) (out []invariant.Breach) {
 	if len(g.o.Words) == 0 {
 		return nil
 	}
 	breach := func(kind string, at time.Duration, who int, format string, v ...any) {
-		out = append(out, judge.Breach{Rule: WordsRule, Kind: kind, At: at, Who: who, Lines: []string{fmt.Sprintf(format, v...)}})
+		out = append(out, invariant.Breach{Rule: WordsRule, Kind: kind, At: at, Who: who, Lines: []string{fmt.Sprintf(format, v...)}})
 	}
 	if len(g.spoken) < len(g.o.Words) {
 		breach("not taken", s.Ledger().Now(), -1, "%d of %d words were answered yes", len(g.spoken), len(g.o.Words))
@@ -188,7 +188,7 @@
 			if last == nil || !sure || losable[worker] {
 				continue
 			}
-			is := slices.ContainsFunc(t.reply.Words, func(w spread.WordStatus) bool { return w.Runner == last.name && w.Out })
+			is := slices.ContainsFunc(t.reply.Overrides, func(w gossip.OverrideStatus) bool { return w.Worker == last.name && w.Disabled })
 			if is != last.Out {
 				breach("not the last", t.asked, i, "%s: out %t was said last, at dispatcher %d; it has %s", last.name, last.Out, last.Member, wordsOf(t.reply))
 			}
@@ -220,10 +220,10 @@
 	return last, true
 }
 
-func wordsOf(r *spread.Reply) string {
+func wordsOf(r *gossip.Reply) string {
 	var all []string
-	for _, w := range r.Words {
-		all = append(all, fmt.Sprintf("%s out %t conflict %t", w.Runner, w.Out, w.Conflict))
+	for _, w := range r.Overrides {
+		all = append(all, fmt.Sprintf("%s out %t conflict %t", w.Worker, w.Disabled, w.Conflict))
 	}
 	return r.Digest + " (" + strings.Join(all, ", ") + ")"
 }
--- a/internal/lab/lab_test.go
+++ b/internal/testbed/lab_test.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -16,12 +16,12 @@
 	"github.com/sirupsen/logrus"
 	"go.uber.org/goleak"
 
-	"birchfork/internal/lab/baseline"
-	"birchfork/internal/lab/judge"
-	"birchfork/internal/lab/planted"
-	"birchfork/internal/lab/report"
-	"birchfork/internal/lab/scenario"
-	"birchfork/internal/node"
+	"birchfork/internal/server"
+	"birchfork/internal/testbed/baseline"
+	"birchfork/internal/testbed/invariant"
+	"birchfork/internal/testbed/mutant"
+	"birchfork/internal/testbed/report"
+	"birchfork/internal/testbed/scenario"
 )
 
 // asDispatcher in the environment makes this program a dispatcher: the decider, or plant: and a fault.
@@ -40,21 +40,21 @@
 
 func dispatch(who, path string) error {
 	if fault, ok := strings.CutPrefix(who, "plant:"); ok {
-		return planted.Run(path, fault)
+		return mutant.Run(path, fault)
 	}
-	c, err := node.Load(path, "")
+	c, err := server.Load(path, "")
 	if err != nil {
 		return err
 	}
 	log := logrus.New()
 	if who == PolicyRules {
-		return node.Run(c, log, nil)
+		return server.Run(c, log, nil)
 	}
 	module, err := baseline.New(who, c.Settings, c.Seed)
 	if err != nil {
 		return err
 	}
-	return node.Run(c, log, module)
+	return server.Run(c, log, module)
 }
 
 func launchTest(who string) Launch {
@@ -111,7 +111,7 @@
 	s := loadDay(t, "proof", 0)
 	var all sync.WaitGroup
 	side := make(chan struct{}, 5) // days at a time
-	for _, f := range planted.Faults {
+	for _, f := range mutant.Faults {
 		all.Add(1)
 		go func() {
 			defer all.Done()
@@ -137,7 +137,7 @@
 				if r.Crashes == 0 || !strings.Contains(strings.Join(r.CrashNotes, "\n"), f.Breach) {
 					t.Errorf("%s: no crash told as %q: %v", f.Name, f.Breach, r.CrashNotes)
 				}
-			case !slices.ContainsFunc(r.Breaches, func(b judge.Breach) bool { return b.Rule == f.Rule && b.Kind == f.Breach }):
+			case !slices.ContainsFunc(r.Breaches, func(b invariant.Breach) bool { return b.Rule == f.Rule && b.Kind == f.Breach }):
 				t.Errorf("%s: no breach %s/%s: %v", f.Name, f.Rule, f.Breach, r.Rules)
 			case r.Rules[f.Rule] == 0:
 				t.Errorf("%s: the rule %s counts no breach", f.Name, f.Rule)
--- a/internal/lab/overhead.go
+++ b/internal/testbed/overhead.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -11,11 +11,11 @@
 	"text/tabwriter"
 	"time"
 
-	"birchfork/internal/lab/fleet"
-	"birchfork/internal/lab/judge"
-	"birchfork/internal/lab/load"
-	"birchfork/internal/lab/report"
-	"birchfork/internal/lab/scenario"
+	"birchfork/internal/testbed/fakes"
+	"birchfork/internal/testbed/invariant"
+	"birchfork/internal/testbed/loadgen"
+	"birchfork/internal/testbed/report"
+	"birchfork/internal/testbed/scenario"
 )
 
 // OverheadOptions is what is measured.
@@ -59,7 +59,7 @@
 
 // Overhead asks a stand-in worker straight and through a dispatcher, in turns, and prints what the dispatcher adds.
 func Overhead(ctx context.Context, w io.Writer, o OverheadOptions) error {
-	book := load.NewBook(overheadWork, overheadBody)
+	book := loadgen.NewBook(overheadWork, overheadBody)
 	direct, err := straight(book)
 	if err != nil {
 		return err
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	r := &run{day: s.Draw(1, false), ledger: judge.NewLedger(), launch: o.Launch, spawner: newSpawner()}
+	r := &run{day: s.Draw(1, false), ledger: invariant.NewLedger(), launch: o.Launch, spawner: newSpawner()}
 	if o.Profile != "" {
 		r.launch = func(config string) *exec.Cmd {
 			cmd := o.Launch(config)
@@ -87,8 +87,8 @@
 	if err != nil {
 		return err
 	}
-	r.load = load.New(r.day, r.ledger, addresses)
-	if r.fleet, err = fleet.New(r.day, r.ledger, book, nil); err != nil {
+	r.load = loadgen.New(r.day, r.ledger, addresses)
+	if r.fleet, err = fakes.New(r.day, r.ledger, book, nil); err != nil {
 		return err
 	}
 	defer r.fleet.Close()
@@ -104,9 +104,9 @@
 		var sp50, tp50, tp99, srate, trate, cpu []float64
 		failed := int64(0)
 		for round := range o.Rounds {
-			a := load.RunClosed(ctx, direct.Address(0), fmt.Sprintf("s%d-%d", n, round), n, overheadBody, o.Length)
+			a := loadgen.RunClosed(ctx, direct.Address(0), fmt.Sprintf("s%d-%d", n, round), n, overheadBody, o.Length)
 			before := d.cpu()
-			b := load.RunClosed(ctx, d.listen, fmt.Sprintf("t%d-%d", n, round), n, overheadBody, o.Length)
+			b := loadgen.RunClosed(ctx, d.listen, fmt.Sprintf("t%d-%d", n, round), n, overheadBody, o.Length)
 			used := d.cpu() - before
 			if ctx.Err() != nil {
 				return ctx.Err()
--- a/internal/lab/trouble.go
+++ b/internal/testbed/trouble.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -6,16 +6,16 @@
 	"sync"
 	"time"
 
-	"birchfork/internal/lab/judge"
-	"birchfork/internal/lab/load"
-	"birchfork/internal/lab/scenario"
+	"birchfork/internal/testbed/invariant"
+	"birchfork/internal/testbed/loadgen"
+	"birchfork/internal/testbed/scenario"
 )
 
 // troubles carries the timetable out. Several may hit the same worker at once: what holds there is worked out anew from
 // all that are on.
 type troubles struct {
 	run  *run
-	rude load.Rude
+	rude loadgen.Rude
 
 	mu    sync.Mutex
 	on    []*scenario.Event
@@ -161,7 +161,7 @@
 func (t *troubles) reload(d int) {
 	k := t.run.dispatchers[d]
 	if k.configure() == nil {
-		k.signal(sighup, judge.Reloaded, judge.Reloaded)
+		k.signal(sighup, invariant.Reloaded, invariant.Reloaded)
 	}
 }
 
@@ -192,7 +192,7 @@
 				seed := scenario.Rand(t.run.day.Seed+uint64(d), scenario.StreamRude).Uint64()
 				t.rude.Play(ctx, addr, t.run.day.Scenario.Classes[0].Name, e.Count, seed)
 			} else {
-				load.Idle(ctx, addr, e.Count)
+				loadgen.Idle(ctx, addr, e.Count)
 			}
 		}()
 	}
