--- /dev/null
+++ b/internal/maintenance/apply.go
@@ -0,0 +1,261 @@
+package maintenance
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+	"strings"
+
+	"birchfork/internal/failpoint"
+)
+
+// Apply carries out the command that the log has at an index, and returns what it changed. It passes over an index that the state
+// covers already, as after a snapshot.
+//
+// It panics at a command that this build cannot read or does not support. Guards against a member that passes over what the others
+// carry out: its state would differ from theirs while it confirms that it has applied all of it.
+func (s *State) Apply(index uint64, raw []byte) []Event {
+	if index <= s.AppliedIndex {
+		return nil
+	}
+	var command Command
+	if err := json.Unmarshal(raw, &command); err != nil || command.Level > SupportedLevel() {
+		panic(fmt.Sprintf("entry %d is of a newer build: level %d, here is %d (%v)", index, command.Level, SupportedLevel(), err))
+	}
+	s.AppliedIndex = index
+	s.Level = max(s.Level, command.Level)
+	if s.isRepeated(&command) {
+		return nil
+	}
+	a := &applier{State: s}
+	result := a.execute(&command)
+	if command.ID != "" {
+		result.ID = command.ID
+		s.addResult(result)
+	}
+	if len(a.events) > 0 {
+		s.Seq++
+	}
+	return a.events
+}
+
+// isRepeated reports whether a command is of a call that was carried out before.
+func (s *State) isRepeated(command *Command) bool {
+	if command.ID == "" || failpoint.Enabled(failpoint.RepeatCommands) {
+		return false
+	}
+	_, known := s.Result(command.ID)
+	return known
+}
+
+// applier carries out one command on its State, and collects the events.
+type applier struct {
+	*State
+	events []Event
+}
+
+// emit adds an event; plan and machine are empty where it is of none.
+func (a *applier) emit(plan, machine, format string, args ...any) {
+	a.events = append(a.events, Event{Plan: plan, Machine: machine, Text: fmt.Sprintf(format, args...)})
+}
+
+// execute carries out a command of any kind.
+func (a *applier) execute(command *Command) Result {
+	switch command.Kind {
+	case CommandJoinMember:
+		return a.joinMember(command.Member)
+	case CommandRetireMember:
+		return a.retireMember(command.Name)
+	case CommandTrustHistory:
+		return a.trustHistory()
+	case CommandSubmitPlan:
+		return a.submitPlan(command.Plan)
+	case CommandStartPlan, CommandPausePlan, CommandResumePlan, CommandAbortPlan:
+		return a.changePlan(command)
+	case CommandClaimMachine, CommandReturnMachine, CommandSkipMachine:
+		return a.changeMachine(command)
+	case CommandAdvance:
+		a.advance(command.Advance)
+		return succeeded("")
+	}
+	return rejected("%q is no call that this build knows", command.Kind)
+}
+
+// submitPlan adds a plan, and drops the oldest ended ones beyond maxPlans.
+func (a *applier) submitPlan(plan *Plan) Result {
+	if plan == nil {
+		return rejected("there is no plan in the call")
+	}
+	if problems := a.ValidatePlan(plan); len(problems) > 0 {
+		return rejected("%s", strings.Join(problems, "\n"))
+	}
+	submitted := &PlanState{Plan: *plan, Phase: PlanSubmitted}
+	for _, machine := range plan.Machines {
+		submitted.MachineStates = append(submitted.MachineStates, &MachineState{Machine: machine, Phase: MachineWaiting})
+	}
+	a.Plans = append(a.Plans, submitted)
+	a.dropEndedPlans()
+	a.emit(plan.Name, "", "handed in, %d machines", len(plan.Machines))
+	return succeeded("handed in")
+}
+
+// dropEndedPlans drops ended plans, the oldest first, until maxPlans are left or none has ended.
+func (a *applier) dropEndedPlans() {
+	excess := len(a.Plans) - maxPlans
+	a.Plans = slices.DeleteFunc(a.Plans, func(plan *PlanState) bool {
+		if excess <= 0 || plan.Phase != PlanEnded {
+			return false
+		}
+		excess--
+		return true
+	})
+}
+
+// planChange is what a command does to a plan as a whole.
+type planChange struct {
+	from    []PlanPhase // phases in which it is allowed
+	to      PlanPhase
+	already []PlanPhase // phases in which it has no effect, as it was made before
+}
+
+var planChanges = map[CommandKind]planChange{
+	CommandStartPlan: {
+		from:    []PlanPhase{PlanSubmitted},
+		to:      PlanAnnounced,
+		already: []PlanPhase{PlanAnnounced, PlanRunning},
+	},
+	CommandPausePlan: {
+		from:    []PlanPhase{PlanAnnounced, PlanRunning},
+		to:      PlanPaused,
+		already: []PlanPhase{PlanPaused},
+	},
+	CommandResumePlan: {
+		from:    []PlanPhase{PlanPaused},
+		to:      PlanAnnounced,
+		already: []PlanPhase{PlanAnnounced, PlanRunning},
+	},
+	CommandAbortPlan: {
+		from:    []PlanPhase{PlanSubmitted, PlanAnnounced, PlanRunning, PlanPaused},
+		to:      PlanAborting,
+		already: []PlanPhase{PlanAborting},
+	},
+}
+
+// changePlan carries out a command on a plan as a whole.
+func (a *applier) changePlan(command *Command) Result {
+	plan := a.FindPlan(command.Name)
+	if plan == nil {
+		return rejected("no plan is called %q", command.Name)
+	}
+	change := planChanges[command.Kind]
+	if slices.Contains(change.already, plan.Phase) {
+		return succeeded("%s is %s already", plan.Name, plan.Phase)
+	}
+	if !slices.Contains(change.from, plan.Phase) {
+		return rejected("%s is %s", plan.Name, plan.Phase)
+	}
+	plan.Phase = change.to
+	switch command.Kind {
+	case CommandStartPlan:
+		plan.AnnouncedIndex = a.AppliedIndex // each member has to confirm this before the plan runs
+	case CommandAbortPlan:
+		a.abandonMachines(plan)
+	}
+	a.emit(plan.Name, "", "%s", plan.Phase)
+	return succeeded("%s", plan.Phase)
+}
+
+// abandonMachines skips the machines of an aborted plan that operators do not have.
+func (a *applier) abandonMachines(plan *PlanState) {
+	for _, machine := range plan.MachineStates {
+		switch machine.Phase {
+		case MachineWaiting:
+			a.setPhase(plan, machine, MachineSkipped)
+		case MachineDraining, MachineDrained:
+			a.withdraw(plan, machine)
+		}
+	}
+	a.endIfFinished(plan)
+}
+
+// changeMachine carries out a command on one machine.
+func (a *applier) changeMachine(command *Command) Result {
+	plan, machine := a.FindMachine(command.Name, command.Machine)
+	if machine == nil {
+		return rejected("no plan has a machine %q", command.Machine)
+	}
+	switch command.Kind {
+	case CommandClaimMachine:
+		return a.claimMachine(plan, machine)
+	case CommandReturnMachine:
+		return a.returnMachine(plan, machine)
+	default:
+		return a.skipMachine(plan, machine)
+	}
+}
+
+// claimMachine gives a drained machine to the operators.
+func (a *applier) claimMachine(plan *PlanState, machine *MachineState) Result {
+	switch machine.Phase {
+	case MachineDrained:
+		a.setPhase(plan, machine, MachineInMaintenance)
+	case MachineInMaintenance: // claimed before
+	case MachineReturning, MachineWarm, MachineDone, MachineSkipped, MachineFailed:
+		return rejected("%s is %s: it is not to be worked on", machine.Name, machine.Phase)
+	default:
+		return retryLater("%s is %s", machine.Name, machine.Phase)
+	}
+	return succeeded("%s is clear", machine.Name)
+}
+
+// returnMachine takes a machine back from the operators.
+func (a *applier) returnMachine(plan *PlanState, machine *MachineState) Result {
+	switch machine.Phase {
+	case MachineInMaintenance, MachineDrained:
+		a.setPhase(plan, machine, MachineReturning)
+	case MachineReturning, MachineWarm, MachineDone: // returned before
+	default:
+		return rejected("%s is %s: it was not out", machine.Name, machine.Phase)
+	}
+	return succeeded("%s is %s", machine.Name, machine.Phase)
+}
+
+// skipMachine leaves a machine out of its plan, unless the operators have it.
+func (a *applier) skipMachine(plan *PlanState, machine *MachineState) Result {
+	switch machine.Phase {
+	case MachineWaiting, MachineFailed:
+		a.setPhase(plan, machine, MachineSkipped)
+	case MachineDraining, MachineDrained:
+		a.withdraw(plan, machine)
+	case MachineSkipped: // skipped before
+	case MachineInMaintenance:
+		return rejected("%s is %s: say done when it is whole", machine.Name, machine.Phase)
+	default:
+		return rejected("%s is %s", machine.Name, machine.Phase)
+	}
+	return succeeded("%s is %s", machine.Name, machine.Phase)
+}
+
+// setPhase moves a machine to a phase, which begins now.
+func (a *applier) setPhase(plan *PlanState, machine *MachineState, phase MachinePhase) {
+	machine.Phase = phase
+	machine.PhaseIndex = a.AppliedIndex
+	machine.PhaseStart = a.Clock
+	machine.Overdue = false
+	a.emit(plan.Name, machine.Name, "%s", phase)
+}
+
+// withdraw puts back a machine that operators have not had.
+func (a *applier) withdraw(plan *PlanState, machine *MachineState) {
+	machine.Withdrawn = true
+	a.setPhase(plan, machine, MachineReturning)
+}
+
+// endIfFinished ends a plan that has nothing more to do with any machine.
+func (a *applier) endIfFinished(plan *PlanState) {
+	if plan.Phase == PlanEnded || !plan.finished() {
+		return
+	}
+	plan.Phase = PlanEnded
+	a.emit(plan.Name, "", "%s", PlanEnded)
+}
--- /dev/null
+++ b/internal/maintenance/budget.go
@@ -0,0 +1,275 @@
+package maintenance
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"strings"
+
+	"birchfork/internal/failpoint"
+)
+
+// budgetUnit is what counts as one against a budget: a machine of a plan, or a worker that is in none.
+type budgetUnit struct {
+	workers          []string
+	unavailable      bool // out of service, for any reason
+	underMaintenance bool // ... taken by a plan
+}
+
+// machineUnit and workerUnit are the names of budget units. They sort machines before workers.
+func machineUnit(name string) string { return "machine " + name }
+func workerUnit(name string) string  { return "runner " + name }
+
+// budgetUnits returns the whole fleet as budget units, by name.
+func (s *State) budgetUnits(proposal *Advance) map[string]*budgetUnit {
+	units := map[string]*budgetUnit{}
+	unitOfWorker := map[string]*budgetUnit{}
+	for _, plan := range s.Plans {
+		if plan.Phase == PlanEnded {
+			continue
+		}
+		for _, machine := range plan.MachineStates {
+			if machine.Phase.finished() {
+				continue
+			}
+			taken := machine.Phase != MachineWaiting && machine.Phase != MachineWarm
+			unit := &budgetUnit{workers: machine.Workers, unavailable: taken, underMaintenance: taken}
+			units[machineUnit(machine.Name)] = unit
+			for _, worker := range machine.Workers {
+				unitOfWorker[worker] = unit
+			}
+		}
+	}
+	returnedHosts := s.returnedHosts()
+	for name, worker := range proposal.Fleet {
+		// Guards against a name that went for good while its host was under maintenance: what is there now has another name.
+		returned := returnedHosts[worker.Host]
+		if returned != nil && worker.Gone && !slices.Contains(returned.Workers, name) {
+			continue
+		}
+		unit := unitOfWorker[name]
+		if unit == nil {
+			unit = &budgetUnit{workers: []string{name}}
+			units[workerUnit(name)] = unit
+		}
+		if worker.outOfService() && !failpoint.Enabled(failpoint.IgnoreUnavailable) {
+			unit.unavailable = true
+		}
+	}
+	return units
+}
+
+// returnedHosts returns, by host, the machines that are hosts and have been put back, or were skipped.
+func (s *State) returnedHosts() map[string]*MachineState {
+	returned := map[string]*MachineState{}
+	for _, plan := range s.Plans {
+		for _, machine := range plan.MachineStates {
+			if machine.Host != "" && machine.Phase != MachineWaiting && !machine.Phase.excluded() {
+				returned[machine.Host] = machine
+			}
+		}
+	}
+	return returned
+}
+
+// NextMachine returns the machine that a plan would take next; nil if it may take none. For each waiting machine that may not be
+// taken it returns the reason, by name.
+//
+// Machines that are out of service already go first, then those with the least weight in service, then those of another zone than
+// the one that was taken last, then by the plan's order.
+func (s *State) NextMachine(plan *PlanState, proposal *Advance) (next *MachineState, reasons map[string]string) {
+	reasons = map[string]string{}
+	units := s.budgetUnits(proposal)
+	var nextRank machineRank
+	for _, machine := range plan.MachineStates {
+		if machine.Phase != MachineWaiting {
+			continue
+		}
+		if reason := budgetViolation(plan, machine, proposal, units); reason != "" {
+			reasons[machine.Name] = reason
+			continue
+		}
+		rank := rankOf(plan, machine, proposal)
+		if next == nil || rank.compare(nextRank) < 0 {
+			next, nextRank = machine, rank
+		}
+	}
+	return next, reasons
+}
+
+// machineRank orders machines that may be taken.
+type machineRank struct {
+	inService bool    // at least one worker is
+	weight    float64 // in service
+	sameZone  bool    // as the machine that was taken last
+}
+
+func rankOf(plan *PlanState, machine *MachineState, proposal *Advance) machineRank {
+	weight := proposal.weightInService(machine.Workers)
+	if failpoint.Enabled(failpoint.RandomMachineOrder) {
+		weight = float64(rand.Int())
+	}
+	return machineRank{inService: weight != 0, weight: weight, sameZone: proposal.zoneOf(machine) == plan.LastZone}
+}
+
+// compare returns a negative number if a machine of this rank goes before one of the other.
+func (r machineRank) compare(other machineRank) int {
+	return cmp.Or(
+		falseFirst(r.inService, other.inService),
+		cmp.Compare(r.weight, other.weight),
+		falseFirst(r.sameZone, other.sameZone),
+	)
+}
+
+func falseFirst(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case b:
+		return -1
+	}
+	return 1
+}
+
+// budgetUsage is what of the fleet would be out of service if a plan took one more machine.
+type budgetUsage struct {
+	alreadyOut        bool     // the machine itself is out of service before it is taken
+	unavailable       int      // units, the machine itself included
+	others            []string // those units but for the machine itself, sorted
+	unavailableByZone map[string]int
+	unavailableByKind map[string]int
+
+	knownWorkers    int // groups of unnamed workers count as one
+	totalWeight     float64
+	weightInService float64
+	zonesInService  map[string]bool // zones and kinds that keep a worker
+	kindsInService  map[string]bool
+}
+
+// usageWith returns the usage if a machine were taken.
+//
+// A machine that is out of service already costs nothing more when it is taken. For it only units count that plans have taken:
+// otherwise two machines that died would stand in each other's way, and in the way of their repair.
+func usageWith(machine *MachineState, proposal *Advance, units map[string]*budgetUnit) *budgetUsage {
+	own := machineUnit(machine.Name)
+	usage := &budgetUsage{
+		alreadyOut:        units[own].unavailable,
+		unavailableByZone: map[string]int{},
+		unavailableByKind: map[string]int{},
+		zonesInService:    map[string]bool{},
+		kindsInService:    map[string]bool{},
+	}
+	for _, group := range proposal.UnnamedWorkers {
+		usage.knownWorkers++
+		usage.totalWeight += group.Weight * float64(group.Count)
+		usage.weightInService += group.Weight * float64(group.Count)
+		usage.zonesInService[group.Zone] = true
+		usage.kindsInService[group.Kind] = true
+	}
+	for _, name := range slices.Sorted(maps.Keys(units)) { // in a fixed order, as sums of weights depend on it
+		unit := units[name]
+		unavailable := unit.unavailable && (unit.underMaintenance || !usage.alreadyOut)
+		usage.addUnit(unit, proposal, unavailable || name == own)
+		if unavailable && name != own {
+			usage.others = append(usage.others, name)
+		}
+	}
+	return usage
+}
+
+// addUnit counts a unit, which would be unavailable or in service.
+func (u *budgetUsage) addUnit(unit *budgetUnit, proposal *Advance, unavailable bool) {
+	zones, kinds := map[string]bool{}, map[string]bool{}
+	for _, name := range unit.workers {
+		worker, listed := proposal.Fleet[name]
+		if !listed {
+			continue
+		}
+		u.knownWorkers++
+		u.totalWeight += worker.Weight
+		zones[worker.Zone] = true
+		kinds[worker.Kind] = true
+		if !unavailable {
+			u.weightInService += worker.Weight
+			u.zonesInService[worker.Zone] = true
+			u.kindsInService[worker.Kind] = true
+		}
+	}
+	if !unavailable {
+		return
+	}
+	u.unavailable++
+	for zone := range zones {
+		u.unavailableByZone[zone]++
+	}
+	for kind := range kinds {
+		u.unavailableByKind[kind]++
+	}
+}
+
+// budgetViolation returns why a plan may not take a machine now; empty if it may.
+func budgetViolation(plan *PlanState, machine *MachineState, proposal *Advance, units map[string]*budgetUnit) string {
+	if failpoint.Enabled(failpoint.IgnoreBudget) {
+		return ""
+	}
+	usage := usageWith(machine, proposal, units)
+	if usage.unavailable > plan.MaxUnavailable {
+		state := "away"
+		if usage.alreadyOut {
+			state = "taken"
+		}
+		return fmt.Sprintf("%d machines would be %s, %d may be%s", usage.unavailable, state, plan.MaxUnavailable, listOthers(usage.others))
+	}
+	for _, name := range machine.Workers {
+		worker, listed := proposal.Fleet[name]
+		if !listed {
+			continue
+		}
+		if reason := usage.violationAt(plan, worker.Zone, worker.Kind); reason != "" {
+			return reason
+		}
+	}
+	if usage.weightInService < plan.MinCapacity*usage.totalWeight && !usage.alreadyOut {
+		percent := 100 * usage.weightInService / usage.totalWeight
+		return fmt.Sprintf("%.0f%% of the capacity would stay, %.0f%% has to", percent, 100*plan.MinCapacity)
+	}
+	if usage.knownWorkers == 0 {
+		return "no runner is known"
+	}
+	return ""
+}
+
+// violationAt returns why no further worker of a zone and kind may go out of service; empty if it may.
+func (u *budgetUsage) violationAt(plan *PlanState, zone, kind string) string {
+	inZone, ofKind := u.unavailableByZone[zone], u.unavailableByKind[kind]
+	switch {
+	case plan.MaxUnavailablePerZone > 0 && inZone > plan.MaxUnavailablePerZone:
+		return fmt.Sprintf("%d machines of zone %s would be away, %d may be", inZone, zone, plan.MaxUnavailablePerZone)
+	case plan.MaxUnavailablePerKind > 0 && ofKind > plan.MaxUnavailablePerKind:
+		return fmt.Sprintf("%d machines of kind %s would be away, %d may be", ofKind, kind, plan.MaxUnavailablePerKind)
+	case u.alreadyOut:
+		return ""
+	case !u.zonesInService[zone]:
+		return fmt.Sprintf("it is the last of zone %s", zone)
+	case !u.kindsInService[kind]:
+		return fmt.Sprintf("it is the last of kind %s", kind)
+	}
+	return ""
+}
+
+// maxNamesInReason is how many names a reason lists.
+const maxNamesInReason = 5
+
+// listOthers returns the names of units that are unavailable already, as the end of a reason.
+func listOthers(names []string) string {
+	if len(names) == 0 {
+		return ""
+	}
+	rest := ""
+	if len(names) > maxNamesInReason {
+		names, rest = names[:maxNamesInReason], ", ..."
+	}
+	return ": " + strings.Join(names, ", ") + rest
+}
--- /dev/null
+++ b/internal/maintenance/command.go
@@ -0,0 +1,103 @@
+package maintenance
+
+import (
+	"fmt"
+	"slices"
+
+	"birchfork/internal/failpoint"
+)
+
+// CommandKind is what a Command asks for.
+type CommandKind string
+
+// The kinds of commands, with the fields of Command that each uses.
+const (
+	CommandJoinMember    CommandKind = "join"    // Member
+	CommandRetireMember  CommandKind = "retire"  // Name, of the member
+	CommandTrustHistory  CommandKind = "trust"   // ends State.HistoryLost
+	CommandSubmitPlan    CommandKind = "plan"    // Plan
+	CommandStartPlan     CommandKind = "start"   // Name, of the plan, as for the next three
+	CommandPausePlan     CommandKind = "pause"   // takes no further machine
+	CommandResumePlan    CommandKind = "resume"  // continues a paused plan
+	CommandAbortPlan     CommandKind = "abort"   // puts back what operators do not have, and ends
+	CommandClaimMachine  CommandKind = "wait"    // Machine, and Name of its plan if that is not unique: operators take a drained machine over
+	CommandSkipMachine   CommandKind = "skip"    // the same: leave a machine out of its plan
+	CommandReturnMachine CommandKind = "done"    // the same: operators give a machine back, its workers started anew
+	CommandAdvance       CommandKind = "advance" // Advance
+)
+
+// Command is one entry of the group's log.
+type Command struct {
+	ID      string      `json:"id,omitempty"` // of an operator's call: a command whose ID has a result is not carried out again
+	Kind    CommandKind `json:"kind"`
+	Name    string      `json:"name,omitempty"`
+	Machine string      `json:"machine,omitempty"`
+	Plan    *Plan       `json:"plan,omitempty"`
+	Member  *Member     `json:"member,omitempty"`
+	Advance *Advance    `json:"advance,omitempty"`
+	Level   int         `json:"needs,omitempty"` // the lowest level that a build has to support; see RequiredLevel
+}
+
+// The levels of commands. A build that does not support a command's level must not pass it over, and stops taking part.
+const (
+	levelBase    = 1
+	levelCompact = 2 // machines by host, compact proposals, CommandTrustHistory
+
+	// MaxLevel is the highest level that this build supports.
+	MaxLevel = levelCompact
+)
+
+// SupportedLevel returns MaxLevel, or one less while failpoint.OlderBuild is enabled.
+func SupportedLevel() int {
+	if failpoint.Enabled(failpoint.OlderBuild) {
+		return MaxLevel - 1
+	}
+	return MaxLevel
+}
+
+// RequiredLevel returns the lowest level that a build has to support in order to carry the command out.
+func (c *Command) RequiredLevel() int {
+	hasHost := func(machine Machine) bool { return machine.Host != "" }
+	switch {
+	case c.Kind == CommandTrustHistory:
+		return levelCompact
+	case c.Plan != nil && slices.ContainsFunc(c.Plan.Machines, hasHost):
+		return levelCompact
+	case c.Advance != nil && c.Advance.isCompact():
+		return levelCompact
+	}
+	return levelBase
+}
+
+// Result is what a call of an operator came to.
+type Result struct {
+	ID   string `json:"id"` // of the command
+	Code int    `json:"code"`
+	Text string `json:"text"`
+}
+
+// The codes of results. The command line exits with them.
+const (
+	CodeOK         = 0
+	CodeInvalid    = 1 // the call makes no sense as things are, and will not later
+	CodeRetryLater = 2 // the call has to wait and may be made again
+)
+
+func succeeded(format string, args ...any) Result {
+	return Result{Code: CodeOK, Text: fmt.Sprintf(format, args...)}
+}
+
+func rejected(format string, args ...any) Result {
+	return Result{Code: CodeInvalid, Text: fmt.Sprintf(format, args...)}
+}
+
+func retryLater(format string, args ...any) Result {
+	return Result{Code: CodeRetryLater, Text: fmt.Sprintf(format, args...)}
+}
+
+// Event is a change that a command made, for the log.
+type Event struct {
+	Plan    string `json:"plan,omitempty"`    // empty: of no plan
+	Machine string `json:"machine,omitempty"` // empty: of no machine
+	Text    string `json:"what"`
+}
--- /dev/null
+++ b/internal/maintenance/member.go
@@ -0,0 +1,73 @@
+package maintenance
+
+import (
+	"maps"
+	"slices"
+)
+
+// Member is a dispatcher of the group.
+type Member struct {
+	Name             string            `json:"name"`
+	Incarnation      string            `json:"life"` // drawn at random whenever the member begins with an empty disk
+	RaftID           uint64            `json:"id"`   // of this incarnation
+	Voter            bool              `json:"voter"`
+	PastIncarnations []PastIncarnation `json:"old,omitempty"` // messages of these are ignored
+}
+
+// PastIncarnation is an incarnation of a member whose disk was lost.
+type PastIncarnation struct {
+	Incarnation string `json:"life"`
+	RaftID      uint64 `json:"id"`
+}
+
+// HadIncarnation reports whether an incarnation is one of the member's past ones.
+func (m *Member) HadIncarnation(incarnation string) bool {
+	return slices.ContainsFunc(m.PastIncarnations, func(past PastIncarnation) bool { return past.Incarnation == incarnation })
+}
+
+func (m *Member) clone() *Member {
+	clone := *m
+	clone.PastIncarnations = slices.Clone(m.PastIncarnations)
+	return &clone
+}
+
+// MemberNames returns the names of all members, sorted.
+func (s *State) MemberNames() []string { return slices.Sorted(maps.Keys(s.Members)) }
+
+// joinMember adds a member, or replaces it by its next incarnation.
+func (a *applier) joinMember(member *Member) Result {
+	if member == nil || member.Name == "" {
+		return rejected("a member has a name")
+	}
+	joined := *member
+	if previous := a.Members[member.Name]; previous != nil {
+		joined.PastIncarnations = slices.Clone(previous.PastIncarnations)
+		if previous.RaftID != member.RaftID {
+			past := PastIncarnation{Incarnation: previous.Incarnation, RaftID: previous.RaftID}
+			joined.PastIncarnations = append(joined.PastIncarnations, past)
+		}
+	}
+	a.Members[member.Name] = &joined
+	a.emit("", "", "member %s is in, life %s", member.Name, member.Incarnation)
+	return succeeded("in")
+}
+
+// retireMember removes a member that runs no more: nothing is waited for from it.
+func (a *applier) retireMember(name string) Result {
+	if a.Members[name] == nil {
+		return rejected("no member is called %q", name)
+	}
+	delete(a.Members, name)
+	a.emit("", "", "member %s is retired", name)
+	return succeeded("retired")
+}
+
+// trustHistory lets plans start again after the group was founded anew: an operator has made sure that no machine is under
+// maintenance by a plan that was forgotten.
+func (a *applier) trustHistory() Result {
+	if a.HistoryLost {
+		a.HistoryLost = false
+		a.emit("", "", "plans may begin: no machine is with staff by a plan that was forgotten")
+	}
+	return succeeded("plans may begin")
+}
--- /dev/null
+++ b/internal/maintenance/plan.go
@@ -0,0 +1,211 @@
+package maintenance
+
+import (
+	"slices"
+	"time"
+)
+
+// MaxMachines is the highest number of machines in a plan.
+const MaxMachines = 1000
+
+// What a plan does when a phase of a machine takes longer than the plan allows (Plan.OnOverdue).
+const (
+	OverdueWait  = "wait"  // nothing but an event
+	OverduePause = "pause" // the plan is paused
+	OverdueSkip  = "skip"  // a machine that is not drained in time is put back and skipped; otherwise as OverduePause
+)
+
+// Plan is a maintenance plan as operators submit it.
+type Plan struct {
+	Name     string    `json:"name"`
+	Machines []Machine `json:"machines"`
+
+	// The disruption budget: how many machines may be out of service at a time, for any reason, in the whole fleet, in a zone and
+	// of a kind. 0 for a zone or kind sets no limit.
+	MaxUnavailable        int     `json:"out"`
+	MaxUnavailablePerZone int     `json:"zone_out"`
+	MaxUnavailablePerKind int     `json:"kind_out"`
+	MinCapacity           float64 `json:"capacity"` // share of the fleet's weight that stays in service, from 0 to 1
+
+	// How long a machine may take to be drained, to be worked on, and to be back in service. 0 sets no limit.
+	DrainTimeout  time.Duration `json:"leave"`
+	WorkTimeout   time.Duration `json:"work"`
+	ReturnTimeout time.Duration `json:"back"`
+	OnOverdue     string        `json:"overdue"` // what happens at a timeout: OverdueWait, OverduePause or OverdueSkip
+}
+
+// Machine is a set of workers that are worked on together: either named ones, or all workers at a host, whatever their names are
+// at the time.
+type Machine struct {
+	Name    string   `json:"name"`
+	Workers []string `json:"runners"`
+	Host    string   `json:"host,omitempty"`
+}
+
+// PlanPhase is the phase of a plan.
+type PlanPhase string
+
+// The phases of a plan.
+const (
+	PlanSubmitted PlanPhase = "handed in" // not started
+	PlanAnnounced PlanPhase = "announced" // started, and runs once each member has confirmed that it knows the plan
+	PlanRunning   PlanPhase = "running"
+	PlanPaused    PlanPhase = "paused"   // takes no further machine
+	PlanAborting  PlanPhase = "aborting" // takes no further machine, and ends when those it has taken are back
+	PlanEnded     PlanPhase = "ended"
+)
+
+// active reports whether members need a lease to send to the plan's machines.
+func (p PlanPhase) active() bool { return p != PlanSubmitted && p != PlanEnded }
+
+// MachinePhase is the phase of a machine of a plan.
+type MachinePhase string
+
+// The phases of a machine, in their order; the last two end it, or hold it up, instead of MachineDone.
+const (
+	MachineWaiting       MachinePhase = "waiting"
+	MachineDraining      MachinePhase = "leaving"   // nothing new is sent to its workers; what runs there ends
+	MachineDrained       MachinePhase = "clear"     // nothing of any member runs there, and nothing can be sent
+	MachineInMaintenance MachinePhase = "out"       // operators have been told that it is drained
+	MachineReturning     MachinePhase = "returning" // may be sent to again; not yet in full service
+	MachineWarm          MachinePhase = "warm"      // in full service
+	MachineDone          MachinePhase = "done"
+	MachineSkipped       MachinePhase = "skipped"
+	MachineFailed        MachinePhase = "failed" // was not back in service in time
+)
+
+// excluded reports whether nothing may be sent to a machine in this phase.
+func (p MachinePhase) excluded() bool {
+	return p == MachineDraining || p == MachineDrained || p == MachineInMaintenance
+}
+
+// finished reports whether the plan has nothing more to do with a machine in this phase.
+func (p MachinePhase) finished() bool { return p == MachineDone || p == MachineSkipped }
+
+// PlanState is a plan and how far it has come.
+type PlanState struct {
+	Plan
+	Phase          PlanPhase       `json:"phase"`
+	AnnouncedIndex uint64          `json:"at"` // log index of the command that started it
+	MachineStates  []*MachineState `json:"places"`
+	LastZone       string          `json:"zone,omitempty"` // of the machine that was taken last
+}
+
+// MachineState is a machine of a plan and how far it has come.
+type MachineState struct {
+	Machine
+	Phase      MachinePhase  `json:"step"`
+	PhaseIndex uint64        `json:"at"`                // log index of the command that began the phase
+	PhaseStart time.Duration `json:"since"`             // on the group's clock
+	Overdue    bool          `json:"overdue,omitempty"` // the phase has taken longer than the plan allows
+	Withdrawn  bool          `json:"left,omitempty"`    // put back before operators had it: it ends as skipped
+}
+
+func (p *PlanState) clone() *PlanState {
+	clone := *p
+	clone.MachineStates = nil
+	for _, machine := range p.MachineStates {
+		machineClone := *machine
+		clone.MachineStates = append(clone.MachineStates, &machineClone)
+	}
+	return &clone
+}
+
+// finished reports whether the plan has nothing more to do with any of its machines.
+func (p *PlanState) finished() bool {
+	return !slices.ContainsFunc(p.MachineStates, func(machine *MachineState) bool { return !machine.Phase.finished() })
+}
+
+// includesWorker reports whether the plan still has to do with a worker that it names.
+func (p *PlanState) includesWorker(worker string) bool {
+	return slices.ContainsFunc(p.MachineStates, func(machine *MachineState) bool {
+		return !machine.Phase.finished() && slices.Contains(machine.Workers, worker)
+	})
+}
+
+// includesHost reports whether the plan still has to do with a host that it names.
+func (p *PlanState) includesHost(host string) bool {
+	return slices.ContainsFunc(p.MachineStates, func(machine *MachineState) bool {
+		return !machine.Phase.finished() && machine.Host == host
+	})
+}
+
+// FindPlan returns the oldest plan of a name; nil if there is none.
+func (s *State) FindPlan(name string) *PlanState {
+	for _, plan := range s.Plans {
+		if plan.Name == name {
+			return plan
+		}
+	}
+	return nil
+}
+
+// FindMachine returns a machine by name, with its plan; nil if there is none. Without a plan's name it prefers an active plan to
+// a submitted one and that to an ended one, and among these the newest: so a call that is repeated after the end of its plan still
+// gets its answer.
+func (s *State) FindMachine(planName, machineName string) (plan *PlanState, machine *MachineState) {
+	for _, candidate := range s.Plans {
+		if planName != "" && candidate.Name != planName {
+			continue
+		}
+		if plan != nil && candidate.Phase.searchRank() < plan.Phase.searchRank() {
+			continue
+		}
+		for _, found := range candidate.MachineStates {
+			if found.Name == machineName {
+				plan, machine = candidate, found
+			}
+		}
+	}
+	return plan, machine
+}
+
+// searchRank orders plans for FindMachine, the preferred ones highest.
+func (p PlanPhase) searchRank() int {
+	switch {
+	case p.active():
+		return 2
+	case p == PlanSubmitted:
+		return 1
+	}
+	return 0
+}
+
+// WorkerSet is a set of workers: named ones, and all at some hosts.
+type WorkerSet struct{ Workers, Hosts map[string]bool }
+
+// InMaintenance returns the workers to which nothing may be sent.
+func (s *State) InMaintenance() WorkerSet {
+	return s.workerSet(func(_ *PlanState, machine *MachineState) bool { return machine.Phase.excluded() })
+}
+
+// Leased returns the workers to which a member may send only while it holds the lease: those of active plans, until the plan has
+// nothing more to do with them.
+func (s *State) Leased() WorkerSet {
+	return s.workerSet(func(plan *PlanState, machine *MachineState) bool {
+		return plan.Phase.active() && !machine.Phase.finished()
+	})
+}
+
+func (s *State) workerSet(selected func(*PlanState, *MachineState) bool) WorkerSet {
+	set := WorkerSet{Workers: map[string]bool{}, Hosts: map[string]bool{}}
+	for _, plan := range s.Plans {
+		for _, machine := range plan.MachineStates {
+			if selected(plan, machine) {
+				set.add(&machine.Machine)
+			}
+		}
+	}
+	return set
+}
+
+// add adds a machine's workers: all at its host if it has one.
+func (w WorkerSet) add(machine *Machine) {
+	if machine.Host != "" {
+		w.Hosts[machine.Host] = true
+		return
+	}
+	for _, worker := range machine.Workers {
+		w.Workers[worker] = true
+	}
+}
