--- /dev/null
+++ b/internal/maintenance/advance_test.go
@@ -0,0 +1,190 @@
+package maintenance
+
+import (
+	"strings"
+	"testing"
+)
+
+// TestMachine_PassesThroughAllPhases follows one machine through a plan, and holds that a silent member is waited for no longer than the
+// fence timeout.
+func TestMachine_PassesThroughAllPhases(t *testing.T) {
+	f := newFixture(t, Plan{})
+	f.expect(CodeOK, Command{Kind: CommandStartPlan, Name: "p"})
+	f.advance(second, "c")
+	f.expectPhases("") // not started: c has not confirmed it
+	f.advance(second)
+	f.expectPhases("m0 leaving") // the least weight
+	if excluded := f.state.InMaintenance().Workers; !excluded["r0"] || excluded["r1"] || !f.state.Leased().Workers["r5"] {
+		t.Errorf("excluded %v, leased %v", f.state.InMaintenance(), f.state.Leased())
+	}
+	f.expect(CodeRetryLater, Command{Kind: CommandClaimMachine, Machine: "m0"})
+	f.advance(4*second, "c")
+	f.expectPhases("m0 leaving")
+	f.advance(second, "c")
+	f.expectPhases("m0 clear")
+	f.expect(CodeOK, Command{Kind: CommandClaimMachine, Machine: "m0"})
+	f.expect(CodeOK, Command{Kind: CommandClaimMachine, Machine: "m0"}) // a repeated call
+	f.expect(CodeInvalid, Command{Kind: CommandSkipMachine, Machine: "m0"})
+	f.expect(CodeInvalid, Command{Kind: CommandReturnMachine, Machine: "m1"})
+	f.expect(CodeOK, Command{Kind: CommandReturnMachine, Machine: "m0"})
+	f.advance(second) // no member reports it as warming up, which does not yet say that it is warm
+	f.expectPhases("m0 returning")
+	f.changeWorker("r0", func(w *Worker) { w.WarmingUp = true })
+	f.advance(9 * second)
+	f.expectPhases("m0 returning")
+	f.changeWorker("r0", func(w *Worker) { w.WarmingUp = false })
+	f.advance(second)
+	f.expectPhases("m0 warm, m1 leaving") // of the other zone
+	f.advance(second)
+	f.expectPhases("m0 done, m1 clear")
+	f.expect(CodeOK, Command{Kind: CommandAbortPlan, Name: "p"})
+	f.expectPhases("m0 done, m1 returning, m2 skipped, m3 skipped, m4 skipped, m5 skipped")
+	f.advance(3 * second)
+	f.advance(second)
+	f.expectPhases("m0 done, m1 skipped, m2 skipped, m3 skipped, m4 skipped, m5 skipped") // operators did not have m1
+	f.expect(CodeOK, Command{Kind: CommandReturnMachine, Machine: "m0"})                  // a repeated call after the end
+	f.expect(CodeInvalid, Command{Kind: CommandClaimMachine, Machine: "m1"})
+	if f.state.Plans[0].Phase != PlanEnded {
+		t.Errorf("the plan is %s", f.state.Plans[0].Phase)
+	}
+}
+
+// TestDrain_BlockedByMember holds what keeps a machine from being drained before the fence timeout.
+func TestDrain_BlockedByMember(t *testing.T) {
+	for name, change := range map[string]func(*fixture){
+		"an attempt of a member runs there": func(f *fixture) {
+			f.proposal.Reports["b"] = MemberReport{Incarnation: "1", SoleProcess: true, BusyWorkers: []string{"r0"}}
+		},
+		"a member's next incarnation reports": func(f *fixture) { f.proposal.Reports["b"] = MemberReport{Incarnation: "2", SoleProcess: true} },
+		"another process of a member runs":    func(f *fixture) { f.proposal.Reports["b"] = MemberReport{Incarnation: "1"} },
+		"a member has joined that has not reported": func(f *fixture) {
+			f.apply(Command{Kind: CommandJoinMember, Member: &Member{Name: "e", Incarnation: "1"}})
+		},
+	} {
+		f := newFixture(t, Plan{})
+		f.startPlan()
+		change(f)
+		f.advance(second)
+		f.expectPhases("m0 leaving")
+		reason := f.state.WaitReasons(f.state.Plans[0], &f.proposal)["m0"]
+		if !strings.Contains(reason, "b") && !strings.Contains(reason, "e") {
+			t.Errorf("%s: the reason is %q", name, reason)
+		}
+		f.advance(5 * second)
+		f.expectPhases("m0 clear")
+	}
+}
+
+// TestOverdue_FollowsPlanSetting holds what a plan does when a drain takes too long.
+func TestOverdue_FollowsPlanSetting(t *testing.T) {
+	for _, test := range []struct {
+		onOverdue string
+		phases    string
+		plan      PlanPhase
+	}{
+		{OverdueWait, "m0 leaving", PlanRunning}, {OverduePause, "m0 leaving", PlanPaused}, {OverdueSkip, "m0 returning", PlanRunning},
+	} {
+		f := newFixture(t, Plan{DrainTimeout: 2 * second, OnOverdue: test.onOverdue})
+		f.startPlan()
+		f.advance(3*second, "c")
+		f.expectPhases(test.phases)
+		plan := f.state.Plans[0]
+		if plan.Phase != test.plan || test.onOverdue != OverdueSkip && !plan.MachineStates[0].Overdue {
+			t.Errorf("%s: %s, %+v", test.onOverdue, plan.Phase, plan.MachineStates[0])
+		}
+	}
+}
+
+// TestReturn_FailsWhenLate holds that a machine is marked when operators keep it too long, fails when it is not back in time, and may
+// still come back.
+func TestReturn_FailsWhenLate(t *testing.T) {
+	f := newFixture(t, Plan{WorkTimeout: 2 * second, ReturnTimeout: 5 * second, OnOverdue: OverduePause})
+	f.startPlan()
+	f.advance(second)
+	f.expect(CodeOK, Command{Kind: CommandClaimMachine, Machine: "m0"})
+	f.advance(3 * second)
+	plan := f.state.Plans[0]
+	if plan.Phase != PlanPaused || !plan.MachineStates[0].Overdue {
+		t.Errorf("%s, %+v", plan.Phase, plan.MachineStates[0])
+	}
+	f.expect(CodeOK, Command{Kind: CommandReturnMachine, Machine: "m0"})
+	f.changeWorker("r0", func(w *Worker) { w.Unavailable = true })
+	f.advance(6 * second)
+	f.expectPhases("m0 failed")
+	f.expect(CodeInvalid, Command{Kind: CommandClaimMachine, Machine: "m0"})
+	f.changeWorker("r0", func(w *Worker) { w.Unavailable = false })
+	f.advance(second)
+	f.advance(second)
+	f.expectPhases("m0 done")
+}
+
+// TestAdvance_CountsTimeOnce holds that time that was counted once never counts again, whoever proposes it.
+func TestAdvance_CountsTimeOnce(t *testing.T) {
+	f := newFixture(t, Plan{})
+	f.startPlan()
+	late := f.proposal
+	late.StateSeq, late.Elapsed, late.Reports = f.state.Seq, 4*second, nil
+	f.apply(Command{Kind: CommandAdvance, Advance: &late})
+	clock := f.state.Clock
+	f.apply(Command{Kind: CommandAdvance, Advance: &late}) // as of a former leader
+	if f.state.Clock != clock {
+		t.Errorf("the clock went on from %v to %v", clock, f.state.Clock)
+	}
+}
+
+// TestHost_CoversAllItsWorkers holds that whatever is listed at a host belongs to its machine, under any name and from any time on.
+func TestHost_CoversAllItsWorkers(t *testing.T) {
+	f := newFixture(t, Plan{Machines: []Machine{{Name: "h", Host: "h0"}}})
+	for _, name := range []string{"r0", "r1"} {
+		f.changeWorker(name, func(w *Worker) { w.Host = "h0" })
+	}
+	f.startPlan()
+	f.expectPhases("h leaving")
+	expectWorkers := func(want string) {
+		t.Helper()
+		if got := strings.Join(f.state.Plans[0].MachineStates[0].Workers, " "); got != want {
+			t.Errorf("its workers are %q, want %q", got, want)
+		}
+	}
+	expectWorkers("r0 r1")
+	if excluded := f.state.InMaintenance(); !excluded.Hosts["h0"] || len(excluded.Workers) > 0 {
+		t.Errorf("excluded are %+v", excluded)
+	}
+	f.changeWorker("r0", func(w *Worker) { w.Gone, w.Unavailable = true, true })
+	f.changeWorker("new", func(w *Worker) { *w = Worker{Host: "h0", Zone: "z0", Kind: "k0", Weight: 1, WarmingUp: true} })
+	f.proposal.Reports["b"] = MemberReport{Incarnation: "1", SoleProcess: true, BusyHosts: []string{"h0"}} // at a worker that the leader does not know yet
+	f.advance(second)
+	f.expectPhases("h leaving")
+	expectWorkers("new r0 r1")
+	f.proposal.Reports["b"] = MemberReport{Incarnation: "1", SoleProcess: true}
+	f.advance(second)
+	f.expect(CodeOK, Command{Kind: CommandClaimMachine, Machine: "h"})
+	f.expect(CodeOK, Command{Kind: CommandReturnMachine, Machine: "h"})
+	otherPlan := &Plan{Name: "q", MaxUnavailable: 1, OnOverdue: OverdueWait, Machines: []Machine{{Name: "x", Host: "h0"}}}
+	problems := strings.Join(f.state.ValidatePlan(otherPlan), " ")
+	if !strings.Contains(problems, `machine[0].host: "h0" is in plan "p"`) {
+		t.Errorf("a second plan for it: %s", problems)
+	}
+	fleet := f.proposal.Fleet // none is listed there yet: that does not mean that it is back
+	f.proposal.Fleet = map[string]Worker{}
+	f.advance(9 * second)
+	expectWorkers("new r0 r1")
+	f.proposal.Fleet = fleet
+	f.advance(second)
+	expectWorkers("new r1")
+	f.expectPhases("h returning")
+	f.changeWorker("new", func(w *Worker) { w.WarmingUp = false })
+	f.advance(second)
+	f.advance(second)
+	f.expectPhases("h done")
+	// The name that is gone for good does not count as unavailable; one that goes later does.
+	units := f.state.budgetUnits(&f.proposal)
+	if units["runner r0"] != nil || units["runner new"].unavailable {
+		t.Errorf("units: %+v", units)
+	}
+	f.changeWorker("new", func(w *Worker) { w.Gone, w.Unavailable = true, true })
+	units = f.state.budgetUnits(&f.proposal)
+	if !units["runner new"].unavailable {
+		t.Error("a worker that has gone since does not count")
+	}
+}
