--- /dev/null
+++ b/internal/replication/converge_test.go
@@ -0,0 +1,68 @@
+package replication
+
+import (
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// TestReplicas_Converge plays random histories: whatever is written, carried in chunks, twice, in any order, lost with a disk, brought
+// back by an old one, or dropped as garbage, once all replicas have exchanged what they have they are equal, and hold what no
+// entry has replaced.
+func TestReplicas_Converge(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		size := rapid.IntRange(2, 5).Draw(t, "replicas")
+		c := newCluster(t, size)
+		for range rapid.IntRange(1, 80).Draw(t, "steps") {
+			c.drawStep()
+		}
+		c.exchangeAll()
+		for i, replica := range c.replicas {
+			first := c.replicas[0]
+			if replica.Digest() != first.Digest() || replica.Version().Digest() != first.Version().Digest() {
+				t.Fatalf("replica %d has %v, replica 0 has %v", i, c.overrides(replica), c.overrides(first))
+			}
+		}
+		for _, name := range []string{"a", "b", "c"} {
+			// An override that one replica has dropped as garbage may still be held by others, which give it to one that has lost its disk.
+			want, got := c.latestUncollected(name), c.withoutCollected(c.replicas[0].Get(KindOverride, name))
+			if !slices.Equal(dotsOf(got), dotsOf(want)) {
+				t.Fatalf("%s: %v, want %v", name, got, want)
+			}
+		}
+	})
+}
+
+// drawStep draws one step of a history and plays it.
+func (c *cluster) drawStep() {
+	replica := rapid.IntRange(0, len(c.replicas)-1)
+	i, j := replica.Draw(c.t, "i"), replica.Draw(c.t, "j")
+	switch rapid.IntRange(0, 10).Draw(c.t, "step") {
+	case 0, 1, 2:
+		name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(c.t, "name")
+		c.write(i, name, rapid.Bool().Draw(c.t, "disabled"))
+	case 3, 4, 5:
+		if i != j {
+			c.transferChunk(i, j, 1, rapid.Bool().Draw(c.t, "twice"))
+		}
+	case 6:
+		c.store(i)
+	case 7:
+		if !c.holdsOnlyCopy(i) {
+			c.restarted = true
+			c.start(i)
+		}
+	case 8:
+		c.collectGarbage(i)
+		c.repair(i, j)
+	case 9:
+		c.requestDelayed(i, j)
+	case 10:
+		if len(c.delayed) > 0 {
+			k := rapid.IntRange(0, len(c.delayed)-1).Draw(c.t, "delayed")
+			c.delayed[k]()
+			c.delayed = slices.Delete(c.delayed, k, k+1)
+		}
+	}
+}
--- /dev/null
+++ b/internal/replication/digest.go
@@ -0,0 +1,73 @@
+package replication
+
+import (
+	"encoding/binary"
+	"slices"
+
+	"github.com/cespare/xxhash/v2"
+
+	"birchfork/internal/failpoint"
+)
+
+// bucketCount is how many buckets entries are sorted into by their keys, for digests that tell where two replicas differ.
+const bucketCount = 64
+
+// Digest returns a hash of the entries, the same for replicas that hold the same ones.
+func (r *Replica) Digest() uint64 {
+	raw := make([]byte, 0, 8*bucketCount)
+	for _, digest := range r.bucketDigests {
+		raw = binary.BigEndian.AppendUint64(raw, digest)
+	}
+	return xxhash.Sum64(raw)
+}
+
+// BucketDigests returns a hash of the entries of each bucket.
+func (r *Replica) BucketDigests() []uint64 { return slices.Clone(r.bucketDigests[:]) }
+
+// DifferingBuckets returns the buckets whose digests differ from another replica's.
+func (r *Replica) DifferingBuckets(digests []uint64) (buckets []int) {
+	for i, digest := range r.bucketDigests {
+		if i >= len(digests) || digests[i] != digest {
+			buckets = append(buckets, i)
+		}
+	}
+	return buckets
+}
+
+// DotsInBuckets returns the dots of the entries in some buckets, in any order.
+func (r *Replica) DotsInBuckets(buckets []int) (dots []Dot) {
+	for key, entries := range r.entries {
+		if !slices.Contains(buckets, key.bucket()) {
+			continue
+		}
+		for _, entry := range entries {
+			dots = append(dots, entry.Dot)
+		}
+	}
+	return dots
+}
+
+// Removed returns those of some dots that the replica has seen and no longer holds: their entries were replaced or dropped.
+func (r *Replica) Removed(dots []Dot) (removed []Dot) {
+	if failpoint.Enabled(failpoint.ResurrectEntries) {
+		return nil
+	}
+	for _, dot := range dots {
+		if r.version.Contains(dot) && r.find(dot) == nil {
+			removed = append(removed, dot)
+		}
+	}
+	return removed
+}
+
+// Discard drops entries that another replica has seen removed, and returns the keys whose entries have changed. It is for entries that
+// a replica got back from an old disk; they stay seen.
+func (r *Replica) Discard(removed []Dot) (changed []Key) {
+	for _, dot := range removed {
+		if entry := r.find(dot); entry != nil {
+			r.remove(entry)
+			changed = append(changed, entry.key())
+		}
+	}
+	return changed
+}
--- /dev/null
+++ b/internal/replication/exchange.go
@@ -0,0 +1,130 @@
+package replication
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"slices"
+
+	"birchfork/internal/failpoint"
+)
+
+// errOutOfOrder is Merge's error for a chunk that is not the next one of its pull.
+var errOutOfOrder = errors.New("chunk out of order")
+
+// Cursor is how far a reader has read another replica's entries: these are sent in the order of their keys.
+type Cursor = Key
+
+// Chunk is a part of what a replica has and a reader has not seen.
+type Chunk struct {
+	Incarnation string        `json:"life"` // of the sender
+	From        Cursor        `json:"from"` // where the chunk begins
+	Entries     []Entry       `json:"entries,omitempty"`
+	Last        Cursor        `json:"last"` // where the next chunk begins
+	Done        bool          `json:"done"` // there is no further chunk
+	Version     VersionVector `json:"seen"` // what the sender has seen and the reader has not
+}
+
+// NextChunk returns the next chunk for a reader that has seen known and has read up to a cursor. It has up to maxEntries entries, and at
+// least one if there is any; it has more where entries of one key do not fit, which are not split.
+func (r *Replica) NextChunk(known VersionVector, from Cursor, maxEntries int) Chunk {
+	chunk := Chunk{Incarnation: r.incarnation, From: from, Version: r.seenBeyond(known), Last: from}
+	missing := r.entriesBeyond(known, from)
+	for i, entry := range missing {
+		full := len(chunk.Entries) >= max(maxEntries, 1)
+		if full && entry.key() != missing[i-1].key() {
+			return chunk
+		}
+		chunk.Entries = append(chunk.Entries, *entry)
+		chunk.Last = entry.key()
+	}
+	chunk.Done = true
+	return chunk
+}
+
+// seenBeyond returns what of the replica's version vector is beyond another.
+func (r *Replica) seenBeyond(known VersionVector) VersionVector {
+	beyond := VersionVector{}
+	for incarnation, counter := range r.version {
+		if known[incarnation] < counter {
+			beyond[incarnation] = counter
+		}
+	}
+	return beyond
+}
+
+// entriesBeyond returns the entries that a version vector does not contain and whose keys are behind a cursor, in the order of keys.
+func (r *Replica) entriesBeyond(known VersionVector, from Cursor) []*Entry {
+	var missing []*Entry
+	for incarnation, written := range r.byIncarnation {
+		first, _ := slices.BinarySearchFunc(written, known[incarnation]+1, compareCounter)
+		for _, entry := range written[first:] {
+			if entry.key().compare(from) > 0 {
+				missing = append(missing, entry)
+			}
+		}
+	}
+	slices.SortFunc(missing, func(a, b *Entry) int { return cmp.Or(a.key().compare(b.key()), compareDots(a, b)) })
+	return missing
+}
+
+// PullProgress is how far a replica has pulled what another one has. Its zero value begins; a pull that was cut off goes on from
+// its Cursor.
+type PullProgress struct {
+	Cursor Cursor
+
+	source        string        // incarnation of the sender: with another one the pull begins anew
+	sourceVersion VersionVector // what that had seen when the pull began
+}
+
+// Merge takes a chunk over and returns the keys whose entries have changed. Entries take effect at once. What the sender had seen
+// counts only with the last chunk: before that, entries that replace others may not be here yet. After an error nothing has been
+// taken over, and the pull has to begin anew.
+func (r *Replica) Merge(progress *PullProgress, chunk Chunk) (changed []Key, err error) {
+	if err := chunk.validate(); err != nil {
+		return nil, err
+	}
+	if progress.source != chunk.Incarnation {
+		*progress = PullProgress{source: chunk.Incarnation, sourceVersion: chunk.Version}
+	}
+	// Guards against a chunk that comes twice or late: the last one would count for those between.
+	if chunk.From != progress.Cursor {
+		return nil, fmt.Errorf("%w: it begins behind %q, want %q", errOutOfOrder, chunk.From.Name, progress.Cursor.Name)
+	}
+	for _, entry := range chunk.Entries {
+		// One that was seen is held here, or was replaced or dropped.
+		seen := r.version.Contains(entry.Dot) && !failpoint.Enabled(failpoint.ResurrectEntries)
+		if !seen && r.insert(&entry) {
+			changed = append(changed, entry.key())
+		}
+	}
+	progress.Cursor = chunk.Last
+	if chunk.Done {
+		r.version.merge(progress.sourceVersion)
+		*progress = PullProgress{}
+	}
+	return changed, nil
+}
+
+// validate checks a chunk that another member or a disk has given.
+func (c *Chunk) validate() error {
+	if c.Incarnation == "" || len(c.Incarnation) > maxIncarnationLength || len(c.Version) > maxIncarnations {
+		return fmt.Errorf("a piece of nobody's, or with %d lives; %d at the most", len(c.Version), maxIncarnations)
+	}
+	for i := range c.Entries {
+		if err := c.Entries[i].validate(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// diskIncarnation stands for the sender where a disk is read, whose entries are taken as one chunk.
+const diskIncarnation = "a disk"
+
+// Restore takes over what a disk has of a replica, be it of this member or of another. After an error nothing has been taken over.
+func (r *Replica) Restore(version VersionVector, entries []Entry) error {
+	var progress PullProgress
+	_, err := r.Merge(&progress, Chunk{Incarnation: diskIncarnation, Entries: entries, Version: version, Done: true})
+	return err
+}
