--- a/internal/boltstore/golden_test.go
+++ b/internal/boltstore/boltstore_test.go
@@ -12,25 +12,9 @@
 	"testing"
 
 	"go.etcd.io/bbolt"
-)
 
-// golden compares bytes with a file in testdata/golden; UPDATE_GOLDEN=1 writes it anew.
-func golden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	if os.Getenv("UPDATE_GOLDEN") == "1" {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s: got\n%s\nwant\n%s", name, got, want)
-	}
-}
+	"birchfork/internal/goldentest"
+)
 
 // TestGolden_ChecksummedValues holds values with their checksums, as they stand in files, and that each is read back.
 func TestGolden_ChecksummedValues(t *testing.T) {
@@ -38,17 +22,17 @@
 	for _, raw := range []string{"", "a", `{"format":1,"group":"edge"}`, strings.Repeat("value ", 20)} {
 		fmt.Fprintf(&b, "%q %s\n", raw, hex.EncodeToString(AddChecksum([]byte(raw))))
 	}
-	golden(t, "sealed.txt", b.Bytes())
-	stored, err := os.ReadFile(filepath.Join("testdata", "golden", "sealed.txt"))
+	goldentest.Check(t, "sealed.txt", b.Bytes())
+	file, err := os.ReadFile(filepath.Join("testdata", "golden", "sealed.txt"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for line := range strings.Lines(string(stored)) {
-		var want, sealed string
-		if _, err := fmt.Sscanf(line, "%q %s", &want, &sealed); err != nil {
+	for line := range strings.Lines(string(file)) {
+		var want, stored string
+		if _, err := fmt.Sscanf(line, "%q %s", &want, &stored); err != nil {
 			t.Fatal(err)
 		}
-		raw, err := hex.DecodeString(sealed)
+		raw, err := hex.DecodeString(stored)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -60,23 +44,23 @@
 
 // TestVerifyChecksum_RejectsChangedBytes flips each bit and cuts at each byte.
 func TestVerifyChecksum_RejectsChangedBytes(t *testing.T) {
-	sealed := AddChecksum([]byte("value"))
-	for i := range len(sealed) * 8 {
-		changed := bytes.Clone(sealed)
+	stored := AddChecksum([]byte("value"))
+	for i := range len(stored) * 8 {
+		changed := bytes.Clone(stored)
 		changed[i/8] ^= 1 << (i % 8)
 		if _, err := VerifyChecksum(changed); err == nil {
 			t.Errorf("bit %d changed: taken", i)
 		}
 	}
-	for i := range sealed {
-		if _, err := VerifyChecksum(sealed[:i]); err == nil {
+	for i := range stored {
+		if _, err := VerifyChecksum(stored[:i]); err == nil {
 			t.Errorf("cut to %d bytes: taken", i)
 		}
 	}
 }
 
-// count is a load function that notes its calls and makes a bucket.
-func count(calls *int) func(*bbolt.DB) error {
+// countCalls returns a load function that counts its calls and creates a bucket.
+func countCalls(calls *int) func(*bbolt.DB) error {
 	return func(db *bbolt.DB) error {
 		*calls++
 		return db.Update(func(tx *bbolt.Tx) error {
@@ -86,15 +70,15 @@
 	}
 }
 
-// TestOpen_LockedFile reports a file that another process has.
+// TestOpen_LockedFile holds that a file that is open is reported as locked.
 func TestOpen_LockedFile(t *testing.T) {
 	folder, calls := t.TempDir(), 0
-	db, unreadable, err := Open(folder, "f.db", count(&calls))
+	db, unreadable, err := Open(folder, "f.db", countCalls(&calls))
 	if err != nil || unreadable != nil || calls != 1 {
 		t.Fatalf("%v, %v after %d calls", unreadable, err, calls)
 	}
 	defer db.Close()
-	if _, _, err := Open(folder, "f.db", count(&calls)); !errors.Is(err, ErrLocked) {
+	if _, _, err := Open(folder, "f.db", countCalls(&calls)); !errors.Is(err, ErrLocked) {
 		t.Errorf("a file that is open: %v", err)
 	}
 	if info, err := os.Stat(filepath.Join(folder, "f.db")); err != nil || info.Mode().Perm() != 0o600 {
@@ -102,9 +86,9 @@
 	}
 }
 
-// TestOpen_UnreadableFile sets a file aside that cannot be read, and begins another.
+// TestOpen_UnreadableFile holds that a file that cannot be read is renamed, and an empty one opened.
 func TestOpen_UnreadableFile(t *testing.T) {
-	errLoad := errors.New("it makes no sense")
+	errLoad := errors.New("unknown record")
 	for name, prepare := range map[string]func(path string) (load func(*bbolt.DB) error){
 		"no bbolt file": func(path string) func(*bbolt.DB) error {
 			if err := os.WriteFile(path, bytes.Repeat([]byte("x"), 1<<16), 0o600); err != nil {
@@ -145,7 +129,7 @@
 	}
 }
 
-// TestOpen_FileStays leaves a file in its place that is another's, or that the system refuses.
+// TestOpen_FileStays holds that a file stays in its place that is another's, or that the operating system refuses.
 func TestOpen_FileStays(t *testing.T) {
 	for _, cause := range []error{ErrForeign, syscall.EIO} {
 		folder := t.TempDir()
@@ -159,7 +143,7 @@
 	}
 }
 
-// TestOpen_KeepsWhatIsThere reads a file again that was closed in order.
+// TestOpen_KeepsWhatIsThere holds that a file that was closed is read again.
 func TestOpen_KeepsWhatIsThere(t *testing.T) {
 	folder := t.TempDir()
 	for i := range 2 {
--- a/internal/failpoint/golden_test.go
+++ b/internal/failpoint/failpoint_test.go
@@ -5,14 +5,13 @@
 import (
 	"bytes"
 	"fmt"
-	"os"
-	"path/filepath"
 	"testing"
 	"time"
+
+	"birchfork/internal/goldentest"
 )
 
-// TestGolden_Names holds the names of faults, which scenarios and flags give as strings: testdata/golden/names.txt, which
-// UPDATE_GOLDEN=1 writes anew.
+// TestGolden_Names holds the names of faults and conditions, which scenarios and flags give as strings.
 func TestGolden_Names(t *testing.T) {
 	var b bytes.Buffer
 	fmt.Fprintln(&b, "faults of the program, in this order:")
@@ -23,19 +22,7 @@
 	for _, name := range []string{ClockSkew, OlderBuild, NewerEntries, DiskFull, DiskStall} {
 		fmt.Fprintln(&b, name)
 	}
-	path := filepath.Join("testdata", "golden", "names.txt")
-	if os.Getenv("UPDATE_GOLDEN") == "1" {
-		if err := os.WriteFile(path, b.Bytes(), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(b.Bytes(), want) {
-		t.Errorf("got\n%s\nwant\n%s", b.Bytes(), want)
-	}
+	goldentest.Check(t, "names.txt", b.Bytes())
 }
 
 // TestEnabled_OnlyTheOneSet holds that one fault at a time is on, and none by default.
--- a/internal/failpoint/lean.go
+++ b/internal/failpoint/lean.go
@@ -1,11 +1,11 @@
 //go:build lean
 
-// Package failpoint is left out of this build: no fault can be switched on.
+// Package failpoint has no fault to switch on in a lean build: Enabled is a constant false.
 package failpoint
 
 import "time"
 
-// The faults' names, for those who ask.
+// The names of faults and conditions, none of which a lean build has.
 const (
 	SendWithoutLease    = ""
 	OverlongLease       = ""
@@ -24,24 +24,25 @@
 	ResurrectEntries    = ""
 	EjectOnPeerReport   = ""
 	NoOutlierReports    = ""
-	OlderBuild          = ""
-	TrustDisk           = ""
-	NoEndpointExchange  = ""
 	ReuseDots           = ""
 	LastWriteWins       = ""
-	ClockSkew           = ""
 	AnswerBeforeSync    = ""
 	OverwriteReplica    = ""
-	NewerEntries        = ""
-	DiskFull            = ""
-	DiskStall           = ""
-)
+	NoEndpointExchange  = ""
+	TrustDisk           = ""
 
-// ClockOffset is how far a member's wall clock is off: it never is.
-func ClockOffset(string) time.Duration { return 0 }
+	ClockSkew    = ""
+	OlderBuild   = ""
+	NewerEntries = ""
+	DiskFull     = ""
+	DiskStall    = ""
+)
 
-// Enabled tells whether a fault is switched on: none ever is.
+// Enabled reports whether a fault or condition is on: none ever is.
 func Enabled(string) bool { return false }
 
-// BeforeSyncedWrite is what becomes of a synced write by plan: nothing.
+// ClockOffset returns how far a member's wall clock is ahead: it never is.
+func ClockOffset(string) time.Duration { return 0 }
+
+// BeforeSyncedWrite does nothing.
 func BeforeSyncedWrite(time.Time) error { return nil }
