--- a/cmd/birchfork/plan_file.go
+++ b/cmd/birchfork/plan_file.go
@@ -15,15 +15,15 @@
 
 // planFile is a maintenance plan in its file.
 type planFile struct {
-	Name                  string        `toml:"name"`
-	MaxUnavailable        int           `toml:"out"`
-	MaxUnavailablePerZone int           `toml:"zone_out"`
-	MaxUnavailablePerKind int           `toml:"kind_out"`
-	MinCapacity           float64       `toml:"capacity"`
-	DrainTimeout          time.Duration `toml:"leave"`
-	WorkTimeout           time.Duration `toml:"work"`
-	ReturnTimeout         time.Duration `toml:"back"`
-	OnOverdue             string        `toml:"overdue"`
+	Name                  string                    `toml:"name"`
+	MaxUnavailable        int                       `toml:"out"`
+	MaxUnavailablePerZone int                       `toml:"zone_out"`
+	MaxUnavailablePerKind int                       `toml:"kind_out"`
+	MinCapacity           float64                   `toml:"capacity"`
+	DrainTimeout          time.Duration             `toml:"leave"`
+	WorkTimeout           time.Duration             `toml:"work"`
+	ReturnTimeout         time.Duration             `toml:"back"`
+	OnOverdue             maintenance.OverdueAction `toml:"overdue"`
 	Machines              []struct {
 		Name    string   `toml:"name"`
 		Workers []string `toml:"runners"`
--- a/internal/maintenance/advance_test.go
+++ b/internal/maintenance/advance_test.go
@@ -78,7 +78,7 @@
 // TestOverdue_FollowsPlanSetting holds what a plan does when a drain takes too long.
 func TestOverdue_FollowsPlanSetting(t *testing.T) {
 	for _, test := range []struct {
-		onOverdue string
+		onOverdue OverdueAction
 		phases    string
 		plan      PlanPhase
 	}{
--- a/internal/maintenance/golden_test.go
+++ b/internal/maintenance/golden_test.go
@@ -112,7 +112,7 @@
 		MachineFailed,
 	})
 	fmt.Fprintln(&b, "plan:", []PlanPhase{PlanSubmitted, PlanAnnounced, PlanRunning, PlanPaused, PlanAborting, PlanEnded})
-	fmt.Fprintln(&b, "overdue:", []string{OverdueWait, OverduePause, OverdueSkip})
+	fmt.Fprintln(&b, "overdue:", []OverdueAction{OverdueWait, OverduePause, OverdueSkip})
 	fmt.Fprintln(&b, "commands:", []CommandKind{
 		CommandJoinMember, CommandRetireMember, CommandTrustHistory, CommandSubmitPlan, CommandStartPlan, CommandPausePlan,
 		CommandResumePlan, CommandAbortPlan, CommandClaimMachine, CommandSkipMachine, CommandReturnMachine, CommandAdvance,
--- a/internal/maintenance/history_test.go
+++ b/internal/maintenance/history_test.go
@@ -192,7 +192,7 @@
 func (h *history) plan() *Plan {
 	plan := &Plan{
 		Name: fmt.Sprint("p", h.random.IntN(4)), MaxUnavailable: 1 + h.random.IntN(3), MaxUnavailablePerZone: h.random.IntN(3), MaxUnavailablePerKind: h.random.IntN(3),
-		MinCapacity: []float64{0, 0.3, 0.6, 0.9}[h.random.IntN(4)], OnOverdue: []string{OverdueWait, OverduePause, OverdueSkip}[h.random.IntN(3)],
+		MinCapacity: []float64{0, 0.3, 0.6, 0.9}[h.random.IntN(4)], OnOverdue: []OverdueAction{OverdueWait, OverduePause, OverdueSkip}[h.random.IntN(3)],
 		DrainTimeout: time.Duration(h.random.IntN(4)) * time.Second, WorkTimeout: time.Duration(h.random.IntN(3)) * 3 * time.Second,
 		ReturnTimeout: time.Duration(h.random.IntN(3)) * 3 * time.Second,
 	}
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -8,11 +8,14 @@
 // MaxMachines is the highest number of machines in a plan.
 const MaxMachines = 1000
 
-// What a plan does when a phase of a machine takes longer than the plan allows (Plan.OnOverdue).
+// OverdueAction is what a plan does when a phase of a machine takes longer than the plan allows.
+type OverdueAction string
+
+// The actions.
 const (
-	OverdueWait  = "wait"  // nothing but an event
-	OverduePause = "pause" // the plan is paused
-	OverdueSkip  = "skip"  // a machine that is not drained in time is put back and skipped; otherwise as OverduePause
+	OverdueWait  OverdueAction = "wait"  // emits an event, and nothing else
+	OverduePause OverdueAction = "pause" // pauses the plan; a machine that is not back in time has failed
+	OverdueSkip  OverdueAction = "skip"  // skips a machine that is not drained in time; one that is not back in time has failed
 )
 
 // Plan is a maintenance plan as operators submit it.
@@ -31,7 +34,7 @@
 	DrainTimeout  time.Duration `json:"leave"`
 	WorkTimeout   time.Duration `json:"work"`
 	ReturnTimeout time.Duration `json:"back"`
-	OnOverdue     string        `json:"overdue"` // what happens at a timeout: OverdueWait, OverduePause or OverdueSkip
+	OnOverdue     OverdueAction `json:"overdue"` // what happens at a timeout
 }
 
 // Machine is a set of workers that are worked on together: either named ones, or all workers at a host, whatever their names are
--- a/internal/maintenance/validate.go
+++ b/internal/maintenance/validate.go
@@ -68,7 +68,7 @@
 	if !isShare {
 		v.report("capacity: %v is no share from 0 to 1", v.plan.MinCapacity)
 	}
-	if !slices.Contains([]string{OverdueWait, OverduePause, OverdueSkip}, v.plan.OnOverdue) {
+	if !slices.Contains([]OverdueAction{OverdueWait, OverduePause, OverdueSkip}, v.plan.OnOverdue) {
 		v.report("overdue: %q is none of %s, %s and %s", v.plan.OnOverdue, OverdueWait, OverduePause, OverdueSkip)
 	}
 }
