--- a/internal/maintenance/advance.go
+++ b/internal/maintenance/advance.go
@@ -164,9 +164,9 @@
 	if !anyActive && proposal.FenceTimeout <= s.FenceTimeout {
 		return false // the usual case, and a leader asks several times a second
 	}
-	trial := &applier{State: s.Clone()}
-	trial.advance(proposal)
-	return len(trial.events) > 0
+	dryRun := &applier{State: s.Clone()}
+	dryRun.advance(proposal)
+	return len(dryRun.events) > 0
 }
 
 // unconfirmedMembers returns the members that have not confirmed a log index, sorted.
--- a/internal/maintenance/advance_test.go
+++ b/internal/maintenance/advance_test.go
@@ -152,7 +152,8 @@
 	}
 	f.changeWorker("r0", func(w *Worker) { w.Gone, w.Unavailable = true, true })
 	f.changeWorker("new", func(w *Worker) { *w = Worker{Host: "h0", Zone: "z0", Kind: "k0", Weight: 1, WarmingUp: true} })
-	f.proposal.Reports["b"] = MemberReport{Incarnation: "1", SoleProcess: true, BusyHosts: []string{"h0"}} // at a worker that the leader does not know yet
+	// An attempt at a worker that the leader does not know yet.
+	f.proposal.Reports["b"] = MemberReport{Incarnation: "1", SoleProcess: true, BusyHosts: []string{"h0"}}
 	f.advance(second)
 	f.expectPhases("h leaving")
 	expectWorkers("new r0 r1")
--- a/internal/maintenance/budget_test.go
+++ b/internal/maintenance/budget_test.go
@@ -30,13 +30,19 @@
 				f.changeWorker(name, func(w *Worker) { w.Unavailable = true })
 			}
 		}, "m1 leaving"},
-		"another zone first": {Plan{MaxUnavailable: 2, Machines: []Machine{machineOf("m0", "r0"), machineOf("m2", "r2"), machineOf("m1", "r1")}}, func(f *fixture) {
+		"another zone first": {Plan{MaxUnavailable: 2, Machines: []Machine{
+			machineOf("m0", "r0"), machineOf("m2", "r2"), machineOf("m1", "r1"),
+		}}, func(f *fixture) {
 			for i := range 3 {
 				f.changeWorker(fmt.Sprint("r", i), func(w *Worker) { w.Weight = 1 })
 			}
 		}, "m0 leaving, m1 leaving"},
-		"not the last of a kind":        {Plan{MaxUnavailable: 9}, func(f *fixture) { f.changeWorker("r0", func(w *Worker) { w.Kind = "rare" }) }, "m1 leaving, m3 leaving, m4 leaving"},
-		"not the last of a zone":        {Plan{MaxUnavailable: 9}, func(f *fixture) { f.changeWorker("r0", func(w *Worker) { w.Zone = "far" }) }, "m1 leaving, m2 leaving, m3 leaving"},
+		"not the last of a kind": {Plan{MaxUnavailable: 9}, func(f *fixture) {
+			f.changeWorker("r0", func(w *Worker) { w.Kind = "rare" })
+		}, "m1 leaving, m3 leaving, m4 leaving"},
+		"not the last of a zone": {Plan{MaxUnavailable: 9}, func(f *fixture) {
+			f.changeWorker("r0", func(w *Worker) { w.Zone = "far" })
+		}, "m1 leaving, m2 leaving, m3 leaving"},
 		"an unknown worker in the plan": {Plan{}, func(f *fixture) { delete(f.proposal.Fleet, "r0") }, "m0 leaving"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -62,7 +68,9 @@
 // TestBudget_SharedByPlans holds that a machine that one plan has taken counts against the budget of another.
 func TestBudget_SharedByPlans(t *testing.T) {
 	f := newFixture(t, Plan{Machines: []Machine{machineOf("m0", "r0")}})
-	f.expect(CodeOK, Command{Kind: CommandSubmitPlan, Plan: &Plan{Name: "q", MaxUnavailable: 1, OnOverdue: OverdueWait, Machines: []Machine{machineOf("n1", "r1")}}})
+	f.expect(CodeOK, Command{Kind: CommandSubmitPlan, Plan: &Plan{
+		Name: "q", MaxUnavailable: 1, OnOverdue: OverdueWait, Machines: []Machine{machineOf("n1", "r1")},
+	}})
 	f.expect(CodeOK, Command{Kind: CommandStartPlan, Name: "q"})
 	f.startPlan()
 	f.advance(second)
--- a/internal/maintenance/golden_test.go
+++ b/internal/maintenance/golden_test.go
@@ -141,8 +141,8 @@
 	goldentest.Check(t, "compact.jsonl", b.Bytes())
 }
 
-// TestGolden_Texts holds the texts of results, of problems of plans and of reasons, which are sent to operators, and those of events. Of texts that
-// differ in digits alone it holds one.
+// TestGolden_Texts holds the texts of results, of problems of plans and of reasons, which are sent to operators, and those of events.
+// Of texts that differ in digits alone it holds one.
 func TestGolden_Texts(t *testing.T) {
 	texts := map[string]bool{}
 	for seed := range uint64(60) {
@@ -189,7 +189,8 @@
 		play("", seed)
 	}
 	for _, fault := range []string{
-		failpoint.IgnoreMemberReports, failpoint.IgnoreBudget, failpoint.IgnoreUnavailable, failpoint.WaitForLostMembers, failpoint.RepeatCommands,
+		failpoint.IgnoreMemberReports, failpoint.IgnoreBudget, failpoint.IgnoreUnavailable, failpoint.WaitForLostMembers,
+		failpoint.RepeatCommands,
 	} {
 		for seed := range uint64(5) {
 			play(fault, seed)
--- a/internal/maintenance/history_test.go
+++ b/internal/maintenance/history_test.go
@@ -169,8 +169,10 @@
 // proposal draws what a leader would propose: mostly for the state as it is, with the reports of most members.
 func (h *history) proposal() *Advance {
 	proposal := &Advance{
-		StateSeq: h.state.Seq, Elapsed: time.Duration(h.random.IntN(4)) * 700 * time.Millisecond, FenceTimeout: time.Duration(4+h.random.IntN(2)) * time.Second,
-		WarmUp: 2 * time.Second, Reports: map[string]MemberReport{}, Fleet: maps.Clone(h.fleet),
+		StateSeq:     h.state.Seq,
+		Elapsed:      time.Duration(h.random.IntN(4)) * 700 * time.Millisecond,
+		FenceTimeout: time.Duration(4+h.random.IntN(2)) * time.Second,
+		WarmUp:       2 * time.Second, Reports: map[string]MemberReport{}, Fleet: maps.Clone(h.fleet),
 	}
 	if h.random.IntN(15) == 0 {
 		proposal.StateSeq--
@@ -191,10 +193,15 @@
 // plan draws a plan, some of which have problems.
 func (h *history) plan() *Plan {
 	plan := &Plan{
-		Name: fmt.Sprint("p", h.random.IntN(4)), MaxUnavailable: 1 + h.random.IntN(3), MaxUnavailablePerZone: h.random.IntN(3), MaxUnavailablePerKind: h.random.IntN(3),
-		MinCapacity: []float64{0, 0.3, 0.6, 0.9}[h.random.IntN(4)], OnOverdue: []OverdueAction{OverdueWait, OverduePause, OverdueSkip}[h.random.IntN(3)],
-		DrainTimeout: time.Duration(h.random.IntN(4)) * time.Second, WorkTimeout: time.Duration(h.random.IntN(3)) * 3 * time.Second,
-		ReturnTimeout: time.Duration(h.random.IntN(3)) * 3 * time.Second,
+		Name:                  fmt.Sprint("p", h.random.IntN(4)),
+		MaxUnavailable:        1 + h.random.IntN(3),
+		MaxUnavailablePerZone: h.random.IntN(3),
+		MaxUnavailablePerKind: h.random.IntN(3),
+		MinCapacity:           []float64{0, 0.3, 0.6, 0.9}[h.random.IntN(4)],
+		OnOverdue:             []OverdueAction{OverdueWait, OverduePause, OverdueSkip}[h.random.IntN(3)],
+		DrainTimeout:          time.Duration(h.random.IntN(4)) * time.Second,
+		WorkTimeout:           time.Duration(h.random.IntN(3)) * 3 * time.Second,
+		ReturnTimeout:         time.Duration(h.random.IntN(3)) * 3 * time.Second,
 	}
 	for _, i := range h.random.Perm(4)[:1+h.random.IntN(4)] {
 		machine := Machine{Name: fmt.Sprint("m", i)}
--- a/internal/maintenance/state.go
+++ b/internal/maintenance/state.go
@@ -17,7 +17,7 @@
 type State struct {
 	Seq          uint64             `json:"seq"`             // counts the commands that changed anything
 	Level        int                `json:"level,omitempty"` // highest Command.Level that was applied
-	HistoryLost  bool               `json:"doubt,omitempty"` // the group was founded again: forgotten plans may have machines under maintenance
+	HistoryLost  bool               `json:"doubt,omitempty"` // after a new founding forgotten plans may have machines under maintenance
 	AppliedIndex uint64             `json:"index"`           // log index of the newest command
 	Clock        time.Duration      `json:"clock"`           // the group's clock: never ahead of the time that has passed
 	FenceTimeout time.Duration      `json:"bound"`           // after this time a silent member can neither send nor have attempts running
--- a/internal/maintenance/validate.go
+++ b/internal/maintenance/validate.go
@@ -64,8 +64,8 @@
 			v.report("%s: %v is below 0; 0 sets no bound", timeout.key, timeout.value)
 		}
 	}
-	isShare := v.plan.MinCapacity >= 0 && v.plan.MinCapacity <= 1 // false for NaN too
-	if !isShare {
+	inRange := v.plan.MinCapacity >= 0 && v.plan.MinCapacity <= 1 // false for NaN too
+	if !inRange {
 		v.report("capacity: %v is no share from 0 to 1", v.plan.MinCapacity)
 	}
 	if !slices.Contains([]OverdueAction{OverdueWait, OverduePause, OverdueSkip}, v.plan.OnOverdue) {
--- a/internal/replication/golden_test.go
+++ b/internal/replication/golden_test.go
@@ -15,7 +15,8 @@
 
 func goldenEntry() Entry {
 	return Entry{
-		Kind: KindOverride, Name: "r1", Dot: Dot{Incarnation: "life-1", Counter: 11}, CausalContext: VersionVector{"life-1": 10, "life-2": 12}, Member: "d1",
+		Kind: KindOverride, Name: "r1", Dot: Dot{Incarnation: "life-1", Counter: 11},
+		CausalContext: VersionVector{"life-1": 10, "life-2": 12}, Member: "d1",
 		WrittenAt: 1_700_000_000_123, Disabled: true, Data: json.RawMessage(`{"of":"another build"}`),
 	}
 }
@@ -23,7 +24,10 @@
 // TestGolden_Forms covers all that is stored on disk and sent between members.
 func TestGolden_Forms(t *testing.T) {
 	goldentest.CheckJSON(t, "entry.json", goldenEntry())
-	goldentest.CheckJSON(t, "entries.json", []Entry{goldenEntry(), {Kind: KindOverride, Name: "r1", Dot: Dot{Incarnation: "life-2", Counter: 13}, Member: "d2"}})
+	goldentest.CheckJSON(t, "entries.json", []Entry{
+		goldenEntry(),
+		{Kind: KindOverride, Name: "r1", Dot: Dot{Incarnation: "life-2", Counter: 13}, Member: "d2"},
+	})
 	goldentest.CheckJSON(t, "version-vector.json", VersionVector{"life-1": 21, "life-2": 22})
 	goldentest.CheckJSON(t, "dots.json", []Dot{{Incarnation: "life-1", Counter: 31}, {Incarnation: "life-2", Counter: 32}})
 	goldentest.CheckJSON(t, "cursor.json", Cursor{Kind: KindOverride, Name: "r2"})
