--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -1,7 +1,6 @@
 package consensus
 
 import (
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"slices"
@@ -30,11 +29,6 @@
 	lastReadRound     uint64
 }
 
-type pendingRead struct {
-	minRound uint64 // confirmed by a read of this number or a later one
-	done     func(index uint64, err error)
-}
-
 // NewCore goes on from what the disk has. Where that is empty it waits to be taken into the group. seed tells its reads apart
 // from those of a process before.
 func NewCore(options Options, seed uint64) (*Core, error) {
@@ -135,17 +129,6 @@
 	return err
 }
 
-// ReadIndex has done called with an index such that all that was settled before the call is at or below it: a quorum has confirmed
-// by then, since the call, that this member leads, or its leader does. It may never be called.
-func (c *Core) ReadIndex(done func(index uint64, err error)) {
-	if len(c.pendingReads) >= maxPending {
-		done(0, ErrBusy)
-		return
-	}
-	c.pendingReads = append(c.pendingReads, pendingRead{minRound: c.lastReadRound + 1, done: done}) // the one that is out was asked for before us
-	c.process()
-}
-
 // CaughtUp are those followers that have nearly all that is settled and were heard of lately; nil where we do not lead.
 func (c *Core) CaughtUp() (ids []uint64) {
 	if c.rawNode.BasicStatus().RaftState != raft.StateLeader {
@@ -174,16 +157,6 @@
 	c.processReady()
 }
 
-// startReadRound has the reads that wait confirmed, one round for all.
-func (c *Core) startReadRound() {
-	if c.activeReadRound != 0 && c.ticksSinceRead < readRetryTicks || len(c.pendingReads) == 0 {
-		return
-	}
-	c.lastReadRound++
-	c.activeReadRound, c.ticksSinceRead = c.lastReadRound, 0
-	c.rawNode.ReadIndex(binary.BigEndian.AppendUint64(nil, c.lastReadRound))
-}
-
 // processReady carries out what raft wants done, in its order: kept and synced, then sent, then applied.
 func (c *Core) processReady() {
 	for c.rawNode.HasReady() {
@@ -275,67 +248,3 @@
 	}
 	c.applied = entry.GetIndex()
 }
-
-// completeReads ends the reads that one round of raft's confirms.
-func (c *Core) completeReads(readState raft.ReadState) {
-	round := binary.BigEndian.Uint64(readState.RequestCtx)
-	if round == c.activeReadRound {
-		c.activeReadRound = 0
-	}
-	var remaining []pendingRead
-	pending := c.pendingReads
-	c.pendingReads = nil
-	for _, read := range pending {
-		if read.minRound <= round {
-			read.done(readState.Index, nil)
-		} else {
-			remaining = append(remaining, read)
-		}
-	}
-	c.pendingReads = append(remaining, c.pendingReads...)
-}
-
-// compactLog keeps the log short.
-func (c *Core) compactLog() {
-	if c.applied-c.snapshotIndex < snapshotThreshold {
-		return
-	}
-	if err := c.snapshot(); err != nil {
-		panic(err)
-	}
-	if err := c.options.Storage.compact(c.applied - trailingEntries); err != nil {
-		panic(err)
-	}
-}
-
-// snapshot keeps all that is settled, with who is in the group now.
-func (c *Core) snapshot() error {
-	if c.snapshotIndex == c.applied {
-		return nil
-	}
-	data, err := c.options.StateMachine.Snapshot()
-	if err != nil {
-		return err
-	}
-	if err := c.options.Storage.saveSnapshot(c.applied, c.confState, data); err != nil {
-		return err
-	}
-	c.snapshotIndex = c.applied
-	return nil
-}
-
-// raftStorage is what raft reads. A snapshot for a follower is made when it is asked for: one from before the follower came would
-// not have it in.
-type raftStorage struct {
-	*raft.MemoryStorage
-	core *Core
-}
-
-// Snapshot makes a snapshot of the present; the loop's goroutine asks for it.
-func (s raftStorage) Snapshot() (*raftpb.Snapshot, error) {
-	if err := s.core.snapshot(); err != nil {
-		s.core.options.Log.WithError(err).Error("no snapshot can be made for a member that is behind")
-		return nil, raft.ErrSnapshotTemporarilyUnavailable
-	}
-	return s.MemoryStorage.Snapshot()
-}
--- a/internal/consensus/agree.go
+++ b/internal/consensus/node.go
@@ -1,6 +1,3 @@
-// Package consensus is the loop round raft: it ticks it, keeps what it wants kept, carries its messages and hands settled
-// entries to a state machine in their one order. The algorithm is go.etcd.io/raft's. The loop's goroutine owns raft and the
-// disk.
 package consensus
 
 import (
@@ -12,60 +9,10 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/sirupsen/logrus"
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 )
 
-// Times and bounds.
-const (
-	tickInterval          = 50 * time.Millisecond
-	heartbeatTicks        = 3                 // ticks: 150 ms
-	electionTicks         = 20                // ticks: a follower campaigns 1 to 2 s after the last word of its leader
-	learnerHeartbeatTicks = electionTicks / 2 // ticks between heartbeats to one that does not vote: it answers one in each span after which it counts as silent
-	readRetryTicks        = 10                // ticks until a read that has no answer is asked for again
-	maxPending            = 1024
-	maxMessageBytes       = 256 << 10 // of a message's entries
-	maxUncommittedBytes   = 4 << 20   // bytes of proposals that are not settled
-	snapshotThreshold     = 1000      // entries until the log is cut
-	trailingEntries       = 200       // entries behind it, for those that are a little late
-)
-
-// StateMachine is what is agreed on. It is called by the loop alone.
-type StateMachine interface {
-	Apply(index uint64, data []byte)
-	Snapshot() ([]byte, error)
-	Restore(data []byte) error
-}
-
-// Errors of proposals and reads.
-var (
-	ErrNoLeader = errors.New("no leader is known")
-	ErrStopped  = errors.New("the agreement has stopped")
-	ErrBusy     = errors.New("too much waits to be agreed on")
-)
-
-// Options is all that an Agree is made of.
-type Options struct {
-	Storage      *Storage
-	BootMarker   *BootMarker // nil: none. The loop's, as the disk is
-	MaxPromised  *Position   // what this life may have said and forgotten; nil: its disk has all
-	StateMachine StateMachine
-	Send         func(to uint64, raw []byte, snapshot bool) // must not wait
-	Log          logrus.FieldLogger
-}
-
-// Status is how things stand with this member.
-type Status struct {
-	LeaderID uint64 // raft id; 0: none is known
-	IsLeader bool
-	Applied  uint64
-	Position
-	Voters   []uint64
-	Learners []uint64 // learners
-	Failure  string   // why it stopped; empty: it runs
-}
-
 // Node runs one member's part until Close.
 type Node struct {
 	options  Options
@@ -143,40 +90,6 @@
 // Status is how things stand, as the loop saw it last.
 func (n *Node) Status() Status { return *n.status.Load() }
 
-// Position is how far a member has said that it has come: what its disk has to have for ever.
-type Position struct {
-	Term      uint64 `json:"term"`      // it has heard of this one, and may have voted in it
-	LastIndex uint64 `json:"last"`      // it has acknowledged the entries up to this one
-	LastTerm  uint64 `json:"last_term"` // of that entry
-}
-
-// OlderThan tells whether a disk with this mark has less than another one had.
-func (p Position) OlderThan(other Position) bool { return p.Term < other.Term || p.logOlderThan(other) }
-
-// logOlderThan compares logs as raft does.
-func (p Position) logOlderThan(other Position) bool {
-	return p.LastTerm < other.LastTerm || p.LastTerm == other.LastTerm && p.LastIndex < other.LastIndex
-}
-
-// UpperBound is the bound that covers both: the newer term, and the longer log.
-func (p Position) UpperBound(other Position) Position {
-	if p.logOlderThan(other) {
-		p.LastIndex, p.LastTerm = other.LastIndex, other.LastTerm
-	}
-	p.Term = max(p.Term, other.Term)
-	return p
-}
-
-// Misses tells whether a disk that has come so far has forgotten what was said.
-func (p Position) Misses(promised Position) bool {
-	return p.Term < promised.Term || p.LastIndex < promised.LastIndex
-}
-
-// Merge is the mark that covers both.
-func (p Position) Merge(other Position) Position {
-	return Position{Term: max(p.Term, other.Term), LastIndex: max(p.LastIndex, other.LastIndex)}
-}
-
 // Receive takes a message of another member's and says which raft id it is from, and how far that has come by it. It does not
 // wait: what there is no room for is lost.
 func (n *Node) Receive(raw []byte) (from uint64, position Position, err error) {
