--- a/internal/consensus/bootmarker.go
+++ b/internal/consensus/bootmarker.go
@@ -8,69 +8,74 @@
 	"strings"
 )
 
-// BootMarker is a note of how far a life has come, beside its disk, in a file that is not to outlive the machine's run. A disk that has
-// less than its witness is one of before; without a witness nothing tells. A nil one notes nothing.
+// BootMarker records beside the storage how far an incarnation has come, in a file that must not outlive the machine's boot. Storage that
+// has less than its marker was put back from a copy. Without a marker nothing tells. Methods of a nil BootMarker record nothing.
+//
+// It is not safe for concurrent use; a Node owns its boot marker.
 type BootMarker struct {
 	path   string
 	bootID string
 	file   *os.File
 }
 
-// bootRecord is what the file has.
+// bootRecord is the file's content.
 type bootRecord struct {
 	BootID      string `json:"boot"`
 	Incarnation string `json:"life"`
 	Position
 }
 
-// bootRecordSize is the file's size in bytes: one write of less than a page is whole, or not there, when a process dies.
+// bootRecordSize is the file's size in bytes. A process that dies leaves a write of less than a page whole, or not there.
 const bootRecordSize = 256
 
-// bootIDFile names the run of the machine: a note from before may be of a disk that was put back with it.
+// bootIDFile names the machine's boot. A marker of an earlier boot may have been put back from a copy together with the storage.
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
-// OpenBootMarker opens the file. Where that or the machine's run cannot be told it is nil, with the reason.
+// OpenBootMarker opens or creates the marker at a path. It fails where the system does not tell its boot ID.
 func OpenBootMarker(path string) (*BootMarker, error) {
 	bootID, err := os.ReadFile(bootIDFile)
 	if err != nil {
-		return nil, fmt.Errorf("which run of the machine this is: %w", err)
+		return nil, fmt.Errorf("reading the boot ID: %w", err)
 	}
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("the witness of the group's disk: %w", err)
+		return nil, fmt.Errorf("opening the boot marker: %w", err)
 	}
 	return &BootMarker{path: path, bootID: strings.TrimSpace(string(bootID)), file: file}, nil
 }
 
-// Lookup is how far a life had come; false: it was not noted in this run of the machine.
+// Lookup returns the position that was recorded for an incarnation since the machine's boot; false: none was.
 func (b *BootMarker) Lookup(incarnation string) (Position, bool) {
 	if b == nil {
 		return Position{}, false
 	}
 	raw := make([]byte, bootRecordSize)
-	n, _ := b.file.ReadAt(raw, 0) // what is not whole says nothing
+	n, _ := b.file.ReadAt(raw, 0) // a short record does not decode
 	var record bootRecord
-	if json.Unmarshal(bytes.TrimRight(raw[:n], "\n"), &record) != nil || record.BootID != b.bootID || record.Incarnation != incarnation {
+	if err := json.Unmarshal(bytes.TrimRight(raw[:n], "\n"), &record); err != nil {
+		return Position{}, false
+	}
+	if record.BootID != b.bootID || record.Incarnation != incarnation {
 		return Position{}, false
 	}
 	return record.Position, true
 }
 
-// record notes how far a life has come, before any message that rests on it leaves. It needs no sync: it is for a process that dies.
+// record records a position. It does not sync: the marker is for a process that dies, not for a machine that does.
 func (b *BootMarker) record(incarnation string, position Position) error {
 	if b == nil {
 		return nil
 	}
 	raw, err := json.Marshal(bootRecord{b.bootID, incarnation, position})
-	if err == nil && len(raw) > bootRecordSize {
-		err = fmt.Errorf("%d bytes are more than %d", len(raw), bootRecordSize)
+	if err != nil {
+		return fmt.Errorf("encoding the boot marker: %w", err)
 	}
-	if err == nil {
-		raw = append(raw, bytes.Repeat([]byte{'\n'}, bootRecordSize-len(raw))...)
-		_, err = b.file.WriteAt(raw, 0)
+	if len(raw) > bootRecordSize {
+		return fmt.Errorf("encoding the boot marker: %d bytes are more than %d", len(raw), bootRecordSize)
 	}
-	if err != nil {
-		return fmt.Errorf("the witness of the group's disk: %w", err)
+	padding := bytes.Repeat([]byte{'\n'}, bootRecordSize-len(raw))
+	if _, err := b.file.WriteAt(append(raw, padding...), 0); err != nil {
+		return fmt.Errorf("writing the boot marker: %w", err)
 	}
 	return nil
 }
@@ -83,7 +88,7 @@
 	return b.file.Close()
 }
 
-// erase takes the note away: one that is old is worse than none.
+// erase empties the file.
 func (b *BootMarker) erase() error {
 	return os.Truncate(b.path, 0)
 }
--- a/internal/consensus/bootmarker_test.go
+++ b/internal/consensus/bootmarker_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A witness speaks for one life in one run of the machine, and says nothing where it is not whole.
+// A marker counts for one incarnation and one boot of the machine, and not at all where it is incomplete.
 func TestBootMarker(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "mark")
 	open := func() *BootMarker {
@@ -14,35 +14,37 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { marker.Close() })
+		t.Cleanup(func() { mustClose(t, marker) })
 		return marker
 	}
-	long, short := Position{Term: 1 << 60, LastIndex: 1 << 60, LastTerm: 1 << 60}, Position{Term: 2, LastIndex: 9, LastTerm: 1}
-	for _, m := range []Position{long, short} {
-		if err := open().record("a", m); err != nil {
+	long := Position{Term: 1 << 60, LastIndex: 1 << 60, LastTerm: 1 << 60}
+	short := Position{Term: 2, LastIndex: 9, LastTerm: 1}
+	for _, want := range []Position{long, short} {
+		if err := open().record("a", want); err != nil {
 			t.Fatal(err)
 		}
-		if is, ok := open().Lookup("a"); !ok || is != m {
-			t.Errorf("%+v, %t, want %+v", is, ok, m)
+		if got, ok := open().Lookup("a"); !ok || got != want {
+			t.Errorf("%+v, %t, want %+v", got, ok, want)
 		}
 	}
 	if _, ok := open().Lookup("b"); ok {
-		t.Error("it speaks for another life")
+		t.Error("it counts for another incarnation")
 	}
 	marker := open()
 	marker.bootID = "another"
 	if _, ok := marker.Lookup("a"); ok {
-		t.Error("it speaks for another run of the machine")
+		t.Error("it counts for another boot")
 	}
 	for n := range int64(40) {
 		if err := os.Truncate(path, n); err != nil {
 			t.Fatal(err)
 		}
 		if _, ok := open().Lookup("a"); ok {
-			t.Errorf("%d bytes of it speak", n)
+			t.Errorf("%d bytes of it count", n)
 		}
 	}
-	if _, ok := (*BootMarker)(nil).Lookup("a"); ok || (*BootMarker)(nil).record("a", short) != nil {
-		t.Error("none speaks, or fails")
+	var none *BootMarker
+	if _, ok := none.Lookup("a"); ok || none.record("a", short) != nil {
+		t.Error("a nil marker counts, or fails")
 	}
 }
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -1,6 +1,8 @@
-// Package consensus is the loop round raft: it ticks it, keeps what it wants kept, carries its messages and hands settled
-// entries to a state machine in their one order. The algorithm is go.etcd.io/raft's. The loop's goroutine owns raft and the
-// disk.
+// Package consensus runs one member's part in a raft group: it ticks go.etcd.io/raft, persists what raft wants persisted, carries its
+// messages and applies committed entries to a state machine in their one order.
+//
+// Core is the part without clock, goroutine and network; a simulation drives it directly. Node runs a Core in one goroutine, which owns
+// the Core, its Storage and its BootMarker.
 package consensus
 
 import (
@@ -10,51 +12,65 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Times and bounds.
+// Times and limits.
 const (
-	tickInterval          = 50 * time.Millisecond
-	heartbeatTicks        = 3                 // ticks: 150 ms
-	electionTicks         = 20                // ticks: a follower campaigns 1 to 2 s after the last word of its leader
-	learnerHeartbeatTicks = electionTicks / 2 // ticks between heartbeats to one that does not vote: it answers one in each span after which it counts as silent
-	readRetryTicks        = 10                // ticks until a read that has no answer is asked for again
-	maxPending            = 1024
-	maxMessageBytes       = 256 << 10 // of a message's entries
-	maxUncommittedBytes   = 4 << 20   // bytes of proposals that are not settled
-	snapshotThreshold     = 1000      // entries until the log is cut
-	trailingEntries       = 200       // entries behind it, for those that are a little late
+	tickInterval   = 50 * time.Millisecond
+	heartbeatTicks = 3  // 150 ms
+	electionTicks  = 20 // a follower campaigns 1 to 2 s after the last message of its leader
+
+	// A learner that answers one heartbeat in each half of an election timeout does not count as inactive.
+	learnerHeartbeatTicks = electionTicks / 2
+
+	readRetryTicks      = 10        // until an unanswered read round is started again
+	maxPending          = 1024      // messages, and reads, that wait
+	maxMessageBytes     = 256 << 10 // of the entries in one message
+	maxUncommittedBytes = 4 << 20   // of proposals
+	maxInflightMessages = 64        // to one follower
+	snapshotThreshold   = 1000      // applied entries after which the log is compacted
+	trailingEntries     = 200       // kept behind a snapshot, for followers that are a little behind
 )
 
-// StateMachine is what is agreed on. It is called by the loop alone.
+// StateMachine is what committed entries are applied to. Only the caller of a Core, which for a Node is its goroutine, calls it.
 type StateMachine interface {
+	// Apply applies the entry at an index. Indexes ascend, with gaps where raft has entries of its own.
 	Apply(index uint64, data []byte)
+	// Snapshot returns the state after the last entry that was applied.
 	Snapshot() ([]byte, error)
+	// Restore replaces the state by that of a snapshot.
 	Restore(data []byte) error
 }
 
-// Errors of proposals and reads.
+// Errors of proposals, reads and messages. Their texts are answers to other members.
 var (
+	// ErrNoLeader says that this member cannot propose: it does not lead, or leadership is changing.
 	ErrNoLeader = errors.New("no leader is known")
-	ErrStopped  = errors.New("the agreement has stopped")
-	ErrBusy     = errors.New("too much waits to be agreed on")
+	// ErrStopped says that the node was closed or has failed.
+	ErrStopped = errors.New("the agreement has stopped")
+	// ErrBusy says that too much waits already. The call may be repeated.
+	ErrBusy = errors.New("too much waits to be agreed on")
+	// ErrWrongIncarnation says that a message is for another incarnation of this member.
+	ErrWrongIncarnation = errors.New("it is for another life than ours")
 )
 
-// Options is all that an Agree is made of.
+// Options configures a Core or a Node.
 type Options struct {
-	Storage      *Storage
-	BootMarker   *BootMarker // nil: none. The loop's, as the disk is
-	MaxPromised  *Position   // what this life may have said and forgotten; nil: its disk has all
+	Storage    *Storage
+	BootMarker *BootMarker // nil: none
+	// MaxPromised bounds what this incarnation may have promised to others and lost since. Nil: its storage is known to have all.
+	MaxPromised  *Position
 	StateMachine StateMachine
-	Send         func(to uint64, raw []byte, snapshot bool) // must not wait
-	Log          logrus.FieldLogger
+	// Send sends a message to the member with a raft ID. It must not block.
+	Send func(to uint64, raw []byte, snapshot bool)
+	Log  logrus.FieldLogger
 }
 
-// Status is how things stand with this member.
+// Status describes a member's part at one moment.
 type Status struct {
-	LeaderID uint64 // raft id; 0: none is known
+	LeaderID uint64 // raft ID; 0: no leader is known
 	IsLeader bool
-	Applied  uint64
+	Applied  uint64 // index of the last entry that was applied
 	Position
-	Voters   []uint64
-	Learners []uint64 // learners
-	Failure  string   // why it stopped; empty: it runs
+	Voters   []uint64 // raft IDs
+	Learners []uint64
+	Failure  string // why consensus stopped; empty: it runs
 }
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -11,26 +11,29 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Core is one member's part without clock and goroutine: its caller ticks it, carries its messages and takes care that only
-// one call is under way at a time. It panics where its disk fails, or where raft finds something that cannot be: then it must
-// not be called any more.
+// Core is one member's part without clock, goroutine or network: its caller ticks it and delivers its messages. It is not safe for
+// concurrent use.
+//
+// Its methods panic where the storage fails, or where raft finds a state that is impossible. After a panic the core must not be used.
 type Core struct {
 	options           Options
 	rawNode           *raft.RawNode
-	confState         *raftpb.ConfState
-	applied           uint64
-	snapshotIndex     uint64
-	pendingReads      []pendingRead // that wait for a confirmation
-	activeReadRound   uint64        // the number of the read that raft was asked for last; 0: none is out
-	recordedPosition  Position      // as the witness has it
+	confState         *raftpb.ConfState // the group's members as of the last applied entry
+	applied           uint64            // index of the last applied entry
+	snapshotIndex     uint64            // index of the last snapshot
+	recordedPosition  Position          // what the boot marker has
 	ticks             int
-	learnerHeartbeats map[uint64]int // when a follower got its last heartbeat
-	ticksSinceRead    int            // ticks ago
-	lastReadRound     uint64
+	learnerHeartbeats map[uint64]int // the tick of each learner's last heartbeat, by raft ID
+
+	// Reads, see ReadIndex. Rounds are numbered from a random start.
+	pendingReads    []pendingRead
+	lastReadRound   uint64
+	activeReadRound uint64 // 0: none
+	ticksSinceRead  int    // since the last round began
 }
 
-// NewCore goes on from what the disk has. Where that is empty it waits to be taken into the group. seed tells its reads apart
-// from those of a process before.
+// NewCore returns a core that goes on from its storage. With empty storage it waits to be added to the group by the leader. seed tells
+// its reads from those of an earlier process of the same incarnation.
 func NewCore(options Options, seed uint64) (*Core, error) {
 	if options.MaxPromised != nil {
 		if err := options.Storage.raiseTerm(options.MaxPromised.Term); err != nil {
@@ -42,86 +45,118 @@
 		return nil, err
 	}
 	core := &Core{options: options, confState: confState, lastReadRound: seed >> 1, learnerHeartbeats: map[uint64]int{}}
-	snapshot, err := options.Storage.memory.Snapshot()
-	if err != nil {
+	if err := core.restoreStored(); err != nil {
 		return nil, err
 	}
-	if !raft.IsEmptySnap(snapshot) {
-		if err := options.StateMachine.Restore(snapshot.GetData()); err != nil {
-			return nil, fmt.Errorf("the snapshot: %w", err)
-		}
-		core.applied = snapshot.GetMetadata().GetIndex()
-		core.snapshotIndex = core.applied
-	}
-	core.rawNode, err = raft.NewRawNode(&raft.Config{
-		ID: options.Storage.identity.RaftID, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: raftStorage{options.Storage.memory, core}, Applied: core.applied,
-		MaxSizePerMsg: maxMessageBytes, MaxCommittedSizePerReady: maxMessageBytes, MaxUncommittedEntriesSize: maxUncommittedBytes, MaxInflightMsgs: 64,
-		CheckQuorum: true, PreVote: true, ReadOnlyOption: raft.ReadOnlySafe, DisableProposalForwarding: true, StepDownOnRemoval: true,
-		Logger: raftLogger{options.Log},
-	})
+	core.rawNode, err = raft.NewRawNode(core.raftConfig())
 	return core, err
 }
 
-// Tick lets one tick go by. Where the caller drives elections, a member that does not lead campaigns at Campaign alone.
+// restoreStored restores the state machine from the storage's snapshot, if there is one.
+func (c *Core) restoreStored() error {
+	snapshot, err := c.options.Storage.memory.Snapshot()
+	if err != nil {
+		return err
+	}
+	if raft.IsEmptySnap(snapshot) {
+		return nil
+	}
+	if err := c.options.StateMachine.Restore(snapshot.GetData()); err != nil {
+		return fmt.Errorf("restoring the stored snapshot: %w", err)
+	}
+	c.applied = snapshot.GetMetadata().GetIndex()
+	c.snapshotIndex = c.applied
+	return nil
+}
+
+func (c *Core) raftConfig() *raft.Config {
+	return &raft.Config{
+		ID:                        c.options.Storage.identity.RaftID,
+		ElectionTick:              electionTicks,
+		HeartbeatTick:             heartbeatTicks,
+		Storage:                   raftStorage{c.options.Storage.memory, c},
+		Applied:                   c.applied,
+		MaxSizePerMsg:             maxMessageBytes,
+		MaxCommittedSizePerReady:  maxMessageBytes,
+		MaxUncommittedEntriesSize: maxUncommittedBytes,
+		MaxInflightMsgs:           maxInflightMessages,
+		CheckQuorum:               true,
+		PreVote:                   true,
+		ReadOnlyOption:            raft.ReadOnlySafe,
+		DisableProposalForwarding: true,
+		StepDownOnRemoval:         true,
+		Logger:                    raftLogger{c.options.Log},
+	}
+}
+
+// Tick advances the core's clock by one tick. With manual elections a member that does not lead campaigns only by Campaign.
 func (c *Core) Tick(manualElections bool) {
 	c.ticksSinceRead++
 	c.ticks++
-	if (manualElections || c.lacksPromised()) && c.rawNode.BasicStatus().RaftState != raft.StateLeader {
-		c.rawNode.TickQuiesced()
-	} else {
+	isLeader := c.rawNode.BasicStatus().RaftState == raft.StateLeader
+	mayCampaign := !manualElections && !c.lacksPromised()
+	if isLeader || mayCampaign {
 		c.rawNode.Tick()
+	} else {
+		c.rawNode.TickQuiesced()
 	}
 	c.process()
 }
 
-// Campaign asks for votes.
+// Campaign starts an election.
 func (c *Core) Campaign() {
 	if err := c.rawNode.Campaign(); err != nil {
-		c.options.Log.WithError(err).Debug("no campaign")
+		c.options.Log.WithError(err).Debug("campaign not started")
 	}
 	c.process()
 }
 
-// Step takes messages of other members, all with one synced write.
+// Step delivers messages of other members, with one synced write for all.
 func (c *Core) Step(messages ...*raftpb.Message) {
 	for _, message := range messages {
 		if c.rejectsVoteRequest(message) {
 			continue
 		}
 		if err := c.rawNode.Step(message); err != nil {
-			c.options.Log.WithError(err).Debug("a message of the group's was passed over")
+			c.options.Log.WithError(err).Debug("raft message ignored")
 		}
 	}
 	c.process()
 }
 
-// lacksPromised tells whether our log has less than we may have acknowledged and forgotten: then we ask for no votes.
+// lacksPromised reports whether the log may have lost entries that this member has acknowledged. Such a member must not campaign.
 func (c *Core) lacksPromised() bool {
 	return c.options.MaxPromised != nil && c.options.Storage.Position().logOlderThan(*c.options.MaxPromised)
 }
 
-// rejectsVoteRequest tells whether a call for our vote is to be passed over: in a term in which we may have voted, or for a log that may lack what we
-// have acknowledged. Guards against a disk of before, which votes as if it remembered.
+// rejectsVoteRequest reports whether a message asks for a vote that this member may not give: in a term in which it may have voted
+// already, or for a log that may lack what it has acknowledged. It guards against old storage, which would vote as if nothing were lost.
 func (c *Core) rejectsVoteRequest(message *raftpb.Message) bool {
-	if c.options.MaxPromised == nil || message.GetType() != raftpb.MsgVote && message.GetType() != raftpb.MsgPreVote {
+	promised := c.options.MaxPromised
+	isVoteRequest := message.GetType() == raftpb.MsgVote || message.GetType() == raftpb.MsgPreVote
+	if promised == nil || !isVoteRequest {
 		return false
 	}
-	return message.GetTerm() <= c.options.MaxPromised.Term || Position{LastIndex: message.GetIndex(), LastTerm: message.GetLogTerm()}.logOlderThan(*c.options.MaxPromised)
+	candidate := Position{LastIndex: message.GetIndex(), LastTerm: message.GetLogTerm()}
+	mayHaveVoted := message.GetTerm() <= promised.Term
+	return mayHaveVoted || candidate.logOlderThan(*promised)
 }
 
-// Propose offers an entry, at the leader.
+// Propose proposes an entry, at the leader: see Node.Propose.
 func (c *Core) Propose(data []byte) error {
 	defer c.process()
 	return proposalError(c.rawNode.Propose(data))
 }
 
-// ProposeConfChange offers a change of who is in the group, with an entry for the state machine.
+// ProposeConfChange proposes a change of the group's members, with an entry for the state machine.
 func (c *Core) ProposeConfChange(changes []*raftpb.ConfChangeSingle, data []byte) error {
 	defer c.process()
-	auto := raftpb.ConfChangeTransitionAuto
-	return proposalError(c.rawNode.ProposeConfChange(&raftpb.ConfChangeV2{Transition: &auto, Changes: changes, Context: data}))
+	transition := raftpb.ConfChangeTransitionAuto
+	change := &raftpb.ConfChangeV2{Transition: &transition, Changes: changes, Context: data}
+	return proposalError(c.rawNode.ProposeConfChange(change))
 }
 
+// proposalError translates raft's error of a proposal.
 func proposalError(err error) error {
 	if errors.Is(err, raft.ErrProposalDropped) {
 		return ErrNoLeader
@@ -129,64 +164,65 @@
 	return err
 }
 
-// CaughtUp are those followers that have nearly all that is settled and were heard of lately; nil where we do not lead.
+// CaughtUp returns the raft IDs of the members that are active and have nearly all entries; nil unless this member leads.
 func (c *Core) CaughtUp() (ids []uint64) {
 	if c.rawNode.BasicStatus().RaftState != raft.StateLeader {
 		return nil
 	}
 	c.rawNode.WithProgress(func(id uint64, _ raft.ProgressType, progress tracker.Progress) {
-		if progress.RecentActive && progress.Match > 0 && progress.Match+trailingEntries >= c.applied {
+		isNearEnd := progress.Match > 0 && progress.Match+trailingEntries >= c.applied
+		if progress.RecentActive && isNearEnd {
 			ids = append(ids, id)
 		}
 	})
 	return ids
 }
 
-// Status is how things stand.
+// Status returns the present status. It never has a Failure.
 func (c *Core) Status() Status {
 	basic := c.rawNode.BasicStatus()
 	return Status{
-		LeaderID: basic.Lead, IsLeader: basic.RaftState == raft.StateLeader, Applied: c.applied, Position: c.options.Storage.Position(),
-		Voters: c.confState.GetVoters(), Learners: c.confState.GetLearners(),
+		LeaderID: basic.Lead,
+		IsLeader: basic.RaftState == raft.StateLeader,
+		Applied:  c.applied,
+		Position: c.options.Storage.Position(),
+		Voters:   c.confState.GetVoters(),
+		Learners: c.confState.GetLearners(),
 	}
 }
 
-// process carries out what the last event brought.
+// process carries out what the last event has led to.
 func (c *Core) process() {
 	c.startReadRound()
-	c.processReady()
-}
-
-// processReady carries out what raft wants done, in its order: kept and synced, then sent, then applied.
-func (c *Core) processReady() {
 	for c.rawNode.HasReady() {
-		ready := c.rawNode.Ready()
-		if err := c.options.Storage.save(ready.HardState, ready.Entries, ready.Snapshot); err != nil {
-			panic(err) // nothing that rests on it may leave; see Agree.guard
-		}
-		c.recordPosition()
-		for _, message := range ready.Messages {
-			c.send(message)
-		}
-		if !raft.IsEmptySnap(ready.Snapshot) {
-			if err := c.options.StateMachine.Restore(ready.Snapshot.GetData()); err != nil {
-				panic(err)
-			}
-			c.confState, c.applied = ready.Snapshot.GetMetadata().GetConfState(), ready.Snapshot.GetMetadata().GetIndex()
-			c.snapshotIndex = c.applied
-		}
-		for _, entry := range ready.CommittedEntries {
-			c.apply(entry)
-		}
-		for _, readState := range ready.ReadStates {
-			c.completeReads(readState)
-		}
-		c.rawNode.Advance(ready)
+		c.processReady(c.rawNode.Ready())
 	}
 	c.compactLog()
 }
 
-// recordPosition has the witness note what the disk has. One that cannot be written is taken away.
+// processReady carries out one batch of raft's work in the order that raft needs: persist, then send, then apply.
+func (c *Core) processReady(ready raft.Ready) {
+	if err := c.options.Storage.save(ready.HardState, ready.Entries, ready.Snapshot); err != nil {
+		panic(err) // no message that rests on it may leave: see Node.recoverFailure
+	}
+	c.recordPosition()
+	for _, message := range ready.Messages {
+		c.send(message)
+	}
+	if !raft.IsEmptySnap(ready.Snapshot) {
+		c.applySnapshot(ready.Snapshot)
+	}
+	for _, entry := range ready.CommittedEntries {
+		c.apply(entry)
+	}
+	for _, readState := range ready.ReadStates {
+		c.completeReads(readState)
+	}
+	c.rawNode.Advance(ready)
+}
+
+// recordPosition writes the storage's position to the boot marker, before any message that rests on it leaves. A marker that cannot be
+// written is erased, as an old one is worse than none.
 func (c *Core) recordPosition() {
 	position := c.options.Storage.Position()
 	if position == c.recordedPosition {
@@ -194,13 +230,15 @@
 	}
 	c.recordedPosition = position
 	if err := c.options.BootMarker.record(c.options.Storage.identity.Incarnation, position); err != nil {
-		c.options.Log.WithError(errors.Join(err, c.options.BootMarker.erase())).Error("after a restart this member will have to ask the others whether its disk is the last one")
+		err = errors.Join(err, c.options.BootMarker.erase())
+		c.options.Log.WithError(err).Error("boot marker cannot be written: after a restart other members have to verify the disk")
 		c.options.BootMarker = nil
 	}
 }
 
+// send sends a message of raft's, unless it is a heartbeat that a learner does not need.
 func (c *Core) send(message *raftpb.Message) {
-	if message.GetType() == raftpb.MsgHeartbeat && !c.heartbeatDue(message) {
+	if message.GetType() == raftpb.MsgHeartbeat && !c.heartbeatDue(message.GetTo()) {
 		return
 	}
 	raw, err := proto.Marshal(message)
@@ -210,41 +248,58 @@
 	isSnapshot := message.GetType() == raftpb.MsgSnap
 	c.options.Send(message.GetTo(), raw, isSnapshot)
 	if isSnapshot {
-		c.rawNode.ReportSnapshot(message.GetTo(), raft.SnapshotFinish) // one that is lost shows by what the member says next
+		// Whether it arrived shows by the follower's next answer.
+		c.rawNode.ReportSnapshot(message.GetTo(), raft.SnapshotFinish)
 	}
 }
 
-// heartbeatDue tells whether a heartbeat is to be sent. Followers have no vote to lose and no quorum to confirm: one now and then tells them
-// what they missed. To hundreds of them all would be most of what the leader sends.
-func (c *Core) heartbeatDue(message *raftpb.Message) bool {
-	if !slices.Contains(c.confState.GetLearners(), message.GetTo()) {
+// heartbeatDue reports whether a member is to get a heartbeat now. Learners neither vote nor confirm reads: a few heartbeats are enough
+// for them to notice what they have missed. In a group of hundreds all of them would be most of what the leader sends.
+func (c *Core) heartbeatDue(to uint64) bool {
+	if !slices.Contains(c.confState.GetLearners(), to) {
 		return true
 	}
-	if last, ok := c.learnerHeartbeats[message.GetTo()]; ok && c.ticks-last < learnerHeartbeatTicks {
-		return false // also one that confirms a read: all do while some read waits
+	if last, ok := c.learnerHeartbeats[to]; ok && c.ticks-last < learnerHeartbeatTicks {
+		return false // also one with a read round: each has one while a read waits
 	}
-	c.learnerHeartbeats[message.GetTo()] = c.ticks
+	c.learnerHeartbeats[to] = c.ticks
 	return true
 }
 
+// applySnapshot replaces the state by a leader's snapshot.
+func (c *Core) applySnapshot(snapshot *raftpb.Snapshot) {
+	if err := c.options.StateMachine.Restore(snapshot.GetData()); err != nil {
+		panic(err)
+	}
+	c.confState = snapshot.GetMetadata().GetConfState()
+	c.applied = snapshot.GetMetadata().GetIndex()
+	c.snapshotIndex = c.applied
+}
+
+// apply applies a committed entry. Entries without data are raft's own.
 func (c *Core) apply(entry *raftpb.Entry) {
 	data := entry.GetData()
 	switch entry.GetType() {
 	case raftpb.EntryConfChange:
-		var change raftpb.ConfChange
-		if err := proto.Unmarshal(data, &change); err != nil {
-			panic(err)
-		}
-		c.confState, data = c.rawNode.ApplyConfChange(&change), change.GetContext()
+		change := &raftpb.ConfChange{}
+		mustUnmarshal(data, change)
+		c.confState = c.rawNode.ApplyConfChange(change)
+		data = change.GetContext()
 	case raftpb.EntryConfChangeV2:
-		var change raftpb.ConfChangeV2
-		if err := proto.Unmarshal(data, &change); err != nil {
-			panic(err)
-		}
-		c.confState, data = c.rawNode.ApplyConfChange(&change), change.GetContext()
+		change := &raftpb.ConfChangeV2{}
+		mustUnmarshal(data, change)
+		c.confState = c.rawNode.ApplyConfChange(change)
+		data = change.GetContext()
 	}
 	if len(data) > 0 {
 		c.options.StateMachine.Apply(entry.GetIndex(), data)
 	}
 	c.applied = entry.GetIndex()
 }
+
+// mustUnmarshal panics for bytes that raft itself has written and that cannot be read.
+func mustUnmarshal(raw []byte, message proto.Message) {
+	if err := proto.Unmarshal(raw, message); err != nil {
+		panic(err)
+	}
+}
--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/binary"
 	"fmt"
-	"io"
 	"slices"
 	"testing"
 
@@ -13,7 +12,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// hashChain is a state machine that tells every order of entries from every other.
+// hashChain is a state machine whose state depends on the order of all entries.
 type hashChain struct {
 	t         *testing.T
 	lastIndex uint64
@@ -24,7 +23,8 @@
 	if index <= c.lastIndex {
 		c.t.Errorf("entry %d comes after %d", index, c.lastIndex)
 	}
-	c.lastIndex, c.sum = index, xxhash.Sum64(append(binary.BigEndian.AppendUint64(nil, c.sum), data...))
+	c.lastIndex = index
+	c.sum = xxhash.Sum64(append(binary.BigEndian.AppendUint64(nil, c.sum), data...))
 }
 
 func (c *hashChain) Snapshot() ([]byte, error) {
@@ -32,11 +32,12 @@
 }
 
 func (c *hashChain) Restore(data []byte) error {
-	c.lastIndex, c.sum = binary.BigEndian.Uint64(data), binary.BigEndian.Uint64(data[8:])
+	c.lastIndex = binary.BigEndian.Uint64(data)
+	c.sum = binary.BigEndian.Uint64(data[8:])
 	return nil
 }
 
-// testNetwork carry messages between cores at once; those to a core that is cut off are lost.
+// testNetwork delivers messages between three cores at once. Those to and from a partitioned core are lost.
 type testNetwork struct {
 	t           *testing.T
 	cores       map[uint64]*Core
@@ -48,8 +49,6 @@
 }
 
 func (n *testNetwork) start(id uint64) {
-	log := logrus.New()
-	log.SetOutput(io.Discard)
 	storage, err := OpenStorage(n.dirs[id], Identity{Group: "g", Name: fmt.Sprint(id), Incarnation: "l", RaftID: id})
 	if err == nil && storage.IsEmpty() && id == 1 {
 		err = Bootstrap(storage, "f", make([]byte, 16))
@@ -58,22 +57,25 @@
 		n.t.Fatal(err)
 	}
 	n.chains[id] = &hashChain{t: n.t}
-	n.cores[id], err = NewCore(Options{Storage: storage, StateMachine: n.chains[id], Log: log, Send: func(to uint64, raw []byte, snapshot bool) {
-		message := &raftpb.Message{}
-		if err := proto.Unmarshal(raw, message); err != nil {
-			n.t.Fatal(err)
-		}
-		if snapshot && !n.partitioned[to] {
-			n.snapshots++
-		}
-		n.queue = append(n.queue, message)
-	}}, id)
+	n.cores[id], err = NewCore(Options{Storage: storage, StateMachine: n.chains[id], Log: discardLogger(), Send: n.send}, id)
 	if err != nil {
 		n.t.Fatal(err)
 	}
 }
 
-// run lets ticks go by, and delivers all that is said in each.
+// send queues a message until run delivers it.
+func (n *testNetwork) send(to uint64, raw []byte, snapshot bool) {
+	message := &raftpb.Message{}
+	if err := proto.Unmarshal(raw, message); err != nil {
+		n.t.Fatal(err)
+	}
+	if snapshot && !n.partitioned[to] {
+		n.snapshots++
+	}
+	n.queue = append(n.queue, message)
+}
+
+// run advances all cores by ticks, and delivers the messages of each tick.
 func (n *testNetwork) run(ticks int) {
 	for range ticks {
 		for id := uint64(1); id <= 3; id++ {
@@ -82,13 +84,16 @@
 		for len(n.queue) > 0 {
 			message := n.queue[0]
 			n.queue = n.queue[1:]
-			if !n.partitioned[message.GetTo()] && !n.partitioned[message.GetFrom()] && n.cores[message.GetTo()] != nil {
-				n.cores[message.GetTo()].Step(message)
+			to := n.cores[message.GetTo()]
+			isLost := n.partitioned[message.GetTo()] || n.partitioned[message.GetFrom()]
+			if !isLost && to != nil {
+				to.Step(message)
 			}
 		}
 	}
 }
 
+// checkEqual checks that all state machines have the same state.
 func (n *testNetwork) checkEqual(when string) {
 	n.t.Helper()
 	for id := uint64(2); id <= 3; id++ {
@@ -98,10 +103,12 @@
 	}
 }
 
-// The log is cut, on the disk and in memory; who is a little behind catches up by it, who is far behind by a snapshot, and a
-// restart goes on from what the disk has.
+// The log is compacted in the file and in memory. A member that is a little behind catches up by the log, one that is far behind by a
+// snapshot, and a restart goes on from the file.
 func TestCore_CompactsLogAndCatchesUp(t *testing.T) {
-	network := &testNetwork{t: t, cores: map[uint64]*Core{}, chains: map[uint64]*hashChain{}, dirs: map[uint64]string{}, partitioned: map[uint64]bool{}}
+	network := &testNetwork{
+		t: t, cores: map[uint64]*Core{}, chains: map[uint64]*hashChain{}, dirs: map[uint64]string{}, partitioned: map[uint64]bool{},
+	}
 	for id := uint64(1); id <= 3; id++ {
 		network.dirs[id] = t.TempDir()
 		network.start(id)
@@ -118,7 +125,7 @@
 			t.Errorf("member %d counts as caught up before it has anything", id)
 		}
 		network.partitioned[id] = false
-		for range 3 * electionTicks { // it counts as heard of from a heartbeat that it answers until raft looks anew
+		for range 3 * electionTicks { // it counts as active from an answered heartbeat until raft's next check
 			if network.run(1); slices.Contains(network.cores[1].CaughtUp(), id) {
 				break
 			}
@@ -148,7 +155,7 @@
 	network.run(20)
 	network.checkEqual("a little behind")
 	if network.snapshots != joins {
-		t.Errorf("%d snapshots for one that the log had all for", network.snapshots-joins)
+		t.Errorf("%d snapshots for a member that the log was enough for", network.snapshots-joins)
 	}
 	network.partitioned[3] = true
 	propose(snapshotThreshold + 2*trailingEntries)
@@ -156,11 +163,11 @@
 	network.run(40)
 	network.checkEqual("far behind")
 	if network.snapshots == joins {
-		t.Error("it came without a snapshot")
+		t.Error("it caught up without a snapshot")
 	}
 	first, err := network.cores[1].options.Storage.memory.FirstIndex()
 	if err != nil || first < snapshotThreshold-trailingEntries {
-		t.Errorf("the log begins at %d still: %v", first, err)
+		t.Errorf("the log still begins at %d: %v", first, err)
 	}
 	for id := uint64(1); id <= 3; id++ {
 		if err := network.cores[id].options.Storage.Close(); err != nil {
@@ -171,12 +178,12 @@
 	}
 	network.checkEqual("started again")
 	if last, _ := network.cores[1].options.Storage.memory.LastIndex(); network.chains[1].lastIndex != last {
-		t.Errorf("the leader has %d of %d entries in force", network.chains[1].lastIndex, last)
+		t.Errorf("the leader has applied %d of %d entries", network.chains[1].lastIndex, last)
 	}
 }
 
-// A member that may have forgotten gives no vote in a term in which it may have given one, nor to a log that may lack what it has
-// acknowledged, and asks for none before its own has that.
+// A member that may have lost state gives no vote in a term in which it may have voted, nor to a log that may lack what it has
+// acknowledged, and does not campaign before its own log has that.
 func TestCore_BoundsVotesAfterStateLoss(t *testing.T) {
 	logger := logrus.New()
 	logger.SetLevel(logrus.PanicLevel)
@@ -189,18 +196,20 @@
 		t.Fatal(err)
 	}
 	sent := 0
-	core, err := NewCore(Options{Storage: storage, MaxPromised: &promised, StateMachine: &hashChain{}, Log: logger, Send: func(uint64, []byte, bool) { sent++ }}, 1)
+	core, err := NewCore(Options{
+		Storage: storage, MaxPromised: &promised, StateMachine: &hashChain{}, Log: logger, Send: func(uint64, []byte, bool) { sent++ },
+	}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m := storage.Position(); m.Term != 5 {
-		t.Errorf("its disk is in term %d, not in that of the bound", m.Term)
+	if position := storage.Position(); position.Term != 5 {
+		t.Errorf("its storage is in term %d, not in the promised one", position.Term)
 	}
 	for range 10 * electionTicks {
 		core.Tick(false)
 	}
 	if core.Status().IsLeader {
-		t.Error("it leads with a log that is shorter than what it may have acknowledged")
+		t.Error("it leads with a log that lacks what it may have acknowledged")
 	}
 	from, to := uint64(2), uint64(1)
 	for _, request := range []struct {
@@ -208,20 +217,23 @@
 		rejected                  bool
 	}{{5, 9, 4, true}, {6, 9, 4, false}, {6, 8, 4, true}, {6, 20, 3, true}, {6, 1, 5, false}} {
 		for _, kind := range []raftpb.MessageType{raftpb.MsgVote, raftpb.MsgPreVote} {
-			if got := core.rejectsVoteRequest(&raftpb.Message{Type: &kind, From: &from, To: &to, Term: &request.term, Index: &request.lastIndex, LogTerm: &request.lastTerm}); got != request.rejected {
-				t.Errorf("%+v by %s: barred %t", request, kind, got)
+			message := &raftpb.Message{
+				Type: &kind, From: &from, To: &to, Term: &request.term, Index: &request.lastIndex, LogTerm: &request.lastTerm,
+			}
+			if got := core.rejectsVoteRequest(message); got != request.rejected {
+				t.Errorf("%+v by %s: rejected %t", request, kind, got)
 			}
 		}
 	}
 	kind := raftpb.MsgApp
 	if core.rejectsVoteRequest(&raftpb.Message{Type: &kind, Term: &promised.Term}) {
-		t.Error("entries are barred")
+		t.Error("entries are rejected")
 	}
 	core.options.MaxPromised = &Position{Term: 5, LastIndex: 1, LastTerm: 1} // its log has that
 	for range 10 * electionTicks {
 		core.Tick(false)
 	}
 	if !core.Status().IsLeader || core.Status().Term <= promised.Term {
-		t.Errorf("%+v: it does not lead though it has all", core.Status())
+		t.Errorf("%+v: it does not lead though it lacks nothing", core.Status())
 	}
 }
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -5,7 +5,6 @@
 	"encoding/hex"
 	"encoding/json"
 	"fmt"
-	"io"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -13,39 +12,20 @@
 	"strings"
 	"testing"
 
-	"github.com/sirupsen/logrus"
 	"go.etcd.io/bbolt"
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
+
+	"birchfork/internal/goldentest"
 )
 
 // The golden files hold each form in which this package stores or sends anything, as written by an earlier build. A difference means
 // that members of two builds, or one member before and after an upgrade, would not understand each other. UPDATE_GOLDEN=1 writes the
 // files anew.
 
+// goldenDir is where goldentest.Check has its files.
 const goldenDir = "testdata/golden"
 
-// compareGolden compares bytes with a golden file.
-func compareGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join(goldenDir, name)
-	if os.Getenv("UPDATE_GOLDEN") != "" {
-		if err := os.MkdirAll(goldenDir, 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s has changed:\n got %s\nwant %s", path, got, want)
-	}
-}
-
 var (
 	goldenIdentity  = Identity{Format: 1, Group: "group-1", ClusterID: "founding-2", Name: "member-3", Incarnation: "life-4", RaftID: 5, Confirmed: true}
 	goldenHardState = &raftpb.HardState{Term: proto.Uint64(6), Vote: proto.Uint64(7), Commit: proto.Uint64(8)}
@@ -74,18 +54,17 @@
 		},
 	})
 	normal, change, changeV2 := raftpb.EntryNormal, raftpb.EntryConfChange, raftpb.EntryConfChangeV2
-	var all []*raftpb.Entry
-	for i, e := range []*raftpb.Entry{
+	all := []*raftpb.Entry{
 		{Type: &normal, Data: []byte("in the snapshot")}, {Type: &normal, Data: []byte("in the snapshot too")},
 		{Type: &normal, Data: []byte(`{"kind":"a command"}`)}, {Type: &change, Data: one}, {Type: &changeV2, Data: two}, {Type: &normal},
-	} {
+	}
+	for i, e := range all {
 		e.Index, e.Term = proto.Uint64(uint64(i)+2), proto.Uint64(uint64(i)/2+4)
-		all = append(all, e)
 	}
 	return all
 }
 
-// writeGoldenStorage writes a disk that has something of everything.
+// writeGoldenStorage writes a file that has a value of each kind.
 func writeGoldenStorage(t *testing.T, dir string) {
 	t.Helper()
 	fresh := goldenIdentity
@@ -107,7 +86,7 @@
 	}
 }
 
-// content is all that a bbolt file has, a line for each value.
+// content returns all buckets, keys and values of a bbolt file, a line for each.
 func content(t *testing.T, path string) []byte {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
@@ -131,17 +110,17 @@
 	return out.Bytes()
 }
 
-// The file of a disk has the same buckets, keys and values as before.
+// The storage's file has the same buckets, keys and values as before.
 func TestGolden_StorageContent(t *testing.T) {
 	dir := t.TempDir()
 	writeGoldenStorage(t, dir)
-	compareGolden(t, "group.db.txt", content(t, filepath.Join(dir, "group.db")))
+	goldentest.Check(t, "group.db.txt", content(t, filepath.Join(dir, "group.db")))
 }
 
 // A file that an earlier build wrote is read in full.
 func TestGolden_ReadsStorage(t *testing.T) {
 	old := filepath.Join(goldenDir, "group.db")
-	if os.Getenv("UPDATE_GOLDEN") != "" {
+	if os.Getenv("UPDATE_GOLDEN") == "1" {
 		dir := t.TempDir()
 		writeGoldenStorage(t, dir)
 		raw, err := os.ReadFile(filepath.Join(dir, "group.db"))
@@ -152,7 +131,7 @@
 			t.Fatal(err)
 		}
 	}
-	compareGolden(t, "group.db.txt", content(t, old))
+	goldentest.Check(t, "group.db.txt", content(t, old))
 	raw, err := os.ReadFile(old)
 	if err != nil {
 		t.Fatal(err)
@@ -165,7 +144,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer storage.Close()
+	defer mustClose(t, storage)
 	if storage.Unreadable != nil {
 		t.Fatal(storage.Unreadable)
 	}
@@ -200,7 +179,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		compareGolden(t, name, raw)
+		goldentest.Check(t, name, raw)
 		old, err := os.ReadFile(filepath.Join(goldenDir, name))
 		if err != nil {
 			t.Fatal(err)
@@ -212,7 +191,7 @@
 	}
 }
 
-// The file beside the disk that tells how far it had come has the same bytes as before, and one of an earlier build is understood.
+// The boot marker has the same bytes as before, and one of an earlier build is understood.
 func TestGolden_BootMarker(t *testing.T) {
 	const boot = "01234567-89ab-cdef-0123-456789abcdef"
 	position := Position{Term: 31, LastIndex: 32, LastTerm: 33}
@@ -222,7 +201,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { marker.Close() })
+		t.Cleanup(func() { mustClose(t, marker) })
 		marker.bootID = boot
 		return marker
 	}
@@ -233,7 +212,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	compareGolden(t, "group.mark", raw)
+	goldentest.Check(t, "group.mark", raw)
 	old, err := os.ReadFile(filepath.Join(goldenDir, "group.mark"))
 	if err == nil {
 		err = os.WriteFile(path, old, 0o600)
@@ -241,12 +220,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if is, ok := open().Lookup("life-4"); !ok || is != position {
-		t.Errorf("%+v, %t, want %+v", is, ok, position)
+	if got, ok := open().Lookup("life-4"); !ok || got != position {
+		t.Errorf("%+v, %t, want %+v", got, ok, position)
 	}
 }
 
-// recorder is a state machine that keeps what it is given.
+// recorder is a state machine that keeps its entries as lines.
 type recorder struct{ lines []string }
 
 func (r *recorder) Apply(index uint64, data []byte) {
@@ -258,10 +237,8 @@
 	return nil
 }
 
-// The messages of a group of two, from its founding to a confirmed read, are the same in their bytes and their order.
+// The raft messages of a group of two, from its bootstrap to a confirmed read, are the same in bytes and order.
 func TestGolden_RaftMessages(t *testing.T) {
-	log := logrus.New()
-	log.SetOutput(io.Discard)
 	var out bytes.Buffer
 	cores, machines := map[uint64]*Core{}, map[uint64]*recorder{}
 	var queue []*raftpb.Message
@@ -274,7 +251,7 @@
 			t.Fatal(err)
 		}
 		machines[id] = &recorder{}
-		cores[id], err = NewCore(Options{Storage: storage, StateMachine: machines[id], Log: log, Send: func(to uint64, raw []byte, snapshot bool) {
+		cores[id], err = NewCore(Options{Storage: storage, StateMachine: machines[id], Log: discardLogger(), Send: func(to uint64, raw []byte, snapshot bool) {
 			message := &raftpb.Message{}
 			if err := proto.Unmarshal(raw, message); err != nil {
 				t.Fatal(err)
@@ -319,5 +296,5 @@
 		fmt.Fprintf(&out, "member %d: leader %d %t, applied %d, term %d, last %d of term %d, voters %v, learners %v: %q\n", id,
 			s.LeaderID, s.IsLeader, s.Applied, s.Term, s.LastIndex, s.LastTerm, s.Voters, s.Learners, machines[id].lines)
 	}
-	compareGolden(t, "raft-messages.txt", out.Bytes())
+	goldentest.Check(t, "raft-messages.txt", out.Bytes())
 }
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -13,10 +13,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Node runs one member's part until Close.
+// maxPendingCalls is how many calls may wait for a node's goroutine.
+const maxPendingCalls = 64
+
+// Node runs a Core in a goroutine of its own until Close. Its methods are safe for concurrent use.
 type Node struct {
 	options  Options
-	id       uint64 // our raft id: the disk is the loop's
+	id       uint64 // raft ID; the storage belongs to the goroutine
 	calls    chan func(*Core)
 	incoming chan *raftpb.Message
 	stop     chan struct{}
@@ -24,33 +27,40 @@
 	status   atomic.Pointer[Status]
 }
 
-// Start runs a member's part. Where its disk is empty it waits to be taken into the group.
+// Start starts a member's part. With empty storage it waits to be added to the group by its leader. The node owns the storage and the
+// boot marker from then on, and closes them.
 func Start(options Options) (*Node, error) {
 	core, err := NewCore(options, rand.Uint64())
 	if err != nil {
 		return nil, err
 	}
 	node := &Node{
-		options: options, id: options.Storage.identity.RaftID, calls: make(chan func(*Core), 64), incoming: make(chan *raftpb.Message, maxPending), stop: make(chan struct{}),
-		done: make(chan struct{}),
+		options:  options,
+		id:       options.Storage.identity.RaftID,
+		calls:    make(chan func(*Core), maxPendingCalls),
+		incoming: make(chan *raftpb.Message, maxPending),
+		stop:     make(chan struct{}),
+		done:     make(chan struct{}),
 	}
 	node.publishStatus(core)
 	go node.run(core)
 	return node, nil
 }
 
-// Bootstrap begins a group on an empty disk; data is the state to begin with.
+// Bootstrap creates a group on empty storage, whose member is the only voter. clusterID tells this group from others of its name, state
+// is the snapshot to begin with.
 func Bootstrap(storage *Storage, clusterID string, state []byte) error {
 	return storage.bootstrap(clusterID, state)
 }
 
+// run is the node's goroutine.
 func (n *Node) run(core *Core) {
 	defer close(n.done)
 	defer n.recoverFailure()
-	debug.SetPanicOnFault(true) // of the disk's mapped file: see Disk.open
+	debug.SetPanicOnFault(true) // the storage's file is mapped into memory: see boltstore.Open
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	core.process() // what the disk has settled already
+	core.process() // applies what the storage has as committed
 	for {
 		n.publishStatus(core)
 		select {
@@ -59,65 +69,81 @@
 		case <-ticker.C:
 			core.Tick(false)
 		case message := <-n.incoming:
-			messages := []*raftpb.Message{message}
-			for range len(n.incoming) {
-				messages = append(messages, <-n.incoming)
-			}
-			core.Step(messages...)
+			core.Step(n.drainIncoming(message)...)
 		case call := <-n.calls:
 			call(core)
 		}
 	}
 }
 
+// drainIncoming returns a message with those that wait behind it, so that one synced write is enough for all.
+func (n *Node) drainIncoming(first *raftpb.Message) []*raftpb.Message {
+	waiting := len(n.incoming)
+	messages := make([]*raftpb.Message, 1, 1+waiting)
+	messages[0] = first
+	for range waiting {
+		messages = append(messages, <-n.incoming)
+	}
+	return messages
+}
+
 func (n *Node) publishStatus(core *Core) {
 	status := core.Status()
 	n.status.Store(&status)
 }
 
-// recoverFailure ends this member's part, and no more, where its disk fails or raft finds something that cannot be.
+// recoverFailure ends this member's part in the group, and not the process, where the storage fails or raft finds a state that is
+// impossible.
 func (n *Node) recoverFailure() {
 	cause := recover()
 	if cause == nil {
 		return
 	}
 	status := *n.status.Load()
-	status.IsLeader, status.LeaderID, status.Failure = false, 0, fmt.Sprint(cause)
+	status.IsLeader = false
+	status.LeaderID = 0
+	status.Failure = fmt.Sprint(cause)
 	n.status.Store(&status)
-	n.options.Log.WithField("cause", status.Failure).Error("this member takes no part in the group's agreement any more; it serves on")
+	n.options.Log.WithField("error", status.Failure).Error("consensus stopped, serving requests without it")
 }
 
-// Status is how things stand, as the loop saw it last.
+// Status returns the status after the last event.
 func (n *Node) Status() Status { return *n.status.Load() }
 
-// Receive takes a message of another member's and says which raft id it is from, and how far that has come by it. It does not
-// wait: what there is no room for is lost.
-func (n *Node) Receive(raw []byte) (from uint64, position Position, err error) {
+// Receive takes a message of another member. It returns the sender's raft ID and what the sender has promised by the message. It does
+// not block: without room the message is dropped, with ErrBusy.
+func (n *Node) Receive(raw []byte) (from uint64, promised Position, err error) {
 	message := &raftpb.Message{}
 	if err := proto.Unmarshal(raw, message); err != nil {
-		return 0, position, fmt.Errorf("no message of raft's: %w", err)
+		return 0, Position{}, fmt.Errorf("no message of raft's: %w", err)
 	}
 	if message.GetTo() != n.id {
-		return 0, position, errors.New("it is for another life than ours")
-	}
-	switch message.GetType() {
-	case raftpb.MsgPreVote, raftpb.MsgPreVoteResp: // these speak of a term that nobody is in yet
-	case raftpb.MsgAppResp:
-		if position.Term = message.GetTerm(); !message.GetReject() {
-			position.LastIndex = message.GetIndex()
-		}
-	default:
-		position.Term = message.GetTerm()
+		return 0, Position{}, ErrWrongIncarnation
 	}
+	promised = promisedBy(message)
 	select {
 	case n.incoming <- message:
-		return message.GetFrom(), position, nil
+		return message.GetFrom(), promised, nil
 	default:
-		return message.GetFrom(), position, ErrBusy
+		return message.GetFrom(), promised, ErrBusy
+	}
+}
+
+// promisedBy returns what the sender of a message promises by it.
+func promisedBy(message *raftpb.Message) Position {
+	switch message.GetType() {
+	case raftpb.MsgPreVote, raftpb.MsgPreVoteResp: // of a term that nobody has entered yet
+		return Position{}
+	case raftpb.MsgAppResp:
+		if message.GetReject() {
+			return Position{Term: message.GetTerm()}
+		}
+		return Position{Term: message.GetTerm(), LastIndex: message.GetIndex()}
 	}
+	return Position{Term: message.GetTerm()}
 }
 
-// submit has the loop call f.
+// submit queues a call for the node's goroutine.
 func (n *Node) submit(ctx context.Context, call func(*Core)) error {
 	select {
 	case n.calls <- call:
@@ -129,14 +155,14 @@
 	}
 }
 
-// await has the loop call f and waits for what f sends.
+// await has the node's goroutine make a call, and waits for what the call sends.
 func await[T any](ctx context.Context, n *Node, call func(*Core, chan<- T)) (result T, err error) {
-	done := make(chan T, 1)
-	if err := n.submit(ctx, func(core *Core) { call(core, done) }); err != nil {
+	results := make(chan T, 1)
+	if err := n.submit(ctx, func(core *Core) { call(core, results) }); err != nil {
 		return result, err
 	}
 	select {
-	case result = <-done:
+	case result = <-results:
 		return result, nil
 	case <-n.done:
 		return result, ErrStopped
@@ -145,52 +171,61 @@
 	}
 }
 
-// Propose offers an entry, at the leader. That it is settled shows at the state machine, or never: it may be settled though
-// an error is returned later.
+// do has the node's goroutine make a call, and returns its error.
+func (n *Node) do(ctx context.Context, call func(*Core) error) error {
+	callErr, err := await(ctx, n, func(core *Core, results chan<- error) { results <- call(core) })
+	if err != nil {
+		return err
+	}
+	return callErr
+}
+
+// Propose proposes an entry, at the leader. A nil error says that it was appended, not that it is committed: the state machine sees it
+// once it is, or never. It may be committed although an error is returned.
 func (n *Node) Propose(ctx context.Context, data []byte) error {
-	coreErr, err := await(ctx, n, func(core *Core, done chan<- error) { done <- core.Propose(data) })
-	return errors.Join(coreErr, err)
+	return n.do(ctx, func(core *Core) error { return core.Propose(data) })
 }
 
-// ProposeConfChange offers a change of who is in the group, with an entry for the state machine.
+// ProposeConfChange proposes a change of the group's members, with an entry for the state machine, as Propose does.
 func (n *Node) ProposeConfChange(ctx context.Context, changes []*raftpb.ConfChangeSingle, data []byte) error {
-	coreErr, err := await(ctx, n, func(core *Core, done chan<- error) { done <- core.ProposeConfChange(changes, data) })
-	return errors.Join(coreErr, err)
+	return n.do(ctx, func(core *Core) error { return core.ProposeConfChange(changes, data) })
 }
 
-// ReadIndex returns an index such that all that was settled before the call is at or below it: see Core.Read.
+// ReadIndex returns an index such that everything that was committed before the call is at or below it: see Core.ReadIndex.
 func (n *Node) ReadIndex(ctx context.Context) (uint64, error) {
 	type result struct {
 		index uint64
 		err   error
 	}
-	r, err := await(ctx, n, func(core *Core, done chan<- result) {
-		core.ReadIndex(func(index uint64, err error) { done <- result{index, err} })
+	r, err := await(ctx, n, func(core *Core, results chan<- result) {
+		core.ReadIndex(func(index uint64, err error) { results <- result{index, err} })
 	})
 	return r.index, errors.Join(r.err, err)
 }
 
-// CaughtUp returns those followers that have nearly all that is settled and were heard of lately; nil where we do not lead.
+// CaughtUp returns the raft IDs of the members that are active and have nearly all entries; nil unless this member leads.
 func (n *Node) CaughtUp(ctx context.Context) []uint64 {
-	ids, _ := await(ctx, n, func(core *Core, done chan<- []uint64) { done <- core.CaughtUp() })
+	ids, err := await(ctx, n, func(core *Core, results chan<- []uint64) { results <- core.CaughtUp() })
+	if err != nil {
+		return nil
+	}
 	return ids
 }
 
-// MarkConfirmed notes on the disk that this life has had a word of the group.
+// MarkConfirmed notes in the storage that the group has confirmed this incarnation: see Identity.
 func (n *Node) MarkConfirmed(ctx context.Context) error {
-	coreErr, err := await(ctx, n, func(core *Core, done chan<- error) { done <- core.options.Storage.MarkConfirmed() })
-	return errors.Join(coreErr, err)
+	return n.do(ctx, func(core *Core) error { return core.options.Storage.MarkConfirmed() })
 }
 
-// TransferLeadership gives the lead to a voter, if we have it.
+// TransferLeadership gives leadership to a voter, if this member has it. It does not wait: Status shows whether it went.
 func (n *Node) TransferLeadership(ctx context.Context, to uint64) {
-	n.submit(ctx, func(core *Core) {
+	_ = n.submit(ctx, func(core *Core) { // an error shows as leadership that stays
 		core.rawNode.TransferLeader(to)
 		core.process()
 	})
 }
 
-// ReportUnreachable says that messages to a member get lost.
+// ReportUnreachable tells raft that messages to a member get lost. It does not block.
 func (n *Node) ReportUnreachable(id uint64) {
 	select {
 	case n.calls <- func(core *Core) { core.rawNode.ReportUnreachable(id) }:
@@ -198,7 +233,7 @@
 	}
 }
 
-// Close ends this member's part and gives its disk back.
+// Close stops the node and closes its boot marker and storage. It must be called once.
 func (n *Node) Close() error {
 	close(n.stop)
 	<-n.done
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -1,37 +1,37 @@
 package consensus
 
 import (
-	"io"
+	"errors"
 	"testing"
 
-	"github.com/sirupsen/logrus"
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 )
 
-// What is for another life is refused, and how far a member has come is told by what it promises alone.
+// Messages for another incarnation are rejected, and only promises count towards a sender's position.
 func TestNode_Receive(t *testing.T) {
 	storage, err := OpenStorage("", testIdentity)
 	if err != nil {
 		t.Fatal(err)
 	}
-	log := logrus.New()
-	log.SetOutput(io.Discard)
-	node, err := Start(Options{Storage: storage, StateMachine: &hashChain{t: t}, Log: log, Send: func(uint64, []byte, bool) {}})
+	node, err := Start(Options{Storage: storage, StateMachine: &hashChain{t: t}, Log: discardLogger(), Send: func(uint64, []byte, bool) {}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer node.Close()
+	defer mustClose(t, node)
 	for _, c := range []struct {
 		kind   raftpb.MessageType
 		to     uint64
 		reject bool
 		want   Position
-		bad    bool
+		err    error
 	}{
-		{raftpb.MsgAppResp, 7, false, Position{Term: 5, LastIndex: 9}, false}, {raftpb.MsgAppResp, 7, true, Position{Term: 5, LastIndex: 0}, false},
-		{raftpb.MsgVote, 7, false, Position{Term: 5, LastIndex: 0}, false}, {raftpb.MsgPreVote, 7, false, Position{}, false},
-		{raftpb.MsgPreVoteResp, 7, false, Position{}, false}, {raftpb.MsgVote, 8, false, Position{}, true},
+		{raftpb.MsgAppResp, 7, false, Position{Term: 5, LastIndex: 9}, nil},
+		{raftpb.MsgAppResp, 7, true, Position{Term: 5, LastIndex: 0}, nil},
+		{raftpb.MsgVote, 7, false, Position{Term: 5, LastIndex: 0}, nil},
+		{raftpb.MsgPreVote, 7, false, Position{}, nil},
+		{raftpb.MsgPreVoteResp, 7, false, Position{}, nil},
+		{raftpb.MsgVote, 8, false, Position{}, ErrWrongIncarnation},
 	} {
 		raw, err := proto.Marshal(&raftpb.Message{
 			Type: &c.kind, To: &c.to, From: proto.Uint64(3), Term: proto.Uint64(5), Index: proto.Uint64(9), Reject: &c.reject,
@@ -39,11 +39,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, position, err := node.Receive(raw); position != c.want || (err != nil) != c.bad {
+		if _, position, err := node.Receive(raw); position != c.want || !errors.Is(err, c.err) {
 			t.Errorf("%v to %d: %+v, %v", c.kind, c.to, position, err)
 		}
 	}
 	if _, _, err := node.Receive([]byte{0xff}); err == nil {
-		t.Error("bytes that are no message were taken")
+		t.Error("bytes that are no message were accepted")
 	}
 }
--- a/internal/consensus/position.go
+++ b/internal/consensus/position.go
@@ -1,21 +1,27 @@
 package consensus
 
-// Position is how far a member has said that it has come: what its disk has to have for ever.
+// Position is a position in a member's log. What a member has told others of its own position is a promise: its storage must never have
+// less again.
 type Position struct {
-	Term      uint64 `json:"term"`      // it has heard of this one, and may have voted in it
-	LastIndex uint64 `json:"last"`      // it has acknowledged the entries up to this one
-	LastTerm  uint64 `json:"last_term"` // of that entry
+	Term      uint64 `json:"term"`      // the newest term that the member has heard of and may have voted in
+	LastIndex uint64 `json:"last"`      // the last entry that the member has acknowledged
+	LastTerm  uint64 `json:"last_term"` // the term of that entry
 }
 
-// OlderThan tells whether a disk with this mark has less than another one had.
-func (p Position) OlderThan(other Position) bool { return p.Term < other.Term || p.logOlderThan(other) }
+// OlderThan reports whether storage at p has less than storage at other: an older term or an older log.
+func (p Position) OlderThan(other Position) bool {
+	return p.Term < other.Term || p.logOlderThan(other)
+}
 
-// logOlderThan compares logs as raft does.
+// logOlderThan reports whether the log at p is less up to date than that at other, by raft's order.
 func (p Position) logOlderThan(other Position) bool {
-	return p.LastTerm < other.LastTerm || p.LastTerm == other.LastTerm && p.LastIndex < other.LastIndex
+	if p.LastTerm != other.LastTerm {
+		return p.LastTerm < other.LastTerm
+	}
+	return p.LastIndex < other.LastIndex
 }
 
-// UpperBound is the bound that covers both: the newer term, and the longer log.
+// UpperBound returns the least position that is not older than p or other: the newer term, and the more up-to-date log.
 func (p Position) UpperBound(other Position) Position {
 	if p.logOlderThan(other) {
 		p.LastIndex, p.LastTerm = other.LastIndex, other.LastTerm
@@ -24,12 +30,14 @@
 	return p
 }
 
-// Misses tells whether a disk that has come so far has forgotten what was said.
+// Misses reports whether storage at p has lost something that was promised. It ignores the terms of entries, as messages do not tell
+// them.
 func (p Position) Misses(promised Position) bool {
 	return p.Term < promised.Term || p.LastIndex < promised.LastIndex
 }
 
-// Merge is the mark that covers both.
+// Merge returns the position that a member has promised by two messages: the newer term and the higher index, without the term of an
+// entry.
 func (p Position) Merge(other Position) Position {
 	return Position{Term: max(p.Term, other.Term), LastIndex: max(p.LastIndex, other.LastIndex)}
 }
--- a/internal/consensus/raftlogger.go
+++ b/internal/consensus/raftlogger.go
@@ -6,30 +6,19 @@
 	"github.com/sirupsen/logrus"
 )
 
-// raftLogger puts what raft says into our log: its daily business at debug level. What it takes for impossible panics, and ends
-// this member's part in the agreement.
+// raftLogger is raft's logger: it writes to ours, raft's routine messages at debug level. What raft takes for impossible panics, and so
+// ends this member's part: see Node.recoverFailure.
 type raftLogger struct{ log logrus.FieldLogger }
 
-func (l raftLogger) Debug(v ...any) { l.log.Debug(v...) }
-
-func (l raftLogger) Debugf(format string, v ...any) { l.log.Debugf(format, v...) }
-
-func (l raftLogger) Info(v ...any) { l.log.Debug(v...) }
-
-func (l raftLogger) Infof(format string, v ...any) { l.log.Debugf(format, v...) }
-
-func (l raftLogger) Warning(v ...any) { l.log.Debug(v...) }
-
+func (l raftLogger) Debug(v ...any)                   { l.log.Debug(v...) }
+func (l raftLogger) Debugf(format string, v ...any)   { l.log.Debugf(format, v...) }
+func (l raftLogger) Info(v ...any)                    { l.log.Debug(v...) }
+func (l raftLogger) Infof(format string, v ...any)    { l.log.Debugf(format, v...) }
+func (l raftLogger) Warning(v ...any)                 { l.log.Debug(v...) }
 func (l raftLogger) Warningf(format string, v ...any) { l.log.Debugf(format, v...) }
-
-func (l raftLogger) Error(v ...any) { l.log.Warn(v...) }
-
-func (l raftLogger) Errorf(format string, v ...any) { l.log.Warnf(format, v...) }
-
-func (l raftLogger) Fatal(v ...any) { panic(fmt.Sprint(v...)) }
-
-func (l raftLogger) Fatalf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
-
-func (l raftLogger) Panic(v ...any) { panic(fmt.Sprint(v...)) }
-
-func (l raftLogger) Panicf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
+func (l raftLogger) Error(v ...any)                   { l.log.Warn(v...) }
+func (l raftLogger) Errorf(format string, v ...any)   { l.log.Warnf(format, v...) }
+func (l raftLogger) Fatal(v ...any)                   { panic(fmt.Sprint(v...)) }
+func (l raftLogger) Fatalf(format string, v ...any)   { panic(fmt.Sprintf(format, v...)) }
+func (l raftLogger) Panic(v ...any)                   { panic(fmt.Sprint(v...)) }
+func (l raftLogger) Panicf(format string, v ...any)   { panic(fmt.Sprintf(format, v...)) }
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -5,7 +5,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// compactLog keeps the log short.
+// compactLog replaces old entries by a snapshot once enough were applied since the last one.
 func (c *Core) compactLog() {
 	if c.applied-c.snapshotIndex < snapshotThreshold {
 		return
@@ -18,7 +18,7 @@
 	}
 }
 
-// snapshot keeps all that is settled, with who is in the group now.
+// snapshot stores a snapshot of the applied entries, with the group's present members.
 func (c *Core) snapshot() error {
 	if c.snapshotIndex == c.applied {
 		return nil
@@ -34,17 +34,17 @@
 	return nil
 }
 
-// raftStorage is what raft reads. A snapshot for a follower is made when it is asked for: one from before the follower came would
-// not have it in.
+// raftStorage is the storage that raft reads. It makes a snapshot for a follower when raft asks for it: one from before the follower was
+// added would not name it as a member.
 type raftStorage struct {
 	*raft.MemoryStorage
 	core *Core
 }
 
-// Snapshot makes a snapshot of the present; the loop's goroutine asks for it.
+// Snapshot implements raft.Storage. Raft calls it while the caller of the core is in a call of the core.
 func (s raftStorage) Snapshot() (*raftpb.Snapshot, error) {
 	if err := s.core.snapshot(); err != nil {
-		s.core.options.Log.WithError(err).Error("no snapshot can be made for a member that is behind")
+		s.core.options.Log.WithError(err).Error("snapshot for a follower failed")
 		return nil, raft.ErrSnapshotTemporarilyUnavailable
 	}
 	return s.MemoryStorage.Snapshot()
--- a/internal/consensus/storage.go
+++ b/internal/consensus/storage.go
@@ -14,45 +14,51 @@
 	"birchfork/internal/boltstore"
 )
 
-// Identity is who a disk belongs to.
+// Identity says whose storage it is.
 type Identity struct {
-	Format      int    `json:"format"`
-	Group       string `json:"group"`   // its name, as staff gave it
-	ClusterID   string `json:"founded"` // which founding of it; empty: in none yet
-	Name        string `json:"name"`    // of the member
-	Incarnation string `json:"life"`    // drawn anew with each empty disk
-	RaftID      uint64 `json:"id"`      // raft's, of this life
-	Confirmed   bool   `json:"heard"`   // this life has had a word of the group: no plan has begun since that it does not know
+	Format      int    `json:"format"`  // of the file; OpenStorage sets it
+	Group       string `json:"group"`   // the group's name in the operator's file
+	ClusterID   string `json:"founded"` // drawn when the group was bootstrapped; empty: the member is in no group yet
+	Name        string `json:"name"`    // the member's name
+	Incarnation string `json:"life"`    // drawn with each empty storage
+	RaftID      uint64 `json:"id"`      // of this incarnation
+	// Confirmed says that this incarnation has had a lease once. No plan has begun since without its knowledge.
+	Confirmed bool `json:"heard"`
 }
 
-// formatVersion is what this build writes; another one is refused by name.
+// formatVersion is the format of the file. OpenStorage refuses others.
 const formatVersion = 1
 
-// The file's parts.
+// storageFile is the file's name.
 const storageFile = "group.db"
 
+// The buckets of the file, and the keys of the first. The keys of the log are indexes in big-endian order.
 var (
 	metaBucket   = []byte("meta")
-	logBucket    = []byte("log")
-	identityKey  = []byte("identity")
-	hardStateKey = []byte("hard")
+	identityKey  = []byte("identity") // JSON
+	hardStateKey = []byte("hard")     // checksummed message of raft's, as all below
 	snapshotKey  = []byte("snapshot")
+
+	logBucket = []byte("log")
 )
 
-// Storage keeps one member's log, votes and snapshot: in a folder, or with none in memory alone. It has one owner, the loop.
+// Storage holds one member's log, hard state and snapshot: in a file, or in memory alone. It is not safe for concurrent use; a Node owns
+// its storage.
 type Storage struct {
-	db       *bbolt.DB // nil: in memory
+	// Unreadable says why a file that was there could not be read. It was moved aside, and this storage began empty. Nil: it was read, or
+	// there was none.
+	Unreadable error
+
+	db       *bbolt.DB // nil: in memory alone
 	path     string
 	identity Identity
-	memory   *raft.MemoryStorage // what raft reads
-
+	memory   *raft.MemoryStorage // what raft reads: the same as the file, and a few compacted entries
 	openedAt time.Time
-
-	Unreadable error // what was found there and could not be read; nil: nothing
 }
 
-// OpenStorage opens the folder, or begins one; with an empty folder nothing outlives the process. fresh is who the disk belongs
-// to where it is empty.
+// OpenStorage opens the file in a directory, or creates it for fresh, whose incarnation counts only then. Without a directory nothing
+// outlives the process. A file of another group, member or format stays as it is, with an error that is boltstore.ErrForeign; one that
+// another process has open gives boltstore.ErrLocked.
 func OpenStorage(dir string, fresh Identity) (*Storage, error) {
 	fresh.Format = formatVersion
 	storage := &Storage{identity: fresh, memory: raft.NewMemoryStorage(), openedAt: time.Now()}
@@ -62,7 +68,9 @@
 	var err error
 	storage.path = filepath.Join(dir, storageFile)
 	storage.db, storage.Unreadable, err = boltstore.Open(dir, storageFile, func(db *bbolt.DB) error {
-		storage.db, storage.identity, storage.memory = db, fresh, raft.NewMemoryStorage()
+		storage.db = db
+		storage.identity = fresh
+		storage.memory = raft.NewMemoryStorage()
 		return storage.load()
 	})
 	if err != nil {
@@ -71,7 +79,7 @@
 	return storage, nil
 }
 
-// load reads the file into the cache, or writes who it belongs to. A file that is not ours stays as it is.
+// load reads the file into memory, or writes the identity to an empty one.
 func (s *Storage) load() error {
 	empty := false
 	err := s.db.View(func(tx *bbolt.Tx) error {
@@ -97,80 +105,109 @@
 	})
 }
 
-// readFile reads what the file has.
+// readFile reads the buckets into memory.
 func (s *Storage) readFile(meta, log *bbolt.Bucket) error {
-	raw := meta.Get(identityKey)
+	if err := s.readIdentity(meta); err != nil {
+		return err
+	}
+	snapshotIndex, err := s.readSnapshot(meta)
+	if err != nil {
+		return fmt.Errorf("reading the snapshot: %w", err)
+	}
+	if err := s.readHardState(meta); err != nil {
+		return fmt.Errorf("reading the hard state: %w", err)
+	}
+	return s.readEntries(log, snapshotIndex+1)
+}
+
+// readIdentity takes the file's identity over, if the file is ours.
+func (s *Storage) readIdentity(meta *bbolt.Bucket) error {
 	var identity Identity
-	if err := json.Unmarshal(raw, &identity); err != nil {
-		return fmt.Errorf("%w: who it belongs to: %w", boltstore.ErrForeign, err)
+	if err := json.Unmarshal(meta.Get(identityKey), &identity); err != nil {
+		return fmt.Errorf("%w: reading its identity: %w", boltstore.ErrForeign, err)
 	}
-	if identity.Format != formatVersion || identity.Group != s.identity.Group || identity.Name != s.identity.Name {
+	isOurs := identity.Format == formatVersion && identity.Group == s.identity.Group && identity.Name == s.identity.Name
+	if !isOurs {
 		return fmt.Errorf("%w: it is of format %d, group %q, member %q, not %d, %q, %q",
 			boltstore.ErrForeign, identity.Format, identity.Group, identity.Name, formatVersion, s.identity.Group, s.identity.Name)
 	}
 	s.identity = identity
-	snapshot, hardState := &raftpb.Snapshot{}, &raftpb.HardState{}
-	if raw := meta.Get(snapshotKey); raw != nil {
-		if err := decodeChecksummed(raw, snapshot); err != nil {
-			return fmt.Errorf("the snapshot: %w", err)
-		}
-		if err := s.memory.ApplySnapshot(snapshot); err != nil {
-			return fmt.Errorf("the snapshot: %w", err)
-		}
+	return nil
+}
+
+// readSnapshot reads the snapshot, if there is one, and returns its index.
+func (s *Storage) readSnapshot(meta *bbolt.Bucket) (index uint64, err error) {
+	raw := meta.Get(snapshotKey)
+	if raw == nil {
+		return 0, nil
 	}
-	if raw := meta.Get(hardStateKey); raw != nil {
-		if err := decodeChecksummed(raw, hardState); err != nil {
-			return fmt.Errorf("the votes: %w", err)
-		}
-		if err := s.memory.SetHardState(hardState); err != nil {
-			return err
-		}
+	snapshot := &raftpb.Snapshot{}
+	if err := decodeChecksummed(raw, snapshot); err != nil {
+		return 0, err
+	}
+	return snapshot.GetMetadata().GetIndex(), s.memory.ApplySnapshot(snapshot)
+}
+
+// readHardState reads the hard state, if there is one.
+func (s *Storage) readHardState(meta *bbolt.Bucket) error {
+	raw := meta.Get(hardStateKey)
+	if raw == nil {
+		return nil
 	}
-	next := snapshot.GetMetadata().GetIndex() + 1
+	hardState := &raftpb.HardState{}
+	if err := decodeChecksummed(raw, hardState); err != nil {
+		return err
+	}
+	return s.memory.SetHardState(hardState)
+}
+
+// readEntries reads the entries from an index on. They must follow each other without a gap; older ones are covered by the snapshot.
+func (s *Storage) readEntries(log *bbolt.Bucket, next uint64) error {
 	return log.ForEach(func(k, v []byte) error {
 		entry := &raftpb.Entry{}
 		if err := decodeChecksummed(v, entry); err != nil {
-			return fmt.Errorf("entry %x: %w", k, err)
+			return fmt.Errorf("reading entry %x: %w", k, err)
 		}
 		if entry.GetIndex() < next {
-			return nil // cut already
+			return nil
 		}
 		if entry.GetIndex() != next {
-			return fmt.Errorf("entry %d stands where %d should", entry.GetIndex(), next)
+			return fmt.Errorf("entry %d in place of entry %d", entry.GetIndex(), next)
 		}
 		next++
 		return s.memory.Append([]*raftpb.Entry{entry})
 	})
 }
 
-func (s *Storage) putIdentity(meta *bbolt.Bucket) error {
-	raw, err := json.Marshal(s.identity)
-	if err != nil {
-		return err
-	}
-	return meta.Put(identityKey, raw)
+// Identity returns whose storage it is.
+func (s *Storage) Identity() Identity { return s.identity }
+
+// SetClusterID notes which group the member was taken into. It must not be called once a Node has the storage.
+func (s *Storage) SetClusterID(clusterID string) error {
+	s.identity.ClusterID = clusterID
+	return s.saveIdentity()
 }
 
-// MarkConfirmed notes that this life has had a word of the group. Only the owner may call it.
+// MarkConfirmed notes that the group has confirmed this incarnation: see Identity.
 func (s *Storage) MarkConfirmed() error {
 	s.identity.Confirmed = true
-	if s.db == nil {
-		return nil
-	}
-	return s.db.Update(func(tx *bbolt.Tx) error { return s.putIdentity(tx.Bucket(metaBucket)) })
+	return s.saveIdentity()
 }
 
-// Identity is whom the disk belongs to.
-func (s *Storage) Identity() Identity { return s.identity }
-
-// IsEmpty tells whether nothing was ever kept: this life has voted for nobody and heard nothing.
+// IsEmpty reports whether this incarnation has stored nothing: it has neither voted nor received anything.
 func (s *Storage) IsEmpty() bool {
 	hardState, confState, err := s.memory.InitialState()
-	last, errLast := s.memory.LastIndex()
-	return err == nil && errLast == nil && raft.IsEmptyHardState(hardState) && len(confState.GetVoters()) == 0 && last == 0
+	if err != nil {
+		return false
+	}
+	lastIndex, err := s.memory.LastIndex()
+	if err != nil {
+		return false
+	}
+	return raft.IsEmptyHardState(hardState) && len(confState.GetVoters()) == 0 && lastIndex == 0
 }
 
-// Position is how far this life has come.
+// Position returns the position that this incarnation has reached.
 func (s *Storage) Position() (position Position) {
 	if hardState, _, err := s.memory.InitialState(); err == nil {
 		position.Term = hardState.GetTerm()
@@ -180,19 +217,10 @@
 	return position
 }
 
-// IsDurable tells whether what is written outlives the process.
+// IsDurable reports whether what is stored outlives the process.
 func (s *Storage) IsDurable() bool { return s.db != nil }
 
-// SetClusterID notes which founding of the group this life is in, before Start.
-func (s *Storage) SetClusterID(clusterID string) error {
-	s.identity.ClusterID = clusterID
-	if s.db == nil {
-		return nil
-	}
-	return s.db.Update(func(tx *bbolt.Tx) error { return s.putIdentity(tx.Bucket(metaBucket)) })
-}
-
-// Remove takes the folder's file away, after Close: the next disk there is empty.
+// Remove removes the file, after Close: the next storage in the directory begins empty.
 func (s *Storage) Remove() error {
 	if s.db == nil {
 		return nil
@@ -200,7 +228,7 @@
 	return os.Remove(s.path)
 }
 
-// Close gives the folder back.
+// Close closes the file, so that another process can open it.
 func (s *Storage) Close() error {
 	if s.db == nil {
 		return nil
--- a/internal/consensus/storage_test.go
+++ b/internal/consensus/storage_test.go
@@ -15,7 +15,10 @@
 
 var testIdentity = Identity{Group: "g", Name: "a", Incarnation: "first", RaftID: 7}
 
-// newStorageDir is a folder whose disk has a vote and three entries.
+// storedPosition is the position of newStorageDir's file.
+var storedPosition = Position{Term: 3, LastIndex: 4, LastTerm: 3}
+
+// newStorageDir returns a directory whose file has a vote and three entries, and the file's bytes.
 func newStorageDir(t *testing.T) (dir string, raw []byte) {
 	t.Helper()
 	dir = t.TempDir()
@@ -42,7 +45,7 @@
 	return dir, raw
 }
 
-// What a disk has is there again under its first life; another member's is refused by name, and stays as it is.
+// A file is read under its first incarnation. Another member's file is refused by name, and not changed.
 func TestStorage_BelongsToOneMember(t *testing.T) {
 	dir, raw := newStorageDir(t)
 	storage, err := OpenStorage(dir, Identity{Group: "g", Name: "a", Incarnation: "second", RaftID: 8})
@@ -50,24 +53,27 @@
 		t.Fatal(err)
 	}
 	hardState, _, _ := storage.memory.InitialState()
-	if storage.Identity().Incarnation != "first" || storage.Identity().ClusterID != "f" || storage.Position() != (Position{Term: 3, LastIndex: 4, LastTerm: 3}) || hardState.GetVote() != 9 || storage.IsEmpty() {
-		t.Errorf("%+v, mark %+v, %v", storage.Identity(), storage.Position(), hardState)
+	if identity := storage.Identity(); identity.Incarnation != "first" || identity.ClusterID != "f" {
+		t.Errorf("identity %+v", identity)
+	}
+	if storage.Position() != storedPosition || hardState.GetVote() != 9 || storage.IsEmpty() {
+		t.Errorf("position %+v, %v, empty: %t", storage.Position(), hardState, storage.IsEmpty())
 	}
 	if _, err := OpenStorage(dir, testIdentity); !errors.Is(err, boltstore.ErrLocked) {
 		t.Errorf("a second owner: %v", err)
 	}
-	storage.Close()
+	mustClose(t, storage)
 	for _, other := range []Identity{{Group: "h", Name: "a"}, {Group: "g", Name: "b"}} {
 		if _, err := OpenStorage(dir, other); !errors.Is(err, boltstore.ErrForeign) {
 			t.Errorf("%+v: %v", other, err)
 		}
 	}
 	if now, _ := os.ReadFile(filepath.Join(dir, storageFile)); !bytes.Equal(now, raw) {
-		t.Error("a disk that was refused was changed")
+		t.Error("a file that was refused was changed")
 	}
 }
 
-// A file that is torn or has a flipped bit either tells what it had, or is put aside for another life: never a part of a vote.
+// A torn file, or one with a flipped bit, is either read in full or set aside for a new incarnation: never a part of a vote.
 func TestStorage_CorruptFileBeginsNewIncarnation(t *testing.T) {
 	_, raw := newStorageDir(t)
 	complete, replaced := 0, 0
@@ -79,14 +85,15 @@
 		}
 		storage, err := OpenStorage(dir, Identity{Group: "g", Name: "a", Incarnation: "second", RaftID: 8})
 		switch {
-		case errors.Is(err, boltstore.ErrForeign): // its name has the flipped bit
+		case errors.Is(err, boltstore.ErrForeign): // the flipped bit is in its name
 			return
 		case err != nil:
 			t.Errorf("%s at %d: %v", what, at, err)
 			return
 		}
-		defer storage.Close()
+		defer mustClose(t, storage)
 		hardState, _, _ := storage.memory.InitialState()
+		incarnation := storage.Identity().Incarnation
 		same := true
 		if storage.Position().LastIndex == 4 {
 			entries, err := storage.memory.Entries(2, 5, 1<<20)
@@ -95,13 +102,13 @@
 			}
 		}
 		switch {
-		case storage.Identity().Incarnation == "first" && storage.Position() == Position{Term: 3, LastIndex: 4, LastTerm: 3} && hardState.GetVote() == 9 && same:
+		case incarnation == "first" && storage.Position() == storedPosition && hardState.GetVote() == 9 && same:
 			complete++
-		case storage.Identity().Incarnation == "second" && storage.IsEmpty():
+		case incarnation == "second" && storage.IsEmpty():
 			replaced++
-		case storage.Identity().Incarnation == "first" && storage.Position().LastIndex < 4: // a state that it had, on its older root
+		case incarnation == "first" && storage.Position().LastIndex < 4: // an older state, by bbolt's other root
 		default:
-			t.Errorf("%s at %d: %+v, mark %+v, %v", what, at, storage.Identity(), storage.Position(), hardState)
+			t.Errorf("%s at %d: %+v, position %+v, %v", what, at, storage.Identity(), storage.Position(), hardState)
 		}
 	}
 	for n := 0; n < len(raw); n += 509 {
@@ -125,11 +132,11 @@
 		at += len(entry) + next
 	}
 	if complete == 0 || replaced == 0 {
-		t.Errorf("%d read whole, %d put aside", complete, replaced)
+		t.Errorf("%d read in full, %d set aside", complete, replaced)
 	}
 }
 
-// Entries of another leader's go, on the disk too, where others stand in their place.
+// Entries of another leader are replaced by those of the present one, in the file too.
 func TestStorage_ReplacesConflictingEntries(t *testing.T) {
 	dir, _ := newStorageDir(t)
 	for i := range 2 {
@@ -143,8 +150,8 @@
 			}
 		}
 		if term, err := storage.memory.Term(3); storage.Position().LastIndex != 3 || term != 4 || err != nil {
-			t.Errorf("mark %+v, entry 3 of term %d, %v", storage.Position(), term, err)
+			t.Errorf("position %+v, entry 3 of term %d, %v", storage.Position(), term, err)
 		}
-		storage.Close()
+		mustClose(t, storage)
 	}
 }
--- a/internal/consensus/storage_write.go
+++ b/internal/consensus/storage_write.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"encoding/json"
 	"errors"
 	"fmt"
 
@@ -14,8 +15,24 @@
 	"birchfork/internal/failpoint"
 )
 
-// save writes votes, entries and a snapshot, in one synced step; nil parts stay as they are. Raft's cache follows once the
-// disk has them.
+// saveIdentity writes the identity.
+func (s *Storage) saveIdentity() error {
+	if s.db == nil {
+		return nil
+	}
+	return s.db.Update(func(tx *bbolt.Tx) error { return s.putIdentity(tx.Bucket(metaBucket)) })
+}
+
+func (s *Storage) putIdentity(meta *bbolt.Bucket) error {
+	raw, err := json.Marshal(s.identity)
+	if err != nil {
+		return err
+	}
+	return meta.Put(identityKey, raw)
+}
+
+// save writes hard state, entries and a leader's snapshot in one synced transaction; empty parts stay as they are. Memory follows once
+// the file has them.
 func (s *Storage) save(hardState *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error {
 	if raft.IsEmptyHardState(hardState) {
 		hardState = nil
@@ -30,10 +47,15 @@
 		return err
 	}
 	if s.db != nil {
-		if err := s.db.Update(func(tx *bbolt.Tx) error { return writeState(tx, hardState, entries, snapshot) }); err != nil {
+		write := func(tx *bbolt.Tx) error { return writeState(tx, hardState, entries, snapshot) }
+		if err := s.db.Update(write); err != nil {
 			return fmt.Errorf("the group's disk: %w", err)
 		}
 	}
+	return s.saveToMemory(hardState, entries, snapshot)
+}
+
+func (s *Storage) saveToMemory(hardState *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error {
 	if snapshot != nil {
 		if err := s.memory.ApplySnapshot(snapshot); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
 			return err
@@ -47,55 +69,48 @@
 	return s.memory.Append(entries)
 }
 
+// writeState writes the parts of save that are there.
 func writeState(tx *bbolt.Tx, hardState *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error {
 	meta, log := tx.Bucket(metaBucket), tx.Bucket(logBucket)
-	put := func(key []byte, message proto.Message) error {
-		raw, err := encodeChecksummed(message)
-		if err != nil {
-			return err
-		}
-		return meta.Put(key, raw)
-	}
-	if snapshot != nil { // of a leader's: what we have up to it, and behind, is of no use
-		if err := put(snapshotKey, snapshot); err != nil {
+	if snapshot != nil {
+		if err := putChecksummed(meta, snapshotKey, snapshot); err != nil {
 			return err
 		}
+		// A leader's snapshot replaces the whole log: what stands behind it is another leader's and was never committed.
 		if err := deleteEntriesFrom(log, 0); err != nil {
 			return err
 		}
 	}
 	if hardState != nil {
-		if err := put(hardStateKey, hardState); err != nil {
+		if err := putChecksummed(meta, hardStateKey, hardState); err != nil {
 			return err
 		}
 	}
 	if len(entries) == 0 {
 		return nil
 	}
-	if err := deleteEntriesFrom(log, entries[0].GetIndex()); err != nil { // another leader's, never settled
+	// Entries from here on are another leader's and were never committed.
+	if err := deleteEntriesFrom(log, entries[0].GetIndex()); err != nil {
 		return err
 	}
 	for _, entry := range entries {
-		raw, err := encodeChecksummed(entry)
-		if err != nil {
-			return err
-		}
-		if err := log.Put(entryKey(entry.GetIndex()), raw); err != nil {
+		if err := putChecksummed(log, entryKey(entry.GetIndex()), entry); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// encodeChecksummed is a message with its checksum.
-func encodeChecksummed(message proto.Message) ([]byte, error) {
+// putChecksummed writes a message with its checksum.
+func putChecksummed(bucket *bbolt.Bucket, key []byte, message proto.Message) error {
 	raw, err := proto.Marshal(message)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	return boltstore.AddChecksum(raw), nil
+	return bucket.Put(key, boltstore.AddChecksum(raw))
 }
 
+// decodeChecksummed reads what putChecksummed wrote.
 func decodeChecksummed(value []byte, message proto.Message) error {
 	raw, err := boltstore.VerifyChecksum(value)
 	if err != nil {
@@ -106,7 +121,7 @@
 
 func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// deleteEntriesFrom takes away all entries from an index on.
+// deleteEntriesFrom deletes the entries from an index on.
 func deleteEntriesFrom(log *bbolt.Bucket, from uint64) error {
 	cursor := log.Cursor()
 	for k, _ := cursor.Seek(entryKey(from)); k != nil; k, _ = cursor.Seek(entryKey(from)) {
@@ -117,27 +132,28 @@
 	return nil
 }
 
-// saveSnapshot keeps a snapshot of our own in place of the entries that it covers; raft's cache has those still.
+// deleteEntriesUpTo deletes the entries up to an index.
+func deleteEntriesUpTo(log *bbolt.Bucket, last uint64) error {
+	cursor := log.Cursor()
+	for k, _ := cursor.First(); k != nil && binary.BigEndian.Uint64(k) <= last; k, _ = cursor.First() {
+		if err := cursor.Delete(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// saveSnapshot stores a snapshot of this member's own in place of the entries up to its index. Memory keeps those until compact.
 func (s *Storage) saveSnapshot(index uint64, confState *raftpb.ConfState, data []byte) error {
 	snapshot, err := s.memory.CreateSnapshot(index, confState, data)
 	if err != nil || s.db == nil {
 		return err
 	}
 	err = s.db.Update(func(tx *bbolt.Tx) error {
-		raw, err := encodeChecksummed(snapshot)
-		if err != nil {
-			return err
-		}
-		if err := tx.Bucket(metaBucket).Put(snapshotKey, raw); err != nil {
+		if err := putChecksummed(tx.Bucket(metaBucket), snapshotKey, snapshot); err != nil {
 			return err
 		}
-		cursor := tx.Bucket(logBucket).Cursor()
-		for k, _ := cursor.First(); k != nil && binary.BigEndian.Uint64(k) <= index; k, _ = cursor.First() {
-			if err := cursor.Delete(); err != nil {
-				return err
-			}
-		}
-		return nil
+		return deleteEntriesUpTo(tx.Bucket(logBucket), index)
 	})
 	if err != nil {
 		return fmt.Errorf("the group's disk: %w", err)
@@ -145,7 +161,7 @@
 	return nil
 }
 
-// compact forgets the entries before an index, in raft's cache.
+// compact drops the entries before an index from memory.
 func (s *Storage) compact(before uint64) error {
 	if err := s.memory.Compact(before); err != nil && !errors.Is(err, raft.ErrCompacted) {
 		return err
@@ -153,18 +169,24 @@
 	return nil
 }
 
-// bootstrap begins a group of which this life is the only voter.
+// bootstrap stores the beginning of a group whose only voter is this incarnation.
 func (s *Storage) bootstrap(clusterID string, state []byte) error {
 	if err := s.SetClusterID(clusterID); err != nil {
 		return err
 	}
-	snapshot := &raftpb.Snapshot{Data: state, Metadata: &raftpb.SnapshotMetadata{
-		Index: proto.Uint64(1), Term: proto.Uint64(1), ConfState: &raftpb.ConfState{Voters: []uint64{s.identity.RaftID}},
-	}}
+	snapshot := &raftpb.Snapshot{
+		Data: state,
+		Metadata: &raftpb.SnapshotMetadata{
+			Index:     proto.Uint64(1),
+			Term:      proto.Uint64(1),
+			ConfState: &raftpb.ConfState{Voters: []uint64{s.identity.RaftID}},
+		},
+	}
 	return s.save(&raftpb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}, nil, snapshot)
 }
 
-// raiseTerm has the disk be in a term at least, with no vote in it: one that may have been given there is never given again, see Core.
+// raiseTerm moves the storage to a term at least, without a vote in it. A vote that may have been given in that term is not given again:
+// see Core.rejectsVoteRequest.
 func (s *Storage) raiseTerm(term uint64) error {
 	hardState, _, err := s.memory.InitialState()
 	if err != nil || hardState.GetTerm() >= term {
--- a/internal/coordinator/golden_test.go
+++ b/internal/coordinator/golden_test.go
@@ -25,6 +25,7 @@
 	"birchfork/internal/boltstore"
 	"birchfork/internal/config"
 	"birchfork/internal/consensus"
+	"birchfork/internal/goldentest"
 	"birchfork/internal/maintenance"
 	"birchfork/internal/peer"
 )
@@ -32,29 +33,9 @@
 // The golden files hold each form in which this package stores or sends anything, as written by an earlier build. A difference means
 // that members of two builds, or an operator's scripts, would not understand each other. UPDATE_GOLDEN=1 writes the files anew.
 
+// goldenDir is where goldentest.Check has its files.
 const goldenDir = "testdata/golden"
 
-// compareGolden compares bytes with a golden file.
-func compareGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join(goldenDir, name)
-	if os.Getenv("UPDATE_GOLDEN") != "" {
-		if err := os.MkdirAll(goldenDir, 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s has changed:\n got %s\nwant %s", path, got, want)
-	}
-}
-
 // fill sets all fields below a value, each to another value that is not zero.
 func fill(v reflect.Value, n *int) {
 	*n++
@@ -109,7 +90,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	compareGolden(t, "entry.json", raw)
+	goldentest.Check(t, "entry.json", raw)
 	for name, v := range map[string]any{
 		"join-request.json":  filled[joinRequest](),
 		"join-reply.json":    filled[joinReply](),
@@ -129,7 +110,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		compareGolden(t, name, raw)
+		goldentest.Check(t, name, raw)
 		old, err := os.ReadFile(filepath.Join(goldenDir, name))
 		if err != nil {
 			t.Fatal(err)
@@ -241,7 +222,7 @@
 	answer("pause", command(maintenance.CommandPausePlan, nil))
 	delete(c.state.Members, "d1")
 	answer("start, not all in", command(maintenance.CommandStartPlan, nil))
-	compareGolden(t, "texts.txt", out.Bytes())
+	goldentest.Check(t, "texts.txt", out.Bytes())
 }
 
 // The status of a member, and the names of its counters in logs and in the status, are the same as before.
@@ -264,10 +245,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		compareGolden(t, fmt.Sprintf("status-%t.json", settled), raw)
+		goldentest.Check(t, fmt.Sprintf("status-%t.json", settled), raw)
 	}
 	names := slices.Sorted(maps.Keys(c.LogFields()))
-	compareGolden(t, "counters.txt", []byte(strings.Join(names, "\n")+"\n"))
+	goldentest.Check(t, "counters.txt", []byte(strings.Join(names, "\n")+"\n"))
 }
 
 // What an answer has of the time, and of the words of the standard library.
@@ -356,10 +337,10 @@
 		answer = timed.ReplaceAllString(answer, "#")
 		fmt.Fprintf(&out, "/group/staff %s\n  %d %s\n", body, status, answer)
 	}
-	compareGolden(t, "exchanges.txt", out.Bytes())
+	goldentest.Check(t, "exchanges.txt", out.Bytes())
 	g.close()
 	g.coordinators[0] = nil
-	compareGolden(t, "join-entry.json", joinEntry(t, filepath.Join(g.dirs[0], "group.db")))
+	goldentest.Check(t, "join-entry.json", joinEntry(t, filepath.Join(g.dirs[0], "group.db")))
 }
 
 // post sends a message and returns the status and the body of the answer.
