--- a/internal/coordinator/apply.go
+++ b/internal/coordinator/apply.go
@@ -4,21 +4,19 @@
 	"context"
 	"time"
 
+	"birchfork/internal/consensus"
 	"birchfork/internal/engine"
 	"birchfork/internal/failpoint"
 	"birchfork/internal/maintenance"
 )
 
-// restrictionsOf is what a state binds a dispatcher to.
-func restrictionsOf(state *maintenance.State) engine.Restrictions {
-	underMaintenance, leased := state.InMaintenance(), state.Leased()
-	return engine.Restrictions{MaintenanceWorkers: underMaintenance.Workers, MaintenanceHosts: underMaintenance.Hosts, LeasedWorkers: leased.Workers, LeasedHosts: leased.Hosts}
-}
+// restoredStateGrace is for how long after a membership's start failpoint.IgnoreRestoredState is in force.
+const restoredStateGrace = 2 * time.Second
 
-// Apply puts a settled entry in force; agree calls it.
+// Apply implements consensus.StateMachine: it applies a committed command to the state, and the state to the dispatcher.
 func (c *Coordinator) Apply(index uint64, data []byte) {
 	events, restrictions := c.applyEntry(index, data)
-	if len(events) > 0 && !c.ignoresRestored() {
+	if len(events) > 0 && !c.ignoresRestoredState() {
 		c.options.Dispatcher.SetRestrictions(restrictions)
 	}
 	for _, event := range events {
@@ -29,12 +27,12 @@
 		if event.Machine != "" {
 			log = log.WithField("machine", event.Machine)
 		}
-		log.WithField("what", event.Text).Info("settled")
+		log.WithField("event", event.Text).Info("entry applied")
 	}
 	c.notifyChanged()
 }
 
-// applyEntry changes the state by an entry. It panics at one of a newer build, and the agreement's loop ends our part then.
+// applyEntry applies a command to the state. It panics for one that needs a newer build, and the node stops: see consensus.Node.
 func (c *Coordinator) applyEntry(index uint64, data []byte) ([]maintenance.Event, engine.Restrictions) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,48 +44,70 @@
 	return events, restrictionsOf(c.state)
 }
 
-func (c *Coordinator) notifyChanged() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	close(c.changed)
-	c.changed = make(chan struct{})
-}
-
-// Snapshot is the settled state; agree calls it.
+// Snapshot implements consensus.StateMachine.
 func (c *Coordinator) Snapshot() ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state.Encode()
 }
 
-// Restore takes a settled state over; agree calls it.
+// Restore implements consensus.StateMachine.
 func (c *Coordinator) Restore(data []byte) error {
 	state, err := maintenance.Decode(data)
 	if err != nil {
 		return err
 	}
 	c.mu.Lock()
-	c.state, c.seqSince = state, time.Now()
+	c.state = state
+	c.seqSince = time.Now()
 	restrictions := restrictionsOf(state)
 	c.mu.Unlock()
-	if !c.ignoresRestored() {
+	if !c.ignoresRestoredState() {
 		c.options.Dispatcher.SetRestrictions(restrictions)
 	}
 	c.notifyChanged()
 	return nil
 }
 
-// ignoresRestored tells whether a planted fault passes over what is settled already at the start.
-func (c *Coordinator) ignoresRestored() bool {
+// restrictionsOf returns how a state restricts a dispatcher.
+func restrictionsOf(state *maintenance.State) engine.Restrictions {
+	underMaintenance, leased := state.InMaintenance(), state.Leased()
+	return engine.Restrictions{
+		MaintenanceWorkers: underMaintenance.Workers,
+		MaintenanceHosts:   underMaintenance.Hosts,
+		LeasedWorkers:      leased.Workers,
+		LeasedHosts:        leased.Hosts,
+	}
+}
+
+// ignoresRestoredState reports whether failpoint.IgnoreRestoredState keeps the state from the dispatcher.
+func (c *Coordinator) ignoresRestoredState() bool {
 	if !failpoint.Enabled(failpoint.IgnoreRestoredState) {
 		return false
 	}
+	current := c.currentMembership()
+	return current == nil || time.Since(current.startedAt) < restoredStateGrace
+}
+
+// notifyChanged wakes those who wait for the state.
+func (c *Coordinator) notifyChanged() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.membership == nil || time.Since(c.membership.startedAt) < 2*time.Second
+	close(c.changed)
+	c.changed = make(chan struct{})
+}
+
+// readBarrier waits until all is applied here that was committed before the call, and returns its index. A quorum has confirmed since the
+// call that this member leads.
+func (c *Coordinator) readBarrier(ctx context.Context, node *consensus.Node) (index uint64, err error) {
+	index, err = node.ReadIndex(ctx)
+	if err != nil {
+		return 0, err
+	}
+	return index, c.waitApplied(ctx, index)
 }
 
-// waitApplied waits until all up to an index is in force here.
+// waitApplied waits until all entries up to an index are applied here.
 func (c *Coordinator) waitApplied(ctx context.Context, index uint64) error {
 	for {
 		c.mu.Lock()
@@ -102,20 +122,20 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(10 * time.Millisecond): // entries of raft's own change no state
+		case <-time.After(appliedInterval): // raft's own entries do not change the state
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// waitForState waits for a state.
+// waitForState waits until the state meets a condition, which is called with c.mu held.
 func (c *Coordinator) waitForState(ctx context.Context, condition func(*maintenance.State) bool) error {
 	for {
 		c.mu.Lock()
-		met, changed := condition(c.state), c.changed
+		isMet, changed := condition(c.state), c.changed
 		c.mu.Unlock()
-		if met {
+		if isMet {
 			return nil
 		}
 		select {
--- a/internal/coordinator/bootstrap.go
+++ b/internal/coordinator/bootstrap.go
@@ -5,7 +5,6 @@
 	"crypto/rand"
 	"encoding/json"
 	"errors"
-	"fmt"
 	"maps"
 	"slices"
 	"time"
@@ -14,80 +13,91 @@
 	"birchfork/internal/maintenance"
 )
 
-// confirmDisk takes staff's word that our disk is the last one that we had.
-func (c *Coordinator) confirmDisk() Reply {
-	c.mu.Lock()
-	current := c.membership
-	c.mu.Unlock()
-	if current == nil {
-		return Reply{Code: maintenance.CodeRetryLater, Text: "this process does not speak for its dispatcher in the group"}
-	}
-	select {
-	case current.diskConfirmed <- struct{}{}:
-		return Reply{Text: "taken"}
-	case <-time.After(joinInterval + requestTimeout):
-		return Reply{Code: maintenance.CodeRetryLater, Text: "this member does not wait for a word on its disk"}
-	}
-}
+// errStorageNotEmpty says that a group cannot be created on storage that has a history.
+var errStorageNotEmpty = errors.New("the group's storage is not empty")
 
-// bootstrap begins the group at this member. The others join it.
-func (c *Coordinator) bootstrap(ctx context.Context, afterDataLoss bool) Reply {
-	c.mu.Lock()
-	current := c.membership
-	c.mu.Unlock()
+// bootstrap creates the group at this member, for an operator. The other members join it. It does so only once every other member has
+// answered that it is in no group.
+func (c *Coordinator) bootstrap(ctx context.Context, afterDataLoss bool) *Reply {
+	current := c.currentMembership()
 	if current == nil {
-		return Reply{Code: maintenance.CodeRetryLater, Text: "this process does not speak for its dispatcher in the group"}
+		return retryLater(noMembershipText)
 	}
 	if clusterID := c.sender().ClusterID; clusterID != "" {
-		return Reply{Text: "this member is in the group already, founded as " + clusterID}
+		return &Reply{Text: "this member is in the group already, founded as " + clusterID}
 	}
-	request, err := json.Marshal(joinRequest{Name: c.options.Self})
+	unclear, err := c.membersNotOutside(ctx, current)
 	if err != nil {
-		return Reply{Code: maintenance.CodeInvalid, Text: err.Error()}
+		return &Reply{Code: maintenance.CodeInvalid, Text: err.Error()}
 	}
-	silent := map[string]error{}
-	for _, member := range c.options.Group.Members {
-		if member.Name == c.options.Self {
-			continue
-		}
-		if _, err := c.request(ctx, current, member.Name, pathJoin, request); !isOutsideGroup(err) {
-			silent[member.Name] = err
-		}
-	}
-	if len(silent) > 0 { // one of them may be in the group
-		name := slices.Min(slices.Collect(maps.Keys(silent)))
-		return Reply{Code: maintenance.CodeRetryLater, Text: fmt.Sprintf("each member has to say that it is in no group yet; %s: %v", name, silent[name])}
+	if len(unclear) > 0 {
+		name := slices.Min(slices.Collect(maps.Keys(unclear)))
+		return retryLater("each member has to say that it is in no group yet; %s: %v", name, unclear[name])
 	}
 	select {
 	case current.bootstrap <- afterDataLoss:
 	case <-ctx.Done():
-		return Reply{Code: maintenance.CodeRetryLater, Text: NotCommittedText}
+		return retryLater(NotCommittedText)
 	}
 	for ctx.Err() == nil && c.node() == nil {
-		sleep(ctx, 5*time.Millisecond)
+		sleep(ctx, pollInterval)
 	}
 	if c.node() == nil {
-		return Reply{Code: maintenance.CodeRetryLater, Text: NotCommittedText}
+		return retryLater(NotCommittedText)
 	}
-	return Reply{Text: "founded"}
+	return &Reply{Text: "founded"}
 }
 
-// bootstrapStorage begins the group on our disk.
-func (c *Coordinator) bootstrapStorage(current *membership, storage *consensus.Storage, afterDataLoss bool) error {
-	if !storage.IsEmpty() {
-		return errors.New("the group's folder is not empty")
+// membersNotOutside returns the other members that have not answered that they are in no group, with what they answered instead; a nil
+// error is among the answers of members that are in one.
+func (c *Coordinator) membersNotOutside(ctx context.Context, current *membership) (map[string]error, error) {
+	request, err := json.Marshal(joinRequest{Name: c.options.Self}) // without an incarnation it is never granted
+	if err != nil {
+		return nil, err
+	}
+	unclear := map[string]error{}
+	for _, member := range c.others() {
+		if _, err := c.request(ctx, current, member.Name, pathJoin, request); !isRejectedAs(err, errRejectOutsideGroup) {
+			unclear[member.Name] = err
+		}
+	}
+	return unclear, nil
+}
+
+// bootstrapStorage creates the group on this member's storage, and starts the node.
+func (c *Coordinator) bootstrapStorage(current *membership, afterDataLoss bool) error {
+	if !current.storage.IsEmpty() {
+		return errStorageNotEmpty
 	}
 	self, _ := c.self()
 	state := maintenance.New()
-	state.AppliedIndex, state.HistoryLost = 1, afterDataLoss
-	state.Members[c.options.Self] = &maintenance.Member{Name: c.options.Self, Incarnation: current.identity.Incarnation, RaftID: current.identity.RaftID, Voter: self.Voter}
+	state.AppliedIndex = 1
+	state.HistoryLost = afterDataLoss
+	state.Members[c.options.Self] = &maintenance.Member{
+		Name: c.options.Self, Incarnation: current.identity.Incarnation, RaftID: current.identity.RaftID, Voter: self.Voter,
+	}
 	raw, err := state.Encode()
 	if err != nil {
 		return err
 	}
-	if err := consensus.Bootstrap(storage, rand.Text()[:10], raw); err != nil {
+	if err := consensus.Bootstrap(current.storage, rand.Text()[:incarnationLength], raw); err != nil {
 		return err
 	}
-	c.startNode(current, storage, c.openBootMarker(), nil, true)
+	c.startNode(current, c.openBootMarker(), nil, true)
 	return nil
 }
+
+// confirmDisk confirms, for an operator, that this member's disk is the last one that it had. Only a member that waits for that takes it:
+// see resume.
+func (c *Coordinator) confirmDisk() *Reply {
+	current := c.currentMembership()
+	if current == nil {
+		return retryLater(noMembershipText)
+	}
+	select {
+	case current.diskConfirmed <- struct{}{}:
+		return &Reply{Text: "taken"}
+	case <-time.After(joinInterval + requestTimeout):
+		return retryLater("this member does not wait for a word on its disk")
+	}
+}
--- a/internal/coordinator/calls.go
+++ b/internal/coordinator/calls.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/json"
 	"fmt"
+	"strings"
 	"time"
 
 	"birchfork/internal/consensus"
@@ -12,60 +13,80 @@
 	"birchfork/internal/peer"
 )
 
-// Call is what staff ask for. A Command's ID makes it act once however often it comes.
+// Call is an operator's call. One of Command, Bootstrap, ConfirmDisk and Status is set.
 type Call struct {
-	Command       *maintenance.Command `json:"command,omitempty"`
-	Check         bool                 `json:"check,omitempty"`  // only look whether a plan could be handed in
-	Bootstrap     bool                 `json:"found,omitempty"`  // begin the group here
-	AfterDataLoss bool                 `json:"again,omitempty"`  // ... which had a history that is lost: no plan begins before Trust
-	ConfirmDisk   bool                 `json:"vouch,omitempty"`  // this member's disk is the last one that it had
-	Status        bool                 `json:"status,omitempty"` // tell how things stand
-	Local         bool                 `json:"local,omitempty"`  // ... by what this member knows
+	Command       *maintenance.Command `json:"command,omitempty"` // its ID makes it act once, however often it arrives
+	Check         bool                 `json:"check,omitempty"`   // only validate Command, a plan
+	Bootstrap     bool                 `json:"found,omitempty"`   // create the group here
+	AfterDataLoss bool                 `json:"again,omitempty"`   // with Bootstrap: there was a group, whose history is lost
+	ConfirmDisk   bool                 `json:"vouch,omitempty"`   // this member's disk is the last one that it had
+	Status        bool                 `json:"status,omitempty"`
+	Local         bool                 `json:"local,omitempty"` // with Status: what this member knows, without a leader
 }
 
-// Reply is the answer to a Call.
+// Reply answers a Call.
 type Reply struct {
-	Code   int     `json:"code"` // as outage.Answer's
+	Code   int     `json:"code"` // maintenance.CodeOK, CodeInvalid or CodeRetryLater
 	Text   string  `json:"text"`
 	Status *Status `json:"status,omitempty"`
 }
 
-// NotCommittedText begins an answer where no leader could settle the call in time.
+// NotCommittedText begins the text of a reply where no leader could commit a call in time.
 const NotCommittedText = "not settled yet, ask again"
 
-// handleOperatorCall takes a call of staff at any member.
+// noMembershipText answers calls that need the member itself.
+const noMembershipText = "this process does not speak for its dispatcher in the group"
+
+// isNotCommitted reports whether a member could not have the call committed. Another one may.
+func (r *Reply) isNotCommitted() bool {
+	return r.Code == maintenance.CodeRetryLater && strings.HasPrefix(r.Text, NotCommittedText)
+}
+
+// invalid returns the reply to a call that can never be carried out as it is.
+func invalid(format string, args ...any) *Reply {
+	return &Reply{Code: maintenance.CodeInvalid, Text: fmt.Sprintf(format, args...)}
+}
+
+// retryLater returns the reply to a call that cannot be carried out now.
+func retryLater(format string, args ...any) *Reply {
+	return &Reply{Code: maintenance.CodeRetryLater, Text: fmt.Sprintf(format, args...)}
+}
+
+// handleOperatorCall takes an operator's call at any member.
 func (c *Coordinator) handleOperatorCall(ctx context.Context, _ peer.Sender, body []byte) ([]byte, error) {
 	var call Call
 	if err := json.Unmarshal(body, &call); err != nil {
-		return json.Marshal(Reply{Code: maintenance.CodeInvalid, Text: "no call: " + err.Error()})
+		return json.Marshal(invalid("no call: %v", err))
 	}
-	if call.Bootstrap {
+	switch {
+	case call.Bootstrap:
 		return json.Marshal(c.bootstrap(ctx, call.AfterDataLoss))
-	}
-	if call.ConfirmDisk {
+	case call.ConfirmDisk:
 		return json.Marshal(c.confirmDisk())
-	}
-	if call.Status && call.Local {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		return json.Marshal(Reply{Status: c.status(false)})
+	case call.Status && call.Local:
+		return json.Marshal(&Reply{Status: c.localStatus()})
 	}
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	out, err := c.requestLeader(ctx, pathCall, body)
+	answer, err := c.requestLeader(ctx, pathCall, body)
 	if err == nil {
-		return out, nil
+		return answer, nil
 	}
-	reply := Reply{Code: maintenance.CodeRetryLater, Text: fmt.Sprintf("%s (%v)", NotCommittedText, err)}
+	reply := retryLater("%s (%v)", NotCommittedText, err)
 	if call.Status {
-		c.mu.Lock()
-		reply.Status = c.status(false)
-		c.mu.Unlock()
+		reply.Status = c.localStatus()
 	}
 	return json.Marshal(reply)
 }
 
-// handleCall takes a call at the leader.
+// localStatus returns the status as this member knows it.
+func (c *Coordinator) localStatus() *Status {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.status(false)
+}
+
+// handleCall takes an operator's call at the leader.
 func (c *Coordinator) handleCall(ctx context.Context, _ peer.Sender, body []byte) ([]byte, error) {
 	var call Call
 	if err := json.Unmarshal(body, &call); err != nil {
@@ -77,50 +98,56 @@
 	if node == nil {
 		return nil, errOutsideGroup
 	}
-	index, err := node.ReadIndex(ctx)
-	if err == nil {
-		err = c.waitApplied(ctx, index)
+	if _, err := c.readBarrier(ctx, node); err != nil {
+		return nil, err
+	}
+	c.mu.Lock()
+	reply, err := c.replyWithoutEntry(&call)
+	c.mu.Unlock()
+	if err != nil {
+		return nil, err
+	}
+	if reply == nil {
+		reply, err = c.commit(ctx, node, call.Command)
 	}
 	if err != nil {
 		return nil, err
 	}
+	return json.Marshal(reply)
+}
+
+// replyWithoutEntry replies to a call that needs no entry; a nil reply: it needs one. c.mu must be held.
+func (c *Coordinator) replyWithoutEntry(call *Call) (*Reply, error) {
 	if call.Status {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		return json.Marshal(Reply{Status: c.status(true)})
+		return &Reply{Status: c.status(true)}, nil
 	}
 	if call.Command == nil {
 		return nil, &peer.RejectedError{Reason: "a call for nothing"}
 	}
-	c.mu.Lock()
-	reply := c.precheck(&call)
-	c.mu.Unlock()
-	if reply != nil {
-		return json.Marshal(reply)
-	}
-	return c.commit(ctx, node, call.Command)
+	return c.precheck(call), nil
 }
 
-// commit proposes a command and waits for its answer.
-func (c *Coordinator) commit(ctx context.Context, node *consensus.Node, command *maintenance.Command) ([]byte, error) {
+// commit proposes a command and waits for its result.
+func (c *Coordinator) commit(ctx context.Context, node *consensus.Node, command *maintenance.Command) (*Reply, error) {
 	raw, err := encodeEntry(command)
 	if err != nil {
 		return nil, err
 	}
 	if failpoint.Enabled(failpoint.AnswerBeforeCommit) && command.Kind == maintenance.CommandClaimMachine {
-		time.AfterFunc(time.Second, func() { node.Propose(context.Background(), raw) })
-		return json.Marshal(Reply{Text: "yes"})
+		uncancelled := context.WithoutCancel(ctx)
+		time.AfterFunc(time.Second, func() { _ = node.Propose(uncancelled, raw) })
+		return &Reply{Text: "yes"}, nil
 	}
 	if err := node.Propose(ctx, raw); err != nil {
 		return nil, err
 	}
-	var answer maintenance.Result
-	err = c.waitForState(ctx, func(s *maintenance.State) (ok bool) {
-		answer, ok = s.Result(command.ID)
+	var result maintenance.Result
+	err = c.waitForState(ctx, func(state *maintenance.State) (ok bool) {
+		result, ok = state.Result(command.ID)
 		return ok
 	})
 	if err != nil {
 		return nil, err
 	}
-	return json.Marshal(Reply{Code: answer.Code, Text: answer.Text})
+	return &Reply{Code: result.Code, Text: result.Text}, nil
 }
--- a/internal/coordinator/client.go
+++ b/internal/coordinator/client.go
@@ -4,51 +4,55 @@
 	"context"
 	"crypto/rand"
 	"errors"
-	"fmt"
-	"strings"
 	"time"
 
-	"birchfork/internal/maintenance"
 	"birchfork/internal/peer"
 )
 
-// Times of a call.
+// Times of a client.
 const (
-	clientTimeout       = 12 * time.Second       // for an answer at all
-	clientRetryInterval = 200 * time.Millisecond // before another round of tries
+	clientTimeout       = 12 * time.Second       // for a call, over all attempts
+	clientRetryInterval = 200 * time.Millisecond // between rounds of attempts
 )
 
-// Client makes calls of staff.
+// commandIDLength is the number of characters of a command's ID.
+const commandIDLength = 16
+
+// Client makes operators' calls. It is safe for concurrent use.
 type Client struct {
-	Addresses []string // where members listen for the group; the next is asked where one does not answer
+	Addresses []string // of members, host:port; the next one is asked where one does not answer
 }
 
-// Do makes a call until it is answered, or until it has taken too long: then the answer is that it is not settled yet. A
-// command has one id over all tries, and so acts once.
+// Do makes a call at one member after another, until it is answered or 12 s have gone by; then the reply's code says to retry later. All
+// attempts of a command share one ID, and so it acts once. The error is always nil.
 func (c *Client) Do(ctx context.Context, call Call) (*Reply, error) {
 	if call.Command != nil && call.Command.ID == "" {
-		call.Command.ID = rand.Text()[:16]
+		call.Command.ID = rand.Text()[:commandIDLength]
 	}
 	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
 	lastErr := errors.New("no member is named")
 	for i := 0; ctx.Err() == nil && len(c.Addresses) > 0; i++ {
-		if i > 0 && i%len(c.Addresses) == 0 {
+		beginsRound := i > 0 && i%len(c.Addresses) == 0
+		if beginsRound {
 			sleep(ctx, clientRetryInterval)
 		}
 		reply := &Reply{}
-		err := peer.CallMember(ctx, c.Addresses[i%len(c.Addresses)], PathOperator, call, reply)
-		switch {
-		case err != nil && ctx.Err() != nil && i > 0: // our own time is up: what was wrong before tells more
-		case err != nil:
-			lastErr = err
-		case reply.Code == maintenance.CodeRetryLater && strings.HasPrefix(reply.Text, NotCommittedText):
-			if lastErr = errors.New(reply.Text); reply.Status != nil && i >= len(c.Addresses)-1 {
-				return reply, nil // what a member knew last
+		if err := peer.CallMember(ctx, c.Addresses[i%len(c.Addresses)], PathOperator, call, reply); err != nil {
+			isOwnTimeout := ctx.Err() != nil && i > 0
+			if !isOwnTimeout { // else what was wrong before tells more
+				lastErr = err
 			}
-		default:
+			continue
+		}
+		if !reply.isNotCommitted() {
 			return reply, nil
 		}
+		lastErr = errors.New(reply.Text)
+		isAllAsked := i >= len(c.Addresses)-1
+		if isAllAsked && reply.Status != nil {
+			return reply, nil // what a member knew last
+		}
 	}
-	return &Reply{Code: maintenance.CodeRetryLater, Text: fmt.Sprintf("no member has settled it: %v", lastErr)}, nil
+	return retryLater("no member has settled it: %v", lastErr), nil
 }
--- a/internal/coordinator/golden_test.go
+++ b/internal/coordinator/golden_test.go
@@ -150,7 +150,7 @@
 func TestGolden_Texts(t *testing.T) {
 	var out bytes.Buffer
 	for _, v := range []any{
-		staleDiskText, outsideGroupText, NotCommittedText, doubtText, errOutsideGroup, errNoLeader, errDiskUnconfirmed, errFenceTimeout, errUnknownIncarnation,
+		errStaleDisk, outsideGroupText, NotCommittedText, historyLostText, errOutsideGroup, errNoLeader, errDiskUnconfirmed, errFenceTimeout, errUnknownIncarnation,
 		consensus.ErrNoLeader, consensus.ErrStopped, consensus.ErrBusy,
 	} {
 		fmt.Fprintln(&out, v)
--- a/internal/coordinator/handlers.go
+++ b/internal/coordinator/handlers.go
@@ -10,69 +10,52 @@
 	"birchfork/internal/peer"
 )
 
-// The paths of the links. What comes by a relay was passed on once already.
+// Paths of the members' transport. A message to a path of pathRelay was relayed by another member already, and is not relayed again.
 const (
 	pathRaft     = "/group/raft"
 	pathJoin     = "/group/join"
 	pathReport   = "/group/report"
 	pathPosition = "/group/recall"
 	pathCall     = "/group/call"
-	pathRelay    = "/group/relay" // and the path that it is for
+	pathRelay    = "/group/relay" // followed by the path that it is for
+	// PathOperator is the path of operators' calls.
 	PathOperator = "/group/staff"
 )
 
-const staleDiskText = "that disk has forgotten what this life has said"
-
+// outsideGroupText is both a rejection and an error. Members of other builds compare it.
 const outsideGroupText = "this member is in no group yet"
 
-// Errors of a member.
+// Errors that say that a message cannot be answered now. The sender may try again. Their texts are shown to operators.
+var (
+	errOutsideGroup    = errors.New(outsideGroupText)
+	errNoLeader        = errors.New("no leader can be reached")
+	errDiskUnconfirmed = errors.New("this member does not know yet whether its disk is its last one")
+	errFenceTimeout    = errors.New("attempts may run for longer than what is settled; that is settled first")
+)
+
+// Rejections. Members of other builds compare their texts.
 var (
-	errOutsideGroup       = errors.New(outsideGroupText)
-	errNoLeader           = errors.New("no leader can be reached")
-	errDiskUnconfirmed    = errors.New("this member does not know yet whether its disk is its last one")
-	errFenceTimeout       = errors.New("attempts may run for longer than what is settled; that is settled first")
+	errRejectOutsideGroup = &peer.RejectedError{Reason: outsideGroupText}
+	errStaleDisk          = &peer.RejectedError{Reason: "that disk has forgotten what this life has said"}
 	errUnknownIncarnation = &peer.RejectedError{Reason: "no member under this life: ask to be taken in"}
 )
 
-// leaderHandlers are the handlers of what only a leader can answer, by path.
-func (c *Coordinator) leaderHandlers() map[string]peer.Handler {
-	return map[string]peer.Handler{pathJoin: c.handleJoin, pathReport: c.handleReport, pathCall: c.handleCall}
+// isRejected reports whether another member has rejected a message, rather than failed to answer.
+func isRejected(err error) bool {
+	var rejected *peer.RejectedError
+	return errors.As(err, &rejected)
+}
+
+// isRejectedAs reports whether another member has rejected a message for the reason of want.
+func isRejectedAs(err error, want *peer.RejectedError) bool {
+	var rejected *peer.RejectedError
+	return errors.As(err, &rejected) && rejected.Reason == want.Reason
 }
 
-// registerHandlers says what comes by the links.
+// registerHandlers registers the handlers of a membership's transport.
 func (c *Coordinator) registerHandlers(transport *peer.Transport) {
-	transport.Handle(pathRaft, func(_ context.Context, from peer.Sender, body []byte) ([]byte, error) {
-		node := c.node()
-		if node == nil {
-			return nil, errOutsideGroup
-		}
-		id, position, err := node.Receive(body)
-		if id != 0 {
-			c.mu.Lock()
-			c.observedNames[id] = from.Name
-			c.observedPositions[from.Incarnation] = c.observedPositions[from.Incarnation].Merge(position)
-			c.mu.Unlock()
-		}
-		return nil, err
-	})
-	transport.Handle(pathPosition, func(_ context.Context, from peer.Sender, body []byte) ([]byte, error) {
-		var position consensus.Position
-		if err := json.Unmarshal(body, &position); err != nil {
-			return nil, &peer.RejectedError{Reason: "no mark: " + err.Error()}
-		}
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		if promised := c.observedPositions[from.Incarnation]; position.Misses(promised) {
-			return nil, &peer.RejectedError{Reason: staleDiskText}
-		}
-		if c.membership == nil || c.membership.identity.ClusterID == "" {
-			return nil, &peer.RejectedError{Reason: outsideGroupText}
-		}
-		if c.membership.node != nil {
-			return json.Marshal(c.membership.node.Status().Position)
-		}
-		return json.Marshal(c.membership.startPosition)
-	})
+	transport.Handle(pathRaft, c.handleRaft)
+	transport.Handle(pathPosition, c.handlePosition)
 	for path, handler := range c.leaderHandlers() {
 		transport.Handle(path, func(ctx context.Context, from peer.Sender, body []byte) ([]byte, error) {
 			if c.isLeader() {
@@ -90,12 +73,54 @@
 	transport.HandleOperator(PathOperator, c.handleOperatorCall)
 }
 
+// leaderHandlers returns the handlers of what only the leader can answer, by path.
+func (c *Coordinator) leaderHandlers() map[string]peer.Handler {
+	return map[string]peer.Handler{pathJoin: c.handleJoin, pathReport: c.handleReport, pathCall: c.handleCall}
+}
+
+// handleRaft takes a raft message, and notes what its sender promises by it.
+func (c *Coordinator) handleRaft(_ context.Context, from peer.Sender, body []byte) ([]byte, error) {
+	node := c.node()
+	if node == nil {
+		return nil, errOutsideGroup
+	}
+	id, promised, err := node.Receive(body)
+	if id != 0 {
+		c.mu.Lock()
+		c.observedNames[id] = from.Name
+		c.observedPositions[from.Incarnation] = c.observedPositions[from.Incarnation].Merge(promised)
+		c.mu.Unlock()
+	}
+	return nil, err
+}
+
+// handlePosition takes the position of another member's storage, and answers with this member's: see resume.
+func (c *Coordinator) handlePosition(_ context.Context, from peer.Sender, body []byte) ([]byte, error) {
+	var position consensus.Position
+	if err := json.Unmarshal(body, &position); err != nil {
+		return nil, &peer.RejectedError{Reason: "no mark: " + err.Error()}
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if position.Misses(c.observedPositions[from.Incarnation]) {
+		return nil, errStaleDisk
+	}
+	if c.membership == nil || c.membership.identity.ClusterID == "" {
+		return nil, errRejectOutsideGroup
+	}
+	if c.membership.node == nil {
+		return json.Marshal(c.membership.startPosition)
+	}
+	return json.Marshal(c.membership.node.Status().Position)
+}
+
+// isLeader reports whether this member leads, as far as it knows.
 func (c *Coordinator) isLeader() bool {
-	a := c.node()
-	return a != nil && a.Status().IsLeader
+	node := c.node()
+	return node != nil && node.Status().IsLeader
 }
 
-// leaderName is the leader's name; empty where none is known.
+// leaderName returns the leader's name; empty: none is known.
 func (c *Coordinator) leaderName() string {
 	node := c.node()
 	if node == nil {
@@ -104,22 +129,25 @@
 	return c.memberName(node.Status().LeaderID)
 }
 
+// request sends a message to a member and returns its answer.
 func (c *Coordinator) request(ctx context.Context, current *membership, to, path string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	return current.transport.Request(ctx, to, path, body)
 }
 
-// forwardToLeader passes a message on to the leader, for one that cannot reach it.
+// forwardToLeader forwards a message to the leader, for a member that may not reach it.
 func (c *Coordinator) forwardToLeader(ctx context.Context, path string, body []byte) ([]byte, error) {
-	c.mu.Lock()
-	current := c.membership
-	c.mu.Unlock()
-	if current == nil || c.node() == nil && c.sender().ClusterID == "" {
-		return nil, &peer.RejectedError{Reason: outsideGroupText}
+	current := c.currentMembership()
+	if current == nil {
+		return nil, errRejectOutsideGroup
 	}
-	if c.node() == nil { // who is in a group and waits must not be taken for one that knows of no plan
-		return nil, errDiskUnconfirmed
+	if c.node() == nil {
+		// A member that is in a group and waits must not be taken for one that knows of no plan.
+		if c.sender().ClusterID != "" {
+			return nil, errDiskUnconfirmed
+		}
+		return nil, errRejectOutsideGroup
 	}
 	leader := c.leaderName()
 	if leader == "" || leader == c.options.Self {
@@ -128,40 +156,38 @@
 	return c.request(ctx, current, leader, pathRelay+path, body)
 }
 
-// requestLeader asks the leader: itself, or by way of another member where the leader cannot be reached from here.
+// requestLeader has the leader answer a message: this member itself, the leader directly, or through another member where it cannot be
+// reached from here.
 func (c *Coordinator) requestLeader(ctx context.Context, path string, body []byte) ([]byte, error) {
 	if c.isLeader() {
 		return c.leaderHandlers()[path](ctx, c.sender(), body)
 	}
-	reply, err := c.forwardToLeader(ctx, path, body)
+	answer, err := c.forwardToLeader(ctx, path, body)
 	if err == nil || isRejected(err) {
-		return reply, err
+		return answer, err
+	}
+	return c.requestThroughMembers(ctx, path, body, err)
+}
+
+// requestThroughMembers has another member forward a message to the leader. It returns the last error, which is lastErr if there is no
+// member to try.
+func (c *Coordinator) requestThroughMembers(ctx context.Context, path string, body []byte, lastErr error) ([]byte, error) {
+	current := c.currentMembership()
+	if current == nil {
+		return nil, lastErr
 	}
-	c.mu.Lock()
-	current := c.membership
-	c.mu.Unlock()
 	leader := c.leaderName()
-	for _, i := range rand.Perm(len(c.options.Group.Members)) {
-		member := c.options.Group.Members[i]
-		if current == nil || member.Name == c.options.Self || member.Name == leader || ctx.Err() != nil {
+	others := c.others()
+	for _, i := range rand.Perm(len(others)) {
+		if others[i].Name == leader || ctx.Err() != nil {
 			continue
 		}
-		if reply, err = c.request(ctx, current, member.Name, path, body); err == nil || isRejected(err) && !isOutsideGroup(err) {
-			return reply, err
+		answer, err := c.request(ctx, current, others[i].Name, path, body)
+		isAnswer := err == nil || isRejected(err) && !isRejectedAs(err, errRejectOutsideGroup)
+		if isAnswer {
+			return answer, err
 		}
+		lastErr = err
 	}
-	if err == nil {
-		err = errNoLeader
-	}
-	return nil, err
-}
-
-func isRejected(err error) bool {
-	var rejected *peer.RejectedError
-	return errors.As(err, &rejected)
-}
-
-func isOutsideGroup(err error) bool {
-	var rejected *peer.RejectedError
-	return errors.As(err, &rejected) && rejected.Reason == outsideGroupText
+	return nil, lastErr
 }
--- a/internal/coordinator/join.go
+++ b/internal/coordinator/join.go
@@ -3,8 +3,7 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
-	randv2 "math/rand/v2"
+	"math/rand/v2"
 	"slices"
 	"time"
 
@@ -15,65 +14,75 @@
 	"birchfork/internal/peer"
 )
 
+// joinRequest asks the leader to add a member to the group.
 type joinRequest struct {
 	Name        string `json:"name"`
 	Incarnation string `json:"life"`
 	RaftID      uint64 `json:"id"`
 }
 
+// joinReply says that the member was added.
 type joinReply struct {
 	ClusterID string `json:"founded"`
 }
 
-// join asks the others to be taken in, until it is.
-func (c *Coordinator) join(ctx context.Context, current *membership, storage *consensus.Storage) {
-	request, err := json.Marshal(joinRequest{Name: c.options.Self, Incarnation: current.identity.Incarnation, RaftID: current.identity.RaftID})
+// join asks the other members to be added to the group, until it is, or until an operator's call creates the group here.
+func (c *Coordinator) join(ctx context.Context, current *membership) {
+	request, err := json.Marshal(joinRequest{
+		Name: c.options.Self, Incarnation: current.identity.Incarnation, RaftID: current.identity.RaftID,
+	})
 	if err != nil {
+		c.options.Log.WithError(err).Error("join request cannot be encoded")
 		return
 	}
-	for ctx.Err() == nil {
+	for {
 		select {
 		case <-ctx.Done():
 			return
 		case afterDataLoss := <-current.bootstrap:
-			if err := c.bootstrapStorage(current, storage, afterDataLoss); err != nil {
-				c.options.Log.WithError(err).Error("the group cannot be founded here")
+			if err := c.bootstrapStorage(current, afterDataLoss); err != nil {
+				c.options.Log.WithError(err).Error("group bootstrap failed")
 				continue
 			}
 			return
 		case <-time.After(joinInterval):
 		}
-		outside := 0
-		for _, i := range randv2.Perm(len(c.options.Group.Members)) {
-			member := c.options.Group.Members[i]
-			if member.Name == c.options.Self {
-				continue
-			}
-			raw, err := c.request(ctx, current, member.Name, pathJoin, request)
-			var rejected *peer.RejectedError
-			if errors.As(err, &rejected) && rejected.Reason == outsideGroupText {
-				outside++
-			}
-			var reply joinReply
-			if err != nil || json.Unmarshal(raw, &reply) != nil || reply.ClusterID == "" {
-				continue
-			}
-			if err := storage.SetClusterID(reply.ClusterID); err != nil {
-				c.options.Log.WithError(err).Error("the group's folder cannot be written")
-				continue
-			}
-			c.startNode(current, storage, c.openBootMarker(), nil, true)
-			c.options.Log.WithField("founded", reply.ClusterID).Info("this member was taken into the group")
+		if c.joinThroughAny(ctx, current, request) {
 			return
 		}
-		// Where all the others are in no group either there is no plan that we could have missed.
-		if outside == len(c.options.Group.Members)-1 {
-			c.options.Dispatcher.SetPlansUnknown(false)
+	}
+}
+
+// joinThroughAny sends the request to the other members in random order, until one of them has had this member added. It reports whether
+// the node was started.
+func (c *Coordinator) joinThroughAny(ctx context.Context, current *membership, request []byte) bool {
+	others := c.others()
+	outside := 0 // members that are in no group themselves
+	for _, i := range rand.Perm(len(others)) {
+		raw, err := c.request(ctx, current, others[i].Name, pathJoin, request)
+		if isRejectedAs(err, errRejectOutsideGroup) {
+			outside++
+		}
+		var reply joinReply
+		if err != nil || json.Unmarshal(raw, &reply) != nil || reply.ClusterID == "" {
+			continue
 		}
+		if err := current.storage.SetClusterID(reply.ClusterID); err != nil {
+			c.options.Log.WithError(err).Error("group storage not writable")
+			continue
+		}
+		c.startNode(current, c.openBootMarker(), nil, true)
+		c.options.Log.WithField("cluster", reply.ClusterID).Info("joined group")
+		return true
+	}
+	// Where no other member is in a group there is no plan that this one could lack.
+	if outside == len(others) {
+		c.options.Dispatcher.SetPlansUnknown(false)
 	}
+	return false
 }
 
-// handleJoin takes a member in, at the leader.
+// handleJoin adds a member to the group as a learner, at the leader, and answers once that is committed.
 func (c *Coordinator) handleJoin(ctx context.Context, _ peer.Sender, body []byte) ([]byte, error) {
 	var request joinRequest
 	if err := json.Unmarshal(body, &request); err != nil {
@@ -84,7 +93,7 @@
 		return nil, &peer.RejectedError{Reason: "no member by our file: " + request.Name}
 	}
 	node, clusterID := c.node(), c.sender().ClusterID
-	if node == nil { // our place has just gone to another process
+	if node == nil { // the membership has just gone to another process
 		return nil, errOutsideGroup
 	}
 	c.mu.Lock()
@@ -94,26 +103,33 @@
 		return nil, &peer.RejectedError{Reason: "an earlier life of " + request.Name}
 	}
 	if member == nil || member.Incarnation != request.Incarnation {
-		entry, err := json.Marshal(maintenance.Command{Kind: maintenance.CommandJoinMember, Member: &maintenance.Member{
-			Name: request.Name, Incarnation: request.Incarnation, RaftID: request.RaftID, Voter: c.options.Group.Members[i].Voter,
-		}})
-		if err != nil {
-			return nil, err
-		}
-		err = node.ProposeConfChange(ctx, []*raftpb.ConfChangeSingle{confChange(raftpb.ConfChangeAddLearnerNode, request.RaftID)}, entry)
-		if err != nil {
-			return nil, err
-		}
-		if err := c.waitForState(ctx, func(s *maintenance.State) bool {
-			member := s.Members[request.Name]
-			return member != nil && member.Incarnation == request.Incarnation
-		}); err != nil {
+		if err := c.addMember(ctx, node, request, c.options.Group.Members[i].Voter); err != nil {
 			return nil, err
 		}
 	}
 	return json.Marshal(joinReply{ClusterID: clusterID})
 }
 
+// addMember proposes to add a member, and waits until that is committed. A member that is to vote does so once it has caught up: see
+// reconcileVoters.
+func (c *Coordinator) addMember(ctx context.Context, node *consensus.Node, request joinRequest, isVoter bool) error {
+	// As in earlier builds this entry has no level, unlike those of encodeEntry.
+	entry, err := json.Marshal(maintenance.Command{Kind: maintenance.CommandJoinMember, Member: &maintenance.Member{
+		Name: request.Name, Incarnation: request.Incarnation, RaftID: request.RaftID, Voter: isVoter,
+	}})
+	if err != nil {
+		return err
+	}
+	changes := []*raftpb.ConfChangeSingle{confChange(raftpb.ConfChangeAddLearnerNode, request.RaftID)}
+	if err := node.ProposeConfChange(ctx, changes, entry); err != nil {
+		return err
+	}
+	return c.waitForState(ctx, func(state *maintenance.State) bool {
+		member := state.Members[request.Name]
+		return member != nil && member.Incarnation == request.Incarnation
+	})
+}
+
 func confChange(kind raftpb.ConfChangeType, id uint64) *raftpb.ConfChangeSingle {
 	return &raftpb.ConfChangeSingle{Type: &kind, NodeId: &id}
 }
--- a/internal/coordinator/leader.go
+++ b/internal/coordinator/leader.go
@@ -12,7 +12,10 @@
 	"birchfork/internal/maintenance"
 )
 
-// leaderLoop has plans go on while we lead.
+// compactLevel is the level of entries from which on an advance may be compact: see maintenance.State.Compact.
+const compactLevel = 2
+
+// leaderLoop does the leader's work while this member leads, until ctx ends.
 func (c *Coordinator) leaderLoop(ctx context.Context) {
 	for ; ctx.Err() == nil; sleep(ctx, leaderInterval) {
 		node := c.node()
@@ -24,16 +27,17 @@
 	}
 }
 
-// proposeAdvance proposes what has been heard, where that settles anything.
+// proposeAdvance proposes an entry with what members have reported, if that would change the state.
 func (c *Coordinator) proposeAdvance(ctx context.Context, node *consensus.Node) {
 	c.mu.Lock()
 	advance := c.collectAdvance()
-	if silent, older := c.membersBelowLevel(2); len(silent)+len(older) == 0 {
+	silent, older := c.membersBelowLevel(compactLevel)
+	if len(silent)+len(older) == 0 {
 		advance = c.state.Compact(advance)
 	}
-	useful := c.state.WouldChange(advance)
+	isUseful := c.state.WouldChange(advance)
 	c.mu.Unlock()
-	if !useful {
+	if !isUseful {
 		return
 	}
 	raw, err := encodeEntry(&maintenance.Command{Kind: maintenance.CommandAdvance, Advance: advance})
@@ -41,33 +45,25 @@
 		err = node.Propose(ctx, raw)
 	}
 	if err != nil {
-		c.options.Log.WithError(err).Debug("what was heard could not be proposed")
+		c.options.Log.WithError(err).Debug("advance not proposed")
 	}
 }
 
-// encodeEntry is a command as it is settled.
+// encodeEntry encodes a command as an entry, with the level that it needs.
 func encodeEntry(command *maintenance.Command) ([]byte, error) {
 	command.Level = command.RequiredLevel()
 	return json.Marshal(command)
 }
 
-// collectAdvance is all that has been heard. The lock is held.
+// collectAdvance returns what members have reported, together with what this one knows of the fleet. c.mu must be held.
 func (c *Coordinator) collectAdvance() *maintenance.Advance {
 	advance := &maintenance.Advance{
-		StateSeq: c.state.Seq, Elapsed: time.Since(c.seqSince), FenceTimeout: c.fenceTimeout(), WarmUp: c.warmUp,
-		Reports: map[string]maintenance.MemberReport{}, Fleet: map[string]maintenance.Worker{},
-	}
-	for _, status := range c.options.Dispatcher.WorkerStatuses(goneWorkerRetention, c.warmUp) {
-		advance.Fleet[status.Name] = maintenance.Worker{Zone: status.Zone, Kind: status.Kind, Host: status.Host, Weight: status.Weight, Unavailable: status.Unavailable, Gone: status.Gone, WarmingUp: status.WarmingUp,
-			Disabled: status.Disabled}
-	}
-	markWorkers := func(names []string, set func(*maintenance.Worker)) {
-		for _, name := range names {
-			if worker, ok := advance.Fleet[name]; ok {
-				set(&worker)
-				advance.Fleet[name] = worker
-			}
-		}
+		StateSeq:     c.state.Seq,
+		Elapsed:      time.Since(c.seqSince),
+		FenceTimeout: c.fenceTimeout(),
+		WarmUp:       c.warmUp,
+		Reports:      map[string]maintenance.MemberReport{},
+		Fleet:        c.localFleet(),
 	}
 	for name, report := range c.lastReports {
 		if c.state.Members[name] == nil {
@@ -75,94 +71,150 @@
 			continue
 		}
 		advance.Reports[name] = report.MemberReport
-		advance.FenceTimeout, advance.WarmUp = max(advance.FenceTimeout, report.FenceTimeout), max(advance.WarmUp, report.WarmUp)
-		// What staff said stays; what one that fell silent saw last is old by then, and would keep a plan for ever.
-		if time.Since(report.receivedAt) < c.observationLifetime() {
-			markWorkers(report.Unavailable, func(worker *maintenance.Worker) { worker.Unavailable = true })
-			markWorkers(report.WarmingUp, func(worker *maintenance.Worker) { worker.WarmingUp = true })
-		}
-		markWorkers(report.Disabled, func(worker *maintenance.Worker) { worker.Disabled = true })
+		advance.FenceTimeout = max(advance.FenceTimeout, report.FenceTimeout)
+		advance.WarmUp = max(advance.WarmUp, report.WarmUp)
+		c.mergeObservations(advance.Fleet, report)
 	}
 	return advance
 }
 
-// observationLifetime is how long what a member has seen of runners counts: as long as a silent one is waited for, and some words at least.
-// The lock is held.
+// localFleet returns what this member's dispatcher knows of the workers, by name. c.mu must be held.
+func (c *Coordinator) localFleet() map[string]maintenance.Worker {
+	fleet := map[string]maintenance.Worker{}
+	for _, status := range c.options.Dispatcher.WorkerStatuses(goneWorkerRetention, c.warmUp) {
+		fleet[status.Name] = maintenance.Worker{
+			Zone:        status.Zone,
+			Kind:        status.Kind,
+			Host:        status.Host,
+			Weight:      status.Weight,
+			Unavailable: status.Unavailable,
+			Gone:        status.Gone,
+			WarmingUp:   status.WarmingUp,
+			Disabled:    status.Disabled,
+		}
+	}
+	return fleet
+}
+
+// mergeObservations adds to a fleet what a member has reported of its workers. An operator's override counts until the member says
+// otherwise. What the member has seen itself expires: a silent member would hold up a plan for ever. c.mu must be held.
+func (c *Coordinator) mergeObservations(fleet map[string]maintenance.Worker, report receivedReport) {
+	if time.Since(report.receivedAt) < c.observationLifetime() {
+		markWorkers(fleet, report.Unavailable, func(worker *maintenance.Worker) { worker.Unavailable = true })
+		markWorkers(fleet, report.WarmingUp, func(worker *maintenance.Worker) { worker.WarmingUp = true })
+	}
+	markWorkers(fleet, report.Disabled, func(worker *maintenance.Worker) { worker.Disabled = true })
+}
+
+// markWorkers changes the named workers of a fleet, as far as the fleet has them.
+func markWorkers(fleet map[string]maintenance.Worker, names []string, mark func(*maintenance.Worker)) {
+	for _, name := range names {
+		worker, ok := fleet[name]
+		if !ok {
+			continue
+		}
+		mark(&worker)
+		fleet[name] = worker
+	}
+}
+
+// observationLifetime returns how long what a member has seen of workers counts: as long as the group waits for a silent member, and
+// some reports at least. c.mu must be held.
 func (c *Coordinator) observationLifetime() time.Duration {
 	return max(c.state.FenceTimeout, minObservationReports*idleReportInterval)
 }
 
-// reconcileVoters keeps who votes as the file has it: one settled change at a time.
+// reconcileVoters brings raft's members in line with the state, by one change at a time: voters that have caught up are promoted, members
+// that were retired or have a newer incarnation are removed.
 func (c *Coordinator) reconcileVoters(ctx context.Context, node *consensus.Node) {
 	status := node.Status()
 	caughtUp := node.CaughtUp(ctx)
-	var changes []*raftpb.ConfChangeSingle
 	c.mu.Lock()
-	known := map[uint64]bool{}
-	for _, member := range c.state.Members {
-		known[member.RaftID] = true
-		if member.Voter && slices.Contains(status.Learners, member.RaftID) && slices.Contains(caughtUp, member.RaftID) && changes == nil {
-			changes = append(changes, confChange(raftpb.ConfChangeAddNode, member.RaftID))
-			for _, past := range member.PastIncarnations { // its vote passes to the present life in the same change
-				if slices.Contains(status.Voters, past.RaftID) {
-					changes = append(changes, confChange(raftpb.ConfChangeRemoveNode, past.RaftID))
-				}
-			}
-		}
-	}
+	changes := c.nextPromotion(status, caughtUp)
 	if changes == nil {
-		for _, id := range slices.Concat(status.Learners, status.Voters) {
-			if !known[id] && !c.holdsVoteForSuccessor(id) {
-				changes = append(changes, confChange(raftpb.ConfChangeRemoveNode, id))
-				break
-			}
-		}
+		changes = c.nextRemoval(status)
 	}
 	c.mu.Unlock()
 	if changes == nil {
 		return
 	}
 	if err := node.ProposeConfChange(ctx, changes, nil); err != nil {
-		c.options.Log.WithError(err).Debug("a change of who votes could not be proposed")
+		c.options.Log.WithError(err).Debug("change of voters not proposed")
 	}
 }
 
-// holdsVoteForSuccessor tells whether an id is that of an earlier life of a voter, whose present one does not vote yet: the vote is kept
-// until it can pass. The lock is held.
-func (c *Coordinator) holdsVoteForSuccessor(id uint64) bool {
-	status := c.membership.node.Status()
+// nextPromotion returns the changes that make one caught-up learner a voter; nil: there is none to promote. The vote of an earlier
+// incarnation passes to the present one in the same change. c.mu must be held.
+func (c *Coordinator) nextPromotion(status consensus.Status, caughtUp []uint64) []*raftpb.ConfChangeSingle {
 	for _, member := range c.state.Members {
-		if slices.ContainsFunc(member.PastIncarnations, func(past maintenance.PastIncarnation) bool { return past.RaftID == id }) {
+		isReadyLearner := slices.Contains(status.Learners, member.RaftID) && slices.Contains(caughtUp, member.RaftID)
+		if !member.Voter || !isReadyLearner {
+			continue
+		}
+		changes := []*raftpb.ConfChangeSingle{confChange(raftpb.ConfChangeAddNode, member.RaftID)}
+		for _, past := range member.PastIncarnations {
+			if slices.Contains(status.Voters, past.RaftID) {
+				changes = append(changes, confChange(raftpb.ConfChangeRemoveNode, past.RaftID))
+			}
+		}
+		return changes
+	}
+	return nil
+}
+
+// nextRemoval returns the change that removes one raft ID that is no member's any more; nil: there is none. c.mu must be held.
+func (c *Coordinator) nextRemoval(status consensus.Status) []*raftpb.ConfChangeSingle {
+	known := map[uint64]bool{}
+	for _, member := range c.state.Members {
+		known[member.RaftID] = true
+	}
+	for _, id := range slices.Concat(status.Learners, status.Voters) {
+		if !known[id] && !c.holdsVoteForSuccessor(status, id) {
+			return []*raftpb.ConfChangeSingle{confChange(raftpb.ConfChangeRemoveNode, id)}
+		}
+	}
+	return nil
+}
+
+// holdsVoteForSuccessor reports whether a raft ID is that of an earlier incarnation of a voter, whose present one does not vote yet. Its
+// vote is kept until it can pass: see nextPromotion. c.mu must be held.
+func (c *Coordinator) holdsVoteForSuccessor(status consensus.Status, id uint64) bool {
+	for _, member := range c.state.Members {
+		if hadRaftID(member, id) {
 			return member.Voter && slices.Contains(status.Voters, id) && !slices.Contains(status.Voters, member.RaftID)
 		}
 	}
 	return false
 }
 
-// transferLeadership gives the lead to another voter, if we have it.
-func (c *Coordinator) transferLeadership() {
+// transferLeadership gives leadership to another voter, if this member has it, and waits a little until it has gone. It does so although
+// ctx may have ended, whose values it uses alone.
+func (c *Coordinator) transferLeadership(ctx context.Context) {
 	node := c.node()
 	if node == nil || !node.Status().IsLeader {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), requestTimeout)
 	defer cancel()
-	caughtUp := node.CaughtUp(ctx)
-	c.mu.Lock()
-	to := uint64(0)
-	for _, member := range c.state.Members {
-		for _, id := range caughtUp {
-			if member.RaftID == id && member.Voter && member.Name != c.options.Self {
-				to = id
-			}
-		}
-	}
-	c.mu.Unlock()
+	to := c.otherVoter(node.CaughtUp(ctx))
 	if to == 0 {
 		return
 	}
 	node.TransferLeadership(ctx, to)
 	for ctx.Err() == nil && node.Status().IsLeader {
-		sleep(ctx, 5*time.Millisecond)
+		sleep(ctx, pollInterval)
+	}
+}
+
+// otherVoter returns the raft ID of one of the given members that votes and is not this one; 0: there is none.
+func (c *Coordinator) otherVoter(ids []uint64) uint64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, member := range c.state.Members {
+		isOther := member.Voter && member.Name != c.options.Self
+		if isOther && slices.Contains(ids, member.RaftID) {
+			return member.RaftID
+		}
 	}
+	return 0
 }
--- a/internal/coordinator/lease.go
+++ b/internal/coordinator/lease.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"slices"
 	"time"
 
@@ -12,77 +11,76 @@
 	"birchfork/internal/peer"
 )
 
-// statusReport is a member's word to the leader.
+// statusReport is what a member reports to the leader, to renew its lease. Durations are in nanoseconds.
 type statusReport struct {
 	Name string `json:"name"`
 	maintenance.MemberReport
 	FenceTimeout time.Duration `json:"bound"`
 	WarmUp       time.Duration `json:"warm"`
-	Plans        bool          `json:"plans"`
-	Level        int           `json:"level"` // what its build knows of entries
+	Plans        bool          `json:"plans"` // maintenance plans are in use
+	Level        int           `json:"level"` // the highest level of entries that its build knows
 	Unavailable  []string      `json:"down,omitempty"`
 	WarmingUp    []string      `json:"cold,omitempty"`
 	Disabled     []string      `json:"hand,omitempty"`
 }
 
-// leaseGrant is the leader's answer: what the member has to have in force for its lease to count.
+// leaseGrant grants a lease to a member, once it has applied all entries up to an index.
 type leaseGrant struct {
 	Index uint64 `json:"index"`
 }
 
-// receivedReport is what a member told last.
+// receivedReport is a member's last report at the leader.
 type receivedReport struct {
 	statusReport
 	receivedAt time.Time
 }
 
-// renewLoop renews the lease again and again.
+// renewLoop renews the lease until ctx ends.
 func (c *Coordinator) renewLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := c.renewLease(ctx)
 		if err != nil && ctx.Err() == nil {
-			c.options.Log.WithError(err).Debug("the group's lease was not renewed")
+			c.options.Log.WithError(err).Debug("lease not renewed")
 		}
-		interval := idleReportInterval
 		c.mu.Lock()
-		if err != nil || slices.ContainsFunc(c.state.Plans, func(plan *maintenance.PlanState) bool { return plan.Phase != maintenance.PlanEnded }) {
-			interval = c.options.Group.LeaseDuration / renewalsPerLease
-		}
+		interval := c.renewInterval(err != nil)
 		changed := c.changed
 		c.mu.Unlock()
 		select {
 		case <-time.After(interval):
-		case <-changed: // what has just been put in force is told soon
+		case <-changed: // the leader waits to hear that it is applied
 			sleep(ctx, min(interval, leaderInterval))
 		case <-ctx.Done():
 		}
 	}
 }
 
-// renewLease tells the leader how things are here, and takes the lease that its answer grants.
+// renewInterval returns how long to wait before the lease is renewed again. c.mu must be held.
+func (c *Coordinator) renewInterval(hasFailed bool) time.Duration {
+	isOpen := func(plan *maintenance.PlanState) bool { return plan.Phase != maintenance.PlanEnded }
+	if hasFailed || slices.ContainsFunc(c.state.Plans, isOpen) {
+		return c.options.Group.LeaseDuration / renewalsPerLease
+	}
+	return idleReportInterval
+}
+
+// renewLease reports to the leader, and takes the lease that its answer grants.
 func (c *Coordinator) renewLease(ctx context.Context) error {
-	if c.node() == nil {
+	current := c.currentMembership()
+	if current == nil || c.node() == nil {
 		return errOutsideGroup
 	}
 	ctx, cancel := context.WithTimeout(ctx, max(requestTimeout, c.options.Group.LeaseDuration/2))
 	defer cancel()
-	startedAt := time.Now() // the lease counts from before we ask
+	startedAt := time.Now() // the lease counts from before the report
 	sent := c.statusReport()
 	body, err := json.Marshal(sent)
 	if err != nil {
 		return err
 	}
 	raw, err := c.requestLeader(ctx, pathReport, body)
-	var rejected *peer.RejectedError
-	if errors.As(err, &rejected) && rejected.Reason == errUnknownIncarnation.Reason {
-		c.mu.Lock()
-		if c.membership != nil {
-			select {
-			case c.membership.unknownIncarnation <- struct{}{}:
-			default:
-			}
-		}
-		c.mu.Unlock()
+	if isRejectedAs(err, errUnknownIncarnation) {
+		current.signalUnknownIncarnation()
 	}
 	if err != nil {
 		return err
@@ -94,7 +92,7 @@
 	return c.acceptLease(ctx, sent, startedAt, grant)
 }
 
-// acceptLease takes a lease that was asked for with a word, at a moment, once all that it rests on is in force here.
+// acceptLease takes a lease that was granted for a report, and that counts from startedAt, once all that it rests on is applied here.
 func (c *Coordinator) acceptLease(ctx context.Context, sent statusReport, startedAt time.Time, grant leaseGrant) error {
 	if err := c.waitApplied(ctx, grant.Index); err != nil {
 		return err
@@ -102,15 +100,12 @@
 	if failpoint.Enabled(failpoint.OverlongLease) {
 		startedAt = startedAt.Add(time.Minute)
 	}
-	if node := c.node(); node != nil && !c.confirmed {
-		if err := node.MarkConfirmed(ctx); err != nil {
-			return err
-		}
-		c.confirmed = true
+	if err := c.markConfirmed(ctx); err != nil {
+		return err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.fenceTimeout() != sent.FenceTimeout { // attempts may run for longer since: that is told first
+	if c.fenceTimeout() != sent.FenceTimeout { // attempts may run for longer by now, which has to be reported first
 		return errFenceTimeout
 	}
 	c.options.Dispatcher.SetLeaseExpiry(startedAt.Add(c.options.Group.LeaseDuration))
@@ -118,20 +113,41 @@
 	return nil
 }
 
-// statusReport is our word. What is in force is read first: what is busy is then seen after it bound.
+// markConfirmed notes in the storage, once, that the group has confirmed this incarnation.
+func (c *Coordinator) markConfirmed(ctx context.Context) error {
+	current, node := c.currentMembership(), c.node()
+	if node == nil || current.confirmed {
+		return nil
+	}
+	if err := node.MarkConfirmed(ctx); err != nil {
+		return err
+	}
+	current.confirmed = true
+	return nil
+}
+
+// statusReport returns this member's report. It reads what is applied first, so that it tells of workers that are busy after that was in
+// force.
 func (c *Coordinator) statusReport() statusReport {
 	node := c.node()
 	c.mu.Lock()
 	current := c.membership
-	report := statusReport{Name: c.options.Self, FenceTimeout: c.fenceTimeout(), WarmUp: c.warmUp, Plans: c.options.Group.MaintenancePlans, Level: maintenance.SupportedLevel()}
 	maxAttempt := c.maxAttempt
+	report := statusReport{
+		Name:         c.options.Self,
+		FenceTimeout: c.fenceTimeout(),
+		WarmUp:       c.warmUp,
+		Plans:        c.options.Group.MaintenancePlans,
+		Level:        maintenance.SupportedLevel(),
+	}
 	c.mu.Unlock()
 	if node == nil || current == nil {
 		return report
 	}
 	alive, _ := c.options.Siblings()
-	report.Incarnation, report.Applied = current.identity.Incarnation, node.Status().Applied
-	// A process of ours that ended may have left attempts behind; one that lives may send by what it knew.
+	report.Incarnation = current.identity.Incarnation
+	report.Applied = node.Status().Applied
+	// An earlier process may have left attempts behind; one that lives may send by an older state.
 	report.SoleProcess = alive == 0 && time.Since(current.startedAt) > maxAttempt
 	report.BusyWorkers, report.BusyHosts = c.options.Dispatcher.BusyWorkers()
 	for _, worker := range c.options.Dispatcher.WorkerStatuses(goneWorkerRetention, report.WarmUp) {
@@ -148,7 +164,7 @@
 	return report
 }
 
-// handleReport takes a member's word and grants it a lease, at the leader.
+// handleReport takes a member's report and grants it a lease, at the leader.
 func (c *Coordinator) handleReport(ctx context.Context, _ peer.Sender, body []byte) ([]byte, error) {
 	var report statusReport
 	if err := json.Unmarshal(body, &report); err != nil {
@@ -158,13 +174,10 @@
 	if node == nil {
 		return nil, errOutsideGroup
 	}
-	index, err := node.ReadIndex(ctx) // a quorum confirms that we lead still, after the member asked
+	index, err := c.readBarrier(ctx, node)
 	if err != nil {
 		return nil, err
 	}
-	if err := c.waitApplied(ctx, index); err != nil {
-		return nil, err
-	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	member := c.state.Members[report.Name]
@@ -172,7 +185,7 @@
 		return nil, errUnknownIncarnation
 	}
 	c.lastReports[report.Name] = receivedReport{report, time.Now()}
-	// Guards against a member with a longer lease than the group waits for.
+	// Guards against a member whose lease and attempts last longer than the group waits for a silent one.
 	if c.state.FenceTimeout < report.FenceTimeout {
 		return nil, errFenceTimeout
 	}
--- a/internal/coordinator/precheck.go
+++ b/internal/coordinator/precheck.go
@@ -10,59 +10,136 @@
 	"birchfork/internal/maintenance"
 )
 
-// doubtText says why no plan begins after a group was founded again.
-const doubtText = "machines may be with staff by a plan that was forgotten when the group was founded again; once none is: birchfork group trust"
+// historyLostText says why no plan begins after a group was created anew.
+const historyLostText = "machines may be with staff by a plan that was forgotten when the group was founded again; once none is: birchfork group trust"
 
-// precheck answers what needs no entry; nil: it needs one. The lock is held.
+// precheck replies to a call whose command needs no entry: it was carried out already, only validated, or cannot be carried out. Nil: it
+// needs an entry. c.mu must be held.
 func (c *Coordinator) precheck(call *Call) *Reply {
 	command := call.Command
 	if command.ID == "" {
-		return &Reply{Code: maintenance.CodeInvalid, Text: "a call without an id"}
+		return invalid("a call without an id")
 	}
-	if previous, ok := c.state.Result(command.ID); ok && !failpoint.Enabled(failpoint.RepeatCommands) {
-		return &Reply{Code: previous.Code, Text: previous.Text}
+	if result, ok := c.state.Result(command.ID); ok && !failpoint.Enabled(failpoint.RepeatCommands) {
+		return &Reply{Code: result.Code, Text: result.Text}
 	}
-	if silent, older := c.membersBelowLevel(command.RequiredLevel()); len(older) > 0 {
-		return &Reply{Code: maintenance.CodeRetryLater, Text: "of a build that does not know this call: " + strings.Join(older, ", ")}
-	} else if len(silent) > 0 {
-		return &Reply{Code: maintenance.CodeRetryLater, Text: "not heard of yet by this leader, and may be of a build that does not know this call: " + strings.Join(silent, ", ")}
+	if reply := c.precheckLevel(command); reply != nil {
+		return reply
 	}
 	switch command.Kind {
 	case maintenance.CommandJoinMember, maintenance.CommandAdvance:
-		return &Reply{Code: maintenance.CodeInvalid, Text: "no call of staff"}
+		return invalid("no call of staff")
 	case maintenance.CommandSubmitPlan:
-		if command.Plan == nil {
-			return &Reply{Code: maintenance.CodeInvalid, Text: "there is no plan in the call"}
-		}
-		problems := append(c.state.ValidatePlan(command.Plan), c.fleetMismatches(command.Plan)...)
-		if len(problems) > 0 {
-			return &Reply{Code: maintenance.CodeInvalid, Text: strings.Join(problems, "\n")}
-		}
-		if call.Check {
-			return &Reply{Text: "good"}
-		}
+		return c.precheckPlan(command.Plan, call.Check)
 	case maintenance.CommandStartPlan:
-		if reason := c.startObstacle(); reason != "" {
-			return &Reply{Code: maintenance.CodeRetryLater, Text: reason}
+		if obstacle := c.startObstacle(); obstacle != "" {
+			return &Reply{Code: maintenance.CodeRetryLater, Text: obstacle}
 		}
 	case maintenance.CommandClaimMachine:
-		if plan, machine := c.state.FindMachine(command.Name, command.Machine); machine != nil && (machine.Phase == maintenance.MachineWaiting || machine.Phase == maintenance.MachineDraining) {
-			reasons := c.state.WaitReasons(plan, c.collectAdvance())
-			return &Reply{Code: maintenance.CodeRetryLater, Text: strings.TrimSuffix(fmt.Sprintf("%s is %s: %s", machine.Name, machine.Phase, reasons[machine.Name]), ": ")}
+		return c.precheckClaim(command)
+	}
+	return nil
+}
+
+// precheckLevel replies to a command that a member's build may not know. c.mu must be held.
+func (c *Coordinator) precheckLevel(command *maintenance.Command) *Reply {
+	silent, older := c.membersBelowLevel(command.RequiredLevel())
+	switch {
+	case len(older) > 0:
+		return retryLater("of a build that does not know this call: %s", strings.Join(older, ", "))
+	case len(silent) > 0:
+		return retryLater("not heard of yet by this leader, and may be of a build that does not know this call: %s", strings.Join(silent, ", "))
+	}
+	return nil
+}
+
+// membersBelowLevel returns the members that may not know a level of entries, unless a committed entry has needed it already: those that
+// this leader has no report of, and those whose build is older. c.mu must be held.
+func (c *Coordinator) membersBelowLevel(level int) (silent, older []string) {
+	if level <= max(c.state.Level, 1) {
+		return nil, nil
+	}
+	for _, name := range c.state.MemberNames() {
+		report, ok := c.lastReports[name]
+		switch {
+		case !ok:
+			silent = append(silent, name)
+		case report.Level < level:
+			older = append(older, name)
 		}
 	}
+	return silent, older
+}
+
+// precheckPlan replies to a plan that is invalid or only to be validated. c.mu must be held.
+func (c *Coordinator) precheckPlan(plan *maintenance.Plan, validateOnly bool) *Reply {
+	if plan == nil {
+		return invalid("there is no plan in the call")
+	}
+	problems := slices.Concat(c.state.ValidatePlan(plan), c.fleetMismatches(plan))
+	if len(problems) > 0 {
+		return &Reply{Code: maintenance.CodeInvalid, Text: strings.Join(problems, "\n")}
+	}
+	if validateOnly {
+		return &Reply{Text: "good"}
+	}
 	return nil
 }
 
-// fleetMismatches is what of a plan does not fit the fleet as it is, by key. The lock is held.
+// precheckClaim replies to a claim of a machine that is not drained, with what the machine waits for. c.mu must be held.
+func (c *Coordinator) precheckClaim(command *maintenance.Command) *Reply {
+	plan, machine := c.state.FindMachine(command.Name, command.Machine)
+	if machine == nil {
+		return nil
+	}
+	isBeforeDrained := machine.Phase == maintenance.MachineWaiting || machine.Phase == maintenance.MachineDraining
+	if !isBeforeDrained {
+		return nil
+	}
+	text := fmt.Sprintf("%s is %s", machine.Name, machine.Phase)
+	if reason := c.state.WaitReasons(plan, c.collectAdvance())[machine.Name]; reason != "" {
+		text += ": " + reason
+	}
+	return &Reply{Code: maintenance.CodeRetryLater, Text: text}
+}
+
+// startObstacle returns why no plan may start; empty: one may. Each member of the operator's file has to be in the group and to have
+// plans in use, as one that knows of no group sends to every worker. c.mu must be held.
+func (c *Coordinator) startObstacle() string {
+	var missing, silent, withoutPlans []string
+	for _, member := range c.options.Group.Members {
+		report, isHeard := c.lastReports[member.Name]
+		switch {
+		case c.state.Members[member.Name] == nil:
+			missing = append(missing, member.Name)
+		case !isHeard:
+			silent = append(silent, member.Name)
+		case !report.Plans:
+			withoutPlans = append(withoutPlans, member.Name)
+		}
+	}
+	switch {
+	case len(missing) > 0:
+		return "not in the group yet: " + strings.Join(missing, ", ")
+	case len(silent) > 0:
+		return "not heard of yet by this leader: " + strings.Join(silent, ", ")
+	case c.state.HistoryLost:
+		return historyLostText
+	case len(withoutPlans) > 0 || !c.options.Group.MaintenancePlans:
+		return "without plans = true in [group]: " + strings.Join(withoutPlans, ", ")
+	}
+	return ""
+}
+
+// fleetMismatches returns in what a plan does not fit the present fleet, by key. c.mu must be held.
 func (c *Coordinator) fleetMismatches(plan *maintenance.Plan) (problems []string) {
 	fleet := c.collectAdvance().Fleet
-	machineAtHost := map[string]int{} // hosts that are machines
+	hostMachines := map[string]int{} // machines by host, of those that are given as a host
 	for i, machine := range plan.Machines {
 		if machine.Host == "" {
 			continue
 		}
-		machineAtHost[machine.Host] = i
+		hostMachines[machine.Host] = i
 		isListedThere := func(name string) bool { return fleet[name].Host == machine.Host && !fleet[name].Gone }
 		if !slices.ContainsFunc(slices.Collect(maps.Keys(fleet)), isListedThere) {
 			problems = append(problems, fmt.Sprintf("machine[%d].host: no runner is listed at %q; hosts are as in the list's addresses", i, machine.Host))
@@ -74,7 +151,7 @@
 			worker, ok := fleet[name]
 			if !ok {
 				problems = append(problems, fmt.Sprintf("machine[%d].runners: %q is not on the list", i, name))
-			} else if j, both := machineAtHost[worker.Host]; both {
+			} else if j, isTwice := hostMachines[worker.Host]; isTwice {
 				problems = append(problems, fmt.Sprintf("machine[%d].runners: %q is at the host of machine[%d]", i, name, j))
 			}
 		}
@@ -82,72 +159,37 @@
 	return problems
 }
 
-// overlaps are machines of a plan that another one has under the other of a runner's names, its own and its host's: they would
-// count twice against the budget. The lock is held.
+// overlaps returns which machines of a plan are in another open plan already, under the other way to give them: by host, or by the names
+// of workers. They would count twice against the budget. c.mu must be held.
 func (c *Coordinator) overlaps(plan *maintenance.Plan, fleet map[string]maintenance.Worker) (problems []string) {
 	for _, otherPlan := range c.state.Plans {
 		if otherPlan.Phase == maintenance.PlanEnded {
 			continue
 		}
 		for _, other := range otherPlan.MachineStates {
-			if other.Phase == maintenance.MachineDone || other.Phase == maintenance.MachineSkipped {
+			isFinished := other.Phase == maintenance.MachineDone || other.Phase == maintenance.MachineSkipped
+			if isFinished {
 				continue
 			}
 			for i, machine := range plan.Machines {
-				for _, worker := range machine.Workers {
-					if other.Host != "" && fleet[worker].Host == other.Host {
-						problems = append(problems, fmt.Sprintf("machine[%d].runners: %q is at host %s, which is in plan %q", i, worker, other.Host, otherPlan.Name))
-					}
-				}
-				for _, worker := range other.Workers {
-					if machine.Host != "" && other.Host == "" && fleet[worker].Host == machine.Host {
-						problems = append(problems, fmt.Sprintf("machine[%d].host: %q, which is there, is in plan %q", i, worker, otherPlan.Name))
-					}
-				}
+				problems = append(problems, machineOverlaps(i, machine, other.Machine, otherPlan.Name, fleet)...)
 			}
 		}
 	}
 	return problems
 }
 
-// membersBelowLevel are the members that may not know a level of entries, where nothing that is settled needs it yet: those that this leader
-// has not heard of, and those whose build is older. The lock is held.
-func (c *Coordinator) membersBelowLevel(level int) (silent, older []string) {
-	if level <= max(c.state.Level, 1) {
-		return nil, nil
-	}
-	for _, name := range c.state.MemberNames() {
-		if report, ok := c.lastReports[name]; !ok {
-			silent = append(silent, name)
-		} else if report.Level < level {
-			older = append(older, name)
+// machineOverlaps returns where the machine at an index of a plan overlaps with a machine of another plan.
+func machineOverlaps(i int, machine, other maintenance.Machine, otherPlan string, fleet map[string]maintenance.Worker) (problems []string) {
+	for _, name := range machine.Workers {
+		if other.Host != "" && fleet[name].Host == other.Host {
+			problems = append(problems, fmt.Sprintf("machine[%d].runners: %q is at host %s, which is in plan %q", i, name, other.Host, otherPlan))
 		}
 	}
-	return silent, older
-}
-
-// startObstacle says why no plan may start: each member by our file has to be in, and in use of plans, as one that knows of no group
-// sends where it likes. The lock is held.
-func (c *Coordinator) startObstacle() string {
-	var missing, silent, withoutPlans []string
-	for _, member := range c.options.Group.Members {
-		if c.state.Members[member.Name] == nil {
-			missing = append(missing, member.Name)
-		} else if report, ok := c.lastReports[member.Name]; !ok {
-			silent = append(silent, member.Name)
-		} else if !report.Plans {
-			withoutPlans = append(withoutPlans, member.Name)
+	for _, name := range other.Workers {
+		if machine.Host != "" && other.Host == "" && fleet[name].Host == machine.Host {
+			problems = append(problems, fmt.Sprintf("machine[%d].host: %q, which is there, is in plan %q", i, name, otherPlan))
 		}
 	}
-	switch {
-	case len(missing) > 0:
-		return "not in the group yet: " + strings.Join(missing, ", ")
-	case len(silent) > 0:
-		return "not heard of yet by this leader: " + strings.Join(silent, ", ")
-	case c.state.HistoryLost:
-		return doubtText
-	case len(withoutPlans) > 0 || !c.options.Group.MaintenancePlans:
-		return "without plans = true in [group]: " + strings.Join(withoutPlans, ", ")
-	}
-	return ""
+	return problems
 }
--- a/internal/coordinator/precheck_test.go
+++ b/internal/coordinator/precheck_test.go
@@ -72,7 +72,7 @@
 			t.Errorf("a plan by name: %q", got)
 		}
 	}
-	if c.state.HistoryLost = true; c.startObstacle() != doubtText {
+	if c.state.HistoryLost = true; c.startObstacle() != historyLostText {
 		t.Errorf("a group that was founded again: %q", c.startObstacle())
 	}
 }
--- a/internal/coordinator/resume.go
+++ b/internal/coordinator/resume.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"sync"
 	"time"
 
@@ -14,95 +13,120 @@
 	"birchfork/internal/peer"
 )
 
-// openBootMarker opens the note beside the disk; nil where there is none.
-func (c *Coordinator) openBootMarker() *consensus.BootMarker {
-	if c.options.BootMarkerPath == "" {
-		return nil
-	}
-	marker, err := consensus.OpenBootMarker(c.options.BootMarkerPath)
-	if err != nil {
-		c.options.Log.WithError(err).Warn("after a restart this member will have to ask the others whether its disk is the last one")
-	}
-	return marker
-}
-
-// resume takes part by what the disk has, once it is known not to be one of before: that would vote as if it remembered, and its
-// plans are not all. A note beside it tells, or enough others do: of those that settled an entry with this life, or elected somebody,
-// at least one is among any so many. What they have bounds what it may have said and forgotten.
-func (c *Coordinator) resume(ctx context.Context, current *membership, storage *consensus.Storage) {
+// resume starts the node on storage that has a history, once it is verified that the storage is not an old copy: with one the member
+// would vote as if nothing were lost, and would lack plans.
+//
+// The boot marker verifies it, an operator's call does, or the positions of enough other voters do: a quorum knows of each entry that
+// was committed and each vote that was given with this incarnation's help, so that at least one of any so many voters knows. Their
+// positions bound what this incarnation may have promised and lost.
+func (c *Coordinator) resume(ctx context.Context, current *membership) {
 	marker := c.openBootMarker()
-	recorded, known := marker.Lookup(current.identity.Incarnation)
+	recorded, isRecorded := marker.Lookup(current.identity.Incarnation)
 	if failpoint.Enabled(failpoint.TrustDisk) {
-		c.startNode(current, storage, marker, nil, true)
+		c.startNode(current, marker, nil, true)
 		return
 	}
-	voters, selfVotes := 0, false
-	for _, member := range c.options.Group.Members {
-		if member.Voter {
-			voters++
-			selfVotes = selfVotes || member.Name == c.options.Self
-		}
-	}
-	needed := voters - (voters/2 + 1) + 1
-	logged := false
+	isVoter, neededAnswers := c.verificationQuorum()
+	isWaitLogged := false
 	for {
-		positions, stale := c.queryPositions(ctx, current)
-		if stale || known && current.startPosition.OlderThan(recorded) {
-			marker.Close()
-			current.unknownIncarnation <- struct{}{}
-			return
-		}
+		positions, isStale := c.queryPositions(ctx, current)
+		isOlderThanMarker := isRecorded && current.startPosition.OlderThan(recorded)
 		switch {
-		case known || !selfVotes: // who has no vote needs no bound; it sends nothing before its lease
-			c.startNode(current, storage, marker, nil, known)
+		case isStale || isOlderThanMarker:
+			_ = marker.Close() // nothing was written to it
+			current.signalUnknownIncarnation()
 			return
-		case len(positions) >= needed:
-			maxPromised := consensus.Position{}
-			for _, position := range positions {
-				maxPromised = maxPromised.UpperBound(position)
-			}
-			c.startNode(current, storage, marker, &maxPromised, false)
+		case isRecorded || !isVoter: // a member without a vote sends nothing before its lease, which is enough
+			c.startNode(current, marker, nil, isRecorded)
+			return
+		case len(positions) >= neededAnswers:
+			c.startNode(current, marker, upperBound(positions), false)
 			return
 		}
-		if !logged {
-			logged = true
-			c.options.Log.WithFields(logrus.Fields{"heard": len(positions), "needed": needed}).
-				Warn("nothing tells whether this member's disk is its last one: it takes no part before enough other voters have answered, or group vouch")
+		if !isWaitLogged {
+			isWaitLogged = true
+			c.options.Log.WithFields(logrus.Fields{"answers": len(positions), "needed": neededAnswers}).
+				Warn("disk not verified yet, waiting for other voters' answers or \"birchfork group vouch\"")
 		}
 		select {
 		case <-ctx.Done():
-			marker.Close()
+			_ = marker.Close() // nothing was written to it
 			return
 		case <-current.diskConfirmed:
-			c.startNode(current, storage, marker, nil, true)
+			c.startNode(current, marker, nil, true)
 			return
 		case <-time.After(joinInterval):
 		}
 	}
 }
 
-// startNode takes part in the agreement by what the disk has. bound is what it may have said and forgotten; proven tells that there is no
-// such thing.
-func (c *Coordinator) startNode(current *membership, storage *consensus.Storage, marker *consensus.BootMarker, maxPromised *consensus.Position, verified bool) {
-	identity := storage.Identity() // from the start on the disk is the loop's
-	node, err := consensus.Start(consensus.Options{Storage: storage, BootMarker: marker, MaxPromised: maxPromised, StateMachine: c, Send: c.send, Log: c.options.Log})
+// verificationQuorum returns whether this member votes, and how many other voters have to tell their position to verify its disk: so
+// many that every majority of the voters has one of them or this member.
+func (c *Coordinator) verificationQuorum() (isVoter bool, neededAnswers int) {
+	voters := 0
+	for _, member := range c.options.Group.Members {
+		if !member.Voter {
+			continue
+		}
+		voters++
+		isVoter = isVoter || member.Name == c.options.Self
+	}
+	majority := voters/2 + 1
+	return isVoter, voters - majority + 1
+}
+
+// upperBound returns the least position that is not older than any of the given ones.
+func upperBound(positions map[string]consensus.Position) *consensus.Position {
+	bound := consensus.Position{}
+	for _, position := range positions {
+		bound = bound.UpperBound(position)
+	}
+	return &bound
+}
+
+// openBootMarker opens the boot marker; nil: there is none.
+func (c *Coordinator) openBootMarker() *consensus.BootMarker {
+	if c.options.BootMarkerPath == "" {
+		return nil
+	}
+	marker, err := consensus.OpenBootMarker(c.options.BootMarkerPath)
+	if err != nil {
+		c.options.Log.WithError(err).Warn("no boot marker: after a restart other members have to verify the disk")
+	}
+	return marker
+}
+
+// startNode starts the membership's node on its storage. maxPromised bounds what this incarnation may have promised and lost; nil: it
+// has lost nothing. isVerified says that the storage is known to be the last one.
+func (c *Coordinator) startNode(current *membership, marker *consensus.BootMarker, maxPromised *consensus.Position, isVerified bool) {
+	identity := current.storage.Identity() // the node owns the storage once it has started
+	isDurable := current.storage.IsDurable()
+	node, err := consensus.Start(consensus.Options{
+		Storage:      current.storage,
+		BootMarker:   marker,
+		MaxPromised:  maxPromised,
+		StateMachine: c,
+		Send:         c.send,
+		Log:          c.options.Log,
+	})
 	if err != nil {
-		c.options.Log.WithError(err).Error("this member takes no part in the group's agreement; it serves on")
+		c.options.Log.WithError(err).Error("consensus not started, serving requests without it")
 		return
 	}
 	c.mu.Lock()
-	current.node, current.identity = node, identity
+	current.node = node
+	current.identity = identity
 	c.mu.Unlock()
-	if storage.IsDurable() && identity.Confirmed && verified {
-		// Guards against a disk that has a vote and no plan yet: what it has is not enough, it has to have been confirmed once.
-		// From then on no plan has begun that this life did not confirm.
+	// Guards against storage that has a vote and no plan yet: only an incarnation that the group has confirmed once knows of each plan
+	// that has begun.
+	if isDurable && identity.Confirmed && isVerified {
 		c.options.Dispatcher.SetPlansUnknown(false)
 	}
 }
 
-// queryPositions asks the others whether our disk is older than what this life has said to them, and how far they are: voters' answers, by
-// name.
-func (c *Coordinator) queryPositions(ctx context.Context, current *membership) (positions map[string]consensus.Position, stale bool) {
+// queryPositions asks all other members whether this member's storage misses what it has promised to them. It returns the positions of
+// the voters among them, by name, and whether one of them knows that the storage is stale.
+func (c *Coordinator) queryPositions(ctx context.Context, current *membership) (positions map[string]consensus.Position, isStale bool) {
 	positions = map[string]consensus.Position{}
 	request, err := json.Marshal(current.startPosition)
 	if err != nil {
@@ -110,24 +134,33 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, positionQueryTimeout)
 	defer cancel()
-	var mu sync.Mutex
+	var mu sync.Mutex // guards the results
 	var requests sync.WaitGroup
-	for _, member := range c.options.Group.Members {
-		if member.Name == c.options.Self {
-			continue
-		}
+	for _, member := range c.others() {
 		requests.Go(func() {
-			raw, err := c.request(ctx, current, member.Name, pathPosition, request)
-			var rejected *peer.RejectedError
-			var position consensus.Position
+			position, err := c.queryPosition(ctx, current, member, request)
 			mu.Lock()
 			defer mu.Unlock()
-			stale = stale || errors.As(err, &rejected) && rejected.Reason == staleDiskText
-			if err == nil && json.Unmarshal(raw, &position) == nil && position.Term > 0 && member.Voter {
+			if isRejectedAs(err, errStaleDisk) {
+				isStale = true
+			}
+			if err == nil && member.Voter && position.Term > 0 {
 				positions[member.Name] = position
 			}
 		})
 	}
 	requests.Wait()
-	return positions, stale
+	return positions, isStale
+}
+
+// queryPosition asks one member.
+func (c *Coordinator) queryPosition(
+	ctx context.Context, current *membership, member peer.Member, request []byte,
+) (position consensus.Position, err error) {
+	raw, err := c.request(ctx, current, member.Name, pathPosition, request)
+	if err != nil {
+		return consensus.Position{}, err
+	}
+	err = json.Unmarshal(raw, &position)
+	return position, err
 }
--- a/internal/coordinator/status.go
+++ b/internal/coordinator/status.go
@@ -4,51 +4,52 @@
 	"slices"
 	"time"
 
+	"birchfork/internal/consensus"
 	"birchfork/internal/maintenance"
 )
 
-// Status is how things stand.
+// Status describes the group and its plans, as one member knows them. Durations are in nanoseconds.
 type Status struct {
-	Member       string         `json:"told"`    // by which member
-	Confirmed    bool           `json:"settled"` // a quorum has confirmed it; else it is what this member knew last
-	Leader       string         `json:"leader"`
+	Member       string         `json:"told"`    // the member that describes it
+	Confirmed    bool           `json:"settled"` // that member leads, and a quorum has confirmed it; else it may be out of date
+	Leader       string         `json:"leader"`  // empty: none is known
 	Term         uint64         `json:"term"`
-	AppliedIndex uint64         `json:"index"`
-	Failure      string         `json:"failed,omitempty"` // why this member takes no part
+	AppliedIndex uint64         `json:"index"`            // of the last entry that changed the state
+	Failure      string         `json:"failed,omitempty"` // why the member's consensus has stopped
 	Bounds       Bounds         `json:"bounds"`
-	Members      []MemberStatus `json:"members"`
+	Members      []MemberStatus `json:"members"` // by name
 	Plans        []PlanStatus   `json:"plans"`
 
-	Links map[string]int64 `json:"links"` // what has passed on the links of the member that tells
+	Links map[string]int64 `json:"links"` // the counters of the member's transport
 }
 
-// Bounds are the times that a machine's clear rests on.
+// Bounds are the times after which a machine counts as drained although a member is silent.
 type Bounds struct {
-	Lease        time.Duration `json:"lease"`   // this member's
-	MaxAttempt   time.Duration `json:"attempt"` // the longest that one may run
+	Lease        time.Duration `json:"lease"`   // of the member that describes it
+	MaxAttempt   time.Duration `json:"attempt"` // the longest that an attempt of that member may run
 	FenceTimeout time.Duration `json:"settled"` // how long the group waits for a silent member
 }
 
-// MemberStatus is one member.
+// MemberStatus describes a member.
 type MemberStatus struct {
 	Name        string        `json:"name"`
-	Zone        string        `json:"zone"` // by the file of the member that tells
+	Zone        string        `json:"zone"` // by the operator's file of the member that describes it
 	Incarnation string        `json:"life"`
 	IsVoter     bool          `json:"votes"`
-	LastReport  time.Duration `json:"heard"` // ago, by the leader; below 0: never
-	Applied     uint64        `json:"applied"`
-	SoleProcess bool          `json:"alone"`
+	LastReport  time.Duration `json:"heard"`   // since the leader had a report of it; negative: it has had none
+	Applied     uint64        `json:"applied"` // the last entry that it has applied, by that report
+	SoleProcess bool          `json:"alone"`   // no other process of its dispatcher may send, by that report
 }
 
-// PlanStatus is one plan.
+// PlanStatus describes a plan.
 type PlanStatus struct {
 	Name     string                `json:"name"`
 	Phase    maintenance.PlanPhase `json:"phase"`
-	Reason   string                `json:"why,omitempty"` // what all of it waits for
+	Reason   string                `json:"why,omitempty"` // what the whole plan waits for
 	Machines []MachineStatus       `json:"machines"`
 }
 
-// MachineStatus is one machine.
+// MachineStatus describes a machine of a plan.
 type MachineStatus struct {
 	Name          string                   `json:"name"`
 	Phase         maintenance.MachinePhase `json:"step"`
@@ -57,46 +58,83 @@
 	Reason        string                   `json:"why,omitempty"` // what it waits for
 }
 
-// status is how things stand. The lock is held.
-func (c *Coordinator) status(confirmed bool) *Status {
-	status := &Status{Member: c.options.Self, Confirmed: confirmed, AppliedIndex: c.state.AppliedIndex, Bounds: Bounds{c.options.Group.LeaseDuration, c.maxAttempt, c.state.FenceTimeout}}
-	var voters []uint64
+// status returns the status, with reasons if it is confirmed. c.mu must be held.
+func (c *Coordinator) status(isConfirmed bool) *Status {
+	status := &Status{
+		Member:       c.options.Self,
+		Confirmed:    isConfirmed,
+		AppliedIndex: c.state.AppliedIndex,
+		Bounds: Bounds{
+			Lease:        c.options.Group.LeaseDuration,
+			MaxAttempt:   c.maxAttempt,
+			FenceTimeout: c.state.FenceTimeout,
+		},
+	}
+	nodeStatus := consensus.Status{}
 	if c.membership != nil {
 		status.Links = c.membership.transport.Counters.Values()
+		if c.membership.node != nil {
+			nodeStatus = c.membership.node.Status()
+		}
 	}
-	if c.membership != nil && c.membership.node != nil {
-		nodeStatus := c.membership.node.Status()
-		status.Term, status.Failure, voters = nodeStatus.Term, nodeStatus.Failure, nodeStatus.Voters
-		for _, m := range c.state.Members {
-			if m.RaftID == nodeStatus.LeaderID {
-				status.Leader = m.Name
-			}
+	status.Term = nodeStatus.Term
+	status.Failure = nodeStatus.Failure
+	for _, member := range c.state.Members {
+		if member.RaftID == nodeStatus.LeaderID {
+			status.Leader = member.Name
 		}
 	}
+	status.Members = c.memberStatuses(nodeStatus.Voters)
+	status.Plans = c.planStatuses(isConfirmed)
+	return status
+}
+
+// memberStatuses returns the status of each member, by name. c.mu must be held.
+func (c *Coordinator) memberStatuses(voters []uint64) []MemberStatus {
+	var statuses []MemberStatus //nolint:prealloc // without members it is null in JSON
+	zones := map[string]string{}
+	for _, listed := range c.options.Group.Members {
+		zones[listed.Name] = listed.Zone
+	}
 	for _, name := range c.state.MemberNames() {
-		m := c.state.Members[name]
-		memberStatus := MemberStatus{Name: name, Incarnation: m.Incarnation, IsVoter: slices.Contains(voters, m.RaftID), LastReport: -1}
-		for _, planStatus := range c.options.Group.Members {
-			if planStatus.Name == name {
-				memberStatus.Zone = planStatus.Zone
-			}
+		member := c.state.Members[name]
+		status := MemberStatus{
+			Name:        name,
+			Zone:        zones[name],
+			Incarnation: member.Incarnation,
+			IsVoter:     slices.Contains(voters, member.RaftID),
+			LastReport:  -1,
 		}
 		if report, ok := c.lastReports[name]; ok {
-			memberStatus.LastReport, memberStatus.Applied, memberStatus.SoleProcess = time.Since(report.receivedAt), report.Applied, report.SoleProcess
+			status.LastReport = time.Since(report.receivedAt)
+			status.Applied = report.Applied
+			status.SoleProcess = report.SoleProcess
 		}
-		status.Members = append(status.Members, memberStatus)
+		statuses = append(statuses, status)
 	}
+	return statuses
+}
+
+// planStatuses returns the status of each plan, with reasons if that is wanted. c.mu must be held.
+func (c *Coordinator) planStatuses(withReasons bool) []PlanStatus {
+	var statuses []PlanStatus //nolint:prealloc // without plans it is null in JSON
 	advance := c.collectAdvance()
 	for _, plan := range c.state.Plans {
 		reasons := map[string]string{}
-		if confirmed {
+		if withReasons {
 			reasons = c.state.WaitReasons(plan, advance)
 		}
-		planStatus := PlanStatus{Name: plan.Name, Phase: plan.Phase, Reason: reasons[""]}
-		for _, m := range plan.MachineStates {
-			planStatus.Machines = append(planStatus.Machines, MachineStatus{m.Name, m.Phase, c.state.Clock - m.PhaseStart, m.Overdue, reasons[m.Name]})
+		status := PlanStatus{Name: plan.Name, Phase: plan.Phase, Reason: reasons[""]}
+		for _, machine := range plan.MachineStates {
+			status.Machines = append(status.Machines, MachineStatus{
+				Name:          machine.Name,
+				Phase:         machine.Phase,
+				PhaseDuration: c.state.Clock - machine.PhaseStart,
+				Overdue:       machine.Overdue,
+				Reason:        reasons[machine.Name],
+			})
 		}
-		status.Plans = append(status.Plans, planStatus)
+		statuses = append(statuses, status)
 	}
-	return status
+	return statuses
 }
