--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -114,43 +114,13 @@
 		network.start(id)
 	}
 	network.cores[1].Campaign()
-	for id := uint64(2); id <= 3; id++ {
-		learner := raftpb.ConfChangeAddLearnerNode
-		network.partitioned[id] = true
-		if err := network.cores[1].ProposeConfChange([]*raftpb.ConfChangeSingle{{Type: &learner, NodeId: &id}}, []byte("in")); err != nil {
-			t.Fatal(err)
-		}
-		network.run(2)
-		if slices.Contains(network.cores[1].CaughtUp(), id) {
-			t.Errorf("member %d counts as caught up before it has anything", id)
-		}
-		network.partitioned[id] = false
-		for range 3 * electionTicks { // it counts as active from an answered heartbeat until raft's next check
-			if network.run(1); slices.Contains(network.cores[1].CaughtUp(), id) {
-				break
-			}
-		}
-		if !slices.Contains(network.cores[1].CaughtUp(), id) {
-			t.Errorf("member %d does not count as caught up", id)
-		}
-	}
-	propose := func(n int) {
-		t.Helper()
-		for i := range n {
-			if err := network.cores[1].Propose(fmt.Appendf(nil, "entry %d", i)); err != nil {
-				t.Fatal(err)
-			}
-			if i%50 == 0 {
-				network.run(1)
-			}
-		}
-		network.run(5)
-	}
-	propose(20)
-	network.checkEqual("in")
+	network.addLearner(2)
+	network.addLearner(3)
+	network.propose(20)
+	network.checkEqual("added")
 	joins := network.snapshots
 	network.partitioned[3] = true
-	propose(trailingEntries / 2)
+	network.propose(trailingEntries / 2)
 	network.partitioned[3] = false
 	network.run(20)
 	network.checkEqual("a little behind")
@@ -158,7 +128,7 @@
 		t.Errorf("%d snapshots for a member that the log was enough for", network.snapshots-joins)
 	}
 	network.partitioned[3] = true
-	propose(snapshotThreshold + 2*trailingEntries)
+	network.propose(snapshotThreshold + 2*trailingEntries)
 	network.partitioned[3] = false
 	network.run(40)
 	network.checkEqual("far behind")
@@ -170,9 +140,7 @@
 		t.Errorf("the log still begins at %d: %v", first, err)
 	}
 	for id := uint64(1); id <= 3; id++ {
-		if err := network.cores[id].options.Storage.Close(); err != nil {
-			t.Fatal(err)
-		}
+		mustClose(t, network.cores[id].options.Storage)
 		network.start(id)
 		network.cores[id].process()
 	}
@@ -182,6 +150,43 @@
 	}
 }
 
+// addLearner adds a member at the first one, which leads, and checks that it counts as caught up once it can be reached, and not before.
+func (n *testNetwork) addLearner(id uint64) {
+	n.t.Helper()
+	leader := n.cores[1]
+	n.partitioned[id] = true
+	learner := raftpb.ConfChangeAddLearnerNode
+	if err := leader.ProposeConfChange([]*raftpb.ConfChangeSingle{{Type: &learner, NodeId: &id}}, []byte("in")); err != nil {
+		n.t.Fatal(err)
+	}
+	n.run(2)
+	if slices.Contains(leader.CaughtUp(), id) {
+		n.t.Errorf("member %d counts as caught up before it has anything", id)
+	}
+	n.partitioned[id] = false
+	for range 3 * electionTicks { // it counts as active from an answered heartbeat until raft's next check
+		n.run(1)
+		if slices.Contains(leader.CaughtUp(), id) {
+			return
+		}
+	}
+	n.t.Errorf("member %d does not count as caught up", id)
+}
+
+// propose proposes entries at the first member, and runs the network meanwhile.
+func (n *testNetwork) propose(entries int) {
+	n.t.Helper()
+	for i := range entries {
+		if err := n.cores[1].Propose(fmt.Appendf(nil, "entry %d", i)); err != nil {
+			n.t.Fatal(err)
+		}
+		if i%50 == 0 {
+			n.run(1)
+		}
+	}
+	n.run(5)
+}
+
 // A member that may have lost state gives no vote in a term in which it may have voted, nor to a log that may lack what it has
 // acknowledged, and does not campaign before its own log has that.
 func TestCore_BoundsVotesAfterStateLoss(t *testing.T) {
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -5,6 +5,7 @@
 	"encoding/hex"
 	"encoding/json"
 	"fmt"
+	"io"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -251,14 +252,15 @@
 			t.Fatal(err)
 		}
 		machines[id] = &recorder{}
-		cores[id], err = NewCore(Options{Storage: storage, StateMachine: machines[id], Log: discardLogger(), Send: func(to uint64, raw []byte, snapshot bool) {
+		send := func(to uint64, raw []byte, snapshot bool) {
 			message := &raftpb.Message{}
 			if err := proto.Unmarshal(raw, message); err != nil {
 				t.Fatal(err)
 			}
 			fmt.Fprintf(&out, "%d to %d, snapshot %t: %x\n", id, to, snapshot, raw)
 			queue = append(queue, message)
-		}}, 1000*id)
+		}
+		cores[id], err = NewCore(Options{Storage: storage, StateMachine: machines[id], Log: discardLogger(), Send: send}, 1000*id)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -292,9 +294,13 @@
 	cores[2].ReadIndex(func(index uint64, err error) { fmt.Fprintf(&out, "read: %d, %v\n", index, err) })
 	run(5)
 	for id := uint64(1); id <= 2; id++ {
-		s := cores[id].Status()
-		fmt.Fprintf(&out, "member %d: leader %d %t, applied %d, term %d, last %d of term %d, voters %v, learners %v: %q\n", id,
-			s.LeaderID, s.IsLeader, s.Applied, s.Term, s.LastIndex, s.LastTerm, s.Voters, s.Learners, machines[id].lines)
+		writeStatus(&out, id, cores[id].Status(), machines[id])
 	}
 	goldentest.Check(t, "raft-messages.txt", out.Bytes())
 }
+
+// writeStatus writes a member's status, and what it has applied.
+func writeStatus(out io.Writer, id uint64, s Status, machine *recorder) {
+	fmt.Fprintf(out, "member %d: leader %d %t, applied %d, term %d, last %d of term %d, voters %v, learners %v: %q\n", id,
+		s.LeaderID, s.IsLeader, s.Applied, s.Term, s.LastIndex, s.LastTerm, s.Voters, s.Learners, machine.lines)
+}
--- a/internal/consensus/storage_test.go
+++ b/internal/consensus/storage_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"errors"
+	"fmt"
 	"os"
 	"path/filepath"
 	"testing"
@@ -73,51 +74,20 @@
 	}
 }
 
+// corruption counts what became of corrupt files.
+type corruption struct{ complete, replaced int }
+
 // A torn file, or one with a flipped bit, is either read in full or set aside for a new incarnation: never a part of a vote.
 func TestStorage_CorruptFileBeginsNewIncarnation(t *testing.T) {
 	_, raw := newStorageDir(t)
-	complete, replaced := 0, 0
-	try := func(what string, at int, raw []byte) {
-		dir := t.TempDir()
-		path := filepath.Join(dir, storageFile)
-		if err := os.WriteFile(path, raw, 0o600); err != nil {
-			t.Fatal(err)
-		}
-		storage, err := OpenStorage(dir, Identity{Group: "g", Name: "a", Incarnation: "second", RaftID: 8})
-		switch {
-		case errors.Is(err, boltstore.ErrForeign): // the flipped bit is in its name
-			return
-		case err != nil:
-			t.Errorf("%s at %d: %v", what, at, err)
-			return
-		}
-		defer mustClose(t, storage)
-		hardState, _, _ := storage.memory.InitialState()
-		incarnation := storage.Identity().Incarnation
-		same := true
-		if storage.Position().LastIndex == 4 {
-			entries, err := storage.memory.Entries(2, 5, 1<<20)
-			for i, e := range entries {
-				same = same && err == nil && bytes.Equal(e.GetData(), bytes.Repeat([]byte{byte(2 + i)}, 40))
-			}
-		}
-		switch {
-		case incarnation == "first" && storage.Position() == storedPosition && hardState.GetVote() == 9 && same:
-			complete++
-		case incarnation == "second" && storage.IsEmpty():
-			replaced++
-		case incarnation == "first" && storage.Position().LastIndex < 4: // an older state, by bbolt's other root
-		default:
-			t.Errorf("%s at %d: %+v, position %+v, %v", what, at, storage.Identity(), storage.Position(), hardState)
-		}
-	}
+	var outcomes corruption
 	for n := 0; n < len(raw); n += 509 {
-		try("torn", n, raw[:n])
+		outcomes.try(t, fmt.Sprintf("torn at %d", n), raw[:n])
 	}
 	flip := func(n int) {
 		flipped := bytes.Clone(raw)
 		flipped[n] ^= 4
-		try("flipped", n, flipped)
+		outcomes.try(t, fmt.Sprintf("flipped at %d", n), flipped)
 	}
 	for n := 3; n < len(raw); n += 211 {
 		flip(n)
@@ -131,9 +101,49 @@
 		}
 		at += len(entry) + next
 	}
-	if complete == 0 || replaced == 0 {
-		t.Errorf("%d read in full, %d set aside", complete, replaced)
+	if outcomes.complete == 0 || outcomes.replaced == 0 {
+		t.Errorf("%d read in full, %d set aside", outcomes.complete, outcomes.replaced)
+	}
+}
+
+// try opens a file.
+func (c *corruption) try(t *testing.T, what string, raw []byte) {
+	t.Helper()
+	dir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, storageFile), raw, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	storage, err := OpenStorage(dir, Identity{Group: "g", Name: "a", Incarnation: "second", RaftID: 8})
+	switch {
+	case errors.Is(err, boltstore.ErrForeign): // the flipped bit is in its name
+		return
+	case err != nil:
+		t.Errorf("%s: %v", what, err)
+		return
+	}
+	defer mustClose(t, storage)
+	hardState, _, _ := storage.memory.InitialState()
+	incarnation, position := storage.Identity().Incarnation, storage.Position()
+	switch {
+	case incarnation == "first" && position == storedPosition && hardState.GetVote() == 9 && entriesAreComplete(storage):
+		c.complete++
+	case incarnation == "second" && storage.IsEmpty():
+		c.replaced++
+	case incarnation == "first" && position.LastIndex < storedPosition.LastIndex: // an older state, by bbolt's other root
+	default:
+		t.Errorf("%s: %+v, position %+v, %v", what, storage.Identity(), position, hardState)
+	}
+}
+
+// entriesAreComplete reports whether storage has the entries of newStorageDir's file.
+func entriesAreComplete(storage *Storage) bool {
+	entries, err := storage.memory.Entries(2, 5, 1<<20)
+	for i, entry := range entries {
+		if !bytes.Equal(entry.GetData(), bytes.Repeat([]byte{byte(2 + i)}, 40)) {
+			return false
+		}
 	}
+	return err == nil
 }
 
 // Entries of another leader are replaced by those of the present one, in the file too.
--- a/internal/coordinator/golden_test.go
+++ b/internal/coordinator/golden_test.go
@@ -23,7 +23,6 @@
 	"google.golang.org/protobuf/proto"
 
 	"birchfork/internal/boltstore"
-	"birchfork/internal/config"
 	"birchfork/internal/consensus"
 	"birchfork/internal/goldentest"
 	"birchfork/internal/maintenance"
@@ -73,7 +72,7 @@
 	}
 }
 
-// filled is a value of a type with all fields set.
+// filled returns a value of a type with all fields set.
 func filled[T any]() *T {
 	v, n := new(T), 0
 	fill(reflect.ValueOf(v).Elem(), &n)
@@ -120,7 +119,7 @@
 			t.Errorf("%s: %+v, want %+v, %v", name, back, v, err)
 		}
 	}
-	c := newLoneMember()
+	c := newIdleCoordinator()
 	old, err := os.ReadFile(filepath.Join(goldenDir, "snapshot.json"))
 	if err == nil {
 		err = c.Restore(old)
@@ -133,137 +132,187 @@
 	}
 }
 
-// newLoneMember is a member of two without links and loops.
-func newLoneMember() *Coordinator {
-	return &Coordinator{
-		options: Options{
-			Group:      &config.Group{Name: "g", MaintenancePlans: true, LeaseDuration: time.Second, Members: []peer.Member{{Name: "d0", Zone: "z0"}, {Name: "d1", Zone: "z1"}}},
-			Self:       "d0",
-			Dispatcher: &fakeDispatcher{},
-			Log:        discardLogger(),
-		},
-		state: maintenance.New(), lastReports: map[string]receivedReport{}, changed: make(chan struct{}),
-	}
-}
-
 // Texts that a member of another build compares, or that an operator is shown, are the same as before.
 func TestGolden_Texts(t *testing.T) {
 	var out bytes.Buffer
-	for _, v := range []any{
-		errStaleDisk, outsideGroupText, NotCommittedText, historyLostText, errOutsideGroup, errNoLeader, errDiskUnconfirmed, errFenceTimeout, errUnknownIncarnation,
+	for _, text := range []any{
+		errStaleDisk, outsideGroupText, NotCommittedText, historyLostText,
+		errOutsideGroup, errNoLeader, errDiskUnconfirmed, errFenceTimeout, errUnknownIncarnation,
 		consensus.ErrNoLeader, consensus.ErrStopped, consensus.ErrBusy,
 	} {
-		fmt.Fprintln(&out, v)
+		fmt.Fprintln(&out, text)
 	}
-	c := newLoneMember()
+	c := newIdleCoordinator()
 	for _, name := range []string{"d0", "d1"} {
 		c.state.Members[name] = &maintenance.Member{Name: name}
 	}
-	answer := func(what string, call Call) {
-		reply := &Reply{Text: "(needs an entry)"}
-		if r := c.precheck(&call); r != nil {
-			reply = r
-		}
-		fmt.Fprintf(&out, "%s: %d %q\n", what, reply.Code, reply.Text)
-	}
-	command := func(kind maintenance.CommandKind, change func(*maintenance.Command)) Call {
-		cmd := &maintenance.Command{ID: "id", Kind: kind, Name: "p", Machine: "m"}
-		if change != nil {
-			change(cmd)
-		}
-		return Call{Command: cmd}
-	}
-	plan := func(machines ...maintenance.Machine) func(*maintenance.Command) {
-		return func(cmd *maintenance.Command) {
-			cmd.Plan = &maintenance.Plan{Name: "p", MaxUnavailable: 1, OnOverdue: maintenance.OverdueWait, Machines: machines}
-		}
-	}
-	apply := func(cmd maintenance.Command) {
-		raw, err := json.Marshal(cmd)
-		if err != nil {
-			t.Fatal(err)
-		}
-		c.state.Apply(c.state.AppliedIndex+1, raw)
+	writeLevelReplies(&out, c)
+	writePlanReplies(t, &out, c)
+	delete(c.state.Members, "d1")
+	writeReply(&out, c, "start, not all in", commandCall(maintenance.CommandStartPlan, nil))
+	goldentest.Check(t, "texts.txt", out.Bytes())
+}
+
+// writeReply writes what precheck replies to a call.
+func writeReply(out io.Writer, c *Coordinator, what string, call Call) {
+	reply := c.precheck(&call)
+	if reply == nil {
+		reply = &Reply{Text: "(needs an entry)"}
 	}
-	byName, byHost := maintenance.Machine{Name: "m", Workers: []string{"r1"}}, maintenance.Machine{Name: "m", Host: "h1"}
+	fmt.Fprintf(out, "%s: %d %q\n", what, reply.Code, reply.Text)
+}
+
+// commandCall is a call with a command, and perhaps a plan.
+func commandCall(kind maintenance.CommandKind, plan *maintenance.Plan) Call {
+	return Call{Command: &maintenance.Command{ID: "id", Kind: kind, Name: "p", Machine: "m", Plan: plan}}
+}
 
-	answer("without an id", command(maintenance.CommandStartPlan, func(cmd *maintenance.Command) { cmd.ID = "" }))
-	answer("silent members", command(maintenance.CommandSubmitPlan, plan(byHost)))
-	answer("start, silent members", command(maintenance.CommandStartPlan, nil))
-	c.lastReports["d0"], c.lastReports["d1"] = receivedReport{statusReport: statusReport{Level: 1}}, receivedReport{statusReport: statusReport{Level: 1, Plans: true}}
-	answer("older members", command(maintenance.CommandSubmitPlan, plan(byHost)))
-	answer("start, without plans", command(maintenance.CommandStartPlan, nil))
-	c.lastReports["d0"], c.lastReports["d1"] = receivedReport{statusReport: statusReport{Level: 2, Plans: true}}, receivedReport{statusReport: statusReport{Level: 2, Plans: true}}
-	answer("start", command(maintenance.CommandStartPlan, nil))
+// writeLevelReplies writes the replies while members are silent, of older builds, or without plans.
+func writeLevelReplies(out io.Writer, c *Coordinator) {
+	byHost := planOf("p", maintenance.Machine{Name: "m", Host: "h1"})
+	withoutID := commandCall(maintenance.CommandStartPlan, nil)
+	withoutID.Command.ID = ""
+	writeReply(out, c, "without an id", withoutID)
+	writeReply(out, c, "silent members", commandCall(maintenance.CommandSubmitPlan, byHost))
+	writeReply(out, c, "start, silent members", commandCall(maintenance.CommandStartPlan, nil))
+	withoutPlans := reportOfLevel(1)
+	withoutPlans.Plans = false
+	c.lastReports["d0"], c.lastReports["d1"] = withoutPlans, reportOfLevel(1)
+	writeReply(out, c, "older members", commandCall(maintenance.CommandSubmitPlan, byHost))
+	writeReply(out, c, "start, without plans", commandCall(maintenance.CommandStartPlan, nil))
+	c.lastReports["d0"], c.lastReports["d1"] = reportOfLevel(2), reportOfLevel(2)
+	writeReply(out, c, "start", commandCall(maintenance.CommandStartPlan, nil))
 	c.state.HistoryLost = true
-	answer("start, doubt", command(maintenance.CommandStartPlan, nil))
+	writeReply(out, c, "start, doubt", commandCall(maintenance.CommandStartPlan, nil))
 	c.state.HistoryLost = false
-	answer("join", command(maintenance.CommandJoinMember, nil))
-	answer("advance", command(maintenance.CommandAdvance, nil))
-	answer("no plan", command(maintenance.CommandSubmitPlan, nil))
-	answer("unfit", command(maintenance.CommandSubmitPlan, plan(
-		maintenance.Machine{Name: "a", Host: "nowhere"}, maintenance.Machine{Name: "b", Workers: []string{"nobody"}},
-		maintenance.Machine{Name: "c", Host: "h2"}, maintenance.Machine{Name: "d", Workers: []string{"r2"}},
+}
+
+// writePlanReplies writes the replies to calls that are wrong in themselves, or that do not fit the fleet or another plan.
+func writePlanReplies(t *testing.T, out io.Writer, c *Coordinator) {
+	t.Helper()
+	byName := maintenance.Machine{Name: "m", Workers: []string{"r1"}}
+	writeReply(out, c, "join", commandCall(maintenance.CommandJoinMember, nil))
+	writeReply(out, c, "advance", commandCall(maintenance.CommandAdvance, nil))
+	writeReply(out, c, "no plan", commandCall(maintenance.CommandSubmitPlan, nil))
+	writeReply(out, c, "unfit", commandCall(maintenance.CommandSubmitPlan, planOf("p",
+		maintenance.Machine{Name: "a", Host: "nowhere"},
+		maintenance.Machine{Name: "b", Workers: []string{"nobody"}},
+		maintenance.Machine{Name: "c", Host: "h2"},
+		maintenance.Machine{Name: "d", Workers: []string{"r2"}},
 	)))
-	check := command(maintenance.CommandSubmitPlan, plan(byName))
+	check := commandCall(maintenance.CommandSubmitPlan, planOf("p", byName))
 	check.Check = true
-	answer("check", check)
-	answer("hand in", command(maintenance.CommandSubmitPlan, plan(byName)))
-	apply(maintenance.Command{ID: "first", Kind: maintenance.CommandSubmitPlan, Plan: &maintenance.Plan{Name: "p", MaxUnavailable: 1, OnOverdue: maintenance.OverdueWait, Machines: []maintenance.Machine{byName}}})
-	answer("again", command(maintenance.CommandSubmitPlan, func(cmd *maintenance.Command) { cmd.ID = "first" }))
-	other := func(m maintenance.Machine) func(*maintenance.Command) {
-		return func(cmd *maintenance.Command) {
-			plan(m)(cmd)
-			cmd.Plan.Name = "q"
-		}
-	}
-	answer("elsewhere by host", command(maintenance.CommandSubmitPlan, other(byHost)))
-	answer("wait", command(maintenance.CommandClaimMachine, nil))
-	answer("pause", command(maintenance.CommandPausePlan, nil))
-	delete(c.state.Members, "d1")
-	answer("start, not all in", command(maintenance.CommandStartPlan, nil))
-	goldentest.Check(t, "texts.txt", out.Bytes())
+	writeReply(out, c, "check", check)
+	writeReply(out, c, "hand in", commandCall(maintenance.CommandSubmitPlan, planOf("p", byName)))
+	mustApply(t, c, maintenance.Command{ID: "first", Kind: maintenance.CommandSubmitPlan, Plan: planOf("p", byName)})
+	again := commandCall(maintenance.CommandSubmitPlan, nil)
+	again.Command.ID = "first"
+	writeReply(out, c, "again", again)
+	byHost := maintenance.Machine{Name: "m", Host: "h1"}
+	writeReply(out, c, "elsewhere by host", commandCall(maintenance.CommandSubmitPlan, planOf("q", byHost)))
+	writeReply(out, c, "wait", commandCall(maintenance.CommandClaimMachine, nil))
+	writeReply(out, c, "pause", commandCall(maintenance.CommandPausePlan, nil))
 }
 
 // The status of a member, and the names of its counters in logs and in the status, are the same as before.
 func TestGolden_Status(t *testing.T) {
-	c := newLoneMember()
+	c := newIdleCoordinator()
 	c.options.Dispatcher.(*fakeDispatcher).disabled = true
-	c.state.AppliedIndex, c.state.FenceTimeout = 7, 8*time.Second
+	c.state.AppliedIndex = 7
+	c.state.FenceTimeout = 8 * time.Second
 	c.state.Members["d0"] = &maintenance.Member{Name: "d0", Incarnation: "l0", RaftID: 1, Voter: true}
 	c.state.Members["d1"] = &maintenance.Member{Name: "d1", Incarnation: "l1", RaftID: 2, Voter: true}
-	raw, err := json.Marshal(maintenance.Command{Kind: maintenance.CommandSubmitPlan, Plan: testPlan})
-	if err != nil {
-		t.Fatal(err)
-	}
-	c.state.Apply(8, raw)
+	mustApply(t, c, maintenance.Command{Kind: maintenance.CommandSubmitPlan, Plan: testPlan})
 	c.maxAttempt = 9 * time.Second
-	c.membership = &membership{transport: peer.NewTransport(peer.Options{Group: "g", Self: "d0", Identity: c.sender, IsStale: c.isPastIncarnation, OnUnreachable: c.reportUnreachable})}
+	c.membership = &membership{transport: peer.NewTransport(peer.Options{
+		Group: "g", Self: "d0", Identity: c.sender, IsStale: c.isPastIncarnation, OnUnreachable: c.reportUnreachable,
+	})}
 	defer c.membership.transport.Close()
-	for _, settled := range []bool{false, true} {
-		raw, err := json.MarshalIndent(c.status(settled), "", " ")
+	for _, confirmed := range []bool{false, true} {
+		raw, err := json.MarshalIndent(c.status(confirmed), "", " ")
 		if err != nil {
 			t.Fatal(err)
 		}
-		goldentest.Check(t, fmt.Sprintf("status-%t.json", settled), raw)
+		goldentest.Check(t, fmt.Sprintf("status-%t.json", confirmed), raw)
 	}
 	names := slices.Sorted(maps.Keys(c.LogFields()))
 	goldentest.Check(t, "counters.txt", []byte(strings.Join(names, "\n")+"\n"))
 }
 
-// What an answer has of the time, and of the words of the standard library.
+// What an answer has of the time, and of the standard library's texts.
 var (
-	timed   = regexp.MustCompile(`-?[0-9]+|true|false`)
-	foreign = regexp.MustCompile(`invalid character .*`)
+	timeDependent = regexp.MustCompile(`-?[0-9]+|true|false`)
+	libraryText   = regexp.MustCompile(`invalid character .*`)
 )
 
-// The paths between members and for operators, what they take and what they answer, are the same as before; numbers that depend on
-// time are left out. So is the entry by which a member joins.
+// exchange is a message to a path.
+type exchange struct {
+	path, body    string
+	timeDependent bool // numbers and truth values of the answer are left out
+}
+
+// memberExchanges are messages of a member.
+var memberExchanges = []exchange{
+	{"/group/join", `{"name":"d1","life":"l1","id":9}`, false},
+	{"/group/relay/group/join", `{"name":"d1","life":"l1","id":9}`, false},
+	{"/group/join", `{"name":"d9","life":"l1","id":9}`, false},
+	{"/group/join", `{"name":"d1"}`, false},
+	{"/group/join", `no JSON`, false},
+	{"/group/report", `{"name":"d1","life":"l1","applied":1,"alone":true,"bound":1,"warm":1,"plans":true,"level":2}`, true},
+	{"/group/relay/group/report", `{"name":"d1","life":"l1","applied":1,"alone":true,"bound":1,"warm":1,"plans":true,"level":2}`, true},
+	{"/group/report", `{"name":"d1","life":"l1","bound":9000000000000}`, false},
+	{"/group/report", `{"name":"d1","life":"l9"}`, false},
+	{"/group/report", `no JSON`, false},
+	{"/group/recall", `{"term":9,"last":9,"last_term":9}`, true},
+	{"/group/recall", `no JSON`, false},
+	{"/group/call", `{"command":{"id":"1","kind":"retire","name":"nobody"}}`, false},
+	{"/group/relay/group/call", `{"command":{"id":"2","kind":"retire","name":"nobody"}}`, false},
+	{"/group/call", `{}`, false},
+	{"/group/call", `no JSON`, false},
+	{"/group/raft", ``, false},
+}
+
+// operatorExchanges are calls of an operator.
+var operatorExchanges = []exchange{
+	{"/group/staff", `{"found":true}`, false},
+	{"/group/staff", `{"vouch":true}`, false},
+	{"/group/staff", `no JSON`, false},
+	{"/group/staff", `{"command":{"id":"3","kind":"retire","name":"nobody"}}`, false},
+	{"/group/staff", `{"command":{"id":"3","kind":"pause","name":"p"}}`, false},
+	{"/group/staff", `{}`, false},
+	{"/group/staff", `{"command":{"id":"4","kind":"start","name":"p"}}`, false},
+	{"/group/staff", `{"status":true}`, true},
+	{"/group/staff", `{"status":true,"local":true}`, true},
+}
+
+// The paths for members and operators, what they take and what they answer are the same as before, and so is the entry by which a member
+// joins.
 func TestGolden_Exchanges(t *testing.T) {
 	g := newTestGroup(t)
 	defer g.close()
+	startGroupOfOne(t, g)
+	from := map[string]string{
+		"X-Birchfork-Group": "g", "X-Birchfork-Founded": "f0", "X-Birchfork-From": "d1", "X-Birchfork-Life": "l1", "X-Birchfork-To": "d0",
+	}
+	var out bytes.Buffer
+	for _, e := range memberExchanges {
+		e.write(t, &out, g.addresses[0], from)
+	}
+	for _, e := range operatorExchanges {
+		e.write(t, &out, g.addresses[0], nil)
+	}
+	goldentest.Check(t, "exchanges.txt", out.Bytes())
+	g.close()
+	g.coordinators[0] = nil
+	goldentest.Check(t, "join-entry.json", joinEntry(t, filepath.Join(g.dirs[0], "group.db")))
+}
+
+// startGroupOfOne starts the first member on storage with a known identity, as the only voter, and waits until it has a lease. The second
+// member is never there.
+func startGroupOfOne(t *testing.T, g *testGroup) {
+	t.Helper()
 	g.group.Members = g.group.Members[:2]
-	g.group.Members[1].Voter = false // it is never there, and must not come to vote
+	g.group.Members[1].Voter = false
 	storage, err := consensus.OpenStorage(g.dirs[0], consensus.Identity{Group: "g", Name: "d0", Incarnation: "l0", RaftID: 7})
 	if err != nil {
 		t.Fatal(err)
@@ -286,69 +335,30 @@
 		if time.Now().After(end) {
 			t.Fatal("it does not lead")
 		}
-		if c.node() == nil {
-			post(t, g.addresses[0], "/group/staff", `{"vouch":true}`, nil) // nothing else tells whether its disk is the last one
+		if c.node() == nil { // nothing else verifies its disk
+			post(t, g.addresses[0], "/group/staff", `{"vouch":true}`, nil)
 		}
 	}
-	g.eventually("it has a lease", func() bool { _, _, runs, _ := g.dispatchers[0].snapshot(); return runs })
-	from := map[string]string{
-		"X-Birchfork-Group": "g", "X-Birchfork-Founded": "f0", "X-Birchfork-From": "d1", "X-Birchfork-Life": "l1", "X-Birchfork-To": "d0",
-	}
-	var out bytes.Buffer
-	for _, e := range []struct {
-		path, body string
-		numbers    bool // that depend on time
-	}{
-		{"/group/join", `{"name":"d1","life":"l1","id":9}`, false},
-		{"/group/relay/group/join", `{"name":"d1","life":"l1","id":9}`, false},
-		{"/group/join", `{"name":"d9","life":"l1","id":9}`, false},
-		{"/group/join", `{"name":"d1"}`, false},
-		{"/group/join", `no JSON`, false},
-		{"/group/report", `{"name":"d1","life":"l1","applied":1,"alone":true,"bound":1,"warm":1,"plans":true,"level":2}`, true},
-		{"/group/relay/group/report", `{"name":"d1","life":"l1","applied":1,"alone":true,"bound":1,"warm":1,"plans":true,"level":2}`, true},
-		{"/group/report", `{"name":"d1","life":"l1","bound":9000000000000}`, false},
-		{"/group/report", `{"name":"d1","life":"l9"}`, false},
-		{"/group/report", `no JSON`, false},
-		{"/group/recall", `{"term":9,"last":9,"last_term":9}`, true},
-		{"/group/recall", `no JSON`, false},
-		{"/group/call", `{"command":{"id":"1","kind":"retire","name":"nobody"}}`, false},
-		{"/group/relay/group/call", `{"command":{"id":"2","kind":"retire","name":"nobody"}}`, false},
-		{"/group/call", `{}`, false},
-		{"/group/call", `no JSON`, false},
-		{"/group/raft", ``, false},
-	} {
-		status, answer := post(t, g.addresses[0], e.path, e.body, from)
-		if e.numbers {
-			answer = timed.ReplaceAllString(answer, "#")
-		}
-		answer = foreign.ReplaceAllString(answer, "...")
-		fmt.Fprintf(&out, "%s %s\n  %d %s\n", e.path, e.body, status, answer)
-	}
-	for _, body := range []string{
-		`{"found":true}`, `{"vouch":true}`, `no JSON`, `{"command":{"id":"3","kind":"retire","name":"nobody"}}`,
-		`{"command":{"id":"3","kind":"pause","name":"p"}}`, `{}`, `{"command":{"id":"4","kind":"start","name":"p"}}`,
-	} {
-		status, answer := post(t, g.addresses[0], "/group/staff", body, nil)
-		answer = foreign.ReplaceAllString(answer, "...")
-		fmt.Fprintf(&out, "/group/staff %s\n  %d %s\n", body, status, answer)
-	}
-	for _, body := range []string{`{"status":true}`, `{"status":true,"local":true}`} {
-		status, answer := post(t, g.addresses[0], "/group/staff", body, nil)
-		answer = timed.ReplaceAllString(answer, "#")
-		fmt.Fprintf(&out, "/group/staff %s\n  %d %s\n", body, status, answer)
+	g.eventually("it has a lease", g.dispatchers[0].hasLease)
+}
+
+// write sends the message, and writes it with its answer.
+func (e exchange) write(t *testing.T, out io.Writer, address string, header map[string]string) {
+	t.Helper()
+	status, answer := post(t, address, e.path, e.body, header)
+	if e.timeDependent {
+		answer = timeDependent.ReplaceAllString(answer, "#")
 	}
-	goldentest.Check(t, "exchanges.txt", out.Bytes())
-	g.close()
-	g.coordinators[0] = nil
-	goldentest.Check(t, "join-entry.json", joinEntry(t, filepath.Join(g.dirs[0], "group.db")))
+	answer = libraryText.ReplaceAllString(answer, "...")
+	fmt.Fprintf(out, "%s %s\n  %d %s\n", e.path, e.body, status, answer)
 }
 
-// post sends a message and returns the status and the body of the answer.
-func post(t *testing.T, at, path, body string, header map[string]string) (int, string) {
+// post sends a message, and returns the status and the body of the answer.
+func post(t *testing.T, address, path, body string, header map[string]string) (int, string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at+path, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -367,7 +377,7 @@
 	return res.StatusCode, strings.TrimSpace(string(raw))
 }
 
-// joinEntry is the command of the first change of the group's membership in a log.
+// joinEntry returns the command of the first change of raft's members in a log.
 func joinEntry(t *testing.T, path string) []byte {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: time.Second})
--- a/internal/coordinator/lease_test.go
+++ b/internal/coordinator/lease_test.go
@@ -10,74 +10,90 @@
 	"birchfork/internal/peer"
 )
 
-// What a lease rests on: all that it knows is in force, the group waits for as long as our attempts run, and a quorum has said
-// that the one that grants it leads still.
+// A lease needs that all is applied that it rests on, that the group waits for as long as attempts of this member may run, and that a
+// quorum has confirmed the leader that grants it.
 func TestLease_Preconditions(t *testing.T) {
 	g := newTestGroup(t)
 	defer g.close()
-	for i := range g.coordinators {
-		g.start(i)
-	}
-	g.bootstrap()
-	dispatcher, fenceTimeout := g.dispatchers[1], g.call(1, -1, Call{Status: true}).Status.Bounds.FenceTimeout
+	g.startAll()
+	checkLongerAttempts(g)
+	checkAcceptLease(g)
+	checkGrantNeedsQuorum(g)
+	g.start(1)
+	g.eventually("it trusts its disk, though nobody else is there", func() bool { return !g.dispatchers[1].lacksPlans() })
+}
+
+// checkLongerAttempts extends the second member's attempts: it has no lease until the group waits for as long.
+func checkLongerAttempts(g *testGroup) {
+	g.t.Helper()
+	dispatcher := g.dispatchers[1]
+	fenceTimeout := g.status(1).Bounds.FenceTimeout
 	if want := (time.Second + 100*time.Millisecond) * 101 / 100; fenceTimeout != want {
-		t.Errorf("a silent member is waited for %v, want lease and attempt with the drift, %v", fenceTimeout, want)
+		g.t.Errorf("the group waits %v for a silent member, want lease and attempt with the drift, %v", fenceTimeout, want)
 	}
 	if !g.coordinators[1].statusReport().SoleProcess {
-		t.Error("it is not alone though it has run for longer than attempts may")
+		g.t.Error("not the sole process though it has run for longer than attempts may")
 	}
 	g.coordinators[1].ExtendTimes(time.Minute, time.Second, 0)
 	if g.coordinators[1].statusReport().SoleProcess {
-		t.Error("a process before may have left an attempt that runs still")
+		g.t.Error("the sole process though an earlier one may have left an attempt that still runs")
 	}
 	for i, want := range []time.Duration{60 * time.Millisecond, time.Minute} {
 		g.dispatchers[i].set(func() {
 			if g.dispatchers[i].maxAttempt != want {
-				t.Errorf("attempts of member %d may run for %v, want %v", i, g.dispatchers[i].maxAttempt, want)
+				g.t.Errorf("attempts of member %d may run for %v, want %v", i, g.dispatchers[i].maxAttempt, want)
 			}
 		})
 	}
-	if _, _, runs, _ := dispatcher.snapshot(); runs {
-		t.Error("a lease for attempts that the group does not wait for")
+	if dispatcher.hasLease() {
+		g.t.Error("a lease for attempts that the group does not wait for")
 	}
-	g.eventually("the longer attempts are settled", func() bool { _, _, runs, _ := dispatcher.snapshot(); return runs })
-	if now := g.call(1, -1, Call{Status: true}).Status.Bounds.FenceTimeout; now <= fenceTimeout {
-		t.Errorf("a silent member is waited for %v, before %v", now, fenceTimeout)
+	g.eventually("the longer attempts are committed", dispatcher.hasLease)
+	if now := g.status(1).Bounds.FenceTimeout; now <= fenceTimeout {
+		g.t.Errorf("the group waits %v for a silent member, before %v", now, fenceTimeout)
 	}
-	c := g.coordinators[0]
+}
+
+// checkAcceptLease gives the first member leases that it must not accept.
+func checkAcceptLease(g *testGroup) {
+	g.t.Helper()
+	c, dispatcher := g.coordinators[0], g.dispatchers[0]
 	sent, startedAt := c.statusReport(), time.Now().Add(time.Hour)
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	if err := c.acceptLease(ctx, sent, startedAt, leaseGrant{Index: sent.Applied + 1000}); err == nil {
-		t.Error("a lease that knows more than is in force")
+		g.t.Error("a lease that rests on entries that are not applied")
 	}
 	sent.FenceTimeout--
 	if err := c.acceptLease(context.Background(), sent, startedAt, leaseGrant{}); !errors.Is(err, errFenceTimeout) {
-		t.Errorf("a lease for attempts that have become longer since: %v", err)
+		g.t.Errorf("a lease for attempts that have become longer since: %v", err)
 	}
-	dispatcher = g.dispatchers[0]
 	dispatcher.set(func() {
 		if dispatcher.lease.After(time.Now().Add(time.Minute)) {
-			t.Error("it was taken all the same")
+			g.t.Error("a lease was set although it was refused")
 		}
 	})
-	g.eventually("the first member leads", func() bool { return c.isLeader() || g.call(0, -1, Call{Status: true}).Status.Leader == "d0" })
+}
+
+// checkGrantNeedsQuorum closes all members but the first, which leads. It does not know that yet, and must not grant a lease.
+func checkGrantNeedsQuorum(g *testGroup) {
+	g.t.Helper()
+	c := g.coordinators[0]
+	g.eventually("the first member leads", func() bool { return c.isLeader() || g.status(0).Leader == "d0" })
 	g.coordinators[1].Close()
 	g.coordinators[2].Close()
 	g.coordinators[1], g.coordinators[2] = nil, nil
 	raw, err := json.Marshal(c.statusReport())
 	if err != nil {
-		t.Fatal(err)
+		g.t.Fatal(err)
 	}
 	if !c.isLeader() {
-		t.Fatal("it knows already that it does not lead")
+		g.t.Fatal("it knows already that it does not lead")
 	}
-	ctx, cancel = context.WithTimeout(context.Background(), 200*time.Millisecond)
+	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
-	if out, err := c.handleReport(ctx, peer.Sender{}, raw); err == nil {
-		t.Errorf("granted without a quorum: %s", out)
+	if grant, err := c.handleReport(ctx, peer.Sender{}, raw); err == nil {
+		g.t.Errorf("granted without a quorum: %s", grant)
 	}
 	c.Close()
-	g.start(1)
-	g.eventually("it sends by its disk, though nobody is there", func() bool { _, _, _, plansUnknown := g.dispatchers[1].snapshot(); return !plansUnknown })
 }
--- a/internal/coordinator/membership_test.go
+++ b/internal/coordinator/membership_test.go
@@ -18,7 +18,7 @@
 	"birchfork/internal/peer"
 )
 
-// What keeps a process that is alone from taking part is told by key; a folder that the system refuses does not.
+// Check reports by key what keeps a process that is alone from taking part. A directory that the system refuses does not.
 func TestCheck_ReportsByKey(t *testing.T) {
 	g := newTestGroup(t)
 	defer g.close()
@@ -44,106 +44,136 @@
 	if err := os.WriteFile(notADir, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	g.group.DataDir = notADir // no folder can be there
+	g.group.DataDir = notADir
 	if err := Check(options); err != nil {
 		t.Error(err)
 	}
 	g.dirs[1] = notADir
 	g.start(1)
-	g.eventually("it speaks", func() bool { return g.call(1, -1, Call{Status: true, Local: true}).Status != nil })
+	g.eventually("it takes part", func() bool { return g.call(1, -1, Call{Status: true, Local: true}).Status != nil })
 }
 
-// A member whose disk is older than what its life has said begins another: it votes and sends by nothing that it has, nothing
-// goes to its old life, and that is granted nothing. One that was retired is missed before a plan starts.
+// A member whose disk is older than what its incarnation has promised begins another incarnation. It neither votes nor sends by the old
+// disk; nothing is sent to its old incarnation, which gets no lease. A plan does not start without a member that was retired.
 func TestCoordinator_StaleDiskBeginsNewIncarnation(t *testing.T) {
 	g := newTestGroup(t)
 	defer g.close()
-	for i := range g.coordinators {
-		g.start(i)
-	}
-	g.bootstrap()
-	file := filepath.Join(g.dirs[2], "group.db")
+	g.startAll()
 	pastIncarnation := g.coordinators[2].sender().Incarnation
-	g.coordinators[2].Close()
-	staleFile, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	g.start(2)
-	g.eventually("it is back", func() bool { _, _, runs, _ := g.dispatchers[2].snapshot(); return runs })
-	g.call(0, maintenance.CodeOK, Call{Command: &maintenance.Command{Kind: maintenance.CommandSubmitPlan, Plan: testPlan}})
-	g.eventually("it has heard of the plan", func() bool {
-		s := g.call(2, -1, Call{Status: true, Local: true}).Status
-		return s != nil && len(s.Plans) == 1
-	})
-	g.coordinators[2].Close()
-	if err := os.WriteFile(file, staleFile, 0o600); err != nil {
-		t.Fatal(err)
-	}
 	c := g.coordinators[0]
+	restartWithStaleDisk(g)
 	c.mu.Lock()
-	member := c.state.Members["d2"]
-	id := member.RaftID
+	pastID := c.state.Members["d2"].RaftID
 	c.mu.Unlock()
 	g.start(2)
-	g.eventually("it has another life", func() bool {
+	g.eventually("it has another incarnation", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return c.state.Members["d2"].Incarnation != pastIncarnation
 	})
-	g.eventually("it has a lease", func() bool { _, _, runs, plansUnknown := g.dispatchers[2].snapshot(); return runs && !plansUnknown })
+	g.eventually("it has a lease", func() bool { return g.dispatchers[2].hasLease() && !g.dispatchers[2].lacksPlans() })
 	g.dispatchers[2].set(func() {
 		if history := fmt.Sprint(g.dispatchers[2].plansUnknown); !strings.HasPrefix(history, "[true true") {
-			t.Errorf("blind: %s; by the old disk it sent", history)
+			t.Errorf("plans unknown: %s; it trusted the old disk", history)
 		}
 	})
-	if !c.isPastIncarnation("d2", pastIncarnation) || c.memberName(id) != "" {
-		t.Errorf("its earlier life is known: %t, and has a name: %q", c.isPastIncarnation("d2", pastIncarnation), c.memberName(id))
+	if !c.isPastIncarnation("d2", pastIncarnation) || c.memberName(pastID) != "" {
+		t.Errorf("its past incarnation is known: %t, and has a name: %q", c.isPastIncarnation("d2", pastIncarnation), c.memberName(pastID))
 	}
 	for i := range g.coordinators {
 		if g.coordinators[i].isLeader() {
-			raw, _ := json.Marshal(statusReport{Name: "d2", MemberReport: maintenance.MemberReport{Incarnation: pastIncarnation}})
-			if _, err := g.coordinators[i].handleReport(context.Background(), peer.Sender{}, raw); !errors.Is(err, errUnknownIncarnation) {
-				t.Errorf("its earlier life: %v", err)
-			}
+			checkReportRejected(t, g.coordinators[i], pastIncarnation)
 		}
 	}
 	g.coordinators[2].Close()
-	g.call(0, maintenance.CodeOK, Call{Command: &maintenance.Command{Kind: maintenance.CommandRetireMember, Name: "d2"}})
-	if reply := g.call(1, maintenance.CodeRetryLater, Call{Command: &maintenance.Command{Kind: maintenance.CommandStartPlan, Name: "p"}}); reply.Text != "not in the group yet: d2" {
+	g.command(0, maintenance.CodeOK, maintenance.Command{Kind: maintenance.CommandRetireMember, Name: "d2"})
+	reply := g.command(1, maintenance.CodeRetryLater, maintenance.Command{Kind: maintenance.CommandStartPlan, Name: "p"})
+	if reply.Text != "not in the group yet: d2" {
 		t.Errorf("a start without a member of the file: %+v", reply)
 	}
 }
 
-// A member that starts with a disk trusts it only if the group has spoken to that life: one with a vote and no plan yet has
-// missed what it was taken in for.
+// restartWithStaleDisk restarts the third member, submits a plan, and puts back the file from before once the member is closed again.
+func restartWithStaleDisk(g *testGroup) {
+	g.t.Helper()
+	file := filepath.Join(g.dirs[2], "group.db")
+	g.coordinators[2].Close()
+	stale, err := os.ReadFile(file)
+	if err != nil {
+		g.t.Fatal(err)
+	}
+	g.start(2)
+	g.eventually("it is back", g.dispatchers[2].hasLease)
+	g.command(0, maintenance.CodeOK, maintenance.Command{Kind: maintenance.CommandSubmitPlan, Plan: testPlan})
+	g.eventually("it has the plan", func() bool {
+		status := g.call(2, -1, Call{Status: true, Local: true}).Status
+		return status != nil && len(status.Plans) == 1
+	})
+	g.coordinators[2].Close()
+	if err := os.WriteFile(file, stale, 0o600); err != nil {
+		g.t.Fatal(err)
+	}
+}
+
+// checkReportRejected checks that a leader rejects the report of a past incarnation of the third member.
+func checkReportRejected(t *testing.T, leader *Coordinator, pastIncarnation string) {
+	t.Helper()
+	raw, err := json.Marshal(statusReport{Name: "d2", MemberReport: maintenance.MemberReport{Incarnation: pastIncarnation}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := leader.handleReport(context.Background(), peer.Sender{}, raw); !errors.Is(err, errUnknownIncarnation) {
+		t.Errorf("the report of a past incarnation: %v", err)
+	}
+}
+
+// A member trusts its disk at the start only if the group has confirmed that incarnation once: a disk with a vote and no plan yet has
+// missed what the member was added for.
 func TestCoordinator_TrustsConfirmedDisk(t *testing.T) {
 	for _, confirmed := range []bool{false, true} {
-		groupConfig := config.Group{Name: "g", MaintenancePlans: true, LeaseDuration: time.Second, DataDir: t.TempDir(), Members: []peer.Member{
-			{Name: "d0", Address: "127.83.8.1:0", Voter: true}, {Name: "d1", Address: "127.83.8.2:1"},
-		}}
-		storage, err := consensus.OpenStorage(groupConfig.DataDir, consensus.Identity{Group: "g", Name: "d0", Incarnation: "l", RaftID: 7})
-		if err == nil {
-			err = consensus.Bootstrap(storage, "f", []byte(`{"seq":3}`))
-		}
-		if err == nil && confirmed {
-			err = storage.MarkConfirmed()
-		}
-		if err = errors.Join(err, storage.Close()); err != nil {
-			t.Fatal(err)
+		groupConfig := config.Group{
+			Name:             "g",
+			MaintenancePlans: true,
+			LeaseDuration:    time.Second,
+			DataDir:          t.TempDir(),
+			Members: []peer.Member{
+				{Name: "d0", Address: "127.83.8.1:0", Voter: true}, {Name: "d1", Address: "127.83.8.2:1"},
+			},
 		}
+		writeStorage(t, groupConfig.DataDir, consensus.Identity{Group: "g", Name: "d0", Incarnation: "l", RaftID: 7}, confirmed)
 		dispatcher := &fakeDispatcher{}
 		c := Start(Options{
-			Group: &groupConfig, Self: "d0", Dispatcher: dispatcher, Siblings: func() (int, bool) { return 0, false }, MaxDeadline: time.Second, Log: discardLogger(),
+			Group:       &groupConfig,
+			Self:        "d0",
+			Dispatcher:  dispatcher,
+			Siblings:    func() (int, bool) { return 0, false },
+			MaxDeadline: time.Second,
+			Log:         discardLogger(),
 		})
-		diskConfirmed := false // nobody else can tell whether the disk is its last one
+		diskConfirmed := false // nobody else can verify the disk
 		for end := time.Now().Add(10 * time.Second); c.node() == nil && time.Now().Before(end); {
 			diskConfirmed = diskConfirmed || c.confirmDisk().Code == maintenance.CodeOK
 			time.Sleep(time.Millisecond)
 		}
 		c.Close() // from here nothing changes
-		if _, _, _, plansUnknown := dispatcher.snapshot(); plansUnknown == confirmed {
-			t.Errorf("the group has spoken: %t; blind: %t", confirmed, plansUnknown)
+		if lacksPlans := dispatcher.lacksPlans(); lacksPlans == confirmed {
+			t.Errorf("confirmed: %t; plans unknown: %t", confirmed, lacksPlans)
 		}
 	}
 }
+
+// writeStorage writes the storage of a member that has created a group.
+func writeStorage(t *testing.T, dir string, identity consensus.Identity, confirmed bool) {
+	t.Helper()
+	storage, err := consensus.OpenStorage(dir, identity)
+	if err != nil {
+		t.Fatal(err)
+	}
+	err = consensus.Bootstrap(storage, "f", []byte(`{"seq":3}`))
+	if err == nil && confirmed {
+		err = storage.MarkConfirmed()
+	}
+	if err = errors.Join(err, storage.Close()); err != nil {
+		t.Fatal(err)
+	}
+}
--- a/internal/coordinator/precheck_test.go
+++ b/internal/coordinator/precheck_test.go
@@ -4,75 +4,105 @@
 	"encoding/json"
 	"strings"
 	"testing"
+	"time"
 
 	"birchfork/internal/config"
 	"birchfork/internal/maintenance"
 	"birchfork/internal/peer"
 )
 
-// A plan is not handed in, or does not start, where others could not keep it.
-func TestPrecheck_PlanOverlaps(t *testing.T) {
-	dispatcher := &fakeDispatcher{}
-	c := &Coordinator{options: Options{Group: &config.Group{MaintenancePlans: true, Members: []peer.Member{{Name: "d0"}, {Name: "d1"}}}, Dispatcher: dispatcher},
-		state: maintenance.New(), lastReports: map[string]receivedReport{}}
-	apply := func(cmd maintenance.Command) {
-		raw, err := json.Marshal(cmd)
-		if err != nil {
-			t.Fatal(err)
-		}
-		c.state.Apply(c.state.AppliedIndex+1, raw)
+// newIdleCoordinator returns the first member of two, without a membership and loops.
+func newIdleCoordinator() *Coordinator {
+	return &Coordinator{
+		options: Options{
+			Group: &config.Group{
+				Name: "g", MaintenancePlans: true, LeaseDuration: time.Second,
+				Members: []peer.Member{{Name: "d0", Zone: "z0"}, {Name: "d1", Zone: "z1"}},
+			},
+			Self:       "d0",
+			Dispatcher: &fakeDispatcher{},
+			Log:        discardLogger(),
+		},
+		state:       maintenance.New(),
+		lastReports: map[string]receivedReport{},
+		changed:     make(chan struct{}),
 	}
-	plan := func(name string, m maintenance.Machine) *maintenance.Plan {
-		m.Name = "m"
-		return &maintenance.Plan{Name: name, MaxUnavailable: 1, OnOverdue: maintenance.OverdueWait, Machines: []maintenance.Machine{m}}
+}
+
+// mustApply applies a command as the next entry.
+func mustApply(t *testing.T, c *Coordinator, command maintenance.Command) {
+	t.Helper()
+	raw, err := json.Marshal(command)
+	if err != nil {
+		t.Fatal(err)
 	}
-	apply(maintenance.Command{Kind: maintenance.CommandSubmitPlan, Plan: plan("hosts", maintenance.Machine{Host: "h1"})})
-	apply(maintenance.Command{Kind: maintenance.CommandSubmitPlan, Plan: plan("names", maintenance.Machine{Workers: []string{"r0"}})})
-	for want, m := range map[string]maintenance.Machine{
-		`"r1" is at host h1, which is in plan "hosts"`: {Workers: []string{"r1"}},
-		`"r0", which is there, is in plan "names"`:     {Host: "h0"},
+	c.state.Apply(c.state.AppliedIndex+1, raw)
+}
+
+// planOf returns a plan of machines.
+func planOf(name string, machines ...maintenance.Machine) *maintenance.Plan {
+	return &maintenance.Plan{Name: name, MaxUnavailable: 1, OnOverdue: maintenance.OverdueWait, Machines: machines}
+}
+
+// reportOfLevel returns the report of a build that knows entries up to a level.
+func reportOfLevel(level int) receivedReport {
+	return receivedReport{statusReport: statusReport{Plans: true, Level: level}}
+}
+
+// A plan is rejected if another one has one of its machines under the other way to give it.
+func TestPrecheck_PlanOverlaps(t *testing.T) {
+	c := newIdleCoordinator()
+	mustApply(t, c, maintenance.Command{
+		Kind: maintenance.CommandSubmitPlan, Plan: planOf("hosts", maintenance.Machine{Name: "m", Host: "h1"}),
+	})
+	mustApply(t, c, maintenance.Command{
+		Kind: maintenance.CommandSubmitPlan, Plan: planOf("names", maintenance.Machine{Name: "m", Workers: []string{"r0"}}),
+	})
+	for want, machine := range map[string]maintenance.Machine{
+		`"r1" is at host h1, which is in plan "hosts"`: {Name: "m", Workers: []string{"r1"}},
+		`"r0", which is there, is in plan "names"`:     {Name: "m", Host: "h0"},
 	} {
-		if got := strings.Join(c.fleetMismatches(plan("q", m)), " "); !strings.Contains(got, want) {
+		if got := strings.Join(c.fleetMismatches(planOf("q", machine)), " "); !strings.Contains(got, want) {
 			t.Errorf("%q, want %q", got, want)
 		}
 	}
 }
 
-// While one member's build knows less of entries, or may, none that needs more is settled; what was settled already is.
+// While a member's build does not know a level of entries, or may not, no entry of that level is proposed, unless one is committed
+// already.
 func TestPrecheck_OlderBuilds(t *testing.T) {
-	c := &Coordinator{options: Options{Dispatcher: &fakeDispatcher{}, Group: &config.Group{MaintenancePlans: true, Members: []peer.Member{{Name: "d0"}, {Name: "d1"}}}},
-		state: maintenance.New(), lastReports: map[string]receivedReport{}}
+	c := newIdleCoordinator()
 	for _, name := range []string{"d0", "d1"} {
 		c.state.Members[name] = &maintenance.Member{Name: name}
 	}
-	level := func(n int) receivedReport { return receivedReport{statusReport: statusReport{Plans: true, Level: n}} }
-	c.lastReports["d0"] = level(2)
-	precheck := func(m maintenance.Machine) string {
-		m.Name = "m"
-		command := &maintenance.Command{ID: "1", Kind: maintenance.CommandSubmitPlan, Plan: &maintenance.Plan{Name: "p", MaxUnavailable: 1, OnOverdue: maintenance.OverdueWait, Machines: []maintenance.Machine{m}}}
-		if r := c.precheck(&Call{Command: command}); r != nil {
-			return r.Text
+	c.lastReports["d0"] = reportOfLevel(2)
+	submit := func(machine maintenance.Machine) string {
+		command := &maintenance.Command{ID: "1", Kind: maintenance.CommandSubmitPlan, Plan: planOf("p", machine)}
+		if reply := c.precheck(&Call{Command: command}); reply != nil {
+			return reply.Text
 		}
 		return "yes"
 	}
 	for _, step := range []struct {
 		change func()
-		host   string
+		byHost string // the answer to a plan by host
 	}{
 		{func() {}, "not heard of yet by this leader, and may be of a build that does not know this call: d1"},
-		{func() { c.lastReports["d1"] = level(1) }, "of a build that does not know this call: d1"},
-		{func() { c.lastReports["d1"] = level(2) }, "yes"},
-		{func() { c.lastReports["d1"], c.state.Level = level(1), 2 }, "yes"}, // it cannot be in force there: see outage.Apply
+		{func() { c.lastReports["d1"] = reportOfLevel(1) }, "of a build that does not know this call: d1"},
+		{func() { c.lastReports["d1"] = reportOfLevel(2) }, "yes"},
+		// Such a member has stopped: see maintenance.State.Apply.
+		{func() { c.lastReports["d1"], c.state.Level = reportOfLevel(1), 2 }, "yes"},
 	} {
 		step.change()
-		if got := precheck(maintenance.Machine{Host: "h1"}); got != step.host {
-			t.Errorf("a plan by host: %q, want %q", got, step.host)
+		if got := submit(maintenance.Machine{Name: "m", Host: "h1"}); got != step.byHost {
+			t.Errorf("a plan by host: %q, want %q", got, step.byHost)
 		}
-		if got := precheck(maintenance.Machine{Workers: []string{"r1"}}); got != "yes" {
+		if got := submit(maintenance.Machine{Name: "m", Workers: []string{"r1"}}); got != "yes" {
 			t.Errorf("a plan by name: %q", got)
 		}
 	}
-	if c.state.HistoryLost = true; c.startObstacle() != historyLostText {
-		t.Errorf("a group that was founded again: %q", c.startObstacle())
+	c.state.HistoryLost = true
+	if got := c.startObstacle(); got != historyLostText {
+		t.Errorf("a start after the history was lost: %q", got)
 	}
 }
--- a/internal/coordinator/testgroup_test.go
+++ b/internal/coordinator/testgroup_test.go
@@ -20,36 +20,32 @@
 	"birchfork/internal/peer"
 )
 
-// fakeDispatcher is a dispatcher that notes what it is told.
+// fakeDispatcher records what a Coordinator sets.
 type fakeDispatcher struct {
 	mu           sync.Mutex
 	restrictions engine.Restrictions
 	lease        time.Time
-	plansUnknown []bool        // each word on it
-	maxAttempt   time.Duration // that an attempt may run
-	disabled     bool          // the first runner is left out by hand here
-	siblings     int           // other processes of this dispatcher ...
-	newer        bool          // ... and whether one came after this one
+	plansUnknown []bool // each value in its order
+	maxAttempt   time.Duration
+	disabled     bool // an operator has disabled the first worker here
+	siblings     int  // other processes of this dispatcher
+	newer        bool // one of them is newer than this one
 }
 
-func (d *fakeDispatcher) SetRestrictions(g engine.Restrictions) {
-	d.mu.Lock()
-	d.restrictions = g
-	d.mu.Unlock()
+func (d *fakeDispatcher) SetRestrictions(restrictions engine.Restrictions) {
+	d.set(func() { d.restrictions = restrictions })
 }
 
-func (d *fakeDispatcher) SetLeaseExpiry(t time.Time) { d.mu.Lock(); d.lease = t; d.mu.Unlock() }
+func (d *fakeDispatcher) SetLeaseExpiry(until time.Time) {
+	d.set(func() { d.lease = until })
+}
 
-func (d *fakeDispatcher) SetPlansUnknown(b bool) {
-	d.mu.Lock()
-	d.plansUnknown = append(d.plansUnknown, b)
-	d.mu.Unlock()
+func (d *fakeDispatcher) SetPlansUnknown(unknown bool) {
+	d.set(func() { d.plansUnknown = append(d.plansUnknown, unknown) })
 }
 
 func (d *fakeDispatcher) SetMaxAttemptDuration(limit time.Duration) {
-	d.mu.Lock()
-	d.maxAttempt = limit
-	d.mu.Unlock()
+	d.set(func() { d.maxAttempt = limit })
 }
 
 func (d *fakeDispatcher) BusyWorkers() (names, hosts []string) { return nil, nil }
@@ -58,80 +54,124 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for i := range 3 {
-		all = append(all, engine.WorkerStatus{Name: fmt.Sprint("r", i), Host: fmt.Sprint("h", i), Zone: "z", Kind: "k", Weight: 1, Disabled: d.disabled && i == 0})
+		all = append(all, engine.WorkerStatus{
+			Name: fmt.Sprint("r", i), Host: fmt.Sprint("h", i), Zone: "z", Kind: "k", Weight: 1, Disabled: d.disabled && i == 0,
+		})
 	}
 	return all
 }
 
-// snapshot reads what it was told.
-func (d *fakeDispatcher) snapshot() (restricted, leased int, leaseRuns, plansUnknown bool) {
+// restricted returns how many workers are under maintenance, and how many need a lease.
+func (d *fakeDispatcher) restricted() (underMaintenance, leased int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return len(d.restrictions.MaintenanceWorkers), len(d.restrictions.LeasedWorkers)
+}
+
+// hasLease reports whether a lease runs.
+func (d *fakeDispatcher) hasLease() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return time.Now().Before(d.lease)
+}
+
+// lacksPlans reports whether the dispatcher has last been told that it may lack plans.
+func (d *fakeDispatcher) lacksPlans() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.restrictions.MaintenanceWorkers), len(d.restrictions.LeasedWorkers), time.Now().Before(d.lease), len(d.plansUnknown) > 0 && d.plansUnknown[len(d.plansUnknown)-1]
+	return len(d.plansUnknown) > 0 && d.plansUnknown[len(d.plansUnknown)-1]
 }
 
-// set changes it.
-func (d *fakeDispatcher) set(f func()) { d.mu.Lock(); f(); d.mu.Unlock() }
+// set calls f with the lock held.
+func (d *fakeDispatcher) set(f func()) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	f()
+}
 
-func (d *fakeDispatcher) siblingProcesses() (int, bool) {
+func (d *fakeDispatcher) siblingProcesses() (alive int, newer bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.siblings, d.newer
 }
 
+// fakeTransportUser counts calls.
+type fakeTransportUser struct{ attached, detached atomic.Int32 }
+
+func (u *fakeTransportUser) Attach(*peer.Transport) { u.attached.Add(1) }
+
+func (u *fakeTransportUser) Detach() { u.detached.Add(1) }
+
 func discardLogger() logrus.FieldLogger {
 	log, _ := test.NewNullLogger()
 	return log
 }
 
-// testGroup is three members in one process.
+// testGroup is a group of three members in one process.
 type testGroup struct {
 	t            *testing.T
 	group        config.Group
 	addresses    []string
 	dirs         []string
-	markers      []string // the witnesses of their disks
+	markers      []string // paths of boot markers
 	dispatchers  []*fakeDispatcher
 	users        []*fakeTransportUser
-	coordinators []*Coordinator
+	coordinators []*Coordinator // nil: not started, or closed
 }
 
-// fakeTransportUser counts its comings and goings.
-type fakeTransportUser struct{ attached, detached atomic.Int32 }
-
-func (u *fakeTransportUser) Attach(*peer.Transport) { u.attached.Add(1) }
-
-func (u *fakeTransportUser) Detach() { u.detached.Add(1) }
-
 func newTestGroup(t *testing.T) *testGroup {
-	g := &testGroup{t: t, group: config.Group{Name: "g", MaintenancePlans: true, LeaseDuration: time.Second}, coordinators: make([]*Coordinator, 3)}
-	for i := range 3 { // each of an IP that no connection goes out from: the port stays free
-		l, err := net.Listen("tcp", fmt.Sprintf("127.83.7.%d:0", 1+i))
+	t.Helper()
+	g := &testGroup{
+		t:            t,
+		group:        config.Group{Name: "g", MaintenancePlans: true, LeaseDuration: time.Second},
+		coordinators: make([]*Coordinator, 3),
+	}
+	for i := range g.coordinators {
+		// Each has an IP of its own that no outgoing connection uses, so that the port stays free.
+		listener, err := net.Listen("tcp", fmt.Sprintf("127.83.7.%d:0", 1+i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.addresses = append(g.addresses, l.Addr().String())
-		l.Close()
+		g.addresses = append(g.addresses, listener.Addr().String())
+		listener.Close()
 		g.group.Members = append(g.group.Members, peer.Member{Name: fmt.Sprint("d", i), Address: g.addresses[i], Voter: true})
-		g.dirs, g.markers = append(g.dirs, t.TempDir()), append(g.markers, filepath.Join(t.TempDir(), "mark"))
-		g.dispatchers, g.users = append(g.dispatchers, &fakeDispatcher{}), append(g.users, &fakeTransportUser{})
+		g.dirs = append(g.dirs, t.TempDir())
+		g.markers = append(g.markers, filepath.Join(t.TempDir(), "mark"))
+		g.dispatchers = append(g.dispatchers, &fakeDispatcher{})
+		g.users = append(g.users, &fakeTransportUser{})
 	}
 	return g
 }
 
-// start starts a member, or starts it again.
+// start starts a member, or starts it again, with a new dispatcher.
 func (g *testGroup) start(i int) *Coordinator {
 	own := g.group
 	own.DataDir = g.dirs[i]
 	g.dispatchers[i] = &fakeDispatcher{}
 	g.coordinators[i] = Start(Options{
-		Group: &own, Self: fmt.Sprint("d", i), Dispatcher: g.dispatchers[i], Siblings: g.dispatchers[i].siblingProcesses,
-		TransportUsers: []TransportUser{g.users[i]}, MaxDeadline: 60 * time.Millisecond, MaxDelivery: 40 * time.Millisecond, WarmUp: 100 * time.Millisecond, Log: discardLogger(),
+		Group:          &own,
+		Self:           fmt.Sprint("d", i),
+		Dispatcher:     g.dispatchers[i],
+		Siblings:       g.dispatchers[i].siblingProcesses,
+		MaxDeadline:    60 * time.Millisecond,
+		MaxDelivery:    40 * time.Millisecond,
+		WarmUp:         100 * time.Millisecond,
 		BootMarkerPath: g.markers[i],
+		TransportUsers: []TransportUser{g.users[i]},
+		Log:            discardLogger(),
 	})
 	return g.coordinators[i]
 }
 
+// startAll starts all members and creates the group.
+func (g *testGroup) startAll() {
+	g.t.Helper()
+	for i := range g.coordinators {
+		g.start(i)
+	}
+	g.bootstrap()
+}
+
 func (g *testGroup) close() {
 	for _, c := range g.coordinators {
 		if c != nil {
@@ -141,22 +181,21 @@
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// bootstrap founds the group, all being there.
+// bootstrap creates the group at the first member, and waits until all three vote and have a lease.
 func (g *testGroup) bootstrap() {
 	g.t.Helper()
-	g.eventually("it is founded", func() bool { return g.call(0, -1, Call{Bootstrap: true}).Code == maintenance.CodeOK })
+	g.eventually("the group is created", func() bool { return g.call(0, -1, Call{Bootstrap: true}).Code == maintenance.CodeOK })
 	g.eventually("all vote and have a lease", func() bool {
-		status := g.call(0, -1, Call{Status: true}).Status
 		votes := 0
-		if status != nil {
-			for _, m := range status.Members {
-				if m.IsVoter && m.LastReport >= 0 {
+		if status := g.status(0); status != nil {
+			for _, member := range status.Members {
+				if member.IsVoter && member.LastReport >= 0 {
 					votes++
 				}
 			}
 		}
 		for _, dispatcher := range g.dispatchers {
-			if _, _, runs, blind := dispatcher.snapshot(); !runs || blind {
+			if !dispatcher.hasLease() || dispatcher.lacksPlans() {
 				return false
 			}
 		}
@@ -164,10 +203,11 @@
 	})
 }
 
-// call makes a call at one member; code -1 takes any answer.
+// call makes a call at one member, and checks the reply's code. Code -1 accepts any reply.
 func (g *testGroup) call(member, code int, call Call) *Reply {
 	g.t.Helper()
-	reply, err := (&Client{Addresses: g.addresses[member : member+1]}).Do(context.Background(), call)
+	client := &Client{Addresses: g.addresses[member : member+1]}
+	reply, err := client.Do(context.Background(), call)
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -177,24 +217,39 @@
 	return reply
 }
 
-func (g *testGroup) eventually(what string, ok func() bool) {
+// command makes a call with a command at one member.
+func (g *testGroup) command(member, code int, command maintenance.Command) *Reply {
+	g.t.Helper()
+	return g.call(member, code, Call{Command: &command})
+}
+
+// status returns the status by way of one member; nil: there is none.
+func (g *testGroup) status(member int) *Status {
 	g.t.Helper()
-	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
+	return g.call(member, -1, Call{Status: true}).Status
+}
+
+// eventually waits until a condition holds, and fails the test after 20 s.
+func (g *testGroup) eventually(what string, condition func() bool) {
+	g.t.Helper()
+	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			g.t.Fatalf("not so in time: %s; %+v", what, g.call(0, -1, Call{Status: true}).Status)
+			g.t.Fatalf("not in time: %s; %+v", what, g.status(0))
 		}
 	}
 }
 
-func (g *testGroup) machinePhase(machine string) (phase maintenance.MachinePhase, reason string) {
-	status := g.call(1, -1, Call{Status: true}).Status
+// waitReason returns what a machine of the first plan waits for.
+func (g *testGroup) waitReason(machine string) string {
+	g.t.Helper()
+	status := g.status(1)
 	if status == nil || len(status.Plans) == 0 {
-		return "", ""
+		return ""
 	}
 	for _, candidate := range status.Plans[0].Machines {
 		if candidate.Name == machine {
-			return candidate.Phase, candidate.Reason
+			return candidate.Reason
 		}
 	}
-	return "", ""
+	return ""
 }
