--- a/internal/coordinator/apply.go
+++ b/internal/coordinator/apply.go
@@ -133,9 +133,9 @@
 func (c *Coordinator) waitForState(ctx context.Context, condition func(*maintenance.State) bool) error {
 	for {
 		c.mu.Lock()
-		isMet, changed := condition(c.state), c.changed
+		holds, changed := condition(c.state), c.changed
 		c.mu.Unlock()
-		if isMet {
+		if holds {
 			return nil
 		}
 		select {
--- a/internal/coordinator/client.go
+++ b/internal/coordinator/client.go
@@ -49,8 +49,8 @@
 			return reply, nil
 		}
 		lastErr = errors.New(reply.Text)
-		isAllAsked := i >= len(c.Addresses)-1
-		if isAllAsked && reply.Status != nil {
+		triedAll := i >= len(c.Addresses)-1
+		if triedAll && reply.Status != nil {
 			return reply, nil // what a member knew last
 		}
 	}
--- a/internal/coordinator/lease.go
+++ b/internal/coordinator/lease.go
@@ -116,7 +116,7 @@
 // markConfirmed notes in the storage, once, that the group has confirmed this incarnation.
 func (c *Coordinator) markConfirmed(ctx context.Context) error {
 	current, node := c.currentMembership(), c.node()
-	if node == nil || current.confirmed {
+	if current == nil || node == nil || current.confirmed {
 		return nil
 	}
 	if err := node.MarkConfirmed(ctx); err != nil {
--- a/internal/coordinator/precheck.go
+++ b/internal/coordinator/precheck.go
@@ -108,11 +108,11 @@
 func (c *Coordinator) startObstacle() string {
 	var missing, silent, withoutPlans []string
 	for _, member := range c.options.Group.Members {
-		report, isHeard := c.lastReports[member.Name]
+		report, hasReport := c.lastReports[member.Name]
 		switch {
 		case c.state.Members[member.Name] == nil:
 			missing = append(missing, member.Name)
-		case !isHeard:
+		case !hasReport:
 			silent = append(silent, member.Name)
 		case !report.Plans:
 			withoutPlans = append(withoutPlans, member.Name)
