--- /dev/null
+++ b/internal/engine/endpoints.go
@@ -0,0 +1,206 @@
+package engine
+
+import (
+	"time"
+
+	"birchfork/dispatch"
+	"birchfork/internal/settings"
+)
+
+// EndpointList is a list of workers, or the changes of one, as received from discovery.
+type EndpointList struct {
+	Version   uint64 // by discovery's count
+	Snapshot  bool   // all workers, not only those that changed
+	Stale     bool   // a copy that was kept from before the process started
+	Endpoints []Endpoint
+}
+
+// Endpoint is one worker of an EndpointList.
+type Endpoint struct {
+	Name, Address, Zone, Kind string // Address is host:port
+	Cell                      int    // -1: none
+	Weight                    float64
+	State                     dispatch.WorkerState
+	StartedAtMillis           int64 // its last start, Unix time in milliseconds; 0: long ago
+}
+
+// RetiredEndpoint says that connections to an address are of no use any more: its worker has moved, restarted or is leaving.
+type RetiredEndpoint struct{ Address string }
+
+// OnEndpointRetired sets the function that is called when an endpoint is retired, in place of the one before. It is called with the
+// engine's lock held and must not call back.
+func (e *Engine) OnEndpointRetired(f func(RetiredEndpoint)) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.onEndpointRetired = f
+}
+
+// Ready tells whether some worker may be sent to, and whether a list has been received from discovery since the process started.
+func (e *Engine) Ready() (available, synced bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for i := range e.workers {
+		if e.workers[i].usable() {
+			return true, e.synced
+		}
+	}
+	return false, e.synced
+}
+
+// UpdateEndpoints applies an update from discovery; updates have to come in order. The decision module gets our own count of them as the
+// version, since discovery's may start again from a lower figure.
+func (e *Engine) UpdateEndpoints(list EndpointList) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.revision++
+	e.listVersion = list.Version
+	e.synced = e.synced || !list.Stale
+	e.Counters.EndpointUpdates.Add(1)
+	event := dispatch.Event{Kind: dispatch.EndpointUpdate, Version: e.revision, Stale: list.Stale}
+	if list.Snapshot {
+		event.Kind = dispatch.EndpointSnapshot
+	}
+	listed := make(map[dispatch.WorkerID]bool, len(list.Endpoints))
+	for i := range list.Endpoints {
+		endpoint := &list.Endpoints[i]
+		id := e.names.InternWorker(endpoint.Name)
+		listed[id] = true
+		event.Workers = append(event.Workers, dispatch.Worker{
+			ID: id, Zone: e.names.ZoneID(settings.NormalizeName(endpoint.Zone)), Kind: e.names.KindID(settings.NormalizeName(endpoint.Kind)),
+			Cell: endpoint.Cell, State: endpoint.State, StartedAt: e.updateWorker(id, endpoint), Tag: e.names.WorkerTag(id),
+			Weight: endpoint.Weight,
+		})
+	}
+	if list.Snapshot {
+		e.retireUnlisted(listed)
+	}
+	if len(e.restrictions.MaintenanceHosts)+len(e.restrictions.LeasedHosts) > 0 {
+		e.applyRestrictions() // a worker may have come to a restricted host
+	}
+	e.updateLeaseExclusions() // before the decision module is notified of a worker that it may not use yet
+	e.handle(e.now(), &event)
+}
+
+// retireUnlisted marks all workers as gone that a snapshot does not list. The lock is held.
+func (e *Engine) retireUnlisted(listed map[dispatch.WorkerID]bool) {
+	for id := range e.workers {
+		if listed[dispatch.WorkerID(id)] {
+			continue
+		}
+		worker := &e.workers[id]
+		wasReady := worker.ready()
+		if worker.endpoint.State != dispatch.Gone {
+			worker.goneAt = e.now()
+		}
+		worker.endpoint.State = dispatch.Gone
+		if wasReady {
+			e.onEndpointRetired(RetiredEndpoint{worker.endpoint.Address})
+		}
+	}
+}
+
+// updateWorker applies one endpoint and returns its start on the decision module's clock. The lock is held.
+func (e *Engine) updateWorker(id dispatch.WorkerID, endpoint *Endpoint) dispatch.Time {
+	worker := e.ensureWorker(id)
+	old := &worker.endpoint
+	moved := old.Address != endpoint.Address
+	restarted := old.StartedAtMillis != endpoint.StartedAtMillis
+	leaving := worker.ready() && endpoint.State != dispatch.Ready
+	if old.Address != "" && (moved || restarted || leaving) {
+		e.onEndpointRetired(RetiredEndpoint{old.Address})
+	}
+	if restarted {
+		worker.startedAt = e.startTime(endpoint.StartedAtMillis)
+	}
+	if endpoint.State == dispatch.Gone && old.State != dispatch.Gone {
+		worker.goneAt = e.now()
+	}
+	if host := hostOf(old.Address); host != hostOf(endpoint.Address) {
+		if worker.mayRun(time.Now()) {
+			worker.formerHosts = append(worker.formerHosts, host)
+		} else {
+			worker.formerHosts = nil
+		}
+	}
+	worker.latestStartMillis = max(worker.latestStartMillis, endpoint.StartedAtMillis) // a worker may be listed as gone without its start
+	worker.endpoint = *endpoint
+	return worker.startedAt
+}
+
+// startTime converts a listed start, Unix time in milliseconds, to the decision module's clock; 0 stays 0. It is to be called once for
+// each start: another reading of the wall clock would give another time, and another start is a restart to the decision module. The
+// lock is held.
+func (e *Engine) startTime(startedAtMillis int64) dispatch.Time {
+	if startedAtMillis <= 0 {
+		return 0
+	}
+	now := time.Now()
+	age := dispatch.Time(now.UnixMicro() - startedAtMillis*1000)
+	return max(e.at(now)-age, 0)
+}
+
+// Endpoints returns the whole list as it stands, and the revision of it: the list has not changed while that is the same.
+func (e *Engine) Endpoints() (list EndpointList, revision uint64) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	list = EndpointList{Version: e.listVersion, Snapshot: true, Stale: !e.synced}
+	for i := range e.workers {
+		if endpoint := &e.workers[i].endpoint; endpoint.Name != "" && endpoint.State != dispatch.Gone {
+			list.Endpoints = append(list.Endpoints, *endpoint)
+		}
+	}
+	return list, e.revision
+}
+
+// EndpointsRevision returns the revision of the list: how often it has been updated.
+func (e *Engine) EndpointsRevision() uint64 {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.revision
+}
+
+// ListedWorker is the latest start and state of a worker by our own list.
+type ListedWorker struct {
+	Name            string
+	StartedAtMillis int64 // the latest start that was listed, Unix time in milliseconds; 0: long ago
+	State           dispatch.WorkerState
+}
+
+// ListedWorkers returns all workers of our list, those too that left it less than goneFor ago, and whether a list has been received from
+// discovery since the process started.
+func (e *Engine) ListedWorkers(goneFor time.Duration) (workers []ListedWorker, synced bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	now := e.now()
+	for i := range e.workers {
+		worker := &e.workers[i]
+		goneLongAgo := worker.endpoint.State == dispatch.Gone && now-worker.goneAt >= microseconds(goneFor)
+		if worker.endpoint.Name == "" || goneLongAgo {
+			continue
+		}
+		workers = append(workers, ListedWorker{worker.endpoint.Name, worker.latestStartMillis, worker.endpoint.State})
+	}
+	return workers, e.synced
+}
+
+// SetWatching sets whether the watch on discovery is up: it has delivered its list and has not broken since.
+func (e *Engine) SetWatching(watching bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	switch {
+	case !watching:
+		e.watchingSince = time.Time{}
+	case e.watchingSince.IsZero():
+		e.watchingSince = time.Now()
+	}
+}
+
+// WatchingFor returns for how long the watch on discovery has been up without a break; below 0: it is down.
+func (e *Engine) WatchingFor() time.Duration {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.watchingSince.IsZero() {
+		return -1
+	}
+	return time.Since(e.watchingSince)
+}
