--- a/internal/coordinator/resume.go
+++ b/internal/coordinator/resume.go
@@ -46,7 +46,7 @@
 		if !isWaitLogged {
 			isWaitLogged = true
 			c.options.Log.WithFields(logrus.Fields{"answers": len(positions), "needed": neededAnswers}).
-				Warn("disk not verified yet, waiting for other voters' answers or \"birchfork group vouch\"")
+				Warn("disk not verified yet, waiting for other voters' answers or \"birchfork group confirm-disk\"")
 		}
 		select {
 		case <-ctx.Done():
