--- /dev/null
+++ b/dispatch/slowstart_test.go
@@ -0,0 +1,246 @@
+package dispatch
+
+import (
+	"math/rand/v2"
+	"slices"
+	"testing"
+)
+
+// TestSlowStart_LimitsSendsToWarmingWorkers lets requests arrive at dispatchers that know nothing of each other, much of what the fleet
+// can do, half of it at one of them, while some workers are warming up, and counts what each gets in any window.
+func TestSlowStart_LimitsSendsToWarmingWorkers(t *testing.T) {
+	for _, c := range []struct {
+		dispatchers          int
+		load                 float64   // of what the fleet can do when it has warmed up
+		sizes                []float64 // slots of the workers
+		listed               bool      // by the list, and known of each kind; else a dispatcher knows neither
+		warming, minRequests []int     // which are warming up, and the requests that each gets at least in ten seconds
+	}{
+		{20, 1, []float64{1, 1, 1, 1, 1, 1, 1, 1, 1, 1}, true, []int{0}, []int{10}},
+		{80, 0.8, []float64{1, 1, 1, 1, 1, 5, 5, 5, 5, 5}, true, []int{0, 9}, []int{3, 150}},
+		{80, 0.7, []float64{1, 1, 2, 2, 3, 3, 4, 4, 5, 5}, true, []int{0, 1, 2, 6, 8, 9}, []int{3, 3, 15, 50, 100, 100}},
+		{80, 1, []float64{2, 2, 2, 2, 4, 4, 4, 4, 4, 4}, false, []int{0, 9}, []int{20, 20}},
+	} {
+		sent := runWarmingFleet(t, c.dispatchers, c.load, c.sizes, c.listed, c.warming)
+		for i, w := range c.warming {
+			if len(sent[w]) < c.minRequests[i] {
+				t.Errorf("%d dispatchers, sizes %v: worker %d got %d requests in ten seconds, want %d", c.dispatchers, c.sizes, w, len(sent[w]), c.minRequests[i])
+			}
+		}
+	}
+}
+
+// runWarmingFleet returns the times of all sends to workers that are warming up, and fails where a window holds more than one bears.
+func runWarmingFleet(t *testing.T, dispatchers int, load float64, sizes []float64, listed bool, warming []int) map[int][]Time {
+	t.Helper()
+	s := testSettings()
+	s.GroupSize, s.PriceCrossZone, s.KindCount, s.WeightsShowSize = dispatchers, 0, 6, listed
+	s.Classes[classIdempotent].ObjectiveStretch, s.Classes[classIdempotent].WorkerKind = 50, -1 // nothing is rejected
+	capacity := 0.0                                                                             // requests that the load brings in 100 ms
+	for _, n := range sizes {
+		capacity += n * load
+	}
+	f := &warmingFleet{sizes: sizes, warming: warming, arrivals: capacity / 10, sent: map[int][]Time{}}
+	for i := range s.GroupSize {
+		f.harnesses = append(f.harnesses, f.newHarness(t, s, i, listed))
+	}
+	for step := range 1000 { // 10 ms each: requests of 100 ms arrive, as many as the slots can do
+		f.step(step)
+		f.checkWindows(t, &s)
+	}
+	return f.sent
+}
+
+// warmingFleet is many dispatchers that send to the same workers, some of which are warming up.
+type warmingFleet struct {
+	harnesses []*harness
+	sizes     []float64 // slots of the workers
+	warming   []int     // which are warming up
+	arrivals  float64   // requests in 10 ms
+	due       float64   // requests that have yet to arrive
+	sent      map[int][]Time
+}
+
+// newHarness drives dispatcher i. Unless sizes are listed, it knows none.
+func (f *warmingFleet) newHarness(t *testing.T, s Settings, i int, listed bool) *harness {
+	t.Helper()
+	h := newHarness(t, s)
+	h.dispatcher.rng = rand.New(rand.NewPCG(uint64(i), 5))
+	list := fleet(len(f.sizes))
+	for w := range list {
+		list[w].Weight, list[w].Kind = 1, int(f.sizes[w])
+		if listed {
+			list[w].Weight = f.sizes[w]
+		}
+		if slices.Contains(f.warming, w) {
+			list[w].StartedAt = h.now
+		}
+	}
+	h.handle(Event{Kind: EndpointSnapshot, Workers: list, Version: 1})
+	for n := range h.dispatcher.kinds {
+		if listed {
+			h.dispatcher.kinds[n].size = float64(n)
+		}
+	}
+	return h
+}
+
+// step lets requests arrive, every second one at the first dispatcher, and 10 ms pass, and ends what has run for 100 ms.
+func (f *warmingFleet) step(step int) {
+	var actions []Action
+	for f.due += f.arrivals; f.due >= 1; f.due-- {
+		h := f.harnesses[0]
+		if step++; step%2 == 0 {
+			h = f.harnesses[1+step/2%(len(f.harnesses)-1)]
+		}
+		_, more := h.arrive(classIdempotent, 100*ms)
+		actions = append(actions, more...)
+	}
+	for _, h := range f.harnesses {
+		actions = append(actions, h.wait(10*ms)...)
+	}
+	now := f.harnesses[0].now
+	for _, a := range actions {
+		if w := int(a.Worker); a.Kind == Send && slices.Contains(f.warming, w) {
+			f.sent[w] = append(f.sent[w], now)
+		}
+	}
+	for _, h := range f.harnesses {
+		for id := range h.nextRequest {
+			if r := h.dispatcher.request(id); r != nil && r.inFlight() > 0 && h.now >= r.attempts[0].sentAt+100*ms {
+				h.end(id, 0, ResultOK)
+			}
+		}
+	}
+}
+
+// checkWindows fails where the window that ends now holds more requests for a worker than it bears.
+func (f *warmingFleet) checkWindows(t *testing.T, s *Settings) {
+	t.Helper()
+	first := f.harnesses[0]
+	for w, times := range f.sent {
+		n := 0
+		for _, at := range times {
+			if at > first.now-s.OverloadWindow {
+				n++
+			}
+		}
+		factor := first.dispatcher.slowStartFactor(first.worker(WorkerID(w)))
+		limit := s.OverloadMultiple * factor * f.sizes[w] * float64(s.OverloadWindow/(100*ms))
+		if float64(n) > limit+1 {
+			t.Fatalf("%d dispatchers, sizes %v: a window held %d requests for warming worker %d, which bears %.1f", s.GroupSize, f.sizes, n, w, limit)
+		}
+	}
+}
+
+func TestSlowStart_ClientRetriesGetNoWarmingWorker(t *testing.T) {
+	h := newHarness(t, testSettings())
+	list := fleet(4)
+	for i := range list {
+		list[i].StartedAt = h.now - 15*Second // warmed up so far that nearly every sample counts
+	}
+	h.handle(Event{Kind: EndpointSnapshot, Workers: list, Version: 1})
+	sends := [2]int{}
+	for i := range 100 {
+		e := Event{Kind: RequestArrived, Request: RequestID(i), Tenant: -1, ExpectedWork: 20 * ms, TimeLeft: 5 * Second, Slots: 1, Retry: i%2 == 1}
+		sends[i%2] += countKind(append(h.handle(e), h.wait(20*ms)...), Send)
+		if r := h.dispatcher.request(RequestID(i)); r != nil && r.inFlight() > 0 {
+			h.startAndEnd(RequestID(i), 0)
+		}
+	}
+	if sends[0] < 10 || sends[1] != 0 {
+		t.Fatalf("%d first tries and %d retries went to workers that are warming up", sends[0], sends[1])
+	}
+}
+
+// While late starts at other workers have all requests shed, those that are warming up go on getting the samples that count.
+func TestSendToWarming_TakesShedRequests(t *testing.T) {
+	h := newHarness(t, testSettings())
+	list := fleet(8)
+	for i := range 4 {
+		list[i].StartedAt = h.now - 15*Second
+	}
+	h.handle(Event{Kind: EndpointSnapshot, Workers: list, Version: 1})
+	toWarming, rejected := 0, 0
+	for i := range 200 {
+		h.dispatcher.shedding, h.dispatcher.sheddingAt = 1, h.now
+		retry := i%2 == 1
+		actions := h.handle(Event{Kind: RequestArrived, Request: RequestID(i), Tenant: -1, ExpectedWork: 20 * ms, TimeLeft: 5 * Second, Slots: 1, Retry: retry})
+		if len(actions) != 1 {
+			t.Fatalf("got %v, want one action for an arrival", actions)
+		}
+		switch a := actions[0]; {
+		case a.Kind == Reject:
+			rejected++
+		case a.Kind == Send && a.Worker < 4 && !retry:
+			toWarming++
+			h.startAndEnd(RequestID(i), 0)
+		default:
+			t.Fatalf("got %v (retry: %v), want a rejection or a first try sent to a worker that is warming up", a, retry)
+		}
+	}
+	if toWarming < 30 || rejected < 100 {
+		t.Errorf("%d went to workers that are warming up and %d were rejected", toWarming, rejected)
+	}
+}
+
+// A request that the backlog would reject may go to a worker that is warming up, but not one whose time has passed.
+func TestSendToWarming_TakesRequestsBeyondBacklog(t *testing.T) {
+	sendsWithTimeLeft := func(left Time) (n int) {
+		h := newHarness(t, testSettings())
+		list := fleet(4)
+		for i := range 2 {
+			list[i].StartedAt = h.now - 15*Second
+		}
+		h.handle(Event{Kind: EndpointSnapshot, Workers: list, Version: 1})
+		for i := range 200 {
+			h.dispatcher.queuedSlots[bandNormal], h.dispatcher.slotsInUse, h.dispatcher.queues[bandNormal] = 1e6, 1, queue{} // far more ahead than can be waited for
+			old := &request{queueTicket: 1, queuedAt: h.now - 9*Second}
+			h.dispatcher.queues[bandNormal].push(old)
+			for _, a := range h.handle(Event{Kind: RequestArrived, Request: RequestID(i), Tenant: -1, ExpectedWork: 20 * ms, TimeLeft: left, Slots: 1}) {
+				if a.Kind == Send {
+					n++
+					h.startAndEnd(RequestID(i), 0)
+				}
+			}
+		}
+		return n
+	}
+	if n := sendsWithTimeLeft(5 * Second); n < 10 {
+		t.Errorf("%d of 200 went to workers that are warming up", n)
+	}
+	if n := sendsWithTimeLeft(100 * ms); n != 0 { // of five seconds, the rest has been used up by earlier tries
+		t.Errorf("%d requests were sent that cannot be in time", n)
+	}
+}
+
+// On a recorded day most workers of one zone were gone and six came back, warming up: all dispatchers of that zone sampled six.
+func TestSlowStart_FewWarmingWorkersOfAZone(t *testing.T) {
+	s := testSettings()
+	s.PriceCrossZone = 0.02
+	list := taggedFleet(40)
+	for i := range list {
+		list[i].Zone = 1
+	}
+	h := newHarness(t, s)
+	for i := range 2 {
+		list[i].Zone, list[i].StartedAt = 0, h.now
+	}
+	h.handle(Event{Kind: EndpointSnapshot, Workers: list, Version: 1})
+	if n := h.countSends(300, func(w WorkerID) bool { return w < 2 }); n > 30 {
+		t.Errorf("%d of 300 requests went to two warming workers, alone in their zone with half of all traffic; want a tenth of them at most", n)
+	}
+}
+
+func TestSlowStart_SkippedWorkersAddNothing(t *testing.T) {
+	h := newHarness(t, testSettings())
+	list := taggedFleet(10)
+	list[0].StartedAt = h.now
+	h.handle(Event{Kind: EndpointSnapshot, Workers: list, Version: 1})
+	for _, w := range h.dispatcher.workers[2:] {
+		w.unresponsive, w.nextProbeAt = true, never
+	}
+	if n := h.countSends(300, func(w WorkerID) bool { return w == 0 }); n > 45 {
+		t.Errorf("%d of 300 requests went to a warming worker, one of ten, as eight others give no sign", n)
+	}
+}
--- a/internal/testbed/cluster/link.go
+++ b/internal/testbed/cluster/link.go
@@ -36,7 +36,7 @@
 	after int           // connections are reset after so many bytes; 0: never
 }
 
-const pieceMost = 4 << 10
+const maxChunkBytes = 4 << 10
 
 // newLink forwards from an address of a host of the caller's choice. That of a member is not to be one: its free port is to stay
 // so until it listens.
@@ -68,7 +68,7 @@
 
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
-		t.SetLinger(0)
+		_ = t.SetLinger(0) // fails on a closed connection
 	}
 	c.Close()
 }
@@ -146,7 +146,7 @@
 }
 
 func (k *link) copy(to, from net.Conn, held func(fault) bool) {
-	buf := make([]byte, pieceMost)
+	buf := make([]byte, maxChunkBytes)
 	sent := 0
 	for {
 		n, err := from.Read(buf)
@@ -168,7 +168,7 @@
 				time.Sleep(wait)
 			}
 			if f.after > 0 && sent+n > f.after {
-				to.Write(buf[:f.after-min(sent, f.after)])
+				_, _ = to.Write(buf[:f.after-min(sent, f.after)]) // the connection is reset next either way
 				reset(to)
 				reset(from)
 				return
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -1,5 +1,5 @@
-// Package report holds what a run of the lab came to, and shows it: to people as text and as one self-contained page, to
-// machines as JSON.
+// Package report holds the result of a testbed run and presents it: as text and as one self-contained HTML page for
+// people, as JSON for programs. It also compares results of the same generated day.
 package report
 
 import (
@@ -9,9 +9,6 @@
 	"io"
 	"math"
 	"os"
-	"sort"
-	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
@@ -19,10 +16,10 @@
 	"birchfork/internal/testbed/invariant"
 )
 
-// Version is that of the JSON form; a file of another one is turned down.
+// Version is the version of the JSON form; Decode rejects every other one.
 const Version = 1
 
-// Report is one run. Times are seconds since the day's start unless the name has another unit.
+// Report is the result of one run. It is not safe for concurrent use. Times are seconds since the day's start unless the name has another unit.
 type Report struct {
 	Version     int     `json:"version"`
 	Scenario    string  `json:"scenario"`
@@ -30,7 +27,7 @@
 	Seed        uint64  `json:"seed"`
 	Day         string  `json:"day"` // digest of all that was drawn
 	Policy      string  `json:"policy"`
-	Planted     string  `json:"planted,omitempty"`
+	Mutant      string  `json:"planted,omitempty"`
 	Seconds     float64 `json:"seconds"`
 	Rate        float64 `json:"rate"`
 	Load        float64 `json:"load"` // work asked for as a part of the capacity
@@ -38,23 +35,23 @@
 	Interrupted bool    `json:"interrupted"`
 	RanLate     bool    `json:"ran_late"` // the rig itself was late: the figures are worth little
 
-	Requests     int     `json:"requests"` // wishes; a client's retries are folded into its first try
-	Tries        int     `json:"tries"`
-	Attempts     int     `json:"attempts"` // at workers
-	Served       int     `json:"served"`
-	ServedInTime int     `json:"served_in_time"`
-	Refused      int     `json:"refused"`
-	Failed       int     `json:"failed"` // all others: served + refused + failed = requests
-	Lost         int     `json:"lost"`   // tries with no final answer, by a dispatcher's fault
-	Excused      int     `json:"excused"`
-	Goodput      float64 `json:"goodput"`            // worth in time over worth asked
-	InTrouble    float64 `json:"goodput_in_trouble"` // the same of what was asked for while a trouble was on; 0: there was none
-	Recovery     float64 `json:"recovery_s"`         // from the last trouble's end until service was as before; -1: not in this run
-
-	Rules      map[string]int     `json:"rules"`
-	Breaches   []invariant.Breach `json:"breaches,omitempty"` // the first ones
-	Crashes    int                `json:"crashes"`
-	CrashNotes []string           `json:"crash_notes,omitempty"`
+	Requests       int     `json:"requests"` // wishes; a client's retries are folded into its first try
+	Tries          int     `json:"tries"`
+	Attempts       int     `json:"attempts"` // at workers
+	Served         int     `json:"served"`
+	ServedInTime   int     `json:"served_in_time"`
+	Refused        int     `json:"refused"`
+	Failed         int     `json:"failed"` // all others: served + refused + failed = requests
+	Lost           int     `json:"lost"`   // tries with no final answer, by a dispatcher's fault
+	Excused        int     `json:"excused"`
+	Goodput        float64 `json:"goodput"`            // worth in time over worth asked
+	GoodputInFault float64 `json:"goodput_in_trouble"` // the same of what was asked for while a trouble was on; 0: there was none
+	Recovery       float64 `json:"recovery_s"`         // from the last trouble's end until service was as before; -1: not in this run
+
+	Rules      map[string]int        `json:"rules"`
+	Violations []invariant.Violation `json:"breaches,omitempty"` // the first ones
+	Crashes    int                   `json:"crashes"`
+	CrashNotes []string              `json:"crash_notes,omitempty"`
 
 	Latency           Latency `json:"latency_ms"`
 	RetriesPerRequest float64 `json:"retries_per_request"`
@@ -64,18 +61,19 @@
 	RSSPeakMB     float64 `json:"rss_peak_mb"`        // of the largest dispatcher
 	FDPeak        int     `json:"fd_peak"`
 
-	Workers  []WorkerLine   `json:"workers"`
-	Classes  []PartLine     `json:"classes"`
-	Tenants  []PartLine     `json:"tenants,omitempty"`
-	Outcomes map[string]int `json:"outcomes"` // of tries, as clients saw them
-	Series   []Point        `json:"series"`
-	Faults   []FaultMark    `json:"faults,omitempty"`
-	Rude     *RudeLine      `json:"rude,omitempty"`
-	Started  *StartedLine   `json:"started,omitempty"`
-	Rig      Rig            `json:"rig"`
+	Workers     []WorkerLine     `json:"workers"`
+	Classes     []PartLine       `json:"classes"`
+	Tenants     []PartLine       `json:"tenants,omitempty"`
+	Outcomes    map[string]int   `json:"outcomes"` // of tries, as clients saw them
+	Series      []Point          `json:"series"`
+	Faults      []FaultMark      `json:"faults,omitempty"`
+	Misbehaving *MisbehavingLine `json:"rude,omitempty"`
+	Started     *StartedLine     `json:"started,omitempty"`
+	Testbed     TestbedLine      `json:"rig"`
 }
 
-// Latency is of served requests, from when they were wanted to their last byte, with all tries.
+// Latency holds percentiles, in milliseconds, of served requests: from the scheduled arrival to the last byte of the
+// response, with all retries.
 type Latency struct {
 	P50  float64 `json:"p50"`
 	P90  float64 `json:"p90"`
@@ -84,7 +82,7 @@
 	Max  float64 `json:"max"`
 }
 
-// WorkerLine is one worker's part.
+// WorkerLine is one worker's part in a run.
 type WorkerLine struct {
 	Name       string  `json:"name"`
 	Kind       string  `json:"kind"`
@@ -94,7 +92,7 @@
 	PushedOver int     `json:"pushed_over"`
 }
 
-// PartLine is one class or tenant.
+// PartLine sums up the requests of one class or tenant.
 type PartLine struct {
 	Name     string  `json:"name"`
 	Requests int     `json:"requests"`
@@ -103,19 +101,19 @@
 	Latency  Latency `json:"latency_ms"`
 }
 
-// Point is a stretch of the run, by when requests were wanted.
+// Point is one interval of the run; a request belongs to the interval of its scheduled arrival.
 type Point struct {
-	At       float64        `json:"at"`
-	Asked    int            `json:"asked"`
-	InTime   int            `json:"in_time"`
-	Worth    float64        `json:"worth"`
-	Good     float64        `json:"good"` // worth in time
-	P50      float64        `json:"p50_ms"`
-	P99      float64        `json:"p99_ms"`
-	Outcomes map[string]int `json:"outcomes"` // of the wishes' last tries
+	At        float64        `json:"at"`
+	Requested int            `json:"asked"`
+	InTime    int            `json:"in_time"`
+	Value     float64        `json:"worth"`
+	Good      float64        `json:"good"` // worth in time
+	P50       float64        `json:"p50_ms"`
+	P99       float64        `json:"p99_ms"`
+	Outcomes  map[string]int `json:"outcomes"` // of the wishes' last tries
 }
 
-// FaultMark is a trouble on the time axis.
+// FaultMark is an injected fault on the time axis.
 type FaultMark struct {
 	Kind  string  `json:"kind"`
 	At    float64 `json:"at"`
@@ -123,8 +121,8 @@
 	Whom  string  `json:"whom"`
 }
 
-// RudeLine is what rude clients met.
-type RudeLine struct {
+// MisbehavingLine counts what misbehaving clients sent and how they were answered.
+type MisbehavingLine struct {
 	Sent     int64 `json:"sent"`
 	Answered int64 `json:"answered"`
 	Ignored  int64 `json:"ignored"`
@@ -132,7 +130,7 @@
 	NoPlace  int64 `json:"no_place"`
 }
 
-// StartedLine is how dispatchers did in the first 5 s after they started again, and the others at the same time.
+// StartedLine compares requests at dispatchers in the first 5 s after a restart with those at the others meanwhile.
 type StartedLine struct {
 	Tries       int `json:"tries"`
 	InTime      int `json:"in_time"`
@@ -140,15 +138,15 @@
 	OtherInTime int `json:"other_in_time"`
 }
 
-// Rig is the lab's own doing.
-type Rig struct {
+// TestbedLine says how precise the testbed itself was.
+type TestbedLine struct {
 	LagP99  float64 `json:"lag_p99_ms"` // how late arrivals were begun
 	LagMax  float64 `json:"lag_max_ms"`
 	Ceiling float64 `json:"ceiling_per_s"` // requests a second straight at a stand-in worker; 0: not measured
 	Slack   float64 `json:"slack_ms"`      // that the judge gave every time limit
 }
 
-// Broken tells whether a rule was broken or a dispatcher crashed.
+// Broken reports whether a rule was violated or a dispatcher crashed.
 func (r *Report) Broken() bool {
 	for _, n := range r.Rules {
 		if n > 0 {
@@ -158,18 +156,21 @@
 	return r.Crashes > 0
 }
 
-// Histogram collects latencies, in microseconds, up to an hour, to three digits.
+// Histogram collects latencies in microseconds, up to an hour, to three significant digits. It is not safe for
+// concurrent use.
 type Histogram struct{ h *hdrhistogram.Histogram }
 
-// NewHistogram returns an empty one.
+// NewHistogram returns an empty histogram.
 func NewHistogram() Histogram {
 	return Histogram{hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)}
 }
 
-// Add adds a time.
-func (h Histogram) Add(d time.Duration) { h.h.RecordValue(max(1, d.Microseconds())) }
+// Add records a duration; one below a microsecond counts as one microsecond.
+func (h Histogram) Add(d time.Duration) {
+	_ = h.h.RecordValue(max(1, d.Microseconds())) // fails for more than an hour only: no run takes that long
+}
 
-// At is a percentile, in milliseconds; 0 where there is nothing.
+// At returns the percentile p (0 to 100) in milliseconds, or 0 for an empty histogram.
 func (h Histogram) At(p float64) float64 {
 	if h.h.TotalCount() == 0 {
 		return 0
@@ -177,47 +178,48 @@
 	return float64(h.h.ValueAtPercentile(p)) / 1000
 }
 
-// Latency are the usual percentiles.
+// Latency returns the percentiles that a report shows.
 func (h Histogram) Latency() Latency {
 	return Latency{h.At(50), h.At(90), h.At(99), h.At(99.9), h.At(100)}
 }
 
-// How service counts as it was before: so much of it, in so many stretches one after the other.
+// Service counts as recovered when goodput is at least asBefore of its median before the first fault, in inARow
+// consecutive intervals; notAtAll is the recovery time of a run where that did not happen.
 const (
 	asBefore = 0.95
 	inARow   = 3
 	notAtAll = -1.0
 )
 
-// Troubled fills in how service was while a trouble was on, and how soon it came back after the last one.
-func (r *Report) Troubled() {
+// HadFault computes InTrouble and Recovery from the series and the faults.
+func (r *Report) HadFault() {
 	first, last := math.Inf(1), 0.0
 	for _, f := range r.Faults {
 		first, last = min(first, f.At), max(last, f.At, f.Until)
 	}
 	var before []float64
 	good, worth, row := 0.0, 0.0, 0
-	r.InTrouble, r.Recovery = 0, 0
+	r.GoodputInFault, r.Recovery = 0, 0
 	if len(r.Faults) == 0 {
 		return
 	}
 	r.Recovery = notAtAll
 	for _, p := range r.Series {
-		if p.Worth > 0 && p.At < first {
-			before = append(before, p.Good/p.Worth)
+		if p.Value > 0 && p.At < first {
+			before = append(before, p.Good/p.Value)
 		}
 	}
 	usual := Median(before)
 	for _, p := range r.Series {
 		for _, f := range r.Faults {
 			if p.At >= f.At && p.At < f.Until {
-				good, worth = good+p.Good, worth+p.Worth
+				good, worth = good+p.Good, worth+p.Value
 				break
 			}
 		}
 		switch {
-		case p.At < last || r.Recovery >= 0 || p.Worth == 0:
-		case p.Good/p.Worth < asBefore*usual:
+		case p.At < last || r.Recovery >= 0 || p.Value == 0:
+		case p.Good/p.Value < asBefore*usual:
 			row = 0
 		default:
 			if row++; row == inARow {
@@ -226,21 +228,21 @@
 		}
 	}
 	if worth > 0 {
-		r.InTrouble = good / worth
+		r.GoodputInFault = good / worth
 	}
 }
 
-// sizeMost bounds a kept result.
-const sizeMost = 256 << 20
+// maxFileBytes bounds the size of a stored result, in bytes.
+const maxFileBytes = 256 << 20
 
-// Load reads a kept result.
+// Load reads a result from a file that Save wrote.
 func Load(path string) (*Report, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("reading a result: %w", err)
 	}
 	defer f.Close()
-	raw, err := io.ReadAll(io.LimitReader(f, sizeMost))
+	raw, err := io.ReadAll(io.LimitReader(f, maxFileBytes))
 	if err != nil {
 		return nil, fmt.Errorf("reading a result: %w", err)
 	}
@@ -251,7 +253,7 @@
 	return r, nil
 }
 
-// Decode reads a result.
+// Decode parses the JSON form of a result. It fails on another version and on a series that cannot be.
 func Decode(raw []byte) (*Report, error) {
 	var r Report
 	if err := json.Unmarshal(raw, &r); err != nil {
@@ -261,14 +263,14 @@
 		return nil, fmt.Errorf("this is no result of the lab that this program can read: version %d, not %d", r.Version, Version)
 	}
 	for _, p := range r.Series {
-		if math.IsNaN(p.At) || p.At < 0 || p.Asked < 0 {
+		if math.IsNaN(p.At) || p.At < 0 || p.Requested < 0 {
 			return nil, errors.New("its series makes no sense")
 		}
 	}
 	return &r, nil
 }
 
-// Save writes the result to a file, in place of an old one at once.
+// Save writes the result to a file as JSON and replaces an existing file atomically.
 func (r *Report) Save(path string) error {
 	raw, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
@@ -277,121 +279,16 @@
 	return replace(path, append(raw, '\n'))
 }
 
-// replace writes a file whole or not at all.
+// replace writes a file atomically.
 func replace(path string, raw []byte) error {
 	next := path + ".part"
 	if err := os.WriteFile(next, raw, 0o644); err != nil {
-		os.Remove(next) // what a full disk has left of it
+		_ = os.Remove(next) // what a full disk has left of it; the error that matters is that of the write
 		return fmt.Errorf("writing a result: %w", err)
 	}
 	if err := os.Rename(next, path); err != nil {
-		os.Remove(next)
+		_ = os.Remove(next) // the error that matters is that of the rename
 		return fmt.Errorf("writing a result: %w", err)
 	}
 	return nil
 }
-
-// breachesShown is how many breaches a summary prints.
-const breachesShown = 12
-
-// Text prints a summary.
-func (r *Report) Text(w io.Writer) error {
-	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	row := func(name, format string, v ...any) { fmt.Fprintf(t, "%s\t%s\n", name, fmt.Sprintf(format, v...)) }
-	row("scenario", "%s, seed %d, day %s, policy %s%s", r.Scenario, r.Seed, r.Day, r.Policy, planted(r.Planted))
-	row("played", "%.0f s, %.0f requests/s (%.2f of the capacity), %d workers, %d dispatchers", r.Seconds, r.Rate, r.Load, len(r.Workers), r.Dispatchers)
-	row("requests", "%d: %d served, %d in time, %d refused, %d failed", r.Requests, r.Served, r.ServedInTime, r.Refused, r.Failed)
-	row("goodput", "%.3f (worth in time over worth asked)", r.Goodput)
-	if len(r.Faults) > 0 {
-		back := fmt.Sprintf("as before %.1f s after the last", r.Recovery)
-		if r.Recovery < 0 {
-			back = "not as before again within the run"
-		}
-		row("in trouble", "goodput %.3f while a trouble was on; %s", r.InTrouble, back)
-	}
-	row("latency ms", "p50 %.0f  p90 %.0f  p99 %.0f  p99.9 %.0f  max %.0f", r.Latency.P50, r.Latency.P90, r.Latency.P99, r.Latency.P999, r.Latency.Max)
-	row("tries", "%.3f retries a request; %d attempts at workers; %.1f%% of their work served nobody", r.RetriesPerRequest, r.Attempts, 100*r.WastedWork)
-	for _, c := range r.Classes {
-		row("class "+c.Name, "%d, goodput %.3f, p50 %.0f ms, p99 %.0f ms", c.Requests, c.Goodput, c.Latency.P50, c.Latency.P99)
-	}
-	for _, c := range r.Tenants {
-		row("tenant "+c.Name, "%d, goodput %.3f, p99 %.0f ms", c.Requests, c.Goodput, c.Latency.P99)
-	}
-	row("dispatchers", "%.0f us of CPU a request, %.1f MB at the most, %d descriptors at the most", r.CPUPerRequest, r.RSSPeakMB, r.FDPeak)
-	var shares []string
-	for i, k := range r.Workers {
-		if i == 12 {
-			shares = append(shares, fmt.Sprintf("and %d more", len(r.Workers)-i))
-			break
-		}
-		shares = append(shares, fmt.Sprintf("%s %.0f%%", k.Name, 100*k.Share))
-	}
-	row("work by worker", "%s", strings.Join(shares, "  "))
-	for _, f := range r.Faults {
-		row("trouble", "%.1f to %.1f s: %s %s", f.At, f.Until, f.Kind, f.Whom)
-	}
-	if u := r.Rude; u != nil {
-		row("rude clients", "%d sent: %d answered or closed, %d ignored, %d served", u.Sent, u.Answered, u.Ignored, u.Served)
-	}
-	if s := r.Started; s != nil {
-		row("right after a start", "%d of %d in time within 5 s; of the others' meanwhile %d of %d", s.InTime, s.Tries, s.OtherInTime, s.OtherTries)
-	}
-	ceiling := ""
-	if r.Rig.Ceiling > 0 {
-		ceiling = fmt.Sprintf("; ceiling %.0f requests/s straight at a worker", r.Rig.Ceiling)
-	}
-	row("the rig", "late by %.1f ms at p99, %.1f at the most%s", r.Rig.LagP99, r.Rig.LagMax, ceiling)
-	var rules []string
-	for _, name := range invariant.Rules {
-		rules = append(rules, fmt.Sprintf("%s %d", name, r.Rules[name]))
-	}
-	row("rules broken", "%s; crashes %d", strings.Join(rules, ", "), r.Crashes)
-	if err := t.Flush(); err != nil {
-		return err
-	}
-	for i, b := range r.Breaches {
-		if i == breachesShown {
-			fmt.Fprintf(w, "... and more; --json keeps the first %d\n", len(r.Breaches))
-			break
-		}
-		fmt.Fprintln(w, b)
-	}
-	for _, c := range r.CrashNotes {
-		fmt.Fprintln(w, "crash:", c)
-	}
-	if r.RanLate {
-		fmt.Fprintln(w, "The rig itself ran late: this machine was too busy, and the figures are worth little.")
-	}
-	if r.Interrupted {
-		fmt.Fprintln(w, "The run was broken off: the figures are of its first part.")
-	}
-	verdict := "All rules were kept."
-	if r.Broken() {
-		verdict = "A rule was broken, or a dispatcher crashed."
-	}
-	_, err := fmt.Fprintln(w, verdict)
-	return err
-}
-
-func planted(name string) string {
-	if name == "" {
-		return ""
-	}
-	return ", planted fault " + name
-}
-
-// reasons are the outcomes of a series in a steady order.
-func reasons(series []Point) []string {
-	seen := map[string]bool{}
-	for _, p := range series {
-		for k := range p.Outcomes {
-			seen[k] = true
-		}
-	}
-	var out []string
-	for k := range seen {
-		out = append(out, k)
-	}
-	sort.Strings(out)
-	return out
-}
