--- /dev/null
+++ b/internal/coordinator/join.go
@@ -0,0 +1,135 @@
+package coordinator
+
+import (
+	"context"
+	"encoding/json"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"go.etcd.io/raft/v3/raftpb"
+
+	"birchfork/internal/consensus"
+	"birchfork/internal/maintenance"
+	"birchfork/internal/peer"
+)
+
+// joinRequest asks the leader to add a member to the group.
+type joinRequest struct {
+	Name        string `json:"name"`
+	Incarnation string `json:"life"`
+	RaftID      uint64 `json:"id"`
+}
+
+// joinReply says that the member was added.
+type joinReply struct {
+	ClusterID string `json:"founded"`
+}
+
+// join asks the other members to be added to the group, until it is, or until an operator's call creates the group here.
+func (c *Coordinator) join(ctx context.Context, current *membership) {
+	request, err := json.Marshal(joinRequest{
+		Name: c.options.Self, Incarnation: current.identity.Incarnation, RaftID: current.identity.RaftID,
+	})
+	if err != nil {
+		c.options.Log.WithError(err).Error("join request cannot be encoded")
+		return
+	}
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case afterDataLoss := <-current.bootstrap:
+			if err := c.bootstrapStorage(current, afterDataLoss); err != nil {
+				c.options.Log.WithError(err).Error("group bootstrap failed")
+				continue
+			}
+			return
+		case <-time.After(joinInterval):
+		}
+		if c.joinThroughAny(ctx, current, request) {
+			return
+		}
+	}
+}
+
+// joinThroughAny sends the request to the other members in random order, until one of them has had this member added. It reports whether
+// the node was started.
+func (c *Coordinator) joinThroughAny(ctx context.Context, current *membership, request []byte) bool {
+	others := c.others()
+	outside := 0 // members that are in no group themselves
+	for _, i := range rand.Perm(len(others)) {
+		raw, err := c.request(ctx, current, others[i].Name, pathJoin, request)
+		if isRejectedAs(err, errRejectOutsideGroup) {
+			outside++
+		}
+		var reply joinReply
+		if err != nil || json.Unmarshal(raw, &reply) != nil || reply.ClusterID == "" {
+			continue
+		}
+		if err := current.storage.SetClusterID(reply.ClusterID); err != nil {
+			c.options.Log.WithError(err).Error("group storage not writable")
+			continue
+		}
+		c.startNode(current, c.openBootMarker(), nil, true)
+		c.options.Log.WithField("cluster", reply.ClusterID).Info("joined group")
+		return true
+	}
+	// Where no other member is in a group there is no plan that this one could lack.
+	if outside == len(others) {
+		c.options.Dispatcher.SetPlansUnknown(false)
+	}
+	return false
+}
+
+// handleJoin adds a member to the group as a learner, at the leader, and answers once that is committed.
+func (c *Coordinator) handleJoin(ctx context.Context, _ peer.Sender, body []byte) ([]byte, error) {
+	var request joinRequest
+	if err := json.Unmarshal(body, &request); err != nil {
+		return nil, &peer.RejectedError{Reason: "no call to be taken in: " + err.Error()}
+	}
+	i := slices.IndexFunc(c.options.Group.Members, func(listed peer.Member) bool { return listed.Name == request.Name })
+	if i < 0 || request.RaftID == 0 || request.Incarnation == "" {
+		return nil, &peer.RejectedError{Reason: "no member by our file: " + request.Name}
+	}
+	node, clusterID := c.node(), c.sender().ClusterID
+	if node == nil { // the membership has just gone to another process
+		return nil, errOutsideGroup
+	}
+	c.mu.Lock()
+	member := c.state.Members[request.Name]
+	c.mu.Unlock()
+	if member != nil && member.HadIncarnation(request.Incarnation) {
+		return nil, &peer.RejectedError{Reason: "an earlier life of " + request.Name}
+	}
+	if member == nil || member.Incarnation != request.Incarnation {
+		if err := c.addMember(ctx, node, request, c.options.Group.Members[i].Voter); err != nil {
+			return nil, err
+		}
+	}
+	return json.Marshal(joinReply{ClusterID: clusterID})
+}
+
+// addMember proposes to add a member, and waits until that is committed. A member that is to vote does so once it has caught up: see
+// reconcileVoters.
+func (c *Coordinator) addMember(ctx context.Context, node *consensus.Node, request joinRequest, isVoter bool) error {
+	// As in earlier builds this entry has no level, unlike those of encodeEntry.
+	entry, err := json.Marshal(maintenance.Command{Kind: maintenance.CommandJoinMember, Member: &maintenance.Member{
+		Name: request.Name, Incarnation: request.Incarnation, RaftID: request.RaftID, Voter: isVoter,
+	}})
+	if err != nil {
+		return err
+	}
+	changes := []*raftpb.ConfChangeSingle{confChange(raftpb.ConfChangeAddLearnerNode, request.RaftID)}
+	if err := node.ProposeConfChange(ctx, changes, entry); err != nil {
+		return err
+	}
+	return c.waitForState(ctx, func(state *maintenance.State) bool {
+		member := state.Members[request.Name]
+		return member != nil && member.Incarnation == request.Incarnation
+	})
+}
+
+func confChange(kind raftpb.ConfChangeType, id uint64) *raftpb.ConfChangeSingle {
+	return &raftpb.ConfChangeSingle{Type: &kind, NodeId: &id}
+}
