--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -23,7 +23,7 @@
 		Enable:  func(worker string) (string, error) { return s.setOverride(worker, false) },
 	}
 	s.admin = admin.Start(listener, s.config.maxAdminConns(), service, newErrorLog(s.log))
-	s.log.WithField("operator", s.admin.Addr().String()).Info("the operators' door is open")
+	s.log.WithField("address", s.admin.Addr().String()).Info("admin server listening")
 	return nil
 }
 
@@ -45,14 +45,14 @@
 // other members follow. The note tells operators what they should know beside its success; the error is admin.ErrUnknownWorker, or
 // admin.ErrUnavailable where the group's replica cannot take the override.
 func (s *Server) setOverride(worker string, disabled bool) (note string, err error) {
-	log := s.log.WithField("runner", worker)
+	log := s.log.WithField("worker", worker)
 	if !s.engine.KnowsWorker(worker) {
-		log.Info("the operators named a runner that is not known")
+		log.Info("override for an unknown worker")
 		return "", admin.ErrUnknownWorker
 	}
 	override, err := s.process.SetOverride(worker, disabled)
 	if err != nil { // it is in force here all the same, and siblings get it as soon as that works
-		log.WithError(err).Error("what the operators said of a runner is not kept yet; it is tried again")
+		log.WithError(err).Error("override not persisted yet; retrying")
 	}
 	if override.At > 0 {
 		s.engine.ApplyOverrides(engineOverrides(hotrestart.Overrides{worker: override}))
@@ -60,14 +60,14 @@
 	if s.overrides != nil {
 		note, err = s.overrides.SetOverride(worker, disabled, override.At)
 		if err != nil {
-			log.WithError(err).Error("what the operators said of a runner does not reach the others")
+			log.WithError(err).Error("override not replicated to the group")
 			return "", fmt.Errorf("%w: %w", admin.ErrUnavailable, err)
 		}
 	}
 	if disabled {
-		log.Info("the operators have taken a runner out")
+		log.Info("worker disabled by an operator")
 	} else {
-		log.Info("the operators have put a runner back")
+		log.Info("worker enabled by an operator")
 	}
 	return note, nil
 }
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -41,7 +41,7 @@
 // shutdown drains and stops. It returns when all is released.
 func (s *Server) shutdown() error {
 	if err := s.process.MarkLeaving(); err != nil {
-		s.log.WithError(err).Error("other processes of this dispatcher do not hear that this one leaves")
+		s.log.WithError(err).Error("sibling processes not told that this one leaves")
 	}
 	if s.coordinator != nil {
 		go s.coordinator.TransferLeadership() // ends within a second; the drain does not wait for it
@@ -49,7 +49,7 @@
 	switch {
 	case !s.isListening(): // it never had a client, and its sibling has all
 		s.handler.FailHealthChecks()
-		s.log.Info("stopping before it took clients")
+		s.log.Info("stopping before it accepted clients")
 	case s.sharedListener != nil && s.process.Siblings().Serving:
 		s.drainToSibling()
 	default:
@@ -161,6 +161,6 @@
 	select {
 	case <-left:
 	case <-time.After(leaveGroupTimeout):
-		s.log.Warn("this process ends before its part in the group has: the disk takes long")
+		s.log.Warn("group membership not closed in time: its disk is slow")
 	}
 }
--- a/internal/server/listener.go
+++ b/internal/server/listener.go
@@ -46,17 +46,17 @@
 	s.address = listener.Addr()
 	close(s.listening)
 	if err := s.process.MarkServing(); err != nil {
-		s.log.WithError(err).Error("other processes of this dispatcher do not hear that this one serves")
+		s.log.WithError(err).Error("sibling processes not told that this one serves")
 	}
 	siblings := int(s.siblings.Load())
 	budget := s.config.descriptorBudget(siblings + 1)
 	s.log.WithFields(logrus.Fields{
-		"name":         s.config.Name,
-		"listen":       s.address.String(),
-		"known":        len(s.config.KnownEndpoints.Endpoints),
-		"clients_most": budget.clientsSoft,
-		"runners_most": budget.workers,
-		"beside":       siblings,
+		"name":        s.config.Name,
+		"listen":      s.address.String(),
+		"known":       len(s.config.KnownEndpoints.Endpoints),
+		"max_clients": budget.clientsSoft,
+		"max_workers": budget.workers,
+		"beside":      siblings,
 	}).Info("serving")
 	return listener, nil
 }
--- a/internal/server/siblings.go
+++ b/internal/server/siblings.go
@@ -25,8 +25,8 @@
 	}
 	process, err := hotrestart.Open(os.Getenv("TMPDIR"), s.config.Name)
 	if err != nil {
-		s.log.WithError(err).Error("nothing can be shared with other processes of this dispatcher: " +
-			"runners that are out by hand come back with an upgrade, and an upgrade counts as a restart")
+		s.log.WithError(err).Error("hot restart state unavailable: " +
+			"disabled workers are enabled again by an upgrade, and an upgrade counts as a restart")
 		return
 	}
 	s.process = process
@@ -38,7 +38,7 @@
 	known := s.config.KnownEndpoints
 	raw, err := s.process.Endpoints()
 	if err != nil {
-		s.log.WithError(err).Warn("a list that is left from before is passed over")
+		s.log.WithError(err).Warn("saved endpoint list ignored")
 		return known
 	}
 	if raw == nil {
@@ -46,7 +46,7 @@
 	}
 	saved, _, err := discovery.DecodeList(raw)
 	if err != nil {
-		s.log.WithError(err).Warn("a list that is left from before is passed over")
+		s.log.WithError(err).Warn("saved endpoint list ignored")
 		return known
 	}
 	outdated := s.siblings.Load() == 0 && saved.Version <= known.Version
@@ -94,7 +94,7 @@
 	if alive == s.siblings.Load() {
 		return
 	}
-	s.log.WithField("beside", alive).Info("other processes of this dispatcher came or went: limits are shared anew")
+	s.log.WithField("siblings", alive).Info("sibling processes changed: limits divided anew")
 	s.siblings.Store(alive)
 	s.applyBudgets()
 }
@@ -107,7 +107,7 @@
 	if override.At > 0 {
 		s.engine.ApplyOverrides(engineOverrides(hotrestart.Overrides{worker: override}))
 	}
-	s.log.WithFields(logrus.Fields{"runner": worker, "out": disabled}).Info("the group has a word on a runner")
+	s.log.WithFields(logrus.Fields{"worker": worker, "disabled": disabled}).Info("override received from the group")
 	return override.At
 }
 
@@ -143,5 +143,5 @@
 		return
 	}
 	s.lastSyncError = err.Error()
-	s.log.WithError(err).Error("other processes of this dispatcher may not hear of runners that are out by hand; it is tried again")
+	s.log.WithError(err).Error("operator overrides may not reach sibling processes; retrying")
 }
