--- a/internal/server/admin_test.go
+++ b/internal/server/admin_test.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"runtime"
@@ -13,37 +12,7 @@
 	"birchfork/internal/hotrestart"
 )
 
-// startWithAdmin starts a dispatcher with an operators' door.
-func (e *testEnv) startWithAdmin(t *testing.T) *Server {
-	t.Helper()
-	raw := strings.Replace(configText(e.discovery, e.worker, "5"), `"name":"n1",`, `"name":"n1","operator":"127.0.0.1:0",`, 1)
-	return startWith(t, raw, func(*Config) {})
-}
-
-// callAdmin is an operator's call.
-func (s *Server) callAdmin(t *testing.T, method, path string) (int, string) {
-	t.Helper()
-	req, err := http.NewRequest(method, "http://"+s.admin.Addr().String()+path, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	res, err := http.DefaultClient.Do(req)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer res.Body.Close()
-	b, _ := io.ReadAll(res.Body)
-	return res.StatusCode, string(b)
-}
-
-func (s *Server) expectStatus(t *testing.T, method, path string, status int) {
-	t.Helper()
-	if actual, text := s.callAdmin(t, method, path); actual != status {
-		t.Errorf("%s %s: %d %q, want %d", method, path, actual, text, status)
-	}
-}
-
-// fakeOverrides is what the group's members keep in common.
+// fakeOverrides is a replica of a group's overrides that records its calls.
 type fakeOverrides struct {
 	lastCall string
 	merged   int
@@ -51,106 +20,111 @@
 	err      error
 }
 
-func (f *fakeOverrides) SetOverride(runner string, disabled bool, at int64) (string, error) {
-	f.lastCall = fmt.Sprint(runner, disabled, at > 0)
+func (f *fakeOverrides) SetOverride(worker string, disabled bool, at int64) (string, error) {
+	f.lastCall = fmt.Sprint(worker, disabled, at > 0)
 	return "a note", f.err
 }
+
 func (f *fakeOverrides) MergeLocalOverrides(overrides hotrestart.Overrides) {
 	f.merged += len(overrides)
 }
+
 func (f *fakeOverrides) CaughtUp() bool { return !f.behind }
-func (f *fakeOverrides) Close()         {}
 
-// In a group a word goes to the others too, and a start waits for theirs.
+func (f *fakeOverrides) Close() {}
+
+// In a group overrides are replicated, and a member is ready once it has those of others.
 func TestAdmin_OverridesReachGroup(t *testing.T) {
-	t.Setenv("TMPDIR", "") // nothing is shared: no loop of ours asks for words beside the test
-	w := newTestEnv(t)
-	n := w.startWithAdmin(t)
-	close(w.release)
-	defer n.shutdown()
-	waitFor(t, "it says that it can serve", func() bool { s, _ := n.callAdmin(t, "GET", "/-/ready"); return s == 200 })
-	f := &fakeOverrides{behind: true}
-	n.overrides = f
-	if status, text := n.callAdmin(t, "GET", "/-/ready"); status != 503 || !strings.Contains(text, "what staff have told the others") {
+	t.Setenv("TMPDIR", "") // nothing is shared: no loop syncs overrides beside the test
+	env := newTestEnv(t)
+	srv := env.startWithAdmin(t)
+	close(env.release)
+	defer mustShutdown(t, srv)
+	waitReady(t, srv)
+	replica := &fakeOverrides{behind: true}
+	srv.overrides = replica
+	if status, text := callAdmin(t, srv, "GET", "/-/ready"); status != 503 || !strings.Contains(text, "what staff have told the others") {
 		t.Errorf("ready: %d %s", status, text)
 	}
-	f.behind = false
-	if status, text := n.callAdmin(t, "POST", "/-/runners/w/disable"); status != 200 || text != "yes; a note\n" || f.lastCall != "wtrue true" {
-		t.Errorf("%d %q, told of %q", status, text, f.lastCall)
+	replica.behind = false
+	if status, text := callAdmin(t, srv, "POST", "/-/runners/w/disable"); status != 200 || text != "yes; a note\n" || replica.lastCall != "wtrue true" {
+		t.Errorf("%d %q, replicated %q", status, text, replica.lastCall)
 	}
-	if n.syncOverrides(); f.merged != 1 {
-		t.Errorf("heard %d words of this dispatcher", f.merged)
+	srv.syncOverrides()
+	if replica.merged != 1 {
+		t.Errorf("%d overrides merged, want 1", replica.merged)
 	}
-	f.err = errors.New("no room")
-	if status, text := n.callAdmin(t, "POST", "/-/runners/w/enable"); status != 503 || !strings.Contains(text, "no room") {
+	replica.err = errors.New("no room")
+	if status, text := callAdmin(t, srv, "POST", "/-/runners/w/enable"); status != 503 || !strings.Contains(text, "no room") {
 		t.Errorf("%d %s", status, text)
 	}
-	if at := n.applyGroupOverride("w", true); at == 0 || len(n.engine.DisabledWorkers()) != 1 {
-		t.Errorf("a word of the group: %d, out %v", at, n.engine.DisabledWorkers())
+	if at := srv.applyGroupOverride("w", true); at == 0 || len(srv.engine.DisabledWorkers()) != 1 {
+		t.Errorf("override of the group: version %d, disabled %v", at, srv.engine.DisabledWorkers())
 	}
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// What is called out gets nothing until the one call back, and the door is open until the process ends.
+// A disabled worker gets nothing until it is enabled, and the admin server answers until the process ends.
 func TestAdmin_DisablesAndEnablesWorker(t *testing.T) {
-	w := newTestEnv(t)
+	env := newTestEnv(t)
 	before, goroutines := countDescriptors(t), runtime.NumGoroutine()
-	n := w.startWithAdmin(t)
-	waitFor(t, "it says that it can serve", func() bool { s, _ := n.callAdmin(t, "GET", "/-/ready"); return s == 200 })
-	n.expectStatus(t, "POST", "/-/runners/nobody/disable", 404)
-	n.expectStatus(t, "POST", "/-/runners/nobody/enable", 404)
-	n.expectStatus(t, "POST", "/-/runners/w/enable", 200) // it is not out: this must not make it cold
-	n.expectStatus(t, "POST", "/-/runners/w/disable", 200)
-	n.expectStatus(t, "POST", "/-/runners/w/disable", 200)
-	if a := post(n, "a", "5000"); a.status != 503 {
-		t.Errorf("with the only runner out: %+v", a)
-	}
-	n.expectStatus(t, "POST", "/-/runners/w/enable", 200)
-	close(w.release)
-	// It is cold now: a job gets there sooner or later.
+	srv := env.startWithAdmin(t)
+	waitReady(t, srv)
+	expectPostStatus(t, srv, "/-/runners/nobody/disable", 404)
+	expectPostStatus(t, srv, "/-/runners/nobody/enable", 404)
+	expectPostStatus(t, srv, "/-/runners/w/enable", 200) // it is enabled: this must not begin a slow start
+	expectPostStatus(t, srv, "/-/runners/w/disable", 200)
+	expectPostStatus(t, srv, "/-/runners/w/disable", 200)
+	if a := post(srv, "a", "5000"); a.status != 503 {
+		t.Errorf("with the only worker disabled: %+v", a)
+	}
+	expectPostStatus(t, srv, "/-/runners/w/enable", 200)
+	close(env.release)
+	// It is in slow start: a request gets there sooner or later.
 	attempts := 0
-	waitFor(t, "the runner is used again", func() bool {
+	waitFor(t, "the worker is used again", func() bool {
 		attempts++
-		return post(n, fmt.Sprint("b", attempts), "5000").status == 200
+		return post(srv, fmt.Sprint("b", attempts), "5000").status == 200
 	})
 	stopped := make(chan error, 1)
-	go func() { stopped <- n.shutdown() }()
-	waitFor(t, "it says that it leaves", func() bool { s, _ := n.callAdmin(t, "GET", "/-/ready"); return s == 503 })
+	go func() { stopped <- srv.shutdown() }()
+	waitFor(t, "it is not ready any more", func() bool {
+		status, _ := callAdmin(t, srv, "GET", "/-/ready")
+		return status == 503
+	})
 	if err := <-stopped; err != nil {
 		t.Error(err)
 	}
-	if _, err := net.Dial("tcp", n.admin.Addr().String()); err == nil {
-		t.Error("the door is open after the end")
+	if _, err := net.Dial("tcp", srv.admin.Addr().String()); err == nil {
+		t.Error("the admin server is open after the end")
 	}
 	http.DefaultClient.CloseIdleConnections()
 	waitFor(t, "no descriptor is left behind", func() bool { return countDescriptors(t) <= before })
 	waitFor(t, "no goroutine is left behind", func() bool { return runtime.NumGoroutine() <= goroutines })
 }
 
-// Without an address there is no door, and one that is taken is named at the start.
+// Without an address there is no admin server, and one that is in use is named at the start.
 func TestAdmin_NeedsAddress(t *testing.T) {
-	w := newTestEnv(t)
-	n := w.start(t, "5")
-	if n.admin != nil {
-		t.Error("there is a door")
-	}
-	close(w.release)
-	if err := n.shutdown(); err != nil {
-		t.Error(err)
+	env := newTestEnv(t)
+	srv := env.start(t, "5")
+	if srv.admin != nil {
+		t.Error("there is an admin server")
 	}
+	close(env.release)
+	mustShutdown(t, srv)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	c, err := Decode([]byte(configText(w.discovery, w.worker, "5")))
+	c, err := Decode([]byte(configText(env.discovery, env.worker, "5")))
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.AdminAddress = listener.Addr().String()
 	before, goroutines := countDescriptors(t), runtime.NumGoroutine()
 	if _, err := start(c, discardLog(), nil); err == nil || !strings.Contains(err.Error(), "operator: ") {
-		t.Errorf("an address that is taken: %v", err)
+		t.Errorf("an address in use: %v", err)
 	}
 	waitFor(t, "no descriptor is left behind", func() bool { return countDescriptors(t) <= before })
 	waitFor(t, "no goroutine is left behind", func() bool { return runtime.NumGoroutine() <= goroutines })
--- /dev/null
+++ b/internal/server/dialer_test.go
@@ -0,0 +1,47 @@
+package server
+
+import (
+	"context"
+	"net"
+	"syscall"
+	"testing"
+
+	"golang.org/x/sys/unix"
+
+	"birchfork/dispatch"
+	"birchfork/internal/config"
+)
+
+// In a group the kernel gives up what a silent link holds back, and drops it where the connection is closed. Without a group the options
+// are the system's.
+func TestDialer_SocketTimeoutsInGroup(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	c := &Config{}
+	c.Settings.Classes = []dispatch.Class{{Deadline: 5 * dispatch.Second}, {Deadline: 3 * dispatch.Second}}
+	for _, group := range []*config.Group{nil, {}} {
+		c.Operator = &config.OperatorConfig{Group: group}
+		conn, err := c.dialer()(context.Background(), listener.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer conn.Close()
+		raw, err := conn.(syscall.Conn).SyscallConn()
+		if err != nil {
+			t.Fatal(err)
+		}
+		var wait, linger int
+		var optionErr error
+		err = raw.Control(func(fd uintptr) {
+			wait, optionErr = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
+			linger, _ = unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_LINGER) // its first word: on or off
+		})
+		want := group != nil
+		if err != nil || optionErr != nil || (wait == 5000) != want || (linger == 1) != want {
+			t.Errorf("group %t: given up after %d ms, lingers %d, %v, %v", want, wait, linger, err, optionErr)
+		}
+	}
+}
--- /dev/null
+++ b/internal/server/drain_test.go
@@ -0,0 +1,148 @@
+package server
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"runtime"
+	"testing"
+	"time"
+
+	"birchfork/dispatch"
+)
+
+// A drain finishes open requests, accepts new ones at first, and leaves nothing behind.
+func TestShutdown_FinishesOpenAndAcceptsNewRequests(t *testing.T) {
+	env := newTestEnv(t)
+	before, goroutines := countDescriptors(t), runtime.NumGoroutine()
+	srv := env.start(t, "5")
+	waitFor(t, "it is up", func() bool {
+		res, err := http.Get("http://" + srv.address.String() + "/up")
+		if err != nil {
+			t.Fatal(err)
+		}
+		res.Body.Close()
+		return res.StatusCode == 200
+	})
+	http.DefaultClient.CloseIdleConnections()
+	answers := make(chan response, 2)
+	go func() { answers <- post(srv, "held", "5000") }()
+	<-env.received
+	idle, err := net.Dial("tcp", srv.address.String()) // a client's connection that says nothing
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer idle.Close()
+
+	kept, err := net.Dial("tcp", srv.address.String()) // a client's connection that has been used
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer kept.Close()
+	in := bufio.NewReader(kept)
+	io.WriteString(kept, "GET /up HTTP/1.1\r\nHost: h\r\n\r\n")
+	if res := readResponse(t, in); res.status != 200 || res.closed {
+		t.Fatalf("%+v", res)
+	}
+
+	stopped := make(chan error, 1)
+	go func() { stopped <- srv.shutdown() }()
+	waitFor(t, "it is stopping", func() bool { return !srv.handler.Up() })
+	time.Sleep(20 * time.Millisecond)
+	for range 2 { // clients go on using those that they have
+		io.WriteString(kept, "GET /up HTTP/1.1\r\nHost: h\r\n\r\n")
+		if res := readResponse(t, in); res.status != 503 || res.closed {
+			t.Errorf("on a kept connection while draining: %+v", res)
+		}
+	}
+	go func() { answers <- post(srv, "late", "5000") }()
+	if id := <-env.received; id != "late" {
+		t.Fatalf("%s came", id)
+	}
+	waitFor(t, "no connection is kept any more", srv.handler.KeepAlivesDisabled)
+	close(env.release)
+	for range 2 {
+		if a := <-answers; a.status != 200 || !a.closed || a.err != nil {
+			t.Errorf("%+v", a)
+		}
+	}
+	if err := <-stopped; err != nil {
+		t.Error(err)
+	}
+	if a := post(srv, "after", "5000"); a.err == nil {
+		t.Error("it still serves")
+	}
+	idle.Close()
+	kept.Close()
+	waitFor(t, "no descriptor is left behind", func() bool { return countDescriptors(t) <= before })
+	waitFor(t, "no goroutine is left behind", func() bool { return runtime.NumGoroutine() <= goroutines })
+	f := srv.engine.Counters.Fields()
+	if f["taken"] != int64(2) || f["served"] != int64(2) || f["gone"] != int64(0) {
+		t.Error(f)
+	}
+}
+
+// A request of which half has come when a drain begins is answered once the rest is here, however slowly it is written.
+func TestShutdown_WaitsForPartialRequest(t *testing.T) {
+	env := newTestEnv(t)
+	srv := env.start(t, "5")
+	close(env.release)
+	go func() {
+		for id := range env.received {
+			_ = id // nobody else reads them
+		}
+	}()
+	c, err := net.Dial("tcp", srv.address.String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	stopped := make(chan error, 1)
+	go func() { stopped <- srv.shutdown() }()
+	waitFor(t, "no connection is kept any more", srv.handler.KeepAlivesDisabled)
+	io.WriteString(c, "POST /search HTTP/1.1\r\nHost: h\r\nX-Request-Id: slow\r\nX-Class: search\r\nX-Deadline-Ms: 5000\r\nContent-Length: 4\r\n")
+	select { // longer than it lingers without a request
+	case err := <-stopped:
+		t.Fatalf("it ended within a request: %v", err)
+	case <-time.After(lingerTime + 200*time.Millisecond):
+	}
+	io.WriteString(c, "\r\nbody")
+	if res := readResponse(t, bufio.NewReader(c)); res.status != 200 || !res.closed {
+		t.Fatalf("%+v", res)
+	}
+	if err := <-stopped; err != nil {
+		t.Error(err)
+	}
+}
+
+// Requests that cannot be finished before the platform kills the process are answered as failed.
+func TestShutdown_FailsOverdueRequests(t *testing.T) {
+	env := newTestEnv(t)
+	srv := env.start(t, "0.7")
+	answers := make(chan response, 1)
+	go func() { answers <- post(srv, "held", "60000") }()
+	<-env.received
+	began := time.Now()
+	mustShutdown(t, srv)
+	if took := time.Since(began); took < minAcceptTime {
+		t.Errorf("stopped after %v: clients still came", took)
+	}
+	if a := <-answers; a.status != 500 || a.err != nil {
+		t.Errorf("%+v", a)
+	}
+	close(env.release)
+}
+
+func TestDrainTimeout_EndsBeforeKill(t *testing.T) {
+	for deadline, kill := range map[dispatch.Time]time.Duration{
+		10 * dispatch.Second:       3700 * time.Millisecond,
+		500 * dispatch.Millisecond: 1200 * time.Millisecond,
+		100 * dispatch.Millisecond: 800 * time.Millisecond,
+	} {
+		srv := &Server{config: &Config{Settings: dispatch.Settings{Classes: []dispatch.Class{{Deadline: deadline}}}}}
+		if end := max(srv.drainTimeout(), minAcceptTime) + closeTimeout; end >= kill || end < kill/2 {
+			t.Errorf("deadline %v us: we end after %v, the platform kills after %v", deadline, end, kill)
+		}
+	}
+}
--- a/internal/server/golden_group_test.go
+++ b/internal/server/golden_group_test.go
@@ -11,6 +11,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"birchfork/internal/goldentest"
 )
 
 // TestGolden_Digest has the digest of the settings that the members of a group compare, with what counts for it and what does not.
@@ -29,57 +31,52 @@
 		fmt.Fprintf(&out, "%s with another deadline %s\n", name, settingsDigest(bytes.Replace(raw, []byte(`"deadline": `), []byte(`"deadline": 1`), 1)))
 	}
 	fmt.Fprintf(&out, "no settings %s\nno JSON %q\n", settingsDigest([]byte(`{}`)), settingsDigest([]byte(`{`)))
-	golden(t, "digests.txt", out.Bytes())
+	goldentest.Check(t, "digests.txt", out.Bytes())
 }
 
 // TestGolden_Group has what a member of a group tells the others of itself, and the names of its counters.
 func TestGolden_Group(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
-	w := newTestEnv(t)
-	close(w.release)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	env := newTestEnv(t)
+	close(env.release)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	link := l.Addr().String()
-	l.Close()
+	link := listener.Addr().String()
+	listener.Close()
 	path, operator := dir+"/config.json", dir+"/operator.toml"
 	const group = "[group]\nname = 'g'\nfolder = '%s/group'\n[[group.member]]\nname = 'n1'\nlink = '%s'\nvoter = true\n" +
 		"[[group.member]]\nname = 'n2'\nlink = '127.0.0.1:1'\nvoter = true\n" +
 		"[[group.member]]\nname = 'n3'\nlink = '127.0.0.1:2'\nvoter = true\n[[route]]\nname = 'all'\nconcurrent = 1\n"
-	raw := strings.Replace(configText(w.discovery, w.worker, "5"), `"name":"n1",`, `"name":"n1","operator":"127.0.0.1:0",`, 1)
-	for path, text := range map[string]string{path: raw, operator: fmt.Sprintf(group, dir, link)} {
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
+	raw := strings.Replace(configText(env.discovery, env.worker, "5"), `"name":"n1",`, `"name":"n1","operator":"127.0.0.1:0",`, 1)
+	writeFile(t, path, raw)
+	writeFile(t, operator, fmt.Sprintf(group, dir, link))
 	c, err := LoadWithOperator(path, operator, "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, err := start(c, discardLog(), nil)
+	srv, err := start(c, discardLog(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "it has its place in the group", func() bool { return n.coordinator.LogFields() != nil })
-	golden(t, "counters-group.txt", fieldNames(t, n, "counters"))
+	waitFor(t, "it is a member of the group", func() bool { return srv.coordinator.LogFields() != nil })
+	goldentest.Check(t, "counters-group.txt", fieldNames(t, srv, "counters"))
 
-	about := n.memberInfo()
-	if about.SettingsDigest != settingsDigest([]byte(raw)) || about.OperatorDigest != c.Operator.Digest || !about.StartedAt.Equal(n.startedAt) {
-		t.Errorf("%+v", about)
+	info := srv.memberInfo()
+	if info.SettingsDigest != settingsDigest([]byte(raw)) || info.OperatorDigest != c.Operator.Digest || !info.StartedAt.Equal(srv.startedAt) {
+		t.Errorf("%+v", info)
 	}
-	about.Version, about.SettingsDigest, about.OperatorDigest = "VERSION", "SETTINGS", "OPERATOR"
-	about.StartedAt = time.Date(2024, 5, 6, 7, 8, 9, 0, time.UTC)
-	b, err := json.Marshal(about)
+	info.Version, info.SettingsDigest, info.OperatorDigest = "VERSION", "SETTINGS", "OPERATOR"
+	info.StartedAt = time.Date(2024, 5, 6, 7, 8, 9, 0, time.UTC)
+	encoded, err := json.Marshal(info)
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "about.json", b)
+	goldentest.Check(t, "about.json", encoded)
 	if entries, err := os.ReadDir(dir + "/birchfork-n1"); err != nil || len(entries) == 0 {
 		t.Error("nothing is shared", err)
 	}
-	if err := n.shutdown(); err != nil {
-		t.Error(err)
-	}
+	mustShutdown(t, srv)
 }
--- a/internal/server/hotrestart_test.go
+++ b/internal/server/hotrestart_test.go
@@ -18,28 +18,16 @@
 	"birchfork/internal/hotrestart"
 )
 
-// configureSuccessor changes a configuration into that of a process beside n.
-func (s *Server) configureSuccessor(c *Config) {
-	c.ListenAddress, c.AdminAddress = s.address.String(), "127.0.0.1:0"
-}
-
-// startSuccessor starts another process of the same dispatcher beside n.
-func (e *testEnv) startSuccessor(t *testing.T, n *Server) *Server {
-	t.Helper()
-	successor := startWith(t, configText(e.discovery, e.worker, "5"), n.configureSuccessor)
-	waitFor(t, "the new one says yes", func() bool { s, _ := successor.callAdmin(t, "GET", "/-/ready"); return s == 200 })
-	return successor
-}
-
-// On an upgrade the old process finishes what it has and ends; what is said of runners holds over it; limits are shared
-// meanwhile, and the new one has them whole after.
+// In a hot restart the old process finishes its requests and ends; overrides outlive it; both divide the limits meanwhile, and the new
+// one has them alone afterwards.
 func TestHotRestart(t *testing.T) {
-	t.Setenv("TMPDIR", t.TempDir())
+	shared := t.TempDir()
+	t.Setenv("TMPDIR", shared)
 	restoreLimits(t)
-	w := newTestEnv(t)
+	env := newTestEnv(t)
 	goroutines := runtime.NumGoroutine()
-	old := w.startWithAdmin(t)
-	waitFor(t, "it can serve", func() bool { s, _ := old.callAdmin(t, "GET", "/-/ready"); return s == 200 })
+	old := env.startWithAdmin(t)
+	waitReady(t, old)
 	kept, err := net.Dial("tcp", old.address.String())
 	if err != nil {
 		t.Fatal(err)
@@ -47,85 +35,79 @@
 	defer kept.Close()
 	in := bufio.NewReader(kept)
 	fmt.Fprint(kept, "POST /search HTTP/1.1\r\nHost: h\r\nX-Request-Id: first\r\nX-Class: search\r\nX-Deadline-Ms: 5000\r\nContent-Length: 0\r\n\r\n")
-	<-w.received
-	w.release <- true
-	res, err := http.ReadResponse(in, nil)
-	if err != nil || res.Close || res.StatusCode != 200 {
-		t.Fatalf("%v, %+v", err, res)
+	<-env.received
+	env.release <- true
+	if first := readResponse(t, in); first.err != nil || first.closed || first.status != 200 {
+		t.Fatalf("%+v", first)
 	}
-	io.Copy(io.Discard, res.Body)
 	answers := make(chan response, 1)
 	go func() { answers <- post(old, "held", "5000") }()
-	<-w.received
-	old.expectStatus(t, "POST", "/-/runners/w/disable", 200)
+	<-env.received
+	expectPostStatus(t, old, "/-/runners/w/disable", 200)
 
-	successor := w.startSuccessor(t, old)
+	successor := env.startSuccessor(t, old)
 	if successor.randomSeed() == successor.config.Seed {
-		t.Error("both draw alike")
+		t.Error("both processes have the same seed")
 	}
 	if out := successor.engine.DisabledWorkers(); len(out) != 1 || out[0] != "w" {
-		t.Errorf("out at the new process: %v", out)
+		t.Errorf("disabled at the new process: %v", out)
 	}
-	waitFor(t, "the old one shares its limits", func() bool { return debug.SetMemoryLimit(-1) == old.config.Limits.memoryBytes(memoryLimitFraction)/2 })
+	waitFor(t, "the old one has half of the limits", func() bool { return debug.SetMemoryLimit(-1) == old.config.Limits.memoryBytes(memoryLimitFraction)/2 })
 
 	var logged logBuffer
 	old.log.(*logrus.Logger).SetOutput(&logged)
 	stopped := make(chan error, 1)
 	go func() { stopped <- old.shutdown() }()
-	waitFor(t, "it leaves", old.handler.KeepAlivesDisabled)
-	if s, _ := old.callAdmin(t, "GET", "/-/ready"); s != 503 {
-		t.Errorf("the old one says %d while it leaves", s)
+	waitFor(t, "it drains", old.handler.KeepAlivesDisabled)
+	if s, _ := callAdmin(t, old, "GET", "/-/ready"); s != 503 {
+		t.Errorf("the old one answers %d while it drains", s)
 	}
-	old.expectStatus(t, "POST", "/-/runners/w/enable", 200) // operators may still ask the old one
-	waitFor(t, "the new one hears it", func() bool { return len(successor.engine.DisabledWorkers()) == 0 })
-	if _, err := in.ReadByte(); err != io.EOF { // while it still holds a job: its client goes to the new one
+	expectPostStatus(t, old, "/-/runners/w/enable", 200) // operators may still call the old one
+	waitFor(t, "the new one has it", func() bool { return len(successor.engine.DisabledWorkers()) == 0 })
+	if _, err := in.ReadByte(); err != io.EOF { // while a request is still open: its client goes to the new one
 		t.Errorf("an idle connection: %v", err)
 	}
-	w.release <- true
+	env.release <- true
 	if a := <-answers; a.status != 200 || !a.closed || a.err != nil {
-		t.Errorf("what the old one had: %+v", a)
+		t.Errorf("the old one's request: %+v", a)
 	}
 	if err := <-stopped; err != nil {
 		t.Error(err)
 	}
-	go func() { w.release <- true }()
+	go func() { env.release <- true }()
 	if a := post(successor, "new", "5000"); a.status != 200 {
 		t.Errorf("at the new one: %+v", a)
 	}
-	waitFor(t, "the new one has the limits whole", func() bool { return debug.SetMemoryLimit(-1) == old.config.Limits.memoryBytes(memoryLimitFraction) })
+	waitFor(t, "the new one has all of the limits", func() bool { return debug.SetMemoryLimit(-1) == old.config.Limits.memoryBytes(memoryLimitFraction) })
 	if !logged.contains("another process of this dispatcher serves") {
-		t.Error("it left as where nobody takes its place")
+		t.Error("it drained as if no sibling served")
 	}
 	if f := old.engine.Counters.Fields(); f["taken"] != int64(2) || f["served"] != int64(2) || f["gone"] != int64(0) {
 		t.Error(f)
 	}
 
-	third := w.startSuccessor(t, successor) // one after the other
-	if err := successor.shutdown(); err != nil {
-		t.Error(err)
-	}
-	go func() { w.release <- true }()
+	third := env.startSuccessor(t, successor) // one after the other
+	mustShutdown(t, successor)
+	go func() { env.release <- true }()
 	if a := post(third, "third", "5000"); a.status != 200 {
 		t.Errorf("at the third: %+v", a)
 	}
-	if err := third.shutdown(); err != nil { // alone, it takes its time as ever
-		t.Error(err)
-	}
+	mustShutdown(t, third) // alone, it drains as in a restart
 	http.DefaultClient.CloseIdleConnections()
 	waitFor(t, "no goroutine is left behind", func() bool { return runtime.NumGoroutine() <= goroutines })
-	if left, _ := filepath.Glob(filepath.Join(t.TempDir(), "*", "process-*")); len(left) > 0 {
+	if left, _ := filepath.Glob(filepath.Join(shared, "*", "process-*")); len(left) > 0 {
 		t.Errorf("claims are left: %v", left)
 	}
 }
 
-// A request that had begun to come when its process left is answered, though nothing else holds that process.
+// A request that had begun to come when its process began to drain is answered.
 func TestHotRestart_WaitsForPartialRequest(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	restoreLimits(t)
-	w := newTestEnv(t)
-	close(w.release)
-	old := w.startWithAdmin(t)
-	waitFor(t, "it can serve", func() bool { s, _ := old.callAdmin(t, "GET", "/-/ready"); return s == 200 })
+	env := newTestEnv(t)
+	close(env.release)
+	old := env.startWithAdmin(t)
+	waitReady(t, old)
 	c, err := net.Dial("tcp", old.address.String())
 	if err != nil {
 		t.Fatal(err)
@@ -133,49 +115,38 @@
 	defer c.Close()
 	io.WriteString(c, "GET /up HTT")
 	waitFor(t, "it has begun to come", func() bool { return old.handler.Conns.Pending() == 1 })
-	successor := w.startSuccessor(t, old)
+	successor := env.startSuccessor(t, old)
 	stopped := make(chan error, 1)
 	go func() { stopped <- old.shutdown() }()
-	waitFor(t, "it leaves", old.handler.KeepAlivesDisabled)
+	waitFor(t, "it drains", old.handler.KeepAlivesDisabled)
 	time.Sleep(idleCloseDelay + 100*time.Millisecond)
 	io.WriteString(c, "P/1.1\r\nHost: h\r\n\r\n")
-	if res, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || !res.Close {
-		t.Errorf("%v, %+v", err, res)
+	if res := readResponse(t, bufio.NewReader(c)); !res.closed {
+		t.Errorf("%+v", res)
 	}
 	if err := <-stopped; err != nil {
 		t.Error(err)
 	}
-	if err := successor.shutdown(); err != nil {
-		t.Error(err)
-	}
+	mustShutdown(t, successor)
 }
 
-// Among many processes each may still open a connection to a worker, and 0 clients would be no limit.
-func TestDescriptorBudget_StaysPositive(t *testing.T) {
-	c := &Config{AdminAddress: "127.0.0.1:1", Limits: Limits{Sockets: minSockets}}
-	for processes := range 20 {
-		if b := c.descriptorBudget(processes + 1); b.workers < 1 || b.clientsSoft < 1 || b.clientsHard < b.clientsSoft {
-			t.Errorf("%d processes: %+v", processes+1, b)
-		}
-	}
-}
-
-// A new process that ends before its yes leaves the old one as it was, and one that never can serve takes no client.
+// A new process that ends before it is ready leaves the old one as it was, and one that never can serve takes no client.
 func TestHotRestart_FailedSuccessor(t *testing.T) {
-	t.Setenv("TMPDIR", t.TempDir())
+	shared := t.TempDir()
+	t.Setenv("TMPDIR", shared)
 	restoreLimits(t)
-	w := newTestEnv(t)
-	old := w.startWithAdmin(t)
-	waitFor(t, "it can serve", func() bool { s, _ := old.callAdmin(t, "GET", "/-/ready"); return s == 200 })
-	dead, err := hotrestart.Open(t.TempDir(), "other") // not of this dispatcher
+	env := newTestEnv(t)
+	old := env.startWithAdmin(t)
+	waitReady(t, old)
+	other, err := hotrestart.Open(shared, "other") // not of this dispatcher
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer dead.Close()
+	defer other.Close()
 	if o := old.process.Siblings(); o.Alive != 0 {
 		t.Errorf("%+v", o)
 	}
-	c, err := Decode([]byte(configText(w.discovery, w.worker, "5")))
+	c, err := Decode([]byte(configText(env.discovery, env.worker, "5")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -184,59 +155,56 @@
 		t.Errorf("%v", err)
 	}
 	if o := old.process.Siblings(); o.Alive != 0 {
-		t.Errorf("what never served is still there: %+v", o)
+		t.Errorf("what never served is still a sibling: %+v", o)
 	}
-	go func() { w.release <- true }()
+	go func() { env.release <- true }()
 	if a := post(old, "a", "5000"); a.status != 200 || a.closed {
 		t.Errorf("%+v", a)
 	}
-	if err := old.shutdown(); err != nil {
-		t.Error(err)
-	}
+	mustShutdown(t, old)
 }
 
-// Without a folder to share nothing else is lost: the door answers, runners are left out, and a restart is a restart.
+// Without a shared directory the admin server answers, and overrides are in force.
 func TestAdmin_WithoutSharedDir(t *testing.T) {
 	t.Setenv("TMPDIR", "")
-	w := newTestEnv(t)
-	n := w.startWithAdmin(t)
-	waitFor(t, "it can serve", func() bool { s, _ := n.callAdmin(t, "GET", "/-/ready"); return s == 200 })
-	n.expectStatus(t, "POST", "/-/runners/w/disable", 200)
-	if out := n.engine.DisabledWorkers(); len(out) != 1 {
+	env := newTestEnv(t)
+	srv := env.startWithAdmin(t)
+	waitReady(t, srv)
+	expectPostStatus(t, srv, "/-/runners/w/disable", 200)
+	if out := srv.engine.DisabledWorkers(); len(out) != 1 {
 		t.Errorf("out: %v", out)
 	}
-	n.expectStatus(t, "POST", "/-/runners/w/enable", 200)
-	if out := n.engine.DisabledWorkers(); len(out) != 0 {
+	expectPostStatus(t, srv, "/-/runners/w/enable", 200)
+	if out := srv.engine.DisabledWorkers(); len(out) != 0 {
 		t.Errorf("out: %v", out)
 	}
-	close(w.release)
-	if err := n.shutdown(); err != nil {
-		t.Error(err)
-	}
+	close(env.release)
+	mustShutdown(t, srv)
 }
 
-// A new process begins with the list that the old one left, where discovery is silent and the configuration's is old.
+// A new process begins with the endpoint list that the old one saved, where discovery is silent and the configuration's list is older.
 func TestHotRestart_InheritsEndpoints(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	restoreLimits(t)
-	w := newTestEnv(t)
-	old := w.startWithAdmin(t)
-	waitFor(t, "the list is left", func() bool { l, _ := old.process.Endpoints(); return l != nil })
+	env := newTestEnv(t)
+	old := env.startWithAdmin(t)
+	waitFor(t, "the list is saved", func() bool {
+		saved, _ := old.process.Endpoints()
+		return saved != nil
+	})
 	raw := strings.Replace(configText("127.0.0.1:1", "127.0.0.1:2", "5"), `"name":"w"`, `"name":"gone"`, 1)
-	ended := startWith(t, raw, old.configureSuccessor) // told to end before its yes: it has nothing to finish
+	ended := startWith(t, raw, configureSuccessor(old)) // ended before it is ready: it has nothing to finish
 	if err := ended.shutdown(); err != nil || ended.sharedListener != nil {
 		t.Errorf("%v, it listens: %v", err, ended.sharedListener != nil)
 	}
-	successor := startWith(t, raw, old.configureSuccessor)
+	successor := startWith(t, raw, configureSuccessor(old))
 	l, _ := successor.engine.Endpoints()
-	if len(l.Endpoints) != 1 || l.Endpoints[0].Name != "w" || l.Endpoints[0].Address != w.worker || !l.Stale || l.Version != 41 {
+	if len(l.Endpoints) != 1 || l.Endpoints[0].Name != "w" || l.Endpoints[0].Address != env.worker || !l.Stale || l.Version != 41 {
 		t.Errorf("%+v", l)
 	}
-	waitFor(t, "it says yes though discovery is silent", func() bool { s, _ := successor.callAdmin(t, "GET", "/-/ready"); return s == 200 })
-	close(w.release)
-	for _, n := range []*Server{old, successor} {
-		if err := n.shutdown(); err != nil {
-			t.Error(err)
-		}
+	waitReady(t, successor)
+	close(env.release)
+	for _, srv := range []*Server{old, successor} {
+		mustShutdown(t, srv)
 	}
 }
--- a/internal/server/listener.go
+++ b/internal/server/listener.go
@@ -25,7 +25,7 @@
 		go func() { s.serveErr <- s.serveWhenReady(ctx) }() // finish waits for it
 		return nil
 	}
-	listener, err := s.listen()
+	listener, err := s.listen() //nolint:contextcheck // the listener outlives ctx, and listening does not wait
 	if err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 		case <-ticker.C:
 		}
 	}
-	listener, err := s.listen()
+	listener, err := s.listen() //nolint:contextcheck // the listener outlives ctx, and listening does not wait
 	if err != nil {
 		return err
 	}
--- /dev/null
+++ b/internal/server/missingkeys_test.go
@@ -0,0 +1,53 @@
+package server
+
+import (
+	"encoding/json"
+	"strings"
+	"testing"
+)
+
+// reloadBase is a configuration in force; only its keys count.
+const reloadBase = `{"name":"n","listen":"l","limits":{"cores":1},"known":{"index":1},"seed":"s","settings":{
+	"classes":[{"name":"a","deadline":5,"effect":"free","aim_stretch":1},{"name":"b","deadline":6,"effect":"free","extra":1}],
+	"policy_limits":{"attempts_cap":3,"cancel":true},"zones":["x"],"tick":0.002,"none":null}}`
+
+// Keys may be missing where they are optional or belong to a list member that has gone, and are named otherwise.
+func TestMissingKeys(t *testing.T) {
+	for _, c := range []struct{ old, new, want string }{
+		{`"zones":["x"]`, `"zones":["x"]`, ""},
+		{`"aim_stretch":1`, `"aim_stretch":null`, ""},
+		{`,"known":{"index":1},"seed":"s"`, ``, ""},
+		{`,"extra":1`, ``, ""}, // not all classes had it
+		{`,"none":null`, ``, ""},
+		{`{"name":"a","deadline":5,"effect":"free","aim_stretch":1},`, ``, ""}, // a class that vanishes
+		{`"zones":["x"]`, `"zones":[]`, ""},
+		{`,"limits":{"cores":1}`, ``, "limits: it is missing"},
+		{`"cores":1`, ``, "limits.cores: it is missing"},
+		{`"deadline":6,`, ``, "settings.classes.1.deadline: it is missing"},
+		{`"effect":"free","aim`, `"aim`, "settings.classes.0.effect: it is missing"},
+		{`"effect":"free","aim`, `"effect":null,"aim`, "settings.classes.0.effect: it is missing"},
+		{`"attempts_cap":3,`, ``, "settings.policy_limits.attempts_cap: it is missing"},
+		{`"policy_limits":{"attempts_cap":3,"cancel":true}`, `"policy_limits":7`, "settings.policy_limits: it is not an object"},
+		{`"zones":["x"]`, `"zones":"x"`, "settings.zones: it is not a list"},
+		{`,"tick":0.002`, ``, "settings.tick: it is missing"},
+		{`"name":"b",`, ``, "settings.classes.1.name: it is missing"},
+		{`,"settings":{`, `,"other":{`, "settings: it is missing"},
+	} {
+		current := strings.Replace(reloadBase, c.old, c.new, 1)
+		if !json.Valid([]byte(current)) || current == reloadBase && c.old != c.new {
+			t.Fatalf("the test's own text: %s", current)
+		}
+		err := missingKeys([]byte(reloadBase), []byte(current))
+		got := ""
+		if err != nil {
+			got = err.Error()
+		}
+		if got != c.want {
+			t.Errorf("%s to %s: %q, want %q", c.old, c.new, got, c.want)
+		}
+	}
+	err := missingKeys([]byte(reloadBase), []byte(`{"settings":{"classes":[{}]}}`))
+	if err == nil || strings.Count(err.Error(), "\n")+1 != 9 {
+		t.Errorf("not every fault is named: %v", err)
+	}
+}
