--- /dev/null
+++ b/internal/hotrestart/endpoints.go
@@ -0,0 +1,58 @@
+package hotrestart
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+)
+
+// The file of the newest endpoint list.
+const (
+	endpointsFile   = "list"
+	endpointsFormat = "birchfork list 1"
+)
+
+// endpointsContent is the file of the endpoint list as it is written.
+type endpointsContent struct {
+	Format     string          `json:"format"`
+	Dispatcher string          `json:"dispatcher"`
+	Endpoints  json.RawMessage `json:"list"`
+}
+
+// SaveEndpoints saves the newest endpoint list, in discovery's form, for a process that starts.
+func (p *Process) SaveEndpoints(endpoints json.RawMessage) error {
+	if p.claimFile == nil {
+		return nil
+	}
+	return p.writeFile(endpointsFile, endpointsContent{Format: endpointsFormat, Dispatcher: p.name, Endpoints: endpoints})
+}
+
+// Endpoints returns the endpoint list that a process has saved last; nil where there is none.
+func (p *Process) Endpoints() (json.RawMessage, error) {
+	if p.claimFile == nil {
+		return nil, nil
+	}
+	raw, err := readFile(filepath.Join(p.dir, endpointsFile))
+	if errors.Is(err, os.ErrNotExist) {
+		return nil, nil
+	}
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", endpointsFile, err)
+	}
+	return decodeEndpoints(raw, p.name)
+}
+
+// decodeEndpoints decodes the file of the endpoint list of the dispatcher of this name.
+func decodeEndpoints(raw []byte, name string) (json.RawMessage, error) {
+	var content endpointsContent
+	if err := json.Unmarshal(raw, &content); err != nil {
+		return nil, fmt.Errorf("%s: %w: %w", endpointsFile, errForeignFile, err)
+	}
+	ours := content.Format == endpointsFormat && content.Dispatcher == name
+	if !ours || len(content.Endpoints) == 0 {
+		return nil, fmt.Errorf("%s: %w", endpointsFile, errForeignFile)
+	}
+	return content.Endpoints, nil
+}
--- /dev/null
+++ b/internal/hotrestart/overrides.go
@@ -0,0 +1,157 @@
+package hotrestart
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"time"
+)
+
+// The file of overrides.
+const (
+	overridesFile   = "hand"
+	overridesFormat = "birchfork hand 1"
+)
+
+// enabledRetention is how long an override is kept whose worker is enabled again: by then its slow start is long over, and siblings that
+// know an older one have ended.
+const enabledRetention = 1 * time.Hour
+
+// Override is the newest setting of operators for one worker.
+type Override struct {
+	Disabled bool  `json:"out"`
+	At       int64 `json:"at"` // Unix time in microseconds; the newer override counts
+}
+
+// Overrides are the newest overrides by the name of their worker.
+type Overrides map[string]Override
+
+// merge takes over what is newer in other, and tells whether there was any.
+func (o Overrides) merge(other Overrides) (changed bool) {
+	for worker, override := range other {
+		known, exists := o[worker]
+		if !exists || override.At > known.At {
+			o[worker] = override
+			changed = true
+		}
+	}
+	return changed
+}
+
+// overridesContent is the file of overrides as it is written.
+type overridesContent struct {
+	Format     string    `json:"format"`
+	Dispatcher string    `json:"dispatcher"`
+	Workers    Overrides `json:"runners"`
+}
+
+// SetOverride disables a worker or enables it again, by an override that is newer than all before it, and returns that. A worker that is
+// not disabled is not enabled: it keeps the override that it has, which may be the zero value. The override counts for this process in
+// any case; an error tells that others and later ones do not see it yet, and each Sync tries again.
+func (p *Process) SetOverride(worker string, disabled bool) (Override, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	err := p.syncLocked() // the newest override may be a sibling's
+	previous := p.overrides[worker]
+	if !disabled && !previous.Disabled {
+		return previous, err
+	}
+	if p.overrides == nil {
+		p.overrides = Overrides{}
+	}
+	override := Override{Disabled: disabled, At: max(time.Now().UnixMicro(), previous.At+1)}
+	p.overrides[worker] = override
+	p.unsaved = true
+	return override, p.syncLocked()
+}
+
+// Sync exchanges overrides with the other processes and returns all of them; the map is the caller's. An error tells that some of them
+// may be missing, here or there.
+func (p *Process) Sync() (Overrides, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	err := p.syncLocked()
+	all := Overrides{}
+	all.merge(p.overrides)
+	return all, err
+}
+
+// syncLocked reads the file if it has changed, and writes it if this process knows more. The lock is held.
+func (p *Process) syncLocked() error {
+	if p.claimFile == nil {
+		return nil
+	}
+	if p.unsaved {
+		return p.saveOverrides()
+	}
+	info, err := os.Stat(filepath.Join(p.dir, overridesFile))
+	if errors.Is(err, os.ErrNotExist) || err == nil && p.hasRead(info) {
+		return nil
+	}
+	return p.readOverrides() // files are renamed into place as a whole: reading needs no lock
+}
+
+// hasRead tells whether the file of overrides is the one that was read last. The lock is held.
+func (p *Process) hasRead(info os.FileInfo) bool {
+	last := p.lastRead
+	return last != nil && os.SameFile(info, last) && info.ModTime().Equal(last.ModTime()) && info.Size() == last.Size()
+}
+
+// saveOverrides merges the overrides with those of the file and writes the result. The lock is held.
+func (p *Process) saveOverrides() error {
+	unlock, err := p.lock()
+	if err != nil {
+		return err
+	}
+	defer unlock()
+	if err := p.readOverrides(); err != nil && !errors.Is(err, errForeignFile) { // a foreign file is replaced
+		return err
+	}
+	for worker, override := range p.overrides {
+		if !override.Disabled && time.Since(time.UnixMicro(override.At)) > enabledRetention {
+			delete(p.overrides, worker)
+		}
+	}
+	content := overridesContent{Format: overridesFormat, Dispatcher: p.name, Workers: p.overrides}
+	if err := p.writeFile(overridesFile, content); err != nil {
+		return err
+	}
+	p.unsaved = false
+	p.lastRead = statOrNil(filepath.Join(p.dir, overridesFile))
+	return nil
+}
+
+// readOverrides merges the file's overrides into those of this process. A foreign file is reported once. The lock is held.
+func (p *Process) readOverrides() error {
+	path := filepath.Join(p.dir, overridesFile)
+	previous := p.lastRead
+	p.lastRead = statOrNil(path)
+	raw, err := readFile(path)
+	if errors.Is(err, os.ErrNotExist) {
+		return nil
+	}
+	if err != nil {
+		p.lastRead = previous // the next call reads it again
+		return fmt.Errorf("%s: %w", overridesFile, err)
+	}
+	overrides, err := decodeOverrides(raw, p.name)
+	if err != nil {
+		return fmt.Errorf("%s: %w", overridesFile, err)
+	}
+	p.overrides.merge(overrides)
+	return nil
+}
+
+// decodeOverrides decodes the file of overrides of the dispatcher of this name.
+func decodeOverrides(raw []byte, name string) (Overrides, error) {
+	var content overridesContent
+	if err := json.Unmarshal(raw, &content); err != nil {
+		return nil, fmt.Errorf("%w: %w", errForeignFile, err)
+	}
+	if content.Format != overridesFormat || content.Dispatcher != name {
+		return nil, errForeignFile
+	}
+	return content.Workers, nil
+}
--- a/internal/server/admin_test.go
+++ b/internal/server/admin_test.go
@@ -16,7 +16,7 @@
 type fakeOverrides struct {
 	lastCall string
 	merged   int
-	behind   bool
+	outdated bool
 	err      error
 }
 
@@ -29,7 +29,7 @@
 	f.merged += len(overrides)
 }
 
-func (f *fakeOverrides) CaughtUp() bool { return !f.behind }
+func (f *fakeOverrides) CaughtUp() bool { return !f.outdated }
 
 func (f *fakeOverrides) Close() {}
 
@@ -41,12 +41,12 @@
 	close(env.release)
 	defer mustShutdown(t, srv)
 	waitReady(t, srv)
-	replica := &fakeOverrides{behind: true}
+	replica := &fakeOverrides{outdated: true}
 	srv.overrides = replica
 	if status, text := callAdmin(t, srv, "GET", "/-/ready"); status != 503 || !strings.Contains(text, "what staff have told the others") {
 		t.Errorf("ready: %d %s", status, text)
 	}
-	replica.behind = false
+	replica.outdated = false
 	if status, text := callAdmin(t, srv, "POST", "/-/runners/w/disable"); status != 200 || text != "yes; a note\n" || replica.lastCall != "wtrue true" {
 		t.Errorf("%d %q, replicated %q", status, text, replica.lastCall)
 	}
@@ -99,8 +99,8 @@
 		t.Error("the admin server is open after the end")
 	}
 	http.DefaultClient.CloseIdleConnections()
-	waitFor(t, "no descriptor is left behind", func() bool { return countDescriptors(t) <= before })
-	waitFor(t, "no goroutine is left behind", func() bool { return runtime.NumGoroutine() <= goroutines })
+	waitFor(t, "no descriptor is left outdated", func() bool { return countDescriptors(t) <= before })
+	waitFor(t, "no goroutine is left outdated", func() bool { return runtime.NumGoroutine() <= goroutines })
 }
 
 // Without an address there is no admin server, and one that is in use is named at the start.
@@ -126,6 +126,6 @@
 	if _, err := start(c, discardLog(), nil); err == nil || !strings.Contains(err.Error(), "operator: ") {
 		t.Errorf("an address in use: %v", err)
 	}
-	waitFor(t, "no descriptor is left behind", func() bool { return countDescriptors(t) <= before })
-	waitFor(t, "no goroutine is left behind", func() bool { return runtime.NumGoroutine() <= goroutines })
+	waitFor(t, "no descriptor is left outdated", func() bool { return countDescriptors(t) <= before })
+	waitFor(t, "no goroutine is left outdated", func() bool { return runtime.NumGoroutine() <= goroutines })
 }
--- a/internal/server/golden_server_test.go
+++ b/internal/server/golden_server_test.go
@@ -39,10 +39,10 @@
 	call("it serves", "POST", "/-/runners/nobody/enable")
 	call("it serves", "POST", "/-/runners/w/disable")
 	call("it serves", "POST", "/-/runners/w/enable")
-	replica := &fakeOverrides{behind: true}
+	replica := &fakeOverrides{outdated: true}
 	srv.overrides = replica
 	call("in a group, at its start", "GET", "/-/ready")
-	replica.behind = false
+	replica.outdated = false
 	call("in a group", "GET", "/-/ready")
 	call("in a group", "POST", "/-/runners/w/disable")
 	replica.err = errors.New("no room")
--- a/internal/server/settingscheck.go
+++ b/internal/server/settingscheck.go
@@ -136,7 +136,8 @@
 		for i := range pairs.Int(list+".count", 0) {
 			key := fmt.Sprintf("%s.%d.name", list, i)
 			name := pairs.Text(key, "")
-			if first, taken := firstByName[name]; taken && name != "" {
+			first, exists := firstByName[name]
+			if exists && name != "" {
 				faults = append(faults, settingError(key, "%q is the name of %s.%d too", name, list, first))
 			}
 			firstByName[name] = i
