--- /dev/null
+++ b/internal/hotrestart/fixture_test.go
@@ -0,0 +1,57 @@
+package hotrestart
+
+import (
+	"maps"
+	"os"
+	"testing"
+)
+
+// mustRead reads a file.
+func mustRead(t *testing.T, path string) []byte {
+	t.Helper()
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
+// open opens a process until the test's end.
+func open(t *testing.T, dir, name string) *Process {
+	t.Helper()
+	p, err := Open(dir, name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(p.Close)
+	return p
+}
+
+// expectOverrides syncs and checks which workers have an override, and whether they are disabled.
+func expectOverrides(t *testing.T, p *Process, want map[string]bool) {
+	t.Helper()
+	overrides, err := p.Sync()
+	actual := map[string]bool{}
+	for name, override := range overrides {
+		actual[name] = override.Disabled
+	}
+	if err != nil || !maps.Equal(actual, want) {
+		t.Errorf("disabled: %v, %v, want %v", actual, err, want)
+	}
+}
+
+// mark changes a process's state.
+func mark(t *testing.T, state func() error) {
+	t.Helper()
+	if err := state(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// writeTestFile writes a file of the test.
+func writeTestFile(t *testing.T, path, text string) {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -11,26 +11,9 @@
 	"slices"
 	"strings"
 	"testing"
-)
 
-// golden compares got with a file of testdata/golden. Two builds of the program meet during an upgrade: what one writes the other has
-// to read. UPDATE_GOLDEN=1 in the environment writes the files instead; do so only where the form is meant to change.
-func golden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	if os.Getenv("UPDATE_GOLDEN") == "1" {
-		if err := os.WriteFile(path, got, 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs:\n%s\nwant:\n%s", name, got, want)
-	}
-}
+	"birchfork/internal/goldentest"
+)
 
 // goldenName has characters that do not go into a path.
 const goldenName = "edge 1/ü"
@@ -38,6 +21,7 @@
 // lateMicros is a time that no clock has reached: a newer override counts one microsecond more.
 const lateMicros = 9_000_000_000_000_000
 
+// goldenDir is the one directory below dir.
 func goldenDir(t *testing.T, dir string) string {
 	t.Helper()
 	all, err := filepath.Glob(filepath.Join(dir, "*"))
@@ -47,16 +31,7 @@
 	return all[0]
 }
 
-func mustRead(t *testing.T, path string) []byte {
-	t.Helper()
-	raw, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return raw
-}
-
-// TestGolden_Files has the names of the folder and its files, their modes, and what a claim says in each state.
+// TestGolden_Files has the names of the directory and its files, their modes, and what a claim says in each state.
 func TestGolden_Files(t *testing.T) {
 	dir := t.TempDir()
 	p := open(t, dir, goldenName)
@@ -70,13 +45,9 @@
 		return mustRead(t, paths[0])
 	}
 	fmt.Fprintf(&out, "claim at first: %q\n", claim())
-	if err := p.MarkServing(); err != nil {
-		t.Fatal(err)
-	}
+	mark(t, p.MarkServing)
 	fmt.Fprintf(&out, "claim while it serves: %q\n", claim())
-	if err := p.MarkLeaving(); err != nil {
-		t.Fatal(err)
-	}
+	mark(t, p.MarkLeaving)
 	fmt.Fprintf(&out, "claim while it leaves: %q\n", claim())
 	if _, err := p.SetOverride("w", true); err != nil {
 		t.Fatal(err)
@@ -90,24 +61,24 @@
 			t.Fatal(err)
 		}
 		number := regexp.MustCompile(fmt.Sprintf(`^process-%d-%d$`, p.ID(), os.Getpid()))
-		for _, e := range entries {
-			i, err := e.Info()
+		for _, entry := range entries {
+			info, err := entry.Info()
 			if err != nil {
 				t.Fatal(err)
 			}
-			fmt.Fprintf(&out, "  %s %v\n", number.ReplaceAllString(e.Name(), "process-NUMBER-PID"), i.Mode())
+			fmt.Fprintf(&out, "  %s %v\n", number.ReplaceAllString(entry.Name(), "process-NUMBER-PID"), info.Mode())
 		}
 	}
-	i, err := os.Stat(shared)
+	info, err := os.Stat(shared)
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(&out, "%s %v\n", filepath.Base(shared), i.Mode())
+	fmt.Fprintf(&out, "%s %v\n", filepath.Base(shared), info.Mode())
 	names()
 	p.Close()
 	fmt.Fprintln(&out, "after its end")
 	names()
-	golden(t, "files.txt", out.Bytes())
+	goldentest.Check(t, "files.txt", out.Bytes())
 }
 
 // goldenOverrides are those of testdata/golden/hand.
@@ -124,21 +95,17 @@
 	path := filepath.Join(goldenDir(t, dir), "hand")
 	before := fmt.Sprintf(`{"format":"birchfork hand 1","dispatcher":%q,"runners":{"w-1":{"out":false,"at":%d},"w-2":{"out":true,"at":%d},"a/b <ü>":{"out":false,"at":%d}}}`,
 		goldenName, lateMicros, lateMicros+11, lateMicros+20)
-	if err := os.WriteFile(path, []byte(before), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeTestFile(t, path, before)
 	for _, name := range slices.Sorted(maps.Keys(goldenOverrides)) {
 		if _, err := p.SetOverride(name, goldenOverrides[name].Disabled); err != nil {
 			t.Fatal(err)
 		}
 	}
-	golden(t, "hand", mustRead(t, path))
+	goldentest.Check(t, "hand", mustRead(t, path))
 
 	dir = t.TempDir()
 	p = open(t, dir, goldenName)
-	if err := os.WriteFile(filepath.Join(goldenDir(t, dir), "hand"), mustRead(t, "testdata/golden/hand"), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeTestFile(t, filepath.Join(goldenDir(t, dir), "hand"), string(mustRead(t, "testdata/golden/hand")))
 	if overrides, err := p.Sync(); err != nil || !maps.Equal(overrides, goldenOverrides) {
 		t.Errorf("read %v, %v", overrides, err)
 	}
@@ -151,13 +118,11 @@
 	if err := open(t, dir, goldenName).SaveEndpoints(json.RawMessage(list)); err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "list", mustRead(t, filepath.Join(goldenDir(t, dir), "list")))
+	goldentest.Check(t, "list", mustRead(t, filepath.Join(goldenDir(t, dir), "list")))
 
 	dir = t.TempDir()
 	p := open(t, dir, goldenName)
-	if err := os.WriteFile(filepath.Join(goldenDir(t, dir), "list"), mustRead(t, "testdata/golden/list"), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeTestFile(t, filepath.Join(goldenDir(t, dir), "list"), string(mustRead(t, "testdata/golden/list")))
 	var got, want any
 	raw, err := p.Endpoints()
 	if err != nil {
@@ -184,9 +149,7 @@
 		if err != nil || len(paths) != 1 {
 			t.Fatalf("%v, %v", paths, err)
 		}
-		if err := os.WriteFile(paths[0], []byte(c.state), 0o600); err != nil { // in place: its lock stays
-			t.Fatal(err)
-		}
+		writeTestFile(t, paths[0], c.state) // in place: its lock stays
 		if got := p.Siblings(); got != c.want {
 			t.Errorf("%s: %+v, want %+v", strings.TrimSpace(c.state), got, c.want)
 		}
