--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -8,32 +8,13 @@
 	"io"
 	"log"
 	"net"
-	"os"
-	"path/filepath"
 	"regexp"
 	"strings"
 	"testing"
 	"time"
-)
 
-// golden compares got with a file of testdata/golden. Operators' scripts read these answers. UPDATE_GOLDEN=1 in the environment writes
-// the files instead; do so only where the form is meant to change.
-func golden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name)
-	if os.Getenv("UPDATE_GOLDEN") == "1" {
-		if err := os.WriteFile(path, got, 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs:\n%s\nwant:\n%s", name, got, want)
-	}
-}
+	"birchfork/internal/goldentest"
+)
 
 // goldenCalls are every path with every kind of answer, and calls that are none.
 var goldenCalls = []string{
@@ -83,11 +64,11 @@
 		Disable: goldenCall,
 		Enable:  goldenCall,
 	}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := Start(l, 8, service, log.New(io.Discard, "", 0))
+	server := Start(listener, testConns, service, log.New(io.Discard, "", 0))
 	defer func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -102,7 +83,7 @@
 	} {
 		goldenExchange(t, &out, server, goldenCalls[0])
 	}
-	golden(t, "answers.txt", out.Bytes())
+	goldentest.Check(t, "answers.txt", out.Bytes())
 }
 
 // goldenCall answers by the worker's id.
@@ -120,6 +101,7 @@
 	return "", nil
 }
 
+// goldenDate is the header of an answer that differs from run to run.
 var goldenDate = regexp.MustCompile(`Date: [^\r]*\r`)
 
 // goldenExchange writes a call on a connection of its own, and what comes back until its end.
--- a/internal/admin/admin_test.go
+++ b/internal/admin/server_test.go
@@ -16,13 +16,17 @@
 	"time"
 )
 
-// fakeService is a Service that notes its calls.
+// testConns is how many connections the servers of these tests may hold.
+const testConns = 8
+
+// fakeService stands behind a server and records its calls.
 type fakeService struct {
 	mu    sync.Mutex
 	calls []string
 	ready error
 }
 
+// record notes a call and answers by the worker's id.
 func (f *fakeService) record(verb, id string) (string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -38,16 +42,21 @@
 	return "", nil
 }
 
-func (f *fakeService) start(t *testing.T, maxConns int) *Server {
+// start starts a server of testConns connections, until the test's end.
+func (f *fakeService) start(t *testing.T) *Server {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := Start(l, maxConns, Service{
-		Ready:   func() error { f.mu.Lock(); defer f.mu.Unlock(); return f.ready },
-		Disable: func(id string) (string, error) { return f.record("out", id) },
-		Enable:  func(id string) (string, error) { return f.record("back", id) },
+	server := Start(listener, testConns, Service{
+		Ready: func() error {
+			f.mu.Lock()
+			defer f.mu.Unlock()
+			return f.ready
+		},
+		Disable: func(id string) (string, error) { return f.record("disable", id) },
+		Enable:  func(id string) (string, error) { return f.record("enable", id) },
 	}, log.New(io.Discard, "", 0))
 	t.Cleanup(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -57,6 +66,7 @@
 	return server
 }
 
+// dial connects to a server, until the test's end.
 func dial(t *testing.T, server *Server) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", server.Addr().String())
@@ -78,16 +88,18 @@
 	if err != nil {
 		t.Fatalf("%.60q: %v", text, err)
 	}
-	b, err := io.ReadAll(res.Body)
+	defer res.Body.Close()
+	content, err := io.ReadAll(res.Body)
 	if err != nil || !res.Close {
 		t.Fatalf("%.60q: %v, kept: %v", text, err, !res.Close)
 	}
 	if _, err := in.ReadByte(); !errors.Is(err, io.EOF) && !strings.Contains(fmt.Sprint(err), "reset") {
 		t.Fatalf("%.60q: the connection goes on behind its answer: %v", text, err)
 	}
-	return res.StatusCode, string(b)
+	return res.StatusCode, string(content)
 }
 
+// Each call has its status and a text that tells why, and reaches the service or not.
 func TestServer_Answers(t *testing.T) {
 	for _, c := range []struct {
 		head   string
@@ -98,14 +110,14 @@
 		{"GET /-/ready", 200, "yes", ""},
 		{"PUT /-/ready", 405, "takes GET", ""},
 		{"POST /-/ready", 405, "takes GET", ""},
-		{"POST /-/runners/s-1/disable", 200, "yes", "out s-1"},
-		{"POST /-/runners/s-1/enable", 200, "yes", "back s-1"},
-		{"POST /-/runners/a%2Fb%20c/disable", 200, "yes", "out a/b c"},
-		{"POST /-/runners/s-1/disable?why=x", 200, "yes", "out s-1"},
+		{"POST /-/runners/s-1/disable", 200, "yes", "disable s-1"},
+		{"POST /-/runners/s-1/enable", 200, "yes", "enable s-1"},
+		{"POST /-/runners/a%2Fb%20c/disable", 200, "yes", "disable a/b c"},
+		{"POST /-/runners/s-1/disable?why=x", 200, "yes", "disable s-1"},
 		{"GET /-/runners/s-1/disable", 405, "takes POST", ""},
-		{"POST /-/runners/nobody/disable", 404, "no runner of this id", "out nobody"},
-		{"POST /-/runners/unkept/disable", 200, "yes; it is not kept", "out unkept"},
-		{"POST /-/runners/full/disable", 503, "no space", "out full"},
+		{"POST /-/runners/nobody/disable", 404, "no runner of this id", "disable nobody"},
+		{"POST /-/runners/unkept/disable", 200, "yes; it is not kept", "disable unkept"},
+		{"POST /-/runners/full/disable", 503, "no space", "disable full"},
 		{"POST /-/runners//disable", 400, "missing", ""},
 		{"POST /-/runners/%zz/disable", 400, "", ""},
 		{"POST /-/runners/a/b/disable", 404, "no such path", ""},
@@ -117,25 +129,26 @@
 		{"GET /-/../-/ready", 404, "no such path", ""},
 		{"OPTIONS *", 404, "no such path", ""},
 	} {
-		d := &fakeService{}
-		status, text := exchange(t, d.start(t, 8), c.head+" HTTP/1.1\r\nHost: h\r\n\r\n")
-		if status != c.status || !strings.Contains(text, c.text) || strings.Join(d.calls, ",") != c.call {
-			t.Errorf("%.60s: %d %q, calls %q", c.head, status, text, d.calls)
+		f := &fakeService{}
+		status, text := exchange(t, f.start(t), c.head+" HTTP/1.1\r\nHost: h\r\n\r\n")
+		if status != c.status || !strings.Contains(text, c.text) || strings.Join(f.calls, ",") != c.call {
+			t.Errorf("%.60s: %d %q, calls %q", c.head, status, text, f.calls)
 		}
 	}
 }
 
+// A process that cannot serve answers 503.
 func TestServer_NotReady(t *testing.T) {
-	d := &fakeService{ready: ErrUnavailable}
-	if status, text := exchange(t, d.start(t, 8), "GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n"); status != 503 || text != "not now\n" {
+	f := &fakeService{ready: ErrUnavailable}
+	if status, text := exchange(t, f.start(t), "GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n"); status != 503 || text != "not now\n" {
 		t.Fatalf("%d %q", status, text)
 	}
 }
 
-// One call a connection: what comes behind it is not carried out, and a body that never comes is not waited for.
+// One call is carried out a connection: what follows it is not, and a body that never comes is not waited for.
 func TestServer_OneCallPerConnection(t *testing.T) {
-	d := &fakeService{}
-	server := d.start(t, 8)
+	f := &fakeService{}
+	server := f.start(t)
 	call := "POST /-/runners/a/disable HTTP/1.1\r\nHost: h\r\n"
 	if status, _ := exchange(t, server, call+"\r\n"+call+"\r\n"); status != 200 {
 		t.Errorf("two calls in one write: %d", status)
@@ -151,20 +164,27 @@
 	}
 	c := dial(t, server)
 	for _, b := range []byte(call + "\r\n") {
-		c.Write([]byte{b})
+		if _, err := c.Write([]byte{b}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	res, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil {
+		t.Fatalf("a call in pieces: %v", err)
 	}
-	if res, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || res.StatusCode != 200 {
-		t.Errorf("a call in pieces: %v", err)
+	defer res.Body.Close()
+	if res.StatusCode != 200 {
+		t.Errorf("a call in pieces: %d", res.StatusCode)
 	}
-	if got := strings.Join(d.calls, ","); got != "out a,out a,out a,out a" {
+	if got := strings.Join(f.calls, ","); got != "disable a,disable a,disable a,disable a" {
 		t.Errorf("carried out: %s", got)
 	}
 }
 
-// Callers that hold connections with no whole call, by the hundred, neither keep others out nor take many descriptors.
+// Callers that hold hundreds of connections without a complete call neither keep others out nor take many descriptors.
 func TestServer_SilentConnsKeepNobodyOut(t *testing.T) {
-	d := &fakeService{}
-	server := d.start(t, 8)
+	f := &fakeService{}
+	server := f.start(t)
 	for i := range 300 {
 		c := dial(t, server)
 		if i%2 == 0 {
@@ -176,18 +196,18 @@
 			}
 		}
 		server.listener.mu.Lock()
-		n := len(server.listener.conns)
+		open := len(server.listener.conns)
 		server.listener.mu.Unlock()
-		if n > 9 {
-			t.Fatalf("%d connections are open, 8 are allowed and one is being taken in", n)
+		if open > testConns+1 {
+			t.Fatalf("%d connections are open, %d are allowed and one is being accepted", open, testConns)
 		}
 	}
-	if len(d.calls) > 0 {
-		t.Fatalf("half a call was carried out: %q", d.calls)
+	if len(f.calls) > 0 {
+		t.Fatalf("an incomplete call was carried out: %q", f.calls)
 	}
 }
 
-// Where there are too many connections the oldest goes that owes nothing; one on which a call may wait unread goes last.
+// Where there are too many connections the oldest is closed without a pending call; one on which a call may wait unread is the last choice.
 func TestLimitedListener_EvictsOldestIdle(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -195,7 +215,7 @@
 	}
 	defer l.Close()
 	limited := &limitedListener{Listener: l, maxConns: 9}
-	conns := make([]*conn, 4) // owed, with bytes unread, silent, newest
+	conns := make([]*conn, 4) // pending, with unread bytes, silent, newest
 	for i := range conns {
 		far, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -207,7 +227,8 @@
 			t.Fatal(err)
 		}
 		defer near.Close()
-		if conns[i] = near.(*conn); i == 1 {
+		conns[i] = near.(*conn)
+		if i == 1 {
 			io.WriteString(far, "GET")
 			for !conns[i].hasUnread() {
 				time.Sleep(time.Millisecond)
@@ -217,7 +238,7 @@
 	conns[0].setPending(true)
 	for _, want := range []*conn{conns[2], conns[1], nil} {
 		if got := limited.oldestIdle(conns[3]); got != want {
-			t.Fatalf("%p goes, want %p of %p", got, want, conns)
+			t.Fatalf("%p is chosen, want %p of %p", got, want, conns)
 		}
 		if want != nil {
 			want.setPending(true)
@@ -225,14 +246,17 @@
 	}
 }
 
-// An answer is owed while a call is carried out, and not after: else callers that come often would fill the door.
+// A call is pending while it is carried out, and not afterwards: else callers that come often would use up the connections.
 func TestHandler_PendingUntilAnswered(t *testing.T) {
 	c := &conn{listener: &limitedListener{}}
 	during := false
-	h := newHandler(Service{Ready: func() error { during = c.pending; return nil }})
+	h := newHandler(Service{Ready: func() error {
+		during = c.pending
+		return nil
+	}})
 	r := httptest.NewRequest("GET", "/-/ready", nil)
 	h.ServeHTTP(httptest.NewRecorder(), r.WithContext(context.WithValue(r.Context(), connKey{}, c)))
 	if !during || c.pending {
-		t.Fatalf("owed during the call: %v, after: %v", during, c.pending)
+		t.Fatalf("pending during the call: %v, afterwards: %v", during, c.pending)
 	}
 }
