--- a/internal/server/admin_test.go
+++ b/internal/server/admin_test.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"net"
 	"net/http"
-	"runtime"
 	"strings"
 	"testing"
 
@@ -67,7 +66,7 @@
 // A disabled worker gets nothing until it is enabled, and the admin server answers until the process ends.
 func TestAdmin_DisablesAndEnablesWorker(t *testing.T) {
 	env := newTestEnv(t)
-	before, goroutines := countDescriptors(t), runtime.NumGoroutine()
+	expectNoLeaks := watchLeaks(t)
 	srv := env.startWithAdmin(t)
 	waitReady(t, srv)
 	expectPostStatus(t, srv, "/-/runners/nobody/disable", 404)
@@ -99,8 +98,7 @@
 		t.Error("the admin server is open after the end")
 	}
 	http.DefaultClient.CloseIdleConnections()
-	waitFor(t, "no descriptor is left outdated", func() bool { return countDescriptors(t) <= before })
-	waitFor(t, "no goroutine is left outdated", func() bool { return runtime.NumGoroutine() <= goroutines })
+	expectNoLeaks()
 }
 
 // Without an address there is no admin server, and one that is in use is named at the start.
@@ -122,10 +120,9 @@
 		t.Fatal(err)
 	}
 	c.AdminAddress = listener.Addr().String()
-	before, goroutines := countDescriptors(t), runtime.NumGoroutine()
+	expectNoLeaks := watchLeaks(t)
 	if _, err := start(c, discardLog(), nil); err == nil || !strings.Contains(err.Error(), "operator: ") {
 		t.Errorf("an address in use: %v", err)
 	}
-	waitFor(t, "no descriptor is left outdated", func() bool { return countDescriptors(t) <= before })
-	waitFor(t, "no goroutine is left outdated", func() bool { return runtime.NumGoroutine() <= goroutines })
+	expectNoLeaks()
 }
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -1,21 +1,21 @@
 package server
 
 import (
-	"bufio"
 	"io"
-	"net"
 	"net/http"
-	"runtime"
 	"testing"
 	"time"
 
 	"birchfork/dispatch"
 )
 
+// upRequest asks whether the dispatcher is up.
+const upRequest = "GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
+
 // A drain finishes open requests, accepts new ones at first, and leaves nothing behind.
 func TestShutdown_FinishesOpenAndAcceptsNewRequests(t *testing.T) {
 	env := newTestEnv(t)
-	before, goroutines := countDescriptors(t), runtime.NumGoroutine()
+	expectNoLeaks := watchLeaks(t)
 	srv := env.start(t, "5")
 	waitFor(t, "it is up", func() bool {
 		res, err := http.Get("http://" + srv.address.String() + "/up")
@@ -29,20 +29,9 @@
 	answers := make(chan response, 2)
 	go func() { answers <- post(srv, "held", "5000") }()
 	<-env.received
-	idle, err := net.Dial("tcp", srv.address.String()) // a client's connection that says nothing
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer idle.Close()
-
-	kept, err := net.Dial("tcp", srv.address.String()) // a client's connection that has been used
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer kept.Close()
-	in := bufio.NewReader(kept)
-	io.WriteString(kept, "GET /up HTTP/1.1\r\nHost: h\r\n\r\n")
-	if res := readResponse(t, in); res.status != 200 || res.closed {
+	idle := dialClient(t, srv) // sends nothing
+	kept := dialClient(t, srv) // has been used
+	if res := kept.exchange(t, upRequest); res.status != 200 || res.closed {
 		t.Fatalf("%+v", res)
 	}
 
@@ -51,8 +40,7 @@
 	waitFor(t, "it is stopping", func() bool { return !srv.handler.Up() })
 	time.Sleep(20 * time.Millisecond)
 	for range 2 { // clients go on using those that they have
-		io.WriteString(kept, "GET /up HTTP/1.1\r\nHost: h\r\n\r\n")
-		if res := readResponse(t, in); res.status != 503 || res.closed {
+		if res := kept.exchange(t, upRequest); res.status != 503 || res.closed {
 			t.Errorf("on a kept connection while draining: %+v", res)
 		}
 	}
@@ -75,8 +63,7 @@
 	}
 	idle.Close()
 	kept.Close()
-	waitFor(t, "no descriptor is left behind", func() bool { return countDescriptors(t) <= before })
-	waitFor(t, "no goroutine is left behind", func() bool { return runtime.NumGoroutine() <= goroutines })
+	expectNoLeaks()
 	f := srv.engine.Counters.Fields()
 	if f["taken"] != int64(2) || f["served"] != int64(2) || f["gone"] != int64(0) {
 		t.Error(f)
@@ -93,22 +80,17 @@
 			_ = id // nobody else reads them
 		}
 	}()
-	c, err := net.Dial("tcp", srv.address.String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
+	slow := dialClient(t, srv)
 	stopped := make(chan error, 1)
 	go func() { stopped <- srv.shutdown() }()
 	waitFor(t, "no connection is kept any more", srv.handler.KeepAlivesDisabled)
-	io.WriteString(c, "POST /search HTTP/1.1\r\nHost: h\r\nX-Request-Id: slow\r\nX-Class: search\r\nX-Deadline-Ms: 5000\r\nContent-Length: 4\r\n")
+	io.WriteString(slow, "POST /search HTTP/1.1\r\nHost: h\r\nX-Request-Id: slow\r\nX-Class: search\r\nX-Deadline-Ms: 5000\r\nContent-Length: 4\r\n")
 	select { // longer than it lingers without a request
 	case err := <-stopped:
 		t.Fatalf("it ended within a request: %v", err)
 	case <-time.After(lingerTime + 200*time.Millisecond):
 	}
-	io.WriteString(c, "\r\nbody")
-	if res := readResponse(t, bufio.NewReader(c)); res.status != 200 || !res.closed {
+	if res := slow.exchange(t, "\r\nbody"); res.status != 200 || !res.closed {
 		t.Fatalf("%+v", res)
 	}
 	if err := <-stopped; err != nil {
--- a/internal/server/fixture_test.go
+++ b/internal/server/fixture_test.go
@@ -272,10 +272,28 @@
 	}
 }
 
-// readResponse reads one response from a client's connection, with its body.
-func readResponse(t *testing.T, in *bufio.Reader) response {
+// clientConn is a client's connection.
+type clientConn struct {
+	net.Conn
+	in *bufio.Reader
+}
+
+// dialClient connects to a dispatcher as a client, until the test's end.
+func dialClient(t *testing.T, s *Server) *clientConn {
+	t.Helper()
+	conn, err := net.Dial("tcp", s.address.String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	return &clientConn{Conn: conn, in: bufio.NewReader(conn)}
+}
+
+// exchange writes a request, or the rest of one, and reads the response with its body.
+func (c *clientConn) exchange(t *testing.T, request string) response {
 	t.Helper()
-	res, err := http.ReadResponse(in, nil)
+	io.WriteString(c, request)
+	res, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -284,6 +302,17 @@
 	return response{res.StatusCode, res.Close, err}
 }
 
+// watchLeaks notes the open descriptors and goroutines, and returns a function that waits until there are no more than these.
+func watchLeaks(t *testing.T) (expectNone func()) {
+	t.Helper()
+	descriptors, goroutines := countDescriptors(t), runtime.NumGoroutine()
+	return func() {
+		t.Helper()
+		waitFor(t, "no descriptor is leaked", func() bool { return countDescriptors(t) <= descriptors })
+		waitFor(t, "no goroutine is leaked", func() bool { return runtime.NumGoroutine() <= goroutines })
+	}
+}
+
 // writeFile writes a file of the test.
 func writeFile(t *testing.T, path, text string) {
 	t.Helper()
--- a/internal/server/hotrestart_test.go
+++ b/internal/server/hotrestart_test.go
@@ -1,10 +1,7 @@
 package server
 
 import (
-	"bufio"
-	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"path/filepath"
 	"runtime"
@@ -28,16 +25,13 @@
 	goroutines := runtime.NumGoroutine()
 	old := env.startWithAdmin(t)
 	waitReady(t, old)
-	kept, err := net.Dial("tcp", old.address.String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer kept.Close()
-	in := bufio.NewReader(kept)
-	fmt.Fprint(kept, "POST /search HTTP/1.1\r\nHost: h\r\nX-Request-Id: first\r\nX-Class: search\r\nX-Deadline-Ms: 5000\r\nContent-Length: 0\r\n\r\n")
-	<-env.received
-	env.release <- true
-	if first := readResponse(t, in); first.err != nil || first.closed || first.status != 200 {
+	kept := dialClient(t, old)
+	go func() {
+		<-env.received
+		env.release <- true
+	}()
+	first := kept.exchange(t, "POST /search HTTP/1.1\r\nHost: h\r\nX-Request-Id: first\r\nX-Class: search\r\nX-Deadline-Ms: 5000\r\nContent-Length: 0\r\n\r\n")
+	if first.err != nil || first.closed || first.status != 200 {
 		t.Fatalf("%+v", first)
 	}
 	answers := make(chan response, 1)
@@ -54,6 +48,26 @@
 	}
 	waitFor(t, "the old one has half of the limits", func() bool { return debug.SetMemoryLimit(-1) == old.config.Limits.memoryBytes(memoryLimitFraction)/2 })
 
+	expectHandedOver(t, env, old, successor, kept, answers)
+
+	third := env.startSuccessor(t, successor) // one after the other
+	mustShutdown(t, successor)
+	go func() { env.release <- true }()
+	if a := post(third, "third", "5000"); a.status != 200 {
+		t.Errorf("at the third: %+v", a)
+	}
+	mustShutdown(t, third) // alone, it drains as in a restart
+	http.DefaultClient.CloseIdleConnections()
+	waitFor(t, "no goroutine is left behind", func() bool { return runtime.NumGoroutine() <= goroutines })
+	if left, _ := filepath.Glob(filepath.Join(shared, "*", "process-*")); len(left) > 0 {
+		t.Errorf("claims are left: %v", left)
+	}
+}
+
+// expectHandedOver drains the old process, which has one open request and one idle connection, and checks what becomes of these and of
+// the limits.
+func expectHandedOver(t *testing.T, env *testEnv, old, successor *Server, kept *clientConn, answers <-chan response) {
+	t.Helper()
 	var logged logBuffer
 	old.log.(*logrus.Logger).SetOutput(&logged)
 	stopped := make(chan error, 1)
@@ -64,7 +78,7 @@
 	}
 	expectPostStatus(t, old, "/-/runners/w/enable", 200) // operators may still call the old one
 	waitFor(t, "the new one has it", func() bool { return len(successor.engine.DisabledWorkers()) == 0 })
-	if _, err := in.ReadByte(); err != io.EOF { // while a request is still open: its client goes to the new one
+	if _, err := kept.in.ReadByte(); err != io.EOF { // while a request is still open: its client goes to the new one
 		t.Errorf("an idle connection: %v", err)
 	}
 	env.release <- true
@@ -85,19 +99,6 @@
 	if f := old.engine.Counters.Fields(); f["taken"] != int64(2) || f["served"] != int64(2) || f["gone"] != int64(0) {
 		t.Error(f)
 	}
-
-	third := env.startSuccessor(t, successor) // one after the other
-	mustShutdown(t, successor)
-	go func() { env.release <- true }()
-	if a := post(third, "third", "5000"); a.status != 200 {
-		t.Errorf("at the third: %+v", a)
-	}
-	mustShutdown(t, third) // alone, it drains as in a restart
-	http.DefaultClient.CloseIdleConnections()
-	waitFor(t, "no goroutine is left behind", func() bool { return runtime.NumGoroutine() <= goroutines })
-	if left, _ := filepath.Glob(filepath.Join(shared, "*", "process-*")); len(left) > 0 {
-		t.Errorf("claims are left: %v", left)
-	}
 }
 
 // A request that had begun to come when its process began to drain is answered.
@@ -108,20 +109,15 @@
 	close(env.release)
 	old := env.startWithAdmin(t)
 	waitReady(t, old)
-	c, err := net.Dial("tcp", old.address.String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
-	io.WriteString(c, "GET /up HTT")
+	partial := dialClient(t, old)
+	io.WriteString(partial, "GET /up HTT")
 	waitFor(t, "it has begun to come", func() bool { return old.handler.Conns.Pending() == 1 })
 	successor := env.startSuccessor(t, old)
 	stopped := make(chan error, 1)
 	go func() { stopped <- old.shutdown() }()
 	waitFor(t, "it drains", old.handler.KeepAlivesDisabled)
 	time.Sleep(idleCloseDelay + 100*time.Millisecond)
-	io.WriteString(c, "P/1.1\r\nHost: h\r\n\r\n")
-	if res := readResponse(t, bufio.NewReader(c)); !res.closed {
+	if res := partial.exchange(t, "P/1.1\r\nHost: h\r\n\r\n"); !res.closed {
 		t.Errorf("%+v", res)
 	}
 	if err := <-stopped; err != nil {
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -36,15 +36,7 @@
 	defer close(env.release)
 	renamed := strings.Replace(strings.Replace(good, `"name":"search"`, `"name":"find"`, 1), `"attempts_cap":3`, `"attempts_cap":1`, 1)
 	renamed = strings.Replace(renamed, `"open_cap":70,"idle_close":4000`, `"open_cap":1,"idle_close":0.002,"retry_after":true,"max_retry_after":1`, 1)
-	bad := []string{"", "null", "[]", "{}", strings.Replace(renamed, `"deadline":5`, `"deadline":0`, 1),
-		strings.Replace(renamed, `"deadline":5`, `"deadline":-5`, 1), strings.Replace(renamed, `"deadline":5,`, ``, 1),
-		strings.Replace(renamed, `"attempts_cap":1`, `"attempts_cap":0`, 1), strings.Replace(renamed, `"effect":"free"`, `"effect":7`, 1),
-		strings.Replace(renamed, `,"effect":"free"`, ``, 1), strings.Replace(renamed, `"status":"up"`, `"status":"odd"`, 1),
-		strings.Replace(renamed, `"classes":[`, `"classes":[{"name":"find","deadline":1,"aim":0.1,"effect":"free"},`, 1),
-		strings.Replace(renamed, env.discovery, "nowhere", 1)}
-	for i := 1; i < len(renamed); i++ { // cut off
-		bad = append(bad, renamed[:i])
-	}
+	bad := brokenConfigs(renamed, env.discovery)
 	for _, raw := range bad {
 		write(raw)
 		srv.reload()
@@ -69,6 +61,37 @@
 	if srv.currentConfig() != c || srv.watcher.Address() != env.discovery {
 		t.Error("something of a rejected file is in force")
 	}
+	expectReloaded(t, env, srv, func() {
+		write(renamed)
+		srv.reload()
+		srv.reload() // two in a row
+	})
+}
+
+// brokenConfigs are variants of a good configuration that are to be rejected, among them all that are cut off.
+func brokenConfigs(good, discovery string) []string {
+	replace := func(from, to string) string { return strings.Replace(good, from, to, 1) }
+	broken := []string{
+		"", "null", "[]", "{}",
+		replace(`"deadline":5`, `"deadline":0`),
+		replace(`"deadline":5`, `"deadline":-5`),
+		replace(`"deadline":5,`, ``),
+		replace(`"attempts_cap":1`, `"attempts_cap":0`),
+		replace(`"effect":"free"`, `"effect":7`),
+		replace(`,"effect":"free"`, ``),
+		replace(`"status":"up"`, `"status":"odd"`),
+		replace(`"classes":[`, `"classes":[{"name":"find","deadline":1,"aim":0.1,"effect":"free"},`),
+		replace(discovery, "nowhere"),
+	}
+	for i := 1; i < len(good); i++ {
+		broken = append(broken, good[:i])
+	}
+	return broken
+}
+
+// expectReloaded reloads twice while a request is open, and checks that the new settings count for later ones.
+func expectReloaded(t *testing.T, env *testEnv, srv *Server, reloadTwice func()) {
+	t.Helper()
 	answers := make(chan response, 1)
 	go func() { answers <- post(srv, "old", "5000") }()
 	if id := <-env.received; id != "old" {
@@ -76,9 +99,7 @@
 	}
 	coordinator := &fakeCoordinator{server: srv}
 	srv.coordinator = coordinator
-	write(renamed)
-	srv.reload()
-	srv.reload() // two in a row
+	reloadTwice()
 	if coordinator.calls != 2 || coordinator.late {
 		t.Errorf("ExtendTimes was called %d times, want 2; too late: %t", coordinator.calls, coordinator.late)
 	}
