--- /dev/null
+++ b/internal/engine/engine_test.go
@@ -0,0 +1,70 @@
+package engine
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"birchfork/dispatch"
+)
+
+// A panic of the decision module costs one decision and not the process.
+func TestDecide_RecoversFromPanic(t *testing.T) {
+	decider := &scriptedDecider{respond: func(event *dispatch.Event) []dispatch.Action {
+		if event.Kind == dispatch.RequestArrived {
+			panic("no such thing")
+		}
+		return nil
+	}}
+	engine := newEngine(t, decider)
+	request := mustOpen(t, engine, "a")
+	request.Close()
+	if engine.Counters.Panics.Load() != 1 || decider.count(dispatch.RequestAbandoned) != 1 || engine.OpenRequests() != 0 {
+		t.Fatalf("panics %d, events %+v", engine.Counters.Panics.Load(), decider.events)
+	}
+}
+
+// Every attempt that the real decision module orders ends, and nothing of a request is left behind.
+func TestEngine_RealDeciderLeavesNothingOpen(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		engine := newEngine(t, nil)
+		list := EndpointList{Version: 1, Snapshot: true}
+		for _, name := range []string{"u", "v", "w"} {
+			list.Endpoints = append(list.Endpoints, Endpoint{Name: name, Address: name + ":1", Zone: "a", Kind: "big", State: dispatch.Ready})
+		}
+		engine.UpdateEndpoints(list)
+		results := []dispatch.Result{
+			dispatch.ResultOK, dispatch.ResultFailed, dispatch.ResultUnreachable, dispatch.ResultOverloaded, dispatch.ResultDisconnected,
+			dispatch.ResultNotSent,
+		}
+		next := 0
+		served := 0
+		for i := range 60 {
+			request := mustOpen(t, engine, string(rune('A'+i)))
+			for done := false; !done; {
+				decision := <-request.Decisions()
+				switch decision.Kind {
+				case DecisionSend:
+					decision.Attempt.Finish(results[next%len(results)], []byte("x"))
+					next++
+				case DecisionServe:
+					served++
+					done = true
+				default:
+					done = true
+				}
+			}
+			request.Close()
+			time.Sleep(300 * time.Millisecond)
+		}
+		for id, request := range engine.requests {
+			if request != nil {
+				t.Errorf("request %d is still kept", id)
+			}
+		}
+		broken := engine.Counters.Panics.Load() + engine.Counters.InvalidActions.Load()
+		if engine.OpenRequests() != 0 || served == 0 || broken > 0 {
+			t.Fatalf("%d open, %d served, %v", engine.OpenRequests(), served, engine.Counters.Fields())
+		}
+	})
+}
