--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -42,7 +42,7 @@
 }
 
 // setOverride disables a worker, or enables it again, as operators ask. It is in force here on return, and siblings and the group's
-// other members follow. The note tells operators what they should know beside its success; the error is admin.ErrUnknownWorker, or
+// other members follow. The note tells operators what they should know of its success; the error is admin.ErrUnknownWorker, or
 // admin.ErrUnavailable where the group's replica cannot take the override.
 func (s *Server) setOverride(worker string, disabled bool) (note string, err error) {
 	log := s.log.WithField("worker", worker)
--- a/internal/server/dialer.go
+++ b/internal/server/dialer.go
@@ -29,7 +29,7 @@
 	return func(ctx context.Context, addr string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", addr) }
 }
 
-// setSocketTimeouts bounds how long the kernel holds back what a silent link has not taken. Guards against a request that reaches a
+// setSocketTimeouts bounds how long the kernel holds back what a silent link has not delivered. Guards against a request that reaches a
 // worker long after the group has taken its machine for drained: a connection that is closed, or whose process ends, is reset with what
 // it has not sent, and one whose process stands still gives up after the longest deadline.
 func (c *Config) setSocketTimeouts(_, _ string, raw syscall.RawConn) error {
--- a/internal/server/listener.go
+++ b/internal/server/listener.go
@@ -53,10 +53,10 @@
 	s.log.WithFields(logrus.Fields{
 		"name":        s.config.Name,
 		"listen":      s.address.String(),
-		"known":       len(s.config.KnownEndpoints.Endpoints),
+		"endpoints":   len(s.config.KnownEndpoints.Endpoints),
 		"max_clients": budget.clientsSoft,
 		"max_workers": budget.workers,
-		"beside":      siblings,
+		"siblings":    siblings,
 	}).Info("serving")
 	return listener, nil
 }
--- a/internal/server/missingkeys.go
+++ b/internal/server/missingkeys.go
@@ -9,11 +9,14 @@
 	"strings"
 )
 
+// settingsPrefix begins the keys of the platform's settings.
+const settingsPrefix = "settings."
+
 // optionalKeys may come and go with a reload: what the platform's page calls optional, and what counts at a start only. Keys of
 // settings stand without their prefix.
 var optionalKeys = []string{"classes.aim_stretch", "known", "seed", "operator"}
 
-// missingKeys names every key that the old file has and the current one lacks, as joined *ReloadError. Guards against files that were cut
+// missingKeys names every key that the old file has and the current one lacks, as joined *ConfigError. Guards against files that were cut
 // short: at a start a default would take the key's place, which nobody has asked for here. Members of lists may come and go, but each
 // has the keys that all of the old ones have. Files that are no JSON are passed over, as Decode reports them.
 func missingKeys(old, current json.RawMessage) error {
@@ -30,7 +33,7 @@
 type missingKeysCollector struct{ faults []error }
 
 func (c *missingKeysCollector) add(path, reason string) {
-	c.faults = append(c.faults, &ReloadError{Key: path, Reason: reason})
+	c.faults = append(c.faults, &ConfigError{Key: path, Reason: reason})
 }
 
 // compare compares two values at path; key is the path without the numbers of list members.
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -75,7 +75,7 @@
 // overrideReplica is this member's replica of the operator overrides that a group shares.
 type overrideReplica interface {
 	// SetOverride replicates an override that is in force at this dispatcher already, as of version at. The note tells operators what
-	// they should know beside its success.
+	// they should know of its success.
 	SetOverride(worker string, disabled bool, at int64) (note string, err error)
 	// MergeLocalOverrides takes over what operators have set at any process of this dispatcher.
 	MergeLocalOverrides(hotrestart.Overrides)
