--- a/internal/server/config_test.go
+++ b/internal/server/config_test.go
@@ -1,9 +1,13 @@
 package server
 
 import (
+	"encoding/json"
+	"errors"
 	"strings"
 	"testing"
 	"time"
+
+	"birchfork/internal/settings"
 )
 
 // deployments are settings of the kinds of deployment that one build serves: with probes, sizes and no reports, and without probes but
@@ -156,6 +160,24 @@
 	}
 }
 
+// Faults can be told apart by their types: of a key, of a setting, and with their cause.
+func TestDecode_ErrorTypes(t *testing.T) {
+	raw := strings.Replace(configText("127.0.0.1:8500", "127.0.0.1:9", "0"), `"cores":1.0`, `"cores":0`, 1)
+	_, err := Decode([]byte(strings.Replace(raw, `"snapshot":true`, `"snapshot":3`, 1)))
+	var fault *ConfigError
+	if !errors.As(err, &fault) || fault.Key != "limits.cores" || fault.Reason != "0 is not above 0" {
+		t.Errorf("fault of a key: %+v of %v", fault, err)
+	}
+	var setting settings.Error
+	if !errors.As(err, &setting) || setting.Path != "classes.0.deadline" || setting.Reason != "0 is not above 0" {
+		t.Errorf("fault of a setting: %+v of %v", setting, err)
+	}
+	var cause *json.UnmarshalTypeError
+	if !errors.As(err, &cause) || cause.Field != "snapshot" {
+		t.Errorf("cause of a fault: %+v of %v", cause, err)
+	}
+}
+
 // No text that is accepted lacks what is needed to serve.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(configText("127.0.0.1:8500", "127.0.0.1:9", "5")))
