--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -33,8 +33,9 @@
 		return
 	}
 	s.engine.Counters.Reloads.Add(1)
-	s.applyConfig(next)
+	// Before it is applied: the engine's table of names takes the new ones over.
 	added, removed := diffNames(previous.Names.ClassNames(), next.Names.ClassNames())
+	s.applyConfig(next)
 	log := s.log.WithFields(logrus.Fields{
 		"discovery":    next.DiscoveryAddress,
 		"classes_new":  added,
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -64,6 +64,9 @@
 	expectReloaded(t, env, srv, func() {
 		write(renamed)
 		srv.reload()
+		if !logged.contains("classes_gone=search classes_new=find") {
+			t.Error("the log does not name the classes that came and went")
+		}
 		srv.reload() // two in a row
 	})
 }
