--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -7,7 +7,7 @@
 	"sync"
 	"syscall"
 
-	"birchfork/internal/upstream"
+	"birchfork/internal/socket"
 )
 
 // limitedListener bounds the number of open connections. It accepts every connection: one that waits in the kernel would hold up those
@@ -128,7 +128,7 @@
 	if err != nil {
 		return false
 	}
-	n, err := upstream.Peek(raw)
+	n, err := socket.Peek(raw)
 	return err == nil && n > 0
 }
 
--- a/internal/frontend/golden_frontend_test.go
+++ b/internal/frontend/golden_test.go
@@ -19,6 +19,7 @@
 	"birchfork/internal/admission"
 	"birchfork/internal/goldentest"
 	"birchfork/internal/routes"
+	"birchfork/internal/upstream/upstreamtest"
 )
 
 // goldenCounters names the counters that the golden files of clients record.
@@ -56,6 +57,7 @@
 	if err != nil {
 		t.Fatalf("%q: %v", sent, err)
 	}
+	defer res.Body.Close()
 	if _, err := io.Copy(io.Discard, res.Body); err != nil {
 		t.Fatalf("%q: %v", sent, err)
 	}
@@ -109,13 +111,13 @@
 		change map[string]string
 		setUp  func(h *harness)
 	}{
-		{"served", respondDone, nil, nil},
-		{"served, with the connection to be closed", respondDone, map[string]string{"Connection": "close"}, nil},
-		{"served while stopping", respondDone, nil, func(h *harness) { h.handler.DisableKeepAlives() }},
-		{"served with an empty result", answer(okHead + chunk(statusLine("ID", "done", `,"result":""`)) + "0\r\n\r\n"), nil, nil},
+		{"served", upstreamtest.RespondDone, nil, nil},
+		{"served, with the connection to be closed", upstreamtest.RespondDone, map[string]string{"Connection": "close"}, nil},
+		{"served while stopping", upstreamtest.RespondDone, nil, func(h *harness) { h.handler.DisableKeepAlives() }},
+		{"served with an empty result", answer(upstreamtest.Answer(upstreamtest.StatusLine("ID", "done", `,"result":""`))), nil, nil},
 		{"served with a result of every kind of character",
-			answer(okHead + chunk(statusLine("ID", "done", `,"result":"\u0000\t\r\n\"\\\u00e9\u20ac\ud83d\ude00"`)) + "0\r\n\r\n"), nil, nil},
-		{"failed by the worker's line", answer(okHead + chunk(statusLine("ID", "failed", "")) + "0\r\n\r\n"), nil, nil},
+			answer(upstreamtest.Answer(upstreamtest.StatusLine("ID", "done", `,"result":"\u0000\t\r\n\"\\\u00e9\u20ac\ud83d\ude00"`))), nil, nil},
+		{"failed by the worker's line", answer(upstreamtest.Answer(upstreamtest.StatusLine("ID", "failed", ""))), nil, nil},
 		{"failed by the worker's status", answer("HTTP/1.1 500 x\r\n" + empty), nil, nil},
 		{"rejected, as the worker did not run it", answer("HTTP/1.1 503 x\r\nX-Not-Run: 1\r\n" + empty), nil, nil},
 		{"rejected, with the route's Retry-After", answer("HTTP/1.1 503 x\r\nX-Not-Run: 1\r\n" + empty), nil, func(h *harness) {
@@ -124,7 +126,7 @@
 		{"found unusable by the worker", answer("HTTP/1.1 400 x\r\n" + empty), nil, nil},
 		{"ended by the process's end", func(net.Conn, *http.Request) bool { return false }, nil, func(h *harness) { h.handler.ForceClose() }},
 	} {
-		h := newHarness(t, startWorker(t, c.worker).addr, 0)
+		h := newHarness(t, upstreamtest.StartWorker(t, c.worker).Address, 0)
 		if c.setUp != nil {
 			c.setUp(h)
 		}
@@ -156,14 +158,14 @@
 		setUp func(h *harness)
 		sent  string
 	}{
-		{"too many open requests", func(h *harness) {}, rawRequest("POST /search", map[string]string{"X-Request-Id": "b"}, "")},
+		{"too many open requests", func(*harness) {}, rawRequest("POST /search", map[string]string{"X-Request-Id": "b"}, "")},
 		{"too many connections", func(h *harness) { h.setSoftLimit(1) }, rawRequest("POST /search", map[string]string{"X-Request-Id": "b"}, "")},
 		{"too many bytes of bodies", func(h *harness) { h.handler.BodyBudget.SetLimit(1) },
 			rawRequest("POST /search", map[string]string{"X-Request-Id": "b"}, strings.Repeat("x", 8<<10))},
 	} {
 		for _, retryAfter := range []time.Duration{0, 250 * time.Millisecond} {
 			worker, open := startGatedWorker(t)
-			h := newHarness(t, worker.addr, 1)
+			h := newHarness(t, worker.Address, 1)
 			sendRaw(t, h, rawRequest("POST /search", nil, ""))
 			waitFor(t, "the first request is open", func() bool { return h.engine.OpenRequests() == 1 })
 			c.setUp(h)
@@ -176,7 +178,7 @@
 	}
 	for _, maxRetryAfter := range []time.Duration{0, 200 * time.Millisecond, time.Minute} {
 		worker, open := startGatedWorker(t)
-		h := newHarness(t, worker.addr, 0)
+		h := newHarness(t, worker.Address, 0)
 		limitSearch(t, h, admission.RouteConfig{MaxConcurrent: 1, RetryAfter: 750 * time.Millisecond})
 		sendRaw(t, h, rawRequest("POST /search", nil, ""))
 		waitFor(t, "the first request is open", func() bool { return h.engine.OpenRequests() == 1 })
@@ -191,11 +193,35 @@
 
 // TestGoldenBadRequests records status and text of the answer to each kind of request that is no proper one.
 func TestGoldenBadRequests(t *testing.T) {
+	var b strings.Builder
+	for _, c := range badRequests() {
+		h := newHarness(t, "", 0)
+		got, closed := exchangeRaw(t, h, c.sent)
+		if h.engine.Counters.Accepted.Load() != 0 {
+			t.Errorf("%s: the request was taken", c.name)
+		}
+		b.WriteString(formatExchange(t, c.name, c.sent, got, closed, h.countersText()))
+	}
+	worker, open := startGatedWorker(t)
+	defer open()
+	h := newHarness(t, worker.Address, 0)
+	sendRaw(t, h, rawRequest("POST /search", nil, ""))
+	waitFor(t, "the first request is open", func() bool { return h.engine.OpenRequests() == 1 })
+	sent := rawRequest("POST /search", nil, "")
+	got, closed := exchangeRaw(t, h, sent)
+	b.WriteString(formatExchange(t, "an id that is open", sent, got, closed, h.countersText()))
+	goldentest.Check(t, "frontend-bad-requests.txt", []byte(b.String()))
+}
+
+// namedRequest is a request in bytes.
+type namedRequest struct{ name, sent string }
+
+// badRequests are requests with one fault each.
+func badRequests() []namedRequest {
 	long := strings.Repeat("a", maxGoldenText)
 	post := func(change map[string]string) string { return rawRequest("POST /search", change, "") }
 	with := func(name, value string) string { return post(map[string]string{name: value}) }
-	var b strings.Builder
-	for _, c := range []struct{ name, sent string }{
+	return []namedRequest{
 		{"no id", with("X-Request-Id", "")},
 		{"two ids", with("X-Request-Id", "a\r\nX-Request-Id: b")},
 		{"an id with a space", with("X-Request-Id", "a b")},
@@ -235,26 +261,10 @@
 		{"both lengths", rawRequest("POST /search", map[string]string{"Content-Length": "5", "Transfer-Encoding": "chunked"}, "0\r\n\r\n")},
 		{"a length below the body's", rawRequest("POST /search", map[string]string{"Content-Length": "3"}, "abcdef")},
 		{"a further request behind it", rawRequest("POST /search", nil, "") + rawRequest("POST /search", nil, "")},
-	} {
-		h := newHarness(t, "", 0)
-		got, closed := exchangeRaw(t, h, c.sent)
-		if h.engine.Counters.Accepted.Load() != 0 {
-			t.Errorf("%s: the request was taken", c.name)
-		}
-		b.WriteString(formatExchange(t, c.name, c.sent, got, closed, h.countersText()))
 	}
-	worker, open := startGatedWorker(t)
-	defer open()
-	h := newHarness(t, worker.addr, 0)
-	sendRaw(t, h, rawRequest("POST /search", nil, ""))
-	waitFor(t, "the first request is open", func() bool { return h.engine.OpenRequests() == 1 })
-	sent := rawRequest("POST /search", nil, "")
-	got, closed := exchangeRaw(t, h, sent)
-	b.WriteString(formatExchange(t, "an id that is open", sent, got, closed, h.countersText()))
-	goldentest.Check(t, "frontend-bad-requests.txt", []byte(b.String()))
 }
 
-// maxGoldenText is longer than any text that the front takes.
+// maxGoldenText is longer than any text that the handler accepts.
 const maxGoldenText = 5000
 
 // TestGoldenHead records what the headers of a proper request are decoded to.
@@ -293,14 +303,14 @@
 		name  string
 		setUp func(h *harness)
 	}{
-		{"up", func(h *harness) { h.engine.UpdateEndpoints(listWithWorker("127.0.0.1:1")) }},
-		{"no worker", func(h *harness) {}},
+		{"up", func(h *harness) { h.engine.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1")) }},
+		{"no worker", func(*harness) {}},
 		{"leaving", func(h *harness) {
-			h.engine.UpdateEndpoints(listWithWorker("127.0.0.1:1"))
+			h.engine.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1"))
 			h.handler.FailHealthChecks()
 		}},
 		{"stopping", func(h *harness) {
-			h.engine.UpdateEndpoints(listWithWorker("127.0.0.1:1"))
+			h.engine.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1"))
 			h.handler.DisableKeepAlives()
 		}},
 	} {
--- /dev/null
+++ b/internal/gossip/endpoints/table_test.go
@@ -0,0 +1,99 @@
+package endpoints
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+var genStatuses = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Status {
+	return Status{
+		Name: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"), StartedAt: rapid.Int64Range(0, 3).Draw(t, "start"),
+		State: State(rapid.IntRange(0, 2).Draw(t, "state")),
+	}
+}), 0, 12)
+
+// In whatever order, batches and repetitions statuses come, the same workers are excluded, and no status is an update twice.
+func TestTable_MergeIsOrderIndependent(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		local, all := []Status{{Name: "a"}, {Name: "b", StartedAt: 2}}, genStatuses.Draw(t, "statuses")
+		one, two := NewTable(), NewTable()
+		one.UpdateLocal(local, false)
+		two.UpdateLocal(local, false)
+		one.Merge(0, all)
+		shuffled := slices.Concat(rapid.Permutation(all).Draw(t, "order"), all)
+		for len(shuffled) > 0 {
+			n := rapid.IntRange(1, len(shuffled)).Draw(t, "batch")
+			two.Merge(0, shuffled[:n])
+			shuffled = shuffled[n:]
+		}
+		if a, b := one.Excluded(0, -1), two.Excluded(0, -1); !slices.Equal(a, b) {
+			t.Fatalf("%v and %v", a, b)
+		}
+		if updates, _ := two.Merge(0, all); len(updates) > 0 {
+			t.Fatalf("updates again: %v", updates)
+		}
+	})
+}
+
+// A worker is excluded by statuses that supersede the own one, until the own list overrules them.
+func TestTable_Excluded(t *testing.T) {
+	const beforeTrust = localTrustDelay - 1
+	for what, c := range map[string]struct {
+		local, reported  Status
+		now, watchUptime time.Duration
+		excluded         bool
+	}{
+		"it drains":                           {Status{StartedAt: 5}, Status{StartedAt: 5, State: Draining}, 0, 0, true},
+		"it is gone, the own watch is silent": {Status{StartedAt: 5}, Status{StartedAt: 5, State: Gone}, time.Hour, -1, true},
+		"it was restarted":                    {Status{StartedAt: 5}, Status{StartedAt: 6}, beforeTrust, time.Hour, true},
+		"an earlier start drains":             {Status{StartedAt: 5}, Status{StartedAt: 4, State: Draining}, 0, -1, false},
+		"the own list says the same":          {Status{State: Draining}, Status{State: Draining}, 0, -1, false},
+		"the own list overrules it":           {Status{}, Status{State: Draining}, localTrustDelay, time.Hour, false},
+		"the own watch is too young":          {Status{}, Status{State: Draining}, time.Hour, beforeTrust, true},
+	} {
+		table := NewTable()
+		c.local.Name, c.reported.Name = "w", "w"
+		table.UpdateLocal([]Status{c.local}, true)
+		table.Merge(0, []Status{c.reported})
+		if excluded := len(table.Excluded(c.now, c.watchUptime)) > 0; excluded != c.excluded {
+			t.Errorf("%s: excluded %t", what, excluded)
+		}
+	}
+}
+
+// Updates for other members are what is new since a fresh list, unless they have reported it. A status that the own list has overruled
+// is no update when it comes again, until it is forgotten.
+func TestTable_Updates(t *testing.T) {
+	table := NewTable()
+	up, draining := []Status{{Name: "v"}, {Name: "w"}}, []Status{{Name: "v", State: Draining}, {Name: "w", State: Draining}}
+	if updates := table.UpdateLocal(up, false); len(updates) > 0 {
+		t.Errorf("an old list: %v", updates)
+	}
+	if updates := table.UpdateLocal(up, true); len(updates) > 0 {
+		t.Errorf("the first fresh list: %v", updates)
+	}
+	if updates, rejected := table.Merge(0, append(draining[:1:1], Status{}, Status{Name: "x", StartedAt: -1}, Status{Name: "x", State: 3})); len(updates) != 1 || rejected != 3 {
+		t.Errorf("%v, %d rejected", updates, rejected)
+	}
+	table.Excluded(localTrustDelay, time.Hour)
+	if updates, _ := table.Merge(localTrustDelay, draining[:1]); len(updates) > 0 || len(table.Excluded(localTrustDelay, time.Hour)) > 0 {
+		t.Errorf("it came again: %v", updates)
+	}
+	if updates := table.UpdateLocal(draining, true); !slices.Equal(updates, draining[1:]) {
+		t.Errorf("%v, one of which others have reported", updates)
+	}
+	table.UpdateLocal(up, true)
+	table.Excluded(2*remoteLifetime, time.Hour)
+	if updates, _ := table.Merge(2*remoteLifetime, draining[:1]); len(updates) != 1 {
+		t.Error("it is never forgotten")
+	}
+	for i := range 2 * maxRemoteStatuses {
+		table.Merge(0, []Status{{Name: string(rune(i + 1000)), StartedAt: 1}})
+	}
+	if len(table.remote) > maxRemoteStatuses {
+		t.Errorf("%d are stored", len(table.remote))
+	}
+}
--- a/internal/server/start.go
+++ b/internal/server/start.go
@@ -125,7 +125,7 @@
 // createHandler creates the handler of clients' requests and its HTTP server, which does not listen yet.
 func (s *Server) createHandler() {
 	counters := &s.engine.Counters
-	transport := &frontend.Transport{Pool: s.pool, Counters: counters}
+	transport := &upstream.Transport{Pool: s.pool, Counters: counters}
 	s.handler = frontend.NewHandler(s.engine, transport, &frontend.ConnTracker{Counters: counters})
 	s.applyBudgets()
 	s.setRetryAfter(s.config.Settings)
