--- /dev/null
+++ b/internal/server/hotrestart_test.go
@@ -0,0 +1,206 @@
+package server
+
+import (
+	"io"
+	"net/http"
+	"path/filepath"
+	"runtime"
+	"runtime/debug"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"birchfork/internal/hotrestart"
+)
+
+// In a hot restart the old process finishes its requests and ends; overrides outlive it; both divide the limits meanwhile, and the new
+// one has them alone afterwards.
+func TestHotRestart(t *testing.T) {
+	shared := t.TempDir()
+	t.Setenv("TMPDIR", shared)
+	restoreLimits(t)
+	env := newTestEnv(t)
+	goroutines := runtime.NumGoroutine()
+	old := env.startWithAdmin(t)
+	waitReady(t, old)
+	kept := dialClient(t, old)
+	go func() {
+		<-env.received
+		env.release <- true
+	}()
+	first := kept.exchange(t, "POST /search HTTP/1.1\r\nHost: h\r\nX-Request-Id: first\r\nX-Class: search\r\nX-Deadline-Ms: 5000\r\nContent-Length: 0\r\n\r\n")
+	if first.err != nil || first.closed || first.status != 200 {
+		t.Fatalf("%+v", first)
+	}
+	answers := make(chan response, 1)
+	go func() { answers <- post(old, "held", "5000") }()
+	<-env.received
+	expectPostStatus(t, old, "/-/runners/w/disable", 200)
+
+	successor := env.startSuccessor(t, old)
+	if successor.randomSeed() == successor.config.Seed {
+		t.Error("both processes have the same seed")
+	}
+	if out := successor.engine.DisabledWorkers(); len(out) != 1 || out[0] != "w" {
+		t.Errorf("disabled at the new process: %v", out)
+	}
+	waitFor(t, "the old one has half of the limits", func() bool { return debug.SetMemoryLimit(-1) == old.config.Limits.memoryBytes(memoryLimitFraction)/2 })
+
+	expectHandedOver(t, env, old, successor, kept, answers)
+
+	third := env.startSuccessor(t, successor) // one after the other
+	mustShutdown(t, successor)
+	go func() { env.release <- true }()
+	if a := post(third, "third", "5000"); a.status != 200 {
+		t.Errorf("at the third: %+v", a)
+	}
+	mustShutdown(t, third) // alone, it drains as in a restart
+	http.DefaultClient.CloseIdleConnections()
+	waitFor(t, "no goroutine is left behind", func() bool { return runtime.NumGoroutine() <= goroutines })
+	if left, _ := filepath.Glob(filepath.Join(shared, "*", "process-*")); len(left) > 0 {
+		t.Errorf("claims are left: %v", left)
+	}
+}
+
+// expectHandedOver drains the old process, which has one open request and one idle connection, and checks what becomes of these and of
+// the limits.
+func expectHandedOver(t *testing.T, env *testEnv, old, successor *Server, kept *clientConn, answers <-chan response) {
+	t.Helper()
+	var logged logBuffer
+	old.log.(*logrus.Logger).SetOutput(&logged)
+	stopped := make(chan error, 1)
+	go func() { stopped <- old.shutdown() }()
+	waitFor(t, "it drains", old.handler.KeepAlivesDisabled)
+	if s, _ := callAdmin(t, old, "GET", "/-/ready"); s != 503 {
+		t.Errorf("the old one answers %d while it drains", s)
+	}
+	expectPostStatus(t, old, "/-/runners/w/enable", 200) // operators may still call the old one
+	waitFor(t, "the new one has it", func() bool { return len(successor.engine.DisabledWorkers()) == 0 })
+	if _, err := kept.in.ReadByte(); err != io.EOF { // while a request is still open: its client goes to the new one
+		t.Errorf("an idle connection: %v", err)
+	}
+	env.release <- true
+	if a := <-answers; a.status != 200 || !a.closed || a.err != nil {
+		t.Errorf("the old one's request: %+v", a)
+	}
+	if err := <-stopped; err != nil {
+		t.Error(err)
+	}
+	go func() { env.release <- true }()
+	if a := post(successor, "new", "5000"); a.status != 200 {
+		t.Errorf("at the new one: %+v", a)
+	}
+	waitFor(t, "the new one has all of the limits", func() bool { return debug.SetMemoryLimit(-1) == old.config.Limits.memoryBytes(memoryLimitFraction) })
+	if !logged.contains("another process of this dispatcher serves") {
+		t.Error("it drained as if no sibling served")
+	}
+	if f := old.engine.Counters.Fields(); f["taken"] != int64(2) || f["served"] != int64(2) || f["gone"] != int64(0) {
+		t.Error(f)
+	}
+}
+
+// A request that had begun to come when its process began to drain is answered.
+func TestHotRestart_WaitsForPartialRequest(t *testing.T) {
+	t.Setenv("TMPDIR", t.TempDir())
+	restoreLimits(t)
+	env := newTestEnv(t)
+	close(env.release)
+	old := env.startWithAdmin(t)
+	waitReady(t, old)
+	partial := dialClient(t, old)
+	io.WriteString(partial, "GET /up HTT")
+	waitFor(t, "it has begun to come", func() bool { return old.handler.Conns.Pending() == 1 })
+	successor := env.startSuccessor(t, old)
+	stopped := make(chan error, 1)
+	go func() { stopped <- old.shutdown() }()
+	waitFor(t, "it drains", old.handler.KeepAlivesDisabled)
+	time.Sleep(idleCloseDelay + 100*time.Millisecond)
+	if res := partial.exchange(t, "P/1.1\r\nHost: h\r\n\r\n"); !res.closed {
+		t.Errorf("%+v", res)
+	}
+	if err := <-stopped; err != nil {
+		t.Error(err)
+	}
+	mustShutdown(t, successor)
+}
+
+// A new process that ends before it is ready leaves the old one as it was, and one that never can serve takes no client.
+func TestHotRestart_FailedSuccessor(t *testing.T) {
+	shared := t.TempDir()
+	t.Setenv("TMPDIR", shared)
+	restoreLimits(t)
+	env := newTestEnv(t)
+	old := env.startWithAdmin(t)
+	waitReady(t, old)
+	other, err := hotrestart.Open(shared, "other") // not of this dispatcher
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer other.Close()
+	if o := old.process.Siblings(); o.Alive != 0 {
+		t.Errorf("%+v", o)
+	}
+	c, err := Decode([]byte(configText(env.discovery, env.worker, "5")))
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.ListenAddress, c.AdminAddress = old.address.String(), "192.0.2.1:1" // not ours
+	if _, err := start(c, discardLog(), nil); err == nil || !strings.Contains(err.Error(), "operator: ") {
+		t.Errorf("%v", err)
+	}
+	if o := old.process.Siblings(); o.Alive != 0 {
+		t.Errorf("what never served is still a sibling: %+v", o)
+	}
+	go func() { env.release <- true }()
+	if a := post(old, "a", "5000"); a.status != 200 || a.closed {
+		t.Errorf("%+v", a)
+	}
+	mustShutdown(t, old)
+}
+
+// Without a shared directory the admin server answers, and overrides are in force.
+func TestAdmin_WithoutSharedDir(t *testing.T) {
+	t.Setenv("TMPDIR", "")
+	env := newTestEnv(t)
+	srv := env.startWithAdmin(t)
+	waitReady(t, srv)
+	expectPostStatus(t, srv, "/-/runners/w/disable", 200)
+	if out := srv.engine.DisabledWorkers(); len(out) != 1 {
+		t.Errorf("out: %v", out)
+	}
+	expectPostStatus(t, srv, "/-/runners/w/enable", 200)
+	if out := srv.engine.DisabledWorkers(); len(out) != 0 {
+		t.Errorf("out: %v", out)
+	}
+	close(env.release)
+	mustShutdown(t, srv)
+}
+
+// A new process begins with the endpoint list that the old one saved, where discovery is silent and the configuration's list is older.
+func TestHotRestart_InheritsEndpoints(t *testing.T) {
+	t.Setenv("TMPDIR", t.TempDir())
+	restoreLimits(t)
+	env := newTestEnv(t)
+	old := env.startWithAdmin(t)
+	waitFor(t, "the list is saved", func() bool {
+		saved, _ := old.process.Endpoints()
+		return saved != nil
+	})
+	raw := strings.Replace(configText("127.0.0.1:1", "127.0.0.1:2", "5"), `"name":"w"`, `"name":"gone"`, 1)
+	ended := startWith(t, raw, configureSuccessor(old)) // ended before it is ready: it has nothing to finish
+	if err := ended.shutdown(); err != nil || ended.sharedListener != nil {
+		t.Errorf("%v, it listens: %v", err, ended.sharedListener != nil)
+	}
+	successor := startWith(t, raw, configureSuccessor(old))
+	l, _ := successor.engine.Endpoints()
+	if len(l.Endpoints) != 1 || l.Endpoints[0].Name != "w" || l.Endpoints[0].Address != env.worker || !l.Stale || l.Version != 41 {
+		t.Errorf("%+v", l)
+	}
+	waitReady(t, successor)
+	close(env.release)
+	for _, srv := range []*Server{old, successor} {
+		mustShutdown(t, srv)
+	}
+}
