--- a/internal/consensus/quiet.go
+++ b/internal/consensus/raftlogger.go
@@ -6,8 +6,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// raftLogger puts what raft says into our log: its daily business at debug level. What it takes for impossible panics, and ends
-// this member's part in the agreement.
+// raftLogger is raft's logger: it writes to ours, raft's routine messages at debug level. What raft takes for impossible panics, and so
+// ends this member's part: see Node.recoverFailure.
 type raftLogger struct{ log logrus.FieldLogger }
 
 func (l raftLogger) Debug(v ...any)                   { l.log.Debug(v...) }
--- /dev/null
+++ b/internal/consensus/storage_test.go
@@ -0,0 +1,167 @@
+package consensus
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"birchfork/internal/boltstore"
+)
+
+var testIdentity = Identity{Group: "g", Name: "a", Incarnation: "first", RaftID: 7}
+
+// storedPosition is the position of newStorageDir's file.
+var storedPosition = Position{Term: 3, LastIndex: 4, LastTerm: 3}
+
+// newStorageDir returns a directory whose file has a vote and three entries, and the file's bytes.
+func newStorageDir(t *testing.T) (dir string, raw []byte) {
+	t.Helper()
+	dir = t.TempDir()
+	storage, err := OpenStorage(dir, testIdentity)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := Bootstrap(storage, "f", []byte("state")); err != nil {
+		t.Fatal(err)
+	}
+	var entries []*raftpb.Entry
+	for i := uint64(2); i < 5; i++ {
+		entries = append(entries, &raftpb.Entry{Index: proto.Uint64(i), Term: proto.Uint64(3), Data: bytes.Repeat([]byte{byte(i)}, 40)})
+	}
+	if err := storage.save(&raftpb.HardState{Term: proto.Uint64(3), Vote: proto.Uint64(9), Commit: proto.Uint64(4)}, entries, nil); err != nil {
+		t.Fatal(err)
+	}
+	if err := storage.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if raw, err = os.ReadFile(filepath.Join(dir, storageFile)); err != nil {
+		t.Fatal(err)
+	}
+	return dir, raw
+}
+
+// A file is read under its first incarnation. Another member's file is refused by name, and not changed.
+func TestStorage_BelongsToOneMember(t *testing.T) {
+	dir, raw := newStorageDir(t)
+	storage, err := OpenStorage(dir, Identity{Group: "g", Name: "a", Incarnation: "second", RaftID: 8})
+	if err != nil {
+		t.Fatal(err)
+	}
+	hardState, _, _ := storage.memory.InitialState()
+	if identity := storage.Identity(); identity.Incarnation != "first" || identity.ClusterID != "f" {
+		t.Errorf("identity %+v", identity)
+	}
+	if storage.Position() != storedPosition || hardState.GetVote() != 9 || storage.IsEmpty() {
+		t.Errorf("position %+v, %v, empty: %t", storage.Position(), hardState, storage.IsEmpty())
+	}
+	if _, err := OpenStorage(dir, testIdentity); !errors.Is(err, boltstore.ErrLocked) {
+		t.Errorf("a second owner: %v", err)
+	}
+	mustClose(t, storage)
+	for _, other := range []Identity{{Group: "h", Name: "a"}, {Group: "g", Name: "b"}} {
+		if _, err := OpenStorage(dir, other); !errors.Is(err, boltstore.ErrForeign) {
+			t.Errorf("%+v: %v", other, err)
+		}
+	}
+	if now, _ := os.ReadFile(filepath.Join(dir, storageFile)); !bytes.Equal(now, raw) {
+		t.Error("a file that was refused was changed")
+	}
+}
+
+// corruption counts what became of corrupt files.
+type corruption struct{ complete, replaced int }
+
+// A torn file, or one with a flipped bit, is either read in full or set aside for a new incarnation: never a part of a vote.
+func TestStorage_CorruptFileBeginsNewIncarnation(t *testing.T) {
+	_, raw := newStorageDir(t)
+	var outcomes corruption
+	for n := 0; n < len(raw); n += 509 {
+		outcomes.try(t, fmt.Sprintf("torn at %d", n), raw[:n])
+	}
+	flip := func(n int) {
+		flipped := bytes.Clone(raw)
+		flipped[n] ^= 4
+		outcomes.try(t, fmt.Sprintf("flipped at %d", n), flipped)
+	}
+	for n := 3; n < len(raw); n += 211 {
+		flip(n)
+	}
+	entry := bytes.Repeat([]byte{3}, 40) // every copy of it, wherever the file has it
+	for at := bytes.Index(raw, entry); at >= 0; {
+		flip(at + 7)
+		next := bytes.Index(raw[at+len(entry):], entry)
+		if next < 0 {
+			break
+		}
+		at += len(entry) + next
+	}
+	if outcomes.complete == 0 || outcomes.replaced == 0 {
+		t.Errorf("%d read in full, %d set aside", outcomes.complete, outcomes.replaced)
+	}
+}
+
+// try opens a file.
+func (c *corruption) try(t *testing.T, what string, raw []byte) {
+	t.Helper()
+	dir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, storageFile), raw, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	storage, err := OpenStorage(dir, Identity{Group: "g", Name: "a", Incarnation: "second", RaftID: 8})
+	switch {
+	case errors.Is(err, boltstore.ErrForeign): // the flipped bit is in its name
+		return
+	case err != nil:
+		t.Errorf("%s: %v", what, err)
+		return
+	}
+	defer mustClose(t, storage)
+	hardState, _, _ := storage.memory.InitialState()
+	incarnation, position := storage.Identity().Incarnation, storage.Position()
+	switch {
+	case incarnation == "first" && position == storedPosition && hardState.GetVote() == 9 && entriesAreComplete(storage):
+		c.complete++
+	case incarnation == "second" && storage.IsEmpty():
+		c.replaced++
+	case incarnation == "first" && position.LastIndex < storedPosition.LastIndex: // an older state, by bbolt's other root
+	default:
+		t.Errorf("%s: %+v, position %+v, %v", what, storage.Identity(), position, hardState)
+	}
+}
+
+// entriesAreComplete reports whether storage has the entries of newStorageDir's file.
+func entriesAreComplete(storage *Storage) bool {
+	entries, err := storage.memory.Entries(2, 5, 1<<20)
+	for i, entry := range entries {
+		if !bytes.Equal(entry.GetData(), bytes.Repeat([]byte{byte(2 + i)}, 40)) {
+			return false
+		}
+	}
+	return err == nil
+}
+
+// Entries of another leader are replaced by those of the present one, in the file too.
+func TestStorage_ReplacesConflictingEntries(t *testing.T) {
+	dir, _ := newStorageDir(t)
+	for i := range 2 {
+		storage, err := OpenStorage(dir, testIdentity)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if i == 0 {
+			if err := storage.save(nil, []*raftpb.Entry{{Index: proto.Uint64(3), Term: proto.Uint64(4)}}, nil); err != nil {
+				t.Fatal(err)
+			}
+		}
+		if term, err := storage.memory.Term(3); storage.Position().LastIndex != 3 || term != 4 || err != nil {
+			t.Errorf("position %+v, entry 3 of term %d, %v", storage.Position(), term, err)
+		}
+		mustClose(t, storage)
+	}
+}
--- /dev/null
+++ b/internal/coordinator/apply.go
@@ -0,0 +1,147 @@
+package coordinator
+
+import (
+	"context"
+	"time"
+
+	"birchfork/internal/consensus"
+	"birchfork/internal/engine"
+	"birchfork/internal/failpoint"
+	"birchfork/internal/maintenance"
+)
+
+// restoredStateGrace is for how long after a membership's start failpoint.IgnoreRestoredState is in force.
+const restoredStateGrace = 2 * time.Second
+
+// Apply implements consensus.StateMachine: it applies a committed command to the state, and the state to the dispatcher.
+func (c *Coordinator) Apply(index uint64, data []byte) {
+	events, restrictions := c.applyEntry(index, data)
+	if len(events) > 0 && !c.ignoresRestoredState() {
+		c.options.Dispatcher.SetRestrictions(restrictions)
+	}
+	for _, event := range events {
+		log := c.options.Log.WithField("index", index)
+		if event.Plan != "" {
+			log = log.WithField("plan", event.Plan)
+		}
+		if event.Machine != "" {
+			log = log.WithField("machine", event.Machine)
+		}
+		log.WithField("event", event.Text).Info("entry applied")
+	}
+	c.notifyChanged()
+}
+
+// applyEntry applies a command to the state. It panics for one that needs a newer build, and the node stops: see consensus.Node.
+func (c *Coordinator) applyEntry(index uint64, data []byte) ([]maintenance.Event, engine.Restrictions) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	previousSeq := c.state.Seq
+	events := c.state.Apply(index, data)
+	if c.state.Seq != previousSeq {
+		c.seqSince = time.Now()
+	}
+	return events, restrictionsOf(c.state)
+}
+
+// Snapshot implements consensus.StateMachine.
+func (c *Coordinator) Snapshot() ([]byte, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.state.Encode()
+}
+
+// Restore implements consensus.StateMachine.
+func (c *Coordinator) Restore(data []byte) error {
+	state, err := maintenance.Decode(data)
+	if err != nil {
+		return err
+	}
+	c.mu.Lock()
+	c.state = state
+	c.seqSince = time.Now()
+	restrictions := restrictionsOf(state)
+	c.mu.Unlock()
+	if !c.ignoresRestoredState() {
+		c.options.Dispatcher.SetRestrictions(restrictions)
+	}
+	c.notifyChanged()
+	return nil
+}
+
+// restrictionsOf returns how a state restricts a dispatcher.
+func restrictionsOf(state *maintenance.State) engine.Restrictions {
+	underMaintenance, leased := state.InMaintenance(), state.Leased()
+	return engine.Restrictions{
+		MaintenanceWorkers: underMaintenance.Workers,
+		MaintenanceHosts:   underMaintenance.Hosts,
+		LeasedWorkers:      leased.Workers,
+		LeasedHosts:        leased.Hosts,
+	}
+}
+
+// ignoresRestoredState reports whether failpoint.IgnoreRestoredState keeps the state from the dispatcher.
+func (c *Coordinator) ignoresRestoredState() bool {
+	if !failpoint.Enabled(failpoint.IgnoreRestoredState) {
+		return false
+	}
+	current := c.currentMembership()
+	return current == nil || time.Since(current.startedAt) < restoredStateGrace
+}
+
+// notifyChanged wakes those who wait for the state.
+func (c *Coordinator) notifyChanged() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	close(c.changed)
+	c.changed = make(chan struct{})
+}
+
+// readBarrier waits until all is applied here that was committed before the call, and returns its index. A quorum has confirmed since the
+// call that this member leads.
+func (c *Coordinator) readBarrier(ctx context.Context, node *consensus.Node) (index uint64, err error) {
+	index, err = node.ReadIndex(ctx)
+	if err != nil {
+		return 0, err
+	}
+	return index, c.waitApplied(ctx, index)
+}
+
+// waitApplied waits until all entries up to an index are applied here.
+func (c *Coordinator) waitApplied(ctx context.Context, index uint64) error {
+	for {
+		c.mu.Lock()
+		changed := c.changed
+		c.mu.Unlock()
+		node := c.node()
+		if node == nil {
+			return errOutsideGroup
+		}
+		if node.Status().Applied >= index {
+			return nil
+		}
+		select {
+		case <-changed:
+		case <-time.After(appliedInterval): // raft's own entries do not change the state
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+	}
+}
+
+// waitForState waits until the state meets a condition, which is called with c.mu held.
+func (c *Coordinator) waitForState(ctx context.Context, condition func(*maintenance.State) bool) error {
+	for {
+		c.mu.Lock()
+		holds, changed := condition(c.state), c.changed
+		c.mu.Unlock()
+		if holds {
+			return nil
+		}
+		select {
+		case <-changed:
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+	}
+}
--- /dev/null
+++ b/internal/coordinator/bootstrap.go
@@ -0,0 +1,103 @@
+package coordinator
+
+import (
+	"context"
+	"crypto/rand"
+	"encoding/json"
+	"errors"
+	"maps"
+	"slices"
+	"time"
+
+	"birchfork/internal/consensus"
+	"birchfork/internal/maintenance"
+)
+
+// errStorageNotEmpty says that a group cannot be created on storage that has a history.
+var errStorageNotEmpty = errors.New("the group's storage is not empty")
+
+// bootstrap creates the group at this member, for an operator. The other members join it. It does so only once every other member has
+// answered that it is in no group.
+func (c *Coordinator) bootstrap(ctx context.Context, afterDataLoss bool) *Reply {
+	current := c.currentMembership()
+	if current == nil {
+		return retryLater(noMembershipText)
+	}
+	if clusterID := c.sender().ClusterID; clusterID != "" {
+		return &Reply{Text: "this member is in the group already, founded as " + clusterID}
+	}
+	unclear, err := c.membersNotOutside(ctx, current)
+	if err != nil {
+		return &Reply{Code: maintenance.CodeInvalid, Text: err.Error()}
+	}
+	if len(unclear) > 0 {
+		name := slices.Min(slices.Collect(maps.Keys(unclear)))
+		return retryLater("each member has to say that it is in no group yet; %s: %v", name, unclear[name])
+	}
+	select {
+	case current.bootstrap <- afterDataLoss:
+	case <-ctx.Done():
+		return retryLater(NotCommittedText)
+	}
+	for ctx.Err() == nil && c.node() == nil {
+		sleep(ctx, pollInterval)
+	}
+	if c.node() == nil {
+		return retryLater(NotCommittedText)
+	}
+	return &Reply{Text: "founded"}
+}
+
+// membersNotOutside returns the other members that have not answered that they are in no group, with what they answered instead; a nil
+// error is among the answers of members that are in one.
+func (c *Coordinator) membersNotOutside(ctx context.Context, current *membership) (map[string]error, error) {
+	request, err := json.Marshal(joinRequest{Name: c.options.Self}) // without an incarnation it is never granted
+	if err != nil {
+		return nil, err
+	}
+	unclear := map[string]error{}
+	for _, member := range c.others() {
+		if _, err := c.request(ctx, current, member.Name, pathJoin, request); !isRejectedAs(err, errRejectOutsideGroup) {
+			unclear[member.Name] = err
+		}
+	}
+	return unclear, nil
+}
+
+// bootstrapStorage creates the group on this member's storage, and starts the node.
+func (c *Coordinator) bootstrapStorage(current *membership, afterDataLoss bool) error {
+	if !current.storage.IsEmpty() {
+		return errStorageNotEmpty
+	}
+	self, _ := c.self()
+	state := maintenance.New()
+	state.AppliedIndex = 1
+	state.HistoryLost = afterDataLoss
+	state.Members[c.options.Self] = &maintenance.Member{
+		Name: c.options.Self, Incarnation: current.identity.Incarnation, RaftID: current.identity.RaftID, Voter: self.Voter,
+	}
+	raw, err := state.Encode()
+	if err != nil {
+		return err
+	}
+	if err := consensus.Bootstrap(current.storage, rand.Text()[:incarnationLength], raw); err != nil {
+		return err
+	}
+	c.startNode(current, c.openBootMarker(), nil, true)
+	return nil
+}
+
+// confirmDisk confirms, for an operator, that this member's disk is the last one that it had. Only a member that waits for that takes it:
+// see resume.
+func (c *Coordinator) confirmDisk() *Reply {
+	current := c.currentMembership()
+	if current == nil {
+		return retryLater(noMembershipText)
+	}
+	select {
+	case current.diskConfirmed <- struct{}{}:
+		return &Reply{Text: "taken"}
+	case <-time.After(joinInterval + requestTimeout):
+		return retryLater("this member does not wait for a word on its disk")
+	}
+}
--- /dev/null
+++ b/internal/coordinator/leader.go
@@ -0,0 +1,220 @@
+package coordinator
+
+import (
+	"context"
+	"encoding/json"
+	"slices"
+	"time"
+
+	"go.etcd.io/raft/v3/raftpb"
+
+	"birchfork/internal/consensus"
+	"birchfork/internal/maintenance"
+)
+
+// compactLevel is the level of entries from which on an advance may be compact: see maintenance.State.Compact.
+const compactLevel = 2
+
+// leaderLoop does the leader's work while this member leads, until ctx ends.
+func (c *Coordinator) leaderLoop(ctx context.Context) {
+	for ; ctx.Err() == nil; sleep(ctx, leaderInterval) {
+		node := c.node()
+		if node == nil || !node.Status().IsLeader {
+			continue
+		}
+		c.proposeAdvance(ctx, node)
+		c.reconcileVoters(ctx, node)
+	}
+}
+
+// proposeAdvance proposes an entry with what members have reported, if that would change the state.
+func (c *Coordinator) proposeAdvance(ctx context.Context, node *consensus.Node) {
+	c.mu.Lock()
+	advance := c.collectAdvance()
+	silent, older := c.membersBelowLevel(compactLevel)
+	if len(silent)+len(older) == 0 {
+		advance = c.state.Compact(advance)
+	}
+	isUseful := c.state.WouldChange(advance)
+	c.mu.Unlock()
+	if !isUseful {
+		return
+	}
+	raw, err := encodeEntry(&maintenance.Command{Kind: maintenance.CommandAdvance, Advance: advance})
+	if err == nil {
+		err = node.Propose(ctx, raw)
+	}
+	if err != nil {
+		c.options.Log.WithError(err).Debug("advance not proposed")
+	}
+}
+
+// encodeEntry encodes a command as an entry, with the level that it needs.
+func encodeEntry(command *maintenance.Command) ([]byte, error) {
+	command.Level = command.RequiredLevel()
+	return json.Marshal(command)
+}
+
+// collectAdvance returns what members have reported, together with what this one knows of the fleet. c.mu must be held.
+func (c *Coordinator) collectAdvance() *maintenance.Advance {
+	advance := &maintenance.Advance{
+		StateSeq:     c.state.Seq,
+		Elapsed:      time.Since(c.seqSince),
+		FenceTimeout: c.fenceTimeout(),
+		WarmUp:       c.warmUp,
+		Reports:      map[string]maintenance.MemberReport{},
+		Fleet:        c.localFleet(),
+	}
+	for name, report := range c.lastReports {
+		if c.state.Members[name] == nil {
+			delete(c.lastReports, name)
+			continue
+		}
+		advance.Reports[name] = report.MemberReport
+		advance.FenceTimeout = max(advance.FenceTimeout, report.FenceTimeout)
+		advance.WarmUp = max(advance.WarmUp, report.WarmUp)
+		c.mergeObservations(advance.Fleet, report)
+	}
+	return advance
+}
+
+// localFleet returns what this member's dispatcher knows of the workers, by name. c.mu must be held.
+func (c *Coordinator) localFleet() map[string]maintenance.Worker {
+	fleet := map[string]maintenance.Worker{}
+	for _, status := range c.options.Dispatcher.WorkerStatuses(goneWorkerRetention, c.warmUp) {
+		fleet[status.Name] = maintenance.Worker{
+			Zone:        status.Zone,
+			Kind:        status.Kind,
+			Host:        status.Host,
+			Weight:      status.Weight,
+			Unavailable: status.Unavailable,
+			Gone:        status.Gone,
+			WarmingUp:   status.WarmingUp,
+			Disabled:    status.Disabled,
+		}
+	}
+	return fleet
+}
+
+// mergeObservations adds to a fleet what a member has reported of its workers. An operator's override counts until the member says
+// otherwise. What the member has seen itself expires: a silent member would hold up a plan for ever. c.mu must be held.
+func (c *Coordinator) mergeObservations(fleet map[string]maintenance.Worker, report receivedReport) {
+	if time.Since(report.receivedAt) < c.observationLifetime() {
+		markWorkers(fleet, report.Unavailable, func(worker *maintenance.Worker) { worker.Unavailable = true })
+		markWorkers(fleet, report.WarmingUp, func(worker *maintenance.Worker) { worker.WarmingUp = true })
+	}
+	markWorkers(fleet, report.Disabled, func(worker *maintenance.Worker) { worker.Disabled = true })
+}
+
+// markWorkers changes the named workers of a fleet, as far as the fleet has them.
+func markWorkers(fleet map[string]maintenance.Worker, names []string, mark func(*maintenance.Worker)) {
+	for _, name := range names {
+		worker, ok := fleet[name]
+		if !ok {
+			continue
+		}
+		mark(&worker)
+		fleet[name] = worker
+	}
+}
+
+// observationLifetime returns how long what a member has seen of workers counts: as long as the group waits for a silent member, and
+// some reports at least. c.mu must be held.
+func (c *Coordinator) observationLifetime() time.Duration {
+	return max(c.state.FenceTimeout, minObservationReports*idleReportInterval)
+}
+
+// reconcileVoters brings raft's members in line with the state, by one change at a time: voters that have caught up are promoted, members
+// that were retired or have a newer incarnation are removed.
+func (c *Coordinator) reconcileVoters(ctx context.Context, node *consensus.Node) {
+	status := node.Status()
+	caughtUp := node.CaughtUp(ctx)
+	c.mu.Lock()
+	changes := c.nextPromotion(status, caughtUp)
+	if changes == nil {
+		changes = c.nextRemoval(status)
+	}
+	c.mu.Unlock()
+	if changes == nil {
+		return
+	}
+	if err := node.ProposeConfChange(ctx, changes, nil); err != nil {
+		c.options.Log.WithError(err).Debug("change of voters not proposed")
+	}
+}
+
+// nextPromotion returns the changes that make one caught-up learner a voter; nil: there is none to promote. The vote of an earlier
+// incarnation passes to the present one in the same change. c.mu must be held.
+func (c *Coordinator) nextPromotion(status consensus.Status, caughtUp []uint64) []*raftpb.ConfChangeSingle {
+	for _, member := range c.state.Members {
+		isReadyLearner := slices.Contains(status.Learners, member.RaftID) && slices.Contains(caughtUp, member.RaftID)
+		if !member.Voter || !isReadyLearner {
+			continue
+		}
+		changes := []*raftpb.ConfChangeSingle{confChange(raftpb.ConfChangeAddNode, member.RaftID)}
+		for _, past := range member.PastIncarnations {
+			if slices.Contains(status.Voters, past.RaftID) {
+				changes = append(changes, confChange(raftpb.ConfChangeRemoveNode, past.RaftID))
+			}
+		}
+		return changes
+	}
+	return nil
+}
+
+// nextRemoval returns the change that removes one raft ID that is no member's any more; nil: there is none. c.mu must be held.
+func (c *Coordinator) nextRemoval(status consensus.Status) []*raftpb.ConfChangeSingle {
+	known := map[uint64]bool{}
+	for _, member := range c.state.Members {
+		known[member.RaftID] = true
+	}
+	for _, id := range slices.Concat(status.Learners, status.Voters) {
+		if !known[id] && !c.holdsVoteForSuccessor(status, id) {
+			return []*raftpb.ConfChangeSingle{confChange(raftpb.ConfChangeRemoveNode, id)}
+		}
+	}
+	return nil
+}
+
+// holdsVoteForSuccessor reports whether a raft ID is that of an earlier incarnation of a voter, whose present one does not vote yet. Its
+// vote is kept until it can pass: see nextPromotion. c.mu must be held.
+func (c *Coordinator) holdsVoteForSuccessor(status consensus.Status, id uint64) bool {
+	for _, member := range c.state.Members {
+		if hadRaftID(member, id) {
+			return member.Voter && slices.Contains(status.Voters, id) && !slices.Contains(status.Voters, member.RaftID)
+		}
+	}
+	return false
+}
+
+// transferLeadership gives leadership to another voter, if this member has it, and waits a little until it has gone. It does so although
+// ctx may have ended, whose values it uses alone.
+func (c *Coordinator) transferLeadership(ctx context.Context) {
+	node := c.node()
+	if node == nil || !node.Status().IsLeader {
+		return
+	}
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), requestTimeout)
+	defer cancel()
+	to := c.otherVoter(node.CaughtUp(ctx))
+	if to == 0 {
+		return
+	}
+	node.TransferLeadership(ctx, to)
+	for ctx.Err() == nil && node.Status().IsLeader {
+		sleep(ctx, pollInterval)
+	}
+}
+
+// otherVoter returns the raft ID of one of the given members that votes and is not this one; 0: there is none.
+func (c *Coordinator) otherVoter(ids []uint64) uint64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, member := range c.state.Members {
+		isOther := member.Voter && member.Name != c.options.Self
+		if isOther && slices.Contains(ids, member.RaftID) {
+			return member.RaftID
+		}
+	}
+	return 0
+}
--- /dev/null
+++ b/internal/coordinator/status.go
@@ -0,0 +1,140 @@
+package coordinator
+
+import (
+	"slices"
+	"time"
+
+	"birchfork/internal/consensus"
+	"birchfork/internal/maintenance"
+)
+
+// Status describes the group and its plans, as one member knows them. Durations are in nanoseconds.
+type Status struct {
+	Member       string         `json:"told"`    // the member that describes it
+	Confirmed    bool           `json:"settled"` // that member leads, and a quorum has confirmed it; else it may be out of date
+	Leader       string         `json:"leader"`  // empty: none is known
+	Term         uint64         `json:"term"`
+	AppliedIndex uint64         `json:"index"`            // of the last entry that changed the state
+	Failure      string         `json:"failed,omitempty"` // why the member's consensus has stopped
+	Bounds       Bounds         `json:"bounds"`
+	Members      []MemberStatus `json:"members"` // by name
+	Plans        []PlanStatus   `json:"plans"`
+
+	Links map[string]int64 `json:"links"` // the counters of the member's transport
+}
+
+// Bounds are the times after which a machine counts as drained although a member is silent.
+type Bounds struct {
+	Lease        time.Duration `json:"lease"`   // of the member that describes it
+	MaxAttempt   time.Duration `json:"attempt"` // the longest that an attempt of that member may run
+	FenceTimeout time.Duration `json:"settled"` // how long the group waits for a silent member
+}
+
+// MemberStatus describes a member.
+type MemberStatus struct {
+	Name        string        `json:"name"`
+	Zone        string        `json:"zone"` // by the operator's file of the member that describes it
+	Incarnation string        `json:"life"`
+	IsVoter     bool          `json:"votes"`
+	LastReport  time.Duration `json:"heard"`   // since the leader had a report of it; negative: it has had none
+	Applied     uint64        `json:"applied"` // the last entry that it has applied, by that report
+	SoleProcess bool          `json:"alone"`   // no other process of its dispatcher may send, by that report
+}
+
+// PlanStatus describes a plan.
+type PlanStatus struct {
+	Name     string                `json:"name"`
+	Phase    maintenance.PlanPhase `json:"phase"`
+	Reason   string                `json:"why,omitempty"` // what the whole plan waits for
+	Machines []MachineStatus       `json:"machines"`
+}
+
+// MachineStatus describes a machine of a plan.
+type MachineStatus struct {
+	Name          string                   `json:"name"`
+	Phase         maintenance.MachinePhase `json:"step"`
+	PhaseDuration time.Duration            `json:"for"` // on the group's clock, up to the last entry
+	Overdue       bool                     `json:"overdue,omitempty"`
+	Reason        string                   `json:"why,omitempty"` // what it waits for
+}
+
+// status returns the status, with reasons if it is confirmed. c.mu must be held.
+func (c *Coordinator) status(isConfirmed bool) *Status {
+	status := &Status{
+		Member:       c.options.Self,
+		Confirmed:    isConfirmed,
+		AppliedIndex: c.state.AppliedIndex,
+		Bounds: Bounds{
+			Lease:        c.options.Group.LeaseDuration,
+			MaxAttempt:   c.maxAttempt,
+			FenceTimeout: c.state.FenceTimeout,
+		},
+	}
+	nodeStatus := consensus.Status{}
+	if c.membership != nil {
+		status.Links = c.membership.transport.Counters.Values()
+		if c.membership.node != nil {
+			nodeStatus = c.membership.node.Status()
+		}
+	}
+	status.Term = nodeStatus.Term
+	status.Failure = nodeStatus.Failure
+	for _, member := range c.state.Members {
+		if member.RaftID == nodeStatus.LeaderID {
+			status.Leader = member.Name
+		}
+	}
+	status.Members = c.memberStatuses(nodeStatus.Voters)
+	status.Plans = c.planStatuses(isConfirmed)
+	return status
+}
+
+// memberStatuses returns the status of each member, by name. c.mu must be held.
+func (c *Coordinator) memberStatuses(voters []uint64) []MemberStatus {
+	var statuses []MemberStatus //nolint:prealloc // without members it is null in JSON
+	zones := map[string]string{}
+	for _, listed := range c.options.Group.Members {
+		zones[listed.Name] = listed.Zone
+	}
+	for _, name := range c.state.MemberNames() {
+		member := c.state.Members[name]
+		status := MemberStatus{
+			Name:        name,
+			Zone:        zones[name],
+			Incarnation: member.Incarnation,
+			IsVoter:     slices.Contains(voters, member.RaftID),
+			LastReport:  -1,
+		}
+		if report, ok := c.lastReports[name]; ok {
+			status.LastReport = time.Since(report.receivedAt)
+			status.Applied = report.Applied
+			status.SoleProcess = report.SoleProcess
+		}
+		statuses = append(statuses, status)
+	}
+	return statuses
+}
+
+// planStatuses returns the status of each plan, with reasons if that is wanted. c.mu must be held.
+func (c *Coordinator) planStatuses(withReasons bool) []PlanStatus {
+	var statuses []PlanStatus //nolint:prealloc // without plans it is null in JSON
+	advance := c.collectAdvance()
+	for _, plan := range c.state.Plans {
+		reasons := map[string]string{}
+		if withReasons {
+			reasons = c.state.WaitReasons(plan, advance)
+		}
+		status := PlanStatus{Name: plan.Name, Phase: plan.Phase, Reason: reasons[""]}
+		for _, machine := range plan.MachineStates {
+			status.Machines = append(status.Machines, MachineStatus{
+				Name:          machine.Name,
+				Phase:         machine.Phase,
+				PhaseDuration: c.state.Clock - machine.PhaseStart,
+				Overdue:       machine.Overdue,
+				Reason:        reasons[machine.Name],
+			})
+		}
+		statuses = append(statuses, status)
+	}
+	return statuses
+}
--- /dev/null
+++ b/internal/server/admin.go
@@ -0,0 +1,73 @@
+package server
+
+import (
+	"fmt"
+	"net"
+
+	"birchfork/internal/admin"
+	"birchfork/internal/hotrestart"
+)
+
+// startAdmin starts the operators' admin server, if an address is configured.
+func (s *Server) startAdmin() error {
+	if s.config.AdminAddress == "" {
+		return nil
+	}
+	listener, err := net.Listen("tcp", s.config.AdminAddress)
+	if err != nil {
+		return fmt.Errorf("operator: %w", err)
+	}
+	service := admin.Service{
+		Ready:   s.checkReady,
+		Disable: func(worker string) (string, error) { return s.setOverride(worker, true) },
+		Enable:  func(worker string) (string, error) { return s.setOverride(worker, false) },
+	}
+	s.admin = admin.Start(listener, s.config.maxAdminConns(), service, newErrorLog(s.log))
+	s.log.WithField("address", s.admin.Addr().String()).Info("admin server listening")
+	return nil
+}
+
+// checkReady tells operators why this process cannot serve; nil where it can. The texts are part of the admin server's answers.
+func (s *Server) checkReady() error {
+	if !s.isListening() {
+		return fmt.Errorf("%w: it does not know the runners yet", admin.ErrUnavailable)
+	}
+	if !s.handler.Ready() {
+		return fmt.Errorf("%w: it leaves, or does not know the runners yet", admin.ErrUnavailable)
+	}
+	if s.overrides != nil && !s.overrides.CaughtUp() {
+		return fmt.Errorf("%w: it has not heard yet what staff have told the others", admin.ErrUnavailable)
+	}
+	return nil
+}
+
+// setOverride disables a worker, or enables it again, as operators ask. It is in force here on return, and siblings and the group's
+// other members follow. The note tells operators what they should know of its success; the error is admin.ErrUnknownWorker, or
+// admin.ErrUnavailable where the group's replica cannot take the override.
+func (s *Server) setOverride(worker string, disabled bool) (note string, err error) {
+	log := s.log.WithField("worker", worker)
+	if !s.engine.KnowsWorker(worker) {
+		log.Info("override for an unknown worker")
+		return "", admin.ErrUnknownWorker
+	}
+	override, err := s.process.SetOverride(worker, disabled)
+	if err != nil { // it is in force here all the same, and siblings get it as soon as that works
+		log.WithError(err).Error("override not persisted yet; retrying")
+	}
+	if override.At > 0 {
+		s.engine.ApplyOverrides(engineOverrides(hotrestart.Overrides{worker: override}))
+	}
+	if s.overrides != nil {
+		note, err = s.overrides.SetOverride(worker, disabled, override.At)
+		if err != nil {
+			log.WithError(err).Error("override not replicated to the group")
+			return "", fmt.Errorf("%w: %w", admin.ErrUnavailable, err)
+		}
+	}
+	if disabled {
+		log.Info("worker disabled by an operator")
+	} else {
+		log.Info("worker enabled by an operator")
+	}
+	return note, nil
+}
--- a/internal/testbed/mutant/planted.go
+++ b/internal/testbed/mutant/mutant.go
@@ -1,5 +1,5 @@
-// Package mutant is a small dispatcher with one fault of your choice: the lab shows with it that its judge sees. It
-// shares no code with the real one, so that no guard of that one stands in a fault's way.
+// Package mutant is a small dispatcher with one selectable fault, which proves that the invariant checker finds it. It
+// shares no code with the real dispatcher, so that none of that one's guards hides a fault.
 package mutant
 
 import (
@@ -22,14 +22,14 @@
 	"time"
 )
 
-// Fault is one planted fault, with the breach that the judge has to name.
-type Fault struct {
-	Name, About  string
-	Rule, Breach string // empty: a crash
+// Mutant is one selectable fault, with the violation that the invariant checker has to report.
+type Mutant struct {
+	Name, About     string
+	Rule, Violation string // empty: a crash
 }
 
-// Faults are all that can be planted. "none" is the same dispatcher without one.
-var Faults = []Fault{
+// Mutants lists all faults; "none" is the same dispatcher without one.
+var Mutants = []Mutant{
 	{"none", "keeps all rules", "", ""},
 	{"unsafe-twice", "sends a never-twice job again after a failure", "effects", "sent-again"},
 	{"refuses-what-ran", "answers a failed never-twice job with a refusal", "effects", "refused-what-may-have-run"},
@@ -47,16 +47,16 @@
 	{"stays", "does not end on SIGTERM", "", "did not end after SIGTERM"},
 }
 
-// Find returns a fault by its name.
-func Find(name string) (Fault, error) {
+// Find returns a fault by its name; the error of an unknown one lists the names.
+func Find(name string) (Mutant, error) {
 	var all []string
-	for _, f := range Faults {
+	for _, f := range Mutants {
 		if f.Name == name {
 			return f, nil
 		}
 		all = append(all, f.Name)
 	}
-	return Fault{}, fmt.Errorf("no fault %q can be planted; there are %s", name, strings.Join(all, ", "))
+	return Mutant{}, fmt.Errorf("no fault %q can be planted; there are %s", name, strings.Join(all, ", "))
 }
 
 // config is what the faulty dispatcher reads of the platform's configuration.
@@ -95,7 +95,8 @@
 	order   []string
 }
 
-// Run serves with a fault until SIGTERM.
+// Run serves with a fault until SIGTERM; path is that of the platform's configuration. The error is one of reading the
+// configuration or of the listener.
 func Run(path, fault string) error {
 	if _, err := Find(fault); err != nil {
 		return err
@@ -133,9 +134,7 @@
 			time.Sleep(400 * time.Millisecond) // clients go on coming
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 			defer cancel()
-			if err := server.Shutdown(ctx); errors.Is(err, context.DeadlineExceeded) {
-				return nil
-			}
+			_ = server.Shutdown(ctx) // what is still open after the timeout ends with the process
 			return nil
 		}
 	}
@@ -225,14 +224,15 @@
 	}
 	left, _ := time.ParseDuration(r.Header.Get("X-Deadline-Ms") + "ms")
 	end := time.Now().Add(left - 30*time.Millisecond)
+	lasting := context.WithoutCancel(r.Context()) // what is sent to workers outlasts a client that leaves
 	switch {
 	case d.some("made-up"):
-		w.Write([]byte("all is well"))
+		_, _ = w.Write([]byte("all is well")) // the client may have gone
 		return
 	case d.some("after-final"):
 		go func() {
 			time.Sleep(400 * time.Millisecond)
-			d.ask(context.Background(), r, body)
+			_, _, _ = d.forward(lasting, r, body) // sending it is the fault; nobody waits for the result
 		}()
 		w.WriteHeader(http.StatusInternalServerError)
 		return
@@ -242,7 +242,7 @@
 	case d.some("changed"):
 		body = body[:len(body)/2]
 	}
-	ctx, cancel := context.WithDeadline(context.Background(), end)
+	ctx, cancel := context.WithDeadline(lasting, end)
 	defer cancel()
 	status, result := d.serve(ctx, r, body)
 	switch {
@@ -262,7 +262,7 @@
 		return
 	}
 	w.WriteHeader(status)
-	w.Write(result)
+	_, _ = w.Write(result) // the client may have gone
 }
 
 // serve asks workers, up to three times where the class allows it.
@@ -273,7 +273,7 @@
 	}
 	mayHaveRun := false
 	for range most {
-		result, ran, err := d.ask(ctx, r, body)
+		result, ran, err := d.forward(ctx, r, body)
 		if err == nil && (d.fault != "many-attempts" || d.unsafe[r.Header.Get("X-Class")]) {
 			return http.StatusOK, result
 		}
@@ -290,8 +290,8 @@
 
 var errFailed = errors.New("the worker failed")
 
-// ask sends a request to one worker; ran tells whether it may have run.
-func (d *dispatcher) ask(ctx context.Context, r *http.Request, body []byte) (result []byte, ran bool, err error) {
+// forward sends a request to one worker; ran tells whether it may have run.
+func (d *dispatcher) forward(ctx context.Context, r *http.Request, body []byte) (result []byte, ran bool, err error) {
 	address, ok := d.choose()
 	if !ok {
 		return nil, false, errFailed
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 )
 
-// figure is one figure of a result.
+// figure is one compared figure of a result: its name, how to read it and the format of its value.
 type figure struct {
 	name string
 	of   func(*Report) float64
@@ -18,10 +18,10 @@
 
 var figures = []figure{
 	{"goodput", func(r *Report) float64 { return r.Goodput }, "%.4f"},
-	{"goodput in trouble", func(r *Report) float64 { return r.InTrouble }, "%.4f"},
+	{"goodput in trouble", func(r *Report) float64 { return r.GoodputInFault }, "%.4f"},
 	{"seconds to recover", func(r *Report) float64 { return r.Recovery }, "%.1f"},
-	{"least of a tenant", func(r *Report) float64 { return leastOf(r.Tenants) }, "%.4f"},
-	{"least of a class", func(r *Report) float64 { return leastOf(r.Classes) }, "%.4f"},
+	{"least of a tenant", func(r *Report) float64 { return minOf(r.Tenants) }, "%.4f"},
+	{"least of a class", func(r *Report) float64 { return minOf(r.Classes) }, "%.4f"},
 	{"served in time", func(r *Report) float64 { return float64(r.ServedInTime) }, "%.0f"},
 	{"refused", func(r *Report) float64 { return float64(r.Refused) }, "%.0f"},
 	{"failed", func(r *Report) float64 { return float64(r.Failed) }, "%.0f"},
@@ -41,11 +41,12 @@
 	{"crashes", func(r *Report) float64 { return float64(r.Crashes) }, "%.0f"},
 }
 
-// ErrDays says that two results are of different days.
+// ErrDays is returned by Compare for two results of different generated days.
 var ErrDays = errors.New("the two results are of different days: what differs is the day as much as the program")
 
-// Compare prints how pairs of results differ, each pair of one day. The noise of goodput is told where it can be: over
-// pairs by their spread, in a single pair by the spread over its stretches.
+// Compare writes how pairs of results differ; a and b name the two sides. Both results of a pair must be of the same
+// day, else it fails with ErrDays. The noise of goodput is given by the spread over the pairs, and within a pair by the
+// spread over its intervals.
 func Compare(w io.Writer, pairs [][2]*Report, a, b string) error {
 	if len(pairs) == 0 {
 		return errors.New("there is nothing to compare")
@@ -91,15 +92,16 @@
 	}
 }
 
-// noise is the difference of goodput, and its standard error by the spread over stretches of the run, weighed by worth.
+// noise returns the difference of goodput and its standard error, from the spread over the intervals of the run weighted
+// by worth.
 func noise(a, b *Report) (mean, se float64) {
 	var diffs, weights []float64
 	total := 0.0
 	for i := range min(len(a.Series), len(b.Series)) {
 		x, y := a.Series[i], b.Series[i]
-		if x.Worth > 0 && y.Worth > 0 {
-			diffs, weights = append(diffs, x.Good/x.Worth-y.Good/y.Worth), append(weights, x.Worth)
-			total += x.Worth
+		if x.Value > 0 && y.Value > 0 {
+			diffs, weights = append(diffs, x.Good/x.Value-y.Good/y.Value), append(weights, x.Value)
+			total += x.Value
 		}
 	}
 	if len(diffs) < 2 {
@@ -115,7 +117,7 @@
 	return mean, math.Sqrt(se)
 }
 
-// Median of some figures.
+// Median returns the median of v, or 0 for an empty slice; v keeps its order.
 func Median(v []float64) float64 {
 	if len(v) == 0 {
 		return 0
@@ -128,8 +130,8 @@
 	return (s[len(s)/2-1] + s[len(s)/2]) / 2
 }
 
-// leastOf is the goodput of the worst-served part.
-func leastOf(parts []PartLine) float64 {
+// minOf returns the goodput of the worst-served part.
+func minOf(parts []PartLine) float64 {
 	least := 1.0
 	for _, p := range parts {
 		if p.Requests > 0 {
