--- a/.ci/docnames/main.go
+++ b/.ci/docnames/main.go
@@ -25,6 +25,8 @@
 	goFile = regexp.MustCompile(`^([a-z][a-z0-9_/-]*/)?[a-z][a-z0-9_]*\.go$`)
 	// identifier matches a Go name of several words, which is unlikely to be anything else.
 	identifier = regexp.MustCompile(`^[a-z]+[a-z0-9]*[A-Z][A-Za-z0-9]*$`)
+	// member matches Type.Member.
+	member = regexp.MustCompile(`^(\(\*)?([A-Z][A-Za-z0-9]*|[a-z]+[A-Z][A-Za-z0-9]*)\)?\.([A-Za-z][A-Za-z0-9]*)(\(\))?$`)
 	// symbol matches package.Name, package.Type.Member and package.(*Type).Member.
 	symbol = regexp.MustCompile(`^([a-z][a-z0-9]*)\.(\(\*)?([A-Za-z][A-Za-z0-9_]*)\)?(\.([A-Za-z][A-Za-z0-9_]*))?(\(\))?$`)
 )
@@ -34,6 +36,8 @@
 	files    map[string]bool            // by path, and by name alone for Go files
 	packages map[string]map[string]bool // by package name: Name and Type.Member
 	names    map[string]bool            // all names and members, without package or type
+	members  map[string]bool            // all Type.Member, without package
+	imported map[string]bool            // names of packages that the repository imports from elsewhere
 }
 
 func main() {
@@ -62,7 +66,8 @@
 
 // load reads all files below root.
 func load(root string) (*tree, error) {
-	repository := &tree{files: map[string]bool{}, packages: map[string]map[string]bool{}, names: map[string]bool{}}
+	repository := &tree{files: map[string]bool{}, packages: map[string]map[string]bool{}, names: map[string]bool{},
+		members: map[string]bool{}, imported: map[string]bool{}}
 	err := filepath.WalkDir(root, func(file string, entry fs.DirEntry, err error) error {
 		if err != nil {
 			return err
@@ -108,6 +113,12 @@
 	}
 	for name := range declared {
 		t.names[name[strings.LastIndexByte(name, '.')+1:]] = true
+		if strings.Contains(name, ".") {
+			t.members[name] = true
+		}
+	}
+	for _, spec := range parsed.Imports {
+		t.imported[path.Base(strings.Trim(spec.Path.Value, `"`))] = true
 	}
 	return nil
 }
@@ -181,13 +192,25 @@
 	if identifier.MatchString(name) && !t.names[name] {
 		return "nothing is declared as " + name
 	}
+	if parts := member.FindStringSubmatch(name); parts != nil && !t.members[parts[2]+"."+parts[3]] {
+		return fmt.Sprintf("no type %s has a member %s", parts[2], parts[3])
+	}
+	return t.symbolFault(name)
+}
+
+// symbolFault is fault for package.Name.
+func (t *tree) symbolFault(name string) string {
 	parts := symbol.FindStringSubmatch(name)
 	if parts == nil {
 		return ""
 	}
 	declared := t.packages[parts[1]]
+	isExported := parts[3][0] >= 'A' && parts[3][0] <= 'Z'
 	if declared == nil {
-		return "" // not a package of the repository
+		if isExported && !t.imported[parts[1]] {
+			return "there is no package " + parts[1]
+		}
+		return ""
 	}
 	wanted := parts[3]
 	if parts[5] != "" {
