--- a/internal/coordinator/calls.go
+++ b/internal/coordinator/calls.go
@@ -26,9 +26,9 @@
 
 // Reply answers a Call.
 type Reply struct {
-	Code   int     `json:"code"` // maintenance.CodeOK, CodeInvalid or CodeRetryLater
-	Text   string  `json:"text"`
-	Status *Status `json:"status,omitempty"`
+	Code   maintenance.Code `json:"code"`
+	Text   string           `json:"text"`
+	Status *Status          `json:"status,omitempty"`
 }
 
 // NotCommittedText begins the text of a reply where no leader could commit a call in time.
--- a/internal/coordinator/testgroup_test.go
+++ b/internal/coordinator/testgroup_test.go
@@ -204,7 +204,7 @@
 }
 
 // call makes a call at one member, and checks the reply's code. Code -1 accepts any reply.
-func (g *testGroup) call(member, code int, call Call) *Reply {
+func (g *testGroup) call(member int, code maintenance.Code, call Call) *Reply {
 	g.t.Helper()
 	client := &Client{Addresses: g.addresses[member : member+1]}
 	reply, err := client.Do(context.Background(), call)
@@ -218,7 +218,7 @@
 }
 
 // command makes a call with a command at one member.
-func (g *testGroup) command(member, code int, command maintenance.Command) *Reply {
+func (g *testGroup) command(member int, code maintenance.Code, command maintenance.Command) *Reply {
 	g.t.Helper()
 	return g.call(member, code, Call{Command: &command})
 }
--- a/internal/maintenance/command.go
+++ b/internal/maintenance/command.go
@@ -72,15 +72,18 @@
 // Result is what a call of an operator came to.
 type Result struct {
 	ID   string `json:"id"` // of the command
-	Code int    `json:"code"`
+	Code Code   `json:"code"`
 	Text string `json:"text"`
 }
 
-// The codes of results. The command line exits with them.
+// Code tells how a call ended. The command line exits with it.
+type Code int
+
+// The codes of results.
 const (
-	CodeOK         = 0
-	CodeInvalid    = 1 // the call makes no sense as things are, and will not later
-	CodeRetryLater = 2 // the call has to wait and may be made again
+	CodeOK         Code = 0
+	CodeInvalid    Code = 1 // the call makes no sense as things are, and will not later
+	CodeRetryLater Code = 2 // the call has to wait and may be made again
 )
 
 func succeeded(format string, args ...any) Result {
--- a/internal/maintenance/fixture_test.go
+++ b/internal/maintenance/fixture_test.go
@@ -64,7 +64,7 @@
 }
 
 // expect applies a command as a call of an operator, and holds its result's code.
-func (f *fixture) expect(code int, command Command) {
+func (f *fixture) expect(code Code, command Command) {
 	f.t.Helper()
 	command.ID = fmt.Sprint("id", f.index)
 	f.apply(command)
