--- a/internal/replication/doc.go
+++ b/internal/replication/doc.go
@@ -10,6 +10,6 @@
 // nothing is itself dropped once all members have it (CollectGarbage). Replicas with equal version vectors may still differ
 // after one was restored from an old disk; digests of buckets find the difference (DifferingBuckets, Removed, Discard).
 //
-// The core has no I/O, no clock and no goroutine, and nothing in it is safe for concurrent use. docs/replica-design.md gives the
+// The core has no I/O, no clock and no goroutine, and nothing in it is safe for concurrent use. docs/replication-design.md gives the
 // reasons for the design.
 package replication
