--- a/cmd/birchfork/testbed_simulation.go
+++ b/cmd/birchfork/testbed_simulation.go
@@ -104,7 +104,7 @@
 
 // options returns the options of the history with a seed.
 func (c *testbedSimulation) options(out output, seed uint64) simulation.Options {
-	options := simulation.Options{Seed: seed, Members: c.Members, Voters: c.Voters, Ticks: c.Ticks, FaultInterval: c.FaultInterval, Fault: c.Fault}
+	options := simulation.Options{Seed: seed, Members: c.Members, Voters: c.Voters, Ticks: c.Ticks, FaultInterval: c.FaultInterval, Mutant: c.Fault}
 	if c.Trace && c.Runs == 1 {
 		options.Trace = out.stdout
 	}
@@ -113,8 +113,8 @@
 
 // add adds a history, and prints a line if it violates a rule.
 func (r *simulationResult) add(out output, options simulation.Options, history *simulation.Result) {
-	r.machinesDone += history.Done
-	if len(history.Broken) == 0 {
+	r.machinesDone += history.MachinesDone
+	if len(history.Violations) == 0 {
 		return
 	}
 	r.broken++
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -4,107 +4,79 @@
 	"cmp"
 	"fmt"
 	"math/rand/v2"
-	"slices"
-	"strings"
 )
 
-// The kinds of troubles.
+// FaultKind is what a Fault does.
+type FaultKind string
+
+// The kinds of faults.
+const (
+	Partition FaultKind = "cut"    // messages between the member and all others are lost, in both directions or one
+	Link      FaultKind = "link"   // messages from the member to another one are lost
+	Stop      FaultKind = "stop"   // the member's process is stopped
+	Asleep    FaultKind = "asleep" // the same, and the member is partitioned for longer
+	Kill      FaultKind = "kill"   // the process dies and is restarted at once with its disk
+	Wipe      FaultKind = "wipe"   // the same with an empty disk, if all voters are in the group: else like Kill
+	Down      FaultKind = "down"   // a machine has an outage
+)
+
+// Direction is which messages a Partition loses.
+type Direction int
+
+// The directions, as seen from the member.
 const (
-	Partition = "cut"    // nothing passes between the member and the others, both ways or one
-	Link      = "link"   // nothing passes from the member to another one
-	Stop      = "stop"   // the member stands still
-	Asleep    = "asleep" // ... and is cut off for longer
-	Kill      = "kill"   // its process dies and starts again at once with its disk
-	Wipe      = "wipe"   // ... without, if all voters have their place
-	Down      = "down"   // the machine of that number is away by itself
+	BothDirections Direction = iota
+	Incoming
+	Outgoing
 )
 
-// Fault is one thing that goes wrong.
+// Fault is one fault of a history.
 type Fault struct {
-	Tick   int
-	Kind   string
-	Member int // below 0: the one that leads then
-	Other  int // member or machine
-	Way    int // of a cut: 1 what comes, 2 what goes; 0 both
-	For    int // ticks
+	Tick      int
+	Kind      FaultKind
+	Member    int       // index; below 0: the leader at that time
+	Other     int       // index of a member for Link, of a machine for Down
+	Direction Direction // of a Partition
+	Ticks     int       // duration
 }
 
-func (t Fault) String() string {
-	return fmt.Sprintf("%s of member %d (other %d, way %d) for %d ticks", t.Kind, t.Member, t.Other, t.Way, t.For)
+func (f Fault) String() string {
+	return fmt.Sprintf("%s of member %d (other %d, way %d) for %d ticks", f.Kind, f.Member, f.Other, f.Direction, f.Ticks)
 }
 
-// DrawFaults draws troubles from the seed, in the order of time.
-func DrawFaults(o Options) []Fault {
-	r := rand.New(rand.NewPCG(o.Seed, 4712))
-	kinds := []string{Partition, Link, Stop, Asleep, Kill, Kill, Down}
-	out := []Fault{}
-	for tick := range o.Ticks {
-		if r.IntN(cmp.Or(o.FaultInterval, defaultFaultInterval)) > 0 {
+// bootstrapTicks is how long no member is killed, so that the group gets its members.
+const bootstrapTicks = 40
+
+// RandomFaults returns random faults for a history, in order of their ticks.
+func RandomFaults(options Options) []Fault {
+	random := rand.New(rand.NewPCG(options.Seed, faultStream))
+	interval := cmp.Or(options.FaultInterval, defaultFaultInterval)
+	kinds := []FaultKind{Partition, Link, Stop, Asleep, Kill, Kill, Down}
+	faults := []Fault{}
+	for tick := range options.Ticks {
+		if random.IntN(interval) > 0 {
 			continue
 		}
-		t := Fault{Tick: tick, Kind: kinds[r.IntN(len(kinds))], Member: r.IntN(o.Members), Other: r.IntN(o.Members), Way: r.IntN(3), For: 2 + r.IntN(80)}
+		fault := Fault{
+			Tick:      tick,
+			Kind:      kinds[random.IntN(len(kinds))],
+			Member:    random.IntN(options.Members),
+			Other:     random.IntN(options.Members),
+			Direction: Direction(random.IntN(3)),
+			Ticks:     2 + random.IntN(80),
+		}
 		switch {
-		case t.Kind == Kill && tick < 40: // the group is being founded
+		case fault.Kind == Kill && tick < bootstrapTicks:
 			continue
-		case t.Kind == Kill && r.IntN(6) == 0:
-			t.Kind = Wipe
-		case t.Kind == Asleep:
-			t.For += 20 + r.IntN(120)
-		case t.Kind == Down:
-			t.Other = r.IntN(cmp.Or(o.Machines, defaultMachines))
-			t.For += known + r.IntN(200) // else the group need not know of it
-		}
-		out = append(out, t)
-	}
-	return out
-}
-
-// rule is which one a history breaks first; empty: none.
-func (r *Result) rule() string {
-	if len(r.Broken) == 0 {
-		return ""
-	}
-	_, text, _ := strings.Cut(r.Broken[0], " ") // behind the time
-	rule, _, _ := strings.Cut(text, ":")
-	return rule
-}
-
-// maxMinimizeTries bounds the histories that are played to cut one down: a few seconds.
-const maxMinimizeTries = 400
-
-// Minimize takes as much as it can out of a history that breaks a rule, such that it still breaks that one: what comes behind, then
-// troubles, by halves, quarters and so on down to single ones.
-func Minimize(o Options) (Options, *Result, error) {
-	o.Trace = nil
-	r, err := Simulate(o)
-	if err != nil || r.rule() == "" {
-		return o, r, err
-	}
-	if o.Faults == nil {
-		o.Faults = DrawFaults(o)
-	}
-	o.Ticks = r.Ticks
-	o.Faults = slices.DeleteFunc(slices.Clone(o.Faults), func(t Fault) bool { return t.Tick >= o.Ticks })
-	tries := maxMinimizeTries
-	for size := len(o.Faults); size > 0; {
-		cut := false
-		for at := 0; at < len(o.Faults) && tries > 0; tries-- {
-			less := o
-			less.Faults = slices.Delete(slices.Clone(o.Faults), at, min(at+size, len(o.Faults)))
-			now, err := Simulate(less)
-			if err != nil {
-				return o, r, err
-			}
-			if now.rule() == r.rule() {
-				o, r, cut = less, now, true
-				o.Ticks = min(o.Ticks, now.Ticks)
-			} else {
-				at += size
-			}
-		}
-		if !cut || size > len(o.Faults) {
-			size = min(size/2, len(o.Faults))
+		case fault.Kind == Kill && random.IntN(6) == 0:
+			fault.Kind = Wipe
+		case fault.Kind == Asleep:
+			fault.Ticks += 20 + random.IntN(120)
+		case fault.Kind == Down:
+			fault.Other = random.IntN(options.withDefaults().Machines)
+			fault.Ticks += maxReportDelay + random.IntN(200) // a shorter outage may end before the group knows of it
 		}
+		faults = append(faults, fault)
 	}
-	return o, r, nil
+	return faults
 }
--- /dev/null
+++ b/internal/testbed/simulation/fleet.go
@@ -0,0 +1,66 @@
+package simulation
+
+import (
+	"fmt"
+
+	"birchfork/internal/maintenance"
+)
+
+// workerName is the name of a machine's worker from a tick on.
+type workerName struct {
+	since int
+	name  string
+}
+
+// outage is a time, in ticks, in which a machine is unavailable although no plan has taken it.
+type outage struct{ machine, from, until int }
+
+func machineName(machine int) string       { return fmt.Sprint("m", machine) }
+func hostName(machine int) string          { return fmt.Sprint("h", machine) }
+func initialWorkerName(machine int) string { return fmt.Sprint("r", machine) }
+
+// endpointLag returns after how many ticks the member has an update of the endpoint list on a machine's worker.
+func (m *member) endpointLag(machine int) int { return (7*m.index + 3*machine) % maxEndpointLag }
+
+// workerAt returns the name of a machine's worker by the member's endpoint list.
+func (m *member) workerAt(machine int) string {
+	names := m.world.workerNames[machine]
+	for i := len(names) - 1; i > 0; i-- {
+		if names[i].since+m.endpointLag(machine) <= m.world.tick {
+			return names[i].name
+		}
+	}
+	return names[0].name
+}
+
+// fleet returns the workers by the member's endpoint list. Earlier names of a worker are gone.
+func (m *member) fleet() map[string]maintenance.Worker {
+	w := m.world
+	fleet := map[string]maintenance.Worker{}
+	for i := range w.options.Machines {
+		worker := maintenance.Worker{Zone: fmt.Sprint(i % w.options.Zones), Kind: "k", Host: hostName(i), Weight: float64(1 + i%5)}
+		present := m.workerAt(i)
+		for _, earlier := range w.workerNames[i] {
+			if earlier.name == present {
+				break
+			}
+			gone := worker
+			gone.Unavailable, gone.Gone = true, true
+			fleet[earlier.name] = gone
+		}
+		worker.Unavailable = w.options.Mutant != IgnoresUnavailable && m.knowsOutage(i)
+		fleet[present] = worker
+	}
+	return fleet
+}
+
+// knowsOutage reports whether a machine has an outage by the member's endpoint list.
+func (m *member) knowsOutage(machine int) bool {
+	tick := m.world.tick - m.endpointLag(machine)
+	for _, o := range m.world.outages {
+		if o.machine == machine && o.from <= tick && tick < o.until {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/testbed/simulation/golden_race_test.go
+++ b/internal/testbed/simulation/golden_race_test.go
@@ -2,5 +2,5 @@
 
 package simulation
 
-// digestStep is the distance between the digests that are played.
+// digestStep is the step from one golden history that is simulated to the next.
 const digestStep = 5
--- a/internal/testbed/simulation/golden_test.go
+++ b/internal/testbed/simulation/golden_test.go
@@ -9,46 +9,31 @@
 	"time"
 )
 
-// The same seeds give the histories that earlier builds played: 200 of the group's cores and 20 of replicated state, each by its digest.
-// With the race detector, which makes them ten times as long, every fifth is played. The file is written where UPDATE_GOLDEN is set, by a
-// build without it.
+// The golden file, and its numbers of histories.
+const (
+	goldenDigests              = "testdata/golden/digests.txt"
+	goldenHistories            = 200
+	goldenReplicationHistories = 20
+)
+
+// TestSimulate_KeepsDigests verifies that the same seeds give the same histories as in earlier builds: 200 of Simulate and 20 of
+// SimulateReplication, each by its digest. With the race detector, which makes them take ten times as long, it simulates every fifth.
+// UPDATE_GOLDEN=1 writes the file, in a build without the race detector.
 func TestSimulate_KeepsDigests(t *testing.T) {
-	const path, cores, replicas = "testdata/golden/digests.txt", 200, 20
-	lines := make([]string, cores+replicas)
-	var group sync.WaitGroup
-	slots := make(chan struct{}, 4)
-	for i := 0; i < len(lines); i += digestStep {
-		group.Go(func() {
-			slots <- struct{}{}
-			defer func() { <-slots }()
-			seed := uint64(i)
-			if i >= cores {
-				r := SimulateReplication(ReplicationOptions{Seed: seed - cores, Members: 3 + i%5, Overrides: 30, Workers: 6, WriteFor: 20 * time.Second, Faults: 10})
-				lines[i] = fmt.Sprintf("replicas %d %016x %d", seed-cores, r.Digest, r.Messages)
-				return
-			}
-			r, err := Simulate(Options{Seed: seed, Members: 3, Voters: 3, Ticks: 700})
-			if err != nil {
-				lines[i] = err.Error()
-				return
-			}
-			lines[i] = fmt.Sprintf("cores %d %016x %d %d", seed, r.Digest, r.Done, len(r.Broken))
-		})
-	}
-	group.Wait()
-	text := strings.Join(lines, "\n") + "\n"
+	lines := simulateGoldenHistories()
 	if os.Getenv("UPDATE_GOLDEN") != "" {
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		text := strings.Join(lines, "\n") + "\n"
+		if err := os.WriteFile(goldenDigests, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	golden, err := os.ReadFile(path)
+	golden, err := os.ReadFile(goldenDigests)
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := strings.Split(string(golden), "\n")
 	if len(want) != len(lines)+1 {
-		t.Fatalf("%d digests are kept, not %d", len(want)-1, len(lines))
+		t.Fatalf("%d golden digests, want %d", len(want)-1, len(lines))
 	}
 	for i := 0; i < len(lines); i += digestStep {
 		if lines[i] != want[i] {
@@ -56,3 +41,38 @@
 		}
 	}
 }
+
+// simulateGoldenHistories returns the golden file's lines. Those of histories that digestStep leaves out are empty.
+func simulateGoldenHistories() []string {
+	lines := make([]string, goldenHistories+goldenReplicationHistories)
+	var group sync.WaitGroup
+	slots := make(chan struct{}, 4)
+	for i := 0; i < len(lines); i += digestStep {
+		group.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			if i < goldenHistories {
+				lines[i] = simulateGolden(uint64(i))
+			} else {
+				lines[i] = simulateGoldenReplication(uint64(i-goldenHistories), 3+i%5)
+			}
+		})
+	}
+	group.Wait()
+	return lines
+}
+
+func simulateGolden(seed uint64) string {
+	result, err := Simulate(Options{Seed: seed, Members: 3, Voters: 3, Ticks: 700})
+	if err != nil {
+		return err.Error()
+	}
+	return fmt.Sprintf("cores %d %016x %d %d", seed, result.Digest, result.MachinesDone, len(result.Violations))
+}
+
+func simulateGoldenReplication(seed uint64, members int) string {
+	result := SimulateReplication(ReplicationOptions{
+		Seed: seed, Members: members, Overrides: 30, Workers: 6, WriteFor: 20 * time.Second, Faults: 10,
+	})
+	return fmt.Sprintf("replicas %d %016x %d", seed, result.Digest, result.Messages)
+}
--- /dev/null
+++ b/internal/testbed/simulation/injection.go
@@ -0,0 +1,78 @@
+package simulation
+
+import (
+	"slices"
+
+	"birchfork/internal/consensus"
+)
+
+// wakeTicks is how long a member that was Asleep remains partitioned after its process goes on.
+const wakeTicks = 30
+
+// injectFaults injects the faults that are due.
+func (w *world) injectFaults() {
+	for len(w.pendingFaults) > 0 && w.pendingFaults[0].Tick <= w.tick {
+		fault := w.pendingFaults[0]
+		w.pendingFaults = w.pendingFaults[1:]
+		w.trace("%s", fault)
+		w.inject(fault)
+	}
+}
+
+// inject injects one fault. One of a leader has no effect while there is none.
+func (w *world) inject(fault Fault) {
+	if fault.Member < 0 {
+		if w.leader < 0 {
+			return
+		}
+		fault.Member = w.leader
+		w.leaderLostAt = w.now
+	}
+	m, until := w.members[fault.Member], w.tick+fault.Ticks
+	switch fault.Kind {
+	case Partition:
+		w.partition(m, fault.Direction, until)
+	case Link:
+		w.partitions[[2]int{m.index, fault.Other}] = until
+	case Stop:
+		m.stoppedUntil = until
+	case Asleep:
+		m.stoppedUntil = until
+		w.partition(m, BothDirections, until+wakeTicks)
+	case Down:
+		w.outages = append(w.outages, outage{machine: fault.Other, from: w.tick, until: until})
+	case Kill, Wipe:
+		wipe := fault.Kind == Wipe && w.allVotersJoined()
+		if err := m.restart(wipe); err != nil {
+			panic(err)
+		}
+	}
+}
+
+// restart starts another process of the member at once, with its disk or with an empty one. The mutant LosesState keeps its incarnation
+// with the empty disk.
+func (m *member) restart(wipe bool) error {
+	m.stoppedUntil = 0
+	switch {
+	case !wipe:
+		return m.startProcess()
+	case m.world.options.Mutant != LosesState:
+		return m.startEmpty(false)
+	}
+	disk, err := consensus.OpenStorage("", m.disk.Identity())
+	if err != nil {
+		return err
+	}
+	m.disk = disk
+	return m.startProcess()
+}
+
+// allVotersJoined reports whether each voter has its place in the group, so that one more disk may be lost.
+func (w *world) allVotersJoined() bool {
+	for _, m := range w.members[:w.options.Voters] {
+		if m.core == nil || !m.joined || !slices.Contains(m.core.Status().Voters, m.raftID) {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/testbed/simulation/measure.go
+++ b/internal/testbed/simulation/measure.go
@@ -6,144 +6,160 @@
 	"slices"
 	"text/tabwriter"
 	"time"
+)
 
-	"birchfork/internal/maintenance"
+// What is measured.
+const (
+	measuredMachines  = 12
+	measuredZones     = 3
+	maxMeasuredTicks  = 4000 // 200 s
+	measuredIdleTicks = 200  // of a group without a plan
+	leaderStopTick    = 300
+	leaderStopTicks   = 200 // 10 s
 )
 
-// The plan that is measured, and the day it is measured on.
+// The rows of Measure for a group, by the fault of their histories.
 const (
-	measuredMachines = 12
-	measuredZones    = 3
-	measuredTicks    = 4000 // 200 s
-	measuredIdle     = 200  // ticks of a group that has no plan
-	leaderLost       = 300  // the tick at which the leader dies, where one does
+	measuredWithoutFault = "none"
+	measuredLeaderStop   = "leader stands still"
 )
 
-// Sizes are those that Measure goes through by itself.
+// Sizes are the default group sizes of Measure.
 var Sizes = []int{3, 5, 9, 30, 100, 300}
 
-// Measure plays a plan of 12 machines in 3 zones with so many members, without a fault and with a leader that stands still for
-// 10 s, and prints what it took; medians and worst of all runs. Simulated: messages take 50 to 100 ms, and one in 50 is lost.
-func Measure(w io.Writer, sizes []int, runs int) error {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "members\tvoters\tfault\tnew leader s\tstep settled s\tin force at all s\tstart to clear s\tplan s\tidle kB/s: leader, other\tidle messages/s\tkB of a step: leader, proposed")
-	for _, n := range sizes {
-		voters := 3
-		if n >= 5 {
-			voters = 5
-		}
-		for _, fault := range []string{"none", "leader stands still"} {
-			var led, settled, force, cleared, plan []time.Duration
-			var idle, idleOther, messages, step, proposed float64
-			for seed := range uint64(runs) {
-				o := Options{Seed: seed + 1, Members: n, Voters: voters, Machines: measuredMachines, Zones: measuredZones, Faults: []Fault{}}
-				o.Ticks, o.StopWithPlan = measuredTicks, true
-				if fault != "none" {
-					o.Faults = []Fault{{Tick: leaderLost, Kind: Stop, Member: -1, For: 200}}
-				}
-				r, err := Simulate(o)
-				if err != nil {
-					return err
-				}
-				if len(r.Broken) > 0 || r.Ended == 0 {
-					return fmt.Errorf("%d members, seed %d: %s", n, o.Seed, r.Line(o.Seed))
-				}
-				led, settled, force = append(led, r.Elected...), append(settled, r.Committed...), append(force, r.Applied...)
-				cleared, plan = append(cleared, r.Drained-r.Started), append(plan, r.Ended-r.Started)
-				if fault != "none" {
-					continue
-				}
-				o.Ticks, o.Idle = int(r.Bootstrapped/tick)+measuredIdle, true
-				still, err := Simulate(o)
-				if err != nil {
+// Measure simulates a plan of 12 machines in 3 zones for each group size, without a fault and with a leader that is stopped for 10 s, and
+// prints durations and costs. Of durations it prints the median and the maximum over all runs. The links are simulated: messages take
+// 50 to 100 ms, some longer, and one in 50 is lost.
+func Measure(output io.Writer, sizes []int, runs int) error {
+	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "members\tvoters\tfault\tnew leader s\tstep settled s\tin force at all s\tstart to clear s\tplan s\tidle kB/s: leader, other\tidle messages/s\tkB of a step: leader, proposed")
+	for _, members := range sizes {
+		for _, fault := range []string{measuredWithoutFault, measuredLeaderStop} {
+			m := &measurement{members: members, voters: measuredVoters(members), fault: fault, runs: runs}
+			for run := range runs {
+				if err := m.addHistory(uint64(run) + 1); err != nil {
 					return err
 				}
-				seconds := (measuredIdle * tick).Seconds()
-				lead := slices.MaxFunc(still.Cost, func(a, b Cost) int { return a.Bytes - b.Bytes })
-				all, count := 0, 0
-				for _, c := range still.Cost {
-					all, count = all+c.Bytes, count+c.Messages
-				}
-				messages += float64(count) / seconds / float64(runs)
-				idle += float64(lead.Bytes) / 1000 / seconds / float64(runs)
-				idleOther += float64(all-lead.Bytes) / float64(n-1) / 1000 / seconds / float64(runs)
-				lead = slices.MaxFunc(r.Cost, func(a, b Cost) int { return a.Bytes - b.Bytes })
-				steps := float64(len(r.Committed)) * float64(runs)
-				step += (float64(lead.Bytes)/1000 - idle*float64(runs)/float64(seed+1)*(r.Ended-r.Started).Seconds()) / steps
-				proposed += float64(lead.Proposed) / 1000 / steps
 			}
-			costs := "\t\t"
-			if fault == "none" {
-				costs = fmt.Sprintf("%.1f, %.1f\t%.0f\t%.1f, %.2f", idle, idleOther, messages, step, proposed)
-			}
-			fmt.Fprintf(t, "%d\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", n, voters, fault, quantiles(led), quantiles(settled), quantiles(force), quantiles(cleared), quantiles(plan), costs)
+			m.print(table)
 		}
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
-// quantiles is the median and the worst.
-func quantiles(all []time.Duration) string {
-	if len(all) == 0 {
-		return "-"
+// measuredVoters returns the number of voters of a group.
+func measuredVoters(members int) int {
+	if members >= 5 {
+		return 5
 	}
-	slices.Sort(all)
-	return fmt.Sprintf("%.2f, %.2f", all[len(all)/2].Seconds(), all[len(all)-1].Seconds())
+	return 3
 }
 
-// CatchUp has a follower of three be cut off while so many entries are settled, and prints what it takes from the link's return
-// until it has them all: by the log where that still has them, else by a snapshot. Simulated.
-func CatchUp(w io.Writer, behind []int) error {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "entries behind\tcaught up after s\tmessages to it and from it\tkB")
-	for _, n := range behind {
-		o := Options{Seed: 1, Members: 3, Voters: 3, Ticks: measuredIdle, Idle: true, Faults: []Fault{}}
-		v, err := begin(o)
-		if err != nil {
-			return err
-		}
-		step := func() {
-			v.now = time.Duration(v.ticks) * tick
-			v.step()
-			v.ticks++
-		}
-		for v.ticks < measuredIdle {
-			step()
-		}
-		late, lead := v.members[2], v.members[v.leader]
-		if late == lead {
-			late = v.members[1]
-		}
-		part := func(until int) {
-			for i := range v.members {
-				v.partitions[[2]int{late.index, i}], v.partitions[[2]int{i, late.index}] = until, until
-			}
-		}
-		part(1 << 60)
-		for i := 0; i < n; {
-			for range 64 { // a tick's worth
-				v.propose(lead, maintenance.Command{ID: fmt.Sprint(i), Kind: maintenance.CommandPausePlan, Name: "none"})
-				i++
-			}
-			step()
-			clear(v.offered)
-		}
-		for range 20 { // what was proposed is settled
-			step()
-		}
-		part(0)
-		clear(v.result.Cost)
-		from := v.ticks
-		want := lead.state.AppliedIndex
-		for v.ticks < from+measuredTicks && late.state.AppliedIndex < want {
-			step()
-		}
-		if late.state.AppliedIndex < want {
-			return fmt.Errorf("%d entries behind: it has not caught up in %v", n, measuredTicks*tick)
-		}
-		c := v.result.Cost
-		fmt.Fprintf(t, "%d\t%.2f\t%d\t%.1f\n", n, (time.Duration(v.ticks-from) * tick).Seconds(), c[lead.index].Messages+c[late.index].Messages,
-			float64(c[lead.index].Bytes+c[late.index].Bytes)/1000)
+// measurement sums up the histories of a row.
+type measurement struct {
+	members, voters int
+	fault           string
+	runs            int
+	durations       measuredDurations
+	costs           measuredCosts
+}
+
+// measuredDurations are those of all histories.
+type measuredDurations struct{ elected, committed, applied, drained, ended []time.Duration }
+
+// measuredCosts are means over all histories.
+type measuredCosts struct {
+	idleLeader, idleOther float64 // kB per second and member
+	idleMessages          float64 // per second, of the whole group
+	entryLeader           float64 // kB that the leader sends for an entry
+	entryProposed         float64 // kB of an entry
+}
+
+// addHistory simulates one history and adds it to the measurement. Seeds are counted from 1.
+func (m *measurement) addHistory(seed uint64) error {
+	options := Options{
+		Seed: seed, Members: m.members, Voters: m.voters, Machines: measuredMachines, Zones: measuredZones,
+		Ticks: maxMeasuredTicks, Faults: []Fault{}, StopWithPlan: true,
+	}
+	if m.fault == measuredLeaderStop {
+		options.Faults = []Fault{{Tick: leaderStopTick, Kind: Stop, Member: -1, Ticks: leaderStopTicks}}
+	}
+	result, err := Simulate(options)
+	if err != nil {
+		return err
+	}
+	if len(result.Violations) > 0 || result.Ended == 0 {
+		return fmt.Errorf("%d members, seed %d: %s", m.members, seed, result.Line(seed))
+	}
+	m.durations.add(result)
+	if m.fault == measuredLeaderStop {
+		return nil
+	}
+	options.Ticks, options.Idle = int(result.Bootstrapped/tickInterval)+measuredIdleTicks, true
+	idle, err := Simulate(options)
+	if err != nil {
+		return err
+	}
+	m.addIdleCosts(idle)
+	m.addEntryCosts(result, seed)
+	return nil
+}
+
+func (d *measuredDurations) add(result *Result) {
+	d.elected = append(d.elected, result.Elected...)
+	d.committed = append(d.committed, result.Committed...)
+	d.applied = append(d.applied, result.Applied...)
+	d.drained = append(d.drained, result.Drained-result.Started)
+	d.ended = append(d.ended, result.Ended-result.Started)
+}
+
+// addIdleCosts adds what a group without a plan costs.
+func (m *measurement) addIdleCosts(result *Result) {
+	seconds := (measuredIdleTicks * tickInterval).Seconds()
+	leader := largestCost(result.Costs)
+	bytes, messages := 0, 0
+	for _, cost := range result.Costs {
+		bytes += cost.Bytes
+		messages += cost.Messages
+	}
+	runs := float64(m.runs)
+	m.costs.idleMessages += float64(messages) / seconds / runs
+	m.costs.idleLeader += float64(leader.Bytes) / 1000 / seconds / runs
+	m.costs.idleOther += float64(bytes-leader.Bytes) / float64(m.members-1) / 1000 / seconds / runs
+}
+
+// addEntryCosts adds what an entry of a plan costs the leader, beyond the mean idle cost of the histories up to this seed.
+func (m *measurement) addEntryCosts(result *Result, seed uint64) {
+	leader := largestCost(result.Costs)
+	runs := float64(m.runs)
+	entries := float64(len(result.Committed)) * runs
+	idle := m.costs.idleLeader * runs / float64(seed) * (result.Ended - result.Started).Seconds()
+	m.costs.entryLeader += (float64(leader.Bytes)/1000 - idle) / entries
+	m.costs.entryProposed += float64(leader.Proposed) / 1000 / entries
+}
+
+// largestCost returns the cost of the member that sent the most bytes, which is the leader.
+func largestCost(costs []Cost) Cost {
+	return slices.MaxFunc(costs, func(a, b Cost) int { return a.Bytes - b.Bytes })
+}
+
+// print prints the row.
+func (m *measurement) print(output io.Writer) {
+	costs := "\t\t"
+	if c := m.costs; m.fault == measuredWithoutFault {
+		costs = fmt.Sprintf("%.1f, %.1f\t%.0f\t%.1f, %.2f", c.idleLeader, c.idleOther, c.idleMessages, c.entryLeader, c.entryProposed)
+	}
+	d := m.durations
+	fmt.Fprintf(output, "%d\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.members, m.voters, m.fault,
+		medianAndMax(d.elected), medianAndMax(d.committed), medianAndMax(d.applied), medianAndMax(d.drained), medianAndMax(d.ended), costs)
+}
+
+// medianAndMax returns the median and the maximum in seconds, or "-" if there is no duration. It sorts the durations.
+func medianAndMax(durations []time.Duration) string {
+	if len(durations) == 0 {
+		return "-"
 	}
-	return t.Flush()
+	slices.Sort(durations)
+	median, longest := durations[len(durations)/2], durations[len(durations)-1]
+	return fmt.Sprintf("%.2f, %.2f", median.Seconds(), longest.Seconds())
 }
--- a/internal/testbed/simulation/simulation_test.go
+++ b/internal/testbed/simulation/simulation_test.go
@@ -1,30 +1,39 @@
 package simulation
 
-import "testing"
+import (
+	"slices"
+	"testing"
+)
 
-func play(t *testing.T, o Options) *Result {
+// mustSimulate simulates a history, of three members if the options say nothing else.
+func mustSimulate(t *testing.T, options Options) *Result {
 	t.Helper()
-	if o.Members == 0 {
-		o.Members, o.Voters, o.Ticks = 3, 3, 700
+	if options.Members == 0 {
+		options.Members, options.Voters, options.Ticks = 3, 3, 700
 	}
-	r, err := Simulate(o)
+	result, err := Simulate(options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return result
 }
 
-// Simulated histories of three and five members, and of five of which three vote: no rule is broken, and most plans go through.
+// TestSimulate_KeepsRules verifies that groups of three and five members, and of five with three voters, violate no rule, and that most
+// machines get done.
 func TestSimulate_KeepsRules(t *testing.T) {
 	done := 0
 	for seed := range uint64(12) {
-		for _, o := range []Options{{Members: 3, Voters: 3, Ticks: 700}, {Members: 5, Voters: 5, Ticks: 700}, {Members: 5, Voters: 3, Ticks: 700}} {
-			o.Seed = seed
-			r := play(t, o)
-			if len(r.Broken) > 0 {
-				t.Errorf("%+v: %s", o, r.Line(seed))
+		for _, options := range []Options{
+			{Members: 3, Voters: 3, Ticks: 700},
+			{Members: 5, Voters: 5, Ticks: 700},
+			{Members: 5, Voters: 3, Ticks: 700},
+		} {
+			options.Seed = seed
+			result := mustSimulate(t, options)
+			if len(result.Violations) > 0 {
+				t.Errorf("%+v: %s", options, result.Line(seed))
 			}
-			done += r.Done
+			done += result.MachinesDone
 		}
 	}
 	if done < 100 {
@@ -32,42 +41,66 @@
 	}
 }
 
-// The same seed gives the same history.
+// TestSimulate_IsDeterministic verifies that the same seed gives the same history.
 func TestSimulate_IsDeterministic(t *testing.T) {
 	for seed := range uint64(4) {
-		if a, b := play(t, Options{Seed: seed}), play(t, Options{Seed: seed}); a.Line(seed) != b.Line(seed) {
-			t.Errorf("%s\n%s", a.Line(seed), b.Line(seed))
+		first, second := mustSimulate(t, Options{Seed: seed}), mustSimulate(t, Options{Seed: seed})
+		if first.Line(seed) != second.Line(seed) {
+			t.Errorf("%s\n%s", first.Line(seed), second.Line(seed))
 		}
 	}
 }
 
-// Each planted fault breaks a rule, which is named, at a seed that is known to show it; one is cut down.
+// TestSimulate_CatchesMutants verifies that each mutant violates its rule, at a seed that is known to show it.
 func TestSimulate_CatchesMutants(t *testing.T) {
-	for fault, want := range map[string]struct {
-		rule string // empty: any
-		seed uint64
-		calm int
-	}{
-		NoLease: {"clear", 6, 12}, LongLease: {"clear", 12, 12}, LeaseFromReply: {"clear", 360, 12}, LeaseWithoutQuorum: {"clear", 89, 60}, LosesState: {"", 11, 12},
-		FewReports: {"clear", 3, 12}, NoBudget: {"budget", 10, 12}, CountsTimeTwice: {"", 13, 12}, IgnoresUnavailable: {"budget", 2, 12}, IgnoresHosts: {"clear", 5, 12},
-	} {
-		t.Run(fault, func(t *testing.T) {
+	type mutantTest struct {
+		mutant        string
+		rule          string // empty: any
+		seed          uint64
+		faultInterval int
+	}
+	tests := []mutantTest{
+		{NoLease, "clear", 6, 12},
+		{LongLease, "clear", 12, 12},
+		{LeaseFromReply, "clear", 360, 12},
+		{LeaseWithoutQuorum, "clear", 89, 60},
+		{LosesState, "", 11, 12},
+		{FewReports, "clear", 3, 12},
+		{NoBudget, "budget", 10, 12},
+		{CountsTimeTwice, "", 13, 12},
+		{IgnoresUnavailable, "budget", 2, 12},
+		{IgnoresHosts, "clear", 5, 12},
+	}
+	for _, test := range tests {
+		t.Run(test.mutant, func(t *testing.T) {
 			t.Parallel()
-			o := Options{Members: 3, Voters: 3, Ticks: 700, Seed: want.seed, Fault: fault, FaultInterval: want.calm}
-			r := play(t, o)
-			if len(r.Broken) == 0 || want.rule != "" && r.rule() != want.rule {
-				t.Errorf("%s, want %q", r.Line(o.Seed), want.rule)
-			}
-			if fault != FewReports {
-				return
+			options := Options{Members: 3, Voters: 3, Ticks: 700, Seed: test.seed, Mutant: test.mutant, FaultInterval: test.faultInterval}
+			result := mustSimulate(t, options)
+			if len(result.Violations) == 0 || test.rule != "" && result.violatedRule() != test.rule {
+				t.Errorf("%s, want %q", result.Line(options.Seed), test.rule)
 			}
-			less, now, err := Minimize(o)
-			if err != nil || now.rule() != r.rule() || len(less.Faults) >= len(DrawFaults(o))/4 || less.Ticks > r.Ticks {
-				t.Errorf("cut down to %d ticks and %d troubles, %v; %v", less.Ticks, len(less.Faults), now.Broken, err)
+			if test.mutant == FewReports {
+				checkMinimize(t, options, result)
 			}
 		})
 	}
-	if len(Mutants) != 10 {
-		t.Errorf("%d faults can be planted, 10 are", len(Mutants))
+	for _, mutant := range Mutants {
+		if !slices.ContainsFunc(tests, func(test mutantTest) bool { return test.mutant == mutant }) {
+			t.Errorf("%q is not tested", mutant)
+		}
+	}
+	if len(Mutants) != len(tests) {
+		t.Errorf("%d mutants exist, %d are tested", len(Mutants), len(tests))
+	}
+}
+
+// checkMinimize checks that a history is minimized to less than a quarter of its faults, with the same rule violated.
+func checkMinimize(t *testing.T, options Options, result *Result) {
+	t.Helper()
+	minimal, minimalResult, err := Minimize(options)
+	sameRule := minimalResult.violatedRule() == result.violatedRule()
+	fewFaults := len(minimal.Faults) < len(RandomFaults(options))/4
+	if err != nil || !sameRule || !fewFaults || minimal.Ticks > result.Ticks {
+		t.Errorf("minimized to %d ticks and %d faults, %v; %v", minimal.Ticks, len(minimal.Faults), minimalResult.Violations, err)
 	}
 }
