--- a/cmd/birchfork/testbed_replication.go
+++ b/cmd/birchfork/testbed_replication.go
@@ -45,9 +45,9 @@
 		var messages, bytes, idle, idleBytes float64
 		bad := 0
 		for i, r := range all {
-			if len(r.Broken) > 0 {
+			if len(r.Violations) > 0 {
 				bad++
-				fmt.Fprintf(out.stdout, "%d members, seed %d: BROKEN %v\n", n, c.Seed+uint64(i), r.Broken)
+				fmt.Fprintf(out.stdout, "%d members, seed %d: BROKEN %v\n", n, c.Seed+uint64(i), r.Violations)
 			}
 			one = append(one, r.ConvergedAfter)
 			messages, bytes = messages+float64(r.Messages), bytes+float64(r.Bytes)
--- /dev/null
+++ b/internal/testbed/simulation/replication_events.go
@@ -0,0 +1,47 @@
+package simulation
+
+import (
+	"cmp"
+	"container/heap"
+	"time"
+)
+
+// event is what happens at a time. Events of one time happen in the order in which they were scheduled.
+type event struct {
+	at     time.Duration
+	number int
+	run    func()
+}
+
+// eventQueue is a heap of events: see container/heap.
+type eventQueue []event
+
+func (q eventQueue) Len() int { return len(q) }
+
+func (q eventQueue) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(q[i].at, q[j].at), q[i].number-q[j].number) < 0
+}
+
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+func (q *eventQueue) Push(v any) { *q = append(*q, v.(event)) }
+
+func (q *eventQueue) Pop() any {
+	last := len(*q) - 1
+	popped := (*q)[last]
+	*q = (*q)[:last]
+	return popped
+}
+
+// after schedules an event.
+func (w *replicationWorld) after(delay time.Duration, run func()) {
+	w.eventCount++
+	heap.Push(&w.queue, event{at: w.now + delay, number: w.eventCount, run: run})
+}
+
+// runNextEvent moves the time to the next event, and runs it.
+func (w *replicationWorld) runNextEvent() {
+	next := heap.Pop(&w.queue).(event)
+	w.now = next.at
+	next.run()
+}
--- a/internal/testbed/simulation/replication_test.go
+++ b/internal/testbed/simulation/replication_test.go
@@ -7,39 +7,44 @@
 	"birchfork/internal/failpoint"
 )
 
-// Copies of words with cuts, lost and old disks: all become one, and nothing that was forgotten comes back.
+// TestReplication_Converges verifies that replicas become equal after partitions, lost and outdated disks, that no forgotten override
+// comes back, and that the same seed gives the same history.
 func TestReplication_Converges(t *testing.T) {
 	for seed := range uint64(20) {
-		o := ReplicationOptions{Seed: seed, Members: 3 + int(seed%5), Overrides: 30, Workers: 6, WriteFor: 20 * time.Second, Faults: 10}
-		r := SimulateReplication(o)
-		if len(r.Broken) > 0 {
-			t.Errorf("%+v: %v", o, r.Broken)
+		options := ReplicationOptions{Seed: seed, Members: 3 + int(seed%5), Overrides: 30, Workers: 6, WriteFor: 20 * time.Second, Faults: 10}
+		result := SimulateReplication(options)
+		if len(result.Violations) > 0 {
+			t.Errorf("%+v: %v", options, result.Violations)
 		}
-		if again := SimulateReplication(o); again.Digest != r.Digest || again.Messages != r.Messages {
-			t.Errorf("%+v: another history with the same seed", o)
+		if again := SimulateReplication(options); again.Digest != result.Digest || again.Messages != result.Messages {
+			t.Errorf("%+v: another history with the same seed", options)
 		}
 	}
 }
 
-// Where what was seen to go is taken again, copies do not become one, or have what all had forgotten.
+// TestReplication_CatchesResurrection verifies that a violation is found where replicas take entries again that they have seen removed.
 func TestReplication_CatchesResurrection(t *testing.T) {
 	failpoint.Set(failpoint.ResurrectEntries)
 	defer failpoint.Set("")
 	for seed := range uint64(60) {
-		if r := SimulateReplication(ReplicationOptions{Seed: seed, Members: 3, Overrides: 30, Workers: 6, WriteFor: 20 * time.Second, Faults: 10}); len(r.Broken) > 0 {
-			t.Log(r.Broken)
+		options := ReplicationOptions{Seed: seed, Members: 3, Overrides: 30, Workers: 6, WriteFor: 20 * time.Second, Faults: 10}
+		if result := SimulateReplication(options); len(result.Violations) > 0 {
+			t.Log(result.Violations)
 			return
 		}
 	}
 	t.Error("not seen in 60 histories")
 }
 
-// A word reaches three hundred members, and a member without any takes 10,000, within the bounds.
+// TestReplication_LargeGroups verifies that an override reaches 300 members, and 10,000 overrides reach members without any, within 10 s.
 func TestReplication_LargeGroups(t *testing.T) {
-	if r := SimulateReplication(ReplicationOptions{Seed: 1, Members: 300, Overrides: 1}); len(r.Broken) > 0 || r.ConvergedAfter > 10*time.Second {
-		t.Errorf("%+v", r)
-	}
-	if r := SimulateReplication(ReplicationOptions{Seed: 1, Members: 3, Overrides: 10_000}); len(r.Broken) > 0 || r.ConvergedAfter > 10*time.Second {
-		t.Errorf("%+v", r)
+	for _, options := range []ReplicationOptions{
+		{Seed: 1, Members: 300, Overrides: 1},
+		{Seed: 1, Members: 3, Overrides: 10_000},
+	} {
+		result := SimulateReplication(options)
+		if len(result.Violations) > 0 || result.ConvergedAfter > 10*time.Second {
+			t.Errorf("%+v: %+v", options, result)
+		}
 	}
 }
