--- a/internal/consensus/bootmarker_test.go
+++ b/internal/consensus/bootmarker_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A marker counts for one incarnation and one boot of the machine, and not at all where it is incomplete.
+// TestBootMarker verifies that a marker is valid for one incarnation and one boot of the machine, and not at all if it is incomplete.
 func TestBootMarker(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "mark")
 	open := func() *BootMarker {
--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// testNetwork delivers messages between three cores at once. Those to and from a partitioned core are lost.
+// testNetwork delivers messages between three cores without delay. Those to and from a partitioned core are lost.
 type testNetwork struct {
 	t           *testing.T
 	cores       map[uint64]*Core
@@ -103,8 +103,8 @@
 	}
 }
 
-// The log is compacted in the file and in memory. A member that is a little behind catches up by the log, one that is far behind by a
-// snapshot, and a restart goes on from the file.
+// TestCore_CompactsLogAndCatchesUp verifies that the log is compacted in memory and in the file, that a member that is a little behind
+// catches up from the log and one that is far behind by a snapshot, and that a restart continues from the file.
 func TestCore_CompactsLogAndCatchesUp(t *testing.T) {
 	network := &testNetwork{
 		t: t, cores: map[uint64]*Core{}, chains: map[uint64]*hashChain{}, dirs: map[uint64]string{}, partitioned: map[uint64]bool{},
@@ -150,7 +150,8 @@
 	}
 }
 
-// addLearner adds a member at the first one, which leads, and checks that it counts as caught up once it can be reached, and not before.
+// addLearner adds a member to the group of the first one, which leads. It checks that the member counts as caught up once it can be
+// reached, and not before.
 func (n *testNetwork) addLearner(id uint64) {
 	n.t.Helper()
 	leader := n.cores[1]
@@ -164,7 +165,7 @@
 		n.t.Errorf("member %d counts as caught up before it has anything", id)
 	}
 	n.partitioned[id] = false
-	for range 3 * electionTicks { // it counts as active from an answered heartbeat until raft's next check
+	for range 3 * electionTicks { // raft counts it as active from an answered heartbeat until its next check
 		n.run(1)
 		if slices.Contains(leader.CaughtUp(), id) {
 			return
@@ -173,7 +174,7 @@
 	n.t.Errorf("member %d does not count as caught up", id)
 }
 
-// propose proposes entries at the first member, and runs the network meanwhile.
+// propose proposes entries at the first member, and runs the network so that they are committed.
 func (n *testNetwork) propose(entries int) {
 	n.t.Helper()
 	for i := range entries {
@@ -187,8 +188,8 @@
 	n.run(5)
 }
 
-// A member that may have lost state gives no vote in a term in which it may have voted, nor to a log that may lack what it has
-// acknowledged, and does not campaign before its own log has that.
+// TestCore_BoundsVotesAfterStateLoss verifies that a member that may have lost state neither votes in a term in which it may have voted
+// nor for a log that may lack entries that it has acknowledged, and does not campaign while its own log may lack them.
 func TestCore_BoundsVotesAfterStateLoss(t *testing.T) {
 	logger := logrus.New()
 	logger.SetLevel(logrus.PanicLevel)
@@ -234,7 +235,7 @@
 	if core.rejectsVoteRequest(&raftpb.Message{Type: &kind, Term: &promised.Term}) {
 		t.Error("entries are rejected")
 	}
-	core.options.MaxPromised = &Position{Term: 5, LastIndex: 1, LastTerm: 1} // its log has that
+	core.options.MaxPromised = &Position{Term: 5, LastIndex: 1, LastTerm: 1} // its log has this entry
 	for range 10 * electionTicks {
 		core.Tick(false)
 	}
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -24,7 +24,7 @@
 // that members of two builds, or one member before and after an upgrade, would not understand each other. UPDATE_GOLDEN=1 writes the
 // files anew.
 
-// goldenDir is where goldentest.Check has its files.
+// goldenDir is the directory of goldentest.Check's files.
 const goldenDir = "testdata/golden"
 
 var (
@@ -36,7 +36,7 @@
 	goldenState = []byte(`{"state":"of the machine"}`)
 )
 
-// goldenEntries are those of a log, one of each type.
+// goldenEntries returns the entries of a log, with each type of entry.
 func goldenEntries(t *testing.T) []*raftpb.Entry {
 	t.Helper()
 	add, remove := raftpb.ConfChangeAddLearnerNode, raftpb.ConfChangeRemoveNode
@@ -65,7 +65,7 @@
 	return all
 }
 
-// writeGoldenStorage writes a file that has a value of each kind.
+// writeGoldenStorage writes a storage file with each kind of value.
 func writeGoldenStorage(t *testing.T, dir string) {
 	t.Helper()
 	fresh := goldenIdentity
@@ -87,7 +87,7 @@
 	}
 }
 
-// content returns all buckets, keys and values of a bbolt file, a line for each.
+// content returns all buckets, keys and values of a bbolt file, with one line for each.
 func content(t *testing.T, path string) []byte {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
@@ -111,14 +111,14 @@
 	return out.Bytes()
 }
 
-// The storage's file has the same buckets, keys and values as before.
+// TestGolden_StorageContent compares the buckets, keys and values of the storage's file with those of an earlier build.
 func TestGolden_StorageContent(t *testing.T) {
 	dir := t.TempDir()
 	writeGoldenStorage(t, dir)
 	goldentest.Check(t, "group.db.txt", content(t, filepath.Join(dir, "group.db")))
 }
 
-// A file that an earlier build wrote is read in full.
+// TestGolden_ReadsStorage verifies that all of a file that an earlier build wrote is read.
 func TestGolden_ReadsStorage(t *testing.T) {
 	old := filepath.Join(goldenDir, "group.db")
 	if os.Getenv("UPDATE_GOLDEN") == "1" {
@@ -172,7 +172,8 @@
 	}
 }
 
-// The identity and the position, which travels between members too, have the same JSON as before.
+// TestGolden_JSON compares the JSON of the identity and of the position, which is also sent between members, with that of an earlier
+// build, and reads the latter.
 func TestGolden_JSON(t *testing.T) {
 	position := Position{Term: 21, LastIndex: 22, LastTerm: 23}
 	for name, v := range map[string]any{"identity.json": &goldenIdentity, "position.json": &position} {
@@ -192,7 +193,7 @@
 	}
 }
 
-// The boot marker has the same bytes as before, and one of an earlier build is understood.
+// TestGolden_BootMarker compares the bytes of a boot marker with those of an earlier build, and reads the latter.
 func TestGolden_BootMarker(t *testing.T) {
 	const boot = "01234567-89ab-cdef-0123-456789abcdef"
 	position := Position{Term: 31, LastIndex: 32, LastTerm: 33}
@@ -238,68 +239,86 @@
 	return nil
 }
 
-// The raft messages of a group of two, from its bootstrap to a confirmed read, are the same in bytes and order.
-func TestGolden_RaftMessages(t *testing.T) {
-	var out bytes.Buffer
-	cores, machines := map[uint64]*Core{}, map[uint64]*recorder{}
-	var queue []*raftpb.Message
-	for id := uint64(1); id <= 2; id++ {
-		storage, err := OpenStorage("", Identity{Group: "g", Name: fmt.Sprint("d", id), Incarnation: "l", RaftID: id})
-		if err == nil && id == 1 {
-			err = Bootstrap(storage, "f", []byte("founded"))
-		}
-		if err != nil {
-			t.Fatal(err)
-		}
-		machines[id] = &recorder{}
-		send := func(to uint64, raw []byte, snapshot bool) {
-			message := &raftpb.Message{}
-			if err := proto.Unmarshal(raw, message); err != nil {
-				t.Fatal(err)
-			}
-			fmt.Fprintf(&out, "%d to %d, snapshot %t: %x\n", id, to, snapshot, raw)
-			queue = append(queue, message)
-		}
-		cores[id], err = NewCore(Options{Storage: storage, StateMachine: machines[id], Log: discardLogger(), Send: send}, 1000*id)
-		if err != nil {
-			t.Fatal(err)
-		}
+// messageLog runs a group of two and writes each raft message that its members send.
+type messageLog struct {
+	t        *testing.T
+	out      bytes.Buffer
+	cores    map[uint64]*Core
+	machines map[uint64]*recorder
+	queue    []*raftpb.Message
+}
+
+// start starts a member with empty storage. The first one bootstraps the group.
+func (l *messageLog) start(id uint64) {
+	l.t.Helper()
+	storage, err := OpenStorage("", Identity{Group: "g", Name: fmt.Sprint("d", id), Incarnation: "l", RaftID: id})
+	if err == nil && id == 1 {
+		err = Bootstrap(storage, "f", []byte("founded"))
 	}
-	run := func(ticks int) {
-		for range ticks {
-			cores[1].Tick(true)
-			cores[2].Tick(true)
-			for len(queue) > 0 {
-				message := queue[0]
-				queue = queue[1:]
-				cores[message.GetTo()].Step(message)
-			}
+	if err != nil {
+		l.t.Fatal(err)
+	}
+	l.machines[id] = &recorder{}
+	send := func(to uint64, raw []byte, snapshot bool) {
+		message := &raftpb.Message{}
+		if err := proto.Unmarshal(raw, message); err != nil {
+			l.t.Fatal(err)
 		}
+		fmt.Fprintf(&l.out, "%d to %d, snapshot %t: %x\n", id, to, snapshot, raw)
+		l.queue = append(l.queue, message)
 	}
-	change := func(kind raftpb.ConfChangeType, data []byte) {
-		t.Helper()
-		if err := cores[1].ProposeConfChange([]*raftpb.ConfChangeSingle{{Type: &kind, NodeId: proto.Uint64(2)}}, data); err != nil {
-			t.Fatal(err)
+	l.cores[id], err = NewCore(Options{Storage: storage, StateMachine: l.machines[id], Log: discardLogger(), Send: send}, 1000*id)
+	if err != nil {
+		l.t.Fatal(err)
+	}
+}
+
+// run advances both cores by ticks, and delivers the messages of each tick.
+func (l *messageLog) run(ticks int) {
+	for range ticks {
+		l.cores[1].Tick(true)
+		l.cores[2].Tick(true)
+		for len(l.queue) > 0 {
+			message := l.queue[0]
+			l.queue = l.queue[1:]
+			l.cores[message.GetTo()].Step(message)
 		}
-		run(2 * electionTicks)
-	}
-	cores[1].Campaign()
-	run(1)
-	change(raftpb.ConfChangeAddLearnerNode, []byte("joins"))
-	fmt.Fprintf(&out, "caught up: %v\n", cores[1].CaughtUp())
-	change(raftpb.ConfChangeAddNode, nil)
-	if err := cores[1].Propose([]byte("entry")); err != nil {
+	}
+}
+
+// changeMember has the first member change the second one's part in the group.
+func (l *messageLog) changeMember(kind raftpb.ConfChangeType, data []byte) {
+	l.t.Helper()
+	changes := []*raftpb.ConfChangeSingle{{Type: &kind, NodeId: proto.Uint64(2)}}
+	if err := l.cores[1].ProposeConfChange(changes, data); err != nil {
+		l.t.Fatal(err)
+	}
+	l.run(2 * electionTicks)
+}
+
+// TestGolden_RaftMessages compares the raft messages of a group of two, from its bootstrap to a confirmed read, with those of an earlier
+// build, in their bytes and order.
+func TestGolden_RaftMessages(t *testing.T) {
+	l := &messageLog{t: t, cores: map[uint64]*Core{}, machines: map[uint64]*recorder{}}
+	l.start(1)
+	l.start(2)
+	l.cores[1].Campaign()
+	l.run(1)
+	l.changeMember(raftpb.ConfChangeAddLearnerNode, []byte("joins"))
+	fmt.Fprintf(&l.out, "caught up: %v\n", l.cores[1].CaughtUp())
+	l.changeMember(raftpb.ConfChangeAddNode, nil)
+	if err := l.cores[1].Propose([]byte("entry")); err != nil {
 		t.Fatal(err)
 	}
-	cores[2].ReadIndex(func(index uint64, err error) { fmt.Fprintf(&out, "read: %d, %v\n", index, err) })
-	run(5)
+	l.cores[2].ReadIndex(func(index uint64, err error) { fmt.Fprintf(&l.out, "read: %d, %v\n", index, err) })
+	l.run(5)
 	for id := uint64(1); id <= 2; id++ {
-		writeStatus(&out, id, cores[id].Status(), machines[id])
+		writeStatus(&l.out, id, l.cores[id].Status(), l.machines[id])
 	}
-	goldentest.Check(t, "raft-messages.txt", out.Bytes())
+	goldentest.Check(t, "raft-messages.txt", l.out.Bytes())
 }
 
-// writeStatus writes a member's status, and what it has applied.
+// writeStatus writes a member's status and the entries that it has applied.
 func writeStatus(out io.Writer, id uint64, s Status, machine *recorder) {
 	fmt.Fprintf(out, "member %d: leader %d %t, applied %d, term %d, last %d of term %d, voters %v, learners %v: %q\n", id,
 		s.LeaderID, s.IsLeader, s.Applied, s.Term, s.LastIndex, s.LastTerm, s.Voters, s.Learners, machine.lines)
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Messages for another incarnation are rejected, and only promises count towards a sender's position.
+// TestNode_Receive verifies that messages for another incarnation are rejected, and which position the sender of a message promises.
 func TestNode_Receive(t *testing.T) {
 	storage, err := OpenStorage("", testIdentity)
 	if err != nil {
--- a/internal/consensus/position_test.go
+++ b/internal/consensus/position_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A position misses a promise by its term or by its last index.
+// TestPosition_Misses verifies that a position misses a promise by its term or by its last index.
 func TestPosition_Misses(t *testing.T) {
 	for _, c := range []struct {
 		position, promised Position
--- a/internal/consensus/storage_test.go
+++ b/internal/consensus/storage_test.go
@@ -19,7 +19,7 @@
 // storedPosition is the position of newStorageDir's file.
 var storedPosition = Position{Term: 3, LastIndex: 4, LastTerm: 3}
 
-// newStorageDir returns a directory whose file has a vote and three entries, and the file's bytes.
+// newStorageDir returns a directory with a storage file that has a vote and three entries, and the file's bytes.
 func newStorageDir(t *testing.T) (dir string, raw []byte) {
 	t.Helper()
 	dir = t.TempDir()
@@ -46,7 +46,8 @@
 	return dir, raw
 }
 
-// A file is read under its first incarnation. Another member's file is refused by name, and not changed.
+// TestStorage_BelongsToOneMember verifies that a file keeps its first incarnation, that a second process cannot open it, and that the
+// file of another group or member is rejected and not changed.
 func TestStorage_BelongsToOneMember(t *testing.T) {
 	dir, raw := newStorageDir(t)
 	storage, err := OpenStorage(dir, Identity{Group: "g", Name: "a", Incarnation: "second", RaftID: 8})
@@ -74,10 +75,14 @@
 	}
 }
 
-// corruption counts what became of corrupt files.
-type corruption struct{ complete, replaced int }
+// corruption counts how corrupt files were opened.
+type corruption struct {
+	complete int // read in full
+	replaced int // set aside, so that a new incarnation began
+}
 
-// A torn file, or one with a flipped bit, is either read in full or set aside for a new incarnation: never a part of a vote.
+// TestStorage_CorruptFileBeginsNewIncarnation verifies that a truncated file, or one with a flipped bit, is either read in full or set
+// aside for a new incarnation. A part of its state must never be used, as the member could vote twice in a term.
 func TestStorage_CorruptFileBeginsNewIncarnation(t *testing.T) {
 	_, raw := newStorageDir(t)
 	var outcomes corruption
@@ -92,7 +97,7 @@
 	for n := 3; n < len(raw); n += 211 {
 		flip(n)
 	}
-	entry := bytes.Repeat([]byte{3}, 40) // every copy of it, wherever the file has it
+	entry := bytes.Repeat([]byte{3}, 40) // the data of one entry, of which the file may have several copies
 	for at := bytes.Index(raw, entry); at >= 0; {
 		flip(at + 7)
 		next := bytes.Index(raw[at+len(entry):], entry)
@@ -106,7 +111,7 @@
 	}
 }
 
-// try opens a file.
+// try opens a storage file with some content, and counts the outcome.
 func (c *corruption) try(t *testing.T, what string, raw []byte) {
 	t.Helper()
 	dir := t.TempDir()
@@ -129,13 +134,13 @@
 		c.complete++
 	case incarnation == "second" && storage.IsEmpty():
 		c.replaced++
-	case incarnation == "first" && position.LastIndex < storedPosition.LastIndex: // an older state, by bbolt's other root
+	case incarnation == "first" && position.LastIndex < storedPosition.LastIndex: // an older state: bbolt used its other meta page
 	default:
 		t.Errorf("%s: %+v, position %+v, %v", what, storage.Identity(), position, hardState)
 	}
 }
 
-// entriesAreComplete reports whether storage has the entries of newStorageDir's file.
+// entriesAreComplete reports whether the storage has all entries of newStorageDir's file.
 func entriesAreComplete(storage *Storage) bool {
 	entries, err := storage.memory.Entries(2, 5, 1<<20)
 	for i, entry := range entries {
@@ -146,7 +151,8 @@
 	return err == nil
 }
 
-// Entries of another leader are replaced by those of the present one, in the file too.
+// TestStorage_ReplacesConflictingEntries verifies that the entries of a former leader are replaced by those of the present one, in memory
+// and in the file.
 func TestStorage_ReplacesConflictingEntries(t *testing.T) {
 	dir, _ := newStorageDir(t)
 	for i := range 2 {
--- a/internal/maintenance/advance_test.go
+++ b/internal/maintenance/advance_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestMachine_PassesThroughAllPhases follows one machine through a plan, and holds that a silent member is waited for no longer than the
-// fence timeout.
+// TestMachine_PassesThroughAllPhases follows one machine through a plan, and verifies that its drain waits for a silent member no longer
+// than the fence timeout.
 func TestMachine_PassesThroughAllPhases(t *testing.T) {
 	f := newFixture(t, Plan{})
 	f.expect(CodeOK, Command{Kind: CommandStartPlan, Name: "p"})
@@ -49,7 +49,7 @@
 	}
 }
 
-// TestDrain_BlockedByMember holds what keeps a machine from being drained before the fence timeout.
+// TestDrain_BlockedByMember verifies what keeps a machine from being drained before the fence timeout.
 func TestDrain_BlockedByMember(t *testing.T) {
 	for name, change := range map[string]func(*fixture){
 		"an attempt of a member runs there": func(f *fixture) {
@@ -75,7 +75,7 @@
 	}
 }
 
-// TestOverdue_FollowsPlanSetting holds what a plan does when a drain takes too long.
+// TestOverdue_FollowsPlanSetting verifies what a plan does when a drain takes too long.
 func TestOverdue_FollowsPlanSetting(t *testing.T) {
 	for _, test := range []struct {
 		onOverdue OverdueAction
@@ -95,8 +95,8 @@
 	}
 }
 
-// TestReturn_FailsWhenLate holds that a machine is marked when operators keep it too long, fails when it is not back in time, and may
-// still come back.
+// TestReturn_FailsWhenLate verifies that a machine is marked as overdue when operators keep it too long, fails when it is not back in
+// service in time, and is done once it is.
 func TestReturn_FailsWhenLate(t *testing.T) {
 	f := newFixture(t, Plan{WorkTimeout: 2 * second, ReturnTimeout: 5 * second, OnOverdue: OverduePause})
 	f.startPlan()
@@ -118,7 +118,7 @@
 	f.expectPhases("m0 done")
 }
 
-// TestAdvance_CountsTimeOnce holds that time that was counted once never counts again, whoever proposes it.
+// TestAdvance_CountsTimeOnce verifies that a proposal for a former state does not count its time a second time.
 func TestAdvance_CountsTimeOnce(t *testing.T) {
 	f := newFixture(t, Plan{})
 	f.startPlan()
@@ -126,13 +126,14 @@
 	late.StateSeq, late.Elapsed, late.Reports = f.state.Seq, 4*second, nil
 	f.apply(Command{Kind: CommandAdvance, Advance: &late})
 	clock := f.state.Clock
-	f.apply(Command{Kind: CommandAdvance, Advance: &late}) // as of a former leader
+	f.apply(Command{Kind: CommandAdvance, Advance: &late}) // as from a former leader
 	if f.state.Clock != clock {
 		t.Errorf("the clock went on from %v to %v", clock, f.state.Clock)
 	}
 }
 
-// TestHost_CoversAllItsWorkers holds that whatever is listed at a host belongs to its machine, under any name and from any time on.
+// TestHost_CoversAllItsWorkers verifies that each worker that is listed at a host belongs to its machine, whatever its name is and
+// whenever it was listed.
 func TestHost_CoversAllItsWorkers(t *testing.T) {
 	f := newFixture(t, Plan{Machines: []Machine{{Name: "h", Host: "h0"}}})
 	for _, name := range []string{"r0", "r1"} {
@@ -166,7 +167,7 @@
 	if !strings.Contains(problems, `machine[0].host: "h0" is in plan "p"`) {
 		t.Errorf("a second plan for it: %s", problems)
 	}
-	fleet := f.proposal.Fleet // none is listed there yet: that does not mean that it is back
+	fleet := f.proposal.Fleet // no worker at the host is listed yet, so the machine is not back
 	f.proposal.Fleet = map[string]Worker{}
 	f.advance(9 * second)
 	expectWorkers("new r0 r1")
@@ -178,7 +179,7 @@
 	f.advance(second)
 	f.advance(second)
 	f.expectPhases("h done")
-	// The name that is gone for good does not count as unavailable; one that goes later does.
+	// A name that went during the maintenance does not count as unavailable; one that goes later does.
 	units := f.state.budgetUnits(&f.proposal)
 	if units["runner r0"] != nil || units["runner new"].unavailable {
 		t.Errorf("units: %+v", units)
--- a/internal/maintenance/apply_test.go
+++ b/internal/maintenance/apply_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestApply_ActsOncePerID holds that a call acts once, that an entry that a snapshot covers is not applied again, and that a command of
-// an unknown kind changes nothing.
+// TestApply_ActsOncePerID verifies that a repeated call has no further effect, that an entry that a snapshot covers is not applied again,
+// and that a command of an unknown kind is invalid.
 func TestApply_ActsOncePerID(t *testing.T) {
 	f := newFixture(t, Plan{})
 	f.startPlan()
@@ -20,7 +20,7 @@
 		t.Errorf("%v, the plan is %s", events, f.state.Plans[0].Phase)
 	}
 	before := encode(t, f.state)
-	f.index-- // of an entry that is covered
+	f.index-- // of an entry that the state covers
 	f.apply(Command{Kind: CommandAbortPlan, Name: "p"})
 	if after := encode(t, f.state); !bytes.Equal(before, after) {
 		t.Error("an entry was applied twice")
@@ -28,8 +28,8 @@
 	f.expect(CodeInvalid, Command{Kind: "of tomorrow"})
 }
 
-// TestApply_IsDeterministic holds that random entries give the same bytes at each member, over a snapshot too, and never take more
-// machines than the plan allows.
+// TestApply_IsDeterministic verifies that random entries give the same state, byte by byte, at a member that began from a snapshot, and
+// never take more machines than the plan allows.
 func TestApply_IsDeterministic(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -74,7 +74,7 @@
 	}
 }
 
-// countUnderMaintenance counts the machines that the first plan has taken and that are not in service again.
+// countUnderMaintenance counts the machines that the first plan has taken out of service and that are not back.
 func countUnderMaintenance(state *State) int {
 	count := 0
 	for _, machine := range state.Plans[0].MachineStates {
@@ -85,7 +85,8 @@
 	return count
 }
 
-// TestApply_RejectsNewerLevel holds that an entry or a state of a newer build is not passed over, and changes nothing.
+// TestApply_RejectsNewerLevel verifies that an entry of a newer build panics and changes nothing, and that a state of a newer build is not
+// decoded.
 func TestApply_RejectsNewerLevel(t *testing.T) {
 	f := newFixture(t, Plan{})
 	before := encode(t, f.state)
--- a/internal/maintenance/budget_test.go
+++ b/internal/maintenance/budget_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestBudget_LimitsMachinesTaken holds which machines may be taken under a budget, and which goes first.
+// TestBudget_LimitsMachinesTaken verifies which machines a plan takes under its budget, and in which order.
 func TestBudget_LimitsMachinesTaken(t *testing.T) {
 	for name, test := range map[string]struct {
 		plan   Plan
@@ -49,7 +49,7 @@
 			f := newFixture(t, test.plan)
 			test.change(f)
 			report := MemberReport{Incarnation: "1", SoleProcess: true}
-			for i := range 6 { // nothing gets drained
+			for i := range 6 { // so that no machine gets drained
 				report.BusyWorkers = append(report.BusyWorkers, fmt.Sprint("r", i))
 			}
 			f.proposal.Reports["b"] = report
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestBudget_SharedByPlans holds that a machine that one plan has taken counts against the budget of another.
+// TestBudget_SharedByPlans verifies that a machine that one plan has taken counts against the budget of another.
 func TestBudget_SharedByPlans(t *testing.T) {
 	f := newFixture(t, Plan{Machines: []Machine{machineOf("m0", "r0")}})
 	f.expect(CodeOK, Command{Kind: CommandSubmitPlan, Plan: &Plan{
--- a/internal/maintenance/compact_test.go
+++ b/internal/maintenance/compact_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestCompact_SizeIndependentOfFleet holds that a compact proposal is as short for hundreds of members and workers as for few, and names
-// whatever blocks a drain.
+// TestCompact_SizeIndependentOfFleet verifies that a compact proposal is hardly longer for hundreds of members and workers than for few,
+// and that it names each member that blocks a drain.
 func TestCompact_SizeIndependentOfFleet(t *testing.T) {
 	length := func(members, workers int) int {
 		state := New()
--- a/internal/maintenance/fixture_test.go
+++ b/internal/maintenance/fixture_test.go
@@ -20,7 +20,8 @@
 
 const second = time.Second
 
-// newFixture submits a plan, in which it sets what is missing: one machine a worker, one taken at a time.
+// newFixture submits a plan. Where the plan sets nothing else, it has one machine for each worker, of which one may be unavailable at a
+// time.
 func newFixture(t *testing.T, plan Plan) *fixture {
 	t.Helper()
 	f := &fixture{t: t, state: New(), proposal: Advance{
@@ -52,7 +53,7 @@
 // machineOf returns a machine of named workers.
 func machineOf(name string, workers ...string) Machine { return Machine{Name: name, Workers: workers} }
 
-// apply applies a command as the next entry.
+// apply applies a command as the next log entry.
 func (f *fixture) apply(command Command) []Event {
 	f.t.Helper()
 	raw, err := json.Marshal(command)
@@ -63,7 +64,7 @@
 	return f.state.Apply(f.index, raw)
 }
 
-// expect applies a command as a call of an operator, and holds its result's code.
+// expect applies a command as a call of an operator, and checks its result's code.
 func (f *fixture) expect(code Code, command Command) {
 	f.t.Helper()
 	command.ID = fmt.Sprint("id", f.index)
@@ -73,8 +74,8 @@
 	}
 }
 
-// advance lets time pass. All members confirm all entries but those that are named. It also holds that the compact proposal comes to
-// the same as the full one.
+// advance proposes that time has passed and that all members except the named ones have applied all entries. It also checks that the
+// compact proposal has the same effect as the full one.
 func (f *fixture) advance(elapsed time.Duration, except ...string) {
 	f.t.Helper()
 	proposal := f.proposal
@@ -112,7 +113,7 @@
 	f.proposal.Fleet[name] = worker
 }
 
-// expectPhases holds which machines of the first plan are in which phase, but for those that wait.
+// expectPhases checks the phases of the first plan's machines, without those that are waiting.
 func (f *fixture) expectPhases(want string) {
 	f.t.Helper()
 	var got []string
@@ -126,7 +127,7 @@
 	}
 }
 
-// startPlan starts the first plan and lets it take a machine.
+// startPlan starts the plan p and proposes to advance it by a second, in which it may take a machine.
 func (f *fixture) startPlan() {
 	f.expect(CodeOK, Command{Kind: CommandStartPlan, Name: "p"})
 	f.advance(second)
--- a/internal/maintenance/golden_test.go
+++ b/internal/maintenance/golden_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// TestGolden_StoredForms covers all that is stored in the log and in snapshots, and sent between members.
+// TestGolden_StoredForms covers the JSON of all types that are stored in the log and in snapshots, and sent between members.
 func TestGolden_StoredForms(t *testing.T) {
 	plan, member, advance := goldenPlan(), goldenMember(), goldenAdvance()
 	goldentest.CheckJSON(t, "plan.json", plan)
@@ -78,7 +78,7 @@
 	goldentest.CheckJSON(t, "state.json", goldenState())
 }
 
-// TestGolden_Snapshot holds Encode and Decode to the stored state.
+// TestGolden_Snapshot compares Encode and Decode with stored snapshots.
 func TestGolden_Snapshot(t *testing.T) {
 	want := goldenState()
 	raw, err := want.Encode()
@@ -104,7 +104,7 @@
 	goldentest.Check(t, "snapshot-empty.json", empty)
 }
 
-// TestGolden_Constants holds the words that stand in stored and sent values, and the codes that are exit statuses too.
+// TestGolden_Constants covers the constants in stored and sent values, and the result codes, which are exit statuses too.
 func TestGolden_Constants(t *testing.T) {
 	var b bytes.Buffer
 	fmt.Fprintln(&b, "machine:", []MachinePhase{
@@ -123,7 +123,7 @@
 	goldentest.Check(t, "words.txt", b.Bytes())
 }
 
-// TestGolden_CompactProposal holds the compact form of a proposal.
+// TestGolden_CompactProposal covers the compact form of proposals.
 func TestGolden_CompactProposal(t *testing.T) {
 	h := newHistory(t, 7)
 	var b bytes.Buffer
@@ -141,8 +141,8 @@
 	goldentest.Check(t, "compact.jsonl", b.Bytes())
 }
 
-// TestGolden_Texts holds the texts of results, of problems of plans and of reasons, which are sent to operators, and those of events.
-// Of texts that differ in digits alone it holds one.
+// TestGolden_Texts covers the texts of results, of problems of plans and of reasons, which are sent to operators, and those of events. Of
+// texts that differ in digits alone the golden file has one.
 func TestGolden_Texts(t *testing.T) {
 	texts := map[string]bool{}
 	for seed := range uint64(60) {
@@ -169,7 +169,7 @@
 	goldentest.Check(t, "texts.txt", []byte(strings.Join(slices.Sorted(maps.Values(kinds)), "\n")+"\n"))
 }
 
-// TestGolden_HistoryDigests plays random histories of commands and compares a digest of all that each came to: the state after each
+// TestGolden_HistoryDigests applies random histories of commands and compares a digest of all results of each: the state after each
 // entry, its events, and each answer of the queries.
 func TestGolden_HistoryDigests(t *testing.T) {
 	var b bytes.Buffer
@@ -199,7 +199,7 @@
 	goldentest.Check(t, "digests.txt", b.Bytes())
 }
 
-// TestGolden_Bounds holds what is kept of many plans and calls, and what is answered to entries that lack something.
+// TestGolden_Bounds covers how many plans and results a state keeps, and the results of incomplete commands.
 func TestGolden_Bounds(t *testing.T) {
 	h := newHistory(t, 3)
 	h.apply(Command{ID: "nobody", Kind: CommandJoinMember})
--- a/internal/maintenance/history_test.go
+++ b/internal/maintenance/history_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// history draws commands at random and applies them.
+// history generates random commands and applies them.
 type history struct {
 	t            *testing.T
 	random       *rand.Rand
@@ -25,10 +25,10 @@
 	fleet        map[string]Worker // as members know it
 	reports      map[string]MemberReport
 	incarnations int
-	digest       hash.Hash64 // of all that it came to
+	digest       hash.Hash64 // of all results
 }
 
-// newHistory begins with three members and eight workers.
+// newHistory returns a history with three members and eight workers.
 func newHistory(t *testing.T, seed uint64) *history {
 	t.Helper()
 	h := &history{
@@ -46,7 +46,7 @@
 	return h
 }
 
-// step draws one change of what is known, or one command.
+// step makes one random change of fleet, reports or state, or applies one random command.
 func (h *history) step() {
 	switch n := h.random.IntN(100); {
 	case n < 12:
@@ -94,10 +94,10 @@
 	}
 }
 
-// id draws the ID of a call, some of which come twice.
+// id returns the random ID of a call. Some IDs are repeated.
 func (h *history) id() string {
 	if h.random.IntN(10) == 0 {
-		return "" // of no call
+		return "" // not an operator's call
 	}
 	return fmt.Sprint("call-", h.random.IntN(400))
 }
@@ -112,7 +112,7 @@
 	h.reports[name] = MemberReport{Incarnation: incarnation, SoleProcess: true, Applied: h.index}
 }
 
-// apply applies a command as the next entry, and adds what it came to to the digest.
+// apply applies a command as the next log entry, and adds its events and the new state to the digest.
 func (h *history) apply(command Command) {
 	raw, err := json.Marshal(command)
 	if err != nil {
@@ -123,7 +123,7 @@
 	fmt.Fprintf(h.digest, "%s\n%q\n%s\n", raw, h.events, encode(h.t, h.state))
 }
 
-// changeFleet changes what is known of one worker.
+// changeFleet changes what members know of one random worker.
 func (h *history) changeFleet() {
 	name := fmt.Sprint("r", h.random.IntN(10))
 	worker, listed := h.fleet[name]
@@ -149,7 +149,7 @@
 	h.fleet[name] = worker
 }
 
-// changeReports changes what one member reports.
+// changeReports changes the report of one random member.
 func (h *history) changeReports() {
 	name := fmt.Sprint("d", h.random.IntN(4))
 	report := h.reports[name]
@@ -166,7 +166,7 @@
 	h.reports[name] = report
 }
 
-// proposal draws what a leader would propose: mostly for the state as it is, with the reports of most members.
+// proposal returns a random proposal of a leader: mostly for the present state, with the reports of most members.
 func (h *history) proposal() *Advance {
 	proposal := &Advance{
 		StateSeq:     h.state.Seq,
@@ -190,7 +190,7 @@
 	return proposal
 }
 
-// plan draws a plan, some of which have problems.
+// plan returns a random plan, or nil. Some plans have problems.
 func (h *history) plan() *Plan {
 	plan := &Plan{
 		Name:                  fmt.Sprint("p", h.random.IntN(4)),
@@ -234,7 +234,7 @@
 	return plan
 }
 
-// texts returns those of the last step, and those of queries.
+// texts returns the texts of the last step's events and result, and those of queries.
 func (h *history) texts() (texts []string) {
 	for _, event := range h.events {
 		texts = append(texts, "event: "+event.Text)
@@ -260,7 +260,7 @@
 	return texts
 }
 
-// digestQueries adds what each query answers.
+// digestQueries adds the answer of each query to the digest.
 func (h *history) digestQueries() {
 	note := func(value any) {
 		raw, err := json.Marshal(value)
--- a/internal/maintenance/validate_test.go
+++ b/internal/maintenance/validate_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestValidatePlan_NamesEachProblem holds the key of each problem of a plan.
+// TestValidatePlan_NamesEachProblem verifies that each problem of a plan is reported with its key.
 func TestValidatePlan_NamesEachProblem(t *testing.T) {
 	f := newFixture(t, Plan{})
 	problems := strings.Join(f.state.ValidatePlan(&Plan{
--- a/internal/replication/cluster_test.go
+++ b/internal/replication/cluster_test.go
@@ -10,32 +10,32 @@
 	"pgregory.net/rapid"
 )
 
-// CI plays the same histories each time; -rapid.seed plays others.
+// The seed is fixed, so that CI runs the same histories each time. -rapid.seed runs others.
 func init() {
 	if err := flag.Set("rapid.seed", "33"); err != nil {
 		panic(err)
 	}
 }
 
-// disk is what a replica has stored.
+// disk is the stored state of a replica.
 type disk struct {
 	version VersionVector
 	entries []Entry
 }
 
-// cluster is some replicas, and all that was ever written.
+// cluster has some replicas and all entries that were ever written.
 type cluster struct {
 	t                *rapid.T
 	replicas         []*Replica
 	pulls            []map[int]*PullProgress // by reader and sender
-	reportedVersions []map[int]VersionVector // by replica that was told, and replica that told it
+	reportedVersions []map[int]VersionVector // by receiver and sender
 	disks            []disk
-	delayed          []func() // chunks on their way
+	delayed          []func() // merges of delayed chunks
 
 	written      []Entry
 	collected    map[Dot]bool // dropped as garbage by a replica
 	incarnations int
-	restarted    bool // some replica was
+	restarted    bool // any replica was, with what its disk had
 }
 
 func newCluster(t *rapid.T, size int) *cluster {
@@ -55,7 +55,7 @@
 	return c
 }
 
-// start starts a replica by what its disk has, which may be old.
+// start starts a replica with the state of its disk, which may be outdated.
 func (c *cluster) start(i int) {
 	c.incarnations++
 	c.replicas[i] = New(fmt.Sprint("life", c.incarnations))
@@ -87,7 +87,7 @@
 	return entries
 }
 
-// requestDelayed has sender answer reader with a first chunk that arrives later.
+// requestDelayed requests a first chunk from sender that reader merges later.
 func (c *cluster) requestDelayed(reader, sender int) {
 	chunk := c.replicas[sender].NextChunk(c.replicas[reader].Version(), Cursor{}, 9)
 	replica := c.replicas[reader]
@@ -101,7 +101,7 @@
 	})
 }
 
-// transferChunk carries one chunk from sender to reader, or the same twice, and reports whether it was the last.
+// transferChunk sends one chunk from sender to reader, once or twice, and reports whether it was the last.
 func (c *cluster) transferChunk(reader, sender, maxEntries int, twice bool) (done bool) {
 	c.t.Helper()
 	progress := c.pulls[reader][sender]
@@ -119,7 +119,7 @@
 	if err := json.Unmarshal(raw, &chunk); err != nil {
 		c.t.Fatal(err)
 	}
-	if _, err := c.replicas[reader].Merge(progress, chunk); err != nil { // the sender was restarted, so the pull begins anew
+	if _, err := c.replicas[reader].Merge(progress, chunk); err != nil { // the sender was restarted, so the pull starts again
 		*progress = PullProgress{}
 		return false
 	}
@@ -130,7 +130,7 @@
 	return chunk.Done
 }
 
-// repair has replica i drop what j has seen removed, where both have seen the same.
+// repair drops the entries of replica i that replica j has seen removed, if both have equal version vectors.
 func (c *cluster) repair(i, j int) {
 	a, b := c.replicas[i], c.replicas[j]
 	if a.Version().Digest() == b.Version().Digest() && a.Digest() != b.Digest() {
@@ -138,7 +138,7 @@
 	}
 }
 
-// collectGarbage has a replica drop overrides that all others have told to have, and holds that none of them was needed.
+// collectGarbage drops the overrides of a replica that all others have reported to have, and checks that none of them was needed.
 func (c *cluster) collectGarbage(i int) {
 	c.t.Helper()
 	var members []VersionVector
@@ -165,7 +165,7 @@
 	}
 }
 
-// latest returns the entries of a name that no entry has replaced.
+// latest returns the entries of a name that no other entry replaces.
 func (c *cluster) latest(name string) (entries []Entry) {
 	for _, entry := range c.written {
 		replaces := func(other Entry) bool { return other.Name == name && other.CausalContext.Contains(entry.Dot) }
@@ -176,7 +176,7 @@
 	return entries
 }
 
-// latestUncollected returns the same less those that some replica has dropped as garbage.
+// latestUncollected returns the entries of latest that no replica has dropped as garbage.
 func (c *cluster) latestUncollected(name string) []Entry { return c.withoutCollected(c.latest(name)) }
 
 func (c *cluster) withoutCollected(entries []Entry) []Entry {
@@ -197,15 +197,15 @@
 
 func (c *cluster) isOnlyHolder(i int, dot Dot) bool {
 	for j, replica := range c.replicas {
-		held := replica.find(dot) != nil
-		if held != (j == i) {
+		hasEntry := replica.find(dot) != nil
+		if hasEntry != (j == i) {
 			return false
 		}
 	}
 	return true
 }
 
-// exchangeAll has each replica pull from each other one, three times.
+// exchangeAll pulls and repairs three times between all pairs of replicas, which makes them equal.
 func (c *cluster) exchangeAll() {
 	for range 3 {
 		for i := range c.replicas {
@@ -221,7 +221,7 @@
 	}
 }
 
-// pullAll has reader pull all that sender has.
+// pullAll transfers all chunks from sender to reader.
 func (c *cluster) pullAll(reader, sender int) {
 	done := reader == sender
 	for !done {
--- a/internal/replication/converge_test.go
+++ b/internal/replication/converge_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestReplicas_Converge plays random histories: whatever is written, carried in chunks, twice, in any order, lost with a disk, brought
-// back by an old one, or dropped as garbage, once all replicas have exchanged what they have they are equal, and hold what no
-// entry has replaced.
+// TestReplicas_Converge verifies that replicas are equal after random histories once all have exchanged their entries, and that they hold
+// the entries that no other entry replaces. In a history entries are written, transferred in chunks, twice or late, lost with a disk,
+// restored from an outdated disk and dropped as garbage.
 func TestReplicas_Converge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(2, 5).Draw(t, "replicas")
@@ -25,7 +25,7 @@
 			}
 		}
 		for _, name := range []string{"a", "b", "c"} {
-			// An override that one replica has dropped as garbage may still be held by others, which give it to one that has lost its disk.
+			// Of an override that one replica has dropped as garbage others may have a copy, which a replica that has lost its disk pulls.
 			want, got := c.latestUncollected(name), c.withoutCollected(c.replicas[0].Get(KindOverride, name))
 			if !slices.Equal(dotsOf(got), dotsOf(want)) {
 				t.Fatalf("%s: %v, want %v", name, got, want)
@@ -34,7 +34,7 @@
 	})
 }
 
-// drawStep draws one step of a history and plays it.
+// drawStep makes one random step of a history.
 func (c *cluster) drawStep() {
 	replica := rapid.IntRange(0, len(c.replicas)-1)
 	i, j := replica.Draw(c.t, "i"), replica.Draw(c.t, "j")
--- a/internal/replication/history_test.go
+++ b/internal/replication/history_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// history draws what some replicas do.
+// history makes random operations on some replicas.
 type history struct {
 	t            *testing.T
 	random       *rand.Rand
@@ -19,10 +19,10 @@
 	pulls        map[[2]int]*PullProgress // by reader and sender
 	disks        []Chunk
 	incarnations int
-	digest       hash.Hash64 // of all that it came to
+	digest       hash.Hash64 // of all results
 }
 
-// newHistory begins with four empty replicas.
+// newHistory returns a history with four empty replicas.
 func newHistory(t *testing.T, seed uint64) *history {
 	t.Helper()
 	h := &history{
@@ -35,7 +35,7 @@
 	return h
 }
 
-// start starts a replica by what its disk has.
+// start starts a replica with the state of its disk.
 func (h *history) start(i int) {
 	h.incarnations++
 	h.replicas[i] = New(fmt.Sprint("life-", h.incarnations))
@@ -56,7 +56,7 @@
 	fmt.Fprintf(h.digest, "%s\n", raw)
 }
 
-// step draws one thing that happens, and adds what it came to.
+// step makes one random operation, and adds its results to the digest.
 func (h *history) step() {
 	i := h.random.IntN(len(h.replicas))
 	j := (i + 1 + h.random.IntN(len(h.replicas)-1)) % len(h.replicas)
@@ -95,7 +95,7 @@
 	h.noteReplica(h.replicas[i])
 }
 
-// write writes an entry at a replica, mostly an override.
+// write writes a random entry at a replica, mostly an override.
 func (h *history) write(i int) {
 	entry := Entry{
 		Kind: KindOverride, Name: fmt.Sprint("r", h.random.IntN(9)), Disabled: h.random.IntN(2) == 0, Member: fmt.Sprint("d", i),
@@ -111,7 +111,7 @@
 	h.note(written)
 }
 
-// pull has reader pull one chunk from sender.
+// pull transfers one chunk from sender to reader.
 func (h *history) pull(reader, sender int) {
 	pull := [2]int{reader, sender}
 	if h.pulls[pull] == nil {
@@ -128,7 +128,7 @@
 	}
 }
 
-// noteReplica adds all that a replica tells of itself.
+// noteReplica adds the state of a replica to the digest, as its queries return it.
 func (h *history) noteReplica(replica *Replica) {
 	h.note(replica.Version())
 	h.note(replica.Version().Total())
--- a/internal/replication/replica_test.go
+++ b/internal/replication/replica_test.go
@@ -15,7 +15,7 @@
 	}
 }
 
-// TestMerge_IgnoresStaleChunk holds that an entry that was replaced and dropped is not taken again from a chunk that was long on its way.
+// TestMerge_IgnoresStaleChunk verifies that an entry that was replaced and dropped is not inserted again from a delayed chunk.
 func TestMerge_IgnoresStaleChunk(t *testing.T) {
 	a, b := New("a"), New("b")
 	mustWrite(t, a, "r", true)
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestWrite_RejectsWhenFull holds that one override more than MaxOverrides is rejected, while those that there are can be replaced and
-// those of others are merged.
+// TestWrite_RejectsWhenFull verifies that one override more than MaxOverrides is rejected, while existing ones can be replaced and those of
+// other replicas are merged.
 func TestWrite_RejectsWhenFull(t *testing.T) {
 	replica, other := New("l"), New("o")
 	for i := range MaxOverrides {
@@ -52,7 +52,7 @@
 	}
 }
 
-// FuzzMerge holds that a chunk of any bytes is taken as a whole or rejected, and that what is held stays in order.
+// FuzzMerge verifies that a chunk of any bytes is either merged completely or rejected, and that the replica's indexes stay consistent.
 func FuzzMerge(f *testing.F) {
 	seed := New("l")
 	mustWrite(f, seed, "r", true)
