--- a/internal/consensus/bootmarker.go
+++ b/internal/consensus/bootmarker.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// BootMarker records beside the storage how far an incarnation has come, in a file that must not outlive the machine's boot. Storage that
-// has less than its marker was put back from a copy. Without a marker nothing tells. Methods of a nil BootMarker record nothing.
+// BootMarker records the position of an incarnation beside its storage, in a file that must not outlive the machine's boot. Storage that
+// is older than its marker was restored from a copy; without a marker this is not detected. Methods of a nil BootMarker record nothing.
 //
 // It is not safe for concurrent use; a Node owns its boot marker.
 type BootMarker struct {
@@ -25,13 +25,13 @@
 	Position
 }
 
-// bootRecordSize is the file's size in bytes. A process that dies leaves a write of less than a page whole, or not there.
+// bootRecordSize is the file's size in bytes. A write of less than a page is complete or missing if the process dies.
 const bootRecordSize = 256
 
-// bootIDFile names the machine's boot. A marker of an earlier boot may have been put back from a copy together with the storage.
+// bootIDFile has the ID of the machine's boot. A marker of an earlier boot may have been restored from a copy together with the storage.
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
-// OpenBootMarker opens or creates the marker at a path. It fails where the system does not tell its boot ID.
+// OpenBootMarker opens or creates the marker at a path. It fails if the system has no boot ID.
 func OpenBootMarker(path string) (*BootMarker, error) {
 	bootID, err := os.ReadFile(bootIDFile)
 	if err != nil {
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -1,5 +1,5 @@
 // Package consensus runs one member's part in a raft group: it ticks go.etcd.io/raft, persists what raft wants persisted, carries its
-// messages and applies committed entries to a state machine in their one order.
+// messages and applies committed entries to a state machine in the order of the log.
 //
 // Core is the part without clock, goroutine and network; a simulation drives it directly. Node runs a Core in one goroutine, which owns
 // the Core, its Storage and its BootMarker.
@@ -22,12 +22,12 @@
 	learnerHeartbeatTicks = electionTicks / 2
 
 	readRetryTicks      = 10        // until an unanswered read round is started again
-	maxPending          = 1024      // messages, and reads, that wait
+	maxPending          = 1024      // each: messages and reads that wait
 	maxMessageBytes     = 256 << 10 // of the entries in one message
 	maxUncommittedBytes = 4 << 20   // of proposals
 	maxInflightMessages = 64        // to one follower
 	snapshotThreshold   = 1000      // applied entries after which the log is compacted
-	trailingEntries     = 200       // kept behind a snapshot, for followers that are a little behind
+	trailingEntries     = 200       // kept from before a snapshot, for followers that are a little behind
 )
 
 // StateMachine is what committed entries are applied to. Only the caller of a Core, which for a Node is its goroutine, calls it.
@@ -42,13 +42,13 @@
 
 // Errors of proposals, reads and messages. Their texts are answers to other members.
 var (
-	// ErrNoLeader says that this member cannot propose: it does not lead, or leadership is changing.
+	// ErrNoLeader means that this member cannot propose: it does not lead, or leadership is changing.
 	ErrNoLeader = errors.New("no leader is known")
-	// ErrStopped says that the node was closed or has failed.
+	// ErrStopped means that the node was closed or has failed.
 	ErrStopped = errors.New("the agreement has stopped")
-	// ErrBusy says that too much waits already. The call may be repeated.
+	// ErrBusy means that a queue is full. The call may be repeated.
 	ErrBusy = errors.New("too much waits to be agreed on")
-	// ErrWrongIncarnation says that a message is for another incarnation of this member.
+	// ErrWrongIncarnation means that a message is for another incarnation of this member.
 	ErrWrongIncarnation = errors.New("it is for another life than ours")
 )
 
@@ -56,7 +56,7 @@
 type Options struct {
 	Storage    *Storage
 	BootMarker *BootMarker // nil: none
-	// MaxPromised bounds what this incarnation may have promised to others and lost since. Nil: its storage is known to have all.
+	// MaxPromised bounds what this incarnation may have promised to others and lost since. Nil: its storage is known to be complete.
 	MaxPromised  *Position
 	StateMachine StateMachine
 	// Send sends a message to the member with a raft ID. It must not block.
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -14,7 +14,7 @@
 // Core is one member's part without clock, goroutine or network: its caller ticks it and delivers its messages. It is not safe for
 // concurrent use.
 //
-// Its methods panic where the storage fails, or where raft finds a state that is impossible. After a panic the core must not be used.
+// Its methods panic if the storage fails, or if raft finds a state that is impossible. After a panic the core must not be used.
 type Core struct {
 	options           Options
 	rawNode           *raft.RawNode
@@ -32,8 +32,8 @@
 	ticksSinceRead  int    // since the last round began
 }
 
-// NewCore returns a core that goes on from its storage. With empty storage it waits to be added to the group by the leader. seed tells
-// its reads from those of an earlier process of the same incarnation.
+// NewCore returns a core that continues from its storage. With empty storage it waits to be added to the group by the leader. seed
+// distinguishes its reads from those of an earlier process of the same incarnation.
 func NewCore(options Options, seed uint64) (*Core, error) {
 	if options.MaxPromised != nil {
 		if err := options.Storage.raiseTerm(options.MaxPromised.Term); err != nil {
@@ -130,7 +130,8 @@
 }
 
 // rejectsVoteRequest reports whether a message asks for a vote that this member may not give: in a term in which it may have voted
-// already, or for a log that may lack what it has acknowledged. It guards against old storage, which would vote as if nothing were lost.
+// already, or for a log that may lack what it has acknowledged. It guards against outdated storage, which would vote as if nothing were
+// lost.
 func (c *Core) rejectsVoteRequest(message *raftpb.Message) bool {
 	promised := c.options.MaxPromised
 	isVoteRequest := message.GetType() == raftpb.MsgVote || message.GetType() == raftpb.MsgPreVote
@@ -191,7 +192,7 @@
 	}
 }
 
-// process carries out what the last event has led to.
+// process carries out the work that raft has after an event.
 func (c *Core) process() {
 	c.startReadRound()
 	for c.rawNode.HasReady() {
@@ -203,7 +204,7 @@
 // processReady carries out one batch of raft's work in the order that raft needs: persist, then send, then apply.
 func (c *Core) processReady(ready raft.Ready) {
 	if err := c.options.Storage.save(ready.HardState, ready.Entries, ready.Snapshot); err != nil {
-		panic(err) // no message that rests on it may leave: see Node.recoverFailure
+		panic(err) // messages that depend on it must not be sent: see Node.recoverFailure
 	}
 	c.recordPosition()
 	for _, message := range ready.Messages {
@@ -221,8 +222,8 @@
 	c.rawNode.Advance(ready)
 }
 
-// recordPosition writes the storage's position to the boot marker, before any message that rests on it leaves. A marker that cannot be
-// written is erased, as an old one is worse than none.
+// recordPosition writes the storage's position to the boot marker, before any message that depends on it is sent. A marker that cannot
+// be written is erased, as an outdated one is worse than none.
 func (c *Core) recordPosition() {
 	position := c.options.Storage.Position()
 	if position == c.recordedPosition {
@@ -236,7 +237,7 @@
 	}
 }
 
-// send sends a message of raft's, unless it is a heartbeat that a learner does not need.
+// send sends a raft message, unless it is a heartbeat that a learner does not need.
 func (c *Core) send(message *raftpb.Message) {
 	if message.GetType() == raftpb.MsgHeartbeat && !c.heartbeatDue(message.GetTo()) {
 		return
@@ -248,19 +249,19 @@
 	isSnapshot := message.GetType() == raftpb.MsgSnap
 	c.options.Send(message.GetTo(), raw, isSnapshot)
 	if isSnapshot {
-		// Whether it arrived shows by the follower's next answer.
+		// The follower's next response shows whether it arrived.
 		c.rawNode.ReportSnapshot(message.GetTo(), raft.SnapshotFinish)
 	}
 }
 
 // heartbeatDue reports whether a member is to get a heartbeat now. Learners neither vote nor confirm reads: a few heartbeats are enough
-// for them to notice what they have missed. In a group of hundreds all of them would be most of what the leader sends.
+// for them to notice missing entries. In a group of hundreds, heartbeats of learners would be most of the leader's traffic.
 func (c *Core) heartbeatDue(to uint64) bool {
 	if !slices.Contains(c.confState.GetLearners(), to) {
 		return true
 	}
 	if last, ok := c.learnerHeartbeats[to]; ok && c.ticks-last < learnerHeartbeatTicks {
-		return false // also one with a read round: each has one while a read waits
+		return false // also heartbeats with a read round: all have one while a read waits
 	}
 	c.learnerHeartbeats[to] = c.ticks
 	return true
@@ -276,7 +277,7 @@
 	c.snapshotIndex = c.applied
 }
 
-// apply applies a committed entry. Entries without data are raft's own.
+// apply applies a committed entry. Entries without data are internal to raft.
 func (c *Core) apply(entry *raftpb.Entry) {
 	data := entry.GetData()
 	switch entry.GetType() {
@@ -297,7 +298,7 @@
 	c.applied = entry.GetIndex()
 }
 
-// mustUnmarshal panics for bytes that raft itself has written and that cannot be read.
+// mustUnmarshal decodes bytes that raft itself has encoded, and panics if that fails.
 func mustUnmarshal(raw []byte, message proto.Message) {
 	if err := proto.Unmarshal(raw, message); err != nil {
 		panic(err)
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -27,7 +27,7 @@
 	status   atomic.Pointer[Status]
 }
 
-// Start starts a member's part. With empty storage it waits to be added to the group by its leader. The node owns the storage and the
+// Start starts a node. With empty storage it waits to be added to the group by its leader. The node owns the storage and the
 // boot marker from then on, and closes them.
 func Start(options Options) (*Node, error) {
 	core, err := NewCore(options, rand.Uint64())
@@ -47,8 +47,8 @@
 	return node, nil
 }
 
-// Bootstrap creates a group on empty storage, whose member is the only voter. clusterID tells this group from others of its name, state
-// is the snapshot to begin with.
+// Bootstrap creates a group on empty storage, whose member is the only voter. clusterID distinguishes this group from others of its name,
+// state is its initial snapshot.
 func Bootstrap(storage *Storage, clusterID string, state []byte) error {
 	return storage.bootstrap(clusterID, state)
 }
@@ -76,7 +76,7 @@
 	}
 }
 
-// drainIncoming returns a message with those that wait behind it, so that one synced write is enough for all.
+// drainIncoming returns a message and those queued after it, so that one synced write is enough for all.
 func (n *Node) drainIncoming(first *raftpb.Message) []*raftpb.Message {
 	waiting := len(n.incoming)
 	messages := make([]*raftpb.Message, 1, 1+waiting)
@@ -92,8 +92,7 @@
 	n.status.Store(&status)
 }
 
-// recoverFailure ends this member's part in the group, and not the process, where the storage fails or raft finds a state that is
-// impossible.
+// recoverFailure stops consensus, and not the process, if the storage fails or raft finds a state that is impossible.
 func (n *Node) recoverFailure() {
 	cause := recover()
 	if cause == nil {
@@ -110,8 +109,8 @@
 // Status returns the status after the last event.
 func (n *Node) Status() Status { return *n.status.Load() }
 
-// Receive takes a message of another member. It returns the sender's raft ID and what the sender has promised by the message. It does
-// not block: without room the message is dropped, with ErrBusy.
+// Receive queues a message of another member. It returns the sender's raft ID and what the sender has promised by the message. It does
+// not block: if the queue is full, the message is dropped and ErrBusy returned.
 func (n *Node) Receive(raw []byte) (from uint64, promised Position, err error) {
 	message := &raftpb.Message{}
 	if err := proto.Unmarshal(raw, message); err != nil {
@@ -132,7 +131,7 @@
 // promisedBy returns what the sender of a message promises by it.
 func promisedBy(message *raftpb.Message) Position {
 	switch message.GetType() {
-	case raftpb.MsgPreVote, raftpb.MsgPreVoteResp: // of a term that nobody has entered yet
+	case raftpb.MsgPreVote, raftpb.MsgPreVoteResp: // their term is one that the sender has not entered yet
 		return Position{}
 	case raftpb.MsgAppResp:
 		if message.GetReject() {
@@ -217,15 +216,15 @@
 	return n.do(ctx, func(core *Core) error { return core.options.Storage.MarkConfirmed() })
 }
 
-// TransferLeadership gives leadership to a voter, if this member has it. It does not wait: Status shows whether it went.
+// TransferLeadership transfers leadership to a voter, if this member leads. It does not wait: Status shows whether it succeeded.
 func (n *Node) TransferLeadership(ctx context.Context, to uint64) {
-	_ = n.submit(ctx, func(core *Core) { // an error shows as leadership that stays
+	_ = n.submit(ctx, func(core *Core) { // after an error this member still leads
 		core.rawNode.TransferLeader(to)
 		core.process()
 	})
 }
 
-// ReportUnreachable tells raft that messages to a member get lost. It does not block.
+// ReportUnreachable reports to raft that messages to a member are lost. It does not block.
 func (n *Node) ReportUnreachable(id uint64) {
 	select {
 	case n.calls <- func(core *Core) { core.rawNode.ReportUnreachable(id) }:
--- a/internal/consensus/raftlogger.go
+++ b/internal/consensus/raftlogger.go
@@ -6,8 +6,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// raftLogger is raft's logger: it writes to ours, raft's routine messages at debug level. What raft takes for impossible panics, and so
-// ends this member's part: see Node.recoverFailure.
+// raftLogger is raft's logger. It writes to the dispatcher's logger, raft's routine messages at debug level. For states that are
+// impossible it panics, which stops consensus at this member: see Node.recoverFailure.
 type raftLogger struct{ log logrus.FieldLogger }
 
 func (l raftLogger) Debug(v ...any)                   { l.log.Debug(v...) }
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// raftStorage is the storage that raft reads. It makes a snapshot for a follower when raft asks for it: one from before the follower was
-// added would not name it as a member.
+// raftStorage is the storage that raft reads. It makes a new snapshot for each follower that needs one: a snapshot from before the
+// follower was added would not name it as a member.
 type raftStorage struct {
 	*raft.MemoryStorage
 	core *Core
--- a/internal/consensus/storage.go
+++ b/internal/consensus/storage.go
@@ -14,19 +14,19 @@
 	"birchfork/internal/boltstore"
 )
 
-// Identity says whose storage it is.
+// Identity identifies the member, incarnation and group that own a storage.
 type Identity struct {
 	Format      int    `json:"format"`  // of the file; OpenStorage sets it
 	Group       string `json:"group"`   // the group's name in the operator's file
-	ClusterID   string `json:"founded"` // drawn when the group was bootstrapped; empty: the member is in no group yet
+	ClusterID   string `json:"founded"` // random, from the group's bootstrap; empty: the member is in no group yet
 	Name        string `json:"name"`    // the member's name
-	Incarnation string `json:"life"`    // drawn with each empty storage
+	Incarnation string `json:"life"`    // random, a new one for each empty storage
 	RaftID      uint64 `json:"id"`      // of this incarnation
-	// Confirmed says that this incarnation has had a lease once. No plan has begun since without its knowledge.
+	// Confirmed means that this incarnation has had a lease once. No plan has begun to run since without its confirmation.
 	Confirmed bool `json:"heard"`
 }
 
-// formatVersion is the format of the file. OpenStorage refuses others.
+// formatVersion is the format of the file. OpenStorage rejects others.
 const formatVersion = 1
 
 // storageFile is the file's name.
@@ -36,7 +36,7 @@
 var (
 	metaBucket   = []byte("meta")
 	identityKey  = []byte("identity") // JSON
-	hardStateKey = []byte("hard")     // checksummed message of raft's, as all below
+	hardStateKey = []byte("hard")     // checksummed raft message, as all below
 	snapshotKey  = []byte("snapshot")
 
 	logBucket = []byte("log")
@@ -45,8 +45,8 @@
 // Storage holds one member's log, hard state and snapshot: in a file, or in memory alone. It is not safe for concurrent use; a Node owns
 // its storage.
 type Storage struct {
-	// Unreadable says why a file that was there could not be read. It was moved aside, and this storage began empty. Nil: it was read, or
-	// there was none.
+	// Unreadable is the reason why an existing file could not be read. The file was moved aside, and this storage is empty. Nil: the file
+	// was read, or there was none.
 	Unreadable error
 
 	db       *bbolt.DB // nil: in memory alone
@@ -120,7 +120,7 @@
 	return s.readEntries(log, snapshotIndex+1)
 }
 
-// readIdentity takes the file's identity over, if the file is ours.
+// readIdentity reads the file's identity, and fails if the file is of another member, group or format.
 func (s *Storage) readIdentity(meta *bbolt.Bucket) error {
 	var identity Identity
 	if err := json.Unmarshal(meta.Get(identityKey), &identity); err != nil {
@@ -179,16 +179,16 @@
 	})
 }
 
-// Identity returns whose storage it is.
+// Identity returns the storage's identity.
 func (s *Storage) Identity() Identity { return s.identity }
 
-// SetClusterID notes which group the member was taken into. It must not be called once a Node has the storage.
+// SetClusterID stores the ID of the group that the member has joined. It must not be called once a Node has the storage.
 func (s *Storage) SetClusterID(clusterID string) error {
 	s.identity.ClusterID = clusterID
 	return s.saveIdentity()
 }
 
-// MarkConfirmed notes that the group has confirmed this incarnation: see Identity.
+// MarkConfirmed stores that the group has confirmed this incarnation: see Identity.
 func (s *Storage) MarkConfirmed() error {
 	s.identity.Confirmed = true
 	return s.saveIdentity()
@@ -217,7 +217,7 @@
 	return position
 }
 
-// IsDurable reports whether what is stored outlives the process.
+// IsDurable reports whether the storage outlives the process.
 func (s *Storage) IsDurable() bool { return s.db != nil }
 
 // Remove removes the file, after Close: the next storage in the directory begins empty.
--- a/internal/consensus/storage_write.go
+++ b/internal/consensus/storage_write.go
@@ -31,8 +31,8 @@
 	return meta.Put(identityKey, raw)
 }
 
-// save writes hard state, entries and a leader's snapshot in one synced transaction; empty parts stay as they are. Memory follows once
-// the file has them.
+// save writes hard state, entries and a leader's snapshot in one synced transaction; empty parts are not changed. Memory is
+// updated after the file.
 func (s *Storage) save(hardState *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error {
 	if raft.IsEmptyHardState(hardState) {
 		hardState = nil
@@ -69,14 +69,14 @@
 	return s.memory.Append(entries)
 }
 
-// writeState writes the parts of save that are there.
+// writeState writes those parts of save that are not empty.
 func writeState(tx *bbolt.Tx, hardState *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error {
 	meta, log := tx.Bucket(metaBucket), tx.Bucket(logBucket)
 	if snapshot != nil {
 		if err := putChecksummed(meta, snapshotKey, snapshot); err != nil {
 			return err
 		}
-		// A leader's snapshot replaces the whole log: what stands behind it is another leader's and was never committed.
+		// A leader's snapshot replaces the complete log: later entries are of another leader and were never committed.
 		if err := deleteEntriesFrom(log, 0); err != nil {
 			return err
 		}
@@ -89,7 +89,7 @@
 	if len(entries) == 0 {
 		return nil
 	}
-	// Entries from here on are another leader's and were never committed.
+	// Entries from here on are of another leader and were never committed.
 	if err := deleteEntriesFrom(log, entries[0].GetIndex()); err != nil {
 		return err
 	}
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// saveSnapshot stores a snapshot of this member's own in place of the entries up to its index. Memory keeps those until compact.
+// saveSnapshot stores a snapshot that this member has made, and deletes the entries up to its index. Memory keeps them until compact.
 func (s *Storage) saveSnapshot(index uint64, confState *raftpb.ConfState, data []byte) error {
 	snapshot, err := s.memory.CreateSnapshot(index, confState, data)
 	if err != nil || s.db == nil {
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// bootstrap stores the beginning of a group whose only voter is this incarnation.
+// bootstrap stores the initial state of a group whose only voter is this incarnation.
 func (s *Storage) bootstrap(clusterID string, state []byte) error {
 	if err := s.SetClusterID(clusterID); err != nil {
 		return err
@@ -185,8 +185,8 @@
 	return s.save(&raftpb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}, nil, snapshot)
 }
 
-// raiseTerm moves the storage to a term at least, without a vote in it. A vote that may have been given in that term is not given again:
-// see Core.rejectsVoteRequest.
+// raiseTerm raises the storage's term to at least a given one, without a vote in it. Core.rejectsVoteRequest keeps the member from voting
+// again in a term in which it may have voted.
 func (s *Storage) raiseTerm(term uint64) error {
 	hardState, _, err := s.memory.InitialState()
 	if err != nil || hardState.GetTerm() >= term {
--- a/internal/maintenance/advance.go
+++ b/internal/maintenance/advance.go
@@ -10,8 +10,9 @@
 	"birchfork/internal/failpoint"
 )
 
-// advance lets the plans go on by the leader's proposal: the clock, plans that may run, machines that are drained, back, warm or
-// overdue, and the next machine to take. It takes one machine at a time, so that each choice rests on the one before.
+// advance carries out the leader's proposal: it advances the clock, starts plans that all members have confirmed, moves machines that are
+// drained, back in service, warm or overdue to their next phase, and takes the next machine. It takes one machine at a time, so that each
+// choice depends on the one before.
 func (a *applier) advance(proposal *Advance) {
 	// Guards against a proposal of a former leader, or one that another has overtaken: its time would be counted twice.
 	if proposal == nil || proposal.StateSeq != a.Seq {
@@ -26,7 +27,7 @@
 	a.takeNextMachine(proposal)
 }
 
-// advanceClock takes over the proposal's times.
+// advanceClock advances the group's clock, and raises FenceTimeout and WarmUp to the proposal's.
 func (a *applier) advanceClock(proposal *Advance) {
 	if proposal.Elapsed > 0 {
 		a.Clock += proposal.Elapsed
@@ -39,7 +40,7 @@
 	a.WarmUp = max(a.WarmUp, proposal.WarmUp)
 }
 
-// advancePlan lets an active plan and its machines go on, but takes no further machine.
+// advancePlan updates an active plan and moves its machines to their next phases, but takes no further machine.
 func (a *applier) advancePlan(plan *PlanState, proposal *Advance) {
 	if plan.Phase == PlanAnnounced && len(a.unconfirmedMembers(plan.AnnouncedIndex, proposal)) == 0 {
 		plan.Phase = PlanRunning
@@ -69,8 +70,8 @@
 }
 
 // refreshWorkers updates the workers of a machine that is a host by those that are listed there. While nothing may be sent to the
-// machine workers are only added, as something may still run at those that were listed; once it is put back, those count that have
-// been started since, whatever their names are.
+// machine, workers are only added, as attempts may still run at those that were listed; once it is put back, its workers are those that
+// have been started since, whatever their names are.
 func (a *applier) refreshWorkers(plan *PlanState, machine *MachineState, proposal *Advance) {
 	if machine.Host == "" || machine.Phase.finished() {
 		return
@@ -113,7 +114,7 @@
 	case MachineInMaintenance:
 		a.checkOverdue(plan, machine, elapsed, plan.WorkTimeout)
 	case MachineReturning:
-		// Nobody may have noticed yet that the workers were started anew: they are taken for warm only after WarmUp.
+		// The members may not know yet that the workers were restarted: these count as warm only after WarmUp.
 		if proposal.inService(machine) && elapsed >= a.WarmUp {
 			a.setPhase(plan, machine, MachineWarm)
 		} else if a.checkOverdue(plan, machine, elapsed, plan.ReturnTimeout) && plan.OnOverdue != OverdueWait {
@@ -132,8 +133,8 @@
 	}
 }
 
-// isDrained reports whether nothing of any member runs at a draining machine: each member has confirmed so, or the fence timeout has
-// passed. After that no lease from before the drain is valid, and no attempt that was begun under one runs any more.
+// isDrained reports whether no attempt of any member runs at a draining machine: each member has confirmed this, or the fence timeout has
+// passed. After that no lease from before the drain is valid, and no attempt that was started under such a lease is running.
 func (a *applier) isDrained(machine *MachineState, elapsed time.Duration, proposal *Advance) bool {
 	fenced := a.FenceTimeout > 0 && elapsed >= a.FenceTimeout && !failpoint.Enabled(failpoint.WaitForLostMembers)
 	return fenced || len(a.blockingMembers(machine, proposal)) == 0
@@ -158,11 +159,11 @@
 	return true
 }
 
-// WouldChange reports whether a proposal would have any effect beside that on the clock. It changes nothing.
+// WouldChange reports whether a proposal would have any effect besides advancing the clock. It does not change the state.
 func (s *State) WouldChange(proposal *Advance) bool {
 	anyActive := slices.ContainsFunc(s.Plans, func(plan *PlanState) bool { return plan.Phase.active() })
 	if !anyActive && proposal.FenceTimeout <= s.FenceTimeout {
-		return false // the usual case, and a leader asks several times a second
+		return false // the usual case, and a leader calls this several times a second
 	}
 	dryRun := &applier{State: s.Clone()}
 	dryRun.advance(proposal)
--- a/internal/maintenance/apply.go
+++ b/internal/maintenance/apply.go
@@ -9,11 +9,11 @@
 	"birchfork/internal/failpoint"
 )
 
-// Apply carries out the command that the log has at an index, and returns what it changed. It passes over an index that the state
-// covers already, as after a snapshot.
+// Apply carries out the command at an index of the log, and returns what it changed. It ignores an index that the state covers already,
+// as after a snapshot.
 //
-// It panics at a command that this build cannot read or does not support. Guards against a member that passes over what the others
-// carry out: its state would differ from theirs while it confirms that it has applied all of it.
+// It panics at a command that this build cannot read or does not support. This guards against a member that skips what the others carry
+// out: its state would differ from theirs while it confirms that it has applied everything.
 func (s *State) Apply(index uint64, raw []byte) []Event {
 	if index <= s.AppliedIndex {
 		return nil
@@ -39,7 +39,7 @@
 	return a.events
 }
 
-// isRepeated reports whether a command is of a call that was carried out before.
+// isRepeated reports whether a command belongs to a call that was carried out before.
 func (s *State) isRepeated(command *Command) bool {
 	if command.ID == "" || failpoint.Enabled(failpoint.RepeatCommands) {
 		return false
@@ -54,7 +54,7 @@
 	events []Event
 }
 
-// emit adds an event; plan and machine are empty where it is of none.
+// emit adds an event. plan and machine are empty if it concerns none.
 func (a *applier) emit(plan, machine, format string, args ...any) {
 	a.events = append(a.events, Event{Plan: plan, Machine: machine, Text: fmt.Sprintf(format, args...)})
 }
@@ -251,7 +251,7 @@
 	a.setPhase(plan, machine, MachineReturning)
 }
 
-// endIfFinished ends a plan that has nothing more to do with any machine.
+// endIfFinished ends a plan if all its machines are finished.
 func (a *applier) endIfFinished(plan *PlanState) {
 	if plan.Phase == PlanEnded || !plan.finished() {
 		return
--- a/internal/maintenance/budget.go
+++ b/internal/maintenance/budget.go
@@ -11,11 +11,11 @@
 	"birchfork/internal/failpoint"
 )
 
-// budgetUnit is what counts as one against a budget: a machine of a plan, or a worker that is in none.
+// budgetUnit counts as one against a budget: a machine of a plan, or a worker that belongs to no such machine.
 type budgetUnit struct {
 	workers          []string
 	unavailable      bool // out of service, for any reason
-	underMaintenance bool // ... taken by a plan
+	underMaintenance bool // out of service because a plan has taken it
 }
 
 // machineUnit and workerUnit are the names of budget units. They sort machines before workers.
@@ -44,7 +44,7 @@
 	}
 	returnedHosts := s.returnedHosts()
 	for name, worker := range proposal.Fleet {
-		// Guards against a name that went for good while its host was under maintenance: what is there now has another name.
+		// The host's worker may have got another name during the maintenance: its former name must not count as unavailable.
 		returned := returnedHosts[worker.Host]
 		if returned != nil && worker.Gone && !slices.Contains(returned.Workers, name) {
 			continue
@@ -133,7 +133,7 @@
 	return 1
 }
 
-// budgetUsage is what of the fleet would be out of service if a plan took one more machine.
+// budgetUsage says which part of the fleet would be out of service if a plan took one more machine.
 type budgetUsage struct {
 	alreadyOut        bool     // the machine itself is out of service before it is taken
 	unavailable       int      // units, the machine itself included
@@ -150,8 +150,8 @@
 
 // usageWith returns the usage if a machine were taken.
 //
-// A machine that is out of service already costs nothing more when it is taken. For it only units count that plans have taken:
-// otherwise two machines that died would stand in each other's way, and in the way of their repair.
+// A machine that is out of service already costs nothing more when it is taken. For such a machine only units that plans have taken are
+// counted: otherwise two machines that have failed would prevent each other's repair.
 func usageWith(machine *MachineState, proposal *Advance, units map[string]*budgetUnit) *budgetUsage {
 	own := machineUnit(machine.Name)
 	usage := &budgetUsage{
--- a/internal/maintenance/command.go
+++ b/internal/maintenance/command.go
@@ -7,7 +7,7 @@
 	"birchfork/internal/failpoint"
 )
 
-// CommandKind is what a Command asks for.
+// CommandKind is the kind of a Command.
 type CommandKind string
 
 // The kinds of commands, with the fields of Command that each uses.
@@ -21,8 +21,8 @@
 	CommandResumePlan    CommandKind = "resume"  // continues a paused plan
 	CommandAbortPlan     CommandKind = "abort"   // puts back what operators do not have, and ends
 	CommandClaimMachine  CommandKind = "wait"    // Machine, and Name of its plan if that is not unique: operators take a drained machine over
-	CommandSkipMachine   CommandKind = "skip"    // the same: leave a machine out of its plan
-	CommandReturnMachine CommandKind = "done"    // the same: operators give a machine back, its workers started anew
+	CommandSkipMachine   CommandKind = "skip"    // Machine and Name as above: leave a machine out of its plan
+	CommandReturnMachine CommandKind = "done"    // Machine and Name as above: operators give a machine back, with its workers restarted
 	CommandAdvance       CommandKind = "advance" // Advance
 )
 
@@ -38,7 +38,7 @@
 	Level   int         `json:"needs,omitempty"` // the lowest level that a build has to support; see RequiredLevel
 }
 
-// The levels of commands. A build that does not support a command's level must not pass it over, and stops taking part.
+// The levels of commands. A build that does not support a command's level must not skip it, and leaves consensus instead.
 const (
 	levelBase    = 1
 	levelCompact = 2 // machines by host, compact proposals, CommandTrustHistory
@@ -69,7 +69,7 @@
 	return levelBase
 }
 
-// Result is what a call of an operator came to.
+// Result is the result of an operator's call.
 type Result struct {
 	ID   string `json:"id"` // of the command
 	Code Code   `json:"code"`
@@ -82,8 +82,8 @@
 // The codes of results.
 const (
 	CodeOK         Code = 0
-	CodeInvalid    Code = 1 // the call makes no sense as things are, and will not later
-	CodeRetryLater Code = 2 // the call has to wait and may be made again
+	CodeInvalid    Code = 1 // the call is invalid in the present state, and repeating it is no use
+	CodeRetryLater Code = 2 // the call is not possible yet and may be repeated
 )
 
 func succeeded(format string, args ...any) Result {
@@ -100,7 +100,7 @@
 
 // Event is a change that a command made, for the log.
 type Event struct {
-	Plan    string `json:"plan,omitempty"`    // empty: of no plan
-	Machine string `json:"machine,omitempty"` // empty: of no machine
+	Plan    string `json:"plan,omitempty"`    // empty: it concerns no plan
+	Machine string `json:"machine,omitempty"` // empty: it concerns no machine
 	Text    string `json:"what"`
 }
--- a/internal/maintenance/compact.go
+++ b/internal/maintenance/compact.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Compact returns a proposal that comes to the same as the given one for this state, in fewer bytes. Each log entry is sent to each
-// member, so its size must not grow with the number of members and workers. By name it keeps only workers of plans, workers that are
-// out of service, and members that block something.
+// Compact returns a proposal that has the same effect on this state as the given one, in fewer bytes. Each log entry is sent to each
+// member, so its size must not grow with the number of members and workers. The compact proposal names only workers of plans, workers
+// that are out of service, and members that block something.
 func (s *State) Compact(proposal *Advance) *Advance {
 	compact := *proposal
 	compact.DefaultApplied = max(proposal.DefaultApplied, s.highestAwaitedIndex())
@@ -45,7 +45,7 @@
 	return reports
 }
 
-// relevantReport returns a report less the busy workers and hosts that no draining machine has.
+// relevantReport returns a report without the busy workers and hosts that belong to no draining machine.
 func (s *State) relevantReport(report MemberReport) MemberReport {
 	var workers, hosts []string
 	for _, plan := range s.Plans {
--- a/internal/maintenance/member.go
+++ b/internal/maintenance/member.go
@@ -52,7 +52,7 @@
 	return succeeded("in")
 }
 
-// retireMember removes a member that runs no more: nothing is waited for from it.
+// retireMember removes a member that no longer runs, so that no plan waits for its reports.
 func (a *applier) retireMember(name string) Result {
 	if a.Members[name] == nil {
 		return rejected("no member is called %q", name)
@@ -62,8 +62,8 @@
 	return succeeded("retired")
 }
 
-// trustHistory lets plans start again after the group was founded anew: an operator has made sure that no machine is under
-// maintenance by a plan that was forgotten.
+// trustHistory allows plans to be started after the group was bootstrapped again: an operator has verified that no machine is under
+// maintenance by a plan that was lost.
 func (a *applier) trustHistory() Result {
 	if a.HistoryLost {
 		a.HistoryLost = false
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -13,7 +13,7 @@
 
 // The actions.
 const (
-	OverdueWait  OverdueAction = "wait"  // emits an event, and nothing else
+	OverdueWait  OverdueAction = "wait"  // only emits an event
 	OverduePause OverdueAction = "pause" // pauses the plan; a machine that is not back in time has failed
 	OverdueSkip  OverdueAction = "skip"  // skips a machine that is not drained in time; one that is not back in time has failed
 )
@@ -64,12 +64,13 @@
 // MachinePhase is the phase of a machine of a plan.
 type MachinePhase string
 
-// The phases of a machine, in their order; the last two end it, or hold it up, instead of MachineDone.
+// The phases of a machine, in their order. The last two replace MachineDone: MachineSkipped is final, MachineFailed lasts until the
+// machine is back in service or skipped.
 const (
 	MachineWaiting       MachinePhase = "waiting"
 	MachineDraining      MachinePhase = "leaving"   // nothing new is sent to its workers; what runs there ends
 	MachineDrained       MachinePhase = "clear"     // nothing of any member runs there, and nothing can be sent
-	MachineInMaintenance MachinePhase = "out"       // operators have been told that it is drained
+	MachineInMaintenance MachinePhase = "out"       // operators were notified that it is drained, and have it
 	MachineReturning     MachinePhase = "returning" // may be sent to again; not yet in full service
 	MachineWarm          MachinePhase = "warm"      // in full service
 	MachineDone          MachinePhase = "done"
@@ -77,12 +78,12 @@
 	MachineFailed        MachinePhase = "failed" // was not back in service in time
 )
 
-// excluded reports whether nothing may be sent to a machine in this phase.
+// excluded reports whether members must not send requests to a machine in this phase.
 func (p MachinePhase) excluded() bool {
 	return p == MachineDraining || p == MachineDrained || p == MachineInMaintenance
 }
 
-// finished reports whether the plan has nothing more to do with a machine in this phase.
+// finished reports whether the plan has finished with a machine in this phase.
 func (p MachinePhase) finished() bool { return p == MachineDone || p == MachineSkipped }
 
 // PlanState is a plan and how far it has come.
@@ -114,19 +115,19 @@
 	return &clone
 }
 
-// finished reports whether the plan has nothing more to do with any of its machines.
+// finished reports whether the plan has finished with all its machines.
 func (p *PlanState) finished() bool {
 	return !slices.ContainsFunc(p.MachineStates, func(machine *MachineState) bool { return !machine.Phase.finished() })
 }
 
-// includesWorker reports whether the plan still has to do with a worker that it names.
+// includesWorker reports whether a machine that the plan has not finished with names a worker.
 func (p *PlanState) includesWorker(worker string) bool {
 	return slices.ContainsFunc(p.MachineStates, func(machine *MachineState) bool {
 		return !machine.Phase.finished() && slices.Contains(machine.Workers, worker)
 	})
 }
 
-// includesHost reports whether the plan still has to do with a host that it names.
+// includesHost reports whether a machine that the plan has not finished with is a host.
 func (p *PlanState) includesHost(host string) bool {
 	return slices.ContainsFunc(p.MachineStates, func(machine *MachineState) bool {
 		return !machine.Phase.finished() && machine.Host == host
@@ -145,7 +146,7 @@
 
 // FindMachine returns a machine by name, with its plan; nil if there is none. Without a plan's name it prefers an active plan to
 // a submitted one and that to an ended one, and among these the newest: so a call that is repeated after the end of its plan still
-// gets its answer.
+// gets its result.
 func (s *State) FindMachine(planName, machineName string) (plan *PlanState, machine *MachineState) {
 	for _, candidate := range s.Plans {
 		if planName != "" && candidate.Name != planName {
@@ -177,13 +178,13 @@
 // WorkerSet is a set of workers: named ones, and all at some hosts.
 type WorkerSet struct{ Workers, Hosts map[string]bool }
 
-// InMaintenance returns the workers to which nothing may be sent.
+// InMaintenance returns the workers to which members must not send requests.
 func (s *State) InMaintenance() WorkerSet {
 	return s.workerSet(func(_ *PlanState, machine *MachineState) bool { return machine.Phase.excluded() })
 }
 
 // Leased returns the workers to which a member may send only while it holds the lease: those of active plans, until the plan has
-// nothing more to do with them.
+// finished with them.
 func (s *State) Leased() WorkerSet {
 	return s.workerSet(func(plan *PlanState, machine *MachineState) bool {
 		return plan.Phase.active() && !machine.Phase.finished()
--- a/internal/maintenance/proposal.go
+++ b/internal/maintenance/proposal.go
@@ -3,10 +3,10 @@
 import "time"
 
 // Advance is the leader's proposal: what it knows of the members and of the fleet, and the time that has passed. State.Compact
-// makes it smaller without changing what it comes to.
+// makes it smaller without changing its effect.
 type Advance struct {
 	StateSeq     uint64                  `json:"seq"`    // State.Seq that the proposal was made for; with any other it has no effect
-	Elapsed      time.Duration           `json:"waited"` // since the proposer had that state
+	Elapsed      time.Duration           `json:"waited"` // since the proposer has had that state
 	FenceTimeout time.Duration           `json:"bound"`  // lease, clock drift and longest attempt, the highest of all members
 	WarmUp       time.Duration           `json:"warm"`   // time until a started worker takes its full share
 	Reports      map[string]MemberReport `json:"words"`  // by member
@@ -18,7 +18,7 @@
 	UnnamedWorkers []WorkerGroup `json:"rest,omitempty"`
 }
 
-// WorkerGroup is a number of workers that differ in nothing but their names.
+// WorkerGroup stands for a number of workers that differ only in their names.
 type WorkerGroup struct {
 	Zone   string  `json:"zone"`
 	Kind   string  `json:"kind"`
@@ -26,11 +26,11 @@
 	Count  int     `json:"count"`
 }
 
-// MemberReport is what a member reported of itself last.
+// MemberReport is the last report of a member on itself.
 type MemberReport struct {
 	Incarnation string   `json:"life"`
 	Applied     uint64   `json:"applied"`           // log index up to which its dispatcher follows the state
-	SoleProcess bool     `json:"alone"`             // no other process of this dispatcher runs, and none has left attempts behind
+	SoleProcess bool     `json:"alone"`             // no other process of this dispatcher runs, and no attempts of an earlier one do
 	BusyWorkers []string `json:"busy,omitempty"`    // workers at which attempts of this member run or may run
 	BusyHosts   []string `json:"busy_at,omitempty"` // the hosts of these
 }
@@ -52,7 +52,7 @@
 	Disabled    bool    `json:"hand,omitempty"` // by an operator's override at some dispatcher
 }
 
-// outOfService reports whether the worker takes less than its full share.
+// outOfService reports whether the worker takes less than its full share of requests.
 func (w *Worker) outOfService() bool { return w.Unavailable || w.WarmingUp || w.Disabled }
 
 func (a *Advance) isCompact() bool { return a.DefaultApplied > 0 || len(a.UnnamedWorkers) > 0 }
@@ -67,7 +67,7 @@
 	return MemberReport{Incarnation: state.Members[name].Incarnation, Applied: a.DefaultApplied, SoleProcess: true}
 }
 
-// inService reports whether all workers of a machine are listed and take their full share.
+// inService reports whether all workers of a machine are listed and take their full share of requests.
 func (a *Advance) inService(machine *MachineState) bool { return len(a.serviceObstacles(machine)) == 0 }
 
 // serviceObstacles returns, for each worker of a machine that is not in full service, the reason.
--- a/internal/maintenance/state.go
+++ b/internal/maintenance/state.go
@@ -13,11 +13,11 @@
 	maxPlans   = 32  // beyond them plans that have ended are dropped, the oldest first
 )
 
-// State is all that the group has agreed on about maintenance. It changes by Apply alone.
+// State is the group's replicated state of maintenance. Only Apply changes it.
 type State struct {
-	Seq          uint64             `json:"seq"`             // counts the commands that changed anything
+	Seq          uint64             `json:"seq"`             // number of commands that changed the state
 	Level        int                `json:"level,omitempty"` // highest Command.Level that was applied
-	HistoryLost  bool               `json:"doubt,omitempty"` // after a new founding forgotten plans may have machines under maintenance
+	HistoryLost  bool               `json:"doubt,omitempty"` // after a new bootstrap: lost plans may have machines under maintenance
 	AppliedIndex uint64             `json:"index"`           // log index of the newest command
 	Clock        time.Duration      `json:"clock"`           // the group's clock: never ahead of the time that has passed
 	FenceTimeout time.Duration      `json:"bound"`           // after this time a silent member can neither send nor have attempts running
@@ -27,7 +27,7 @@
 	Results      []Result           `json:"answers"` // of the newest calls, the oldest first
 }
 
-// New returns the state of a group that has just been founded.
+// New returns the state of a group that has just been bootstrapped.
 func New() *State { return &State{Members: map[string]*Member{}} }
 
 // Encode returns the state as bytes for a snapshot. Equal states give equal bytes.
--- a/internal/maintenance/validate.go
+++ b/internal/maintenance/validate.go
@@ -13,8 +13,8 @@
 	problems []string
 }
 
-// ValidatePlan returns all that is wrong with a plan, beside the plans that there are: each problem as the key of the plan's file,
-// a colon and the reason. An empty result means that the plan may be submitted.
+// ValidatePlan returns all problems of a plan, also with the existing plans: each as the key of the plan's file, a colon and the reason.
+// An empty result means that the plan may be submitted.
 func (s *State) ValidatePlan(plan *Plan) []string {
 	v := &planValidator{state: s, plan: plan}
 	v.checkName()
@@ -96,7 +96,7 @@
 	names[name] = i
 }
 
-// checkHost checks that a machine has either a host or workers, and its host no other machine of any plan.
+// checkHost checks that a machine has either a host or workers, and that its host belongs to no other machine of any plan.
 func (v *planValidator) checkHost(i int, hosts map[string]int) {
 	machine := &v.plan.Machines[i]
 	if machine.Host == "" {
--- a/internal/replication/digest.go
+++ b/internal/replication/digest.go
@@ -9,7 +9,7 @@
 	"birchfork/internal/failpoint"
 )
 
-// bucketCount is how many buckets entries are sorted into by their keys, for digests that tell where two replicas differ.
+// bucketCount is the number of buckets into which entries are divided by their keys, so that digests show where two replicas differ.
 const bucketCount = 64
 
 // Digest returns a hash of the entries, the same for replicas that hold the same ones.
@@ -61,7 +61,7 @@
 }
 
 // Discard drops entries that another replica has seen removed, and returns the keys whose entries have changed. It is for entries that
-// a replica got back from an old disk; they stay seen.
+// a replica got back from an outdated disk. The version vector still contains them.
 func (r *Replica) Discard(removed []Dot) (changed []Key) {
 	for _, dot := range removed {
 		if entry := r.find(dot); entry != nil {
--- a/internal/replication/entry.go
+++ b/internal/replication/entry.go
@@ -26,17 +26,17 @@
 	MaxOverrides = 10_000
 )
 
-// ErrFull is Write's error where a replica holds MaxOverrides entries.
+// ErrFull is Write's error if a replica holds MaxOverrides entries.
 var ErrFull = errors.New("there are too many words already")
 
-// EntryKind is what an entry is about. The rule is the same for all kinds, so that a build keeps and passes on entries of kinds that
-// it does not know, with their Data.
+// EntryKind is the kind of an entry. All kinds are merged in the same way, so that a build keeps and forwards entries of kinds that it
+// does not know, with their Data.
 type EntryKind string
 
 // KindOverride is an operator's override on a worker, by the worker's name.
 const KindOverride EntryKind = "word"
 
-// Key names what an entry is about. Entries of one key replace each other.
+// Key identifies the subject of an entry. Entries of one key replace each other.
 type Key struct {
 	Kind EntryKind `json:"kind"`
 	Name string    `json:"name"`
@@ -46,7 +46,7 @@
 	return cmp.Or(cmp.Compare(k.Kind, other.Kind), cmp.Compare(k.Name, other.Name))
 }
 
-// bucket returns the bucket in whose digest the key's entries count.
+// bucket returns the bucket whose digest includes the key's entries.
 func (k Key) bucket() int { return int(xxhash.Sum64String(string(k.Kind)+"\x00"+k.Name) % bucketCount) }
 
 // Entry is one write. It never changes.
@@ -64,7 +64,7 @@
 
 func (e *Entry) key() Key { return Key{Kind: e.Kind, Name: e.Name} }
 
-// validate checks an entry that another member, a disk or an operator has given.
+// validate checks an entry from another member, a disk or an operator.
 func (e *Entry) validate() error {
 	switch {
 	case e.Kind == "" || len(e.Kind) > maxKindLength || len(e.Data) > maxDataLength:
@@ -89,7 +89,7 @@
 // compareCounter compares an entry with a counter of its incarnation, for searches.
 func compareCounter(entry *Entry, counter uint64) int { return cmp.Compare(entry.Counter, counter) }
 
-// IsDisabled returns what concurrent overrides of one worker come to: it is disabled if any of them says so.
+// IsDisabled reports whether concurrent overrides of one worker disable it: it is enough that one does.
 func IsDisabled(entries []Entry) bool {
 	if failpoint.Enabled(failpoint.EnabledWins) {
 		return len(entries) > 0 && !slices.ContainsFunc(entries, func(e Entry) bool { return !e.Disabled })
--- a/internal/replication/exchange.go
+++ b/internal/replication/exchange.go
@@ -12,10 +12,10 @@
 // errOutOfOrder is Merge's error for a chunk that is not the next one of its pull.
 var errOutOfOrder = errors.New("chunk out of order")
 
-// Cursor is how far a reader has read another replica's entries: these are sent in the order of their keys.
+// Cursor is the position of a reader in another replica's entries, which are sent in the order of their keys.
 type Cursor = Key
 
-// Chunk is a part of what a replica has and a reader has not seen.
+// Chunk is a part of the entries that a replica has and a reader has not seen.
 type Chunk struct {
 	Incarnation string        `json:"life"` // of the sender
 	From        Cursor        `json:"from"` // where the chunk begins
@@ -42,7 +42,7 @@
 	return chunk
 }
 
-// seenBeyond returns what of the replica's version vector is beyond another.
+// seenBeyond returns the part of the replica's version vector that another one does not contain.
 func (r *Replica) seenBeyond(known VersionVector) VersionVector {
 	beyond := VersionVector{}
 	for incarnation, counter := range r.version {
@@ -68,18 +68,18 @@
 	return missing
 }
 
-// PullProgress is how far a replica has pulled what another one has. Its zero value begins; a pull that was cut off goes on from
-// its Cursor.
+// PullProgress is the progress of a pull of another replica's entries. Its zero value starts a pull; a pull that was interrupted continues
+// from its Cursor.
 type PullProgress struct {
 	Cursor Cursor
 
-	source        string        // incarnation of the sender: with another one the pull begins anew
-	sourceVersion VersionVector // what that had seen when the pull began
+	source        string        // incarnation of the sender; another one starts the pull again
+	sourceVersion VersionVector // what the sender had seen when the pull started
 }
 
-// Merge takes a chunk over and returns the keys whose entries have changed. Entries take effect at once. What the sender had seen
-// counts only with the last chunk: before that, entries that replace others may not be here yet. After an error nothing has been
-// taken over, and the pull has to begin anew.
+// Merge merges a chunk and returns the keys whose entries have changed. Entries take effect at once. What the sender had seen is added
+// to the version vector only with the last chunk: before that, entries that replace others may be missing. After an error nothing has
+// been merged, and the pull has to be started again.
 func (r *Replica) Merge(progress *PullProgress, chunk Chunk) (changed []Key, err error) {
 	if err := chunk.validate(); err != nil {
 		return nil, err
@@ -87,12 +87,12 @@
 	if progress.source != chunk.Incarnation {
 		*progress = PullProgress{source: chunk.Incarnation, sourceVersion: chunk.Version}
 	}
-	// Guards against a chunk that comes twice or late: the last one would count for those between.
+	// A chunk may arrive twice or late: the last one would stand for missing ones before it.
 	if chunk.From != progress.Cursor {
 		return nil, fmt.Errorf("%w: it begins behind %q, want %q", errOutOfOrder, chunk.From.Name, progress.Cursor.Name)
 	}
 	for _, entry := range chunk.Entries {
-		// One that was seen is held here, or was replaced or dropped.
+		// An entry that was seen is here already, or was replaced or dropped.
 		seen := r.version.Contains(entry.Dot) && !failpoint.Enabled(failpoint.ResurrectEntries)
 		if !seen && r.insert(&entry) {
 			changed = append(changed, entry.key())
@@ -106,7 +106,7 @@
 	return changed, nil
 }
 
-// validate checks a chunk that another member or a disk has given.
+// validate checks a chunk from another member or a disk.
 func (c *Chunk) validate() error {
 	if c.Incarnation == "" || len(c.Incarnation) > maxIncarnationLength || len(c.Version) > maxIncarnations {
 		return fmt.Errorf("a piece of nobody's, or with %d lives; %d at the most", len(c.Version), maxIncarnations)
@@ -119,10 +119,11 @@
 	return nil
 }
 
-// diskIncarnation stands for the sender where a disk is read, whose entries are taken as one chunk.
+// diskIncarnation is the sender of the one chunk as which Restore merges a disk.
 const diskIncarnation = "a disk"
 
-// Restore takes over what a disk has of a replica, be it of this member or of another. After an error nothing has been taken over.
+// Restore merges the entries and version vector of a replica that were stored on a disk, of this member or of another. After an error
+// nothing has been merged.
 func (r *Replica) Restore(version VersionVector, entries []Entry) error {
 	var progress PullProgress
 	_, err := r.Merge(&progress, Chunk{Incarnation: diskIncarnation, Entries: entries, Version: version, Done: true})
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -9,12 +9,12 @@
 
 // Replica is one member's copy of the replicated state.
 type Replica struct {
-	incarnation   string        // of the dots that it writes
-	version       VersionVector // what it has seen, whether it holds it or not
+	incarnation   string        // in the dots of its own writes
+	version       VersionVector // what it has seen, including entries that it no longer holds
 	entries       map[Key][]*Entry
 	byIncarnation map[string][]*Entry // the same entries, by counter
 	bucketDigests [bucketCount]uint64 // of their dots
-	size          int                 // how many there are
+	size          int                 // number of entries
 }
 
 // New returns an empty replica. The incarnation must never have been used before.
@@ -56,7 +56,7 @@
 // where the entry is not valid.
 func (r *Replica) Write(entry Entry) (Entry, error) {
 	replaced := r.entries[entry.key()]
-	if r.size >= MaxOverrides && len(replaced) == 0 { // one that replaces another is taken: a worker can always be enabled again
+	if r.size >= MaxOverrides && len(replaced) == 0 { // a replacement is accepted: a worker can always be enabled again
 		return Entry{}, ErrFull
 	}
 	entry.Dot = Dot{Incarnation: r.incarnation, Counter: r.version[r.incarnation] + 1}
@@ -127,7 +127,7 @@
 }
 
 // CollectGarbage drops overrides that disable nothing and that all members have, given what each other member has seen, and returns their
-// keys. No member is left that could bring back what they replaced as if it were new. It drops nothing while a member has seen
+// keys. After that no member can send the entries that they replaced as if these were new. It drops nothing while a member has seen
 // what this replica has not: that may be an entry that was written concurrently.
 func (r *Replica) CollectGarbage(members []VersionVector) (changed []Key) {
 	if slices.ContainsFunc(members, func(version VersionVector) bool { return !r.version.Covers(version) }) {
