--- a/.ci/linttest/lint_test.go
+++ b/.ci/linttest/lint_test.go
@@ -5,6 +5,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"syscall"
 	"testing"
 )
 
@@ -61,6 +62,23 @@
 	}
 }
 
+// A linter that runs in another checkout must not make this one fail.
+func TestLint_RunsBesideAnother(t *testing.T) {
+	shareEmptyCache(t)
+	t.Setenv("TMPDIR", t.TempDir())
+	other, err := os.Create(filepath.Join(os.TempDir(), "golangci-lint.lock"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer other.Close()
+	if err := syscall.Flock(int(other.Fd()), syscall.LOCK_EX); err != nil {
+		t.Fatal(err)
+	}
+	if output, err := lint(checkoutWith(t, suppressedFinding)); err != nil {
+		t.Errorf("lint while another linter has its lock: %v\n%s", err, output)
+	}
+}
+
 // shareEmptyCache gives all linters that the test starts one user cache of its own, and the build cache that Go uses now.
 func shareEmptyCache(t *testing.T) {
 	t.Helper()
