--- a/cmd/birchfork/testbed.go
+++ b/cmd/birchfork/testbed.go
@@ -53,7 +53,7 @@
 		fmt.Fprintf(out.stdout, "  %-16s %s\n", n, s.About)
 	}
 	fmt.Fprintln(out.stdout, "faults:")
-	for _, k := range scenario.Kinds {
+	for _, k := range scenario.FaultKinds {
 		fmt.Fprintf(out.stdout, "  %-16s %s\n", k.Kind, k.About)
 	}
 	fmt.Fprintln(out.stdout, "mutants:")
--- /dev/null
+++ b/internal/testbed/attempts.go
@@ -0,0 +1,52 @@
+package testbed
+
+import (
+	"time"
+
+	"birchfork/internal/testbed/invariant"
+	"birchfork/internal/testbed/report"
+)
+
+// countAttempts adds the clients' tries and the workers' attempts to the report. Work is wasted that was done for an attempt
+// whose result no client got.
+func (r *run) countAttempts(out *report.Report) {
+	servedResults := map[string]uint64{} // by request id
+	for _, t := range r.ledger.Tries() {
+		out.Tries++
+		out.Outcomes[t.Outcome.String()]++
+		if t.Outcome == invariant.Served {
+			servedResults[t.ID] = t.Result
+		}
+	}
+	ran, wasted := 0, 0
+	for _, a := range r.ledger.Attempts() {
+		out.Attempts++
+		if !a.Ran {
+			continue
+		}
+		ran++
+		result, served := servedResults[a.ID]
+		if !served || a.End != invariant.Done || a.Result != result {
+			wasted++
+		}
+	}
+	out.WastedWork = float64(wasted) / float64(max(ran, 1))
+}
+
+// addWorkerLines adds each worker's share of the work done beside its share of the fleet's capacity.
+func (r *run) addWorkerLines(out *report.Report) {
+	totalWork, totalCapacity := time.Duration(0), 0.0
+	for i, w := range r.fleet.Workers {
+		_, work, _ := w.Stats()
+		totalWork += work
+		totalCapacity += float64(r.day.Workers[i].Cores) * r.day.Workers[i].Speed
+	}
+	for i, w := range r.fleet.Workers {
+		jobs, work, overloads := w.Stats()
+		spec := &r.day.Workers[i]
+		out.Workers = append(out.Workers, report.WorkerLine{
+			Name: w.Name, Kind: spec.Kind, Jobs: jobs, Share: work.Seconds() / max(totalWork.Seconds(), 1e-9),
+			Capacity: float64(spec.Cores) * spec.Speed / totalCapacity, PushedOver: overloads,
+		})
+	}
+}
--- a/internal/testbed/cluster/harness.go
+++ b/internal/testbed/cluster/harness.go
@@ -182,10 +182,10 @@
 	g.result.Faults = append(slices.Clone(o.Faults), g.drawFaults()...)
 	g.options.Overrides = append(slices.Clone(g.options.Overrides), g.drawOverrides()...)
 	rep, err := testbed.Run(ctx, testbed.Options{
-		Scenario: g.day, Seed: o.Seed, Policy: testbed.PolicyRules, Alongside: g.play, CheckMore: g.checkInvariants, WorkerAt: g.by(LoseWorkers), ListAt: g.by(LoseDiscovery),
-		UpWithin:   o.For, // without a majority a member without its disk sends nothing, and so does not serve
-		OnDelivery: g.terms,
-		OldLists:   o.OldLists, Logs: o.Logs,
+		Scenario: g.day, Seed: o.Seed, Policy: testbed.PolicyRules, Alongside: g.play, CheckMore: g.checkInvariants, WorkerAddress: g.by(LoseWorkers), DiscoveryAddress: g.by(LoseDiscovery),
+		StartTimeout:       o.For, // without a majority a member without its disk sends nothing, and so does not serve
+		ConfiguredScenario: g.terms,
+		KeepFirstList:      o.OldLists, Logs: o.Logs,
 		Launch: func(config string) *exec.Cmd {
 			name := strings.TrimSuffix(filepath.Base(config), ".json")
 			fault := o.Failpoint
--- a/internal/testbed/config.go
+++ b/internal/testbed/config.go
@@ -4,73 +4,205 @@
 	"encoding/json"
 	"fmt"
 	"slices"
-	"time"
 
 	"birchfork/internal/testbed/scenario"
 )
 
-// effects are the platform's words for the effects of a class.
+// effects maps the effects of a scenario's class to the platform's words.
 var effects = map[string]string{scenario.Safe: "free", scenario.Keyed: "guarded", scenario.Unsafe: "single_shot"}
 
-// Most that is held open at a dispatcher, as the platform's settings have it.
+// openCap is the number of requests that a dispatcher may hold open, as the platform's settings have it.
 const openCap = 30000
 
-// configuration is what the platform would tell a dispatcher.
-func configuration(s *scenario.Scenario, i int, seed uint64, listen, discovery string, known json.RawMessage) ([]byte, error) {
-	type object = map[string]any
-	seconds := func(d time.Duration) float64 { return d.Seconds() }
-	var machines []string
-	for _, w := range s.Workers {
-		machines = append(machines, w.Kind)
+// Figures of the platform's settings that no scenario sets.
+const (
+	tickSeconds       = 0.002
+	pollWithinSeconds = 10.0
+	wasteCost         = 0.04
+	lateFailureCost   = 0.05
+)
+
+// configValues is what the platform's configuration of one dispatcher is made of.
+type configValues struct {
+	scenario     *scenario.Scenario
+	dispatcher   int
+	seed         uint64
+	listen       string
+	discovery    string // address
+	endpointList json.RawMessage
+}
+
+// The types below are the platform's configuration of a dispatcher. Their fields are in the order of the keys, which is
+// alphabetical.
+type (
+	dispatcherConfig struct {
+		Discovery string          `json:"discovery"`
+		Known     json.RawMessage `json:"known"`
+		Limits    limitsConfig    `json:"limits"`
+		Listen    string          `json:"listen"`
+		Name      string          `json:"name"`
+		Seed      string          `json:"seed"`
+		Settings  settingsConfig  `json:"settings"`
+	}
+
+	limitsConfig struct {
+		Cores    float64 `json:"cores"`
+		MemoryMB int     `json:"memory_mb"`
+		Sockets  int     `json:"sockets"`
+	}
+
+	settingsConfig struct {
+		Classes         []classConfig      `json:"classes"`
+		Customers       []customerConfig   `json:"customers"`
+		Extra           extraConfig        `json:"extra"`
+		GroupSize       int                `json:"group_size"`
+		MachineTypes    []string           `json:"machine_types"`
+		Ordinal         int                `json:"ordinal"`
+		OverQuotaWeight float64            `json:"over_share_worth"`
+		PolicyLimits    policyLimitsConfig `json:"policy_limits"`
+		Prices          pricesConfig       `json:"prices"`
+		RegistryMode    string             `json:"registry_mode"`
+		Report          reportConfig       `json:"report"`
+		Safety          safetyConfig       `json:"safety"`
+		Tick            float64            `json:"tick"` // seconds
+		WeightBy        string             `json:"worth_by"`
+		Zone            string             `json:"zone"`
+		Zones           []string           `json:"zones"`
+	}
+
+	// classConfig is a class of requests; times are in seconds.
+	classConfig struct {
+		LatencyObjective float64 `json:"aim"`
+		Deadline         float64 `json:"deadline"`
+		Effect           string  `json:"effect"`
+		Group            string  `json:"group"`
+		LateWeight       float64 `json:"late_worth"`
+		Name             string  `json:"name"`
+		Stream           bool    `json:"stream"`
+		Window           float64 `json:"window"`
+		PriorityWeight   float64 `json:"worth"`
+	}
+
+	customerConfig struct {
+		Name  string  `json:"name"`
+		Quota float64 `json:"quota_rps"`
+		Share float64 `json:"share"`
+	}
+
+	// extraConfig holds, by class, the stretch of the latency objective and the index of the kind of workers.
+	extraConfig struct {
+		ClassKinds   []int     `json:"class_kind"`
+		ClassStretch []float64 `json:"class_stretch"`
+		Progress     float64   `json:"progress"` // seconds
+		ReportsStart bool      `json:"tells_start"`
+	}
+
+	// policyLimitsConfig is what the platform allows; times are in seconds.
+	policyLimitsConfig struct {
+		MaxAttempts    int     `json:"attempts_cap"`
+		CanCancel      bool    `json:"cancel"`
+		ConnectTimeout float64 `json:"connect_timeout"`
+		IdleClose      float64 `json:"idle_close"`
+		MaxRetryAfter  float64 `json:"max_retry_after"`
+		OpenCap        int     `json:"open_cap"`
+		Peers          bool    `json:"peers"`
+		Probes         bool    `json:"probes"`
+		RetryAfter     bool    `json:"retry_after"`
+		CanHedge       bool    `json:"second_copies"`
+	}
+
+	pricesConfig struct {
+		CrossZone   float64 `json:"cross_zone"`
+		LateFailure float64 `json:"late_fail"`
+		Waste       float64 `json:"waste"`
+	}
+
+	reportConfig struct {
+		Mode string `json:"how"`
+	}
+
+	// safetyConfig holds the figures of the rules; times are in seconds.
+	safetyConfig struct {
+		PollWithin         float64 `json:"ask_within"`
+		SlowStartMinFactor float64 `json:"cold_from"`
+		OverloadWindow     float64 `json:"fall"`
+		OverloadMultiple   float64 `json:"fall_multiple"`
+		DrainGrace         float64 `json:"stop_sending_within"`
+		SlowStartWindow    float64 `json:"warm_within"`
 	}
-	machines = unique(machines)
-	classes := make([]object, 0, len(s.Classes)) // there is one at least
-	stretch := make([]any, 0, len(s.Classes))
-	kinds := make([]any, 0, len(s.Classes))
-	var customers []object //nolint:prealloc // without a tenant it stays nil: null in the JSON
+)
+
+// encode returns the configuration as the platform writes it.
+func (v configValues) encode() ([]byte, error) {
+	limits := v.scenario.Limits
+	return json.MarshalIndent(dispatcherConfig{
+		Name: fmt.Sprintf("d%d", v.dispatcher), Listen: v.listen, Discovery: v.discovery, Seed: fmt.Sprintf("%016x", v.seed),
+		Limits: limitsConfig{Cores: limits.Cores, MemoryMB: limits.MemoryMB, Sockets: limits.Sockets},
+		Known:  v.endpointList, Settings: v.settings(),
+	}, "", " ")
+}
+
+func (v configValues) settings() settingsConfig {
+	s, terms := v.scenario, &v.scenario.Terms
+	machineTypes := workerKinds(s)
+	return settingsConfig{
+		Classes: classConfigs(s), Customers: customerConfigs(s), Zones: s.Zones, Zone: s.Zones[v.dispatcher%len(s.Zones)],
+		MachineTypes: machineTypes, GroupSize: s.Dispatchers, Ordinal: v.dispatcher, Tick: tickSeconds,
+		OverQuotaWeight: terms.OverQuotaWeight, RegistryMode: "automatic", WeightBy: "request",
+		Extra: extraOf(s, machineTypes),
+		PolicyLimits: policyLimitsConfig{
+			MaxAttempts: terms.Attempts, CanCancel: true, ConnectTimeout: terms.ConnectTimeout.Seconds(),
+			IdleClose: terms.IdleClose.Seconds(), MaxRetryAfter: terms.MaxRetryAfter.Seconds(), OpenCap: openCap,
+			RetryAfter: terms.RetryAfter, CanHedge: terms.Hedging,
+		},
+		Prices: pricesConfig{Waste: wasteCost, LateFailure: lateFailureCost},
+		Report: reportConfig{Mode: "off"},
+		Safety: safetyConfig{
+			PollWithin: pollWithinSeconds, SlowStartMinFactor: terms.SlowStartMinFactor, OverloadWindow: terms.OverloadWindow.Seconds(),
+			OverloadMultiple: terms.OverloadMultiple, DrainGrace: terms.DrainGrace.Seconds(), SlowStartWindow: terms.SlowStartWindow.Seconds(),
+		},
+	}
+}
+
+func classConfigs(s *scenario.Scenario) []classConfig {
+	classes := make([]classConfig, 0, len(s.Classes))
 	for _, c := range s.Classes {
-		classes = append(classes, object{
-			"name": c.Name, "aim": seconds(c.LatencyObjective), "deadline": seconds(c.Deadline), "effect": effects[c.Effect], "group": c.Group,
-			"late_worth": c.LateWeight, "window": seconds(c.Window), "worth": c.PriorityWeight, "stream": false,
+		classes = append(classes, classConfig{
+			Name: c.Name, LatencyObjective: c.LatencyObjective.Seconds(), Deadline: c.Deadline.Seconds(), Effect: effects[c.Effect],
+			Group: c.Group, LateWeight: c.LateWeight, Window: c.Window.Seconds(), PriorityWeight: c.PriorityWeight,
 		})
-		stretch, kinds = append(stretch, c.Stretch), append(kinds, slices.Index(machines, c.Kind)) // -1: all
 	}
+	return classes
+}
+
+// customerConfigs returns the tenants of a scenario; nil, which is null in the JSON, without any.
+func customerConfigs(s *scenario.Scenario) []customerConfig {
+	var customers []customerConfig //nolint:prealloc // without a tenant it stays nil: null in the JSON
 	for _, t := range s.Tenants {
-		customers = append(customers, object{"name": t.Name, "share": t.Share, "quota_rps": t.Quota})
-	}
-	t := &s.Terms
-	settings := object{
-		"classes": classes, "customers": customers, "zones": s.Zones, "zone": s.Zones[i%len(s.Zones)],
-		"machine_types": machines, "group_size": s.Dispatchers, "ordinal": i, "tick": 0.002,
-		"over_share_worth": t.OverQuotaWeight, "registry_mode": "automatic", "worth_by": "request",
-		"extra": object{"class_stretch": stretch, "class_kind": kinds, "progress": seconds(t.Progress), "tells_start": t.Notes},
-		"policy_limits": object{
-			"attempts_cap": t.Attempts, "cancel": true, "connect_timeout": seconds(t.ConnectTimeout),
-			"idle_close": seconds(t.IdleClose), "max_retry_after": seconds(t.MaxRetryAfter), "open_cap": openCap,
-			"peers": false, "probes": false, "retry_after": t.RetryAfter, "second_copies": t.Hedging,
-		},
-		"prices": object{"waste": 0.04, "late_fail": 0.05, "cross_zone": 0.0},
-		"report": object{"how": "off"},
-		"safety": object{
-			"ask_within": 10.0, "cold_from": t.SlowStartMinFactor, "fall": seconds(t.OverloadWindow), "fall_multiple": t.OverloadMultiple,
-			"stop_sending_within": seconds(t.DrainGrace), "warm_within": seconds(t.SlowStartWindow),
-		},
+		customers = append(customers, customerConfig{Name: t.Name, Share: t.Share, Quota: t.Quota})
 	}
-	return json.MarshalIndent(object{
-		"name": fmt.Sprintf("d%d", i), "listen": listen, "discovery": discovery, "seed": fmt.Sprintf("%016x", seed),
-		"limits":   object{"cores": s.Limits.Cores, "memory_mb": s.Limits.MemoryMB, "sockets": s.Limits.Sockets},
-		"known":    known,
-		"settings": settings,
-	}, "", " ")
+	return customers
 }
 
-func unique(all []string) (out []string) {
-	seen := map[string]bool{}
-	for _, s := range all {
-		if !seen[s] {
-			out = append(out, s)
+func extraOf(s *scenario.Scenario, machineTypes []string) extraConfig {
+	extra := extraConfig{
+		ClassKinds: make([]int, 0, len(s.Classes)), ClassStretch: make([]float64, 0, len(s.Classes)),
+		Progress: s.Terms.Progress.Seconds(), ReportsStart: s.Terms.Notes,
+	}
+	for _, c := range s.Classes {
+		extra.ClassStretch = append(extra.ClassStretch, c.Stretch)
+		extra.ClassKinds = append(extra.ClassKinds, slices.Index(machineTypes, c.Kind)) // -1, for no kind: all run it
+	}
+	return extra
+}
+
+// workerKinds returns the kinds of the workers, each once, in their order.
+func workerKinds(s *scenario.Scenario) []string {
+	var kinds []string
+	for _, w := range s.Workers {
+		if !slices.Contains(kinds, w.Kind) {
+			kinds = append(kinds, w.Kind)
 		}
-		seen[s] = true
 	}
-	return out
+	return kinds
 }
--- a/internal/testbed/environment.go
+++ b/internal/testbed/environment.go
@@ -10,30 +10,31 @@
 	"birchfork/internal/testbed/scenario"
 )
 
-// Environment is a run that is under way, for what plays beside the day's own troubles.
+// Environment gives access to a run that is under way, for what runs beside the day's own faults. It is safe for concurrent
+// use.
 type Environment struct{ run *run }
 
-// Ledger is where all that is seen is taken down.
+// Ledger returns the record of what was observed.
 func (e *Environment) Ledger() *invariant.Ledger { return e.run.ledger }
 
-// Fleet is the workers with discovery.
+// Fleet returns the workers with their discovery.
 func (e *Environment) Fleet() *fakes.Fleet { return e.run.fleet }
 
-// Day is the day as it was drawn.
+// Day returns the generated day.
 func (e *Environment) Day() *scenario.Day { return e.run.day }
 
-// Origin is the day's start on the ledger's clock.
+// Origin returns the day's start on the ledger's clock.
 func (e *Environment) Origin() time.Duration { return e.run.load.Origin() }
 
-// Slack is what every time limit has, for what the rig itself is late.
+// Slack returns what is added to every time limit for the lag of the testbed itself.
 func (e *Environment) Slack() time.Duration { return e.run.terms().Slack }
 
-// Until waits for a moment of the day; false: the run has ended before.
+// Until waits for a time since the day's start. It returns false when ctx ended first.
 func (e *Environment) Until(ctx context.Context, at time.Duration) bool {
-	return e.run.faults.until(ctx, at)
+	return e.run.faults.waitUntil(ctx, at)
 }
 
-// Stop stops a dispatcher's process for a while, and wakes it in any case.
+// Stop suspends a dispatcher's process with SIGSTOP. It resumes it after a time or when ctx ends.
 func (e *Environment) Stop(ctx context.Context, dispatcher int, length time.Duration) {
 	d := e.run.dispatchers[dispatcher]
 	if d.signal(syscall.SIGSTOP, invariant.Stopped, invariant.Crashed) == nil {
@@ -46,74 +47,87 @@
 	}
 }
 
-// Reload has a dispatcher read its configuration again.
+// Reload writes a dispatcher's configuration anew and sends it SIGHUP.
 func (e *Environment) Reload(dispatcher int) { e.run.faults.reload(dispatcher) }
 
-// CPU is the processor time that a dispatcher's process has used.
+// CPU returns the CPU time that a dispatcher's current process has used.
 func (e *Environment) CPU(dispatcher int) time.Duration { return e.run.dispatchers[dispatcher].cpu() }
 
-// Kill ends a dispatcher's process outright, and starts it again after a while; between, change is called, if not nil.
+// Kill ends a dispatcher's process with SIGKILL and starts it again after a time. Before the start it calls change, if that
+// is not nil.
 func (e *Environment) Kill(ctx context.Context, dispatcher int, away time.Duration, change func()) {
-	e.run.restartOne(ctx, dispatcher, true, away, change)
+	e.run.restartDispatcher(ctx, dispatcher, true, away, change)
 }
 
-// Terminate ends a dispatcher's process in order and starts it again.
+// Terminate ends a dispatcher's process with SIGTERM and starts it again.
 func (e *Environment) Terminate(ctx context.Context, dispatcher int) {
-	e.run.restartOne(ctx, dispatcher, false, 0, nil)
+	e.run.restartDispatcher(ctx, dispatcher, false, 0, nil)
 }
 
-// servesText is what a process logs once clients can connect to it.
-const servesText = "msg=serving"
+// servingMessage is in the log of a process once clients can connect to it.
+const servingMessage = "msg=serving"
 
-// Upgrade starts a process beside the one that serves, and ends that in order once the new one serves.
+// Upgrade starts a process beside the current one, and terminates the old one once the new one serves.
 func (e *Environment) Upgrade(ctx context.Context, dispatcher int) {
 	d := e.run.dispatchers[dispatcher]
-	d.mu.Lock()
-	old := d.proc
-	d.mu.Unlock()
-	now := func(what invariant.What, detail string) {
-		e.run.ledger.Moment(invariant.Moment{Dispatcher: dispatcher, At: e.run.ledger.Now(), What: what, Detail: detail})
-	}
-	young, err := d.begin()
+	old := d.currentProcess()
+	next, err := d.startProcess()
 	if err != nil {
-		now(invariant.Crashed, err.Error())
+		d.record(invariant.Crashed, err.Error())
+		return
+	}
+	if !d.awaitServing(ctx, next) {
 		return
 	}
-	for by := time.Now().Add(readyWait); !young.log.has(servesText); {
+	d.mu.Lock()
+	old.exitAs = invariant.Exited
+	d.mu.Unlock()
+	d.record(invariant.Terminated, "")
+	_ = old.cmd.Process.Signal(syscall.SIGTERM) // fails on a process that has just ended
+	d.awaitTermination(old, e.run.stopTimeout())
+}
+
+// awaitServing waits until the log of a process says that it serves, or until it should have; that is recorded as a crash.
+// It returns false when the process or ctx ended first.
+func (d *dispatcher) awaitServing(ctx context.Context, p *process) bool {
+	for deadline := time.Now().Add(readyTimeout); !p.log.contains(servingMessage); {
 		select {
 		case <-ctx.Done():
-			return
-		case <-young.done:
-			return // its end is taken down
-		case <-time.After(readyEvery):
+			return false
+		case <-p.done:
+			return false // awaitExit records how it ended
+		case <-time.After(readyInterval):
 		}
-		if time.Now().After(by) {
-			now(invariant.Crashed, "the process beside it did not serve in time: "+young.log.last())
+		if time.Now().After(deadline) {
+			d.record(invariant.Crashed, "the process beside it did not serve in time: "+p.log.lastLine())
 			break
 		}
 	}
-	d.mu.Lock()
-	old.ended = invariant.Exited
-	d.mu.Unlock()
-	now(invariant.Terminated, "")
-	_ = old.cmd.Process.Signal(syscall.SIGTERM) // fails on a process that has just ended
-	d.gone(old, e.run.stopWithin())
+	return true
 }
 
-// restartOne ends a dispatcher and starts it again.
-func (r *run) restartOne(ctx context.Context, dispatcher int, kill bool, away time.Duration, change func()) {
-	k, front := r.dispatchers[dispatcher], r.load.Dispatcher(dispatcher)
+// Times of a restart.
+const (
+	killNotice    = time.Second            // until clients notice that a killed dispatcher is gone
+	termNotice    = 300 * time.Millisecond // after SIGTERM clients go on opening connections for this time
+	restartMargin = 50 * time.Millisecond  // between the notice of a kill and the next start
+)
+
+// restartDispatcher ends a dispatcher's process and starts it again, after a kill once away has passed. Before the start it
+// calls change, if that is not nil.
+func (r *run) restartDispatcher(ctx context.Context, dispatcher int, kill bool, away time.Duration, change func()) {
+	d, clients := r.dispatchers[dispatcher], r.load.Dispatcher(dispatcher)
 	if kill {
-		time.AfterFunc(killNotice, func() { front.Down(true) })
-		k.kill()
+		time.AfterFunc(killNotice, func() { clients.Down(true) })
+		d.kill()
 		select {
-		case <-time.After(max(away, killNotice+50*time.Millisecond)):
+		case <-time.After(max(away, killNotice+restartMargin)):
 		case <-ctx.Done():
 			return
 		}
 	} else {
-		time.AfterFunc(termNotice, func() { front.Down(true) })
-		k.terminate(r.stopWithin())
+		time.AfterFunc(termNotice, func() { clients.Down(true) })
+		d.terminate(r.stopTimeout())
 	}
 	if change != nil {
 		change()
@@ -121,7 +135,7 @@
 	if ctx.Err() != nil {
 		return
 	}
-	if err := k.start(ctx); err != nil && ctx.Err() == nil {
-		r.ledger.Moment(invariant.Moment{Dispatcher: dispatcher, At: r.ledger.Now(), What: invariant.Crashed, Detail: err.Error()})
+	if err := d.start(ctx); err != nil && ctx.Err() == nil {
+		d.record(invariant.Crashed, err.Error())
 	}
 }
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -4,6 +4,7 @@
 	"context"
 	"slices"
 	"sync"
+	"syscall"
 	"time"
 
 	"birchfork/internal/testbed/invariant"
@@ -11,36 +12,36 @@
 	"birchfork/internal/testbed/scenario"
 )
 
-// faultInjector carries the timetable out. Several may hit the same worker at once: what holds there is worked out anew from
-// all that are on.
+// faultInjector injects the day's faults at their times. Several may affect the same worker, link or discovery agent at once:
+// its state is computed anew from all active faults whenever one begins or ends.
 type faultInjector struct {
 	run         *run
 	misbehaving loadgen.MisbehavingClients
 
-	mu    sync.Mutex
-	on    []*scenario.Event
-	waits sync.WaitGroup
+	mu      sync.Mutex
+	active  []*scenario.Event
+	running sync.WaitGroup // the goroutines of faults, and of what runs alongside
 }
 
-// injectAll begins each trouble at its time and ends it at its end, until ctx ends.
+// injectAll starts a goroutine for each fault, which begins it at its time and ends it at its end or when ctx ends.
 func (injector *faultInjector) injectAll(ctx context.Context) {
 	for i := range injector.run.day.Events {
 		e := &injector.run.day.Events[i]
-		if e.Kind == scenario.Jump || e.Kind == scenario.Flood {
-			continue // drawn into the arrivals
+		if e.Kind == scenario.TrafficJump || e.Kind == scenario.TenantFlood {
+			continue // part of the generated arrivals
 		}
-		injector.waits.Add(1)
+		injector.running.Add(1)
 		go func() {
-			defer injector.waits.Done()
-			if injector.until(ctx, e.At) {
+			defer injector.running.Done()
+			if injector.waitUntil(ctx, e.At) {
 				injector.inject(ctx, e)
 			}
 		}()
 	}
 }
 
-// until waits for a moment of the day; false: the run has ended before.
-func (injector *faultInjector) until(ctx context.Context, at time.Duration) bool {
+// waitUntil waits for a time since the day's start. It returns false when ctx ended first.
+func (injector *faultInjector) waitUntil(ctx context.Context, at time.Duration) bool {
 	select {
 	case <-time.After(injector.run.load.Origin() + at - injector.run.ledger.Now()):
 		return true
@@ -49,154 +50,187 @@
 	}
 }
 
-// inject is the life of one trouble.
+// inject carries out one fault from its beginning to its end.
 func (injector *faultInjector) inject(ctx context.Context, e *scenario.Event) {
-	f, length := injector.run.fleet, e.Until-e.At
+	fleet, length := injector.run.fleet, e.Until-e.At
 	switch e.Kind {
 	case scenario.WorkerKill:
 		for _, w := range e.Workers {
-			f.Kill(w, length)
+			fleet.Kill(w, length)
 		}
 	case scenario.WorkerDrain:
 		for _, w := range e.Workers {
-			f.Drain(w, length)
+			fleet.Drain(w, length)
 		}
 	case scenario.Release:
-		for k, w := range e.Workers {
-			if !injector.until(ctx, e.At+length*time.Duration(k)/time.Duration(len(e.Workers))) {
-				return
-			}
-			f.Drain(w, 0)
-		}
-	case scenario.WorkerHang, scenario.WorkerSlow, scenario.WorkerErr, scenario.Silent, scenario.LinkPartition,
+		injector.release(ctx, e)
+	case scenario.WorkerHang, scenario.WorkerSlow, scenario.WorkerErrors, scenario.MachineSilent, scenario.LinkPartition,
 		scenario.ListLate, scenario.ListSilent:
-		injector.set(e, true)
-		injector.until(ctx, e.Until)
-		injector.set(e, false)
+		injector.setActive(e, true)
+		injector.waitUntil(ctx, e.Until)
+		injector.setActive(e, false)
 	case scenario.ListWrong:
-		f.Ghosts(e.Count, true)
-		if injector.until(ctx, e.Until) {
-			f.Ghosts(e.Count, false)
+		fleet.Ghosts(e.Count, true)
+		if injector.waitUntil(ctx, e.Until) {
+			fleet.Ghosts(e.Count, false)
 		}
 	case scenario.ListMove:
 		for _, d := range e.Dispatchers {
-			if f.Discovery.Agents[d].Move() == nil { //nolint:contextcheck // Move shuts its old server down at once, with a context that has ended
+			if fleet.Discovery.Agents[d].Move() == nil { //nolint:contextcheck // Move shuts its old server down at once, with a context that has ended
 				injector.reload(d)
 			}
 		}
-	case scenario.DispHup:
+	case scenario.DispatcherReload:
 		for _, d := range e.Dispatchers {
 			injector.reload(d)
 		}
-	case scenario.DispKill, scenario.DispTerm:
+	case scenario.DispatcherKill, scenario.DispatcherTerminate:
 		injector.restart(ctx, e)
 	case scenario.IdleClients, scenario.MisbehavingClients:
-		injector.visit(ctx, e)
+		injector.runClients(ctx, e)
+	}
+}
+
+// release drains the workers of a fault one after the other, spread evenly over its time. Each starts again at once.
+func (injector *faultInjector) release(ctx context.Context, e *scenario.Event) {
+	length, count := e.Until-e.At, time.Duration(len(e.Workers))
+	for i, w := range e.Workers {
+		if !injector.waitUntil(ctx, e.At+length*time.Duration(i)/count) {
+			return
+		}
+		injector.run.fleet.Drain(w, 0)
 	}
 }
 
-// set turns a trouble on or off and works out what holds now.
-func (injector *faultInjector) set(e *scenario.Event, on bool) {
+// setActive begins or ends a fault and applies the state that follows from all active faults to what it affects.
+func (injector *faultInjector) setActive(e *scenario.Event, active bool) {
 	injector.mu.Lock()
 	defer injector.mu.Unlock()
-	if on {
-		injector.on = append(injector.on, e)
+	if active {
+		injector.active = append(injector.active, e)
 	} else {
-		injector.on = slices.DeleteFunc(injector.on, func(o *scenario.Event) bool { return o == e })
+		injector.active = slices.DeleteFunc(injector.active, func(other *scenario.Event) bool { return other == e })
 	}
 	switch e.Kind {
 	case scenario.ListLate, scenario.ListSilent:
 		for _, d := range e.Dispatchers {
-			factor, silent := 1.0, false
-			for _, o := range injector.on {
-				if slices.Contains(o.Dispatchers, d) {
-					silent = silent || o.Kind == scenario.ListSilent
-					if o.Kind == scenario.ListLate {
-						factor *= o.Factor
-					}
-				}
-			}
-			injector.run.fleet.Discovery.Agents[d].SetDelay(factor)
-			injector.run.fleet.Discovery.Agents[d].Silence(silent)
+			injector.applyToDiscovery(d)
 		}
-	case scenario.Silent, scenario.LinkPartition:
-		var cuts sync.WaitGroup
-		for _, w := range e.Workers {
-			for _, d := range e.Dispatchers {
-				cut := slices.ContainsFunc(injector.on, func(o *scenario.Event) bool {
-					return (o.Kind == scenario.Silent || o.Kind == scenario.LinkPartition) && slices.Contains(o.Workers, w) && slices.Contains(o.Dispatchers, d)
-				})
-				cuts.Add(1)
-				go func() {
-					defer cuts.Done()
-					injector.run.fleet.Workers[w].Partition(d, cut)
-				}()
-			}
-		}
-		cuts.Wait()
+	case scenario.MachineSilent, scenario.LinkPartition:
+		injector.applyToLinks(e.Workers, e.Dispatchers)
 	default:
 		for _, w := range e.Workers {
-			slow, hung, fails := 1.0, false, 0.0
-			for _, o := range injector.on {
-				if !slices.Contains(o.Workers, w) {
-					continue
-				}
-				switch o.Kind {
-				case scenario.WorkerSlow:
-					slow *= o.Factor
-				case scenario.WorkerHang:
-					hung = true
-				case scenario.WorkerErr:
-					fails = max(fails, o.Share)
-				}
-			}
-			k := injector.run.fleet.Workers[w]
-			k.Slow(slow)
-			k.Hang(hung)
-			k.Err(fails)
+			injector.applyToWorker(w)
 		}
 	}
 }
 
-func (injector *faultInjector) reload(d int) {
-	k := injector.run.dispatchers[d]
-	if k.configure() == nil {
-		k.signal(sighup, invariant.Reloaded, invariant.Reloaded)
+// applyToDiscovery sets the delay and the silence of a dispatcher's discovery agent. The caller has locked mu.
+func (injector *faultInjector) applyToDiscovery(dispatcher int) {
+	delay, silent := 1.0, false
+	for _, e := range injector.active {
+		if !slices.Contains(e.Dispatchers, dispatcher) {
+			continue
+		}
+		switch e.Kind {
+		case scenario.ListSilent:
+			silent = true
+		case scenario.ListLate:
+			delay *= e.Factor
+		}
+	}
+	agent := injector.run.fleet.Discovery.Agents[dispatcher]
+	agent.SetDelay(delay)
+	agent.Silence(silent)
+}
+
+// applyToLinks partitions or heals the links between workers and dispatchers. The caller has locked mu.
+func (injector *faultInjector) applyToLinks(workers, dispatchers []int) {
+	var links sync.WaitGroup
+	for _, w := range workers {
+		for _, d := range dispatchers {
+			partitioned := injector.isPartitioned(w, d)
+			links.Add(1)
+			go func() {
+				defer links.Done()
+				injector.run.fleet.Workers[w].Partition(d, partitioned)
+			}()
+		}
+	}
+	links.Wait()
+}
+
+// isPartitioned reports whether an active fault cuts the link between a worker and a dispatcher. The caller has locked mu.
+func (injector *faultInjector) isPartitioned(worker, dispatcher int) bool {
+	return slices.ContainsFunc(injector.active, func(e *scenario.Event) bool {
+		cuts := e.Kind == scenario.MachineSilent || e.Kind == scenario.LinkPartition
+		return cuts && slices.Contains(e.Workers, worker) && slices.Contains(e.Dispatchers, dispatcher)
+	})
+}
+
+// applyToWorker sets the speed, the hang and the error share of a worker. The caller has locked mu.
+func (injector *faultInjector) applyToWorker(worker int) {
+	slowness, hung, errorShare := 1.0, false, 0.0
+	for _, e := range injector.active {
+		if !slices.Contains(e.Workers, worker) {
+			continue
+		}
+		switch e.Kind {
+		case scenario.WorkerSlow:
+			slowness *= e.Factor
+		case scenario.WorkerHang:
+			hung = true
+		case scenario.WorkerErrors:
+			errorShare = max(errorShare, e.Share)
+		}
+	}
+	w := injector.run.fleet.Workers[worker]
+	w.Slow(slowness)
+	w.Hang(hung)
+	w.Err(errorShare)
+}
+
+// reload writes a dispatcher's configuration anew and has it read.
+func (injector *faultInjector) reload(dispatcher int) {
+	d := injector.run.dispatchers[dispatcher]
+	if d.writeConfig() == nil {
+		d.signal(syscall.SIGHUP, invariant.Reloaded, invariant.Reloaded)
 	}
 }
 
 // restart ends dispatchers and starts them again.
 func (injector *faultInjector) restart(ctx context.Context, e *scenario.Event) {
-	var all sync.WaitGroup
+	var restarts sync.WaitGroup
 	for _, d := range e.Dispatchers {
-		all.Add(1)
+		restarts.Add(1)
 		go func() {
-			defer all.Done()
-			injector.run.restartOne(ctx, d, e.Kind == scenario.DispKill, e.Until-e.At, nil)
+			defer restarts.Done()
+			injector.run.restartDispatcher(ctx, d, e.Kind == scenario.DispatcherKill, e.Until-e.At, nil)
 		}()
 	}
-	all.Wait()
+	restarts.Wait()
 }
 
-// visit sends clients that are none.
-func (injector *faultInjector) visit(ctx context.Context, e *scenario.Event) {
+// runClients runs idle or misbehaving clients at dispatchers until the fault ends.
+func (injector *faultInjector) runClients(ctx context.Context, e *scenario.Event) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var all sync.WaitGroup
+	day := injector.run.day
+	var clients sync.WaitGroup
 	for _, d := range e.Dispatchers {
-		all.Add(1)
+		clients.Add(1)
 		go func() {
-			defer all.Done()
-			addr := injector.run.dispatchers[d].listen
-			if e.Kind == scenario.MisbehavingClients {
-				seed := scenario.Rand(injector.run.day.Seed+uint64(d), scenario.StreamMisbehaving).Uint64()
-				injector.misbehaving.Run(ctx, addr, injector.run.day.Scenario.Classes[0].Name, e.Count, seed)
-			} else {
-				loadgen.Idle(ctx, addr, e.Count)
+			defer clients.Done()
+			address := injector.run.dispatchers[d].listen
+			if e.Kind == scenario.IdleClients {
+				loadgen.Idle(ctx, address, e.Count)
+				return
 			}
+			seed := scenario.Rand(day.Seed+uint64(d), scenario.StreamMisbehaving).Uint64()
+			injector.misbehaving.Run(ctx, address, day.Scenario.Classes[0].Name, e.Count, seed)
 		}()
 	}
-	injector.until(ctx, e.Until)
+	injector.waitUntil(ctx, e.Until)
 	cancel()
-	all.Wait()
+	clients.Wait()
 }
--- /dev/null
+++ b/internal/testbed/logtail.go
@@ -0,0 +1,48 @@
+package testbed
+
+import (
+	"bytes"
+	"os"
+	"strings"
+	"sync"
+)
+
+// maxTailBytes is how much of a process's output is kept in memory.
+const maxTailBytes = 4 << 10
+
+// logTail keeps the end of a process's output. It is safe for concurrent use.
+type logTail struct {
+	file *os.File // gets the whole output; nil: none
+
+	mu  sync.Mutex
+	buf []byte
+}
+
+// Write keeps the last maxTailBytes of the output. It never fails.
+func (t *logTail) Write(p []byte) (int, error) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.file != nil {
+		_, _ = t.file.Write(p) // what cannot be written there is in the tail
+	}
+	t.buf = append(t.buf, p...)
+	if len(t.buf) > maxTailBytes {
+		t.buf = append(t.buf[:0], t.buf[len(t.buf)-maxTailBytes:]...)
+	}
+	return len(p), nil
+}
+
+// contains reports whether the kept output contains a text.
+func (t *logTail) contains(text string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return bytes.Contains(t.buf, []byte(text))
+}
+
+// lastLine returns the last line of the output.
+func (t *logTail) lastLine() string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	lines := strings.Split(strings.TrimSpace(string(t.buf)), "\n")
+	return lines[len(lines)-1]
+}
--- a/internal/testbed/overhead.go
+++ b/internal/testbed/overhead.go
@@ -7,34 +7,32 @@
 	"io"
 	"os"
 	"os/exec"
-	"path/filepath"
 	"text/tabwriter"
 	"time"
 
 	"birchfork/internal/testbed/fakes"
-	"birchfork/internal/testbed/invariant"
 	"birchfork/internal/testbed/loadgen"
 	"birchfork/internal/testbed/report"
 	"birchfork/internal/testbed/scenario"
 )
 
-// OverheadOptions is what is measured.
+// OverheadOptions are the parameters of a measurement of the dispatcher's overhead.
 type OverheadOptions struct {
 	Launch  Launch
-	Clients []int
-	Length  time.Duration
+	Clients []int         // numbers of concurrent clients, a row each
+	Length  time.Duration // of each of the two measurements of a round
 	Rounds  int
 	Profile string // a file for a CPU profile of the dispatcher; empty: none
 }
 
-// The jobs of the measurement: so short that only the way counts.
+// The requests of the measurement: so short that little but the transport counts.
 const (
 	overheadWork = 100 * time.Microsecond
-	overheadBody = 200
+	overheadBody = 200 // bytes
 )
 
-// overheadDay is one wide worker behind one dispatcher.
-const overheadDay = `
+// overheadScenario is one large worker behind one dispatcher.
+const overheadScenario = `
 name = "overhead"
 dispatchers = 1
 rate = 1.0
@@ -57,77 +55,113 @@
 speed = [1.0, 1.0]
 `
 
-// Overhead asks a stand-in worker straight and through a dispatcher, in turns, and prints what the dispatcher adds.
+// Overhead sends requests to a stand-in worker directly and through a dispatcher, alternately, and prints what the dispatcher
+// adds.
 func Overhead(ctx context.Context, w io.Writer, o OverheadOptions) error {
 	book := loadgen.NewBook(overheadWork, overheadBody)
-	direct, err := straight(book)
+	direct, err := startDirectWorker(book)
 	if err != nil {
 		return err
 	}
 	defer direct.Kill()
-	s, err := scenario.Decode("overhead", []byte(overheadDay))
+	s, err := scenario.Decode("overhead", []byte(overheadScenario))
 	if err != nil {
 		return err
 	}
-	r := &run{day: s.Draw(1, false), ledger: invariant.NewLedger(), launch: o.Launch, spawner: newSpawner()}
-	if o.Profile != "" {
-		r.launch = func(config string) *exec.Cmd {
-			cmd := o.Launch(config)
-			cmd.Args = append(cmd.Args, "--cpu-profile", o.Profile)
-			return cmd
-		}
-	}
-	defer close(r.spawner.quit)
-	dir, err := os.MkdirTemp("", "birchfork-lab-")
-	if err != nil {
-		return fmt.Errorf("a folder for the configuration: %w", err)
-	}
-	defer func() { _ = os.RemoveAll(dir) }() // what is left lies in the temporary directory
-	addresses, err := FreeAddresses(1)
+	r := newRun(s.Generate(1, false), Options{Launch: o.profiledLaunch()})
+	defer r.close()
+	d, err := r.startSingleDispatcher(ctx, book)
 	if err != nil {
 		return err
 	}
-	r.load = loadgen.New(r.day, r.ledger, addresses)
-	if r.fleet, err = fakes.New(r.day, r.ledger, book, nil); err != nil {
-		return err
-	}
-	defer r.fleet.Close()
-	d := &dispatcher{run: r, listen: addresses[0], path: filepath.Join(dir, "d0.json")}
-	r.dispatchers = append(r.dispatchers, d)
-	defer r.end()
-	if err := d.start(ctx); err != nil {
-		return err
-	}
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "clients\tstraight p50 us\tthrough p50 us\tadded us\tthrough p99 us\tstraight per s\tthrough per s\tCPU us a request\tpeak MB\tfailed")
-	for _, n := range o.Clients {
-		var sp50, tp50, tp99, srate, trate, cpu []float64
-		failed := int64(0)
+	for _, clients := range o.Clients {
+		m := &overheadMeasurement{dispatcher: d, directAddress: direct.Address(0), clients: clients, length: o.Length}
 		for round := range o.Rounds {
-			a := loadgen.RunClosed(ctx, direct.Address(0), fmt.Sprintf("s%d-%d", n, round), n, overheadBody, o.Length)
-			before := d.cpu()
-			b := loadgen.RunClosed(ctx, d.listen, fmt.Sprintf("t%d-%d", n, round), n, overheadBody, o.Length)
-			used := d.cpu() - before
-			if ctx.Err() != nil {
-				return ctx.Err()
-			}
-			if a.Requests == 0 || b.Requests == 0 {
-				return errors.New("nothing was answered")
+			if err := m.measureRound(ctx, round); err != nil {
+				return err
 			}
-			sp50, tp50 = append(sp50, float64(a.Latency.ValueAtPercentile(50))), append(tp50, float64(b.Latency.ValueAtPercentile(50)))
-			tp99 = append(tp99, float64(b.Latency.ValueAtPercentile(99)))
-			srate, trate = append(srate, a.PerSecond()), append(trate, b.PerSecond())
-			cpu = append(cpu, float64(used.Microseconds())/float64(b.Requests))
-			failed += a.Failed + b.Failed
 		}
 		d.sample()
-		fmt.Fprintf(t, "%d\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%.1f\t%d\n", n, report.Median(sp50), report.Median(tp50),
-			report.Median(tp50)-report.Median(sp50), report.Median(tp99), report.Median(srate), report.Median(trate), report.Median(cpu),
-			float64(d.used().rss)/(1<<20), failed)
+		m.writeRow(t)
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	d.terminate(r.stopWithin())
+	d.terminate(r.stopTimeout())
 	return nil
 }
+
+// profiledLaunch returns Launch, with a CPU profile where one is wanted.
+func (o OverheadOptions) profiledLaunch() Launch {
+	if o.Profile == "" {
+		return o.Launch
+	}
+	return func(config string) *exec.Cmd {
+		cmd := o.Launch(config)
+		cmd.Args = append(cmd.Args, "--cpu-profile", o.Profile)
+		return cmd
+	}
+}
+
+// startSingleDispatcher starts the fleet and one dispatcher, and waits until that is ready.
+func (r *run) startSingleDispatcher(ctx context.Context, book fakes.Book) (*dispatcher, error) {
+	var err error
+	if r.dir, err = os.MkdirTemp("", tempDirPrefix); err != nil {
+		return nil, fmt.Errorf("a folder for the configuration: %w", err)
+	}
+	addresses, err := FreeAddresses(1)
+	if err != nil {
+		return nil, err
+	}
+	r.load = loadgen.New(r.day, r.ledger, addresses)
+	if r.fleet, err = fakes.New(r.day, r.ledger, book, nil); err != nil {
+		return nil, err
+	}
+	d := r.addDispatcher(addresses[0])
+	return d, d.start(ctx)
+}
+
+// overheadMeasurement holds the figures for one number of clients, each with one value per round.
+type overheadMeasurement struct {
+	dispatcher    *dispatcher
+	directAddress string // of the worker
+	clients       int
+	length        time.Duration
+
+	directP50, throughP50, throughP99 []float64 // microseconds
+	directRate, throughRate           []float64 // requests a second
+	cpu                               []float64 // of the dispatcher, microseconds a request
+	failed                            int64
+}
+
+// measureRound measures once directly and once through the dispatcher.
+func (m *overheadMeasurement) measureRound(ctx context.Context, round int) error {
+	direct := loadgen.RunClosed(ctx, m.directAddress, fmt.Sprintf("s%d-%d", m.clients, round), m.clients, overheadBody, m.length)
+	cpuBefore := m.dispatcher.cpu()
+	through := loadgen.RunClosed(ctx, m.dispatcher.listen, fmt.Sprintf("t%d-%d", m.clients, round), m.clients, overheadBody, m.length)
+	cpu := m.dispatcher.cpu() - cpuBefore
+	if ctx.Err() != nil {
+		return ctx.Err()
+	}
+	if direct.Requests == 0 || through.Requests == 0 {
+		return errors.New("nothing was answered")
+	}
+	m.directP50 = append(m.directP50, float64(direct.Latency.ValueAtPercentile(50)))
+	m.throughP50 = append(m.throughP50, float64(through.Latency.ValueAtPercentile(50)))
+	m.throughP99 = append(m.throughP99, float64(through.Latency.ValueAtPercentile(99)))
+	m.directRate = append(m.directRate, direct.PerSecond())
+	m.throughRate = append(m.throughRate, through.PerSecond())
+	m.cpu = append(m.cpu, float64(cpu.Microseconds())/float64(through.Requests))
+	m.failed += direct.Failed + through.Failed
+	return nil
+}
+
+// writeRow writes the medians over the rounds as a row of the table.
+func (m *overheadMeasurement) writeRow(w io.Writer) {
+	directP50, throughP50 := report.Median(m.directP50), report.Median(m.throughP50)
+	fmt.Fprintf(w, "%d\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%.1f\t%d\n", m.clients, directP50, throughP50,
+		throughP50-directP50, report.Median(m.throughP99), report.Median(m.directRate), report.Median(m.throughRate), report.Median(m.cpu),
+		float64(m.dispatcher.used().rss)/(1<<20), m.failed)
+}
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -191,8 +191,8 @@
 	notAtAll = -1.0
 )
 
-// HadFault computes InTrouble and Recovery from the series and the faults.
-func (r *Report) HadFault() {
+// SummarizeFaults computes InTrouble and Recovery from the series and the faults.
+func (r *Report) SummarizeFaults() {
 	first, last := math.Inf(1), 0.0
 	for _, f := range r.Faults {
 		first, last = min(first, f.At), max(last, f.At, f.Until)
--- /dev/null
+++ b/internal/testbed/restarts.go
@@ -0,0 +1,73 @@
+package testbed
+
+import (
+	"time"
+
+	"birchfork/internal/testbed/invariant"
+	"birchfork/internal/testbed/report"
+)
+
+// restartPeriod is how long a dispatcher counts as just restarted.
+const restartPeriod = 5 * time.Second
+
+// interval is a half-open interval of time on the ledger's clock.
+type interval struct{ from, until time.Duration }
+
+// restartIntervals holds, by dispatcher, the intervals in which it had just restarted during the day.
+type restartIntervals map[int][]interval
+
+// contains reports whether a dispatcher had just restarted at a time.
+func (r restartIntervals) contains(dispatcher int, at time.Duration) bool {
+	for _, i := range r[dispatcher] {
+		if at >= i.from && at < i.until {
+			return true
+		}
+	}
+	return false
+}
+
+// containsAny reports whether any dispatcher had just restarted at a time.
+func (r restartIntervals) containsAny(at time.Duration) bool {
+	for dispatcher := range r {
+		if r.contains(dispatcher, at) {
+			return true
+		}
+	}
+	return false
+}
+
+// restartIntervals returns the intervals that follow the restarts of dispatchers during the day.
+func (r *run) restartIntervals() restartIntervals {
+	restarts := restartIntervals{}
+	for _, m := range r.ledger.Moments() {
+		if m.What == invariant.Ready && m.At > r.load.Origin() {
+			restarts[m.Dispatcher] = append(restarts[m.Dispatcher], interval{m.At, m.At + restartPeriod})
+		}
+	}
+	return restarts
+}
+
+// countAfterRestarts compares dispatchers right after a restart with the others at the same time: the difference shows what
+// they had to learn anew. It returns nil where none restarted during the day.
+func (r *run) countAfterRestarts() *report.StartedLine {
+	restarts := r.restartIntervals()
+	if len(restarts) == 0 {
+		return nil
+	}
+	out := &report.StartedLine{}
+	for _, t := range r.ledger.Tries() {
+		inTime := 0
+		if t.Outcome == invariant.Served && t.Ended <= t.Due {
+			inTime = 1
+		}
+		switch {
+		case restarts.contains(t.Dispatcher, t.Sent):
+			out.Tries++
+			out.InTime += inTime
+		case restarts.containsAny(t.Sent):
+			out.OtherTries++
+			out.OtherInTime += inTime
+		}
+	}
+	return out
+}
--- a/internal/testbed/run_test.go
+++ b/internal/testbed/run_test.go
@@ -24,47 +24,54 @@
 	"birchfork/internal/testbed/scenario"
 )
 
-// asDispatcher in the environment makes this program a dispatcher: the decider, or plant: and a fault.
-const asDispatcher = "LAB_TEST_DISPATCHER"
+// dispatcherVariable is the environment variable that makes the test binary a dispatcher. Its value is a policy, or mutantPrefix
+// and the name of a mutant.
+const (
+	dispatcherVariable = "LAB_TEST_DISPATCHER"
+	mutantPrefix       = "plant:"
+)
 
 func TestMain(m *testing.M) {
-	who := os.Getenv(asDispatcher)
-	if who == "" {
+	variant := os.Getenv(dispatcherVariable)
+	if variant == "" {
 		os.Exit(m.Run())
 	}
-	if err := dispatch(who, os.Args[1]); err != nil {
+	if err := runDispatcher(variant, os.Args[1]); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-func dispatch(who, path string) error {
-	if fault, ok := strings.CutPrefix(who, "plant:"); ok {
-		return mutant.Run(path, fault)
+// runDispatcher runs a dispatcher with a configuration file until it is signalled to end.
+func runDispatcher(variant, path string) error {
+	if name, ok := strings.CutPrefix(variant, mutantPrefix); ok {
+		return mutant.Run(path, name)
 	}
 	c, err := server.Load(path, "")
 	if err != nil {
 		return err
 	}
 	log := logrus.New()
-	if who == PolicyRules {
+	if variant == PolicyRules {
 		return server.Run(c, log, nil)
 	}
-	module, err := baseline.New(who, c.Settings, c.Seed)
+	module, err := baseline.New(variant, c.Settings, c.Seed)
 	if err != nil {
 		return err
 	}
 	return server.Run(c, log, module)
 }
 
-func launchTest(who string) Launch {
+// launchTest launches the test binary as a dispatcher.
+func launchTest(variant string) Launch {
 	return func(config string) *exec.Cmd {
 		cmd := exec.Command(os.Args[0], config)
-		cmd.Env = append(os.Environ(), asDispatcher+"="+who)
+		cmd.Env = append(os.Environ(), dispatcherVariable+"="+variant)
 		return cmd
 	}
 }
 
+// loadDay loads a shipped scenario; a length above 0 replaces its own.
 func loadDay(t *testing.T, name string, length time.Duration) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Load(name)
@@ -77,7 +84,7 @@
 	return s
 }
 
-// children are the processes that this one has started and that run still.
+// children returns the processes that this one has started and that still run.
 func children(t *testing.T) (out []string) {
 	t.Helper()
 	stats, err := filepath.Glob("/proc/[0-9]*/stat")
@@ -97,6 +104,7 @@
 	return out
 }
 
+// descriptors returns the number of open file descriptors of this process.
 func descriptors(t *testing.T) int {
 	t.Helper()
 	all, err := os.ReadDir("/proc/self/fd")
@@ -106,64 +114,73 @@
 	return len(all)
 }
 
-// Each planted fault is caught by the name of its breach; the same dispatcher without one keeps all rules.
+// Each mutant is caught with the kind of its violation; the same dispatcher without a fault keeps all rules.
 func TestRun_CatchesMutants(t *testing.T) {
 	s := loadDay(t, "proof", 0)
-	var all sync.WaitGroup
-	side := make(chan struct{}, 5) // days at a time
-	for _, f := range mutant.Mutants {
-		all.Add(1)
+	var running sync.WaitGroup
+	slots := make(chan struct{}, 5) // runs at a time
+	for _, m := range mutant.Mutants {
+		running.Add(1)
 		go func() {
-			defer all.Done()
-			side <- struct{}{}
-			defer func() { <-side }()
-			play := func() (*report.Report, error) {
-				return Run(t.Context(), Options{Scenario: s, Seed: 1, Policy: "rules", Mutant: f.Name, Launch: launchTest("plant:" + f.Name)})
-			}
-			r, err := play()
-			for again := 0; err == nil && r.RanLate && again < 3; again++ { // a day on which the rig itself had to wait says nothing
-				r, err = play()
-			}
+			defer running.Done()
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			r, err := runMutant(t, s, m.Name)
 			if err != nil {
-				t.Errorf("%s: %v", f.Name, err)
+				t.Errorf("%s: %v", m.Name, err)
 				return
 			}
-			switch {
-			case f.Violation == "":
-				if r.Broken() {
-					t.Errorf("%s: %v, %v", f.Name, r.Rules, r.CrashNotes)
-				}
-			case f.Rule == "":
-				if r.Crashes == 0 || !strings.Contains(strings.Join(r.CrashNotes, "\n"), f.Violation) {
-					t.Errorf("%s: no crash told as %q: %v", f.Name, f.Violation, r.CrashNotes)
-				}
-			case !slices.ContainsFunc(r.Violations, func(b invariant.Violation) bool { return b.Rule == f.Rule && b.Kind == f.Violation }):
-				t.Errorf("%s: no breach %s/%s: %v", f.Name, f.Rule, f.Violation, r.Rules)
-			case r.Rules[f.Rule] == 0:
-				t.Errorf("%s: the rule %s counts no breach", f.Name, f.Rule)
-			}
+			expectMutantResult(t, &m, r)
 		}()
 	}
-	all.Wait()
+	running.Wait()
+}
+
+// runMutant runs a day with a mutant, and again up to three times where the testbed itself ran late: such a run proves nothing.
+func runMutant(t *testing.T, s *scenario.Scenario, name string) (*report.Report, error) {
+	o := Options{Scenario: s, Seed: 1, Policy: "rules", Mutant: name, Launch: launchTest(mutantPrefix + name)}
+	r, err := Run(t.Context(), o)
+	for retries := 0; err == nil && r.RanLate && retries < 3; retries++ {
+		r, err = Run(t.Context(), o)
+	}
+	return r, err
+}
+
+// expectMutantResult checks that a run caught its mutant, or found nothing where there is nothing to find.
+func expectMutantResult(t *testing.T, m *mutant.Mutant, r *report.Report) {
+	switch {
+	case m.Violation == "":
+		if r.Broken() {
+			t.Errorf("%s: %v, %v", m.Name, r.Rules, r.CrashNotes)
+		}
+	case m.Rule == "":
+		if r.Crashes == 0 || !strings.Contains(strings.Join(r.CrashNotes, "\n"), m.Violation) {
+			t.Errorf("%s: no crash told as %q: %v", m.Name, m.Violation, r.CrashNotes)
+		}
+	case !slices.ContainsFunc(r.Violations, func(v invariant.Violation) bool { return v.Rule == m.Rule && v.Kind == m.Violation }):
+		t.Errorf("%s: no breach %s/%s: %v", m.Name, m.Rule, m.Violation, r.Rules)
+	case r.Rules[m.Rule] == 0:
+		t.Errorf("%s: the rule %s counts no breach", m.Name, m.Rule)
+	}
 }
 
-// A day with troubles at once: counts agree with each other and with what was drawn, all rules are kept, and nothing is
-// left behind.
+// A day with concurrent faults: counts agree with each other and with the generated day, all rules are kept, and no process,
+// goroutine or descriptor is left.
 func TestRun_LeavesNothingBehind(t *testing.T) {
 	leaks := goleak.IgnoreCurrent()
 	before := descriptors(t)
 	s := loadDay(t, "all-at-once", 4*time.Second)
-	s.Clients.Leave = 0.1
+	s.Clients.LeaveShare = 0.1
 	s.Faults = append(s.Faults,
-		scenario.Fault{Kind: scenario.DispKill, At: time.Second, For: 500 * time.Millisecond, Dispatchers: []int{1}},
-		scenario.Fault{Kind: scenario.Silent, At: 1500 * time.Millisecond, For: time.Second, Workers: 2},
+		scenario.Fault{Kind: scenario.DispatcherKill, At: time.Second, For: 500 * time.Millisecond, Dispatchers: []int{1}},
+		scenario.Fault{Kind: scenario.MachineSilent, At: 1500 * time.Millisecond, For: time.Second, Workers: 2},
 		scenario.Fault{Kind: scenario.ListMove, At: 1200 * time.Millisecond},
 	)
 	r, err := Run(t.Context(), Options{Scenario: s, Seed: 3, Policy: PolicyRules, Launch: launchTest(PolicyRules)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := len(s.Draw(3, false).Requests); r.Requests != want || r.Served+r.Refused+r.Failed != want || want < 100 {
+	if want := len(s.Generate(3, false).Requests); r.Requests != want || r.Served+r.Refused+r.Failed != want || want < 100 {
 		t.Errorf("%d requests (%d drawn): %d served, %d refused, %d failed", r.Requests, want, r.Served, r.Refused, r.Failed)
 	}
 	if r.Broken() || r.Interrupted || r.Lost != 0 {
@@ -189,12 +206,12 @@
 	}
 }
 
-// A run that is broken off ends its dispatchers and reports its first part, marked.
+// An interrupted run ends its dispatchers and reports its first part, marked as such.
 func TestRun_InterruptedReportsFirstPart(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	o := Options{Scenario: loadDay(t, "calm", 0), Seed: 1, Policy: PolicyRules, Launch: launchTest(PolicyRules)}
-	all := len(o.Scenario.Draw(1, false).Requests)
+	all := len(o.Scenario.Generate(1, false).Requests)
 	o.Progress = func(done, _ int) {
 		if done > 20 {
 			cancel()
@@ -212,7 +229,7 @@
 	}
 }
 
-// A dispatcher that does not come up is an error with its own words, and nothing is left.
+// A dispatcher that does not start is an error that quotes its output.
 func TestRun_DispatcherDoesNotStart(t *testing.T) {
 	_, err := Run(t.Context(), Options{Scenario: loadDay(t, "calm", time.Second), Seed: 1, Launch: func(string) *exec.Cmd {
 		return exec.Command("sh", "-c", "echo out of order >&2; exit 1")
@@ -228,7 +245,7 @@
 	}
 }
 
-// Baselines serve behind the same store and keep the rules.
+// Baselines serve behind the same engine and keep the rules.
 func TestTable_Baselines(t *testing.T) {
 	cells := make([]Cell, 0, len(baseline.Policies))
 	for _, p := range baseline.Policies {
@@ -250,8 +267,8 @@
 	}
 }
 
-// The page stands by itself, and a kept result reads back as it was.
-func TestReport_SavedAndDrawn(t *testing.T) {
+// The HTML page refers to nothing outside, and a saved result reads back as it was.
+func TestReport_SaveAndHTML(t *testing.T) {
 	r := &report.Report{
 		Version: report.Version, Scenario: "<b>", Seconds: 2, Rules: map[string]int{}, Workers: []report.WorkerLine{{Name: "w1", Share: 1, Capacity: 1}},
 		Series: []report.Point{{At: 0, Requested: 3, Value: 3, Good: 2, P50: 4, P99: 9, Outcomes: map[string]int{"served": 2, "refused": 1}}, {At: 0.5}},
--- /dev/null
+++ b/internal/testbed/scenario/arrivals.go
@@ -0,0 +1,182 @@
+package scenario
+
+import (
+	"math"
+	"math/rand/v2"
+	"slices"
+	"time"
+)
+
+// requestGenerator generates the requests of a day: a Poisson process of arrivals, some of them bursts, whose rate changes
+// with the faults that change traffic.
+type requestGenerator struct {
+	day               *Day
+	random            *rand.Rand // for all but clients that leave
+	leaveRandom       *rand.Rand
+	classWeights      []float64
+	dispatcherWeights []float64
+	tenantWeights     []float64 // of the current stretch of time
+	quotas            []tokenBucket
+	burstChance       float64 // of an arrival to be a burst
+	arrivalRate       float64 // bursts and single requests a second
+}
+
+// generateRequests generates the requests, in the order of their times.
+func (d *Day) generateRequests() {
+	g := newRequestGenerator(d)
+	edges := d.trafficEdges()
+	for i := 0; i+1 < len(edges); i++ {
+		if !g.generate(edges[i], edges[i+1]) {
+			return
+		}
+	}
+}
+
+func newRequestGenerator(d *Day) *requestGenerator {
+	s := d.Scenario
+	g := &requestGenerator{
+		day: d, random: Rand(d.Seed, streamArrivals), leaveRandom: Rand(d.Seed, streamLeave),
+		classWeights: make([]float64, len(s.Classes)), dispatcherWeights: make([]float64, s.Dispatchers),
+		tenantWeights: make([]float64, len(s.Tenants)), quotas: make([]tokenBucket, len(s.Tenants)),
+	}
+	for i, c := range s.Classes {
+		g.classWeights[i] = c.Share
+	}
+	for i := range g.dispatcherWeights {
+		g.dispatcherWeights[i] = 1
+		if s.Dispatchers > 1 {
+			g.dispatcherWeights[i] += s.Uneven * (1 - 2*float64(i)/float64(s.Dispatchers-1))
+		}
+	}
+	share, size := s.Burst.Share, float64(max(s.Burst.Size, 1))
+	g.burstChance = share / (size - share*(size-1)) // so that the share is one of requests
+	g.arrivalRate = s.Rate / (1 - g.burstChance + g.burstChance*size)
+	return g
+}
+
+// generate generates the requests of a stretch of time without a change of traffic. It returns false when the day has as many
+// requests as a run may have.
+func (g *requestGenerator) generate(from, until time.Duration) bool {
+	s, d := g.day.Scenario, g.day
+	rate := g.arrivalRate * d.trafficFactor(from, g.tenantWeights)
+	// A Poisson process has no memory: it may begin anew at each edge.
+	for at := from; ; {
+		at += time.Duration(g.random.ExpFloat64() / rate * float64(time.Second))
+		if at >= until {
+			return true
+		}
+		count := 1
+		if s.Burst.Share > 0 && g.random.Float64() < g.burstChance {
+			count = s.Burst.Size
+		}
+		for range count {
+			d.Requests = append(d.Requests, g.request(at))
+			if len(d.Requests) >= MaxRequests {
+				return false
+			}
+		}
+	}
+}
+
+// request generates one request. The order in which it takes random numbers is part of what a seed means.
+func (g *requestGenerator) request(at time.Duration) Request {
+	s, random := g.day.Scenario, g.random
+	r := Request{At: at, Class: weightedChoice(random, g.classWeights), Tenant: -1, Dispatcher: weightedChoice(random, g.dispatcherWeights)}
+	if len(g.tenantWeights) > 0 {
+		r.Tenant = weightedChoice(random, g.tenantWeights)
+	}
+	c := &s.Classes[r.Class]
+	factor := math.Exp(c.Spread*random.NormFloat64() - c.Spread*c.Spread/2) // log-normal with mean 1
+	r.Work = max(time.Microsecond, time.Duration(float64(c.Work)*factor))
+	r.Body = c.Body[0] + random.IntN(c.Body[1]-c.Body[0]+1)
+	r.Obeys = random.Float64() < s.Clients.Obedient
+	if r.Tenant >= 0 {
+		r.OverQuota = !g.quotas[r.Tenant].take(at, s.Tenants[r.Tenant].Quota)
+	}
+	if s.Clients.LeaveShare > 0 && g.leaveRandom.Float64() < s.Clients.LeaveShare {
+		r.Leaves = 1 + time.Duration(g.leaveRandom.Float64()*float64(c.LatencyObjective+c.Work))
+	}
+	return r
+}
+
+// trafficEdges returns the times at which traffic changes, with the day's start and end.
+func (d *Day) trafficEdges() []time.Duration {
+	edges := []time.Duration{0, d.Scenario.For}
+	for _, e := range d.Events {
+		if e.Kind == TrafficJump || e.Kind == TenantFlood {
+			edges = append(edges, min(e.At, d.Scenario.For), min(e.Until, d.Scenario.For))
+		}
+	}
+	slices.Sort(edges)
+	return slices.Compact(edges)
+}
+
+// trafficFactor returns the traffic at a time as a factor of the scenario's rate, and sets each tenant's weight in it.
+func (d *Day) trafficFactor(at time.Duration, tenantWeights []float64) float64 {
+	jump := 1.0
+	for i := range tenantWeights {
+		tenantWeights[i] = d.Scenario.Tenants[i].Share
+	}
+	for _, e := range d.Events {
+		if at < e.At || at >= e.Until {
+			continue
+		}
+		switch e.Kind {
+		case TrafficJump:
+			jump *= e.Factor
+		case TenantFlood:
+			tenantWeights[e.Tenant] *= e.Factor
+		}
+	}
+	if len(tenantWeights) == 0 {
+		return jump
+	}
+	sum := 0.0
+	for _, weight := range tenantWeights {
+		sum += weight
+	}
+	return jump * sum
+}
+
+// weightedChoice returns a random index by weights.
+func weightedChoice(r *rand.Rand, weights []float64) int {
+	sum := 0.0
+	for _, w := range weights {
+		sum += w
+	}
+	x := r.Float64() * sum
+	for i, w := range weights {
+		if x -= w; x < 0 {
+			return i
+		}
+	}
+	return len(weights) - 1
+}
+
+// Size of a tenant's token bucket: the quota of quotaSeconds, but minQuotaTokens at least.
+const (
+	quotaSeconds   = 2
+	minQuotaTokens = 3
+)
+
+// tokenBucket tells which requests are within a tenant's quota. It is full at first.
+type tokenBucket struct {
+	tokens float64
+	at     time.Duration // of the last take
+	filled bool
+}
+
+// take takes a token at a time, where rate tokens a second are added. It returns false where there is none.
+func (b *tokenBucket) take(at time.Duration, rate float64) bool {
+	size := max(quotaSeconds*rate, minQuotaTokens)
+	if !b.filled {
+		b.filled, b.tokens = true, size
+	}
+	b.tokens = min(size, b.tokens+(at-b.at).Seconds()*rate)
+	b.at = at
+	if b.tokens < 1 {
+		return false
+	}
+	b.tokens--
+	return true
+}
--- a/internal/testbed/scenario/day.go
+++ b/internal/testbed/scenario/day.go
@@ -11,46 +11,47 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Streams of random numbers: what is drawn for one matter moves nothing of another.
+// Streams of random numbers of one seed. Each has one use, so that a change of one use leaves the numbers of the others as
+// they are.
 const (
 	streamArrivals = iota + 1
 	streamWorkers
 	streamFaults
-	streamStorm
-	StreamLag         // for the lists' lags
-	StreamMisbehaving // for rude clients
-	StreamErr         // for failing workers
+	streamRandomFaults
+	StreamLag         // lags of endpoint updates
+	StreamMisbehaving // misbehaving clients
+	StreamErr         // failing workers
 	streamLeave
 )
 
-// Rand is a random source for one matter of a seed.
+// Rand returns a random source for one stream of a seed.
 func Rand(seed, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
 
-// Request is what one client wants: its tries are requests.
+// Request is one request of a client. With its retries it makes one or more tries.
 type Request struct {
 	At         time.Duration // since the day's start
 	Class      int
 	Tenant     int // -1: none
-	Dispatcher int // of its zone's front, where it is up
+	Dispatcher int // that the client uses where it is up
 	Work       time.Duration
-	Body       int // bytes
-	Obeys      bool
+	Body       int           // bytes
+	Obeys      bool          // honors Retry-After
 	OverQuota  bool          // beyond its tenant's quota
-	Leaves     time.Duration // so long after it was asked for its client goes; 0: it stays
+	Leaves     time.Duration // time after its arrival at which the client disconnects; 0: never
 }
 
-// Worker is one machine.
+// Worker is one worker of the fleet.
 type Worker struct {
 	Name, Kind, Zone string
 	Cell             int
 	Cores            int
 	Speed            float64
 	Memory           float64
-	Queue            int
+	Queue            int // requests that may wait
 	WarmingUp        bool
 }
 
-// Event is a trouble with those whom it hits.
+// Event is a fault with the workers, dispatchers and tenant that it affects, each by its index.
 type Event struct {
 	Kind        string
 	At, Until   time.Duration
@@ -59,250 +60,137 @@
 	Factor      float64
 	Share       float64
 	Count       int
-	Tenant      int
+	Tenant      int // -1: none
 }
 
-// Day is all that is drawn.
+// Day is what is generated from a scenario by a seed. It is not changed afterwards.
 type Day struct {
 	Scenario *Scenario
 	Seed     uint64
-	Requests []Request
+	Requests []Request // by their time
 	Workers  []Worker
-	Events   []Event
+	Events   []Event // by their beginning
 }
 
-// Draw draws the day of a seed. The same scenario and seed give the same day.
-func (s *Scenario) Draw(seed uint64, storm bool) *Day {
+// cellSize is the number of workers of one cell.
+const cellSize = 4
+
+// Generate returns the day of a seed, with random faults beside those of the scenario if wanted. The same scenario and seed
+// give the same day.
+func (s *Scenario) Generate(seed uint64, randomFaults bool) *Day {
 	d := &Day{Scenario: s, Seed: seed}
-	d.drawWorkers()
+	d.generateWorkers()
 	faults := s.Faults
-	if storm {
+	if randomFaults {
 		faults = append(slices.Clone(faults), s.randomFaults(seed)...)
 	}
-	d.drawFaults(faults)
-	d.drawRequests()
+	d.generateEvents(faults)
+	d.generateRequests()
 	return d
 }
 
-func (d *Day) drawWorkers() {
+func (d *Day) generateWorkers() {
 	r, names := Rand(d.Seed, streamWorkers), d.Scenario.WorkerNames()
-	for _, w := range d.Scenario.Workers {
-		for range w.Count {
+	for _, pool := range d.Scenario.Workers {
+		for range pool.Count {
 			i := len(d.Workers)
-			zone := w.Zone
+			zone := pool.Zone
 			if zone == "" {
 				zone = d.Scenario.Zones[i%len(d.Scenario.Zones)]
 			}
 			d.Workers = append(d.Workers, Worker{
-				Name: names[i], Kind: w.Kind, Zone: zone, Cell: i / 4, Cores: w.Cores,
-				Speed: w.Speed[0] + (w.Speed[1]-w.Speed[0])*r.Float64(), Memory: w.Memory, Queue: w.Queue, WarmingUp: w.WarmingUp,
+				Name: names[i], Kind: pool.Kind, Zone: zone, Cell: i / cellSize, Cores: pool.Cores,
+				Speed:  pool.Speed[0] + (pool.Speed[1]-pool.Speed[0])*r.Float64(),
+				Memory: pool.Memory, Queue: pool.Queue, WarmingUp: pool.WarmingUp,
 			})
 		}
 	}
 }
 
-func (d *Day) drawFaults(faults []Fault) {
-	r := Rand(d.Seed, streamFaults)
-	names := d.Scenario.WorkerNames()
-	for _, f := range faults {
-		e := Event{
-			Kind: f.Kind, At: f.At, Until: f.At + f.For, Dispatchers: f.Dispatchers, Factor: f.Factor, Share: f.Share,
-			Count: f.Count, Tenant: -1,
-		}
-		if len(e.Dispatchers) == 0 {
-			for i := range d.Scenario.Dispatchers {
-				e.Dispatchers = append(e.Dispatchers, i)
-			}
-			if f.Kind == LinkPartition { // all would be the machine's own silence
-				e.Dispatchers = e.Dispatchers[:1]
-			}
-		}
-		n := len(names)
-		switch {
-		case f.Workers >= 1:
-			n = min(n, int(f.Workers))
-		case f.Workers > 0:
-			n = max(1, int(math.Round(f.Workers*float64(n))))
-		}
-		hit := r.Perm(len(names))[:n] // drawn in any case, so that names move no later draw
-		if len(f.Names) > 0 {
-			hit = nil
-			for _, want := range f.Names {
-				hit = append(hit, slices.Index(names, want))
-			}
-		}
-		e.Workers = hit
-		for i, t := range d.Scenario.Tenants {
-			if t.Name == f.Tenant {
-				e.Tenant = i
-			}
-		}
-		d.Events = append(d.Events, e)
+// generateEvents chooses what each fault affects.
+func (d *Day) generateEvents(faults []Fault) {
+	r, names := Rand(d.Seed, streamFaults), d.Scenario.WorkerNames()
+	for i := range faults {
+		f := &faults[i]
+		d.Events = append(d.Events, Event{
+			Kind: f.Kind, At: f.At, Until: f.At + f.For, Factor: f.Factor, Share: f.Share, Count: f.Count,
+			Workers: affectedWorkers(f, names, r), Dispatchers: d.affectedDispatchers(f), Tenant: d.affectedTenant(f),
+		})
 	}
 	slices.SortStableFunc(d.Events, func(a, b Event) int { return int(a.At - b.At) })
 }
 
-// traffic is what is asked for at a moment: the whole as a factor, and each tenant's part.
-func (d *Day) traffic(at time.Duration, parts []float64) (factor float64) {
-	jump, sum := 1.0, 0.0
-	for i := range parts {
-		parts[i] = d.Scenario.Tenants[i].Share
-	}
-	for _, e := range d.Events {
-		if at < e.At || at >= e.Until {
-			continue
-		}
-		switch e.Kind {
-		case Jump:
-			jump *= e.Factor
-		case Flood:
-			parts[e.Tenant] *= e.Factor
-		}
-	}
-	if len(parts) == 0 {
-		return jump
+// affectedWorkers returns the indexes of the workers that a fault affects: the named ones, or as many random ones as it says.
+func affectedWorkers(f *Fault, names []string, r *rand.Rand) []int {
+	count := len(names)
+	switch {
+	case f.Workers >= 1:
+		count = min(count, int(f.Workers))
+	case f.Workers > 0:
+		count = max(1, int(math.Round(f.Workers*float64(count))))
 	}
-	for _, p := range parts {
-		sum += p
+	affected := r.Perm(len(names))[:count] // drawn also where workers are named, so that names change no later random number
+	if len(f.Names) == 0 {
+		return affected
 	}
-	return jump * sum
-}
-
-// edges are the moments at which traffic changes.
-func (d *Day) edges() []time.Duration {
-	out := []time.Duration{0, d.Scenario.For}
-	for _, e := range d.Events {
-		if e.Kind == Jump || e.Kind == Flood {
-			out = append(out, min(e.At, d.Scenario.For), min(e.Until, d.Scenario.For))
-		}
+	named := make([]int, 0, len(f.Names))
+	for _, name := range f.Names {
+		named = append(named, slices.Index(names, name))
 	}
-	slices.Sort(out)
-	return slices.Compact(out)
+	return named
 }
 
-func (d *Day) drawRequests() {
-	s, r, leave := d.Scenario, Rand(d.Seed, streamArrivals), Rand(d.Seed, streamLeave)
-	parts := make([]float64, len(s.Tenants))
-	classes := make([]float64, len(s.Classes))
-	for i, c := range s.Classes {
-		classes[i] = c.Share
+// affectedDispatchers returns the indexes of the dispatchers that a fault affects.
+func (d *Day) affectedDispatchers(f *Fault) []int {
+	if len(f.Dispatchers) > 0 {
+		return f.Dispatchers
 	}
-	homes := make([]float64, s.Dispatchers)
-	for i := range homes {
-		homes[i] = 1
-		if s.Dispatchers > 1 {
-			homes[i] += s.Uneven * (1 - 2*float64(i)/float64(s.Dispatchers-1))
-		}
+	if f.Kind == LinkPartition { // from all of them it would be the silence of the machine
+		return []int{0}
 	}
-	share, size := s.Burst.Share, float64(max(s.Burst.Size, 1))
-	clump := share / (size - share*(size-1)) // chance of a clump where one arrives, so that the share is of arrivals
-	events := s.Rate / (1 - clump + clump*size)
-	quotas := make([]quota, len(s.Tenants))
-	edges := d.edges()
-	for k := 0; k+1 < len(edges); k++ {
-		rate := events * d.traffic(edges[k], parts)
-		// The stream has no memory: it may begin anew at each edge.
-		for at := edges[k]; ; {
-			at += time.Duration(r.ExpFloat64() / rate * float64(time.Second))
-			if at >= edges[k+1] {
-				break
-			}
-			n := 1
-			if share > 0 && r.Float64() < clump {
-				n = s.Burst.Size
-			}
-			for range n {
-				w := Request{At: at, Class: weightedChoice(r, classes), Tenant: -1, Dispatcher: weightedChoice(r, homes)}
-				if len(parts) > 0 {
-					w.Tenant = weightedChoice(r, parts)
-				}
-				c := &s.Classes[w.Class]
-				w.Work = max(time.Microsecond, time.Duration(float64(c.Work)*math.Exp(c.Spread*r.NormFloat64()-c.Spread*c.Spread/2)))
-				w.Body = c.Body[0] + r.IntN(c.Body[1]-c.Body[0]+1)
-				w.Obeys = r.Float64() < s.Clients.Obedient
-				if w.Tenant >= 0 {
-					w.OverQuota = !quotas[w.Tenant].take(at, s.Tenants[w.Tenant].Quota)
-				}
-				if s.Clients.Leave > 0 && leave.Float64() < s.Clients.Leave {
-					w.Leaves = 1 + time.Duration(leave.Float64()*float64(c.LatencyObjective+c.Work))
-				}
-				d.Requests = append(d.Requests, w)
-				if len(d.Requests) >= MaxRequests {
-					return
-				}
-			}
-		}
+	all := make([]int, d.Scenario.Dispatchers)
+	for i := range all {
+		all[i] = i
 	}
+	return all
 }
 
-// weightedChoice draws an index by weights.
-func weightedChoice(r *rand.Rand, weights []float64) int {
-	sum := 0.0
-	for _, w := range weights {
-		sum += w
-	}
-	x := r.Float64() * sum
-	for i, w := range weights {
-		if x -= w; x < 0 {
-			return i
-		}
-	}
-	return len(weights) - 1
-}
-
-// quota is a token bucket of two seconds' worth of a tenant's quota.
-type quota struct {
-	tokens float64
-	at     time.Duration
-	began  bool
-}
-
-func (q *quota) take(at time.Duration, rate float64) bool {
-	most := max(2*rate, 3)
-	if !q.began {
-		q.began, q.tokens = true, most
-	}
-	q.tokens = min(most, q.tokens+(at-q.at).Seconds()*rate)
-	q.at = at
-	if q.tokens < 1 {
-		return false
-	}
-	q.tokens--
-	return true
+// affectedTenant returns the index of the tenant that a fault affects, or -1.
+func (d *Day) affectedTenant(f *Fault) int {
+	return slices.IndexFunc(d.Scenario.Tenants, func(t Tenant) bool { return t.Name == f.Tenant })
 }
 
-// Wanted is how long after it was asked for a wish is worth its full worth.
-func (d *Day) Wanted(w *Request) time.Duration {
-	c := &d.Scenario.Classes[w.Class]
-	return c.LatencyObjective + time.Duration(c.Stretch*float64(w.Work))
+// LatencyObjective returns the time after its arrival within which a request has to be answered to be in time.
+func (d *Day) LatencyObjective(r *Request) time.Duration {
+	c := &d.Scenario.Classes[r.Class]
+	return c.LatencyObjective + time.Duration(c.Stretch*float64(r.Work))
 }
 
-// Value is what a wish is worth when it is answered in time.
-func (d *Day) Value(w *Request) float64 {
-	v := d.Scenario.Classes[w.Class].PriorityWeight
-	if w.OverQuota {
+// Value returns the value of a request that is answered in time.
+func (d *Day) Value(r *Request) float64 {
+	v := d.Scenario.Classes[r.Class].PriorityWeight
+	if r.OverQuota {
 		v *= d.Scenario.Terms.OverQuotaWeight
 	}
 	return v
 }
 
-// Digest tells two days apart.
+// Digest returns a hash of the day in hexadecimal, which is equal for equal days.
 func (d *Day) Digest() string {
 	h := xxhash.New()
-	put := func(v ...any) {
-		for _, x := range v {
-			switch x := x.(type) {
-			case string:
-				_, _ = h.WriteString(x + "\x00") // a hash takes all
-			default:
-				if err := binary.Write(h, binary.LittleEndian, x); err != nil {
-					panic(err) // a value without a fixed size: a mistake in the calls below
-				}
+	put := func(values ...any) {
+		for _, value := range values {
+			if text, ok := value.(string); ok {
+				_, _ = h.WriteString(text + "\x00") // a hash never fails
+				continue
+			}
+			if err := binary.Write(h, binary.LittleEndian, value); err != nil {
+				panic(err) // a value without a fixed size: a mistake in the calls below
 			}
 		}
 	}
-	for _, w := range d.Requests {
-		put(int64(w.At), int64(w.Class), int64(w.Tenant), int64(w.Dispatcher), int64(w.Work), int64(w.Body), w.Obeys, w.OverQuota, int64(w.Leaves))
+	for _, r := range d.Requests {
+		put(int64(r.At), int64(r.Class), int64(r.Tenant), int64(r.Dispatcher), int64(r.Work), int64(r.Body), r.Obeys, r.OverQuota, int64(r.Leaves))
 	}
 	for _, w := range d.Workers {
 		put(w.Name, w.Kind, w.Zone, int64(w.Cores), w.Speed, w.Memory, int64(w.Queue), w.WarmingUp)
@@ -312,8 +200,8 @@
 		for _, w := range e.Workers {
 			put(int64(w))
 		}
-		for _, x := range e.Dispatchers {
-			put(int64(x))
+		for _, dispatcher := range e.Dispatchers {
+			put(int64(dispatcher))
 		}
 	}
 	return fmt.Sprintf("%016x", h.Sum64())
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -36,18 +36,18 @@
 	}
 }
 
-// The same seed gives the same day, storms and all; another seed another.
-func TestDraw_IsDeterministic(t *testing.T) {
+// The same seed gives the same day, with random faults too; another seed gives another.
+func TestGenerate_IsDeterministic(t *testing.T) {
 	s := mustLoad(t, "all-at-once")
-	if a, b := s.Draw(5, true).Digest(), s.Draw(5, true).Digest(); a != b {
+	if a, b := s.Generate(5, true).Digest(), s.Generate(5, true).Digest(); a != b {
 		t.Errorf("one seed, two days: %s and %s", a, b)
 	}
-	if s.Draw(5, true).Digest() == s.Draw(6, true).Digest() {
+	if s.Generate(5, true).Digest() == s.Generate(6, true).Digest() {
 		t.Error("two seeds, one day")
 	}
-	// A trouble that is no traffic moves no arrival.
+	// A fault that does not change traffic changes no arrival.
 	calm, drained := mustLoad(t, "calm"), mustLoad(t, "release")
-	a, b := calm.Draw(3, false), drained.Draw(3, false)
+	a, b := calm.Generate(3, false), drained.Generate(3, false)
 	for i := range a.Requests {
 		if a.Requests[i] != b.Requests[i] {
 			t.Fatalf("arrival %d differs", i)
@@ -55,20 +55,20 @@
 	}
 }
 
-func TestDraw_TrafficFollowsTimetable(t *testing.T) {
+func TestGenerate_TrafficFollowsTimetable(t *testing.T) {
 	s := mustLoad(t, "flood")
 	s.Rate, s.For = 400, 20*time.Second
-	d := s.Draw(1, false)
-	lake, all, over := [2]float64{}, [2]float64{}, 0
-	for _, w := range d.Requests {
+	d := s.Generate(1, false)
+	lake, all, over := [2]float64{}, [2]float64{}, 0 // before and after, and during the flood
+	for _, r := range d.Requests {
 		i := 0
-		if w.At >= 4*time.Second && w.At < 14*time.Second {
+		if r.At >= 4*time.Second && r.At < 14*time.Second {
 			i = 1
 		}
 		all[i]++
-		if s.Tenants[w.Tenant].Name == "lake" {
+		if s.Tenants[r.Tenant].Name == "lake" {
 			lake[i]++
-			if w.OverQuota && i == 1 {
+			if r.OverQuota && i == 1 {
 				over++
 			}
 		}
@@ -81,10 +81,10 @@
 	}
 }
 
-func TestDraw_BurstsKeepRate(t *testing.T) {
+func TestGenerate_BurstsKeepRate(t *testing.T) {
 	s := mustLoad(t, "calm")
 	s.Rate, s.Burst = 500, Burst{Share: 0.5, Size: 10}
-	d := s.Draw(1, false)
+	d := s.Generate(1, false)
 	same := 0
 	for i := 1; i < len(d.Requests); i++ {
 		if d.Requests[i].At == d.Requests[i-1].At {
@@ -102,7 +102,7 @@
 		t.Fatal(err)
 	}
 	text := string(raw)
-	for _, c := range []struct{ old, new, want string }{
+	for _, c := range []struct{ old, replacement, want string }{
 		{"rate = 60.0", "rate = -1", "rate: -1 is not from"},
 		{"rate = 60.0", "rate = 100001", "rate: 100001 is not from"},
 		{"rate = 60.0", "rats = 60", "rats: no such key: did you mean rate?"},
@@ -127,24 +127,24 @@
 		{"", "[[fault]]\nkind='worker-kill'\nat='1s'\nfor='1s'\nnames=['w99']", `fault[0].names[0]: "w99" is no worker`},
 		{"", "[[fault]]\nkind='dispatcher-kill'\nat='1s'\nfor='1s'\ndispatchers=[3]", "fault[0].dispatchers[0]: 3 is no dispatcher"},
 	} {
-		changed := text + "\n" + c.new
+		changed := text + "\n" + c.replacement
 		if c.old != "" {
-			changed = strings.Replace(text, c.old, c.new, 1)
+			changed = strings.Replace(text, c.old, c.replacement, 1)
 			if changed == text {
 				t.Fatalf("%q is not in the file", c.old)
 			}
 		}
 		_, err := Decode("f.toml", []byte(changed))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v does not say %q", c.new, err, c.want)
+			t.Errorf("%s: %v does not say %q", c.replacement, err, c.want)
 		}
 		if err != nil && !strings.HasPrefix(err.Error(), "f.toml:") {
-			t.Errorf("%s: no line is named: %v", c.new, err)
+			t.Errorf("%s: no line is named: %v", c.replacement, err)
 		}
 	}
 }
 
-// Overriding keeps a scenario lawful, and the workers' proportions.
+// An override keeps a scenario valid, and the proportions of the pools.
 func TestOverride(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, err := Load("all-at-once")
@@ -180,12 +180,12 @@
 			return
 		}
 		if s.Rate*s.For.Seconds() > 3000 || s.WorkerCount() > 500 || s.Dispatchers > 500 {
-			return // lawful, and too long to draw here
+			return // valid, and too long to generate here
 		}
-		d := s.Draw(1, true)
+		d := s.Generate(1, true)
 		for i, w := range d.Requests {
 			if w.At < 0 || w.At >= s.For || w.Work <= 0 || w.Dispatcher >= s.Dispatchers || i > 0 && w.At < d.Requests[i-1].At {
-				t.Fatalf("wish %d makes no sense: %+v", i, w)
+				t.Fatalf("request %d makes no sense: %+v", i, w)
 			}
 		}
 	})
--- a/internal/testbed/table.go
+++ b/internal/testbed/table.go
@@ -4,97 +4,116 @@
 	"context"
 	"fmt"
 	"io"
+	"slices"
 	"sync"
 	"text/tabwriter"
 
 	"birchfork/internal/testbed/report"
 )
 
-// Cell is one run of a table.
+// Cell is one run of a table. Several runs may have the same row and column.
 type Cell struct {
 	Row, Column string
 	Options     Options
 }
 
-// Table plays cells, so many side by side, and prints the medians of those with the same row and column. It tells
-// whether a rule was broken in any.
-func Table(ctx context.Context, w io.Writer, cells []Cell, side int) (broken bool, err error) {
+// cellGroup holds the results of the cells with one row and column.
+type cellGroup struct {
+	row, column string
+	results     []*report.Report
+}
+
+// Table runs cells, at most parallel at a time, and prints the medians of those with the same row and column. It reports
+// whether a rule was violated or a dispatcher crashed in any.
+func Table(ctx context.Context, w io.Writer, cells []Cell, parallel int) (broken bool, err error) {
+	results, errs := runCells(ctx, cells, parallel)
+	groups, err := groupResults(cells, results, errs)
+	if err != nil {
+		return false, err
+	}
+	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(t, "day\twho\tgoodput\tfrom\tto\tp99 ms\tretries\tattempts\tCPU us\tMB\tbroken\tlate runs")
+	for _, g := range groups {
+		g.writeRow(t)
+		broken = broken || g.count((*report.Report).Broken) > 0
+	}
+	return broken, t.Flush()
+}
+
+// runCells runs cells, at most parallel at a time, until ctx ends. The result of a cell that was not started is nil.
+func runCells(ctx context.Context, cells []Cell, parallel int) ([]*report.Report, []error) {
 	results := make([]*report.Report, len(cells))
 	errs := make([]error, len(cells))
-	places := make(chan struct{}, max(side, 1))
-	var all sync.WaitGroup
+	slots := make(chan struct{}, max(parallel, 1))
+	var running sync.WaitGroup
 	for i := range cells {
-		places <- struct{}{}
+		slots <- struct{}{}
 		if ctx.Err() != nil {
 			break
 		}
-		all.Add(1)
+		running.Add(1)
 		go func() {
-			defer all.Done()
-			defer func() { <-places }()
+			defer running.Done()
+			defer func() { <-slots }()
 			results[i], errs[i] = Run(ctx, cells[i].Options)
 		}()
 	}
-	all.Wait()
-	type key struct{ row, column string }
-	groups := map[key][]*report.Report{}
-	var order []key
+	running.Wait()
+	return results, errs
+}
+
+// groupResults groups the complete results by row and column, in the order of the cells. It returns the first error of a
+// cell.
+func groupResults(cells []Cell, results []*report.Report, errs []error) ([]*cellGroup, error) {
+	var groups []*cellGroup
 	for i, c := range cells {
 		if errs[i] != nil {
-			return broken, fmt.Errorf("%s, %s, seed %d: %w", c.Row, c.Column, c.Options.Seed, errs[i])
+			return nil, fmt.Errorf("%s, %s, seed %d: %w", c.Row, c.Column, c.Options.Seed, errs[i])
 		}
 		if results[i] == nil || results[i].Interrupted {
 			continue
 		}
-		k := key{c.Row, c.Column}
-		if groups[k] == nil {
-			order = append(order, k)
-		}
-		groups[k] = append(groups[k], results[i])
-	}
-	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(t, "day\twho\tgoodput\tfrom\tto\tp99 ms\tretries\tattempts\tCPU us\tMB\tbroken\tlate runs")
-	for _, k := range order {
-		of := func(f func(*report.Report) float64) []float64 {
-			var out []float64
-			for _, r := range groups[k] {
-				out = append(out, f(r))
-			}
-			return out
-		}
-		good := of(func(r *report.Report) float64 { return r.Goodput })
-		late, bad := 0, 0
-		for _, r := range groups[k] {
-			if r.RanLate {
-				late++
-			}
-			if r.Broken() {
-				bad++
-			}
+		at := slices.IndexFunc(groups, func(g *cellGroup) bool { return g.row == c.Row && g.column == c.Column })
+		if at < 0 {
+			at = len(groups)
+			groups = append(groups, &cellGroup{row: c.Row, column: c.Column})
 		}
-		broken = broken || bad > 0
-		med := func(f func(*report.Report) float64) float64 { return report.Median(of(f)) }
-		fmt.Fprintf(t, "%s\t%s\t%.3f\t%.3f\t%.3f\t%.0f\t%.3f\t%.3f\t%.0f\t%.1f\t%d of %d\t%d\n", k.row, k.column, report.Median(good), minOf(good), maxOf(good),
-			med(func(r *report.Report) float64 { return r.Latency.P99 }), med(func(r *report.Report) float64 { return r.RetriesPerRequest }),
-			med(func(r *report.Report) float64 { return float64(r.Attempts) / float64(max(r.Tries, 1)) }),
-			med(func(r *report.Report) float64 { return r.CPUPerRequest }), med(func(r *report.Report) float64 { return r.RSSPeakMB }),
-			bad, len(groups[k]), late)
+		groups[at].results = append(groups[at].results, results[i])
 	}
-	return broken, t.Flush()
+	return groups, nil
 }
 
-func minOf(v []float64) float64 {
-	m := v[0]
-	for _, x := range v {
-		m = min(m, x)
+// writeRow writes the medians of a group as a row of the table.
+func (g *cellGroup) writeRow(w io.Writer) {
+	median := func(value func(*report.Report) float64) float64 { return report.Median(g.values(value)) }
+	goodput := g.values(func(r *report.Report) float64 { return r.Goodput })
+	fmt.Fprintf(w, "%s\t%s\t%.3f\t%.3f\t%.3f\t%.0f\t%.3f\t%.3f\t%.0f\t%.1f\t%d of %d\t%d\n", g.row, g.column,
+		report.Median(goodput), slices.Min(goodput), slices.Max(goodput),
+		median(func(r *report.Report) float64 { return r.Latency.P99 }),
+		median(func(r *report.Report) float64 { return r.RetriesPerRequest }),
+		median(func(r *report.Report) float64 { return float64(r.Attempts) / float64(max(r.Tries, 1)) }),
+		median(func(r *report.Report) float64 { return r.CPUPerRequest }),
+		median(func(r *report.Report) float64 { return r.RSSPeakMB }),
+		g.count((*report.Report).Broken), len(g.results),
+		g.count(func(r *report.Report) bool { return r.RanLate }))
+}
+
+// values returns one value of each result.
+func (g *cellGroup) values(value func(*report.Report) float64) []float64 {
+	out := make([]float64, 0, len(g.results))
+	for _, r := range g.results {
+		out = append(out, value(r))
 	}
-	return m
+	return out
 }
 
-func maxOf(v []float64) float64 {
-	m := v[0]
-	for _, x := range v {
-		m = max(m, x)
+// count returns the number of results that meet a condition.
+func (g *cellGroup) count(condition func(*report.Report) bool) int {
+	n := 0
+	for _, r := range g.results {
+		if condition(r) {
+			n++
+		}
 	}
-	return m
+	return n
 }
--- /dev/null
+++ b/internal/testbed/terms.go
@@ -0,0 +1,35 @@
+package testbed
+
+import (
+	"time"
+
+	"birchfork/internal/testbed/invariant"
+	"birchfork/internal/testbed/scenario"
+)
+
+// propagationDeadline is the time after which an endpoint update counts as known to a dispatcher, from the moment at which
+// its discovery agent offered it.
+const propagationDeadline = 6 * time.Second
+
+// terms returns the figures of the rules for the invariant checker. Every time limit gets the testbed's own lag as slack.
+func (r *run) terms() invariant.Terms {
+	s := r.day.Scenario
+	t := invariant.Terms{
+		Attempts: s.Terms.Attempts, DrainGrace: s.Terms.DrainGrace, PropagationDeadline: propagationDeadline,
+		Slack: invariant.DefaultSlack + r.ownLag(),
+	}
+	for _, c := range s.Classes {
+		t.Classes = append(t.Classes, invariant.Class{
+			Name: c.Name, Safe: c.Effect == scenario.Safe, Keyed: c.Effect == scenario.Keyed, Group: c.Group, Window: c.Window,
+		})
+	}
+	for _, w := range r.day.Workers {
+		t.Workers = append(t.Workers, invariant.Worker{Name: w.Name, Zone: w.Zone, Cell: w.Cell})
+	}
+	return t
+}
+
+// ownLag returns the largest lag of the testbed itself during the run.
+func (r *run) ownLag() time.Duration {
+	return time.Duration(max(r.arrivalLag.At(100), r.clockLag.At(100)) * float64(time.Millisecond))
+}
