--- a/internal/testbed/attempts.go
+++ b/internal/testbed/attempts.go
@@ -7,8 +7,8 @@
 	"birchfork/internal/testbed/report"
 )
 
-// countAttempts adds the clients' tries and the workers' attempts to the report. Work is wasted that was done for an attempt
-// whose result no client got.
+// countAttempts adds the clients' tries and the workers' attempts to the report. An attempt that ran is wasted when
+// no client got its result.
 func (r *run) countAttempts(out *report.Report) {
 	servedResults := map[string]uint64{} // by request id
 	for _, t := range r.ledger.Tries() {
@@ -46,7 +46,7 @@
 		spec := &r.day.Workers[i]
 		out.Workers = append(out.Workers, report.WorkerLine{
 			Name: w.Name, Kind: spec.Kind, Jobs: jobs, Share: work.Seconds() / max(totalWork.Seconds(), 1e-9),
-			Capacity: float64(spec.Cores) * spec.Speed / totalCapacity, PushedOver: overloads,
+			Capacity: float64(spec.Cores) * spec.Speed / totalCapacity, Overloads: overloads,
 		})
 	}
 }
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -23,11 +23,10 @@
 // Policies lists all policies.
 var Policies = []string{Random, RoundRobin, LeastOutstanding}
 
-// Times of a baseline.
 const (
-	endSpare      = 5 * dispatch.Millisecond  // an answer is given so long before the client's time is up
-	queueInterval = 10 * dispatch.Millisecond // without a ready worker a request is tried again after this
-	maxSamples    = 16                        // draws until a warm enough worker is found
+	deadlineMargin = 5 * dispatch.Millisecond  // a request is answered this long before its deadline
+	queueInterval  = 10 * dispatch.Millisecond // after which queued requests are placed again
+	maxSamples     = 16                        // of workers, until one that may take a request is found
 )
 
 // Decider decides by one simple policy. It is not safe for concurrent use.
@@ -38,35 +37,35 @@
 	now      dispatch.Time
 	workers  []worker
 	ready    []int // indexes of ready workers
-	next     int
+	next     int   // of the round robin
 	requests map[dispatch.RequestID]*request
-	ends     ends
-	queued   []*request
-	armed    dispatch.Time
-	out      []dispatch.Action
+	timeouts requestHeap
+	queue    []*request
+	timerAt  dispatch.Time // when the timer fires; 0: it is not set
+	actions  []dispatch.Action
 }
 
 type worker struct {
-	kind    int
-	state   dispatch.WorkerState
-	known   bool
-	started dispatch.Time
-	open    int // our requests there
+	kind      int
+	state     dispatch.WorkerState
+	known     bool // it was in an endpoint list
+	startedAt dispatch.Time
+	open      int // attempts
 }
 
 type request struct {
 	id       dispatch.RequestID
 	class    *dispatch.Class
-	end      dispatch.Time
+	deadline dispatch.Time
 	attempts []attempt
-	open     bool
-	waits    bool
+	open     bool // not answered
+	queued   bool
 }
 
 type attempt struct {
 	worker   int
-	out      bool
-	neverRan bool
+	open     bool
+	neverRan bool // it ended, and the worker surely did not run it
 }
 
 // New returns the decider of a policy; seed determines its random choices. It fails for an unknown policy.
@@ -79,44 +78,42 @@
 
 // Handle processes one event at the time now and appends the resulting actions to out.
 func (d *Decider) Handle(now dispatch.Time, e *dispatch.Event, out []dispatch.Action) []dispatch.Action {
-	d.now, d.out = now, out
+	d.now, d.actions = now, out
 	switch e.Kind {
 	case dispatch.EndpointSnapshot, dispatch.EndpointUpdate:
 		d.updateWorkers(e)
 	case dispatch.RequestArrived:
-		if e.Class < 0 || e.Class >= len(d.settings.Classes) {
-			break
-		}
-		j := &request{id: e.Request, class: &d.settings.Classes[e.Class], end: now + e.TimeLeft - endSpare, open: true}
-		d.requests[j.id] = j
-		heap.Push(&d.ends, j)
-		d.place(j)
+		d.accept(e)
 	case dispatch.AttemptEnded:
-		d.ended(e)
+		d.attemptEnded(e)
 	case dispatch.RequestAbandoned:
-		if j := d.requests[e.Request]; j != nil {
-			d.close(j)
+		if r := d.requests[e.Request]; r != nil {
+			d.close(r)
 		}
 	case dispatch.TimerFired:
-		d.armed = 0
-	case dispatch.SettingsChanged: // jobs under way point to their class, which stays
+		d.timerAt = 0
+	case dispatch.SettingsChanged: // open requests point to their old class, which stays
 		d.settings = *e.Settings
 	}
-	d.due()
-	return d.out
+	d.expire()
+	d.placeQueued()
+	d.setTimer()
+	return d.actions
 }
 
+// updateWorkers applies an endpoint update and places the queued requests.
 func (d *Decider) updateWorkers(e *dispatch.Event) {
 	if e.Kind == dispatch.EndpointSnapshot {
 		for i := range d.workers {
 			d.workers[i].state = dispatch.Gone
 		}
 	}
-	for _, w := range e.Workers {
-		for int(w.ID) >= len(d.workers) {
+	for _, endpoint := range e.Workers {
+		for int(endpoint.ID) >= len(d.workers) {
 			d.workers = append(d.workers, worker{state: dispatch.Gone})
 		}
-		d.workers[w.ID].state, d.workers[w.ID].started, d.workers[w.ID].known, d.workers[w.ID].kind = w.State, w.StartedAt, true, w.Kind
+		w := &d.workers[endpoint.ID]
+		w.state, w.startedAt, w.kind, w.known = endpoint.State, endpoint.StartedAt, endpoint.Kind, true
 	}
 	d.ready = d.ready[:0]
 	for i, w := range d.workers {
@@ -124,42 +121,42 @@
 			d.ready = append(d.ready, i)
 		}
 	}
-	held := d.queued
-	d.queued = nil
-	for _, j := range held {
-		j.waits = false
-		d.place(j)
+	d.placeQueued()
+}
+
+// accept takes a new request; one of an unknown class is ignored.
+func (d *Decider) accept(e *dispatch.Event) {
+	if e.Class < 0 || e.Class >= len(d.settings.Classes) {
+		return
 	}
+	r := &request{id: e.Request, class: &d.settings.Classes[e.Class], deadline: d.now + e.TimeLeft - deadlineMargin, open: true}
+	d.requests[r.id] = r
+	heap.Push(&d.timeouts, r)
+	d.place(r)
 }
 
-// slowStartFactor returns the part of its capacity that a worker has at least, by its age.
+// slowStartFactor returns the minimum share of its capacity that a worker has, by its age.
 func (d *Decider) slowStartFactor(w *worker) float64 {
-	age := max(0, d.now-w.started)
-	if w.started <= 0 || age >= d.settings.SlowStartWindow {
+	age := max(0, d.now-w.startedAt)
+	if w.startedAt <= 0 || age >= d.settings.SlowStartWindow {
 		return 1
 	}
 	return d.settings.SlowStartMinFactor + (1-d.settings.SlowStartMinFactor)*float64(age)/float64(d.settings.SlowStartWindow)
 }
 
-// choose returns a ready worker that runs the class, or -1. A cold one is taken as seldom as it is cold.
+// slowStartAllows reports whether a worker with a slow-start factor may take a request: at random, with the factor as its
+// probability.
+func (d *Decider) slowStartAllows(factor float64) bool {
+	return factor >= 1 || d.random.Float64() < factor
+}
+
+// choose returns the index of a ready worker for a request of a class, or -1.
 func (d *Decider) choose(c *dispatch.Class) int {
 	if len(d.ready) == 0 {
 		return -1
 	}
 	if d.policy == LeastOutstanding {
-		best, use := -1, 0.0
-		for _, i := range d.ready {
-			w := &d.workers[i]
-			warm := d.slowStartFactor(w)
-			if c.WorkerKind >= 0 && w.kind != c.WorkerKind || warm < 1 && d.random.Float64() >= warm {
-				continue
-			}
-			u := (float64(w.open) + d.random.Float64()/2) / warm // ties at random
-			if best < 0 || u < use {
-				best, use = i, u
-			}
-		}
-		return best
+		return d.chooseLeastOutstanding(c)
 	}
 	for range maxSamples {
 		i := d.ready[d.random.IntN(len(d.ready))]
@@ -167,44 +164,65 @@
 			d.next++
 			i = d.ready[d.next%len(d.ready)]
 		}
-		if c.WorkerKind >= 0 && d.workers[i].kind != c.WorkerKind {
-			continue
-		}
-		if warm := d.slowStartFactor(&d.workers[i]); warm >= 1 || d.random.Float64() < warm {
+		w := &d.workers[i]
+		if w.runs(c) && d.slowStartAllows(d.slowStartFactor(w)) {
 			return i
 		}
 	}
 	return -1
 }
 
-// place sends a request, or holds it where no worker will do.
-func (d *Decider) place(j *request) {
-	if !j.open || j.waits {
+// chooseLeastOutstanding returns the index of the ready worker with the fewest open attempts for its slow-start factor, or -1.
+// Ties are broken at random.
+func (d *Decider) chooseLeastOutstanding(c *dispatch.Class) int {
+	best, lowest := -1, 0.0
+	for _, i := range d.ready {
+		w := &d.workers[i]
+		factor := d.slowStartFactor(w)
+		if !w.runs(c) || !d.slowStartAllows(factor) {
+			continue
+		}
+		utilisation := (float64(w.open) + d.random.Float64()/2) / factor
+		if best < 0 || utilisation < lowest {
+			best, lowest = i, utilisation
+		}
+	}
+	return best
+}
+
+// runs reports whether a worker is of the kind that a class needs.
+func (w *worker) runs(c *dispatch.Class) bool {
+	return c.WorkerKind < 0 || w.kind == c.WorkerKind
+}
+
+// place sends a request to a worker, or queues it where there is none for it.
+func (d *Decider) place(r *request) {
+	if !r.open || r.queued {
 		return
 	}
-	if len(j.attempts) >= d.settings.MaxAttempts || d.now >= j.end {
-		d.finish(j)
+	if len(r.attempts) >= d.settings.MaxAttempts || d.now >= r.deadline {
+		d.respond(r)
 		return
 	}
-	i := d.choose(j.class)
+	i := d.choose(r.class)
 	if i < 0 {
-		j.waits = true
-		d.queued = append(d.queued, j)
+		r.queued = true
+		d.queue = append(d.queue, r)
 		return
 	}
 	d.workers[i].open++
-	j.attempts = append(j.attempts, attempt{worker: i, out: true})
-	d.out = append(d.out, dispatch.Action{Kind: dispatch.Send, Request: j.id, Worker: dispatch.WorkerID(i)})
+	r.attempts = append(r.attempts, attempt{worker: i, open: true})
+	d.actions = append(d.actions, dispatch.Action{Kind: dispatch.Send, Request: r.id, Worker: dispatch.WorkerID(i)})
 }
 
-// ended takes an outcome, and tries elsewhere where that can have no second effect.
-func (d *Decider) ended(e *dispatch.Event) {
-	j := d.requests[e.Request]
-	if j == nil || e.Attempt < 0 || e.Attempt >= len(j.attempts) || !j.attempts[e.Attempt].out {
+// attemptEnded takes the result of an attempt, and retries where that can have no second effect.
+func (d *Decider) attemptEnded(e *dispatch.Event) {
+	r := d.requests[e.Request]
+	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || !r.attempts[e.Attempt].open {
 		return
 	}
-	a := &j.attempts[e.Attempt]
-	a.out = false
+	a := &r.attempts[e.Attempt]
+	a.open = false
 	switch e.Result {
 	case dispatch.ResultOverloaded, dispatch.ResultUnreachable, dispatch.ResultNotSent:
 		a.neverRan = true
@@ -212,85 +230,98 @@
 	d.workers[a.worker].open--
 	switch {
 	case e.Final || e.Result == dispatch.ResultOK:
-		d.close(j)
-	case j.open && (a.neverRan || j.class.Idempotency == dispatch.Idempotent):
-		d.place(j)
-	case j.open:
-		d.finish(j)
+		d.close(r)
+	case r.open && (a.neverRan || r.class.Idempotency == dispatch.Idempotent):
+		d.place(r)
+	case r.open:
+		d.respond(r)
 	}
-	d.forget(j)
+	d.forget(r)
 }
 
-// finish answers: a refusal where asking again is harmless, else a failure.
-func (d *Decider) finish(j *request) {
+// respond answers a request: with a rejection where a retry by the client is harmless, else with a failure.
+func (d *Decider) respond(r *request) {
 	kind := dispatch.Reject
-	for _, a := range j.attempts {
-		if !a.neverRan && j.class.Idempotency != dispatch.Idempotent {
+	for _, a := range r.attempts {
+		if !a.neverRan && r.class.Idempotency != dispatch.Idempotent {
 			kind = dispatch.Fail
 		}
 	}
-	d.out = append(d.out, dispatch.Action{Kind: kind, Request: j.id})
-	d.close(j)
+	d.actions = append(d.actions, dispatch.Action{Kind: kind, Request: r.id})
+	d.close(r)
 }
 
-// close ends a request; what is out is taken back.
-func (d *Decider) close(j *request) {
-	if !j.open {
+// close ends a request and cancels its open attempts.
+func (d *Decider) close(r *request) {
+	if !r.open {
 		return
 	}
-	j.open = false
-	for i, a := range j.attempts {
-		if a.out && d.settings.CanCancel {
-			d.out = append(d.out, dispatch.Action{Kind: dispatch.Cancel, Request: j.id, Attempt: i})
+	r.open = false
+	for i, a := range r.attempts {
+		if a.open && d.settings.CanCancel {
+			d.actions = append(d.actions, dispatch.Action{Kind: dispatch.Cancel, Request: r.id, Attempt: i})
 		}
 	}
-	d.queued = slices.DeleteFunc(d.queued, func(h *request) bool { return h == j })
-	d.forget(j)
+	d.queue = slices.DeleteFunc(d.queue, func(other *request) bool { return other == r })
+	d.forget(r)
 }
 
 // forget drops a closed request whose attempts have all ended.
-func (d *Decider) forget(j *request) {
-	if !j.open && !slices.ContainsFunc(j.attempts, func(a attempt) bool { return a.out }) && d.requests[j.id] == j {
-		delete(d.requests, j.id)
+func (d *Decider) forget(r *request) {
+	hasOpenAttempt := slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.open })
+	if !r.open && !hasOpenAttempt && d.requests[r.id] == r {
+		delete(d.requests, r.id)
 	}
 }
 
-// due answers what has run out of time, tries what is held, and sets the timer.
-func (d *Decider) due() {
-	for len(d.ends) > 0 && (!d.ends[0].open || d.now >= d.ends[0].end) {
-		if j := heap.Pop(&d.ends).(*request); j.open {
-			d.finish(j)
+// expire answers the requests whose deadline has come.
+func (d *Decider) expire() {
+	for len(d.timeouts) > 0 && (!d.timeouts[0].open || d.now >= d.timeouts[0].deadline) {
+		if r := heap.Pop(&d.timeouts).(*request); r.open {
+			d.respond(r)
 		}
 	}
-	held := d.queued
-	d.queued = nil
-	for _, j := range held {
-		j.waits = false
-		d.place(j)
+}
+
+// placeQueued tries to place the queued requests. Those that find no worker are queued again.
+func (d *Decider) placeQueued() {
+	queue := d.queue
+	d.queue = nil
+	for _, r := range queue {
+		r.queued = false
+		d.place(r)
 	}
+}
+
+// setTimer sets the timer to the next deadline or the next attempt to place queued requests.
+func (d *Decider) setTimer() {
 	at := dispatch.Time(0)
-	if len(d.ends) > 0 {
-		at = d.ends[0].end
+	if len(d.timeouts) > 0 {
+		at = d.timeouts[0].deadline
 	}
-	if len(d.queued) > 0 {
+	if len(d.queue) > 0 {
 		at = min(at, d.now+queueInterval)
 	}
-	if at > 0 && (d.armed == 0 || at < d.armed) {
-		d.armed = at
-		d.out = append(d.out, dispatch.Action{Kind: dispatch.SetTimer, Wait: max(at-d.now, dispatch.Millisecond)})
+	if at > 0 && (d.timerAt == 0 || at < d.timerAt) {
+		d.timerAt = at
+		d.actions = append(d.actions, dispatch.Action{Kind: dispatch.SetTimer, Wait: max(at-d.now, dispatch.Millisecond)})
 	}
 }
 
-// ends is a heap of requests by the end of their time.
-type ends []*request
+// requestHeap is a heap of requests by their deadline, for container/heap.
+type requestHeap []*request
+
+func (h requestHeap) Len() int           { return len(h) }
+func (h requestHeap) Less(i, k int) bool { return h[i].deadline < h[k].deadline }
+func (h requestHeap) Swap(i, k int)      { h[i], h[k] = h[k], h[i] }
+
+// Push appends a request.
+func (h *requestHeap) Push(x any) { *h = append(*h, x.(*request)) }
 
-func (e ends) Len() int           { return len(e) }
-func (e ends) Less(i, k int) bool { return e[i].end < e[k].end }
-func (e ends) Swap(i, k int)      { e[i], e[k] = e[k], e[i] }
-func (e *ends) Push(x any)        { *e = append(*e, x.(*request)) }
-func (e *ends) Pop() any {
-	old := *e
-	j := old[len(old)-1]
-	*e = old[:len(old)-1]
-	return j
+// Pop removes the last request.
+func (h *requestHeap) Pop() any {
+	old := *h
+	r := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return r
 }
--- a/internal/testbed/baseline/baseline_test.go
+++ b/internal/testbed/baseline/baseline_test.go
@@ -8,115 +8,194 @@
 	"birchfork/dispatch"
 )
 
-// Whatever comes, a baseline keeps what a dispatcher can keep by itself: one final answer in time, nothing sent after,
-// nothing unsafe again that may have run, no refusal of it, nothing to a worker that is not ready.
-func TestDecider_KeepsRules(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		s := dispatch.Settings{
+// The classes of the test, by their index.
+const (
+	safeClass = iota
+	unsafeClass
+)
+
+// sentAttempt is an attempt that the decider has sent.
+type sentAttempt struct {
+	worker   int
+	open     bool
+	neverRan bool
+}
+
+// sentRequest is a request that the decider was given.
+type sentRequest struct {
+	class, answers int
+	end            dispatch.Time
+	attempts       []sentAttempt
+}
+
+// mayHaveRun reports whether a worker may have run a request of the unsafe class.
+func (r *sentRequest) mayHaveRun() bool {
+	for _, a := range r.attempts {
+		if r.class == unsafeClass && !a.neverRan {
+			return true
+		}
+	}
+	return false
+}
+
+// model feeds a decider with random events and checks each action against the rules.
+type model struct {
+	t        *rapid.T
+	settings dispatch.Settings
+	decider  *Decider
+	requests []*sentRequest
+	states   []dispatch.WorkerState
+	now      dispatch.Time
+	timer    dispatch.Time // 0: it is not set
+}
+
+func newModel(t *rapid.T) *model {
+	m := &model{
+		t: t,
+		settings: dispatch.Settings{
 			Classes:     []dispatch.Class{{Idempotency: dispatch.Idempotent, WorkerKind: -1}, {Idempotency: dispatch.NonIdempotent, WorkerKind: 1}},
 			MaxAttempts: 3, CanCancel: true, SlowStartMinFactor: 0.1, SlowStartWindow: 10 * dispatch.Second,
+		},
+		states: []dispatch.WorkerState{dispatch.Gone, dispatch.Gone, dispatch.Gone, dispatch.Gone},
+		now:    1000,
+	}
+	d, err := New(rapid.SampledFrom(Policies).Draw(t, "policy"), m.settings, rapid.Uint64().Draw(t, "seed"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	m.decider = d
+	return m
+}
+
+// feed gives the decider an event and checks its actions.
+func (m *model) feed(e dispatch.Event) {
+	for _, a := range m.decider.Handle(m.now, &e, nil) {
+		switch a.Kind {
+		case dispatch.SetTimer:
+			if m.timer == 0 || m.now+a.Wait < m.timer {
+				m.timer = m.now + a.Wait
+			}
+		case dispatch.Send:
+			m.checkSend(&a)
+		case dispatch.Reject, dispatch.Fail:
+			m.checkAnswer(&a)
+		case dispatch.Cancel:
+			m.checkCancel(&a)
 		}
-		d, err := New(rapid.SampledFrom(Policies).Draw(t, "policy"), s, rapid.Uint64().Draw(t, "seed"))
-		if err != nil {
-			t.Fatal(err)
-		}
-		type sent struct {
-			worker int
-			out    bool
-			never  bool
-		}
-		type request struct {
-			class, final int
-			end          dispatch.Time
-			sent         []sent
-		}
-		var all []*request
-		states := make([]dispatch.WorkerState, 4)
-		for i := range states {
-			states[i] = dispatch.Gone
-		}
-		now, timer := dispatch.Time(1000), dispatch.Time(0)
-		feed := func(e dispatch.Event) {
-			for _, a := range d.Handle(now, &e, nil) {
-				if a.Kind == dispatch.SetTimer {
-					if timer == 0 || now+a.Wait < timer {
-						timer = now + a.Wait
-					}
-					continue
-				}
-				r := all[a.Request]
-				switch a.Kind {
-				case dispatch.Send:
-					if r.final > 0 || now >= r.end || states[a.Worker] != dispatch.Ready || len(r.sent) >= s.MaxAttempts ||
-						r.class == 1 && a.Worker%2 != 1 {
-						t.Fatalf("a send that must not be: %+v, %+v", a, r)
-					}
-					for _, o := range r.sent {
-						if r.class == 1 && !o.never {
-							t.Fatalf("unsafe again: %+v", r)
-						}
-					}
-					r.sent = append(r.sent, sent{worker: int(a.Worker), out: true})
-				case dispatch.Reject, dispatch.Fail:
-					r.final++
-					if r.final > 1 || now > r.end {
-						t.Fatalf("answered %d times, at %d of %d", r.final, now, r.end)
-					}
-					for _, o := range r.sent {
-						if a.Kind == dispatch.Reject && r.class == 1 && !o.never {
-							t.Fatalf("refused what may have run: %+v", r)
-						}
-					}
-				}
+	}
+}
+
+func (m *model) checkSend(a *dispatch.Action) {
+	r := m.requests[a.Request]
+	wrongKind := r.class == unsafeClass && a.Worker%2 != 1
+	if r.answers > 0 || m.now >= r.end || m.states[a.Worker] != dispatch.Ready || len(r.attempts) >= m.settings.MaxAttempts || wrongKind {
+		m.t.Fatalf("a send that must not be: %+v, %+v", a, r)
+	}
+	if r.mayHaveRun() {
+		m.t.Fatalf("unsafe again: %+v", r)
+	}
+	r.attempts = append(r.attempts, sentAttempt{worker: int(a.Worker), open: true})
+}
+
+func (m *model) checkAnswer(a *dispatch.Action) {
+	r := m.requests[a.Request]
+	r.answers++
+	if r.answers > 1 || m.now > r.end {
+		m.t.Fatalf("answered %d times, at %d of %d", r.answers, m.now, r.end)
+	}
+	if a.Kind == dispatch.Reject && r.mayHaveRun() {
+		m.t.Fatalf("refused what may have run: %+v", r)
+	}
+}
+
+func (m *model) checkCancel(a *dispatch.Action) {
+	r := m.requests[a.Request]
+	if !r.attempts[a.Attempt].open {
+		m.t.Fatalf("a cancel of an attempt that has ended: %+v, %+v", a, r)
+	}
+}
+
+// advance moves the time on, and fires the timer at its time.
+func (m *model) advance(to dispatch.Time) {
+	for m.timer != 0 && m.timer <= to {
+		m.fireTimer()
+	}
+	m.now = to
+}
+
+func (m *model) fireTimer() {
+	m.now, m.timer = m.timer, 0
+	m.feed(dispatch.Event{Kind: dispatch.TimerFired})
+}
+
+// changeWorker changes the state of a random worker.
+func (m *model) changeWorker() {
+	w := rapid.IntRange(0, len(m.states)-1).Draw(m.t, "worker")
+	m.states[w] = rapid.SampledFrom([]dispatch.WorkerState{dispatch.Ready, dispatch.Ready, dispatch.Draining, dispatch.Gone}).Draw(m.t, "state")
+	m.feed(dispatch.Event{Kind: dispatch.EndpointUpdate, Workers: []dispatch.Worker{{ID: dispatch.WorkerID(w), State: m.states[w], Kind: w % 2}}})
+}
+
+// sendRequest gives the decider a new request.
+func (m *model) sendRequest() {
+	left := dispatch.Time(rapid.IntRange(50, 2000).Draw(m.t, "left")) * dispatch.Millisecond
+	r := &sentRequest{class: rapid.IntRange(safeClass, unsafeClass).Draw(m.t, "class"), end: m.now + left}
+	m.requests = append(m.requests, r)
+	m.feed(dispatch.Event{Kind: dispatch.RequestArrived, Request: dispatch.RequestID(len(m.requests) - 1), Class: r.class, TimeLeft: left})
+}
+
+// endAttempts ends the first open attempt of each request with a random result.
+func (m *model) endAttempts() {
+	for id, r := range m.requests {
+		for k := range r.attempts {
+			if r.attempts[k].open {
+				m.endAttempt(id, k)
+				break
 			}
 		}
+	}
+}
+
+func (m *model) endAttempt(id, attempt int) {
+	r := m.requests[id]
+	a := &r.attempts[attempt]
+	a.open = false
+	e := dispatch.Event{Kind: dispatch.AttemptEnded, Request: dispatch.RequestID(id), Attempt: attempt, Worker: dispatch.WorkerID(a.worker)}
+	e.Result = rapid.SampledFrom([]dispatch.Result{
+		dispatch.ResultOK, dispatch.ResultFailed, dispatch.ResultOverloaded, dispatch.ResultUnreachable, dispatch.ResultDisconnected,
+	}).Draw(m.t, "result")
+	a.neverRan = e.Result == dispatch.ResultOverloaded || e.Result == dispatch.ResultUnreachable
+	if e.Result == dispatch.ResultOK && r.answers == 0 {
+		r.answers = 1
+	}
+	e.Final = r.answers > 0
+	m.feed(e)
+}
+
+// Whatever comes, a baseline keeps what a dispatcher can keep by itself: one final answer in time, nothing sent after it, no
+// retry of an unsafe request that may have run and no rejection of it, nothing to a worker that is not ready.
+func TestDecider_KeepsRules(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := newModel(t)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			now += dispatch.Time(rapid.IntRange(0, 200).Draw(t, "ms")) * dispatch.Millisecond
-			for timer != 0 && timer <= now {
-				late := now
-				now, timer = timer, 0
-				feed(dispatch.Event{Kind: dispatch.TimerFired})
-				now = late
-			}
+			m.advance(m.now + dispatch.Time(rapid.IntRange(0, 200).Draw(t, "ms"))*dispatch.Millisecond)
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				w := rapid.IntRange(0, 3).Draw(t, "worker")
-				states[w] = rapid.SampledFrom([]dispatch.WorkerState{dispatch.Ready, dispatch.Ready, dispatch.Draining, dispatch.Gone}).Draw(t, "state")
-				feed(dispatch.Event{Kind: dispatch.EndpointUpdate, Workers: []dispatch.Worker{{ID: dispatch.WorkerID(w), State: states[w], Kind: w % 2}}})
+				m.changeWorker()
 			case 1, 2:
-				left := dispatch.Time(rapid.IntRange(50, 2000).Draw(t, "left")) * dispatch.Millisecond
-				all = append(all, &request{class: rapid.IntRange(0, 1).Draw(t, "class"), end: now + left})
-				feed(dispatch.Event{Kind: dispatch.RequestArrived, Request: dispatch.RequestID(len(all) - 1), Class: all[len(all)-1].class, TimeLeft: left})
+				m.sendRequest()
 			case 3:
-				for id, r := range all {
-					for k := range r.sent {
-						if !r.sent[k].out {
-							continue
-						}
-						r.sent[k].out = false
-						e := dispatch.Event{Kind: dispatch.AttemptEnded, Request: dispatch.RequestID(id), Attempt: k, Worker: dispatch.WorkerID(r.sent[k].worker)}
-						e.Result = rapid.SampledFrom([]dispatch.Result{dispatch.ResultOK, dispatch.ResultFailed, dispatch.ResultOverloaded, dispatch.ResultUnreachable, dispatch.ResultDisconnected}).Draw(t, "result")
-						r.sent[k].never = e.Result == dispatch.ResultOverloaded || e.Result == dispatch.ResultUnreachable
-						if e.Result == dispatch.ResultOK && r.final == 0 {
-							r.final = 1
-						}
-						e.Final = r.final > 0
-						feed(e)
-						break
-					}
-				}
+				m.endAttempts()
 			}
 		}
-		for range 1000 { // let all time pass
-			if timer == 0 {
+		for range 1000 { // until all time has passed
+			if m.timer == 0 {
 				break
 			}
-			now, timer = timer, 0
-			feed(dispatch.Event{Kind: dispatch.TimerFired})
+			m.fireTimer()
 		}
-		for id, r := range all {
-			if r.final != 1 {
-				t.Fatalf("request %d has %d answers", id, r.final)
+		for id, r := range m.requests {
+			if r.answers != 1 {
+				t.Fatalf("request %d has %d answers", id, r.answers)
 			}
 		}
 	})
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -9,19 +9,19 @@
 	"text/tabwriter"
 )
 
-// figure is one compared figure of a result: its name, how to read it and the format of its value.
+// figure is one compared figure of a result.
 type figure struct {
-	name string
-	of   func(*Report) float64
-	show string
+	name   string
+	value  func(*Report) float64
+	format string // of the value
 }
 
 var figures = []figure{
 	{"goodput", func(r *Report) float64 { return r.Goodput }, "%.4f"},
 	{"goodput in trouble", func(r *Report) float64 { return r.GoodputInFault }, "%.4f"},
 	{"seconds to recover", func(r *Report) float64 { return r.Recovery }, "%.1f"},
-	{"least of a tenant", func(r *Report) float64 { return minOf(r.Tenants) }, "%.4f"},
-	{"least of a class", func(r *Report) float64 { return minOf(r.Classes) }, "%.4f"},
+	{"least of a tenant", func(r *Report) float64 { return lowestGoodput(r.Tenants) }, "%.4f"},
+	{"least of a class", func(r *Report) float64 { return lowestGoodput(r.Classes) }, "%.4f"},
 	{"served in time", func(r *Report) float64 { return float64(r.ServedInTime) }, "%.0f"},
 	{"refused", func(r *Report) float64 { return float64(r.Refused) }, "%.0f"},
 	{"failed", func(r *Report) float64 { return float64(r.Failed) }, "%.0f"},
@@ -41,19 +41,19 @@
 	{"crashes", func(r *Report) float64 { return float64(r.Crashes) }, "%.0f"},
 }
 
-// ErrDays is returned by Compare for two results of different generated days.
-var ErrDays = errors.New("the two results are of different days: what differs is the day as much as the program")
+// ErrDifferentDays is returned by Compare for two results of different generated days.
+var ErrDifferentDays = errors.New("the two results are of different days: what differs is the day as much as the program")
 
 // Compare writes how pairs of results differ; a and b name the two sides. Both results of a pair must be of the same
-// day, else it fails with ErrDays. The noise of goodput is given by the spread over the pairs, and within a pair by the
-// spread over its intervals.
+// day, else it fails with ErrDifferentDays. The noise of goodput shows in its range over the pairs and, within a pair,
+// in the standard error over its intervals.
 func Compare(w io.Writer, pairs [][2]*Report, a, b string) error {
 	if len(pairs) == 0 {
 		return errors.New("there is nothing to compare")
 	}
 	for _, p := range pairs {
 		if p[0].Day != p[1].Day {
-			return fmt.Errorf("%w (%s, seed %d: %s; %s, seed %d: %s)", ErrDays, p[0].Scenario, p[0].Seed, p[0].Day, p[1].Scenario, p[1].Seed, p[1].Day)
+			return fmt.Errorf("%w (%s, seed %d: %s; %s, seed %d: %s)", ErrDifferentDays, p[0].Scenario, p[0].Seed, p[0].Day, p[1].Scenario, p[1].Seed, p[1].Day)
 		}
 	}
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
@@ -61,29 +61,31 @@
 	for _, f := range figures {
 		var first, second, diffs []float64
 		for _, p := range pairs {
-			x, y := f.of(p[0]), f.of(p[1])
+			x, y := f.value(p[0]), f.value(p[1])
 			first, second, diffs = append(first, x), append(second, y), append(diffs, x-y)
 		}
 		slices.Sort(diffs)
-		spread := "-"
+		diffRange := "-"
 		if len(diffs) > 1 {
-			spread = fmt.Sprintf(f.show+" to "+f.show, diffs[0], diffs[len(diffs)-1])
+			diffRange = fmt.Sprintf(f.format+" to "+f.format, diffs[0], diffs[len(diffs)-1])
 		}
-		fmt.Fprintf(t, "%s\t"+f.show+"\t"+f.show+"\t"+f.show+"\t%s\n", f.name, Median(first), Median(second), Median(diffs), spread)
+		fmt.Fprintf(t, "%s\t"+f.format+"\t"+f.format+"\t"+f.format+"\t%s\n", f.name, Median(first), Median(second), Median(diffs), diffRange)
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
 	for _, p := range pairs {
-		mean, noise := noise(p[0], p[1])
-		fmt.Fprintf(w, "%s, seed %d: goodput differs by %+.4f, standard error %.4f over its stretches: %s\n", p[0].Scenario, p[0].Seed, mean, noise, verdict(mean, noise))
+		mean, standardError := goodputDifference(p[0], p[1])
+		fmt.Fprintf(w, "%s, seed %d: goodput differs by %+.4f, standard error %.4f over its stretches: %s\n",
+			p[0].Scenario, p[0].Seed, mean, standardError, verdict(mean, standardError))
 	}
 	return nil
 }
 
-func verdict(mean, noise float64) string {
+// verdict returns which side is better; a difference of up to two standard errors is noise.
+func verdict(mean, standardError float64) string {
 	switch {
-	case math.Abs(mean) <= 2*noise:
+	case math.Abs(mean) <= 2*standardError:
 		return "within the noise"
 	case mean > 0:
 		return "the first is better"
@@ -92,9 +94,9 @@
 	}
 }
 
-// noise returns the difference of goodput and its standard error, from the spread over the intervals of the run weighted
-// by worth.
-func noise(a, b *Report) (mean, se float64) {
+// goodputDifference returns the mean difference of goodput and its standard error, over the intervals of the run weighted by
+// their value. The standard error is infinite where fewer than two intervals can be compared.
+func goodputDifference(a, b *Report) (mean, standardError float64) {
 	var diffs, weights []float64
 	total := 0.0
 	for i := range min(len(a.Series), len(b.Series)) {
@@ -110,14 +112,15 @@
 	for i := range diffs {
 		mean += diffs[i] * weights[i] / total
 	}
+	variance := 0.0
 	for i := range diffs {
 		w := weights[i] / total
-		se += w * w * (diffs[i] - mean) * (diffs[i] - mean)
+		variance += w * w * (diffs[i] - mean) * (diffs[i] - mean)
 	}
-	return mean, math.Sqrt(se)
+	return mean, math.Sqrt(variance)
 }
 
-// Median returns the median of v, or 0 for an empty slice; v keeps its order.
+// Median returns the median of v, or 0 for an empty slice. It leaves v as it is.
 func Median(v []float64) float64 {
 	if len(v) == 0 {
 		return 0
@@ -130,13 +133,13 @@
 	return (s[len(s)/2-1] + s[len(s)/2]) / 2
 }
 
-// minOf returns the goodput of the worst-served part.
-func minOf(parts []PartLine) float64 {
-	least := 1.0
+// lowestGoodput returns the goodput of the class or tenant that was served worst.
+func lowestGoodput(parts []PartLine) float64 {
+	lowest := 1.0
 	for _, p := range parts {
 		if p.Requests > 0 {
-			least = min(least, p.Goodput)
+			lowest = min(lowest, p.Goodput)
 		}
 	}
-	return least
+	return lowest
 }
--- /dev/null
+++ b/internal/testbed/report/file.go
@@ -0,0 +1,71 @@
+package report
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"os"
+)
+
+// maxFileBytes bounds the size of a stored result, in bytes.
+const maxFileBytes = 256 << 20
+
+// Load reads a result from a file that Save wrote.
+func Load(path string) (*Report, error) {
+	f, err := os.Open(path)
+	if err != nil {
+		return nil, fmt.Errorf("reading a result: %w", err)
+	}
+	defer f.Close()
+	raw, err := io.ReadAll(io.LimitReader(f, maxFileBytes))
+	if err != nil {
+		return nil, fmt.Errorf("reading a result: %w", err)
+	}
+	r, err := Decode(raw)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return r, nil
+}
+
+// Decode parses the JSON form of a result. It fails for another version and for a series with impossible values.
+func Decode(raw []byte) (*Report, error) {
+	var r Report
+	if err := json.Unmarshal(raw, &r); err != nil {
+		return nil, fmt.Errorf("this is no result of the lab: %w", err)
+	}
+	if r.Version != Version {
+		return nil, fmt.Errorf("this is no result of the lab that this program can read: version %d, not %d", r.Version, Version)
+	}
+	for _, p := range r.Series {
+		if math.IsNaN(p.At) || p.At < 0 || p.Requested < 0 {
+			return nil, errors.New("its series makes no sense")
+		}
+	}
+	return &r, nil
+}
+
+// Save writes the result to a file as JSON and replaces an existing file atomically.
+func (r *Report) Save(path string) error {
+	raw, err := json.MarshalIndent(r, "", "  ")
+	if err != nil {
+		return fmt.Errorf("writing a result: %w", err)
+	}
+	return replaceFile(path, append(raw, '\n'))
+}
+
+// replaceFile writes a file and replaces an existing one atomically.
+func replaceFile(path string, raw []byte) error {
+	temporary := path + ".part"
+	if err := os.WriteFile(temporary, raw, 0o644); err != nil {
+		_ = os.Remove(temporary) // what a full disk has left of it; the error that matters is that of the write
+		return fmt.Errorf("writing a result: %w", err)
+	}
+	if err := os.Rename(temporary, path); err != nil {
+		_ = os.Remove(temporary) // the error that matters is that of the rename
+		return fmt.Errorf("writing a result: %w", err)
+	}
+	return nil
+}
--- a/internal/testbed/report/golden_test.go
+++ b/internal/testbed/report/golden_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// fill sets every field of a value, however deep, to a value of its own.
+// fill sets every field of a value, at any depth, to a distinct value.
 func fill(v reflect.Value, next *int) {
 	*next++
 	switch v.Kind() {
@@ -43,7 +43,7 @@
 	}
 }
 
-// A kept result has the form that earlier builds wrote and read. The file is written where UPDATE_GOLDEN is set.
+// The JSON form of a result is that of earlier builds. UPDATE_GOLDEN writes the golden file anew.
 func TestReport_KeepsItsJSONForm(t *testing.T) {
 	const path = "testdata/golden/report.json"
 	var full Report
--- a/internal/testbed/report/html.go
+++ b/internal/testbed/report/html.go
@@ -5,7 +5,8 @@
 	"fmt"
 	"html/template"
 	"image/color"
-	"sort"
+	"maps"
+	"slices"
 
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
@@ -14,7 +15,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// The colours of lines, in their order.
+// colours are those of the lines of a chart, in their order.
 var colours = []color.RGBA{
 	{31, 119, 180, 255}, {214, 39, 40, 255}, {44, 160, 44, 255}, {255, 127, 14, 255}, {148, 103, 189, 255}, {140, 86, 75, 255},
 	{23, 190, 207, 255},
@@ -22,14 +23,21 @@
 
 // Plot sizes.
 const (
-	plotWide = 24 * vg.Centimeter
-	plotHigh = 8 * vg.Centimeter
+	plotWidth  = 24 * vg.Centimeter
+	plotHeight = 8 * vg.Centimeter
 )
 
-// line is one curve.
+// line is one curve of a chart.
 type line struct {
-	name string
-	xy   plotter.XYs
+	name   string
+	points plotter.XYs
+}
+
+// chart is a diagram of lines over time.
+type chart struct {
+	title, yLabel string
+	yMax          float64 // 0: fitted to the lines
+	lines         []line
 }
 
 // HTML writes the result to a file as one page without external links and replaces an existing file atomically.
@@ -38,55 +46,24 @@
 	if err != nil {
 		return fmt.Errorf("drawing the page: %w", err)
 	}
-	return replace(path, page)
+	return replaceFile(path, page)
 }
 
+// page returns the HTML page.
 func (r *Report) page() ([]byte, error) {
-	asked := make(plotter.XYs, 0, len(r.Series))
-	p50 := make(plotter.XYs, 0, len(r.Series))
-	p99 := make(plotter.XYs, 0, len(r.Series))
-	var good plotter.XYs
-	for _, p := range r.Series {
-		asked = append(asked, plotter.XY{X: p.At, Y: float64(p.Requested)})
-		if p.Value > 0 {
-			good = append(good, plotter.XY{X: p.At, Y: p.Good / p.Value})
-		}
-		p50 = append(p50, plotter.XY{X: p.At, Y: p.P50})
-		p99 = append(p99, plotter.XY{X: p.At, Y: p.P99})
-	}
-	var bad []line
-	for _, why := range reasons(r.Series) {
-		if why == "served" {
-			continue
-		}
-		l := line{name: why}
-		for _, p := range r.Series {
-			l.xy = append(l.xy, plotter.XY{X: p.At, Y: float64(p.Outcomes[why])})
-		}
-		bad = append(bad, l)
-	}
 	var plots []template.HTML
-	for _, one := range []struct {
-		title, y string
-		most     float64 // of the axis; 0: as the lines want
-		lines    []line
-	}{
-		{"Goodput: worth in time over worth asked, by when it was asked for", "part", 1.05, []line{{"goodput", good}}},
-		{"Latency of what was served, from when it was wanted", "ms", 0, []line{{"p50", p50}, {"p99", p99}}},
-		{"Requests asked for, each half second", "requests", 0, []line{{"asked", asked}}},
-		{"Requests not served, by their last answer, each half second", "requests", 0, bad},
-	} {
-		svg, err := r.curve(one.title, one.y, one.most, one.lines)
+	for _, c := range r.charts() {
+		svg, err := r.drawChart(&c)
 		if err != nil {
 			return nil, err
 		}
 		plots = append(plots, svg)
 	}
-	bars, err := r.bars()
+	workers, err := r.drawWorkers()
 	if err != nil {
 		return nil, err
 	}
-	plots = append(plots, bars)
+	plots = append(plots, workers)
 	var text bytes.Buffer
 	if err := r.Text(&text); err != nil {
 		return nil, err
@@ -100,99 +77,153 @@
 	return out.Bytes(), err
 }
 
-// reasons returns the outcomes that occur in a series, sorted.
-func reasons(series []Point) []string {
-	seen := map[string]bool{}
-	for _, p := range series {
-		for k := range p.Outcomes {
-			seen[k] = true
+// charts returns the charts of the time series.
+func (r *Report) charts() []chart {
+	requested := make(plotter.XYs, 0, len(r.Series))
+	p50 := make(plotter.XYs, 0, len(r.Series))
+	p99 := make(plotter.XYs, 0, len(r.Series))
+	var goodput plotter.XYs
+	for _, p := range r.Series {
+		requested = append(requested, plotter.XY{X: p.At, Y: float64(p.Requested)})
+		if p.Value > 0 {
+			goodput = append(goodput, plotter.XY{X: p.At, Y: p.Good / p.Value})
 		}
+		p50 = append(p50, plotter.XY{X: p.At, Y: p.P50})
+		p99 = append(p99, plotter.XY{X: p.At, Y: p.P99})
+	}
+	return []chart{
+		{"Goodput: worth in time over worth asked, by when it was asked for", "part", 1.05, []line{{"goodput", goodput}}},
+		{"Latency of what was served, from when it was wanted", "ms", 0, []line{{"p50", p50}, {"p99", p99}}},
+		{"Requests asked for, each half second", "requests", 0, []line{{"asked", requested}}},
+		{"Requests not served, by their last answer, each half second", "requests", 0, r.failureLines()},
 	}
-	out := make([]string, 0, len(seen))
-	for k := range seen {
-		out = append(out, k)
+}
+
+// failureLines returns a line for each outcome other than served.
+func (r *Report) failureLines() []line {
+	var lines []line
+	for _, outcome := range outcomesOf(r.Series) {
+		if outcome == "served" {
+			continue
+		}
+		l := line{name: outcome}
+		for _, p := range r.Series {
+			l.points = append(l.points, plotter.XY{X: p.At, Y: float64(p.Outcomes[outcome])})
+		}
+		lines = append(lines, l)
+	}
+	return lines
+}
+
+// outcomesOf returns the outcomes that occur in a series, sorted.
+func outcomesOf(series []Point) []string {
+	known := map[string]bool{}
+	for _, p := range series {
+		for outcome := range p.Outcomes {
+			known[outcome] = true
+		}
 	}
-	sort.Strings(out)
-	return out
+	return slices.Sorted(maps.Keys(known))
 }
 
-// curve draws lines over time, with the faults as bands behind them.
-func (r *Report) curve(title, y string, most float64, lines []line) (template.HTML, error) {
+// drawChart draws lines over time, with the faults as bands behind them.
+func (r *Report) drawChart(c *chart) (template.HTML, error) {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", y
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.title, "seconds", c.yLabel
 	p.X.Min, p.X.Max, p.Y.Min = 0, max(r.Seconds, 1), 0
-	top := most
-	for _, l := range lines {
-		for _, at := range l.xy {
-			if most == 0 {
-				top = max(top, at.Y*1.05)
-			}
+	p.Y.Max = c.top()
+	if err := r.addFaultBands(p); err != nil {
+		return "", err
+	}
+	for i, l := range c.lines {
+		if len(l.points) == 0 {
+			continue
 		}
+		curve, err := plotter.NewLine(l.points)
+		if err != nil {
+			return "", err
+		}
+		curve.Color, curve.Width = colours[i%len(colours)], vg.Points(1.5)
+		p.Add(curve)
+		p.Legend.Add(l.name, curve)
 	}
-	p.Y.Max = max(top, 1)
-	if most > 0 {
-		p.Y.Max = most
+	p.Legend.Top = true
+	return svgOf(p)
+}
+
+// top returns the end of the y axis.
+func (c *chart) top() float64 {
+	if c.yMax > 0 {
+		return c.yMax
+	}
+	top := 1.0
+	for _, l := range c.lines {
+		for _, point := range l.points {
+			top = max(top, point.Y*1.05)
+		}
 	}
+	return top
+}
+
+// addFaultBands adds each fault as a band over its time, which is wide enough to be visible.
+func (r *Report) addFaultBands(p *plot.Plot) error {
 	for _, f := range r.Faults {
 		until := min(max(f.Until, f.At+r.Seconds/200), p.X.Max)
 		band, err := plotter.NewPolygon(plotter.XYs{{X: f.At, Y: 0}, {X: until, Y: 0}, {X: until, Y: p.Y.Max}, {X: f.At, Y: p.Y.Max}})
 		if err != nil {
-			return "", err
+			return err
 		}
 		band.Color = color.RGBA{200, 160, 60, 40}
 		band.Width = 0
 		p.Add(band)
 	}
-	for i, l := range lines {
-		if len(l.xy) == 0 {
-			continue
-		}
-		c, err := plotter.NewLine(l.xy)
-		if err != nil {
-			return "", err
-		}
-		c.Color, c.Width = colours[i%len(colours)], vg.Points(1.5)
-		p.Add(c)
-		p.Legend.Add(l.name, c)
-	}
-	p.Legend.Top = true
-	return svgOf(p, plotHigh)
+	return nil
 }
 
-// bars draws each worker's share of the work beside its share of the capacity.
-func (r *Report) bars() (template.HTML, error) {
+// maxNamedWorkers is the largest number of workers whose names are below their bars.
+const maxNamedWorkers = 40
+
+// drawWorkers draws each worker's share of the work beside its share of the capacity.
+func (r *Report) drawWorkers() (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = "Part of the work done by each worker (blue) and of the capacity (grey)", "part"
-	did, can := make(plotter.Values, len(r.Workers)), make(plotter.Values, len(r.Workers))
+	work, capacity := make(plotter.Values, len(r.Workers)), make(plotter.Values, len(r.Workers))
 	names := make([]string, 0, len(r.Workers))
 	for i, w := range r.Workers {
-		did[i], can[i] = w.Share, w.Capacity
+		work[i], capacity[i] = w.Share, w.Capacity
 		names = append(names, w.Name)
 	}
-	if len(did) > 0 {
-		wide := plotWide / vg.Length(3*len(did)+2)
-		for i, v := range []plotter.Values{did, can} {
-			b, err := plotter.NewBarChart(v, wide)
-			if err != nil {
-				return "", err
-			}
-			b.LineStyle.Width = 0
-			b.Color = colours[0]
-			b.Offset = -wide / 2
-			if i == 1 {
-				b.Color, b.Offset = color.RGBA{170, 170, 170, 255}, wide/2
-			}
-			p.Add(b)
-		}
-		if len(names) <= 40 {
-			p.NominalX(names...)
-		}
+	if len(r.Workers) == 0 {
+		return svgOf(p)
+	}
+	width := plotWidth / vg.Length(3*len(r.Workers)+2)
+	if err := addBars(p, work, width, -width/2, colours[0]); err != nil {
+		return "", err
+	}
+	if err := addBars(p, capacity, width, width/2, color.RGBA{170, 170, 170, 255}); err != nil {
+		return "", err
+	}
+	if len(names) <= maxNamedWorkers {
+		p.NominalX(names...)
+	}
+	return svgOf(p)
+}
+
+// addBars adds a bar for each value.
+func addBars(p *plot.Plot, values plotter.Values, width, offset vg.Length, colour color.RGBA) error {
+	bars, err := plotter.NewBarChart(values, width)
+	if err != nil {
+		return err
 	}
-	return svgOf(p, plotHigh)
+	bars.LineStyle.Width = 0
+	bars.Color, bars.Offset = colour, offset
+	p.Add(bars)
+	return nil
 }
 
-func svgOf(p *plot.Plot, high vg.Length) (template.HTML, error) {
-	c := vgsvg.New(plotWide, high)
+// svgOf returns a plot as an SVG element of a page.
+func svgOf(p *plot.Plot) (template.HTML, error) {
+	c := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(c))
 	var b bytes.Buffer
 	if _, err := c.WriteTo(&b); err != nil {
@@ -200,7 +231,7 @@
 	}
 	svg := b.Bytes()
 	if at := bytes.Index(svg, []byte("<svg")); at > 0 {
-		svg = svg[at:] // a page holds no XML head
+		svg = svg[at:] // an element within a page has no XML declaration
 	}
 	return template.HTML(svg), nil // drawn by the library, which escapes text
 }
--- a/internal/testbed/report/text.go
+++ b/internal/testbed/report/text.go
@@ -12,7 +12,7 @@
 // Limits of what a summary prints; the JSON form holds more.
 const (
 	maxViolationsShown = 12
-	workersShown       = 12
+	maxWorkersShown    = 12
 )
 
 // Text writes a summary of the run for people to read.
@@ -23,12 +23,12 @@
 	r.writeParts(t)
 	r.writeProcesses(t)
 	r.writeConditions(t)
-	r.writeRig(t)
+	r.writeTestbed(t)
 	r.writeRules(t)
 	if err := t.w.Flush(); err != nil {
 		return err
 	}
-	r.writeBreaches(w)
+	r.writeViolations(w)
 	r.writeRemarks(w)
 	_, err := fmt.Fprintln(w, r.conclusion())
 	return err
@@ -42,7 +42,7 @@
 	fmt.Fprintf(t.w, "%s\t%s\n", name, fmt.Sprintf(format, values...))
 }
 
-// writeRun writes what was played.
+// writeRun writes the scenario, its day and its size.
 func (r *Report) writeRun(t *textTable) {
 	t.row("scenario", "%s, seed %d, day %s, policy %s%s", r.Scenario, r.Seed, r.Day, r.Policy, mutantLine(r.Mutant))
 	t.row("played", "%.0f s, %.0f requests/s (%.2f of the capacity), %d workers, %d dispatchers",
@@ -62,7 +62,7 @@
 		r.RetriesPerRequest, r.Attempts, 100*r.WastedWork)
 }
 
-// recoveryText says how long service took to recover from the last fault.
+// recoveryText returns how long service took to recover from the last fault.
 func (r *Report) recoveryText() string {
 	if r.Recovery < 0 {
 		return "not as before again within the run"
@@ -75,21 +75,21 @@
 	for _, c := range r.Classes {
 		t.row("class "+c.Name, "%d, goodput %.3f, p50 %.0f ms, p99 %.0f ms", c.Requests, c.Goodput, c.Latency.P50, c.Latency.P99)
 	}
-	for _, c := range r.Tenants {
-		t.row("tenant "+c.Name, "%d, goodput %.3f, p99 %.0f ms", c.Requests, c.Goodput, c.Latency.P99)
+	for _, tenant := range r.Tenants {
+		t.row("tenant "+tenant.Name, "%d, goodput %.3f, p99 %.0f ms", tenant.Requests, tenant.Goodput, tenant.Latency.P99)
 	}
 }
 
 // writeProcesses writes what the dispatchers used, and each worker's share of the work.
 func (r *Report) writeProcesses(t *textTable) {
 	t.row("dispatchers", "%.0f us of CPU a request, %.1f MB at the most, %d descriptors at the most", r.CPUPerRequest, r.RSSPeakMB, r.FDPeak)
-	shares := make([]string, 0, workersShown+1)
-	for i, k := range r.Workers {
-		if i == workersShown {
+	shares := make([]string, 0, maxWorkersShown+1)
+	for i, worker := range r.Workers {
+		if i == maxWorkersShown {
 			shares = append(shares, fmt.Sprintf("and %d more", len(r.Workers)-i))
 			break
 		}
-		shares = append(shares, fmt.Sprintf("%s %.0f%%", k.Name, 100*k.Share))
+		shares = append(shares, fmt.Sprintf("%s %.0f%%", worker.Name, 100*worker.Share))
 	}
 	t.row("work by worker", "%s", strings.Join(shares, "  "))
 }
@@ -99,16 +99,16 @@
 	for _, f := range r.Faults {
 		t.row("trouble", "%.1f to %.1f s: %s %s", f.At, f.Until, f.Kind, f.Whom)
 	}
-	if u := r.Misbehaving; u != nil {
-		t.row("rude clients", "%d sent: %d answered or closed, %d ignored, %d served", u.Sent, u.Answered, u.Ignored, u.Served)
+	if m := r.Misbehaving; m != nil {
+		t.row("rude clients", "%d sent: %d answered or closed, %d ignored, %d served", m.Sent, m.Answered, m.Ignored, m.Served)
 	}
 	if s := r.Started; s != nil {
 		t.row("right after a start", "%d of %d in time within 5 s; of the others' meanwhile %d of %d", s.InTime, s.Tries, s.OtherInTime, s.OtherTries)
 	}
 }
 
-// writeRig writes how far the testbed itself limits the figures.
-func (r *Report) writeRig(t *textTable) {
+// writeTestbed writes how far the testbed itself limits the figures.
+func (r *Report) writeTestbed(t *textTable) {
 	ceiling := ""
 	if r.Testbed.Ceiling > 0 {
 		ceiling = fmt.Sprintf("; ceiling %.0f requests/s straight at a worker", r.Testbed.Ceiling)
@@ -125,21 +125,21 @@
 	t.row("rules broken", "%s; crashes %d", strings.Join(rules, ", "), r.Crashes)
 }
 
-// writeBreaches writes the first violations with what proves them, then the crashes.
-func (r *Report) writeBreaches(w io.Writer) {
-	for i, b := range r.Violations {
+// writeViolations writes the first violations with their evidence, then the crashes.
+func (r *Report) writeViolations(w io.Writer) {
+	for i, v := range r.Violations {
 		if i == maxViolationsShown {
 			fmt.Fprintf(w, "... and more; --json keeps the first %d\n", len(r.Violations))
 			break
 		}
-		fmt.Fprintln(w, b)
+		fmt.Fprintln(w, v)
 	}
 	for _, c := range r.CrashNotes {
 		fmt.Fprintln(w, "crash:", c)
 	}
 }
 
-// writeRemarks warns of a run whose figures say less than usual.
+// writeRemarks warns of a run whose figures mean less than those of others.
 func (r *Report) writeRemarks(w io.Writer) {
 	if r.RanLate {
 		fmt.Fprintln(w, "The rig itself ran late: this machine was too busy, and the figures are worth little.")
@@ -149,7 +149,7 @@
 	}
 }
 
-// conclusion is the summary's last line.
+// conclusion returns the last line of the summary.
 func (r *Report) conclusion() string {
 	if r.Broken() {
 		return "A rule was broken, or a dispatcher crashed."
@@ -157,6 +157,7 @@
 	return "All rules were kept."
 }
 
+// mutantLine returns the mutant that was played, as the end of a line; empty without one.
 func mutantLine(name string) string {
 	if name == "" {
 		return ""
--- a/internal/testbed/result.go
+++ b/internal/testbed/result.go
@@ -74,7 +74,7 @@
 	}
 	out.Misbehaving = &report.MisbehavingLine{
 		Sent: clients.Sent.Load(), Answered: clients.Answered.Load(), Ignored: clients.Ignored.Load(), Served: clients.Served.Load(),
-		NoPlace: clients.NoPlace.Load(),
+		NotConnected: clients.NoPlace.Load(),
 	}
 	if out.Misbehaving.Served > 0 {
 		out.Rules[invariant.Answers] += int(out.Misbehaving.Served)
