--- a/internal/testbed/environment.go
+++ b/internal/testbed/environment.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// Reload writes a dispatcher's configuration anew and sends it SIGHUP.
+// Reload writes a dispatcher's current configuration and sends it SIGHUP.
 func (e *Environment) Reload(dispatcher int) { e.run.faults.reload(dispatcher) }
 
 // CPU returns the CPU time that a dispatcher's current process has used.
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -13,7 +13,7 @@
 )
 
 // faultInjector injects the day's faults at their times. Several may affect the same worker, link or discovery agent at once:
-// its state is computed anew from all active faults whenever one begins or ends.
+// its state is computed from all active faults whenever one begins or ends.
 type faultInjector struct {
 	run         *run
 	misbehaving loadgen.MisbehavingClients
@@ -190,7 +190,7 @@
 	w.Err(errorShare)
 }
 
-// reload writes a dispatcher's configuration anew and has it read.
+// reload writes a dispatcher's current configuration and sends it SIGHUP.
 func (injector *faultInjector) reload(dispatcher int) {
 	d := injector.run.dispatchers[dispatcher]
 	if d.writeConfig() == nil {
--- a/internal/testbed/logtail.go
+++ b/internal/testbed/logtail.go
@@ -12,7 +12,7 @@
 
 // logTail keeps the end of a process's output. It is safe for concurrent use.
 type logTail struct {
-	file *os.File // gets the whole output; nil: none
+	file *os.File // gets the complete output; nil: none
 
 	mu  sync.Mutex
 	buf []byte
--- a/internal/testbed/report/golden_test.go
+++ b/internal/testbed/report/golden_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// The JSON form of a result is that of earlier builds. UPDATE_GOLDEN writes the golden file anew.
+// The JSON form of a result is that of earlier builds. With UPDATE_GOLDEN set the golden file is written.
 func TestReport_KeepsItsJSONForm(t *testing.T) {
 	const path = "testdata/golden/report.json"
 	var full Report
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -131,7 +131,7 @@
 type TestbedLine struct {
 	LagP99  float64 `json:"lag_p99_ms"` // lag of arrivals or of a regular timer, whichever is larger
 	LagMax  float64 `json:"lag_max_ms"`
-	Ceiling float64 `json:"ceiling_per_s"` // requests a second straight at a stand-in worker; 0: not measured
+	Ceiling float64 `json:"ceiling_per_s"` // requests a second directly at a stand-in worker; 0: not measured
 	Slack   float64 `json:"slack_ms"`      // that the invariant checker adds to every time limit
 }
 
--- a/internal/testbed/restarts.go
+++ b/internal/testbed/restarts.go
@@ -48,7 +48,7 @@
 }
 
 // countAfterRestarts compares dispatchers right after a restart with the others at the same time: the difference shows what
-// they had to learn anew. It returns nil where none restarted during the day.
+// they had to learn again. It returns nil where none restarted during the day.
 func (r *run) countAfterRestarts() *report.StartedLine {
 	restarts := r.restartIntervals()
 	if len(restarts) == 0 {
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -1,4 +1,4 @@
-// Package testbed runs a whole deployment on the loopback interface of one machine: real dispatchers, each a process of its
+// Package testbed runs a complete deployment on the loopback interface of one machine: real dispatchers, each a process of its
 // own, between stand-in workers, a stand-in discovery and generated clients. It injects faults by a timetable, checks the
 // four rules against what clients, workers and discovery observed, and reports the result.
 package testbed
--- a/internal/testbed/scenario/arrivals.go
+++ b/internal/testbed/scenario/arrivals.go
@@ -59,7 +59,7 @@
 func (g *requestGenerator) generate(from, until time.Duration) bool {
 	s, d := g.day.Scenario, g.day
 	rate := g.arrivalRate * d.trafficFactor(from, g.tenantWeights)
-	// A Poisson process has no memory: it may begin anew at each edge.
+	// A Poisson process has no memory: it may start again at each edge.
 	for at := from; ; {
 		at += time.Duration(g.random.ExpFloat64() / rate * float64(time.Second))
 		if at >= until {
@@ -159,7 +159,7 @@
 	minQuotaTokens = 3
 )
 
-// tokenBucket tells which requests are within a tenant's quota. It is full at first.
+// tokenBucket decides which requests are within a tenant's quota. It is full at first.
 type tokenBucket struct {
 	tokens float64
 	at     time.Duration // of the last take
--- a/internal/testbed/scenario/check.go
+++ b/internal/testbed/scenario/check.go
@@ -113,42 +113,48 @@
 	for i := range s.Classes {
 		c, at := &s.Classes[i], fmt.Sprintf("class[%d].", i)
 		checkName(d, at+"name", c.Name, names)
-		checkOneOf(d, at+"effect", c.Effect, Safe, Keyed, Unsafe)
-		checkNumber(d, at+"share", c.Share, 0, 1e6)
+		s.checkClass(d, at, c)
 		sum += c.Share
-		checkDuration(d, at+"work", c.Work, time.Microsecond, time.Hour)
-		checkNumber(d, at+"spread", c.Spread, 0, 3)
-		checkDuration(d, at+"aim", c.LatencyObjective, 0, time.Hour)
-		checkNumber(d, at+"stretch", c.Stretch, 0, 1000)
-		checkDuration(d, at+"patience", c.Deadline, 10*time.Millisecond, time.Hour)
-		checkNumber(d, at+"worth", c.PriorityWeight, 0.001, 1e6)
-		checkNumber(d, at+"late_worth", c.LateWeight, 0, 1)
-		checkOneOf(d, at+"group", c.Group, "all", "zone", "cell")
-		checkDuration(d, at+"window", c.Window, 0, time.Hour)
-		if c.Effect == Keyed && c.Window == 0 {
-			d.AddErrorf(at+"window", "a keyed class needs the time for which repeats are dropped")
-		}
-		checkNumber(d, at+"slots", float64(c.Slots), 1, 1024)
-		checkNumber(d, at+"memory", c.Memory, 0, 1<<20)
-		checkOneOf(d, at+"retry", c.Retry, RetryAny, RetryRefused, RetryNone)
-		if len(c.Body) != 2 || c.Body[0] < 0 || c.Body[1] < c.Body[0] || c.Body[1] > maxBody {
-			d.AddErrorf(at+"body", "%v is not the least and the most bytes, %d at most", c.Body, maxBody)
-		}
-		if c.LatencyObjective+time.Duration(c.Stretch*float64(c.Work)) > c.Deadline {
-			d.AddErrorf(at+"patience", "%v is shorter than the time in which the answer is wanted, %v plus %v times the work", c.Deadline, c.LatencyObjective, c.Stretch)
-		}
-		if c.Kind != "" && !slices.ContainsFunc(s.Workers, func(w WorkerPool) bool { return w.Kind == c.Kind }) {
-			d.AddErrorf(at+"kind", "%q is no kind of the workers", c.Kind)
-		}
-		if !slices.ContainsFunc(s.Workers, func(w WorkerPool) bool { return w.Cores >= c.Slots && w.Memory >= c.Memory }) && len(s.Workers) > 0 {
-			d.AddErrorf(at+"slots", "no worker has the %d slots and %v units of memory that a job takes", c.Slots, c.Memory)
-		}
 	}
 	if len(s.Classes) > 0 && !(sum > 0) {
 		d.AddErrorf("class", "the shares add up to nothing")
 	}
 }
 
+// checkClass checks one class; at is the beginning of its keys.
+func (s *Scenario) checkClass(d *tomlfile.Document, at string, c *Class) {
+	checkOneOf(d, at+"effect", c.Effect, Safe, Keyed, Unsafe)
+	checkNumber(d, at+"share", c.Share, 0, 1e6)
+	checkDuration(d, at+"work", c.Work, time.Microsecond, time.Hour)
+	checkNumber(d, at+"spread", c.Spread, 0, 3)
+	checkDuration(d, at+"aim", c.LatencyObjective, 0, time.Hour)
+	checkNumber(d, at+"stretch", c.Stretch, 0, 1000)
+	checkDuration(d, at+"patience", c.Deadline, 10*time.Millisecond, time.Hour)
+	checkNumber(d, at+"worth", c.PriorityWeight, 0.001, 1e6)
+	checkNumber(d, at+"late_worth", c.LateWeight, 0, 1)
+	checkOneOf(d, at+"group", c.Group, "all", "zone", "cell")
+	checkDuration(d, at+"window", c.Window, 0, time.Hour)
+	if c.Effect == Keyed && c.Window == 0 {
+		d.AddErrorf(at+"window", "a keyed class needs the time for which repeats are dropped")
+	}
+	checkNumber(d, at+"slots", float64(c.Slots), 1, 1024)
+	checkNumber(d, at+"memory", c.Memory, 0, 1<<20)
+	checkOneOf(d, at+"retry", c.Retry, RetryAny, RetryRefused, RetryNone)
+	if len(c.Body) != 2 || c.Body[0] < 0 || c.Body[1] < c.Body[0] || c.Body[1] > maxBody {
+		d.AddErrorf(at+"body", "%v is not the least and the most bytes, %d at most", c.Body, maxBody)
+	}
+	if c.LatencyObjective+time.Duration(c.Stretch*float64(c.Work)) > c.Deadline {
+		d.AddErrorf(at+"patience", "%v is shorter than the time in which the answer is wanted, %v plus %v times the work", c.Deadline, c.LatencyObjective, c.Stretch)
+	}
+	if c.Kind != "" && !slices.ContainsFunc(s.Workers, func(w WorkerPool) bool { return w.Kind == c.Kind }) {
+		d.AddErrorf(at+"kind", "%q is no kind of the workers", c.Kind)
+	}
+	fits := func(w WorkerPool) bool { return w.Cores >= c.Slots && w.Memory >= c.Memory }
+	if len(s.Workers) > 0 && !slices.ContainsFunc(s.Workers, fits) {
+		d.AddErrorf(at+"slots", "no worker has the %d slots and %v units of memory that a job takes", c.Slots, c.Memory)
+	}
+}
+
 func (s *Scenario) checkTenants(d *tomlfile.Document) {
 	if len(s.Tenants) > maxTenants {
 		d.AddErrorf("tenant", "%d are more than %d", len(s.Tenants), maxTenants)
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -51,20 +51,20 @@
 
 // Terms are the figures of the rules, and what the platform allows.
 type Terms struct {
-	Attempts           int           `toml:"attempts"`
-	DrainGrace         time.Duration `toml:"drain_grace"`
-	SlowStartMinFactor float64       `toml:"cold_from"`
-	SlowStartWindow    time.Duration `toml:"warm_within"`
-	OverloadMultiple   float64       `toml:"fall_multiple"`
-	OverloadWindow     time.Duration `toml:"fall_window"`
-	Hedging            bool          `toml:"second_copies"`
-	RetryAfter         bool          `toml:"retry_after"`
-	MaxRetryAfter      time.Duration `toml:"most_retry_after"`
-	ConnectTimeout     time.Duration `toml:"connect_timeout"`
-	IdleClose          time.Duration `toml:"idle_close"`
-	Notes              bool          `toml:"notes"` // workers report starts and progress
-	Progress           time.Duration `toml:"progress"`
-	OverQuotaWeight    float64       `toml:"over_share_worth"`
+	Attempts           int           `toml:"attempts"`         // at most, of one try
+	DrainGrace         time.Duration `toml:"drain_grace"`      // after the update that a worker drains, in which it may still get requests
+	SlowStartMinFactor float64       `toml:"cold_from"`        // part of its speed that a worker has when it starts
+	SlowStartWindow    time.Duration `toml:"warm_within"`      // until a worker has its full speed
+	OverloadMultiple   float64       `toml:"fall_multiple"`    // a warming worker crashes when it is sent more than this multiple of the work that it can do ...
+	OverloadWindow     time.Duration `toml:"fall_window"`      // ... within a window of this length, for at least that length
+	Hedging            bool          `toml:"second_copies"`    // hedged requests are allowed
+	RetryAfter         bool          `toml:"retry_after"`      // answers may carry Retry-After ...
+	MaxRetryAfter      time.Duration `toml:"most_retry_after"` // ... of this at most
+	ConnectTimeout     time.Duration `toml:"connect_timeout"`  // of a connection to a worker
+	IdleClose          time.Duration `toml:"idle_close"`       // after which workers close idle connections
+	Notes              bool          `toml:"notes"`            // workers report starts and progress
+	Progress           time.Duration `toml:"progress"`         // between two reports of a running request; 0: none
+	OverQuotaWeight    float64       `toml:"over_share_worth"` // factor on the value of requests beyond a tenant's quota
 }
 
 // List configures how endpoint updates reach the dispatchers.
--- a/internal/testbed/spawner.go
+++ b/internal/testbed/spawner.go
@@ -7,7 +7,7 @@
 )
 
 // spawner starts processes from one operating system thread that lives as long as the spawner: the kernel kills them when
-// that thread ends, also where this program is killed outright. It is safe for concurrent use; closing quit ends it.
+// that thread ends, also where this program itself is killed. It is safe for concurrent use; closing quit ends it.
 type spawner struct {
 	requests chan spawnRequest
 	quit     chan struct{}
