--- a/internal/coordinator/golden_exchanges_test.go
+++ b/internal/coordinator/golden_exchanges_test.go
@@ -27,8 +27,14 @@
 var (
 	timeDependent = regexp.MustCompile(`-?[0-9]+|true|false`)
 	libraryText   = regexp.MustCompile(`invalid character .*`)
+	contentLength = regexp.MustCompile(`Content-Length: [0-9]+`)
 )
 
+// memberHeader is the header of messages from member d1 to d0 of the group that startGroupOfOne starts.
+var memberHeader = map[string]string{
+	"X-Birchfork-Group": "g", "X-Birchfork-Founded": "f0", "X-Birchfork-From": "d1", "X-Birchfork-Life": "l1", "X-Birchfork-To": "d0",
+}
+
 // exchange is a message to a path.
 type exchange struct {
 	path, body    string
@@ -75,12 +81,9 @@
 	g := newTestGroup(t)
 	defer g.close()
 	startGroupOfOne(t, g)
-	from := map[string]string{
-		"X-Birchfork-Group": "g", "X-Birchfork-Founded": "f0", "X-Birchfork-From": "d1", "X-Birchfork-Life": "l1", "X-Birchfork-To": "d0",
-	}
 	var out bytes.Buffer
 	for _, e := range memberExchanges {
-		e.write(t, &out, g.addresses[0], from)
+		e.write(t, &out, g.addresses[0], memberHeader)
 	}
 	for _, e := range operatorExchanges {
 		e.write(t, &out, g.addresses[0], nil)
