--- a/internal/coordinator/calls.go
+++ b/internal/coordinator/calls.go
@@ -37,6 +37,9 @@
 // noMembershipText answers calls that need the member itself.
 const noMembershipText = "this process does not speak for its dispatcher in the group"
 
+// malformedCallPrefix begins the answer to a body that is no Call; the decoder's error follows.
+const malformedCallPrefix = "no call: "
+
 // isNotCommitted reports whether a member could not have the call committed. Another one may.
 func (r *Reply) isNotCommitted() bool {
 	return r.Code == maintenance.CodeRetryLater && strings.HasPrefix(r.Text, NotCommittedText)
@@ -52,11 +55,12 @@
 	return &Reply{Code: maintenance.CodeRetryLater, Text: fmt.Sprintf(format, args...)}
 }
 
-// handleOperatorCall takes an operator's call at any member.
+// handleOperatorCall serves an operator's call at any member. It does without peer.ServeJSON because the leader's answer is passed on as
+// received: decoding it would lose the fields that only a newer build knows, and encoding it again could change its bytes.
 func (c *Coordinator) handleOperatorCall(ctx context.Context, _ peer.Sender, body []byte) ([]byte, error) {
 	var call Call
 	if err := json.Unmarshal(body, &call); err != nil {
-		return json.Marshal(invalid("no call: %v", err))
+		return json.Marshal(invalid("%s%v", malformedCallPrefix, err))
 	}
 	switch {
 	case call.Bootstrap:
@@ -86,14 +90,17 @@
 	return c.status(false)
 }
 
-// handleCall takes an operator's call at the leader.
+// handleCall serves an operator's call at the leader.
 func (c *Coordinator) handleCall(ctx context.Context, _ peer.Sender, body []byte) ([]byte, error) {
-	var call Call
-	if err := json.Unmarshal(body, &call); err != nil {
-		return nil, &peer.RejectedError{Reason: "no call: " + err.Error()}
-	}
-	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
-	defer cancel()
+	return peer.ServeJSON(body, peer.RejectMalformed[*Reply](malformedCallPrefix), func(call *Call) (*Reply, error) {
+		ctx, cancel := context.WithTimeout(ctx, commitTimeout)
+		defer cancel()
+		return c.serveCall(ctx, call)
+	})
+}
+
+// serveCall carries out an operator's call at the leader, once a quorum has confirmed that this member leads.
+func (c *Coordinator) serveCall(ctx context.Context, call *Call) (*Reply, error) {
 	node := c.node()
 	if node == nil {
 		return nil, errOutsideGroup
@@ -102,18 +109,13 @@
 		return nil, err
 	}
 	c.mu.Lock()
-	reply, err := c.replyWithoutEntry(&call)
+	reply, err := c.replyWithoutEntry(call)
 	c.mu.Unlock()
-	if err != nil {
-		return nil, err
-	}
-	if reply == nil {
-		reply, err = c.commit(ctx, node, call.Command)
+	isServed := err != nil || reply != nil
+	if isServed {
+		return reply, err
 	}
-	if err != nil {
-		return nil, err
-	}
-	return json.Marshal(reply)
+	return c.commit(ctx, node, call.Command)
 }
 
 // replyWithoutEntry replies to a call that needs no entry; a nil reply: it needs one. c.mu must be held.
