--- a/internal/coordinator/apply.go
+++ b/internal/coordinator/apply.go
@@ -10,7 +10,7 @@
 	"birchfork/internal/maintenance"
 )
 
-// restoredStateGrace is for how long after a membership's start failpoint.IgnoreRestoredState is in force.
+// restoredStateGrace is how long after a membership's start failpoint.IgnoreRestoredState applies.
 const restoredStateGrace = 2 * time.Second
 
 // Apply implements consensus.StateMachine: it applies a committed command to the state, and the state to the dispatcher.
@@ -32,7 +32,7 @@
 	c.notifyChanged()
 }
 
-// applyEntry applies a command to the state. It panics for one that needs a newer build, and the node stops: see consensus.Node.
+// applyEntry applies a command to the state. It panics for a command that needs a newer build, which stops the node: see consensus.Node.
 func (c *Coordinator) applyEntry(index uint64, data []byte) ([]maintenance.Event, engine.Restrictions) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// restrictionsOf returns how a state restricts a dispatcher.
+// restrictionsOf returns the restrictions that a state places on a dispatcher.
 func restrictionsOf(state *maintenance.State) engine.Restrictions {
 	underMaintenance, leased := state.InMaintenance(), state.Leased()
 	return engine.Restrictions{
@@ -89,7 +89,7 @@
 	return current == nil || time.Since(current.startedAt) < restoredStateGrace
 }
 
-// notifyChanged wakes those who wait for the state.
+// notifyChanged wakes the goroutines that wait for a change of the state.
 func (c *Coordinator) notifyChanged() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,8 +97,8 @@
 	c.changed = make(chan struct{})
 }
 
-// readBarrier waits until all is applied here that was committed before the call, and returns its index. A quorum has confirmed since the
-// call that this member leads.
+// readBarrier waits until this member has applied every entry that was committed before the call, and returns the index of the last one.
+// A quorum has confirmed since the call that this member leads.
 func (c *Coordinator) readBarrier(ctx context.Context, node *consensus.Node) (index uint64, err error) {
 	index, err = node.ReadIndex(ctx)
 	if err != nil {
@@ -107,7 +107,7 @@
 	return index, c.waitApplied(ctx, index)
 }
 
-// waitApplied waits until all entries up to an index are applied here.
+// waitApplied waits until this member has applied all entries up to an index.
 func (c *Coordinator) waitApplied(ctx context.Context, index uint64) error {
 	for {
 		c.mu.Lock()
@@ -122,14 +122,14 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(appliedInterval): // raft's own entries do not change the state
+		case <-time.After(appliedInterval): // raft's own entries are applied without a change of the state
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// waitForState waits until the state meets a condition, which is called with c.mu held.
+// waitForState waits until condition returns true, and checks it after each change of the state. condition is called with c.mu held.
 func (c *Coordinator) waitForState(ctx context.Context, condition func(*maintenance.State) bool) error {
 	for {
 		c.mu.Lock()
--- a/internal/coordinator/bootstrap.go
+++ b/internal/coordinator/bootstrap.go
@@ -13,11 +13,11 @@
 	"birchfork/internal/maintenance"
 )
 
-// errStorageNotEmpty says that a group cannot be created on storage that has a history.
+// errStorageNotEmpty is the error of creating a group on storage that has entries already.
 var errStorageNotEmpty = errors.New("the group's storage is not empty")
 
-// bootstrap creates the group at this member, for an operator. The other members join it. It does so only once every other member has
-// answered that it is in no group.
+// bootstrap creates the group at this member, as an operator's call demands; the other members join it. It creates the group only if
+// every other member has answered that it is in no group.
 func (c *Coordinator) bootstrap(ctx context.Context, afterDataLoss bool) *Reply {
 	current := c.currentMembership()
 	if current == nil {
@@ -48,8 +48,8 @@
 	return &Reply{Text: "founded"}
 }
 
-// membersNotOutside returns the other members that have not answered that they are in no group, with what they answered instead; a nil
-// error is among the answers of members that are in one.
+// membersNotOutside returns, by name, the other members that have not answered that they are in no group, each with the error of its
+// request; the error is nil for a member that accepted the request, as one in a group may.
 func (c *Coordinator) membersNotOutside(ctx context.Context, current *membership) (map[string]error, error) {
 	request, err := json.Marshal(joinRequest{Name: c.options.Self}) // without an incarnation it is never granted
 	if err != nil {
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// confirmDisk confirms, for an operator, that this member's disk is the last one that it had. Only a member that waits for that takes it:
-// see resume.
+// confirmDisk confirms, as an operator's call demands, that this member's disk is the latest one that it had. Only a member whose disk is
+// not verified yet accepts the confirmation: see resume.
 func (c *Coordinator) confirmDisk() *Reply {
 	current := c.currentMembership()
 	if current == nil {
--- a/internal/coordinator/calls.go
+++ b/internal/coordinator/calls.go
@@ -15,13 +15,13 @@
 
 // Call is an operator's call. One of Command, Bootstrap, ConfirmDisk and Status is set.
 type Call struct {
-	Command       *maintenance.Command `json:"command,omitempty"` // its ID makes it act once, however often it arrives
-	Check         bool                 `json:"check,omitempty"`   // only validate Command, a plan
-	Bootstrap     bool                 `json:"found,omitempty"`   // create the group here
-	AfterDataLoss bool                 `json:"again,omitempty"`   // with Bootstrap: there was a group, whose history is lost
-	ConfirmDisk   bool                 `json:"vouch,omitempty"`   // this member's disk is the last one that it had
+	Command       *maintenance.Command `json:"command,omitempty"` // carried out once for each ID, however often it arrives
+	Check         bool                 `json:"check,omitempty"`   // only validate Command, which submits a plan
+	Bootstrap     bool                 `json:"found,omitempty"`   // create the group at this member
+	AfterDataLoss bool                 `json:"again,omitempty"`   // with Bootstrap: the group existed before, and its log is lost
+	ConfirmDisk   bool                 `json:"vouch,omitempty"`   // this member's disk is the latest one that it had
 	Status        bool                 `json:"status,omitempty"`
-	Local         bool                 `json:"local,omitempty"` // with Status: what this member knows, without a leader
+	Local         bool                 `json:"local,omitempty"` // with Status: as known to this member, without contacting the leader
 }
 
 // Reply answers a Call.
@@ -31,26 +31,26 @@
 	Status *Status          `json:"status,omitempty"`
 }
 
-// NotCommittedText begins the text of a reply where no leader could commit a call in time.
+// NotCommittedText begins the text of the reply to a call that no leader could commit in time.
 const NotCommittedText = "not settled yet, ask again"
 
-// noMembershipText answers calls that need the member itself.
+// noMembershipText is the reply to calls that this process can only serve while it has the membership.
 const noMembershipText = "this process does not speak for its dispatcher in the group"
 
 // malformedCallPrefix begins the answer to a body that is no Call; the decoder's error follows.
 const malformedCallPrefix = "no call: "
 
-// isNotCommitted reports whether a member could not have the call committed. Another one may.
+// isNotCommitted reports whether the member failed to get the call committed. Another member may succeed.
 func (r *Reply) isNotCommitted() bool {
 	return r.Code == maintenance.CodeRetryLater && strings.HasPrefix(r.Text, NotCommittedText)
 }
 
-// invalid returns the reply to a call that can never be carried out as it is.
+// invalid returns the reply to a call that fails however often it is repeated.
 func invalid(format string, args ...any) *Reply {
 	return &Reply{Code: maintenance.CodeInvalid, Text: fmt.Sprintf(format, args...)}
 }
 
-// retryLater returns the reply to a call that cannot be carried out now.
+// retryLater returns the reply to a call that cannot be carried out at present.
 func retryLater(format string, args ...any) *Reply {
 	return &Reply{Code: maintenance.CodeRetryLater, Text: fmt.Sprintf(format, args...)}
 }
@@ -83,7 +83,7 @@
 	return json.Marshal(reply)
 }
 
-// localStatus returns the status as this member knows it.
+// localStatus returns the status as known to this member.
 func (c *Coordinator) localStatus() *Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,7 +118,7 @@
 	return c.commit(ctx, node, call.Command)
 }
 
-// replyWithoutEntry replies to a call that needs no entry; a nil reply: it needs one. c.mu must be held.
+// replyWithoutEntry returns the reply to a call that needs no entry in the log, or nil if it needs one. c.mu must be held.
 func (c *Coordinator) replyWithoutEntry(call *Call) (*Reply, error) {
 	if call.Status {
 		return &Reply{Status: c.status(true)}, nil
@@ -129,7 +129,7 @@
 	return c.precheck(call), nil
 }
 
-// commit proposes a command and waits for its result.
+// commit proposes a command as an entry, waits until it is applied and returns its result.
 func (c *Coordinator) commit(ctx context.Context, node *consensus.Node, command *maintenance.Command) (*Reply, error) {
 	raw, err := encodeEntry(command)
 	if err != nil {
--- a/internal/coordinator/client.go
+++ b/internal/coordinator/client.go
@@ -20,11 +20,11 @@
 
 // Client makes operators' calls. It is safe for concurrent use.
 type Client struct {
-	Addresses []string // of members, host:port; the next one is asked where one does not answer
+	Addresses []string // of members, host:port; the next one is called if one does not answer
 }
 
-// Do makes a call at one member after another, until it is answered or 12 s have gone by; then the reply's code says to retry later. All
-// attempts of a command share one ID, and so it acts once. The error is always nil.
+// Do makes a call at one member after another, until one answers or 12 s have passed; in the latter case the reply has
+// maintenance.CodeRetryLater. All attempts of a command share one ID, so that it is carried out once. The error is always nil.
 func (c *Client) Do(ctx context.Context, call Call) (*Reply, error) {
 	if call.Command != nil && call.Command.ID == "" {
 		call.Command.ID = rand.Text()[:commandIDLength]
@@ -40,7 +40,7 @@
 		reply := &Reply{}
 		if err := peer.CallMember(ctx, c.Addresses[i%len(c.Addresses)], PathOperator, call, reply); err != nil {
 			isOwnTimeout := ctx.Err() != nil && i > 0
-			if !isOwnTimeout { // else what was wrong before tells more
+			if !isOwnTimeout { // after a timeout of this client the error before it explains more
 				lastErr = err
 			}
 			continue
@@ -51,7 +51,7 @@
 		lastErr = errors.New(reply.Text)
 		triedAll := i >= len(c.Addresses)-1
 		if triedAll && reply.Status != nil {
-			return reply, nil // what a member knew last
+			return reply, nil // the status as known to that member alone
 		}
 	}
 	return retryLater("no member has settled it: %v", lastErr), nil
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -1,10 +1,10 @@
 // Package coordinator runs one dispatcher's part in a group of dispatchers. It joins the group, renews the lease, applies committed
 // maintenance commands to its own dispatcher, answers operators' calls and, while it leads, advances maintenance plans.
 //
-// What is decided about plans stands in internal/maintenance, agreement in internal/consensus, transport in internal/peer.
+// The decisions on plans are in internal/maintenance, raft is in internal/consensus and the transport in internal/peer.
 //
-// A process of a dispatcher takes part while it holds a membership: the group's address is listened on, the storage is open, and the
-// loops of a membership run. Of several processes of one dispatcher the newest holds it. Coordinator.run owns the membership, a
+// A process of a dispatcher takes part in the group while it has the membership: it listens on the member's address, has the storage open
+// and runs the loops of a membership. Of several processes of one dispatcher the newest gets the membership. Coordinator.run owns it; a
 // membership's loops end before it is closed, and Close waits for run.
 package coordinator
 
@@ -33,53 +33,55 @@
 	requestTimeout       = time.Second            // for another member's answer
 	positionQueryTimeout = 500 * time.Millisecond // for the other members' positions
 	commitTimeout        = 2 * time.Second        // for an operator's call to be committed
-	pollInterval         = 5 * time.Millisecond   // between checks of something that is about to happen
+	pollInterval         = 5 * time.Millisecond   // between checks of a condition that is expected soon
 	appliedInterval      = 10 * time.Millisecond  // between checks of the applied index, while the state does not change
-	goneWorkerRetention  = 15 * time.Minute       // a worker that has left the endpoint list counts as unavailable for so long
+	goneWorkerRetention  = 15 * time.Minute       // how long a worker that has left the endpoint list counts as unavailable
 )
 
 const (
-	renewalsPerLease      = 6   // attempts to renew within the time of a lease
-	minObservationReports = 3   // reports that a member may miss before its observations of workers expire, at the least
-	clockDriftDivisor     = 100 // monotonic clocks differ by at most one part in so many
+	renewalsPerLease      = 6   // attempts to renew within the duration of a lease
+	minObservationReports = 3   // lower bound on the reports that a member may miss before its observations of workers expire
+	clockDriftDivisor     = 100 // the rates of monotonic clocks differ by at most 1/clockDriftDivisor
 )
 
-// Dispatcher is what a Coordinator controls: engine.Engine implements it. Its methods are called with the coordinator's lock held, and
-// must not call the coordinator.
+// Dispatcher is the dispatcher that a Coordinator controls; engine.Engine implements it. Its methods may be called with the coordinator's
+// lock held and must not call the coordinator.
 type Dispatcher interface {
-	// SetRestrictions replaces what the group has committed on workers, as far as it restricts this dispatcher.
+	// SetRestrictions replaces the restrictions on workers that follow from the group's committed entries.
 	SetRestrictions(engine.Restrictions)
-	// SetMaxAttemptDuration limits the attempts that begin from now on.
+	// SetMaxAttemptDuration limits the duration of attempts that begin after the call.
 	SetMaxAttemptDuration(time.Duration)
-	// SetLeaseExpiry sets until when workers under a lease may be sent to.
+	// SetLeaseExpiry sets when the lease ends; until then attempts may be sent to workers that need a lease.
 	SetLeaseExpiry(until time.Time)
-	// SetPlansUnknown says whether this process may lack plans. Then all workers need a lease.
+	// SetPlansUnknown sets whether plans may exist that this process does not know. While they may, all workers need a lease.
 	SetPlansUnknown(bool)
-	// BusyWorkers returns the workers under maintenance or a lease where an attempt runs or may run, and their hosts.
+	// BusyWorkers returns the workers under maintenance or a lease at which an attempt runs or may run, and their hosts.
 	BusyWorkers() (names, hosts []string)
-	// WorkerStatuses returns all workers, those that have left for a time, and which began so recently that they are warming up.
+	// WorkerStatuses returns the status of all workers, including those that left the endpoint list less than goneFor ago. A worker
+	// counts as warming up if it started, or was included again, less than warmUp ago.
 	WorkerStatuses(goneFor, warmUp time.Duration) []engine.WorkerStatus
 }
 
-// Options configures a Coordinator. All fields are needed unless their comment says otherwise.
+// Options configures a Coordinator. All fields are required unless their comment states otherwise.
 type Options struct {
 	Group      *config.Group
 	Self       string // this member's name
 	Dispatcher Dispatcher
-	// Siblings returns how many other processes of this dispatcher live, and whether one of them is newer than this one.
+	// Siblings returns how many other processes of this dispatcher are alive, and whether one of them is newer than this one.
 	Siblings    func() (alive int, newer bool)
-	MaxDeadline time.Duration // the longest deadline of a request class: no attempt runs for longer
-	MaxDelivery time.Duration // from the order of an attempt until its last byte has arrived at the worker, or never will
+	MaxDeadline time.Duration // the longest deadline of any request class: no attempt runs longer
+	MaxDelivery time.Duration // from the decision to send an attempt until its last byte has arrived at the worker or can no longer arrive
 	WarmUp      time.Duration // from a worker's start until it is warm
-	// BootMarkerPath names a file that does not outlive the machine's boot. Empty: after a restart others have to verify the disk.
+	// BootMarkerPath is the path of a file that does not survive a reboot of the machine. If it is empty, other members have to verify
+	// the disk after each restart.
 	BootMarkerPath string
 	TransportUsers []TransportUser // may be empty
 	Log            logrus.FieldLogger
 }
 
-// TransportUser uses the transport of this process's membership beside the Coordinator.
+// TransportUser shares the transport of this process's membership with the Coordinator.
 type TransportUser interface {
-	// Attach registers handlers on a transport that serves soon.
+	// Attach registers handlers on a transport before it serves.
 	Attach(*peer.Transport)
 	// Detach is called before the transport closes.
 	Detach()
@@ -90,25 +92,25 @@
 	options Options
 	cancel  context.CancelFunc // ends run
 	done    chan struct{}      // closed when run has ended
-	closing atomic.Bool        // the process ends: leadership was given away already
+	closing atomic.Bool        // the process ends and has transferred leadership already
 
-	// mu guards all below. It is held while the dispatcher is called, never the other way round.
+	// mu guards the fields below. It may be held while the dispatcher locks its own mutex, never the other way round.
 	mu       sync.Mutex
 	state    *maintenance.State
-	seqSince time.Time     // since when state has its Seq
-	changed  chan struct{} // closed, and replaced, when state has changed
+	seqSince time.Time     // when state got its present Seq
+	changed  chan struct{} // closed and replaced at each change of state
 
-	lastReports       map[string]receivedReport     // by member, since this process began
-	observedNames     map[uint64]string             // members by raft ID, as their messages came
-	observedPositions map[string]consensus.Position // what incarnations of other members have promised by their messages
+	lastReports       map[string]receivedReport     // by member, since this process started
+	observedNames     map[uint64]string             // members by raft ID, from the messages they sent
+	observedPositions map[string]consensus.Position // by incarnation of other members: what their messages have promised
 
-	maxAttempt time.Duration // from the order of an attempt until it runs no more
-	warmUp     time.Duration // Options.WarmUp, or what ExtendTimes has made of it
-	membership *membership   // nil: this process has none
+	maxAttempt time.Duration // upper bound from the decision to send an attempt until its end
+	warmUp     time.Duration // Options.WarmUp, or longer after ExtendTimes
+	membership *membership   // nil: this process does not have it
 }
 
-// Start starts a member's part and returns at once. Until the group has confirmed this process, the dispatcher is told that it may lack
-// plans, if plans are in use.
+// Start starts a Coordinator and returns at once. Where maintenance plans are in use, the dispatcher treats plans as unknown until the
+// group has confirmed this process.
 func Start(options Options) *Coordinator {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Coordinator{
@@ -130,7 +132,7 @@
 	return c
 }
 
-// run holds a membership whenever this process may have one, until ctx ends.
+// run gets the membership whenever this process may have it, until ctx ends. Repeated errors are logged once.
 func (c *Coordinator) run(ctx context.Context) {
 	defer close(c.done)
 	lastLogged := ""
@@ -144,15 +146,15 @@
 	}
 }
 
-// fenceTimeout is the longest that this member may still send or run anything by a state that it had before a committed entry. Whoever
-// has waited for so long need not hear from it. c.mu must be held.
+// fenceTimeout returns how long after an entry was committed this member may still send or run attempts by an earlier state. A leader that
+// has waited that long needs no report from it. c.mu must be held.
 func (c *Coordinator) fenceTimeout() time.Duration {
 	timeout := c.options.Group.LeaseDuration + c.maxAttempt
-	return timeout + timeout/clockDriftDivisor // whoever measures it may have the quicker clock
+	return timeout + timeout/clockDriftDivisor // the clock that measures it may run faster
 }
 
-// ExtendTimes replaces times of Options by longer ones, for a configuration that is about to be in force; shorter ones change nothing.
-// Once it returns, the dispatcher has no lease until the group waits for as long.
+// ExtendTimes replaces times of Options with longer ones before a new configuration takes effect; shorter ones change nothing. If an
+// attempt may run longer, the dispatcher has no lease from then on until the group's fence timeout has been extended to match.
 func (c *Coordinator) ExtendTimes(maxDeadline, maxDelivery, warmUp time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,7 +164,7 @@
 		return
 	}
 	c.maxAttempt = maxAttempt
-	c.options.Dispatcher.SetLeaseExpiry(time.Time{}) // before any attempt begins that may run for longer
+	c.options.Dispatcher.SetLeaseExpiry(time.Time{}) // before any attempt begins that may run longer
 	c.options.Dispatcher.SetMaxAttemptDuration(maxDeadline)
 }
 
@@ -179,11 +181,11 @@
 	return fields
 }
 
-// TransferLeadership gives leadership to another voter, if this member has it. It takes up to a second. A process calls it before it
-// drains.
+// TransferLeadership transfers leadership to another voter, if this member leads. It takes up to a second. It is to be called before the
+// process drains.
 func (c *Coordinator) TransferLeadership() { c.transferLeadership(context.Background()) }
 
-// Close ends this member's part and waits until it has ended, which may take as long as a write to the disk.
+// Close stops the Coordinator and waits for its goroutines, which may take as long as a write to the disk.
 func (c *Coordinator) Close() {
 	c.closing.Store(true)
 	c.cancel()
--- a/internal/coordinator/handlers.go
+++ b/internal/coordinator/handlers.go
@@ -10,22 +10,22 @@
 	"birchfork/internal/peer"
 )
 
-// Paths of the members' transport. A message to a path of pathRelay was relayed by another member already, and is not relayed again.
+// Paths of the members' transport. A message to a path below pathRelay was relayed by another member and is not relayed again.
 const (
 	pathRaft     = "/group/raft"
 	pathJoin     = "/group/join"
 	pathReport   = "/group/report"
 	pathPosition = "/group/recall"
 	pathCall     = "/group/call"
-	pathRelay    = "/group/relay" // followed by the path that it is for
+	pathRelay    = "/group/relay" // prefix of the path that the message is for
 	// PathOperator is the path of operators' calls.
 	PathOperator = "/group/staff"
 )
 
-// outsideGroupText is both a rejection and an error. Members of other builds compare it.
+// outsideGroupText is the text of a rejection and of an error. Members of other builds compare it.
 const outsideGroupText = "this member is in no group yet"
 
-// Errors that say that a message cannot be answered now. The sender may try again. Their texts are shown to operators.
+// Errors for messages that cannot be answered at present. The sender may retry. Their texts are shown to operators.
 var (
 	errOutsideGroup    = errors.New(outsideGroupText)
 	errNoLeader        = errors.New("no leader can be reached")
@@ -40,13 +40,13 @@
 	errUnknownIncarnation = &peer.RejectedError{Reason: "no member under this life: ask to be taken in"}
 )
 
-// isRejected reports whether another member has rejected a message, rather than failed to answer.
+// isRejected reports whether err is another member's rejection, as opposed to a failure to answer.
 func isRejected(err error) bool {
 	var rejected *peer.RejectedError
 	return errors.As(err, &rejected)
 }
 
-// isRejectedAs reports whether another member has rejected a message for the reason of want.
+// isRejectedAs reports whether err is another member's rejection with the reason of want.
 func isRejectedAs(err error, want *peer.RejectedError) bool {
 	var rejected *peer.RejectedError
 	return errors.As(err, &rejected) && rejected.Reason == want.Reason
@@ -73,12 +73,12 @@
 	transport.HandleOperator(PathOperator, c.handleOperatorCall)
 }
 
-// leaderHandlers returns the handlers of what only the leader can answer, by path.
+// leaderHandlers returns, by path, the handlers of messages that only the leader can answer.
 func (c *Coordinator) leaderHandlers() map[string]peer.Handler {
 	return map[string]peer.Handler{pathJoin: c.handleJoin, pathReport: c.handleReport, pathCall: c.handleCall}
 }
 
-// handleRaft takes a raft message, and notes what its sender promises by it.
+// handleRaft handles a raft message, and records what its sender promises by it.
 func (c *Coordinator) handleRaft(_ context.Context, from peer.Sender, body []byte) ([]byte, error) {
 	node := c.node()
 	if node == nil {
@@ -94,7 +94,7 @@
 	return nil, err
 }
 
-// handlePosition takes the position of another member's storage, and answers with this member's: see resume.
+// handlePosition handles the position of another member's storage, and answers with this member's: see resume.
 func (c *Coordinator) handlePosition(_ context.Context, from peer.Sender, body []byte) ([]byte, error) {
 	var position consensus.Position
 	if err := json.Unmarshal(body, &position); err != nil {
@@ -114,7 +114,7 @@
 	return json.Marshal(c.membership.node.Status().Position)
 }
 
-// isLeader reports whether this member leads, as far as it knows.
+// isLeader reports whether this member considers itself the leader. A quorum may have elected another one.
 func (c *Coordinator) isLeader() bool {
 	node := c.node()
 	return node != nil && node.Status().IsLeader
@@ -129,7 +129,7 @@
 	return c.memberName(node.Status().LeaderID)
 }
 
-// request sends a message to a member and returns its answer.
+// request sends a message to a member and returns its answer, within requestTimeout.
 func (c *Coordinator) request(ctx context.Context, current *membership, to, path string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -143,7 +143,7 @@
 		return nil, errRejectOutsideGroup
 	}
 	if c.node() == nil {
-		// A member that is in a group and waits must not be taken for one that knows of no plan.
+		// A member of a group whose disk is not verified yet must not count as outside of any group, as its group may have plans.
 		if c.sender().ClusterID != "" {
 			return nil, errDiskUnconfirmed
 		}
@@ -156,8 +156,8 @@
 	return c.request(ctx, current, leader, pathRelay+path, body)
 }
 
-// requestLeader has the leader answer a message: this member itself, the leader directly, or through another member where it cannot be
-// reached from here.
+// requestLeader gets the leader's answer to a message: it handles the message itself if this member leads, else sends it to the leader,
+// directly or through another member if this one cannot reach the leader.
 func (c *Coordinator) requestLeader(ctx context.Context, path string, body []byte) ([]byte, error) {
 	if c.isLeader() {
 		return c.leaderHandlers()[path](ctx, c.sender(), body)
@@ -169,8 +169,8 @@
 	return c.requestThroughMembers(ctx, path, body, err)
 }
 
-// requestThroughMembers has another member forward a message to the leader. It returns the last error, which is lastErr if there is no
-// member to try.
+// requestThroughMembers sends a message to other members in random order, to be forwarded to the leader, until one answers. If none does
+// it returns the last error, which is lastErr if there is no member to try.
 func (c *Coordinator) requestThroughMembers(ctx context.Context, path string, body []byte, lastErr error) ([]byte, error) {
 	current := c.currentMembership()
 	if current == nil {
--- a/internal/coordinator/join.go
+++ b/internal/coordinator/join.go
@@ -21,12 +21,12 @@
 	RaftID      uint64 `json:"id"`
 }
 
-// joinReply says that the member was added.
+// joinReply confirms that the member was added.
 type joinReply struct {
 	ClusterID string `json:"founded"`
 }
 
-// join asks the other members to be added to the group, until it is, or until an operator's call creates the group here.
+// join sends requests to join to the other members, until this one is added or an operator's call creates the group at this member.
 func (c *Coordinator) join(ctx context.Context, current *membership) {
 	request, err := json.Marshal(joinRequest{
 		Name: c.options.Self, Incarnation: current.identity.Incarnation, RaftID: current.identity.RaftID,
@@ -53,11 +53,11 @@
 	}
 }
 
-// joinThroughAny sends the request to the other members in random order, until one of them has had this member added. It reports whether
-// the node was started.
+// joinThroughAny sends the request to the other members in random order, until one of them answers that this member was added. It reports
+// whether the node was started.
 func (c *Coordinator) joinThroughAny(ctx context.Context, current *membership, request []byte) bool {
 	others := c.others()
-	outside := 0 // members that are in no group themselves
+	outside := 0 // how many are in no group themselves
 	for _, i := range rand.Perm(len(others)) {
 		raw, err := c.request(ctx, current, others[i].Name, pathJoin, request)
 		if isRejectedAs(err, errRejectOutsideGroup) {
@@ -75,14 +75,14 @@
 		c.options.Log.WithField("cluster", reply.ClusterID).Info("joined group")
 		return true
 	}
-	// Where no other member is in a group there is no plan that this one could lack.
+	// If no other member is in a group, there is no plan that this one could lack.
 	if outside == len(others) {
 		c.options.Dispatcher.SetPlansUnknown(false)
 	}
 	return false
 }
 
-// handleJoin adds a member to the group as a learner, at the leader, and answers once that is committed.
+// handleJoin handles a joinRequest at the leader: it adds the member as a learner and answers once that is committed.
 func (c *Coordinator) handleJoin(ctx context.Context, _ peer.Sender, body []byte) ([]byte, error) {
 	var request joinRequest
 	if err := json.Unmarshal(body, &request); err != nil {
@@ -93,7 +93,7 @@
 		return nil, &peer.RejectedError{Reason: "no member by our file: " + request.Name}
 	}
 	node, clusterID := c.node(), c.sender().ClusterID
-	if node == nil { // the membership has just gone to another process
+	if node == nil { // the membership has just passed to another process
 		return nil, errOutsideGroup
 	}
 	c.mu.Lock()
@@ -110,8 +110,8 @@
 	return json.Marshal(joinReply{ClusterID: clusterID})
 }
 
-// addMember proposes to add a member, and waits until that is committed. A member that is to vote does so once it has caught up: see
-// reconcileVoters.
+// addMember proposes to add a member, and waits until that is committed. A member that is to vote becomes a voter once it has caught up:
+// see reconcileVoters.
 func (c *Coordinator) addMember(ctx context.Context, node *consensus.Node, request joinRequest, isVoter bool) error {
 	// As in earlier builds this entry has no level, unlike those of encodeEntry.
 	entry, err := json.Marshal(maintenance.Command{Kind: maintenance.CommandJoinMember, Member: &maintenance.Member{
--- a/internal/coordinator/leader.go
+++ b/internal/coordinator/leader.go
@@ -12,10 +12,10 @@
 	"birchfork/internal/maintenance"
 )
 
-// compactLevel is the level of entries from which on an advance may be compact: see maintenance.State.Compact.
+// compactLevel is the lowest level of entries with compact advances: see maintenance.State.Compact.
 const compactLevel = 2
 
-// leaderLoop does the leader's work while this member leads, until ctx ends.
+// leaderLoop proposes advances of plans and changes of voters while this member leads, until ctx ends.
 func (c *Coordinator) leaderLoop(ctx context.Context) {
 	for ; ctx.Err() == nil; sleep(ctx, leaderInterval) {
 		node := c.node()
@@ -27,7 +27,7 @@
 	}
 }
 
-// proposeAdvance proposes an entry with what members have reported, if that would change the state.
+// proposeAdvance proposes an entry with the members' reports, if it would change the state.
 func (c *Coordinator) proposeAdvance(ctx context.Context, node *consensus.Node) {
 	c.mu.Lock()
 	advance := c.collectAdvance()
@@ -49,13 +49,14 @@
 	}
 }
 
-// encodeEntry encodes a command as an entry, with the level that it needs.
+// encodeEntry sets the level that a command requires and encodes it as an entry.
 func encodeEntry(command *maintenance.Command) ([]byte, error) {
 	command.Level = command.RequiredLevel()
 	return json.Marshal(command)
 }
 
-// collectAdvance returns what members have reported, together with what this one knows of the fleet. c.mu must be held.
+// collectAdvance returns the members' last reports together with the fleet as known to this member. It forgets the reports of names that
+// are no longer members. c.mu must be held.
 func (c *Coordinator) collectAdvance() *maintenance.Advance {
 	advance := &maintenance.Advance{
 		StateSeq:     c.state.Seq,
@@ -78,7 +79,7 @@
 	return advance
 }
 
-// localFleet returns what this member's dispatcher knows of the workers, by name. c.mu must be held.
+// localFleet returns the workers as known to this member's dispatcher, by name. c.mu must be held.
 func (c *Coordinator) localFleet() map[string]maintenance.Worker {
 	fleet := map[string]maintenance.Worker{}
 	for _, status := range c.options.Dispatcher.WorkerStatuses(goneWorkerRetention, c.warmUp) {
@@ -96,8 +97,8 @@
 	return fleet
 }
 
-// mergeObservations adds to a fleet what a member has reported of its workers. An operator's override counts until the member says
-// otherwise. What the member has seen itself expires: a silent member would hold up a plan for ever. c.mu must be held.
+// mergeObservations adds to a fleet what a member has reported about its workers. An operator's override counts until the member reports
+// its end. The member's own observations expire: otherwise a silent member could block a plan for ever. c.mu must be held.
 func (c *Coordinator) mergeObservations(fleet map[string]maintenance.Worker, report receivedReport) {
 	if time.Since(report.receivedAt) < c.observationLifetime() {
 		markWorkers(fleet, report.Unavailable, func(worker *maintenance.Worker) { worker.Unavailable = true })
@@ -106,7 +107,7 @@
 	markWorkers(fleet, report.Disabled, func(worker *maintenance.Worker) { worker.Disabled = true })
 }
 
-// markWorkers changes the named workers of a fleet, as far as the fleet has them.
+// markWorkers calls mark for each named worker of a fleet. Names that the fleet lacks are skipped.
 func markWorkers(fleet map[string]maintenance.Worker, names []string, mark func(*maintenance.Worker)) {
 	for _, name := range names {
 		worker, ok := fleet[name]
@@ -118,8 +119,8 @@
 	}
 }
 
-// observationLifetime returns how long what a member has seen of workers counts: as long as the group waits for a silent member, and
-// some reports at least. c.mu must be held.
+// observationLifetime returns how long a member's observations of workers count: as long as the group waits for a silent member, but at
+// least minObservationReports report intervals. c.mu must be held.
 func (c *Coordinator) observationLifetime() time.Duration {
 	return max(c.state.FenceTimeout, minObservationReports*idleReportInterval)
 }
@@ -143,8 +144,8 @@
 	}
 }
 
-// nextPromotion returns the changes that make one caught-up learner a voter; nil: there is none to promote. The vote of an earlier
-// incarnation passes to the present one in the same change. c.mu must be held.
+// nextPromotion returns the changes that make one caught-up learner a voter, or nil if there is none to promote. The same change removes
+// the member's earlier incarnations from the voters. c.mu must be held.
 func (c *Coordinator) nextPromotion(status consensus.Status, caughtUp []uint64) []*raftpb.ConfChangeSingle {
 	for _, member := range c.state.Members {
 		isReadyLearner := slices.Contains(status.Learners, member.RaftID) && slices.Contains(caughtUp, member.RaftID)
@@ -162,7 +163,7 @@
 	return nil
 }
 
-// nextRemoval returns the change that removes one raft ID that is no member's any more; nil: there is none. c.mu must be held.
+// nextRemoval returns the change that removes one raft ID that no longer belongs to a member, or nil if there is none. c.mu must be held.
 func (c *Coordinator) nextRemoval(status consensus.Status) []*raftpb.ConfChangeSingle {
 	known := map[uint64]bool{}
 	for _, member := range c.state.Members {
@@ -176,8 +177,8 @@
 	return nil
 }
 
-// holdsVoteForSuccessor reports whether a raft ID is that of an earlier incarnation of a voter, whose present one does not vote yet. Its
-// vote is kept until it can pass: see nextPromotion. c.mu must be held.
+// holdsVoteForSuccessor reports whether a raft ID is that of an earlier incarnation of a voter whose present incarnation does not vote
+// yet. It stays a voter until nextPromotion replaces it. c.mu must be held.
 func (c *Coordinator) holdsVoteForSuccessor(status consensus.Status, id uint64) bool {
 	for _, member := range c.state.Members {
 		if hadRaftID(member, id) {
@@ -187,8 +188,8 @@
 	return false
 }
 
-// transferLeadership gives leadership to another voter, if this member has it, and waits a little until it has gone. It does so although
-// ctx may have ended, whose values it uses alone.
+// transferLeadership transfers leadership to another voter, if this member leads, and waits for the transfer for up to requestTimeout. It
+// uses only the values of ctx, not its cancellation.
 func (c *Coordinator) transferLeadership(ctx context.Context) {
 	node := c.node()
 	if node == nil || !node.Status().IsLeader {
@@ -206,7 +207,7 @@
 	}
 }
 
-// otherVoter returns the raft ID of one of the given members that votes and is not this one; 0: there is none.
+// otherVoter returns the raft ID of one of the given members that votes and is not this one, or 0 if there is none.
 func (c *Coordinator) otherVoter(ids []uint64) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/coordinator/lease.go
+++ b/internal/coordinator/lease.go
@@ -11,25 +11,25 @@
 	"birchfork/internal/peer"
 )
 
-// statusReport is what a member reports to the leader, to renew its lease. Durations are in nanoseconds.
+// statusReport is a member's report to the leader, by which it renews its lease. Durations are in nanoseconds.
 type statusReport struct {
 	Name string `json:"name"`
 	maintenance.MemberReport
 	FenceTimeout time.Duration `json:"bound"`
 	WarmUp       time.Duration `json:"warm"`
-	Plans        bool          `json:"plans"` // maintenance plans are in use
-	Level        int           `json:"level"` // the highest level of entries that its build knows
+	Plans        bool          `json:"plans"` // maintenance plans are enabled in the member's configuration
+	Level        int           `json:"level"` // the highest level of entries that its build supports
 	Unavailable  []string      `json:"down,omitempty"`
 	WarmingUp    []string      `json:"cold,omitempty"`
 	Disabled     []string      `json:"hand,omitempty"`
 }
 
-// leaseGrant grants a lease to a member, once it has applied all entries up to an index.
+// leaseGrant is the leader's answer to a statusReport. It grants a lease once the member has applied all entries up to Index.
 type leaseGrant struct {
 	Index uint64 `json:"index"`
 }
 
-// receivedReport is a member's last report at the leader.
+// receivedReport is a member's last report, as the leader received it.
 type receivedReport struct {
 	statusReport
 	receivedAt time.Time
@@ -48,14 +48,15 @@
 		c.mu.Unlock()
 		select {
 		case <-time.After(interval):
-		case <-changed: // the leader waits to hear that it is applied
+		case <-changed: // the leader waits for the report that the change is applied
 			sleep(ctx, min(interval, leaderInterval))
 		case <-ctx.Done():
 		}
 	}
 }
 
-// renewInterval returns how long to wait before the lease is renewed again. c.mu must be held.
+// renewInterval returns the time until the next renewal: a fraction of the lease after a failure or while a plan is open, else
+// idleReportInterval. c.mu must be held.
 func (c *Coordinator) renewInterval(hasFailed bool) time.Duration {
 	isOpen := func(plan *maintenance.PlanState) bool { return plan.Phase != maintenance.PlanEnded }
 	if hasFailed || slices.ContainsFunc(c.state.Plans, isOpen) {
@@ -64,7 +65,7 @@
 	return idleReportInterval
 }
 
-// renewLease reports to the leader, and takes the lease that its answer grants.
+// renewLease sends a report to the leader and accepts the lease that its answer grants.
 func (c *Coordinator) renewLease(ctx context.Context) error {
 	current := c.currentMembership()
 	if current == nil || c.node() == nil {
@@ -72,7 +73,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, max(requestTimeout, c.options.Group.LeaseDuration/2))
 	defer cancel()
-	startedAt := time.Now() // the lease counts from before the report
+	startedAt := time.Now() // the lease counts from a time before the report
 	sent := c.statusReport()
 	body, err := json.Marshal(sent)
 	if err != nil {
@@ -92,7 +93,8 @@
 	return c.acceptLease(ctx, sent, startedAt, grant)
 }
 
-// acceptLease takes a lease that was granted for a report, and that counts from startedAt, once all that it rests on is applied here.
+// acceptLease puts a lease into effect that was granted for the report sent and counts from startedAt, once this member has applied the
+// entries that the grant requires.
 func (c *Coordinator) acceptLease(ctx context.Context, sent statusReport, startedAt time.Time, grant leaseGrant) error {
 	if err := c.waitApplied(ctx, grant.Index); err != nil {
 		return err
@@ -105,7 +107,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.fenceTimeout() != sent.FenceTimeout { // attempts may run for longer by now, which has to be reported first
+	if c.fenceTimeout() != sent.FenceTimeout { // ExtendTimes was called meanwhile: the longer time has to be reported first
 		return errFenceTimeout
 	}
 	c.options.Dispatcher.SetLeaseExpiry(startedAt.Add(c.options.Group.LeaseDuration))
@@ -113,7 +115,7 @@
 	return nil
 }
 
-// markConfirmed notes in the storage, once, that the group has confirmed this incarnation.
+// markConfirmed records in the storage, once, that the group has confirmed this incarnation.
 func (c *Coordinator) markConfirmed(ctx context.Context) error {
 	current, node := c.currentMembership(), c.node()
 	if current == nil || node == nil || current.confirmed {
@@ -126,8 +128,8 @@
 	return nil
 }
 
-// statusReport returns this member's report. It reads what is applied first, so that it tells of workers that are busy after that was in
-// force.
+// statusReport returns this member's report. It reads the applied index before the busy workers, so that these were observed with at least
+// the reported entries in effect.
 func (c *Coordinator) statusReport() statusReport {
 	node := c.node()
 	c.mu.Lock()
@@ -147,7 +149,7 @@
 	alive, _ := c.options.Siblings()
 	report.Incarnation = current.identity.Incarnation
 	report.Applied = node.Status().Applied
-	// An earlier process may have left attempts behind; one that lives may send by an older state.
+	// Attempts of an earlier process may still run at workers, and another live process may send by an older state.
 	report.SoleProcess = alive == 0 && time.Since(current.startedAt) > maxAttempt
 	report.BusyWorkers, report.BusyHosts = c.options.Dispatcher.BusyWorkers()
 	for _, worker := range c.options.Dispatcher.WorkerStatuses(goneWorkerRetention, report.WarmUp) {
@@ -164,7 +166,7 @@
 	return report
 }
 
-// handleReport takes a member's report and grants it a lease, at the leader.
+// handleReport handles a member's statusReport at the leader, and grants the member a lease.
 func (c *Coordinator) handleReport(ctx context.Context, _ peer.Sender, body []byte) ([]byte, error) {
 	var report statusReport
 	if err := json.Unmarshal(body, &report); err != nil {
--- a/internal/coordinator/membership.go
+++ b/internal/coordinator/membership.go
@@ -22,33 +22,34 @@
 // incarnationLength is the number of characters of an incarnation, and of a cluster ID.
 const incarnationLength = 10
 
-// membership is what a process holds while it takes part in the group.
+// membership is the state of a process while it takes part in the group.
 type membership struct {
 	transport     *peer.Transport
-	storage       *consensus.Storage // the node's once there is one
+	storage       *consensus.Storage // owned by node once there is one
 	startedAt     time.Time
 	startPosition consensus.Position // of the storage
 
-	// Coordinator.mu guards these two.
+	// Coordinator.mu guards identity and node.
 	identity consensus.Identity
-	node     *consensus.Node // nil: this member has not joined yet, or its disk is not verified
+	node     *consensus.Node // nil: this member has not joined yet, or its disk is not verified yet
 
-	confirmed bool // the storage has noted that the group confirmed this incarnation; the renewal loop's
+	confirmed bool // the storage has recorded that the group confirmed this incarnation; used by renewLoop only
 
-	bootstrap          chan bool     // an operator's call to create the group here, and whether it is after a data loss
-	diskConfirmed      chan struct{} // an operator's call that confirms the disk
-	unknownIncarnation chan struct{} // the group does not know this incarnation, or its disk is old
+	bootstrap          chan bool     // operators' calls to create the group at this member; true: after a data loss
+	diskConfirmed      chan struct{} // operators' calls that confirm the disk
+	unknownIncarnation chan struct{} // signalled if the group does not know this incarnation, or its disk is outdated
 }
 
-// signalUnknownIncarnation has the membership end and a new incarnation begin.
+// signalUnknownIncarnation makes the membership end, so that a new incarnation begins. It does not block.
 func (m *membership) signalUnknownIncarnation() {
 	select {
 	case m.unknownIncarnation <- struct{}{}:
-	default: // it is known already
+	default: // it was signalled already
 	}
 }
 
-// runMembership gets a membership and holds it until ctx ends, a newer process is to have it, or the group does not know this incarnation.
+// runMembership gets the membership and keeps it until ctx ends, a newer process needs it or the group does not know this incarnation. It
+// returns at once if there is a newer process.
 func (c *Coordinator) runMembership(ctx context.Context) error {
 	if c.newerSiblingExists() {
 		return nil
@@ -77,7 +78,7 @@
 	return newer
 }
 
-// openMembership opens the listener and the storage. Only one process at a time can.
+// openMembership opens the listener and the storage, which only one process can have open at a time.
 func (c *Coordinator) openMembership() (*membership, net.Listener, error) {
 	self, ok := c.self()
 	if !ok {
@@ -114,7 +115,7 @@
 	return current, listener, nil
 }
 
-// serveMembership begins to serve the membership's transport.
+// serveMembership registers the handlers and starts to serve the membership's transport.
 func (c *Coordinator) serveMembership(current *membership, listener net.Listener) {
 	c.registerHandlers(current.transport)
 	for _, user := range c.options.TransportUsers {
@@ -134,7 +135,7 @@
 	logUnreadable(c.options.Log, current.storage)
 }
 
-// resumeOrJoin starts the membership's node, as soon as that is possible.
+// resumeOrJoin starts the membership's node as soon as possible: on its storage if that has a group, else by joining one.
 func (c *Coordinator) resumeOrJoin(ctx context.Context, current *membership) {
 	if current.storage.Identity().ClusterID != "" {
 		c.resume(ctx, current)
@@ -143,7 +144,7 @@
 	}
 }
 
-// watchMembership returns when the membership has to end, and whether its storage is to be discarded.
+// watchMembership waits until the membership has to end, and returns whether its storage is to be discarded.
 func (c *Coordinator) watchMembership(ctx context.Context, current *membership) (discardStorage bool) {
 	for {
 		select {
@@ -185,8 +186,8 @@
 	return err
 }
 
-// openStorage opens the group's directory. Where the system refuses it this member takes part without persistence: without a
-// membership its dispatcher would send nothing.
+// openStorage opens the storage in the group's directory. If the operating system returns an error, this member takes part without
+// persistence: without a membership its dispatcher would send nothing.
 func (c *Coordinator) openStorage() (*consensus.Storage, error) {
 	identity, err := newIdentity(&c.options)
 	if err != nil {
@@ -201,14 +202,14 @@
 	return consensus.OpenStorage("", identity)
 }
 
-// logUnreadable logs what storage could not read, if there is such.
+// logUnreadable logs the error by which storage found its file unreadable, if there was one.
 func logUnreadable(log logrus.FieldLogger, storage *consensus.Storage) {
 	if storage.Unreadable != nil {
 		log.WithError(storage.Unreadable).Error("group storage unreadable, beginning a new incarnation")
 	}
 }
 
-// newIdentity draws the identity of empty storage.
+// newIdentity returns an identity for empty storage, with a random incarnation and raft ID.
 func newIdentity(options *Options) (consensus.Identity, error) {
 	id, err := rand.Int(rand.Reader, new(big.Int).SetUint64(1<<62))
 	if err != nil {
@@ -218,12 +219,12 @@
 		Group:       options.Group.Name,
 		Name:        options.Self,
 		Incarnation: rand.Text()[:incarnationLength],
-		RaftID:      id.Uint64() + 1, // 0 is no ID
+		RaftID:      id.Uint64() + 1, // 0 is not a valid ID
 	}, nil
 }
 
-// Check returns, by key of the operator's file, why a process that is alone could not take part: its address is in use, or its directory
-// is another member's or locked. It needs Group, Self and Log of the options.
+// Check returns why a process without siblings could not take part, as errors that name the key of the operator's file: its address is in
+// use, or its directory is another member's or locked. It uses only Group, Self and Log of the options.
 func Check(options Options) error {
 	var errs []error
 	for i, member := range options.Group.Members {
@@ -240,7 +241,8 @@
 	return errors.Join(append(errs, checkStorage(&options))...)
 }
 
-// checkStorage returns why the group's directory is not this member's to use. What the system refuses is no such reason: see openStorage.
+// checkStorage returns an error if the group's directory belongs to another member or is locked. Errors of the operating system are no
+// obstacle: see openStorage.
 func checkStorage(options *Options) error {
 	identity, err := newIdentity(options)
 	if err != nil {
@@ -254,11 +256,11 @@
 		return nil
 	}
 	logUnreadable(options.Log, storage)
-	_ = storage.Close() // nothing was written that is needed
+	_ = storage.Close() // nothing was written that has to be stored
 	return nil
 }
 
-// self returns this member as the operator's file has it.
+// self returns this member's entry in the operator's file; false: there is none.
 func (c *Coordinator) self() (peer.Member, bool) {
 	i := slices.IndexFunc(c.options.Group.Members, func(member peer.Member) bool { return member.Name == c.options.Self })
 	if i < 0 {
@@ -267,7 +269,7 @@
 	return c.options.Group.Members[i], true
 }
 
-// others returns the other members of the operator's file.
+// others returns the other members in the operator's file.
 func (c *Coordinator) others() []peer.Member {
 	isSelf := func(member peer.Member) bool { return member.Name == c.options.Self }
 	return slices.DeleteFunc(slices.Clone(c.options.Group.Members), isSelf)
@@ -310,7 +312,8 @@
 	return member != nil && member.HadIncarnation(incarnation)
 }
 
-// memberName returns the member with a raft ID; empty: none has it, or an earlier incarnation had it, which nobody listens for.
+// memberName returns the name of the member with a raft ID; empty: none has it, or it belonged to an earlier incarnation, which receives
+// nothing any more.
 func (c *Coordinator) memberName(id uint64) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -322,7 +325,7 @@
 			return ""
 		}
 	}
-	return c.observedNames[id] // for a member that has not got the state yet
+	return c.observedNames[id] // while this member has not received the state yet
 }
 
 // hadRaftID reports whether an earlier incarnation of a member had a raft ID.
@@ -330,7 +333,7 @@
 	return slices.ContainsFunc(member.PastIncarnations, func(past maintenance.PastIncarnation) bool { return past.RaftID == id })
 }
 
-// reportUnreachable tells the node that a message to a member was lost.
+// reportUnreachable reports to the node that a message to a member was lost.
 func (c *Coordinator) reportUnreachable(name string) {
 	c.mu.Lock()
 	member := c.state.Members[name]
--- a/internal/coordinator/resume.go
+++ b/internal/coordinator/resume.go
@@ -13,12 +13,12 @@
 	"birchfork/internal/peer"
 )
 
-// resume starts the node on storage that has a history, once it is verified that the storage is not an old copy: with one the member
-// would vote as if nothing were lost, and would lack plans.
+// resume starts the node on storage that belongs to a group, once it is verified that the storage is not an outdated copy: with such a
+// copy the member would vote as if nothing were lost, and would lack plans.
 //
-// The boot marker verifies it, an operator's call does, or the positions of enough other voters do: a quorum knows of each entry that
-// was committed and each vote that was given with this incarnation's help, so that at least one of any so many voters knows. Their
-// positions bound what this incarnation may have promised and lost.
+// The boot marker, an operator's call or the positions of enough other voters verify it. Each entry that was committed and each vote that
+// was given with this incarnation's help is known to a quorum, and so to at least one of any verificationQuorum voters. Their positions
+// are an upper bound on what this incarnation may have promised and lost.
 func (c *Coordinator) resume(ctx context.Context, current *membership) {
 	marker := c.openBootMarker()
 	recorded, isRecorded := marker.Lookup(current.identity.Incarnation)
@@ -36,7 +36,7 @@
 			_ = marker.Close() // nothing was written to it
 			current.signalUnknownIncarnation()
 			return
-		case isRecorded || !isVoter: // a member without a vote sends nothing before its lease, which is enough
+		case isRecorded || !isVoter: // a non-voter needs no verification: it sends nothing before it has a lease
 			c.startNode(current, marker, nil, isRecorded)
 			return
 		case len(positions) >= neededAnswers:
@@ -60,8 +60,8 @@
 	}
 }
 
-// verificationQuorum returns whether this member votes, and how many other voters have to tell their position to verify its disk: so
-// many that every majority of the voters has one of them or this member.
+// verificationQuorum returns whether this member votes, and how many other voters have to answer with their position to verify its disk:
+// so many that every majority of the voters contains one of them.
 func (c *Coordinator) verificationQuorum() (isVoter bool, neededAnswers int) {
 	voters := 0
 	for _, member := range c.options.Group.Members {
@@ -75,7 +75,7 @@
 	return isVoter, voters - majority + 1
 }
 
-// upperBound returns the least position that is not older than any of the given ones.
+// upperBound returns the lowest position that is not older than any of the given ones.
 func upperBound(positions map[string]consensus.Position) *consensus.Position {
 	bound := consensus.Position{}
 	for _, position := range positions {
@@ -84,7 +84,7 @@
 	return &bound
 }
 
-// openBootMarker opens the boot marker; nil: there is none.
+// openBootMarker opens the boot marker; nil: none is configured, or it cannot be opened.
 func (c *Coordinator) openBootMarker() *consensus.BootMarker {
 	if c.options.BootMarkerPath == "" {
 		return nil
@@ -96,8 +96,8 @@
 	return marker
 }
 
-// startNode starts the membership's node on its storage. maxPromised bounds what this incarnation may have promised and lost; nil: it
-// has lost nothing. isVerified says that the storage is known to be the last one.
+// startNode starts the membership's node on its storage. maxPromised is an upper bound on what this incarnation may have promised and lost;
+// nil: it has lost nothing. isVerified reports that the storage is known to be the latest one.
 func (c *Coordinator) startNode(current *membership, marker *consensus.BootMarker, maxPromised *consensus.Position, isVerified bool) {
 	identity := current.storage.Identity() // the node owns the storage once it has started
 	isDurable := current.storage.IsDurable()
@@ -117,15 +117,15 @@
 	current.node = node
 	current.identity = identity
 	c.mu.Unlock()
-	// Guards against storage that has a vote and no plan yet: only an incarnation that the group has confirmed once knows of each plan
-	// that has begun.
+	// Guards against storage that has a vote but no plan yet: only an incarnation that the group has confirmed once has all plans that
+	// had begun.
 	if isDurable && identity.Confirmed && isVerified {
 		c.options.Dispatcher.SetPlansUnknown(false)
 	}
 }
 
-// queryPositions asks all other members whether this member's storage misses what it has promised to them. It returns the positions of
-// the voters among them, by name, and whether one of them knows that the storage is stale.
+// queryPositions sends the position of this member's storage to all other members. It returns the positions that the voters among them
+// answer with, by name, and whether a member has rejected the storage as outdated, because it lacks what it has promised to that member.
 func (c *Coordinator) queryPositions(ctx context.Context, current *membership) (positions map[string]consensus.Position, isStale bool) {
 	positions = map[string]consensus.Position{}
 	request, err := json.Marshal(current.startPosition)
@@ -153,7 +153,7 @@
 	return positions, isStale
 }
 
-// queryPosition asks one member.
+// queryPosition sends a request of queryPositions to one member and returns its position.
 func (c *Coordinator) queryPosition(
 	ctx context.Context, current *membership, member peer.Member, request []byte,
 ) (position consensus.Position, err error) {
--- a/internal/coordinator/status.go
+++ b/internal/coordinator/status.go
@@ -8,24 +8,24 @@
 	"birchfork/internal/maintenance"
 )
 
-// Status describes the group and its plans, as one member knows them. Durations are in nanoseconds.
+// Status describes the group and its plans as known to one member. Durations are in nanoseconds.
 type Status struct {
-	Member       string         `json:"told"`    // the member that describes it
-	Confirmed    bool           `json:"settled"` // that member leads, and a quorum has confirmed it; else it may be out of date
+	Member       string         `json:"told"`    // the member that this status is from
+	Confirmed    bool           `json:"settled"` // the member leads, and a quorum has confirmed it; else the status may be outdated
 	Leader       string         `json:"leader"`  // empty: none is known
 	Term         uint64         `json:"term"`
-	AppliedIndex uint64         `json:"index"`            // of the last entry that changed the state
-	Failure      string         `json:"failed,omitempty"` // why the member's consensus has stopped
+	AppliedIndex uint64         `json:"index"`            // index of the last entry that changed the state
+	Failure      string         `json:"failed,omitempty"` // why the member's raft node has stopped
 	Bounds       Bounds         `json:"bounds"`
 	Members      []MemberStatus `json:"members"` // by name
 	Plans        []PlanStatus   `json:"plans"`
 
-	Links map[string]int64 `json:"links"` // the counters of the member's transport
+	Links map[string]int64 `json:"links"` // counters of the member's transport, by name
 }
 
 // Bounds are the times after which a machine counts as drained although a member is silent.
 type Bounds struct {
-	Lease        time.Duration `json:"lease"`   // of the member that describes it
+	Lease        time.Duration `json:"lease"`   // of the member that the status is from
 	MaxAttempt   time.Duration `json:"attempt"` // the longest that an attempt of that member may run
 	FenceTimeout time.Duration `json:"settled"` // how long the group waits for a silent member
 }
@@ -33,19 +33,19 @@
 // MemberStatus describes a member.
 type MemberStatus struct {
 	Name        string        `json:"name"`
-	Zone        string        `json:"zone"` // by the operator's file of the member that describes it
+	Zone        string        `json:"zone"` // in the operator's file of the member that the status is from
 	Incarnation string        `json:"life"`
 	IsVoter     bool          `json:"votes"`
-	LastReport  time.Duration `json:"heard"`   // since the leader had a report of it; negative: it has had none
-	Applied     uint64        `json:"applied"` // the last entry that it has applied, by that report
-	SoleProcess bool          `json:"alone"`   // no other process of its dispatcher may send, by that report
+	LastReport  time.Duration `json:"heard"`   // time since its last report to the member that the status is from; negative: there was none
+	Applied     uint64        `json:"applied"` // index of the last entry that it has applied, by that report
+	SoleProcess bool          `json:"alone"`   // no other process of its dispatcher may send or run attempts, by that report
 }
 
 // PlanStatus describes a plan.
 type PlanStatus struct {
 	Name     string                `json:"name"`
 	Phase    maintenance.PlanPhase `json:"phase"`
-	Reason   string                `json:"why,omitempty"` // what the whole plan waits for
+	Reason   string                `json:"why,omitempty"` // what the plan itself waits for
 	Machines []MachineStatus       `json:"machines"`
 }
 
@@ -53,12 +53,12 @@
 type MachineStatus struct {
 	Name          string                   `json:"name"`
 	Phase         maintenance.MachinePhase `json:"step"`
-	PhaseDuration time.Duration            `json:"for"` // on the group's clock, up to the last entry
+	PhaseDuration time.Duration            `json:"for"` // time in this phase by the group's clock, as of the last entry
 	Overdue       bool                     `json:"overdue,omitempty"`
-	Reason        string                   `json:"why,omitempty"` // what it waits for
+	Reason        string                   `json:"why,omitempty"` // what the machine waits for
 }
 
-// status returns the status, with reasons if it is confirmed. c.mu must be held.
+// status returns the status; the plans have reasons if isConfirmed is set. c.mu must be held.
 func (c *Coordinator) status(isConfirmed bool) *Status {
 	status := &Status{
 		Member:       c.options.Self,
@@ -115,7 +115,7 @@
 	return statuses
 }
 
-// planStatuses returns the status of each plan, with reasons if that is wanted. c.mu must be held.
+// planStatuses returns the status of each plan, with reasons if withReasons is set. c.mu must be held.
 func (c *Coordinator) planStatuses(withReasons bool) []PlanStatus {
 	var statuses []PlanStatus //nolint:prealloc // without plans it is null in JSON
 	advance := c.collectAdvance()
