--- a/internal/gossip/antientropy.go
+++ b/internal/gossip/antientropy.go
@@ -7,11 +7,10 @@
 	"birchfork/internal/replication"
 )
 
-// maxSyncSteps is how often a sync compares digests: what differs after the last step is left to a later round.
+// maxSyncSteps is how often a sync compares digests. Differences after the last step are left to a later round.
 const maxSyncSteps = 2
 
-// syncWith compares this replica with another member's and takes over what that has and this one has not: entries by pullFrom,
-// removals by fetchRemovals.
+// syncWith compares this replica with another member's and merges what this one lacks: entries by pullFrom, removals by fetchRemovals.
 func (n *Node) syncWith(ctx context.Context, name string) error {
 	for step := range maxSyncSteps {
 		inSync, err := n.syncStep(ctx, name, step)
@@ -22,7 +21,7 @@
 	return nil
 }
 
-// syncStep exchanges digests with a member and fetches one kind of difference; inSync: there is none.
+// syncStep exchanges digests with a member and fetches one kind of difference. It returns inSync if there is none.
 func (n *Node) syncStep(ctx context.Context, name string, step int) (inSync bool, err error) {
 	ours, version, err := n.localVersion()
 	if err != nil {
@@ -64,7 +63,7 @@
 	return ours, version, err
 }
 
-// recordDigest notes the digest that a member has answered with. One that is in sync has this replica's version.
+// recordDigest records the digest that a member has answered with. If the member is in sync, it has this replica's version vector.
 func (n *Node) recordDigest(name string, theirs digest, inSync bool, version replication.VersionVector) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -75,8 +74,8 @@
 	}
 }
 
-// pullFrom fetches the entries that a member has and this replica has not, chunk by chunk. After an error the next call goes on
-// behind the last chunk that was merged.
+// pullFrom fetches the entries that a member has and this replica lacks, chunk by chunk. After an error the next call continues after
+// the last chunk that was merged.
 func (n *Node) pullFrom(ctx context.Context, name string) error {
 	for {
 		request, progress, err := n.nextPull(name)
@@ -113,7 +112,7 @@
 	return request, progress, err
 }
 
-// mergeChunk merges a chunk that a member has sent. An invalid one ends the pull: the next one begins anew.
+// mergeChunk merges a chunk that a member has sent. An invalid chunk ends the pull; the next pull starts from the beginning.
 func (n *Node) mergeChunk(name string, progress *replication.PullProgress, chunk replication.Chunk) error {
 	return n.withReplica(func() error {
 		changed, err := n.replica.Merge(progress, chunk)
@@ -129,7 +128,7 @@
 	})
 }
 
-// fetchRemovals removes the entries that a member with the same version vector has not got any more.
+// fetchRemovals removes the entries that a member with the same version vector has removed.
 func (n *Node) fetchRemovals(ctx context.Context, name string, ours, theirs digest) error {
 	request := removals{VersionDigest: ours.VersionDigest}
 	err := n.withReplica(func() error {
--- a/internal/gossip/catchup.go
+++ b/internal/gossip/catchup.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// A member that has just started has caught up once it has all entries of some others, or after a time without them.
+// A member has caught up after its start once it has all entries of catchUpPeers others, or after catchUpTimeout without them.
 const (
 	catchUpPeers   = 2
 	catchUpTimeout = 2 * time.Second
 )
 
-// CaughtUp reports whether this member has the overrides that others had at its start, or has waited for them long enough. It is
-// true where another process of this dispatcher owns the replica.
+// CaughtUp reports whether this member has the overrides that others had at its start, or has waited for them for catchUpTimeout. It
+// returns true if another process of this dispatcher owns the replica.
 func (n *Node) CaughtUp() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -20,20 +20,20 @@
 	return n.caughtUpWithEnoughLocked() || time.Since(n.startedAt) > catchUpTimeout
 }
 
-// caughtUpWithEnoughLocked reports whether all entries of enough other members are here.
+// caughtUpWithEnoughLocked reports whether this replica has all entries of catchUpPeers other members, or of all of them if they are fewer.
 func (n *Node) caughtUpWithEnoughLocked() bool {
 	return len(n.caughtUpWith) >= min(catchUpPeers, len(n.options.Peers))
 }
 
-// servesPullsLocked reports whether other members may take over entries from here. Guards against an outdated disk: a member that has
-// lost its own would take from it what all others have removed. So entries are sent once this member has caught up with enough
-// others, or has been in contact with one for a while.
+// servesPullsLocked reports whether other members may pull entries from this one. Guards against an outdated disk: a member that has
+// lost its own disk would pull entries from it that all others have removed. So entries are sent only once this member has caught up
+// with enough others, or its first contact with one was longer than catchUpTimeout ago.
 func (n *Node) servesPullsLocked() bool {
 	inContact := !n.firstContact.IsZero() && time.Since(n.firstContact) > catchUpTimeout
 	return n.caughtUpWithEnoughLocked() || inContact
 }
 
-// markCaughtUp notes that all entries of a member are here.
+// markCaughtUp records that this replica has all entries of a member.
 func (n *Node) markCaughtUp(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/gossip/dissemination.go
+++ b/internal/gossip/dissemination.go
@@ -13,13 +13,13 @@
 
 // Times and limits of dissemination.
 const (
-	roundInterval      = time.Second // mean time between rounds while nothing is new
-	idleFanout         = 1           // members that a round contacts while nothing is new
-	fanout             = 3           // members that a round contacts when something is
+	roundInterval      = time.Second // mean time between rounds while the replica does not change
+	idleFanout         = 1           // members that a round contacts while the replica does not change
+	fanout             = 3           // members that a round contacts after a change
 	maxConcurrentSyncs = 4
 )
 
-// wake has a round begin at once, as the replica has something new.
+// wake makes a round begin at once, after a change of the replica.
 func (n *Node) wake() {
 	select {
 	case n.changed <- struct{}{}:
@@ -27,7 +27,7 @@
 	}
 }
 
-// disseminate syncs with random members, round by round, until the context ends and all syncs have.
+// disseminate syncs with random members, round by round, until the context ends. It returns once all syncs have ended.
 func (n *Node) disseminate(ctx context.Context) {
 	pool := &syncPool{node: n, slots: make(chan struct{}, maxConcurrentSyncs)}
 	defer pool.running.Wait()
@@ -59,7 +59,8 @@
 	}
 }
 
-// collectGarbage drops entries that enable a worker again once all members have them, and has the storage write what it has not.
+// collectGarbage drops entries that enable a worker again once all members have them, and submits what is not persisted yet to the
+// storage.
 func (n *Node) collectGarbage() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -74,7 +75,7 @@
 	n.persistLocked()
 }
 
-// allPeerVersionsLocked returns the version vectors of the other members; false: some are not known.
+// allPeerVersionsLocked returns the version vectors of the other members; false: not all are known.
 func (n *Node) allPeerVersionsLocked() (versions []replication.VersionVector, known bool) {
 	versions = make([]replication.VersionVector, 0, len(n.options.Peers))
 	for _, name := range n.options.Peers {
@@ -87,7 +88,7 @@
 	return versions, true
 }
 
-// syncPool runs syncs with other members: one at a time with each, and maxConcurrentSyncs in all.
+// syncPool runs syncs with other members: at most one at a time with each, and maxConcurrentSyncs in total.
 type syncPool struct {
 	node    *Node
 	slots   chan struct{} // holds a token for each sync that runs
@@ -113,7 +114,7 @@
 	})
 }
 
-// beginSync marks a member as syncing; false: it is already, or this process does not own the replica.
+// beginSync marks a member as syncing; false: a sync with it runs already, or this process does not own the replica.
 func (n *Node) beginSync(name string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/gossip/endpoints/broadcaster.go
+++ b/internal/gossip/endpoints/broadcaster.go
@@ -15,10 +15,10 @@
 
 // Times and limits of a Broadcaster.
 const (
-	pollInterval        = 250 * time.Millisecond // between looks at the own list
-	fanout              = 4                      // members that an update is sent to; each sends it on to as many
+	pollInterval        = 250 * time.Millisecond // between checks of this dispatcher's own list
+	fanout              = 4                      // members to which an update is sent; each forwards it to as many
 	maxMessageStatuses  = 1000
-	initialSyncPeers    = 2 // members that are asked for all they know after a start
+	initialSyncPeers    = 2 // members whose snapshots are fetched after a start
 	initialSyncInterval = time.Second
 	requestTimeout      = time.Second
 )
@@ -31,22 +31,22 @@
 
 // Source is the endpoint list of this dispatcher. Its methods are called from several goroutines.
 type Source interface {
-	// Statuses returns how far workers have come by the list; fresh: discovery has reported them since the start.
+	// Statuses returns the statuses of the listed workers; fresh: discovery has reported the list since the start.
 	Statuses() (statuses []Status, fresh bool)
 	// Revision changes with each change of the list.
 	Revision() uint64
-	// WatchUptime returns how long the watch has reported without a break; below 0: it does not.
+	// WatchUptime returns how long the watch has reported without interruption; below 0: it does not report.
 	WatchUptime() time.Duration
-	// ExcludeOutdated excludes these workers, in place of those before.
+	// ExcludeOutdated excludes the named workers. It replaces the names of the previous call.
 	ExcludeOutdated(names []string)
 }
 
-// Broadcaster exchanges statuses with the other members. It is safe for concurrent use, but for Attach and Detach, which are for its
-// owner.
+// Broadcaster exchanges statuses with the other members. It is safe for concurrent use, except for Attach and Detach, which only its
+// owner calls.
 type Broadcaster struct {
 	Sent     atomic.Int64 // messages, each to several members
 	Accepted atomic.Int64 // statuses that were new
-	Rejected atomic.Int64 // statuses and messages
+	Rejected atomic.Int64 // invalid or excess statuses, and malformed messages
 
 	peers     []string
 	source    Source
@@ -55,19 +55,20 @@
 
 	mu             sync.Mutex
 	table          *Table
-	sourceRevision uint64 // of the list that the table has
-	excluded       int    // workers
+	sourceRevision uint64 // of the list that the table was last updated from
+	excluded       int    // number of excluded workers
 
 	cancel context.CancelFunc // ends the loops
 	loops  sync.WaitGroup
 }
 
-// NewBroadcaster returns a Broadcaster for a member with these other members. It exchanges nothing before Attach.
+// NewBroadcaster returns a Broadcaster that exchanges statuses with peers, the other members. It exchanges nothing before Attach.
 func NewBroadcaster(peers []string, source Source, log logrus.FieldLogger) *Broadcaster {
 	return &Broadcaster{peers: peers, source: source, log: log, startedAt: time.Now(), table: NewTable()}
 }
 
-// Attach takes part by a transport that does not serve yet: it registers the handlers and starts the loops that Detach ends.
+// Attach connects the Broadcaster to a transport that does not serve yet: it registers the handlers and starts the loops, which Detach
+// ends.
 func (b *Broadcaster) Attach(transport *peer.Transport) {
 	transport.Handle(updatesPath, func(_ context.Context, _ peer.Sender, body []byte) ([]byte, error) {
 		statuses, err := decodeStatuses(body)
@@ -103,7 +104,7 @@
 	}
 }
 
-// handleSnapshot returns the local statuses to a member that has just started.
+// handleSnapshot answers a member that has just started with the local statuses.
 func (b *Broadcaster) handleSnapshot(context.Context, peer.Sender, []byte) ([]byte, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -122,7 +123,7 @@
 	return statuses, nil
 }
 
-// merge takes over another member's statuses and returns those that were new here.
+// merge merges another member's statuses into the table and returns those that were new.
 func (b *Broadcaster) merge(statuses []Status) (updates []Status) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -135,7 +136,7 @@
 	return updates
 }
 
-// applyExclusionsLocked excludes the workers that others know to have come further.
+// applyExclusionsLocked excludes the workers for which other members have reported a later state.
 func (b *Broadcaster) applyExclusionsLocked() {
 	names := b.table.Excluded(time.Since(b.startedAt), b.source.WatchUptime())
 	if len(names) != b.excluded {
@@ -145,7 +146,7 @@
 	b.source.ExcludeOutdated(names)
 }
 
-// watchLoop follows the own list and broadcasts its changes.
+// watchLoop polls this dispatcher's own list and broadcasts its changes.
 func (b *Broadcaster) watchLoop(ctx context.Context, transport *peer.Transport) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -158,11 +159,11 @@
 	}
 }
 
-// updateLocal takes over the own list where that has changed, and returns the updates for other members.
+// updateLocal updates the table from this dispatcher's own list if that has changed, and returns the updates for other members.
 func (b *Broadcaster) updateLocal() (updates []Status) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	// The revision is read first: a change after that is taken over by the next call.
+	// The revision is read before the statuses, so that the next call picks up a change between the two.
 	if revision := b.source.Revision(); revision != b.sourceRevision {
 		b.sourceRevision = revision
 		updates = b.table.UpdateLocal(b.source.Statuses())
@@ -173,7 +174,7 @@
 	return updates
 }
 
-// broadcast sends updates to some members. It does not wait.
+// broadcast queues updates to fanout random members, in messages of at most maxMessageStatuses. It does not wait.
 func (b *Broadcaster) broadcast(transport *peer.Transport, updates []Status) {
 	if failpoint.Enabled(failpoint.NoEndpointExchange) {
 		return
@@ -192,7 +193,7 @@
 	}
 }
 
-// initialSync asks members for all they know until enough have answered.
+// initialSync fetches the snapshots of other members, until initialSyncPeers of them, or all if there are fewer, have answered.
 func (b *Broadcaster) initialSync(ctx context.Context, transport *peer.Transport) {
 	enough := min(initialSyncPeers, len(b.peers))
 	synced := map[string]bool{}
@@ -212,7 +213,8 @@
 	}
 }
 
-// fetchSnapshot takes over a member's statuses; false: it has not sent any. They are not broadcast further, as that member has done so.
+// fetchSnapshot fetches a member's statuses and merges them; false: the member did not answer with any. They are not forwarded, as that
+// member has broadcast them itself.
 func (b *Broadcaster) fetchSnapshot(ctx context.Context, transport *peer.Transport, name string) bool {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
--- a/internal/gossip/endpoints/table.go
+++ b/internal/gossip/endpoints/table.go
@@ -1,6 +1,6 @@
-// Package endpoints tells the other members of a group how far workers have come by this member's own discovery, and excludes
-// workers that others know to have come further, such as one that drains. Nothing is persisted. Table decides, without I/O, clock or
-// goroutine; Broadcaster exchanges the statuses.
+// Package endpoints reports to the other members of a group which states workers have reached by this member's own discovery, and
+// excludes workers for which others have reported a later state, such as draining. Nothing is persisted. Table decides, without I/O,
+// clock or goroutine; Broadcaster exchanges the statuses.
 package endpoints
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// State is how far an incarnation of a worker has come.
+// State is the state that an incarnation of a worker has reached.
 type State int
 
 // The states, in the order in which a worker passes through them.
@@ -20,11 +20,11 @@
 	Gone
 )
 
-// Status is how far a worker has come, as some member's discovery has reported it. Of two statuses of one worker that of the later
-// start wins, and of one start the later state: so statuses merge to the same in any order.
+// Status is a worker's state as some member's discovery has reported it. Of two statuses of one worker the one with the later start wins,
+// and with the same start the later state, so that merging statuses in any order has the same result.
 type Status struct {
 	Name      string `json:"name"`
-	StartedAt int64  `json:"start,omitempty"` // Unix time in milliseconds, by discovery's clock; 0: long ago
+	StartedAt int64  `json:"start,omitempty"` // Unix time in milliseconds by discovery's clock; 0: long ago
 	State     State  `json:"state,omitempty"`
 }
 
@@ -33,7 +33,7 @@
 	return cmp.Or(cmp.Compare(s.StartedAt, other.StartedAt), cmp.Compare(s.State, other.State)) > 0
 }
 
-// isValid reports whether a status that another member has sent makes sense.
+// isValid reports whether a status from another member is well-formed.
 func (s Status) isValid() bool {
 	validName := s.Name != "" && len(s.Name) <= maxNameBytes
 	validState := s.State >= Up && s.State <= Gone
@@ -48,32 +48,32 @@
 
 // Times of a Table.
 const (
-	// localTrustDelay is how long the own watch has to have been alive after a remote status came until the own list overrules that:
-	// discovery reports a change within 6 s, and a watch that has fallen silent is noticed after 5 s.
+	// localTrustDelay is how long this member's own watch has to report after a remote status arrived until the own list overrules that
+	// status: discovery reports a change within 6 s, and a silent watch is detected after 5 s.
 	localTrustDelay = 6 * time.Second
-	// remoteLifetime is how long a remote status is remembered, so that it is not broadcast again and again.
+	// remoteLifetime is how long a remote status is kept, so that it is not forwarded repeatedly.
 	remoteLifetime = 15 * time.Minute
 )
 
-// Table holds the statuses that one member knows. It is not safe for concurrent use. Times are since any fixed moment.
+// Table has the statuses that are known to one member. It is not safe for concurrent use. Times count from any fixed moment.
 type Table struct {
 	local      map[string]Status
 	localFresh bool                    // discovery has reported since the start
-	remote     map[string]remoteStatus // that supersede the local ones, or did when they came
+	remote     map[string]remoteStatus // by worker: statuses that superseded the local one on arrival
 }
 
 // remoteStatus is a status that another member has reported.
 type remoteStatus struct {
 	Status
 	receivedAt time.Duration
-	overruled  bool // the own list stands against it
+	overruled  bool // the own list has not confirmed it for localTrustDelay and counts instead
 }
 
 // NewTable returns an empty Table.
 func NewTable() *Table { return &Table{local: map[string]Status{}, remote: map[string]remoteStatus{}} }
 
-// UpdateLocal replaces the local statuses. fresh says that discovery has reported them, so that they are not of a list from before
-// the start. It returns the updates for other members, by name: what supersedes the fresh statuses before, and no other member has
+// UpdateLocal replaces the local statuses. fresh reports that they are from discovery rather than from a list of before the start. It
+// returns the updates for other members, sorted by name: statuses that supersede the previous fresh ones and that no other member has
 // reported.
 func (t *Table) UpdateLocal(statuses []Status, fresh bool) (updates []Status) {
 	previous := t.local
@@ -96,15 +96,15 @@
 	return updates
 }
 
-// Local returns the local statuses by name, for a member that starts; fresh as in UpdateLocal.
+// Local returns the local statuses, sorted by name, for a member that starts. fresh has the meaning that it has in UpdateLocal.
 func (t *Table) Local() (statuses []Status, fresh bool) {
 	return slices.SortedFunc(maps.Values(t.local), compareNames), t.localFresh
 }
 
 func compareNames(a, b Status) int { return cmp.Compare(a.Name, b.Name) }
 
-// Merge takes over statuses that another member has sent. It returns those that were new here, to be broadcast further, and counts
-// those that are invalid or for which there is no space.
+// Merge merges statuses from another member, received at the time now. It returns those that were new, to be forwarded, and the number
+// of those that are invalid or exceed maxRemoteStatuses.
 func (t *Table) Merge(now time.Duration, statuses []Status) (updates []Status, rejected int) {
 	for _, status := range statuses {
 		if !status.isValid() {
@@ -126,8 +126,9 @@
 	return updates, rejected
 }
 
-// Excluded returns the workers to exclude now, by name: those of the own list that others know to have come further. watchUptime is
-// how long the own watch has reported without a break; below 0: it does not. Excluded also forgets what is older than remoteLifetime.
+// Excluded returns the workers to exclude at the time now, sorted by name: those of the own list for which others have reported a later
+// state. watchUptime is how long the own watch has reported without interruption; below 0: it does not report. While it does, Excluded
+// also forgets remote statuses that are older than remoteLifetime.
 func (t *Table) Excluded(now, watchUptime time.Duration) (names []string) {
 	watching := watchUptime >= 0
 	for name, reported := range t.remote {
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -13,7 +13,7 @@
 // Limits of an exchange with another member.
 const (
 	requestTimeout  = time.Second
-	maxChunkEntries = 200 // some 40 kB
+	maxChunkEntries = 200 // about 40 kB
 )
 
 // The paths of the messages between members.
@@ -30,30 +30,30 @@
 	errDifferentVersion = &peer.RejectedError{Reason: "not the same was seen here"}
 )
 
-// digest summarizes a replica, so that two members see what differs. It is request and reply.
+// digest summarizes a replica, so that two members can detect differences. It is both the request and the reply.
 type digest struct {
 	VersionDigest   uint64     `json:"seen"`           // of the version vector
 	EntryDigest     uint64     `json:"sum"`            // of all entries
-	BucketDigests   []uint64   `json:"sums,omitempty"` // of the entries by bucket; in a reply where the version vectors are equal
-	ObservedEntries int        `json:"count"`          // entries that were ever here, removed ones too
+	BucketDigests   []uint64   `json:"sums,omitempty"` // of the entries by bucket; only in a reply to a digest with the same VersionDigest
+	ObservedEntries int        `json:"count"`          // number of entries that the replica has ever had, including removed ones
 	StoredEntries   int        `json:"held"`
 	Info            MemberInfo `json:"about,omitzero"`
 }
 
-// matches reports whether both replicas hold the same.
+// matches reports whether both replicas have the same entries and version vector.
 func (d digest) matches(other digest) bool {
 	return d.VersionDigest == other.VersionDigest && d.EntryDigest == other.EntryDigest
 }
 
-// pullRequest asks for a chunk of the entries that the sender lacks. The reply is a replication.Chunk.
+// pullRequest requests a chunk of the entries that the sender lacks. The reply is a replication.Chunk.
 type pullRequest struct {
 	Version replication.VersionVector `json:"seen"`
 	Cursor  replication.Cursor        `json:"from"`
 }
 
-// removals names entries of the sender; the reply names those of them that were removed.
+// removals lists entries of the sender; the reply lists those of them that were removed.
 type removals struct {
-	VersionDigest uint64            `json:"seen"` // of the version vector, which both members have
+	VersionDigest uint64            `json:"seen"` // of the version vector, which has to be the same at both members
 	Dots          []replication.Dot `json:"dots"`
 }
 
@@ -82,7 +82,8 @@
 	return nil
 }
 
-// handle serves a member's message in JSON with the lock held.
+// handle decodes a member's JSON message, calls serve with the lock held and encodes the reply. A malformed message is counted and
+// rejected.
 func handle[Request, Reply any](n *Node, body []byte, serve func(*Request) (Reply, error)) ([]byte, error) {
 	malformed := func(decodeErr error) (Reply, error) {
 		n.Counters.Rejected.Add(1)
@@ -97,7 +98,7 @@
 	})
 }
 
-// handleDigest compares digests. A member that differs may have what this one has not: it is synced with soon.
+// handleDigest compares digests. A member that differs may have entries that this one lacks, so that a sync with it is scheduled.
 func (n *Node) handleDigest(_ context.Context, from peer.Sender, body []byte) ([]byte, error) {
 	return handle(n, body, func(theirs *digest) (digest, error) {
 		ours := n.localDigestLocked()
@@ -112,7 +113,7 @@
 		}
 		select {
 		case n.contacts <- from.Name:
-		default: // enough members wait; this one is met in a later round
+		default: // enough members wait; this one is left to a later round
 		}
 		return ours, nil
 	})
@@ -128,8 +129,8 @@
 	})
 }
 
-// handleRemovals tells which of the sender's entries were removed here. Guards against a sender that has observed less: what was
-// removed here may have been replaced by an entry that it lacks.
+// handleRemovals returns which of the sender's entries this replica has removed. Guards against a sender with another version vector: a
+// removed entry may have been replaced by one that the sender lacks.
 func (n *Node) handleRemovals(_ context.Context, _ peer.Sender, body []byte) ([]byte, error) {
 	return handle(n, body, func(request *removals) (removals, error) {
 		if request.VersionDigest != n.replica.Version().Digest() {
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,7 +1,7 @@
 // Package gossip replicates the operators' overrides between the members of a group without a leader. A Node owns this process's
-// replica (package replication holds the data and merges it), persists it, spreads changes to some random members at once, and
-// compares itself with one of them every second, so that members that were cut off converge (anti-entropy). Messages travel by
-// package peer.
+// replica (package replication has its data and merges it), persists it, disseminates changes to some random members at once, and
+// compares the replica with that of one random member about every second, so that members that were cut off converge (anti-entropy).
+// Messages are sent by package peer.
 package gossip
 
 import (
@@ -19,7 +19,7 @@
 	"birchfork/internal/replication"
 )
 
-// maxContacts limits the members that have announced themselves and wait for a sync.
+// maxContacts limits the members that have sent a different digest and wait for a sync.
 const maxContacts = 16
 
 // incarnationLength is the number of characters of a replica's incarnation.
@@ -30,28 +30,29 @@
 	Group string   // name of the group
 	Self  string   // name of this member
 	Peers []string // names of the other members
-	Dir   string   // where the replica is persisted; empty: it is not
+	Dir   string   // directory in which the replica is persisted; empty: it is not persisted
 
-	// ApplyOverride puts a worker's replicated override into effect at this dispatcher and returns the version that it has there.
-	// It is called with the Node's lock held.
+	// ApplyOverride puts a worker's replicated override into effect at this dispatcher and returns its version there. It is called
+	// with the Node's lock held.
 	ApplyOverride func(worker string, disabled bool) (version int64)
-	// SetOverride makes an override as the admin server does. The note is for the operator.
+	// SetOverride sets an override as a call of the admin server does. The note is shown to the operator.
 	SetOverride func(worker string, disabled bool) (note string, err error)
-	// Info describes this process to the other members and to operators; nil: it is not described.
+	// Info describes this process to the other members and to operators. It may be nil.
 	Info func() MemberInfo
 
 	Log logrus.FieldLogger
 }
 
-// MemberInfo is what a member's process says of itself.
+// MemberInfo is a member's description of its process.
 type MemberInfo struct {
 	Version        string    `json:"version"`  // of the build
-	SettingsDigest string    `json:"settings"` // of the platform's settings, but for those that differ by dispatcher
+	SettingsDigest string    `json:"settings"` // of the platform's settings, except those that differ between dispatchers
 	OperatorDigest string    `json:"operator"` // of the operator's file
 	StartedAt      time.Time `json:"started"`  // by that member's clock
 }
 
-// Node is one member's part in the gossip. It is safe for concurrent use, but for Attach, Detach and Close, which are for its owner.
+// Node is one member's part in the gossip. It is safe for concurrent use, except for Attach, Detach and Close, which only its owner
+// calls.
 //
 // A dispatcher may run as two processes during a hot restart. One of them at a time owns the replica, as one at a time can lock its
 // file: the Node of the other one does nothing until it is attached.
@@ -60,10 +61,10 @@
 
 	options        Options
 	startedAt      time.Time
-	persistTimeout time.Duration // the constant, but in tests
+	persistTimeout time.Duration // the constant, except in tests
 
 	mu        sync.Mutex // guards the fields below, up to transport
-	session              // reset whenever the replica is opened
+	session              // replaced whenever the replica is opened
 	peers     map[string]peerStatus
 	traffic   map[string]traffic
 	transport *peer.Transport // nil: not attached
@@ -71,30 +72,30 @@
 	cancel context.CancelFunc // ends the loops
 	loops  sync.WaitGroup
 
-	changed  chan struct{} // the replica has something new: a round is due
+	changed  chan struct{} // signalled after a change of the replica: a round is due
 	contacts chan string   // members that differ from this one
 }
 
-// session is what a Node knows while it owns the replica.
+// session is the state of a Node while it owns the replica.
 type session struct {
 	replica *replication.Replica // nil: another process of this dispatcher owns it
 
 	storage          *storage                 // nil: nothing is persisted
-	dirty            map[replication.Key]bool // entries that were not handed to the storage, or that it failed to write
-	submittedVersion uint64                   // digest of the version vector that was handed to the storage last
+	dirty            map[replication.Key]bool // entries to submit to the storage: new ones, or ones that it failed to write
+	submittedVersion uint64                   // digest of the version vector that was last submitted to the storage
 	writeFailed      bool                     // the storage failed to write it
-	lastBatch        *batch                   // handed to the storage last
-	persistErr       error                    // why the replica may not be persisted; nil: it is
+	lastBatch        *batch                   // last submitted to the storage
+	persistErr       error                    // why the replica may not be persisted; nil: it is persisted
 
-	peerVersions map[string]replication.VersionVector // of members that were in sync, at that time
+	peerVersions map[string]replication.VersionVector // by member: its version vector when it was last in sync
 	pulls        map[string]*replication.PullProgress // by member
-	syncing      map[string]bool                      // members with a sync under way
-	caughtUpWith map[string]bool                      // members all of whose entries are here
+	syncing      map[string]bool                      // members with which a sync runs
+	caughtUpWith map[string]bool                      // members whose entries this replica has all of
 	firstContact time.Time                            // with any member
 
-	localVersions    map[string]int64 // by worker: the version of this dispatcher's own override that the replica knows of
-	inherited        map[string]bool  // workers that were disabled here before the start, and that the replica knows nothing of
-	hasLocalBaseline bool             // further changes to this dispatcher's own overrides are new
+	localVersions    map[string]int64 // by worker: the version of this dispatcher's own override that the replica accounts for
+	inherited        map[string]bool  // workers that were disabled at this dispatcher before the start and have no entry in the replica
+	hasLocalBaseline bool             // the overrides from before the start are merged: later changes are new
 }
 
 // newSession returns the state of a Node whose replica has just been opened.
@@ -114,9 +115,9 @@
 	}
 }
 
-// New opens the replica and applies the overrides that it has, so that they are in effect before anything is dispatched. Where
-// another process of this dispatcher owns the replica that is left to Attach. An error says that the directory belongs to another
-// group, or holds what cannot be restored.
+// New opens the replica and applies its overrides, so that they are in effect before anything is dispatched. If another process of this
+// dispatcher owns the replica, Attach opens it later. New returns an error if the file in the directory belongs to another group or
+// has another format.
 func New(options Options) (*Node, error) {
 	node := &Node{
 		options:        options,
@@ -135,8 +136,8 @@
 	return node, nil
 }
 
-// openReplicaLocked begins a session with what the storage has. Unreadable or unusable storage is logged and does not keep the
-// member from taking part.
+// openReplicaLocked begins a session with the contents of the storage. Unreadable or unusable storage is logged, and the member takes
+// part all the same.
 func (n *Node) openReplicaLocked() error {
 	replica := replication.New(newIncarnation(n.options.Self))
 	opened, unreadable, err := openStorage(n.options.Dir, n.options.Group, replica, n.onBatchWritten)
@@ -158,7 +159,7 @@
 	return nil
 }
 
-// newIncarnation returns a name for a new replica. It is random, as no dot of an earlier replica may be used again.
+// newIncarnation returns the incarnation of a new replica. It is random, as no dot of an earlier replica may be reused.
 func newIncarnation(self string) string {
 	if failpoint.Enabled(failpoint.ReuseDots) {
 		return self
@@ -166,8 +167,8 @@
 	return rand.Text()[:incarnationLength]
 }
 
-// Attach takes part by a transport that does not serve yet. It opens the replica if the Node does not own it, registers the
-// handlers and starts the loops that Detach ends.
+// Attach connects the Node to a transport that does not serve yet. It opens the replica if the Node does not own it, registers the
+// handlers and starts the loops, which Detach ends.
 func (n *Node) Attach(transport *peer.Transport) {
 	n.mu.Lock()
 	if n.replica == nil {
@@ -193,7 +194,7 @@
 	n.Close()
 }
 
-// Close persists what is not persisted yet and gives up the replica and its file. An attached Node is closed by Detach.
+// Close persists what is not persisted yet and releases the replica and its file. An attached Node is closed by Detach.
 func (n *Node) Close() {
 	n.mu.Lock()
 	n.transport = nil
@@ -204,13 +205,13 @@
 	n.persistLocked()
 	opened := n.storage
 	n.replica, n.storage = nil, nil
-	n.mu.Unlock() // the storage's goroutine may be about to report a batch
+	n.mu.Unlock() // unlocked before close, as the storage's goroutine may wait for the lock to report a batch
 	if err := opened.close(); err != nil {
 		n.options.Log.WithError(err).Warn("closing the stored overrides failed")
 	}
 }
 
-// withReplica calls f with the lock held, unless another process of this dispatcher owns the replica: then it returns errNoReplica.
+// withReplica calls f with the lock held. It returns errNoReplica without a call if this process does not own the replica.
 func (n *Node) withReplica(f func() error) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/gossip/operator.go
+++ b/internal/gossip/operator.go
@@ -11,23 +11,23 @@
 // OverridesPath is the path of operators' calls on overrides.
 const OverridesPath = "/group/words"
 
-// Call is what an operator asks of a member: to make an override, or only to report.
+// Call is an operator's call at a member: it sets an override, or only requests a report.
 type Call struct {
-	Worker   string `json:"runner,omitempty"` // of the override; empty: none is made
+	Worker   string `json:"runner,omitempty"` // of the override; empty: none is set
 	Disabled bool   `json:"out,omitempty"`
 }
 
 // Reply is the answer to a Call.
 type Reply struct {
-	Member       string           `json:"told"` // which has answered
+	Member       string           `json:"told"` // that has answered
 	Text         string           `json:"text,omitempty"`
-	Invalid      bool             `json:"wrong,omitempty"` // the call was declined; Text says why
+	Invalid      bool             `json:"wrong,omitempty"` // the call was rejected; Text has the reason
 	CaughtUp     bool             `json:"caught_up"`
 	NotPersisted string           `json:"unkept,omitempty"` // why overrides do not survive a restart; empty: they do
-	Digest       string           `json:"digest"`           // equal at members that have the same overrides
+	Digest       string           `json:"digest"`           // equal for members with the same overrides
 	Incarnations int              `json:"lives"`            // that have written entries
 	Overrides    []OverrideStatus `json:"words"`            // by worker
-	Members      []MemberStatus   `json:"members"`          // the one that has answered first
+	Members      []MemberStatus   `json:"members"`          // the member that has answered comes first
 	Counters     map[string]int64 `json:"counters"`
 }
 
@@ -35,7 +35,7 @@
 type OverrideStatus struct {
 	Worker   string          `json:"runner"`
 	Disabled bool            `json:"out"`
-	Conflict bool            `json:"conflict,omitempty"` // concurrent writes differ; a new one resolves that
+	Conflict bool            `json:"conflict,omitempty"` // concurrent writes differ; a new write resolves the conflict
 	Writes   []OverrideWrite `json:"said"`               // the concurrent ones, by time
 }
 
@@ -46,15 +46,15 @@
 	At       time.Time `json:"at"` // by that member's clock
 }
 
-// MemberStatus is a member as the one that reports has met it.
+// MemberStatus is the status of a member as known to the one that reports it.
 type MemberStatus struct {
 	Name string `json:"name"`
 	MemberInfo
-	LastContact    time.Duration `json:"met"`    // ago; below 0: never
-	LastInSync     time.Duration `json:"same"`   // ago that it had the same entries; below 0: never
-	MissingEntries int           `json:"behind"` // observed by the one that reports and not by this one, by their number
+	LastContact    time.Duration `json:"met"`    // time since then; below 0: never
+	LastInSync     time.Duration `json:"same"`   // time since it had the same entries; below 0: never
+	MissingEntries int           `json:"behind"` // number of entries that the reporting member has observed, minus that of this one
 	StoredEntries  int           `json:"held"`
-	Messages       int64         `json:"messages"` // that were sent to it
+	Messages       int64         `json:"messages"` // number of requests that were sent to it
 	BytesOut       int64         `json:"bytes_out"`
 	BytesIn        int64         `json:"bytes_in"`
 }
@@ -77,7 +77,7 @@
 	return &Reply{Invalid: true, Text: "no call: " + decodeErr.Error()}, nil
 }
 
-// serveCall makes the override that a call names, as the admin server would, and reports.
+// serveCall sets the override that a call names, as a call of the admin server would, and reports.
 func (n *Node) serveCall(call *Call) (reply *Reply, err error) {
 	text := ""
 	if call.Worker != "" {
--- a/internal/gossip/outliers/outliers.go
+++ b/internal/gossip/outliers/outliers.go
@@ -1,5 +1,5 @@
-// Package outliers tells the other members of a group of workers at which requests fail, and takes their reports. Nothing is persisted
-// and no report is sure to arrive: what a report means for a worker is up to the decision module.
+// Package outliers reports workers at which requests fail to the other members of a group, and receives their reports. Nothing is
+// persisted and delivery is not guaranteed. The decision module decides what a report means for a worker.
 package outliers
 
 import (
@@ -15,23 +15,23 @@
 
 // Limits on reports.
 const (
-	maxPending        = 64                     // reports that wait to be sent; further ones are dropped
+	maxPending        = 64                     // reports that wait to be sent; more are dropped
 	fanout            = 32                     // members that a report is sent to
-	minReportInterval = 250 * time.Millisecond // between reports of one worker: its failures go on until it is ejected
+	minReportInterval = 250 * time.Millisecond // between reports of one worker, whose failures continue until it is ejected
 	maxNameBytes      = 256                    // of a worker's name
-	maxTrackedWorkers = 10_000                 // whose last report is remembered
+	maxTrackedWorkers = 10_000                 // workers for which the time of the last report is kept
 )
 
 // reportPath is the path of reports between members.
 const reportPath = "/group/warn"
 
-// report says that requests fail at a worker.
+// report is the message that requests fail at a worker.
 type report struct {
 	Worker string `json:"worker"`
 }
 
-// Broadcaster exchanges reports with the other members. It is safe for concurrent use, but for Attach and Detach, which are for its
-// owner.
+// Broadcaster exchanges reports with the other members. It is safe for concurrent use, except for Attach and Detach, which only its
+// owner calls.
 type Broadcaster struct {
 	Sent     atomic.Int64 // reports, each to several members
 	Rejected atomic.Int64 // malformed messages
@@ -44,13 +44,13 @@
 	loops  sync.WaitGroup
 }
 
-// New returns a Broadcaster for a member with these other members. It sends nothing before Attach. onReport is called with each worker
-// that another member reports, from several goroutines.
+// New returns a Broadcaster that exchanges reports with peers, the other members. It sends nothing before Attach. onReport is called with
+// each worker that another member reports, from several goroutines.
 func New(peers []string, onReport func(worker string)) *Broadcaster {
 	return &Broadcaster{peers: peers, onReport: onReport, pending: make(chan string, maxPending)}
 }
 
-// Report tells other members that requests fail at a worker. It does not wait.
+// Report queues a report to other members that requests fail at a worker. It does not wait; a report that does not fit is dropped.
 func (b *Broadcaster) Report(worker string) {
 	select {
 	case b.pending <- worker:
@@ -58,7 +58,7 @@
 	}
 }
 
-// Attach takes part by a transport that does not serve yet: it registers the handler and starts the loop that Detach ends.
+// Attach connects the Broadcaster to a transport that does not serve yet: it registers the handler and starts the loop, which Detach ends.
 func (b *Broadcaster) Attach(transport *peer.Transport) {
 	transport.Handle(reportPath, b.handleReport)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -77,7 +77,7 @@
 	return map[string]int64{"warnings_told": b.Sent.Load(), "warnings_refused": b.Rejected.Load()}
 }
 
-// sendLoop sends pending reports, of each worker one in minReportInterval.
+// sendLoop sends pending reports, at most one in minReportInterval for each worker.
 func (b *Broadcaster) sendLoop(ctx context.Context, transport *peer.Transport) {
 	lastSent := map[string]time.Time{}
 	for {
@@ -98,7 +98,7 @@
 	}
 }
 
-// send sends a report to some members.
+// send queues a report to fanout random members.
 func (b *Broadcaster) send(transport *peer.Transport, worker string) {
 	body, err := json.Marshal(report{Worker: worker})
 	if err != nil {
@@ -110,7 +110,7 @@
 	b.Sent.Add(1)
 }
 
-// handleReport takes another member's report.
+// handleReport handles another member's report.
 func (b *Broadcaster) handleReport(_ context.Context, _ peer.Sender, body []byte) ([]byte, error) {
 	var received report
 	err := json.Unmarshal(body, &received)
--- a/internal/gossip/overrides.go
+++ b/internal/gossip/overrides.go
@@ -14,14 +14,14 @@
 // kindOfNewerBuild is the kind of the entries that the failpoint NewerEntries writes.
 const kindOfNewerBuild = "later"
 
-// SetOverride replicates an override that an operator has made at this dispatcher, and that is in effect here with the given
-// version. It waits until the override is persisted, for persistTimeout at the most. The note tells the operator where that has not
-// succeeded. The error is replication.ErrFull where there are too many overrides.
+// SetOverride replicates an override that an operator has set at this dispatcher, where it is in effect with the given version. It waits
+// until the override is persisted, for at most persistTimeout. If that fails, the note tells the operator why. The error is
+// replication.ErrFull if there are too many overrides.
 func (n *Node) SetOverride(worker string, disabled bool, version int64) (note string, err error) {
 	n.mu.Lock()
 	if n.replica == nil {
 		n.mu.Unlock()
-		return "", nil // MergeLocalOverrides brings it to the process that owns the replica
+		return "", nil // MergeLocalOverrides passes it to the replica in the process that owns it
 	}
 	err = n.setOverrideLocked(worker, disabled, version)
 	batch, persistErr := n.lastBatch, n.persistErr
@@ -41,7 +41,8 @@
 	return note, nil
 }
 
-// setOverrideLocked writes an override to the replica, unless that says the same without a conflict, and has it persisted and spread.
+// setOverrideLocked writes an override to the replica, unless the replica has the same one without a conflict, persists it and starts its
+// dissemination.
 func (n *Node) setOverrideLocked(worker string, disabled bool, version int64) error {
 	n.localVersions[worker] = version
 	delete(n.inherited, worker)
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// writeOverrideLocked adds an entry to the replica. It replaces all entries for the worker that are here.
+// writeOverrideLocked adds an entry to the replica. It replaces all entries of the worker in this replica.
 func (n *Node) writeOverrideLocked(worker string, disabled bool) error {
 	entry := replication.Entry{
 		Kind:      replication.KindOverride,
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// writeNewerEntryLocked adds an entry of a kind that this build does not know, as a later build might.
+// writeNewerEntryLocked adds an entry of a kind that is unknown to this build, as a later build might.
 func (n *Node) writeNewerEntryLocked(worker string) error {
 	entry := replication.Entry{Kind: kindOfNewerBuild, Name: worker, Member: n.options.Self, Data: []byte(`{"of":"a newer build"}`)}
 	if _, err := n.replica.Write(entry); err != nil {
@@ -85,14 +86,14 @@
 	return nil
 }
 
-// isDisabledLocked reports whether the replica has a worker disabled.
+// isDisabledLocked reports whether a worker is disabled by the replica's entries.
 func (n *Node) isDisabledLocked(worker string) bool {
 	return replication.IsDisabled(n.replica.Get(replication.KindOverride, worker))
 }
 
-// MergeLocalOverrides takes all overrides of this dispatcher, now and then, so that one that was made at another of its processes is
-// replicated too. Those of the first call were made before the replica was opened: the replica wins, and one that it knows nothing of
-// is replicated once this member has caught up.
+// MergeLocalOverrides merges all overrides of this dispatcher. It is called repeatedly, so that an override that was set at another of its
+// processes is replicated too. Those of the first call were set before the replica was opened: the replica's entries win over them, and
+// one without an entry is replicated once this member has caught up.
 func (n *Node) MergeLocalOverrides(overrides hotrestart.Overrides) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -117,14 +118,15 @@
 	}
 }
 
-// mergeLocalLocked replicates an override that was made at another process of this dispatcher.
+// mergeLocalLocked replicates an override that was set at another process of this dispatcher.
 func (n *Node) mergeLocalLocked(worker string, override hotrestart.Override) {
 	if n.isDisabledLocked(worker) != override.Disabled {
 		_ = n.setOverrideLocked(worker, override.Disabled, override.At) // a full replica leaves it in effect here alone
 	}
 }
 
-// mergeInheritedLocked settles an override that is older than the session: by the replica, or later where that knows nothing of it.
+// mergeInheritedLocked merges an override that is older than the session. The replica's entries win; without an entry for the worker the
+// override is left to writeInheritedLocked.
 func (n *Node) mergeInheritedLocked(worker string, override hotrestart.Override) {
 	entries := n.replica.Get(replication.KindOverride, worker)
 	switch {
@@ -135,7 +137,7 @@
 	}
 }
 
-// writeInheritedLocked replicates the inherited overrides that no member knows of.
+// writeInheritedLocked replicates the inherited overrides for whose workers the replica still has no entry.
 func (n *Node) writeInheritedLocked() {
 	for _, worker := range slices.Sorted(maps.Keys(n.inherited)) {
 		if len(n.replica.Get(replication.KindOverride, worker)) == 0 {
@@ -145,8 +147,8 @@
 	clear(n.inherited)
 }
 
-// applyChangesLocked puts entries that came from another member into effect, and has them persisted and spread. Entries of kinds that
-// this build does not know are passed on alone.
+// applyChangesLocked puts entries from another member into effect, persists them and starts their dissemination. Entries of kinds that
+// are unknown to this build are persisted and disseminated only.
 func (n *Node) applyChangesLocked(changed []replication.Key) {
 	for _, key := range changed {
 		n.dirty[key] = true
--- a/internal/gossip/persist.go
+++ b/internal/gossip/persist.go
@@ -12,16 +12,16 @@
 // persistTimeout is how long SetOverride waits for the storage.
 const persistTimeout = 3 * time.Second
 
-// unsyncedAnswerTime is how long after the start the failpoint AnswerBeforeSync keeps anything from being persisted.
+// unsyncedAnswerTime is how long after the start the failpoint AnswerBeforeSync prevents persisting.
 const unsyncedAnswerTime = 8 * time.Second
 
-// Why an override is not persisted, as operators are told.
+// Reasons why an override is not persisted, which operators are shown.
 var (
 	errNoDir          = errors.New("[group] has no folder")
 	errPersistTimeout = fmt.Errorf("its disk has not taken it in %v; it may yet", persistTimeout)
 )
 
-// persistLocked hands to the storage what that may not have. Each round tries again.
+// persistLocked submits to the storage what it may not have yet. It is called again in each round.
 func (n *Node) persistLocked() {
 	version := n.replica.Version().Digest()
 	if failpoint.Enabled(failpoint.AnswerBeforeSync) && time.Since(n.startedAt) < unsyncedAnswerTime {
@@ -42,11 +42,11 @@
 	n.lastBatch = queued
 }
 
-// onBatchWritten is told of each batch that the storage has tried to write. What failed is handed to it again.
+// onBatchWritten is called by the storage after each attempt to write a batch. Entries of a failed batch are submitted again.
 func (n *Node) onBatchWritten(from *storage, tried *batch) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.storage != from { // it is being closed
+	if n.storage != from { // the storage is being closed
 		return
 	}
 	if tried.err == nil {
@@ -60,7 +60,7 @@
 	n.persistFailedLocked(tried.err)
 }
 
-// persistFailedLocked notes why the replica is not persisted, and logs the first of several failures.
+// persistFailedLocked records why the replica is not persisted, and logs the first of consecutive failures.
 func (n *Node) persistFailedLocked(err error) {
 	n.Counters.PersistFailures.Add(1)
 	if n.persistErr == nil {
@@ -69,7 +69,7 @@
 	n.persistErr = err
 }
 
-// awaitWritten waits until a batch was tried, for persistTimeout at the most, and returns why it is not persisted.
+// awaitWritten waits until the storage has tried to write a batch, for at most persistTimeout, and returns the error, if any.
 func (n *Node) awaitWritten(queued *batch) error {
 	select {
 	case <-queued.done:
--- a/internal/gossip/status.go
+++ b/internal/gossip/status.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// peerStatus is what another member has reported last.
+// peerStatus is the last status that another member has reported.
 type peerStatus struct {
 	info            MemberInfo
 	lastContact     time.Time // zero: never
@@ -48,7 +48,7 @@
 	bytesIn  int64
 }
 
-// recordContactLocked notes a digest of another member.
+// recordContactLocked records a digest of another member.
 func (n *Node) recordContactLocked(name string, theirs *digest, inSync bool) {
 	now := time.Now()
 	if n.firstContact.IsZero() {
@@ -65,7 +65,7 @@
 	n.peers[name] = status
 }
 
-// countTraffic notes a request to another member.
+// countTraffic counts a request to another member.
 func (n *Node) countTraffic(to string, bytesOut, bytesIn int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -76,7 +76,7 @@
 	n.traffic[to] = count
 }
 
-// statusLocked returns the reply to a call that only wants a report.
+// statusLocked returns the report of this member, as the reply to a call.
 func (n *Node) statusLocked() *Reply {
 	return &Reply{
 		Member:       n.options.Self,
@@ -90,7 +90,7 @@
 	}
 }
 
-// notPersistedLocked says why overrides do not survive a restart; empty: they do.
+// notPersistedLocked returns why overrides do not survive a restart; empty: they do.
 func (n *Node) notPersistedLocked() string {
 	switch {
 	case n.persistErr != nil:
@@ -123,7 +123,7 @@
 	return statuses
 }
 
-// timeSince returns how long ago t was; below 0: never.
+// timeSince returns the time since t; below 0 for a zero t, which means never.
 func timeSince(t time.Time) time.Duration {
 	if t.IsZero() {
 		return -1
--- a/internal/gossip/storage.go
+++ b/internal/gossip/storage.go
@@ -21,51 +21,51 @@
 	fileFormat = 1
 )
 
-// The file's buckets, and the keys of the first one. Values but the identity carry a checksum.
+// The file's buckets, and the keys of metaBucket. All values except the identity have a checksum.
 var (
 	metaBucket  = []byte("meta")
-	entryBucket = []byte("entries") // by entryKey: all entries of one replication.Key
+	entryBucket = []byte("entries") // by entryKey: the entries of one replication.Key
 
 	identityKey = []byte("identity")
 	versionKey  = []byte("seen")
 )
 
-// identity says which format and which group a file is of. It does not name the member: another member's file does no harm, as its
-// entries are valid anywhere and no incarnation is read from it.
+// identity identifies a file's format and group. It does not name the member: the file of another member does no harm, as its entries are
+// valid at any member and no incarnation is read from it.
 type identity struct {
 	Format int    `json:"format"`
 	Group  string `json:"group"`
 }
 
 // storage persists a replica's entries together with its version vector, in one synced transaction for each batch. A goroutine of its
-// own writes, so that a stalled disk holds up nobody but who waits for a batch. A nil *storage can be closed.
+// own writes, so that a stalled disk blocks only callers that wait for a batch. A nil *storage can be closed.
 type storage struct {
 	db        *bbolt.DB
 	openedAt  time.Time
-	onWritten func(*storage, *batch) // is told of each batch that was tried, by the goroutine that writes
-	wake      chan struct{}          // next is set; closed by close
+	onWritten func(*storage, *batch) // called by the writing goroutine after each attempt to write a batch
+	wake      chan struct{}          // signalled when next is set; closed by close
 	done      chan struct{}          // closed when the goroutine has ended
 
 	mu   sync.Mutex
-	next *batch // nil: nothing waits
+	next *batch // nil: no batch waits
 }
 
-// batch is what is written in one transaction.
+// batch is the contents of one transaction.
 type batch struct {
 	version []byte
-	entries map[replication.Key][]byte // nil: none is left
+	entries map[replication.Key][]byte // a nil value deletes the key: it has no entry left
 	done    chan struct{}              // closed once err is known
 	err     error
 }
 
-// contents is what a file holds of a replica.
+// contents is a replica as stored in a file.
 type contents struct {
 	version replication.VersionVector
 	entries []replication.Entry
 }
 
-// openStorage opens the file in dir and restores target from it; it returns nil for no dir. unreadable says why a damaged file was
-// replaced by an empty one. The error is boltstore.ErrLocked or ErrForeign, or says why dir cannot be used.
+// openStorage opens the file in dir and restores target from it. It returns nil if dir is empty. unreadable is why a damaged file was
+// replaced by an empty one. The error wraps boltstore.ErrLocked or ErrForeign, or is why dir cannot be used.
 func openStorage(dir, group string, target *replication.Replica, onWritten func(*storage, *batch)) (opened *storage, unreadable, err error) {
 	if dir == "" {
 		return nil, nil, nil
@@ -87,7 +87,7 @@
 	return opened, unreadable, nil
 }
 
-// load reads a file, or prepares an empty one. The error is boltstore.ErrForeign where the file has another identity than want.
+// load reads a file, or initializes an empty one. The error wraps boltstore.ErrForeign if the file has an identity other than want.
 func load(db *bbolt.DB, want identity) (stored contents, err error) {
 	err = db.Update(func(tx *bbolt.Tx) error {
 		meta, err := tx.CreateBucketIfNotExists(metaBucket)
@@ -160,7 +160,7 @@
 	return boltstore.AddChecksum(raw), nil
 }
 
-// entryKey returns the key of entries in the file. Overrides have their name alone, as in files of builds that knew no other kind.
+// entryKey returns the key of entries in the file. For overrides it is the name alone, as in files of builds that had no other kind.
 func entryKey(key replication.Key) []byte {
 	if key.Kind == replication.KindOverride {
 		return []byte(key.Name)
@@ -168,8 +168,8 @@
 	return []byte("\x00" + string(key.Kind) + "\x00" + key.Name)
 }
 
-// enqueue adds the version vector of source and its entries of some keys to the batch that is written next, and returns that. It does
-// not wait. It must not be called after close.
+// enqueue adds the version vector of source and its entries for the given keys to the batch that is written next, and returns that batch.
+// It does not wait. It must not be called after close.
 func (s *storage) enqueue(source *replication.Replica, keys map[replication.Key]bool) (*batch, error) {
 	version, err := encodeChecksummed(source.Version())
 	if err != nil {
@@ -188,12 +188,12 @@
 	maps.Copy(s.next.entries, encoded)
 	select {
 	case s.wake <- struct{}{}:
-	default: // it is awake already
+	default: // the goroutine was signalled already
 	}
 	return s.next, nil
 }
 
-// encodeEntries returns the values of some keys; nil for a key without entries.
+// encodeEntries returns the encoded entries of source for the given keys; nil for a key without entries.
 func encodeEntries(source *replication.Replica, keys map[replication.Key]bool) (map[replication.Key][]byte, error) {
 	encoded := make(map[replication.Key][]byte, len(keys))
 	for key := range keys {
@@ -233,8 +233,8 @@
 	return next
 }
 
-// write writes a batch. Guards against a file that was truncated since it was opened: bbolt maps it into memory, so that the access
-// faults, which would end the process.
+// write writes a batch. Guards against a file that was truncated since it was opened: bbolt maps it into memory, and an access beyond its
+// end is a fault that would otherwise end the process.
 func (s *storage) write(b *batch) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -270,7 +270,7 @@
 	return bucket.Put(key, value)
 }
 
-// close writes the batch that waits, ends the goroutine and closes the file.
+// close writes the waiting batch, ends the goroutine and closes the file.
 func (s *storage) close() error {
 	if s == nil {
 		return nil
--- a/internal/peer/counters.go
+++ b/internal/peer/counters.go
@@ -5,10 +5,10 @@
 // Counters count messages and bytes since the Transport was made. They are safe for concurrent use.
 type Counters struct {
 	Sent     atomic.Int64 // queued messages that were answered
-	Lost     atomic.Int64 // queued messages that failed
-	Dropped  atomic.Int64 // messages that did not fit a queue, or waited for a member that could not be reached
-	Accepted atomic.Int64 // requests that went to a handler
-	Rejected atomic.Int64 // requests that did not
+	Lost     atomic.Int64 // queued messages that failed or were declined
+	Dropped  atomic.Int64 // messages that did not fit a queue, or were queued when a member could not be reached
+	Accepted atomic.Int64 // requests that were passed to a handler
+	Rejected atomic.Int64 // requests that were not
 	BytesOut atomic.Int64 // of sent messages
 	BytesIn  atomic.Int64 // of accepted requests
 }
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -2,8 +2,8 @@
 
 import "errors"
 
-// RejectedError is an answer by which a member declines a request for good: asking it again changes nothing. A Handler returns one
-// to decline, and Request and CallMember return what the other side declined with.
+// RejectedError is an answer by which a member declines a request permanently: a retry does not help. A Handler returns one to decline a
+// message, and Request and CallMember return the one that the other side has declined with.
 type RejectedError struct {
 	Reason string
 }
@@ -11,7 +11,7 @@
 // Error returns the reason as the member gave it.
 func (e *RejectedError) Error() string { return e.Reason }
 
-// unavailableError is an answer by which a member says that it cannot serve a request now.
+// unavailableError is an answer by which a member reports that it cannot serve a request at present.
 type unavailableError struct {
 	message string
 }
--- a/internal/peer/handler.go
+++ b/internal/peer/handler.go
@@ -8,8 +8,8 @@
 	"net/http"
 )
 
-// Handler serves a message and returns the body of the answer. A *RejectedError goes to the sender as such; any other error tells it
-// that the message cannot be served now. Handlers are called from several goroutines.
+// Handler serves a message and returns the body of the answer. A *RejectedError becomes status 409 with its reason, any other error status
+// 503 with its text: the message cannot be served at present. Handlers are called from several goroutines.
 type Handler func(ctx context.Context, from Sender, body []byte) ([]byte, error)
 
 // Handle registers the handler of messages from members at a path.
@@ -29,14 +29,14 @@
 	})
 }
 
-// HandleOperator registers the handler of operators' calls at a path. They name no sender and are not checked for one.
+// HandleOperator registers the handler of operators' calls at a path. Calls name no sender, so that the handler gets an empty Sender.
 func (t *Transport) HandleOperator(path string, handler Handler) {
 	t.mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 		t.serve(w, r, Sender{}, handler)
 	})
 }
 
-// rejectionReason says why a message is not for this member, or not from a current member of its group; empty: it is.
+// rejectionReason returns why a message is not for this member, or not from a current member of its group; empty: it is accepted.
 func (t *Transport) rejectionReason(r *http.Request, from Sender) string {
 	self := t.options.Identity()
 	group, to := r.Header.Get(groupHeader), r.Header.Get(toHeader)
--- a/internal/peer/json.go
+++ b/internal/peer/json.go
@@ -2,8 +2,8 @@
 
 import "encoding/json"
 
-// ServeJSON is the frame of a Handler for JSON: it decodes body into a request, calls serve and encodes the reply. What a body that
-// does not decode is answered with is up to malformed. Errors of both go on to the caller.
+// ServeJSON implements a Handler for JSON: it decodes body into a Request, calls serve and encodes the Reply. If body does not decode, it
+// calls malformed instead, with the decoder's error. Errors of malformed and serve are returned as they are.
 func ServeJSON[Request, Reply any](
 	body []byte,
 	malformed func(decodeErr error) (Reply, error),
@@ -23,7 +23,7 @@
 	return json.Marshal(reply)
 }
 
-// RejectMalformed returns a malformed for ServeJSON that rejects the message with a reason which begins with prefix.
+// RejectMalformed returns a function for ServeJSON's malformed that rejects the message with prefix and the decoder's error as reason.
 func RejectMalformed[Reply any](prefix string) func(decodeErr error) (Reply, error) {
 	return func(decodeErr error) (Reply, error) {
 		var none Reply
--- a/internal/peer/member.go
+++ b/internal/peer/member.go
@@ -2,7 +2,7 @@
 
 import "math/rand/v2"
 
-// Member is a member of the group by the operator's file.
+// Member is a member of the group as listed in the operator's file.
 type Member struct {
 	Name    string
 	Address string // host:port where it listens for the other members
@@ -14,7 +14,7 @@
 type Sender struct {
 	Name        string
 	Incarnation string
-	ClusterID   string // of the group's bootstrap; empty: the member has not joined yet
+	ClusterID   string // of the group's bootstrap; empty: the process has not joined yet
 }
 
 // Sample returns up to n of the names, chosen at random without repetition.
--- a/internal/peer/operator.go
+++ b/internal/peer/operator.go
@@ -11,8 +11,8 @@
 // callTimeout limits an operator's call at one member.
 const callTimeout = 5 * time.Second
 
-// CallMember makes an operator's call at the member at address (host:port), under a path of HandleOperator: it sends call as JSON
-// and decodes the answer into reply. The error is a *RejectedError where the member declines.
+// CallMember makes an operator's call at the member at address (host:port), at a path that HandleOperator serves: it sends call as JSON
+// and decodes the answer into reply. It takes up to callTimeout. The error is a *RejectedError if the member declines.
 func CallMember(ctx context.Context, address, path string, call, reply any) error {
 	body, err := json.Marshal(call)
 	if err != nil {
--- a/internal/peer/queue.go
+++ b/internal/peer/queue.go
@@ -11,10 +11,10 @@
 	maxQueuedMessages = 256
 	maxQueuedBytes    = 4 << 20
 	sendTimeout       = time.Second           // for a member to answer a queued message
-	retryDelay        = 50 * time.Millisecond // after a member could not be reached
+	retryDelay        = 50 * time.Millisecond // of a queue after a member could not be reached
 )
 
-// sendQueue holds the messages that wait for one member. Its goroutine sends them in their order.
+// sendQueue has the messages that wait to be sent to one member. Its goroutine sends them in order.
 type sendQueue struct {
 	member      Member
 	messages    chan message
@@ -27,8 +27,8 @@
 	body []byte
 }
 
-// Send queues a message for a member and returns at once. The answer is ignored. A message that does not fit the queue is dropped,
-// as is one for a name that is not a member's.
+// Send queues a message for a member and returns at once. The answer is ignored. A message that does not fit the queue is dropped and
+// counted; one for a name that is not a member's is dropped.
 func (t *Transport) Send(to, path string, body []byte) {
 	queue := t.queueTo(to)
 	if queue == nil {
@@ -39,8 +39,8 @@
 	}
 }
 
-// queueTo returns the queue to a member and starts its goroutine with the first call. It returns nil for a name that is not a
-// member's, and after Close where there was no queue before.
+// queueTo returns the queue to a member. The first call for a member creates the queue and starts its goroutine. It returns nil for a name
+// that is not a member's, and after Close if there was no queue before.
 func (t *Transport) queueTo(name string) *sendQueue {
 	member, ok := t.member(name)
 	if !ok {
@@ -57,7 +57,7 @@
 	return queue
 }
 
-// push queues a message; false: it does not fit.
+// push queues a message and reports whether it fits.
 func (q *sendQueue) push(m message) bool {
 	size := int64(len(m.body))
 	if q.queuedBytes.Add(size) <= maxQueuedBytes {
@@ -71,7 +71,7 @@
 	return false
 }
 
-// pop accounts for a message that was received from the queue.
+// pop subtracts a message that was received from the queue from queuedBytes.
 func (q *sendQueue) pop(m message) { q.queuedBytes.Add(-int64(len(m.body))) }
 
 // sendLoop sends the messages of one queue until the context ends.
@@ -87,8 +87,8 @@
 	}
 }
 
-// deliver sends one message. Where the member cannot be reached it drops what is queued, as it is outdated by the time the member is
-// back (raft repeats what still matters), and waits before the next message.
+// deliver sends one message. If the member cannot be reached it drops the queued messages, as they are outdated by the time that the
+// member is back (raft resends what still matters), and waits for retryDelay.
 func (t *Transport) deliver(ctx context.Context, queue *sendQueue, m message) {
 	requestCtx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
@@ -99,7 +99,7 @@
 		return
 	}
 	t.Counters.Lost.Add(1)
-	if isAnswer(err) { // declined: the messages behind it may be accepted, as they may be for another incarnation
+	if isAnswer(err) { // declined; the next messages may be accepted, as they may be for another incarnation
 		return
 	}
 	t.options.OnUnreachable(queue.member.Name)
@@ -110,7 +110,7 @@
 	}
 }
 
-// dropQueued drops the messages that are queued now.
+// dropQueued drops the messages that are queued at the call.
 func (t *Transport) dropQueued(queue *sendQueue) {
 	for n := len(queue.messages); n > 0; n-- {
 		queue.pop(<-queue.messages)
--- a/internal/peer/request.go
+++ b/internal/peer/request.go
@@ -8,7 +8,7 @@
 	"net/http"
 )
 
-// The headers by which a member knows whether a message is for it, and from whom.
+// The headers that identify the group, the sender and the receiver of a message.
 const (
 	groupHeader       = "X-Birchfork-Group"
 	clusterHeader     = "X-Birchfork-Founded"
@@ -17,7 +17,7 @@
 	toHeader          = "X-Birchfork-To"
 )
 
-// Request sends a message to a member and returns the body of its answer. The error is a *RejectedError where the member declines.
+// Request sends a message to a member and returns the body of its answer. The error is a *RejectedError if the member declines.
 func (t *Transport) Request(ctx context.Context, to, path string, body []byte) ([]byte, error) {
 	member, ok := t.member(to)
 	if !ok {
@@ -41,7 +41,7 @@
 	return http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(body))
 }
 
-// do sends a request and returns the body of an answer with status 200; any other status becomes an error.
+// do sends a request and returns the body of an answer with status 200; any other status becomes an error, 409 a *RejectedError.
 func do(client *http.Client, req *http.Request) ([]byte, error) {
 	res, err := client.Do(req)
 	if err != nil {
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -1,6 +1,6 @@
-// Package peer carries messages between the members of a group of dispatchers: HTTP/1.1 on a listener of its own, requests with an
-// answer, and messages without one through a bounded queue for each member. Operators' calls come by the same listener. The package
-// knows paths and bytes; what a message means is for the packages that register a Handler.
+// Package peer transports messages between the members of a group of dispatchers over HTTP/1.1 on a listener of its own: requests with an
+// answer, and messages without one through a bounded queue for each member. The listener also accepts operators' calls. The package
+// handles paths and bytes only; the packages that register a Handler define the messages.
 package peer
 
 import (
@@ -23,12 +23,12 @@
 	maxHeaderBytes    = 4 << 10                // of a request
 	dialTimeout       = 500 * time.Millisecond // for a connection to a member
 	headerTimeout     = time.Second            // for a request's headers
-	requestTimeout    = 10 * time.Second       // for a whole request and its answer
+	requestTimeout    = 10 * time.Second       // for a request and its answer in total
 	serverIdleTimeout = 2 * time.Minute        // of a connection from a member
 	clientIdleTimeout = time.Minute            // of a connection to a member
-	maxIdlePerMember  = 2                      // connections to a member that are kept
-	maxConnsPerMember = 8                      // connections to and from a member
-	maxOperatorConns  = 32                     // further connections, for operators
+	maxIdlePerMember  = 2                      // idle connections that are kept to each member
+	maxConnsPerMember = 8                      // connections to each member; as many are accepted for each member
+	maxOperatorConns  = 32                     // connections from operators in addition
 )
 
 // Options are the settings of a Transport. All functions are called from several goroutines.
@@ -37,15 +37,15 @@
 	Self    string   // name of this member
 	Members []Member // all members, this one included
 
-	Identity      func() Sender                       // how this member names itself in what it sends
+	Identity      func() Sender                       // identifies this process in its messages
 	IsStale       func(name, incarnation string) bool // reports whether a member has begun a later incarnation
-	OnUnreachable func(name string)                   // is told of a member that a queued message could not reach
+	OnUnreachable func(name string)                   // called with the name of a member that a queued message could not reach
 
 	Log logrus.FieldLogger
 }
 
-// Transport sends messages to the members of a group and serves theirs. Handle and HandleOperator have to be called before Serve; all
-// other methods are safe for concurrent use. Close ends its goroutines.
+// Transport sends messages to the members of a group and serves their messages. Handle and HandleOperator have to be called before Serve;
+// all other methods are safe for concurrent use. Close ends its goroutines.
 type Transport struct {
 	Counters Counters
 
@@ -53,7 +53,7 @@
 
 	mux       *http.ServeMux
 	server    *http.Server // nil before Serve
-	serveDone chan error   // the result of the server's goroutine
+	serveDone chan error   // the only result of server.Serve
 
 	client    *http.Client
 	ctx       context.Context // ends with Close
@@ -62,10 +62,10 @@
 	closeOnce sync.Once
 
 	mu     sync.Mutex
-	queues map[string]*sendQueue // by member; begun with the first message
+	queues map[string]*sendQueue // by member; created with the first message
 }
 
-// NewTransport returns a Transport that can send at once, and receives from Serve on.
+// NewTransport returns a Transport that can send at once. It receives only after Serve.
 func NewTransport(options Options) *Transport {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Transport{
@@ -81,7 +81,7 @@
 	}
 }
 
-// Serve accepts connections on listener in a goroutine of its own, until Close. Connections over the limit wait.
+// Serve accepts connections on listener in a goroutine of its own, until Close. Connections over the limit wait to be accepted.
 func (t *Transport) Serve(listener net.Listener) {
 	t.server = &http.Server{
 		Handler:           t.mux,
@@ -97,13 +97,13 @@
 	go func() { t.serveDone <- t.server.Serve(limited) }()
 }
 
-// Close closes the listener and all connections, drops queued messages and waits for the Transport's goroutines. Further calls do
-// nothing.
+// Close closes the listener and all connections, drops queued messages and waits for the Transport's goroutines. Further calls have no
+// effect.
 func (t *Transport) Close() {
 	t.closeOnce.Do(func() {
 		t.cancel()
 		if t.server != nil {
-			_ = t.server.Close() // closes a listener that is not used any more
+			_ = t.server.Close() // an error of closing the listener changes nothing: it is not used again
 			<-t.serveDone
 		}
 		t.senders.Wait()
