--- a/internal/boltstore/boltstore.go
+++ b/internal/boltstore/boltstore.go
@@ -1,5 +1,5 @@
-// Package boltstore opens the bbolt files of a group's member so that a damaged file ends neither the process nor the member's part
-// in the group, and gives values checksums: bbolt's own cover the root of a file alone.
+// Package boltstore opens the bbolt files of a group's member, so that a damaged file ends neither the process nor the member's part in
+// the group. It also adds checksums to values, as bbolt's own cover only the meta pages of a file.
 package boltstore
 
 import (
@@ -15,7 +15,7 @@
 	bbolterrors "go.etcd.io/bbolt/errors"
 )
 
-// Errors of Open for files that are not damaged and stay as they are.
+// Errors of Open for files that are not damaged and are left unchanged.
 var (
 	ErrLocked  = errors.New("file is in use by another process")
 	ErrForeign = errors.New("file belongs to another member or group") // returned by a load function
@@ -23,14 +23,14 @@
 
 const (
 	lockTimeout      = 100 * time.Millisecond // for another process to close the file
-	unreadableSuffix = ".unreadable"          // of the name that a damaged file is given
+	unreadableSuffix = ".unreadable"          // appended to the name of a damaged file
 )
 
-// Open opens a file of a folder, which it creates if there is none, and has load read it.
+// Open opens a file in a folder, creates both if they do not exist, and calls load to read the file.
 //
-// A file that cannot be read is as good as lost: Open renames it, for operators to look at, calls load again with an empty file, and
-// returns as unreadable what was wrong. It returns an err, and no db, if the file cannot be used: ErrLocked, load's ErrForeign, or
-// an error of the operating system, after which the file may still be sound.
+// If the file cannot be read, Open renames it for operators to inspect, calls load again with an empty file, and returns the cause as
+// unreadable. If the file cannot be used, it returns an err and no db: ErrLocked, load's ErrForeign, or an error of the operating system,
+// after which the file may still be intact.
 func Open(folder, file string, load func(*bbolt.DB) error) (db *bbolt.DB, unreadable, err error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, nil, fmt.Errorf("the group's folder: %w", err)
@@ -55,14 +55,14 @@
 	return db, unreadable, nil
 }
 
-// isSystemError reports whether the operating system has refused something.
+// isSystemError reports whether err is an error of the operating system.
 func isSystemError(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno)
 }
 
-// openAndLoad opens a file and has load read it; after an error the file is closed. bbolt maps the file into memory: where pages are
-// damaged it panics, and where they are missing the access faults, which would end the process.
+// openAndLoad opens a file and calls load to read it; after an error the file is closed. bbolt maps the file into memory: it panics on
+// damaged pages, and access to missing pages is a fault that would end the process. Both become errors.
 func openAndLoad(path string, load func(*bbolt.DB) error) (db *bbolt.DB, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
--- a/internal/failpoint/lean.go
+++ b/internal/failpoint/lean.go
@@ -1,11 +1,11 @@
 //go:build lean
 
-// Package failpoint has no fault to switch on in a lean build: Enabled is a constant false.
+// Package failpoint has no fault to enable in a lean build: Enabled always returns false.
 package failpoint
 
 import "time"
 
-// The names of faults and conditions, none of which a lean build has.
+// The names of the faults and conditions. A lean build has none of them.
 const (
 	SendWithoutLease    = ""
 	OverlongLease       = ""
@@ -38,10 +38,10 @@
 	DiskStall    = ""
 )
 
-// Enabled reports whether a fault or condition is on: none ever is.
+// Enabled reports whether a fault or condition is enabled, which none is in a lean build.
 func Enabled(string) bool { return false }
 
-// ClockOffset returns how far a member's wall clock is ahead: it never is.
+// ClockOffset returns how far a member's wall clock is ahead, which is always 0 in a lean build.
 func ClockOffset(string) time.Duration { return 0 }
 
 // BeforeSyncedWrite does nothing.
