--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -17,20 +17,20 @@
 	verbEnable    = "enable"
 )
 
-// unknownPathText answers a call whose path is none of the server's.
+// unknownPathText is the answer to a call of an unknown path.
 const unknownPathText = "no such path; there are /-/ready, /-/runners/ID/disable and /-/runners/ID/enable"
 
-// operation is what a path asks for.
+// operation is the operation of a path.
 type operation struct {
 	method string
 	run    func() (note string, err error)
 }
 
-// answer is what a caller gets: a status and one line of text.
+// answer is the answer to a call: a status and one line of text.
 type answer struct {
 	status int
 	text   string
-	allow  string // the path's method, where the call has another
+	allow  string // the path's method, if the call has another one
 }
 
 // newHandler returns a handler of operators' calls.
@@ -44,7 +44,7 @@
 	})
 }
 
-// write writes an answer, and that the connection ends behind it.
+// write writes an answer, with a header that announces the end of the connection.
 func write(w http.ResponseWriter, a answer) {
 	header := w.Header()
 	header.Set("Content-Type", "text/plain; charset=utf-8")
@@ -55,10 +55,10 @@
 	}
 	w.WriteHeader(a.status)
 	fmt.Fprintln(w, a.text)
-	_ = http.NewResponseController(w).Flush() // before the connection counts as answered; a caller that has gone misses it
+	_ = http.NewResponseController(w).Flush() // before the connection counts as answered; a caller that has disconnected needs no answer
 }
 
-// execute carries a call out.
+// execute carries out a call.
 func execute(service Service, r *http.Request) answer {
 	op, rejection := route(service, r.URL.EscapedPath())
 	if rejection != nil {
@@ -80,7 +80,7 @@
 	}
 }
 
-// route returns the operation of an escaped path, or the answer to a path that has none.
+// route returns the operation of an escaped path, or the answer to a path without one.
 func route(service Service, path string) (operation, *answer) {
 	if path == readyPath {
 		ready := func() (string, error) { return "", service.Ready() }
@@ -103,7 +103,7 @@
 	return operation{method: http.MethodPost, run: func() (string, error) { return change(worker) }}, nil
 }
 
-// change returns the function of a verb; nil where there is none.
+// change returns the function of a verb; nil if there is none.
 func (s Service) change(verb string) func(worker string) (note string, err error) {
 	switch verb {
 	case verbDisable:
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -10,8 +10,8 @@
 	"birchfork/internal/socket"
 )
 
-// limitedListener bounds the number of open connections. It accepts every connection: one that waits in the kernel would hold up those
-// behind it. Where there are too many, the oldest is closed on which no complete call has come.
+// limitedListener limits the number of open connections. It accepts every connection, as one that waits in the kernel would block those
+// behind it. If there are too many, it closes the oldest one without a pending call.
 type limitedListener struct {
 	net.Listener
 	maxConns int
@@ -24,7 +24,7 @@
 type conn struct {
 	net.Conn
 	listener  *limitedListener
-	pending   bool // a complete call has come that is not answered yet; guarded by the listener's lock
+	pending   bool // a complete call was received that is not answered yet; guarded by the listener's mutex
 	closeOnce sync.Once
 }
 
@@ -36,7 +36,7 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// connFromContext is the connection of a call; nil where it came on another kind of connection.
+// connFromContext returns the connection of a call; nil if it is not a *conn.
 func connFromContext(ctx context.Context) *conn {
 	c, _ := ctx.Value(connKey{}).(*conn)
 	return c
@@ -55,7 +55,7 @@
 	return accepted, nil
 }
 
-// add notes a connection, and returns the one to be closed for it; nil where none has to be or can be.
+// add adds a connection, and returns the one to be closed in exchange; nil if the limit is kept or none can be closed.
 func (l *limitedListener) add(accepted *conn) (evicted *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -66,8 +66,8 @@
 	return l.oldestIdle(accepted)
 }
 
-// oldestIdle is the oldest connection without a pending call, other than except; nil where there is none. One on which something waits to
-// be read is the last choice, as that may be a complete call. The lock is held.
+// oldestIdle returns the oldest connection without a pending call, other than except; nil if there is none. A connection with unread bytes
+// is the last choice, as they may be a complete call. l.mu must be held.
 func (l *limitedListener) oldestIdle(except *conn) *conn {
 	var oldestUnread *conn
 	for _, c := range l.conns {
@@ -89,7 +89,7 @@
 	}
 }
 
-// idle are the connections without a pending call.
+// idle returns the connections without a pending call.
 func (l *limitedListener) idle() []*conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,7 +102,7 @@
 	return idle
 }
 
-// remove forgets a connection.
+// remove removes a connection from the list.
 func (l *limitedListener) remove(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,14 +111,14 @@
 	}
 }
 
-// setPending sets whether a complete call has come that is not answered yet.
+// setPending sets whether a complete call was received that is not answered yet.
 func (c *conn) setPending(pending bool) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	c.pending = pending
 }
 
-// hasUnread tells whether bytes have come that nobody has read.
+// hasUnread reports whether bytes were received that are not read yet.
 func (c *conn) hasUnread() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -132,7 +132,7 @@
 	return err == nil && n > 0
 }
 
-// CloseWrite ends sending, so that an answer is not lost with what the caller still sends. net/http looks for it.
+// CloseWrite closes the sending side, so that an answer is not lost while the caller still sends. net/http calls it if it exists.
 func (c *conn) CloseWrite() error {
 	if w, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return w.CloseWrite()
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// Close closes the connection and forgets it. Later calls do nothing.
+// Close closes the connection and removes it from the listener's list. Later calls have no effect.
 func (c *conn) Close() error {
 	var err error
 	c.closeOnce.Do(func() {
@@ -150,5 +150,5 @@
 	return err
 }
 
-// closeSilently closes a connection whose caller gets no answer.
+// closeSilently closes a connection without an answer and ignores the error.
 func (c *conn) closeSilently() { _ = c.Close() }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,6 +1,6 @@
 // Package admin serves the operators' HTTP calls to one dispatcher process: whether it is ready, and disabling and enabling workers. It
-// listens at an address of its own, answers in plain text, one call a connection, and holds no state of the dispatcher: what it tells and
-// changes is behind the functions of a Service.
+// listens at an address of its own, answers in plain text and serves one call per connection. It has no state of the dispatcher: the
+// functions of a Service read and change that.
 package admin
 
 import (
@@ -12,36 +12,36 @@
 	"time"
 )
 
-// Bounds on callers.
+// Limits on callers.
 const (
-	callTimeout      = 1500 * time.Millisecond // for a whole call, from connecting on
-	answerTimeout    = 1 * time.Second         // for the caller to take the answer
+	callTimeout      = 1500 * time.Millisecond // for a call to be received in full, from the connection on
+	answerTimeout    = 1 * time.Second         // for the answer to be written, in addition
 	maxHeaderBytes   = 16 << 10
 	maxWorkerIDBytes = 256
 )
 
-// Errors that a Service may answer with. Their texts are part of the answers.
+// Errors that the functions of a Service may return. Their texts are part of the answers.
 var (
-	ErrUnknownWorker = errors.New("no runner of this id is known") // answered by 404
-	ErrUnavailable   = errors.New("not now")                       // answered by 503, as every other error
+	ErrUnknownWorker = errors.New("no runner of this id is known") // status 404
+	ErrUnavailable   = errors.New("not now")                       // status 503, as every other error
 )
 
-// Service is what the calls do. Its functions are called concurrently and have to be quick. They return an error for a call that has no
-// effect, and a note that is told beside the success of one that has.
+// Service has the functions that carry out the calls. They are called concurrently and must not block for long. They return an error for a
+// call that has no effect. A note is shown in the answer to a successful call.
 type Service struct {
 	Ready   func() error                                 // nil: this process can serve
-	Disable func(worker string) (note string, err error) // sends nothing more to a worker
-	Enable  func(worker string) (note string, err error) // ends Disable
+	Disable func(worker string) (note string, err error) // stops sending to a worker
+	Enable  func(worker string) (note string, err error) // reverts Disable
 }
 
-// Server answers operators until Shutdown. It owns its listener and connections. It is safe for concurrent use.
+// Server serves operators' calls until Shutdown. It owns its listener and connections. It is safe for concurrent use.
 type Server struct {
 	httpServer *http.Server
 	listener   *limitedListener
-	serveErr   chan error // the one result of Serve
+	serveErr   chan error // the only result of Serve
 }
 
-// Start answers operators on listener, which the server owns from then on, with at most maxConns connections at a time.
+// Start serves operators' calls on listener, which the Server owns from then on, with at most maxConns connections at a time.
 func Start(listener net.Listener, maxConns int, service Service, errorLog *log.Logger) *Server {
 	s := &Server{
 		listener: &limitedListener{Listener: listener, maxConns: max(maxConns, 1)},
@@ -62,13 +62,13 @@
 	return s
 }
 
-// Addr is the address that the server listens at.
+// Addr returns the address of the listener.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Shutdown stops listening and closes all connections, once complete calls have their answers or ctx ends. It is to be called once.
+// Shutdown stops listening and closes all connections, once pending calls are answered or ctx ends. It must be called only once.
 func (s *Server) Shutdown(ctx context.Context) {
 	s.listener.closeIdle()
-	_ = s.httpServer.Shutdown(ctx) // where ctx has ended, Close cuts off the rest
+	_ = s.httpServer.Shutdown(ctx) // if ctx has ended, Close closes the remaining connections
 	_ = s.httpServer.Close()
 	<-s.serveErr
 }
--- a/internal/hotrestart/claim.go
+++ b/internal/hotrestart/claim.go
@@ -10,11 +10,11 @@
 	"syscall"
 )
 
-// claimPrefix begins the name of a claim file; the claim's id and the process's id follow. A claim file holds the state of its process,
-// and is locked as long as the process lives.
+// claimPrefix begins the name of a claim file; the claim's id and the process id follow. A claim file contains the state of its process,
+// which has it locked while it is alive.
 const claimPrefix = "process-"
 
-// processState is what a process does, as its claim file tells it.
+// processState is the state of a process, as its claim file has it.
 type processState string
 
 // The states of a process.
@@ -24,23 +24,23 @@
 	stateLeaving  processState = "leaving"
 )
 
-// stateLength is the bytes of a claim file that are read; more than any state has.
+// stateLength is how many bytes of a claim file are read. It exceeds the length of every state.
 const stateLength = 16
 
 // Siblings are the other processes of a dispatcher that are alive.
 type Siblings struct {
-	Alive   int  // how many there are
+	Alive   int  // their number
 	Serving bool // one of them serves
-	Newer   bool // one of them has claimed its place after this one
+	Newer   bool // one of them has created its claim after this process
 }
 
-// MarkServing tells siblings that this process serves.
+// MarkServing records, for siblings, that this process serves.
 func (p *Process) MarkServing() error { return p.writeState(stateServing) }
 
-// MarkLeaving tells siblings that this process does not serve any more.
+// MarkLeaving records, for siblings, that this process no longer serves.
 func (p *Process) MarkLeaving() error { return p.writeState(stateLeaving) }
 
-// Siblings looks which other processes are alive. The claims of those that have ended are removed.
+// Siblings returns which other processes are alive. It removes the claims of processes that have ended.
 func (p *Process) Siblings() Siblings {
 	var siblings Siblings
 	if p.claimFile == nil {
@@ -71,14 +71,14 @@
 	return siblings
 }
 
-// claimPath is the path of this process's claim file.
+// claimPath returns the path of this process's claim file.
 func (p *Process) claimPath() string {
 	name := claimPrefix + strconv.FormatInt(p.id, 10) + "-" + strconv.Itoa(os.Getpid())
 	return filepath.Join(p.dir, name)
 }
 
-// writeState writes what this process does into its claim file. All states are padded to one length, so that a reader never finds parts
-// of two.
+// writeState writes the state of this process to its claim file. All states are padded to the same length, so that a reader never finds
+// parts of two states.
 func (p *Process) writeState(state processState) error {
 	if p.claimFile == nil {
 		return nil
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// claimID is the id of a claim by the name of its file; 0 where it has none.
+// claimID returns the id of a claim from the name of its file; 0 if the name has none.
 func claimID(name string) int64 {
 	number, _, _ := strings.Cut(strings.TrimPrefix(name, claimPrefix), "-")
 	id, err := strconv.ParseInt(number, 10, 64)
@@ -99,8 +99,8 @@
 	return id
 }
 
-// probeClaim tells whether the process of a claim is alive, and what it does. Where the claim cannot be opened, as no descriptor is left,
-// the process is taken for alive.
+// probeClaim reports whether the process of a claim is alive, and returns its state. If the claim exists but cannot be opened, for example
+// because no descriptor is free, the process counts as alive.
 func probeClaim(path string) (state processState, alive bool) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -111,6 +111,6 @@
 		return "", false
 	}
 	var content [stateLength]byte
-	n, _ := file.ReadAt(content[:], 0) // as far as it goes
+	n, _ := file.ReadAt(content[:], 0) // a shorter file gives a shorter state
 	return processState(strings.TrimSpace(string(content[:n]))), true
 }
--- a/internal/hotrestart/endpoints.go
+++ b/internal/hotrestart/endpoints.go
@@ -14,14 +14,14 @@
 	endpointsFormat = "birchfork list 1"
 )
 
-// endpointsContent is the file of the endpoint list as it is written.
+// endpointsContent is the JSON of the file of the endpoint list.
 type endpointsContent struct {
 	Format     string          `json:"format"`
 	Dispatcher string          `json:"dispatcher"`
 	Endpoints  json.RawMessage `json:"list"`
 }
 
-// SaveEndpoints saves the newest endpoint list, in discovery's form, for a process that starts.
+// SaveEndpoints saves the newest endpoint list, in discovery's format, for a process that starts.
 func (p *Process) SaveEndpoints(endpoints json.RawMessage) error {
 	if p.claimFile == nil {
 		return nil
@@ -29,7 +29,7 @@
 	return p.writeFile(endpointsFile, endpointsContent{Format: endpointsFormat, Dispatcher: p.name, Endpoints: endpoints})
 }
 
-// Endpoints returns the endpoint list that a process has saved last; nil where there is none.
+// Endpoints returns the endpoint list that was saved last by any process; nil if there is none.
 func (p *Process) Endpoints() (json.RawMessage, error) {
 	if p.claimFile == nil {
 		return nil, nil
@@ -44,7 +44,7 @@
 	return decodeEndpoints(raw, p.name)
 }
 
-// decodeEndpoints decodes the file of the endpoint list of the dispatcher of this name.
+// decodeEndpoints decodes the file of the endpoint list. The error wraps errForeignFile if it is not of the dispatcher with this name.
 func decodeEndpoints(raw []byte, name string) (json.RawMessage, error) {
 	var content endpointsContent
 	if err := json.Unmarshal(raw, &content); err != nil {
--- a/internal/hotrestart/files.go
+++ b/internal/hotrestart/files.go
@@ -10,24 +10,24 @@
 	"time"
 )
 
-// Names of files that have no content of their own.
+// Names of auxiliary files.
 const (
 	lockFile   = "lock"
 	tempPrefix = "new-" // of a file that is being written
 )
 
-// Times and bounds of files.
+// Times and limits of files.
 const (
-	lockTimeout       = 50 * time.Millisecond // for another process to be through with a file: it may be stopped, and calls wait
+	lockTimeout       = 50 * time.Millisecond // for another process to release the lock: it may be suspended, and callers wait
 	lockRetryInterval = 5 * time.Millisecond
-	staleTempAge      = 1 * time.Minute // a file that is not in its place after so long never will be
-	maxFileSize       = 8 << 20         // bytes of a file that are read
+	staleTempAge      = 1 * time.Minute // age from which an unfinished file counts as abandoned
+	maxFileSize       = 8 << 20         // bytes; larger files are not read
 )
 
-// errForeignFile tells that a file is of no use here. It is replaced by the next write.
+// errForeignFile is the error for a file that cannot be used. The next write replaces the file.
 var errForeignFile = errors.New("torn, of another format or of another dispatcher")
 
-// lock keeps other processes from writing, until unlock.
+// lock prevents other processes from writing until unlock is called. It fails after lockTimeout.
 func (p *Process) lock() (unlock func(), err error) {
 	file, err := os.OpenFile(filepath.Join(p.dir, lockFile), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -48,7 +48,7 @@
 	}
 }
 
-// writeFile writes a file of the shared directory as JSON, as a whole.
+// writeFile replaces a file of the shared directory atomically with content as JSON.
 func (p *Process) writeFile(name string, content any) error {
 	raw, err := json.Marshal(content)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// readFile reads a file that anybody may have put there.
+// readFile reads a file that may not have been written by this program: it has to be a regular file of at most maxFileSize.
 func readFile(path string) ([]byte, error) {
 	info, err := os.Lstat(path)
 	switch {
@@ -84,7 +84,7 @@
 	return os.ReadFile(path)
 }
 
-// statOrNil is what is known of a file; nil where there is none.
+// statOrNil returns the FileInfo of a file; nil if there is none.
 func statOrNil(path string) os.FileInfo {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -93,5 +93,5 @@
 	return info
 }
 
-// removeFile removes a file that may be gone already: another process may remove it too. What is left is removed by a later process.
+// removeFile removes a file. It ignores errors: another process may have removed the file, and a later process removes what is left.
 func removeFile(path string) { _ = os.Remove(path) }
--- a/internal/hotrestart/overrides.go
+++ b/internal/hotrestart/overrides.go
@@ -15,20 +15,20 @@
 	overridesFormat = "birchfork hand 1"
 )
 
-// enabledRetention is how long an override is kept whose worker is enabled again: by then its slow start is long over, and siblings that
-// know an older one have ended.
+// enabledRetention is how long the override of a worker that is enabled again is kept. After that the worker's slow start is long over, and
+// siblings with an older override have ended.
 const enabledRetention = 1 * time.Hour
 
-// Override is the newest setting of operators for one worker.
+// Override is the newest operator override of one worker.
 type Override struct {
 	Disabled bool  `json:"out"`
-	At       int64 `json:"at"` // Unix time in microseconds; the newer override counts
+	At       int64 `json:"at"` // Unix time in microseconds; the newer override wins
 }
 
-// Overrides are the newest overrides by the name of their worker.
+// Overrides has the newest override of each worker, by the worker's name.
 type Overrides map[string]Override
 
-// merge takes over what is newer in other, and tells whether there was any.
+// merge copies the overrides that are newer in other, and reports whether there were any.
 func (o Overrides) merge(other Overrides) (changed bool) {
 	for worker, override := range other {
 		known, exists := o[worker]
@@ -40,16 +40,16 @@
 	return changed
 }
 
-// overridesContent is the file of overrides as it is written.
+// overridesContent is the JSON of the file of overrides.
 type overridesContent struct {
 	Format     string    `json:"format"`
 	Dispatcher string    `json:"dispatcher"`
 	Workers    Overrides `json:"runners"`
 }
 
-// SetOverride disables a worker or enables it again, by an override that is newer than all before it, and returns that. A worker that is
-// not disabled is not enabled: it keeps the override that it has, which may be the zero value. The override counts for this process in
-// any case; an error tells that others and later ones do not see it yet, and each Sync tries again.
+// SetOverride disables a worker or enables it again, by an override that is newer than all before it, and returns that override. Enabling
+// a worker that is not disabled changes nothing and returns its present override, which may be the zero value. The override is in effect
+// in this process in any case. An error means that other and later processes do not see it yet; each Sync retries.
 func (p *Process) SetOverride(worker string, disabled bool) (Override, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,8 +67,8 @@
 	return override, p.syncLocked()
 }
 
-// Sync exchanges overrides with the other processes and returns all of them; the map is the caller's. An error tells that some of them
-// may be missing, here or there.
+// Sync exchanges overrides with the other processes and returns all of them in a new map. An error means that some may be missing in this
+// process or in the others.
 func (p *Process) Sync() (Overrides, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,7 +78,7 @@
 	return all, err
 }
 
-// syncLocked reads the file if it has changed, and writes it if this process knows more. The lock is held.
+// syncLocked writes the file if this process has unsaved overrides, else reads it if it has changed. p.mu must be held.
 func (p *Process) syncLocked() error {
 	if p.claimFile == nil {
 		return nil
@@ -90,16 +90,16 @@
 	if errors.Is(err, os.ErrNotExist) || err == nil && p.hasRead(info) {
 		return nil
 	}
-	return p.readOverrides() // files are renamed into place as a whole: reading needs no lock
+	return p.readOverrides() // files are replaced atomically: reading needs no lock
 }
 
-// hasRead tells whether the file of overrides is the one that was read last. The lock is held.
+// hasRead reports whether the file of overrides is the one that was read last. p.mu must be held.
 func (p *Process) hasRead(info os.FileInfo) bool {
 	last := p.lastRead
 	return last != nil && os.SameFile(info, last) && info.ModTime().Equal(last.ModTime()) && info.Size() == last.Size()
 }
 
-// saveOverrides merges the overrides with those of the file and writes the result. The lock is held.
+// saveOverrides merges the overrides with those of the file and writes the result. p.mu must be held.
 func (p *Process) saveOverrides() error {
 	unlock, err := p.lock()
 	if err != nil {
@@ -123,7 +123,8 @@
 	return nil
 }
 
-// readOverrides merges the file's overrides into those of this process. A foreign file is reported once. The lock is held.
+// readOverrides merges the file's overrides into those of this process. A foreign file counts as read, so that
+// syncLocked returns the error once. p.mu must be held.
 func (p *Process) readOverrides() error {
 	path := filepath.Join(p.dir, overridesFile)
 	previous := p.lastRead
@@ -144,7 +145,7 @@
 	return nil
 }
 
-// decodeOverrides decodes the file of overrides of the dispatcher of this name.
+// decodeOverrides decodes the file of overrides. The error wraps errForeignFile if it is not of the dispatcher with this name.
 func decodeOverrides(raw []byte, name string) (Overrides, error) {
 	var content overridesContent
 	if err := json.Unmarshal(raw, &content); err != nil {
--- a/internal/hotrestart/process.go
+++ b/internal/hotrestart/process.go
@@ -1,8 +1,8 @@
-// Package hotrestart holds what the processes of one dispatcher share while one takes the other's place: which of them are alive and
-// serve, the operators' overrides of workers, and the newest endpoint list.
+// Package hotrestart implements the state that the processes of one dispatcher share during a hot restart, in which one replaces the other:
+// which of them are alive and serve, the operators' overrides of workers, and the newest endpoint list.
 //
-// It is a few small files in one directory, each written as a whole and renamed into place. The package owns these files. It decides
-// nothing, and knows neither signals nor sockets.
+// The state is in a few small files in one directory, each replaced atomically by a rename. The package owns these files. It makes no
+// decisions, and handles neither signals nor sockets.
 package hotrestart
 
 import (
@@ -19,22 +19,22 @@
 // dirPrefix begins the name of the shared directory; the dispatcher's name follows.
 const dirPrefix = "birchfork-"
 
-// Process is one process of a dispatcher. Its zero value shares nothing: overrides that are set on it are its own. A Process is safe for
-// concurrent use, but for Close, which is the last call.
+// Process is one process of a dispatcher. Its zero value shares nothing and keeps overrides to itself. A Process is safe for concurrent use,
+// except for Close, which has to be the last call.
 type Process struct {
 	dir       string
 	name      string   // of the dispatcher
-	claimFile *os.File // locked while this process lives; nil: nothing is shared
-	id        int64    // of the claim, never used twice
+	claimFile *os.File // locked while this process is alive; nil: nothing is shared
+	id        int64    // of the claim; unique
 
 	mu        sync.Mutex
 	overrides Overrides
 	lastRead  os.FileInfo // of the file that overrides were read from; nil: none
-	unsaved   bool        // overrides may have what the file has not
+	unsaved   bool        // overrides may have entries that the file lacks
 }
 
-// Open claims a place among the processes of the dispatcher of this name, which share a directory below parent. The caller has to close
-// the process.
+// Open creates a claim for this process among those of the dispatcher with this name, which share a directory below parent. The caller has
+// to close the Process.
 func Open(parent, name string) (*Process, error) {
 	if parent == "" {
 		return nil, errors.New("TMPDIR is not set")
@@ -50,7 +50,8 @@
 	return p, nil
 }
 
-// createClaim creates the claim file. It is locked before it gets its name: a claim without a lock is left from a process that has ended.
+// createClaim creates the claim file. The file is locked before it is renamed to its final name: a claim without a lock was left by a
+// process that has ended.
 func (p *Process) createClaim() error {
 	file, err := os.CreateTemp(p.dir, tempPrefix)
 	if err != nil {
@@ -72,7 +73,7 @@
 	return err
 }
 
-// removeStaleTemps removes the files of processes that were killed while they wrote.
+// removeStaleTemps removes unfinished files of processes that were killed while they wrote.
 func (p *Process) removeStaleTemps() {
 	entries, err := os.ReadDir(p.dir)
 	if err != nil {
@@ -89,7 +90,7 @@
 	}
 }
 
-// pathSafe replaces what has no place in a file's name.
+// pathSafe replaces characters that are not safe in a file name.
 func pathSafe(name string) string {
 	return strings.Map(func(r rune) rune {
 		isDigit := r >= '0' && r <= '9'
@@ -101,7 +102,7 @@
 	}, name)
 }
 
-// Dir is the directory that the processes of this dispatcher share on this machine; empty where nothing is shared.
+// Dir returns the directory that the processes of this dispatcher share on this machine; empty if nothing is shared.
 func (p *Process) Dir() string {
 	if p.claimFile == nil {
 		return ""
@@ -109,10 +110,10 @@
 	return p.dir
 }
 
-// ID tells the processes of one dispatcher apart; 0 where nothing is shared.
+// ID identifies this process among those of its dispatcher; 0 if nothing is shared.
 func (p *Process) ID() int64 { return p.id }
 
-// Close gives up the claim. The other files stay for later processes.
+// Close removes the claim. The other files are left for later processes.
 func (p *Process) Close() {
 	if p.claimFile != nil {
 		removeFile(p.claimPath())
