--- a/internal/server/golden_config_test.go
+++ b/internal/server/golden_config_test.go
@@ -10,12 +10,24 @@
 	"strings"
 	"testing"
 
+	"birchfork/dispatch"
 	"birchfork/internal/goldentest"
 )
 
-// goldenConfig prints what a configuration comes to, under names of its own.
+// linePrinter prints a line with a name and a value.
+type linePrinter func(name string, v any)
+
+// goldenConfig prints the values of a configuration, under names of its own.
 func goldenConfig(out io.Writer, c *Config) {
 	line := func(name string, v any) { fmt.Fprintf(out, "%s: %v\n", name, v) }
+	goldenPlatform(line, c)
+	goldenClassesAndTenants(line, c)
+	goldenSettings(line, &c.Settings)
+	goldenDerived(line, c)
+}
+
+// goldenPlatform prints the values outside of the settings.
+func goldenPlatform(line linePrinter, c *Config) {
 	line("name", c.Name)
 	line("listen", c.ListenAddress)
 	line("discovery", c.DiscoveryAddress)
@@ -35,6 +47,10 @@
 	for i, u := range c.Unsupported {
 		line(fmt.Sprintf("served without, %d", i), u)
 	}
+}
+
+// goldenClassesAndTenants prints the settings by class and by tenant.
+func goldenClassesAndTenants(line linePrinter, c *Config) {
 	s := &c.Settings
 	for i := range s.Classes {
 		class := &s.Classes[i]
@@ -47,6 +63,10 @@
 		line(fmt.Sprintf("customers.%d.quota_rps", i), tenant.QuotaRPS)
 	}
 	line("customers' names", fmt.Sprintf("%q", c.Names.TenantNames()))
+}
+
+// goldenSettings prints the other settings.
+func goldenSettings(line linePrinter, s *dispatch.Settings) {
 	line("over_share_worth", s.OverQuotaWeight)
 	line("zones, machine_types", []int{s.ZoneCount, s.KindCount})
 	line("zone", s.Zone)
@@ -61,7 +81,10 @@
 	line("safety.ask_within, stop_sending_within, warm_within, fall", []int64{int64(s.MaxPollInterval), int64(s.DrainGrace), int64(s.SlowStartWindow), int64(s.OverloadWindow)})
 	line("safety.cold_from, fall_multiple", []float64{s.SlowStartMinFactor, s.OverloadMultiple})
 	line("prices.waste, origin, late_fail, cross_zone", []float64{s.PriceWaste, s.PriceFetch, s.PriceLateFail, s.PriceCrossZone})
+}
 
+// goldenDerived prints the values that are computed from a configuration.
+func goldenDerived(line linePrinter, c *Config) {
 	line("longest deadline", c.maxDeadline())
 	line("until an attempt has arrived", c.maxDelivery())
 	line("until a worker is warm", c.warmUp())
