--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -16,7 +16,7 @@
 	"birchfork/internal/goldentest"
 )
 
-// goldenCalls are every path with every kind of answer, and calls that are none.
+// goldenCalls have every path with every kind of answer, and invalid calls.
 var goldenCalls = []string{
 	"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n",
 	"GET /-/ready HTTP/1.0\r\n\r\n",
@@ -56,7 +56,7 @@
 	"GET /-/ready HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 24<<10) + "\r\n\r\n",
 }
 
-// TestGolden_Answers has each answer byte by byte, but for its date, in a process that is ready and in one that is not.
+// TestGolden_Answers checks each answer byte for byte, except its date, of a process that is ready and of one that is not.
 func TestGolden_Answers(t *testing.T) {
 	var ready error
 	service := Service{
@@ -86,7 +86,7 @@
 	goldentest.Check(t, "answers.txt", out.Bytes())
 }
 
-// goldenCall answers by the worker's id.
+// goldenCall returns the result that the worker's id stands for.
 func goldenCall(id string) (string, error) {
 	switch id {
 	case "unknown":
@@ -101,10 +101,10 @@
 	return "", nil
 }
 
-// goldenDate is the header of an answer that differs from run to run.
+// goldenDate matches the header that differs from run to run.
 var goldenDate = regexp.MustCompile(`Date: [^\r]*\r`)
 
-// goldenExchange writes a call on a connection of its own, and what comes back until its end.
+// goldenExchange sends a call on a connection of its own, and prints it with the answer up to the end of the connection.
 func goldenExchange(t *testing.T, out io.Writer, server *Server, call string) {
 	t.Helper()
 	c := dial(t, server)
@@ -113,7 +113,7 @@
 		t.Fatal(err)
 	}
 	answer, err := io.ReadAll(c)
-	if err != nil && !strings.Contains(err.Error(), "reset") { // more was sent than is read
+	if err != nil && !strings.Contains(err.Error(), "reset") { // the server has not read all that was sent
 		t.Fatalf("%.60q: %v", call, err)
 	}
 	if len(call) > 400 {
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -16,17 +16,17 @@
 	"time"
 )
 
-// testConns is how many connections the servers of these tests may hold.
+// testConns is the connection limit of the servers in these tests.
 const testConns = 8
 
-// fakeService stands behind a server and records its calls.
+// fakeService is the Service of a server and records its calls.
 type fakeService struct {
 	mu    sync.Mutex
 	calls []string
 	ready error
 }
 
-// record notes a call and answers by the worker's id.
+// record records a call and returns the result that the worker's id stands for.
 func (f *fakeService) record(verb, id string) (string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -42,7 +42,7 @@
 	return "", nil
 }
 
-// start starts a server of testConns connections, until the test's end.
+// start starts a server with testConns connections, which the test's cleanup stops.
 func (f *fakeService) start(t *testing.T) *Server {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -66,7 +66,7 @@
 	return server
 }
 
-// dial connects to a server, until the test's end.
+// dial connects to a server. The test's cleanup closes the connection.
 func dial(t *testing.T, server *Server) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", server.Addr().String())
@@ -78,7 +78,7 @@
 	return c
 }
 
-// exchange writes text on a connection of its own and reads the one answer; the connection has to end behind it.
+// exchange sends text on a connection of its own and reads the only answer, after which the connection has to end.
 func exchange(t *testing.T, server *Server, text string) (status int, body string) {
 	t.Helper()
 	c := dial(t, server)
@@ -99,13 +99,13 @@
 	return res.StatusCode, string(content)
 }
 
-// Each call has its status and a text that tells why, and reaches the service or not.
+// Each call gets its status and a text with the reason, and reaches the service or not.
 func TestServer_Answers(t *testing.T) {
 	for _, c := range []struct {
 		head   string
 		status int
 		text   string
-		call   string // what the service was asked
+		call   string // the call that reached the service
 	}{
 		{"GET /-/ready", 200, "yes", ""},
 		{"PUT /-/ready", 405, "takes GET", ""},
@@ -145,7 +145,7 @@
 	}
 }
 
-// One call is carried out a connection: what follows it is not, and a body that never comes is not waited for.
+// Only one call per connection is carried out, and the server does not wait for a body that never arrives.
 func TestServer_OneCallPerConnection(t *testing.T) {
 	f := &fakeService{}
 	server := f.start(t)
@@ -181,7 +181,7 @@
 	}
 }
 
-// Callers that hold hundreds of connections without a complete call neither keep others out nor take many descriptors.
+// Callers with hundreds of connections without a complete call neither block others nor use many descriptors.
 func TestServer_SilentConnsKeepNobodyOut(t *testing.T) {
 	f := &fakeService{}
 	server := f.start(t)
@@ -207,7 +207,7 @@
 	}
 }
 
-// Where there are too many connections the oldest is closed without a pending call; one on which a call may wait unread is the last choice.
+// If there are too many connections, the oldest one without a pending call is closed; one with unread bytes is the last choice.
 func TestLimitedListener_EvictsOldestIdle(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -246,7 +246,7 @@
 	}
 }
 
-// A call is pending while it is carried out, and not afterwards: else callers that come often would use up the connections.
+// A call is pending while it is carried out, and not afterwards: otherwise frequent callers would exhaust the connections.
 func TestHandler_PendingUntilAnswered(t *testing.T) {
 	c := &conn{listener: &limitedListener{}}
 	during := false
--- a/internal/boltstore/boltstore_test.go
+++ b/internal/boltstore/boltstore_test.go
@@ -16,7 +16,7 @@
 	"birchfork/internal/goldentest"
 )
 
-// TestGolden_ChecksummedValues holds values with their checksums, as they stand in files, and that each is read back.
+// TestGolden_ChecksummedValues checks values with their checksums as stored in files, and that each is read back.
 func TestGolden_ChecksummedValues(t *testing.T) {
 	var b bytes.Buffer
 	for _, raw := range []string{"", "a", `{"format":1,"group":"edge"}`, strings.Repeat("value ", 20)} {
@@ -42,7 +42,7 @@
 	}
 }
 
-// TestVerifyChecksum_RejectsChangedBytes flips each bit and cuts at each byte.
+// TestVerifyChecksum_RejectsChangedBytes flips each bit and truncates at each byte.
 func TestVerifyChecksum_RejectsChangedBytes(t *testing.T) {
 	stored := AddChecksum([]byte("value"))
 	for i := range len(stored) * 8 {
@@ -70,7 +70,7 @@
 	}
 }
 
-// TestOpen_LockedFile holds that a file that is open is reported as locked.
+// TestOpen_LockedFile checks that a file that is open is reported as locked.
 func TestOpen_LockedFile(t *testing.T) {
 	folder, calls := t.TempDir(), 0
 	db, unreadable, err := Open(folder, "f.db", countCalls(&calls))
@@ -86,7 +86,7 @@
 	}
 }
 
-// TestOpen_UnreadableFile holds that a file that cannot be read is renamed, and an empty one opened.
+// TestOpen_UnreadableFile checks that a file that cannot be read is renamed, and an empty one opened.
 func TestOpen_UnreadableFile(t *testing.T) {
 	errLoad := errors.New("unknown record")
 	for name, prepare := range map[string]func(path string) (load func(*bbolt.DB) error){
@@ -129,7 +129,7 @@
 	}
 }
 
-// TestOpen_FileStays holds that a file stays in its place that is another's, or that the operating system refuses.
+// TestOpen_FileStays checks that a file stays in place if it is foreign or the operating system reports an error.
 func TestOpen_FileStays(t *testing.T) {
 	for _, cause := range []error{ErrForeign, syscall.EIO} {
 		folder := t.TempDir()
@@ -143,7 +143,7 @@
 	}
 }
 
-// TestOpen_KeepsWhatIsThere holds that a file that was closed is read again.
+// TestOpen_KeepsWhatIsThere checks that the contents of a closed file are read again.
 func TestOpen_KeepsWhatIsThere(t *testing.T) {
 	folder := t.TempDir()
 	for i := range 2 {
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -19,8 +19,8 @@
 	Machines:       []maintenance.Machine{{Name: "m1", Workers: []string{"r1"}}},
 }
 
-// Three members carry out a plan: any of them takes calls, what is committed is applied at each, an operator's override at one counts
-// against the budget of all, and no goroutine is left behind.
+// Three members carry out a plan: any of them accepts calls, committed entries are applied at each, an operator's override at one member
+// counts against the budget of all, and no goroutine is left running.
 func TestCoordinator_ThreeMembers(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	g := newTestGroup(t)
@@ -44,7 +44,7 @@
 	checkPlanRuns(g)
 }
 
-// checkInvalidPlan submits a plan that does not fit the fleet.
+// checkInvalidPlan submits a plan that does not match the fleet.
 func checkInvalidPlan(g *testGroup) {
 	g.t.Helper()
 	invalidPlan := *testPlan
@@ -63,7 +63,7 @@
 	}
 }
 
-// checkPlanRuns takes testPlan from its submission to its end, with two obstacles on the way.
+// checkPlanRuns runs testPlan from its submission to its end, with two obstacles in between.
 func checkPlanRuns(g *testGroup) {
 	g.t.Helper()
 	g.dispatchers[2].set(func() { g.dispatchers[2].disabled = true })
@@ -94,7 +94,7 @@
 	})
 }
 
-// A newer process of a dispatcher gets the membership. The older one takes it again if the newer one goes.
+// A newer process of a dispatcher gets the membership. The older one gets it back when the newer one ends.
 func TestCoordinator_YieldsToNewerProcess(t *testing.T) {
 	g := newTestGroup(t)
 	defer g.close()
@@ -133,7 +133,7 @@
 	g.start(0)
 	g.start(1)
 	g.group.Members = slices.Clone(g.group.Members)
-	g.group.Members[0].Address = "127.83.7.9:1" // nobody listens there
+	g.group.Members[0].Address = "127.83.7.9:1" // no listener there
 	g.start(2)
 	g.eventually("the group is created", func() bool { return g.call(0, -1, Call{Bootstrap: true}).Code == maintenance.CodeOK })
 	g.eventually("the first member answers the third", func() bool {
--- a/internal/coordinator/golden_answers_test.go
+++ b/internal/coordinator/golden_answers_test.go
@@ -56,8 +56,8 @@
 	goldentest.Check(t, "odd-calls.txt", out.Bytes())
 }
 
-// maskDecodeError leaves out the text and the length of the standard library's error for a body, which differ between versions of Go. The
-// text has to be exactly that of decoding a Call, as such or in JSON; any other stays.
+// maskDecodeError masks the text and the length of the standard library's error for a body, which differ between versions of Go. Only the
+// exact text of decoding the body into a Call is masked, plain or in JSON.
 func maskDecodeError(answer, body string) string {
 	err := json.Unmarshal([]byte(body), new(Call))
 	if err == nil {
@@ -70,7 +70,7 @@
 	return contentLength.ReplaceAllString(masked, "Content-Length: #")
 }
 
-// answerText sends a request, and returns the status, the headers but for the date, and the body of the answer, each line quoted.
+// answerText sends a request and returns the status, the headers except the date, and the body of the answer, each line quoted.
 func answerText(t *testing.T, address, method, path, body string, header map[string]string) string {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
--- a/internal/coordinator/golden_exchanges_test.go
+++ b/internal/coordinator/golden_exchanges_test.go
@@ -23,7 +23,7 @@
 	"birchfork/internal/maintenance"
 )
 
-// What an answer has of the time, and of the standard library's texts.
+// Parts of an answer that depend on the time or on the standard library's texts.
 var (
 	timeDependent = regexp.MustCompile(`-?[0-9]+|true|false`)
 	libraryText   = regexp.MustCompile(`invalid character .*`)
@@ -38,7 +38,7 @@
 // exchange is a message to a path.
 type exchange struct {
 	path, body    string
-	timeDependent bool // numbers and truth values of the answer are left out
+	timeDependent bool // numbers and booleans of the answer are masked
 }
 
 // memberExchanges are messages of a member.
@@ -75,8 +75,8 @@
 	{"/group/staff", `{"status":true,"local":true}`, true},
 }
 
-// The paths for members and operators, what they take and what they answer are the same as before, and so is the entry by which a member
-// joins.
+// The paths for members and operators accept the same messages and answer the same as before, and the entry by which a member joins is the
+// same.
 func TestGolden_Exchanges(t *testing.T) {
 	g := newTestGroup(t)
 	defer g.close()
@@ -95,7 +95,7 @@
 }
 
 // startGroupOfOne starts the first member on storage with a known identity, as the only voter, and waits until it has a lease. The second
-// member is never there.
+// member is never started.
 func startGroupOfOne(t *testing.T, g *testGroup) {
 	t.Helper()
 	g.group.Members = g.group.Members[:2]
--- a/internal/coordinator/golden_test.go
+++ b/internal/coordinator/golden_test.go
@@ -20,13 +20,13 @@
 	"birchfork/internal/peer"
 )
 
-// The golden files hold each form in which this package stores or sends anything, as written by an earlier build. A difference means
-// that members of two builds, or an operator's scripts, would not understand each other. UPDATE_GOLDEN=1 writes the files anew.
+// The golden files contain each format in which this package stores or sends data, as written by an earlier build. A difference means
+// that members of two builds, or an operator's scripts, would not be compatible. UPDATE_GOLDEN=1 rewrites the files.
 
-// goldenDir is where goldentest.Check has its files.
+// goldenDir is the directory of goldentest.Check's files.
 const goldenDir = "testdata/golden"
 
-// fill sets all fields below a value, each to another value that is not zero.
+// fill sets all fields below a value to non-zero values that differ from each other.
 func fill(v reflect.Value, n *int) {
 	*n++
 	switch v.Kind() {
@@ -70,13 +70,13 @@
 	return v
 }
 
-// Messages between members, operators' calls and replies, and entries of the log have the same JSON as before, and what an earlier
-// build wrote is read in full.
+// Messages between members, operators' calls and replies, and entries of the log have the same JSON as before, and the JSON
+// of an earlier build decodes in full.
 func TestGolden_JSON(t *testing.T) {
 	state := filled[maintenance.State]()
 	state.Level = maintenance.MaxLevel // a higher one is of a newer build
 	command := filled[maintenance.Command]()
-	raw, err := encodeEntry(command) // sets the level that the command needs
+	raw, err := encodeEntry(command) // sets the level that the command requires
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -178,7 +178,7 @@
 	c.state.HistoryLost = false
 }
 
-// writePlanReplies writes the replies to calls that are wrong in themselves, or that do not fit the fleet or another plan.
+// writePlanReplies writes the replies to calls that are invalid in themselves, or that do not match the fleet or conflict with another plan.
 func writePlanReplies(t *testing.T, out io.Writer, c *Coordinator) {
 	t.Helper()
 	byName := maintenance.Machine{Name: "m", Workers: []string{"r1"}}
--- a/internal/coordinator/lease_test.go
+++ b/internal/coordinator/lease_test.go
@@ -10,8 +10,8 @@
 	"birchfork/internal/peer"
 )
 
-// A lease needs that all is applied that it rests on, that the group waits for as long as attempts of this member may run, and that a
-// quorum has confirmed the leader that grants it.
+// A lease requires that the member has applied the entries up to the grant's index, that the group waits for as long as attempts of the
+// member may run, and that a quorum has confirmed the leader that grants it.
 func TestLease_Preconditions(t *testing.T) {
 	g := newTestGroup(t)
 	defer g.close()
@@ -75,7 +75,7 @@
 	})
 }
 
-// checkGrantNeedsQuorum closes all members but the first, which leads. It does not know that yet, and must not grant a lease.
+// checkGrantNeedsQuorum closes all members but the first, which leads. It is not aware of that yet, and must not grant a lease.
 func checkGrantNeedsQuorum(g *testGroup) {
 	g.t.Helper()
 	c := g.coordinators[0]
--- a/internal/coordinator/membership_test.go
+++ b/internal/coordinator/membership_test.go
@@ -18,7 +18,7 @@
 	"birchfork/internal/peer"
 )
 
-// Check reports by key what keeps a process that is alone from taking part. A directory that the system refuses does not.
+// Check reports by key why a process without siblings could not take part. A directory that the operating system denies is no reason.
 func TestCheck_ReportsByKey(t *testing.T) {
 	g := newTestGroup(t)
 	defer g.close()
@@ -127,8 +127,8 @@
 	}
 }
 
-// A member trusts its disk at the start only if the group has confirmed that incarnation once: a disk with a vote and no plan yet has
-// missed what the member was added for.
+// A member trusts its disk at the start only if the group has confirmed that incarnation once: a disk with a vote but without a plan lacks
+// the plans of the group.
 func TestCoordinator_TrustsConfirmedDisk(t *testing.T) {
 	for _, confirmed := range []bool{false, true} {
 		groupConfig := config.Group{
@@ -155,7 +155,7 @@
 			diskConfirmed = diskConfirmed || c.confirmDisk().Code == maintenance.CodeOK
 			time.Sleep(time.Millisecond)
 		}
-		c.Close() // from here nothing changes
+		c.Close() // nothing changes after this
 		if lacksPlans := dispatcher.lacksPlans(); lacksPlans == confirmed {
 			t.Errorf("confirmed: %t; plans unknown: %t", confirmed, lacksPlans)
 		}
--- a/internal/coordinator/precheck_test.go
+++ b/internal/coordinator/precheck_test.go
@@ -44,12 +44,12 @@
 	return &maintenance.Plan{Name: name, MaxUnavailable: 1, OnOverdue: maintenance.OverdueWait, Machines: machines}
 }
 
-// reportOfLevel returns the report of a build that knows entries up to a level.
+// reportOfLevel returns the report of a build that supports entries up to a level.
 func reportOfLevel(level int) receivedReport {
 	return receivedReport{statusReport: statusReport{Plans: true, Level: level}}
 }
 
-// A plan is rejected if another one has one of its machines under the other way to give it.
+// A plan is rejected if another one has one of its machines, given the other way: by host or by the names of workers.
 func TestPrecheck_PlanOverlaps(t *testing.T) {
 	c := newIdleCoordinator()
 	mustApply(t, c, maintenance.Command{
@@ -68,7 +68,7 @@
 	}
 }
 
-// While a member's build does not know a level of entries, or may not, no entry of that level is proposed, unless one is committed
+// While a member's build does not, or may not, support a level of entries, no entry of that level is proposed, unless one is committed
 // already.
 func TestPrecheck_OlderBuilds(t *testing.T) {
 	c := newIdleCoordinator()
--- a/internal/coordinator/testgroup_test.go
+++ b/internal/coordinator/testgroup_test.go
@@ -20,14 +20,14 @@
 	"birchfork/internal/peer"
 )
 
-// fakeDispatcher records what a Coordinator sets.
+// fakeDispatcher records the values that a Coordinator sets.
 type fakeDispatcher struct {
 	mu           sync.Mutex
 	restrictions engine.Restrictions
 	lease        time.Time
-	plansUnknown []bool // each value in its order
+	plansUnknown []bool // values of SetPlansUnknown, in order
 	maxAttempt   time.Duration
-	disabled     bool // an operator has disabled the first worker here
+	disabled     bool // an operator has disabled the first worker at this dispatcher
 	siblings     int  // other processes of this dispatcher
 	newer        bool // one of them is newer than this one
 }
@@ -68,14 +68,14 @@
 	return len(d.restrictions.MaintenanceWorkers), len(d.restrictions.LeasedWorkers)
 }
 
-// hasLease reports whether a lease runs.
+// hasLease reports whether a lease is in effect.
 func (d *fakeDispatcher) hasLease() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return time.Now().Before(d.lease)
 }
 
-// lacksPlans reports whether the dispatcher has last been told that it may lack plans.
+// lacksPlans reports whether the last call of SetPlansUnknown had the value true.
 func (d *fakeDispatcher) lacksPlans() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -203,7 +203,7 @@
 	})
 }
 
-// call makes a call at one member, and checks the reply's code. Code -1 accepts any reply.
+// call makes a call at one member and checks the reply's code. Code -1 accepts any reply.
 func (g *testGroup) call(member int, code maintenance.Code, call Call) *Reply {
 	g.t.Helper()
 	client := &Client{Addresses: g.addresses[member : member+1]}
@@ -223,7 +223,7 @@
 	return g.call(member, code, Call{Command: &command})
 }
 
-// status returns the status by way of one member; nil: there is none.
+// status returns the status that one member replies with; nil: there is none.
 func (g *testGroup) status(member int) *Status {
 	g.t.Helper()
 	return g.call(member, -1, Call{Status: true}).Status
--- a/internal/failpoint/failpoint_test.go
+++ b/internal/failpoint/failpoint_test.go
@@ -11,7 +11,7 @@
 	"birchfork/internal/goldentest"
 )
 
-// TestGolden_Names holds the names of faults and conditions, which scenarios and flags give as strings.
+// TestGolden_Names checks the names of faults and conditions, which scenarios and flags have as strings.
 func TestGolden_Names(t *testing.T) {
 	var b bytes.Buffer
 	fmt.Fprintln(&b, "faults of the program, in this order:")
@@ -25,7 +25,7 @@
 	goldentest.Check(t, "names.txt", b.Bytes())
 }
 
-// TestEnabled_OnlyTheOneSet holds that one fault at a time is on, and none by default.
+// TestEnabled_OnlyTheOneSet checks that one fault at a time is enabled, and none by default.
 func TestEnabled_OnlyTheOneSet(t *testing.T) {
 	t.Cleanup(func() { Set("") })
 	for _, set := range Names {
@@ -42,7 +42,7 @@
 	}
 }
 
-// TestClockOffset_ByNamesLastDigit holds two hours for each count, and only where clocks are to differ.
+// TestClockOffset_ByNamesLastDigit checks for two hours per unit of the digit, and only under the faults that skew clocks.
 func TestClockOffset_ByNamesLastDigit(t *testing.T) {
 	t.Cleanup(func() { Set("") })
 	for fault, want := range map[string]time.Duration{"": 0, SendWithoutLease: 0, ClockSkew: 6 * time.Hour, LastWriteWins: 6 * time.Hour} {
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestBeforeSyncedWrite_FailsAfterDelay holds when writes of a disk that is to fail begin to fail.
+// TestBeforeSyncedWrite_FailsAfterDelay checks from when on writes fail under DiskFull.
 func TestBeforeSyncedWrite_FailsAfterDelay(t *testing.T) {
 	t.Cleanup(func() { Set("") })
 	long := time.Now().Add(-time.Hour)
--- a/internal/failpoint/lean_test.go
+++ b/internal/failpoint/lean_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestLean_HasNoFault holds that a lean build has no fault to switch on.
+// TestLean_HasNoFault checks that a lean build has no fault to enable.
 func TestLean_HasNoFault(t *testing.T) {
 	for _, name := range []string{SendWithoutLease, ClockSkew, DiskFull, "no-lease", ""} {
 		if Enabled(name) {
--- a/internal/gossip/endpoints/golden_test.go
+++ b/internal/gossip/endpoints/golden_test.go
@@ -41,12 +41,12 @@
 	return []Status{{Name: "w1", StartedAt: 1700000000001, State: Draining}, {Name: "w2", StartedAt: 1700000000002, State: Gone}, {Name: "w3", State: Up}}
 }
 
-// Statuses of endpoints keep their encoding, by field and by value of the state. UPDATE_GOLDEN=1 writes the files.
+// Statuses of endpoints have the same encoding as before, each field and each value of the state. UPDATE_GOLDEN=1 writes the files.
 func TestGolden_Statuses(t *testing.T) {
 	peertest.GoldenJSON(t, "statuses.json", goldenStatuses()[:2])
 }
 
-// What a member sends keeps path, headers and body.
+// Messages of a member have the same path, headers and body as before.
 func TestGolden_Requests(t *testing.T) {
 	b := peertest.NewRecorder(t, func(path string, _ []byte) []byte {
 		if path != "/group/list/all" {
@@ -74,7 +74,7 @@
 	}
 }
 
-// What a member of an earlier build sends is read, and what it is answered stays.
+// Messages of a member of an earlier build are read and get the same answers as before.
 func TestGolden_Answers(t *testing.T) {
 	broadcaster, source := goldenBroadcaster(goldenStatuses(), true)
 	transport, listener := peertest.NewTransport(t, "127.0.0.1:1")
@@ -108,7 +108,7 @@
 	goldentest.Check(t, "answers.txt", []byte(out))
 }
 
-// Counters keep the names that the log shows.
+// Counters have the same names in the log as before.
 func TestGolden_Counters(t *testing.T) {
 	broadcaster, _ := goldenBroadcaster(nil, false)
 	peertest.GoldenCounters(t, "counters.txt", broadcaster.Fields())
--- a/internal/gossip/endpoints/table_test.go
+++ b/internal/gossip/endpoints/table_test.go
@@ -15,7 +15,7 @@
 	}
 }), 0, 12)
 
-// In whatever order, batches and repetitions statuses come, the same workers are excluded, and no status is an update twice.
+// In whatever order, batches and repetitions statuses arrive, the same workers are excluded, and no status is an update twice.
 func TestTable_MergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		local, all := []Status{{Name: "a"}, {Name: "b", StartedAt: 2}}, genStatuses.Draw(t, "statuses")
@@ -38,7 +38,7 @@
 	})
 }
 
-// A worker is excluded by statuses that supersede the own one, until the own list overrules them.
+// A worker is excluded by statuses that supersede the local one, until the own list overrules them.
 func TestTable_Excluded(t *testing.T) {
 	const beforeTrust = localTrustDelay - 1
 	for what, c := range map[string]struct {
@@ -64,8 +64,8 @@
 	}
 }
 
-// Updates for other members are what is new since a fresh list, unless they have reported it. A status that the own list has overruled
-// is no update when it comes again, until it is forgotten.
+// Updates for other members are the statuses that are new since a fresh list, unless another member has reported them. A status that the
+// own list has overruled is no update when it arrives again, until it is forgotten.
 func TestTable_Updates(t *testing.T) {
 	table := NewTable()
 	up, draining := []Status{{Name: "v"}, {Name: "w"}}, []Status{{Name: "v", State: Draining}, {Name: "w", State: Draining}}
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -18,12 +18,12 @@
 	"birchfork/internal/replication"
 )
 
-// The golden files hold what earlier builds have stored, sent and answered. UPDATE_GOLDEN=1 writes them.
+// The golden files contain what earlier builds have stored, sent and answered. UPDATE_GOLDEN=1 writes them.
 
-// goldenStarted is when each process of these tests has started.
+// goldenStarted is the start time of each process in these tests.
 var goldenStarted = time.Date(2024, 5, 6, 7, 8, 9, 10, time.UTC)
 
-// goldenReplica has an override that replaced another one, two in conflict, and an entry of a kind that this build does not know.
+// goldenReplica has an override that replaced another one, two in conflict, and an entry of a kind that is unknown to this build.
 func goldenReplica(t *testing.T) *replication.Replica {
 	t.Helper()
 	mine, theirs := replication.New("life-a"), replication.New("life-b")
@@ -47,14 +47,14 @@
 	return mine
 }
 
-// goldenKeys are those of all entries of goldenReplica.
+// goldenKeys are the keys of all entries of goldenReplica.
 var goldenKeys = map[replication.Key]bool{
 	{Kind: replication.KindOverride, Name: "w1"}: true,
 	{Kind: replication.KindOverride, Name: "w2"}: true,
 	{Kind: newerKind, Name: "w3"}:                true,
 }
 
-// dump is the logical content of a bbolt file: buckets, keys and values.
+// dump returns the logical content of a bbolt file: buckets, keys and values.
 func dump(t *testing.T, db *bbolt.DB) []byte {
 	t.Helper()
 	var out strings.Builder
@@ -73,7 +73,7 @@
 	return []byte(out.String())
 }
 
-// The file keeps buckets, keys and values, and a new build opens a file of an earlier one.
+// The file has the same buckets, keys and values as before, and this build opens a file of an earlier one.
 func TestGolden_Storage(t *testing.T) {
 	want := goldenReplica(t)
 	dir := t.TempDir()
@@ -122,7 +122,7 @@
 	goldentest.Check(t, "words.db.txt", dump(t, s.storage.db))
 }
 
-// Each message and each reply keeps its encoding, with all fields.
+// Each message and each reply has the same encoding as before, with all fields.
 func TestGolden_Messages(t *testing.T) {
 	dots := []replication.Dot{{Incarnation: "life-a", Counter: 1}, {Incarnation: "life-b", Counter: 2}}
 	about := MemberInfo{Version: "v", SettingsDigest: "s", OperatorDigest: "o", StartedAt: goldenStarted}
@@ -147,7 +147,7 @@
 	})
 }
 
-// goldenNode is member a of group g with member b, and has goldenReplica.
+// goldenNode returns member a of group g with member b, and with goldenReplica.
 func goldenNode(t *testing.T) *Node {
 	t.Helper()
 	node, _ := startNode(t, "a", "", "b")
@@ -165,7 +165,7 @@
 	return node
 }
 
-// plainStatus returns an operator's reply without what depends on the moment and on the time zone.
+// plainStatus returns an operator's reply without the values that depend on the time and on the time zone.
 func plainStatus(t *testing.T, answer string) string {
 	t.Helper()
 	head, body, _ := strings.Cut(answer, "\n{")
@@ -190,7 +190,7 @@
 	return head + "\n" + string(raw) + "\n"
 }
 
-// Answers to messages and calls of an earlier build stay, path by path.
+// Answers to messages and calls of an earlier build are the same as before, path by path.
 func TestGolden_Answers(t *testing.T) {
 	node := goldenNode(t)
 	node.cancel = func() {}
@@ -248,7 +248,7 @@
 type goldenPeer struct {
 	t       *testing.T
 	replica *replication.Replica
-	digests int // that were asked for
+	digests int // number of digest requests
 }
 
 func (p *goldenPeer) answer(path string, body []byte) []byte {
@@ -280,7 +280,7 @@
 	return nil
 }
 
-// sortDots returns requests with the entries that the last one names, in no order, sorted.
+// sortDots returns requests with the entries of the last one, which have no order, sorted.
 func sortDots(t *testing.T, requests string) []byte {
 	t.Helper()
 	bodies := strings.SplitAfter(requests, "\n\n")
@@ -297,7 +297,7 @@
 	return []byte(strings.TrimSuffix(requests, last) + string(raw) + "\n")
 }
 
-// What a member sends to one that differs keeps paths and bodies: a digest, two pulls, a digest, removals.
+// Messages to a member that differs have the same paths and bodies as before: a digest, two pulls, a digest, removals.
 func TestGolden_Requests(t *testing.T) {
 	theirs := &goldenPeer{t: t, replica: replication.New("life-d")}
 	for _, name := range []string{"w4", "w5"} {
@@ -323,7 +323,7 @@
 	}
 }
 
-// An operator's call at a member keeps path, headers and body.
+// An operator's call at a member has the same path, headers and body as before.
 func TestGolden_Call(t *testing.T) {
 	raw, err := os.ReadFile(peertest.GoldenPath("reply.json"))
 	if err != nil && !peertest.Updating() {
@@ -341,7 +341,7 @@
 	goldentest.Check(t, "call.txt", b.Text())
 }
 
-// Counters keep the names that log and status show.
+// Counters have the same names in log and status as before.
 func TestGolden_Counters(t *testing.T) {
 	s, _ := startNode(t, "a", "")
 	peertest.GoldenCounters(t, "counters.txt", s.Fields())
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeDispatcher is a dispatcher as a Node sees it: the overrides in effect, with a version that counts up.
+// fakeDispatcher is a dispatcher as needed by a Node: the overrides in effect, with a version that counts up.
 type fakeDispatcher struct {
 	mu       sync.Mutex
 	disabled map[string]bool
@@ -58,7 +58,7 @@
 	return node, dispatcher
 }
 
-// A member that has just started sends no entries: one that has lost its disk would take over from an outdated disk what all others
+// A member that has just started sends no entries: one that has lost its disk would pull entries from an outdated disk that all others
 // have removed.
 func TestNode_RejectsPullsBeforeCatchUp(t *testing.T) {
 	node, _ := startNode(t, "a", t.TempDir(), "b", "c")
@@ -82,7 +82,7 @@
 	}
 }
 
-// attachAll attaches nodes to each other, and returns what detaches them again.
+// attachAll attaches nodes to each other, and returns a function that detaches them.
 func attachAll(t *testing.T, nodes ...*Node) (detachAll func()) {
 	t.Helper()
 	names := make([]string, 0, len(nodes))
@@ -102,7 +102,7 @@
 	}
 }
 
-// setOverride makes an override that has to succeed, whatever its note.
+// setOverride sets an override, which has to succeed with or without a note.
 func setOverride(t *testing.T, node *Node, worker string, disabled bool, version int64) {
 	t.Helper()
 	if _, err := node.SetOverride(worker, disabled, version); err != nil {
@@ -110,7 +110,7 @@
 	}
 }
 
-// await waits until ok, for 20 s at the most.
+// await waits until ok returns true, for at most 20 s.
 func await(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
@@ -120,7 +120,7 @@
 	}
 }
 
-// newerKind and newerData are of an entry of a newer build, which members store and pass on.
+// newerKind and newerData are of an entry of a newer build, which members store and forward.
 const (
 	newerKind = "later"
 	newerData = `{"x":1}`
@@ -177,7 +177,7 @@
 	if !dispatcher.isDisabled("r") || !dispatcher.isDisabled("q") || !hasNewerEntry(again) {
 		t.Errorf("after a restart: %v, the entry of an unknown kind: %t", dispatcher.disabled, hasNewerEntry(again))
 	}
-	b.mu.Lock() // reopened by its own disk, to be attached again
+	b.mu.Lock() // reopened from its own disk, to be attached again
 	if err := b.openReplicaLocked(); err != nil {
 		t.Fatal(err)
 	}
@@ -205,12 +205,12 @@
 	}
 }
 
-// A stalled disk blocks nobody but an operator's call, which waits until the override is synced.
+// A stalled disk blocks only an operator's call, which waits until the override is synced.
 func TestNode_StalledStorageBlocksOnlyItsWriter(t *testing.T) {
 	a, dispatcher := startNode(t, "a", t.TempDir())
 	b, _ := startNode(t, "b", "")
 	a.options.Peers, b.options.Peers, a.persistTimeout = []string{"b"}, []string{"a"}, time.Hour
-	tx, err := a.storage.db.Begin(true) // no other write gets through
+	tx, err := a.storage.db.Begin(true) // blocks all other writes
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -240,7 +240,7 @@
 	detachAll()
 }
 
-// A member with another version vector is told of no removals: what was removed may have been replaced by an entry that it lacks.
+// A member with another version vector gets no removals: a removed entry may have been replaced by one that it lacks.
 func TestNode_RemovalsNeedEqualVersions(t *testing.T) {
 	node, _ := startNode(t, "a", "")
 	setOverride(t, node, "r", true, 1)
@@ -278,7 +278,7 @@
 	}
 }
 
-// New overrides of this dispatcher's other processes are replicated; those from before the start only where no member knows of the
+// New overrides of this dispatcher's other processes are replicated; those from before the start only if the replica has no entry for the
 // worker, once this member has caught up.
 func TestNode_MergesLocalOverrides(t *testing.T) {
 	node, dispatcher := startNode(t, "a", "", "b")
@@ -310,7 +310,7 @@
 	if !node.isDisabledLocked("lost") {
 		t.Error("an old override was replicated again")
 	}
-	overrides["known"] = hotrestart.Override{Disabled: false, At: 99} // made at another process of this dispatcher
+	overrides["known"] = hotrestart.Override{Disabled: false, At: 99} // set at another process of this dispatcher
 	node.MergeLocalOverrides(overrides)
 	node.MergeLocalOverrides(overrides)
 	if entries := node.replica.Get(replication.KindOverride, "known"); len(entries) != 1 || entries[0].Disabled || !entries[0].CausalContext.Contains(replication.Dot{Incarnation: entries[0].Incarnation, Counter: 1}) {
@@ -318,7 +318,7 @@
 	}
 }
 
-// Malformed messages are rejected and counted, and nothing of them is merged.
+// Malformed messages are rejected and counted, and no part of them is merged.
 func TestNode_RejectsMalformedMessages(t *testing.T) {
 	node, _ := startNode(t, "a", "", "b")
 	long := strings.Repeat("x", replication.MaxNameLength+1)
--- a/internal/gossip/outliers/golden_test.go
+++ b/internal/gossip/outliers/golden_test.go
@@ -11,7 +11,7 @@
 	"birchfork/internal/peer/peertest"
 )
 
-// A report keeps its path, headers and body, and one that an earlier build has sent is read. UPDATE_GOLDEN=1 writes the files.
+// A report has the same path, headers and body as before, and one from an earlier build is read. UPDATE_GOLDEN=1 writes the files.
 func TestGolden_Report(t *testing.T) {
 	peertest.GoldenJSON(t, "report.json", report{Worker: "w1"})
 	b := peertest.NewRecorder(t, func(string, []byte) []byte { return nil })
@@ -41,7 +41,7 @@
 	}
 }
 
-// Counters keep the names that the log shows.
+// Counters have the same names in the log as before.
 func TestGolden_Counters(t *testing.T) {
 	peertest.GoldenCounters(t, "counters.txt", New(nil, nil).Fields())
 }
--- a/internal/gossip/outliers/outliers_test.go
+++ b/internal/gossip/outliers/outliers_test.go
@@ -8,7 +8,7 @@
 	"birchfork/internal/peer/peertest"
 )
 
-// A report reaches the other members, the same worker's next one not at once, and a malformed one is rejected.
+// A report reaches the other members, an immediate second one of the same worker is dropped, and a malformed one is rejected.
 func TestBroadcaster_ReportsReachOtherMembers(t *testing.T) {
 	reported := make(chan string, 9)
 	a, b := New([]string{"b"}, nil), New([]string{"a"}, func(worker string) { reported <- worker })
--- a/internal/gossip/storage_test.go
+++ b/internal/gossip/storage_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// A damaged file, truncated or with a byte changed, is replaced by an empty one or read right.
+// A damaged file, truncated or with a byte changed, is replaced by an empty one or read correctly.
 func TestNode_ReplacesDamagedStorage(t *testing.T) {
 	dir := t.TempDir()
 	file, raw := storedNode(t, dir)
@@ -66,7 +66,7 @@
 	}
 }
 
-// Operators are told of unusable storage with each override. It is not replaced, as it may be intact.
+// Each override has a note for operators while the storage is unusable. The file is not replaced, as it may be intact.
 func TestNode_UnusableStorage(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.Mkdir(filepath.Join(dir, fileName), 0o700); err != nil {
@@ -85,10 +85,10 @@
 	wantNotPersisted(t, "a directory that is a file", node, "does not keep it over a restart")
 }
 
-// Operators are told of a write that has failed, and it is tried again.
+// An override has a note for operators if its write failed, and the write is retried.
 func TestNode_FailedWrites(t *testing.T) {
 	node, _ := startNode(t, "a", t.TempDir())
-	node.storage.db.Close() // all writes fail from here on
+	node.storage.db.Close() // all further writes fail
 	wantNotPersisted(t, "a disk that fails", node, "does not keep it over a restart: the group's disk")
 	if n := node.Counters.PersistFailures.Load(); n != 1 {
 		t.Errorf("%d failures counted", n)
--- a/internal/hotrestart/claim_test.go
+++ b/internal/hotrestart/claim_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Siblings are seen while they live, with their state; what they leave when they end is removed.
+// Siblings are reported with their state while they are alive; the claims that they leave are removed.
 func TestSiblings_AppearAndDisappear(t *testing.T) {
 	dir := t.TempDir()
 	a := open(t, dir, "n")
--- a/internal/hotrestart/fixture_test.go
+++ b/internal/hotrestart/fixture_test.go
@@ -16,7 +16,7 @@
 	return raw
 }
 
-// open opens a process until the test's end.
+// open opens a Process, which the test's cleanup closes.
 func open(t *testing.T, dir, name string) *Process {
 	t.Helper()
 	p, err := Open(dir, name)
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -15,13 +15,13 @@
 	"birchfork/internal/goldentest"
 )
 
-// goldenName has characters that do not go into a path.
+// goldenName has characters that are not safe in a path.
 const goldenName = "edge 1/ü"
 
-// lateMicros is a time that no clock has reached: a newer override counts one microsecond more.
+// lateMicros is a time that no clock has reached: a newer override gets one microsecond more.
 const lateMicros = 9_000_000_000_000_000
 
-// goldenDir is the one directory below dir.
+// goldenDir returns the only directory below dir.
 func goldenDir(t *testing.T, dir string) string {
 	t.Helper()
 	all, err := filepath.Glob(filepath.Join(dir, "*"))
@@ -31,7 +31,7 @@
 	return all[0]
 }
 
-// TestGolden_Files has the names of the directory and its files, their modes, and what a claim says in each state.
+// TestGolden_Files checks the names of the directory and its files, their modes, and the contents of a claim in each state.
 func TestGolden_Files(t *testing.T) {
 	dir := t.TempDir()
 	p := open(t, dir, goldenName)
@@ -81,14 +81,14 @@
 	goldentest.Check(t, "files.txt", out.Bytes())
 }
 
-// goldenOverrides are those of testdata/golden/hand.
+// goldenOverrides are the overrides of testdata/golden/hand.
 var goldenOverrides = Overrides{
 	"w-1":     {Disabled: true, At: lateMicros + 1},
 	"w-2":     {Disabled: false, At: lateMicros + 12},
 	"a/b <ü>": {Disabled: true, At: lateMicros + 21},
 }
 
-// TestGolden_Overrides has the file of the operators' overrides, as it is written and as it is read.
+// TestGolden_Overrides checks the file of the operators' overrides, written and read.
 func TestGolden_Overrides(t *testing.T) {
 	dir := t.TempDir()
 	p := open(t, dir, goldenName)
@@ -111,7 +111,7 @@
 	}
 }
 
-// TestGolden_Endpoints has the file of the newest list, as it is written and as it is read.
+// TestGolden_Endpoints checks the file of the newest endpoint list, written and read.
 func TestGolden_Endpoints(t *testing.T) {
 	dir := t.TempDir()
 	list := `{"index":7,"endpoints":[{"name":"<ü>"}]}`
@@ -133,7 +133,7 @@
 	}
 }
 
-// TestGolden_Claims reads claims that another build left: who is alive and serves, and which is newer.
+// TestGolden_Claims reads claims that another build left: which processes are alive and serve, and which is newer.
 func TestGolden_Claims(t *testing.T) {
 	for _, c := range []struct {
 		state string
@@ -149,7 +149,7 @@
 		if err != nil || len(paths) != 1 {
 			t.Fatalf("%v, %v", paths, err)
 		}
-		writeTestFile(t, paths[0], c.state) // in place: its lock stays
+		writeTestFile(t, paths[0], c.state) // written in place: the lock remains
 		if got := p.Siblings(); got != c.want {
 			t.Errorf("%s: %+v, want %+v", strings.TrimSpace(c.state), got, c.want)
 		}
--- a/internal/hotrestart/overrides_test.go
+++ b/internal/hotrestart/overrides_test.go
@@ -39,7 +39,7 @@
 	expectOverrides(t, open(t, dir, "other"), map[string]bool{})
 }
 
-// The newest override of each worker counts, whoever has it: clocks that stand still or step back change nothing.
+// The newest override of each worker wins, whichever process has it, also with clocks that do not advance or step back.
 func TestOverrides_NewestWins(t *testing.T) {
 	overrides := Overrides{"a": {true, 5}, "b": {true, 5}}
 	if overrides.merge(Overrides{"a": {false, 5}, "b": {true, 4}}) {
@@ -102,7 +102,7 @@
 	}
 }
 
-// An override that cannot be written is in force here at once, and is written as soon as that works.
+// An override that cannot be written takes effect in this process at once, and is written as soon as possible.
 func TestSetOverride_RetriesFailedWrite(t *testing.T) {
 	dir := t.TempDir()
 	p := open(t, dir, "n")
@@ -110,7 +110,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX); err != nil { // as by a process that is stopped
+	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX); err != nil { // as if held by a suspended process
 		t.Fatal(err)
 	}
 	if override, err := p.SetOverride("x", true); err == nil || !override.Disabled {
@@ -126,7 +126,7 @@
 	expectOverrides(t, other, map[string]bool{"x": true})
 }
 
-// Old overrides of enabled workers are forgotten, so that the file does not grow; those of disabled ones never are.
+// Old overrides of enabled workers are dropped, so that the file does not grow; those of disabled ones are kept.
 func TestOverrides_OldEnabledForgotten(t *testing.T) {
 	p := open(t, t.TempDir(), "n")
 	old := time.Now().Add(-2 * enabledRetention).UnixMicro()
@@ -140,7 +140,7 @@
 	}
 }
 
-// No content of a file crashes the decoders, and they return either a value or errForeignFile.
+// No content of a file makes the decoders panic, and they return either a value or errForeignFile.
 func FuzzFiles(f *testing.F) {
 	f.Add([]byte(`{"format":"birchfork hand 1","dispatcher":"n","runners":{"x":{"out":true,"at":7}}}`))
 	f.Add([]byte(`{"format":"birchfork list 1","dispatcher":"n","list":{"index":1}}`))
--- a/internal/hotrestart/process_test.go
+++ b/internal/hotrestart/process_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Without a directory nothing is shared, and overrides are the process's own.
+// Without a directory nothing is shared, and each process has its own overrides.
 func TestProcess_WithoutDir(t *testing.T) {
 	if _, err := Open("", "n"); err == nil {
 		t.Error("a directory without a name was opened")
@@ -34,7 +34,7 @@
 	p.Close()
 }
 
-// Files of processes that were killed while they wrote are removed; one that is being written stays.
+// Unfinished files of processes that were killed are removed; one that is being written is kept.
 func TestOpen_RemovesStaleTemps(t *testing.T) {
 	dir := t.TempDir()
 	p := open(t, dir, "n")
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -15,7 +15,7 @@
 	"birchfork/internal/peer/peertest"
 )
 
-// The golden files hold what members of earlier builds send and answer. UPDATE_GOLDEN=1 writes them.
+// The golden files contain what members of earlier builds send and answer. UPDATE_GOLDEN=1 writes them.
 
 // goldenTransport returns the transport of member a, which serves a path for members and one for operators, and its address.
 func goldenTransport(t *testing.T, b string) (transport *peer.Transport, address string) {
@@ -37,7 +37,7 @@
 	return transport, listener.Addr().String()
 }
 
-// Requests of a member and of an operator keep method, path, headers and body.
+// Requests of a member and of an operator have the same method, path, headers and body as before.
 func TestGolden_Requests(t *testing.T) {
 	b := peertest.NewRecorder(t, func(string, []byte) []byte { return []byte(`"yes"`) })
 	transport, _ := goldenTransport(t, b.Address())
@@ -55,7 +55,7 @@
 	goldentest.Check(t, "requests.txt", b.Text())
 }
 
-// Answers keep status, content type and text, also of each kind of rejection.
+// Answers have the same status, content type and text as before, including each kind of rejection.
 func TestGolden_Answers(t *testing.T) {
 	_, address := goldenTransport(t, "127.0.0.1:1")
 	var out strings.Builder
@@ -82,10 +82,10 @@
 	goldentest.Check(t, "answers.txt", []byte(out.String()))
 }
 
-// Callers get the same result or error for each answer.
+// Callers get the same result or error for each answer as before.
 func TestGolden_Errors(t *testing.T) {
 	_, other := goldenTransport(t, "127.0.0.1:1")
-	transport, address := goldenTransport(t, other) // what answers as b is named a: it rejects what is for b
+	transport, address := goldenTransport(t, other) // the transport at the address of b is named a: it rejects messages to b
 	var out strings.Builder
 	for _, to := range []string{"a", "b", "c"} {
 		for _, body := range []string{"m", "reject", "fail"} {
@@ -100,7 +100,7 @@
 	goldentest.Check(t, "errors.txt", []byte(out.String()))
 }
 
-// Counters keep the names that log and status show.
+// Counters have the same names in log and status as before.
 func TestGolden_Counters(t *testing.T) {
 	var c peer.Counters
 	peertest.GoldenCounters(t, "counters.txt", c.Values())
--- a/internal/peer/peertest/peertest.go
+++ b/internal/peer/peertest/peertest.go
@@ -1,5 +1,5 @@
-// Package peertest supports tests of what members of a group send to each other: golden files, a server that records requests in
-// place of a member, and requests with literal headers as earlier builds send them.
+// Package peertest supports tests of the messages between members of a group: golden files, a server that records requests in place of a
+// member, and requests with literal headers as earlier builds send them.
 package peertest
 
 import (
@@ -23,14 +23,14 @@
 	"birchfork/internal/peer"
 )
 
-// Updating reports whether this run writes golden files in place of comparing.
+// Updating reports whether this run writes golden files instead of comparing with them.
 func Updating() bool { return os.Getenv("UPDATE_GOLDEN") == "1" }
 
 // GoldenPath returns the path of a golden file of the package under test.
 func GoldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
 
 // GoldenJSON compares the JSON encoding of value with the golden file, and value with what the file decodes to. It fails the test
-// where a field of value is zero, as an omitted field would prove nothing.
+// if a field of value is zero, as an omitted field would prove nothing.
 func GoldenJSON[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	requireNonZero(t, name, reflect.ValueOf(value))
@@ -83,7 +83,7 @@
 	goldentest.Check(t, name, []byte(strings.Join(slices.Sorted(maps.Keys(counters)), "\n")+"\n"))
 }
 
-// Recorder is an HTTP server in place of a member. It is safe for concurrent use.
+// Recorder is an HTTP server in place of a member, which records its requests. It is safe for concurrent use.
 type Recorder struct {
 	server *httptest.Server
 
@@ -91,7 +91,7 @@
 	requests []string
 }
 
-// NewRecorder starts a server that answers each request with what answer returns. The test's cleanup closes it.
+// NewRecorder starts a server that answers each request with the result of answer. The test's cleanup closes it.
 func NewRecorder(t testing.TB, answer func(path string, body []byte) []byte) *Recorder {
 	r := &Recorder{}
 	r.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -120,7 +120,7 @@
 	r.requests = append(r.requests, text.String())
 }
 
-// Address returns host:port of the server.
+// Address returns the server's address as host:port.
 func (r *Recorder) Address() string { return r.server.Listener.Addr().String() }
 
 // Requests returns the requests so far, as text without the host.
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/goleak"
 )
 
-// transportPair is two members; what the second accepts is recorded.
+// transportPair has the transports of two members and the messages that the second accepts.
 type transportPair struct {
 	a, b        *Transport
 	members     []Member
@@ -81,8 +81,8 @@
 	}
 }
 
-// A peer that does not answer blocks nobody: its queue is bounded, what does not fit is dropped and counted, and an answer that
-// declines loses that message alone.
+// A peer that does not answer blocks no sender: its queue is bounded, messages that do not fit are dropped and counted, and an answer that
+// declines loses only that message.
 func TestTransport_StalledPeerBlocksNobody(t *testing.T) {
 	p := newTransportPair(t, Sender{"a", "1", "f"}, func(*Options) {})
 	stalled, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections, reads nothing
--- a/internal/server/admin_test.go
+++ b/internal/server/admin_test.go
@@ -34,7 +34,7 @@
 
 // In a group overrides are replicated, and a member is ready once it has those of others.
 func TestAdmin_OverridesReachGroup(t *testing.T) {
-	t.Setenv("TMPDIR", "") // nothing is shared: no loop syncs overrides beside the test
+	t.Setenv("TMPDIR", "") // nothing is shared: no loop syncs overrides during the test
 	env := newTestEnv(t)
 	srv := env.startWithAdmin(t)
 	close(env.release)
@@ -63,7 +63,7 @@
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// A disabled worker gets nothing until it is enabled, and the admin server answers until the process ends.
+// A disabled worker gets no requests until it is enabled, and the admin server answers until the process ends.
 func TestAdmin_DisablesAndEnablesWorker(t *testing.T) {
 	env := newTestEnv(t)
 	expectNoLeaks := watchLeaks(t)
@@ -79,7 +79,7 @@
 	}
 	expectPostStatus(t, srv, "/-/runners/w/enable", 200)
 	close(env.release)
-	// It is in slow start: a request gets there sooner or later.
+	// The worker is in slow start: a request is sent to it eventually.
 	attempts := 0
 	waitFor(t, "the worker is used again", func() bool {
 		attempts++
@@ -101,7 +101,7 @@
 	expectNoLeaks()
 }
 
-// Without an address there is no admin server, and one that is in use is named at the start.
+// Without an address there is no admin server. An address that is in use is an error of the start, which names it.
 func TestAdmin_NeedsAddress(t *testing.T) {
 	env := newTestEnv(t)
 	srv := env.start(t, "5")
--- a/internal/server/config_test.go
+++ b/internal/server/config_test.go
@@ -23,7 +23,7 @@
 		"policy_limits":{"attempts_cap":5,"cancel":true,"connect_timeout":0.25}`,
 }
 
-// deploymentConfig is a whole configuration with those settings.
+// deploymentConfig is a complete configuration with those settings.
 func deploymentConfig(discovery, settings string) string {
 	return `{"name":"n1","listen":"127.0.0.1:0","discovery":"` + discovery + `","seed":"1",
 	"limits":{"cores":1.0,"memory_mb":64,"sockets":256},
@@ -31,7 +31,7 @@
 		"machine_types":["big"],` + settings + `}}`
 }
 
-// Every deployment is accepted, and what sockets do not support is named.
+// Every deployment is accepted, and settings that sockets do not support are listed.
 func TestDecode_DeploymentsAndUnsupportedSettings(t *testing.T) {
 	for name, want := range map[string][]string{
 		"old": nil, "hub": {"policy_limits.peers", "report.how"}, "errors": {"report.how"},
@@ -60,7 +60,7 @@
 	}
 }
 
-// Settings of which half belongs to another deployment are rejected by key.
+// Settings that mix two deployments are rejected, with the key.
 func TestDecode_RejectsMixedDeployments(t *testing.T) {
 	for _, c := range []struct{ deployment, from, to, key string }{
 		{"old", `"how":"off"`, `"how":"inline"`, "report.names"},
@@ -91,7 +91,7 @@
 	if _, err := Decode([]byte(deploymentConfig("127.0.0.1:8500", both))); err == nil || strings.Count(err.Error(), "setting ") != 3 {
 		t.Errorf("not all three faults are named: %v", err)
 	}
-	// A malformed setting must not hide a mixture, nor be named twice because it was read twice.
+	// A malformed setting must not hide a contradiction, nor be reported twice because it was read twice.
 	both = strings.Replace(strings.Replace(deployments["old"], `"probes":true`, `"probes":true,"peers":"some"`, 1), `"how":"off"`, `"how":"inline"`, 1)
 	_, err := Decode([]byte(deploymentConfig("127.0.0.1:8500", both)))
 	if err == nil || strings.Count(err.Error(), "setting ") != 2 ||
@@ -104,7 +104,7 @@
 	}
 }
 
-// A good configuration is decoded, and what sockets do not support is switched off.
+// A valid configuration is decoded, and what sockets do not support is disabled.
 func TestDecode_Values(t *testing.T) {
 	c, err := Decode([]byte(configText("127.0.0.1:8500", "127.0.0.1:9", "5")))
 	if err != nil {
@@ -122,7 +122,7 @@
 	}
 }
 
-// Each fault is named by its key, and all at once.
+// All faults are reported at once, each with its key.
 func TestDecode_NamesEveryFault(t *testing.T) {
 	for _, c := range []struct {
 		change [2]string
@@ -160,7 +160,7 @@
 	}
 }
 
-// Faults can be told apart by their types: of a key, of a setting, and with their cause.
+// Faults of keys and of settings can be distinguished by their types, and have their cause.
 func TestDecode_ErrorTypes(t *testing.T) {
 	raw := strings.Replace(configText("127.0.0.1:8500", "127.0.0.1:9", "0"), `"cores":1.0`, `"cores":0`, 1)
 	_, err := Decode([]byte(strings.Replace(raw, `"snapshot":true`, `"snapshot":3`, 1)))
@@ -178,7 +178,7 @@
 	}
 }
 
-// No text that is accepted lacks what is needed to serve.
+// Every text that is accepted has the values that are needed to serve.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(configText("127.0.0.1:8500", "127.0.0.1:9", "5")))
 	for _, deployment := range deployments {
--- a/internal/server/deployment_test.go
+++ b/internal/server/deployment_test.go
@@ -59,7 +59,7 @@
 	return w
 }
 
-// serve starts a dispatcher of a deployment and waits until it knows the workers.
+// serve starts a dispatcher of a deployment and waits until it has the endpoint list.
 func (w *testWorkers) serve(t *testing.T, deployment string, log *logrus.Logger) *Server {
 	t.Helper()
 	restoreLimits(t)
@@ -118,7 +118,7 @@
 	}
 }
 
-// A request that waits at a worker which never starts it is taken back by closing its connection, and only then sent to the other one.
+// A request that waits at a worker which never starts it is cancelled by closing its connection, and only then sent to the other worker.
 func TestServer_MigratesWaitingRequest(t *testing.T) {
 	defer http.DefaultClient.CloseIdleConnections()
 	w := newTestWorkers(t, true, false)
--- a/internal/server/dialer_test.go
+++ b/internal/server/dialer_test.go
@@ -12,8 +12,8 @@
 	"birchfork/internal/config"
 )
 
-// In a group the kernel gives up what a silent link holds back, and drops it where the connection is closed. Without a group the options
-// are the system's.
+// In a group the kernel times out data that a silent link has not delivered, and discards it when the connection is closed. Without a group
+// the socket options are the system's.
 func TestDialer_SocketTimeoutsInGroup(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -37,7 +37,7 @@
 		var optionErr error
 		err = raw.Control(func(fd uintptr) {
 			wait, optionErr = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
-			linger, _ = unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_LINGER) // its first word: on or off
+			linger, _ = unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_LINGER) // the first field of the struct, Onoff
 		})
 		want := group != nil
 		if err != nil || optionErr != nil || (wait == 5000) != want || (linger == 1) != want {
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -9,10 +9,10 @@
 	"birchfork/dispatch"
 )
 
-// upRequest asks whether the dispatcher is up.
+// upRequest is a health check of the dispatcher.
 const upRequest = "GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// A drain finishes open requests, accepts new ones at first, and leaves nothing behind.
+// A drain finishes open requests, accepts new ones at first, and leaks no descriptor or goroutine.
 func TestShutdown_FinishesOpenAndAcceptsNewRequests(t *testing.T) {
 	env := newTestEnv(t)
 	expectNoLeaks := watchLeaks(t)
@@ -39,7 +39,7 @@
 	go func() { stopped <- srv.shutdown() }()
 	waitFor(t, "it is stopping", func() bool { return !srv.handler.Up() })
 	time.Sleep(20 * time.Millisecond)
-	for range 2 { // clients go on using those that they have
+	for range 2 { // clients keep using their connections
 		if res := kept.exchange(t, upRequest); res.status != 503 || res.closed {
 			t.Errorf("on a kept connection while draining: %+v", res)
 		}
@@ -70,14 +70,14 @@
 	}
 }
 
-// A request of which half has come when a drain begins is answered once the rest is here, however slowly it is written.
+// A request that is half received when a drain begins is answered once the rest has arrived, however slowly it is written.
 func TestShutdown_WaitsForPartialRequest(t *testing.T) {
 	env := newTestEnv(t)
 	srv := env.start(t, "5")
 	close(env.release)
 	go func() {
 		for id := range env.received {
-			_ = id // nobody else reads them
+			_ = id // no other reader
 		}
 	}()
 	slow := dialClient(t, srv)
--- a/internal/server/fixture_test.go
+++ b/internal/server/fixture_test.go
@@ -19,7 +19,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// configText is a good configuration; tests replace parts of it.
+// configText is a valid configuration; tests replace parts of it.
 func configText(discovery, worker, deadline string) string {
 	return `{"name":"n1","listen":"127.0.0.1:0","discovery":"` + discovery + `","seed":"8c1f30d27a5be964",
 	"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
@@ -140,10 +140,10 @@
 	return srv
 }
 
-// response is what a client got.
+// response is the response that a client received.
 type response struct {
 	status int
-	closed bool // the server closes the connection behind it
+	closed bool // the server closes the connection after it
 	err    error
 }
 
@@ -165,7 +165,7 @@
 	return response{res.StatusCode, res.Close, err}
 }
 
-// countDescriptors is how many file descriptors this process has open.
+// countDescriptors returns how many file descriptors this process has open.
 func countDescriptors(t *testing.T) int {
 	t.Helper()
 	entries, err := os.ReadDir("/proc/self/fd")
@@ -185,7 +185,7 @@
 	}
 }
 
-// logBuffer collects what is logged.
+// logBuffer collects log output.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -198,7 +198,7 @@
 	return l.text.Write(b)
 }
 
-// contains tells whether s has been logged.
+// contains reports whether s has been logged.
 func (l *logBuffer) contains(s string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -239,7 +239,7 @@
 	}
 }
 
-// configureSuccessor changes a configuration into that of a process beside predecessor.
+// configureSuccessor changes a configuration into that of a sibling of predecessor.
 func configureSuccessor(predecessor *Server) func(*Config) {
 	return func(c *Config) {
 		c.ListenAddress = predecessor.address.String()
@@ -247,7 +247,7 @@
 	}
 }
 
-// startSuccessor starts another process of the same dispatcher beside predecessor and waits until it is ready.
+// startSuccessor starts another process of predecessor's dispatcher and waits until it is ready.
 func (e *testEnv) startSuccessor(t *testing.T, predecessor *Server) *Server {
 	t.Helper()
 	successor := startWith(t, configText(e.discovery, e.worker, "5"), configureSuccessor(predecessor))
@@ -302,7 +302,7 @@
 	return response{res.StatusCode, res.Close, err}
 }
 
-// watchLeaks notes the open descriptors and goroutines, and returns a function that waits until there are no more than these.
+// watchLeaks counts the open descriptors and goroutines, and returns a function that waits until there are no more than that.
 func watchLeaks(t *testing.T) (expectNone func()) {
 	t.Helper()
 	descriptors, goroutines := countDescriptors(t), runtime.NumGoroutine()
@@ -321,12 +321,12 @@
 	}
 }
 
-// updateGolden tells that the files of testdata/golden are to be written, by UPDATE_GOLDEN=1 in the environment. Do so only where a
-// form is meant to change: operators, their scripts and other builds of this program read these forms.
+// updateGolden reports whether the files of testdata/golden are to be written, by UPDATE_GOLDEN=1 in the environment. Set it only where a
+// format is meant to change: operators, their scripts and other builds of this program read these formats.
 func updateGolden() bool { return os.Getenv("UPDATE_GOLDEN") == "1" }
 
-// goldenPath is the path of a golden file.
+// goldenPath returns the path of a golden file.
 func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
 
-// loopbackPort is an address of a test, whose port differs from run to run.
+// loopbackPort matches an address of a test, whose port differs from run to run.
 var loopbackPort = regexp.MustCompile(`127\.0\.0\.1:\d+`)
--- a/internal/server/golden_config_test.go
+++ b/internal/server/golden_config_test.go
@@ -100,7 +100,7 @@
 	line("digest of the settings", c.settingsDigest)
 }
 
-// TestGolden_Platform has what the platform's configuration comes to, with every key set and with as few as there may be.
+// TestGolden_Platform checks the values of the platform's configuration, with every key set and with as few as possible.
 func TestGolden_Platform(t *testing.T) {
 	for _, name := range []string{"reports", "probes", "least"} {
 		var out bytes.Buffer
@@ -117,10 +117,10 @@
 	}
 }
 
-// goldenChange replaces a part of a configuration; base is one of testdata/golden, or "" for a text of its own.
+// goldenChange replaces a part of a configuration; base is a file of testdata/golden, or "" if to is the complete text.
 type goldenChange struct{ base, from, to string }
 
-// goldenChanges are configurations with every fault there is.
+// goldenChanges are configurations that cover every fault.
 var goldenChanges = []goldenChange{
 	{"", "", ``},
 	{"", "", `{`},
@@ -170,10 +170,10 @@
 	{"reports", `"zones": ["a", "b", "c"]`, `"zones": ["a", {"b": 1}]`},
 }
 
-// goType is what encoding/json says of Go types. It follows their names, and is no text of this program's.
+// goType matches what encoding/json reports about Go types. It depends on their names and is not a text of this program.
 var goType = regexp.MustCompile(`(Go value of type|Go struct field) (?:node\.|server\.)?\w+`)
 
-// TestGolden_Faults has each fault's message of a configuration.
+// TestGolden_Faults checks the message of each fault of a configuration.
 func TestGolden_Faults(t *testing.T) {
 	var out bytes.Buffer
 	for _, c := range goldenChanges {
@@ -200,7 +200,7 @@
 	goldentest.Check(t, "faults.txt", out.Bytes())
 }
 
-// TestGolden_ReloadFaults has each message on what a file lacks that was in force.
+// TestGolden_ReloadFaults checks the messages about keys that a file lacks and the configuration in effect has.
 func TestGolden_ReloadFaults(t *testing.T) {
 	old, err := os.ReadFile(goldenPath("platform-reports.json"))
 	if err != nil {
@@ -216,7 +216,7 @@
 	goldentest.Check(t, "reload-faults.txt", out.Bytes())
 }
 
-// TestGolden_Available has the messages on addresses that are in use.
+// TestGolden_Available checks the messages about addresses that are in use.
 func TestGolden_Available(t *testing.T) {
 	c := &Config{}
 	for _, address := range []*string{&c.ListenAddress, &c.AdminAddress} {
--- a/internal/server/golden_group_test.go
+++ b/internal/server/golden_group_test.go
@@ -15,7 +15,7 @@
 	"birchfork/internal/goldentest"
 )
 
-// TestGolden_Digest has the digest of the settings that the members of a group compare, with what counts for it and what does not.
+// TestGolden_Digest checks the digest of the settings that the members of a group compare, and which keys change it.
 func TestGolden_Digest(t *testing.T) {
 	var out bytes.Buffer
 	for _, name := range []string{"reports", "probes", "least"} {
@@ -34,7 +34,7 @@
 	goldentest.Check(t, "digests.txt", out.Bytes())
 }
 
-// TestGolden_Group has what a member of a group tells the others of itself, and the names of its counters.
+// TestGolden_Group checks a group member's description of itself to the others, and the names of its counters.
 func TestGolden_Group(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
--- a/internal/server/golden_hotrestart_test.go
+++ b/internal/server/golden_hotrestart_test.go
@@ -11,8 +11,8 @@
 	"birchfork/internal/goldentest"
 )
 
-// TestGolden_HotRestart starts a dispatcher with the files that an earlier build left: it begins with the endpoint list and the overrides
-// that they hold, and writes the list as it was.
+// TestGolden_HotRestart starts a dispatcher with the files that an earlier build left: it starts with their endpoint list and overrides,
+// and writes the list unchanged.
 func TestGolden_HotRestart(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Its own list is older, and names another worker.
+	// The list of its configuration is older, and has another worker.
 	older := strings.Replace(strings.Replace(raw, `"index":41`, `"index":40`, 1), `"name":"w"`, `"name":"other"`, 1)
 	srv := startWith(t, older, func(*Config) {})
 	list, _ := srv.engine.Endpoints()
@@ -51,10 +51,10 @@
 	mustShutdown(t, srv)
 }
 
-// goldenSharedDir has the files of a hot restart as they are left on disk.
+// goldenSharedDir has the files of a hot restart as an earlier build left them.
 const goldenSharedDir = "birchfork-n1"
 
-// writeGoldenHotRestart writes goldenSharedDir anew, from what a dispatcher leaves in dir.
+// writeGoldenHotRestart rewrites goldenSharedDir from the files that a dispatcher has left in dir.
 func writeGoldenHotRestart(t *testing.T, raw, dir string) {
 	t.Helper()
 	srv := startWith(t, raw, func(*Config) {})
--- a/internal/server/golden_server_test.go
+++ b/internal/server/golden_server_test.go
@@ -21,7 +21,7 @@
 	"birchfork/internal/goldentest"
 )
 
-// TestGolden_OperatorCalls has what a dispatcher answers its operators.
+// TestGolden_OperatorCalls checks the answers of a dispatcher to operators' calls.
 func TestGolden_OperatorCalls(t *testing.T) {
 	t.Setenv("TMPDIR", "")
 	env := newTestEnv(t)
@@ -59,7 +59,7 @@
 	mustShutdown(t, srv)
 }
 
-// fieldNames are the names of the fields of a line of the counters, in order.
+// fieldNames returns the names of the fields of a log line with counters, in order.
 func fieldNames(t *testing.T, srv *Server, message string) []byte {
 	t.Helper()
 	var out bytes.Buffer
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// TestGolden_Counters has the names of all counters, of a dispatcher with limits by an operator's file.
+// TestGolden_Counters checks the names of all counters of a dispatcher with limits from an operator's file.
 func TestGolden_Counters(t *testing.T) {
 	env := newTestEnv(t)
 	close(env.release)
@@ -130,7 +130,7 @@
 	fmt.Fprintf(os.Stderr, "run: %v\n", err)
 }
 
-// TestGolden_Ends has the lines by which the end of a dispatcher is told from a log: in order, and by a fault of its listener.
+// TestGolden_Ends checks the log lines that mark the end of a dispatcher: an orderly one, and one after a failure of its listener.
 func TestGolden_Ends(t *testing.T) {
 	env := newTestEnv(t)
 	close(env.release)
@@ -176,7 +176,7 @@
 	}
 	defer listener.Close()
 	t.Setenv("TMPDIR", dir)
-	sibling := env.startWithAdmin(t) // so that the other one waits until it knows the workers
+	sibling := env.startWithAdmin(t) // so that the other one waits until it is ready
 	raw := strings.Replace(configText(env.discovery, env.worker, "0.7"), `"listen":"127.0.0.1:0"`,
 		fmt.Sprintf(`"operator":"127.0.0.1:0","listen":%q`, listener.Addr()), 1)
 	play(raw, func(log *logBuffer, _ *os.Process) {
--- a/internal/server/hotrestart_test.go
+++ b/internal/server/hotrestart_test.go
@@ -15,8 +15,8 @@
 	"birchfork/internal/hotrestart"
 )
 
-// In a hot restart the old process finishes its requests and ends; overrides outlive it; both divide the limits meanwhile, and the new
-// one has them alone afterwards.
+// In a hot restart the old process finishes its requests and ends. Overrides outlive it. Both processes divide the limits meanwhile; the
+// new one has all of them afterwards.
 func TestHotRestart(t *testing.T) {
 	shared := t.TempDir()
 	t.Setenv("TMPDIR", shared)
@@ -50,7 +50,7 @@
 
 	expectHandedOver(t, env, old, successor, kept, answers)
 
-	third := env.startSuccessor(t, successor) // one after the other
+	third := env.startSuccessor(t, successor) // a second successor
 	mustShutdown(t, successor)
 	go func() { env.release <- true }()
 	if a := post(third, "third", "5000"); a.status != 200 {
@@ -64,8 +64,7 @@
 	}
 }
 
-// expectHandedOver drains the old process, which has one open request and one idle connection, and checks what becomes of these and of
-// the limits.
+// expectHandedOver drains the old process, which has one open request and one idle connection, and checks their outcome and the limits.
 func expectHandedOver(t *testing.T, env *testEnv, old, successor *Server, kept *clientConn, answers <-chan response) {
 	t.Helper()
 	var logged logBuffer
@@ -101,7 +100,7 @@
 	}
 }
 
-// A request that had begun to come when its process began to drain is answered.
+// A request that was partly received when its process began to drain is answered.
 func TestHotRestart_WaitsForPartialRequest(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	restoreLimits(t)
@@ -126,7 +125,7 @@
 	mustShutdown(t, successor)
 }
 
-// A new process that ends before it is ready leaves the old one as it was, and one that never can serve takes no client.
+// A new process that ends before it is ready does not affect the old one, and one that can never serve gets no client.
 func TestHotRestart_FailedSuccessor(t *testing.T) {
 	shared := t.TempDir()
 	t.Setenv("TMPDIR", shared)
@@ -160,7 +159,7 @@
 	mustShutdown(t, old)
 }
 
-// Without a shared directory the admin server answers, and overrides are in force.
+// Without a shared directory the admin server answers, and overrides take effect.
 func TestAdmin_WithoutSharedDir(t *testing.T) {
 	t.Setenv("TMPDIR", "")
 	env := newTestEnv(t)
@@ -178,7 +177,7 @@
 	mustShutdown(t, srv)
 }
 
-// A new process begins with the endpoint list that the old one saved, where discovery is silent and the configuration's list is older.
+// A new process starts with the endpoint list that the old one saved, if discovery is silent and the configuration's list is older.
 func TestHotRestart_InheritsEndpoints(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	restoreLimits(t)
@@ -189,7 +188,7 @@
 		return saved != nil
 	})
 	raw := strings.Replace(configText("127.0.0.1:1", "127.0.0.1:2", "5"), `"name":"w"`, `"name":"gone"`, 1)
-	ended := startWith(t, raw, configureSuccessor(old)) // ended before it is ready: it has nothing to finish
+	ended := startWith(t, raw, configureSuccessor(old)) // ends before it is ready: it has nothing to finish
 	if err := ended.shutdown(); err != nil || ended.sharedListener != nil {
 		t.Errorf("%v, it listens: %v", err, ended.sharedListener != nil)
 	}
--- a/internal/server/missingkeys_test.go
+++ b/internal/server/missingkeys_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// reloadBase is a configuration in force; only its keys count.
+// reloadBase is the configuration in effect; only its keys matter.
 const reloadBase = `{"name":"n","listen":"l","limits":{"cores":1},"known":{"index":1},"seed":"s","settings":{
 	"classes":[{"name":"a","deadline":5,"effect":"free","aim_stretch":1},{"name":"b","deadline":6,"effect":"free","extra":1}],
 	"policy_limits":{"attempts_cap":3,"cancel":true},"zones":["x"],"tick":0.002,"none":null}}`
 
-// Keys may be missing where they are optional or belong to a list member that has gone, and are named otherwise.
+// Keys may be missing if they are optional or belong to a removed list member; all others are reported.
 func TestMissingKeys(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"zones":["x"]`, `"zones":["x"]`, ""},
@@ -19,7 +19,7 @@
 		{`,"known":{"index":1},"seed":"s"`, ``, ""},
 		{`,"extra":1`, ``, ""}, // not all classes had it
 		{`,"none":null`, ``, ""},
-		{`{"name":"a","deadline":5,"effect":"free","aim_stretch":1},`, ``, ""}, // a class that vanishes
+		{`{"name":"a","deadline":5,"effect":"free","aim_stretch":1},`, ``, ""}, // a class that is removed
 		{`"zones":["x"]`, `"zones":[]`, ""},
 		{`,"limits":{"cores":1}`, ``, "limits: it is missing"},
 		{`"cores":1`, ``, "limits.cores: it is missing"},
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -14,7 +14,7 @@
 	"birchfork/internal/engine"
 )
 
-// A reload puts all of a file in force or nothing, however the file is broken.
+// A reload applies all of a file or nothing, however the file is broken.
 func TestReload_IsAtomic(t *testing.T) {
 	env := newTestEnv(t)
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -71,7 +71,7 @@
 	})
 }
 
-// brokenConfigs are variants of a good configuration that are to be rejected, among them all that are cut off.
+// brokenConfigs returns variants of a valid configuration that are to be rejected, including all truncated ones.
 func brokenConfigs(good, discovery string) []string {
 	replace := func(from, to string) string { return strings.Replace(good, from, to, 1) }
 	broken := []string{
@@ -92,7 +92,7 @@
 	return broken
 }
 
-// expectReloaded reloads twice while a request is open, and checks that the new settings count for later ones.
+// expectReloaded reloads twice while a request is open, and checks that the new settings apply to later ones.
 func expectReloaded(t *testing.T, env *testEnv, srv *Server, reloadTwice func()) {
 	t.Helper()
 	answers := make(chan response, 1)
@@ -128,11 +128,11 @@
 	waitFor(t, "idle connections are closed by the new timeout", func() bool { _, idle := srv.pool.Counts(); return idle == 0 })
 }
 
-// fakeCoordinator looks whether new settings are in force already when their times are announced.
+// fakeCoordinator checks whether new settings are in effect already when their times are announced.
 type fakeCoordinator struct {
 	server *Server
 	calls  int
-	late   bool // they were
+	late   bool // the settings were in effect already, or the times were wrong
 }
 
 func (f *fakeCoordinator) TransferLeadership() {}
@@ -149,7 +149,7 @@
 	}
 }
 
-// newRequest is a request of a class.
+// newRequest returns a request of a class.
 func newRequest(t *testing.T, srv *Server, class string) *http.Request {
 	t.Helper()
 	r, err := http.NewRequest("POST", "http://"+srv.address.String()+"/"+class, nil)
@@ -163,8 +163,8 @@
 	return r
 }
 
-// The operator's file: a request over its limit is rejected at once with its reason; a bad file changes nothing and is counted; a good
-// one counts for requests that arrive from then on.
+// The operator's file: a request over its limit is rejected at once with a reason. An invalid file changes nothing and is counted; a valid
+// one applies to requests that arrive from then on.
 func TestReload_OperatorFile(t *testing.T) {
 	env := newTestEnv(t)
 	dir := t.TempDir()
@@ -193,7 +193,7 @@
 	writeFile(t, operator, "[[route]]\nname = 'all'\nconcurrent = 2\n")
 	srv.reload()
 	go func() { answers <- post(srv, "fourth", "5000") }()
-	<-env.received // it is sent beside the first
+	<-env.received // it is sent while the first is open
 	if f := srv.engine.LimitFields(); f["limit_held"] != 2 || f["limit_concurrent"] != int64(2) {
 		t.Errorf("counted %v", f)
 	}
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -20,7 +20,7 @@
 	return out, done
 }
 
-// SIGUSR1 logs the counters, SIGTERM ends the dispatcher in order.
+// SIGUSR1 logs the counters, SIGTERM shuts the dispatcher down.
 func TestRun_Signals(t *testing.T) {
 	restoreLimits(t)
 	env := newTestEnv(t)
@@ -43,7 +43,7 @@
 	}
 }
 
-// A reload costs no open request, whatever the file holds, also during a drain.
+// A reload loses no open request, whatever the file contains, also during a drain.
 func TestRun_HangUpReloads(t *testing.T) {
 	restoreLimits(t)
 	env, other := newTestEnv(t), newTestEnv(t)
@@ -117,7 +117,7 @@
 	}
 }
 
-// The line of the counters has those of the engine and of the pool.
+// The log line with counters has those of the engine and of the pool.
 func TestLogCounters(t *testing.T) {
 	env := newTestEnv(t)
 	srv := env.start(t, "5")
