--- a/internal/server/golden_config_test.go
+++ b/internal/server/golden_config_test.go
@@ -10,12 +10,24 @@
 	"strings"
 	"testing"
 
+	"birchfork/dispatch"
 	"birchfork/internal/goldentest"
 )
 
-// goldenConfig prints what a configuration comes to, under names of its own.
+// linePrinter prints a line with a name and a value.
+type linePrinter func(name string, v any)
+
+// goldenConfig prints the values of a configuration, under names of its own.
 func goldenConfig(out io.Writer, c *Config) {
 	line := func(name string, v any) { fmt.Fprintf(out, "%s: %v\n", name, v) }
+	goldenPlatform(line, c)
+	goldenClassesAndTenants(line, c)
+	goldenSettings(line, &c.Settings)
+	goldenDerived(line, c)
+}
+
+// goldenPlatform prints the values outside of the settings.
+func goldenPlatform(line linePrinter, c *Config) {
 	line("name", c.Name)
 	line("listen", c.ListenAddress)
 	line("discovery", c.DiscoveryAddress)
@@ -35,6 +47,10 @@
 	for i, u := range c.Unsupported {
 		line(fmt.Sprintf("served without, %d", i), u)
 	}
+}
+
+// goldenClassesAndTenants prints the settings by class and by tenant.
+func goldenClassesAndTenants(line linePrinter, c *Config) {
 	s := &c.Settings
 	for i := range s.Classes {
 		class := &s.Classes[i]
@@ -47,6 +63,10 @@
 		line(fmt.Sprintf("customers.%d.quota_rps", i), tenant.QuotaRPS)
 	}
 	line("customers' names", fmt.Sprintf("%q", c.Names.TenantNames()))
+}
+
+// goldenSettings prints the other settings.
+func goldenSettings(line linePrinter, s *dispatch.Settings) {
 	line("over_share_worth", s.OverQuotaWeight)
 	line("zones, machine_types", []int{s.ZoneCount, s.KindCount})
 	line("zone", s.Zone)
@@ -61,7 +81,10 @@
 	line("safety.ask_within, stop_sending_within, warm_within, fall", []int64{int64(s.MaxPollInterval), int64(s.DrainGrace), int64(s.SlowStartWindow), int64(s.OverloadWindow)})
 	line("safety.cold_from, fall_multiple", []float64{s.SlowStartMinFactor, s.OverloadMultiple})
 	line("prices.waste, origin, late_fail, cross_zone", []float64{s.PriceWaste, s.PriceFetch, s.PriceLateFail, s.PriceCrossZone})
+}
 
+// goldenDerived prints the values that are computed from a configuration.
+func goldenDerived(line linePrinter, c *Config) {
 	line("longest deadline", c.maxDeadline())
 	line("until an attempt has arrived", c.maxDelivery())
 	line("until a worker is warm", c.warmUp())
@@ -77,7 +100,7 @@
 	line("digest of the settings", c.settingsDigest)
 }
 
-// TestGolden_Platform has what the platform's configuration comes to, with every key set and with as few as there may be.
+// TestGolden_Platform checks the values of the platform's configuration, with every key set and with as few as possible.
 func TestGolden_Platform(t *testing.T) {
 	for _, name := range []string{"reports", "probes", "least"} {
 		var out bytes.Buffer
@@ -94,10 +117,10 @@
 	}
 }
 
-// goldenChange replaces a part of a configuration; base is one of testdata/golden, or "" for a text of its own.
+// goldenChange replaces a part of a configuration; base is a file of testdata/golden, or "" if to is the complete text.
 type goldenChange struct{ base, from, to string }
 
-// goldenChanges are configurations with every fault there is.
+// goldenChanges are configurations that cover every fault.
 var goldenChanges = []goldenChange{
 	{"", "", ``},
 	{"", "", `{`},
@@ -147,10 +170,10 @@
 	{"reports", `"zones": ["a", "b", "c"]`, `"zones": ["a", {"b": 1}]`},
 }
 
-// goType is what encoding/json says of Go types. It follows their names, and is no text of this program's.
+// goType matches what encoding/json reports about Go types. It depends on their names and is not a text of this program.
 var goType = regexp.MustCompile(`(Go value of type|Go struct field) (?:node\.|server\.)?\w+`)
 
-// TestGolden_Faults has each fault's message of a configuration.
+// TestGolden_Faults checks the message of each fault of a configuration.
 func TestGolden_Faults(t *testing.T) {
 	var out bytes.Buffer
 	for _, c := range goldenChanges {
@@ -177,7 +200,7 @@
 	goldentest.Check(t, "faults.txt", out.Bytes())
 }
 
-// TestGolden_ReloadFaults has each message on what a file lacks that was in force.
+// TestGolden_ReloadFaults checks the messages about keys that a file lacks and the configuration in effect has.
 func TestGolden_ReloadFaults(t *testing.T) {
 	old, err := os.ReadFile(goldenPath("platform-reports.json"))
 	if err != nil {
@@ -193,7 +216,7 @@
 	goldentest.Check(t, "reload-faults.txt", out.Bytes())
 }
 
-// TestGolden_Available has the messages on addresses that are in use.
+// TestGolden_Available checks the messages about addresses that are in use.
 func TestGolden_Available(t *testing.T) {
 	c := &Config{}
 	for _, address := range []*string{&c.ListenAddress, &c.AdminAddress} {
