--- a/internal/testbed/cluster/harness.go
+++ b/internal/testbed/cluster/harness.go
@@ -825,14 +825,14 @@
 		h.environment.Fleet().Workers[f.Member].Hang(false)
 	case FailForMember:
 		w := h.environment.Fleet().Workers[0]
-		w.ErrFor(f.Member, true)
+		w.FailFor(f.Member, true)
 		sleep(ctx, f.For)
-		w.ErrFor(f.Member, false)
+		w.FailFor(f.Member, false)
 	case FailForAll:
 		w := h.environment.Fleet().Workers[0]
-		w.Err(1)
+		w.SetFailureRate(1)
 		sleep(ctx, f.For)
-		w.Err(0)
+		w.SetFailureRate(0)
 	case FlappingPartition:
 		f.Kind = Partition
 		for end := time.Now().Add(f.For); ctx.Err() == nil && time.Now().Before(end); sleep(ctx, flapEvery) {
--- /dev/null
+++ b/internal/testbed/fakes/agent.go
@@ -0,0 +1,196 @@
+package fakes
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"birchfork/internal/testbed/invariant"
+)
+
+// moveLinger is how long connections to an agent's old address stay open after a move.
+const moveLinger = 1500 * time.Millisecond
+
+// Agent serves the endpoint list to one dispatcher. It is safe for concurrent use.
+type Agent struct {
+	ledger      *invariant.Ledger
+	dispatcher  int
+	keep        int // changes
+	lag, jitter time.Duration
+
+	mu          sync.Mutex
+	random      *rand.Rand
+	delayFactor float64          // times the usual lag
+	lastDue     time.Time        // of the last update that was sent; updates arrive in order
+	pending     []entry          // on their way, in the order in which they arrive
+	silent      bool             // nothing is served or applied
+	deferred    []entry          // arrived while silent
+	index       uint64           // of the newest change
+	entries     map[string]entry // the list by name, with removed endpoints
+	names       []string         // of entries, in the order in which they first arrived
+	changes     []entry          // the newest ones by index
+	changed     chan struct{}    // closed at each change, at the end of a silence and at close
+	server      *http.Server
+	address     string
+	closed      bool
+	timers      []*time.Timer // of updates on their way
+}
+
+// entry is an endpoint at one agent, with what the ledger records of it.
+type entry struct {
+	Endpoint
+	index       uint64 // of the change that brought it
+	worker      int
+	incarnation int
+	delivery    *invariant.Delivery // nil: no worker of the fleet
+}
+
+// listen starts a server at a new address. The lock is held, or the agent is not shared yet.
+func (a *Agent) listen() error {
+	listener, err := net.Listen("tcp", processNet.Host(0)+":0")
+	if err != nil {
+		return fmt.Errorf("discovery: listening: %w", err)
+	}
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /discovery/hosts", a.serveHosts)
+	server := &http.Server{Handler: mux}
+	a.server = server
+	a.address = listener.Addr().String()
+	go func() { _ = server.Serve(listener) }() // returns once the agent moves or closes
+	return nil
+}
+
+// Address returns the address at which the dispatcher reaches the agent.
+func (a *Agent) Address() string {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.address
+}
+
+// Move opens another address. The old one accepts no new connection at once, and closes the open ones after moveLinger.
+func (a *Agent) Move() error {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	old := a.server
+	if err := a.listen(); err != nil {
+		return err
+	}
+	go func() {
+		// Shutdown closes the listener at once; with an open context it would wait for watches, which never end.
+		_ = old.Shutdown(closedContext()) // its error is that of the context
+		time.Sleep(moveLinger)
+		_ = old.Close() // its connections end either way
+	}()
+	return nil
+}
+
+func closedContext() context.Context {
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	return ctx
+}
+
+// SetDelay sets how many times the usual lag an update takes.
+func (a *Agent) SetDelay(factor float64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.delayFactor = factor
+}
+
+// Silence makes the agent serve and apply nothing, or ends that and applies the updates that arrived meanwhile.
+func (a *Agent) Silence(on bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.silent = on
+	if !on {
+		for _, e := range a.deferred {
+			a.apply(e)
+		}
+		a.deferred = nil
+	}
+	a.signal()
+}
+
+// isSilent tells whether the agent serves nothing.
+func (a *Agent) isSilent() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.silent
+}
+
+// signal wakes all watches. The lock is held.
+func (a *Agent) signal() {
+	close(a.changed)
+	a.changed = make(chan struct{})
+}
+
+func (a *Agent) close() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.closed = true
+	for _, t := range a.timers {
+		t.Stop()
+	}
+	a.signal()
+	_ = a.server.Close() // its connections end either way
+}
+
+// receive applies an update at once, or sends it on its way to the agent.
+func (a *Agent) receive(update EndpointUpdate, immediate bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	e := entry{Endpoint: update.Endpoint(a.dispatcher), worker: update.Worker, incarnation: update.Incarnation}
+	if immediate {
+		a.apply(e)
+		return
+	}
+	delay := time.Duration(a.delayFactor * float64(a.lag+time.Duration(a.random.Float64()*float64(a.jitter))))
+	due := time.Now().Add(delay)
+	if due.Before(a.lastDue) {
+		due = a.lastDue.Add(time.Microsecond)
+	}
+	a.lastDue = due
+	a.pending = append(a.pending, e)
+	a.timers = append(a.timers, time.AfterFunc(time.Until(due), a.arrive))
+}
+
+// arrive applies the oldest update on its way. That need not be the one whose timer called: timers that are due a moment
+// apart may fire in any order.
+func (a *Agent) arrive() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	e := a.pending[0]
+	a.pending = a.pending[1:]
+	switch {
+	case a.closed:
+	case a.silent:
+		a.deferred = append(a.deferred, e)
+	default:
+		a.apply(e)
+		a.signal()
+	}
+}
+
+// apply applies a change to the list and records it. The lock is held.
+func (a *Agent) apply(e entry) {
+	a.index++
+	e.index = a.index
+	if e.worker != noWorker {
+		e.delivery = &invariant.Delivery{
+			Dispatcher: a.dispatcher, Worker: e.worker, Incarnation: e.incarnation, State: e.Status.state(), Has: a.ledger.Now(),
+		}
+		a.ledger.Delivery(e.delivery)
+	}
+	if _, ok := a.entries[e.Name]; !ok {
+		a.names = append(a.names, e.Name)
+	}
+	a.entries[e.Name] = e
+	a.changes = append(a.changes, e)
+	if len(a.changes) > a.keep { // older ones are compacted
+		a.changes = a.changes[len(a.changes)-a.keep:]
+	}
+}
--- a/internal/testbed/fakes/fleet.go
+++ b/internal/testbed/fakes/fleet.go
@@ -1,7 +1,6 @@
 package fakes
 
 import (
-	"context"
 	"fmt"
 	"sync"
 	"time"
@@ -10,56 +9,44 @@
 	"birchfork/internal/testbed/scenario"
 )
 
-func closedContext() context.Context {
-	ctx, cancel := context.WithCancel(context.Background())
-	cancel()
-	return ctx
-}
-
-// How long a draining worker stands there: past the grace, so that what is sent too late is seen, and at the most.
+// How long the process of a draining worker lives.
 const (
-	drainStays   = time.Second // past the grace
-	drainTimeout = 5 * time.Second
+	minDrainTime = time.Second     // past the drain grace, so that requests sent too late are seen
+	drainTimeout = 5 * time.Second // at most, whatever still runs
 )
 
-// Fleet is all workers with discovery.
+// Fleet is all workers of a run, with discovery. It is safe for concurrent use.
 type Fleet struct {
 	Workers   []*Worker
 	Discovery *Discovery
 
-	day           *scenario.Day
-	ledger        *invariant.Ledger
-	workersByName func(dispatcher int, address string) string
+	day        *scenario.Day
+	addressFor func(dispatcher int, address string) string // may be nil
 
 	mu      sync.Mutex
-	renamed map[int]string
-	stopped bool
-	waits   sync.WaitGroup
-	quit    chan struct{}
+	renamed map[int]string // listed names, by worker
+	closed  bool
+	delayed sync.WaitGroup // calls of after that have not ended
+	quit    chan struct{}  // closed by Close
 }
 
-// New starts the fleet of a day. All workers are up and listed at once; at is by which address a dispatcher reaches one of a
-// worker, nil: by itself.
-func New(day *scenario.Day, l *invariant.Ledger, book Book, at func(dispatcher int, address string) string) (*Fleet, error) {
-	t := &day.Scenario.Terms
-	r := scenario.Rand(day.Seed, scenario.StreamErr)
-	var mu sync.Mutex
+// New starts the fleet of a generated day; all its workers are up and listed when New returns. addressFor returns the address
+// that a dispatcher's list has for one of a worker's addresses; nil: the worker's own.
+func New(day *scenario.Day, l *invariant.Ledger, book Book, addressFor func(dispatcher int, address string) string) (*Fleet, error) {
+	terms, list := &day.Scenario.Terms, &day.Scenario.List
+	f := &Fleet{day: day, addressFor: addressFor, renamed: map[int]string{}, quit: make(chan struct{})}
 	cfg := &Config{
-		Net: NewNet(), Ledger: l, Book: book, Dispatchers: day.Scenario.Dispatchers, Notes: t.Notes, IdleClose: t.IdleClose,
-		Fails: func() float64 {
-			mu.Lock()
-			defer mu.Unlock()
-			return r.Float64()
+		Net: NewNet(), Ledger: l, Book: book, Dispatchers: day.Scenario.Dispatchers, Notes: terms.Notes, IdleClose: terms.IdleClose,
+		Fails: failureSource(day),
+		OnOverload: func(i int) {
+			f.after(0, func() { f.publish(i, StatusRemoved, false, false) })
 		},
 	}
-	f := &Fleet{day: day, ledger: l, workersByName: at, renamed: map[int]string{}, quit: make(chan struct{})}
-	cfg.OnOverload = func(i int) { f.after(0, func() { f.publish(i, StatusRemoved, false, false) }) }
 	for i, w := range day.Workers {
-		f.Workers = append(f.Workers, NewWorker(cfg, w.Name, i, SpecOf(w, t)))
+		f.Workers = append(f.Workers, NewWorker(cfg, w.Name, i, specOf(w, terms)))
 	}
 	var err error
-	f.Discovery, err = NewDiscovery(l, day.Scenario.Dispatchers, day.Scenario.List.Keep, day.Scenario.List.Lag,
-		day.Scenario.List.Jitter, scenario.Rand(day.Seed, scenario.StreamLag))
+	f.Discovery, err = NewDiscovery(l, day.Scenario.Dispatchers, list.Keep, list.Lag, list.Jitter, scenario.Rand(day.Seed, scenario.StreamLag))
 	if err != nil {
 		return nil, err
 	}
@@ -73,43 +60,62 @@
 	return f, nil
 }
 
-// SpecOf is what a day's worker can do.
-func SpecOf(w scenario.Worker, t *scenario.Terms) Spec {
+// failureSource returns the fleet's seeded source for failing jobs, which is safe for concurrent use.
+func failureSource(day *scenario.Day) func() float64 {
+	r := scenario.Rand(day.Seed, scenario.StreamErr)
+	var mu sync.Mutex
+	return func() float64 {
+		mu.Lock()
+		defer mu.Unlock()
+		return r.Float64()
+	}
+}
+
+// specOf returns what a worker of a day can do.
+func specOf(w scenario.Worker, terms *scenario.Terms) Spec {
 	return Spec{
-		Kind: w.Kind, Cores: w.Cores, Speed: w.Speed, Memory: w.Memory, Queue: w.Queue, SlowStartMinFactor: t.SlowStartMinFactor, SlowStartWindow: t.SlowStartWindow,
-		OverloadMultiple: t.OverloadMultiple, OverloadWindow: t.OverloadWindow, Progress: t.Progress,
+		Kind:               w.Kind,
+		Cores:              w.Cores,
+		Speed:              w.Speed,
+		Memory:             w.Memory,
+		Queue:              w.Queue,
+		SlowStartMinFactor: terms.SlowStartMinFactor,
+		SlowStartWindow:    terms.SlowStartWindow,
+		OverloadMultiple:   terms.OverloadMultiple,
+		OverloadWindow:     terms.OverloadWindow,
+		Progress:           terms.Progress,
 	}
 }
 
-// publish tells discovery how a worker is now.
-func (f *Fleet) publish(i int, status string, cold, atOnce bool) {
+// publish sends a worker's status to discovery.
+func (f *Fleet) publish(i int, status Status, warmingUp, immediate bool) {
 	w, d := f.Workers[i], f.day.Workers[i]
 	since := int64(0)
-	if cold {
+	if warmingUp {
 		since = time.Now().UnixMilli()
 	}
 	f.Discovery.Publish(EndpointUpdate{Worker: i, Incarnation: w.Incarnation(), Endpoint: func(dispatcher int) Endpoint {
 		address := w.Address(dispatcher)
-		if f.workersByName != nil && address != "" {
-			address = f.workersByName(dispatcher, address)
+		if f.addressFor != nil && address != "" {
+			address = f.addressFor(dispatcher, address)
 		}
 		return Endpoint{
-			Name: f.name(i), Address: address, Zone: d.Zone, Type: d.Kind, Group: d.Cell, Status: status,
+			Name: f.listedName(i), Address: address, Zone: d.Zone, Type: d.Kind, Group: d.Cell, Status: status,
 			Weight: float64(d.Cores), SinceMs: since,
 		}
-	}}, atOnce)
+	}}, immediate)
 }
 
-// after does something later, unless the fleet is closed first.
+// after calls do in a goroutine once wait has passed, unless the fleet is closed first.
 func (f *Fleet) after(wait time.Duration, do func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.stopped {
+	if f.closed {
 		return
 	}
-	f.waits.Add(1)
+	f.delayed.Add(1)
 	go func() {
-		defer f.waits.Done()
+		defer f.delayed.Done()
 		select {
 		case <-f.quit:
 		case <-time.After(wait):
@@ -118,31 +124,30 @@
 	}()
 }
 
-// Kill ends a worker's process and starts it again cold after a while.
-func (f *Fleet) Kill(i int, away time.Duration) {
-	f.Workers[i].Kill()
-	f.publish(i, StatusRemoved, false, false)
-	f.after(away, func() { f.restart(i) })
+// Kill ends a worker's process and starts it again, warming up, after downtime.
+func (f *Fleet) Kill(i int, downtime time.Duration) {
+	f.Down(i)
+	f.after(downtime, func() { f.Up(i) })
 }
 
-// Drain drains a worker and starts it again cold after a while, counted from its end.
-func (f *Fleet) Drain(i int, away time.Duration) {
-	f.publish(i, StatusDraining, false, false)
-	// It takes jobs until all dispatchers have had time to learn of it, as real ones do.
-	learned := f.day.Scenario.List.Lag + f.day.Scenario.List.Jitter
-	f.after(learned, func() {
-		done := f.Workers[i].Drain(f.day.Scenario.Terms.DrainGrace+drainStays, drainTimeout)
+// Drain drains a worker and starts it again, warming up, once its process has been down for downtime.
+func (f *Fleet) Drain(i int, downtime time.Duration) {
+	f.Leave(i)
+	// Like a real one it accepts jobs until all dispatchers have had time to learn that it drains.
+	propagation := f.day.Scenario.List.Lag + f.day.Scenario.List.Jitter
+	f.after(propagation, func() {
+		drained := f.Workers[i].Drain(f.day.Scenario.Terms.DrainGrace+minDrainTime, drainTimeout)
 		select {
-		case <-done:
+		case <-drained:
 		case <-f.quit:
 			return
 		}
 		f.publish(i, StatusRemoved, false, false)
-		f.after(away, func() { f.restart(i) })
+		f.after(downtime, func() { f.Up(i) })
 	})
 }
 
-// Leave has a worker be listed as draining; it goes on serving whoever comes, until Down.
+// Leave lists a worker as draining; it goes on accepting jobs until Down.
 func (f *Fleet) Leave(i int) { f.publish(i, StatusDraining, false, false) }
 
 // Down ends a worker's process, until Up.
@@ -151,15 +156,23 @@
 	f.publish(i, StatusRemoved, false, false)
 }
 
-// Rename has a worker that is down be listed under another name from then on.
+// Up starts a worker again, warming up.
+func (f *Fleet) Up(i int) {
+	if f.Workers[i].Start(false) != nil {
+		return // no port is left: it stays down, as the list has it
+	}
+	f.publish(i, StatusUp, true, false)
+}
+
+// Rename sets the name under which a worker that is down is listed from its next change on.
 func (f *Fleet) Rename(i int, name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.renamed[i] = name
 }
 
-// name is what a worker is listed as.
-func (f *Fleet) name(i int) string {
+// listedName returns the name under which a worker is listed.
+func (f *Fleet) listedName(i int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if name, ok := f.renamed[i]; ok {
@@ -168,24 +181,14 @@
 	return f.Workers[i].Name
 }
 
-// Up starts a worker again, cold.
-func (f *Fleet) Up(i int) { f.restart(i) }
-
-func (f *Fleet) restart(i int) {
-	if f.Workers[i].Start(false) != nil {
-		return // no port is left: it stays away, as the list says
-	}
-	f.publish(i, StatusUp, true, false)
-}
-
-// Ghosts lists workers that are not there, or takes them off the list.
+// Ghosts lists n endpoints where no worker listens, or removes them from the list.
 func (f *Fleet) Ghosts(n int, on bool) {
 	status := StatusUp
 	if !on {
 		status = StatusRemoved
 	}
 	for g := range n {
-		f.Discovery.Publish(EndpointUpdate{Worker: -1, Endpoint: func(int) Endpoint {
+		f.Discovery.Publish(EndpointUpdate{Worker: noWorker, Endpoint: func(int) Endpoint {
 			return Endpoint{
 				Name: fmt.Sprintf("ghost%d", g+1), Address: fmt.Sprintf("127.0.0.1:%d", g+1), Zone: f.day.Scenario.Zones[0],
 				Type: f.day.Workers[0].Kind, Status: status, Weight: 1,
@@ -194,15 +197,15 @@
 	}
 }
 
-// Close ends all workers and discovery.
+// Close ends all workers and discovery, and waits for what was to happen later.
 func (f *Fleet) Close() {
 	f.mu.Lock()
-	if !f.stopped {
-		f.stopped = true
+	if !f.closed {
+		f.closed = true
 		close(f.quit)
 	}
 	f.mu.Unlock()
-	f.waits.Wait()
+	f.delayed.Wait()
 	for _, w := range f.Workers {
 		w.Kill()
 	}
--- a/internal/testbed/fakes/machine.go
+++ b/internal/testbed/fakes/machine.go
@@ -1,5 +1,3 @@
-// Package fakes holds the lab's stand-ins: workers that speak the platform's protocol, and discovery with its agents.
-// They are written from the protocol's words alone and share no code with the dispatcher.
 package fakes
 
 import (
@@ -11,19 +9,22 @@
 // Spec is what a machine can do.
 type Spec struct {
 	Kind               string
-	Cores              int     // jobs' slots that run at once
-	Speed              float64 // against the yardstick core
+	Cores              int     // slots of jobs that run at once
+	Speed              float64 // of a core; 1 is the speed in which work is stated
 	Memory             float64 // units that running jobs may take together
-	Queue              int     // jobs that may wait; more are turned away
+	Queue              int     // jobs that may wait; more are rejected
 	SlowStartMinFactor float64 // share of its capacity that it starts with
 	SlowStartWindow    time.Duration
-	OverloadMultiple   float64 // cold and sent more than this multiple of what it can do ...
-	OverloadWindow     time.Duration
-	Progress           time.Duration // between progress notes of a running job; 0: none
+	OverloadMultiple   float64       // of its capacity: while warming up it crashes when it is sent more ...
+	OverloadWindow     time.Duration // ... for as long as this
+	Progress           time.Duration // between progress events of a running job; 0: none
 }
 
-// warmUpStep bounds how long a pace is taken as even while a machine warms up.
-const warmUpStep = 20 * time.Millisecond
+const (
+	warmUpStep    = 20 * time.Millisecond // for which the speed is taken as even while a machine warms up
+	failTime      = 2 * time.Millisecond  // that a failing job takes
+	workTolerance = 1e-9                  // seconds of work left that count as none
+)
 
 // Job is one job at a machine.
 type Job struct {
@@ -32,70 +33,70 @@
 	Memory float64
 	Fails  bool // it fails as soon as it begins
 
-	left    float64
-	running bool
-	noted   time.Duration // when it began, or its last note
-	placed  bool
+	workLeft    float64 // as Work
+	running     bool
+	accepted    bool          // it is queued or running
+	lastEventAt time.Duration // when it began, or its last progress event
 }
 
-// failTime is how long a failing job takes.
-const failTime = 2 * time.Millisecond
-
-// JobEventKind tells notes apart.
+// JobEventKind is the kind of a JobEvent.
 type JobEventKind uint8
 
-// The notes of a machine.
+// The events of a machine.
 const (
 	Began JobEventKind = iota
 	Progressed
 	Finished
 	Failed
-	Overloaded // the machine itself, pushed over cold
+	Overloaded // the machine itself crashed while it warmed up
 )
 
-// JobEvent is something that a machine tells.
+// JobEvent is something that happened at a machine.
 type JobEvent struct {
 	Kind     JobEventKind
-	Job      *Job
-	Progress float64 // done
+	Job      *Job    // nil for Overloaded
+	Progress float64 // share of the work done
 
-	// Of Fell: the work sent within the window and what the machine bears, in seconds on a core of speed 1.
+	// Of Overloaded: the work sent within the window and what the machine can take, in seconds on a core of speed 1, and the
+	// share of its capacity that it had.
 	Sent, Allowed, SlowStartFactor float64
 }
 
-// Machine is a worker's first-come queue and its cores. It has no clock and does no I/O: the caller tells the time,
-// which never goes back, and calls Advance after each change and no later than Next says.
+// Machine models a worker's first-come queue and its cores. It has no clock and does no I/O: the caller states the time,
+// which never goes back, and calls Advance after each change and no later than Next says. It is not safe for concurrent use.
 type Machine struct {
-	spec    Spec
-	started time.Duration
-	now     time.Duration
-	slow    float64
-	hung    bool
-	queue   []*Job
-	running []*Job
-	slots   int
-	memory  float64
-	sent    []sentWork // within the fall window, while cold
-	over    time.Duration
-	pushed  bool
-	crashed bool
+	spec       Spec
+	started    time.Duration
+	now        time.Duration
+	slowdown   float64 // how many times slower than usual it is
+	hung       bool
+	crashed    bool
+	queue      []*Job
+	running    []*Job
+	usedSlots  int
+	usedMemory float64
+
+	recentlySent    []sentWork // within the overload window, while warming up
+	overloaded      bool
+	overloadedSince time.Duration
 }
 
+// sentWork is the work of one job that was offered.
 type sentWork struct {
 	at   time.Duration
-	work float64
+	work float64 // seconds on a core of speed 1
 }
 
-// NewMachine returns a machine that starts now; a warm one has started long ago.
+// NewMachine returns a machine that starts now; a warm one is past its slow start.
 func NewMachine(s Spec, now time.Duration, warm bool) *Machine {
-	m := &Machine{spec: s, started: now, now: now, slow: 1}
+	m := &Machine{spec: s, started: now, now: now, slowdown: 1}
 	if warm {
 		m.started = now - s.SlowStartWindow
 	}
 	return m
 }
 
-// SlowStartFactor is the share of its capacity that it has.
+// SlowStartFactor returns the share of its capacity that the machine has at a time.
 func (m *Machine) SlowStartFactor(now time.Duration) float64 {
 	age := now - m.started
 	if age >= m.spec.SlowStartWindow {
@@ -104,173 +105,199 @@
 	return m.spec.SlowStartMinFactor + (1-m.spec.SlowStartMinFactor)*float64(age)/float64(m.spec.SlowStartWindow)
 }
 
-// speedFactor is how much of a job a slot does in a second at a moment.
+// speedFactor returns how many seconds of work a slot does in a second at a time.
 func (m *Machine) speedFactor(at time.Duration) float64 {
 	if m.hung || m.crashed {
 		return 0
 	}
-	return m.spec.Speed * m.SlowStartFactor(at) / m.slow
+	return m.spec.Speed * m.SlowStartFactor(at) / m.slowdown
 }
 
-// Offer gives the machine a job. It returns false where its queue is full or it lies on the ground.
+// Offer gives the machine a job. It returns false where the queue is full, the job can never fit, or the machine has crashed.
 func (m *Machine) Offer(j *Job) bool {
 	if m.SlowStartFactor(m.now) < 1 {
-		m.sent = append(m.sent, sentWork{m.now, j.Work})
+		m.recentlySent = append(m.recentlySent, sentWork{m.now, j.Work})
 	}
-	if m.crashed || len(m.queue) >= m.spec.Queue || j.Slots > m.spec.Cores || j.Memory > m.spec.Memory {
+	neverFits := j.Slots > m.spec.Cores || j.Memory > m.spec.Memory
+	if m.crashed || len(m.queue) >= m.spec.Queue || neverFits {
 		return false
 	}
-	j.left, j.placed = j.Work, true
+	j.workLeft, j.accepted = j.Work, true
 	m.queue = append(m.queue, j)
 	return true
 }
 
-// Drop takes a job away, waiting or running; it tells whether it was there.
+// Drop removes a job, queued or running; it returns false where the machine does not have it.
 func (m *Machine) Drop(j *Job) bool {
-	if !j.placed {
+	if !j.accepted {
 		return false
 	}
-	j.placed = false
 	if j.running {
 		m.release(j)
 		return true
 	}
-	m.queue = slices.DeleteFunc(m.queue, func(q *Job) bool { return q == j })
+	j.accepted = false
+	m.queue = slices.DeleteFunc(m.queue, func(queued *Job) bool { return queued == j })
 	return true
 }
 
+// release removes a running job and frees what it takes.
 func (m *Machine) release(j *Job) {
-	j.running = false
-	m.slots -= j.Slots
-	m.memory -= j.Memory
+	j.accepted, j.running = false, false
+	m.usedSlots -= j.Slots
+	m.usedMemory -= j.Memory
 	m.running = slices.DeleteFunc(m.running, func(r *Job) bool { return r == j })
 }
 
-// Slow sets how many times slower than usual it is.
-func (m *Machine) Slow(factor float64) { m.slow = factor }
+// Slow sets how many times slower than usual the machine is.
+func (m *Machine) Slow(factor float64) { m.slowdown = factor }
 
 // Hang stops or resumes all work.
 func (m *Machine) Hang(on bool) { m.hung = on }
 
-// Crashed tells whether it was pushed over.
+// Crashed tells whether the machine has crashed of overload.
 func (m *Machine) Crashed() bool { return m.crashed }
 
-// Busy is how many jobs it has.
-func (m *Machine) Busy() (running, waiting int) { return len(m.running), len(m.queue) }
+// Busy returns how many jobs the machine has.
+func (m *Machine) Busy() (running, queued int) { return len(m.running), len(m.queue) }
 
-// Advance goes on to a moment and returns what happened up to then, in order.
-func (m *Machine) Advance(now time.Duration) (notes []JobEvent) {
+// Advance goes on to a time and returns what happened up to then, in order.
+func (m *Machine) Advance(now time.Duration) (events []JobEvent) {
 	for m.now < now {
-		step := min(now, m.event())
-		m.work(step)
-		notes = append(notes, m.settle()...)
+		m.work(min(now, m.nextEvent()))
+		events = append(events, m.settle()...)
 	}
-	return append(notes, m.settle()...)
+	return append(events, m.settle()...)
 }
 
-// Next is when Advance is due without anything new; false: never.
+// Next returns when Advance is due if the machine is not changed; false means never.
 func (m *Machine) Next() (time.Duration, bool) {
-	at := m.event()
+	at := m.nextEvent()
 	return at, at < math.MaxInt64
 }
 
-// event is the next moment at which something changes by itself.
-func (m *Machine) event() time.Duration {
+// nextEvent returns the next time, after now, at which something may change by itself.
+func (m *Machine) nextEvent() time.Duration {
 	at := time.Duration(math.MaxInt64)
-	pace := m.speedFactor(m.now)
-	for _, j := range m.running {
-		if m.hung || m.crashed {
-			break
-		}
-		if j.Fails {
-			at = min(at, j.noted+failTime)
-			continue
-		}
-		if pace > 0 {
-			at = min(at, m.now+time.Duration(math.Ceil(j.left/pace*1e9)))
-		}
-		if m.spec.Progress > 0 {
-			at = min(at, j.noted+m.spec.Progress)
+	if !m.hung && !m.crashed {
+		speed := m.speedFactor(m.now)
+		for _, j := range m.running {
+			at = min(at, m.nextEventOf(j, speed))
 		}
 	}
-	if m.SlowStartFactor(m.now) < 1 && !m.crashed && (len(m.running) > 0 || len(m.sent) > 0) {
+	isWarmingUp := m.SlowStartFactor(m.now) < 1 && !m.crashed
+	if isWarmingUp && (len(m.running) > 0 || len(m.recentlySent) > 0) {
 		at = min(at, m.now+warmUpStep)
 	}
 	return max(at, m.now+1)
 }
 
-// work lets the running jobs run until a moment, at the mean pace of the step.
+// nextEventOf returns when a running job ends at a speed, or its next progress event.
+func (m *Machine) nextEventOf(j *Job, speed float64) time.Duration {
+	if j.Fails {
+		return j.lastEventAt + failTime
+	}
+	at := time.Duration(math.MaxInt64)
+	if speed > 0 {
+		at = m.now + time.Duration(math.Ceil(j.workLeft/speed*1e9))
+	}
+	if m.spec.Progress > 0 {
+		at = min(at, j.lastEventAt+m.spec.Progress)
+	}
+	return at
+}
+
+// work runs the running jobs up to a time, at the mean speed between now and then.
 func (m *Machine) work(to time.Duration) {
-	pace := (m.speedFactor(m.now) + m.speedFactor(to)) / 2
+	speed := (m.speedFactor(m.now) + m.speedFactor(to)) / 2
 	for _, j := range m.running {
-		j.left -= pace * (to - m.now).Seconds()
+		j.workLeft -= speed * (to - m.now).Seconds()
 	}
 	m.now = to
 }
 
-// settle ends what is done, begins what fits, and looks whether the machine is pushed over.
-func (m *Machine) settle() (notes []JobEvent) {
+// settle ends the jobs that are done, begins those that fit, and checks for overload.
+func (m *Machine) settle() (events []JobEvent) {
+	if !m.hung && !m.crashed {
+		events = m.endJobs(events)
+		events = m.beginJobs(events)
+	}
+	if overload, ok := m.checkOverload(); ok {
+		events = append(events, overload)
+	}
+	return events
+}
+
+// endJobs ends the running jobs that are done and appends their events and those of progress.
+func (m *Machine) endJobs(events []JobEvent) []JobEvent {
 	for _, j := range slices.Clone(m.running) {
 		switch {
-		case m.crashed || m.hung:
-		case j.Fails && m.now >= j.noted+failTime:
+		case j.Fails && m.now >= j.lastEventAt+failTime:
 			m.release(j)
-			j.placed = false
-			notes = append(notes, JobEvent{Kind: Failed, Job: j})
-		case !j.Fails && j.left <= 1e-9:
+			events = append(events, JobEvent{Kind: Failed, Job: j})
+		case !j.Fails && j.workLeft <= workTolerance:
 			m.release(j)
-			j.placed = false
-			notes = append(notes, JobEvent{Kind: Finished, Job: j})
-		case m.spec.Progress > 0 && m.now >= j.noted+m.spec.Progress:
-			j.noted = m.now
-			notes = append(notes, JobEvent{Kind: Progressed, Job: j, Progress: max(0, 1-j.left/j.Work)})
+			events = append(events, JobEvent{Kind: Finished, Job: j})
+		case m.spec.Progress > 0 && m.now >= j.lastEventAt+m.spec.Progress:
+			j.lastEventAt = m.now
+			events = append(events, JobEvent{Kind: Progressed, Job: j, Progress: max(0, 1-j.workLeft/j.Work)})
 		}
 	}
-	// In order: the first waits until it fits, and all behind it wait too.
-	for len(m.queue) > 0 && !m.hung && !m.crashed {
+	return events
+}
+
+// beginJobs begins queued jobs in their order, up to the first that does not fit, and appends their events.
+func (m *Machine) beginJobs(events []JobEvent) []JobEvent {
+	for len(m.queue) > 0 {
 		j := m.queue[0]
-		if m.slots+j.Slots > m.spec.Cores || m.memory+j.Memory > m.spec.Memory {
+		if m.usedSlots+j.Slots > m.spec.Cores || m.usedMemory+j.Memory > m.spec.Memory {
 			break
 		}
 		m.queue = m.queue[1:]
-		m.slots += j.Slots
-		m.memory += j.Memory
-		j.running, j.noted = true, m.now
+		m.usedSlots += j.Slots
+		m.usedMemory += j.Memory
+		j.running, j.lastEventAt = true, m.now
 		m.running = append(m.running, j)
-		notes = append(notes, JobEvent{Kind: Began, Job: j})
+		events = append(events, JobEvent{Kind: Began, Job: j})
 	}
-	return append(notes, m.lean()...)
+	return events
 }
 
-// lean pushes a cold machine over when for the whole window it has been sent more than it bears: the stated multiple of
-// what it can do, and one job of mean size in each core, since what goes straight into a free core is no crowd.
-func (m *Machine) lean() []JobEvent {
-	warmth := m.SlowStartFactor(m.now)
-	if warmth >= 1 || m.crashed {
-		m.sent, m.pushed = nil, false
-		return nil
+// checkOverload crashes a machine that warms up when for the whole window it has been sent more than it can take, and
+// returns the event of that.
+func (m *Machine) checkOverload() (JobEvent, bool) {
+	factor := m.SlowStartFactor(m.now)
+	if factor >= 1 || m.crashed {
+		m.recentlySent, m.overloaded = nil, false
+		return JobEvent{}, false
 	}
-	m.sent = slices.DeleteFunc(m.sent, func(s sentWork) bool { return s.at < m.now-m.spec.OverloadWindow })
-	sum := 0.0
-	for _, s := range m.sent {
-		sum += s.work
+	m.recentlySent = slices.DeleteFunc(m.recentlySent, func(s sentWork) bool { return s.at < m.now-m.spec.OverloadWindow })
+	sent, allowed := m.sentAndAllowed(factor)
+	if sent <= allowed {
+		m.overloaded = false
+		return JobEvent{}, false
 	}
-	mean := 0.0
-	if len(m.sent) > 0 {
-		mean = sum / float64(len(m.sent))
+	if !m.overloaded {
+		m.overloaded, m.overloadedSince = true, m.now
 	}
-	can := float64(m.spec.Cores) * m.spec.Speed * warmth * m.spec.OverloadWindow.Seconds()
-	bears := m.spec.OverloadMultiple*can + float64(m.spec.Cores)*mean
-	if sum <= bears {
-		m.pushed = false
-		return nil
+	if m.now-m.overloadedSince < m.spec.OverloadWindow {
+		return JobEvent{}, false
 	}
-	if !m.pushed {
-		m.pushed, m.over = true, m.now
+	m.crashed = true
+	return JobEvent{Kind: Overloaded, Sent: sent, Allowed: allowed, SlowStartFactor: factor}, true
+}
+
+// sentAndAllowed returns the work sent within the overload window and what the machine can take in that time, in seconds on a
+// core of speed 1: the stated multiple of its capacity, and one job of mean size for each core, since what goes straight into
+// a free core is no overload.
+func (m *Machine) sentAndAllowed(slowStartFactor float64) (sent, allowed float64) {
+	for _, s := range m.recentlySent {
+		sent += s.work
 	}
-	if m.now-m.over < m.spec.OverloadWindow {
-		return nil
+	mean := 0.0
+	if len(m.recentlySent) > 0 {
+		mean = sent / float64(len(m.recentlySent))
 	}
-	m.crashed = true
-	return []JobEvent{{Kind: Overloaded, Sent: sum, Allowed: bears, SlowStartFactor: warmth}}
+	capacity := float64(m.spec.Cores) * m.spec.Speed * slowStartFactor * m.spec.OverloadWindow.Seconds()
+	return sent, m.spec.OverloadMultiple*capacity + float64(m.spec.Cores)*mean
 }
--- a/internal/testbed/fakes/partition.go
+++ b/internal/testbed/fakes/partition.go
@@ -6,58 +6,58 @@
 	"time"
 )
 
-// A machine that vanished says nothing: what is open stays open, new connections do not come up. A process cannot drop
-// packets, but the kernel drops the first packet of a connection to a listener whose backlog is full. So the backlog is
-// set to nothing, and filled.
+// A machine that vanished is silent: open connections stay open, new ones are not established. A process cannot drop packets,
+// but the kernel drops the first packet of a connection to a listener whose backlog is full. So a partition sets the backlog
+// to zero and fills it.
 const (
-	maxBacklogConns = 4
-	fillWait        = 60 * time.Millisecond
-	backlog         = 4096
+	maxBacklogConns = 4                     // that may be needed to fill a backlog of zero
+	fillWait        = 60 * time.Millisecond // for a connection that fills it
+	backlog         = 4096                  // of a link that is not cut
 )
 
 // partition makes the link silent. It takes some dozen milliseconds.
-func (k *link) partition() {
-	k.w.mu.Lock()
-	if k.healed != nil {
-		k.w.mu.Unlock()
+func (l *link) partition() {
+	l.worker.mu.Lock()
+	if l.healed != nil {
+		l.worker.mu.Unlock()
 		return
 	}
-	k.healed = make(chan struct{})
-	_ = k.listener.SetDeadline(time.Unix(1, 0)) // fails on a closed listener, which accepts nothing anyway
-	k.w.mu.Unlock()
-	k.setBacklog(0)
+	l.healed = make(chan struct{})
+	_ = l.listener.SetDeadline(time.Unix(1, 0)) // fails on a closed listener, which accepts nothing anyway
+	l.worker.mu.Unlock()
+	l.setBacklog(0)
 	for range maxBacklogConns {
-		c, err := net.DialTimeout("tcp", k.listener.Addr().String(), fillWait)
+		c, err := net.DialTimeout("tcp", l.listener.Addr().String(), fillWait)
 		if err != nil {
-			break // it does not come up any more
+			break // the backlog is full
 		}
-		k.w.mu.Lock()
-		k.fill = append(k.fill, c)
-		k.w.mu.Unlock()
+		l.worker.mu.Lock()
+		l.backlogConns = append(l.backlogConns, c)
+		l.worker.mu.Unlock()
 	}
 }
 
-// heal ends the silence; the caller resets what was open. The worker's lock is held.
-func (k *link) heal() {
-	if k.healed == nil {
+// heal ends the silence; the caller resets the connections that were open. The worker's lock is held.
+func (l *link) heal() {
+	if l.healed == nil {
 		return
 	}
-	for _, c := range k.fill {
+	for _, c := range l.backlogConns {
 		_ = c.(*net.TCPConn).SetLinger(0) // fails on a connection that has ended already
 		c.Close()
 	}
-	k.fill = nil
-	for c := range k.conns {
+	l.backlogConns = nil
+	for c := range l.conns {
 		c.silent = true
 	}
-	k.setBacklog(backlog)
-	_ = k.listener.SetDeadline(time.Time{}) // fails on a closed listener only
-	close(k.healed)
-	k.healed = nil
+	l.setBacklog(backlog)
+	_ = l.listener.SetDeadline(time.Time{}) // fails on a closed listener only
+	close(l.healed)
+	l.healed = nil
 }
 
-func (k *link) setBacklog(n int) {
-	raw, err := k.listener.SyscallConn()
+func (l *link) setBacklog(n int) {
+	raw, err := l.listener.SyscallConn()
 	if err != nil {
 		return // closed meanwhile
 	}
@@ -66,15 +66,15 @@
 	}) // fails on a closed listener, which has no backlog
 }
 
-// clearDuration is how long after a silence what had got through in the kernel is looked for.
-const clearDuration = 2 * time.Millisecond
+// resetBacklogTime is how long after a partition connections that the kernel established during it are accepted to be reset.
+const resetBacklogTime = 2 * time.Millisecond
 
-// clear resets the connections that came up in the kernel during a silence: to the machine they never did.
-func (k *link) clear() {
-	_ = k.listener.SetDeadline(time.Now().Add(clearDuration)) // on a closed listener the next Accept fails
-	defer func() { _ = k.listener.SetDeadline(time.Time{}) }()
+// resetBacklog resets the connections that the kernel established during a partition: for a vanished machine there are none.
+func (l *link) resetBacklog() {
+	_ = l.listener.SetDeadline(time.Now().Add(resetBacklogTime)) // on a closed listener the next Accept fails
+	defer func() { _ = l.listener.SetDeadline(time.Time{}) }()
 	for {
-		c, err := k.listener.AcceptTCP()
+		c, err := l.listener.AcceptTCP()
 		if err != nil {
 			return
 		}
--- /dev/null
+++ b/internal/testbed/fakes/request.go
@@ -0,0 +1,98 @@
+package fakes
+
+import (
+	"fmt"
+	"net/http"
+	"strconv"
+
+	"github.com/cespare/xxhash/v2"
+
+	"birchfork/internal/testbed/invariant"
+)
+
+// handleRequest begins a request whose last byte has come.
+func (w *Worker) handleRequest(c *conn, req *http.Request, body []byte) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	defer c.flush()
+	if !c.link.isCurrent() {
+		c.reset(invariant.Died)
+		return
+	}
+	if c.job != nil {
+		w.recordProtocolFault(c.link.dispatcher, "a second request on a connection that carries one")
+		c.drop()
+		return
+	}
+	id := req.Header.Get("X-Request-Id")
+	switch {
+	case isHealthCheck(req):
+		c.appendHead(http.StatusOK, "")
+		return
+	case id == "":
+		c.appendHead(http.StatusNotFound, "")
+		return
+	}
+	order, ok := w.cfg.Book.Find(id)
+	if !ok {
+		w.recordProtocolFault(c.link.dispatcher, "a request under the id "+strconv.Quote(id)+" that no client sent")
+		c.appendHead(http.StatusBadRequest, "")
+		return
+	}
+	attempt := &invariant.Attempt{
+		ID: id, Worker: w.Index, Incarnation: w.incarnation, Dispatcher: c.link.dispatcher,
+		First: c.firstByteAt, Last: w.cfg.Ledger.Now(),
+	}
+	attempt.Changed = differenceFrom(order, req, body)
+	c.id, c.attempt, c.work = id, attempt, order.Work
+	if !w.cfg.SuppressOutput {
+		w.cfg.Ledger.Attempt(attempt)
+	}
+	w.startJob(c, order)
+}
+
+func isHealthCheck(req *http.Request) bool {
+	return req.Method == http.MethodGet && (req.URL.Path == "/alive" || req.URL.Path == "/metrics/load")
+}
+
+// differenceFrom returns how a request differs from what the client sent; "" where it does not.
+func differenceFrom(order Order, req *http.Request, body []byte) string {
+	switch {
+	case req.Method != http.MethodPost || req.RequestURI != order.Target:
+		return fmt.Sprintf("%s %s came in place of POST %s", req.Method, req.RequestURI, order.Target)
+	case xxhash.Sum64(body) != order.Body:
+		return fmt.Sprintf("the body of %d bytes is not the client's", len(body))
+	default:
+		return ""
+	}
+}
+
+// startJob offers the job of a new attempt to the machine, or rejects it. The lock is held.
+func (w *Worker) startJob(c *conn, order Order) {
+	j := &Job{Work: order.Work.Seconds(), Slots: order.Slots, Memory: order.Memory}
+	j.Fails = w.failingDispatchers[c.link.dispatcher] || w.failureRate > 0 && w.cfg.Fails() < w.failureRate
+	isOtherKind := order.Kind != "" && order.Kind != w.spec.Kind
+	if w.draining || isOtherKind {
+		c.reject()
+		return
+	}
+	w.step(func(m *Machine) {
+		if !m.Offer(j) {
+			c.reject()
+			return
+		}
+		c.job = j
+		if c.link.jobs == nil {
+			c.link.jobs = map[*Job]*conn{}
+		}
+		c.link.jobs[j] = c
+		c.appendChunkedHead()
+	})
+}
+
+// recordProtocolFault records input that the worker cannot accept. The lock is held.
+func (w *Worker) recordProtocolFault(dispatcher int, what string) {
+	if !w.cfg.SuppressOutput {
+		w.cfg.Ledger.ProtocolFault(invariant.ProtocolFault{Worker: w.Index, Dispatcher: dispatcher, At: w.cfg.Ledger.Now(), What: what})
+	}
+}
--- a/internal/testbed/fakes/worker_test.go
+++ b/internal/testbed/fakes/worker_test.go
@@ -94,7 +94,7 @@
 		{"health check", Order{}, nil, "GET /alive HTTP/1.1\r\nHost: w1\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", invariant.Open, ""},
 		{"no id", Order{}, nil, "GET /x HTTP/1.1\r\nHost: w1\r\n\r\n", "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n", invariant.Open, ""},
 		{"unknown id", Order{}, nil, post("b", "/x", ""), "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n", invariant.Open, ""},
-		{"failing job", Order{Slots: 1, Work: time.Hour}, func(w *Worker) { w.ErrFor(0, true) }, post("a", "/x", "body"),
+		{"failing job", Order{Slots: 1, Work: time.Hour}, func(w *Worker) { w.FailFor(0, true) }, post("a", "/x", "body"),
 			chunks(startedLine, `{"id":"a","from":"w1","state":"failed"}`) + lastChunk, invariant.Errored, ""},
 		{"other type of worker", Order{Kind: "gpu"}, nil, post("a", "/x", "body"), notRun, invariant.TurnedAway, ""},
 		{"more slots than cores", Order{Slots: 3}, nil, post("a", "/x", "body"), notRun, invariant.TurnedAway, ""},
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -153,7 +153,7 @@
 			k := injector.run.fleet.Workers[w]
 			k.Slow(slow)
 			k.Hang(hung)
-			k.Err(fails)
+			k.SetFailureRate(fails)
 		}
 	}
 }
