--- a/internal/testbed/loadgen/closed.go
+++ b/internal/testbed/loadgen/closed.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -13,18 +14,22 @@
 	"birchfork/internal/testbed/fakes"
 )
 
+// The closed loop's requests.
+const (
+	closedTarget   = "/search/lab"
+	closedClass    = "search"
+	closedDeadline = 10 * time.Second
+)
+
 // Book describes the requests of the closed loop to the fake workers; all are alike.
 type Book struct{ Order fakes.Order }
 
 // Find returns the same order for every request id.
 func (b Book) Find(string) (fakes.Order, bool) { return b.Order, true }
 
-// closedTarget is what the closed loop asks for.
-const closedTarget = "/search/lab"
-
-// NewBook returns the book of a closed loop whose requests need work and have a body of so many bytes.
-func NewBook(work time.Duration, body int) Book {
-	return Book{fakes.Order{Work: work, Slots: 1, Target: closedTarget, Body: xxhash.Sum64(make([]byte, body))}}
+// NewBook returns the book of a closed loop whose requests need work (on a core of speed 1) and have a body of so many bytes.
+func NewBook(work time.Duration, bodyBytes int) Book {
+	return Book{fakes.Order{Work: work, Slots: 1, Target: closedTarget, Body: xxhash.Sum64(make([]byte, bodyBytes))}}
 }
 
 // Closed is the result of a closed loop.
@@ -37,59 +42,87 @@
 // PerSecond returns the throughput in requests per second.
 func (c *Closed) PerSecond() float64 { return float64(c.Requests) / c.Took.Seconds() }
 
+// newLatencyHistogram returns a histogram of microseconds up to a minute, with three significant digits.
+func newLatencyHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
+}
+
 // RunClosed lets n clients send requests to one address for length, each the next one as soon as the last is answered.
 // run is the prefix that keeps request ids apart from those of other loops.
-func RunClosed(ctx context.Context, addr, run string, n, body int, length time.Duration) *Closed {
-	out := &Closed{Latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+func RunClosed(ctx context.Context, addr, run string, n, bodyBytes int, length time.Duration) *Closed {
+	out := &Closed{Latency: newLatencyHistogram()}
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var clients sync.WaitGroup
 	var failed atomic.Int64
 	began := time.Now()
 	for i := range n {
-		all.Add(1)
+		clients.Add(1)
 		go func() {
-			defer all.Done()
-			h := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
-			var c *Conn
-			q := &Request{Class: "search", Target: closedTarget, Left: 10 * time.Second, Body: make([]byte, body)}
+			defer clients.Done()
+			c := &closedClient{addr: addr, latency: newLatencyHistogram(), failed: &failed, request: Request{
+				Class: closedClass, Target: closedTarget, TimeLeft: closedDeadline, Body: make([]byte, bodyBytes),
+			}}
+			defer c.close()
 			for k := 0; ctx.Err() == nil && time.Since(began) < length; k++ {
-				if c == nil {
-					var err error
-					if c, err = Dial(addr, dialWait); err != nil {
-						failed.Add(1)
-						time.Sleep(elsewhere)
-						continue
-					}
-				}
-				q.ID = fmt.Sprintf("%s-%x-%x", run, i, k)
-				at := time.Now()
-				err := c.Send(q)
-				var a Answer
-				again := false
-				if err == nil {
-					a, again, err = c.Receive(at.Add(q.Left))
-				}
-				if err == nil && a.Status == 200 {
-					// No request takes longer than Left, far below the histogram's maximum.
-					_ = h.RecordValue(max(1, time.Since(at).Microseconds()))
-				} else {
-					failed.Add(1)
-				}
-				if !again {
-					c.Close()
-					c = nil
-				}
-			}
-			if c != nil {
-				c.Close()
+				c.send(fmt.Sprintf("%s-%x-%x", run, i, k))
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			out.Latency.Merge(h)
+			out.Latency.Merge(c.latency)
 		}()
 	}
-	all.Wait()
+	clients.Wait()
 	out.Took, out.Failed = time.Since(began), failed.Load()
 	out.Requests = out.Latency.TotalCount()
 	return out
 }
+
+// closedClient is one client of a closed loop.
+type closedClient struct {
+	addr    string
+	request Request
+	conn    *Conn // nil: none is open
+	latency *hdrhistogram.Histogram
+	failed  *atomic.Int64 // of all clients
+}
+
+// send sends a request, on a new connection if none is open, and waits for its answer.
+func (c *closedClient) send(id string) {
+	if c.conn == nil {
+		conn, err := Dial(c.addr, dialTimeout)
+		if err != nil {
+			c.failed.Add(1)
+			time.Sleep(redialDelay)
+			return
+		}
+		c.conn = conn
+	}
+	c.request.ID = id
+	sentAt := time.Now()
+	status, reusable, err := c.exchange(sentAt.Add(c.request.TimeLeft))
+	if err == nil && status == http.StatusOK {
+		// No request takes longer than its deadline, far below the histogram's maximum.
+		_ = c.latency.RecordValue(max(1, time.Since(sentAt).Microseconds()))
+	} else {
+		c.failed.Add(1)
+	}
+	if !reusable {
+		c.close()
+	}
+}
+
+// exchange sends the request on the open connection and receives the answer.
+func (c *closedClient) exchange(deadline time.Time) (status int, reusable bool, err error) {
+	if err := c.conn.Send(&c.request); err != nil {
+		return 0, false, err
+	}
+	a, reusable, err := c.conn.Receive(deadline)
+	return a.Status, reusable, err
+}
+
+func (c *closedClient) close() {
+	if c.conn != nil {
+		c.conn.Close()
+		c.conn = nil
+	}
+}
--- a/internal/testbed/loadgen/generator.go
+++ b/internal/testbed/loadgen/generator.go
@@ -14,17 +14,24 @@
 
 // Times of clients.
 const (
-	dialWait  = time.Second
-	elsewhere = 20 * time.Millisecond  // after a refused connection, before another dispatcher is tried
-	overtime  = 400 * time.Millisecond // past its time a client of the lab stays, to see a late answer
+	dialTimeout    = time.Second
+	redialDelay    = 20 * time.Millisecond  // after a refused connection, before another dispatcher is tried
+	lateAnswerWait = 400 * time.Millisecond // past its deadline, in which a client still sees a late answer
+	minRetryTime   = 5 * time.Millisecond   // to the deadline, for a retry to be worth sending
+)
+
+// Bodies are cut from a text of paddingBytes; each begins in its first maxBodyOffset bytes.
+const (
+	paddingBytes  = 1 << 16
+	maxBodyOffset = 1024
 )
 
 // Result is the outcome of a client's request with all its retries.
 type Result struct {
 	Tries     int
 	Outcome   invariant.Outcome // of the last try
-	Ended     time.Duration     // since the run's start; when its last try ended
-	Requested bool              // it was begun before the run was broken off
+	Ended     time.Duration     // of the last try, since the run's start
+	Requested bool              // it was begun before the run was interrupted
 }
 
 // Generator plays the clients of a generated day as an open loop. Run is called once; Find is safe for concurrent use.
@@ -32,15 +39,15 @@
 	day         *scenario.Day
 	ledger      *invariant.Ledger
 	dispatchers []*Dispatcher
-	pad         []byte
+	padding     []byte
 
-	book    sync.Map // id to fleet.Order
+	orders  sync.Map // request id to *clientOrder
 	results []Result
 	origin  time.Duration // the day's start on the ledger's clock
 
 	Began func()              // called once the day has begun; may be nil
-	Lag   func(time.Duration) // hears how late each arrival was begun
-	Done  atomic.Int64        // wishes that have ended
+	Lag   func(time.Duration) // called with how late each request was begun
+	Done  atomic.Int64        // client requests that have ended
 }
 
 // Dispatcher is the clients' access to one dispatcher. It is safe for concurrent use.
@@ -51,40 +58,40 @@
 }
 
 // Down makes clients send new tries to other dispatchers, or ends that.
-func (f *Dispatcher) Down(on bool) { f.down.Store(on) }
+func (d *Dispatcher) Down(on bool) { d.down.Store(on) }
 
 // New returns the clients of a day; addresses are those of the dispatchers, in their order.
 func New(day *scenario.Day, l *invariant.Ledger, addresses []string) *Generator {
-	x := &Generator{day: day, ledger: l, results: make([]Result, len(day.Requests)), Lag: func(time.Duration) {}}
-	for _, a := range addresses {
-		x.dispatchers = append(x.dispatchers, &Dispatcher{Address: a})
+	g := &Generator{day: day, ledger: l, results: make([]Result, len(day.Requests)), Lag: func(time.Duration) {}}
+	for _, address := range addresses {
+		g.dispatchers = append(g.dispatchers, &Dispatcher{Address: address})
 	}
 	r := rand.New(rand.NewPCG(day.Seed, 0))
-	x.pad = make([]byte, 1<<16)
-	for i := range x.pad {
-		x.pad[i] = byte(' ' + r.IntN(95))
+	g.padding = make([]byte, paddingBytes)
+	for i := range g.padding {
+		g.padding[i] = byte(' ' + r.IntN(95)) // printable
 	}
-	return x
+	return g
 }
 
 // Dispatcher returns the access to dispatcher i.
 func (g *Generator) Dispatcher(i int) *Dispatcher { return g.dispatchers[i] }
 
-// Find returns what a client sent under a request id, and notes that a worker has seen it.
+// Find returns what a client sent under a request id, and records that a worker received it.
 func (g *Generator) Find(id string) (fakes.Order, bool) {
-	o, ok := g.book.Load(id)
+	o, ok := g.orders.Load(id)
 	if !ok {
 		return fakes.Order{}, false
 	}
-	b := o.(*booked)
-	b.seen.Store(true)
-	return b.Order, true
+	order := o.(*clientOrder)
+	order.received.Store(true)
+	return order.Order, true
 }
 
-// booked is what a client asked for, and whether a worker has seen it.
-type booked struct {
+// clientOrder is what a client requested, and whether a worker has received it.
+type clientOrder struct {
 	fakes.Order
-	seen atomic.Bool
+	received atomic.Bool
 }
 
 // Origin returns the day's start on the ledger's clock; it is valid once Began was called.
@@ -100,12 +107,12 @@
 	if g.Began != nil {
 		g.Began()
 	}
-	var out sync.WaitGroup
+	var open sync.WaitGroup
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for i := range g.day.Requests {
-		w := &g.day.Requests[i]
-		if wait := g.origin + w.At - g.ledger.Now(); wait > 0 {
+		planned := &g.day.Requests[i]
+		if wait := g.origin + planned.At - g.ledger.Now(); wait > 0 {
 			timer.Reset(wait)
 			select {
 			case <-timer.C:
@@ -115,47 +122,47 @@
 		if ctx.Err() != nil {
 			break
 		}
-		g.Lag(g.ledger.Now() - g.origin - w.At)
-		out.Add(1)
+		g.Lag(g.ledger.Now() - g.origin - planned.At)
+		open.Add(1)
 		go func() {
-			defer out.Done()
+			defer open.Done()
 			defer g.Done.Add(1)
 			g.request(ctx, i)
 		}()
 	}
-	out.Wait()
-	for _, f := range g.dispatchers {
-		f.pool.close()
+	open.Wait()
+	for _, d := range g.dispatchers {
+		d.pool.close()
 	}
 }
 
-// request is the life of one wish: its tries, one after the other.
-func (g *Generator) request(ctx context.Context, i int) {
-	w, res := &g.day.Requests[i], &g.results[i]
-	class := &g.day.Scenario.Classes[w.Class]
+// request sends one client request: its tries, one after the other.
+func (g *Generator) request(ctx context.Context, index int) {
+	planned, result := &g.day.Requests[index], &g.results[index]
+	class := &g.day.Scenario.Classes[planned.Class]
 	clients := &g.day.Scenario.Clients
-	end := g.origin + w.At + class.Deadline
-	res.Requested = true
-	crossed := 0
-	for n := 0; ; n++ {
-		t, a := g.sendTry(i, n, crossed, end)
-		if g.crossed(t) && ctx.Err() == nil && g.ledger.Now() < end {
-			// A close between requests crossed this one: it is sent once more. The lab gives it another id, so that the
-			// judge can tell the two apart where a dispatcher has read both.
-			crossed++
-			n--
+	deadline := g.origin + planned.At + class.Deadline
+	result.Requested = true
+	resent := 0
+	for number := 0; ; number++ {
+		try, answer := g.sendTry(index, number, resent, deadline)
+		if g.wasClosedUnread(try) && ctx.Err() == nil && g.ledger.Now() < deadline {
+			// The dispatcher closed the idle connection as the request was sent: it is sent once more. It gets another id,
+			// so that the invariant checker can tell the two apart where a dispatcher has read both.
+			resent++
+			number--
 			continue
 		}
-		res.Tries, res.Outcome, res.Ended = n+1, t.Outcome, t.Ended
-		settled := t.Outcome == invariant.Served || t.Outcome == invariant.Left
-		if settled || n >= clients.Retries || !shouldRetry(class, t) || ctx.Err() != nil {
+		result.Tries, result.Outcome, result.Ended = number+1, try.Outcome, try.Ended
+		settled := try.Outcome == invariant.Served || try.Outcome == invariant.Left
+		if settled || number >= clients.Retries || !shouldRetry(class, try) || ctx.Err() != nil {
 			return
 		}
 		wait := clients.RetryWait
-		if w.Obeys && a.RetryAfter > 0 {
-			wait = a.RetryAfter
+		if planned.Obeys && answer.RetryAfter > 0 {
+			wait = answer.RetryAfter
 		}
-		if g.ledger.Now()+wait >= end-5*time.Millisecond {
+		if g.ledger.Now()+wait >= deadline-minRetryTime {
 			return
 		}
 		select {
@@ -166,33 +173,34 @@
 	}
 }
 
-// crossed tells whether a kept connection was closed on a request that nobody has read.
-func (g *Generator) crossed(t *invariant.Try) bool {
-	if t.Outcome != invariant.Closed || t.Fresh {
+// wasClosedUnread tells whether a connection from the pool was closed on a request that no worker received.
+func (g *Generator) wasClosedUnread(try *invariant.Try) bool {
+	if try.Outcome != invariant.Closed || try.Fresh {
 		return false
 	}
-	b, ok := g.book.Load(t.ID)
-	return ok && !b.(*booked).seen.Load()
+	order, ok := g.orders.Load(try.ID)
+	return ok && !order.(*clientOrder).received.Load()
 }
 
-// shouldRetry tells whether a client asks again by itself.
-func shouldRetry(c *scenario.Class, t *invariant.Try) bool {
-	switch c.Retry {
+// shouldRetry tells whether a client retries after a try that was not served.
+func shouldRetry(class *scenario.Class, try *invariant.Try) bool {
+	switch class.Retry {
 	case scenario.RetryNone:
 		return false
 	case scenario.RetryRefused:
-		return t.Outcome == invariant.Refused || t.Outcome == invariant.Unsent
+		return try.Outcome == invariant.Refused || try.Outcome == invariant.Unsent
 	default:
 		return true
 	}
 }
 
-// dispatcherFor is where a try goes: home, or where home is down the next that is up.
-func (g *Generator) dispatcherFor(home, n int) int {
+// dispatcherFor returns the dispatcher to which a client sends after so many hops from its own; one that is down is passed
+// over, unless all are.
+func (g *Generator) dispatcherFor(own, hops int) int {
 	for k := range g.dispatchers {
-		if i := (home + n + k) % len(g.dispatchers); !g.dispatchers[i].down.Load() {
+		if i := (own + hops + k) % len(g.dispatchers); !g.dispatchers[i].down.Load() {
 			return i
 		}
 	}
-	return (home + n) % len(g.dispatchers)
+	return (own + hops) % len(g.dispatchers)
 }
--- a/internal/testbed/loadgen/try.go
+++ b/internal/testbed/loadgen/try.go
@@ -15,25 +15,26 @@
 
 // exchange is one try of a client's request under way: what it sends, what came back and its entry in the ledger.
 type exchange struct {
-	load    *Generator
-	wish    *scenario.Request
-	end     time.Duration // when the client's time is up, on the ledger's clock
-	try     *invariant.Try
-	request *Request
-	answer  Answer
+	generator *Generator
+	planned   *scenario.Request
+	deadline  time.Duration // on the ledger's clock
+	try       *invariant.Try
+	request   *Request
+	answer    Answer
 }
 
-// sendTry sends one request and waits for its answer.
-func (g *Generator) sendTry(wish, n, crossed int, end time.Duration) (*invariant.Try, Answer) {
-	e := g.newExchange(wish, n, crossed, end)
-	conn, front := e.connect()
+// sendTry sends one request and waits for its answer. index is that of the day's request, number counts its tries, and resent
+// the times that it was sent once more because its connection had been closed.
+func (g *Generator) sendTry(index, number, resent int, deadline time.Duration) (*invariant.Try, Answer) {
+	e := g.newExchange(index, number, resent, deadline)
+	conn, dispatcher := e.connect()
 	if conn == nil {
 		e.settle(invariant.Unsent)
 		return e.try, e.answer
 	}
-	e.request.Left = (end - g.ledger.Now()).Truncate(time.Millisecond)
-	if e.request.Left < time.Millisecond {
-		front.pool.put(conn)
+	e.request.TimeLeft = (deadline - g.ledger.Now()).Truncate(time.Millisecond)
+	if e.request.TimeLeft < time.Millisecond {
+		dispatcher.pool.put(conn)
 		e.settle(invariant.Unsent)
 		return e.try, e.answer
 	}
@@ -41,98 +42,98 @@
 		e.fail(conn, err)
 		return e.try, e.answer
 	}
-	e.receive(conn, front)
+	e.receive(conn, dispatcher)
 	return e.try, e.answer
 }
 
-// newExchange makes the request of a try and enters it in the book and in the ledger.
-func (g *Generator) newExchange(wish, n, crossed int, end time.Duration) *exchange {
-	w := &g.day.Requests[wish]
-	class := &g.day.Scenario.Classes[w.Class]
-	id := fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprintf("%d/%d/%d/%d", g.day.Seed, wish, n, crossed)))
+// newExchange makes the request of a try, and records its order for the workers and the try in the ledger.
+func (g *Generator) newExchange(index, number, resent int, deadline time.Duration) *exchange {
+	planned := &g.day.Requests[index]
+	class := &g.day.Scenario.Classes[planned.Class]
+	id := fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprintf("%d/%d/%d/%d", g.day.Seed, index, number, resent)))
 	q := &Request{
 		ID:     id,
 		Class:  class.Name,
-		Target: fmt.Sprintf("/%s/lab?w=%d", class.Name, wish),
-		Retry:  n > 0 && g.day.Scenario.Clients.Mark,
+		Target: fmt.Sprintf("/%s/lab?w=%d", class.Name, index),
+		Retry:  number > 0 && g.day.Scenario.Clients.Mark,
 	}
-	if w.Body > 0 {
-		q.Body = g.pad[wish%1024:][:w.Body]
+	if planned.Body > 0 {
+		q.Body = g.padding[index%maxBodyOffset:][:planned.Body]
 	}
-	if w.Tenant >= 0 {
-		q.Tenant = g.day.Scenario.Tenants[w.Tenant].Name
+	if planned.Tenant >= 0 {
+		q.Tenant = g.day.Scenario.Tenants[planned.Tenant].Name
 	}
 	if class.Slots > 1 || class.Memory > 0 {
 		q.Extras = fmt.Sprintf("slots=%d,memory=%g", class.Slots, class.Memory)
 	}
-	g.book.Store(id, &booked{Order: fakes.Order{
-		Work:   w.Work,
+	g.orders.Store(id, &clientOrder{Order: fakes.Order{
+		Work:   planned.Work,
 		Slots:  class.Slots,
 		Memory: class.Memory,
 		Kind:   class.Kind,
 		Target: q.Target,
 		Body:   xxhash.Sum64(q.Body),
 	}})
-	t := &invariant.Try{ID: id, Request: wish, Number: n, Class: w.Class}
-	g.ledger.Try(t)
-	return &exchange{load: g, wish: w, end: end, try: t, request: q}
+	try := &invariant.Try{ID: id, Request: index, Number: number, Class: planned.Class}
+	g.ledger.Try(try)
+	return &exchange{generator: g, planned: planned, deadline: deadline, try: try, request: q}
 }
 
 // connect returns a connection to the client's dispatcher, or to the next that accepts one; nil if none does in time.
 func (e *exchange) connect() (*Conn, *Dispatcher) {
-	x := e.load
-	for hop := 0; ; {
-		e.try.Dispatcher = x.dispatcherFor(e.wish.Dispatcher, hop)
-		front := x.dispatchers[e.try.Dispatcher]
-		if conn := front.pool.take(); conn != nil {
-			return conn, front
+	g := e.generator
+	for hops := 0; ; {
+		e.try.Dispatcher = g.dispatcherFor(e.planned.Dispatcher, hops)
+		dispatcher := g.dispatchers[e.try.Dispatcher]
+		if conn := dispatcher.pool.take(); conn != nil {
+			return conn, dispatcher
 		}
-		conn, err := Dial(front.Address, dialWait)
+		conn, err := Dial(dispatcher.Address, dialTimeout)
 		if err == nil {
-			return conn, front
+			return conn, dispatcher
 		}
-		hop++
-		if hop >= 2*len(x.dispatchers) || x.ledger.Now()+elsewhere >= e.end {
+		hops++
+		if hops >= 2*len(g.dispatchers) || g.ledger.Now()+redialDelay >= e.deadline {
 			return nil, nil
 		}
-		time.Sleep(elsewhere)
+		time.Sleep(redialDelay)
 	}
 }
 
-// send writes the request and notes when it was sent and is due.
+// send writes the request and records when it was sent and is due.
 func (e *exchange) send(conn *Conn) error {
-	ledger := e.load.ledger
-	e.try.Fresh = conn.fresh
+	ledger := e.generator.ledger
+	e.try.Fresh = conn.isFresh
 	before := ledger.Now()
 	err := conn.Send(e.request)
-	ledger.Do(func() { e.try.Sent, e.try.Due = ledger.Now(), before+e.request.Left })
+	ledger.Do(func() { e.try.Sent, e.try.Due = ledger.Now(), before+e.request.TimeLeft })
 	return err
 }
 
 // receive waits for the answer, a little past the request's deadline, or until the client leaves as planned.
-func (e *exchange) receive(conn *Conn, front *Dispatcher) {
-	x := e.load
-	stays := e.try.Due + overtime
-	leavesAt := x.origin + e.wish.At + e.wish.Leaves
-	leaves := e.wish.Leaves > 0 && leavesAt < stays
+func (e *exchange) receive(conn *Conn, dispatcher *Dispatcher) {
+	g := e.generator
+	waitUntil := e.try.Due + lateAnswerWait
+	leavesAt := g.origin + e.planned.At + e.planned.Leaves
+	leaves := e.planned.Leaves > 0 && leavesAt < waitUntil
 	if leaves {
-		stays = leavesAt
+		waitUntil = leavesAt
 	}
 	var reusable bool
 	var err error
-	e.answer, reusable, err = conn.Receive(time.Now().Add(stays - x.ledger.Now()))
+	e.answer, reusable, err = conn.Receive(time.Now().Add(waitUntil - g.ledger.Now()))
 	switch {
-	case err != nil && leaves && x.ledger.Now() >= leavesAt:
+	case err != nil && leaves && g.ledger.Now() >= leavesAt:
 		conn.Close()
 		e.settle(invariant.Left)
-	case err == nil || errors.Is(err, errMore):
+	case err == nil || errors.Is(err, errExtraBytes):
 		e.settle(outcomeOf(e.answer.Status))
 		if err != nil {
-			e.answeredTwice()
+			e.recordExtraBytes()
 		}
-		conn.last = e.answeredTwice
+		conn.onExtraBytes = e.recordExtraBytes
 		if reusable {
-			front.pool.put(conn)
+			dispatcher.pool.put(conn)
 		} else {
 			conn.Close()
 		}
@@ -155,9 +156,9 @@
 	}
 }
 
-// settle notes how the try ended.
+// settle records how the try ended.
 func (e *exchange) settle(outcome invariant.Outcome) {
-	ledger := e.load.ledger
+	ledger := e.generator.ledger
 	ledger.Do(func() {
 		e.try.Outcome, e.try.Status, e.try.Ended = outcome, e.answer.Status, ledger.Now()
 		if outcome == invariant.Served {
@@ -166,12 +167,12 @@
 	})
 }
 
-// answeredTwice notes that more came than one answer.
-func (e *exchange) answeredTwice() {
-	e.load.ledger.Do(func() { e.try.Twice = true })
+// recordExtraBytes records that more came than one answer.
+func (e *exchange) recordExtraBytes() {
+	e.generator.ledger.Do(func() { e.try.Twice = true })
 }
 
-// outcomeOf maps the status of a whole answer to its outcome.
+// outcomeOf returns the outcome of a whole answer by its status.
 func outcomeOf(status int) invariant.Outcome {
 	switch status {
 	case http.StatusOK:
