--- a/internal/testbed/invariant/check_test.go
+++ b/internal/testbed/invariant/check_test.go
@@ -18,24 +18,52 @@
 	}
 }
 
-// served is a try that went well, with its one attempt.
+// served returns a try that was served, with its one attempt.
 func served(class int) (*Try, *Attempt) {
 	t := &Try{ID: "a", Class: class, Sent: 1000 * ms, Due: 3000 * ms, Ended: 1200 * ms, Outcome: Served, Status: 200, Result: 7}
 	return t, &Attempt{ID: "a", First: 1010 * ms, Last: 1010 * ms, Ended: 1190 * ms, End: Done, Ran: true, Result: 7}
 }
 
-// again is a second attempt after the first.
+// again returns a second attempt, at a worker and time.
 func again(worker int, at time.Duration) *Attempt {
 	return &Attempt{ID: "a", Worker: worker, First: at, Last: at, Ended: at + 100*ms, End: Done, Ran: true, Result: 7}
 }
 
-func TestCheck_NamesViolations(t *testing.T) {
-	for _, c := range []struct {
-		name  string
-		class int
-		do    func(l *Ledger, t *Try, a *Attempt)
-		want  string // rule/kind, several apart by spaces; empty: all is well
-	}{
+// checkCase is a record of a run with the violations that the check finds in it.
+type checkCase struct {
+	name   string
+	class  int
+	change func(l *Ledger, t *Try, a *Attempt) // of a served try and its attempt
+	want   string                              // rule/kind, several with spaces between; empty: none
+}
+
+func checkCases(t *testing.T, cases []checkCase) {
+	t.Helper()
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			l := NewLedger()
+			try, a := served(c.class)
+			l.Try(try)
+			l.Attempt(a)
+			c.change(l, try, a)
+			verdict := Check(l, terms())
+			got := make([]string, 0, len(verdict.Violations))
+			for _, v := range verdict.Violations {
+				got = append(got, v.Rule+"/"+v.Kind)
+				if len(v.Lines) == 0 || !slices.Contains(Rules, v.Rule) || !strings.Contains(v.String(), v.Lines[0]) {
+					t.Errorf("a violation without proof: %+v", v)
+				}
+			}
+			if strings.Join(got, " ") != c.want {
+				t.Errorf("found %q, not %q", strings.Join(got, " "), c.want)
+			}
+		})
+	}
+}
+
+// Each violation of Answers is named, and what comes close to one is none.
+func TestCheck_Answers(t *testing.T) {
+	checkCases(t, []checkCase{
 		{"a served request", 1, func(*Ledger, *Try, *Attempt) {}, ""},
 		{"an answer in the slack", 0, func(_ *Ledger, t *Try, _ *Attempt) { t.Ended = t.Due + 50*ms }, ""},
 		{"a late answer", 0, func(_ *Ledger, t *Try, _ *Attempt) { t.Ended = t.Due + 51*ms }, "answers/late"},
@@ -63,7 +91,12 @@
 		{"a send that crosses the answer", 0, func(l *Ledger, t *Try, _ *Attempt) { l.Attempt(again(1, t.Ended+40*ms)) }, ""},
 		{"another body", 0, func(_ *Ledger, _ *Try, a *Attempt) { a.Changed = "shorter" }, "answers/changed"},
 		{"what no worker can read", 0, func(l *Ledger, _ *Try, _ *Attempt) { l.ProtocolFault(ProtocolFault{What: "junk"}) }, "answers/nonsense"},
+	})
+}
 
+// Each violation of Effects is named, and what comes close to one is none.
+func TestCheck_Effects(t *testing.T) {
+	checkCases(t, []checkCase{
 		{"a safe one twice", 0, func(l *Ledger, _ *Try, _ *Attempt) { l.Attempt(again(1, 1100*ms)) }, ""},
 		{"a safe one too often", 0, func(l *Ledger, _ *Try, _ *Attempt) {
 			for i := range 3 {
@@ -95,7 +128,12 @@
 		{"a keyed one past its window", 2, func(l *Ledger, t *Try, _ *Attempt) { t.Ended = 2500 * ms; l.Attempt(again(1, 2200*ms)) }, "effects/sent-again effects/ran-twice"},
 		{"a refusal of a keyed one that all drop", 3, func(_ *Ledger, t *Try, a *Attempt) { t.Outcome, a.End = Refused, Errored }, ""},
 		{"a refusal of a keyed one that a cell drops", 2, func(_ *Ledger, t *Try, a *Attempt) { t.Outcome, a.End = Refused, Errored }, "effects/refused-what-may-have-run"},
+	})
+}
 
+// Each violation of Drains is named, and what comes close to one is none.
+func TestCheck_Drains(t *testing.T) {
+	checkCases(t, []checkCase{
 		{"a send within the grace", 0, func(l *Ledger, _ *Try, _ *Attempt) {
 			l.Delivery(&Delivery{State: Draining, Has: 400 * ms, Written: 470 * ms})
 		}, ""},
@@ -125,7 +163,6 @@
 			t.Sent, t.Due, t.Ended = 8990*ms, 12000*ms, 9100*ms
 			l.Delivery(&Delivery{State: Draining, Has: 300 * ms})
 		}, "drains/sent-after-drain"},
-
 		{"news that nobody took, and newer that came", 0, func(l *Ledger, t *Try, a *Attempt) {
 			a.First, a.Last, a.Ended = 9000*ms, 9000*ms, 9100*ms
 			t.Sent, t.Due, t.Ended = 8990*ms, 12000*ms, 9100*ms
@@ -136,30 +173,17 @@
 			l.Delivery(&Delivery{State: Draining, Has: 300 * ms, Written: 300 * ms})
 			l.Delivery(&Delivery{State: Up, Has: 200 * ms, Written: 900 * ms})
 		}, "drains/sent-after-drain"},
+	})
+}
+
+// An overload of a warming worker is a violation of SlowStart.
+func TestCheck_SlowStart(t *testing.T) {
+	checkCases(t, []checkCase{
 		{"a cold worker pushed over", 0, func(l *Ledger, _ *Try, _ *Attempt) { l.Overload(Overload{Sent: 3, Allowed: 1}) }, "cold/pushed-over"},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			l := NewLedger()
-			try, a := served(c.class)
-			l.Try(try)
-			l.Attempt(a)
-			c.do(l, try, a)
-			v := Check(l, terms())
-			got := make([]string, 0, len(v.Violations))
-			for _, b := range v.Violations {
-				got = append(got, b.Rule+"/"+b.Kind)
-				if len(b.Lines) == 0 || !slices.Contains(Rules, b.Rule) || !strings.Contains(b.String(), b.Lines[0]) {
-					t.Errorf("a breach without proof: %+v", b)
-				}
-			}
-			if strings.Join(got, " ") != c.want {
-				t.Errorf("judged %q, not %q", strings.Join(got, " "), c.want)
-			}
-		})
-	}
+	})
 }
 
-// What a killed dispatcher held is excused, what another holds is lost.
+// What a killed dispatcher had open is excused, what another had is lost.
 func TestCheck_CountsLostAndExcused(t *testing.T) {
 	l := NewLedger()
 	for i, d := range []int{0, 0, 1} {
--- a/internal/testbed/invariant/ledger.go
+++ b/internal/testbed/invariant/ledger.go
@@ -1,5 +1,7 @@
 // Package invariant records what clients, workers and discovery observed during a run, and checks the four rules against
-// that. It never asks a dispatcher. All times are on one clock, since the run's start.
+// that. It takes nothing from a dispatcher's own account. All times are on one clock, since the run's start.
+//
+// The stand-ins of a run record in a Ledger; Check reads it when the run has ended and returns a Verdict.
 package invariant
 
 import (
@@ -17,26 +19,27 @@
 	Refused          // 429 or 503
 	Failed           // any other whole answer
 	Closed           // the connection ended with no whole answer
-	Unknown          // no answer in the client's time
-	Left             // the client went first, by plan
+	Unknown          // no answer while the client waited
+	Left             // the client left before an answer, as planned
 	Unsent           // no connection came up, or the request could not be written whole
 	outcomes         // how many there are
 )
 
 var outcomeNames = [outcomes]string{"pending", "served", "refused", "failed", "closed", "no answer", "left", "unsent"}
 
+// String returns the outcome as reports have it.
 func (o Outcome) String() string { return outcomeNames[o] }
 
 // Try is one request as its client saw it.
 type Try struct {
 	ID         string
-	Request    int
-	Number     int // 0: the first try of its wish
+	Request    int // index of the client request in the day
+	Number     int // 0: the first try of its client request
 	Class      int
 	Dispatcher int
 	Fresh      bool          // the first request on its connection
 	Sent       time.Duration // when its last byte was written
-	Due        time.Duration // when its client's time is up
+	Due        time.Duration // its deadline
 	Ended      time.Duration
 	Outcome    Outcome
 	Status     int
@@ -47,19 +50,20 @@
 // End is how an attempt ended at its worker.
 type End uint8
 
-// The ends. Only Returned and TurnedAway tell that it never ran.
+// The ends. Only Returned and TurnedAway state that it never ran.
 const (
 	Open       End = iota
 	Done           // with a result
 	Errored        // failed, or status 500
-	Returned       // handed back unstarted
+	Returned       // returned from the queue, unstarted
 	TurnedAway     // 503 with X-Not-Run
 	Dropped        // the dispatcher closed the connection
-	Died           // the worker died or was cut off
+	Died           // the worker's process ended or its link was cut
 )
 
 var endNames = [...]string{"open", "done", "failed", "returned", "turned away", "dropped by the dispatcher", "lost with its worker"}
 
+// String returns the end as lines of proof have it.
 func (e End) String() string { return endNames[e] }
 
 // Attempt is one request as a worker saw it.
@@ -68,7 +72,7 @@
 	Worker      int
 	Incarnation int // which start of the worker
 	Dispatcher  int
-	First, Last time.Duration // its first and last byte came
+	First, Last time.Duration // when its first and last byte came
 	Ended       time.Duration
 	End         End
 	Ran         bool   // it began to run
@@ -76,7 +80,7 @@
 	Changed     string // how it differs from what the client sent; empty: not at all
 }
 
-// State is what the list says of a worker.
+// State is the state of a worker in the endpoint list.
 type State uint8
 
 // The states.
@@ -88,6 +92,7 @@
 
 var stateNames = [...]string{"up", "draining", "removed"}
 
+// String returns the state as lines of proof have it.
 func (s State) String() string { return stateNames[s] }
 
 // Delivery is a change of one worker's state on its way to one dispatcher.
@@ -95,7 +100,7 @@
 	Dispatcher, Worker, Incarnation int
 	State                           State
 	Has                             time.Duration // since when the dispatcher's agent has it
-	Written                         time.Duration // when it went down the watch; 0: not yet
+	Written                         time.Duration // when it was written to the dispatcher; 0: not yet
 }
 
 // Overload is a worker that was overloaded while it warmed up.
@@ -103,7 +108,7 @@
 	Worker, Incarnation int
 	At                  time.Duration
 	Sent, Allowed       float64 // work within the window, in seconds on a core of speed 1
-	SlowStartFactor     float64
+	SlowStartFactor     float64 // the share of its capacity that it had
 }
 
 // Moment is an event of a dispatcher's process.
@@ -117,22 +122,23 @@
 // What is the kind of a Moment.
 type What uint8
 
-// The moments.
+// The moments. The testbed sends the signals.
 const (
 	Started    What = iota
 	Ready           // it answered that it is up
-	Killed          // by us, with SIGKILL
+	Killed          // by SIGKILL
 	Terminated      // SIGTERM sent
 	Reloaded        // SIGHUP sent
-	Exited          // in order, after SIGTERM
-	Crashed         // by itself, or with a status of its own
+	Exited          // with status 0, after SIGTERM
+	Crashed         // by itself, or with another status
 	Overstayed      // it had not ended when SIGKILL came after SIGTERM
-	Stopped         // by us, with SIGSTOP
-	Woken           // with SIGCONT
+	Stopped         // by SIGSTOP
+	Woken           // by SIGCONT
 )
 
 var whatNames = [...]string{"started", "ready", "killed", "sent SIGTERM", "sent SIGHUP", "ended", "crashed", "did not end after SIGTERM", "sent SIGSTOP", "sent SIGCONT"}
 
+// String returns the moment as reports have it.
 func (w What) String() string { return whatNames[w] }
 
 // ProtocolFault is input that a worker was sent and could not parse.
@@ -164,29 +170,30 @@
 // At converts t to the ledger's clock.
 func (l *Ledger) At(t time.Time) time.Duration { return t.Sub(l.start) }
 
-func note[T any](l *Ledger, list *[]T, v T) {
+// record appends a value to one of the ledger's lists.
+func record[T any](l *Ledger, list *[]T, v T) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	*list = append(*list, v)
 }
 
 // Try records a try; change it through Do only.
-func (l *Ledger) Try(t *Try) { note(l, &l.tries, t) }
+func (l *Ledger) Try(t *Try) { record(l, &l.tries, t) }
 
 // Attempt records an attempt; change it through Do only.
-func (l *Ledger) Attempt(a *Attempt) { note(l, &l.attempts, a) }
+func (l *Ledger) Attempt(a *Attempt) { record(l, &l.attempts, a) }
 
 // Delivery records a change of a worker's state; change the entry through Do only.
-func (l *Ledger) Delivery(t *Delivery) { note(l, &l.deliveries, t) }
+func (l *Ledger) Delivery(d *Delivery) { record(l, &l.deliveries, d) }
 
 // Overload records an overload of a worker that warmed up.
-func (l *Ledger) Overload(f Overload) { note(l, &l.overloads, f) }
+func (l *Ledger) Overload(o Overload) { record(l, &l.overloads, o) }
 
 // Moment records an event of a dispatcher's process.
-func (l *Ledger) Moment(m Moment) { note(l, &l.moments, m) }
+func (l *Ledger) Moment(m Moment) { record(l, &l.moments, m) }
 
 // ProtocolFault records input that a worker could not parse.
-func (l *Ledger) ProtocolFault(o ProtocolFault) { note(l, &l.protocolFaults, o) }
+func (l *Ledger) ProtocolFault(f ProtocolFault) { record(l, &l.protocolFaults, f) }
 
 // Do runs f, which changes an entry, under the ledger's lock.
 func (l *Ledger) Do(f func()) {
