--- a/internal/testbed/fakes/agent.go
+++ b/internal/testbed/fakes/agent.go
@@ -115,7 +115,7 @@
 	a.signal()
 }
 
-// isSilent tells whether the agent serves nothing.
+// isSilent reports whether the agent serves nothing.
 func (a *Agent) isSilent() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/testbed/fakes/link.go
+++ b/internal/testbed/fakes/link.go
@@ -57,7 +57,7 @@
 	return true
 }
 
-// isCurrent tells whether the link's incarnation is running. The worker's lock is held.
+// isCurrent reports whether the link's incarnation is running. The worker's lock is held.
 func (l *link) isCurrent() bool {
 	return l.worker.machine != nil && l.worker.incarnation == l.incarnation
 }
@@ -81,7 +81,7 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// isNetErr tells whether reading failed because of the connection, not of what was sent on it.
+// isNetErr reports whether reading failed because of the connection, not of what was sent on it.
 func isNetErr(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) || errors.Is(err, io.ErrUnexpectedEOF)
--- a/internal/testbed/fakes/machine.go
+++ b/internal/testbed/fakes/machine.go
@@ -155,7 +155,7 @@
 // Hang stops or resumes all work.
 func (m *Machine) Hang(on bool) { m.hung = on }
 
-// Crashed tells whether the machine has crashed of overload.
+// Crashed reports whether the machine has crashed under overload.
 func (m *Machine) Crashed() bool { return m.crashed }
 
 // Busy returns how many jobs the machine has.
--- a/internal/testbed/fakes/worker.go
+++ b/internal/testbed/fakes/worker.go
@@ -32,7 +32,7 @@
 	Notes          bool             // workers report the start and the progress of jobs
 	IdleClose      time.Duration    // idle connections are closed after this; 0: never
 	Fails          func() float64   // draws from [0,1); a job fails where the draw is below the worker's failure rate
-	OnOverload     func(worker int) // called after a worker crashed of overload; may be nil
+	OnOverload     func(worker int) // called after a worker crashed under overload; may be nil
 	SuppressOutput bool             // no attempt or protocol fault is recorded: for measuring the testbed's own ceiling
 	Net            Net              // of the workers' hosts
 }
--- a/internal/testbed/invariant/check.go
+++ b/internal/testbed/invariant/check.go
@@ -128,7 +128,7 @@
 	return out
 }
 
-// wasStoppedIn tells whether the testbed had a dispatcher stopped at some time between from and to, or until shortly before.
+// wasStoppedIn reports whether the testbed had a dispatcher stopped at some time between from and to, or until shortly before.
 func (c *checker) wasStoppedIn(dispatcher int, from, to time.Duration) bool {
 	stopped := time.Duration(-1)
 	for _, m := range c.ledger.moments {
@@ -146,7 +146,7 @@
 	return stopped >= 0 && stopped <= to+c.terms.Slack
 }
 
-// wasKilledIn tells whether the testbed killed a dispatcher between from and to.
+// wasKilledIn reports whether the testbed killed a dispatcher between from and to.
 func (c *checker) wasKilledIn(dispatcher int, from, to time.Duration) bool {
 	for _, m := range c.ledger.moments {
 		if m.Dispatcher == dispatcher && m.What == Killed && m.At >= from-c.terms.Slack && m.At <= to+c.terms.Slack {
--- a/internal/testbed/invariant/effects.go
+++ b/internal/testbed/invariant/effects.go
@@ -61,12 +61,12 @@
 	return effects
 }
 
-// neverRan tells whether it was known by a time that an attempt had not run and would not.
+// neverRan reports whether it was known by a time that an attempt had not run and would not.
 func neverRan(a *Attempt, by time.Duration) bool {
 	return (a.End == Returned || a.End == TurnedAway) && a.Ended <= by
 }
 
-// dropsRepeat tells whether the second of two attempts of a keyed job is dropped where it is sent.
+// dropsRepeat reports whether the second of two attempts of a keyed job is dropped where it is sent.
 func (c *checker) dropsRepeat(class *Class, first, second *Attempt) bool {
 	if !class.Keyed || second.First > first.First+class.Window+c.terms.Slack {
 		return false
--- a/internal/testbed/invariant/violation.go
+++ b/internal/testbed/invariant/violation.go
@@ -40,7 +40,7 @@
 // Kinds of violations of Drains and SlowStart.
 const (
 	SentAfterDrain = "sent-after-drain"
-	PushedOver     = "pushed-over" // a warming worker crashed of overload
+	PushedOver     = "pushed-over" // a warming worker crashed under overload
 )
 
 // severalDispatchers stands for the dispatcher of a violation that is of all together.
--- a/internal/testbed/loadgen/conn.go
+++ b/internal/testbed/loadgen/conn.go
@@ -52,7 +52,7 @@
 // errExtraBytes is returned where more bytes came than one answer.
 var errExtraBytes = errors.New("more came than the answer")
 
-// Receive reads the answer; reusable tells whether the connection may be used for another request. The error is errExtraBytes
+// Receive reads the answer; reusable reports whether the connection may be used for another request. The error is errExtraBytes
 // where more came than the answer, else that of the connection, which times out at deadline.
 func (c *Conn) Receive(deadline time.Time) (a Answer, reusable bool, err error) {
 	c.SetReadDeadline(deadline)
--- a/internal/testbed/loadgen/generator.go
+++ b/internal/testbed/loadgen/generator.go
@@ -17,7 +17,7 @@
 	dialTimeout    = time.Second
 	redialDelay    = 20 * time.Millisecond  // after a refused connection, before another dispatcher is tried
 	lateAnswerWait = 400 * time.Millisecond // past its deadline, in which a client still sees a late answer
-	minRetryTime   = 5 * time.Millisecond   // to the deadline, for a retry to be worth sending
+	minRetryTime   = 5 * time.Millisecond   // to the deadline, for a retry to be sent
 )
 
 // Bodies are cut from a text of paddingBytes; each begins in its first maxBodyOffset bytes.
@@ -173,7 +173,7 @@
 	}
 }
 
-// wasClosedUnread tells whether a connection from the pool was closed on a request that no worker received.
+// wasClosedUnread reports whether a connection from the pool was closed on a request that no worker received.
 func (g *Generator) wasClosedUnread(try *invariant.Try) bool {
 	if try.Outcome != invariant.Closed || try.Fresh {
 		return false
@@ -182,7 +182,7 @@
 	return ok && !order.(*clientOrder).received.Load()
 }
 
-// shouldRetry tells whether a client retries after a try that was not served.
+// shouldRetry reports whether a client retries after a try that was not served.
 func shouldRetry(class *scenario.Class, try *invariant.Try) bool {
 	switch class.Retry {
 	case scenario.RetryNone:
--- a/internal/testbed/mutant/dispatcher.go
+++ b/internal/testbed/mutant/dispatcher.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// isFaulty tells whether the dispatcher has a fault and it affects the newest request.
+// isFaulty reports whether the dispatcher has a fault and it affects the newest request.
 func (d *dispatcher) isFaulty(fault string) bool {
 	return d.fault == fault && d.requests.Load()%faultyPeriod == 3
 }
@@ -218,7 +218,7 @@
 
 var errFailed = errors.New("the worker failed")
 
-// forward sends a request to one worker; mayHaveRun tells whether it may have run there.
+// forward sends a request to one worker; mayHaveRun reports whether it may have run there.
 func (d *dispatcher) forward(ctx context.Context, r *http.Request, body []byte) (result []byte, mayHaveRun bool, err error) {
 	address, ok := d.endpoints.choose()
 	if !ok {
