--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -187,7 +187,7 @@
 	w := injector.run.fleet.Workers[worker]
 	w.Slow(slowness)
 	w.Hang(hung)
-	w.Err(errorShare)
+	w.SetFailureRate(errorShare)
 }
 
 // reload writes a dispatcher's current configuration and sends it SIGHUP.
