--- a/internal/coordinator/handlers.go
+++ b/internal/coordinator/handlers.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"math/rand/v2"
 
@@ -96,22 +95,25 @@
 
 // handlePosition handles the position of another member's storage, and answers with this member's: see resume.
 func (c *Coordinator) handlePosition(_ context.Context, from peer.Sender, body []byte) ([]byte, error) {
-	var position consensus.Position
-	if err := json.Unmarshal(body, &position); err != nil {
-		return nil, &peer.RejectedError{Reason: "no mark: " + err.Error()}
-	}
+	return peer.ServeJSON(body, peer.RejectMalformed[consensus.Position]("no mark: "), func(sent *consensus.Position) (consensus.Position, error) {
+		return c.servePosition(from, sent)
+	})
+}
+
+// servePosition returns this member's position, unless the sender's is behind what its incarnation has promised.
+func (c *Coordinator) servePosition(from peer.Sender, sent *consensus.Position) (consensus.Position, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if position.Misses(c.observedPositions[from.Incarnation]) {
-		return nil, errStaleDisk
+	if sent.Misses(c.observedPositions[from.Incarnation]) {
+		return consensus.Position{}, errStaleDisk
 	}
 	if c.membership == nil || c.membership.identity.ClusterID == "" {
-		return nil, errRejectOutsideGroup
+		return consensus.Position{}, errRejectOutsideGroup
 	}
 	if c.membership.node == nil {
-		return json.Marshal(c.membership.startPosition)
+		return c.membership.startPosition, nil
 	}
-	return json.Marshal(c.membership.node.Status().Position)
+	return c.membership.node.Status().Position, nil
 }
 
 // isLeader reports whether this member considers itself the leader. A quorum may have elected another one.
--- a/internal/coordinator/join.go
+++ b/internal/coordinator/join.go
@@ -84,10 +84,13 @@
 
 // handleJoin handles a joinRequest at the leader: it adds the member as a learner and answers once that is committed.
 func (c *Coordinator) handleJoin(ctx context.Context, _ peer.Sender, body []byte) ([]byte, error) {
-	var request joinRequest
-	if err := json.Unmarshal(body, &request); err != nil {
-		return nil, &peer.RejectedError{Reason: "no call to be taken in: " + err.Error()}
-	}
+	return peer.ServeJSON(body, peer.RejectMalformed[*joinReply]("no call to be taken in: "), func(request *joinRequest) (*joinReply, error) {
+		return c.serveJoin(ctx, request)
+	})
+}
+
+// serveJoin adds the sender to the group, unless its incarnation is a member already.
+func (c *Coordinator) serveJoin(ctx context.Context, request *joinRequest) (*joinReply, error) {
 	i := slices.IndexFunc(c.options.Group.Members, func(listed peer.Member) bool { return listed.Name == request.Name })
 	if i < 0 || request.RaftID == 0 || request.Incarnation == "" {
 		return nil, &peer.RejectedError{Reason: "no member by our file: " + request.Name}
@@ -107,12 +110,12 @@
 			return nil, err
 		}
 	}
-	return json.Marshal(joinReply{ClusterID: clusterID})
+	return &joinReply{ClusterID: clusterID}, nil
 }
 
 // addMember proposes to add a member, and waits until that is committed. A member that is to vote becomes a voter once it has caught up:
 // see reconcileVoters.
-func (c *Coordinator) addMember(ctx context.Context, node *consensus.Node, request joinRequest, isVoter bool) error {
+func (c *Coordinator) addMember(ctx context.Context, node *consensus.Node, request *joinRequest, isVoter bool) error {
 	// As in earlier builds this entry has no level, unlike those of encodeEntry.
 	entry, err := json.Marshal(maintenance.Command{Kind: maintenance.CommandJoinMember, Member: &maintenance.Member{
 		Name: request.Name, Incarnation: request.Incarnation, RaftID: request.RaftID, Voter: isVoter,
--- a/internal/coordinator/lease.go
+++ b/internal/coordinator/lease.go
@@ -168,10 +168,13 @@
 
 // handleReport handles a member's statusReport at the leader, and grants the member a lease.
 func (c *Coordinator) handleReport(ctx context.Context, _ peer.Sender, body []byte) ([]byte, error) {
-	var report statusReport
-	if err := json.Unmarshal(body, &report); err != nil {
-		return nil, &peer.RejectedError{Reason: "no report: " + err.Error()}
-	}
+	return peer.ServeJSON(body, peer.RejectMalformed[*leaseGrant]("no report: "), func(report *statusReport) (*leaseGrant, error) {
+		return c.serveReport(ctx, report)
+	})
+}
+
+// serveReport records a member's report and grants it a lease as of a read barrier.
+func (c *Coordinator) serveReport(ctx context.Context, report *statusReport) (*leaseGrant, error) {
 	node := c.node()
 	if node == nil {
 		return nil, errOutsideGroup
@@ -186,10 +189,10 @@
 	if member == nil || member.Incarnation != report.Incarnation {
 		return nil, errUnknownIncarnation
 	}
-	c.lastReports[report.Name] = receivedReport{report, time.Now()}
+	c.lastReports[report.Name] = receivedReport{*report, time.Now()}
 	// Guards against a member whose lease and attempts last longer than the group waits for a silent one.
 	if c.state.FenceTimeout < report.FenceTimeout {
 		return nil, errFenceTimeout
 	}
-	return json.Marshal(leaseGrant{Index: index})
+	return &leaseGrant{Index: index}, nil
 }
