--- a/dispatch/action.go
+++ b/dispatch/action.go
@@ -1,11 +1,12 @@
 package dispatch
 
-// ActionKind tells actions apart.
+// ActionKind is the type of an Action.
 type ActionKind uint8
 
-// The actions. The comments name the fields that each uses.
+// The kinds of actions. Each comment lists the fields of Action that the kind uses.
 const (
-	// Send (Request, Worker, Wait, SendBefore) starts an attempt. Wait is its time-out, 0 for the client's own.
+	// Send (Request, Worker, Wait, SendBefore) starts an attempt. Wait is its timeout, 0 for the client's
+	// own.
 	Send ActionKind = iota
 	// Cancel (Request, Attempt) cancels an attempt in flight.
 	Cancel
@@ -13,24 +14,25 @@
 	Reject
 	// Fail (Request) answers the request with a failure.
 	Fail
-	// SetTimer (Wait) asks for a TimerFired.
+	// SetTimer (Wait) requests a TimerFired event after Wait.
 	SetTimer
-	// WatchEndpoints asks for the endpoint list's changes from now on.
+	// WatchEndpoints requests a watch of the endpoint list: its changes from now on.
 	WatchEndpoints
-	// FetchEndpoints asks for the whole endpoint list once.
+	// FetchEndpoints requests the complete endpoint list once.
 	FetchEndpoints
-	// SendToPeer (Peer, Message) sends another dispatcher a message.
+	// SendToPeer (Peer, Message) sends a message to another dispatcher.
 	SendToPeer
 )
 
-// Action is one thing to do. Attempts of a request are numbered 0, 1, 2 in the order of their Sends.
+// Action is one step for the caller to carry out. Attempts of a request are numbered 0, 1, 2 in the order of
+// their Sends.
 type Action struct {
 	Kind       ActionKind
 	Request    RequestID
 	Attempt    int
 	Worker     WorkerID
 	Wait       Time
-	SendBefore Time // the attempt's first byte goes out before, or it does not go out; 0: no bound
+	SendBefore Time // the attempt is sent only if its first byte goes out before this time; 0: no bound
 	Peer       int
 	Message    PeerMessage
 }
--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// admit decides on a request that has arrived: it is queued or sent, sent to a worker that is warming up, or
-// rejected. Guards against queues in which all requests end late, at the workers or here, and against waits
-// that come to nothing.
+// admit decides on a request that has arrived: it is queued, sent, or rejected. A request that would be
+// rejected may still be sent to a worker that is warming up. Rejection guards against queues in which every
+// request ends late, at the workers or here, and against waits that cannot succeed.
 func (d *Dispatcher) admit(r *request, isRetry bool) {
 	d.retryBudget = min(maxRetryBudget, d.retryBudget+retryBudgetRatio)
 	d.meanWork += (d.expectedWork(r) - d.meanWork) * slowEWMAWeight
-	r.sampled = isRetry // retries get no worker that is warming up: a storm of them would overload these
+	r.sampled = isRetry // retries get no worker that is warming up: a burst of them would overload it
 	quotaWeight := 1.0
 	if d.overQuota(r, isRetry) {
 		r.band, quotaWeight = bandOverQuota, d.settings.OverQuotaWeight
@@ -24,9 +24,10 @@
 	}
 }
 
-// latestOnTimeSend is the last moment to send a request for an answer of full weight by a usual worker. A
-// request with much work gets a quarter of its time. Where the work is unknown, half of the requests would be
-// late by the spread of their run times, which moves the objective by more than the run.
+// latestOnTimeSend returns the last moment to send a request for an answer of full weight by a typical
+// worker. A request with much work gets at least a quarter of its time. Where the work is unknown, the
+// expected error is added, without which half of the requests would be late: a deviation changes the run time
+// once, and the objective by ObjectiveStretch times as much.
 func (d *Dispatcher) latestOnTimeSend(r *request) Time {
 	run := d.expectedWork(r) * d.fleet.slowdown
 	if r.work == 0 {
@@ -35,8 +36,8 @@
 	return max(r.objectiveAt-Time(run), r.arrivedAt+(r.objectiveAt-r.arrivedAt)/4)
 }
 
-// backlogDelay is how long the work ahead of a request takes at the rate of what is in flight (Little's law),
-// bounded by how long requests have in fact been queued.
+// backlogDelay estimates how long the work queued ahead of a request takes at the rate of the work in flight
+// (Little's law), bounded by how long requests have actually been queued.
 func (d *Dispatcher) backlogDelay(r *request) Time {
 	ahead := d.queuedSlots[bandNormal]
 	if r.band == bandOverQuota {
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -6,22 +6,22 @@
 	"math/rand/v2"
 )
 
-// never is a time that does not come. Two of it can be added without an overflow.
+// never is a time that is never reached. Two of it can be added without an overflow.
 const never = Time(math.MaxInt64 / 4)
 
-// Dispatcher decides for one dispatcher of a group. It is not safe for concurrent use: its caller hands it
-// one event at a time.
+// Dispatcher makes the decisions of one dispatcher of a group. It is not safe for concurrent use: its caller
+// passes it one event at a time.
 type Dispatcher struct {
 	settings  Settings
 	rng       *rand.Rand
 	now       Time
-	startedAt Time     // of the first event
+	startedAt Time     // time of the first event
 	actions   []Action // of the event that is being handled
 
 	classes    []classState
 	tenants    []tenantState
-	totalQuota float64 // of all tenants, in requests a second
-	arrivals   float64 // without clients' retries
+	totalQuota float64 // of all tenants, in requests per second
+	arrivals   float64 // requests counted against quotas, without clients' retries
 
 	workers              []*worker // by id; nil: unknown
 	workersByTag         map[uint64]*worker
@@ -35,28 +35,28 @@
 	warmingUntil         Time      // when the last of the ready ones has warmed up
 	ejectedCount         int       // of the ready ones
 	ring                 []ringPoint
-	ringAdditions        []*worker // whose points are not on the ring yet
+	ringAdditions        []*worker // workers whose points are not on the ring yet
 
 	requests     []*request // by id; nil: unknown
 	freeRequests []*request
 	queues       [bandCount]queue   // all queued requests, in the order in which they were queued
-	queuedSlots  [bandCount]float64 // that they take
+	queuedSlots  [bandCount]float64 // slots that they take
 	timers       timerHeap
 	timerAt      Time   // when the caller's timer is due; never: it is not set
-	serial       uint64 // the last one given to a queue ticket or a timer
+	serial       uint64 // the last number given to a queue ticket or a timer
 
 	slotsInUse   float64 // of this dispatcher's attempts in flight at all workers
-	meanCapacity float64 // of workers at the ends of attempts
+	meanCapacity float64 // of workers, as of the ends of attempts
 	meanWork     float64 // of the requests that arrived, in microseconds
 	failureRate  float64 // of attempts at all workers
 	retryBudget  float64 // retries that may be made now
-	shedding     float64 // how hard arrivals are rejected, 0 to 1 ...
-	sheddingAt   Time    // ... as of then
+	shedding     float64 // strength of load shedding, 0 (none) to 1 ...
+	sheddingAt   Time    // ... as of this time
 
-	usageByTag map[uint64]aggregatedUsage // of the workers whose aggregator this dispatcher is
+	usageByTag map[uint64]aggregatedUsage // by tag of the workers whose aggregator this dispatcher is
 
 	endpointVersion uint64
-	nextPollAt      Time // when to ask for the endpoint list again
+	nextPollAt      Time // when to request the endpoint list again
 	pollBackoff     Time
 }
 
@@ -96,9 +96,9 @@
 	return d, nil
 }
 
-// Handle decides on one event and appends what is to be done to actions. Events about requests, attempts,
-// classes and workers that the dispatcher does not know are ignored. A time before that of the last event
-// counts as that.
+// Handle handles one event and appends the resulting actions to actions. Events about requests, attempts,
+// classes and workers that the dispatcher does not know are ignored. A time before that of the last event is
+// treated as the time of the last event.
 func (d *Dispatcher) Handle(now Time, event *Event, actions []Action) []Action {
 	d.now, d.actions = max(now, d.now), actions
 	if d.startedAt == 0 {
@@ -148,7 +148,7 @@
 // emit adds an action to those of the event that is being handled.
 func (d *Dispatcher) emit(a Action) { d.actions = append(d.actions, a) }
 
-// request returns the request of an id, nil where there is none.
+// request returns the request with an id, nil if there is none.
 func (d *Dispatcher) request(id RequestID) *request {
 	if int(id) < len(d.requests) {
 		return d.requests[id]
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// attempt returns the attempt in flight that an event is about, nil where there is none.
+// attempt returns the request and the attempt in flight that an event is about, nil if there is none.
 func (d *Dispatcher) attempt(event *Event) (*request, *attempt) {
 	r := d.request(event.Request)
 	if r == nil || event.Attempt < 0 || event.Attempt >= len(r.attempts) {
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -2,23 +2,23 @@
 // retried, hedged or migrated, which workers are ejected as outliers or are warming up, and which requests
 // are rejected under overload.
 //
-// The package is pure: it does no I/O, starts no goroutine and reads no clock. The caller turns all names
-// into dense ids (workers, zones, kinds, classes, tenants), hands events to Dispatcher.Handle in the order in
-// which they happened, and carries out the returned actions in their order. The same settings, seed and
-// events give the same actions.
+// The package is pure: it does no I/O, starts no goroutine and reads no clock. The caller maps all names to
+// dense ids (workers, zones, kinds, classes, tenants), passes events to Dispatcher.Handle in the order in
+// which they happened, and carries out the returned actions in order. The same settings, seed and events give
+// the same actions.
 //
-// The interface stands in dispatch/types.go, settings.go, event.go and action.go.
+// The public interface is in dispatch/types.go, settings.go, event.go and action.go.
 //
 // # The four rules
 //
-// Dispatcher.send is the only place that emits an attempt, and it asks Dispatcher.maySend first;
-// Dispatcher.respond is the only place that emits a final answer. Both stand in send.go. They hold whatever
-// the events are:
+// Dispatcher.send is the only function that emits an attempt, and it calls Dispatcher.maySend first;
+// Dispatcher.respond is the only one that emits a final answer. Both are in send.go. The rules hold for every
+// sequence of events:
 //
-//  1. One answer, in time: nothing is sent or answered after a request's deadline, nor more often than is allowed.
-//  2. No double effect: a request that may have run is sent again only where its class allows it (retry.go).
+//  1. One answer, in time: no request is sent or answered after its deadline, nor more often than allowed.
+//  2. No duplicate effect: a request that may have run is sent again only where its class allows it (retry.go).
 //  3. Only ready workers: nothing is sent to a worker that is draining, gone or disabled (endpoints.go).
-//  4. Slow start: a worker that is warming up gets no more than it bears (slowstart.go).
+//  4. Slow start: a worker that is warming up gets no more load than it can take (slowstart.go).
 //
 // # Files
 //
--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -1,13 +1,13 @@
 package dispatch
 
 const (
-	initialPollBackoff = 200 * Millisecond // before a lost endpoint list is asked for again; doubles
+	initialPollBackoff = 200 * Millisecond // before a lost endpoint list is polled again; doubles
 	pollsPerInterval   = 3                 // at least, within Settings.MaxPollInterval without an answer
 )
 
-// handleEndpoints takes the endpoint list over, gives requests that are queued at workers that are leaving
-// another candidate, and sees to the watch. Guards against late events that would bring a draining worker
-// back.
+// handleEndpoints applies the endpoint list, samples another candidate for requests that are queued at
+// workers that are leaving, and restores the watch where it is needed. Outdated events are ignored: they
+// would bring a draining worker back.
 func (d *Dispatcher) handleEndpoints(event *Event) {
 	if event.Version < d.endpointVersion {
 		return
@@ -20,21 +20,21 @@
 	d.resampleOrphaned()
 }
 
-// handleWatchLost keeps the last endpoint list and asks again, less and less often but in time for rule
-// three.
+// handleWatchLost keeps the last endpoint list and schedules a poll, with a backoff that is bounded so that
+// rule three holds.
 func (d *Dispatcher) handleWatchLost() {
 	d.nextPollAt = min(d.nextPollAt, d.now+d.pollBackoff)
 	d.pollBackoff = min(2*d.pollBackoff, d.settings.MaxPollInterval/pollsPerInterval)
 }
 
-// watchEndpoints asks for the endpoint list. The answer may get lost, so it is asked for again.
+// watchEndpoints requests the endpoint list. The answer may get lost, so the request is repeated.
 func (d *Dispatcher) watchEndpoints() {
 	d.nextPollAt = d.now + d.settings.MaxPollInterval/pollsPerInterval
 	d.emit(Action{Kind: WatchEndpoints})
 }
 
-// handleOverride takes an operator's call that disables or enables a worker: a fact beside the endpoint list,
-// which no list undoes.
+// handleOverride applies an operator's override, which disables or enables a worker. It is independent of the
+// endpoint list, and no list undoes it.
 func (d *Dispatcher) handleOverride(event *Event) {
 	if event.Worker < 0 {
 		return
@@ -43,7 +43,7 @@
 	disable := event.Kind == WorkerDisabled
 	if !disable {
 		w.enabledAt = max(w.enabledAt, d.now-max(event.Elapsed, 0))
-		if !w.disabled { // another process of this dispatcher had it disabled, since when is unknown
+		if !w.disabled { // disabled through another process of this dispatcher, at an unknown time
 			w.disabledAt = w.enabledAt
 		}
 	}
@@ -62,7 +62,7 @@
 	d.resampleOrphaned()
 }
 
-// resampleOrphaned gives requests that are queued at workers that are not ready another candidate.
+// resampleOrphaned samples another candidate for requests that are queued at workers that are not ready.
 func (d *Dispatcher) resampleOrphaned() {
 	for _, r := range d.takeOrphaned() {
 		d.sampleCandidates(r, 1)
--- a/dispatch/estimate.go
+++ b/dispatch/estimate.go
@@ -4,24 +4,24 @@
 
 // Weights of the newest value in exponentially weighted moving averages.
 const (
-	fastEWMAWeight     = 0.2   // of one worker's, kind's or zone's figures: few values are seen
+	fastEWMAWeight     = 0.2   // of figures of one worker, kind or zone, which see few values
 	slowEWMAWeight     = 0.02  // of figures over all workers or requests
-	classRunEWMAWeight = 0.005 // of a class's mean run, so that it follows no passing slowdown
+	classRunEWMAWeight = 0.005 // of a class's mean run time, so that it does not follow a temporary slowdown
 )
 
 const (
-	// priorRuns is how many runs the slowdown that is taken at the start counts as: one run tells little.
+	// priorRuns is how many runs the assumed initial slowdown counts as, since one run says little.
 	priorRuns = 4.0
 
-	// maxSlowdownRatio is how many times the fleet's slowdown one run counts for at most.
+	// maxSlowdownRatio is the most that one run's slowdown counts as, in multiples of the fleet's slowdown.
 	maxSlowdownRatio = 20.0
 
-	// unhintedRunShare is the share of its weight that a run has in a worker's slowdown where its work was
-	// unknown: then a long run mostly means much work.
+	// unhintedRunShare is the factor on the weight of a run in a worker's slowdown where its work was
+	// unknown: a long run then mostly means much work.
 	unhintedRunShare = 1.0 / 4
 )
 
-// expectedWork is a request's expected work in microseconds on a standard core.
+// expectedWork returns a request's expected work in microseconds on a standard core.
 func (d *Dispatcher) expectedWork(r *request) float64 {
 	if r.work > 0 {
 		return float64(r.work)
@@ -29,7 +29,7 @@
 	return r.class.meanRun
 }
 
-// slowdownOf is a worker's slowdown. What it has not shown itself is taken from its kind.
+// slowdownOf returns a worker's slowdown, or its kind's until it has completed a run.
 func (d *Dispatcher) slowdownOf(w *worker) float64 {
 	if w.runCount > 0 {
 		return w.slowdown
@@ -37,8 +37,8 @@
 	return w.kind.slowdown
 }
 
-// calibrateHint shrinks a hint of a request's work towards the mean as far as hints have said little of run
-// times, by a regression of logarithms.
+// calibrateHint shrinks a hint of a request's work towards the mean, the more the less hints have predicted
+// run times, by a regression of logarithms.
 func (c *classState) calibrateHint(hint Time) Time {
 	if hint <= 0 {
 		return 0
@@ -49,7 +49,7 @@
 	return Time(math.Exp(c.meanLogHint + slope*(logHint-c.meanLogHint)))
 }
 
-// recordRun takes a run's time into the mean of its class and into the regression on hints.
+// recordRun adds a run time to the mean of its class and to the regression on hints.
 func (c *classState) recordRun(hint Time, run float64) {
 	c.runCount++
 	c.meanRun += (run - c.meanRun) * max(classRunEWMAWeight, 1/c.runCount)
@@ -63,14 +63,14 @@
 	c.meanLogRun += logRun * slowEWMAWeight
 }
 
-// recordSlowdown takes a run's slowdown into the mean. Where many dispatchers share the work each sees few
-// runs: the first count for more.
+// recordSlowdown adds a run's slowdown to the mean. Where many dispatchers share the load each sees few runs:
+// the first ones have more weight.
 func (k *kindState) recordSlowdown(slowdown float64) {
 	k.runCount++
 	k.slowdown += (slowdown - k.slowdown) * max(slowEWMAWeight, 1/(k.runCount+priorRuns))
 }
 
-// recordRunTime takes the time of a successful attempt into all figures on run times.
+// recordRunTime adds the run time of a successful attempt to all estimates of run times.
 func (d *Dispatcher) recordRunTime(r *request, a *attempt) {
 	w := a.worker
 	run, weight := float64(d.now-max(a.startedAt, a.sentAt)), fastEWMAWeight
--- a/dispatch/event.go
+++ b/dispatch/event.go
@@ -1,42 +1,44 @@
 package dispatch
 
-// EventKind tells events apart.
+// EventKind is the type of an Event.
 type EventKind uint8
 
-// The events. The comments name the fields that each uses.
+// The kinds of events. Each comment lists the fields of Event that the kind uses.
 const (
-	// EndpointSnapshot (Workers, Version, Stale) is the whole endpoint list.
+	// EndpointSnapshot (Workers, Version, Stale) is the complete endpoint list.
 	EndpointSnapshot EventKind = iota
-	// EndpointUpdate (Workers, Version) brings the entries of the endpoint list that changed.
+	// EndpointUpdate (Workers, Version) contains the entries of the endpoint list that changed.
 	EndpointUpdate
-	// EndpointWatchLost says that a watch broke or a call for the endpoint list failed.
+	// EndpointWatchLost reports that a watch broke or a request for the endpoint list failed.
 	EndpointWatchLost
-	// RequestArrived (Request, Class, Tenant, ExpectedWork, TimeLeft, Slots, Memory, Retry, RouteLimits, AffinityKey)
-	// brings a client's request.
+	// RequestArrived (Request, Class, Tenant, ExpectedWork, TimeLeft, Slots, Memory, Retry, RouteLimits,
+	// AffinityKey) is a request from a client.
 	RequestArrived
-	// AttemptStarted (Request, Attempt, Worker) says that the request has begun to run.
+	// AttemptStarted (Request, Attempt, Worker) reports that the request has begun to run.
 	AttemptStarted
-	// AttemptProgressed (Request, Attempt, Worker, Progress) says that it runs on.
+	// AttemptProgressed (Request, Attempt, Worker, Progress) reports the progress of a running request.
 	AttemptProgressed
-	// ResponseStarted (Request, Attempt, Worker) says that a streamed answer is on its way to the client.
+	// ResponseStarted (Request, Attempt, Worker) reports that a streamed answer is on its way to the client.
 	ResponseStarted
-	// AttemptEnded (Request, Attempt, Worker, Result, Elapsed, Final, Report) is an attempt's one end.
+	// AttemptEnded (Request, Attempt, Worker, Result, Elapsed, Final, Report) reports the end of an attempt,
+	// once for each.
 	AttemptEnded
-	// RequestAbandoned (Request) says that no answer is owed any more.
+	// RequestAbandoned (Request) reports that the request needs no answer any more.
 	RequestAbandoned
-	// TimerFired says that the time of a SetTimer has come.
+	// TimerFired reports that the delay of a SetTimer has passed.
 	TimerFired
-	// PeerMessageReceived (Peer, Message) brings a message of another dispatcher.
+	// PeerMessageReceived (Peer, Message) is a message from another dispatcher.
 	PeerMessageReceived
-	// WorkerDisabled (Worker) says that an operator has disabled a worker, whatever the endpoint list says. The worker
-	// need not be listed.
+	// WorkerDisabled (Worker) reports that an operator has disabled a worker, whatever the endpoint list
+	// says. The worker need not be listed.
 	WorkerDisabled
-	// WorkerEnabled (Worker, Elapsed) says that an operator has enabled a worker again so long ago. It was restarted while
-	// it was disabled.
+	// WorkerEnabled (Worker, Elapsed) reports that an operator enabled a worker again Elapsed ago. It was
+	// restarted while it was disabled.
 	WorkerEnabled
-	// OutlierReported (Worker) says that requests fail at a worker, as another dispatcher reports.
+	// OutlierReported (Worker) reports that requests fail at a worker according to another dispatcher.
 	OutlierReported
-	// SettingsChanged (Settings, OldClasses, OldTenants) brings settings for the requests that arrive from now on.
+	// SettingsChanged (Settings, OldClasses, OldTenants) replaces the settings for requests that arrive from
+	// now on.
 	SettingsChanged
 )
 
@@ -56,7 +58,7 @@
 	ResultUnknown             // may have run
 )
 
-// Event is one thing that happened. Which fields count depends on Kind.
+// Event is one input of the dispatcher. Which fields are used depends on Kind.
 type Event struct {
 	Kind    EventKind
 	Request RequestID
@@ -65,26 +67,26 @@
 	Result  Result
 	Final   bool // the request has ended, by this event or earlier
 	Elapsed Time // since the attempt was sent, or the worker enabled
-	// Progress is the share of the work that is done.
+	// Progress is the completed share of the work.
 	Progress float64
 
 	Class        int
 	Tenant       int  // -1: none
 	ExpectedWork Time // on a standard core; 0: unknown
-	TimeLeft     Time // until the client gives this try up
+	TimeLeft     Time // until the client gives up this try
 	Slots        int
 	Memory       float64
 	Retry        bool // the client marks it as a retry
 	RouteLimits  RouteLimits
 	AffinityKey  uint64 // of data that the request needs and workers cache; 0: none
 
-	// OldClasses and OldTenants are the numbers of the new settings' classes and tenants in the old ones, -1
-	// for new ones. Zones and kinds keep their numbers; new ones follow.
+	// OldClasses and OldTenants give the index that each class and tenant of the new settings had in the old
+	// ones, -1 for a new one. Zones and kinds keep their indices; new ones are appended.
 	Settings               *Settings
 	OldClasses, OldTenants []int
 
 	Version uint64
-	Stale   bool // a copy kept from before a restart
+	Stale   bool // a copy saved before a restart
 	Workers []Worker
 	Report  LoadReport
 	Peer    int // its number in the group
--- a/dispatch/fleet.go
+++ b/dispatch/fleet.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// findOrAddWorker returns the worker of an id. One that has not been listed yet is Gone.
+// findOrAddWorker returns the worker with an id. One that has not been listed yet is Gone.
 func (d *Dispatcher) findOrAddWorker(id WorkerID) *worker {
 	for int(id) >= len(d.workers) {
 		d.workers = append(d.workers, nil)
@@ -19,7 +19,7 @@
 	return &d.zones[d.settings.ZoneCount]
 }
 
-// applyEndpoints takes over the endpoint list, or its changes.
+// applyEndpoints applies the endpoint list, or its changes.
 func (d *Dispatcher) applyEndpoints(event *Event) {
 	d.endpointVersion = event.Version
 	if event.Kind == EndpointSnapshot {
@@ -35,7 +35,7 @@
 	d.recomputeReady()
 }
 
-// applyEndpoint takes over one entry. A worker that is new or has restarted is readmitted.
+// applyEndpoint applies one entry. A worker that is new or has restarted is readmitted.
 func (d *Dispatcher) applyEndpoint(entry *Worker) {
 	w := d.findOrAddWorker(entry.ID)
 	if !w.everListed {
@@ -50,7 +50,7 @@
 	d.linkWorker(w)
 }
 
-// linkWorker points a worker to the state of its kind, and adds it to the consistent-hash ring where the
+// linkWorker connects a worker to the state of its kind, and adds it to the consistent-hash ring where the
 // settings use one.
 func (d *Dispatcher) linkWorker(w *worker) {
 	w.kind = &d.kinds[len(d.kinds)-1]
@@ -63,7 +63,7 @@
 	}
 }
 
-// readmit forgets what was learned of a worker that is new or has restarted.
+// readmit resets what was learned about a worker that is new, has restarted or was enabled.
 func (d *Dispatcher) readmit(w *worker) {
 	w.readmittedAt = d.now
 	w.capacity, w.capacityReducedAt = d.meanCapacity, d.now
@@ -71,7 +71,7 @@
 	w.markResponsive()
 }
 
-// recomputeReady finds the ready workers and the figures that depend on them.
+// recomputeReady recomputes the list of ready workers and the figures derived from it.
 func (d *Dispatcher) recomputeReady() {
 	d.ready, d.readyInZone = d.ready[:0], d.readyInZone[:0]
 	d.meanListedWeight, d.ejectedCount, d.warmingUntil = 0, 0, 0
--- a/dispatch/hedging.go
+++ b/dispatch/hedging.go
@@ -1,63 +1,65 @@
 package dispatch
 
 const (
-	// startSlack is how far past twice the shortest of its zone a start is still taken for one without a
-	// queue.
+	// startSlack is how far a start may exceed twice the zone's shortest start delay and still count as one
+	// without a queue.
 	startSlack = 40 * Millisecond
 
-	// hedgeStartSlack is the same where an attempt elsewhere costs next to nothing.
+	// hedgeStartSlack replaces startSlack where an attempt at another worker costs next to nothing.
 	hedgeStartSlack = 10 * Millisecond
 
-	// progressSlack is how late a progress report may be: after that the worker has stalled.
+	// progressSlack is how late a progress report may be before the worker counts as stalled.
 	progressSlack = 400 * Millisecond
 
-	// maxCancelPrice is the price of an attempt that is cancelled, its work and its fetch, up to which
-	// waiting requests are hedged, migrated and cancelled.
+	// maxCancelPrice is the highest price of a cancelled attempt, its work and its fetch, at which waiting
+	// requests are hedged, migrated and cancelled.
 	maxCancelPrice = 0.1
 )
 
-// canCancel says whether attempts that wait, or that nobody waits for, are cancelled: where waste is cheap,
-// as elsewhere a cancel may stop nothing. Guards against workers that are full of work that is worth nothing
-// any more.
+// canCancel reports whether attempts that wait, or that nobody waits for, are cancelled: only where wasted
+// work is cheap, since a cancellation may stop nothing. Guards against workers that are filled with work of
+// no value.
 func (d *Dispatcher) canCancel() bool {
 	isCheap := d.settings.PriceWaste+d.settings.PriceFetch <= maxCancelPrice
 	return d.settings.CanCancel && d.settings.ReportsStart && isCheap
 }
 
-// canHedge says whether a request that waits at a worker is sent to another one too, or migrated. The first
-// start cancels the other attempt.
+// canHedge reports whether a request that waits at a worker is also sent to another one, or migrated. The
+// first start cancels the other attempt.
 func (d *Dispatcher) canHedge(r *request) bool {
 	mayRunTwice := r.class.Idempotency == Idempotent && !r.limits.RetryNotRunOnly
 	mayHedge := d.settings.CanHedge && mayRunTwice && !r.limits.NoHedging
 	return d.canCancel() && mayHedge || d.canMigrate(r)
 }
 
-// canMigrate says whether a request that waits at a worker is cancelled there first and then sent to another
+// canMigrate reports whether a request that waits at a worker is cancelled there before it is sent to another
 // one.
 func (d *Dispatcher) canMigrate(r *request) bool {
 	mayRunAgain := r.class.Idempotency != NonIdempotent && !r.limits.RetryNotRunOnly
 	return d.canCancel() && !d.settings.CanHedge && mayRunAgain
 }
 
-// isHopeless says whether a request only waits at workers, in queues, and has no weight after its latency
+// isHopeless reports whether a request is only queued at workers, and has no weight after its latency
 // objective.
 func (d *Dispatcher) isHopeless(r *request) bool {
 	return r.class.LateWeight <= 0 && d.canCancel() && r.inFlight() > 0 && !r.isRunning()
 }
 
-// startAllowance is how long after its send a request has started if nothing waits at the worker.
+// startAllowance returns the time after a send within which a request starts if nothing is queued at the
+// worker.
 func (d *Dispatcher) startAllowance(r *request, w *worker) Time {
 	slack := startSlack
 	if d.canHedge(r) {
 		slack = hedgeStartSlack
 	}
-	if d.canMigrate(r) { // attempts are few: they must not be used up at once
+	if d.canMigrate(r) { // the number of attempts is limited: they must not be used up at once
 		slack = hedgeStartSlack << min(len(r.attempts)-1, maxDoublings)
 	}
 	return 2*d.zoneOf(w).startDelay + slack
 }
 
-// signalDue is when an attempt's start, or its next progress, is overdue; never: no signal is due.
+// signalDue returns when the next check of an attempt is due: for a missing start or progress, a hedge, or
+// lateness.
 func (d *Dispatcher) signalDue(r *request, a *attempt) Time {
 	switch {
 	case !a.inFlight:
@@ -79,8 +81,8 @@
 	return never
 }
 
-// handleOverdueSignal judges a worker by an attempt whose signal is overdue, and hedges or migrates the
-// request.
+// handleOverdueSignal handles a check of an attempt that is due (see signalDue): it adjusts the state of the
+// worker or the shedding, and hedges or migrates the request.
 func (d *Dispatcher) handleOverdueSignal(r *request, a *attempt) {
 	if d.now < d.signalDue(r, a) {
 		return
@@ -88,11 +90,11 @@
 	switch {
 	case a.startedAt > 0:
 		a.stalled = true
-		d.markUnresponsive(a.worker) // guards against a worker that takes requests and answers none
+		d.markUnresponsive(a.worker) // guards against a worker that accepts requests and never answers
 		return
 	case a.hedgeDecided:
 		a.late = true
-		if !d.canMigrate(r) { // one that migrates has met several queues and leaves the last at its objective
+		if !d.canMigrate(r) { // a migrating one waits in several queues, and leaves the last at its objective
 			d.adjustShedding(shedIncrease * (1 - r.class.LateWeight))
 		}
 		return
@@ -106,18 +108,17 @@
 	}
 }
 
-// hedge sends a request that waits at a worker, in the attempt a, to another one, where rules and prices
-// allow it.
+// hedge sends a request whose attempt a waits at a worker to another worker, where rules and prices allow it.
 func (d *Dispatcher) hedge(r *request, a *attempt) {
 	if !d.canHedge(r) || len(r.attempts) >= d.maxAttempts(r) || r.isRunning() || r.queueTicket != 0 {
 		return
 	}
 	switch {
 	case d.canMigrate(r):
-		d.cancelAttempts(r, nil) // its end brings the next
+		d.cancelAttempts(r, nil) // the end of this attempt triggers the next one
 	case r.inFlight() == 1:
 		d.enqueue(r)
 	default:
-		d.cancelAttempts(r, a) // the other's end brings the next
+		d.cancelAttempts(r, a) // the end of the other attempt triggers the next one
 	}
 }
--- a/dispatch/messages.go
+++ b/dispatch/messages.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// usageTTL is how long a peer's usage counts that is not reported again: the message that it ended may have
-// got lost.
+// usageTTL is how long a peer's usage counts that is not reported again: the message about its end may have
+// been lost.
 const usageTTL = 10 * Second
 
-// aggregatedUsage is what dispatchers use of a worker whose aggregator this one is.
+// aggregatedUsage is the usage of a worker by all dispatchers, as recorded by the worker's aggregator.
 type aggregatedUsage struct {
 	totalSlots      float64
 	overloadedUntil Time
@@ -19,7 +19,7 @@
 	reportedAt Time
 }
 
-// recordPeerUsage replaces what a dispatcher uses of a worker.
+// recordPeerUsage replaces the recorded usage of a worker by one dispatcher.
 func (d *Dispatcher) recordPeerUsage(peer int, message PeerMessage) {
 	usage := d.usageByTag[message.Tag]
 	usage.byPeer = slices.DeleteFunc(usage.byPeer, func(p peerUsage) bool {
@@ -35,13 +35,13 @@
 	d.usageByTag[message.Tag] = usage
 }
 
-// isValidMessage says whether a peer's message is one that this dispatcher can take. Others are ignored.
+// isValidMessage reports whether this dispatcher can use a peer's message. Others are ignored.
 func (d *Dispatcher) isValidMessage(event *Event) bool {
 	isPeer := event.Peer >= 0 && event.Peer < d.settings.GroupSize && event.Peer != d.settings.Ordinal
 	return d.settings.PeerMessages && isPeer && event.Message.Slots >= 0
 }
 
-// handlePeerMessage takes a message: as the worker's aggregator, or with a load that was asked for.
+// handlePeerMessage handles a message, as the worker's aggregator or as the sender of a load query.
 func (d *Dispatcher) handlePeerMessage(peer int, message PeerMessage) {
 	switch message.Kind {
 	case UsageUpdate:
@@ -57,7 +57,7 @@
 	}
 }
 
-// recordGroupLoad takes a worker's load and sends what has waited for it.
+// recordGroupLoad records a worker's load and places the requests that have waited for it.
 func (d *Dispatcher) recordGroupLoad(peer int, message PeerMessage) {
 	w := d.workersByTag[message.Tag]
 	if w == nil {
@@ -69,7 +69,7 @@
 	}
 }
 
-// sendToAggregator sends a worker's aggregator a message with what this dispatcher uses of the worker.
+// sendToAggregator sends a message to a worker's aggregator, with this dispatcher's usage of the worker.
 func (d *Dispatcher) sendToAggregator(w *worker, kind PeerMessageKind) {
 	if d.settings.PeerMessages {
 		aggregator := int(w.Tag % uint64(d.settings.GroupSize))
--- a/dispatch/outcome.go
+++ b/dispatch/outcome.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// handleAttempt takes an event of an attempt in flight.
+// handleAttempt handles an event of an attempt in flight.
 func (d *Dispatcher) handleAttempt(r *request, a *attempt, event *Event) {
 	switch event.Kind {
 	case AttemptStarted:
@@ -18,8 +18,8 @@
 	}
 }
 
-// handleStarted takes the report that an attempt has begun to run. The other attempts of the request are
-// cancelled.
+// handleStarted handles the report that an attempt has begun to run. Where the request could be hedged, its
+// other attempts are cancelled.
 func (d *Dispatcher) handleStarted(r *request, a *attempt) {
 	w := a.worker
 	w.markResponsive()
@@ -40,7 +40,7 @@
 	d.schedule(r)
 }
 
-// recordStartDelay takes the time from a send to its start into the figures of the worker's zone and kind.
+// recordStartDelay adds the time from a send to its start to the figures of the worker's zone and kind.
 func (d *Dispatcher) recordStartDelay(w *worker, delay Time) {
 	zone := d.zoneOf(w)
 	zone.startDelay = min(zone.startDelay, delay)
@@ -50,7 +50,7 @@
 	zone.queueWait += (wait - zone.queueWait) * fastEWMAWeight
 }
 
-// handleEnded takes the end of an attempt: the request is answered, retried or waits for another attempt.
+// handleEnded handles the end of an attempt: the request is answered, retried or waits for another attempt.
 func (d *Dispatcher) handleEnded(r *request, a *attempt, event *Event) {
 	w := a.worker
 	wasAtCapacity := w.slotsInUse+r.slots > w.capacity
@@ -69,7 +69,7 @@
 	case ResultOverloaded:
 		d.limitCapacityToUse(w)
 		d.sendToAggregator(w, OverloadNotice)
-	case ResultTimedOut: // guards against work that fills the worker and that no aggregator counts any more
+	case ResultTimedOut: // guards against work that may still fill the worker, uncounted by its aggregator
 		d.sendToAggregator(w, OverloadNotice)
 	case ResultUnreachable:
 		zone := d.zoneOf(w)
@@ -83,7 +83,7 @@
 	d.dispatchNext(w)
 }
 
-// continueRequest decides how a request goes on after its attempt a has ended.
+// continueRequest decides how a request continues after its attempt a has ended.
 func (d *Dispatcher) continueRequest(r *request, a *attempt, isFinal bool) {
 	if isFinal || !r.open {
 		d.closeRequest(r)
@@ -98,7 +98,7 @@
 	}
 }
 
-// neverRan says whether the result proves that the attempt never ran.
+// neverRan reports whether the result proves that the attempt never ran.
 func (r Result) neverRan() bool {
 	return r == ResultOverloaded || r == ResultNotSent || r == ResultUnreachable
 }
--- a/dispatch/outlier.go
+++ b/dispatch/outlier.go
@@ -1,7 +1,7 @@
 package dispatch
 
 const (
-	// outlierMargin is the failure rate above twice the fleet's from which a worker is ejected.
+	// outlierMargin is how far a failure rate may exceed twice the fleet's before the worker is ejected.
 	outlierMargin = 0.25
 
 	// The interval between probes of a worker that is ejected or unresponsive doubles from minProbeInterval
@@ -9,13 +9,13 @@
 	minProbeInterval = 250 * Millisecond
 	maxProbeInterval = 4 * Second
 
-	// outlierReportInterval is how long a further report of a worker that has since proved good for us is
-	// ignored: it may fail for one dispatcher alone.
+	// outlierReportInterval is how long after a report further ones about a worker that has since succeeded
+	// here are ignored: it may fail for one dispatcher alone.
 	outlierReportInterval = 10 * Second
 )
 
-// recordOutcome takes a success (0) or a failure (1) and ejects a worker that fails far more than its peers,
-// or ends that.
+// recordOutcome records a success (0) or a failure (1). It ejects a worker that fails far more than its
+// peers, and ends the ejection once it does not.
 func (d *Dispatcher) recordOutcome(w *worker, failure float64) {
 	w.outcomeCount++
 	w.failureRate += (failure - w.failureRate) * max(fastEWMAWeight, 1/(w.outcomeCount+1))
@@ -32,11 +32,11 @@
 	w.ejected = eject
 }
 
-// maxEjected is how many workers may be ejected, a third: where more fail, the cause is not theirs.
+// maxEjected returns how many workers may be ejected, a third: where more fail, they are not the cause.
 func (d *Dispatcher) maxEjected() int { return len(d.ready) / 3 }
 
 // handleOutlierReport ejects a worker that fails for another dispatcher: it gets single probes, by requests
-// that may be retried, until one succeeds here. What was seen here counts for more.
+// that may be retried, until one succeeds here. Observations of this dispatcher take precedence.
 func (d *Dispatcher) handleOutlierReport(event *Event) {
 	if event.Worker < 0 {
 		return
@@ -50,13 +50,13 @@
 		return
 	}
 	w.outlierReportedAt, w.ejected = d.now, true
-	w.failureRate, w.outcomeCount = 2*outlierMargin, 0 // so much that one success ends it
+	w.failureRate, w.outcomeCount = 2*outlierMargin, 0 // so that one success ends the ejection
 	d.ejectedCount++
 	d.scheduleProbe(w)
 	d.resampleOrphaned()
 }
 
-// markUnresponsive leaves a worker that gives no sign to single probes until it gives one.
+// markUnresponsive limits a worker that gives no signal to single probes until it gives one.
 func (d *Dispatcher) markUnresponsive(w *worker) {
 	if !w.unresponsive {
 		w.unresponsive = true
@@ -70,7 +70,7 @@
 	w.nextProbeAt = d.now + w.probeInterval
 }
 
-// awaitsProbe says whether a worker gets nothing until its next probe.
+// awaitsProbe reports whether a worker gets no request until its next probe.
 func (d *Dispatcher) awaitsProbe(w *worker) bool {
 	return (w.ejected || w.unresponsive) && d.now < w.nextProbeAt
 }
--- a/dispatch/placement.go
+++ b/dispatch/placement.go
@@ -5,25 +5,25 @@
 const (
 	initialCandidates = 2  // workers sampled when a request is queued: d in the paper (docs/design.md)
 	furtherCandidates = 24 // workers sampled each time that no candidate has had capacity
-	maxCandidates     = 64 // of one request: bounds the work of an event
-	maxScan           = 8  // queued requests looked at for one that fits; samples for one candidate
+	maxCandidates     = 64 // per request: bounds the work of an event
+	maxScan           = 8  // queued requests checked for one that fits; samples taken for one candidate
 
-	// crossZoneWait, times the price of a crossing, is how much longer a request waits before other zones
-	// take part.
+	// crossZoneWait, times the price of a crossing, is how much longer a request waits before workers of
+	// other zones become candidates.
 	crossZoneWait = 200 * Millisecond
 
-	// priceWeight is how many times a worker's capacity a crossing or a fetch weighs, times its price.
+	// priceWeight, times its price, is what a crossing or a fetch adds to the cost of a placement.
 	priceWeight = 15.0
 
-	// unreachableZoneRate is the share of failed connects from which a zone counts as cut off.
+	// unreachableZoneRate is the share of failed connects above which a zone counts as unreachable.
 	unreachableZoneRate = 0.5
 )
 
-// sampleCandidates adds up to n random workers to a request's candidates. Where peers report loads, it asks
-// for those that are unknown.
+// sampleCandidates adds up to n random workers to a request's candidates. Where peers report loads, it
+// queries those that are unknown.
 func (d *Dispatcher) sampleCandidates(r *request, n int) {
 	r.nextSamplingAt = d.now + candidateInterval
-	if d.settings.PeerMessages { // no worker that others may fill is used without knowing its load
+	if d.settings.PeerMessages { // others may fill a worker: none is used without knowing its load
 		r.nextSamplingAt = d.now + loadQueryTimeout
 		n = min(n, maxLoadQueries)
 	}
@@ -37,13 +37,13 @@
 	}
 }
 
-// crossZoneDelay is how long a request must have been queued before workers of all zones become its
+// crossZoneDelay returns how long a request must have been queued before workers of all zones become its
 // candidates.
 func (d *Dispatcher) crossZoneDelay() Time {
 	return candidateInterval + Time(d.settings.PriceCrossZone*float64(crossZoneWait))
 }
 
-// sampleCandidate returns a random worker that may be used, nil where it found none. With inZone it is one of
+// sampleCandidate returns a random worker that may be used, nil if it found none. With inZone it is one of
 // this dispatcher's zone where a crossing has a price.
 func (d *Dispatcher) sampleCandidate(r *request, inZone bool) *worker {
 	isFirstRound := r.firstCandidates && r.samplingRound == 0
@@ -53,7 +53,7 @@
 	workers, zoneShare := d.ready, 1.0
 	if d.staysInZone(r, inZone) {
 		workers = d.readyInZone
-		// Where few are left of a zone, its samples would bring one that is warming up many times its part.
+		// Where the zone has few ready workers, one that is warming up would be sampled too often.
 		zoneShare = min(1, float64(len(d.readyInZone)*d.settings.ZoneCount)/float64(len(d.ready)))
 	}
 	for i := range min(maxScan, len(workers)) {
@@ -63,10 +63,10 @@
 		switch {
 		case d.awaitsProbe(w), d.isUnreachable(zone):
 			continue
-		case isWarmingUp && i > 0: // nor does it take the samples of those passed over
+		case isWarmingUp && i > 0: // nor does it get the samples of workers passed over
 			continue
 		case isWarmingUp && !(isFirstRound && d.rng.Float64() < zoneShare*d.slowStartChance(w)):
-			return nil // not sampled again: that would raise the others' chance
+			return nil // no further sample: that would raise the others' chance
 		}
 		zone.nextProbeAt = d.now + minProbeInterval
 		return w
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// staysInZone says whether a sample is one of this dispatcher's zone only. Others are of all zones, the more
-// often the longer starts wait in this zone.
+// staysInZone reports whether a sample is taken from this dispatcher's zone only. Otherwise it is taken from
+// all zones, the more often the longer starts are delayed in this zone.
 func (d *Dispatcher) staysInZone(r *request, inZone bool) bool {
 	price := priceWeight * d.settings.PriceCrossZone
 	if r.affinityKey != 0 || price <= 0 || len(d.readyInZone) == 0 {
@@ -88,13 +88,14 @@
 		math.Sqrt(d.rng.Float64())*price >= d.zones[d.settings.Zone].queueWait
 }
 
-// isUnreachable says whether a zone cannot be reached and is not due for a probe. Guards against a cut link.
+// isUnreachable reports whether a zone cannot be reached and is not due for a probe. Guards against a network
+// partition.
 func (d *Dispatcher) isUnreachable(zone *zoneState) bool {
 	return zone.connectFailureRate > unreachableZoneRate && d.now < zone.nextProbeAt
 }
 
-// place sends a queued request to the candidate that has capacity and the lowest cost, ties at random. It
-// waits for loads that have been asked for, and reports whether the request was sent.
+// place sends a queued request to the candidate with capacity and the lowest cost, ties at random. It waits
+// for replies to load queries, and reports whether the request was sent.
 func (d *Dispatcher) place(r *request) bool {
 	var best *worker
 	lowestCost := math.Inf(1)
@@ -106,7 +107,7 @@
 			continue
 		}
 		cost := d.placementCost(r, w)
-		if r.affinityKey != 0 { // each step down the order of its key weighs as a fetch
+		if r.affinityKey != 0 { // each further worker in the order of its key costs a fetch
 			cost += priceWeight * d.settings.PriceFetch * float64(i)
 		}
 		if cost < lowestCost || cost == lowestCost && d.rng.IntN(2) == 0 {
@@ -116,8 +117,8 @@
 	return best != nil && d.send(r, best)
 }
 
-// placementCost is the share of its capacity that w would use, weighed by its slowdown, and more where
-// requests wait for their start or if it is in another zone.
+// placementCost returns the utilisation of w after the send, weighted by its slowdown, plus costs where
+// starts are delayed or w is in another zone.
 func (d *Dispatcher) placementCost(r *request, w *worker) float64 {
 	var cost float64
 	if d.knowsGroupLoad(w) {
@@ -126,7 +127,7 @@
 		utilisation := (w.slotsInUse + r.slots) / d.capacityOf(w)
 		cost = utilisation*d.slowdownOf(w)/d.fleet.slowdown + w.kind.queueWait + d.zoneOf(w).queueWait
 	}
-	if d.weighsByLoad(w) { // the weight falls as others fill the worker
+	if d.weighsByLoad(w) { // the weight falls as other dispatchers fill the worker
 		cost *= d.meanListedWeight / w.Weight * d.meanListedWeight / w.Weight
 	}
 	if w.Zone != d.settings.Zone {
@@ -135,7 +136,7 @@
 	return cost
 }
 
-// hasCapacity says whether r may go to w by the rules, by w's health and by its capacity.
+// hasCapacity reports whether r may go to w by the rules, by w's health and by its capacity.
 func (d *Dispatcher) hasCapacity(r *request, w *worker) bool {
 	if !d.maySend(r, w) || r.class.WorkerKind >= 0 && w.Kind != r.class.WorkerKind {
 		return false
@@ -150,8 +151,8 @@
 	case !knowsLoad && d.now < w.reportedCapacityUntil && slots > w.reportedCapacity:
 		return false
 	case d.weighsByLoad(w) && w.Weight < d.meanListedWeight/2 && !hasWaited:
-		return false // others fill it, as far as its weight shows
-	case w.ejected || w.unresponsive: // guards against a black hole: who errs or hangs always has capacity
+		return false // its weight shows that others fill it
+	case w.ejected || w.unresponsive: // guards against a black hole: a failing worker always has capacity
 		return w.slotsInUse == 0 && d.now >= w.nextProbeAt && r.class.Idempotency != NonIdempotent
 	case knowsLoad:
 		return w.groupLoad+r.slots <= w.kind.size || w.groupLoad <= w.kind.size && hasWaited
@@ -159,7 +160,7 @@
 	return slots <= d.capacityOf(w) || w.slotsInUse == 0
 }
 
-// weighsByLoad says whether w's listed weight is all that tells of its load.
+// weighsByLoad reports whether w's listed weight is the only sign of its load.
 func (d *Dispatcher) weighsByLoad(w *worker) bool {
 	return !d.settings.PeerMessages && d.settings.WeightsShowLoad && w.Weight > 0
 }
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -1,10 +1,9 @@
 package dispatch
 
-// compactFrom is the number of dropped entries at the head of a queue from which their space may be reused.
+// compactFrom is the number of dropped entries at the head of a queue above which their space may be reused.
 const compactFrom = 64
 
-// queueEntry is a request's entry in a queue. It lives as long as the request is queued under the same
-// ticket.
+// queueEntry is a request's entry in a queue. It is live while the request is queued under the same ticket.
 type queueEntry struct {
 	request *request
 	ticket  uint64
@@ -24,7 +23,7 @@
 	q.items = append(q.items, queueEntry{r, r.queueTicket})
 }
 
-// oldest returns the oldest requests that were queued before a time, maxScan of them at the most.
+// oldest returns the oldest requests that were queued at a time or before, maxScan at the most.
 func (q *queue) oldest(before Time) (requests []*request) {
 	q.trim()
 	for _, e := range q.items[q.head:] {
@@ -39,7 +38,7 @@
 	return requests
 }
 
-// headAge is how long the oldest request has been queued.
+// headAge returns how long the oldest request has been queued.
 func (q *queue) headAge(now Time) Time {
 	q.trim()
 	if q.head == len(q.items) {
@@ -58,7 +57,7 @@
 	return requests
 }
 
-// trim drops dead entries at the head, and the space before it once that is most of the queue.
+// trim drops dead entries at the head, and frees the space before it once that is most of the queue.
 func (q *queue) trim() {
 	for q.head < len(q.items) && !q.items[q.head].isLive() {
 		q.items[q.head] = queueEntry{}
@@ -72,7 +71,7 @@
 	}
 }
 
-// joinQueue gives a request a new ticket and its place among all queued requests.
+// joinQueue gives a request a new ticket and appends it to the queue of its band.
 func (d *Dispatcher) joinQueue(r *request) {
 	d.serial++
 	r.queueTicket, r.queuedAt = d.serial, d.now
@@ -82,7 +81,7 @@
 	d.queues[r.band].push(r)
 }
 
-// dequeue removes a request from all queues: entries of another ticket than the request's are dead.
+// dequeue removes a request from all queues: entries with another ticket than the request's are dead.
 func (d *Dispatcher) dequeue(r *request) {
 	if r.queueTicket != 0 {
 		r.queueTicket = 0
--- a/dispatch/reconfigure.go
+++ b/dispatch/reconfigure.go
@@ -3,8 +3,8 @@
 import "slices"
 
 // changeSettings replaces the settings. Open requests keep the class under which they arrived: they point to
-// its state, which goes with the last of them. What was learned of a class stays. Invalid settings are
-// ignored.
+// its state, which is freed with the last of them. What was learned about a class is kept. Invalid settings
+// are ignored.
 func (d *Dispatcher) changeSettings(event *Event) {
 	if event.Settings == nil || validate(event.Settings) != nil {
 		return
@@ -18,7 +18,7 @@
 	for _, t := range s.Tenants {
 		d.totalQuota += t.QuotaRPS
 	}
-	for len(d.zones) <= s.ZoneCount { // new ones come before the last, which is for unknown ones
+	for len(d.zones) <= s.ZoneCount { // new zones are inserted before the last, which is for unknown ones
 		d.zones = slices.Insert(d.zones, len(d.zones)-1, newZoneState())
 	}
 	for len(d.kinds) <= s.KindCount {
@@ -31,7 +31,7 @@
 		}
 	}
 	d.recomputeReady()
-	for _, r := range d.requests { // those that may make no further attempt end
+	for _, r := range d.requests { // those that may make no further attempt are answered
 		if r != nil && r.open {
 			d.reevaluate(r)
 		}
@@ -64,7 +64,7 @@
 	return states
 }
 
-// oldNumber is the number that a class or tenant had in the old settings, -1 where it is new.
+// oldNumber returns the index that a class or tenant had in the old settings, -1 if it is new.
 func oldNumber(oldNumbers []int, i int) int {
 	if i < len(oldNumbers) {
 		return oldNumbers[i]
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// The bands of queued requests. Those of the first are served before those of the next.
+// The bands of queued requests. Requests of a band are served before those of the next.
 const (
 	bandNormal    = iota
 	bandOverQuota // beyond its tenant's quota
@@ -17,35 +17,35 @@
 	worker        *worker
 	sentAt        Time
 	startedAt     Time // when it began to run; 0: it has not
-	lastSignalAt  Time // of the last progress
+	lastSignalAt  Time // when it was sent, started or last progressed
 	inFlight      bool
 	neverRan      bool
 	cancelled     bool
 	queueDetected bool    // its start is overdue: it waits in a queue at the worker
-	hedgeDecided  bool    // the request has been hedged or migrated for that, or will not be
-	late          bool    // waited there so long that it cannot be answered in time
+	hedgeDecided  bool    // the request has been hedged or migrated because of it, or will not be
+	late          bool    // waited there too long to be answered in time
 	stalled       bool    // its progress is overdue
 	groupLoad     float64 // slots in use at the worker by all dispatchers, this attempt's included; 0: unknown
 }
 
-// request is a request that is owed an answer or has an attempt in flight.
+// request is a request that has no answer yet or has an attempt in flight.
 type request struct {
 	id          RequestID
 	class       *classState
 	tenant      *tenantState // nil: none
 	band        int
 	slots       float64 // slots, or units of memory if that is more
-	workHint    Time    // the expected work as the client gave it; 0: unknown
-	work        Time    // workHint, as far as such hints proved true; 0: unknown
+	workHint    Time    // the expected work as given by the client; 0: unknown
+	work        Time    // workHint, corrected by how well hints have predicted run times; 0: unknown
 	affinityKey uint64  // 0: none
 	limits      RouteLimits
 	maxAttempts int  // by the settings under which it arrived
-	dedupWindow Time // how long workers drop repeats; never: without end
+	dedupWindow Time // how long workers drop repeats; never: forever
 
 	arrivedAt   Time
 	deadline    Time // the last moment for an answer
 	objectiveAt Time // the last moment for an answer of full weight
-	open        bool // an answer is owed
+	open        bool // an answer is still required
 	timerSerial uint64
 
 	attempts       []attempt
@@ -58,15 +58,15 @@
 	sampled         bool      // candidates have been sampled for it before
 	samplingRound   int       // since it was queued
 	nextSamplingAt  Time
-	keySamples      uint64 // by its affinity key, since it was queued
+	keySamples      uint64 // samples by its affinity key, since it was queued
 }
 
-// classState is a class and what its requests have shown.
+// classState is a class and what was learned from its requests.
 type classState struct {
 	Class
-	meanRun           float64 // in microseconds; follows too slowly for a passing slowdown
+	meanRun           float64 // in microseconds; too slow to follow a temporary slowdown
 	runCount          float64
-	relativeDeviation float64 // mean distance of runs from the expected time, as a share of that
+	relativeDeviation float64 // mean deviation of runs from the expected time, as a share of it
 	// The regression of the logarithms of run times on those of hints.
 	meanLogHint, meanLogRun            float64
 	logHintVariance, logHintCovariance float64
@@ -75,11 +75,11 @@
 // tenantState is a tenant and its token bucket.
 type tenantState struct {
 	Tenant
-	tokens     float64 // requests that are within the quota now
+	tokens     float64 // requests that the quota allows now
 	refilledAt Time
 }
 
-// newClassState returns a class of which nothing is known yet.
+// newClassState returns a class about which nothing has been learned.
 func newClassState(c Class) classState {
 	logObjective := math.Log(float64(max(c.LatencyObjective, 1)))
 	return classState{
@@ -92,7 +92,7 @@
 	}
 }
 
-// newRequest returns the request that an event brings, and remembers it.
+// newRequest creates and registers the request of an event.
 func (d *Dispatcher) newRequest(event *Event) *request {
 	r := d.allocateRequest()
 	*r = request{
@@ -125,7 +125,7 @@
 	if event.Tenant >= 0 && event.Tenant < len(d.tenants) {
 		r.tenant = &d.tenants[event.Tenant]
 	}
-	elapsed := max(0, r.class.Deadline-event.TimeLeft) // earlier tries of the client have used this much
+	elapsed := max(0, r.class.Deadline-event.TimeLeft) // time used by earlier tries of the client
 	objective := r.class.LatencyObjective + Time(r.class.ObjectiveStretch*d.expectedWork(r))
 	r.objectiveAt = min(d.now-elapsed+objective, r.deadline)
 	for int(r.id) >= len(d.requests) {
@@ -135,7 +135,7 @@
 	return r
 }
 
-// allocateRequest returns a request to fill in, one that has been used before where there is one.
+// allocateRequest returns an empty request, a reused one if there is one.
 func (d *Dispatcher) allocateRequest() *request {
 	n := len(d.freeRequests)
 	if n == 0 {
@@ -146,8 +146,8 @@
 	return r
 }
 
-// closeRequest ends a request that is owed no answer any more. Its attempts in flight hold their slots until
-// the end of each is reported; after the last it is forgotten.
+// closeRequest ends a request that needs no answer any more. Its attempts in flight occupy their slots until
+// the end of each is reported; after the last one the request is removed.
 func (d *Dispatcher) closeRequest(r *request) {
 	d.dequeue(r)
 	if d.canCancel() {
@@ -161,7 +161,7 @@
 	}
 }
 
-// inFlight counts the attempts that have not ended.
+// inFlight returns the number of attempts that have not ended.
 func (r *request) inFlight() int {
 	n := 0
 	for i := range r.attempts {
@@ -172,10 +172,10 @@
 	return n
 }
 
-// isWaitingUnsent says whether the request is queued with nothing in flight.
+// isWaitingUnsent reports whether the request is queued with nothing in flight.
 func (r *request) isWaitingUnsent() bool { return r.queueTicket != 0 && r.inFlight() == 0 }
 
-// isRunning says whether an attempt in flight has begun to run.
+// isRunning reports whether an attempt in flight has begun to run.
 func (r *request) isRunning() bool {
 	for i := range r.attempts {
 		if r.attempts[i].inFlight && r.attempts[i].startedAt > 0 {
@@ -185,7 +185,7 @@
 	return false
 }
 
-// hasTried says whether there has been an attempt at w.
+// hasTried reports whether an attempt at w has been made.
 func (r *request) hasTried(w *worker) bool {
 	for i := range r.attempts {
 		if r.attempts[i].worker == w {
@@ -195,10 +195,10 @@
 	return false
 }
 
-// mayHaveRun says whether an attempt may have run.
+// mayHaveRun reports whether an attempt may have run.
 func (r *request) mayHaveRun() bool { return r.mayHaveRunSince() != never }
 
-// mayHaveRunSince is when the first attempt that may have run was ordered; never: none may have.
+// mayHaveRunSince returns when the first attempt that may have run was ordered; never: there is none.
 func (r *request) mayHaveRunSince() Time {
 	for i := range r.attempts {
 		if !r.attempts[i].neverRan {
@@ -208,10 +208,10 @@
 	return never
 }
 
-// isCandidate says whether w is one of the request's candidates.
+// isCandidate reports whether w is one of the request's candidates.
 func (r *request) isCandidate(w *worker) bool { return slices.Contains(r.candidates, w) }
 
-// addCandidate adds a candidate and queues the request there. The oldest candidate goes when there are
+// addCandidate adds a candidate and queues the request there. The oldest candidate is dropped when there are
 // maxCandidates.
 func (r *request) addCandidate(w *worker) {
 	if len(r.candidates) == maxCandidates {
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -1,12 +1,12 @@
 package dispatch
 
 const (
-	retryBudgetRatio = 0.15 // retries for each arrival: bounds retry storms
-	maxRetryBudget   = 10.0 // retries saved up
-	maxDoublings     = 20   // of a pause that doubles with each attempt: keeps it within its bits
+	retryBudgetRatio = 0.15 // retries earned by each arrival: bounds retry storms
+	maxRetryBudget   = 10.0 // retries that can be saved up
+	maxDoublings     = 20   // of a pause that doubles with each attempt, so that it does not overflow
 )
 
-// mayRetry says whether an attempt at w can have no second effect, whatever became of the earlier ones.
+// mayRetry reports whether an attempt at w cannot cause a second effect, whatever happened to earlier ones.
 func (d *Dispatcher) mayRetry(r *request, w *worker) bool {
 	for i := range r.attempts {
 		if d.forbidsRetry(r, &r.attempts[i], w) {
@@ -16,7 +16,7 @@
 	return d.now < d.retryDeadline(r)
 }
 
-// forbidsRetry says whether the earlier attempt a forbids one at w.
+// forbidsRetry reports whether the earlier attempt a forbids one at w.
 func (d *Dispatcher) forbidsRetry(r *request, a *attempt, w *worker) bool {
 	if a.neverRan {
 		return false
@@ -28,7 +28,7 @@
 	return a.inFlight && !mayHedge
 }
 
-// mayRunAgain says whether a request that may have run at one worker may run at another.
+// mayRunAgain reports whether a request that may have run at one worker may run at another.
 func (r *request) mayRunAgain(ranAt, w *worker) bool {
 	if r.limits.RetryNotRunOnly {
 		return false
@@ -42,8 +42,9 @@
 	return false
 }
 
-// retryDeadline is when the first byte of a further attempt has to be sent: workers drop repeats for so long
-// only, counted from our order of the first attempt that may have run, as that one was sent no sooner.
+// retryDeadline returns the time before which the first byte of a further attempt has to be sent. Workers
+// drop repeats for a limited time, counted from the order of the first attempt that may have run: it was sent
+// no sooner.
 func (d *Dispatcher) retryDeadline(r *request) Time {
 	return r.mayHaveRunSince() + r.dedupWindow - d.settings.Tick
 }
@@ -66,8 +67,8 @@
 	return true
 }
 
-// takeRetryBudget takes a retry out of the budget. Guards against a storm of attempts when all workers are
-// slow or failing.
+// takeRetryBudget takes one retry from the budget, if there is one. Guards against a retry storm when all
+// workers are slow or failing.
 func (d *Dispatcher) takeRetryBudget(r *request) bool {
 	if r.class.Idempotency == NonIdempotent || d.retryBudget < 1 {
 		return false
@@ -76,8 +77,8 @@
 	return true
 }
 
-// backOff sets the pause before the next attempt. Guards against workers that get a request again before they
-// can have recovered.
+// backOff sets the pause before the next attempt, so that no worker gets a request again before it can have
+// recovered.
 func (d *Dispatcher) backOff(r *request) {
 	limits := &r.limits
 	if limits.RetryBackoff <= 0 {
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -1,9 +1,9 @@
 package dispatch
 
-// Attempts and final answers. All that leaves the module for a worker passes send, all answers to clients
-// pass respond: the four rules are enforced here.
+// Attempts and final answers. Everything that is sent to a worker passes send, every answer to a client
+// passes respond: the four rules are enforced here.
 
-// maySend says whether the rules allow an attempt of r at w.
+// maySend reports whether the rules allow an attempt of r at w.
 func (d *Dispatcher) maySend(r *request, w *worker) bool {
 	inTime := r.open && d.now < r.deadline && d.now >= r.retryNotBefore
 	mayAttempt := inTime && len(r.attempts) < d.maxAttempts(r) // rule one
@@ -13,8 +13,8 @@
 		d.slowStartAllows(r, w) // rule four
 }
 
-// maxAttempts is how many attempts a request may have. Guards against an attempt that new settings allow no
-// more.
+// maxAttempts returns how many attempts a request may have. Guards against an attempt that new settings no
+// longer allow.
 func (d *Dispatcher) maxAttempts(r *request) int {
 	if r.limits.MaxAttempts > 0 {
 		return min(r.limits.MaxAttempts, r.maxAttempts, d.settings.MaxAttempts)
@@ -22,7 +22,7 @@
 	return min(r.maxAttempts, d.settings.MaxAttempts)
 }
 
-// send sends r to w and reports whether the rules allowed it.
+// send sends r to w and reports whether the rules allow it.
 func (d *Dispatcher) send(r *request, w *worker) bool {
 	if !d.maySend(r, w) {
 		return false
@@ -36,7 +36,7 @@
 	if w.ejected || w.unresponsive {
 		d.scheduleProbe(w)
 	}
-	sendBefore := d.retryDeadline(r) // by the attempts before this one
+	sendBefore := d.retryDeadline(r) // from the attempts before this one
 	r.attempts = append(r.attempts, a)
 	if len(d.awaitingFirstRequest) > 0 {
 		d.clearFirstRequest(w)
@@ -50,7 +50,7 @@
 	return true
 }
 
-// releaseSlots ends an attempt that was in flight.
+// releaseSlots ends an attempt that was in flight and frees its slots.
 func (d *Dispatcher) releaseSlots(r *request, a *attempt) {
 	a.inFlight = false
 	a.worker.slotsInUse -= r.slots
@@ -61,7 +61,7 @@
 	d.sendToAggregator(a.worker, UsageUpdate)
 }
 
-// cancelAttempts cancels a request's attempts in flight, but for one. Their ends are reported like any other.
+// cancelAttempts cancels a request's attempts in flight except one. Their ends are reported like any other.
 func (d *Dispatcher) cancelAttempts(r *request, except *attempt) {
 	for i := range r.attempts {
 		a := &r.attempts[i]
@@ -72,7 +72,7 @@
 	}
 }
 
-// respond gives the final answer: a rejection where a client that tries again cannot cause a second effect,
+// respond gives the final answer: a rejection where a further try by the client cannot cause a second effect,
 // else a failure.
 func (d *Dispatcher) respond(r *request) {
 	if !r.open {
--- a/dispatch/settings.go
+++ b/dispatch/settings.go
@@ -6,7 +6,7 @@
 	// has its full weight.
 	LatencyObjective Time
 	ObjectiveStretch float64
-	Deadline         Time    // how long the client waits over all its tries
+	Deadline         Time    // how long the client waits, over all its tries
 	PriorityWeight   float64 // the value of an answer in time
 	LateWeight       float64 // share of the weight that is left after the latency objective
 	Idempotency      Idempotency
@@ -17,10 +17,10 @@
 
 // Tenant describes one tenant's quota.
 type Tenant struct {
-	QuotaRPS float64 // requests a second over all dispatchers; traffic beyond it has little weight
+	QuotaRPS float64 // requests per second over all dispatchers; traffic beyond it has a lower weight
 }
 
-// Settings is all that a dispatcher is configured by. Time values are in microseconds.
+// Settings is the configuration of a dispatcher. Times are in microseconds.
 type Settings struct {
 	Classes              []Class
 	Tenants              []Tenant // may be empty
@@ -35,31 +35,31 @@
 	MaxAttempts        int // of one request
 	CanCancel          bool
 	CanHedge           bool // two attempts of one request may be in flight together
-	RetryAfter         bool // clients are told when to try again
+	RetryAfter         bool // rejections may carry a Retry-After
 	MaxRetryAfter      Time
 	ConnectTimeout     Time
-	EndpointsOnRequest bool // the endpoint list comes only to those that watch or fetch it
+	EndpointsOnRequest bool // the endpoint list is sent only to dispatchers that watch or fetch it
 	WeightsShowSize    bool // a worker's listed weight is its size
 	WeightsShowLoad    bool // a worker's listed weight falls with its load, so that it is no size
 	ReportsStart       bool // workers report when a request begins to run
 	ProgressInterval   Time // between progress reports of a running request; 0: there are none
 
-	MaxPollInterval    Time    // without a watch the endpoint list has to be asked for at least this often
-	DrainGrace         Time    // how long after a worker began to drain the last send may be
-	SlowStartMinFactor float64 // share of its capacity that a worker starts with, at the least
-	SlowStartWindow    Time    // after its start a worker has its whole capacity, at the latest
-	OverloadMultiple   float64 // a worker that is warming up and gets more than this, times its capacity ...
-	OverloadWindow     Time    // ... for this long fails
+	MaxPollInterval    Time    // without a watch the endpoint list has to be polled at least this often
+	DrainGrace         Time    // time after a worker began to drain within which a request may still be sent to it
+	SlowStartMinFactor float64 // share of its capacity that a worker has at its start, at least
+	SlowStartWindow    Time    // time after its start from which a worker has its full capacity, at the latest
+	OverloadMultiple   float64 // a worker that is warming up fails if it gets more than this, times its capacity ...
+	OverloadWindow     Time    // ... for this long
 
-	PriceWaste     float64 // of work that served nobody, as a share of all work
+	PriceWaste     float64 // of wasted work, as a share of all work
 	PriceFetch     float64 // of one fetch from the store for each request
 	PriceLateFail  float64 // of weight that ended unserved after its latency objective
 	PriceCrossZone float64 // of one crossing between zones for each request
 	IdleTimeout    Time    // idle connections are closed after this
 }
 
-// RouteLimits is what the operator allows for one request beside the settings. It narrows what the rules and
-// the settings allow and never widens it. A zero field limits nothing.
+// RouteLimits are the operators' limits for one request, in addition to the settings. They narrow what the
+// rules and the settings allow and never widen it. A zero field limits nothing.
 type RouteLimits struct {
 	Timeout         Time // for the whole request, from its arrival
 	AttemptTimeout  Time
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -7,19 +7,19 @@
 
 const (
 	// slowStartSampleFactor is how often a worker that is warming up is sampled for each request that it
-	// gets: other candidates take the rest.
+	// gets: other candidates get the rest.
 	slowStartSampleFactor = 1.5
 
-	// unknownRelativeSize is the part of the mean size that a worker may have where nothing tells its size.
+	// unknownRelativeSize is the size relative to the mean that a worker may have if its size is unknown.
 	unknownRelativeSize = 0.5
 
-	// A worker that an operator has enabled is found by sampling alone for firstRequestMinDelay at least and
-	// firstRequestMaxDelay at most; from then on the next request goes there.
+	// A worker that an operator has enabled gets requests by sampling alone for a time between
+	// firstRequestMinDelay and firstRequestMaxDelay; after that the next request goes there.
 	firstRequestMinDelay = 500 * Millisecond
 	firstRequestMaxDelay = 3 * Second
 )
 
-// slowStartFactor is the share of its capacity that a worker has at the least; 1: it has warmed up.
+// slowStartFactor returns the least share of its capacity that a worker has; 1: it has warmed up.
 func (d *Dispatcher) slowStartFactor(w *worker) float64 {
 	start := w.lastStart()
 	age := max(0, d.now-start)
@@ -30,19 +30,19 @@
 	return minFactor + (1-minFactor)*float64(age)/float64(d.settings.SlowStartWindow)
 }
 
-// isWarmingUp says whether a worker has not its whole capacity yet.
+// isWarmingUp reports whether a worker does not have its full capacity yet.
 func (d *Dispatcher) isWarmingUp(w *worker) bool { return d.slowStartFactor(w) < 1 }
 
-// slowStartAllows is rule four: a worker that is warming up gets a request only as one of the first
-// candidates that were sampled for it (see slowStartChance), and since the news of its start.
+// slowStartAllows enforces rule four: a worker that is warming up gets a request only as one of the first
+// candidates that were sampled for it (see slowStartChance), and after its start has become known.
 func (d *Dispatcher) slowStartAllows(r *request, w *worker) bool {
 	return !d.isWarmingUp(w) || r.firstCandidates && r.queuedAt >= w.readmittedAt && r.isCandidate(w)
 }
 
-// slowStartChance is the chance by which a sample of a worker that is warming up counts. At full load as many
-// requests take a worker as candidate as it could run when it has warmed up, and so many of these samples
-// count that hardly any window brings more than it bears. All workers are sampled alike, whatever they can
-// do, so one that can do less counts fewer.
+// slowStartChance returns the probability that a sample of a worker that is warming up counts. At full load a
+// worker is a candidate of as many requests as it can run once warmed up; so few of these samples count that
+// hardly any window brings an overload. All workers are sampled alike, whatever their capacity, so samples of
+// a worker with less count less often.
 func (d *Dispatcher) slowStartChance(w *worker) float64 {
 	fullLoad := w.kind.size * float64(d.settings.OverloadWindow) / (d.meanWork * d.slowdownOf(w))
 	root := max(0, math.Sqrt(d.settings.OverloadMultiple*d.slowStartFactor(w)*fullLoad+1)-1)
@@ -51,8 +51,8 @@
 }
 
 // sendToWarming sends a request that would be rejected to a worker that is warming up, if one is sampled and
-// has capacity: the queues for which it is rejected stand at the others. Without, such workers get the fewer
-// requests the more they are needed.
+// has capacity: the queues that cause the rejection are at the others. Otherwise such workers would get the
+// fewest requests when they are needed most.
 func (d *Dispatcher) sendToWarming(r *request) bool {
 	if d.now >= d.warmingUntil || d.settings.PeerMessages { // messages about the load would come too late
 		return false
@@ -63,9 +63,9 @@
 	return d.place(r)
 }
 
-// scheduleFirstRequest makes sure that a worker that an operator has enabled is used again, as sampling
-// seldom finds one that is warming up. Each dispatcher sends it one request, at a moment of its own; of many
-// dispatchers only as many do as it bears.
+// scheduleFirstRequest ensures that a worker that an operator has enabled is used again, since sampling
+// seldom picks one that is warming up. Each dispatcher sends it one request, at a random time; of many
+// dispatchers only as many do so as it can take.
 func (d *Dispatcher) scheduleFirstRequest(w *worker) {
 	bears := d.settings.OverloadMultiple * d.settings.SlowStartMinFactor * float64(firstRequestMaxDelay) /
 		(d.meanWork * d.slowdownOf(w))
@@ -76,15 +76,14 @@
 	}
 }
 
-// clearFirstRequest notes that a worker that was enabled has got a request, or gets none as it has been
-// disabled again.
+// clearFirstRequest removes a worker from those that await a first request, and all that are disabled.
 func (d *Dispatcher) clearFirstRequest(w *worker) {
 	d.awaitingFirstRequest = slices.DeleteFunc(d.awaitingFirstRequest, func(waiting *worker) bool {
 		return waiting == w || waiting.disabled
 	})
 }
 
-// dueFirstRequest returns an enabled worker whose time has come to get a request, nil where there is none.
+// dueFirstRequest returns an enabled worker whose first request is due, nil if there is none.
 func (d *Dispatcher) dueFirstRequest() *worker {
 	for _, w := range d.awaitingFirstRequest {
 		if w.isReady() && d.now >= w.firstRequestDue {
--- a/dispatch/timers.go
+++ b/dispatch/timers.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// timer is when a request has to be reevaluated. Only the one with the request's own timerSerial counts.
+// timer is when a request has to be reevaluated. Only the one with the request's own timerSerial is valid.
 type timer struct {
 	due     Time
 	serial  uint64
@@ -11,7 +11,7 @@
 	return t.due < other.due || t.due == other.due && t.serial < other.serial
 }
 
-// schedule sets a request's timer to what is due first.
+// schedule sets a request's timer to the earliest time at which something is due.
 func (d *Dispatcher) schedule(r *request) {
 	due := r.deadline
 	if r.queueTicket != 0 {
@@ -36,7 +36,7 @@
 	d.timers.push(timer{due: max(due, d.now+1), request: r, serial: r.timerSerial})
 }
 
-// runTimers does what is due and asks the caller for a timer for what is due next.
+// runTimers handles what is due and requests a timer from the caller for what is due next.
 func (d *Dispatcher) runTimers() {
 	for len(d.timers) > 0 && d.timers[0].due <= d.now {
 		t := d.timers.pop()
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -1,24 +1,24 @@
 package dispatch
 
-// Time is a point on the caller's monotonic clock, or a length of time, in microseconds.
+// Time is a point on the caller's monotonic clock, or a duration, in microseconds.
 type Time int64
 
-// Lengths of time.
+// Durations.
 const (
 	Millisecond Time = 1000
 	Second           = 1000 * Millisecond
 )
 
-// Ids are dense: the caller hands them out from 0 upwards.
+// Ids are dense: the caller assigns them from 0 upwards.
 type (
-	// RequestID is a request's id. It may be used again once the request has had its final answer and all its
+	// RequestID is a request's id. It may be reused once the request has had its final answer and all its
 	// attempts have ended.
 	RequestID uint32
-	// WorkerID is the id of a worker, by its name.
+	// WorkerID is the id of a worker, assigned to its name.
 	WorkerID int32
 )
 
-// Idempotency says what it means to run a request of a class twice.
+// Idempotency is what it means to run a request of a class twice.
 type Idempotency uint8
 
 // The kinds of idempotency.
@@ -28,7 +28,7 @@
 	NonIdempotent                    // must never run twice
 )
 
-// DedupScope says which workers drop repeats of a Deduplicated request.
+// DedupScope is the set of workers that drop repeats of a Deduplicated request.
 type DedupScope uint8
 
 // The scopes.
@@ -38,13 +38,13 @@
 	DedupCell                         // the workers of one cell
 )
 
-// WorkerState is what the endpoint list says of a worker.
+// WorkerState is the state of a worker on the endpoint list.
 type WorkerState uint8
 
 // The states.
 const (
 	Ready    WorkerState = iota
-	Draining             // shuts down gracefully: finishes what it has and may get nothing new
+	Draining             // shuts down gracefully: finishes its requests and must get no new ones
 	Gone
 )
 
@@ -55,25 +55,25 @@
 	State            WorkerState
 	StartedAt        Time    // 0: long ago
 	Tag              uint64  // a hash of its name, the same at every dispatcher
-	Weight           float64 // its size against the others', roughly; 0: unknown
+	Weight           float64 // its size relative to the others', approximately; 0: unknown
 }
 
-// LoadReport is a worker's own account of its load. It is late and noisy.
+// LoadReport is a worker's report of its own load. It is delayed and inexact.
 type LoadReport struct {
 	Known       bool
 	FreeSlots   float64 // -1: unknown
 	QueueLength float64 // -1: unknown
 }
 
-// PeerMessageKind tells messages between dispatchers apart.
+// PeerMessageKind is the type of a PeerMessage.
 type PeerMessageKind uint8
 
-// The messages. Slots is the field that each uses.
+// The kinds of messages, with the meaning of Slots.
 const (
-	LoadQuery      PeerMessageKind = iota // asks how much of the worker is in use
+	LoadQuery      PeerMessageKind = iota // requests the usage of the worker
 	LoadReply                             // Slots: in use by all dispatchers
 	UsageUpdate                           // Slots: in use by the sender
-	OverloadNotice                        // the worker rejected a request of the sender's, or let it wait too long
+	OverloadNotice                        // the worker rejected a request of the sender's, or one timed out there
 )
 
 // PeerMessage is a message between dispatchers about one worker.
--- a/dispatch/validate.go
+++ b/dispatch/validate.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// SettingsError says which field of Settings cannot be used, and why.
+// SettingsError is an invalid field of Settings, and the reason.
 type SettingsError struct {
 	Field  string // as in Go, for instance "Classes[1].Deadline"
 	Reason string
@@ -15,8 +15,8 @@
 	return &SettingsError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// validate returns a *SettingsError for the first field that cannot be used. Conditions on numbers are
-// written so that NaN fails them.
+// validate returns a *SettingsError for the first invalid field. Conditions on numbers are written so that
+// NaN fails them.
 func validate(s *Settings) error {
 	for _, part := range []func(*Settings) error{
 		validateClasses, validateTenants, validateGroup, validateTimes, validateNumbers,
@@ -68,8 +68,7 @@
 	return nil
 }
 
-// validateGroup checks where the dispatcher stands: its zone, its number in the group, and what it may do at
-// all.
+// validateGroup checks the dispatcher's zone, its number in the group, and the number of attempts.
 func validateGroup(s *Settings) error {
 	switch {
 	case s.Zone < -1 || s.Zone >= s.ZoneCount:
