--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -8,7 +8,7 @@
 	"birchfork/dispatch"
 )
 
-// handle lets the decision module decide on one event and carries its actions out. The lock is held.
+// handle passes one event to the decision module and carries out its actions. The caller must hold the lock.
 func (e *Engine) handle(now dispatch.Time, event *dispatch.Event) {
 	e.decide(now, event)
 	for i := range e.actions {
@@ -16,8 +16,8 @@
 	}
 }
 
-// decide keeps the decision module's answer to an event in e.actions. It guards the process against a panic in the module: one
-// decision is lost then, and the request that it was for ends at its deadline. The lock is held.
+// decide stores the decision module's actions for an event in e.actions. It guards the process against a panic in the module: that decision
+// is lost, and the request that it was for ends at its deadline. The caller must hold the lock.
 func (e *Engine) decide(now dispatch.Time, event *dispatch.Event) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -30,19 +30,19 @@
 	e.actions = e.decider.Handle(now, event, e.actions[:0])
 }
 
-// execute carries one action out. The lock is held.
+// execute carries out one action. The caller must hold the lock.
 func (e *Engine) execute(now dispatch.Time, action *dispatch.Action) {
 	switch action.Kind {
 	case dispatch.SetTimer:
 		e.setTimer(now, now+max(action.Wait, 0))
 	case dispatch.Send, dispatch.Cancel, dispatch.Reject, dispatch.Fail:
 		e.executeForRequest(now, action)
-	default: // the settings that the module is given ask for no other action, as no protocol here can express one
+	default: // the settings of the module request no other action, since no protocol here supports one
 		e.Counters.UnsupportedActions.Add(1)
 	}
 }
 
-// executeForRequest carries out an action that is about a request. The lock is held.
+// executeForRequest carries out an action for a request. The caller must hold the lock.
 func (e *Engine) executeForRequest(now dispatch.Time, action *dispatch.Action) {
 	var request *Request
 	if int(action.Request) < len(e.requests) {
--- a/internal/engine/admission.go
+++ b/internal/engine/admission.go
@@ -12,11 +12,11 @@
 	"birchfork/internal/settings"
 )
 
-// LimitError says which of the operator's limits a request was rejected for.
+// LimitError is the operators' limit by which a request was rejected.
 type LimitError struct {
 	Reason     admission.Reason
 	Route      string
-	RetryAfter time.Duration // at the least; 0: no advice
+	RetryAfter time.Duration // minimum delay; 0: no advice
 }
 
 // Error returns the text that clients read, which must not change.
@@ -24,26 +24,25 @@
 	return fmt.Sprintf("no place left: %s of %s", l.Reason, l.Route)
 }
 
-// admitter applies the operator's routes and limits. It is not changed once it is made, but for the limiter, which the engine's lock
-// guards.
+// admitter applies the operators' routes and limits. It is immutable, except for the limiter, which the engine's lock guards.
 type admitter struct {
 	routes      *routes.Table
 	limiter     *admission.Limiter
 	classes     []dispatch.Class
-	routeLimits []dispatch.RouteLimits // by route, with what its fallbacks add
+	routeLimits []dispatch.RouteLimits // by route, including those of its fallbacks
 }
 
-// reservation is what a request holds of the operator's limits, which is given back once. The zero reservation holds nothing.
+// reservation is the share of the operators' limits that a request uses. It is released once. The zero reservation uses nothing.
 type reservation struct {
-	limiter    *admission.Limiter // nil: nothing is held
+	limiter    *admission.Limiter // nil: nothing is reserved
 	permit     admission.Permit
 	class      *dispatch.Class
 	arrivedAt  dispatch.Time
-	retryAfter time.Duration // the least advice to a client whose request is rejected; 0: none
+	retryAfter time.Duration // minimum Retry-After of the client if the request is rejected; 0: none
 }
 
-// SetLimits puts the operator's routes and limits in force, in place of those before. Open requests keep what they hold and what they
-// were allowed. Rates and counts go on where a route keeps its name.
+// SetLimits replaces the operators' routes and limits. Open requests keep their reservations and what they were allowed. Rates and counts
+// of a route are kept if its name is.
 func (e *Engine) SetLimits(table *routes.Table, config admission.Config, classes []dispatch.Class) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -65,8 +64,8 @@
 	e.admitter = a
 }
 
-// LimitFields returns the log fields of the operator's limits, with a counter for each reason; nil where there are no limits. Operators
-// read their names, which must not change.
+// LimitFields returns the log fields of the operators' limits, with a counter for each reason; nil if there are no limits. Operators read
+// their names, which must not change.
 func (e *Engine) LimitFields() logrus.Fields {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -81,8 +80,8 @@
 	return fields
 }
 
-// admit asks the operator's limits for a request, along the fallbacks of its route. It returns a *LimitError with the reason of the
-// first route where none of them has room. The lock is held.
+// admit checks a request against the operators' limits, along the fallbacks of its route. If all of them reject it, the error is a
+// *LimitError with the reason of the first route. The caller must hold the lock.
 func (e *Engine) admit(now dispatch.Time, spec *RequestSpec, class, tenant int) (reservation, dispatch.RouteLimits, error) {
 	a := e.admitter
 	if a == nil {
@@ -110,7 +109,7 @@
 	return reservation{}, dispatch.RouteLimits{}, rejection
 }
 
-// release returns the permit to the limiter; a second call does nothing.
+// release returns the permit to the limiter. A second call has no effect.
 func (r *reservation) release(now dispatch.Time, outcome admission.Outcome) {
 	if r.limiter != nil {
 		r.limiter.Release(duration(now), r.permit, outcome)
@@ -118,15 +117,15 @@
 	}
 }
 
-// markSent notes that an attempt of the request has been ordered, so that it is not queued any more.
+// markSent records that an attempt of the request has been ordered, so that it does not count as queued any more.
 func (r *reservation) markSent() {
 	if r.limiter != nil {
 		r.limiter.MarkSent(&r.permit)
 	}
 }
 
-// finish releases the reservation of a request that has a final decision. A served request counts as timely where it is within the
-// latency objective, all others as late.
+// finish releases the reservation of a request that has a final decision. A served request counts as timely if it is within the latency
+// objective, all others count as late.
 func (r *reservation) finish(request *Request, kind DecisionKind) {
 	if r.limiter == nil {
 		return
@@ -139,7 +138,7 @@
 	r.release(now, outcome)
 }
 
-// withinObjective tells whether an answer now is within the latency objective of the class, which grows with the run time of the job.
+// withinObjective reports whether an answer now is within the latency objective of the class, which grows with the request's run time.
 func (r *reservation) withinObjective(now, runTime dispatch.Time) bool {
 	objective := float64(r.class.LatencyObjective) + r.class.ObjectiveStretch*float64(runTime)
 	return float64(now-r.arrivedAt) <= objective
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -14,30 +14,30 @@
 	errEnded     = errors.New("the attempt has ended")
 )
 
-// Attempt is one attempt of a request at a worker. Whoever carries it out looks at MaySend right before its first byte, reports what
-// the worker says of the job, and ends it with Finish or ReportInvalidRequest in any case.
+// Attempt is one attempt of a request at a worker. Its user calls MaySend immediately before sending the first byte, reports what the
+// worker says about the request, and always ends it with Finish or ReportInvalidRequest.
 type Attempt struct {
 	request    *Request
-	number     int // among the attempts of its request, from 0
+	number     int // index among the attempts of its request, from 0
 	worker     dispatch.WorkerID
 	address    string
 	sentAt     dispatch.Time // when it was ordered
-	sendBefore dispatch.Time // its first byte is sent before, or it is not sent at all; 0: no bound
+	sendBefore dispatch.Time // the attempt is sent only if its first byte goes out before this time; 0: no bound
 	ctx        context.Context
 	cancel     context.CancelCauseFunc
 	stop       context.CancelFunc // releases the timer of ctx
 
-	// The worker's process that the attempt is meant for: see workerState. It is not sent to a later one.
+	// The worker process that the attempt is meant for: see workerState. It is not sent to a later one.
 	workerStartedAtMillis int64
 	workerGeneration      int
 
 	// Guarded by the engine's lock.
-	startedAt dispatch.Time // when the start of the job was reported; 0: it was not
+	startedAt dispatch.Time // when the worker reported that the request runs; 0: not yet
 	finished  bool
-	neverRan  bool // by its outcome
+	neverRan  bool // according to its outcome
 }
 
-// startAttempt begins an attempt as the decision module has ordered. The lock is held.
+// startAttempt begins an attempt that the decision module has ordered. The caller must hold the lock.
 func (r *Request) startAttempt(now dispatch.Time, action *dispatch.Action) {
 	r.engine.names.AttemptSent(r.id)
 	r.reservation.markSent()
@@ -58,8 +58,8 @@
 	r.decisions <- Decision{Kind: DecisionSend, Attempt: attempt}
 }
 
-// attemptDeadline returns when an attempt that begins now ends at the latest: with its request, after its timeout, which is none where
-// it is 0, or after the longest duration that the group allows. The lock is held.
+// attemptDeadline returns the latest end of an attempt that begins now: the request's deadline, the attempt's timeout (0: none) or the
+// longest duration that the group allows, whichever is first. The caller must hold the lock.
 func (r *Request) attemptDeadline(timeout time.Duration) time.Time {
 	deadline := r.deadline
 	for _, limit := range [...]time.Duration{timeout, r.engine.maxAttemptDuration} {
@@ -76,15 +76,15 @@
 // Context returns the attempt's context. It ends at the attempt's deadline, or when the attempt is cancelled or has ended.
 func (a *Attempt) Context() context.Context { return a.ctx }
 
-// Cancelled tells whether the decision module cancelled the attempt.
+// Cancelled reports whether the decision module cancelled the attempt.
 func (a *Attempt) Cancelled() bool { return errors.Is(context.Cause(a.ctx), errCancelled) }
 
-// Address returns where the worker listens, as host:port.
+// Address returns the worker's address, as host:port.
 func (a *Attempt) Address() string { return a.address }
 
-// MaySend tells whether the attempt may still be sent; it is to be asked right before the first byte. It guards against what came
-// while the connection was set up: a drain, a lease that ran out, a deadline, or the end of the time in which workers drop repeats.
-// After a stall of the process it waits for a moment: see waitAfterStall.
+// MaySend reports whether the attempt may still be sent. It must be called immediately before the first byte. It guards against changes
+// while the connection was set up: a drain, an expired lease, a deadline, or the end of the time within which workers drop repeats. After a
+// stall of the process it waits: see waitAfterStall.
 func (a *Attempt) MaySend() bool {
 	engine := a.request.engine
 	engine.waitAfterStall(a.ctx)
@@ -103,19 +103,19 @@
 	return worker.usable() && engine.leaseAllows(worker) && a.isFor(worker)
 }
 
-// isFor tells whether the worker is still the process that the attempt was meant for. The lock is held.
+// isFor reports whether the worker is still the process that the attempt was meant for. The caller must hold the lock.
 func (a *Attempt) isFor(worker *workerState) bool {
 	return worker.endpoint.Address == a.address &&
 		worker.endpoint.StartedAtMillis == a.workerStartedAtMillis &&
 		worker.generation == a.workerGeneration
 }
 
-// NeedsLease tells whether the attempt may be sent under the group's lease only. Its last byte is then to be sent by itself, right
-// after a further look at MaySend.
+// NeedsLease reports whether the attempt may be sent only under the group's lease. Its last byte then has to be sent separately,
+// immediately after a further call of MaySend.
 func (a *Attempt) NeedsLease() bool {
 	engine := a.request.engine
 	if !engine.leaseInUse.Load() {
-		return false // without a group, and without the lock
+		return false // without a group; the lock is not needed
 	}
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
@@ -126,15 +126,15 @@
 	return worker != nil && worker.needsLease
 }
 
-// ReportStarted reports that the job began to run.
+// ReportStarted reports that the worker has begun to run the request.
 func (a *Attempt) ReportStarted() { a.report(dispatch.Event{Kind: dispatch.AttemptStarted}) }
 
-// ReportProgress reports which part of the job is done, from 0 to 1.
+// ReportProgress reports the completed fraction of the request, from 0 to 1.
 func (a *Attempt) ReportProgress(fraction float64) {
 	a.report(dispatch.Event{Kind: dispatch.AttemptProgressed, Progress: fraction})
 }
 
-// report tells the decision module of an event of an attempt that has not ended.
+// report passes an event of an attempt that has not ended to the decision module.
 func (a *Attempt) report(event dispatch.Event) {
 	engine := a.request.engine
 	engine.mu.Lock()
@@ -150,8 +150,8 @@
 	engine.handle(now, &event)
 }
 
-// ReportInvalidRequest ends the attempt and its request, as the worker cannot use the request. It never ran, no worker is to blame, and
-// no other worker could use it either.
+// ReportInvalidRequest ends the attempt and its request because the request is invalid to the worker. It never ran, the worker is not at
+// fault, and no other worker could use it either.
 func (a *Attempt) ReportInvalidRequest() {
 	request := a.request
 	request.engine.mu.Lock()
@@ -163,7 +163,8 @@
 	a.finish(dispatch.ResultNotSent, nil)
 }
 
-// Finish ends the attempt with its outcome; answer is the worker's result where that is dispatch.ResultOK. Only the first call counts.
+// Finish ends the attempt with its outcome; answer is the worker's result if the outcome is dispatch.ResultOK. Only the first call has an
+// effect.
 func (a *Attempt) Finish(result dispatch.Result, answer []byte) {
 	a.request.engine.mu.Lock()
 	defer a.request.engine.mu.Unlock()
--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -8,63 +8,63 @@
 	"birchfork/dispatch"
 )
 
-// Counters count what comes in, what goes out and how it ends. The packages that speak the protocols count here too. All fields are
-// atomic, and may be read and changed at any time. Fields gives the names that operators read.
+// Counters count requests, attempts, connections and how they end. The packages that implement the protocols count here too. All fields are
+// atomic, and may be read and changed at any time. Fields returns them by the names that operators read.
 type Counters struct {
 	// Requests.
 	Accepted          atomic.Int64 // admitted: the decision module decides on them
 	Served            atomic.Int64 // final decisions of the decision module ...
 	Shed              atomic.Int64
 	Failed            atomic.Int64
-	Overdue           atomic.Int64 // answered without one, as their time was up or this process stopped
-	RejectedOverLimit atomic.Int64 // answered 503 before they were admitted: too many requests or connections
-	ClientsGone       atomic.Int64 // their clients went before the answer
-	ClientsGoneEarly  atomic.Int64 // their clients went before the request was read: not admitted
-	WriteFailures     atomic.Int64 // answers that could not be written in full
+	Overdue           atomic.Int64 // answered without such a decision: their time was up or this process was stopping
+	RejectedOverLimit atomic.Int64 // answered 503 without being admitted: too many requests or connections
+	ClientsGone       atomic.Int64 // clients that disconnected before the response
+	ClientsGoneEarly  atomic.Int64 // clients that disconnected before their request was read; not admitted
+	WriteFailures     atomic.Int64 // responses that could not be written completely
 	Unreadable        atomic.Int64 // connections that ended within a request, by an error of net/http or a close
 
-	// Requests that were answered 4xx: all of them, and why.
+	// Requests that were answered 4xx: the total, and by cause.
 	BadRequests       atomic.Int64
-	BadHeaders        atomic.Int64 // headers that are missing or invalid
-	BadFraming        atomic.Int64 // lengths given in two ways, or shorter than what came
+	BadHeaders        atomic.Int64 // missing or invalid headers
+	BadFraming        atomic.Int64 // ambiguous lengths, or more data than the length
 	BadSizes          atomic.Int64 // bodies over the limit
-	BadBodies         atomic.Int64 // bodies that did not come in full
-	BadClasses        atomic.Int64 // classes that the settings do not have
+	BadBodies         atomic.Int64 // bodies that did not arrive completely
+	BadClasses        atomic.Int64 // classes that are not in the settings
 	BadMethods        atomic.Int64
-	BadIDs            atomic.Int64 // ids that are open or were lately
-	RejectedByWorkers atomic.Int64 // requests that a worker could not use
+	BadIDs            atomic.Int64 // ids that are open or were recently
+	RejectedByWorkers atomic.Int64 // requests that a worker reported as invalid
 
 	// Attempts.
 	AttemptsSent   atomic.Int64                             // ordered by the decision module
 	Outcomes       [dispatch.ResultUnknown + 1]atomic.Int64 // by dispatch.Result
-	BadWorkerLines atomic.Int64                             // lines of workers that could not be read
+	BadWorkerLines atomic.Int64                             // lines from workers that could not be parsed
 
 	// Connections.
 	Dials             atomic.Int64 // to workers: opened
-	ReusedConns       atomic.Int64 // to workers: used again
-	StaleConns        atomic.Int64 // to workers: found closed before they were used again
-	NoFileDescriptor  atomic.Int64 // attempts that found no descriptor left
+	ReusedConns       atomic.Int64 // to workers: reused
+	StaleConns        atomic.Int64 // to workers: found closed before reuse
+	NoFileDescriptor  atomic.Int64 // attempts that found no free file descriptor
 	ClientConns       atomic.Int64 // from clients
-	ClientConnsClosed atomic.Int64 // from clients: closed to keep the limit
+	ClientConnsClosed atomic.Int64 // from clients: closed to enforce the limit
 
 	// Discovery and the group.
 	EndpointUpdates  atomic.Int64
-	MalformedUpdates atomic.Int64 // lists and endpoints that could not be read
+	MalformedUpdates atomic.Int64 // lists and endpoints that could not be parsed
 	WatchFailures    atomic.Int64
-	DiscoveryBusy    atomic.Int64 // calls for the list that discovery rejected
-	DiscoveryMoves   atomic.Int64 // lists taken over from another address
+	DiscoveryBusy    atomic.Int64 // requests for the list that discovery rejected
+	DiscoveryMoves   atomic.Int64 // lists adopted from another address
 	OutlierReports   atomic.Int64 // from other dispatchers: attempts fail at a worker
 
 	// The process.
-	Reloads            atomic.Int64 // configurations that were read again and are in force
-	BadReloads         atomic.Int64 // configurations that were read again and are invalid
-	Stalls             atomic.Int64 // times that the whole process stood still
+	Reloads            atomic.Int64 // configurations read again and applied
+	BadReloads         atomic.Int64 // configurations read again and found invalid
+	Stalls             atomic.Int64 // times that the process stood still
 	Panics             atomic.Int64 // of the decision module
 	InvalidActions     atomic.Int64 // of the decision module
-	UnsupportedActions atomic.Int64 // of the decision module: no protocol here can express them
+	UnsupportedActions atomic.Int64 // of the decision module: no protocol here supports them
 }
 
-// outcomeNames are the names of outcomes in the log fields.
+// outcomeNames are the names of outcomes in log fields.
 var outcomeNames = [...]string{
 	dispatch.ResultOK:           "ok",
 	dispatch.ResultFailed:       "failed",
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -7,11 +7,11 @@
 	"birchfork/internal/settings"
 )
 
-// EndpointList is a list of workers, or the changes of one, as received from discovery.
+// EndpointList is a list of workers, or of changes, as received from discovery.
 type EndpointList struct {
-	Version   uint64 // by discovery's count
-	Snapshot  bool   // all workers, not only those that changed
-	Stale     bool   // a copy that was kept from before the process started
+	Version   uint64 // discovery's version
+	Snapshot  bool   // complete, not only the workers that changed
+	Stale     bool   // a copy saved before the process started
 	Endpoints []Endpoint
 }
 
@@ -24,18 +24,18 @@
 	StartedAtMillis           int64 // its last start, Unix time in milliseconds; 0: long ago
 }
 
-// RetiredEndpoint says that connections to an address are of no use any more: its worker has moved, restarted or is leaving.
+// RetiredEndpoint is an address to which connections are of no use any more: its worker has moved, restarted or is leaving.
 type RetiredEndpoint struct{ Address string }
 
-// OnEndpointRetired sets the function that is called when an endpoint is retired, in place of the one before. It is called with the
-// engine's lock held and must not call back.
+// OnEndpointRetired sets the function that is called when an endpoint is retired, replacing the previous one. It is called with the
+// engine's lock held and must not call the engine.
 func (e *Engine) OnEndpointRetired(f func(RetiredEndpoint)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.onEndpointRetired = f
 }
 
-// Ready tells whether some worker may be sent to, and whether a list has been received from discovery since the process started.
+// Ready reports whether any worker may be sent to, and whether an endpoint list has been received from discovery since the process started.
 func (e *Engine) Ready() (available, synced bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -47,8 +47,8 @@
 	return false, e.synced
 }
 
-// UpdateEndpoints applies an update from discovery; updates have to come in order. The decision module gets our own count of them as the
-// version, since discovery's may start again from a lower figure.
+// UpdateEndpoints applies an update from discovery. Updates must be passed in order. The version for the decision module is the engine's
+// own count of updates, since discovery's may restart from a lower number.
 func (e *Engine) UpdateEndpoints(list EndpointList) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -75,13 +75,13 @@
 		e.retireUnlisted(listed)
 	}
 	if len(e.restrictions.MaintenanceHosts)+len(e.restrictions.LeasedHosts) > 0 {
-		e.applyRestrictions() // a worker may have come to a restricted host
+		e.applyRestrictions() // a worker may have moved to a restricted host
 	}
-	e.updateLeaseExclusions() // before the decision module is notified of a worker that it may not use yet
+	e.updateLeaseExclusions() // before the decision module learns of a worker that it must not use yet
 	e.handle(e.now(), &event)
 }
 
-// retireUnlisted marks all workers as gone that a snapshot does not list. The lock is held.
+// retireUnlisted marks all workers as gone that a snapshot does not contain. The caller must hold the lock.
 func (e *Engine) retireUnlisted(listed map[dispatch.WorkerID]bool) {
 	for id := range e.workers {
 		if listed[dispatch.WorkerID(id)] {
@@ -99,7 +99,7 @@
 	}
 }
 
-// updateWorker applies one endpoint and returns its start on the decision module's clock. The lock is held.
+// updateWorker applies one endpoint and returns its start on the decision module's clock. The caller must hold the lock.
 func (e *Engine) updateWorker(id dispatch.WorkerID, endpoint *Endpoint) dispatch.Time {
 	worker := e.ensureWorker(id)
 	old := &worker.endpoint
@@ -127,9 +127,9 @@
 	return worker.startedAt
 }
 
-// startTime converts a listed start, Unix time in milliseconds, to the decision module's clock; 0 stays 0. It is to be called once for
-// each start: another reading of the wall clock would give another time, and another start is a restart to the decision module. The
-// lock is held.
+// startTime converts a listed start, Unix time in milliseconds, to the decision module's clock; 0 stays 0. It must be called only once for
+// each start: a further reading of the wall clock would give another time, which the decision module would take for a restart. The caller
+// must hold the lock.
 func (e *Engine) startTime(startedAtMillis int64) dispatch.Time {
 	if startedAtMillis <= 0 {
 		return 0
@@ -139,7 +139,7 @@
 	return max(e.at(now)-age, 0)
 }
 
-// Endpoints returns the whole list as it stands, and the revision of it: the list has not changed while that is the same.
+// Endpoints returns the complete endpoint list and its revision: while the revision is the same, so is the list.
 func (e *Engine) Endpoints() (list EndpointList, revision uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -152,22 +152,22 @@
 	return list, e.revision
 }
 
-// EndpointsRevision returns the revision of the list: how often it has been updated.
+// EndpointsRevision returns the revision of the endpoint list: the number of updates.
 func (e *Engine) EndpointsRevision() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.revision
 }
 
-// ListedWorker is the latest start and state of a worker by our own list.
+// ListedWorker is the latest start and state of a worker on the own endpoint list.
 type ListedWorker struct {
 	Name            string
-	StartedAtMillis int64 // the latest start that was listed, Unix time in milliseconds; 0: long ago
+	StartedAtMillis int64 // the latest listed start, Unix time in milliseconds; 0: long ago
 	State           dispatch.WorkerState
 }
 
-// ListedWorkers returns all workers of our list, those too that left it less than goneFor ago, and whether a list has been received from
-// discovery since the process started.
+// ListedWorkers returns all workers of the own endpoint list, including those that left it less than goneFor ago, and whether a list has
+// been received from discovery since the process started.
 func (e *Engine) ListedWorkers(goneFor time.Duration) (workers []ListedWorker, synced bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -195,7 +195,7 @@
 	}
 }
 
-// WatchingFor returns for how long the watch on discovery has been up without a break; below 0: it is down.
+// WatchingFor returns how long the watch on discovery has been up without a break; negative: it is down.
 func (e *Engine) WatchingFor() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/engine/enginetest/enginetest.go
+++ b/internal/engine/enginetest/enginetest.go
@@ -1,4 +1,4 @@
-// Package enginetest makes engines for the tests of the packages that use one.
+// Package enginetest creates engines for the tests of other packages.
 package enginetest
 
 import (
@@ -17,20 +17,20 @@
 	"customers":[{"name":"acme","quota_rps":900}],
 	"policy_limits":{"attempts_cap":1,"connect_timeout":0.25,"retry_after":true,"max_retry_after":2}}`
 
-// DiscardLogger returns a logger that writes nothing.
+// DiscardLogger returns a logger that discards everything.
 func DiscardLogger() *logrus.Logger {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	return logger
 }
 
-// New returns an engine with Settings that knows no worker, until the test ends. maxOpen bounds its open requests; 0 does not.
+// New returns an engine with Settings that knows no worker. It is closed when the test ends. maxOpen limits its open requests; 0: no limit.
 func New(t testing.TB, maxOpen int) *engine.Engine {
 	t.Helper()
 	return NewWith(t, maxOpen, Settings)
 }
 
-// NewWith is New with settings of its own, in the platform's JSON.
+// NewWith is New with other settings, in the platform's JSON.
 func NewWith(t testing.TB, maxOpen int, text string) *engine.Engine {
 	t.Helper()
 	names := settings.NewNameTable()
--- a/internal/engine/exclusion.go
+++ b/internal/engine/exclusion.go
@@ -2,21 +2,21 @@
 
 import "birchfork/dispatch"
 
-// exclusion is a set of reasons why nothing is sent to a worker, whatever the list says of it.
+// exclusion is a set of reasons why nothing is sent to a worker, whatever the endpoint list says of it.
 type exclusion uint8
 
 // The reasons.
 const (
 	excludedByOperator    exclusion = 1 << iota // the operators have disabled it
 	excludedByMaintenance                       // the group has its machine under maintenance
-	excludedWithoutLease                        // it needs the lease, and that does not run; nothing is known against the worker
-	excludedByPeers                             // another member of the group knows a later state of it than our list
+	excludedWithoutLease                        // it needs the lease, which has expired; the worker itself is not in doubt
+	excludedByPeers                             // another member of the group knows a later state of it than the own endpoint list
 
-	// restartExclusions are those after which a worker counts as started anew: whoever ends one has restarted it meanwhile.
+	// restartExclusions are those after which a worker counts as restarted: whoever ends one has restarted it meanwhile.
 	restartExclusions = excludedByOperator | excludedByMaintenance
 )
 
-// exclude adds a reason why nothing is sent to a worker. The lock is held.
+// exclude adds a reason why nothing is sent to a worker. The caller must hold the lock.
 func (e *Engine) exclude(id dispatch.WorkerID, reason exclusion) {
 	worker := &e.workers[id]
 	if reason != excludedWithoutLease {
@@ -29,9 +29,9 @@
 	e.handle(e.now(), &dispatch.Event{Kind: dispatch.WorkerDisabled, Worker: id})
 }
 
-// include removes a reason that ended so long ago. Where none is left the worker serves again. The decision module gets the time since
-// when it warms up: since the last exclusion of restartExclusions ended, or, after any other reason, since its listed start if that is
-// later. So a worker that was warming up goes on doing so. The lock is held.
+// include removes a reason that ended the given time ago. If none is left, requests are sent to the worker again. The decision module is
+// notified since when the worker warms up: since the last of restartExclusions ended or, after any other reason, since the listed start if
+// that is later. A worker that was warming up thus continues to do so. The caller must hold the lock.
 func (e *Engine) include(id dispatch.WorkerID, reason exclusion, ago dispatch.Time) {
 	worker := &e.workers[id]
 	now := e.now()
@@ -54,7 +54,7 @@
 	e.handle(now, &dispatch.Event{Kind: dispatch.WorkerEnabled, Worker: id, Elapsed: now - since})
 }
 
-// setExcluded excludes a worker for a reason, or includes it, where it is not so already. The lock is held.
+// setExcluded excludes a worker for a reason, or includes it, unless that is the case already. The caller must hold the lock.
 func (e *Engine) setExcluded(id dispatch.WorkerID, reason exclusion, excluded bool) {
 	was := e.workers[id].exclusions&reason != 0
 	switch {
@@ -65,8 +65,8 @@
 	}
 }
 
-// ExcludeOutdated excludes the workers of which other members of a group know a later state than our list, in place of those that were
-// excluded so before. Names that we do not know are passed over.
+// ExcludeOutdated excludes the workers of which other members of the group know a later state than the own endpoint list has, and includes
+// those that were excluded for this reason before. Unknown names are ignored.
 func (e *Engine) ExcludeOutdated(names []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/engine/heartbeat.go
+++ b/internal/engine/heartbeat.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// How a stall of the whole process is noticed and met.
+// Detection and handling of a stall of the process.
 const (
-	stallThreshold = 250 * time.Millisecond // without a heartbeat for longer, the process has stood still
-	stallPause     = 30 * time.Millisecond  // for the watch on discovery to read what came meanwhile
+	stallThreshold = 250 * time.Millisecond // longest time without a heartbeat that is not a stall
+	stallPause     = 30 * time.Millisecond  // time after a stall for the watch on discovery to read what has arrived meanwhile
 )
 
-// Heartbeat records that the process runs. It is to be called every few dozen milliseconds. It also sees that a lease has run out.
+// Heartbeat records that the process runs. It must be called every few dozen milliseconds. It also notices that a lease has expired.
 func (e *Engine) Heartbeat() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -19,7 +19,7 @@
 	e.updateLeaseExclusions()
 }
 
-// recordHeartbeat notes a heartbeat, and until when nothing is sent where it comes late. The lock is held.
+// recordHeartbeat records a heartbeat and, if it is late, until when nothing is sent. The caller must hold the lock.
 func (e *Engine) recordHeartbeat(now time.Time) {
 	if !e.lastHeartbeat.IsZero() && now.Sub(e.lastHeartbeat) > stallThreshold {
 		e.pausedUntil = now.Add(stallPause)
@@ -28,13 +28,13 @@
 	e.lastHeartbeat = now
 }
 
-// waitAfterStall waits for the rest of the pause after a stall, or until ctx ends. It guards against an attempt at a worker whose drain
-// came while the process stood still: the drain counts as delivered, though the watch has not read it yet.
+// waitAfterStall waits until the pause after a stall is over, or until ctx ends. It guards against an attempt at a worker whose drain
+// arrived while the process stood still: the drain counts as delivered, although the watch has not read it yet.
 func (e *Engine) waitAfterStall(ctx context.Context) {
 	e.mu.Lock()
 	now := time.Now()
 	if !e.lastHeartbeat.IsZero() {
-		e.recordHeartbeat(now) // an attempt may be the first to run again
+		e.recordHeartbeat(now) // an attempt may be the first to run after the stall
 	}
 	pause := e.pausedUntil.Sub(now)
 	e.mu.Unlock()
--- a/internal/engine/lease.go
+++ b/internal/engine/lease.go
@@ -7,7 +7,7 @@
 	"birchfork/internal/failpoint"
 )
 
-// SetLeaseExpiry sets until when the group's lease runs. With a time that is not in the future it does not run.
+// SetLeaseExpiry sets when the group's lease expires. A time that is not in the future ends the lease.
 func (e *Engine) SetLeaseExpiry(expiry time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -15,7 +15,7 @@
 	e.updateLeaseExclusions()
 }
 
-// SetPlansUnknown sets whether the group's plans are unknown to us. Every worker may be under maintenance then, and needs the lease.
+// SetPlansUnknown sets whether the group's maintenance plans are unknown. Any worker may be under maintenance then, and needs the lease.
 func (e *Engine) SetPlansUnknown(unknown bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -23,7 +23,7 @@
 	e.updateLeaseExclusions()
 }
 
-// leaseAllows tells whether the worker may be sent to at this moment, as far as the lease is concerned. The lock is held.
+// leaseAllows reports whether the lease allows sending to the worker now. The caller must hold the lock.
 func (e *Engine) leaseAllows(worker *workerState) bool {
 	if failpoint.Enabled(failpoint.SendWithoutLease) {
 		return true
@@ -32,8 +32,8 @@
 	return !needed || time.Now().Before(e.leaseExpiry)
 }
 
-// updateLeaseExclusions notifies the decision module which workers may not be sent to for want of the lease, so that it chooses others. A
-// worker that may be sent to again counts as started when its list says. The lock is held.
+// updateLeaseExclusions notifies the decision module of the workers to which nothing may be sent without the lease, so that it chooses
+// others. A worker that is included again counts as started at its listed start. The caller must hold the lock.
 func (e *Engine) updateLeaseExclusions() {
 	inUse := e.plansUnknown || len(e.leasedWorkers) > 0
 	e.leaseInUse.Store(inUse)
--- a/internal/engine/outlier.go
+++ b/internal/engine/outlier.go
@@ -5,21 +5,20 @@
 	"birchfork/internal/failpoint"
 )
 
-// minConsecutiveFailures is how many attempts in a row have to fail at a worker for the worker to be reported to the other dispatchers. With one,
-// every chance failure would be reported. Of 16 dispatchers with three bad workers 9 requests fail on three days with one, 30 with two,
-// 42 with three (docs/results.md).
+// minConsecutiveFailures is how many attempts in a row have to fail at a worker before the worker is reported to the other dispatchers. With
+// 1, every chance failure would be reported. In testbed runs of 16 dispatchers with three bad workers, 9 requests failed in three runs with
+// 1, 30 with 2 and 42 with 3 (docs/results.md).
 const minConsecutiveFailures = 2
 
-// OnOutlier sets the function that is called when attempts have failed at a worker in a row, in place of the one before. It is called
-// with the engine's lock held and must not call back.
+// OnOutlier sets the function that is called when several attempts in a row have failed at a worker, replacing the previous one. It is
+// called with the engine's lock held and must not call the engine.
 func (e *Engine) OnOutlier(f func(worker string)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.onOutlier = f
 }
 
-// HandleOutlierReport passes the report of another dispatcher that attempts fail at a worker on to the decision module. A name that we do
-// not know is ignored.
+// HandleOutlierReport passes another dispatcher's report that attempts fail at a worker to the decision module. Unknown names are ignored.
 func (e *Engine) HandleOutlierReport(name string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -35,8 +34,8 @@
 	e.handle(e.now(), &dispatch.Event{Kind: dispatch.OutlierReported, Worker: id})
 }
 
-// trackFailures counts the attempts that fail at a worker in a row, and reports the worker. Outcomes that tell nothing of it change
-// nothing. The lock is held.
+// trackFailures counts failed attempts in a row at a worker, and reports the worker. Outcomes that do not depend on the worker are ignored.
+// The caller must hold the lock.
 func (e *Engine) trackFailures(id dispatch.WorkerID, result dispatch.Result) {
 	worker := e.knownWorker(id)
 	if e.onOutlier == nil || worker == nil {
--- a/internal/engine/overrides.go
+++ b/internal/engine/overrides.go
@@ -8,16 +8,16 @@
 	"birchfork/dispatch"
 )
 
-// Override is the last decision of the operators on a worker.
+// Override is the operators' last decision on a worker.
 type Override struct {
-	Disabled bool      // nothing is sent to the worker; else it is enabled again
-	At       time.Time // when they decided so
+	Disabled bool      // nothing is sent to the worker; otherwise it is enabled again
+	At       time.Time // time of the decision
 }
 
-// ApplyOverrides applies the overrides of operators, by the names of workers. From its return on nothing is sent to a worker that is
-// disabled, whatever the list says. One that is enabled again has been restarted meanwhile, and counts as started at that moment. An
-// override that is not newer than the one in force is ignored: another process of this dispatcher may send it again. A name that has
-// not been listed is accepted too, as it may be listed later.
+// ApplyOverrides applies operators' overrides, keyed by worker name. Once it returns nothing is sent to a disabled worker, whatever the
+// endpoint list says. A worker that is enabled again has been restarted meanwhile, and counts as started at that time. An override that is
+// not newer than the one in force is ignored: another process of this dispatcher may repeat it. Names that have not been listed are
+// accepted, since they may be listed later.
 func (e *Engine) ApplyOverrides(overrides map[string]Override) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -26,7 +26,7 @@
 	}
 }
 
-// applyOverride applies one override. The lock is held.
+// applyOverride applies one override. The caller must hold the lock.
 func (e *Engine) applyOverride(name string, override Override) {
 	id := e.names.InternWorker(name)
 	worker := e.ensureWorker(id)
--- a/internal/engine/recentids.go
+++ b/internal/engine/recentids.go
@@ -1,13 +1,13 @@
 package engine
 
-// recentIDsPerGeneration is how many ids are remembered at the least; twice as many are at the most.
+// recentIDsPerGeneration is the minimum number of ids that are remembered; the maximum is twice that.
 const recentIDsPerGeneration = 4096
 
-// recentIDs remembers the newest ids in two generations: the previous one is dropped when the current one is full. The zero recentIDs
-// has none.
+// recentIDs remembers the newest ids in two generations: the previous one is dropped when the current one is full. The zero recentIDs is
+// empty.
 type recentIDs struct{ current, previous map[string]struct{} }
 
-// contains tells whether an id is remembered.
+// contains reports whether an id is remembered.
 func (r *recentIDs) contains(id string) bool {
 	_, inCurrent := r.current[id]
 	_, inPrevious := r.previous[id]
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -14,12 +14,12 @@
 	ID       string
 	Class    string
 	Tenant   string        // empty: none
-	TimeLeft time.Duration // until its client stops waiting
-	Slots    int           // that its job takes of a worker; below 1 counts as 1
+	TimeLeft time.Duration // until its client gives up
+	Slots    int           // that it takes at a worker; below 1 counts as 1
 	Memory   float64
-	Retry    bool   // its client marks it as a repeat
-	Key      string // affinity key: what the request is about; empty: none
-	Method   string // Method and Path are what the operator's routes match
+	Retry    bool   // its client marks it as a retry
+	Key      string // affinity key: the data that the request needs; empty: none
+	Method   string // Method and Path are matched by the operators' routes
 	Path     string
 }
 
@@ -31,19 +31,19 @@
 	ErrTooManyOpen   = errors.New("too many requests are open")
 )
 
-// DecisionKind tells decisions apart.
+// DecisionKind is the type of a Decision.
 type DecisionKind uint8
 
-// The kinds of decisions, and the fields of a Decision that each uses. All but DecisionSend are final.
+// The kinds of decisions, with the fields of Decision that each uses. All but DecisionSend are final.
 const (
-	DecisionSend    DecisionKind = iota // Attempt: is to be carried out
+	DecisionSend    DecisionKind = iota // Attempt: to be carried out
 	DecisionServe                       // Result: answers the request
-	DecisionShed                        // RetryAfter: the request is rejected, and nothing of it has run
+	DecisionShed                        // RetryAfter: the request is rejected, and no attempt of it has run
 	DecisionFail                        // the request has failed, and may have run
-	DecisionInvalid                     // a worker could not use the request, which is at fault itself
+	DecisionInvalid                     // the request is invalid, according to a worker
 )
 
-// Decision is what is to be done next for one request.
+// Decision is the next step for one request.
 type Decision struct {
 	Kind       DecisionKind
 	Attempt    *Attempt
@@ -51,22 +51,22 @@
 	RetryAfter time.Duration // 0: no advice
 }
 
-// Request is an open request. Whoever opened it takes its decisions until a final one comes, and closes it in any case.
+// Request is an open request. Whoever opened it reads its decisions until a final one arrives, and always closes it.
 type Request struct {
 	engine      *Engine
 	id          dispatch.RequestID
-	deadline    time.Time // when its client stops waiting
+	deadline    time.Time // when its client gives up
 	decisions   chan Decision
-	maxAttempts int // that there is room for among the decisions
+	maxAttempts int // capacity of decisions, without the final one
 
 	// Guarded by the engine's lock.
 	attempts    []*Attempt
-	finished    bool        // no answer is owed any more
-	reservation reservation // what it holds of the operator's limits
+	finished    bool        // no answer is required any more
+	reservation reservation // its use of the operators' limits
 }
 
-// Open admits a request and lets the decision module decide on it. It returns ErrUnknownClass, ErrUnknownTenant, ErrTooManyOpen,
-// ErrDuplicateID or a *LimitError for one that is not admitted; the decision module is not notified of that one.
+// Open admits a request and passes it to the decision module. It returns ErrUnknownClass, ErrUnknownTenant, ErrTooManyOpen, ErrDuplicateID
+// or a *LimitError for a request that is not admitted, of which the decision module is not notified.
 func (e *Engine) Open(spec RequestSpec) (*Request, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -77,8 +77,8 @@
 	if e.maxOpen > 0 && e.openRequests >= e.maxOpen {
 		return nil, ErrTooManyOpen
 	}
-	// Guards against somebody who asks with the id of another's request: he gets neither its answer nor its attempts, and no second
-	// effect. Clients take a new id for each request.
+	// Guards against a client that sends the id of another client's request: it gets neither that request's answer nor its attempts, and
+	// causes no second effect. Clients use a new id for each request.
 	if e.recentIDs.contains(spec.ID) {
 		return nil, ErrDuplicateID
 	}
@@ -100,7 +100,7 @@
 	return request, nil
 }
 
-// classAndTenant returns the ids of a request's class and tenant; the tenant's is -1 where there is none. The lock is held.
+// classAndTenant returns the ids of a request's class and tenant; the tenant's is -1 if there is none. The caller must hold the lock.
 func (e *Engine) classAndTenant(spec *RequestSpec) (class, tenant int, err error) {
 	class, err = e.names.ClassID([]byte(settings.NormalizeName(spec.Class)))
 	if err != nil {
@@ -116,7 +116,7 @@
 	return class, tenant, nil
 }
 
-// addRequest counts a request that has been admitted. The lock is held.
+// addRequest registers and counts a request that has been admitted. The caller must hold the lock.
 func (e *Engine) addRequest(id dispatch.RequestID, spec *RequestSpec, reserved reservation) *Request {
 	request := &Request{
 		engine:      e,
@@ -136,11 +136,11 @@
 	return request
 }
 
-// Decisions returns the channel on which the decisions on the request come, in their order. It is never closed.
+// Decisions returns the channel on which the decisions on the request arrive in order. It is never closed.
 func (r *Request) Decisions() <-chan Decision { return r.decisions }
 
-// Close ends the caller's part in the request. Without a final decision, its client has gone. Attempts that have begun
-// go on until they end by themselves or are cancelled. Close may be called more than once.
+// Close ends the caller's use of the request. Without a final decision, its client has disconnected. Attempts that have begun continue
+// until they end by themselves or are cancelled. Close may be called more than once.
 func (r *Request) Close() {
 	r.engine.mu.Lock()
 	defer r.engine.mu.Unlock()
@@ -151,8 +151,8 @@
 	r.drainDecisions()
 }
 
-// Abort ends the request as its time is up, or as this process stops. It returns the final decision: the decision module's, where
-// that has come meanwhile, else DecisionShed where nothing of the request can have run, and DecisionFail where it may have.
+// Abort ends the request because its time is up, or because this process stops. It returns the final decision: the decision module's if
+// that has arrived meanwhile, otherwise DecisionShed if the request cannot have run, and DecisionFail if it may have.
 func (r *Request) Abort() Decision {
 	r.engine.mu.Lock()
 	defer r.engine.mu.Unlock()
@@ -161,7 +161,7 @@
 	}
 	r.engine.Counters.Overdue.Add(1)
 	r.abandon()
-	r.drainDecisions() // an attempt that nobody has taken never ran
+	r.drainDecisions() // an attempt that was not received from the channel never ran
 	for _, attempt := range r.attempts {
 		if !attempt.neverRan {
 			return Decision{Kind: DecisionFail}
@@ -170,7 +170,8 @@
 	return Decision{Kind: DecisionShed}
 }
 
-// abandon ends a request without a decision of the decision module, to which its client has gone. The lock is held.
+// abandon ends a request without a decision of the decision module, and notifies the module that its client has gone. The caller must hold
+// the lock.
 func (r *Request) abandon() {
 	r.finish()
 	r.reservation.release(r.engine.now(), admission.Ignored)
@@ -179,14 +180,14 @@
 	r.engine.releaseID(r)
 }
 
-// finish notes that no answer is owed any more. The lock is held.
+// finish records that no answer is required any more. The caller must hold the lock.
 func (r *Request) finish() {
 	r.finished = true
 	r.engine.openRequests--
 }
 
-// drainDecisions takes the decisions that are left and returns the final one, if it is among them. It guards against an attempt that
-// nobody carries out, and so nobody ends. The lock is held.
+// drainDecisions receives the remaining decisions and returns the final one, if it is among them. It guards against an attempt that nobody
+// carries out, and so nobody ends. The caller must hold the lock.
 func (r *Request) drainDecisions() (final Decision) {
 	for {
 		select {
@@ -202,7 +203,7 @@
 	}
 }
 
-// respond ends a request with a final decision; a second one is passed over. The lock is held.
+// respond ends a request with a final decision; a second one is ignored. The caller must hold the lock.
 func (r *Request) respond(decision Decision) {
 	if r.finished {
 		return
@@ -220,7 +221,7 @@
 	}
 }
 
-// runTime returns for how long the job has run by now at the worker where it started first. The lock is held.
+// runTime returns how long the request has run until now at the worker where it started first. The caller must hold the lock.
 func (r *Request) runTime(now dispatch.Time) (longest dispatch.Time) {
 	for _, attempt := range r.attempts {
 		if attempt.startedAt > 0 {
@@ -230,7 +231,7 @@
 	return longest
 }
 
-// releaseID forgets a request whose id has been given back: it is finished, and so are all its attempts. The lock is held.
+// releaseID removes a request whose id has been released: it is finished, and so are all its attempts. The caller must hold the lock.
 func (e *Engine) releaseID(request *Request) {
 	if e.names.RequestName(request.id) == "" && e.requests[request.id] == request {
 		e.requests[request.id] = nil
--- a/internal/engine/restrictions.go
+++ b/internal/engine/restrictions.go
@@ -9,20 +9,19 @@
 	"birchfork/internal/failpoint"
 )
 
-// Restrictions are what a group of dispatchers has decided on workers, by their names or by the hosts that they are listed at. They only
-// take away: no worker is sent to because of them that would not be without.
+// Restrictions are the group's decisions on workers, by name or by the hosts where they are listed. They only exclude workers: none is used
+// because of them.
 type Restrictions struct {
 	MaintenanceWorkers, MaintenanceHosts map[string]bool // under maintenance: nothing is sent there
-	LeasedWorkers, LeasedHosts           map[string]bool // of plans under way: sent to only while the lease runs
+	LeasedWorkers, LeasedHosts           map[string]bool // of active plans: used only while the lease is valid
 }
 
-// runtimeSlack is how much later than its deadline a job may end at a worker, which knows only the time left: the way of the request
-// there, and the worker's own timer.
+// runtimeSlack is how much later than its deadline a request may end at a worker, which knows only the time left: the time of the request's
+// transmission, and the inaccuracy of the worker's own timer.
 const runtimeSlack = 250 * time.Millisecond
 
-// SetRestrictions puts the group's restrictions in force, in place of those before. From its return on nothing is sent to workers under
-// maintenance, and to leased ones only while the lease runs. A worker whose maintenance ends has been restarted meanwhile. The caller
-// must not change the maps afterwards.
+// SetRestrictions replaces the group's restrictions. Once it returns nothing is sent to workers under maintenance, and to leased ones only
+// while the lease is valid. A worker whose maintenance ends has been restarted meanwhile. The caller must not change the maps afterwards.
 func (e *Engine) SetRestrictions(restrictions Restrictions) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -30,8 +29,8 @@
 	e.applyRestrictions()
 }
 
-// applyRestrictions applies the restrictions to the workers as they are listed now: another worker may be listed at a restricted host.
-// The lock is held.
+// applyRestrictions applies the restrictions to the workers as listed now: another worker may be listed at a restricted host. The caller
+// must hold the lock.
 func (e *Engine) applyRestrictions() {
 	for _, id := range e.leasedWorkers {
 		e.workers[id].needsLease = false
@@ -53,7 +52,7 @@
 	e.updateLeaseExclusions()
 }
 
-// findWorkers returns the workers of these names, listed or not, and those at these hosts. The lock is held.
+// findWorkers returns the workers with these names, listed or not, and those at these hosts. The caller must hold the lock.
 func (e *Engine) findWorkers(names, hosts map[string]bool) (ids []dispatch.WorkerID) {
 	for _, name := range slices.Sorted(maps.Keys(names)) {
 		id := e.names.InternWorker(name)
@@ -69,16 +68,16 @@
 	return ids
 }
 
-// SetMaxAttemptDuration bounds attempts that begin from now on, whatever time their clients leave them; 0 sets no bound. A group that
-// waits for a silent member has to know for how long a job of that member's may run.
+// SetMaxAttemptDuration limits attempts that begin from now on, whatever time their clients allow; 0: no limit. A group that waits for a
+// member that does not respond has to know how long a request of that member may run.
 func (e *Engine) SetMaxAttemptDuration(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.maxAttemptDuration = d
 }
 
-// noteAttemptEnd notes the end of an attempt. Where the outcome does not tell that the job is over, it may run up to its deadline. The
-// lock is held.
+// noteAttemptEnd records the end of an attempt. Unless the outcome shows that the request has ended at the worker, it may run up to its
+// deadline. The caller must hold the lock.
 func (e *Engine) noteAttemptEnd(attempt *Attempt, result dispatch.Result) {
 	worker := e.knownWorker(attempt.worker)
 	if worker == nil {
@@ -94,8 +93,8 @@
 	}
 }
 
-// BusyWorkers returns, sorted, the names of those workers that are leased or under maintenance where a job of ours runs or may run, and
-// the hosts where it does, with those that other workers have moved away from meanwhile.
+// BusyWorkers returns, sorted, the names of the workers that are leased or under maintenance where a request of this dispatcher runs or may
+// run, and the hosts where it does, including those from which other workers have moved away meanwhile.
 func (e *Engine) BusyWorkers() (names, hosts []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/engine/worker.go
+++ b/internal/engine/worker.go
@@ -7,37 +7,37 @@
 	"birchfork/dispatch"
 )
 
-// workerState is what the engine knows of a worker beside the decision module. All of it is guarded by the engine's lock.
+// workerState is the engine's state of a worker, next to the decision module's. All of it is guarded by the engine's lock.
 type workerState struct {
-	endpoint          Endpoint      // as it was listed last
+	endpoint          Endpoint      // as listed last
 	startedAt         dispatch.Time // the listed start, on the decision module's clock; 0: long ago
 	latestStartMillis int64         // the latest start that was listed, Unix time in milliseconds
 	goneAt            dispatch.Time // when it left the list
 
-	exclusions exclusion     // why nothing is sent there, whatever the list says
-	generation int           // exclusions that it has had; attempts that were ordered in an earlier one are not sent
-	includedAt dispatch.Time // since when it has counted as started anew after an exclusion; 0: it had none
-	overrideAt time.Time     // when the operators gave the override that holds
-	needsLease bool          // it may be sent to under the group's lease only
+	exclusions exclusion     // why nothing is sent there, whatever the endpoint list says
+	generation int           // exclusions so far, but for a missing lease; attempts ordered before the last one are not sent
+	includedAt dispatch.Time // when it counted as restarted after an exclusion; 0: it had none
+	overrideAt time.Time     // time of the operators' override in force
+	needsLease bool          // requests may be sent there only under the group's lease
 
 	inFlight            int       // attempts that have not ended
-	mayRunUntil         time.Time // until then a job of an attempt that has ended may still run there
-	formerHosts         []string  // hosts where it was listed before, and where a job may still run
-	consecutiveFailures int       // attempts that failed since the last one that was served
+	mayRunUntil         time.Time // until then a request whose attempt has ended may still run there
+	formerHosts         []string  // hosts where it was listed before, and where a request may still run
+	consecutiveFailures int       // failed attempts since the last one that was served
 }
 
-// ready tells whether the worker may be sent to by the list alone.
+// ready reports whether the endpoint list alone allows sending to the worker.
 func (w *workerState) ready() bool {
 	return w.endpoint.State == dispatch.Ready && w.endpoint.Address != ""
 }
 
-// usable tells whether the worker may be sent to by the list and by all exclusions.
+// usable reports whether the endpoint list and all exclusions allow sending to the worker.
 func (w *workerState) usable() bool { return w.ready() && w.exclusions == 0 }
 
-// mayRun tells whether a job of ours runs at the worker, or may run there.
+// mayRun reports whether a request of this dispatcher runs at the worker, or may run there.
 func (w *workerState) mayRun(now time.Time) bool { return w.inFlight > 0 || now.Before(w.mayRunUntil) }
 
-// ensureWorker returns the state of a worker, and makes one where it has none. The lock is held.
+// ensureWorker returns the state of a worker, and creates it if there is none. The caller must hold the lock.
 func (e *Engine) ensureWorker(id dispatch.WorkerID) *workerState {
 	for int(id) >= len(e.workers) {
 		e.workers = append(e.workers, workerState{})
@@ -45,7 +45,7 @@
 	return &e.workers[id]
 }
 
-// knownWorker returns the state of a worker; nil where it has none. The lock is held.
+// knownWorker returns the state of a worker; nil if there is none. The caller must hold the lock.
 func (e *Engine) knownWorker(id dispatch.WorkerID) *workerState {
 	if int(id) >= len(e.workers) {
 		return nil
@@ -53,7 +53,7 @@
 	return &e.workers[id]
 }
 
-// KnowsWorker tells whether a worker of this name has been listed since our start, or is named by an override or a restriction.
+// KnowsWorker reports whether a worker of this name has been listed since the process started, or is named by an override or a restriction.
 func (e *Engine) KnowsWorker(name string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -61,19 +61,19 @@
 	return ok
 }
 
-// WorkerStatus is what this dispatcher knows of a worker.
+// WorkerStatus is what this dispatcher knows about a worker.
 type WorkerStatus struct {
 	Name, Zone, Kind string
 	Host             string
 	Weight           float64
 	Unavailable      bool // draining or gone
 	Gone             bool
-	WarmingUp        bool // it has not served for long since its start, or since its last exclusion
+	WarmingUp        bool // shortly after its start or its last exclusion
 	Disabled         bool // by the operators
 }
 
-// WorkerStatuses returns what this dispatcher knows of all workers, those too that left the list no longer ago than goneFor. A worker
-// counts as warming up for as long as warmUp.
+// WorkerStatuses returns the status of all workers, including those that left the endpoint list at most goneFor ago. A worker counts as
+// warming up for warmUp.
 func (e *Engine) WorkerStatuses(goneFor, warmUp time.Duration) (statuses []WorkerStatus) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -101,7 +101,7 @@
 	return statuses
 }
 
-// hostOf returns the host of an address; empty where the address has none.
+// hostOf returns the host of an address; empty if it has none.
 func hostOf(address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
