--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -9,10 +9,10 @@
 	"birchfork/internal/engine"
 )
 
-// maxSinceMillis bounds the start time of a worker, in milliseconds since 1970: none is that late.
+// maxSinceMillis limits the start time of a worker, in milliseconds since 1970.
 const maxSinceMillis = 1e14
 
-// noGroup is the cell of an endpoint that names no group.
+// noGroup is the cell of an endpoint without a group.
 const noGroup = -1
 
 // listMessage is a list in discovery's JSON.
@@ -31,7 +31,7 @@
 	Group   *int    `json:"group"`
 	Status  string  `json:"status"`
 	Weight  float64 `json:"weight"`
-	SinceMs float64 `json:"since_ms"` // whole, but may be written as 1.8e12
+	SinceMs float64 `json:"since_ms"` // an integer, but may be written as 1.8e12
 }
 
 // The values of endpointMessage.Status.
@@ -41,8 +41,8 @@
 	statusRemoved  = "removed"
 )
 
-// DecodeList decodes one message of discovery. Entries that cannot be understood are left out or taken as draining, so that nothing is sent
-// to them; malformed counts these faults. The error is not nil where the message as a whole cannot be read.
+// DecodeList decodes one message of discovery. Entries that cannot be decoded are left out or treated as draining, so that nothing is sent
+// to them; malformed counts these faults. The error is not nil if the message itself cannot be decoded.
 func DecodeList(raw []byte) (list engine.EndpointList, malformed int, err error) {
 	var message listMessage
 	if err := json.Unmarshal(raw, &message); err != nil {
@@ -87,7 +87,7 @@
 		endpoint.State = dispatch.Gone
 	case statusDraining:
 		endpoint.State = dispatch.Draining
-	default: // it is not known to accept requests
+	default: // unknown: it may not accept requests
 		endpoint.State = dispatch.Draining
 		faults++
 	}
@@ -100,7 +100,7 @@
 	return endpoint, faults
 }
 
-// EncodeList returns a list in discovery's JSON, which DecodeList reads.
+// EncodeList encodes a list in discovery's JSON. DecodeList is its inverse.
 func EncodeList(list engine.EndpointList) (json.RawMessage, error) {
 	message := listMessage{
 		Index:     list.Version,
--- a/internal/discovery/request.go
+++ b/internal/discovery/request.go
@@ -16,7 +16,7 @@
 	"birchfork/internal/engine"
 )
 
-// Bounds of a response.
+// Limits of a response.
 const (
 	readBufferBytes = 64 << 10
 	maxListBytes    = 8 << 20 // of one list
@@ -29,15 +29,15 @@
 	errListTooLong = errors.New("list too long")
 )
 
-// busyError ends a request that discovery had no room for.
+// busyError ends a request that discovery was too busy to serve.
 type busyError struct {
 	status     int
-	retryAfter time.Duration // as discovery asks for; 0: it does not
+	retryAfter time.Duration // as requested by discovery; 0: none
 }
 
 func (e busyError) Error() string { return "status " + strconv.Itoa(e.status) }
 
-// parseRetryAfter returns the value of Retry-After, in whole or decimal seconds and up to an hour; 0 where it is missing or malformed.
+// parseRetryAfter returns the value of Retry-After, in integer or decimal seconds, at most one hour; 0 if it is missing or malformed.
 func parseRetryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	if err != nil || !(seconds > 0) {
@@ -47,8 +47,8 @@
 }
 
 // readLists sends one request and calls handle for each list of the response, until one cannot be read or handle returns an error. A watch
-// ends where no line has come for the watch's idle timeout; a snapshot has to be complete within its timeouts. The error is never nil: it is
-// io.EOF where the response ended in order, busyError where discovery is busy, and errNoResponse where nothing came.
+// ends when no line has arrived for the watch's idle timeout; a snapshot has to be complete within its timeouts. The error is never nil: it
+// is io.EOF if the response ended properly, busyError if discovery is busy, and errNoResponse if nothing arrived.
 func (w *watch) readLists(ctx context.Context, target string, handle func(engine.EndpointList) error) error {
 	requestDeadline := time.Now().Add(w.requestTimeout)
 	conn, err := dial(ctx, w.address, requestDeadline)
@@ -62,7 +62,7 @@
 		return err
 	}
 	onLine := func() error { return conn.extend(time.Now().Add(w.watchIdleTimeout)) }
-	if target == snapshotTarget { // a list on several lines that stops in the middle must not live by these
+	if target == snapshotTarget { // the lines of a list that stops in the middle must not extend its time
 		onLine = func() error { return conn.extend(requestDeadline.Add(w.listTimeout)) }
 	}
 	if err := onLine(); err != nil {
@@ -71,8 +71,8 @@
 	return w.decodeLists(&listReader{source: response.Body, onLine: onLine}, handle)
 }
 
-// sendRequest sends a request and reads the head of the response. The response's body is to be left open: closing it would read what is left
-// of a watch. It ends with the connection.
+// sendRequest sends a request and reads the head of the response. The response's body must not be closed: that would read the rest of a
+// watch. It ends with the connection.
 func (w *watch) sendRequest(conn *requestConn, target string, deadline time.Time) (*http.Response, error) {
 	if err := conn.extend(deadline); err != nil {
 		return nil, err
@@ -99,7 +99,7 @@
 // decodeLists calls handle for each list of a response. Malformed lists and entries are counted.
 func (w *watch) decodeLists(body *listReader, handle func(engine.EndpointList) error) error {
 	malformedUpdates := &w.watcher.Engine.Counters.MalformedUpdates
-	decoder := json.NewDecoder(body) // not line by line: a list may stand on several lines
+	decoder := json.NewDecoder(body) // a list may span several lines
 	for {
 		body.bytesLeft = maxListBytes
 		var raw json.RawMessage
@@ -128,7 +128,7 @@
 	ctx context.Context // of the request
 }
 
-// dial connects to an address until a deadline.
+// dial connects to an address, until a deadline.
 func dial(ctx context.Context, address string, deadline time.Time) (*requestConn, error) {
 	dialer := net.Dialer{Deadline: deadline, KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -138,15 +138,15 @@
 	return &requestConn{conn, ctx}, nil
 }
 
-// extend sets the deadline of reads and writes. It fails where the request's context has ended: the deadline that interrupt set must stay.
+// extend sets the deadline of reads and writes. It fails if the request's context has ended: the deadline that interrupt set must stay.
 func (c *requestConn) extend(deadline time.Time) error {
 	return errors.Join(c.SetDeadline(deadline), c.ctx.Err())
 }
 
-// interrupt makes the read or write that is in progress fail, and all later ones.
+// interrupt makes the read or write in progress fail, and all later ones.
 func (c *requestConn) interrupt() { c.SetDeadline(time.Unix(1, 0)) }
 
-// listReader reads the body of a response. A line, which may be empty, shows that discovery lives; bytes that end none do not.
+// listReader reads the body of a response. A line ending, also of an empty line, shows that discovery is alive; other bytes do not.
 type listReader struct {
 	source    io.Reader
 	bytesLeft int          // until the list is too long
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// propagationDeadline is the platform's bound: whatever became of a request, and however a watch fell silent, a change counts as known to a
-// dispatcher so long after discovery had it and could be reached.
+// propagationDeadline is the platform's limit: however a request ended, and however a watch fell silent, a dispatcher counts as having a
+// change this long after discovery had it and was reachable.
 const propagationDeadline = 6 * time.Second
 
-// timing holds the timeouts and the longest delays for one kind of discovery. Its sums are bound by propagationDeadline, see afterSilence and
-// afterBusy.
+// timing is the timeouts and the longest delays for one kind of discovery. Their sums must stay within propagationDeadline: see
+// afterSilence and afterBusy.
 type timing struct {
-	watchIdleTimeout time.Duration // until a watch without a line is given up; an empty line is due every 2 s
-	requestTimeout   time.Duration // to connect and to get the head of the response ...
-	listTimeout      time.Duration // ... and so much more for a complete list, where that was requested
-	maxRetryDelay    time.Duration // between requests that failed
-	maxBusyDelay     time.Duration // after a response that says that discovery is busy, where the fleet's requests fit
-	congestible      bool          // discovery carries a limited rate of requests, so one without a response may be one too many
+	watchIdleTimeout time.Duration // until a watch without a line is abandoned; an empty line is due every 2 s
+	requestTimeout   time.Duration // to connect and to read the head of the response ...
+	listTimeout      time.Duration // ... and this much more for a complete list, if that was requested
+	maxRetryDelay    time.Duration // between failed requests
+	maxBusyDelay     time.Duration // after a response that discovery is busy, if the fleet's requests fit into propagationDeadline
+	congestible      bool          // discovery serves a limited rate of requests, so a request without a response may mean that there are too many
 }
 
-// polledTiming is for discovery that is reached over a network; it gives up by itself after a second what it cannot carry.
+// polledTiming is for discovery over a network, which by itself gives up requests that it cannot serve after one second.
 var polledTiming = timing{
 	watchIdleTimeout: 2750 * time.Millisecond,
 	requestTimeout:   1200 * time.Millisecond,
@@ -27,9 +27,9 @@
 	congestible:      true,
 }
 
-// pushedTiming is for an agent on this machine to which lists are pushed. It responds at once and at no cost; it is silent while discovery is
-// down, and what it has counts as known from the moment of its return. Requests may go to a worker that drains for 0.5 s then, or for as long
-// as the settings say: the timeouts leave room for two requests in that time.
+// pushedTiming is for an agent on this machine to which lists are pushed. It responds immediately and at no cost. It is silent while
+// discovery is down, and its list counts as known from the moment when it returns. From then on requests may go to a draining worker for
+// 0.5 s, or for as long as the settings allow: the timeouts leave time for two requests within that.
 var pushedTiming = timing{
 	watchIdleTimeout: 3 * time.Second,
 	requestTimeout:   150 * time.Millisecond,
@@ -38,15 +38,15 @@
 	maxBusyDelay:     1500 * time.Millisecond,
 }
 
-// maxLostRequests is how many requests in a row may fail and the next one still brings the list within propagationDeadline.
+// maxLostRequests is how many requests in a row may fail so that the next one still delivers the list within propagationDeadline.
 const maxLostRequests = 1
 
-// afterSilence returns the longest time from a watch's last line to the complete list by another request.
+// afterSilence returns the longest time from a watch's last line to the complete list from a further request.
 func (t timing) afterSilence() time.Duration {
 	return t.watchIdleTimeout + (maxLostRequests+1)*(t.maxRetryDelay+t.requestTimeout+t.listTimeout)
 }
 
-// afterBusy returns the longest time from a response that discovery is busy to the complete list by a further request.
+// afterBusy returns the longest time from a response that discovery is busy to the complete list from a further request.
 func (t timing) afterBusy() time.Duration {
 	return (maxLostRequests + 1) * (t.maxBusyDelay + t.requestTimeout + t.listTimeout)
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -17,29 +17,27 @@
 // Targets of the requests to discovery.
 const (
 	snapshotTarget = "/discovery/hosts"
-	watchTarget    = "/discovery/hosts?follow=1&since=" // and a version
+	watchTarget    = "/discovery/hosts?follow=1&since=" // followed by a version
 )
 
-// errStaleVersion says that the source counts its versions otherwise than the list before: another agent's, or the same one before its
-// restart.
+// errStaleVersion means that the versions are not comparable with those before: the source is another agent, or has been restarted.
 var errStaleVersion = errors.New("a version older than the newest came")
 
-// watch follows the list at one address. Its goroutine owns resume and backoff.
+// watch follows the endpoint list at one address. Its goroutine owns resume and backoff.
 type watch struct {
 	timing
 	address string
 	watcher *Watcher
 	cancel  context.CancelFunc
 	backoff backoff
-	resume  bool // the next request may go on from version
+	resume  bool // the next request may continue from version
 
-	mu      sync.Mutex // two requests may be open: the watch and the check of its first version
-	hasList bool       // the engine's list is of this address ...
+	mu      sync.Mutex // two requests may be open: the watch and the verification of its first version
+	hasList bool       // the engine's list is from this address ...
 	version uint64     // ... and of this version
 }
 
-// run follows the list until ctx ends. Where the watch breaks or falls silent it begins again after a delay; the engine keeps its list
-// meanwhile.
+// run follows the list until ctx ends. If the watch breaks or falls silent it restarts after a delay; the engine keeps its list meanwhile.
 func (w *watch) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		received, err := w.follow(ctx)
@@ -65,13 +63,13 @@
 }
 
 // follow receives the list and its changes until an error ends it; received reports whether any was applied. It begins with the complete
-// list, as a version of another agent, or of the same one before it was restarted, means nothing. There are two exceptions: the first watch
-// after our start goes on from the list that we were started with, and one that discovery was too busy for goes on from the newest. These
-// need one request in place of two, and learn later from verify that their first version meant something.
+// list, since a version of another agent, or of the same one before a restart, is meaningless. There are two exceptions: the first watch of
+// the process continues from the list with which the process was started, and a watch for which discovery was too busy continues from the
+// newest list. These need one request instead of two, and verify checks later that their first version was valid.
 func (w *watch) follow(ctx context.Context) (received bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	var verifications sync.WaitGroup
-	defer verifications.Wait() // guards against a list of the verification that comes after the next watch's
+	defer verifications.Wait() // guards against a list of the verification that arrives after the next watch's
 	defer cancel()
 	resumed := w.resume && w.knowsList()
 	if !resumed {
@@ -93,8 +91,8 @@
 	return received, err
 }
 
-// fetchSnapshot requests the complete list; received reports whether one was applied. With reset it counts whatever its version is. The error
-// is io.EOF where the response ended in order.
+// fetchSnapshot requests the complete list; received reports whether one was applied. With reset it is applied whatever its version is. The
+// error is io.EOF if the response ended properly.
 func (w *watch) fetchSnapshot(ctx context.Context, reset bool) (received bool, err error) {
 	err = w.readLists(ctx, snapshotTarget, func(list engine.EndpointList) error {
 		list.Snapshot = true
@@ -108,8 +106,9 @@
 	return received, err
 }
 
-// apply hands a list to the watcher and notes its version. first says that it is the first of its request: one that is older than the newest
-// shows that the versions mean nothing. Later ones that are older are dropped, as a verification has brought more meanwhile.
+// apply passes a list to the watcher and stores its version. first means that it is the first list of its request: if that is older than
+// the newest one, the versions are not comparable. Later lists that are older are dropped, since a verification has delivered a newer one
+// meanwhile.
 func (w *watch) apply(list engine.EndpointList, first bool) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -127,10 +126,10 @@
 	return nil
 }
 
-// verify requests the complete list some time after a watch was resumed, until it has it: nothing else shows that the version the watch began
-// with means to this agent what it meant before. It cancels the watch where that is not so.
+// verify requests the complete list some time after a watch was resumed, until it has received one: nothing else shows that the agent still
+// means the same by the version from which the watch continued. If it does not, verify cancels the watch.
 func (w *watch) verify(ctx context.Context, cancel func()) {
-	retries := w.backoff // with a count of failures of its own
+	retries := w.backoff // with its own count of failures
 	delay := retries.verifyDelay()
 	for {
 		wait(ctx, delay)
@@ -160,7 +159,7 @@
 	w.version = 0
 }
 
-// nextTarget returns the target of a watch that goes on from the newest version.
+// nextTarget returns the target of a watch that continues from the newest version.
 func (w *watch) nextTarget() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -12,30 +12,30 @@
 	"birchfork/internal/engine"
 )
 
-// randomStream is the second seed word of the delays; other users of a dispatcher's seed have other streams.
+// randomStream is the second seed value of the delays' random source; other users of a dispatcher's seed have other streams.
 const randomStream = 2
 
-// errNotCurrent ends a request of a watch whose lists do not count, as another one's do.
+// errNotCurrent ends a request of a watch whose lists are not used, because another watch is current.
 var errNotCurrent = errors.New("not the current watch")
 
-// Source says where the list comes from.
+// Source describes where the endpoint list comes from.
 type Source struct {
 	Address   string
-	Pushed    bool   // Address is an agent of our own, which responds at no cost
-	FleetSize int    // about how many dispatchers use the source; discovery has to carry all their requests
-	HasList   bool   // the engine has a list of this source already ...
+	Pushed    bool   // Address is an agent on this machine, which responds at no cost
+	FleetSize int    // approximate number of dispatchers that use the source; discovery has to serve the requests of all
+	HasList   bool   // the engine already has a list of this source ...
 	Version   uint64 // ... of this version
-	Seed      uint64 // of the random delays, another at each dispatcher
+	Seed      uint64 // of the random delays, different at each dispatcher
 }
 
-// Watcher follows the list at one address for an engine, and moves to another address without a gap: the old one is watched until the new one
-// has sent its complete list. It owns a goroutine per watch; they end with the context of NewWatcher, and nothing waits for them. It is safe
-// for concurrent use.
+// Watcher follows the endpoint list at one address for an engine, and moves to another address without a gap: the old one is watched until
+// the new one has sent its complete list. It owns one goroutine per watch; they end with the context of NewWatcher, and nothing waits for
+// them. It is safe for concurrent use.
 type Watcher struct {
 	Engine *engine.Engine
 	Log    logrus.FieldLogger
 
-	ctx       context.Context // of all watches, also those that MoveTo starts
+	ctx       context.Context // of all watches, including those that MoveTo starts
 	fleetSize int
 	pushed    bool
 
@@ -63,8 +63,8 @@
 	return w
 }
 
-// MoveTo begins to watch another address, which becomes the current one with its complete list. It returns at once. An address that was to
-// take over before and has not sent its list yet is dropped.
+// MoveTo starts to watch another address, which becomes the current one once it has sent its complete list. It returns immediately. A
+// previous address that has not sent its list yet is dropped.
 func (w *Watcher) MoveTo(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -111,8 +111,8 @@
 	return w.randomSource.Float64()
 }
 
-// apply hands a list of a watch to the engine if that watch is the current one, or becomes it with this list. An empty list does not make it
-// the current one: that is what an agent has which has received none itself.
+// apply passes a list of a watch to the engine if that watch is the current one, or becomes it with this list. A watch does not become
+// current with an empty list, which is what an agent without a list has.
 func (w *Watcher) apply(from *watch, list engine.EndpointList) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// watchBroken notes that a watch has broken off.
+// watchBroken records that a watch has broken.
 func (w *Watcher) watchBroken(broken *watch) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/frontend/body.go
+++ b/internal/frontend/body.go
@@ -12,17 +12,17 @@
 // Sizes of a request's body, in bytes.
 const (
 	maxBodyBytes        = 64 << 10
-	unbudgetedBodyBytes = 4 << 10 // held outside the budget: the limit on connections bounds them
-	initialBodyBytes    = 512     // of memory, where the length is not known
+	unbudgetedBodyBytes = 4 << 10 // of a body outside the budget: the limit on connections bounds them
+	initialBodyBytes    = 512     // of memory, if the length is unknown
 )
 
-// MemoryBudget bounds the bytes that request bodies hold together. The zero budget has none to give. It is safe for concurrent use.
+// MemoryBudget limits the total bytes of request bodies in memory. The zero budget has none to give. It is safe for concurrent use.
 type MemoryBudget struct{ limit, available atomic.Int64 }
 
-// SetLimit sets the size of the whole budget. What is reserved stays so, even where that is more than the new limit.
+// SetLimit sets the size of the budget. Existing reservations are kept, even if they exceed the new limit.
 func (b *MemoryBudget) SetLimit(n int64) { b.available.Add(n - b.limit.Swap(n)) }
 
-// reserve takes n bytes, or none where fewer are available.
+// reserve takes n bytes, or none if fewer are available.
 func (b *MemoryBudget) reserve(n int64) bool {
 	if b.available.Add(-n) >= 0 {
 		return true
@@ -33,8 +33,8 @@
 
 func (b *MemoryBudget) release(n int64) { b.available.Add(n) }
 
-// outgoingRequest is what goes to workers for one request, with the memory that its body holds. It is retained by the request and by each
-// attempt; the last to release it gives the memory back to the budget.
+// outgoingRequest is what is sent to workers for one request, with the memory of its body. It is retained by the request and by each
+// attempt; the last one to release it returns the memory to the budget.
 type outgoingRequest struct {
 	upstream.Request
 
@@ -51,18 +51,18 @@
 	}
 }
 
-// errBodyTooLong is the error of a body of more than maxBodyBytes.
+// errBodyTooLong is the error for a body of more than maxBodyBytes.
 var errBodyTooLong = errors.New("the body is over 64 KiB")
 
-// readBody reads the body. Memory is reserved as bytes come, not as a client announces them; a small body needs none of the budget, so that
-// clients with huge ones do not crowd out the usual ones. The error is errBodyTooLong, errOverLimit, or that of the read.
+// readBody reads the body. Memory is reserved as bytes arrive, not as a client announces them; a small body needs none of the budget, so
+// that clients with huge ones do not crowd out ordinary ones. The error is errBodyTooLong, errOverLimit, or that of the read.
 func (r *outgoingRequest) readBody(httpRequest *http.Request) error {
-	if httpRequest.ContentLength > maxBodyBytes { // answered before it is read
+	if httpRequest.ContentLength > maxBodyBytes { // rejected before it is read
 		return errBodyTooLong
 	}
 	capacity := int64(initialBodyBytes)
 	if httpRequest.ContentLength >= 0 {
-		capacity = min(httpRequest.ContentLength, unbudgetedBodyBytes) + 1 // one more to see the end
+		capacity = min(httpRequest.ContentLength, unbudgetedBodyBytes) + 1 // one more to detect the end
 	}
 	r.Body = make([]byte, 0, capacity)
 	for {
@@ -84,7 +84,7 @@
 	}
 }
 
-// growBody doubles the memory of the body, up to one byte more than the longest that is allowed.
+// growBody doubles the memory of the body, up to one byte more than the maximum length.
 func (r *outgoingRequest) growBody() error {
 	capacity := min(2*int64(cap(r.Body)), maxBodyBytes+1)
 	if capacity > unbudgetedBodyBytes+1 {
--- a/internal/frontend/clientconn.go
+++ b/internal/frontend/clientconn.go
@@ -12,13 +12,13 @@
 	"birchfork/internal/socket"
 )
 
-// evictionClass orders the connections of clients: lower classes are closed first where there are too many.
+// evictionClass orders client connections: if there are too many, lower classes are closed first.
 type evictionClass int
 
-// The eviction classes, in their order.
+// The eviction classes, in order.
 const (
-	evictClosing  evictionClass = iota // has had its final response
-	evictUnproven                      // has had time enough for a proper request, and sent none
+	evictClosing  evictionClass = iota // its final response has been written
+	evictUnproven                      // had enough time for a valid request, and sent none
 	evictIdle                          // has had a response, and awaits none
 	evictNew                           // has just connected
 	evictNever                         // awaits a response
@@ -27,18 +27,18 @@
 // newConnPeriod is how long a new connection may take to send something before it counts as unproven.
 const newConnPeriod = 50 * time.Millisecond
 
-// maxSurplusBytes bounds what may arrive behind a request that has not been answered. Clients send one request at a time; whoever sends more
-// than another whole one on top awaits nothing that could be answered in order.
+// maxSurplusBytes limits the bytes that may arrive after a request that has not been answered. Clients send one request at a time; one that
+// sends more than a further complete request cannot be answered in order.
 const maxSurplusBytes = maxHeaderBytes + maxBodyBytes
 
-// discardBytes is the size of the buffers for bytes that are dropped.
+// discardBytes is the size of the buffers for discarded bytes.
 const discardBytes = 4 << 10
 
-// errTooMuchSurplus ends a connection with more than maxSurplusBytes behind a request.
+// errTooMuchSurplus ends a connection with more than maxSurplusBytes after a request.
 var errTooMuchSurplus = errors.New("too many bytes behind a request that is not answered yet")
 
-// clientConn is the connection of a client. It sees all bytes that net/http reads, and so knows what net/http does not tell: whether any of a
-// request has arrived, how the request was framed, and whether more arrived than the request. It is safe for concurrent use.
+// clientConn is a client's connection. It sees all bytes that net/http reads, and so knows what net/http does not report: whether part of a
+// request has arrived, how the request was framed, and whether more than the request arrived. It is safe for concurrent use.
 type clientConn struct {
 	net.Conn
 	rawConn     syscall.RawConn // nil: the connection has no file descriptor
@@ -47,26 +47,26 @@
 	releaseOnce sync.Once // of closeNow
 
 	mu               sync.Mutex
-	evicted          bool      // it is being closed by us: nothing is read any more
-	since            time.Time // its last response was written, or it connected
-	proven           bool      // a proper request has been answered
-	awaitingResponse bool      // a whole request has arrived, and its response is not begun
-	surplusBytes     int       // that arrived behind that request and were dropped
-	responding       bool      // the response is being written; what arrives now is a next request
-	responded        bool      // our last writing was a complete response
+	evicted          bool      // this process is closing it: nothing is read any more
+	since            time.Time // time of its last response, or of the connection
+	proven           bool      // a valid request has been answered
+	awaitingResponse bool      // a complete request has arrived, and its response has not begun
+	surplusBytes     int       // arrived after that request and discarded
+	responding       bool      // the response is being written; what arrives now belongs to the next request
+	responded        bool      // the last thing written was a complete response
 	noMoreRequests   bool      // no further request is read
-	writeClosed      bool      // our sending has ended
+	writeClosed      bool      // the sending direction is closed
 
 	// The request that is arriving.
 	head           headScanner
-	requestStarted bool  // any of it has arrived
-	bodyLeft       int64 // bytes of its body that have not, by its Content-Length
-	surplus        bool  // more has arrived than the request
+	requestStarted bool  // part of it has arrived
+	bodyLeft       int64 // bytes of its body that have not arrived, by its Content-Length
+	surplus        bool  // more than the request has arrived
 }
 
-// Read reads and follows the framing of requests. A connection that is evicted gives nothing any more: evict and Read exclude each other, so
-// that no request is read from it and then lost. What arrives behind a request that awaits its response is dropped, as that response is the
-// connection's last then: net/http would stop reading at the first such byte, and not see the client leave.
+// Read reads, and tracks the framing of requests. An evicted connection returns nothing more: evict and Read exclude each other, so that no
+// request is read from it and then lost. What arrives after a request that awaits its response is discarded, since that response is then
+// the connection's last: otherwise net/http would stop reading at the first such byte, and not notice that the client leaves.
 func (c *clientConn) Read(p []byte) (n int, err error) {
 	if c.rawConn == nil || len(p) == 0 {
 		n, err = c.Conn.Read(p)
@@ -93,8 +93,8 @@
 	return n, nil
 }
 
-// readFD reads once from the connection's file descriptor. done is false where nothing has arrived: the runtime then calls it again once
-// something has. The end of the stream is n = 0 and no error.
+// readFD reads once from the connection's file descriptor. done is false if nothing has arrived: the runtime calls it again once something
+// has. The end of the stream is n = 0 without an error.
 func (c *clientConn) readFD(fd int, p []byte) (n int, done bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,7 +113,8 @@
 	return n, true, err
 }
 
-// discardSurplus drops the bytes that have arrived. done is true at the end of the stream, or after maxSurplusBytes. The lock is held.
+// discardSurplus discards the bytes that have arrived. done is true at the end of the stream, or after maxSurplusBytes. The caller must
+// hold the lock.
 func (c *clientConn) discardSurplus(fd int) (done bool, err error) {
 	var discard [discardBytes]byte
 	for {
@@ -132,7 +133,7 @@
 	}
 }
 
-// readRetrying reads from a file descriptor, again where a signal has interrupted that.
+// readRetrying reads from a file descriptor, and retries if a signal interrupts the read.
 func readRetrying(fd int, p []byte) (n int, err error) {
 	for {
 		n, err = syscall.Read(fd, p)
@@ -142,7 +143,7 @@
 	}
 }
 
-// trackFraming follows the framing of what has been read. The lock is held.
+// trackFraming tracks the framing of bytes that have been read. The caller must hold the lock.
 func (c *clientConn) trackFraming(data []byte) {
 	if len(data) == 0 {
 		return
@@ -165,16 +166,16 @@
 	}
 }
 
-// ambiguousLength reports whether the request's length was given in two ways: another reader may take another place for its end, behind which
-// a request of its own is hidden.
+// ambiguousLength reports whether the request's length was given in two ways. Another reader may choose the other one, and find a hidden
+// request after it (request smuggling).
 func (c *clientConn) ambiguousLength() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.head.invalidLength || c.head.hasTransferEncoding && c.head.hasLength
 }
 
-// completeRequest notes that a whole request has arrived. It returns false where more has arrived than that: clients send one at a time, so its
-// length was wrong.
+// completeRequest records that a complete request has arrived. It returns false if more than that has arrived: clients send one request at
+// a time, so its length was wrong.
 func (c *clientConn) completeRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -186,8 +187,8 @@
 	return true
 }
 
-// beginResponse notes that the response begins, and returns whether that has to be the last one on the connection: it is final, or where the
-// next request begins is not known, as behind a body with a transfer coding.
+// beginResponse records that the response begins, and reports whether it has to be the last one on the connection: because it is final, or
+// because the start of the next request is unknown, as after a body with a transfer coding.
 func (c *clientConn) beginResponse(final bool) (last bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -202,7 +203,7 @@
 	return c.noMoreRequests
 }
 
-// endResponse notes that the response is written.
+// endResponse records that the response has been written.
 func (c *clientConn) endResponse() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -211,7 +212,7 @@
 	c.since = time.Now()
 }
 
-// evictionClass returns when the connection goes where there are too many, and since when it is silent.
+// evictionClass returns the connection's eviction class, and since when it has been silent.
 func (c *clientConn) evictionClass(now time.Time) (class evictionClass, since time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -228,8 +229,8 @@
 	return evictIdle, c.since
 }
 
-// evict marks the connection as closed by us, and reports whether it did. It does not where a response is awaited, or, unless includeUnread is
-// set, where a request may have arrived that nobody has read.
+// evict marks the connection as being closed by this process, and reports whether it did. It does not if a response is awaited or, unless
+// includeUnread is set, if an unread request may have arrived.
 func (c *clientConn) evict(includeUnread bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -244,7 +245,7 @@
 	return true
 }
 
-// pending reports whether a response is awaited on the connection, a request has begun to arrive, or one may arrive at once.
+// pending reports whether a response is awaited on the connection, a request has begun to arrive, or one may arrive at any moment.
 func (c *clientConn) pending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -257,13 +258,13 @@
 	return c.requestStarted || c.hasUnread() || c.isNew(time.Now())
 }
 
-// mustKeep reports whether the connection must not be evicted, or is already. The lock is held.
+// mustKeep reports whether the connection must not be evicted, or already is. The caller must hold the lock.
 func (c *clientConn) mustKeep() bool { return c.awaitingResponse || c.responding || c.evicted }
 
-// isNew reports whether the connection has had no time yet to send a request. The lock is held.
+// isNew reports whether the connection has not had time to send a request yet. The caller must hold the lock.
 func (c *clientConn) isNew(now time.Time) bool { return !c.proven && now.Sub(c.since) < newConnPeriod }
 
-// hasUnread reports whether bytes have arrived that nobody has read. The lock is held.
+// hasUnread reports whether bytes have arrived that have not been read. The caller must hold the lock.
 func (c *clientConn) hasUnread() bool {
 	if c.rawConn == nil {
 		return false
@@ -272,8 +273,8 @@
 	return err == nil && n > 0
 }
 
-// ClientGone reports whether the client has ended its sending, by a look at what has arrived and nobody has read. Guards against a request that
-// is sent to a worker though its client left before we came to read that, as after a stall: net/http reports it once it has read it.
+// ClientGone reports whether the client has ended its sending direction, by peeking at unread bytes. It guards against sending a request to
+// a worker although its client left before this process read that, for example after a stall: net/http reports it only once it has read it.
 func (c *clientConn) ClientGone() bool {
 	if c.rawConn == nil {
 		return false
--- a/internal/frontend/conntracker.go
+++ b/internal/frontend/conntracker.go
@@ -10,15 +10,15 @@
 	"birchfork/internal/engine"
 )
 
-// closePollInterval is a fraction of what WaitClosed waits for: a client's close, some milliseconds after our own.
+// closePollInterval is short compared with what WaitClosed waits for: the client's close, some milliseconds after that of this process.
 const closePollInterval = time.Millisecond
 
-// ConnTracker owns the connections of clients and limits their number. Connections are always accepted, since one that waits in the kernel
-// takes a place as well: where there are too many, one is closed that awaits no response. It is safe for concurrent use; the limits are set
-// before the first connection, and by SetLimits from then on.
+// ConnTracker owns the client connections and limits their number. Connections are always accepted, since one that waits in the kernel
+// occupies a place as well: if there are too many, one that awaits no response is closed. It is safe for concurrent use; the limits are set
+// before the first connection, and by SetLimits after that.
 type ConnTracker struct {
-	SoftLimit int // connections up to which requests are accepted, and idle connections are kept
-	HardLimit int // connections up to which those are kept on which a request may have arrived unread; 0: no limit
+	SoftLimit int // number of connections up to which requests are accepted, and idle connections are kept
+	HardLimit int // number of connections up to which those with a possibly unread request are kept; 0: no limit
 	Counters  *engine.Counters
 
 	mu    sync.Mutex
@@ -35,7 +35,7 @@
 	tracker *ConnTracker
 }
 
-// Accept returns the next connection, and closes others where there are too many with it.
+// Accept returns the next connection, and closes others if it exceeds the limits.
 func (l *trackingListener) Accept() (net.Conn, error) {
 	raw, err := l.Listener.Accept()
 	if err != nil {
@@ -61,7 +61,7 @@
 	return conn
 }
 
-// SetLimits sets the limits on connections. Those that are now too many are closed if they await no response.
+// SetLimits sets the limits on connections. Connections over the new limits are closed if they await no response.
 func (t *ConnTracker) SetLimits(soft, hard int) {
 	t.mu.Lock()
 	t.SoftLimit = soft
@@ -79,8 +79,8 @@
 	}
 }
 
-// evictExcess evicts connections that are too many, but not the newest. The lock is held. One look at each finds the next to go: a crowd that
-// comes over the limit costs a descriptor per connection, and must not cost those that are served their time.
+// evictExcess evicts connections over the limits, but not the newest. One pass over all connections finds the next one: a burst over the
+// limit costs one file descriptor per connection, and must not delay the connections that are being served. The caller must hold the lock.
 func (t *ConnTracker) evictExcess(newest *clientConn) (evicted []*clientConn) {
 	if len(t.conns) <= t.SoftLimit {
 		return nil
@@ -89,7 +89,7 @@
 	return t.evictDownTo(t.HardLimit, newest, true, evicted)
 }
 
-// evictDownTo evicts connections until limit are left, if that is not 0, and appends them to evicted. The lock is held.
+// evictDownTo evicts connections until limit are left, unless limit is 0, and appends them to evicted. The caller must hold the lock.
 func (t *ConnTracker) evictDownTo(limit int, newest *clientConn, includeUnread bool, evicted []*clientConn) []*clientConn {
 	var skipped map[*clientConn]bool // candidates that must not be closed yet
 	for limit > 0 && len(t.conns) > limit {
@@ -110,8 +110,8 @@
 	return evicted
 }
 
-// nextToEvict returns the connection of the first eviction class, and in that the one that is silent for longest, but not the newest and none
-// that were skipped; nil where none may be evicted. The lock is held.
+// nextToEvict returns a connection of the lowest eviction class, among them the one that has been silent for longest, but neither the
+// newest nor one that was skipped; nil if none may be evicted. The caller must hold the lock.
 func (t *ConnTracker) nextToEvict(newest *clientConn, skipped map[*clientConn]bool) (best *clientConn) {
 	now := time.Now()
 	var bestClass evictionClass
@@ -134,7 +134,7 @@
 	return best
 }
 
-// CloseIdle closes the connections that are idle behind a response.
+// CloseIdle closes the connections that are idle after a response.
 func (t *ConnTracker) CloseIdle() {
 	for _, conn := range t.evictIdle() {
 		_ = conn.closeNow()
@@ -155,7 +155,7 @@
 	return idle
 }
 
-// OverLimit reports whether there are more connections than requests are accepted from.
+// OverLimit reports whether there are more connections than the limit up to which requests are accepted.
 func (t *ConnTracker) OverLimit() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -169,7 +169,8 @@
 	return len(t.conns)
 }
 
-// Pending returns the number of connections that await a response, on which a request has begun to arrive, or that may bring one at once.
+// Pending returns the number of connections that await a response, on which a request has begun to arrive, or on which one may arrive at
+// any moment.
 func (t *ConnTracker) Pending() (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -193,7 +194,7 @@
 	}
 }
 
-// forget removes a connection that is closed.
+// forget removes a closed connection.
 func (t *ConnTracker) forget(conn *clientConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/frontend/doc.go
+++ b/internal/frontend/doc.go
@@ -1,3 +1,3 @@
-// Package frontend serves clients: it accepts their connections and keeps their number within its limits, reads and checks their requests, and
-// writes the responses. What becomes of a request is decided by the engine; attempts at workers are carried out by upstream.
+// Package frontend serves clients: it accepts and limits their connections, reads and checks their requests, and writes the responses. The
+// engine decides on each request; package upstream carries out the attempts at workers.
 package frontend
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -12,23 +12,23 @@
 
 // Timeouts of connections. Tests shorten the first two.
 var (
-	writeTimeout   = 2 * time.Second         // for a client to take its response
-	requestTimeout = 2500 * time.Millisecond // for a client to send a request, from connecting or from its first byte on
+	writeTimeout   = 2 * time.Second         // for a client to read its response
+	requestTimeout = 2500 * time.Millisecond // for a client to send a request, from the connection or the request's first byte on
 )
 
 const (
 	idleTimeout      = 5 * time.Minute      // for a client's next request
-	responseMargin   = 3 * time.Millisecond // of a client's deadline, for the response to reach it: the client's time runs since it sent
-	firstListTimeout = 1 * time.Second      // for discovery's first list; then the list from before has to do
+	responseMargin   = 3 * time.Millisecond // subtracted from a client's deadline for the response to reach it: the client's time runs from its send
+	firstListTimeout = 1 * time.Second      // for discovery's first list; after that the previous list is used
 )
 
-// Handler serves the requests of clients. It is an http.Handler for connections that its ConnTracker has accepted, and is safe for concurrent
+// Handler serves the requests of clients. It is an http.Handler for connections accepted by its ConnTracker, and is safe for concurrent
 // use.
 type Handler struct {
 	Engine     *engine.Engine
 	Transport  *upstream.Transport
 	Conns      *ConnTracker
-	BodyBudget MemoryBudget // of the request bodies held in memory
+	BodyBudget MemoryBudget // of request bodies in memory
 
 	startedAt          time.Time
 	retryAfter         atomic.Int64 // nanoseconds, see SetRetryAfter
@@ -43,14 +43,14 @@
 	return &Handler{Engine: e, Transport: transport, Conns: conns, startedAt: time.Now(), forceClose: make(chan struct{})}
 }
 
-// SetRetryAfter sets the Retry-After of responses to requests that are over a limit of this process. maxDelay is the longest that the settings
-// allow, also for the limits of routes; 0 where they allow none.
+// SetRetryAfter sets the Retry-After of responses to requests that exceed a limit of this process. maxDelay is the longest delay that the
+// settings allow, also for the limits of routes; 0 if they allow none.
 func (h *Handler) SetRetryAfter(delay, maxDelay time.Duration) {
 	h.retryAfter.Store(int64(min(delay, maxDelay)))
 	h.maxRetryAfter.Store(int64(maxDelay))
 }
 
-// HTTPServer returns the HTTP server of the handler. Its listener has to come from Conns.WrapListener.
+// HTTPServer returns the handler's HTTP server. Its listener must come from Conns.WrapListener.
 func (h *Handler) HTTPServer() *http.Server {
 	return &http.Server{
 		Handler:                      h,
@@ -59,14 +59,14 @@
 		ReadTimeout:                  requestTimeout,
 		IdleTimeout:                  idleTimeout,
 		MaxHeaderBytes:               maxHeaderBytes,
-		DisableGeneralOptionsHandler: true, // it would answer some requests by itself, and keep their connections
+		DisableGeneralOptionsHandler: true, // it would answer some requests itself, and keep their connections
 	}
 }
 
-// FailHealthChecks makes /up answer that the dispatcher is not up. Requests are served as before.
+// FailHealthChecks makes /up report that the dispatcher is not up. Requests are served as before.
 func (h *Handler) FailHealthChecks() { h.failHealthChecks.Store(true) }
 
-// DisableKeepAlives fails health checks, and closes each connection behind its next response.
+// DisableKeepAlives fails health checks, and closes each connection after its next response.
 func (h *Handler) DisableKeepAlives() {
 	h.FailHealthChecks()
 	h.keepAlivesDisabled.Store(true)
@@ -75,8 +75,8 @@
 // KeepAlivesDisabled reports whether DisableKeepAlives has been called.
 func (h *Handler) KeepAlivesDisabled() bool { return h.keepAlivesDisabled.Load() }
 
-// ForceClose ends all open requests, and those that still come: they fail, or are shed where nothing of them can have run. It must be called
-// once at most.
+// ForceClose ends all open requests, and those that still arrive: they fail, or are shed if they cannot have run. It must be called at most
+// once.
 func (h *Handler) ForceClose() { close(h.forceClose) }
 
 // Up reports whether the dispatcher can serve requests: it is ready, and a worker is up.
@@ -85,8 +85,8 @@
 	return available && h.Ready()
 }
 
-// Ready reports whether this process can serve requests, were any worker up: health checks are not failed, and discovery has sent its list
-// since the start, or has been silent for so long that the list from before has to do.
+// Ready reports whether this process can serve requests, provided that a worker is up: health checks are not disabled, and discovery has
+// sent its list since the start, or has been silent for so long that the previous list is used.
 func (h *Handler) Ready() bool {
 	_, synced := h.Engine.Ready()
 	knowsWorkers := synced || time.Since(h.startedAt) > firstListTimeout
@@ -142,14 +142,14 @@
 		return
 	}
 	defer request.Close()
-	// Guards against a response that the engine owes and does not give; it ends requests a little earlier by itself.
+	// Guards against an engine that gives no final decision; normally it ends requests slightly earlier by itself.
 	overdue := time.NewTimer(time.Until(deadline) + responseMargin)
 	defer overdue.Stop()
 	h.respond(w, r, h.awaitFinalDecision(r.Context(), request, outgoing, overdue.C))
 }
 
-// awaitFinalDecision starts the attempts that the engine decides on, each in a goroutine that ends with the attempt, and returns the decision
-// that ends the request.
+// awaitFinalDecision starts the attempts that the engine decides on, each in a goroutine that ends with the attempt, and returns the
+// decision that ends the request.
 func (h *Handler) awaitFinalDecision(ctx context.Context, request *engine.Request, outgoing *outgoingRequest, overdue <-chan time.Time) engine.Decision {
 	for {
 		decision := h.nextDecision(ctx, request, overdue)
@@ -164,10 +164,10 @@
 	}
 }
 
-// nextDecision returns the engine's next decision on a request, or the one that ends it where it is overdue or ForceClose is called. It does
-// not return where the client has gone.
+// nextDecision returns the engine's next decision on a request, or the one that ends it if it is overdue or ForceClose is called. It does
+// not return if the client has gone.
 func (h *Handler) nextDecision(ctx context.Context, request *engine.Request, overdue <-chan time.Time) engine.Decision {
-	// First what ends the request: the select below takes any of several cases that are ready, and nothing may be sent past the end.
+	// First what ends the request: of several ready cases the select below takes any, and nothing may be sent after the end.
 	select {
 	case <-ctx.Done():
 		abortConnection()
@@ -186,7 +186,7 @@
 	return request.Abort()
 }
 
-// abortConnection ends the service of a request whose client has gone: the connection is closed with nothing written. Guards against the empty
-// response with status 200 that net/http writes for a handler that wrote none: a client that has ended only its sending would take it for a
-// result.
+// abortConnection ends the handling of a request whose client has gone: the connection is closed with nothing written. It guards against
+// the empty response with status 200 that net/http writes for a handler that wrote none: a client that has closed only its sending
+// direction would read it as a result.
 func abortConnection() { panic(http.ErrAbortHandler) }
--- a/internal/frontend/headscanner.go
+++ b/internal/frontend/headscanner.go
@@ -5,22 +5,22 @@
 	"strconv"
 )
 
-// maxScannedLine is how much of a line is looked at, in bytes. No longer one gives a length in good faith.
+// maxScannedLine is how much of a line is examined, in bytes. No valid length needs a longer line.
 const maxScannedLine = 128
 
-// headScanner finds the end of a request's head and how the request is framed, in the bytes as they arrive. It takes lines as net/http does,
-// which by itself drops one of two contradicting lengths without a word.
+// headScanner finds the end of a request's head, and how the request is framed, in the bytes as they arrive. It splits lines as net/http
+// does, which silently drops one of two contradicting lengths.
 type headScanner struct {
-	line                []byte // the beginning of the line that is arriving
-	sawLine             bool   // a line has arrived that is not empty
+	line                []byte // the start of the line that is arriving
+	sawLine             bool   // a line that is not empty has arrived
 	hasLength           bool   // there is a Content-Length ...
-	length              int64  // ... of so many bytes
+	length              int64  // ... with this value
 	hasTransferEncoding bool
-	invalidLength       bool // the Content-Length is no number, or there are two
+	invalidLength       bool // the Content-Length is not a number, or there are two
 	done                bool // the head is complete
 }
 
-// scan takes the next bytes and returns how many of them belong to the head.
+// scan processes the next bytes and returns how many of them belong to the head.
 func (s *headScanner) scan(data []byte) int {
 	scanned := 0
 	for {
@@ -40,7 +40,7 @@
 	}
 }
 
-// appendLine keeps a further part of a line, up to maxScannedLine.
+// appendLine stores a further part of a line, up to maxScannedLine.
 func (s *headScanner) appendLine(part []byte) {
 	kept := min(len(part), maxScannedLine-len(s.line))
 	s.line = append(s.line, part[:kept]...)
@@ -48,7 +48,7 @@
 
 func (s *headScanner) scanLine(line []byte) {
 	if len(line) == 0 {
-		s.done = s.sawLine // net/http passes over some line ends before a request
+		s.done = s.sawLine // net/http skips some empty lines before a request
 		return
 	}
 	s.sawLine = true
@@ -61,7 +61,7 @@
 	}
 }
 
-// scanLength takes the value of a Content-Length. truncated says that the line may have been longer.
+// scanLength parses the value of a Content-Length. truncated reports that the line may have been longer.
 func (s *headScanner) scanLength(value []byte, truncated bool) {
 	length, err := strconv.ParseUint(string(bytes.Trim(value, " \t")), 10, 63)
 	contradicts := s.hasLength && int64(length) != s.length
--- a/internal/frontend/lingeringclose.go
+++ b/internal/frontend/lingeringclose.go
@@ -8,13 +8,13 @@
 	"birchfork/internal/socket"
 )
 
-// lingerTimeout is for a client to take its last response and close: many round trips of the longest ways that platforms have between a client
-// and a dispatcher beside it. Until then the connection is the first to go where there are too many.
+// lingerTimeout is how long a client may take to read its last response and close: many round trips on the longest paths that platforms
+// have between a client and its dispatcher. Until then the connection is in the first class to be evicted.
 const lingerTimeout = 250 * time.Millisecond
 
-// Close ends the connection, once. Behind a response that has just been written it ends only our sending, and leaves the rest to the client's
-// close, for lingerTimeout: closed at once over bytes that nobody has read, or that arrive a moment later, the connection would be reset, and a
-// response that the client has not read would be lost with it.
+// Close closes the connection, once. After a response that has just been written it closes only the sending direction, and waits up to
+// lingerTimeout for the client's close. Closing immediately with unread bytes, or with bytes that arrive shortly after, would reset the
+// connection, and a response that the client has not read would be lost.
 func (c *clientConn) Close() (err error) {
 	c.closeOnce.Do(func() {
 		lingers := c.mayLoseResponse()
@@ -30,7 +30,7 @@
 	return err
 }
 
-// mayLoseResponse reports whether the client may not have taken its last response yet.
+// mayLoseResponse reports whether the client may not have read its last response yet.
 func (c *clientConn) mayLoseResponse() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -38,11 +38,11 @@
 	return c.rawConn != nil && justResponded && !c.writeClosed && !c.evicted
 }
 
-// lingeringClose waits for the client's close and closes the connection. What arrives meanwhile is no request of ours. It is read at the end, as
-// a close over it would reset the connection and take with it what the kernel still has of the response.
+// lingeringClose waits for the client's close and closes the connection. What arrives meanwhile is not served. It is read at the end, since
+// a close with unread bytes would reset the connection and discard what the kernel still has of the response.
 func (c *clientConn) lingeringClose() {
 	defer func() { _ = c.closeNow() }()
-	// Both fail only where the connection has been closed meanwhile, or after lingerTimeout.
+	// Both fail only if the connection has been closed meanwhile, or after lingerTimeout.
 	_ = c.rawConn.Read(func(fd uintptr) (done bool) {
 		n, err := socket.PeekFD(fd)
 		return n <= 0 && !errors.Is(err, syscall.EAGAIN)
@@ -58,7 +58,8 @@
 	})
 }
 
-// CloseWrite ends our sending. net/http does so before it closes a connection whose client is still sending, and then waits itself.
+// CloseWrite closes the sending direction. net/http calls it before it closes a connection whose client is still sending, and then waits
+// itself.
 func (c *clientConn) CloseWrite() error {
 	c.endReads()
 	return c.endWrites()
@@ -74,8 +75,8 @@
 	return nil
 }
 
-// endReads notes that no request is read any more, and counts one that has begun and is not ours to answer: net/http has rejected it, or it
-// did not arrive as a whole.
+// endReads records that no further request is read, and counts a started request that will not be served: net/http has rejected it, or it
+// did not arrive completely.
 func (c *clientConn) endReads() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,7 +86,7 @@
 	c.noMoreRequests = true
 }
 
-// closeNow closes the connection at once, and removes it from the tracker.
+// closeNow closes the connection immediately, and removes it from the tracker.
 func (c *clientConn) closeNow() (err error) {
 	c.releaseOnce.Do(func() {
 		c.endReads()
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -19,14 +19,14 @@
 	maxTargetLength      = 4 << 10
 	maxHeaderValueLength = 1 << 10
 	maxDeadline          = time.Hour
-	maxSlots             = 1 << 20 // and of memory
+	maxSlots             = 1 << 20 // also of memory
 )
 
-// forwardedHeaders are the headers of a client that are forwarded to workers as they came, beside the id. Idempotency-Key is the standard name
-// of what workers drop repeats of a guarded class by: without it a repeat would be another job to them.
+// forwardedHeaders are the client's headers that are forwarded to workers unchanged, in addition to the id. Idempotency-Key is the standard
+// name of the key by which workers drop repeats of a deduplicated class: without it they would run a repeat as another request.
 var forwardedHeaders = []string{"Content-Type", "Idempotency-Key", "X-Class", "X-Tenant", "X-Key"}
 
-// readRequest reads a whole request and decodes it. The outgoing request that it returns is to be released.
+// readRequest reads a complete request and decodes it. The caller must release the outgoing request.
 func (h *Handler) readRequest(r *http.Request) (spec engine.RequestSpec, outgoing *outgoingRequest, err error) {
 	spec, err = decodeHead(r)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return target, nil
 }
 
-// encodeForwardedHeaders returns the headers that are forwarded, each with its line end.
+// encodeForwardedHeaders returns the forwarded headers, each with its line ending.
 func encodeForwardedHeaders(header http.Header) ([]byte, error) {
 	var encoded []byte
 	for _, name := range forwardedHeaders {
@@ -103,8 +103,8 @@
 	return encoded, nil
 }
 
-// isPlainText reports whether a text can be forwarded in a head, a word of printable ASCII: a worker ends the connection on what it cannot
-// read.
+// isPlainText reports whether a text can be forwarded in a head, as printable ASCII without spaces: a worker closes the connection on what
+// it cannot parse.
 func isPlainText(text string, maxLength int) bool {
 	isOther := func(c rune) bool { return c <= ' ' || c > '~' }
 	return len(text) <= maxLength && !strings.ContainsFunc(text, isOther)
@@ -135,7 +135,7 @@
 	return spec, decodeExtras(&spec, extras)
 }
 
-// headerReader reads headers that have one value at most, and keeps the first error.
+// headerReader reads headers that have at most one value, and keeps the first error.
 type headerReader struct {
 	header http.Header
 	err    error
@@ -174,7 +174,7 @@
 	return time.Duration(milliseconds) * time.Millisecond, nil
 }
 
-// decodeExtras decodes further numbers of a request, as name=value,name=value. Names that are unknown are ignored.
+// decodeExtras decodes the request's optional numbers, as name=value,name=value. Unknown names are ignored.
 func decodeExtras(spec *engine.RequestSpec, extras string) error {
 	spec.Slots = 1
 	if extras == "" {
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -10,8 +10,7 @@
 	"birchfork/internal/engine"
 )
 
-// requestError says what is wrong with a request, how that is answered and where it is counted. It is the error of requests that are answered
-// with a status of 4xx.
+// requestError is the error of a request that is answered with a status of 4xx: the status, the reason and the counter.
 type requestError struct {
 	status  int
 	reason  string // the body of the response
@@ -20,10 +19,10 @@
 
 func (e *requestError) Error() string { return e.reason }
 
-// errOverLimit is the error of a request for which a limit of this process leaves no room.
+// errOverLimit is the error of a request that exceeds a limit of this process.
 var errOverLimit = errors.New("no place left")
 
-// respond writes the response to a request that the engine has decided on.
+// respond writes the response to a request according to the engine's final decision.
 func (h *Handler) respond(w http.ResponseWriter, r *http.Request, decision engine.Decision) {
 	switch decision.Kind {
 	case engine.DecisionServe:
@@ -38,7 +37,7 @@
 	}
 }
 
-// reject answers a request that never ran, as err says why.
+// reject responds to a request that never ran, according to err.
 func (h *Handler) reject(w http.ResponseWriter, r *http.Request, err error) {
 	var limited *engine.LimitError
 	switch {
@@ -51,20 +50,20 @@
 	}
 }
 
-// rejectOverLimit closes the connection, so that its place is free: a client that tries again does so after a while, on another one.
+// rejectOverLimit closes the connection, which frees its place: a client that retries does so later, on another connection.
 func (h *Handler) rejectOverLimit(w http.ResponseWriter, r *http.Request) {
 	h.Engine.Counters.RejectedOverLimit.Add(1)
 	setRetryAfter(w, time.Duration(h.retryAfter.Load()))
 	h.writeUncounted(w, r, http.StatusServiceUnavailable, []byte("no place left\n"), true)
 }
 
-// rejectOverRouteLimit keeps the connection: the client has done nothing wrong, and tries again on it.
+// rejectOverRouteLimit keeps the connection: the client is not at fault, and retries on it.
 func (h *Handler) rejectOverRouteLimit(w http.ResponseWriter, r *http.Request, limited *engine.LimitError) {
 	setRetryAfter(w, min(limited.RetryAfter, time.Duration(h.maxRetryAfter.Load())))
 	h.writeUncounted(w, r, http.StatusServiceUnavailable, []byte(limited.Error()+"\n"), false)
 }
 
-// rejectBadRequest closes the connection, as what is behind a request that cannot be read is no next request.
+// rejectBadRequest closes the connection, since what follows a request that cannot be parsed is not a request.
 func (h *Handler) rejectBadRequest(w http.ResponseWriter, r *http.Request, err error) {
 	counters := &h.Engine.Counters
 	var bad *requestError
@@ -82,27 +81,27 @@
 	h.writeUncounted(w, r, bad.status, []byte(bad.reason+"\n"), true)
 }
 
-// setRetryAfter sets the header in seconds, with three decimals; a delay of 0 sets none.
+// setRetryAfter sets the Retry-After header in seconds, with three decimals; not for a delay of 0.
 func setRetryAfter(w http.ResponseWriter, delay time.Duration) {
 	if delay > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(delay.Seconds(), 'f', 3, 64))
 	}
 }
 
-// writeFinal writes the response to a request that the engine has accepted, and counts where that fails.
+// writeFinal writes the response to a request that the engine has accepted, and counts failures.
 func (h *Handler) writeFinal(w http.ResponseWriter, r *http.Request, status int, body []byte) {
 	if h.write(w, r, status, body, false) != nil {
 		h.Engine.Counters.WriteFailures.Add(1)
 	}
 }
 
-// writeUncounted writes any other response. Where that fails the connection ends, and nobody waits for more.
+// writeUncounted writes any other response. If that fails the connection ends, and no client waits for the response.
 func (h *Handler) writeUncounted(w http.ResponseWriter, r *http.Request, status int, body []byte, final bool) {
 	_ = h.write(w, r, status, body, final)
 }
 
-// write writes a response within writeTimeout, which bounds how long a client that does not take it holds its connection. The connection is
-// closed behind it where final is set or keep-alives are disabled.
+// write writes a response within writeTimeout, which limits how long a client that does not read it occupies its connection. The connection
+// is closed afterwards if final is set or keep-alives are disabled.
 func (h *Handler) write(w http.ResponseWriter, r *http.Request, status int, body []byte, final bool) error {
 	conn := connFromContext(r.Context())
 	if conn.beginResponse(final || h.keepAlivesDisabled.Load()) {
@@ -116,5 +115,5 @@
 	if _, err := w.Write(body); err != nil {
 		return err
 	}
-	return controller.Flush() // a failure with a short response would show after our return otherwise
+	return controller.Flush() // otherwise a failure of a short response would occur only after the return
 }
--- a/internal/frontend/sharedlistener.go
+++ b/internal/frontend/sharedlistener.go
@@ -17,8 +17,7 @@
 // descriptorRetryDelay is how long Accept waits for a free file descriptor.
 const descriptorRetryDelay = time.Millisecond
 
-// SharedListener is a TCP listener beside which other processes of this dispatcher may listen at the same address. It is safe for concurrent
-// use.
+// SharedListener is a TCP listener on an address on which other processes of this dispatcher may listen too. It is safe for concurrent use.
 type SharedListener struct {
 	*net.TCPListener
 	draining  atomic.Bool
@@ -26,8 +25,8 @@
 	closed    chan struct{} // closed by Close
 }
 
-// ListenShared listens at an address at which other processes of this dispatcher listen, or will. It fails where a listener has the address that
-// is not shared.
+// ListenShared listens on an address on which other processes of this dispatcher listen, or will listen. It fails if a listener that is not
+// shared has the address.
 func ListenShared(address string) (*SharedListener, error) {
 	config := net.ListenConfig{Control: setReusePort}
 	listener, err := config.Listen(context.Background(), "tcp", address)
@@ -49,14 +48,14 @@
 	return errors.Join(controlErr, err)
 }
 
-// Drain makes Accept return the connections that the kernel has accepted already, and then ends the listening: all later connections are those
-// of the other process.
+// Drain makes Accept return the connections that the kernel has already accepted, and then stops listening: all later connections go to the
+// other process.
 func (l *SharedListener) Drain() {
 	l.draining.Store(true)
-	_ = l.SetDeadline(time.Unix(1, 0)) // wakes an Accept that waits; fails on a closed listener, where none does
+	_ = l.SetDeadline(time.Unix(1, 0)) // wakes up a waiting Accept; fails on a closed listener, where none waits
 }
 
-// Accept returns the next connection. Behind the last one of Drain it waits for Close, as a server takes an error for a fault.
+// Accept returns the next connection. After the last one of Drain it waits for Close, since a server would report an error as a fault.
 func (l *SharedListener) Accept() (net.Conn, error) {
 	if !l.draining.Load() {
 		conn, err := l.TCPListener.Accept()
@@ -68,12 +67,12 @@
 	if conn := l.acceptPending(); conn != nil {
 		return conn, nil
 	}
-	l.TCPListener.Close() // at once: what arrives between the last look and this is lost
+	l.TCPListener.Close() // immediately: a connection that arrives between the last check and this is lost
 	<-l.closed
 	return nil, net.ErrClosed
 }
 
-// acceptPending returns a connection that the kernel has accepted; nil where there is none, or the listener is closed.
+// acceptPending returns a connection that the kernel has accepted; nil if there is none, or if the listener is closed.
 func (l *SharedListener) acceptPending() net.Conn {
 	raw, err := l.SyscallConn()
 	if err != nil {
@@ -91,7 +90,7 @@
 			return nil
 		}
 		file := os.NewFile(uintptr(fd), "")
-		conn, err := net.FileConn(file) // has a file descriptor of its own
+		conn, err := net.FileConn(file) // duplicates the file descriptor
 		file.Close()
 		if err != nil {
 			return nil
@@ -100,7 +99,7 @@
 	}
 }
 
-// acceptFD accepts a connection without waiting for one.
+// acceptFD accepts a connection without waiting.
 func acceptFD(listener syscall.RawConn) (fd int, err error) {
 	controlErr := listener.Control(func(listenerFD uintptr) {
 		fd, _, err = unix.Accept4(int(listenerFD), unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
@@ -111,7 +110,7 @@
 	return fd, err
 }
 
-// Close ends the listening, and Accept. It may be called more than once.
+// Close stops listening, and ends Accept. It may be called more than once.
 func (l *SharedListener) Close() (err error) {
 	l.closeOnce.Do(func() {
 		err = l.TCPListener.Close()
