--- a/internal/discoveryagent/agent.go
+++ b/internal/discoveryagent/agent.go
@@ -1,6 +1,6 @@
-// Package discoveryagent runs the discovery agent: it follows sources of workers, merges them into one list and publishes that list in
-// discovery's protocol to the dispatchers on this machine. The agent is a process of its own, as etcd's client would cost every dispatcher
-// 10 MB of memory.
+// Package discoveryagent implements the discovery agent: it follows sources of workers, merges them into one list and publishes that list
+// in discovery's protocol to the dispatchers on this machine. The agent is a separate process, since etcd's client would cost every
+// dispatcher 10 MB of memory.
 package discoveryagent
 
 import (
@@ -18,7 +18,7 @@
 	"birchfork/internal/endpointsource/file"
 )
 
-// Times of the HTTP server.
+// Timeouts of the HTTP server.
 const (
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = time.Minute
@@ -87,7 +87,7 @@
 	shutdown, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
 	if err := server.Shutdown(shutdown); err != nil {
-		_ = server.Close() // the listener is closed, and what is still open is given up
+		_ = server.Close() // the listener is closed, and open connections are abandoned
 	}
 	return nil
 }
--- a/internal/discoveryagent/config.go
+++ b/internal/discoveryagent/config.go
@@ -24,7 +24,7 @@
 // Source is the configuration of one source of workers.
 type Source struct {
 	Kind         string   `toml:"kind"`      // KindEtcd or KindFile
-	Path         string   `toml:"path"`      // of a file; the fields below are of etcd
+	Path         string   `toml:"path"`      // of a file; the fields below are for etcd
 	Endpoints    []string `toml:"endpoints"` // host:port
 	Prefix       string   `toml:"prefix"`    // of the workers' keys
 	User         string   `toml:"user"`
@@ -40,7 +40,7 @@
 	KindFile = "file"
 )
 
-// Defaults and bounds of the configuration.
+// Defaults and limits of the configuration.
 const (
 	defaultListen         = "127.0.0.1:8500"
 	defaultFailoverDelay  = 10 * time.Second
@@ -49,7 +49,7 @@
 	maxDelay              = time.Hour
 )
 
-// errNoEtcdSource reports that a command on etcd has no source to work on.
+// errNoEtcdSource is the error of a command for etcd if no etcd source is configured.
 var errNoEtcdSource = errors.New("the agent's file names no etcd source")
 
 // Load reads the configuration from a file. Its error names every fault.
@@ -66,7 +66,7 @@
 	return Decode(path, raw)
 }
 
-// Decode decodes the configuration. Its error names every fault by the file's name, line and key.
+// Decode decodes the configuration. Its error names every fault by file name, line and key.
 func Decode(name string, raw []byte) (*Config, error) {
 	c := &Config{
 		Listen:         defaultListen,
@@ -111,7 +111,7 @@
 	}
 }
 
-// validate adds the faults of the source to the document. Its keys begin with the given one.
+// validate adds the faults of the source to the document. Its keys begin with key.
 func (s *Source) validate(document *tomlfile.Document, key string) {
 	switch s.Kind {
 	case KindFile:
--- a/internal/discoveryagent/etcd_client.go
+++ b/internal/discoveryagent/etcd_client.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 )
 
-// Times and bounds of a connection to etcd.
+// Timeouts and limits of a connection to etcd.
 const (
 	dialTimeout         = 2 * time.Second
 	dialKeepAlive       = 10 * time.Second
@@ -20,7 +20,7 @@
 	maxEtcdMessageBytes = 64 << 20
 )
 
-// Client connects to the source's etcd. The caller closes the client. Certificate and key are read again for each connection.
+// Client connects to the source's etcd. The caller must close the client. Certificate and key are read again for each connection.
 func (s *Source) Client() (*clientv3.Client, error) {
 	config := clientv3.Config{
 		Endpoints:            s.Endpoints,
@@ -51,7 +51,7 @@
 	return client, nil
 }
 
-// tlsConfig returns the settings of TLS by the source's authority, certificate and key.
+// tlsConfig returns the TLS configuration for the source's CA, certificate and key.
 func (s *Source) tlsConfig() (*tls.Config, error) {
 	pem, err := os.ReadFile(s.CA)
 	if err != nil {
--- a/internal/endpointsource/etcd/source.go
+++ b/internal/endpointsource/etcd/source.go
@@ -1,6 +1,6 @@
-// Package etcd follows a list of workers in etcd: one key for each under a prefix, its value JSON. It reads the range at a revision and
-// watches from the next. After a disconnect it goes on from the last revision seen; where that has been compacted it reads the whole range
-// again.
+// Package etcd follows a list of workers in etcd: one key per worker under a prefix, with a JSON value. It reads the range at a revision
+// and watches from the next one. After a disconnect it resumes from the last revision that it received; if that has been compacted it reads
+// the complete range again.
 package etcd
 
 import (
@@ -22,18 +22,18 @@
 	"birchfork/internal/engine"
 )
 
-// Times of following etcd.
+// Timing of a source.
 const (
 	readTimeout      = 5 * time.Second
-	progressInterval = 1 * time.Second // from one request for progress on a watch to the next
-	maxSilence       = 4 * time.Second // a watch that is silent for longer is lost
+	progressInterval = 1 * time.Second // between requests for progress on a watch
+	maxSilence       = 4 * time.Second // a watch that is silent for longer counts as lost
 	minRetryDelay    = 50 * time.Millisecond
 	maxRetryDelay    = 2 * time.Second
 )
 
-// Counters count what a source meets. They are safe for concurrent use.
+// Counters count the events of a source. They are safe for concurrent use.
 type Counters struct {
-	Reads       atomic.Int64 // whole ranges read
+	Reads       atomic.Int64 // complete ranges read
 	Changes     atomic.Int64
 	BadValues   atomic.Int64
 	Disconnects atomic.Int64
@@ -47,10 +47,10 @@
 	Prefix   string
 	Log      logrus.FieldLogger
 	OnUpdate func(endpointsource.Update)
-	OnLost   func() // the connection is lost; the list stays as it is
+	OnLost   func() // the connection is lost; the list is kept
 
 	Counters     Counters
-	lastRevision int64 // the newest revision that was delivered
+	lastRevision int64 // the newest delivered revision
 }
 
 // Errors that end a watch.
@@ -91,7 +91,7 @@
 	return true, s.watch(ctx)
 }
 
-// readRange reads the whole range and delivers it as a snapshot.
+// readRange reads the complete range and delivers it as a snapshot.
 func (s *Source) readRange(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// watch delivers changes from the revision after the last one, until the watch ends. The client's library resumes the watch where the
-// connection breaks.
+// watch delivers changes from the revision after the last one, until the watch ends. The client library resumes the watch if the connection
+// breaks.
 func (s *Source) watch(ctx context.Context) error {
 	responses := s.Client.Watch(clientv3.WithRequireLeader(ctx), s.Prefix,
 		clientv3.WithPrefix(),
@@ -140,7 +140,7 @@
 			if time.Since(lastResponse) > maxSilence {
 				return errSilent
 			}
-			// An error is not handled: etcd's silence shows it.
+			// The error is not handled: a silent watch shows it.
 			_ = s.Client.RequestProgress(clientv3.WithRequireLeader(ctx))
 		case <-ctx.Done():
 			return ctx.Err()
@@ -185,7 +185,7 @@
 	return strings.TrimPrefix(string(kv.Key), s.Prefix)
 }
 
-// decodeEvent returns the worker that an event concerns, in the state that the event leaves it in.
+// decodeEvent returns the worker of an event, in the state after the event.
 func (s *Source) decodeEvent(event *clientv3.Event) engine.Endpoint {
 	if event.Type == clientv3.EventTypeDelete {
 		return engine.Endpoint{Name: s.workerName(event.Kv), Cell: -1, State: dispatch.Gone}
@@ -193,7 +193,7 @@
 	return s.decode(event.Kv)
 }
 
-// decode returns the worker under a key. One whose value cannot be used drains.
+// decode returns the worker of a key. A worker with an invalid value is draining.
 func (s *Source) decode(kv *mvccpb.KeyValue) engine.Endpoint {
 	endpoint, err := Decode(s.workerName(kv), kv.Value)
 	if err != nil {
--- a/internal/endpointsource/etcd/value.go
+++ b/internal/endpointsource/etcd/value.go
@@ -20,8 +20,8 @@
 	Kind            string  `json:"kind,omitempty"`
 	Cell            *int    `json:"cell,omitempty"`
 	Weight          float64 `json:"weight,omitempty"`
-	State           string  `json:"state,omitempty"`    // StateUp (or nothing) or StateDraining
-	StartedAtMillis int64   `json:"since_ms,omitempty"` // when it last started, Unix time in milliseconds; 0: long ago
+	State           string  `json:"state,omitempty"`    // StateUp (or empty) or StateDraining
+	StartedAtMillis int64   `json:"since_ms,omitempty"` // its last start, Unix time in milliseconds; 0: long ago
 }
 
 // The states in a Value.
@@ -30,14 +30,14 @@
 	StateDraining = "draining"
 )
 
-// Bounds of a value.
+// Limits of a value.
 const (
 	maxValueBytes      = 16 << 10
 	maxStartedAtMillis = 100_000_000_000_000
 )
 
-// Decode decodes the value of a worker. Where the value cannot be used it returns an error and a worker that drains: it is not known to
-// want jobs.
+// Decode decodes the value of a worker. For an invalid value it returns an error and a draining worker, since it is unknown whether that
+// accepts requests.
 func Decode(name string, raw []byte) (engine.Endpoint, error) {
 	unusable := engine.Endpoint{Name: name, Cell: -1, State: dispatch.Draining}
 	if len(raw) > maxValueBytes {
--- a/internal/endpointsource/file/list.go
+++ b/internal/endpointsource/file/list.go
@@ -26,7 +26,7 @@
 	StartedAtMillis int     `toml:"since_ms"`
 }
 
-// Decode decodes a list. Its error names every fault, by the file's name, line and key.
+// Decode decodes a list. Its error names every fault, by file name, line and key.
 func Decode(name string, raw []byte) ([]engine.Endpoint, error) {
 	var l list
 	document := tomlfile.Read(name, raw, &l)
@@ -49,7 +49,7 @@
 	return endpoints, nil
 }
 
-// endpoint returns the worker and adds its faults to the document. Its keys begin with the given one.
+// endpoint returns the worker and adds its faults to the document. Its keys begin with key.
 func (w *worker) endpoint(document *tomlfile.Document, key string) engine.Endpoint {
 	host, port, err := net.SplitHostPort(w.Address)
 	if err != nil || host == "" || port == "" || port == "0" {
--- a/internal/endpointsource/file/source.go
+++ b/internal/endpointsource/file/source.go
@@ -1,5 +1,5 @@
-// Package file follows a list of workers in a TOML file, which it reads again when it changes. An invalid file changes nothing; the last
-// valid list stays.
+// Package file follows a list of workers in a TOML file, which is read again when it changes. After an invalid change the last valid list
+// stays in force.
 package file
 
 import (
@@ -18,8 +18,8 @@
 
 // Times of following a file.
 const (
-	settleDelay  = 50 * time.Millisecond // from an event to the reading: several events of one save become one reading
-	pollInterval = 2 * time.Second       // the file is read besides, where the system reports no events
+	settleDelay  = 50 * time.Millisecond // from an event to the read: several events of one save cause one read
+	pollInterval = 2 * time.Second       // the file is also read at this interval, in case the system reports no events
 )
 
 // Source follows one file. Its callbacks are called from the goroutine of Run, one at a time.
@@ -30,10 +30,10 @@
 	OnLost   func() // the file is missing or invalid; the list stays as it is
 
 	lastContent string
-	lastError   string // of the last reading; empty: it was valid
+	lastError   string // of the last read; empty: it was valid
 }
 
-// Run follows the file until ctx ends. It watches the folder, as editors replace a file by another.
+// Run follows the file until ctx ends. It watches the directory, since editors replace a file by another one.
 func (s *Source) Run(ctx context.Context) {
 	var events chan fsnotify.Event
 	if watcher, err := fsnotify.NewWatcher(); err == nil {
@@ -75,7 +75,7 @@
 	}
 }
 
-// reload reads the file. One that is as it was changes nothing.
+// reload reads the file. An unchanged file has no effect.
 func (s *Source) reload() {
 	raw, err := readFile(s.Path)
 	unchanged := string(raw) == s.lastContent && s.lastError == ""
@@ -96,7 +96,7 @@
 	s.OnUpdate(update)
 }
 
-// logOnce logs an error, once however often the file is read again.
+// logOnce logs an error once, however often the file is read again.
 func (s *Source) logOnce(err error) {
 	if err.Error() != s.lastError {
 		s.Log.WithError(err).WithField("path", s.Path).Error("invalid workers file; keeping the last valid list")
@@ -104,7 +104,7 @@
 	}
 }
 
-// readFile reads a file, up to one byte over the size that a file may have.
+// readFile reads a file, up to one byte more than the maximum size.
 func readFile(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/endpointsource/http.go
+++ b/internal/endpointsource/http.go
@@ -11,13 +11,13 @@
 	"birchfork/internal/engine"
 )
 
-// Paths that the server answers.
+// Paths that the server serves.
 const (
 	hostsPath  = "/discovery/hosts"
 	statusPath = "/status"
 )
 
-// keepAliveInterval is the time from one empty line on a watch to the next.
+// keepAliveInterval is the interval of empty lines on a watch.
 const keepAliveInterval = 2 * time.Second
 
 // endpointJSON is an endpoint in discovery's protocol.
@@ -32,14 +32,14 @@
 	StartedAtMillis int64   `json:"since_ms"`
 }
 
-// listMessage is a list, or a part of one, in discovery's protocol.
+// listMessage is a complete list, or changes, in discovery's protocol.
 type listMessage struct {
 	Index     uint64         `json:"index"`
 	Snapshot  bool           `json:"snapshot"`
 	Endpoints []endpointJSON `json:"endpoints"`
 }
 
-// statusNames holds the names of states in discovery's protocol.
+// statusNames are the names of states in discovery's protocol.
 var statusNames = map[dispatch.WorkerState]string{
 	dispatch.Ready:    "up",
 	dispatch.Draining: "draining",
@@ -59,7 +59,7 @@
 	}
 }
 
-// ServeHTTP answers with the list, whole or as a watch, and with the server's status.
+// ServeHTTP serves the complete list, a watch of it, and the server's status.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.Method != http.MethodGet:
@@ -80,25 +80,25 @@
 	}
 }
 
-// serveList answers with the whole list.
+// serveList serves the complete list.
 func (s *Server) serveList(w http.ResponseWriter) {
 	s.mu.Lock()
 	hasList := s.view.active != noSource
 	m := s.snapshot()
 	s.mu.Unlock()
-	if !hasList { // an empty list would replace the one that the dispatcher has
+	if !hasList { // an empty list would replace the dispatcher's list
 		http.Error(w, "no source has told its list yet", http.StatusServiceUnavailable)
 		return
 	}
 	writeJSON(w, m)
 }
 
-// writeJSON writes an answer. A client that has gone is no fault of the server's.
+// writeJSON writes a response. Errors are ignored: the client has disconnected.
 func writeJSON(w http.ResponseWriter, answer any) {
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
-// serveWatch sends what has changed after an index, and each later change, until the client or the server ends it.
+// serveWatch sends the changes after an index, and each later change, until the client or the server ends the watch.
 func (s *Server) serveWatch(w http.ResponseWriter, r *http.Request, index uint64) {
 	keepAlive := time.NewTicker(keepAliveInterval)
 	defer keepAlive.Stop()
@@ -107,7 +107,7 @@
 		changed, closed := s.changed, s.closed
 		var line []byte
 		if first || index != s.index {
-			line, _ = json.Marshal(s.changesSince(index)) // changes that JSON cannot hold, such as an infinite weight, are left out
+			line, _ = json.Marshal(s.changesSince(index)) // changes that JSON cannot represent, such as an infinite weight, are left out
 			index = s.index
 		}
 		s.mu.Unlock()
@@ -129,7 +129,7 @@
 	}
 }
 
-// writeLine sends a line at once.
+// writeLine sends a line immediately.
 func writeLine(w http.ResponseWriter, line []byte) error {
 	_, err := w.Write(append(line, '\n'))
 	return errors.Join(err, http.NewResponseController(w).Flush())
--- a/internal/endpointsource/server.go
+++ b/internal/endpointsource/server.go
@@ -8,10 +8,10 @@
 	"birchfork/internal/engine"
 )
 
-// Server publishes the list of a View in discovery's protocol, so that a dispatcher needs nothing new: its discovery is an address on its
-// own machine. It owns the View and runs its timer. It is safe for concurrent use.
+// Server publishes the list of a View in discovery's protocol, so that a dispatcher needs no change: its discovery is an address on its own
+// machine. It owns the View and runs its timer. It is safe for concurrent use.
 type Server struct {
-	start time.Time // the View's time is counted from here
+	start time.Time // zero of the View's time
 
 	mu        sync.Mutex // guards the fields below
 	view      *View
@@ -29,7 +29,7 @@
 	endpoint engine.Endpoint
 }
 
-// maxChanges bounds the changes that are kept. A watch that is further behind gets the whole list.
+// maxChanges limits the changes that are kept. A watch that lags further behind gets the complete list.
 const maxChanges = 4096
 
 // NewServer returns a server without a list. Close releases its timer.
@@ -59,14 +59,14 @@
 	s.apply(func(now time.Duration) []engine.EndpointList { return s.view.Update(now, source, update) })
 }
 
-// MarkLost records that the connection to a source is lost.
+// MarkLost records that the connection to a source was lost.
 func (s *Server) MarkLost(source int) {
 	s.apply(func(now time.Duration) []engine.EndpointList { return s.view.MarkLost(now, source) })
 }
 
 func (s *Server) tick() { s.apply(s.view.Tick) }
 
-// apply takes a step of the view, records what it changes, and sets the timer for the next one.
+// apply carries out a step of the view, records the changes, and sets the timer for the next step.
 func (s *Server) apply(step func(now time.Duration) []engine.EndpointList) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +82,7 @@
 	}
 }
 
-// record applies changed endpoints to the list and keeps the newest changes. The lock is held.
+// record applies changed endpoints to the list and stores the newest changes. The caller must hold the lock.
 func (s *Server) record(endpoints []engine.Endpoint) {
 	for _, endpoint := range endpoints {
 		s.index++
@@ -98,7 +98,7 @@
 	}
 }
 
-// wakeWatches wakes all watches. The lock is held.
+// wakeWatches wakes up all watches. The caller must hold the lock.
 func (s *Server) wakeWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -112,7 +112,7 @@
 	AgeSeconds float64 `json:"age_s"`  // since its last update
 }
 
-// Status returns which source is active and how old its last update is.
+// Status returns the active source and the age of its last update.
 func (s *Server) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,7 +121,7 @@
 	return Status{Index: s.index, Workers: len(s.endpoints), Source: source, AgeSeconds: age.Seconds()}
 }
 
-// canResumeFrom reports whether the changes after an index are all kept. The lock is held.
+// canResumeFrom reports whether all changes after an index are stored. The caller must hold the lock.
 func (s *Server) canResumeFrom(index uint64) bool {
 	if index >= s.index {
 		return index == s.index
@@ -129,7 +129,7 @@
 	return len(s.changes) > 0 && s.changes[0].index <= index+1
 }
 
-// snapshot returns the whole list as a message. The lock is held.
+// snapshot returns the complete list as a message. The caller must hold the lock.
 func (s *Server) snapshot() listMessage {
 	m := listMessage{Index: s.index, Snapshot: true, Endpoints: make([]endpointJSON, 0, len(s.endpoints))}
 	for _, endpoint := range s.endpoints {
@@ -138,8 +138,8 @@
 	return m
 }
 
-// changesSince returns what has changed after an index, or the whole list where some of that is no longer kept. Of several changes of one
-// worker it returns the last. The lock is held.
+// changesSince returns the changes after an index, or the complete list if some of them are no longer stored. Of several changes of one
+// worker it returns the last. The caller must hold the lock.
 func (s *Server) changesSince(index uint64) listMessage {
 	if !s.canResumeFrom(index) {
 		return s.snapshot()
--- a/internal/endpointsource/source.go
+++ b/internal/endpointsource/source.go
@@ -9,7 +9,7 @@
 
 // Update is a list, or changes of one, from a source.
 type Update struct {
-	Snapshot  bool   // all workers of the source, not only those that changed
+	Snapshot  bool   // complete, not only the workers that changed
 	Revision  uint64 // of the source's store; 0: the source has none, and its last update is the newest
 	Endpoints []engine.Endpoint
 }
@@ -17,22 +17,22 @@
 // source is the state of one source.
 type source struct {
 	entries      map[string]sourceEntry
-	hasList      bool // it has sent a whole list
+	hasList      bool // it has sent a complete list
 	connected    bool
-	stateSince   time.Duration // when it was connected, or lost
+	stateSince   time.Duration // time of the connection, or of its loss
 	revision     uint64
-	emptyPending bool          // an empty list that came in place of a good one is not yet applied
-	emptySince   time.Duration // when that list came
+	emptyPending bool          // an empty list that replaced a non-empty one has not been applied yet
+	emptySince   time.Duration // when that list arrived
 	lastUpdate   time.Duration
 }
 
-// sourceEntry is an endpoint as its source last sent it.
+// sourceEntry is an endpoint as last sent by its source.
 type sourceEntry struct {
 	engine.Endpoint
-	drainKept bool // the source's store was restored and has it back as up; it drains by what was known before
+	drainKept bool // the source's restored store lists it as up; it stays draining as known before
 }
 
-// markConnected records an update at a moment.
+// markConnected records the time of an update.
 func (s *source) markConnected(now time.Duration) {
 	if !s.connected {
 		s.connected = true
@@ -49,8 +49,8 @@
 	}
 }
 
-// applySnapshot applies a whole list: after a gap it holds what was missed. A worker that is not on it has left. An empty list in place of
-// a good one is applied after emptyListDelay only: an agent that has not received a list yet itself sends an empty one.
+// applySnapshot applies a complete list, which after a gap contains what was missed. A worker that is not on it has left. An empty list
+// that replaces a non-empty one is applied only after emptyListDelay, since an agent that has not received a list yet sends an empty one.
 func (s *source) applySnapshot(now time.Duration, update Update, emptyListDelay time.Duration) {
 	if len(update.Endpoints) == 0 && len(s.entries) > 0 && emptyListDelay > 0 {
 		if !s.emptyPending {
@@ -72,7 +72,7 @@
 	s.hasList = true
 }
 
-// applyChanges applies changes. Those that are no newer than what is known came late or twice and are ignored.
+// applyChanges applies changes. Those that are not newer than what is known are late or repeated, and are ignored.
 func (s *source) applyChanges(update Update) {
 	if update.Revision > 0 && update.Revision <= s.revision {
 		return
@@ -88,9 +88,9 @@
 	s.revision = max(s.revision, update.Revision)
 }
 
-// keepDrained returns an entry of a snapshot, draining if its worker is known to drain and the snapshot is of a restored store. A store
-// restored from an older copy brings back workers that have drained since: the same incarnation of a worker stays drained until a change
-// says otherwise. Reading the restored list again is no change: without drainKept the second reading would bring the worker back.
+// keepDrained returns an entry of a snapshot, as draining if its worker is known to drain and the snapshot is from a restored store. A
+// store restored from an older copy lists workers as up that have drained since: the same incarnation of a worker stays draining until a
+// change replaces it. Reading the restored list again is not a change: without drainKept the second read would list the worker as up.
 func (s *source) keepDrained(entry sourceEntry, restored bool) sourceEntry {
 	old, known := s.entries[entry.Name]
 	if !known || !restored && !old.drainKept {
@@ -104,7 +104,7 @@
 	return entry
 }
 
-// applyPendingEmptyList applies an empty list that has lasted for the delay.
+// applyPendingEmptyList applies an empty list once it has lasted for the delay.
 func (s *source) applyPendingEmptyList(now, emptyListDelay time.Duration) {
 	if s.emptyPending && now >= s.emptySince+emptyListDelay {
 		s.emptyPending = false
--- a/internal/endpointsource/view.go
+++ b/internal/endpointsource/view.go
@@ -1,6 +1,6 @@
 // Package endpointsource merges lists of workers from several sources. A source sends snapshots and changes; a View merges them into one
 // list, fails over between sources, rebuilds the list after a gap, and ignores outdated updates. View does no I/O, has no clock and starts
-// no goroutine. Server gives it a clock and publishes its list over HTTP.
+// no goroutine. Server provides its clock and publishes its list over HTTP.
 package endpointsource
 
 import (
@@ -13,15 +13,15 @@
 	"birchfork/internal/engine"
 )
 
-// noSource stands for the index of the active source where there is none.
+// noSource is the index of the active source if there is none.
 const noSource = -1
 
 // Config holds the settings of a View.
 type Config struct {
 	SourceCount    int           // sources are numbered by preference, the preferred one is 0
-	FailoverDelay  time.Duration // a source that is lost for so long gives way to the next that has sent its list
-	FailbackDelay  time.Duration // a preferred source takes over again once it has been connected for so long
-	EmptyListDelay time.Duration // an empty list in place of a good one is applied after so long; 0: at once
+	FailoverDelay  time.Duration // once a source has been lost for this long, the next one that has sent its list becomes active
+	FailbackDelay  time.Duration // a preferred source becomes active again once it has been connected for this long
+	EmptyListDelay time.Duration // an empty list that replaces a non-empty one is applied after this time; 0: immediately
 }
 
 // View merges the lists of several sources. Times are durations from a start that the caller chooses. A View is not safe for concurrent
@@ -31,7 +31,7 @@
 	now       time.Duration
 	sources   []source
 	active    int                        // the source whose list is published; noSource: none has sent one yet
-	published map[string]engine.Endpoint // without those that are gone
+	published map[string]engine.Endpoint // without workers that have left
 }
 
 // NewView returns a View without endpoints.
@@ -56,14 +56,14 @@
 	return v.reconcile()
 }
 
-// MarkLost records that a source is silent or disconnected, and returns the changes of the published list. The source's last list stays.
+// MarkLost records that a source is silent or disconnected, and returns the changes of the published list. The source's last list is kept.
 func (v *View) MarkLost(now time.Duration, from int) []engine.EndpointList {
 	v.advance(now)
 	v.sources[from].markLost(v.now)
 	return v.reconcile()
 }
 
-// Tick does what is due and returns the changes of the published list. NextTick returns when to call it.
+// Tick applies what is due and returns the changes of the published list. NextTick returns when to call it.
 func (v *View) Tick(now time.Duration) []engine.EndpointList {
 	v.advance(now)
 	return v.reconcile()
@@ -98,7 +98,7 @@
 	return v.active, v.now - v.sources[v.active].lastUpdate
 }
 
-// advance sets the time. It never goes back.
+// advance sets the time, which never goes back.
 func (v *View) advance(now time.Duration) { v.now = max(v.now, now) }
 
 // reconcile chooses the active source and returns how its list differs from what was published.
@@ -117,8 +117,8 @@
 	return []engine.EndpointList{{Endpoints: changes}}
 }
 
-// publish makes the published list equal to entries and returns the changes, sorted by name: the same updates give the same changes, in
-// spite of the maps' order.
+// publish makes the published list equal to entries and returns the changes, sorted by name: the same updates give the same changes,
+// whatever the order of the maps.
 func (v *View) publish(entries map[string]sourceEntry) []engine.Endpoint {
 	var changes []engine.Endpoint
 	for name, old := range v.published {
@@ -138,8 +138,8 @@
 	return changes
 }
 
-// chooseActive fails over and back. The first source that has sent its list and is connected, or not lost for long, becomes active. Where
-// all are lost the active one stays.
+// chooseActive fails over and back. The first source that has sent its list and is connected, or has been lost only briefly, becomes
+// active. If all are lost the active one stays.
 func (v *View) chooseActive() {
 	for i := range v.sources {
 		s := &v.sources[i]
--- a/internal/etcdtest/faults.go
+++ b/internal/etcdtest/faults.go
@@ -9,7 +9,7 @@
 	"google.golang.org/grpc"
 )
 
-// intercept delays or rejects calls, as SetHanging and SetNoLeader say.
+// intercept delays or rejects calls, according to SetHanging and SetNoLeader.
 func (s *Server) intercept(ctx context.Context, req any, _ *grpc.UnaryServerInfo, next grpc.UnaryHandler) (any, error) {
 	if err := s.awaitAvailable(ctx); err != nil {
 		return nil, err
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// SetHanging makes the server answer no call until it is called with false.
+// SetHanging makes all calls hang, until it is called with false.
 func (s *Server) SetHanging(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,7 +48,7 @@
 	}
 }
 
-// SetNoLeader makes the server reject calls as a member without a leader does, and ends all watches; with false it accepts calls again.
+// SetNoLeader makes the server reject calls like a member without a leader, and ends all watches; with false it accepts calls again.
 func (s *Server) SetNoLeader(on bool) {
 	s.mu.Lock()
 	s.noLeader = on
@@ -86,7 +86,7 @@
 	return Snapshot{revision: s.revision, keyValues: maps.Clone(s.keyValues)}
 }
 
-// Restore goes back to an older copy: revisions go backwards, and all watches end.
+// Restore restores an older copy: revisions go backwards, and all watches end.
 func (s *Server) Restore(c Snapshot) {
 	s.mu.Lock()
 	s.revision = c.revision
--- a/internal/etcdtest/keyvalue.go
+++ b/internal/etcdtest/keyvalue.go
@@ -32,7 +32,7 @@
 	return s.readRange(r), nil
 }
 
-// readRange reads keys, in their order. The lock is held.
+// readRange reads keys, in order. The caller must hold the lock.
 func (s *Server) readRange(r *pb.RangeRequest) *pb.RangeResponse {
 	res := &pb.RangeResponse{Header: s.header()}
 	for k, kv := range s.keyValues {
@@ -58,7 +58,7 @@
 	return &pb.PutResponse{Header: s.header()}, nil
 }
 
-// put writes a key at the current revision. The lock is held.
+// put writes a key at the current revision. The caller must hold the lock.
 func (s *Server) put(r *pb.PutRequest) {
 	kv := &mvccpb.KeyValue{Key: r.Key, Value: r.Value, Lease: r.Lease, ModRevision: s.revision, CreateRevision: s.revision, Version: 1}
 	if old := s.keyValues[string(r.Key)]; old != nil {
@@ -82,7 +82,7 @@
 	return &pb.DeleteRangeResponse{Header: s.header(), Deleted: n}, nil
 }
 
-// delete deletes keys in one revision of its own and returns how many there were. The lock is held.
+// delete deletes keys in a new revision and returns their number. The caller must hold the lock.
 func (s *Server) delete(r *pb.DeleteRangeRequest) int64 {
 	var keys []string
 	for k := range s.keyValues {
@@ -102,7 +102,7 @@
 	return int64(len(keys))
 }
 
-// deleteKey deletes a key at the current revision. The lock is held.
+// deleteKey deletes a key at the current revision. The caller must hold the lock.
 func (s *Server) deleteKey(key string) {
 	if l := s.leases[s.keyValues[key].Lease]; l != nil {
 		delete(l.keys, key)
@@ -125,14 +125,14 @@
 	return &pb.CompactionResponse{Header: s.header()}, nil
 }
 
-// compactTo compacts the history up to a revision. The lock is held.
+// compactTo compacts the history up to a revision. The caller must hold the lock.
 func (s *Server) compactTo(rev int64) {
 	s.compactedRevision = rev
 	i := sort.Search(len(s.history), func(i int) bool { return s.history[i].Kv.ModRevision > rev })
 	s.history = append([]*mvccpb.Event(nil), s.history[i:]...)
 }
 
-// header returns the header of a response. The lock is held.
+// header returns the header of a response. The caller must hold the lock.
 func (s *Server) header() *pb.ResponseHeader {
 	return &pb.ResponseHeader{Revision: s.revision, RaftTerm: 1}
 }
--- a/internal/etcdtest/lease.go
+++ b/internal/etcdtest/lease.go
@@ -32,7 +32,7 @@
 	return &pb.LeaseGrantResponse{Header: s.header(), ID: id, TTL: r.TTL}, nil
 }
 
-// Expire ends a lease at once, as if its time to live had passed, and deletes its keys.
+// Expire ends a lease immediately, as if its time to live had passed, and deletes its keys.
 func (s *Server) Expire(id int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/etcdtest/server.go
+++ b/internal/etcdtest/server.go
@@ -1,6 +1,6 @@
-// Package etcdtest is a small etcd for tests and the testbed, by etcd's published gRPC API: keys and values with revisions and history,
-// watches, leases and compaction, as far as a list of workers needs them, and faults on command. It listens on loopback, serves from
-// memory and stores nothing on disk.
+// Package etcdtest is a small etcd server for tests and the testbed. It implements the part of etcd's gRPC API that a list of workers
+// needs: keys and values with revisions and history, watches, leases, transactions and compaction. Faults can be injected. It listens on a
+// loopback address, serves from memory and stores nothing on disk.
 package etcdtest
 
 import (
@@ -24,15 +24,15 @@
 
 	mu                sync.Mutex // guards the fields below
 	revision          int64
-	compactedRevision int64 // the history up to it is gone
+	compactedRevision int64 // the history up to this revision has been removed
 	keyValues         map[string]*mvccpb.KeyValue
 	history           []*mvccpb.Event // by revision
 	leases            map[int64]*lease
 	changed           chan struct{} // closed at each change, and replaced by a new one
 	dropped           chan struct{} // closed when all watches are dropped, and replaced by a new one
-	hung              chan struct{} // not nil: no call is answered until it is closed
+	hung              chan struct{} // not nil: no call returns until it is closed
 	noLeader          bool
-	openWatches       int // open streams
+	openWatches       int // number of open streams
 }
 
 // Start starts a server on a free loopback address. Close stops it.
@@ -53,14 +53,14 @@
 	pb.RegisterKVServer(s.grpc, s)
 	pb.RegisterWatchServer(s.grpc, s)
 	pb.RegisterLeaseServer(s.grpc, s)
-	go func() { _ = s.grpc.Serve(l) }() // it ends with Close
+	go func() { _ = s.grpc.Serve(l) }() // ends with Close
 	return s, nil
 }
 
-// Address returns the address that the server listens on, host:port.
+// Address returns the server's address, host:port.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Close stops the server at once.
+// Close stops the server immediately.
 func (s *Server) Close() {
 	s.mu.Lock()
 	for _, l := range s.leases {
--- a/internal/etcdtest/txn.go
+++ b/internal/etcdtest/txn.go
@@ -42,7 +42,7 @@
 	return response, nil
 }
 
-// holds reports whether a comparison holds. The lock is held.
+// holds evaluates a comparison. The caller must hold the lock.
 func (s *Server) holds(c *pb.Compare) (bool, error) {
 	kv := s.keyValues[string(c.Key)]
 	if kv == nil {
@@ -72,7 +72,7 @@
 	return true, nil
 }
 
-// apply carries out one operation of a transaction; nil: it is of a kind that is not supported. The lock is held.
+// apply carries out one operation of a transaction; it returns nil if its kind is not supported. The caller must hold the lock.
 func (s *Server) apply(operation *pb.RequestOp) *pb.ResponseOp {
 	switch {
 	case operation.GetRequestPut() != nil:
--- a/internal/etcdtest/watch.go
+++ b/internal/etcdtest/watch.go
@@ -13,10 +13,10 @@
 	id           int64
 	key          []byte
 	rangeEnd     []byte
-	nextRevision int64 // the first that was not sent yet
+	nextRevision int64 // the first revision that has not been sent yet
 }
 
-// watchStream is one stream with its watches. It is for the goroutine of Watch.
+// watchStream is one stream with its watches. It is used only by the goroutine of Watch.
 type watchStream struct {
 	pb.Watch_WatchServer
 	server  *Server
@@ -119,7 +119,7 @@
 // allWatches is the id of a response that concerns all watches of a stream.
 const allWatches = -1
 
-// create creates a watch, unless its first revision has been compacted. The server's lock is held.
+// create creates a watch, unless its first revision has been compacted. The caller must hold the server's lock.
 func (w *watchStream) create(request *pb.WatchCreateRequest) []*pb.WatchResponse {
 	s := w.server
 	created := &watch{id: w.nextID, key: request.Key, rangeEnd: request.RangeEnd, nextRevision: request.StartRevision}
@@ -137,12 +137,12 @@
 	return responses
 }
 
-// compactedResponse returns the response that cancels a watch whose next revision has been compacted. The lock is held.
+// compactedResponse returns the response that cancels a watch whose next revision has been compacted. The caller must hold the lock.
 func (s *Server) compactedResponse(id int64) *pb.WatchResponse {
 	return &pb.WatchResponse{Header: s.header(), WatchId: id, Canceled: true, CompactRevision: s.compactedRevision}
 }
 
-// pendingResponses returns what was not sent to the watches yet, and a channel that is closed at the next change.
+// pendingResponses returns what has not been sent to the watches yet, and a channel that is closed at the next change.
 func (w *watchStream) pendingResponses() (responses []*pb.WatchResponse, changed <-chan struct{}) {
 	s := w.server
 	s.mu.Lock()
@@ -168,7 +168,7 @@
 	return responses, s.changed
 }
 
-// notify wakes all watches. The lock is held.
+// notify wakes up all watches. The caller must hold the lock.
 func (s *Server) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -15,11 +15,11 @@
 // unlimited is a read limit that is never reached.
 const unlimited = 1 << 62
 
-// Conn is a connection to a worker that belongs to a Pool. Whoever got it from the pool owns it until Put, Close or Reset; Reader and the
-// read limit are not safe for concurrent use, the rest is as safe as net.Conn.
+// Conn is a connection to a worker that belongs to a Pool. The goroutine that got it from the pool owns it until Put, Close or Reset.
+// Reader and the read limit are not safe for concurrent use; everything else is as safe as net.Conn.
 type Conn struct {
 	net.Conn
-	Reader *bufio.Reader // what the worker sends, up to the read limit
+	Reader *bufio.Reader // data from the worker, up to the read limit
 
 	pool      *Pool
 	address   string
@@ -34,16 +34,16 @@
 	return c
 }
 
-// setReadLimit bounds the bytes that may still be read from the connection; Reader returns io.EOF behind them.
+// setReadLimit limits the bytes that may still be read from the connection; after them Reader returns io.EOF.
 func (c *Conn) setReadLimit(n int64) { c.input.N = n }
 
 // readLimitReached reports whether all bytes up to the read limit have been read.
 func (c *Conn) readLimitReached() bool { return c.input.N <= 0 }
 
-// interrupt makes the read or write that is in progress fail with a timeout, and all later ones.
+// interrupt makes the read or write in progress fail with a timeout, and all later ones.
 func (c *Conn) interrupt() { c.SetDeadline(time.Unix(1, 0)) }
 
-// Close closes the connection and gives its place in the pool back. Only the first call has an effect.
+// Close closes the connection and releases its place in the pool. Only the first call has an effect.
 func (c *Conn) Close() error {
 	var err error
 	c.closeOnce.Do(func() {
@@ -53,7 +53,8 @@
 	return err
 }
 
-// Reset closes the connection like Close, and drops what was written and has not been delivered: the kernel sends nothing more of it.
+// Reset closes the connection like Close, and discards data that was written and has not been delivered: the kernel sends nothing more of
+// it.
 func (c *Conn) Reset() error {
 	if tcp, ok := c.Conn.(interface{ SetLinger(seconds int) error }); ok {
 		_ = tcp.SetLinger(0) // fails only on a connection that is broken already
@@ -61,8 +62,8 @@
 	return c.Close()
 }
 
-// isReusable reports whether an idle connection is open and silent. A close or reset that has arrived shows here, before a request is
-// written that would be lost with it.
+// isReusable reports whether an idle connection is open and silent. It detects a close or reset that has already arrived, by which a
+// request written now would be lost.
 func (c *Conn) isReusable() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -1,4 +1,4 @@
-// Package upstream talks to workers: it keeps a pool of connections to them, writes a request on one, and reads the worker's answer line by
-// line up to the outcome of the attempt. What is sent where is decided by the engine, whose attempts it carries out and to which it reports
-// how they go and end.
+// Package upstream implements the exchange with workers: it keeps a pool of connections to them, writes a request on one, and reads the
+// worker's response line by line up to the outcome of the attempt. The engine decides what is sent where; this package carries out its
+// attempts and reports their progress and end to it.
 package upstream
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -13,33 +13,33 @@
 	"birchfork/internal/engine"
 )
 
-// ErrNoFileDescriptor is the error of Pool.Get where no further connection may be opened: this process has reached its limit, and the
-// worker is not at fault.
+// ErrNoFileDescriptor is the error of Pool.Get if no further connection may be opened: this process has reached its limit, and the worker
+// is not at fault.
 var ErrNoFileDescriptor = errors.New("no file descriptor left")
 
 // DialFunc opens a connection to a worker's address.
 type DialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// Pool owns the connections to workers: it opens them, keeps idle ones for reuse and bounds their number. It is safe for concurrent use.
+// Pool owns the connections to workers: it opens them, keeps idle ones for reuse and limits their number. It is safe for concurrent use.
 type Pool struct {
 	counters *engine.Counters
 
 	mu          sync.Mutex
 	dial        DialFunc
-	maxConns    int           // connections open at a time
+	maxConns    int           // maximum number of open connections
 	idleTimeout time.Duration // after which idle connections are closed
 	idle        []*Conn       // longest idle first
 	open        int           // connections that are idle, in use or being set up
 	closed      bool          // connections that are put back are closed
 }
 
-// NewPool returns an empty pool of at most maxConns connections, which it counts in counters.
+// NewPool returns an empty pool of at most maxConns connections, which are counted in counters.
 func NewPool(dial DialFunc, counters *engine.Counters, maxConns int, idleTimeout time.Duration) *Pool {
 	return &Pool{dial: dial, counters: counters, maxConns: maxConns, idleTimeout: idleTimeout}
 }
 
-// Get returns an idle connection to address, the last that was put back first, or opens one. The caller owns it until Put, Close or Reset.
-// The error is ErrNoFileDescriptor where the limit leaves none, else that of dialing.
+// Get returns the idle connection to address that was put back last, or opens one. The caller owns it until Put, Close or Reset. The error
+// is ErrNoFileDescriptor if the limit leaves none, otherwise the dial error.
 func (p *Pool) Get(ctx context.Context, address string) (*Conn, error) {
 	if conn := p.reuse(address); conn != nil {
 		return conn, nil
@@ -47,7 +47,7 @@
 	return p.openConn(ctx, address)
 }
 
-// reuse takes an idle connection to address that is still open; nil where there is none.
+// reuse takes an idle connection to address that is still open; nil if there is none.
 func (p *Pool) reuse(address string) *Conn {
 	for {
 		conn := p.takeIdle(address)
@@ -82,7 +82,7 @@
 	return newConn(p, address, raw), nil
 }
 
-// takeIdle takes the connection to address that has been idle for the shortest time; nil where there is none.
+// takeIdle takes the connection to address that has been idle for the shortest time; nil if there is none.
 func (p *Pool) takeIdle(address string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// reservePlace counts a connection that is to be opened with the function that it returns. Where the limit is reached the longest idle
-// connection is closed; ok is false where there is none.
+// reservePlace reserves a place for a connection that is to be opened with the returned function. At the limit the longest idle connection
+// is closed; ok is false if there is none.
 func (p *Pool) reservePlace() (dial DialFunc, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,14 +111,14 @@
 	return p.dial, true
 }
 
-// releasePlace gives back what reservePlace reserved.
+// releasePlace releases what reservePlace reserved.
 func (p *Pool) releasePlace() {
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
 }
 
-// Put gives a connection back after a complete response. A connection on which the worker has sent more than that is closed.
+// Put returns a connection to the pool after a complete response. A connection on which the worker has sent more than that is closed.
 func (p *Pool) Put(conn *Conn) {
 	surplus := conn.Reader.Buffered() > 0
 	if surplus || conn.SetDeadline(time.Time{}) != nil {
@@ -143,7 +143,7 @@
 	p.idleTimeout = idleTimeout
 }
 
-// SetMaxConns sets how many connections may be open. Idle ones that are now too many are closed, the longest idle first.
+// SetMaxConns sets the maximum number of open connections. Idle ones over it are closed, the longest idle first.
 func (p *Pool) SetMaxConns(maxConns int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -162,8 +162,8 @@
 	p.closeIdle(func(conn *Conn) bool { return conn.address == address })
 }
 
-// CloseExpired closes connections that have been idle for the idle timeout. A worker closes them at a time of its own, and a request that
-// crosses that close would be lost.
+// CloseExpired closes connections that have been idle for the idle timeout. A worker closes idle connections too, at a time of its choice,
+// and a request that crosses that close would be lost.
 func (p *Pool) CloseExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -178,7 +178,7 @@
 	p.closeAllIdle()
 }
 
-// Counts returns how many connections are open, and how many of them are idle.
+// Counts returns the number of open connections, and how many of them are idle.
 func (p *Pool) Counts() (open, idle int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -187,7 +187,7 @@
 
 func (p *Pool) closeAllIdle() { p.closeIdle(func(*Conn) bool { return true }) }
 
-// closeIdle closes the idle connections that match, longest idle first. The lock is held.
+// closeIdle closes the matching idle connections, longest idle first. The caller must hold the lock.
 func (p *Pool) closeIdle(matches func(*Conn) bool) {
 	var closing []*Conn
 	kept := p.idle[:0]
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// ClientConn is the connection that a client's request came on.
+// ClientConn is the connection on which a client's request arrived.
 type ClientConn interface {
-	// ClientGone reports whether the client has ended its sending.
+	// ClientGone reports whether the client has closed its sending direction.
 	ClientGone() bool
 }
 
-// Request is what goes to a worker for one request of a client, the same in all its attempts. It must not be changed once the first attempt
+// Request is what is sent to a worker for one client request, the same in all its attempts. It must not be changed once the first attempt
 // has begun; attempts may then use it concurrently.
 type Request struct {
 	Method, Target string // as the client sent them
 	ID             string
-	Headers        []byte // further headers that are forwarded, each with its line end
+	Headers        []byte // further forwarded headers, each with its line ending
 	Body           []byte
-	Client         ClientConn // nil if there is none to look at
+	Client         ClientConn // nil if there is none to check
 }
 
 func (r *Request) clientGone() bool { return r.Client != nil && r.Client.ClientGone() }
 
-// requestHeadSize is the capacity to start with for a request's head; a longer one grows it.
+// requestHeadSize is the initial capacity for a request's head; a longer one grows it.
 const requestHeadSize = 512
 
-// encode returns the request as it goes out to a worker at host. timeLeft is how long the client still waits for the result; the worker is
-// told whole milliseconds, and at least one.
+// encode encodes the request for a worker at host. timeLeft is how long the client still waits for the result; it is sent in integer
+// milliseconds, and at least one.
 func (r *Request) encode(host string, timeLeft time.Duration) []byte {
 	b := make([]byte, 0, requestHeadSize+len(r.Body))
 	b = append(b, r.Method...)
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -13,30 +13,30 @@
 	"birchfork/dispatch"
 )
 
-// MaxLineBytes bounds a line of a worker's answer: a result of 64 KiB with every byte escaped fits.
+// MaxLineBytes limits a line of a worker's response: a result of 64 KiB with every byte escaped fits.
 const MaxLineBytes = 1 << 20
 
-// Further bounds on a worker's answer.
+// Further limits on a worker's response.
 const (
 	maxHeadBytes  = 64 << 10        // of the status line and the headers
-	maxDrainBytes = 64 << 10        // of what is read behind the line that decided the outcome
-	drainTimeout  = 1 * time.Second // for the end of the answer, from that line on
+	maxDrainBytes = 64 << 10        // of what is read after the line that decided the outcome
+	drainTimeout  = 1 * time.Second // for the end of the response, from that line on
 )
 
-// jobState is the state of a job in a line of a worker's answer.
+// jobState is the state of a request in a line of a worker's response. The platform's protocol calls a request a job.
 type jobState string
 
 // The states of the platform's protocol.
 const (
-	stateStarted  jobState = "started"  // the job runs
-	stateRunning  jobState = "running"  // a part of it is done
+	stateStarted  jobState = "started"  // it runs
+	stateRunning  jobState = "running"  // it reports progress
 	stateDone     jobState = "done"     // it ended with a result
-	stateFailed   jobState = "failed"   // it ended without one
+	stateFailed   jobState = "failed"   // it ended without a result
 	stateReturned jobState = "returned" // the worker did not run it
-	stateLost     jobState = "lost"     // the worker does not know what became of it
+	stateLost     jobState = "lost"     // the worker does not know its state
 )
 
-// Faults of a line. They are counted alike; the texts are for tests and debuggers.
+// Errors of a line. They are counted together; the texts are for tests and debugging.
 var (
 	errWrongID         = errors.New("the line is about another request")
 	errUnknownState    = errors.New("unknown state")
@@ -45,14 +45,14 @@
 	errNoResult        = errors.New("finished job without a result")
 )
 
-// statusUpdate is a line of a worker's answer.
+// statusUpdate is a line of a worker's response.
 type statusUpdate struct {
 	State    jobState
 	Progress float64 // between 0 and 1, if the state is stateRunning
 	Result   []byte  // if the state is stateDone
 }
 
-// decodeStatusUpdate decodes a line about the request id.
+// decodeStatusUpdate decodes a line about the request with an id.
 func decodeStatusUpdate(line []byte, id string) (statusUpdate, error) {
 	var message struct {
 		ID       string          `json:"id"`
@@ -87,7 +87,7 @@
 	}
 }
 
-// readStatusUpdate reads the next line about the request id, past empty ones.
+// readStatusUpdate reads the next line about the request with an id, and skips empty ones.
 func readStatusUpdate(body *bufio.Reader, id string) (statusUpdate, error) {
 	for {
 		line, err := readLine(body, MaxLineBytes)
@@ -100,10 +100,10 @@
 	}
 }
 
-// readLine returns the next line without its end, of maxBytes at most. Only the last line of a complete answer may lack its end. The line is
-// valid until the next read.
+// readLine returns the next line without its ending, at most maxBytes. Only the last line of a complete response may lack its ending. The
+// line is valid until the next read.
 func readLine(r *bufio.Reader, maxBytes int) ([]byte, error) {
-	var line []byte // what a full buffer has brought of it
+	var line []byte // the parts of the line that filled the buffer
 	for {
 		part, err := r.ReadSlice('\n')
 		size := len(line) + len(part)
@@ -139,7 +139,7 @@
 	}
 }
 
-// resultOfStatus returns the result of an attempt that was answered with another status than 200.
+// resultOfStatus returns the result of an attempt whose response has a status other than 200.
 func resultOfStatus(response *http.Response) dispatch.Result {
 	mayBeUnrun := response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusGatewayTimeout
 	if mayBeUnrun && response.Header.Get("X-Not-Run") == "1" {
@@ -148,14 +148,14 @@
 	return dispatch.ResultFailed
 }
 
-// isConnEnd reports whether a read failed because the connection ended, broke or timed out. All other errors are malformed answers.
+// isConnEnd reports whether a read failed because the connection ended, broke or timed out. All other errors are malformed responses.
 func isConnEnd(err error) bool {
 	var timeout interface{ Timeout() bool }
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &timeout)
 }
 
-// drain reads what is left of an answer whose outcome is known, and reports whether the connection can be used again: the answer has to end
-// in order, and soon.
+// drain reads the rest of a response whose outcome is known, and reports whether the connection can be reused: the response has to end
+// properly, and soon.
 func drain(conn *Conn, response *http.Response, body io.Reader) bool {
 	defer response.Body.Close()
 	endsByClose := response.Close || response.ContentLength < 0 && len(response.TransferEncoding) == 0
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -11,7 +11,7 @@
 	"birchfork/internal/engine"
 )
 
-// silentAfter is how long a worker may take until the head of its answer before its connections are taken for dead, if none came at all.
+// silentAfter is how long a worker may take to send the head of its response before its idle connections count as dead, if none arrives.
 const silentAfter = 500 * time.Millisecond
 
 // Transport carries out attempts over the connections of a pool. It is safe for concurrent use.
@@ -24,41 +24,41 @@
 type outcome struct {
 	result         dispatch.Result
 	jobResult      []byte // if result is ResultOK
-	invalidRequest bool   // the worker cannot use the request
-	silent         bool   // nothing came back for long
+	invalidRequest bool   // the request is invalid, according to the worker
+	silent         bool   // no response arrived within silentAfter
 
-	// What is left of the answer that decided the result; nil unless that was well-formed so far.
+	// The rest of the response that decided the result; nil unless it was well-formed so far.
 	response *http.Response
 	body     *bufio.Reader
 }
 
-// Do carries out one attempt and reports its progress and its end to the engine. It owns the attempt's connection: that goes back to the
-// pool after a complete answer and is closed in every other case. Do returns when the connection is released.
+// Do carries out one attempt and reports its progress and its end to the engine. It owns the attempt's connection, which is returned to the
+// pool after a complete response and closed in every other case. Do returns when the connection is released.
 func (t *Transport) Do(attempt *engine.Attempt, request *Request) {
 	conn, err := t.Pool.Get(attempt.Context(), attempt.Address())
 	if err != nil {
 		attempt.Finish(resultOfConnectError(attempt, err), nil)
 		return
 	}
-	// Guards against a drain, a deadline or the client's leaving that came during the dial.
+	// Guards against a drain, a deadline or a client's disconnect during the dial.
 	if !attempt.MaySend() || request.clientGone() {
 		t.Pool.Put(conn)
 		attempt.Finish(dispatch.ResultNotSent, nil)
 		return
 	}
-	// A timeout or a cancellation breaks off whatever the connection is at.
+	// A timeout or a cancellation interrupts whatever the connection is doing.
 	stopInterrupt := context.AfterFunc(attempt.Context(), conn.interrupt)
 	outcome := t.exchange(attempt, request, conn)
 	interrupted := !stopInterrupt()
 	reusable := !interrupted && outcome.response != nil
 	if !reusable {
-		// Before the outcome is reported: a further attempt must not run beside this one's open connection. The reset guards against a
-		// link that is silent, on which the kernel would go on sending what was written, even after the final answer.
+		// Before the outcome is reported: no further attempt may run while this one's connection is open. The reset guards against a silent
+		// link, on which the kernel would continue to send what was written, even after the final answer.
 		_ = conn.Reset()
 	}
 	if outcome.silent {
-		// Guards against a machine that vanished: its idle connections look open and swallow what they are given, while a new one does not
-		// come up, which shows in time that a job never ran.
+		// Guards against a machine that has vanished: its idle connections look open and accept data, whereas a new one cannot be opened,
+		// which shows in time that a request never ran.
 		t.Pool.CloseIdleTo(attempt.Address())
 	}
 	outcome.report(attempt)
@@ -77,7 +77,7 @@
 	attempt.Finish(o.result, o.jobResult)
 }
 
-// exchange writes the request and reads the answer up to the outcome.
+// exchange writes the request and reads the response up to the outcome.
 func (t *Transport) exchange(attempt *engine.Attempt, request *Request, conn *Conn) outcome {
 	if result, sent := send(attempt, request, conn); !sent {
 		return outcome{result: result}
@@ -89,21 +89,21 @@
 	}
 	body := bufio.NewReader(response.Body)
 	if response.StatusCode != http.StatusOK {
-		// Guards against recording failures of workers, and trying one after the other, for requests that none of them can use: with the
-		// id of another request, say, that is open at another dispatcher.
+		// Guards against recording worker failures, and trying one worker after the other, for requests that no worker can use: for example
+		// with the id of another request that is open at another dispatcher.
 		invalidRequest := response.StatusCode >= 400 && response.StatusCode < 500
 		return outcome{result: resultOfStatus(response), invalidRequest: invalidRequest, response: response, body: body}
 	}
 	return t.readUpdates(attempt, request.ID, response, body)
 }
 
-// send writes the request. Where that was not sent as a whole, the worker cannot have run it, and result is the attempt's.
+// send writes the request. If it was not written completely the worker cannot have run it, and result is the attempt's.
 func send(attempt *engine.Attempt, request *Request, conn *Conn) (result dispatch.Result, sent bool) {
 	deadline, _ := attempt.Context().Deadline()
 	message := request.encode(attempt.Address(), time.Until(deadline))
 	if attempt.NeedsLease() {
 		// Guards against a worker that was put under maintenance while this process stood still in the middle of the request: a worker
-		// begins with the last byte.
+		// starts a request on its last byte.
 		lastByte := len(message) - 1
 		if _, err := conn.Write(message[:lastByte]); err != nil {
 			return resultOfWriteError(attempt), false
@@ -120,7 +120,7 @@
 	return 0, true
 }
 
-// readHead reads the status line and the headers of the answer.
+// readHead reads the status line and the headers of the response.
 func (t *Transport) readHead(conn *Conn, method string) (*http.Response, error) {
 	conn.setReadLimit(maxHeadBytes)
 	response, err := http.ReadResponse(conn.Reader, &http.Request{Method: method})
@@ -134,7 +134,7 @@
 	return response, nil
 }
 
-// readUpdates reads the lines of the answer up to a final one, and reports the others to the engine.
+// readUpdates reads the lines of the response up to a final one, and reports the others to the engine.
 func (t *Transport) readUpdates(attempt *engine.Attempt, id string, response *http.Response, body *bufio.Reader) outcome {
 	for {
 		update, err := readStatusUpdate(body, id)
@@ -155,7 +155,7 @@
 	}
 }
 
-// resultOfConnectError returns the result of an attempt that got no connection. This process's own limits are no fault of the worker's.
+// resultOfConnectError returns the result of an attempt that got no connection. The limits of this process are not the worker's fault.
 func resultOfConnectError(attempt *engine.Attempt, err error) dispatch.Result {
 	if errors.Is(err, ErrNoFileDescriptor) || attempt.Context().Err() != nil {
 		return dispatch.ResultNotSent
@@ -163,7 +163,7 @@
 	return dispatch.ResultUnreachable
 }
 
-// resultOfWriteError returns the result of an attempt whose request could not be written as a whole.
+// resultOfWriteError returns the result of an attempt whose request could not be written completely.
 func resultOfWriteError(attempt *engine.Attempt) dispatch.Result {
 	if attempt.Cancelled() {
 		return dispatch.ResultNotSent
@@ -171,7 +171,7 @@
 	return dispatch.ResultUnreachable
 }
 
-// resultOfReadError returns the result of an attempt whose answer did not arrive as a whole.
+// resultOfReadError returns the result of an attempt whose response did not arrive completely.
 func resultOfReadError(attempt *engine.Attempt) dispatch.Result {
 	switch {
 	case attempt.Cancelled():
--- a/internal/upstream/upstreamtest/upstreamtest.go
+++ b/internal/upstream/upstreamtest/upstreamtest.go
@@ -1,4 +1,4 @@
-// Package upstreamtest has workers and attempts for the tests of the packages that talk to workers.
+// Package upstreamtest provides workers and attempts for the tests of packages that exchange requests with workers.
 package upstreamtest
 
 import (
@@ -16,7 +16,7 @@
 	"birchfork/internal/engine"
 )
 
-// Worker is a worker whose answers a test writes by hand. Its methods are safe for concurrent use.
+// Worker is a worker whose responses are written by the test. Its methods are safe for concurrent use.
 type Worker struct {
 	Address  string
 	mu       sync.Mutex
@@ -25,8 +25,8 @@
 	accepted int
 }
 
-// StartWorker starts a worker that ends with the test. For each request it calls answer, which writes what it likes to the connection; the
-// connection is closed when answer returns false.
+// StartWorker starts a worker that stops when the test ends. For each request it calls answer, which writes any response to the connection;
+// the connection is closed when answer returns false.
 func StartWorker(t testing.TB, answer func(c net.Conn, r *http.Request) bool) *Worker {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -101,18 +101,18 @@
 	return w.accepted
 }
 
-// OKHead is the head of a chunked answer with status 200.
+// OKHead is the head of a chunked response with status 200.
 const OKHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 // Chunk returns one chunk of a chunked body.
 func Chunk(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 
-// StatusLine returns one line of a worker's answer about the request id; fields are further fields, each with a comma before it.
+// StatusLine returns one line of a worker's response about the request with an id; fields are further fields, each with a leading comma.
 func StatusLine(id, state, fields string) string {
 	return fmt.Sprintf(`{"id":%q,"from":"w","state":%q%s}`+"\n", id, state, fields)
 }
 
-// Answer returns a complete chunked answer with status 200, one chunk for each line.
+// Answer returns a complete chunked response with status 200, one chunk per line.
 func Answer(lines ...string) string {
 	answer := OKHead
 	for _, line := range lines {
@@ -121,7 +121,7 @@
 	return answer + "0\r\n\r\n"
 }
 
-// RespondDone writes a complete answer with a result.
+// RespondDone writes a complete response with a result.
 func RespondDone(c net.Conn, r *http.Request) bool {
 	id := r.Header.Get("X-Request-Id")
 	io.WriteString(c, Answer(
@@ -137,7 +137,7 @@
 		{Name: "w", Address: addr, Zone: "a", Kind: "big", Cell: -1, State: dispatch.Ready}}}
 }
 
-// OpenAttempt opens a request with the id id-1 until the test ends, and returns it with its first attempt.
+// OpenAttempt opens a request with the id id-1, which is closed when the test ends, and returns it with its first attempt.
 func OpenAttempt(t *testing.T, e *engine.Engine, class string, timeLeft time.Duration) (*engine.Request, *engine.Attempt) {
 	t.Helper()
 	request, err := e.Open(engine.RequestSpec{ID: "id-1", Class: class, TimeLeft: timeLeft})
