--- a/internal/admission/concurrencylimit.go
+++ b/internal/admission/concurrencylimit.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// How the adaptive limit works.
+// Parameters of the adaptive limit.
 const (
 	adaptWindow      = 250 * time.Millisecond // the limit changes at most once in this time
-	minSamples       = 5                      // outcomes in a window that are enough to judge by
-	maxLateFraction  = 0.1                    // the part of the outcomes that may be late
-	decreaseFactor   = 0.9                    // the limit is multiplied by this where more are late
-	increaseFraction = 0.04                   // the limit grows by this part of its maximum where none are, if it is in use
+	minSamples       = 5                      // minimum number of outcomes in a window to adapt the limit
+	maxLateFraction  = 0.1                    // fraction of the outcomes that may be late
+	decreaseFactor   = 0.9                    // factor on the limit if more are late
+	increaseFraction = 0.04                   // growth of the limit, as a fraction of its maximum, if no more are late and it is in use
 )
 
 const (
-	contentionThreshold = 0.75 // the part of the limit in use from which there is contention
-	priorityReserve     = 0.3  // the part of the limit that the lowest priority leaves to the highest
+	contentionThreshold = 0.75 // fraction of the limit in use from which there is contention
+	priorityReserve     = 0.3  // fraction of the limit that the lowest priority leaves to the highest
 )
 
-// concurrencyLimit bounds the open requests over all routes. Where it is adaptive, it follows measured service by
-// additive increase and multiplicative decrease, and never exceeds the configured maximum.
+// concurrencyLimit limits the open requests over all routes. An adaptive limit follows the measured service by additive
+// increase and multiplicative decrease, and never exceeds the configured maximum.
 type concurrencyLimit struct {
 	maxOpen  int // 0: no limit
 	minOpen  int
@@ -32,10 +32,10 @@
 	windowStart time.Duration
 	timely      int // outcomes in the window
 	late        int
-	peakOpen    int // the most open requests in the window
+	peakOpen    int // maximum of open in the window
 }
 
-// configure changes the bounds. An adaptive limit keeps its value where its maximum stays the same.
+// configure changes the bounds. An adaptive limit keeps its value if its maximum is unchanged.
 func (c *concurrencyLimit) configure(config *Config) {
 	sameMax := c.maxOpen == config.MaxOpen
 	c.maxOpen = config.MaxOpen
@@ -46,19 +46,19 @@
 	}
 }
 
-// limited reports whether there is a limit at all.
+// limited reports whether there is a limit.
 func (c *concurrencyLimit) limited() bool { return c.current > 0 }
 
-// full reports whether as many requests are open as may be.
+// full reports whether the limit on open requests is reached.
 func (c *concurrencyLimit) full() bool { return float64(c.open) >= math.Floor(c.current) }
 
-// reservedFrom reports whether what is left is reserved for priorities above the given one.
+// reservedFrom reports whether the rest of the limit is reserved for priorities above the given one.
 func (c *concurrencyLimit) reservedFrom(priority int) bool {
 	reserved := priorityReserve * float64(MaxPriority-priority) / MaxPriority
 	return float64(c.open) >= c.current*(1-reserved)
 }
 
-// contended reports whether so much of the limit is in use that tenants are held to their quotas.
+// contended reports whether so much of the limit is in use that tenants are limited to their quotas.
 func (c *concurrencyLimit) contended() bool { return float64(c.open) >= contentionThreshold*c.current }
 
 func (c *concurrencyLimit) acquire() {
@@ -79,7 +79,7 @@
 	}
 }
 
-// adapt changes the limit by what the window that has ended showed. It does nothing within a window.
+// adapt changes the limit according to the window that has ended. It has no effect within a window.
 func (c *concurrencyLimit) adapt(now time.Duration) {
 	windowEnded := now >= c.windowStart+adaptWindow
 	if !c.adaptive || c.maxOpen == 0 || !windowEnded {
@@ -98,13 +98,13 @@
 	c.peakOpen = c.open
 }
 
-// follow lowers the limit where too many outcomes were late, and raises it where none were and it was in use.
+// follow lowers the limit if too many outcomes were late, and otherwise raises it if it was in use.
 func (c *concurrencyLimit) follow(samples int) {
 	tooMuchLate := float64(c.late) > maxLateFraction*float64(samples)
 	inUse := float64(c.peakOpen) >= contentionThreshold*c.current
 	switch {
 	case tooMuchLate:
-		// From what was in use: a limit far above it would be lowered for long without any effect.
+		// Starts from what was in use: lowering a limit far above it would have no effect for a long time.
 		lowered := min(c.current, float64(c.peakOpen)) * decreaseFactor
 		c.current = max(float64(min(c.minOpen, c.maxOpen)), lowered, 1)
 	case inUse:
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// tenantActiveFor is how long a tenant counts as active after its last request.
+// tenantActiveFor is how long after its last request a tenant counts as active.
 const tenantActiveFor = 2 * time.Second
 
 // Limiter decides on admission. It is not safe for concurrent use.
@@ -13,7 +13,7 @@
 	now     time.Duration
 	routes  []*routeState
 	tenants []*tenantState
-	buckets *bucketCache // of rate limits by tenant or key
+	buckets *bucketCache // for rate limits by tenant or key
 	total   concurrencyLimit
 	counts  [NumReasons]int64
 }
@@ -22,7 +22,7 @@
 	RouteConfig
 	open    int
 	queued  int         // open requests that have not been sent to a worker yet
-	bucket  tokenBucket // of a rate limit by route
+	bucket  tokenBucket // for a rate limit by route
 	retries retryBudget
 }
 
@@ -40,8 +40,8 @@
 	return limiter
 }
 
-// Reconfigure replaces the configuration. Open requests keep their permits; a route or tenant of the same name as before
-// keeps its buckets and its counts.
+// Reconfigure replaces the configuration. Open requests keep their permits; routes and tenants that keep their names
+// keep their buckets and counts.
 func (l *Limiter) Reconfigure(now time.Duration, config Config) {
 	l.advance(now)
 	l.replaceRoutes(config.Routes)
@@ -86,22 +86,23 @@
 	}
 }
 
-// advance moves on to a moment. It guards against a clock that goes back: time then stands still until it is past again.
+// advance sets the time. It guards against a clock that goes back: the time then stands still until the clock has
+// caught up.
 func (l *Limiter) advance(now time.Duration) { l.now = max(l.now, now) }
 
 // OpenRequests returns the number of open requests.
 func (l *Limiter) OpenRequests() int { return l.total.open }
 
-// CurrentLimit returns how many requests may be open at present; 0: no limit.
+// CurrentLimit returns the current limit on open requests; 0: no limit.
 func (l *Limiter) CurrentLimit() int { return int(l.total.current) }
 
-// Counts returns how many decisions there were of each reason.
+// Counts returns the number of decisions by reason.
 func (l *Limiter) Counts() [NumReasons]int64 { return l.counts }
 
 // OpenOnRoute returns the number of open requests of a route, given by its index.
 func (l *Limiter) OpenOnRoute(route int) int { return l.routes[route].open }
 
-// Admit decides on a request. A rejected request uses up nothing.
+// Admit decides on a request. A rejected request consumes nothing.
 func (l *Limiter) Admit(now time.Duration, request Request) Decision {
 	l.advance(now)
 	l.total.adapt(l.now)
@@ -123,7 +124,7 @@
 	return decision
 }
 
-// activeTenant notes a request of a tenant and returns its state; nil for an index that is none.
+// activeTenant records a request of a tenant and returns the tenant's state; nil if there is no such index.
 func (l *Limiter) activeTenant(index int) *tenantState {
 	if index < 0 || index >= len(l.tenants) {
 		return nil
@@ -134,8 +135,7 @@
 	return tenant
 }
 
-// decide checks one limit after the other. Those that use something up come last, so that a rejected request uses up
-// nothing.
+// decide checks the limits in order. Those that consume tokens come last, so that a rejected request consumes nothing.
 func (l *Limiter) decide(route *routeState, tenant *tenantState, request Request) Decision {
 	if reason := route.checkCapacity(); reason != Admitted {
 		return Decision{Reason: reason}
@@ -165,8 +165,8 @@
 	return Admitted
 }
 
-// checkTotal checks the limit on open requests over all routes, and what it leaves to the route's priority and to the
-// tenant.
+// checkTotal checks the limit on open requests over all routes, and the parts of it that the route's priority and the
+// tenant may use.
 func (l *Limiter) checkTotal(route *routeState, tenant *tenantState) Reason {
 	switch {
 	case !l.total.limited():
@@ -181,8 +181,8 @@
 	return Admitted
 }
 
-// tenantQuota returns how many open requests a tenant may have under contention: its part of the limit among the active
-// tenants. It guards against one tenant that takes all.
+// tenantQuota returns how many open requests a tenant may have under contention: its weighted share of the limit among
+// the active tenants. It guards against one tenant that uses up the limit.
 func (l *Limiter) tenantQuota(tenant *tenantState) float64 {
 	activeWeight := 0.0
 	for _, other := range l.tenants {
@@ -200,7 +200,7 @@
 	return t.open > 0 || t.everActive && now-t.lastRequestAt < tenantActiveFor
 }
 
-// takeToken takes a token of the route's rate limit and returns 0, or returns how long it takes until there is one.
+// takeToken takes a token of the route's rate limit and returns 0, or returns the time until a token is available.
 func (l *Limiter) takeToken(route *routeState, request Request) time.Duration {
 	if !route.RateLimited {
 		return 0
@@ -219,7 +219,7 @@
 	}
 }
 
-// MarkSent notes that a request was sent to a worker: it is no longer queued. Further calls change nothing.
+// MarkSent records that a request was sent to a worker: it is no longer queued. Further calls have no effect.
 func (l *Limiter) MarkSent(permit *Permit) {
 	if permit.Valid() && !permit.sent {
 		permit.sent = true
@@ -227,8 +227,7 @@
 	}
 }
 
-// Release returns a permit. It has to be called once for each admitted request; a permit that is not valid changes
-// nothing.
+// Release returns a permit. It must be called once for each admitted request. An invalid permit has no effect.
 func (l *Limiter) Release(now time.Duration, permit Permit, outcome Outcome) {
 	if !permit.Valid() {
 		return
--- a/internal/admission/retrybudget.go
+++ b/internal/admission/retrybudget.go
@@ -3,25 +3,25 @@
 import "time"
 
 const (
-	// maxSavedTime is how long a route may save up its MinRetriesPerSecond.
+	// maxSavedTime is the time over which a route may accumulate its MinRetriesPerSecond.
 	maxSavedTime = 10 * time.Second
 
-	// maxSavedRequests is for how many first requests a route may save up its RetryBudget.
+	// maxSavedRequests is the number of first requests over which a route may accumulate its RetryBudget.
 	maxSavedRequests = 100
 
-	// retryWaitWithoutFloor is the Retry-After where only first requests bring further retries.
+	// retryWaitWithoutFloor is the Retry-After if only first requests add tokens.
 	retryWaitWithoutFloor = time.Second
 
-	// maxRetryWait bounds the Retry-After of an exhausted budget, in seconds.
+	// maxRetryWait limits the Retry-After of an exhausted budget, in seconds.
 	maxRetryWait = 3600
 )
 
-// retryBudget bounds the retries of a route's clients: each first request brings a part of a token, each second some
-// tokens in any case, and each retry takes one.
+// retryBudget limits the retries of a route's clients: each first request adds a fraction of a token, each second adds
+// a minimum number of tokens, and each retry takes one.
 type retryBudget struct {
 	enabled      bool
-	perRequest   float64 // tokens that a first request brings
-	minPerSecond float64 // tokens that a second brings
+	perRequest   float64 // tokens added by a first request
+	minPerSecond float64 // tokens added each second
 	tokens       float64
 	refilledAt   time.Duration
 }
@@ -30,7 +30,7 @@
 	return retryBudget{tokens: config.MinRetriesPerSecond, refilledAt: now}
 }
 
-// configure changes the budget's limits and keeps its tokens, as far as the new limits allow so many.
+// configure changes the budget's limits and keeps its tokens, up to the new maximum.
 func (b *retryBudget) configure(config *RouteConfig) {
 	b.enabled = config.RetryBudgeted
 	b.perRequest = config.RetryBudget
@@ -38,12 +38,12 @@
 	b.tokens = min(b.tokens, b.maxTokens())
 }
 
-// maxTokens bounds the tokens that may be saved up: a quiet hour must not pay for a retry storm.
+// maxTokens limits the accumulated tokens: a quiet hour must not allow a retry storm.
 func (b *retryBudget) maxTokens() float64 {
 	return max(1, b.minPerSecond, b.minPerSecond*maxSavedTime.Seconds(), b.perRequest*maxSavedRequests)
 }
 
-// refill adds the tokens that the time since the last refill brings.
+// refill adds the tokens for the time since the last refill.
 func (b *retryBudget) refill(now time.Duration) {
 	if b.enabled {
 		b.tokens = min(b.tokens+b.minPerSecond*(now-b.refilledAt).Seconds(), b.maxTokens())
@@ -51,10 +51,10 @@
 	b.refilledAt = now
 }
 
-// allows reports whether a request may come: a first one always, a retry if there is a token for it.
+// allows reports whether a request is within the budget: a first request always is, a retry if there is a token.
 func (b *retryBudget) allows(retry bool) bool { return !retry || !b.enabled || b.tokens >= 1 }
 
-// account takes the token of an admitted retry, or adds what an admitted first request brings.
+// account takes the token of an admitted retry, or adds the tokens of an admitted first request.
 func (b *retryBudget) account(retry bool) {
 	switch {
 	case !b.enabled:
@@ -65,7 +65,7 @@
 	}
 }
 
-// wait returns how long it takes until time alone has brought one token.
+// wait returns the time until one token has been added by time alone.
 func (b *retryBudget) wait() time.Duration {
 	if b.minPerSecond <= 0 {
 		return retryWaitWithoutFloor
--- a/internal/admission/tokenbucket.go
+++ b/internal/admission/tokenbucket.go
@@ -7,24 +7,25 @@
 )
 
 const (
-	// unlimitedRate is the rate, in requests a second, from which a limit is not noticeable.
+	// unlimitedRate is the rate, in requests per second, from which a limit has no noticeable effect.
 	unlimitedRate = 1e9
 
-	// slowestRate is the rate, in requests a second, below which no clock sees the next token: one in more than eleven days.
+	// slowestRate is the rate, in requests per second, below which the next token counts as never available: one token
+	// in more than eleven days.
 	slowestRate = 1e-6
 
-	// maxWait is longer than any wait that matters, and far enough from the end of its type for sums.
+	// maxWait is longer than any relevant wait, and far enough from the limit of its type for sums.
 	maxWait = time.Duration(math.MaxInt64 / 4)
 
-	// minCacheSize is the least number of token buckets that are kept by key or tenant, whatever is configured.
+	// minCacheSize is the minimum number of token buckets that are kept by key or tenant, whatever is configured.
 	minCacheSize = 1024
 )
 
-// tokenBucket is a token bucket in the form of the generic cell rate algorithm. Its state is one moment, at which the
-// bucket would be full again.
+// tokenBucket is a token bucket in the form of the generic cell rate algorithm. Its state is the time at which the
+// bucket will be full.
 type tokenBucket struct{ fullAt time.Duration }
 
-// take takes one token and returns 0, or returns how long it takes until there is one.
+// take takes one token and returns 0, or returns the time until a token is available.
 func (t *tokenBucket) take(now time.Duration, rate float64, burst int) time.Duration {
 	if !(rate > 0) { // NaN too
 		return maxWait
@@ -41,8 +42,8 @@
 	if overflow {
 		tolerance = maxWait
 	}
-	// Guards against the state of a bucket with a larger burst or a slower rate, from before a reload: this one is full at
-	// the latest when an empty one of its kind is.
+	// Guards against the state of a bucket with a larger burst or a lower rate, from before a reload: this bucket is
+	// full no later than an empty one with the current configuration would be.
 	fullAt := min(max(t.fullAt, now), now+tolerance+interval)
 	if wait := fullAt - tolerance - now; wait > 0 {
 		return wait
@@ -51,8 +52,8 @@
 	return 0
 }
 
-// bucketCache keeps token buckets by route and key up to a maximum, and forgets the longest idle ones. A bucket that is
-// full again holds no information, so only a caller who comes back before that gains from being forgotten.
+// bucketCache stores token buckets by route and key up to a maximum, and evicts the least recently used ones. A full
+// bucket contains no information, so only a caller who returns before its bucket is full gains from an eviction.
 type bucketCache struct {
 	maxSize int
 	entries map[bucketID]*list.Element
@@ -73,7 +74,7 @@
 	return &bucketCache{maxSize: maxSize, entries: map[bucketID]*list.Element{}, recent: list.New()}
 }
 
-// get returns the bucket of a key, a full one for a key that is not known.
+// get returns the bucket of a key, a full one for an unknown key.
 func (c *bucketCache) get(route string, key uint64) *tokenBucket {
 	id := bucketID{route, key}
 	element, found := c.entries[id]
@@ -89,7 +90,7 @@
 	return &element.Value.(*cacheEntry).tokenBucket
 }
 
-// replaceOldest reuses the longest idle entry, and its memory, for a new key.
+// replaceOldest reuses the least recently used entry, and its memory, for a new key.
 func (c *bucketCache) replaceOldest(id bucketID) *list.Element {
 	element := c.recent.Back()
 	entry := element.Value.(*cacheEntry)
--- a/internal/config/build_routes.go
+++ b/internal/config/build_routes.go
@@ -11,10 +11,10 @@
 	"birchfork/internal/routes"
 )
 
-// noFallback is the Fallback of a route that has none.
+// noFallback is the Fallback of a route without one.
 const noFallback = -1
 
-// buildRoutes checks and builds the routes of the file, in their order.
+// buildRoutes checks and builds the routes of the file, in order.
 func (c *checker) buildRoutes() []routes.Route {
 	built := make([]routes.Route, len(c.file.Routes))
 	for i := range c.file.Routes {
@@ -42,7 +42,7 @@
 	return route
 }
 
-// checkMatch adds an error for each reason why no request can take a route. reachable says whether any class can.
+// checkMatch adds an error for each reason why no request can take a route. reachable reports whether any class can.
 func (c *checker) checkMatch(section *routeSection, key string, reachable bool) {
 	classKnown := section.Class == "" || slices.Contains(c.platform.ClassNames, section.Class)
 	if !classKnown {
@@ -63,7 +63,8 @@
 	}
 }
 
-// reachableClasses returns the ids of the classes whose requests a route can get: the first part of a path is the class.
+// reachableClasses returns the ids of the classes whose requests a route can get: the first element of a path is the
+// class.
 func (c *checker) reachableClasses(section *routeSection) []int {
 	var classIDs []int
 	for classID, name := range c.platform.ClassNames {
@@ -75,15 +76,15 @@
 	return classIDs
 }
 
-// pathReaches reports whether a prefix of paths matches some request of a class.
+// pathReaches reports whether a path prefix matches any request of a class.
 func pathReaches(prefix, className string) bool {
 	classPath := "/" + className
 	insideClass := prefix == classPath || strings.HasPrefix(prefix, classPath+"/") || strings.HasPrefix(prefix, classPath+"?")
 	return insideClass || strings.HasPrefix(classPath, prefix)
 }
 
-// routeLayers returns the layers of a route of the file. A class's layer is one of them only where the route gets requests
-// of that class alone.
+// routeLayers returns the layers of a route of the file. The layer of a class is included only if the route gets
+// requests of that class alone.
 func (c *checker) routeLayers(i int, classIDs []int) []policyLayer {
 	section := &c.file.Routes[i]
 	layers := []policyLayer{c.defaultLayer()}
@@ -96,7 +97,7 @@
 	return append(layers, policyLayer{sectionKey("route", i), "route " + section.Name, &section.Policy})
 }
 
-// findFallback returns the index of a route's fallback, and adds an error where it has none.
+// findFallback returns the index of a route's fallback, and adds an error if it does not exist or is the route itself.
 func (c *checker) findFallback(i int) int {
 	name := c.file.Routes[i].Fallback
 	key := sectionKey("route", i) + ".fallback"
@@ -127,9 +128,9 @@
 	c.config.Explanation = append(c.config.Explanation, policy.explain(title, &c.platform, class)...)
 }
 
-// buildTable builds the table of all routes. Requests that no route of the file matches take a route made for their class,
-// or for their class and tenant, so that sections of classes and tenants hold for them. It returns nil where routes are in
-// conflict.
+// buildTable builds the table of all routes. Requests that no route of the file matches take a route made for their
+// class, or for their class and tenant, so that the sections of classes and tenants apply to them. It returns nil if
+// routes are in conflict.
 func (c *checker) buildTable(list []routes.Route, classPolicies []*effectivePolicy) *routes.Table {
 	for classID, policy := range classPolicies {
 		if policy.isDefault() {
@@ -190,7 +191,7 @@
 	}
 }
 
-// newRoute makes a route of a policy in force.
+// newRoute creates a route with a policy in force.
 func newRoute(name string, match routes.Match, policy *effectivePolicy) routes.Route {
 	return routes.Route{Name: name, Match: match, Fallback: noFallback, Limits: routeLimits(policy), Admission: routeAdmission(name, policy)}
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// defaultRouteName is the name of the route that requests take that no other route matches.
+	// defaultRouteName is the name of the route for requests that no other route matches.
 	defaultRouteName = "rest"
 
-	// maxRoutes bounds the routes of a file.
+	// maxRoutes limits the routes of a file.
 	maxRoutes = 256
 
-	// maxWeight bounds a tenant's weight.
+	// maxWeight limits a tenant's weight.
 	maxWeight = 1e6
 )
 
@@ -29,11 +29,11 @@
 	config   *OperatorConfig
 }
 
-// addErrorf adds an error of a key, given by its full path.
+// addErrorf adds an error for a key, given by its full path.
 func (c *checker) addErrorf(key, format string, args ...any) { c.doc.AddErrorf(key, format, args...) }
 
-// addErrorOncef adds an error of a key unless the same was added before: a section is checked once for each class and
-// route that it holds for.
+// addErrorOncef adds an error for a key unless the same error has been added before: a section is checked once for each
+// class and route to which it applies.
 func (c *checker) addErrorOncef(key, format string, args ...any) {
 	reason := fmt.Sprintf(format, args...)
 	for _, known := range c.doc.Errors() {
@@ -44,7 +44,7 @@
 	c.addErrorf(key, "%s", reason)
 }
 
-// build checks the file and builds the configuration, which is complete only where no error was added.
+// build checks the file and builds the configuration, which is complete only if no error was added.
 func (c *checker) build() *OperatorConfig {
 	config := &OperatorConfig{Settings: c.platform.Settings}
 	c.config = config
@@ -71,7 +71,7 @@
 	return config
 }
 
-// tenantConfigs returns all tenants of the platform with the weights that the file gives them, 1 where it gives none.
+// tenantConfigs returns all tenants of the platform with their weights in the file, 1 by default.
 func (c *checker) tenantConfigs() []admission.TenantConfig {
 	configs := make([]admission.TenantConfig, 0, len(c.platform.TenantNames))
 	for _, name := range c.platform.TenantNames {
@@ -86,7 +86,7 @@
 	return configs
 }
 
-// checkNames checks that classes and tenants are the platform's, and that no name stands twice.
+// checkNames checks that classes and tenants are the platform's, and that names are unique.
 func (c *checker) checkNames() {
 	classes := nameChecker{checker: c, section: "class", restricted: true, known: c.platform.ClassNames}
 	for i, section := range c.file.Classes {
@@ -114,7 +114,7 @@
 type nameChecker struct {
 	*checker
 	section    string
-	restricted bool // names have to be known
+	restricted bool // only known names are allowed
 	known      []string
 	used       []string
 }
@@ -132,7 +132,7 @@
 	n.used = append(n.used, name)
 }
 
-// joinNames lists names in an error.
+// joinNames lists names for an error.
 func joinNames(names []string) string {
 	if len(names) == 0 {
 		return "there are none"
@@ -140,7 +140,7 @@
 	return strings.Join(names, ", ")
 }
 
-// checkFallbacks checks what routes allow together with their fallbacks.
+// checkFallbacks checks the limits of routes together with their fallbacks.
 func (c *checker) checkFallbacks(table *routes.Table) {
 	for i := range c.file.Routes {
 		if chain := table.Chain(i); len(chain) > 1 {
@@ -171,8 +171,8 @@
 	}
 }
 
-// checkConcurrency checks the routes' limits on open requests against the total, or their sum against the connections
-// that there are where there is no total.
+// checkConcurrency checks the routes' limits on open requests against the total or, without a total, their sum against
+// the available connections.
 func (c *checker) checkConcurrency() {
 	table, total := c.config.Routes, c.config.Admission.MaxOpen
 	if total > 0 {
--- a/internal/config/check_platform.go
+++ b/internal/config/check_platform.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// maxDuration bounds the durations of a file.
+	// maxDuration limits the durations in a file.
 	maxDuration = time.Hour
 
 	defaultMaxKeys       = 10_000
 	defaultMinConcurrent = 8
 
-	bytesPerKey         = 200      // roughly what a rate limit's token bucket takes
-	bytesPerOpenRequest = 24 << 10 // the most that an open request takes
-	keysMemoryDivisor   = 8        // token buckets may take the memory divided by this
-	openMemoryDivisor   = 2        // and open requests this
+	bytesPerKey         = 200      // approximate size of a rate limit's token bucket
+	bytesPerOpenRequest = 24 << 10 // maximum memory of an open request
+	keysMemoryDivisor   = 8        // token buckets may take the memory divided by this ...
+	openMemoryDivisor   = 2        // ... and open requests the memory divided by this
 )
 
 // applyPlatform narrows the platform's rules, and adds an error for each value that would widen one.
@@ -75,7 +75,7 @@
 	settings.SlowStartMinFactor = factor
 }
 
-// applyTotal checks the limits over all routes and sets them.
+// applyTotal checks and sets the limits over all routes.
 func (c *checker) applyTotal(config *admission.Config) {
 	section := &c.file.Total
 	config.MaxOpen = section.MaxConcurrent
--- a/internal/config/check_policy.go
+++ b/internal/config/check_policy.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// maxRetryBudget is the largest retry budget: with more, a retry storm keeps itself alive.
+	// maxRetryBudget is the largest retry budget: with a larger one a retry storm sustains itself.
 	maxRetryBudget = 0.5
 
-	maxRate                = 1e9 // requests a second
+	maxRate                = 1e9 // requests per second
 	maxBurst               = 1e6
 	maxOpenRequests        = 1e6
 	maxMinRetriesPerSecond = 1e6
 )
 
-// checkPolicies checks each value of each section by itself.
+// checkPolicies checks each value of each section separately.
 func (c *checker) checkPolicies() {
 	c.checkValues("default", &c.file.Default)
 	for i := range c.file.Classes {
@@ -94,8 +94,8 @@
 	}
 }
 
-// checkPolicy checks the values in force against each other, against the platform, and against the classes that they hold
-// for. subject names the route in errors.
+// checkPolicy checks the values in force for consistency with each other, with the platform, and with the classes to
+// which they apply. subject names the route in errors.
 func (c *checker) checkPolicy(policy *effectivePolicy, classIDs []int, subject string) {
 	c.checkTimeouts(policy)
 	c.checkAttemptsAndHedging(policy)
@@ -193,8 +193,8 @@
 	}
 }
 
-// checkRetryBudget bounds the attempts that a request and its client's retries come to, so that retries on two levels do
-// not multiply.
+// checkRetryBudget limits the attempts that result from a request and its client's retries, so that retries on two
+// levels do not multiply.
 func (c *checker) checkRetryBudget(policy *effectivePolicy) {
 	if !policy.isSet(keyMaxAttempts) || !policy.isSet(keyRetryBudget) {
 		return
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,9 +1,9 @@
-// Package config reads and checks the operator's file: limits that an operator sets beside the platform's configuration.
-// The file can narrow what the rules and the platform allow and never widens it. A file that tries is rejected as a whole,
-// with all its errors named by line and key. The platform's own configuration is read by internal/server.
+// Package config reads and checks the operator's file: limits that an operator sets in addition to the platform's
+// configuration. The file can narrow what the rules and the platform allow and never widens it. A file that would is
+// rejected with all its errors, by line and key. The platform's own configuration is read by internal/server.
 //
-// Load reads a file, checks it and returns an OperatorConfig. The checks are in check.go (names), check_platform.go (what
-// holds over all routes) and check_policy.go (the values of one policy); build_routes.go makes the routes.
+// Load reads a file, checks it and returns an OperatorConfig. The checks are in check.go (names), check_platform.go
+// (limits over all routes) and check_policy.go (the values of one policy); build_routes.go builds the routes.
 package config
 
 import (
@@ -19,14 +19,14 @@
 	"birchfork/internal/tomlfile"
 )
 
-// Platform is the part of the platform's configuration that the operator's file has to agree with.
+// Platform is the part of the platform's configuration with which the operator's file must be consistent.
 type Platform struct {
 	Name                 string // of this dispatcher
 	Settings             dispatch.Settings
 	ClassNames           []string // by the classes' ids in Settings
 	TenantNames          []string // by the tenants' ids in Settings
-	MaxClientConnections int      // connections that requests can be accepted from; 0: not known
-	MemoryBytes          int64    // 0: not known
+	MaxClientConnections int      // connections from which requests can be accepted; 0: unknown
+	MemoryBytes          int64    // 0: unknown
 }
 
 // OperatorConfig is an operator's file that has passed all checks.
@@ -34,14 +34,14 @@
 	Path        string
 	Routes      *routes.Table
 	Admission   admission.Config
-	Settings    dispatch.Settings // the platform's, narrowed
+	Settings    dispatch.Settings // the platform's, narrowed by the file
 	Explanation []ExplainedValue  // the values in force, for Explain
-	Group       *Group            // nil: the file names none
+	Group       *Group            // nil: the file has no group
 	Digest      string            // of the file's text, in hexadecimal
 }
 
-// Load reads and checks an operator's file. Where the file can be read, its error joins a tomlfile.Error for each error
-// in it, a line each.
+// Load reads and checks an operator's file. If the file can be read, its error joins a tomlfile.Error for each error in
+// it, one per line.
 func Load(path string, platform Platform) (*OperatorConfig, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -61,13 +61,13 @@
 	return config, nil
 }
 
-// Decode checks the text of an operator's file; path stands in its errors. It leaves Path and Digest empty. Its error
+// Decode checks the text of an operator's file; path is used in its errors. It leaves Path and Digest empty. Its error
 // joins a tomlfile.Error for each error in the file.
 func Decode(path string, raw []byte, platform Platform) (*OperatorConfig, error) {
 	var file operatorFile
 	doc := tomlfile.Read(path, raw, &file)
 	if err := doc.Err(); err != nil {
-		return nil, err // checking further would take what could not be decoded for missing
+		return nil, err // further checks would treat values that could not be decoded as missing
 	}
 	c := &checker{doc: doc, file: &file, platform: platform}
 	config := c.build()
--- a/internal/config/explain.go
+++ b/internal/config/explain.go
@@ -18,7 +18,7 @@
 // sourcePlatform is the source of values that no section of the file sets.
 const sourcePlatform = "platform"
 
-// Explain writes the values in force for each class and route, and where each comes from.
+// Explain writes the values in force for each class and route, with their sources.
 func (c *OperatorConfig) Explain(w io.Writer) error {
 	lastRoute := ""
 	var errs []error
@@ -52,7 +52,7 @@
 	return lines
 }
 
-// platformValue describes what holds for a class where no section sets a key.
+// platformValue describes the value for a class if no section sets a key.
 func platformValue(key string, settings *dispatch.Settings, class *dispatch.Class) string {
 	switch key {
 	case keyTimeout:
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// operatorFile is the operator's file as it is written.
+// operatorFile is the operator's file before it is checked.
 type operatorFile struct {
 	Total    totalSection    `toml:"total"`
 	Platform platformSection `toml:"platform"`
@@ -54,8 +54,8 @@
 	Policy
 }
 
-// Policy is what the default section, a class, a tenant or a route can set. Which of its values a section sets is known
-// from the file, not from the values: see effectivePolicy.
+// Policy is the values that the default section, a class, a tenant or a route can set. Which of them a section sets is
+// determined by the keys in the file, not by the values: see effectivePolicy.
 type Policy struct {
 	Timeout             time.Duration `toml:"timeout"` // of a request, from its arrival
 	AttemptTimeout      time.Duration `toml:"attempt_timeout"`
@@ -67,19 +67,19 @@
 	DedupWindow         time.Duration `toml:"repeat_within"` // retries start no later than this after the first attempt
 	RetryBackoff        time.Duration `toml:"backoff"`
 	MaxRetryBackoff     time.Duration `toml:"backoff_most"`
-	BackoffJitter       float64       `toml:"jitter"`       // the part of a backoff that is random, 0 to 1
-	RetryBudget         float64       `toml:"retry_budget"` // clients' retries for each first request
+	BackoffJitter       float64       `toml:"jitter"`       // the random fraction of a backoff, 0 to 1
+	RetryBudget         float64       `toml:"retry_budget"` // clients' retries per first request
 	MinRetriesPerSecond float64       `toml:"retry_floor"`
 	MaxConcurrent       int           `toml:"concurrent"` // open requests
 	MaxQueued           int           `toml:"queue"`      // open requests without an attempt
-	Rate                float64       `toml:"rate"`       // requests a second
+	Rate                float64       `toml:"rate"`       // requests per second
 	Burst               int           `toml:"burst"`      // requests
 	RateScope           rateScope     `toml:"rate_by"`
 	Priority            int           `toml:"priority"`
-	RetryAfter          time.Duration `toml:"retry_after"` // the least that a rejected client is told
+	RetryAfter          time.Duration `toml:"retry_after"` // minimum Retry-After of a rejected client
 }
 
-// The keys of a Policy, as the file has them.
+// The keys of a Policy, as in the file.
 const (
 	keyTimeout             = "timeout"
 	keyAttemptTimeout      = "attempt_timeout"
@@ -103,20 +103,20 @@
 	keyRetryAfter          = "retry_after"
 )
 
-// RetryMode says which attempts may be retried.
+// RetryMode is the set of attempts that may be retried.
 type RetryMode string
 
-// The modes, as the file has them.
+// The modes, as in the file.
 const (
-	RetryAllowed RetryMode = "lawful" // whatever the class allows
+	RetryAllowed RetryMode = "lawful" // all that the class allows
 	RetryNotRun  RetryMode = "unrun"  // only attempts that are known not to have run
 	RetryAny     RetryMode = "any"    // also attempts that may have run: for idempotent classes the same as RetryAllowed
 )
 
-// rateScope says what a rate limit counts together.
+// rateScope is the set of requests that a rate limit counts together.
 type rateScope string
 
-// The scopes, as the file has them.
+// The scopes, as in the file.
 const (
 	rateByRoute  rateScope = "route"
 	rateByTenant rateScope = "tenant"
@@ -133,5 +133,5 @@
 	return keys
 }()
 
-// sectionKey is the path of one section of an array, such as route[0].
+// sectionKey returns the path of one section of an array, such as route[0].
 func sectionKey(section string, i int) string { return fmt.Sprintf("%s[%d]", section, i) }
--- a/internal/config/group.go
+++ b/internal/config/group.go
@@ -9,16 +9,16 @@
 	"birchfork/internal/peer"
 )
 
-// Group is the group of dispatchers that this one is a member of, as the operator's file configures it.
+// Group is the dispatcher's group, as configured in the operator's file.
 type Group struct {
 	Name             string
 	MaintenancePlans bool          // rolling maintenance is in use
-	LeaseDuration    time.Duration // how long a member may send to machines of a plan without hearing from the leader
-	DataDir          string        // where the group's state is stored; empty: it is not
-	Members          []peer.Member // all members, this one too
+	LeaseDuration    time.Duration // how long a member may send to machines of a plan without a renewal by the leader
+	DataDir          string        // where the group's state is stored; empty: it is not stored
+	Members          []peer.Member // all members, including this one
 }
 
-// groupSection is the section as it is written.
+// groupSection is the group's section in the file.
 type groupSection struct {
 	Name             string          `toml:"name"`
 	MaintenancePlans bool            `toml:"plans"`
@@ -34,8 +34,8 @@
 	Voter   bool   `toml:"voter"`
 }
 
-// Bounds on a group. A lease has to outlast several attempts to renew it and the election of a new leader; a longer one
-// holds up maintenance.
+// Limits of a group. A lease has to outlast several attempts to renew it and the election of a new leader; a longer one
+// delays maintenance.
 const (
 	maxMembers   = 1000
 	minVoters    = 3
@@ -45,7 +45,7 @@
 	maxLease     = time.Minute
 )
 
-// buildGroup checks the section and builds the group; it returns nil where the file has no such section.
+// buildGroup checks the section and builds the group; it returns nil if the file has no such section.
 func (c *checker) buildGroup() *Group {
 	if !c.doc.Has("group") {
 		return nil
@@ -76,8 +76,8 @@
 	return group
 }
 
-// buildMembers checks and builds the members: names and addresses stand once, this dispatcher is one of them, and the
-// number of voters is odd, so that a majority of them is no more than it has to be.
+// buildMembers checks and builds the members: names and addresses are unique, this dispatcher is one of them, and the
+// number of voters is odd, since one more voter would only raise the majority.
 func (c *checker) buildMembers(sections []memberSection) []peer.Member {
 	indexByName, indexByAddress := map[string]int{}, map[string]int{}
 	voters := 0
--- a/internal/config/layers.go
+++ b/internal/config/layers.go
@@ -9,13 +9,13 @@
 	policy  *Policy
 }
 
-// origin says which layer set a value.
+// origin is the layer that set a value, if any.
 type origin struct {
 	layer policyLayer
 	isSet bool
 }
 
-// effectivePolicy is the policy in force for one kind of request: several layers, each over the one before.
+// effectivePolicy is the policy in force for one kind of request: several layers, each overriding the previous ones.
 type effectivePolicy struct {
 	Policy
 	origins map[string]origin // by key; no entry for keys that no layer sets
@@ -30,7 +30,7 @@
 // hedgingOff reports whether a layer switches hedging off.
 func (e *effectivePolicy) hedgingOff() bool { return e.isSet(keyHedging) && !e.Hedging }
 
-// keyPath is the full path of a key in the section that sets it, to name it in an error.
+// keyPath returns the full path of a key in the section that sets it, for use in an error.
 func (e *effectivePolicy) keyPath(key string) string {
 	if origin := e.origins[key]; origin.isSet {
 		return origin.layer.section + "." + key
@@ -38,7 +38,7 @@
 	return key
 }
 
-// overlay lays layers over each other, the last one on top.
+// overlay merges layers; later ones override earlier ones.
 func (c *checker) overlay(layers ...policyLayer) *effectivePolicy {
 	effective := &effectivePolicy{origins: map[string]origin{}}
 	target := reflect.ValueOf(&effective.Policy).Elem()
@@ -54,7 +54,8 @@
 	return effective
 }
 
-// baseLayers are the layers below a tenant or a route: the default section, and the class's where it has one.
+// baseLayers returns the layers below a tenant or a route: the default section, and the section of the class if there
+// is one.
 func (c *checker) baseLayers(className string) []policyLayer {
 	layers := []policyLayer{c.defaultLayer()}
 	for i := range c.file.Classes {
@@ -70,7 +71,7 @@
 	return policyLayer{"default", "default", &c.file.Default}
 }
 
-// tenantLayers is the layer of a tenant; empty where the tenant has no section.
+// tenantLayers returns the layer of a tenant; empty if the tenant has no section.
 func (c *checker) tenantLayers(name string) []policyLayer {
 	for i := range c.file.Tenants {
 		if c.file.Tenants[i].Name == name {
--- a/internal/routes/match.go
+++ b/internal/routes/match.go
@@ -2,13 +2,13 @@
 
 import "strings"
 
-// Match says which requests a route applies to. Empty fields match any request.
+// Match is the set of requests to which a route applies. Empty fields match any request.
 type Match struct {
 	Class, Tenant, Method string
 	Path                  string // a prefix
 }
 
-// Request is what a route is found by.
+// Request is the part of a request by which its route is found.
 type Request struct {
 	Class, Path, Tenant, Method string
 }
@@ -30,7 +30,7 @@
 		strings.HasPrefix(m.Path, other.Path)
 }
 
-// overlaps reports whether some request is matched by both.
+// overlaps reports whether there are requests that both match.
 func (m *Match) overlaps(other *Match) bool {
 	compatible := func(a, b string) bool { return a == "" || b == "" || a == b }
 	return compatible(m.Class, other.Class) &&
@@ -39,7 +39,7 @@
 		(strings.HasPrefix(m.Path, other.Path) || strings.HasPrefix(other.Path, m.Path))
 }
 
-// intersection returns what two matches that overlap have in common.
+// intersection returns a Match of the requests that two overlapping matches have in common.
 func (m *Match) intersection(other *Match) Match {
 	longer := func(a, b string) string {
 		if len(a) > len(b) {
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -1,5 +1,5 @@
-// Package routes finds the operator's route that a request takes, and what that route allows. It holds plain values: no
-// I/O, no clock, no lock. A Table does not change once it is made, so it is safe for concurrent use.
+// Package routes finds the operator's route that a request takes, and what that route allows. It contains plain values:
+// no I/O, no clock, no lock. A Table is immutable, and so safe for concurrent use.
 package routes
 
 import (
@@ -12,10 +12,10 @@
 	"birchfork/internal/admission"
 )
 
-// maxChainLength bounds a route and its fallbacks.
+// maxChainLength limits a route and its fallbacks.
 const maxChainLength = 4
 
-// noFallback is the Fallback of a route that has none.
+// noFallback is the Fallback of a route without one.
 const noFallback = -1
 
 // Route is one of the operator's routes.
@@ -24,19 +24,19 @@
 	Match     Match
 	Limits    dispatch.RouteLimits
 	Admission admission.RouteConfig
-	Fallback  int // the route that a request takes next where this one has no capacity or no attempts left; -1: none
+	Fallback  int // the route that a request takes next if this one has no capacity or no attempts left; -1: none
 }
 
 // Table finds routes. Its last route is the default route, for requests that no other one matches.
 type Table struct{ routes []Route }
 
-// Conflict is a pair of routes, given by their indexes, that can match the same request while neither is more specific.
+// Conflict is a pair of routes, by index, that can match the same request while neither is more specific.
 type Conflict struct{ A, B int }
 
-// ConflictError is the error of New: all conflicts between routes.
+// ConflictError is the error of New. It contains all conflicts between routes.
 type ConflictError struct{ Conflicts []Conflict }
 
-// Error names the conflicts, a line each.
+// Error names the conflicts, one per line.
 func (e *ConflictError) Error() string {
 	lines := make([]string, 0, len(e.Conflicts))
 	for _, conflict := range e.Conflicts {
@@ -45,9 +45,9 @@
 	return strings.Join(lines, "\n")
 }
 
-// New returns a table of the given routes, in their order, and the default route behind them. Two routes that overlap are
-// a conflict unless one is more specific than the other, or a third one matches just what they have in common; then the
-// error is a *ConflictError.
+// New returns a table of the given routes in order, followed by the default route. Two routes that overlap are in
+// conflict unless one is more specific than the other, or a third one matches exactly what they have in common. If
+// there are conflicts the error is a *ConflictError.
 func New(list []Route, defaultRoute Route) (*Table, error) {
 	if conflicts := findConflicts(list); len(conflicts) > 0 {
 		return nil, &ConflictError{conflicts}
@@ -80,7 +80,7 @@
 	return !slices.ContainsFunc(list, func(r Route) bool { return r.Match == common })
 }
 
-// Len returns the number of routes, with the default route.
+// Len returns the number of routes, including the default route.
 func (t *Table) Len() int { return len(t.routes) }
 
 // Route returns a route by its index.
@@ -98,7 +98,7 @@
 	return best
 }
 
-// AdmissionConfigs returns the admission limits of the routes, in their order.
+// AdmissionConfigs returns the admission limits of the routes, in order.
 func (t *Table) AdmissionConfigs() []admission.RouteConfig {
 	configs := make([]admission.RouteConfig, len(t.routes))
 	for i := range t.routes {
@@ -107,8 +107,8 @@
 	return configs
 }
 
-// Chain returns the indexes of a route and its fallbacks, in the order in which a request takes them. It ends where the
-// fallbacks form a cycle, or after maxChainLength routes.
+// Chain returns the indexes of a route and its fallbacks, in the order in which a request takes them. It ends before a
+// fallback that is already in it, or after maxChainLength routes.
 func (t *Table) Chain(i int) []int {
 	chain := []int{i}
 	for len(chain) < maxChainLength {
@@ -121,8 +121,8 @@
 	return chain
 }
 
-// RouteLimits returns what a request is allowed that starts on a route: the route's own limits, together with the
-// attempts of its fallbacks. maxAttempts is what the platform allows for one route.
+// RouteLimits returns the limits of a request that starts on a route: the route's own limits, with the attempts of its
+// fallbacks added. maxAttempts is what the platform allows for one route.
 func (t *Table) RouteLimits(i, maxAttempts int) dispatch.RouteLimits {
 	combined := t.routes[i].Limits
 	for _, fallback := range t.Chain(i)[1:] {
@@ -135,7 +135,7 @@
 	return combined
 }
 
-// attemptsOf returns a route's attempts; 0 stands for what the platform allows.
+// attemptsOf returns a route's number of attempts; 0 means what the platform allows.
 func attemptsOf(limits *dispatch.RouteLimits, maxAttempts int) int {
 	if limits.MaxAttempts > 0 {
 		return min(limits.MaxAttempts, maxAttempts)
@@ -143,7 +143,7 @@
 	return maxAttempts
 }
 
-// longerTimeout returns the longer of two timeouts, of which 0 is none.
+// longerTimeout returns the longer of two timeouts; 0 is no timeout.
 func longerTimeout(a, b dispatch.Time) dispatch.Time {
 	if a == 0 || b == 0 {
 		return 0
