--- a/cmd/birchfork-discovery-agent/main.go
+++ b/cmd/birchfork-discovery-agent/main.go
@@ -1,5 +1,5 @@
-// Command birchfork-discovery-agent publishes the list of workers to the dispatchers on this machine, from etcd or a file, and lets workers
-// register themselves. It is a program of its own, so that a dispatcher does not carry etcd's client.
+// Command birchfork-discovery-agent publishes the list of workers from etcd or a file to the dispatchers on this machine, and lets workers
+// register themselves. It is a separate program, so that a dispatcher does not contain etcd's client.
 package main
 
 import (
@@ -31,7 +31,7 @@
 	Watch    watch    `cmd:"" help:"Print changes in etcd as they come, until interrupted."`
 }
 
-// output holds the streams that a command writes to.
+// output is the streams to which a command writes.
 type output struct{ stdout, stderr io.Writer }
 
 type serve struct{}
@@ -68,7 +68,7 @@
 	os.Exit(status)
 }
 
-// run is the whole program; it returns the exit status.
+// run executes the command line and returns the exit status.
 func run(ctx context.Context, args []string, out output) int {
 	var c commands
 	parser, err := kong.New(&c,
--- a/cmd/birchfork-discovery-agent/register.go
+++ b/cmd/birchfork-discovery-agent/register.go
@@ -12,14 +12,14 @@
 	"birchfork/internal/endpointsource/etcd"
 )
 
-// Times of registering a worker.
+// Timing of the registration of a worker.
 const (
-	callTimeout           = 5 * time.Second // of one call to etcd
+	callTimeout           = 5 * time.Second // for one call to etcd
 	registerRetryInterval = time.Second
 	minTTL                = time.Second
 )
 
-// errLeaseLost reports that etcd has ended the lease of a worker.
+// errLeaseLost means that etcd has ended the lease of a worker.
 var errLeaseLost = errors.New("the lease was lost")
 
 type register struct {
@@ -32,7 +32,7 @@
 	DrainFor time.Duration `help:"How long it stays listed as draining after SIGTERM." default:"5s"`
 }
 
-// Run registers the worker and keeps its lease until ctx ends; then it drains the worker and removes it.
+// Run registers the worker and keeps its lease until ctx ends; then it marks the worker as draining, and removes it after the drain time.
 func (r *register) Run(ctx context.Context, c *commands, out output) error {
 	if r.TTL < minTTL || r.DrainFor < 0 {
 		return errors.New("--ttl is a second at least, --drain-for not below 0")
@@ -52,7 +52,7 @@
 	})
 }
 
-// value returns the worker's value; it has started at the given time.
+// value returns the worker's value with its start time.
 func (r *register) value(startedAt time.Time) etcd.Value {
 	return etcd.Value{
 		Version:         etcd.SchemaVersion,
@@ -80,7 +80,7 @@
 	}
 }
 
-// holdLease registers the worker under a lease and renews that until it is lost or ctx ends.
+// holdLease registers the worker under a lease and renews the lease until it is lost or ctx ends.
 func (r *register) holdLease(ctx context.Context, workers *registry, value string, out output) error {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -102,7 +102,7 @@
 	return errLeaseLost
 }
 
-// leave lists the worker as draining for the drain time, and removes it.
+// leave lists the worker as draining for the drain time, and then removes it.
 func (r *register) leave(ctx context.Context, workers *registry, draining etcd.Value, out output) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout+r.DrainFor)
 	defer cancel()
--- a/cmd/birchfork-discovery-agent/registry.go
+++ b/cmd/birchfork-discovery-agent/registry.go
@@ -12,7 +12,7 @@
 	prefix string // of the workers' keys
 }
 
-// withRegistry calls f with the registry of the first etcd source in the agent's file, and closes it.
+// withRegistry calls f with the registry of the first etcd source in the agent's file, and closes the registry.
 func (c *commands) withRegistry(f func(*registry) error) error {
 	config, err := discoveryagent.Load(c.Config)
 	if err != nil {
@@ -26,7 +26,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = client.Close() }() // the call's own result is what counts
+	defer func() { _ = client.Close() }() // only the error of the call matters
 	return f(&registry{client, source.Prefix})
 }
 
--- a/cmd/birchfork-discovery-agent/workers.go
+++ b/cmd/birchfork-discovery-agent/workers.go
@@ -17,7 +17,7 @@
 	Name string `arg:"" help:"The worker's name."`
 }
 
-// Run marks the worker as draining, under the lease that it has, unless somebody else changes it meanwhile.
+// Run marks the worker as draining and keeps its lease. It fails if the worker's key changes meanwhile.
 func (d *drain) Run(ctx context.Context, c *commands, out output) error {
 	return c.withRegistry(func(workers *registry) error {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// withDrainingState returns a worker's value with its state set to draining. Fields that this build does not know stay as they are, so it
-// does not decode an etcd.Value.
+// withDrainingState returns a worker's value with its state set to draining. It does not decode an etcd.Value, so that fields unknown to
+// this build are kept.
 func withDrainingState(raw []byte) (string, error) {
 	var fields map[string]any
 	if err := json.Unmarshal(raw, &fields); err != nil {
@@ -72,7 +72,7 @@
 	return string(changed), err
 }
 
-// notFound returns the error of a command on a worker that is not registered.
+// notFound returns the error for a worker that is not registered.
 func (r *registry) notFound(name string) error {
 	return fmt.Errorf("there is no worker %q under %s", name, r.prefix)
 }
@@ -100,7 +100,7 @@
 
 type list struct{}
 
-// Run prints a line for each worker, sorted by name.
+// Run prints one line per worker, sorted by name.
 func (list) Run(ctx context.Context, c *commands, out output) error {
 	return c.withRegistry(func(workers *registry) error {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -121,10 +121,10 @@
 	})
 }
 
-// name returns the name of the worker under a key.
+// name returns the name of the worker with a key.
 func (r *registry) name(key []byte) string { return strings.TrimPrefix(string(key), r.prefix) }
 
-// formatWorker returns a worker as a line of text.
+// formatWorker formats a worker as a line of text.
 func formatWorker(name string, raw []byte) string {
 	endpoint, err := etcd.Decode(name, raw)
 	if err != nil {
@@ -155,7 +155,7 @@
 	})
 }
 
-// formatEvent returns a change of a worker as a line of text.
+// formatEvent formats a change of a worker as a line of text.
 func (r *registry) formatEvent(event *clientv3.Event) string {
 	name := r.name(event.Kv.Key)
 	if event.Type == clientv3.EventTypeDelete {
--- a/cmd/birchfork/check.go
+++ b/cmd/birchfork/check.go
@@ -16,7 +16,7 @@
 	Free     bool   `help:"Check as well that the addresses to listen on and the group's folder are free; a running dispatcher holds them."`
 }
 
-// Run names every fault, a line each.
+// Run prints every fault, one per line.
 func (c *check) Run(out output) error {
 	config, err := server.LoadWithOperator(c.Config, c.Operator, c.Admin)
 	if err != nil {
--- a/cmd/birchfork/former_commands.go
+++ b/cmd/birchfork/former_commands.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// formerCommands maps the path of a command under an earlier name to its present name. The last word of a key is the earlier one; those
+// formerCommands maps the path of a command with a former name to its present name. Only the last element of a key is a former name; those
 // before it are present names.
 var formerCommands = map[string]string{
 	"lab":                  "testbed",
@@ -17,8 +17,8 @@
 	"group words":          "overrides",
 }
 
-// withPresentNames returns the arguments with each command under an earlier name replaced by its present one, so that scripts go on
-// working while help shows one name. It looks at the words before the first flag.
+// withPresentNames returns the arguments with former names of commands replaced by the present ones, so that scripts continue to work while
+// help shows one name. Only arguments before the first flag are replaced.
 func withPresentNames(args []string) []string {
 	present := make([]string, len(args))
 	copy(present, args)
--- a/cmd/birchfork/group.go
+++ b/cmd/birchfork/group.go
@@ -14,7 +14,7 @@
 	"birchfork/internal/maintenance"
 )
 
-// GroupCommands holds the commands of a group of dispatchers. A lean build has none.
+// GroupCommands contains the commands of a group of dispatchers. A lean build has none.
 type GroupCommands struct {
 	Group       groupCommands       `cmd:"" help:"The group of dispatchers that agrees on machines under maintenance."`
 	Maintenance maintenanceCommands `cmd:"" help:"Rolling maintenance of machines under a disruption budget."`
@@ -100,7 +100,7 @@
 	return g.finish(out, reply)
 }
 
-// printGroupStatus prints the leader, the timeouts and a line for each member.
+// printGroupStatus prints the leader, the timeouts and one line per member.
 func printGroupStatus(w io.Writer, status *coordinator.Status) {
 	fmt.Fprintf(w, "according to %s; leader %s, term %d, entry %d\n", status.Member, orNone(status.Leader), status.Term, status.AppliedIndex)
 	fmt.Fprintf(w, "lease %v, longest attempt %v, fence timeout for a silent member %v\n",
@@ -114,14 +114,14 @@
 		}
 		fmt.Fprintf(t, "%s\t%s\t%s\t%t\t%s\t%d\n", m.Name, orNone(m.Zone), m.Incarnation, m.IsVoter, lastReport, m.Applied)
 	}
-	_ = t.Flush() // as with all writes to the terminal
+	_ = t.Flush() // errors of writing to the terminal are ignored
 	if links := status.Links; len(links) > 0 {
 		fmt.Fprintf(w, "links of %s: %d messages out, %d lost, %d dropped, %d in, %d refused; %d bytes out, %d in\n", status.Member,
 			links["sent"], links["lost"], links["dropped"], links["taken"], links["refused"], links["bytes_out"], links["bytes_in"])
 	}
 }
 
-// printOverrideStatus prints a line for each member: its build, its configuration and how far its overrides lag behind.
+// printOverrideStatus prints one line per member: its build, its configuration and how far its overrides lag behind.
 func printOverrideStatus(w io.Writer, reply *gossip.Reply) {
 	conflicts := 0
 	for _, override := range reply.Overrides {
@@ -149,10 +149,10 @@
 		fmt.Fprintf(t, "%s\t%s\t%.8s\t%.8s\t%s\t%d\t%d\t%s\t%d, %d\n", m.Name, orNone(m.Version), orNone(m.SettingsDigest), orNone(m.OperatorDigest),
 			started, m.StoredEntries, max(m.MissingEntries, 0), inSync, m.BytesOut, m.BytesIn)
 	}
-	_ = t.Flush() // as with all writes to the terminal
+	_ = t.Flush() // errors of writing to the terminal are ignored
 }
 
-// orNone returns a text, or "none" where it is empty.
+// orNone returns a text, or "none" if it is empty.
 func orNone(s string) string {
 	if s == "" {
 		return "none"
--- a/cmd/birchfork/main.go
+++ b/cmd/birchfork/main.go
@@ -1,4 +1,4 @@
-// Command birchfork is the dispatcher: it takes jobs from clients and pushes them to workers, on sockets.
+// Command birchfork is the dispatcher: it accepts requests from clients and pushes them to workers over sockets.
 package main
 
 import (
@@ -19,18 +19,18 @@
 	TestbedCommands
 }
 
-// errRuleViolated reports that the testbed found a rule violated or a dispatcher crashed. The exit status is 2.
+// errRuleViolated means that the testbed found a violated rule or a crashed dispatcher. The exit status is 2.
 var errRuleViolated = errors.New("a rule was broken, or a dispatcher crashed")
 
-// errRetryLater reports that a call to the group was rejected for now and may be repeated. The exit status is 2.
+// errRetryLater means that a call to the group was rejected temporarily and may be repeated. The exit status is 2.
 var errRetryLater = errors.New("not now")
 
-// output holds the streams that a command writes to.
+// output is the streams to which a command writes.
 type output struct{ stdout, stderr io.Writer }
 
 func main() { os.Exit(run(os.Args[1:], output{os.Stdout, os.Stderr})) }
 
-// run is the whole program; it returns the exit status.
+// run executes the command line and returns the exit status.
 func run(args []string, out output) int {
 	var c commands
 	parser, err := kong.New(&c, kong.Name("birchfork"), kong.Writers(out.stdout, out.stderr), kong.Bind(out),
@@ -45,7 +45,7 @@
 	}
 	switch {
 	case errors.Is(err, errRuleViolated):
-		return 2 // the testbed's summary has said so
+		return 2 // the testbed's summary has already reported it
 	case errors.Is(err, errRetryLater):
 		fmt.Fprintln(out.stderr, "birchfork:", err)
 		return 2
--- a/cmd/birchfork/maintenance.go
+++ b/cmd/birchfork/maintenance.go
@@ -12,9 +12,9 @@
 	"birchfork/internal/maintenance"
 )
 
-// Times of a call.
+// Timing of a call.
 const (
-	claimInterval  = 300 * time.Millisecond // between looks whether a machine is clear
+	claimInterval  = 300 * time.Millisecond // between checks whether a machine is drained
 	statusInterval = time.Second
 )
 
@@ -48,7 +48,7 @@
 // Run submits the plan.
 func (c *maintenancePlan) Run(out output) error { return c.submitPlan(out, c.File, false) }
 
-// planArg is the argument of a call on a whole plan.
+// planArg is the argument of a call for a plan.
 type planArg struct {
 	memberFlags
 	Name string `arg:"" help:"The plan."`
@@ -81,7 +81,7 @@
 	return c.propose(out, maintenance.Command{Kind: maintenance.CommandAbortPlan, Name: c.Name})
 }
 
-// machineArg is the argument of a call on one machine.
+// machineArg is the argument of a call for one machine.
 type machineArg struct {
 	memberFlags
 	Machine string `arg:"" help:"The machine."`
@@ -93,7 +93,7 @@
 	For time.Duration `help:"Give up after this; 0: never." default:"0s" placeholder:"TIME"`
 }
 
-// Run claims the machine, again and again until it is drained.
+// Run claims the machine, repeatedly until it is drained.
 func (c *maintenanceWait) Run(out output) error {
 	var end time.Time
 	if c.For > 0 {
--- a/cmd/birchfork/member_call.go
+++ b/cmd/birchfork/member_call.go
@@ -13,7 +13,7 @@
 	"birchfork/internal/maintenance"
 )
 
-// memberFlags names the members that a call goes to, and the form of its answer.
+// memberFlags selects the members to call, and the format of the reply.
 type memberFlags struct {
 	At   []string `help:"Where members listen for the group, host:port; the next is asked where one does not answer." env:"BIRCHFORK_GROUP" placeholder:"ADDRESS"`
 	JSON bool     `name:"json" help:"Print the answer as JSON."`
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// call sends a request until a member answers it.
+// call sends a request to the members in turn until one replies.
 func (m *memberFlags) call(request coordinator.Call) (*coordinator.Reply, error) {
 	if err := m.validate(); err != nil {
 		return nil, err
@@ -40,7 +40,7 @@
 	return (&coordinator.Client{Addresses: m.At}).Do(context.Background(), request)
 }
 
-// printJSON prints an answer as JSON if --json is set.
+// printJSON prints a reply as JSON if --json is set.
 func (m *memberFlags) printJSON(out output, answer any) error {
 	if !m.JSON {
 		return nil
@@ -52,7 +52,7 @@
 	return err
 }
 
-// finish prints a reply and turns its code into an error.
+// finish prints a reply and converts its code to an error.
 func (m *memberFlags) finish(out output, reply *coordinator.Reply) error {
 	if err := m.printJSON(out, reply); err != nil {
 		return err
@@ -80,7 +80,7 @@
 	return m.callAndFinish(out, coordinator.Call{Command: &command})
 }
 
-// retryLaterError is an errRetryLater with its reason.
+// retryLaterError is an errRetryLater with a reason.
 type retryLaterError struct{ reason string }
 
 func (e *retryLaterError) Error() string { return e.reason }
--- a/cmd/birchfork/overrides.go
+++ b/cmd/birchfork/overrides.go
@@ -18,7 +18,7 @@
 
 type groupOverrides struct{ memberFlags }
 
-// Run prints the overrides, as one member has them.
+// Run prints the overrides that one member has.
 func (g *groupOverrides) Run(out output) error {
 	reply, err := g.callOverrides(gossip.Call{})
 	if err != nil {
@@ -33,7 +33,7 @@
 	Override string `name:"word" arg:"" help:"out or back: it replaces all overrides that this member knows of." enum:"out,back"`
 }
 
-// Run writes an override that supersedes all that the member knows of.
+// Run writes an override that supersedes all that the member knows.
 func (g *groupResolve) Run(out output) error {
 	reply, err := g.callOverrides(gossip.Call{Worker: g.Worker, Disabled: g.Override == "out"})
 	if err != nil {
@@ -47,14 +47,14 @@
 	Names []string `arg:"" optional:"" name:"member" help:"Members of --at to compare; none: all of them."`
 }
 
-// overrideDiff is how the overrides of several members differ.
+// overrideDiff is the differences between the overrides of several members.
 type overrideDiff struct {
-	Asked  []string                     `json:"asked"`  // the members that answered
-	Differ map[string]map[string]string `json:"differ"` // by worker, then by member: what each has
-	Silent []string                     `json:"silent"` // the addresses that did not answer
+	Asked  []string                     `json:"asked"`  // the members that replied
+	Differ map[string]map[string]string `json:"differ"` // the override of each member, by worker and member
+	Silent []string                     `json:"silent"` // the addresses that did not reply
 }
 
-// Run asks all members that are named and prints the workers on which they differ.
+// Run queries all given members and prints the workers on which they differ.
 func (g *groupDiff) Run(out output) error {
 	if err := g.validate(); err != nil {
 		return err
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// compare asks the members and returns how they differ.
+// compare queries the members and returns their differences.
 func (g *groupDiff) compare() (*overrideDiff, error) {
 	diff := &overrideDiff{Differ: map[string]map[string]string{}}
 	for _, address := range g.At {
@@ -102,7 +102,7 @@
 	return diff, nil
 }
 
-// add adds what a member has.
+// add adds the overrides of a member.
 func (d *overrideDiff) add(reply *gossip.Reply) {
 	d.Asked = append(d.Asked, reply.Member)
 	for _, override := range reply.Overrides {
@@ -117,7 +117,7 @@
 	}
 }
 
-// agreed reports whether all members have the same overrides of a worker.
+// agreed reports whether all members have the same override of a worker.
 func (d *overrideDiff) agreed(byMember map[string]string) bool {
 	if len(byMember) != len(d.Asked) {
 		return false
@@ -130,7 +130,7 @@
 	return true
 }
 
-// print prints a line for each worker and member, in the order of the workers' names.
+// print prints one line per worker and member, sorted by worker name.
 func (d *overrideDiff) print(w io.Writer) {
 	for _, worker := range slices.Sorted(maps.Keys(d.Differ)) {
 		for _, member := range d.Asked {
@@ -143,7 +143,7 @@
 	}
 }
 
-// printOverrides prints a line for each worker.
+// printOverrides prints one line per worker.
 func printOverrides(w io.Writer, reply *gossip.Reply) {
 	fmt.Fprintf(w, "according to %s, digest %s\n", reply.Member, reply.Digest)
 	if !reply.CaughtUp {
@@ -161,10 +161,10 @@
 		}
 		fmt.Fprintf(t, "%s\t%s\t%t\t%s\n", override.Worker, overrideWord(override.Disabled), override.Conflict, strings.Join(writes, ", "))
 	}
-	_ = t.Flush() // as with all writes to the terminal
+	_ = t.Flush() // errors of writing to the terminal are ignored
 }
 
-// overrideWord returns the word of the command line for an override.
+// overrideWord returns the command line's name of an override.
 func overrideWord(disabled bool) string {
 	if disabled {
 		return "out"
@@ -172,8 +172,8 @@
 	return "back"
 }
 
-// callOverrides sends a request to one member after the other until one answers. An override that was not acknowledged may be in force all
-// the same; writing it again changes nothing.
+// callOverrides sends a request to the members in turn until one replies. An override that was not acknowledged may be in force
+// nevertheless; writing it again has no effect.
 func (m *memberFlags) callOverrides(request gossip.Call) (reply *gossip.Reply, err error) {
 	if err := m.validate(); err != nil {
 		return nil, err
@@ -186,7 +186,7 @@
 	return nil, &retryLaterError{fmt.Sprintf("no member answers, ask again (%v)", err)}
 }
 
-// finishOverrides prints a reply and turns what it says into an error.
+// finishOverrides prints a reply and converts its fault, if any, to an error.
 func (m *memberFlags) finishOverrides(out output, reply *gossip.Reply) error {
 	if err := m.printJSON(out, reply); err != nil {
 		return err
--- a/cmd/birchfork/plan_file.go
+++ b/cmd/birchfork/plan_file.go
@@ -13,7 +13,7 @@
 	"birchfork/internal/tomlfile"
 )
 
-// planFile is a maintenance plan in its file.
+// planFile is a maintenance plan as written in its file.
 type planFile struct {
 	Name                  string                    `toml:"name"`
 	MaxUnavailable        int                       `toml:"out"`
@@ -31,7 +31,7 @@
 	} `toml:"machine"`
 }
 
-// loadPlan reads a plan. The error names every fault that the file alone shows, by line and key.
+// loadPlan reads a plan. The error lists every fault that the file alone shows, by line and key.
 func loadPlan(path string) (*maintenance.Plan, *tomlfile.Document, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return plan, document, faultsByLine(document, maintenance.New().ValidatePlan(plan))
 }
 
-// faultsByLine adds the line of the file to each fault, which begins with its key.
+// faultsByLine adds the line in the file to each fault, which begins with its key.
 func faultsByLine(document *tomlfile.Document, faults []string) error {
 	for _, fault := range faults {
 		key, reason, _ := strings.Cut(fault, ": ")
--- a/cmd/birchfork/serve.go
+++ b/cmd/birchfork/serve.go
@@ -19,7 +19,7 @@
 	Profile  string `name:"cpu-profile" help:"Write a CPU profile of the whole run to this file." placeholder:"FILE"`
 }
 
-// Run serves. Whatever is wrong with the configuration comes as one plain message.
+// Run serves. All faults in the configuration are returned as one message of one line.
 func (s *serve) Run(out output) error {
 	config, err := server.LoadWithOperator(s.Config, s.Operator, s.Admin)
 	if err != nil {
--- a/cmd/birchfork/testbed.go
+++ b/cmd/birchfork/testbed.go
@@ -15,7 +15,7 @@
 	"birchfork/internal/testbed/scenario"
 )
 
-// TestbedCommands holds the testbed's commands. A lean build has none.
+// TestbedCommands contains the testbed's commands. A lean build has none.
 type TestbedCommands struct {
 	Testbed testbedCommands `cmd:"" help:"Run a whole deployment on loopback and check its invariants."`
 }
@@ -91,12 +91,12 @@
 	return errors.Join(saveReport(result, "", c.HTML), result.Text(out.stdout))
 }
 
-// interruptible returns a context that ends at an interrupt or SIGTERM.
+// interruptible returns a context that ends on an interrupt or SIGTERM.
 func interruptible() (ctx context.Context, stop context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
-// saveReport writes a report to the files that are named.
+// saveReport writes a report to the given files.
 func saveReport(result *report.Report, json, html string) (err error) {
 	if json != "" {
 		err = result.Save(json)
--- a/cmd/birchfork/testbed_cluster.go
+++ b/cmd/birchfork/testbed_cluster.go
@@ -16,7 +16,7 @@
 	"birchfork/internal/testbed/cluster"
 )
 
-// testbedCluster holds the commands on groups of dispatchers.
+// testbedCluster contains the commands for groups of dispatchers.
 type testbedCluster struct {
 	Run  testbedClusterRun  `cmd:"" default:"withargs" help:"Run scenarios."`
 	List testbedClusterList `cmd:"" help:"List the built-in scenarios, the kinds of faults and the failpoints."`
@@ -42,10 +42,10 @@
 	HTML            string        `help:"Draw the last run as a page in this file." placeholder:"FILE" name:"html"`
 }
 
-// defaultRandomFaults is the number of faults that are drawn where no scenario is named.
+// defaultRandomFaults is the number of random faults if no scenario is given.
 const defaultRandomFaults = 4
 
-// load returns the scenarios, with the figures that flags replace.
+// load returns the scenarios, with values replaced by flags.
 func (c *testbedClusterRun) load() ([]cluster.Scenario, error) {
 	if c.Failpoint != "" && !slices.Contains(failpoint.Names, c.Failpoint) {
 		return nil, fmt.Errorf("--plant: %q is none of %s", c.Failpoint, strings.Join(failpoint.Names, ", "))
@@ -66,7 +66,7 @@
 	return scenarios, nil
 }
 
-// selected returns the scenarios that are named, those that catch the failpoint, or one with faults drawn from the seed.
+// selected returns the scenarios given by name, those that detect the failpoint, or one with random faults from the seed.
 func (c *testbedClusterRun) selected() ([]cluster.Scenario, error) {
 	switch {
 	case c.Scenario != "":
@@ -80,7 +80,7 @@
 	return []cluster.Scenario{random}, nil
 }
 
-// replaceFigures replaces the figures of a scenario by those of flags.
+// replaceFigures replaces values of a scenario by those of flags.
 func (c *testbedClusterRun) replaceFigures(s *cluster.Scenario) {
 	s.Members = cmp.Or(c.Members, s.Members)
 	s.For = cmp.Or(c.For, s.For)
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// memberLauncher returns a function that starts one member of a group: this program as it serves, or with a failpoint enabled.
+// memberLauncher returns a function that starts one member of a group: this program as is, or with a failpoint enabled.
 func memberLauncher(executable string) func(failpoint, config, operator string) *exec.Cmd {
 	return func(failpoint, config, operator string) *exec.Cmd {
 		if failpoint != "" {
@@ -142,7 +142,7 @@
 	}
 }
 
-// report prints the result of a run and writes it to the files that are named.
+// report prints the result of a run and writes it to the given files.
 func (c *testbedClusterRun) report(out output, result *cluster.Result, seed uint64) error {
 	fmt.Fprintln(out.stdout, result.Line(seed))
 	for _, breach := range result.Report.Violations {
--- a/cmd/birchfork/testbed_compare.go
+++ b/cmd/birchfork/testbed_compare.go
@@ -14,7 +14,7 @@
 	"birchfork/internal/testbed/report"
 )
 
-// testbedCompare compares results, saved ones or those of runs in turns.
+// testbedCompare compares results: saved ones, or those of alternating runs.
 type testbedCompare struct {
 	Results  []string      `arg:"" optional:"" help:"Two saved results of the same scenario and seed."`
 	Against  string        `help:"Another build of this program: run the same scenarios in turns." placeholder:"BINARY"`
@@ -24,13 +24,13 @@
 	For      time.Duration `help:"With --against: length in place of the scenario's." placeholder:"TIME"`
 }
 
-// contestant is one of two sides that a comparison runs.
+// contestant is one of the two sides of a comparison.
 type contestant struct {
 	name   string
 	launch testbed.Launch
 }
 
-// Run prints how results differ.
+// Run prints the differences between results.
 func (c *testbedCompare) Run(out output) error {
 	if c.Against == "" && c.Operator == "" {
 		return c.compareSaved(out)
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// compareSaved compares the two saved results that are named.
+// compareSaved compares the two given saved results.
 func (c *testbedCompare) compareSaved(out output) error {
 	if len(c.Results) != 2 {
 		return errors.New("two kept results are needed, or --against BINARY, or --operator FILE")
@@ -73,7 +73,7 @@
 	return report.Compare(out.stdout, [][2]*report.Report{{a, b}}, filepath.Base(c.Results[0]), filepath.Base(c.Results[1]))
 }
 
-// contestants returns this build, with the operator's file if one is named, and what it is compared with.
+// contestants returns this build, with the operator's file if one is given, and the side that it is compared with.
 func (c *testbedCompare) contestants() (sides [2]contestant, err error) {
 	launch, err := dispatcherLauncher(testbed.PolicyRules, "")
 	if err != nil {
@@ -94,7 +94,7 @@
 	return sides, err
 }
 
-// runPairs runs the scenario for each seed, both sides in turns, until ctx ends. It reports whether a rule was violated.
+// runPairs runs the scenario for each seed, on both sides alternately, until ctx ends. broken reports whether a rule was violated.
 func (c *testbedCompare) runPairs(ctx context.Context, sides [2]contestant) (pairs [][2]*report.Report, broken bool, err error) {
 	for _, seed := range c.Seeds {
 		var pair [2]*report.Report
--- a/cmd/birchfork/testbed_launch.go
+++ b/cmd/birchfork/testbed_launch.go
@@ -20,10 +20,10 @@
 	"birchfork/internal/testbed/mutant"
 )
 
-// executablePath returns the path of this program, which the testbed starts again as a dispatcher. Tests replace it.
+// executablePath returns the path of this program, which the testbed also starts as the dispatchers. Tests replace it.
 var executablePath = os.Executable
 
-// dispatcherLauncher returns a function that starts dispatchers: this program as it serves, under a baseline policy, or a mutant.
+// dispatcherLauncher returns a function that starts dispatchers: this program as is, under a baseline policy, or as a mutant.
 func dispatcherLauncher(policy, mutantName string) (testbed.Launch, error) {
 	path, err := executablePath()
 	if err != nil {
@@ -66,7 +66,7 @@
 	}, nil
 }
 
-// launchProgram returns a function that starts dispatchers of one program.
+// launchProgram returns a function that starts dispatchers of a program.
 func launchProgram(path string, args ...string) testbed.Launch {
 	return func(config string) *exec.Cmd {
 		return exec.Command(path, append(slices.Clone(args), "--config", config)...)
@@ -79,7 +79,7 @@
 	Mutant string `name:"plant" placeholder:"FAULT"`
 }
 
-// Run serves under the policy, or as the mutant, that is named.
+// Run serves under the given policy, or as the given mutant.
 func (c *testbedDispatcher) Run(out output) error {
 	if c.Mutant != "" {
 		return mutant.Run(c.Config, c.Mutant)
--- a/cmd/birchfork/testbed_measure.go
+++ b/cmd/birchfork/testbed_measure.go
@@ -77,7 +77,7 @@
 	Seed        uint64        `help:"The seed." default:"1"`
 }
 
-// Run prints the cost for each size.
+// Run prints the cost for each group size.
 func (c *testbedScale) Run(out output) error {
 	launch, err := dispatcherLauncher(testbed.PolicyRules, "")
 	if err != nil {
--- a/cmd/birchfork/testbed_replication.go
+++ b/cmd/birchfork/testbed_replication.go
@@ -28,7 +28,7 @@
 	Runs         int           `help:"Histories of each size." default:"100"`
 }
 
-// Run simulates histories on all cores of the machine and prints a line for each group size.
+// Run simulates histories on all cores of the machine and prints one line per group size.
 func (c *testbedReplication) Run(out output) error {
 	switch {
 	case slices.Min(c.Members) < 2 || c.Overrides < 1 || c.Runs < 1:
--- a/cmd/birchfork/testbed_run.go
+++ b/cmd/birchfork/testbed_run.go
@@ -16,10 +16,10 @@
 	"birchfork/internal/testbed/scenario"
 )
 
-// mutantScenario is the scenario in which every mutant is caught.
+// mutantScenario is the scenario that detects every mutant.
 const mutantScenario = "proof"
 
-// scenarioFlags select a scenario and replace some of its figures.
+// scenarioFlags select a scenario and replace some of its values.
 type scenarioFlags struct {
 	Scenario    string        `arg:"" optional:"" help:"A built-in scenario (calm, if none is named), or a TOML file, with a / or . in its name."`
 	Seed        uint64        `help:"Seed of the scenario: arrivals, sizes, faults, speeds." default:"1"`
@@ -30,7 +30,7 @@
 	Storm       bool          `help:"Draw further faults from the seed, several at once."`
 }
 
-// load returns the scenario that is selected.
+// load returns the selected scenario.
 func (f *scenarioFlags) load() (*scenario.Scenario, error) {
 	if f.Scenario == "" {
 		f.Scenario = "calm"
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// showProgress shows a progress bar on a terminal. The function that it returns removes it.
+// showProgress shows a progress bar on a terminal. The returned function removes it.
 func showProgress(w io.Writer, options *testbed.Options) func() {
 	terminal, ok := w.(*os.File)
 	if !ok {
@@ -113,7 +113,7 @@
 		progressbar.OptionClearOnFinish(), progressbar.OptionShowCount())
 	options.Progress = func(done, all int) {
 		bar.ChangeMax(all)
-		_ = bar.Set(done) // a progress bar that cannot be drawn is no fault of the run
+		_ = bar.Set(done) // failing to draw the progress bar does not fail the run
 	}
 	return func() { _ = bar.Clear() }
 }
--- a/cmd/birchfork/testbed_simulation.go
+++ b/cmd/birchfork/testbed_simulation.go
@@ -15,7 +15,7 @@
 	"birchfork/internal/testbed/simulation"
 )
 
-// testbedSimulation simulates the cores of a group.
+// testbedSimulation simulates the cores of a group's members.
 type testbedSimulation struct {
 	Members       int    `help:"Members." default:"3"`
 	Voters        int    `help:"Members that vote." default:"3"`
@@ -65,10 +65,10 @@
 	return simulation.Measure(out.stdout, sizes, min(c.Runs, maxMeasuredRuns))
 }
 
-// simulationResult sums up histories.
+// simulationResult is the sum over several histories.
 type simulationResult struct {
-	broken       int                 // histories that violate a rule
-	machinesDone int                 // machines that were in maintenance, over all histories
+	broken       int                 // number of histories that violate a rule
+	machinesDone int                 // number of machines that were in maintenance, over all histories
 	firstBroken  *simulation.Options // of the history with the lowest seed that violates a rule
 	err          error               // of histories that could not be simulated
 }
@@ -76,7 +76,7 @@
 // simulationGCPercent is the garbage collector's target while histories are simulated: heaps are small and short-lived.
 const simulationGCPercent = 400
 
-// simulate simulates the histories on all cores. It prints a line for each that violates a rule.
+// simulate simulates the histories on all cores. It prints one line for each that violates a rule.
 func (c *testbedSimulation) simulate(out output) simulationResult {
 	debug.SetGCPercent(simulationGCPercent)
 	var next atomic.Int64
@@ -102,7 +102,7 @@
 	return result
 }
 
-// options returns the options of the history with a seed.
+// options returns the options of the history for a seed.
 func (c *testbedSimulation) options(out output, seed uint64) simulation.Options {
 	options := simulation.Options{Seed: seed, Members: c.Members, Voters: c.Voters, Ticks: c.Ticks, FaultInterval: c.FaultInterval, Fault: c.Fault}
 	if c.Trace && c.Runs == 1 {
@@ -124,7 +124,7 @@
 	}
 }
 
-// explain prints the trace of a history that violates a rule, reduced to the fewest faults that still do.
+// explain prints the trace of a history that violates a rule, reduced to the fewest faults that still cause it.
 func (c *testbedSimulation) explain(out output, options simulation.Options) error {
 	minimal, _, err := simulation.Minimize(options)
 	if err != nil {
@@ -140,5 +140,5 @@
 	return nil
 }
 
-// maxMeasuredRuns bounds the histories that --measure simulates for each size.
+// maxMeasuredRuns limits the histories that --measure simulates for each size.
 const maxMeasuredRuns = 5
--- a/cmd/birchfork/version.go
+++ b/cmd/birchfork/version.go
@@ -7,7 +7,7 @@
 
 type version struct{}
 
-// Run prints the version that the build recorded.
+// Run prints the version recorded by the build.
 func (version) Run(out output) error {
 	v, revision := "unknown", ""
 	if b, ok := debug.ReadBuildInfo(); ok {
--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -11,7 +11,7 @@
 	"birchfork/internal/simprotocol"
 )
 
-// decider is what a host needs of the dispatch module.
+// decider is the interface of the dispatch module that a host uses.
 type decider interface {
 	Handle(now dispatch.Time, event *dispatch.Event, actions []dispatch.Action) []dispatch.Action
 }
@@ -20,7 +20,7 @@
 	return dispatch.New(settings, seed)
 }
 
-// run handles messages until the input ends between two batches. Its error names the line that is malformed.
+// run handles messages until the input ends between two batches. Its error names the malformed line.
 func run(in io.Reader, out io.Writer) error {
 	h := newHost(in, out)
 	for {
@@ -34,14 +34,14 @@
 	}
 }
 
-// host runs many dispatchers, which share nothing but this process.
+// host runs many dispatchers, which share only the process.
 type host struct {
 	reader     *simprotocol.Reader
 	writer     *simprotocol.Writer
 	instances  map[int]decider
 	newDecider func(dispatch.Settings, uint64) (decider, error)
 	now        dispatch.Time
-	message    simprotocol.Message // the last one, reused
+	message    simprotocol.Message // the last message, reused
 	actions    []dispatch.Action   // of the last event, reused
 }
 
@@ -84,11 +84,12 @@
 	return nil
 }
 
-// handleEvent lets one dispatcher decide. A panic in it ends that dispatcher and is reported, not the process.
+// handleEvent passes an event to one dispatcher. A panic ends that dispatcher and is reported; it does not end the
+// process.
 func (h *host) handleEvent(message *simprotocol.Message) error {
 	instance := h.instances[message.Instance]
 	if instance == nil {
-		return nil // it panicked earlier
+		return nil // it has panicked earlier
 	}
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
-// Command simadapter runs dispatchers for the simulator: it reads batches of events on standard input and writes replies
-// on standard output, in the protocol of internal/simprotocol. It exits with status 0 when the input ends, and with status
-// 1 and a message on standard error where a line is malformed.
+// Command simadapter runs dispatchers for the simulator: it reads batches of events from standard input and writes
+// replies to standard output, in the protocol of internal/simprotocol. It exits with status 0 when the input ends, and
+// with status 1 and a message on standard error if a line is malformed.
 package main
 
 import (
@@ -9,8 +9,8 @@
 	"runtime/debug"
 )
 
-// gcPercent lets the heap, which is small and short-lived, grow to five times its live size. At the default pace the
-// collector would take a good part of the CPU.
+// gcPercent lets the heap, which is small and short-lived, grow to five times its live size. With the default the
+// garbage collector would use much of the CPU time.
 const gcPercent = 400
 
 func main() {
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -6,8 +6,8 @@
 	"birchfork/dispatch"
 )
 
-// Decode decodes the settings of one dispatcher and numbers the names in them. Missing settings allow as little as there
-// is. Its error joins an Error for each malformed setting.
+// Decode decodes the settings of one dispatcher and assigns ids to the names in them. Missing settings default to the
+// most restrictive value. Its error joins an Error for each malformed setting.
 func Decode(pairs *Pairs, names *NameTable) (dispatch.Settings, error) {
 	zones, kinds := pairs.list("zones"), pairs.list("machine_types")
 	assignIDs(names.zones, zones)
--- a/internal/settings/flatten.go
+++ b/internal/settings/flatten.go
@@ -12,11 +12,11 @@
 	"birchfork/dispatch"
 )
 
-// maxDepth bounds the nesting of settings.
+// maxDepth limits the nesting of settings.
 const maxDepth = 16
 
-// DecodeJSON decodes the settings of one dispatcher from nested JSON and numbers the names in them. It returns the pairs
-// as well, nil where raw is not a JSON object; errors are those of Flatten and Decode.
+// DecodeJSON decodes the settings of one dispatcher from nested JSON and assigns ids to the names in them. It also
+// returns the pairs, nil if raw is not a JSON object. Errors are those of Flatten and Decode.
 func DecodeJSON(raw []byte, names *NameTable) (dispatch.Settings, *Pairs, error) {
 	pairs, err := Flatten(raw)
 	if err != nil {
@@ -26,8 +26,8 @@
 	return settings, pairs, err
 }
 
-// Flatten turns settings in nested JSON into the pairs that the simulator's protocol would carry: the keys on the way
-// joined by dots, lists of values joined by commas, lists of objects as a count and numbered items.
+// Flatten converts settings in nested JSON to the pairs of the simulator's protocol: nested keys are joined by dots,
+// lists of values by commas, and lists of objects become a count and numbered items.
 func Flatten(raw []byte) (*Pairs, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber() // keeps numbers as they are written
@@ -94,7 +94,8 @@
 	}
 }
 
-// NormalizeName returns a name as the simulator's protocol carries it: a space or a comma would split a list.
+// NormalizeName returns a name as the simulator's protocol encodes it: spaces and commas, which would split a list,
+// become underscores.
 func NormalizeName(name string) string {
 	return strings.NewReplacer(" ", "_", ",", "_").Replace(name)
 }
--- a/internal/settings/nametable.go
+++ b/internal/settings/nametable.go
@@ -9,10 +9,10 @@
 	"birchfork/dispatch"
 )
 
-// noID is the id of a name that is not known.
+// noID is the id of an unknown name.
 const noID = -1
 
-// NameTable maps the names that one dispatcher meets to dense ids, and back: classes, tenants, zones and kinds of
+// NameTable maps the names that one dispatcher uses to dense ids, and back: classes, tenants, zones and kinds of
 // machines from the settings, workers from endpoint lists, and open requests. It is not safe for concurrent use.
 type NameTable struct {
 	classes, tenants, zones, kinds map[string]int
@@ -21,7 +21,7 @@
 	requestTable
 }
 
-// NewNameTable returns a NameTable that knows no names.
+// NewNameTable returns an empty NameTable.
 func NewNameTable() *NameTable {
 	return &NameTable{
 		classes:      map[string]int{},
@@ -33,9 +33,9 @@
 	}
 }
 
-// Adopt takes over other settings, which were decoded with a NameTable of their own, fresh. Classes and tenants get the
-// ids that they have in fresh; zones and kinds that are known keep their ids, new ones follow behind them, and settings is
-// changed to these ids. Adopt returns the previous id of each class and tenant, -1 for new ones.
+// Adopt switches to new settings, which were decoded with fresh, a NameTable of their own. Classes and tenants get
+// their ids in fresh; known zones and kinds keep their ids, new ones are appended, and settings is changed to these
+// ids. Adopt returns the previous id of each class and tenant, -1 for new ones.
 func (t *NameTable) Adopt(fresh *NameTable, settings *dispatch.Settings) (previousClasses, previousTenants []int) {
 	previousClasses = previousIDs(t.classes, fresh.ClassNames())
 	previousTenants = previousIDs(t.tenants, fresh.TenantNames())
@@ -55,28 +55,28 @@
 	return previousClasses, previousTenants
 }
 
-// ClassID returns the id of a class, or an *UnknownNameError where the settings do not have it.
+// ClassID returns the id of a class, or an *UnknownNameError if it is not in the settings.
 func (t *NameTable) ClassID(name []byte) (int, error) { return findID(t.classes, "class", name) }
 
-// TenantID returns the id of a tenant, or an *UnknownNameError where the settings do not have it.
+// TenantID returns the id of a tenant, or an *UnknownNameError if it is not in the settings.
 func (t *NameTable) TenantID(name []byte) (int, error) { return findID(t.tenants, "tenant", name) }
 
-// ClassNames returns the names of the classes by their ids.
+// ClassNames returns the names of the classes, indexed by id.
 func (t *NameTable) ClassNames() []string { return namesByID(t.classes) }
 
-// TenantNames returns the names of the tenants by their ids.
+// TenantNames returns the names of the tenants, indexed by id.
 func (t *NameTable) TenantNames() []string { return namesByID(t.tenants) }
 
 // HasTenants reports whether the settings name tenants.
 func (t *NameTable) HasTenants() bool { return len(t.tenants) > 0 }
 
-// ZoneID returns the id of a zone, or -1 where the settings do not have it: endpoint lists may name others.
+// ZoneID returns the id of a zone, or -1 if it is not in the settings: endpoint lists may contain other zones.
 func (t *NameTable) ZoneID(name string) int { return idOrNone(t.zones, name) }
 
-// KindID returns the id of a kind of machine, or -1 where the settings do not have it.
+// KindID returns the id of a kind of machine, or -1 if it is not in the settings.
 func (t *NameTable) KindID(name string) int { return idOrNone(t.kinds, name) }
 
-// UnknownNameError is the error of a name that the settings do not have.
+// UnknownNameError is the error for a name that is not in the settings.
 type UnknownNameError struct {
 	Kind string // class or tenant
 	Name string
@@ -101,7 +101,7 @@
 	return noID
 }
 
-// assignIDs numbers names in their order; of a name that stands twice the last number holds.
+// assignIDs assigns ids to names in order; a repeated name gets its last id.
 func assignIDs(ids map[string]int, names []string) {
 	for id, name := range names {
 		ids[name] = id
@@ -126,7 +126,7 @@
 	return ids
 }
 
-// addNames numbers those names that are not known, from the highest number on, and returns the numbers of all names.
+// addNames assigns ids to unknown names, above the highest id, and returns the ids of all names.
 func addNames(known map[string]int, names []string) []int {
 	next := idCount(known)
 	ids := make([]int, len(names))
@@ -140,7 +140,7 @@
 	return ids
 }
 
-// idCount returns the number of ids up to the highest.
+// idCount returns the highest id plus one.
 func idCount(ids map[string]int) int {
 	count := 0
 	for _, id := range ids {
@@ -149,7 +149,7 @@
 	return count
 }
 
-// HashKey returns a number for a request's key, the same at every dispatcher; 0 for no key.
+// HashKey returns a hash of a request's key, the same at every dispatcher; 0 for no key.
 func HashKey(key string) uint64 {
 	if key == "" {
 		return 0
--- a/internal/settings/pairs.go
+++ b/internal/settings/pairs.go
@@ -1,6 +1,7 @@
-// Package settings decodes the settings that a dispatcher gets at its start, and numbers the names that it meets: the
-// dispatch module works on dense ids. Both the simulator's protocol and the dispatcher on sockets use it: the first
-// carries settings as path=value pairs, the second as nested JSON, which Flatten turns into the same pairs.
+// Package settings decodes the settings that a dispatcher gets at its start, and assigns ids to the names that it uses,
+// since the dispatch module works on dense ids. It serves the simulator's protocol, which encodes settings as
+// path=value pairs, and the dispatcher on sockets, which gets them as nested JSON. Flatten converts the latter to the
+// same pairs.
 package settings
 
 import (
@@ -15,27 +16,27 @@
 )
 
 const (
-	// maxNumber bounds numbers and, in seconds, durations.
+	// maxNumber limits numbers and, in seconds, durations.
 	maxNumber = MaxSeconds
 
-	// maxInt bounds whole numbers in both directions.
+	// maxInt limits integers in both directions.
 	maxInt = 1e9
 
-	// maxListLength bounds the lists in settings, so that a wrong count cannot take all memory.
+	// maxListLength limits the lists in settings, so that a wrong count cannot use up the memory.
 	maxListLength = 10000
 
-	// absent stands for a value that is not set.
+	// absent means that a value is not set.
 	absent = "-"
 )
 
-// Pairs are settings as path=value. Paths that nothing reads are allowed. Reading a malformed value adds an error, which
-// Err returns, and yields a value that is not to be used. Pairs are not safe for concurrent use.
+// Pairs are settings as path=value. Unused paths are allowed. Reading a malformed value records an error, which Err
+// returns, and returns a value that must not be used. Pairs are not safe for concurrent use.
 type Pairs struct {
 	values map[string]string
 	errs   []Error
 }
 
-// Error is one malformed setting.
+// Error describes one malformed setting.
 type Error struct {
 	Path   string
 	Reason string
@@ -44,7 +45,7 @@
 // Error returns the path and the reason in one line of text.
 func (e Error) Error() string { return "setting " + e.Path + ": " + e.Reason }
 
-// ParsePairs parses pairs that are separated by tabs.
+// ParsePairs parses tab-separated pairs.
 func ParsePairs(text []byte) (*Pairs, error) {
 	pairs := &Pairs{values: map[string]string{}}
 	for _, pair := range bytes.Split(text, []byte{'\t'}) {
@@ -60,7 +61,7 @@
 	return pairs, nil
 }
 
-// addError adds an error of a path, once however often the path is read.
+// addError adds an error for a path, once however often the path is read.
 func (p *Pairs) addError(path, reason string) {
 	err := Error{Path: path, Reason: reason}
 	if !slices.Contains(p.errs, err) {
@@ -68,12 +69,12 @@
 	}
 }
 
-// addMalformed adds an error of a path whose value is not what it has to be.
+// addMalformed adds an error for a path whose value is not as expected.
 func (p *Pairs) addMalformed(path, want string) {
 	p.addError(path, fmt.Sprintf("%q is not %s", p.values[path], want))
 }
 
-// Err joins an Error for each malformed setting among those that have been read so far; nil where there are none.
+// Err joins an Error for each malformed setting that has been read so far; nil if there are none.
 func (p *Pairs) Err() error {
 	errs := make([]error, len(p.errs))
 	for i, err := range p.errs {
@@ -82,7 +83,7 @@
 	return errors.Join(errs...)
 }
 
-// Text returns a setting, or def where it is missing.
+// Text returns a setting, or def if it is missing.
 func (p *Pairs) Text(path, def string) string {
 	if value, ok := p.values[path]; ok && value != absent {
 		return value
@@ -90,7 +91,7 @@
 	return def
 }
 
-// Float returns a number, or def where it is missing.
+// Float returns a number, or def if it is missing.
 func (p *Pairs) Float(path string, def float64) float64 {
 	text := p.Text(path, "")
 	if text == "" {
@@ -107,12 +108,12 @@
 	return n
 }
 
-// duration returns a length of time, which is set in seconds, or def where it is missing.
+// duration returns a duration, which is set in seconds, or def if it is missing.
 func (p *Pairs) duration(path string, def dispatch.Time) dispatch.Time {
 	return FromSeconds(p.Float(path, float64(def)/float64(dispatch.Second)))
 }
 
-// Int returns a whole number, or def where it is missing.
+// Int returns an integer, or def if it is missing.
 func (p *Pairs) Int(path string, def int) int {
 	text := p.Text(path, "")
 	if text == "" {
@@ -125,7 +126,7 @@
 	return n
 }
 
-// Bool returns a switch, or def where it is missing.
+// Bool returns a boolean, or def if it is missing.
 func (p *Pairs) Bool(path string, def bool) bool {
 	switch p.Text(path, "") {
 	case "":
@@ -140,7 +141,7 @@
 	}
 }
 
-// choice returns the index of a setting among its options, where def is one of them.
+// choice returns the index of a setting among its options, of which def is one.
 func (p *Pairs) choice(path, def string, options ...string) int {
 	i := slices.Index(options, p.Text(path, def))
 	if i < 0 {
@@ -159,7 +160,7 @@
 	return strings.Split(text, ",")
 }
 
-// listNumber returns the i-th number of a list that was read before, or def where the list is shorter.
+// listNumber returns the i-th number of a list that was read before, or def if the list is shorter.
 func (p *Pairs) listNumber(path string, list []string, i int, def float64) float64 {
 	if i >= len(list) {
 		return def
@@ -172,7 +173,7 @@
 	return number
 }
 
-// count returns the number of items of a list of objects.
+// count returns the number of items in a list of objects.
 func (p *Pairs) count(path string) int {
 	n := p.Int(path, 0)
 	if n < 0 || n > maxListLength {
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -7,14 +7,14 @@
 	"birchfork/dispatch"
 )
 
-// MaxSeconds bounds times far from the ends of their type, so that sums of a few of them do not overflow.
+// MaxSeconds limits times to a range in which sums of a few of them do not overflow.
 const MaxSeconds = 1e11
 
 const (
-	// maxIntDigits is the number of digits that an int64 holds whatever they are.
+	// maxIntDigits is the number of decimal digits that always fit into an int64.
 	maxIntDigits = 18
 
-	// maxFloatDigits is the number of digits that a float64 holds exactly.
+	// maxFloatDigits is the number of decimal digits that a float64 represents exactly.
 	maxFloatDigits = 15
 )
 
@@ -23,10 +23,10 @@
 // FromSeconds converts seconds to the unit of the dispatch module, rounded to the nearest.
 func FromSeconds(seconds float64) dispatch.Time { return dispatch.Time(math.Round(seconds * 1e6)) }
 
-// IsAbsent reports whether a value of the simulator's protocol stands for none.
+// IsAbsent reports whether a value of the simulator's protocol means that none is set.
 func IsAbsent(value []byte) bool { return string(value) == absent }
 
-// ParseInt parses a plain decimal whole number and reports whether it is one.
+// ParseInt parses a plain decimal integer and reports whether it is one.
 func ParseInt(text []byte) (int64, bool) {
 	negative := len(text) > 0 && text[0] == '-'
 	if negative {
@@ -48,8 +48,8 @@
 	return n, true
 }
 
-// ParseDecimal parses a finite decimal number and reports whether it is one. Plain ones of few digits, nearly all that
-// there are, take no allocation.
+// ParseDecimal parses a finite decimal number and reports whether it is one. Plain numbers of few digits, which are by
+// far the most frequent, need no allocation.
 func ParseDecimal(text []byte) (float64, bool) {
 	var n int64
 	digits, point := 0, -1
--- a/internal/settings/requesttable.go
+++ b/internal/settings/requesttable.go
@@ -6,22 +6,22 @@
 	"birchfork/dispatch"
 )
 
-// requestTable numbers open requests. An id is free for another request once its request has had its final answer and
-// none of its attempts is in flight: until then the dispatch module may still name it.
+// requestTable assigns ids to open requests. An id is free again once its request has had its final answer and none of
+// its attempts is in flight: until then the dispatch module may still refer to it.
 type requestTable struct {
 	requestIDs     map[string]dispatch.RequestID
 	requestEntries []requestEntry // by id
 	freeRequestIDs []dispatch.RequestID
 }
 
-// requestEntry is the state of one id; the zero requestEntry is that of a free one.
+// requestEntry is the state of one id; the zero requestEntry is a free id.
 type requestEntry struct {
 	name     string
 	inFlight int // attempts
 	answered bool
 }
 
-// OpenRequest gives a request an id. A name that is open already is an error.
+// OpenRequest assigns an id to a request. It returns an error if a request of that name is open already.
 func (t *requestTable) OpenRequest(name []byte) (dispatch.RequestID, error) {
 	if _, ok := t.requestIDs[string(name)]; ok {
 		return 0, fmt.Errorf("request %q is open already", name)
@@ -33,7 +33,7 @@
 	return id, nil
 }
 
-// takeID returns the id that became free last, or a new one.
+// takeID returns the id that was freed last, or a new one.
 func (t *requestTable) takeID() dispatch.RequestID {
 	last := len(t.freeRequestIDs) - 1
 	if last < 0 {
@@ -45,25 +45,25 @@
 	return id
 }
 
-// FindRequest returns the id of a request and whether it is open.
+// FindRequest returns the id of a request, and whether it is open.
 func (t *requestTable) FindRequest(name []byte) (dispatch.RequestID, bool) {
 	id, ok := t.requestIDs[string(name)]
 	return id, ok
 }
 
-// RequestName returns the name of an id; it is empty for a free one.
+// RequestName returns the name for an id; it is empty for a free one.
 func (t *requestTable) RequestName(id dispatch.RequestID) string { return t.requestEntries[id].name }
 
-// RequestAnswered notes that a request has had its final answer.
+// RequestAnswered records that a request has had its final answer.
 func (t *requestTable) RequestAnswered(id dispatch.RequestID) {
 	t.requestEntries[id].answered = true
 	t.releaseIfDone(id)
 }
 
-// AttemptSent notes that an attempt was sent.
+// AttemptSent records that an attempt was sent.
 func (t *requestTable) AttemptSent(id dispatch.RequestID) { t.requestEntries[id].inFlight++ }
 
-// AttemptEnded notes that an attempt has ended, and whether its request has had its final answer.
+// AttemptEnded records that an attempt has ended, and whether its request has had its final answer.
 func (t *requestTable) AttemptEnded(id dispatch.RequestID, answered bool) {
 	entry := &t.requestEntries[id]
 	if entry.inFlight > 0 {
--- a/internal/settings/workertable.go
+++ b/internal/settings/workertable.go
@@ -6,14 +6,14 @@
 	"birchfork/dispatch"
 )
 
-// workerTable numbers workers in the order in which they are met. No id is used again.
+// workerTable assigns ids to workers in order of their first use. No id is reused.
 type workerTable struct {
 	workerIDs   map[string]dispatch.WorkerID
 	workerNames []string
 	workerTags  []uint64 // hashes of the names: the same at every dispatcher
 }
 
-// InternWorker returns the id of a worker, a new one for a new name.
+// InternWorker returns the id of a worker; a new name gets a new id.
 func (t *workerTable) InternWorker(name string) dispatch.WorkerID {
 	if id, ok := t.workerIDs[name]; ok {
 		return id
@@ -25,7 +25,7 @@
 	return id
 }
 
-// InternWorkerBytes is InternWorker without an allocation for names that are known.
+// InternWorkerBytes is InternWorker without an allocation for known names.
 func (t *workerTable) InternWorkerBytes(name []byte) dispatch.WorkerID {
 	if id, ok := t.workerIDs[string(name)]; ok {
 		return id
@@ -33,16 +33,16 @@
 	return t.InternWorker(string(name))
 }
 
-// FindWorker returns the id of a worker and whether its name has been met.
+// FindWorker returns the id of a worker, and whether its name is known.
 func (t *workerTable) FindWorker(name string) (dispatch.WorkerID, bool) {
 	id, ok := t.workerIDs[name]
 	return id, ok
 }
 
-// WorkerName returns the name of an id.
+// WorkerName returns the name for an id.
 func (t *workerTable) WorkerName(id dispatch.WorkerID) string { return t.workerNames[id] }
 
-// WorkerTag returns a number for a worker that is the same at every dispatcher.
+// WorkerTag returns a hash of a worker's name, the same at every dispatcher.
 func (t *workerTable) WorkerTag(id dispatch.WorkerID) uint64 { return t.workerTags[id] }
 
 func hashWorkerName(name string) uint64 {
--- a/internal/simprotocol/endpoints.go
+++ b/internal/simprotocol/endpoints.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// poolCount is the number of worker lists that the protocol numbers.
+	// poolCount is the number of numbered worker lists in the protocol.
 	poolCount = 16
 
-	// maxPoolRows bounds the workers of a list.
+	// maxPoolRows limits the workers in a list.
 	maxPoolRows = 1 << 20
 
-	// noCell is the cell of a worker that has none.
+	// noCell is the cell of a worker without one.
 	noCell = -1
 )
 
@@ -35,7 +35,7 @@
 	startedAt          dispatch.Time
 }
 
-// parsePool reads a list of workers, with the rows behind its line.
+// parsePool reads a list of workers, with the rows after its line.
 func (r *Reader) parsePool(fields *fieldReader) error {
 	page := fields.integer("page", 0, poolCount-1, -1)
 	count := fields.integer("rows", 0, maxPoolRows, -1)
@@ -92,7 +92,7 @@
 	}
 }
 
-// parseEndpoints reads what an endpoint source reports: a whole list, changes to one, or the loss of its watch.
+// parseEndpoints reads what an endpoint source reports: a complete list, changes to one, or the loss of its watch.
 func (r *Reader) parseEndpoints(fields *fieldReader, names *settings.NameTable) error {
 	event := &r.event
 	mode := fields.text("mode")
--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// maxAttemptNumber bounds the numbers of attempts.
+	// maxAttemptNumber limits the numbers of attempts.
 	maxAttemptNumber = 1 << 20
 
-	// maxSlots bounds the slots that a request takes.
+	// maxSlots limits the slots of a request.
 	maxSlots = 1 << 20
 
-	// notReported stands for a value that a load report does not hold.
+	// notReported means that a value is not in a load report.
 	notReported = -1
 )
 
-// What an attempt reports by CHANGE.
+// What CHANGE reports of an attempt.
 const (
 	changeStarted    = 1
 	changeProgressed = 2
 )
 
-// parseEvent parses a line into r.event. It reports false for events that no dispatcher here has a use for.
+// parseEvent parses a line into r.event. It returns false for events that the dispatchers here do not use.
 func (r *Reader) parseEvent(name []byte, fields *fieldReader, names *settings.NameTable) (bool, error) {
 	r.event = dispatch.Event{Tenant: -1, Workers: r.workers[:0]}
 	switch string(name) {
@@ -85,7 +85,7 @@
 	return err
 }
 
-// parseKey returns a request's key; 0 is none, so that the protocol's keys, which begin with 0, follow by 1.
+// parseKey returns a request's key, the protocol's plus 1, since the protocol's keys begin with 0; 0: none.
 func parseKey(fields *fieldReader) uint64 {
 	key, ok := settings.ParseInt(fields.next("target_key"))
 	if !ok || key < 0 {
@@ -148,7 +148,7 @@
 	return known, err
 }
 
-// parseProbeDone checks the end of a health check, which no dispatcher here asks for.
+// parseProbeDone checks the end of a health check, which the dispatchers here never request.
 func (r *Reader) parseProbeDone(fields *fieldReader) error {
 	fields.duration("spent")
 	parseResult(fields)
@@ -190,7 +190,7 @@
 	return dispatch.Result(min(code, int64(dispatch.ResultUnknown)))
 }
 
-// parseLoadReport reads a worker's load report: name:value pairs separated by commas, of which unknown ones are skipped.
+// parseLoadReport reads a worker's load report: comma-separated name:value pairs; unknown ones are skipped.
 func (r *Reader) parseLoadReport(fields *fieldReader) {
 	report := &r.event.Report
 	*report = dispatch.LoadReport{FreeSlots: notReported, QueueLength: notReported}
--- a/internal/simprotocol/fields.go
+++ b/internal/simprotocol/fields.go
@@ -14,11 +14,11 @@
 	errExtraValue   = errors.New("there are more values than the message has")
 )
 
-// fieldReader reads the values of one line from left to right and keeps the first error. Methods that return a value
-// return one that is not to be used where there was an error.
+// fieldReader reads the values of one line from left to right and keeps the first error. After an error the returned
+// values must not be used.
 type fieldReader struct {
 	rest      []byte
-	exhausted bool // nothing is left, not even an empty value
+	exhausted bool // no value is left, not even an empty one
 	err       error
 }
 
@@ -28,7 +28,7 @@
 	}
 }
 
-// finish returns the first error, or one where values are left.
+// finish returns the first error, or an error if values are left.
 func (f *fieldReader) finish() error {
 	if !f.exhausted {
 		f.fail(errExtraValue)
@@ -36,7 +36,7 @@
 	return f.err
 }
 
-// next returns the next value as it is written.
+// next returns the next value as text.
 func (f *fieldReader) next(name string) []byte {
 	if f.exhausted {
 		f.fail(fmt.Errorf("%s: %w", name, errMissingValue))
@@ -48,7 +48,7 @@
 	return value
 }
 
-// text returns a value that may be neither empty nor absent.
+// text returns a value that must be neither empty nor absent.
 func (f *fieldReader) text(name string) []byte {
 	value := f.next(name)
 	if len(value) == 0 || settings.IsAbsent(value) {
@@ -57,7 +57,7 @@
 	return value
 }
 
-// integer returns a whole number in a range; an absent one is def, where that is in the range.
+// integer returns an integer in a range; an absent one is def, if that is in the range.
 func (f *fieldReader) integer(name string, minValue, maxValue, def int64) int64 {
 	text := f.next(name)
 	if settings.IsAbsent(text) && def >= minValue && def <= maxValue {
@@ -70,7 +70,7 @@
 	return n
 }
 
-// number returns a number that is not negative; an absent one is 0.
+// number returns a non-negative number; an absent one is 0.
 func (f *fieldReader) number(name string) float64 {
 	text := f.next(name)
 	if settings.IsAbsent(text) {
@@ -83,7 +83,7 @@
 	return n
 }
 
-// duration returns a length of time or a moment, which is written in seconds; an absent one is 0.
+// duration returns a duration or a time, which is written in seconds; an absent one is 0.
 func (f *fieldReader) duration(name string) dispatch.Time {
 	seconds := f.number(name)
 	if seconds > settings.MaxSeconds {
@@ -93,5 +93,5 @@
 	return settings.FromSeconds(seconds)
 }
 
-// boolean returns a switch, which is written as 0 or 1; an absent one is off.
+// boolean returns a boolean, which is written as 0 or 1; an absent one is false.
 func (f *fieldReader) boolean(name string) bool { return f.integer(name, 0, 1, 0) == 1 }
--- a/internal/simprotocol/message.go
+++ b/internal/simprotocol/message.go
@@ -1,9 +1,9 @@
 // Package simprotocol is the codec of the simulator's protocol: it reads batches of events for many dispatchers and
-// writes the actions back. It maps names to the ids of the dispatch module and decides nothing.
+// writes the actions back. It maps names to the ids of the dispatch module and makes no decisions.
 //
-// The input is lines of values separated by tabs, the first of which names the message; "-" stands for a value that is
-// not set. A batch begins with BATCH and ends with FLUSH; ON selects the dispatcher that the lines behind it are for. The
-// reply to a batch is lines of the same form, and ends with EOR; BY names the dispatcher that acts.
+// The input is lines of tab-separated values, the first of which names the message; "-" means a value that is not set.
+// A batch begins with BATCH and ends with FLUSH; ON selects the dispatcher for the lines that follow. The reply to a
+// batch is lines of the same form, and ends with EOR; BY names the dispatcher that acts.
 package simprotocol
 
 import "birchfork/dispatch"
@@ -12,7 +12,7 @@
 const (
 	lineBatch         = "BATCH"          // a batch begins
 	lineFlush         = "FLUSH"          // the batch ends: the reply is due
-	lineOn            = "ON"             // the instance that the lines behind it are for
+	lineOn            = "ON"             // selects the instance for the lines that follow
 	linePool          = "POOL"           // a numbered list of workers, for MEMBERSHIP
 	lineRow           = "ROW"            // one worker of the list
 	lineStart         = "POWER_ON"       // an instance starts, with a seed and settings
@@ -21,7 +21,7 @@
 	lineAttemptEnded  = "CLOSED_ATTEMPT" // an attempt has ended
 	lineAttemptChange = "CHANGE"         // an attempt has started to run, or reports progress
 	lineResponse      = "FIRST_BYTE"     // the response has started
-	lineClientGone    = "GONE"           // the client waits no longer
+	lineClientGone    = "GONE"           // the client has disconnected
 	lineTimer         = "WAKEUP"         // the timer has fired
 	lineProbeDone     = "PROBE_DONE"     // a health check has ended
 	lineEndpoints     = "MEMBERSHIP"     // endpoints, or the loss of their watch
@@ -43,13 +43,13 @@
 	replyEnd         = "EOR"
 )
 
-// noInstance stands for no instance.
+// noInstance means that no instance is selected.
 const noInstance = -1
 
-// MessageKind says what a Message asks of the host.
+// MessageKind is the type of a Message.
 type MessageKind uint8
 
-// The kinds, and the fields of a Message that each uses.
+// The kinds of messages, with the fields of Message that each uses.
 const (
 	BatchBegin    MessageKind = iota // Now
 	BatchEnd                         // the reply is due
@@ -58,7 +58,7 @@
 	InstanceEvent                    // Instance, Event
 )
 
-// Message is one message to the host. Event and what it points to are valid until the next call of Reader.Read.
+// Message is one message to the host. Event and what it refers to are valid until the next call of Reader.Read.
 type Message struct {
 	Kind     MessageKind
 	Now      dispatch.Time
--- a/internal/simprotocol/reader.go
+++ b/internal/simprotocol/reader.go
@@ -16,27 +16,27 @@
 	// readBufferSize is the size of the input's buffer, in bytes. Longer lines are copied.
 	readBufferSize = 1 << 18
 
-	// maxID bounds the numbers of instances, peers and the like.
+	// maxID limits the numbers of instances, peers and the like.
 	maxID = 1 << 30
 )
 
-// Reader reads messages and keeps the names of each instance, which a Writer needs. It is not safe for concurrent use.
+// Reader reads messages and stores the names of each instance, which a Writer needs. It is not safe for concurrent use.
 type Reader struct {
 	in         *bufio.Reader
 	lineNumber int
 	longLine   []byte // a line that does not fit the buffer
 
 	inBatch         bool
-	instance        int // of the lines to come
+	instance        int // of the following lines
 	names           map[int]*settings.NameTable
-	freeSlotsValues map[int]string // the value of a load report that holds the free slots, by instance
+	freeSlotsValues map[int]string // the value of a load report that contains the free slots, by instance
 	pools           [poolCount]pool
 
 	event   dispatch.Event    // the last one, reused
 	workers []dispatch.Worker // of the last endpoint list, reused
 }
 
-// NewReader returns a Reader of in.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{
 		in:              bufio.NewReaderSize(in, readBufferSize),
@@ -46,14 +46,14 @@
 	}
 }
 
-// Line returns the number of the line that was read last, counted from 1.
+// Line returns the number of the last line read, counted from 1.
 func (r *Reader) Line() int { return r.lineNumber }
 
-// NameTable returns the names of an instance; nil for one that has not started.
+// NameTable returns the names of an instance; nil if it has not started.
 func (r *Reader) NameTable(instance int) *settings.NameTable { return r.names[instance] }
 
-// Read reads the next message. It returns io.EOF where the input ends between two batches, and otherwise an error that
-// says what is wrong with the line that Line names.
+// Read reads the next message. It returns io.EOF if the input ends between two batches, and otherwise an error that
+// describes what is wrong with the line that Line returns.
 func (r *Reader) Read(message *Message) error {
 	for {
 		line, err := r.readLine()
@@ -78,7 +78,7 @@
 	}
 }
 
-// readLine returns the next line without its end. The last line of the input may lack one.
+// readLine returns the next line without its ending, which may be missing on the last line of the input.
 func (r *Reader) readLine() ([]byte, error) {
 	line, err := r.in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -104,7 +104,7 @@
 	}
 }
 
-// parseLine parses one line. It reports false where the line holds no message to the host.
+// parseLine parses one line. It returns false if the line is not a message to the host.
 func (r *Reader) parseLine(name []byte, fields *fieldReader, message *Message) (bool, error) {
 	if string(name) == lineBatch {
 		return true, r.parseBatch(fields, message)
@@ -189,7 +189,7 @@
 	return nil
 }
 
-// freeSlotsValue returns which of the values of a load report holds the free slots; empty for none.
+// freeSlotsValue returns which value of a load report contains the free slots; empty for none.
 func freeSlotsValue(pairs *settings.Pairs) string {
 	found := ""
 	for _, value := range []string{"x0", "x1"} {
--- a/internal/simprotocol/writer.go
+++ b/internal/simprotocol/writer.go
@@ -10,18 +10,18 @@
 	"birchfork/internal/settings"
 )
 
-// Writer writes replies: the actions of one batch, sent by Flush. It is not safe for concurrent use.
+// Writer writes replies: the actions of one batch, which Flush sends. It is not safe for concurrent use.
 type Writer struct {
 	out      io.Writer
 	buf      []byte
-	instance int // of the lines to come
+	instance int // of the following lines
 }
 
-// NewWriter returns a Writer to out.
+// NewWriter returns a Writer that writes to out.
 func NewWriter(out io.Writer) *Writer { return &Writer{out: out, instance: noInstance} }
 
-// WriteActions adds the actions of an instance to the reply and notes in names what they mean for open requests. An
-// action of an unknown kind is an error.
+// WriteActions adds the actions of an instance to the reply and records in names what they mean for open requests. It
+// returns an error for an action of an unknown kind.
 func (w *Writer) WriteActions(instance int, names *settings.NameTable, actions []dispatch.Action) error {
 	for i := range actions {
 		w.selectInstance(instance)
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// WriteCrash adds to the reply that an instance has failed and is gone.
+// WriteCrash adds to the reply that an instance has crashed and no longer exists.
 func (w *Writer) WriteCrash(instance int, reason string) {
 	w.selectInstance(instance)
 	w.begin(replyCrash)
@@ -121,7 +121,7 @@
 
 func (w *Writer) end() { w.buf = append(w.buf, '\n') }
 
-// appendSeconds appends a length of time in seconds, with as many decimals as it needs.
+// appendSeconds appends a duration in seconds, with as many decimals as it needs.
 func appendSeconds(buf []byte, t dispatch.Time) []byte {
 	if t < 0 {
 		buf = append(buf, '-')
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -29,14 +29,13 @@
 	}
 }
 
-// taggedField is a field of a struct that a key of the file sets.
+// taggedField is a struct field that a key of the file sets.
 type taggedField struct {
 	key   string
 	value reflect.Value
 }
 
-// taggedFields returns a struct's fields with a tag, and those of its embedded structs, in the order of their
-// declaration.
+// taggedFields returns a struct's tagged fields, and those of its embedded structs, in the order of declaration.
 func taggedFields(target reflect.Value) []taggedField {
 	var fields []taggedField
 	for i := range target.NumField() {
@@ -51,7 +50,7 @@
 	return fields
 }
 
-// suggestKey names the known key that an unknown one was probably meant to be, or all known keys where none is near.
+// suggestKey returns the known key that was probably meant by an unknown one, or all known keys if none is similar.
 func suggestKey(key string, fields []taggedField) string {
 	known := make([]string, 0, len(fields))
 	best, bestDistance := "", 1+len(key)/2
@@ -68,7 +67,7 @@
 	return "; known here: " + strings.Join(known, ", ")
 }
 
-// decodeValue decodes one value. A wrong one adds an error and leaves target as it is.
+// decodeValue decodes one value. An invalid one adds an error and leaves target unchanged.
 func (d *Document) decodeValue(path string, raw any, target reflect.Value) {
 	if target.Type() == durationType {
 		d.decodeDuration(path, raw, target)
@@ -129,7 +128,7 @@
 	target.SetInt(number)
 }
 
-// decodeFloat accepts whole numbers too, and neither infinities nor NaN.
+// decodeFloat also accepts integers, but neither infinities nor NaN.
 func (d *Document) decodeFloat(path string, raw any, target reflect.Value) {
 	number, ok := raw.(float64)
 	if whole, isWhole := raw.(int64); isWhole {
@@ -164,7 +163,7 @@
 	d.decodeTable(path, table, target)
 }
 
-// describe returns a value as an error names it.
+// describe returns a value as it is shown in an error.
 func describe(value any) string {
 	switch value := value.(type) {
 	case string:
@@ -178,7 +177,7 @@
 	}
 }
 
-// truncate bounds the length of a value in an error.
+// truncate limits the length of a value in an error.
 func truncate(text string) string {
 	const maxLength = 60
 	if len(text) > maxLength {
--- a/internal/tomlfile/lines.go
+++ b/internal/tomlfile/lines.go
@@ -10,7 +10,7 @@
 type lineRecorder struct {
 	document     *Document
 	parser       unstable.Parser
-	arrayLengths map[string]int // tables seen so far of each array of tables, by its path
+	arrayLengths map[string]int // tables so far in each array of tables, by path
 }
 
 // recordLines records the line of each key. The text is known to be valid TOML.
@@ -37,8 +37,7 @@
 	}
 }
 
-// tablePath returns the full path of a table's name and its line. An array of tables on the way stands for its last
-// table.
+// tablePath returns the full path of a table's name and its line. An array of tables in the path means its last table.
 func (r *lineRecorder) tablePath(keys unstable.Iterator) (path string, line int) {
 	for keys.Next() {
 		node := keys.Node()
@@ -84,7 +83,7 @@
 
 func (r *lineRecorder) lineOf(node *unstable.Node) int { return r.parser.Shape(node.Raw).Start.Line }
 
-// setLine records the first line on which a path stands.
+// setLine records the first line of a path.
 func (r *lineRecorder) setLine(path string, line int) {
 	if _, ok := r.document.lines[path]; !ok {
 		r.document.lines[path] = line
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,10 +1,11 @@
-// Package tomlfile decodes a TOML file that a person wrote into a struct. It is strict and reports every error in the
-// file at once: file, line, key, what is wrong and what would be right. The syntax is go-toml's; this package adds the
-// lines of keys and the nearest known key for an unknown one, and one error does not hide the next.
+// Package tomlfile decodes a TOML file written by a person into a struct. It is strict and reports every error in the
+// file at once: file, line, key, what is wrong and what would be right. The syntax is parsed by go-toml; this package
+// adds the lines of keys and the most similar known key for an unknown one, and reports errors independently of each
+// other.
 //
-// Fields carry a `toml` tag. Supported are strings, booleans, whole numbers, float64, time.Duration (written as a string
-// such as "1.5s"), slices, and structs. The fields of an embedded struct count as the struct's own. Any other field
-// without a tag is left alone.
+// Fields have a `toml` tag. Supported are strings, booleans, integers, float64, time.Duration (written as a string such
+// as "1.5s"), slices, and structs. The fields of an embedded struct count as the struct's own. Any other field without
+// a tag is ignored.
 package tomlfile
 
 import (
@@ -19,13 +20,13 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// MaxSize is the size of the largest file that Read accepts, in bytes. What a person writes is far smaller.
+// MaxSize is the maximum size of a file that Read accepts, in bytes, far more than a person writes.
 const MaxSize = 1 << 20
 
 // Error is one error in a file.
 type Error struct {
 	File   string
-	Line   int    // counted from 1; 0: the file as a whole
+	Line   int    // counted from 1; 0: the file itself
 	Key    string // the full path, such as class[1].patience; empty: none
 	Reason string
 }
@@ -44,16 +45,16 @@
 	return text.String() + e.Reason
 }
 
-// Document is a file that has been read: the lines of its keys, and the errors found in it. Callers add errors of their
-// own with AddErrorf. A Document is not safe for concurrent use.
+// Document is a file that has been read: the lines of its keys, and the errors found in it. Callers add their own
+// errors with AddErrorf. A Document is not safe for concurrent use.
 type Document struct {
 	file   string
 	lines  map[string]int // by the key's full path
 	errors []Error
 }
 
-// Read decodes raw into target, a pointer to a struct that may hold defaults. Errors are kept in the Document; target
-// then holds what could be decoded. It panics where target has a tagged field of a kind that is not supported.
+// Read decodes raw into target, a pointer to a struct that may contain defaults. Errors are recorded in the Document;
+// target then contains what could be decoded. It panics if target has a tagged field of an unsupported kind.
 func Read(file string, raw []byte, target any) *Document {
 	document := &Document{file: file, lines: map[string]int{}}
 	if len(raw) > MaxSize {
@@ -76,7 +77,7 @@
 	return ok
 }
 
-// Line returns the line of a key, or of the nearest table that encloses it; 0 where the file has neither.
+// Line returns the line of a key, or of the nearest enclosing table; 0 if the file has neither.
 func (d *Document) Line(key string) int {
 	for {
 		if line, ok := d.lines[key]; ok {
@@ -90,17 +91,17 @@
 	}
 }
 
-// AddErrorf adds an error of the key, given by its full path.
+// AddErrorf adds an error for the key, given by its full path.
 func (d *Document) AddErrorf(key, format string, args ...any) {
 	d.errors = append(d.errors, Error{File: d.file, Line: d.Line(key), Key: key, Reason: fmt.Sprintf(format, args...)})
 }
 
-// addFileError adds an error of the file as a whole.
+// addFileError adds an error for the file itself.
 func (d *Document) addFileError(reason string) {
 	d.errors = append(d.errors, Error{File: d.file, Reason: reason})
 }
 
-// addSyntaxError adds what the TOML parser reported, with its line and key where it tells them.
+// addSyntaxError adds an error of the TOML parser, with its line and key if it reports them.
 func (d *Document) addSyntaxError(err error) {
 	syntaxError := Error{File: d.file, Reason: "this is no TOML: " + strings.TrimPrefix(err.Error(), "toml: ")}
 	var decodeError *toml.DecodeError
@@ -111,14 +112,14 @@
 	d.errors = append(d.errors, syntaxError)
 }
 
-// Errors returns all errors in the order of their lines; those of one line stay in the order in which they were added.
+// Errors returns all errors sorted by line; those of one line are in the order in which they were added.
 func (d *Document) Errors() []Error {
 	sorted := slices.Clone(d.errors)
 	sort.SliceStable(sorted, func(i, j int) bool { return sorted[i].Line < sorted[j].Line })
 	return sorted
 }
 
-// Err joins all errors, a line each; errors.As finds them as Error. It returns nil where there are none.
+// Err joins all errors, one per line; errors.As finds them as Error. It returns nil if there are none.
 func (d *Document) Err() error {
 	found := d.Errors()
 	errs := make([]error, 0, len(found))
