--- a/internal/endpointsource/view_test.go
+++ b/internal/endpointsource/view_test.go
@@ -108,100 +108,171 @@
 	}
 }
 
-// Random histories of a store with revisions, broken watches, compaction, late and repeated changes: a worker whose drain was received is
-// never published as ready, and at rest the published list equals the store's content.
-func TestView_FollowsRandomHistories(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		v := NewView(Config{SourceCount: 1})
-		content := map[string]engine.Endpoint{}
-		revision, seen, now := uint64(1), uint64(0), time.Duration(0)
-		type change struct {
-			revision uint64
-			e        engine.Endpoint
-		}
-		var history []change
-		published := map[string]engine.Endpoint{} // as the dispatcher receives it
-		publish := func(lists []engine.EndpointList) {
-			for _, l := range lists {
-				for _, e := range l.Endpoints {
-					if e.State == dispatch.Gone {
-						delete(published, e.Name)
-					} else {
-						published[e.Name] = e
-					}
-				}
+// storeChange is one revision of a store.
+type storeChange struct {
+	revision uint64
+	endpoint engine.Endpoint
+}
+
+// storeHistory is a random history of a store with revisions and of a watch on it, with a View that follows the watch.
+type storeHistory struct {
+	view *View
+	now  time.Duration
+
+	content  map[string]engine.Endpoint // of the store
+	revision uint64                     // of the store
+	changes  []storeChange              // of the store, oldest first
+
+	watching          bool
+	deliveredRevision uint64                          // the last one that the view received
+	received          map[string]dispatch.WorkerState // the newest received state of each incarnation
+	published         map[string]engine.Endpoint      // as the dispatcher receives it
+}
+
+func newStoreHistory() *storeHistory {
+	h := &storeHistory{
+		view:      NewView(Config{SourceCount: 1}),
+		content:   map[string]engine.Endpoint{},
+		revision:  1,
+		watching:  true,
+		received:  map[string]dispatch.WorkerState{},
+		published: map[string]engine.Endpoint{},
+	}
+	h.deliverSnapshot()
+	return h
+}
+
+// incarnation is the key of an endpoint in storeHistory.received.
+func incarnation(e engine.Endpoint) string { return fmt.Sprint(e.Name, e.StartedAtMillis) }
+
+// publish applies the view's changes as a dispatcher does.
+func (h *storeHistory) publish(lists []engine.EndpointList) {
+	for _, l := range lists {
+		for _, e := range l.Endpoints {
+			if e.State == dispatch.Gone {
+				delete(h.published, e.Name)
+			} else {
+				h.published[e.Name] = e
 			}
 		}
-		snapshot := func() {
-			n := Update{Snapshot: true, Revision: revision}
-			for _, e := range content {
-				n.Endpoints = append(n.Endpoints, e)
-			}
-			publish(v.Update(now, 0, n))
-			seen = revision
+	}
+}
+
+// deliverSnapshot sends the store's content to the view.
+func (h *storeHistory) deliverSnapshot() {
+	update := Update{Snapshot: true, Revision: h.revision}
+	for _, e := range h.content {
+		update.Endpoints = append(update.Endpoints, e)
+	}
+	h.publish(h.view.Update(h.now, 0, update))
+	h.deliveredRevision = h.revision
+}
+
+// deliverChange sends one change of the store to the view.
+func (h *storeHistory) deliverChange(c storeChange) {
+	h.publish(h.view.Update(h.now, 0, Update{Revision: c.revision, Endpoints: []engine.Endpoint{c.endpoint}}))
+}
+
+// step advances the history by one second and one random event.
+func (h *storeHistory) step(t *rapid.T) {
+	h.now += time.Second
+	switch rapid.IntRange(0, 6).Draw(t, "what") {
+	case 0, 1, 2:
+		h.changeStore(t)
+	case 3:
+		h.deliverPending()
+	case 4:
+		h.watching = false
+		h.publish(h.view.MarkLost(h.now, 0))
+	case 5:
+		h.resumeWatch(t)
+	case 6:
+		h.repeatChange(t)
+	}
+}
+
+// changeStore puts or deletes a worker.
+func (h *storeHistory) changeStore(t *rapid.T) {
+	name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
+	h.revision++
+	states := []dispatch.WorkerState{dispatch.Ready, dispatch.Draining, dispatch.Gone}
+	state := rapid.SampledFrom(states).Draw(t, "state")
+	since := rapid.IntRange(1, 2).Draw(t, "since")
+	e := testEndpoint(name, state, int64(since))
+	if e.State == dispatch.Gone {
+		delete(h.content, name)
+	} else {
+		h.content[name] = e
+	}
+	h.changes = append(h.changes, storeChange{h.revision, e})
+}
+
+// deliverPending delivers the changes that the watch has not delivered yet.
+func (h *storeHistory) deliverPending() {
+	if !h.watching {
+		return
+	}
+	for _, c := range h.changes {
+		if c.revision > h.deliveredRevision {
+			h.deliverChange(c)
+			h.deliveredRevision = c.revision
+			h.received[incarnation(c.endpoint)] = c.endpoint.State
 		}
-		snapshot()
-		watching := true
-		received := map[string]dispatch.WorkerState{} // the newest received state of each incarnation
-		key := func(e engine.Endpoint) string { return fmt.Sprint(e.Name, e.StartedAtMillis) }
-		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			now += time.Second
-			switch rapid.IntRange(0, 6).Draw(t, "what") {
-			case 0, 1, 2: // a put or a delete
-				name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
-				revision++
-				states := []dispatch.WorkerState{dispatch.Ready, dispatch.Draining, dispatch.Gone}
-				state := rapid.SampledFrom(states).Draw(t, "state")
-				since := rapid.IntRange(1, 2).Draw(t, "since")
-				e := testEndpoint(name, state, int64(since))
-				if e.State == dispatch.Gone {
-					delete(content, name)
-				} else {
-					content[name] = e
-				}
-				history = append(history, change{revision, e})
-			case 3: // the watch delivers what it has not yet delivered
-				if watching {
-					for _, c := range history {
-						if c.revision > seen {
-							publish(v.Update(now, 0, Update{Revision: c.revision, Endpoints: []engine.Endpoint{c.e}}))
-							seen = c.revision
-							received[key(c.e)] = c.e.State
-						}
-					}
-				}
-			case 4: // it breaks
-				watching = false
-				publish(v.MarkLost(now, 0))
-			case 5: // it is resumed, and history may have been compacted
-				watching = true
-				if rapid.Bool().Draw(t, "compacted") {
-					snapshot()
-					for _, e := range content {
-						received[key(e)] = e.State
-					}
-				}
-			case 6: // an old change again
-				if len(history) > 0 {
-					if c := history[rapid.IntRange(0, len(history)-1).Draw(t, "old")]; c.revision <= seen {
-						publish(v.Update(now, 0, Update{Revision: c.revision, Endpoints: []engine.Endpoint{c.e}}))
-					}
-				}
-			}
-			for _, e := range published {
-				if s, ok := received[key(e)]; ok && e.State == dispatch.Ready && s != dispatch.Ready {
-					t.Fatalf("%s is published though its newest state is %v", e.Name, s)
-				}
-			}
+	}
+}
+
+// resumeWatch resumes the watch. If the store's history has been compacted meanwhile, the view gets a snapshot.
+func (h *storeHistory) resumeWatch(t *rapid.T) {
+	h.watching = true
+	if rapid.Bool().Draw(t, "compacted") {
+		h.deliverSnapshot()
+		for _, e := range h.content {
+			h.received[incarnation(e)] = e.State
 		}
-		snapshot()
-		if len(published) != len(content) {
-			t.Fatalf("at rest %v, the store has %v", published, content)
+	}
+}
+
+// repeatChange delivers an old change once more.
+func (h *storeHistory) repeatChange(t *rapid.T) {
+	if len(h.changes) == 0 {
+		return
+	}
+	if c := h.changes[rapid.IntRange(0, len(h.changes)-1).Draw(t, "old")]; c.revision <= h.deliveredRevision {
+		h.deliverChange(c)
+	}
+}
+
+// checkPublished fails the test if a worker is published as ready whose newest received state is another one.
+func (h *storeHistory) checkPublished(t *rapid.T) {
+	for _, e := range h.published {
+		if s, ok := h.received[incarnation(e)]; ok && e.State == dispatch.Ready && s != dispatch.Ready {
+			t.Fatalf("%s is published though its newest state is %v", e.Name, s)
 		}
-		for name, e := range content {
-			if published[name] != e {
-				t.Fatalf("at rest %+v, the store has %+v", published[name], e)
-			}
+	}
+}
+
+// checkAtRest fails the test unless the published list equals the store's content.
+func (h *storeHistory) checkAtRest(t *rapid.T) {
+	if len(h.published) != len(h.content) {
+		t.Fatalf("at rest %v, the store has %v", h.published, h.content)
+	}
+	for name, e := range h.content {
+		if h.published[name] != e {
+			t.Fatalf("at rest %+v, the store has %+v", h.published[name], e)
+		}
+	}
+}
+
+// Random histories of a store with revisions, broken watches, compaction, late and repeated changes: a worker whose drain was received is
+// never published as ready, and at rest the published list equals the store's content.
+func TestView_FollowsRandomHistories(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		history := newStoreHistory()
+		for range rapid.IntRange(1, 60).Draw(t, "steps") {
+			history.step(t)
+			history.checkPublished(t)
 		}
+		history.deliverSnapshot()
+		history.checkAtRest(t)
 	})
 }
