--- a/cmd/birchfork-discovery-agent/main_test.go
+++ b/cmd/birchfork-discovery-agent/main_test.go
@@ -51,21 +51,21 @@
 	}
 }
 
-// A worker registers, is listed and published to dispatchers, drains by command, and drains and leaves when its process ends.
-func TestAgent_PublishesRegisteredWorker(t *testing.T) {
-	e, err := etcdtest.Start()
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer e.Close()
-	path := t.TempDir() + "/members.toml"
-	text := fmt.Sprintf("listen = '127.0.0.1:0'\n[[source]]\nkind='etcd'\nendpoints=['%s']\nprefix='/w/'\n", e.Address())
+// writeAgentFile writes an agent's file with one etcd source, and makes commands use it.
+func writeAgentFile(t *testing.T, etcdAddress string) (path string) {
+	t.Helper()
+	path = t.TempDir() + "/members.toml"
+	text := fmt.Sprintf("listen = '127.0.0.1:0'\n[[source]]\nkind='etcd'\nendpoints=['%s']\nprefix='/w/'\n", etcdAddress)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	t.Setenv("BIRCHFORK_MEMBERS", path)
-	ctx, stop := context.WithCancel(t.Context())
-	defer stop()
+	return path
+}
+
+// startAgent starts an agent, until ctx ends. It returns the agent's URL and the channel of the error that ends it.
+func startAgent(ctx context.Context, t *testing.T, path string) (url string, served <-chan error) {
+	t.Helper()
 	cfg, err := discoveryagent.Load(path)
 	if err != nil {
 		t.Fatal(err)
@@ -73,42 +73,57 @@
 	addr := make(chan string, 1)
 	log := logrus.New()
 	log.SetOutput(&syncBuffer{})
-	served := make(chan error, 1)
-	go func() { served <- discoveryagent.Serve(ctx, cfg, log, func(a string) { addr <- a }) }()
-	base := "http://" + <-addr
-	status := func() string { // of w1, as published to dispatchers
-		res, err := http.Get(base + "/discovery/hosts")
-		if err != nil {
-			return ""
-		}
-		defer res.Body.Close()
-		var l struct {
-			Endpoints []struct{ Name, Status string }
-		}
-		if res.StatusCode != http.StatusOK || json.NewDecoder(res.Body).Decode(&l) != nil {
-			return ""
-		}
-		for _, e := range l.Endpoints {
-			if e.Name == "w1" {
-				return e.Status
-			}
+	ended := make(chan error, 1)
+	go func() { ended <- discoveryagent.Serve(ctx, cfg, log, func(a string) { addr <- a }) }()
+	return "http://" + <-addr, ended
+}
+
+// publishedStatus returns a worker's status as an agent publishes it to dispatchers: none if it is not listed, empty if there is no list.
+func publishedStatus(agentURL, worker string) string {
+	res, err := http.Get(agentURL + "/discovery/hosts")
+	if err != nil {
+		return ""
+	}
+	defer res.Body.Close()
+	var l struct {
+		Endpoints []struct{ Name, Status string }
+	}
+	if res.StatusCode != http.StatusOK || json.NewDecoder(res.Body).Decode(&l) != nil {
+		return ""
+	}
+	for _, e := range l.Endpoints {
+		if e.Name == worker {
+			return e.Status
 		}
-		return "none"
 	}
+	return "none"
+}
+
+// A worker registers, is listed and published to dispatchers, drains by command, and drains and leaves when its process ends.
+func TestAgent_PublishesRegisteredWorker(t *testing.T) {
+	e, err := etcdtest.Start()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer e.Close()
+	path := writeAgentFile(t, e.Address())
+	ctx, stop := context.WithCancel(t.Context())
+	defer stop()
+	agentURL, served := startAgent(ctx, t, path)
 	registered, leave := context.WithCancel(t.Context())
 	ended := make(chan int, 1)
 	var out syncBuffer
 	go func() {
 		ended <- run(registered, []string{"register", "w1", "127.0.0.1:9", "--zone", "a", "--drain-for", "100ms"}, output{&out, &out})
 	}()
-	await(t, "up", func() bool { return status() == "up" })
+	await(t, "up", func() bool { return publishedStatus(agentURL, "w1") == "up" })
 	if code, std, _ := call(t.Context(), "list"); code != 0 || !strings.Contains(std, "w1") || !strings.Contains(std, "up") {
 		t.Errorf("list: %d, %q", code, std)
 	}
 	if code, std, err := call(t.Context(), "drain", "w1"); code != 0 || std != "w1 drains\n" {
 		t.Errorf("drain: %d, %q, %q", code, std, err)
 	}
-	await(t, "draining", func() bool { return status() == "draining" })
+	await(t, "draining", func() bool { return publishedStatus(agentURL, "w1") == "draining" })
 	leave()
 	if code := <-ended; code != 0 || !strings.HasSuffix(out.String(), "w1 drains\nw1 has left\n") {
 		t.Errorf("register: %d, %q", code, out.String())
--- a/internal/config/decode_test.go
+++ b/internal/config/decode_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"os"
+	"slices"
 	"strings"
 	"testing"
 
@@ -66,9 +67,17 @@
 // invalidFile is an operator's file with an error, and what the error's text contains.
 type invalidFile struct{ file, want string }
 
+// routeR returns a file with a route named r, and further lines of it.
+func routeR(lines string) string { return "[[route]]\nname = \"r\"\n" + lines }
+
 // invalidFiles returns a file for each kind of fault.
 func invalidFiles() []invalidFile {
-	r := func(s string) string { return "[[route]]\nname = \"r\"\n" + s }
+	return slices.Concat(invalidIdempotency(), invalidAttempts(), invalidRoutes(), invalidLimits())
+}
+
+// invalidIdempotency returns a file for each use of hedging and retries that the classes do not allow.
+func invalidIdempotency() []invalidFile {
+	r := routeR
 	return []invalidFile{
 		{r("class = \"ticket-issue\"\nsecond_copies = true"), "f:4: route[0].second_copies: ticket-issue, which goes by route r, must never run twice"},
 		{r("second_copies = true"), "f:3: route[0].second_copies: ticket-issue, which goes by route r, must never run twice"},
@@ -84,6 +93,13 @@
 		{r("repeat = 'any'"), "route[0].repeat: ticket-issue"},
 		{"[[class]]\nname='booking'\nrepeat_within = '6s'", "class[0].repeat_within: 6s is past the window of booking, 5s"},
 		{"[[class]]\nname='journey-search'\nrepeat_within = '1s'", "class[0].repeat_within: journey-search, which goes by rest, is not keyed"},
+	}
+}
+
+// invalidAttempts returns a file for each fault in attempts, times and retry budgets.
+func invalidAttempts() []invalidFile {
+	r := routeR
+	return []invalidFile{
 		{"[default]\nattempts = 7", "default.attempts: 7 is not from 1 to the platform's 6"},
 		{"[default]\nattempts = 0", "default.attempts: 0 is not from 1"},
 		{"[[class]]\nname='ticket-issue'\ntimeout = '6s'", "class[0].timeout: 6s is longer than clients of ticket-issue wait, 5s"},
@@ -98,6 +114,13 @@
 		{"[default]\nretry_budget = 0.3\nattempts = 5", "default.retry_budget: 5 attempts for each request and 0.3 repeats"},
 		{"[default]\nretry_floor = 3", "default.retry_floor: it goes with retry_budget"},
 		{"[default]\nretry_budget = 0.1\nretry_floor = 30\nrate = 20", "default.retry_floor: 30 repeats a second are more than the rate of all, 20"},
+	}
+}
+
+// invalidRoutes returns a file for each fault in the platform's rules, in routes and in fallbacks.
+func invalidRoutes() []invalidFile {
+	r := routeR
+	return []invalidFile{
 		{"[platform]\ndrain_grace = '600ms'", "platform.drain_grace: 600ms is beyond the platform's 500ms"},
 		{"[platform]\nwarm_within = '5s'", "platform.warm_within: 5s is less than the platform's 24s"},
 		{"[platform]\nfall_multiple = 3.0", "platform.fall_multiple: 3 is not from 1 to the platform's 2.5"},
@@ -116,6 +139,13 @@
 		{r("fallback='none'"), "route[0].fallback: there is no route \"none\""},
 		{r("fallback='r'"), "route[0].fallback: a route cannot fall back on itself"},
 		{r("attempts=1\nclass='booking'\npath='/booking/a'\nfallback='s'") + "\n[[route]]\nname='s'\nclass='booking'\nattempts=1\nfallback='r'", "fallbacks go in a circle"},
+	}
+}
+
+// invalidLimits returns a file for each fault in the limits, and in keys and names.
+func invalidLimits() []invalidFile {
+	r := routeR
+	return []invalidFile{
 		{"[total]\nconcurrent = 500", "total.concurrent: 500 are more than the 400 clients' connections"},
 		{"[total]\nconcurrent = 0", "total.concurrent: 0 is less than 1"},
 		{"[total]\nadaptive = true", "total.adaptive: it lowers total.concurrent, which is missing"},
