--- a/cmd/birchfork/golden_test.go
+++ b/cmd/birchfork/golden_test.go
@@ -44,7 +44,7 @@
 	return strings.TrimSuffix(strings.Join(words, " ")+" "+rest, " ")
 }
 
-// Every command, argument and flag that scripts use goes on working. The file holds those of the build before commands got their present
+// Every command, argument and flag that scripts use still works. The file contains those of the build before commands got their present
 // names.
 func TestCommandLine_KeepsEveryCommandAndFlag(t *testing.T) {
 	parser, err := kong.New(&commands{}, kong.Name("birchfork"), kong.Writers(io.Discard, io.Discard))
@@ -63,7 +63,7 @@
 	}
 }
 
-// Earlier names of commands are parsed as the present ones; arguments and flags of the same spelling are left alone.
+// Former names of commands are parsed as the present ones; arguments and flags with the same spelling are left unchanged.
 func TestWithPresentNames(t *testing.T) {
 	for given, want := range map[string]string{
 		"lab run calm":                  "testbed run calm",
--- a/cmd/birchfork/main_test.go
+++ b/cmd/birchfork/main_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// An invalid configuration ends serve with a message of one line and status 1.
+// An invalid configuration ends serve with a one-line message and status 1.
 func TestServe_NamesInvalidConfiguration(t *testing.T) {
 	for _, args := range [][]string{
 		{"serve", "--config", write(t, "{")},
--- a/cmd/birchfork/maintenance_test.go
+++ b/cmd/birchfork/maintenance_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// The faults of an invalid plan are all named by file, line and key before any member is called; the exit status is 1.
+// All faults of an invalid plan are reported by file, line and key before any member is called; the exit status is 1.
 func TestMaintenance_RejectsInvalidPlan(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.toml")
 	text := "name = \"\"\nout = 0\noverdue = \"never\"\n[[machine]]\nname = \"m\"\nrunners = [\"a\"]\n[[machine]]\nname = \"m\"\nrunners = [\"a\"]\n"
@@ -35,7 +35,7 @@
 	}
 }
 
-// Faults of a plan that the group names have their line too. Exit status 1 means that a call is invalid, 2 that it may be repeated later.
+// Faults of a plan that the group reports have their line too. Exit status 1 means that a call is invalid, 2 that it may be repeated later.
 func TestRun_ExitStatus(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.toml")
 	if err := os.WriteFile(path, []byte("name = \"p\"\n[[machine]]\nname = \"m\"\nrunners = [\"a\"]\n"), 0o600); err != nil {
--- a/cmd/birchfork/service_test.go
+++ b/cmd/birchfork/service_test.go
@@ -18,7 +18,7 @@
 	"time"
 )
 
-// runAsProgramEnv is the environment variable that makes the test's binary run as the program, in processes without a build of their own.
+// runAsProgramEnv is the environment variable that makes the test binary run as the program, in processes without a build of their own.
 const runAsProgramEnv = "BIRCHFORK_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -93,7 +93,7 @@
 
 func (d *deployment) configPath() string { return filepath.Join(d.dir, "config.json") }
 
-// configure writes a configuration with one class of requests that are never retried; with none it writes a broken file.
+// configure writes a configuration with one class of requests that are never retried; without a class it writes an invalid file.
 func (d *deployment) configure(class string) {
 	d.t.Helper()
 	text := fmt.Sprintf(`{"name":"n","listen":%q,"discovery":%q,"seed":"1","limits":{"cores":1,"memory_mb":64,"sockets":256},
@@ -125,11 +125,11 @@
 	defer f.Close()
 	p.Stderr = f
 	p.Env = append(os.Environ(), runAsProgramEnv+"=1", "EDGE_OPERATOR="+p.operator, "TMPDIR="+d.dir,
-		"GORACE=atexit_sleep_ms=0") // otherwise a build with the race detector ends a second late
+		"GORACE=atexit_sleep_ms=0") // otherwise a build with the race detector ends a second later
 	if err := p.Start(); err != nil {
 		d.t.Fatal(err)
 	}
-	d.t.Cleanup(func() { _ = p.Process.Kill() }) // fails where it has ended
+	d.t.Cleanup(func() { _ = p.Process.Kill() }) // fails if it has ended
 	d.until("it is ready", func() bool { return p.call("GET", "/-/ready") == 200 })
 	return p
 }
@@ -181,8 +181,8 @@
 	}
 }
 
-// client sends one request after the other on a connection that it reuses. A request whose reused connection is closed before an answer
-// is sent once more on a new one, as the platform's clients do.
+// client sends one request after the other on a connection that it reuses. A request whose reused connection is closed before an answer is
+// sent once more on a new one, as the platform's clients do.
 func (d *deployment) client(c int) {
 	defer d.clients.Done()
 	var conn net.Conn
@@ -247,8 +247,8 @@
 	return d.sent[i]
 }
 
-// Real processes: a worker stays disabled over two hot restarts, then a broken file, new settings, and the worker is enabled again. Every
-// request is served, once.
+// Real processes: a worker stays disabled over two hot restarts, followed by an invalid file, new settings, and the worker's enabling.
+// Every request is served, once.
 func TestServe_DayOfOperations(t *testing.T) {
 	w := newDeployment(t)
 	first := w.start()
@@ -265,7 +265,7 @@
 	}
 	wants(first, "/-/runners/nobody/disable", 404)
 	wants(first, "/-/runners/w0/disable", 200)
-	w.more(50) // requests that were on their way have arrived
+	w.more(50) // requests that were in transit have arrived
 	sentBefore := w.sentTo(0)
 
 	second := w.start()
--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -17,16 +17,16 @@
 	"birchfork/internal/goldentest"
 )
 
-// testdata/golden holds conversations between a random simulator and this program: one in full, of the others the digests
-// of both directions. They prove that the same seed gives the same decisions. UPDATE_GOLDEN=1 writes it.
+// testdata/golden contains conversations between a random simulator and this program: one completely, of the others the
+// digests of both directions. They verify that the same seed gives the same decisions. UPDATE_GOLDEN=1 writes it.
 
-// simulator draws events for a few dispatchers and answers what they do.
+// simulator generates random events for a few dispatchers and answers their actions.
 type simulator struct {
 	t         *testing.T
 	random    *rand.Rand
 	toRun     io.Writer
 	fromRun   *bufio.Reader
-	in, out   io.Writer // copies of what is sent and what is answered
+	in, out   io.Writer // copies of what is sent and of the replies
 	nowMicros int64
 	queries   int
 	peers     []*simPeer
@@ -57,7 +57,7 @@
 
 const numPeers = 3
 
-// settingsOf draws the settings of one dispatcher.
+// settingsOf returns random settings for one dispatcher.
 func (s *simulator) settingsOf(i int) string {
 	choose := func(of ...string) string { return of[s.random.IntN(len(of))] }
 	pairs := []string{
@@ -81,7 +81,7 @@
 
 const numWorkers = 12
 
-// pool draws a list of workers.
+// pool returns a random list of workers.
 func (s *simulator) pool(page, first, count int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "POOL\t%d\t%d\n", page, count)
@@ -100,7 +100,7 @@
 	return b.String()
 }
 
-// batch sends one batch of events, and takes the reply in.
+// batch sends one batch of events, and reads the reply.
 func (s *simulator) batch() {
 	s.nowMicros += int64(1+s.random.IntN(40)) * 1000
 	var b strings.Builder
@@ -255,7 +255,7 @@
 	}
 }
 
-// micros reads seconds as microseconds.
+// micros converts seconds to microseconds.
 func micros(t *testing.T, seconds string) int64 {
 	t.Helper()
 	var n float64
@@ -265,7 +265,7 @@
 	return int64(n*1e6 + 0.5)
 }
 
-// converse plays a random conversation with run, and copies both directions.
+// converse runs a random conversation with run, and copies both directions.
 func converse(t *testing.T, seed uint64, batches int, in, out io.Writer) {
 	t.Helper()
 	fromSim, toRun := io.Pipe()
--- a/dispatch/affinity_test.go
+++ b/dispatch/affinity_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// A hash that always leads to one worker would bring it, while it is warming up, all requests of that key.
+// A hash that always leads to one worker would send it, while it is warming up, all requests of that key.
 func TestAffinity_WarmingWorkerGetsEvenShare(t *testing.T) {
 	h := newHarness(t, affinitySettings(), taggedFleet(30)...)
 	id, actions := h.arriveWithKey(7)
@@ -111,7 +111,7 @@
 	}
 }
 
-// Workers come and go for weeks: their points must not crowd out those that are left.
+// Workers are replaced for weeks: their points must not crowd out those of the remaining ones.
 func TestAffinity_RingForgetsGoneWorkers(t *testing.T) {
 	h := newHarness(t, affinitySettings())
 	list := taggedFleet(3000)
@@ -125,7 +125,7 @@
 	}
 	h.handle(Event{Kind: EndpointUpdate, Version: 101, Workers: []Worker{{ID: 2999, Tag: list[2999].Tag, State: Gone}, list[0]}})
 	h.arriveWithKey(8)
-	h.handle(Event{Kind: EndpointUpdate, Version: 102, Workers: []Worker{list[2999], list[1]}}) // it comes back
+	h.handle(Event{Kind: EndpointUpdate, Version: 102, Workers: []Worker{list[2999], list[1]}}) // it returns
 	h.arriveWithKey(9)
 	if n := len(h.dispatcher.ring); n != 32*pointsPerWorker {
 		t.Errorf("%d points, want those of 32 workers: one that has come back has its points again, once", n)
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -5,8 +5,8 @@
 // benchStep is the time between two requests of a benchmark.
 const benchStep = 2 * Millisecond
 
-// benchmarkRequests measures what a dispatcher takes for one request, from its arrival to its end: parallel of them are
-// under way at a time.
+// benchmarkRequests measures the time of a dispatcher for one request, from its arrival to its end, with parallel requests in
+// progress.
 func benchmarkRequests(b *testing.B, s Settings, workers []Worker, parallel int) {
 	d, err := New(s, 7)
 	if err != nil {
--- a/dispatch/capacity_test.go
+++ b/dispatch/capacity_test.go
@@ -28,7 +28,7 @@
 	h := newHarness(t, testSettings(), fleet(1)...)
 	w := h.dispatcher.workers[0]
 	a, _ := h.arriveAndSend(classIdempotent, 100*ms)
-	h.wait(2*initialStartDelay + startSlack + ms) // nothing of ours runs there, and it does not start
+	h.wait(2*initialStartDelay + startSlack + ms) // nothing of this dispatcher runs there, and it does not start
 	if w.capacity >= 1 {
 		t.Fatalf("capacity %v after our only request queued behind others, want below 1", w.capacity)
 	}
@@ -78,7 +78,7 @@
 
 func TestCapacity_KeptUnderSharedSlowdown(t *testing.T) {
 	h := newHarness(t, testSettings(), fleet(3)...)
-	for range 10 { // all runs take five times their work, but start at once
+	for range 10 { // all runs take five times their work, but start immediately
 		for range 6 {
 			h.arrive(classIdempotent, 100*ms)
 		}
@@ -123,7 +123,7 @@
 	wantKinds(t, actions) // a report raises no capacity
 }
 
-// A capacity with a fraction that no request fits into must grow like any other.
+// A capacity with a fraction into which no request fits must grow like any other.
 func TestCapacity_GrowsFromAnyFraction(t *testing.T) {
 	for _, capacity := range []float64{0.6, 1.3, 1.75, 2.75, 3.9} {
 		h := newHarness(t, testSettings(), fleet(1)...)
@@ -153,7 +153,7 @@
 	if w.kind.size != 6 {
 		t.Fatalf("size %v after 6.7 free slots were told, want 6", w.kind.size)
 	}
-	for range 20 { // starts in time beside a load of the whole size: a request had ended meanwhile
+	for range 20 { // starts in time at a load of the full size: a request had ended meanwhile
 		id, _ = h.arriveAndSend(classIdempotent, 100*ms)
 		h.dispatcher.request(id).attempts[0].groupLoad = w.kind.size + 1
 		h.startAndEnd(id, 100*ms)
@@ -176,7 +176,7 @@
 	if w.kind.size > 1+maxSizeStep {
 		t.Errorf("size %v after one absurd report", w.kind.size)
 	}
-	h.wait(loadReportTTL) // zero free slots, told long ago
+	h.wait(loadReportTTL) // zero free slots, reported long ago
 	if _, actions := h.arrive(classIdempotent, 100*ms); countKind(actions, Send) != 1 {
 		t.Errorf("got %v, want a send in spite of old reports", actions)
 	}
--- a/dispatch/endpoints_test.go
+++ b/dispatch/endpoints_test.go
@@ -51,7 +51,7 @@
 	h := newHarness(t, s)
 	h.handle(Event{Kind: EndpointSnapshot, Stale: true, Workers: fleet(2), Version: 3})
 	polls := 0
-	for range 100 { // ten seconds in which every call fails at once
+	for range 100 { // ten seconds in which every poll fails immediately
 		if n := countKind(h.wait(100*ms), WatchEndpoints); n > 0 {
 			polls += n
 			h.handle(Event{Kind: EndpointWatchLost})
--- a/dispatch/estimate_test.go
+++ b/dispatch/estimate_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// runsWithHints feeds a dispatcher runs whose hints mislead by turns or not at all.
+// runsWithHints gives a dispatcher runs whose hints are alternately wrong, or always right.
 func runsWithHints(t *testing.T, misleading bool) *harness {
 	h := newHarness(t, testSettings(), fleet(4)...)
 	for i := range 200 {
@@ -43,7 +43,7 @@
 	run := 100 * ms
 	for i := range 160 {
 		if i == 100 {
-			run = 300 * ms // all at once, for a while
+			run = 300 * ms // all of them, for a while
 		}
 		id, actions := h.arrive(classIdempotent, 0)
 		if countKind(append(actions, h.wait(20*ms)...), Send) == 1 {
@@ -56,8 +56,8 @@
 	}
 }
 
-// Where a request's work is unknown, the more runs differ the sooner a queued one has to be sent: a short one's objective lies
-// earlier by more than its run does. Requests with hints keep their moment.
+// Where a request's work is unknown, a queued request has to be sent the earlier the more run times vary: a short request's
+// objective is earlier by more than its run is shorter. Requests with hints are not affected.
 func TestLatestOnTimeSend_AllowsForRunDeviation(t *testing.T) {
 	slack := func(work Time, runs ...Time) Time {
 		h := newHarness(t, testSettings(), fleet(1)...)
@@ -84,7 +84,7 @@
 	}
 }
 
-// Where many dispatchers share the work each sees a few runs of each kind, and a new worker has shown nothing.
+// Where many dispatchers share the load each sees few runs of each kind, and nothing is known about a new worker.
 func TestSlowdown_KindsDifferAfterFewRuns(t *testing.T) {
 	s := testSettings()
 	list := fleet(20)
--- a/dispatch/fixtures_test.go
+++ b/dispatch/fixtures_test.go
@@ -30,21 +30,21 @@
 	return s
 }
 
-// migrationSettings are settings under which a request has one attempt in flight at a time and a cancel is worth its price.
+// migrationSettings returns settings under which a request has one attempt in flight at a time and a cancellation pays.
 func migrationSettings() Settings {
 	s := hedgingSettings()
 	s.CanHedge, s.MaxAttempts = false, 5
 	return s
 }
 
-// affinitySettings are settings under which a fetch has a price.
+// affinitySettings returns settings under which a fetch has a price.
 func affinitySettings() Settings {
 	s := testSettings()
 	s.PriceFetch = 0.1
 	return s
 }
 
-// loadWeightSettings are settings of weights that fall with load, and nothing else that tells load.
+// loadWeightSettings returns settings under which weights fall with load and nothing else shows the load.
 func loadWeightSettings() Settings {
 	s := testSettings()
 	s.WeightsShowLoad = true
@@ -59,7 +59,7 @@
 	return w
 }
 
-// taggedFleet is a fleet whose tags are spread like hashes of names.
+// taggedFleet returns a fleet whose tags are distributed like hashes of names.
 func taggedFleet(n int) []Worker {
 	w := fleet(n)
 	for i := range w {
--- a/dispatch/golden_streams_test.go
+++ b/dispatch/golden_streams_test.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// The streams of events that golden_test.go feeds to the module.
+// The streams of events with which golden_test.go drives the module.
 
 const (
-	goldenEvents = 400 // random events for each seed
-	goldenQuiet  = 300 // steps of 15 ms without events at the end of each seed, in which timers go on
+	goldenEvents = 400 // random events per seed
+	goldenQuiet  = 300 // steps of 15 ms without events at the end of each seed, in which timers still fire
 	goldenRun    = 3 * Second
 )
 
-// goldenStream feeds one seed's events to a dispatcher: of even seeds random ones that contradict each other, of odd seeds
-// those of a fleet that serves. The four rules are checked on the way.
+// goldenStream passes one seed's events to a dispatcher: for even seeds random ones that contradict each other, for odd seeds
+// those of a simulated fleet. The four rules are checked throughout.
 func goldenStream(seed uint64, digest *actionDigest) error {
 	rng := rand.New(rand.NewPCG(seed, 41))
 	settings := goldenSettings(rng)
@@ -39,8 +39,8 @@
 	return newGoldenFleet(stream, digest).runGolden()
 }
 
-// goldenSettings draws settings of every shape: messages between dispatchers, prices, hedging and migration, sizes and
-// weights, zones, quotas.
+// goldenSettings returns random settings of every form: peer messages, prices, hedging and migration, sizes and weights, zones,
+// quotas.
 func goldenSettings(rng *rand.Rand) Settings {
 	s := testSettings()
 	s.GroupSize = []int{1, 2, 4, 40, 600}[rng.IntN(5)]
@@ -77,7 +77,7 @@
 	return s
 }
 
-// runGolden feeds the events of random_test.go, with more of their fields drawn.
+// runGolden passes the events of random_test.go, with more random fields.
 func (s *randomStream) runGolden() error {
 	rng := s.rng
 	maxStep, limited := 1000*(2+rng.IntN(40)), rng.IntN(2) == 0
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// drawRequest gives a request what random_test.go does not draw.
+// drawRequest sets the fields of a request that random_test.go does not.
 func drawRequest(rng *rand.Rand, event *Event, limited bool) {
 	if rng.IntN(3) == 0 {
 		event.ExpectedWork = 0
@@ -146,11 +146,11 @@
 	}
 }
 
-// goldenFleet serves what a dispatcher sends: each worker runs as many requests as it has slots and queues the others.
+// goldenFleet simulates workers: each runs as many requests as it has slots and queues the others.
 type goldenFleet struct {
 	*randomStream
 	digest  *actionDigest
-	due     []goldenDue // by time, those of one time in the order in which they were added
+	due     []goldenDue // sorted by time, then in the order of addition
 	workers []goldenWorker
 	next    RequestID
 }
@@ -166,7 +166,7 @@
 	slowdown    float64 // time of a run divided by its work
 	failureRate float64 // share of requests that fail
 	unreachable bool
-	queue       []Event // starts to come
+	queue       []Event // starts to be reported
 }
 
 func newGoldenFleet(stream *randomStream, digest *actionDigest) *goldenFleet {
@@ -178,7 +178,7 @@
 		}
 		f.workers = append(f.workers, w)
 	}
-	if stream.rng.IntN(5) == 0 { // every second worker, which are those of one zone, cannot be reached
+	if stream.rng.IntN(5) == 0 { // every second worker, all in one zone, is unreachable
 		for i := 1; i < len(f.workers); i += 2 {
 			f.workers[i].unreachable = true
 		}
@@ -187,7 +187,7 @@
 	return f
 }
 
-// runGolden lets requests arrive for a while, at a half to one and a half of what the fleet can do, and time pass until nothing is due.
+// runGolden lets requests arrive for a while, at 0.5 to 1.5 times the fleet's capacity, and then time pass until nothing is due.
 func (f *goldenFleet) runGolden() error {
 	slots := 0
 	for _, w := range f.workers {
@@ -213,7 +213,7 @@
 	return f.passTime(end + 6*Second)
 }
 
-// arrival is the next request.
+// arrival returns the next request.
 func (f *goldenFleet) arrival(limited bool) Event {
 	rng := f.rng
 	event := Event{Kind: RequestArrived, Request: f.next, Class: rng.IntN(4), Tenant: rng.IntN(3) - 1, ExpectedWork: 100*ms + Time(rng.IntN(200))*ms,
@@ -223,7 +223,8 @@
 	return event
 }
 
-// disturbance is a change of the endpoint list, an operator's override, a report of another dispatcher or a client that leaves.
+// disturbance returns a change of the endpoint list, an operator's override, a report of another dispatcher or a client's
+// disconnect.
 func (f *goldenFleet) disturbance() Event {
 	rng := f.rng
 	switch rng.IntN(6) {
@@ -244,7 +245,7 @@
 	return Event{Kind: WorkerDisabled + EventKind(rng.IntN(3)), Worker: WorkerID(rng.IntN(len(f.workers)))}
 }
 
-// passTime lets time pass until at, with all that falls due.
+// passTime lets time pass until at, and delivers all that becomes due.
 func (f *goldenFleet) passTime(at Time) error {
 	for {
 		slices.Sort(f.timers)
@@ -276,13 +277,13 @@
 	f.due = slices.Insert(f.due, i, goldenDue{at, event})
 }
 
-// inFlight says whether an attempt has not ended.
+// inFlight reports whether an attempt has not ended.
 func (f *goldenFleet) inFlight(event *Event) bool {
 	observed := f.checker.requests[event.Request]
 	return observed != nil && event.Attempt < len(observed.attempts) && observed.attempts[event.Attempt].inFlight
 }
 
-// deliver hands a due event over, unless its attempt has ended meanwhile, and lets the worker go on.
+// deliver passes a due event to the dispatcher, unless its attempt has ended meanwhile, and lets the worker continue.
 func (f *goldenFleet) deliver(event Event) error {
 	if event.Kind == PeerMessageReceived {
 		return f.handle(event)
@@ -316,12 +317,12 @@
 	return ResultOK
 }
 
-// execute carries an action out.
+// execute carries out an action.
 func (f *goldenFleet) execute(now Time, action Action) {
 	f.digest.add(now, action)
 	switch action.Kind {
 	case Send:
-		// The number of the attempt is that of those before it.
+		// The attempt's number is the number of attempts before it.
 		event := Event{Kind: AttemptStarted, Request: action.Request, Attempt: len(f.checker.requests[action.Request].attempts), Worker: action.Worker}
 		w := &f.workers[action.Worker]
 		switch {
@@ -330,7 +331,7 @@
 			event.Kind, event.Result = AttemptEnded, ResultUnreachable
 			f.schedule(30*ms, event)
 		case f.rng.Float64() < w.failureRate/4:
-			w.running++ // given back at its end
+			w.running++ // released when it ends
 			event.Kind, event.Result = AttemptEnded, []Result{ResultUnreachable, ResultOverloaded, ResultNotSent}[f.rng.IntN(3)]
 			f.schedule(3*ms, event)
 		case w.running < w.slots:
--- a/dispatch/golden_test.go
+++ b/dispatch/golden_test.go
@@ -15,13 +15,13 @@
 const (
 	goldenFile  = "testdata/golden/actions.txt"
 	goldenSeeds = 1000
-	goldenBlock = 50 // seeds for each line of the file
+	goldenBlock = 50 // seeds per line of the file
 )
 
-// TestGolden_ActionsOfRandomEvents proves that a change of the code has changed no decision: it feeds 1,000 seeded streams
-// of random events, under as many random settings, to the module and compares digests of all actions with those in
-// testdata/golden/actions.txt. UPDATE_GOLDEN=1 writes the file anew, which is right only where a decision is meant to
-// change. The file was written on amd64; a processor that fuses multiplication and addition may round otherwise.
+// TestGolden_ActionsOfRandomEvents verifies that a change of the code changes no decision: it passes 1,000 seeded streams of
+// random events, under as many random settings, to the module and compares digests of all actions with those in
+// testdata/golden/actions.txt. UPDATE_GOLDEN=1 rewrites the file, which is allowed only if a decision is meant to change. The
+// file was written on amd64; a processor that fuses multiplication and addition may round differently.
 func TestGolden_ActionsOfRandomEvents(t *testing.T) {
 	var got strings.Builder
 	for first := uint64(0); first < goldenSeeds; first += goldenBlock {
@@ -65,7 +65,7 @@
 	sends   int
 }
 
-// add takes one action, every field by itself, so that the digest does not depend on the names of fields or types.
+// add hashes one action, each field separately, so that the digest does not depend on the names of fields or types.
 func (d *actionDigest) add(now Time, action Action) {
 	d.actions++
 	if action.Kind == Send {
--- a/dispatch/hedging_test.go
+++ b/dispatch/hedging_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// A worker must not go on for a client that has left. The slot is in use until the attempt's end is reported.
+// A worker must not continue for a client that has disconnected. The slot is in use until the attempt's end is reported.
 func TestCancel_AfterRequestAbandoned(t *testing.T) {
 	for _, class := range []int{classIdempotent, classNonIdempotent} {
 		h := newHarness(t, hedgingSettings(), fleet(3)...)
@@ -88,7 +88,7 @@
 		}
 	}
 	s := hedgingSettings()
-	s.PriceWaste = 0.2 // a cancel may stop nothing, and the count of what runs would be too low
+	s.PriceWaste = 0.2 // a cancellation may stop nothing, and the count of running requests would be too low
 	h := newHarness(t, s, fleet(3)...)
 	id, _ := h.arriveAndSend(classIdempotent, 100*ms)
 	wantKinds(t, h.handle(Event{Kind: RequestAbandoned, Request: id}))
@@ -132,7 +132,8 @@
 	}
 }
 
-// Attempts are few: five migrations within 80 ms left 467 requests of one day in the queue that they met last.
+// The number of attempts is limited: five migrations within 80 ms left 467 requests of one day in the last queue that they
+// joined.
 func TestMigration_IsSpaced(t *testing.T) {
 	h := newHarness(t, migrationSettings(), fleet(12)...)
 	id, _ := h.arriveAndSend(classIdempotent, 300*ms)
--- a/dispatch/module_test.go
+++ b/dispatch/module_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// The files of the module by what they hold: decisions are those that deploy/balancer.toml names under policy.
+// The files of the module by content: decisions are those that deploy/balancer.toml names under policy.
 var (
 	decisionFiles = []string{
 		"send.go", "admission.go", "queueing.go", "placement.go", "affinity.go", "capacity.go", "estimate.go", "slowstart.go",
@@ -38,7 +38,7 @@
 	return text
 }
 
-// TestModule_Size holds the size of the decisions, which is part of the module's contract, and has each file named in doc.go.
+// TestModule_Size checks the size of the decision files, which is part of the module's contract, and that doc.go names each file.
 func TestModule_Size(t *testing.T) {
 	lines := 0
 	for _, file := range decisionFiles {
@@ -62,7 +62,7 @@
 	}
 }
 
-// sources are all files of the module but for tests.
+// sources returns all files of the module except tests.
 func sources(t *testing.T) (files []string) {
 	t.Helper()
 	all, err := filepath.Glob("*.go")
--- a/dispatch/outlier_test.go
+++ b/dispatch/outlier_test.go
@@ -12,7 +12,7 @@
 		t.Fatal("the failing worker is not ejected")
 	}
 	h.wait(5 * Second)
-	h.dispatcher.workers[1].slotsInUse += 100 // leave only the once failing worker with capacity
+	h.dispatcher.workers[1].slotsInUse += 100 // only the worker that failed before has capacity
 	for i := 2; i < 6; i++ {
 		h.dispatcher.workers[i].slotsInUse += 100
 	}
@@ -110,7 +110,7 @@
 	}
 }
 
-// requestsAtFirst lets n requests arrive, each of which succeeds, and counts the sends to worker 0.
+// requestsAtFirst lets n requests arrive, all of which succeed, and counts the sends to worker 0.
 func requestsAtFirst(h *harness, class, n int) (got int) {
 	for range n {
 		id, actions := h.arrive(class, 10*ms)
--- a/dispatch/override_test.go
+++ b/dispatch/override_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A disabled worker gets nothing, whatever the endpoint list says: ready, gone and back, restarted, a new snapshot.
+// A disabled worker gets nothing, whatever the endpoint list says: ready, gone and listed again, restarted, a new snapshot.
 func TestWorkerDisabled_NoEndpointListEnables(t *testing.T) {
 	h := newHarness(t, testSettings(), fleet(2)...)
 	h.override(true, 0)
@@ -71,10 +71,10 @@
 	}
 }
 
-// What is queued at a worker that is disabled goes to another, without waiting for its own time.
+// Requests queued at a worker that is disabled are queued at another one immediately.
 func TestWorkerDisabled_QueuedRequestsMove(t *testing.T) {
 	h := newHarness(t, testSettings(), fleet(1)...)
-	for range 3 { // the capacity at the start is two
+	for range 3 { // the initial capacity is two
 		h.arrive(classIdempotent, 100*ms)
 	}
 	h.handle(Event{Kind: EndpointUpdate, Workers: []Worker{{ID: 1}}, Version: 2})
@@ -89,7 +89,7 @@
 	}
 }
 
-// An enabled worker warms up from then on, whether or not the endpoint list tells of a start, and however late it does.
+// An enabled worker warms up from then on, whether or not, and however late, the endpoint list shows a start.
 func TestWorkerEnabled_StartsWarmingUp(t *testing.T) {
 	s := testSettings()
 	h := newHarness(t, s, fleet(2)...)
@@ -113,7 +113,7 @@
 	if got := h.dispatcher.slowStartFactor(w); got > s.SlowStartMinFactor {
 		t.Fatalf("slow-start factor %v after a restart on the list", got)
 	}
-	// A start that was told while it was disabled is the operators' restart.
+	// A start that was listed while it was disabled is the operators' restart.
 	h.override(true, 0)
 	h.wait(Second)
 	h.handle(Event{Kind: EndpointUpdate, Workers: []Worker{{ID: 0, StartedAt: h.now}}, Version: 4})
@@ -129,7 +129,7 @@
 	}
 }
 
-// Enabling a worker that was never disabled, or is unknown, changes nothing that could break a rule.
+// Enabling a worker that was never disabled, or is unknown, has no effect that could violate a rule.
 func TestWorkerEnabled_UnknownOrNotDisabled(t *testing.T) {
 	h := newHarness(t, testSettings(), fleet(1)...)
 	for _, id := range []WorkerID{-1, 7} {
@@ -141,11 +141,11 @@
 	}
 }
 
-// A worker that is warming up is sampled too seldom where there is little traffic: one that was enabled gets a request all the
-// same, no more than one for that, and from no more dispatchers than it bears.
+// A worker that is warming up is sampled too rarely if there is little traffic: one that was enabled gets a request nevertheless,
+// only one for this reason, and from no more dispatchers than it can take.
 func TestWorkerEnabled_GetsFirstRequest(t *testing.T) {
 	s := testSettings()
-	s.SlowStartMinFactor, s.SlowStartWindow = 0.01, 1000*Second // hardly ever sampled
+	s.SlowStartMinFactor, s.SlowStartWindow = 0.01, 1000*Second // almost never sampled
 	used, waiting := 0, 0
 	for seed := range uint64(40) {
 		h := newHarness(t, s, fleet(8)...)
@@ -154,7 +154,7 @@
 		h.wait(Second)
 		h.override(false, 0)
 		got := 0
-		for range 25 { // five a second, most of the time nothing else runs
+		for range 25 { // five per second, most of the time nothing else runs
 			h.wait(200 * ms)
 			id, actions := h.arrive(classIdempotent, 10*ms)
 			for _, w := range sendTargets(actions) {
@@ -187,7 +187,7 @@
 	}
 }
 
-// One that is disabled again, or leaves, gets no first request and is in nobody's way.
+// A worker that is disabled again, or leaves, gets no first request and does not affect others.
 func TestWorkerEnabled_NoFirstRequestOnceGoneOrDisabled(t *testing.T) {
 	h := newHarness(t, testSettings(), fleet(3)...)
 	for _, w := range []WorkerID{0, 1} {
@@ -206,7 +206,7 @@
 	}
 }
 
-// A start from before the worker was disabled says nothing of its return, whichever process was told of that.
+// A start from before the worker was disabled is not its restart, whichever process received the override.
 func TestWorkerEnabled_IgnoresEarlierStart(t *testing.T) {
 	s := testSettings()
 	h := newHarness(t, s, Worker{ID: 0, StartedAt: Second}, Worker{ID: 1, StartedAt: Second})
--- a/dispatch/peers_test.go
+++ b/dispatch/peers_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// newPeerPair links two dispatchers by messages that arrive at once.
+// newPeerPair connects two dispatchers by messages without delay.
 func newPeerPair(t *testing.T) [2]*harness {
 	var p [2]*harness
 	for i := range p {
@@ -20,7 +20,7 @@
 	return p
 }
 
-// deliverMessages carries messages between the two until there are none, and returns the other actions.
+// deliverMessages delivers messages between the two until there are none, and returns the other actions.
 func deliverMessages(p [2]*harness, from int, actions []Action) (rest []Action) {
 	for _, a := range actions {
 		if a.Kind != SendToPeer {
@@ -107,13 +107,13 @@
 	}
 }
 
-// A worker that its aggregator has just reported as full must not count as free because the reply is a little old.
+// A worker that its aggregator has just reported as full must not count as free because the reply is slightly old.
 func TestPeers_OlderLoadBeatsNone(t *testing.T) {
 	s := testSettings()
 	s.GroupSize, s.Ordinal, s.PeerMessages = 2, 0, true
 	list := taggedFleet(2)
 	for i := range list {
-		list[i].Tag = uint64(2*i + 1) // both have the other as aggregator
+		list[i].Tag = uint64(2*i + 1) // the other one is the aggregator of both
 	}
 	h := newHarness(t, s, list...)
 	h.wait(2 * aggregatorWarmup)
@@ -125,7 +125,7 @@
 	h.arrive(classIdempotent, 100*ms)
 	report()
 	sends := 0
-	for range 5 { // the aggregators stay silent from here on
+	for range 5 { // from here on the aggregators do not reply
 		sends += countKind(h.wait(loadQueryTimeout), Send)
 	}
 	if sends != 0 {
--- a/dispatch/placement_test.go
+++ b/dispatch/placement_test.go
@@ -9,7 +9,7 @@
 		_, w := h.arriveAndSend(classIdempotent, 100*ms)
 		got[w]++
 	}
-	// Both candidates may be the same worker, but four requests must fill both capacities of two.
+	// Both candidates may be the same worker, but four requests must fill the two capacities of two.
 	if got[0] != 2 || got[1] != 2 {
 		t.Fatalf("sends by worker %v, want two each", got)
 	}
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -23,7 +23,7 @@
 	q.items = append(q.items, queueEntry{r, r.queueTicket})
 }
 
-// oldest returns the oldest requests that were queued at a time or before, maxScan at the most.
+// oldest returns the oldest requests that were queued at or before a time, at most maxScan.
 func (q *queue) oldest(before Time) (requests []*request) {
 	q.trim()
 	for _, e := range q.items[q.head:] {
--- a/dispatch/random_test.go
+++ b/dispatch/random_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestHandle_KeepsRulesUnderRandomEvents feeds seeded random events, contradictory, late and duplicate ones among them, and
-// checks the four rules. It models no worker and measures nothing.
+// TestHandle_KeepsRulesUnderRandomEvents passes seeded random events, including contradictory, late and duplicate ones, and
+// checks the four rules. It neither models workers nor measures anything.
 func TestHandle_KeepsRulesUnderRandomEvents(t *testing.T) {
 	total := 0
 	for seed := range uint64(90) {
@@ -45,7 +45,7 @@
 	now        Time
 	timers     []Time
 	record     *[]string
-	observe    func(now Time, a Action) // of every action; nil: nobody
+	observe    func(now Time, a Action) // called for every action, unless nil
 	workers    int
 }
 
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// fireTimers delivers the timers that are due, at their time.
+// fireTimers delivers the due timers at their times.
 func (s *randomStream) fireTimers() error {
 	end := s.now
 	for {
@@ -202,7 +202,7 @@
 	return event
 }
 
-// nextEvent makes up the next event.
+// nextEvent returns a random event.
 func (s *randomStream) nextEvent() Event {
 	rng := s.rng
 	id := RequestID(rng.IntN(len(s.checker.requests) + 1))
@@ -217,7 +217,7 @@
 	}
 	if observed := s.checker.requests[id]; observed != nil && len(observed.attempts) > 0 {
 		attempt = rng.IntN(len(observed.attempts) + 1)
-		// A worker of this test runs maxSlots at the most, so that a peak can be bounded.
+		// A worker of this test runs at most maxSlots, so that a peak can be bounded.
 		if rng.IntN(2) == 0 && attempt < len(observed.attempts) && s.running(observed.attempts[attempt].worker) < maxSlots {
 			return Event{Kind: AttemptStarted, Request: id, Attempt: attempt}
 		}
@@ -253,14 +253,14 @@
 		return e
 	case n < 96:
 		return Event{Kind: RequestAbandoned, Request: id}
-	case n < 99: // messages: nonsense, old, from nobody
+	case n < 99: // messages: invalid, old, from unknown senders
 		return Event{Kind: PeerMessageReceived, Peer: rng.IntN(s.checker.settings.GroupSize+4) - 2, Message: PeerMessage{Kind: PeerMessageKind(rng.IntN(4)), Tag: uint64(rng.IntN(20)) * 7919,
 			Slots: rng.Float64()*9 - 2}}
 	}
 	return Event{Kind: TimerFired}
 }
 
-// settingsEvent makes up other settings: idempotency changes under a class's name, attempts and hedging come and go.
+// settingsEvent returns random settings: idempotency changes under a class's name, attempts and hedging change.
 func (s *randomStream) settingsEvent() Event {
 	settings := s.checker.settings
 	settings.Classes = slices.Clone(settings.Classes)
--- a/dispatch/reconfigure_test.go
+++ b/dispatch/reconfigure_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A request keeps the class under which it arrived, and new ones have the new: here an idempotent class turns non-idempotent.
+// A request keeps the class under which it arrived, and new ones get the new class: here an idempotent class becomes
+// non-idempotent.
 func TestSettingsChanged_OpenRequestsKeepClass(t *testing.T) {
 	s := testSettings()
 	h := newHarness(t, s, fleet(3)...)
@@ -11,7 +12,7 @@
 		t.Fatalf("%v", actions)
 	}
 	s.Classes = []Class{s.Classes[classNonIdempotent], s.Classes[classIdempotent]}
-	h.changeSettings(s, -1, classNonIdempotent) // the first is new under its name
+	h.changeSettings(s, -1, classNonIdempotent) // the first class is new
 	if actions := h.handle(Event{Kind: AttemptEnded, Request: old, Result: ResultFailed}); len(sendTargets(actions)) != 1 {
 		t.Fatalf("an idempotent request was not retried: %v", actions)
 	}
@@ -27,7 +28,7 @@
 	}
 }
 
-// What a class has learned goes on under its name, wherever it stands now.
+// What was learned about a class is kept under its name, whatever its index is now.
 func TestSettingsChanged_KeepsClassEstimates(t *testing.T) {
 	s := testSettings()
 	h := newHarness(t, s, fleet(1)...)
@@ -43,7 +44,7 @@
 	}
 }
 
-// Fewer attempts apply to open requests at once; more apply only to those that arrive.
+// A lower number of attempts applies to open requests immediately; a higher one applies only to those that arrive.
 func TestSettingsChanged_FewerAttemptsApplyAtOnce(t *testing.T) {
 	s := testSettings()
 	h := newHarness(t, s, fleet(4)...)
@@ -65,12 +66,12 @@
 	}
 }
 
-// A request that is queued for an attempt that it may not make any more ends at once, as its idempotency allows.
+// A request that is queued for an attempt that is no longer allowed ends immediately, as its idempotency allows.
 func TestSettingsChanged_EndsQueuedWithoutAttempts(t *testing.T) {
 	s := testSettings()
 	h := newHarness(t, s, fleet(2)...)
 	id, _ := h.arrive(classIdempotent, 100*ms)
-	h.handle(Event{Kind: EndpointSnapshot, Version: 2}) // nobody to send to
+	h.handle(Event{Kind: EndpointSnapshot, Version: 2}) // no worker is left
 	if actions := h.handle(Event{Kind: AttemptEnded, Request: id, Result: ResultFailed}); len(actions) != 0 {
 		t.Fatalf("it is not queued: %v", actions)
 	}
@@ -84,7 +85,7 @@
 	}
 }
 
-// New zones and kinds come behind those that are known, and each worker stays with what its own have shown.
+// New zones and kinds are appended to the known ones, and each worker keeps what was learned about its own.
 func TestSettingsChanged_KeepsZoneAndKindNumbers(t *testing.T) {
 	s := testSettings()
 	h := newHarness(t, s, Worker{ID: 0, Zone: 0, Kind: 1}, Worker{ID: 1, Zone: 5, Kind: 7})
@@ -96,7 +97,7 @@
 	if a.kind.slowdown != 3 || b.kind.slowdown != 4 || h.dispatcher.zoneOf(a).queueWait != 5 || h.dispatcher.zoneOf(b).queueWait != 6 || len(h.dispatcher.readyInZone) != 0 {
 		t.Fatalf("%v %v %v %v", a.kind, b.kind, h.dispatcher.zoneOf(a), h.dispatcher.zoneOf(b))
 	}
-	s.ZoneCount, s.KindCount, s.Zone = 1, 1, 0 // fewer are named: those that are known stay
+	s.ZoneCount, s.KindCount, s.Zone = 1, 1, 0 // fewer are named: the known ones are kept
 	h.changeSettings(s, 0, 1, 2, 3)
 	if h.dispatcher.settings.ZoneCount != 4 || len(h.dispatcher.zones) != 5 || len(h.dispatcher.readyInZone) != 1 || a.kind.slowdown != 3 {
 		t.Fatalf("%+v", h.dispatcher.settings)
--- a/dispatch/retry_test.go
+++ b/dispatch/retry_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// A retry has to be sent before the dedup window is over that began with the order of the first attempt that may have run: its
-// connection takes time to come up.
+// A retry has to be sent before the end of the dedup window, which began with the order of the first attempt that may have run:
+// setting up its connection takes time.
 func TestRetry_TellsSendBefore(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/dispatch/rulechecker_test.go
+++ b/dispatch/rulechecker_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// ruleChecker checks the four rules from outside, by the events handed over and the actions that came back.
+// ruleChecker checks the four rules from outside, by the events and the returned actions.
 type ruleChecker struct {
 	settings     Settings
 	requests     map[RequestID]*observedRequest
@@ -141,8 +141,8 @@
 	return nil
 }
 
-// checkSlowStart counts sends. Every request of the test takes a work of 100 ms or more at slowdowns of 1 or more, and no worker
-// ever shows more than maxSlots at once, so a count above the limit breaks the rule for sure.
+// checkSlowStart counts sends. Every request of the test takes 100 ms of work or more at slowdowns of 1 or more, and no worker
+// ever runs more than maxSlots at a time, so a count above the limit certainly violates the rule.
 func (c *ruleChecker) checkSlowStart(now Time, w Worker) error {
 	start := w.StartedAt
 	if start <= c.disabledAt[w.ID] {
--- a/dispatch/shedding_test.go
+++ b/dispatch/shedding_test.go
@@ -16,7 +16,7 @@
 		early += countKind(actions, Reject)
 		rejected += countKind(append(actions, h.wait(30*ms)...), Reject)
 	}
-	if early < 5 { // once the oldest has waited for a while the backlog is believed
+	if early < 5 { // once the oldest has waited for a while the backlog estimate counts
 		t.Fatalf("%d of 20 requests beyond the backlog rejected at their arrival", early)
 	}
 	if actions := h.wait(2 * Second); countKind(actions, Reject)+rejected != 20 {
@@ -68,7 +68,7 @@
 	if rejected < 5 {
 		t.Fatalf("%d of 20 arrivals rejected while all start too late", rejected)
 	}
-	h.wait(4 * shedDecayTime) // no start tells anything
+	h.wait(4 * shedDecayTime) // starts give no information meanwhile
 	if _, actions := h.arrive(classIdempotent, 100*ms); countKind(actions, Reject) != 0 {
 		t.Fatal("still rejected long after")
 	}
@@ -107,13 +107,13 @@
 	}
 }
 
-// At few arrivals a second chance alone brings several of one tenant together.
+// With few arrivals per second several of one tenant arrive together by chance.
 func TestQuota_QuietTenantIsWithinQuota(t *testing.T) {
 	s := testSettings()
 	s.Tenants, s.OverQuotaWeight, s.GroupSize = []Tenant{{QuotaRPS: 40}, {QuotaRPS: 40}}, 0.1, 40
 	h := newHarness(t, s, fleet(20)...)
 	overQuota := 0
-	for i := range 200 { // 0.8 a second of each, a fifth under the part of 1; in bunches of four
+	for i := range 200 { // 0.8 per second of each, a fifth below the part of 1; in groups of four
 		id, tenant := h.nextRequest, i/4%2
 		h.nextRequest++
 		h.handle(Event{Kind: RequestArrived, Request: id, Tenant: tenant, ExpectedWork: 50 * ms, TimeLeft: 5 * Second, Slots: 1})
@@ -129,7 +129,8 @@
 	}
 }
 
-// Shedding for requests that leave their queues by themselves would leave slots idle; for those that stay in them it rises.
+// Shedding because of requests that leave their queues by themselves would leave slots idle; requests that stay in them increase
+// it.
 func TestShedding_MigratedRequestsDoNotCount(t *testing.T) {
 	for class, sheds := range map[int]bool{classIdempotent: false, classNonIdempotent: true} {
 		s := migrationSettings()
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// TestSlowStart_LimitsSendsToWarmingWorkers lets requests arrive at dispatchers that know nothing of each other, much of what the fleet
-// can do, half of it at one of them, while some workers are warming up, and counts what each gets in any window.
+// TestSlowStart_LimitsSendsToWarmingWorkers lets requests arrive at independent dispatchers, half of them at one, for much of the
+// fleet's capacity while some workers are warming up, and counts what each of these gets in any window.
 func TestSlowStart_LimitsSendsToWarmingWorkers(t *testing.T) {
 	for _, c := range []struct {
 		dispatchers          int
-		load                 float64   // of what the fleet can do when it has warmed up
+		load                 float64   // share of the fleet's capacity once it has warmed up
 		sizes                []float64 // slots of the workers
-		listed               bool      // by the list, and known of each kind; else a dispatcher knows neither
-		warming, minRequests []int     // which are warming up, and the requests that each gets at least in ten seconds
+		listed               bool      // sizes are in the endpoint list and known for each kind; otherwise a dispatcher knows neither
+		warming, minRequests []int     // indices of workers that are warming up, and the requests that each gets at least in ten seconds
 	}{
 		{20, 1, []float64{1, 1, 1, 1, 1, 1, 1, 1, 1, 1}, true, []int{0}, []int{10}},
 		{80, 0.8, []float64{1, 1, 1, 1, 1, 5, 5, 5, 5, 5}, true, []int{0, 9}, []int{3, 150}},
@@ -30,13 +30,14 @@
 	}
 }
 
-// runWarmingFleet returns the times of all sends to workers that are warming up, and fails where a window holds more than one bears.
+// runWarmingFleet returns the times of all sends to workers that are warming up, and fails if a window contains more than a
+// worker can take.
 func runWarmingFleet(t *testing.T, dispatchers int, load float64, sizes []float64, listed bool, warming []int) map[int][]Time {
 	t.Helper()
 	s := testSettings()
 	s.GroupSize, s.PriceCrossZone, s.KindCount, s.WeightsShowSize = dispatchers, 0, 6, listed
 	s.Classes[classIdempotent].ObjectiveStretch, s.Classes[classIdempotent].WorkerKind = 50, -1 // nothing is rejected
-	capacity := 0.0                                                                             // requests that the load brings in 100 ms
+	capacity := 0.0                                                                             // requests of the load in 100 ms
 	for _, n := range sizes {
 		capacity += n * load
 	}
@@ -44,7 +45,7 @@
 	for i := range s.GroupSize {
 		f.harnesses = append(f.harnesses, f.newHarness(t, s, i, listed))
 	}
-	for step := range 1000 { // 10 ms each: requests of 100 ms arrive, as many as the slots can do
+	for step := range 1000 { // 10 ms each: requests of 100 ms arrive, as many as the slots can run
 		f.step(step)
 		f.checkWindows(t, &s)
 	}
@@ -55,13 +56,13 @@
 type warmingFleet struct {
 	harnesses []*harness
 	sizes     []float64 // slots of the workers
-	warming   []int     // which are warming up
+	warming   []int     // indices of workers that are warming up
 	arrivals  float64   // requests in 10 ms
-	due       float64   // requests that have yet to arrive
+	due       float64   // requests that have not arrived yet
 	sent      map[int][]Time
 }
 
-// newHarness drives dispatcher i. Unless sizes are listed, it knows none.
+// newHarness drives dispatcher i. It knows the sizes only if they are listed.
 func (f *warmingFleet) newHarness(t *testing.T, s Settings, i int, listed bool) *harness {
 	t.Helper()
 	h := newHarness(t, s)
@@ -85,7 +86,7 @@
 	return h
 }
 
-// step lets requests arrive, every second one at the first dispatcher, and 10 ms pass, and ends what has run for 100 ms.
+// step lets requests arrive, every second one at the first dispatcher, lets 10 ms pass, and ends what has run for 100 ms.
 func (f *warmingFleet) step(step int) {
 	var actions []Action
 	for f.due += f.arrivals; f.due >= 1; f.due-- {
@@ -114,7 +115,7 @@
 	}
 }
 
-// checkWindows fails where the window that ends now holds more requests for a worker than it bears.
+// checkWindows fails if the window that ends now contains more requests for a worker than it can take.
 func (f *warmingFleet) checkWindows(t *testing.T, s *Settings) {
 	t.Helper()
 	first := f.harnesses[0]
@@ -137,7 +138,7 @@
 	h := newHarness(t, testSettings())
 	list := fleet(4)
 	for i := range list {
-		list[i].StartedAt = h.now - 15*Second // warmed up so far that nearly every sample counts
+		list[i].StartedAt = h.now - 15*Second // so nearly warmed up that almost every sample counts
 	}
 	h.handle(Event{Kind: EndpointSnapshot, Workers: list, Version: 1})
 	sends := [2]int{}
@@ -153,7 +154,7 @@
 	}
 }
 
-// While late starts at other workers have all requests shed, those that are warming up go on getting the samples that count.
+// While late starts at other workers cause all requests to be shed, those that are warming up still get the samples that count.
 func TestSendToWarming_TakesShedRequests(t *testing.T) {
 	h := newHarness(t, testSettings())
 	list := fleet(8)
@@ -194,7 +195,7 @@
 		}
 		h.handle(Event{Kind: EndpointSnapshot, Workers: list, Version: 1})
 		for i := range 200 {
-			h.dispatcher.queuedSlots[bandNormal], h.dispatcher.slotsInUse, h.dispatcher.queues[bandNormal] = 1e6, 1, queue{} // far more ahead than can be waited for
+			h.dispatcher.queuedSlots[bandNormal], h.dispatcher.slotsInUse, h.dispatcher.queues[bandNormal] = 1e6, 1, queue{} // a longer backlog than can be waited for
 			old := &request{queueTicket: 1, queuedAt: h.now - 9*Second}
 			h.dispatcher.queues[bandNormal].push(old)
 			for _, a := range h.handle(Event{Kind: RequestArrived, Request: RequestID(i), Tenant: -1, ExpectedWork: 20 * ms, TimeLeft: left, Slots: 1}) {
@@ -209,12 +210,13 @@
 	if n := sendsWithTimeLeft(5 * Second); n < 10 {
 		t.Errorf("%d of 200 went to workers that are warming up", n)
 	}
-	if n := sendsWithTimeLeft(100 * ms); n != 0 { // of five seconds, the rest has been used up by earlier tries
+	if n := sendsWithTimeLeft(100 * ms); n != 0 { // of five seconds, the rest of which earlier tries have used
 		t.Errorf("%d requests were sent that cannot be in time", n)
 	}
 }
 
-// On a recorded day most workers of one zone were gone and six came back, warming up: all dispatchers of that zone sampled six.
+// On a recorded day most workers of one zone had left and six returned, warming up: all dispatchers of that zone sampled these
+// six.
 func TestSlowStart_FewWarmingWorkersOfAZone(t *testing.T) {
 	s := testSettings()
 	s.PriceCrossZone = 0.02
--- a/internal/admission/bounds_test.go
+++ b/internal/admission/bounds_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// generateConfig draws a valid configuration.
+// generateConfig returns a random valid configuration.
 func generateConfig(t *rapid.T) Config {
 	config := Config{
 		MaxOpen:    rapid.IntRange(0, 30).Draw(t, "open"),
@@ -38,7 +38,7 @@
 	return config
 }
 
-// limiterPair is two limiters that get the same input, and their open permits.
+// limiterPair is two limiters with the same input, and their open permits.
 type limiterPair struct {
 	config Config
 	a, b   *Limiter
@@ -135,8 +135,8 @@
 	}
 }
 
-// Whatever comes, with reloads in between and a clock that jumps: no more is open than any limit allows, every permit is
-// returned, no count goes below 0, and two limiters with the same input decide alike.
+// Under any input, with reloads in between and a clock that jumps: no more is open than any limit allows, every permit is returned, no
+// count falls below 0, and two limiters with the same input decide alike.
 func TestLimiter_KeepsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := generateConfig(t)
--- a/internal/admission/golden_test.go
+++ b/internal/admission/golden_test.go
@@ -12,8 +12,8 @@
 	"birchfork/internal/goldentest"
 )
 
-// testdata/golden holds the names of reasons, which are parts of the counters' names that operators read, and the decisions
-// on random histories. UPDATE_GOLDEN=1 writes it.
+// testdata/golden contains the names of reasons, which are parts of the counters' names that operators read, and the decisions on random
+// histories. UPDATE_GOLDEN=1 writes it.
 
 func TestGolden_ReasonNames(t *testing.T) {
 	var out bytes.Buffer
@@ -40,7 +40,7 @@
 	return config
 }
 
-// playHistory plays a random history of requests, outcomes and reloads, and writes each decision.
+// playHistory runs a random history of requests, outcomes and reloads, and writes each decision.
 func playHistory(w io.Writer, seed uint64, steps int) [NumReasons]int64 {
 	random := rand.New(rand.NewPCG(seed, 1))
 	config := goldenConfig(random)
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -8,7 +8,7 @@
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// Each limit rejects with its own reason, and is counted under it.
+// Each limit rejects with its own reason, and is counted under that reason.
 func TestLimiter_RejectsWithReason(t *testing.T) {
 	limiter := New(Config{
 		Routes: []RouteConfig{
@@ -47,7 +47,7 @@
 	admit(0, 0)                       // 15: contention
 	admit(0, 1)
 	admit(0, 0)
-	expect(0, 0, false, TenantQuotaExceeded) // it has ten, its quota of the twenty among two
+	expect(0, 0, false, TenantQuotaExceeded) // it has ten, its quota of twenty shared by two
 	admit(0, 1)
 	admit(0, 1)
 	admit(0, 1)
@@ -70,7 +70,7 @@
 	}
 	var open []openRequest
 	requested, admitted := [5]int{}, [5]int{}
-	for step := range 4000 { // a request takes 200 ms: 40 open do 200 a second; the flood alone asks for 400
+	for step := range 4000 { // a request takes 200 ms: 40 open ones are 200 per second; the flood alone is 400
 		now := ms(step * 2)
 		remaining := open[:0]
 		for _, request := range open {
@@ -82,7 +82,7 @@
 		}
 		open = remaining
 		for tenant := range 5 {
-			if tenant > 0 && step%25 != tenant*5 { // 20 a second each
+			if tenant > 0 && step%25 != tenant*5 { // 20 per second each
 				continue
 			}
 			requested[tenant]++
@@ -123,7 +123,7 @@
 	if decision := limiter.Admit(0, Request{}); decision.Reason != Admitted {
 		t.Fatalf("rejected with 9 open: %v", decision.Reason)
 	}
-	limiter.Reconfigure(0, Config{Routes: []RouteConfig{{Name: "other", Priority: MaxPriority}}}) // the route goes, its permits do not
+	limiter.Reconfigure(0, Config{Routes: []RouteConfig{{Name: "other", Priority: MaxPriority}}}) // the route is removed, its permits are not
 	for _, permit := range permits[71:] {
 		limiter.Release(0, permit, Timely)
 	}
--- a/internal/admission/tokenbucket_test.go
+++ b/internal/admission/tokenbucket_test.go
@@ -8,8 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// In any interval a bucket gives no more tokens than its burst and what the interval brings, and an idle one gives its
-// whole burst.
+// In any interval a bucket gives no more tokens than its burst plus those of the interval, and an idle one gives its full burst.
 func TestTokenBucket_KeepsRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.SampledFrom([]float64{0.1, 1, 10, 1000}).Draw(t, "rate")
@@ -48,7 +47,7 @@
 	for _, c := range []struct {
 		rate  float64
 		burst int
-		want  int // tokens of 100 takes at one moment
+		want  int // tokens out of 100 takes at one moment
 	}{{0, 5, 0}, {0.1, 1, 1}, {1e6, 1, 1}, {1e12, 1, 100}, {1e-9, 3, 3}, {math.NaN(), 3, 0}, {5, 1 << 30, 100}} {
 		var bucket tokenBucket
 		got := 0
@@ -63,7 +62,7 @@
 	}
 }
 
-// A hundred thousand keys take bounded memory, and a busy key is not forgotten for those that come once.
+// A hundred thousand keys take bounded memory, and a busy key is not evicted by keys that are used once.
 func TestBucketCache_IsBounded(t *testing.T) {
 	limiter := New(Config{Routes: []RouteConfig{{Name: "r", RateLimited: true, Rate: 0.001, Burst: 1, RateScope: PerKey, Priority: MaxPriority}}, MaxBuckets: 2000})
 	limiter.Admit(0, Request{Key: 7})
--- a/internal/config/accepted_test.go
+++ b/internal/config/accepted_test.go
@@ -11,7 +11,7 @@
 	"birchfork/internal/routes"
 )
 
-// policyGenerator lists values of keys for a random file. Some of them are not valid in some sections.
+// policyGenerator lists values of keys for a random file. Some are invalid in some sections.
 var policyGenerator = []struct {
 	key    string
 	values []string
@@ -38,7 +38,7 @@
 	}
 }
 
-// generateFile draws a file that may be valid.
+// generateFile returns a random file that may be valid.
 func generateFile(t *rapid.T) string {
 	var b strings.Builder
 	if rapid.Bool().Draw(t, "total") {
@@ -65,8 +65,8 @@
 	return b.String()
 }
 
-// simulation drives the dispatch module by random events and checks each of its actions against the platform's rules and
-// the route's limits.
+// simulation drives the dispatch module with random events and checks each of its actions against the platform's rules and the route's
+// limits.
 type simulation struct {
 	*rapid.T
 	platform   Platform
@@ -195,7 +195,7 @@
 	s.handle(dispatch.Event{Kind: dispatch.EndpointSnapshot, Version: 1, Workers: workers})
 }
 
-// advance moves on by a random time and fires the timers that are due on the way.
+// advance lets a random time pass and fires the timers that become due.
 func (s *simulation) advance() {
 	until := s.now + dispatch.Time(rapid.IntRange(1, 150).Draw(s.T, "ms"))*dispatch.Millisecond
 	for s.timer != 0 && s.timer <= until {
@@ -246,8 +246,8 @@
 	})
 }
 
-// The checks of a file are sound: whatever file passes, the dispatch module driven through it by random events sends no
-// class more than its rules allow.
+// The checks of a file are sound: with any accepted file, the dispatch module driven by random events sends no class more often than its
+// rules allow.
 func TestDecode_AcceptedFileKeepsRules(t *testing.T) {
 	passed := 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/config/decode_test.go
+++ b/internal/config/decode_test.go
@@ -168,7 +168,7 @@
 	}
 }
 
-// Each error is reported by its line, its key and its reason.
+// Each error is reported with its line, key and reason.
 func TestDecode_RejectsInvalidFile(t *testing.T) {
 	for _, c := range invalidFiles() {
 		config, err := Decode("f", []byte(c.file), testPlatform())
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -13,8 +13,8 @@
 	"birchfork/internal/goldentest"
 )
 
-// testdata/golden holds what an operator's file comes to, as `check --explain` prints it and as the configuration that it
-// makes, and the text of every error. UPDATE_GOLDEN=1 writes it.
+// testdata/golden contains the result of operator's files, as `check --explain` prints it and as the resulting configuration, and the text
+// of every error. UPDATE_GOLDEN=1 writes it.
 
 // goldenPlatform is a platform with a group that every-key.toml can name.
 func goldenPlatform() Platform {
@@ -46,7 +46,7 @@
 	}
 }
 
-// every-key.toml has to set every key, so that its golden files show each.
+// every-key.toml must set every key, so that its golden files show each of them.
 func TestGolden_EveryKeyIsSet(t *testing.T) {
 	raw, err := os.ReadFile("testdata/every-key.toml")
 	if err != nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-// writeConfig writes each field of a plan under a name that no renaming of the field changes.
+// writeConfig writes each field of a plan under a name that does not change if the field is renamed.
 func writeConfig(w io.Writer, config *OperatorConfig) {
 	s := &config.Settings
 	fmt.Fprintf(w, "drain grace %d, warm within %d, fall multiple %v, cold from %v\n", s.DrainGrace, s.SlowStartWindow, s.OverloadMultiple, s.SlowStartMinFactor)
--- a/internal/config/group_test.go
+++ b/internal/config/group_test.go
@@ -26,7 +26,7 @@
 voter = true
 `
 
-// invalidGroup is a [group] with every error that can stand beside the others.
+// invalidGroup returns a [group] with every error that can occur together with the others.
 func invalidGroup() string {
 	return strings.NewReplacer(`"valdora"`, `""`, `"/var/lib`, `"var/lib`, `"d2"`, `"d1"`, `"10.0.0.3:9700"`, `"10.0.0.1:9700"`,
 		"plans = true", fmt.Sprintf("plans = true\nlease = %q", 90*time.Minute)).Replace(validGroup) + `
@@ -37,8 +37,7 @@
 `
 }
 
-// A valid [group] is read as it is written, a file without one has none, and all errors of one are reported at once, each
-// by its key.
+// A valid [group] is decoded, a file without one has none, and all errors of a group are reported at once, each with its key.
 func TestDecode_Group(t *testing.T) {
 	platform := testPlatform()
 	platform.Name = "d1"
--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// congestedDiscovery is a discovery in virtual time that carries one request after the other and lets each wait for queueTimeout at most: a
+// congestedDiscovery is a discovery in virtual time that serves one request after the other and lets each wait for queueTimeout at most: a
 // request that has waited in vain costs it as much as one that was answered.
 type congestedDiscovery struct {
 	requestDuration, queueTimeout time.Duration
 	queueLength                   int
-	freeAt                        time.Duration // when it has carried all that it has admitted
+	freeAt                        time.Duration // when it has served all admitted requests
 }
 
 func (d *congestedDiscovery) call(now time.Duration) (end time.Duration, err error) {
@@ -27,7 +27,7 @@
 	return d.freeAt, nil
 }
 
-// Dispatchers that are cut off at the same moment would keep discovery from answering any of them if they came back together.
+// Dispatchers that are cut off at the same moment would keep discovery from answering any of them if they reconnected together.
 func TestBackoff_RecoversFromThunderingHerd(t *testing.T) {
 	for _, fleet := range []int{3, 20, 80, 300} {
 		discovery := congestedDiscovery{requestDuration: 180 * time.Millisecond, queueTimeout: 2 * time.Second, queueLength: 26}
@@ -65,11 +65,11 @@
 	}
 }
 
-// The shortest and the longest delay after each kind of failure, one behind the other.
+// The shortest and the longest delay after each kind of failure, in order.
 func TestBackoff_DelayBounds(t *testing.T) {
 	shortest := backoff{window: 80 * requestCost, timing: polledTiming, random: func() float64 { return 0 }}
 	longest := backoff{window: 80 * requestCost, timing: polledTiming, random: func() float64 { return 1 }}
-	// At a request carried in 186 ms, the verifications of 80 dispatchers take 15 of these seconds: there is room for other requests.
+	// With 186 ms per request, the verifications of 80 dispatchers take 15 of these seconds: there is time for other requests.
 	if minDelay, maxDelay := shortest.verifyDelay(), longest.verifyDelay(); minDelay != 32*time.Second || maxDelay != 64*time.Second {
 		t.Errorf("a check after %v to %v, want 32 s to 64 s", minDelay, maxDelay)
 	}
@@ -95,8 +95,8 @@
 	}
 }
 
-// Discovery that carries a limited rate of requests is kept from answering any by those that are given up and repeated at once. In a fleet
-// that is too large for its rate they are spread as if discovery had said that it is busy. A local agent has no such bound.
+// Discovery that serves a limited rate of requests cannot answer any if they are abandoned and immediately repeated. In a fleet that is too
+// large for its rate they are spread as if discovery had reported that it is busy. A local agent has no such limit.
 func TestBackoff_SpreadsUnansweredRequests(t *testing.T) {
 	lost := fmt.Errorf("%w: timeout", errNoResponse)
 	for _, c := range []struct {
--- a/internal/discovery/fixture_test.go
+++ b/internal/discovery/fixture_test.go
@@ -20,7 +20,7 @@
 // chunk returns one chunk of a chunked body.
 func chunk(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 
-// waitFor waits until ok holds; what says of what, for a failure.
+// waitFor waits until ok returns true; what describes the condition in a failure.
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
@@ -30,8 +30,8 @@
 	}
 }
 
-// startDiscovery starts a discovery whose responses a test writes by hand, a function for each connection in turn. It returns its address
-// and a channel of the requests that it has received.
+// startDiscovery starts a discovery whose responses the test writes, one function per connection in turn. It returns its address and a
+// channel of the received requests.
 func startDiscovery(t *testing.T, answers ...func(c net.Conn)) (addr string, requests chan string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -66,7 +66,7 @@
 	return chunk(fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`, index, whole, strings.Join(entries, ",")) + "\n")
 }
 
-// startWatcher starts a watcher that ends with the test.
+// startWatcher starts a watcher that stops when the test ends.
 func startWatcher(t *testing.T, e *engine.Engine, addr string) *Watcher {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -17,7 +17,7 @@
 	"birchfork/internal/goldentest"
 )
 
-// describeList writes a list in words that do not depend on the names of its fields.
+// describeList formats a list in a way that does not depend on the names of its fields.
 func describeList(list engine.EndpointList) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "  index %d, whole %t, stale %t\n", list.Version, list.Snapshot, list.Stale)
@@ -29,7 +29,7 @@
 	return b.String()
 }
 
-// TestGoldenListEncoding records the bytes of lists as they are written, which have to decode to the same lists.
+// TestGoldenListEncoding records the encoded bytes of lists, which must decode to the same lists.
 func TestGoldenListEncoding(t *testing.T) {
 	entries := []engine.Endpoint{
 		{Name: "s-1", Address: "127.0.0.1:5000", Zone: "a", Kind: "big", Cell: 3, Weight: 1.5, State: dispatch.Ready, StartedAtMillis: 1764600000123},
@@ -56,7 +56,7 @@
 	goldentest.Check(t, "discovery-encoded.txt", []byte(b.String()))
 }
 
-// TestGoldenListDecoding records what messages of discovery are decoded to, odd ones among them.
+// TestGoldenListDecoding records the decoded messages of discovery, including unusual ones.
 func TestGoldenListDecoding(t *testing.T) {
 	const entry = `{"name":"s-1","address":"127.0.0.1:5000","zone":"a","type":"big","group":3,"status":"up","weight":1.5,"since_ms":12}`
 	var b strings.Builder
@@ -95,8 +95,8 @@
 	goldentest.Check(t, "discovery-decoded.txt", []byte(b.String()))
 }
 
-// TestGoldenDiscoveryRequests records the bytes of each request to discovery: for the whole list, for the watch from its version,
-// for the watch from a list that is known, and for the whole list that proves this version.
+// TestGoldenDiscoveryRequests records the bytes of each request to discovery: for the complete list, for the watch from its version, for
+// the watch from a known list, and for the complete list that verifies this version.
 func TestGoldenDiscoveryRequests(t *testing.T) {
 	whole := okHead + chunk(`{"index":12,"snapshot":true,"endpoints":[]}`+"\n") + "0\r\n\r\n"
 	changes := okHead + chunk(`{"index":18446744073709551614,"snapshot":false,"endpoints":[]}`+"\n")
@@ -122,8 +122,8 @@
 	goldentest.Check(t, "discovery-requests.txt", []byte(b.String()))
 }
 
-// recordingDiscovery starts a discovery that gives each call its answer in turn and hands over the bytes of each request. Its
-// connections live, with an empty line now and then, until the test ends.
+// recordingDiscovery starts a discovery that gives each request its answer in turn and passes on the bytes of each request. Its connections
+// stay alive, by empty lines, until the test ends.
 func recordingDiscovery(t *testing.T, answers []string) (addr string, received <-chan string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -13,7 +13,7 @@
 	entryDraining = `{"name":"s-1","address":"127.0.0.1:5000","zone":"a","type":"big","group":3,"status":"draining","weight":1.5,"since_ms":12}`
 )
 
-// Every field of a list is decoded, also where its value is written in another way.
+// Every field of a list is decoded, also if its value is written in another form.
 func TestDecodeList_ReadsAllFields(t *testing.T) {
 	l, bad, err := DecodeList([]byte(`{"index":41,"snapshot":true,"endpoints":[` + entryUp +
 		`,{"name":"s-2","address":"127.0.0.1:5001","status":"draining"}` +
@@ -32,7 +32,7 @@
 	}
 }
 
-// Nothing may be sent where the list does not plainly say that requests are accepted.
+// Nothing may be sent unless the list clearly says that requests are accepted.
 func TestDecodeList_OddEntriesAreNotReady(t *testing.T) {
 	for raw, kept := range map[string]int{
 		`{"name":"s","address":"127.0.0.1:1","status":"resting"}`: 1,
@@ -58,7 +58,7 @@
 	}
 }
 
-// Whatever comes is refused or decoded to entries that are safe to use.
+// Any input is rejected or decoded to entries that are safe to use.
 func FuzzDecodeList(f *testing.F) {
 	f.Add([]byte(`{"index":41,"snapshot":true,"endpoints":[` + entryUp + `]}`))
 	f.Add([]byte(`{"endpoints":[{"name":"a","weight":-3,"since_ms":-9}]}`))
@@ -75,7 +75,7 @@
 	})
 }
 
-// A list that is kept for another process means the same there.
+// A list that is stored for another process means the same there.
 func TestEncodeList_RoundTrip(t *testing.T) {
 	in := engine.EndpointList{Version: 9, Snapshot: true, Endpoints: []engine.Endpoint{
 		{Name: "s-1", Address: "127.0.0.1:5000", Zone: "a", Kind: "big", Cell: 3, Weight: 1.5, State: dispatch.Ready, StartedAtMillis: 1764600000123},
--- a/internal/discovery/request_test.go
+++ b/internal/discovery/request_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Retry-After counts where it is a positive number of seconds, up to an hour.
+// Retry-After is used if it is a positive number of seconds, up to an hour.
 func TestParseRetryAfter(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"": 0, "2": 2 * time.Second, "0.25": 250 * time.Millisecond, "-3": 0, "0": 0, "soon": 0, "NaN": 0, "1e300": time.Hour,
--- a/internal/discovery/timing_test.go
+++ b/internal/discovery/timing_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Whatever became of a request or a watch, a change counts as known 6 s after discovery had it and could be reached.
+// However a request or a watch ended, a change counts as known 6 s after discovery had it and was reachable.
 func TestTiming_MeetsPropagationDeadline(t *testing.T) {
 	for name, profile := range map[string]timing{"polled": polledTiming, "pushed": pushedTiming} {
 		if sum := profile.afterSilence(); sum > propagationDeadline {
@@ -22,7 +22,7 @@
 		t.Errorf("an agent that has come back is asked again within %v, want two calls in the 0.5 s that a drain leaves", retry)
 	}
 	for _, busy := range []busyError{{status: 503}, {status: 503, retryAfter: time.Hour}} {
-		for fleet, fits := range map[int]bool{1: true, 9: true, 30: true, 80: false, 300: false} { // calls of 0.2 s in 6 s
+		for fleet, fits := range map[int]bool{1: true, 9: true, 30: true, 80: false, 300: false} { // requests of 0.2 s in 6 s
 			b := backoff{window: time.Duration(fleet) * requestCost, timing: polledTiming, random: func() float64 { return 1 }}
 			for i := range 6 {
 				if delay := b.delay(false, busy); (delay <= polledTiming.maxBusyDelay) != fits {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -12,7 +12,7 @@
 	"birchfork/internal/engine/enginetest"
 )
 
-// Each time a watch begins it fetches the complete list first: the version that it had may mean nothing to a new agent.
+// Each new watch fetches the complete list first: its previous version may mean nothing to a new agent.
 func TestWatch_FetchesSnapshotThenFollows(t *testing.T) {
 	e := enginetest.New(t, 0)
 	stay := make(chan bool)
@@ -27,10 +27,10 @@
 		},
 		func(c net.Conn) { io.WriteString(c, "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n") },
 		whole(3),
-		func(c net.Conn) { // a line that makes no sense: what it held is missed
+		func(c net.Conn) { // a malformed line: what it contained is missed
 			io.WriteString(c, okHead+updateChunk(4, false)+chunk("{]\n")+updateChunk(9, false))
 		},
-		func(c net.Conn) { // a list may stand on several lines
+		func(c net.Conn) { // a list may span several lines
 			io.WriteString(c, okHead+chunk("{\n  \"index\": 8,\n  \"snapshot\": true,\n  \"endpoints\": [\n"+entryUp+"\n]\n}\n")+"0\r\n\r\n")
 		},
 		func(c net.Conn) { io.WriteString(c, okHead+updateChunk(9, false, entryDraining)); <-stay },
@@ -47,7 +47,7 @@
 	}
 }
 
-// A watch over a link that vanished is open and silent for ever.
+// A watch over a link that has vanished would stay open and silent forever.
 func TestWatch_TimesOutWhenSilent(t *testing.T) {
 	e := enginetest.New(t, 0)
 	release := make(chan bool)
@@ -61,7 +61,7 @@
 	}
 }
 
-// A start from a known list takes one request in place of two, and one later that shows that the version meant something.
+// A start from a known list takes one request instead of two, and a later one that verifies the version.
 func TestWatch_ResumesFromKnownList(t *testing.T) {
 	e := enginetest.New(t, 0)
 	stay := make(chan bool)
@@ -69,7 +69,7 @@
 	busy := func(c net.Conn) { io.WriteString(c, "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n") }
 	addr, requests := startDiscovery(t,
 		busy,
-		func(c net.Conn) { // a watch that stays alive by its empty lines
+		func(c net.Conn) { // a watch that stays alive by empty lines
 			io.WriteString(c, okHead+updateChunk(9, false, entryUp))
 			for {
 				select {
@@ -93,7 +93,7 @@
 	waitFor(t, "the check is taken", func() bool { available, _ := e.Ready(); return !available && e.Counters.EndpointUpdates.Load() == 2 })
 }
 
-// A version of another agent, or of the same one before it was restarted, means nothing.
+// A version of another agent, or of the same one before a restart, is meaningless.
 func TestWatch_RefetchesAfterForeignVersion(t *testing.T) {
 	whole := func(c net.Conn) { io.WriteString(c, okHead+updateChunk(3, true, entryUp)+"0\r\n\r\n") }
 	lasting := func(line string) func(c net.Conn) { // a watch that ends only with its client
@@ -106,7 +106,7 @@
 	}
 	for name, watches := range map[string][]func(c net.Conn){
 		"by the watch": {lasting(updateChunk(2, false))},
-		"by the check": {lasting(updateChunk(50, false)), whole}, // the agent sends nothing where it does not know the version
+		"by the check": {lasting(updateChunk(50, false)), whole}, // the agent sends nothing if it does not know the version
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := enginetest.New(t, 0)
@@ -118,7 +118,7 @@
 	}
 }
 
-// Whatever discovery answers in place of its list, the last good one stays, and a drain that it sends later still counts.
+// Whatever discovery answers instead of its list, the last valid one is kept, and a drain that it sends later is applied.
 func TestWatch_KeepsLastListOnBadResponse(t *testing.T) {
 	for name, bad := range map[string]func(c net.Conn){
 		"closes without a word": func(net.Conn) {},
@@ -154,7 +154,7 @@
 	}
 }
 
-// A local agent that is silent is retried at short intervals, as what it has counts as known as soon as it responds.
+// A silent local agent is retried at short intervals, since its list counts as known as soon as it responds.
 func TestWatch_RetriesSilentAgentSoon(t *testing.T) {
 	e := enginetest.New(t, 0)
 	stay := make(chan bool)
@@ -167,12 +167,12 @@
 	for range 4 {
 		<-requests
 	}
-	if elapsed := time.Since(began); elapsed > 5*time.Second { // one call alone would have waited for so long
+	if elapsed := time.Since(began); elapsed > 5*time.Second { // a single request would have waited for this long
 		t.Errorf("it was asked five times in %v", elapsed)
 	}
 }
 
-// A complete list that stops in the middle is given up within the timeouts of a request, however its lines stand.
+// A complete list that stops in the middle is abandoned within the timeouts of a request, however it is split into lines.
 func TestWatch_TimesOutOnStalledList(t *testing.T) {
 	e := enginetest.New(t, 0)
 	stay := make(chan bool)
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -9,7 +9,7 @@
 	"birchfork/internal/engine/enginetest"
 )
 
-// The old address counts until the new one has sent its complete list, and not any more afterwards.
+// The old address is used until the new one has sent its complete list, and not any more afterwards.
 func TestWatcher_MoveToLeavesNoGap(t *testing.T) {
 	e := enginetest.New(t, 0)
 	oldEvents, newEvents, stay := make(chan string), make(chan string), make(chan bool)
@@ -45,7 +45,7 @@
 	waitFor(t, "the old address is heard meanwhile", ready)
 
 	fresh, _ := startDiscovery(t,
-		func(c net.Conn) { io.WriteString(c, okHead+updateChunk(1, true)+"0\r\n\r\n") }, // it has been told nothing yet
+		func(c net.Conn) { io.WriteString(c, okHead+updateChunk(1, true)+"0\r\n\r\n") }, // an agent that has not received a list yet
 		func(c net.Conn) { io.WriteString(c, okHead+updateChunk(2, true, entryUp)+"0\r\n\r\n") },
 		serve(newEvents))
 	watcher.MoveTo(fresh)
@@ -56,7 +56,7 @@
 	n := e.Counters.EndpointUpdates.Load()
 	newEvents <- updateChunk(3, false, entryDraining) // a lower version than the old one's
 	waitFor(t, "the new address is heard", func() bool { return !ready() && e.Counters.EndpointUpdates.Load() == n+1 })
-	watcher.MoveTo(fresh) // once more the same
+	watcher.MoveTo(fresh) // to the same address again
 	watcher.MoveTo(old)   // and back, where nothing answers any more
 	watcher.MoveTo(fresh)
 	newEvents <- updateChunk(4, false, entryUp)
@@ -66,7 +66,7 @@
 	}
 }
 
-// The engine knows whether the current watch is alive: reports of other members on workers count while it is not.
+// The engine knows whether the current watch is alive: reports of other members about workers count while it is not.
 func TestWatcher_ReportsBrokenWatch(t *testing.T) {
 	e := enginetest.New(t, 0)
 	w := &watch{}
--- a/internal/endpointsource/etcd/golden_test.go
+++ b/internal/endpointsource/etcd/golden_test.go
@@ -9,7 +9,7 @@
 	"birchfork/internal/engine"
 )
 
-// A worker's value under its key has the form of earlier builds. The test writes the file if UPDATE_GOLDEN is set.
+// A worker's value in etcd has the format of earlier builds. The test writes the file if UPDATE_GOLDEN is set.
 func TestValue_KeepsItsForm(t *testing.T) {
 	const path = "testdata/golden/value.json"
 	cell := 7
--- a/internal/endpointsource/etcd/source_test.go
+++ b/internal/endpointsource/etcd/source_test.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// Watches are dropped at random moments, history is compacted, workers drain, leave and start again in the gap: an incarnation that drained
-// is never published as ready again, and at rest the view holds what etcd holds.
+// Watches are dropped at random moments, history is compacted, workers drain, leave and restart in the gap: an incarnation that drained is
+// never published as ready again, and at rest the view has what etcd has.
 func TestSource_KeepsDrainsAcrossGaps(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	rounds := *gapRounds
@@ -180,7 +180,7 @@
 	})
 }
 
-// After a watch is rejected as compacted the whole list is read again.
+// After a watch is rejected as compacted the complete list is read again.
 func TestSource_RebuildsAfterCompaction(t *testing.T) {
 	h := newHarness(t)
 	h.put("a", StateUp, 1)
@@ -204,7 +204,7 @@
 	}
 }
 
-// After etcd is restored from an older copy a worker that drained since stays drained, and the source does not read the range for ever.
+// After etcd is restored from an older copy a worker that drained since then stays drained, and the source does not read the range forever.
 func TestSource_KeepsDrainsAfterRestore(t *testing.T) {
 	h := newHarness(t)
 	h.put("a", StateUp, 1)
@@ -228,7 +228,7 @@
 	}
 }
 
-// The end of a lease removes its worker; a put and a delete in one transaction are one change; a burst of changes is followed to its end.
+// The end of a lease removes its worker; a put and a delete in one transaction are one change; a burst of changes is applied completely.
 func TestSource_FollowsLeasesTransactionsAndBursts(t *testing.T) {
 	h := newHarness(t)
 	ctx := context.Background()
@@ -267,7 +267,7 @@
 	})
 }
 
-// A source whose etcd member has no leader is lost, and its list stays.
+// A source whose etcd member has no leader is lost, and its list is kept.
 func TestSource_KeepsListWithoutLeader(t *testing.T) {
 	h := newHarness(t)
 	h.put("a", StateUp, 1)
--- a/internal/endpointsource/file/source_test.go
+++ b/internal/endpointsource/file/source_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// A file that is replaced by another is read again; an invalid one changes nothing.
+// A file that is replaced by another one is read again; an invalid one has no effect.
 func TestSource_FollowsFile(t *testing.T) {
 	path := t.TempDir() + "/workers.toml"
 	write := func(text string) {
--- a/internal/endpointsource/golden_test.go
+++ b/internal/endpointsource/golden_test.go
@@ -12,7 +12,7 @@
 	"birchfork/internal/engine"
 )
 
-// sortEndpoints sorts the endpoints of an answer: a whole list is in no order.
+// sortEndpoints sorts the endpoints of an answer: a complete list has no order.
 func sortEndpoints(body string) string {
 	const opening, separator, closing = `"endpoints":[{`, `},{`, `}]}`
 	head, list, found := strings.Cut(body, opening)
@@ -25,7 +25,7 @@
 	return head + opening + strings.Join(endpoints, separator) + closing + end
 }
 
-// The answers to dispatchers, before and after a change, and to operators are those of earlier builds, byte for byte. The test writes the
+// The answers to dispatchers, before and after a change, and to operators are those of earlier builds, byte by byte. The test writes the
 // file if UPDATE_GOLDEN is set.
 func TestServer_KeepsItsAnswers(t *testing.T) {
 	const path = "testdata/golden/answers.txt"
--- a/internal/endpointsource/server_test.go
+++ b/internal/endpointsource/server_test.go
@@ -15,8 +15,8 @@
 	"birchfork/internal/engine"
 )
 
-// A dispatcher's own decoder reads the view's list from the answers, whole and as a watch; of many changes of one worker the watch sends
-// the last.
+// A dispatcher's decoder reads the view's list from the server's responses, as a complete list and as a watch; of many changes of one
+// worker the watch sends the last.
 func TestServer_AnswersAsDiscovery(t *testing.T) {
 	server := NewServer(Config{SourceCount: 1})
 	defer server.Close()
@@ -75,7 +75,7 @@
 	}
 }
 
-// The server's timer runs what the view has due, in virtual time.
+// The server's timer runs what is due in the view, in virtual time.
 func TestServer_FailsOverByTimer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := NewServer(Config{SourceCount: 2, FailoverDelay: 5 * time.Second, FailbackDelay: 3 * time.Second, EmptyListDelay: 10 * time.Second})
--- a/internal/endpointsource/view_test.go
+++ b/internal/endpointsource/view_test.go
@@ -38,12 +38,12 @@
 	if out := v.Update(3*time.Second, 0, Update{Revision: 50, Endpoints: []engine.Endpoint{testEndpoint("a", dispatch.Ready, 1)}}); out != nil {
 		t.Errorf("an outdated change was applied: %+v", out)
 	}
-	// A restored store is older: a worker that drained stays so, an incarnation that is new is ready.
+	// A restored store is older: a worker that drained stays drained, a new incarnation is ready.
 	v.Update(4*time.Second, 0, Update{Snapshot: true, Revision: 20, Endpoints: []engine.Endpoint{testEndpoint("a", dispatch.Ready, 1), testEndpoint("c", dispatch.Ready, 1)}})
 	if stateOf(v, "a") != dispatch.Draining || stateOf(v, "c") != dispatch.Ready {
 		t.Errorf("after a restore: a %v, c %v", stateOf(v, "a"), stateOf(v, "c"))
 	}
-	// The restored list read again, as after a broken watch, is no change.
+	// Reading the restored list again, as after a broken watch, is not a change.
 	v.MarkLost(4*time.Second, 0)
 	v.Update(4*time.Second, 0, Update{Snapshot: true, Revision: 20, Endpoints: []engine.Endpoint{testEndpoint("a", dispatch.Ready, 1), testEndpoint("c", dispatch.Ready, 1)}})
 	v.Update(4*time.Second, 0, Update{Snapshot: true, Revision: 25, Endpoints: []engine.Endpoint{testEndpoint("a", dispatch.Ready, 1), testEndpoint("c", dispatch.Ready, 1)}})
@@ -56,7 +56,7 @@
 	}
 }
 
-// An empty list in place of a good one is applied after the delay; the removal of single workers at once.
+// An empty list that replaces a non-empty one is applied after the delay; the removal of single workers immediately.
 func TestView_DelaysEmptyList(t *testing.T) {
 	v := NewView(Config{SourceCount: 1, EmptyListDelay: 10 * time.Second})
 	v.Update(0, 0, Update{Snapshot: true, Endpoints: []engine.Endpoint{testEndpoint("a", dispatch.Ready, 1)}})
@@ -69,14 +69,14 @@
 	if v.Tick(10*time.Second) != nil || len(v.Tick(11*time.Second)) != 1 || stateOf(v, "a") != dispatch.Gone {
 		t.Error("a removal of all workers was not applied after the delay")
 	}
-	// A removal of the last worker by a change is no empty list: it is applied at once.
+	// Removing the last worker by a change is not an empty list: it is applied immediately.
 	v.Update(12*time.Second, 0, Update{Snapshot: true, Endpoints: []engine.Endpoint{testEndpoint("b", dispatch.Ready, 1)}})
 	if out := v.Update(13*time.Second, 0, Update{Endpoints: []engine.Endpoint{testEndpoint("b", dispatch.Gone, 1)}}); len(out) != 1 || stateOf(v, "b") != dispatch.Gone {
 		t.Errorf("a removal was delayed: %+v", out)
 	}
 }
 
-// A source that is lost for the delay gives way to the next; with all lost the last list stays.
+// After a source has been lost for the delay the next one becomes active; if all are lost the last list is kept.
 func TestView_FailsOverAndBack(t *testing.T) {
 	v := NewView(Config{SourceCount: 2, FailoverDelay: 5 * time.Second, FailbackDelay: 3 * time.Second})
 	second := []engine.Endpoint{testEndpoint("b", dispatch.Ready, 1)}
--- a/internal/engine/admission_test.go
+++ b/internal/engine/admission_test.go
@@ -10,7 +10,7 @@
 	"birchfork/internal/routes"
 )
 
-// routesOf returns routes and limits with one route r for the class search, and a rest.
+// routesOf returns routes and limits with one route r for the class search, and a default route.
 func routesOf(t *testing.T, route routes.Route) (*routes.Table, admission.Config) {
 	t.Helper()
 	route.Name, route.Admission.Name, route.Match.Class, route.Fallback = "r", "r", "search", -1
@@ -22,8 +22,8 @@
 	return table, admission.Config{Routes: table.AdmissionConfigs()}
 }
 
-// The operator's limit rejects with its reason before the decision module sees a request, and each way that a request ends gives back
-// what it holds, once.
+// The operators' limit rejects with its reason before the decision module gets a request, and each way in which a request ends
+// releases its reservation once.
 func TestReservation_ReleasedOnceByEveryEnd(t *testing.T) {
 	decider := &scriptedDecider{}
 	engine := newEngine(t, decider)
@@ -76,7 +76,7 @@
 	}
 	request := mustOpen(t, engine, "z")
 	request.reservation.release(engine.now(), admission.Timely)
-	request.Close() // releases again, which counts for nothing
+	request.Close() // a second release has no effect
 	if fields := engine.LimitFields(); fields["limit_held"] != 0 {
 		t.Errorf("%v requests are held after one was released twice", fields["limit_held"])
 	}
@@ -85,7 +85,7 @@
 	}
 }
 
-// A reload with requests open keeps what they hold, and what they were allowed.
+// A reload keeps the reservations of open requests, and what they were allowed.
 func TestSetLimits_KeepsOpenReservations(t *testing.T) {
 	decider := &scriptedDecider{}
 	engine := newEngine(t, decider)
@@ -110,7 +110,7 @@
 	}
 }
 
-// Where a route has no room a request goes on by its fallback; where none has any it is rejected with the reason of the first one.
+// If a route is at its limit a request takes its fallback; if all are, it is rejected with the reason of the first one.
 func TestAdmit_FollowsFallbackRoutes(t *testing.T) {
 	engine := newEngine(t, &scriptedDecider{})
 	engine.maxOpen = 0
--- a/internal/engine/attempt_test.go
+++ b/internal/engine/attempt_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// The context of an attempt ends when that is cancelled, and when it times out, and no other attempt's does.
+// The context of an attempt ends when the attempt is cancelled or times out, and no other attempt's does.
 func TestAttempt_ContextEndsByCancelAndTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		decider := &scriptedDecider{respond: func(event *dispatch.Event) []dispatch.Action {
@@ -87,7 +87,7 @@
 	})
 }
 
-// What a worker cannot use is the request's own fault: it ends at once, and the decision module learns nothing of the worker.
+// An invalid request is at fault itself: it ends immediately, and the decision module records nothing about the worker.
 func TestReportInvalidRequest_BlamesNoWorker(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
--- a/internal/engine/clock_test.go
+++ b/internal/engine/clock_test.go
@@ -8,7 +8,7 @@
 	"birchfork/dispatch"
 )
 
-// The decision module takes a timer's event that is earlier than it asked for as no answer to its call, and never asks again.
+// The decision module ignores a timer's event that is earlier than requested, and never requests a timer again.
 func TestTimer_NeverFiresEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var requested dispatch.Time
--- a/internal/engine/endpoints_test.go
+++ b/internal/engine/endpoints_test.go
@@ -8,7 +8,7 @@
 	"birchfork/dispatch"
 )
 
-// A start that is converted anew with every update would move with the wall clock, and another start is a restart.
+// A start that is converted again with every update would move with the wall clock, and a different start is a restart.
 func TestUpdateEndpoints_ConvertsStartTimesOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		decider := &scriptedDecider{}
@@ -29,7 +29,8 @@
 	})
 }
 
-// Connections are of no use any more where a worker has restarted, moved or left, or drains; an update with no change retires none.
+// Connections are of no use any more if a worker has restarted, moved or left, or drains; an update without a change retires
+// none.
 func TestOnEndpointRetired(t *testing.T) {
 	engine := newEngine(t, &scriptedDecider{})
 	var retired []string
@@ -52,7 +53,7 @@
 	}
 }
 
-// Discovery's version may start again from a lower figure; the decision module takes a lower one for a late update.
+// Discovery's version may restart from a lower number; the decision module would take a lower one for a late update.
 func TestUpdateEndpoints_AcceptsLowerVersion(t *testing.T) {
 	decider := &scriptedDecider{}
 	engine := newEngine(t, decider)
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -8,7 +8,7 @@
 	"birchfork/dispatch"
 )
 
-// A panic of the decision module costs one decision and not the process.
+// A panic of the decision module loses one decision, but does not end the process.
 func TestDecide_RecoversFromPanic(t *testing.T) {
 	decider := &scriptedDecider{respond: func(event *dispatch.Event) []dispatch.Action {
 		if event.Kind == dispatch.RequestArrived {
@@ -24,7 +24,7 @@
 	}
 }
 
-// Every attempt that the real decision module orders ends, and nothing of a request is left behind.
+// Every attempt that the real decision module orders ends, and nothing of a request is left.
 func TestEngine_RealDeciderLeavesNothingOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine := newEngine(t, nil)
--- a/internal/engine/exclusion_test.go
+++ b/internal/engine/exclusion_test.go
@@ -8,8 +8,8 @@
 	"birchfork/dispatch"
 )
 
-// A worker of which others know a later state is sent nothing until they know none any more, and warms up since its listed start then. Its
-// latest start counts, also where it is listed as leaving without one.
+// A worker of which others know a later state is sent nothing until they no longer do, and then warms up from its listed start.
+// Its latest start counts, even if it is listed as leaving without one.
 func TestExcludeOutdated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		decider := &scriptedDecider{respond: sendToFirstWorker}
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -21,11 +21,11 @@
 	"birchfork/internal/settings"
 )
 
-// The golden files of this package hold what operators and clients read: the names of log fields, and the bytes of answers. They were
-// written by the code from before its identifiers were renamed. goldentest.Check says how they are written anew, which only a wanted
-// change of what is read may do.
+// The golden files of this package contain what operators and clients read: the names of log fields, and the bytes of answers.
+// They were written by the code from before its identifiers were renamed. goldentest.Check describes how to rewrite them, which
+// only an intended change of what is read may do.
 
-// fieldText returns one line for each log field, with its value, sorted.
+// fieldText returns one line per log field, with its value, sorted.
 func fieldText(fields logrus.Fields) string {
 	lines := make([]string, 0, len(fields))
 	for name, value := range fields {
@@ -35,7 +35,7 @@
 	return strings.Join(lines, "")
 }
 
-// TestCounters_LogFieldsGolden sets every counter to a value of its own, so that a field that swapped its name shows.
+// TestCounters_LogFieldsGolden sets every counter to a different value, so that a swapped name is detected.
 func TestCounters_LogFieldsGolden(t *testing.T) {
 	var c engine.Counters
 	next := int64(100)
@@ -45,7 +45,7 @@
 			next++
 		}
 	}
-	// The golden file has the values that this order gives.
+	// The golden file contains the values of this order.
 	set(&c.Accepted, &c.Served, &c.Shed, &c.Failed, &c.ClientsGone, &c.ClientsGoneEarly)
 	set(&c.BadRequests, &c.BadHeaders, &c.BadFraming, &c.BadSizes, &c.BadBodies, &c.BadClasses, &c.BadMethods, &c.BadIDs)
 	set(&c.RejectedByWorkers, &c.Unreadable, &c.RejectedOverLimit, &c.OutlierReports, &c.Overdue, &c.WriteFailures)
@@ -87,7 +87,7 @@
 	}
 }
 
-// deciderFunc is a decision module that does what a test says.
+// deciderFunc is a decision module whose actions a test defines.
 type deciderFunc func(event *dispatch.Event) []dispatch.Action
 
 func (d deciderFunc) Handle(_ dispatch.Time, event *dispatch.Event, out []dispatch.Action) []dispatch.Action {
@@ -102,7 +102,7 @@
 	"machine_types":["big"],"customers":[{"name":"acme","quota_rps":9},{"name":"other","quota_rps":9}],
 	"policy_limits":{"attempts_cap":3,"retry_after":true,"max_retry_after":2}}`
 
-// newEngine returns an engine with goldenSettings and a decider, until the test ends, and its classes.
+// newEngine returns an engine with goldenSettings and a decider, which is closed when the test ends, and its classes.
 func newEngine(t *testing.T, maxOpen int, decider deciderFunc) (*engine.Engine, []dispatch.Class) {
 	t.Helper()
 	names := settings.NewNameTable()
@@ -120,7 +120,8 @@
 	return e, decoded.Classes
 }
 
-// limitedRoutes returns a route for each limit, and a rest with no limit of its own. All may have 20 requests open.
+// limitedRoutes returns a route for each limit, and a default route without a limit of its own. Together they may have 20 open
+// requests.
 func limitedRoutes(t *testing.T) (*routes.Table, admission.Config) {
 	t.Helper()
 	limited := []admission.RouteConfig{
@@ -149,15 +150,15 @@
 	}
 }
 
-// limitedRequest is a kind of request that comes again and again.
+// limitedRequest is a kind of request that is repeated.
 type limitedRequest struct {
 	path, tenant string
 	retry        bool
-	admitted     int // so many are opened ...
-	rejected     int // ... and then so many are rejected
+	admitted     int // number that is opened ...
+	rejected     int // ... and then number that is rejected
 }
 
-// limitedRequests end for each of the reasons, if they come in this order.
+// limitedRequests are rejected for each of the reasons, if they arrive in this order.
 var limitedRequests = []limitedRequest{
 	{path: "/search/by-rate", tenant: "acme", admitted: 1, rejected: 2},
 	{path: "/search/by-concurrency", tenant: "acme", admitted: 1, rejected: 3},
--- a/internal/engine/heartbeat_test.go
+++ b/internal/engine/heartbeat_test.go
@@ -8,10 +8,10 @@
 	"birchfork/dispatch"
 )
 
-// An update that came while the whole process stood still counts as delivered, though nobody has read it: an attempt that is sent right after
-// the stall could come too late for the drain.
+// An update that arrived while the process stood still counts as delivered, although it has not been read: an attempt that is
+// sent right after the stall could be too late for the drain.
 func TestMaySend_WaitsAfterStall(t *testing.T) {
-	for _, heartbeatFirst := range []bool{false, true} { // whether the heartbeat or the attempt is the first to run again
+	for _, heartbeatFirst := range []bool{false, true} { // whether the heartbeat or the attempt is the first to run after the stall
 		synctest.Test(t, func(t *testing.T) {
 			engine := newEngine(t, &scriptedDecider{respond: sendToFirstWorker})
 			engine.UpdateEndpoints(listWith(dispatch.Ready, "127.0.0.1:1", 7))
--- a/internal/engine/helpers_test.go
+++ b/internal/engine/helpers_test.go
@@ -11,7 +11,7 @@
 	"birchfork/internal/settings"
 )
 
-// scriptedDecider is a decision module that keeps its events and answers them as a test says.
+// scriptedDecider is a decision module that records its events and returns the actions that a test defines.
 type scriptedDecider struct {
 	events  []dispatch.Event
 	times   []dispatch.Time
@@ -37,7 +37,7 @@
 	return events
 }
 
-// count returns how many events of one kind there were.
+// count returns the number of events of one kind.
 func (d *scriptedDecider) count(kind dispatch.EventKind) int { return len(d.eventsOf(kind)) }
 
 // basicSettings has one class, one zone, one kind of worker and one tenant, in the platform's JSON.
@@ -55,7 +55,8 @@
 	return decoded, names
 }
 
-// newEngine returns an engine with basicSettings until the test ends; a nil decider is the real decision module.
+// newEngine returns an engine with basicSettings that is closed when the test ends; with a nil decider it runs the real decision
+// module.
 func newEngine(t *testing.T, decider *scriptedDecider) *Engine {
 	t.Helper()
 	decoded, names := decodeSettings(t, basicSettings)
@@ -108,7 +109,7 @@
 	return (<-mustOpen(t, engine, id).Decisions()).Attempt
 }
 
-// isExactly tells whether an error is a certain one, and not one that wraps it: clients read the text, which must not change.
+// isExactly reports whether an error is a given one, and not one that wraps it: clients read the text, which must not change.
 func isExactly(err, want error) bool {
 	return err == want //nolint:errorlint // errors.Is would take a wrapped error, which has another text
 }
--- a/internal/engine/lease_test.go
+++ b/internal/engine/lease_test.go
@@ -7,7 +7,7 @@
 	"birchfork/dispatch"
 )
 
-// The group's restrictions and its lease hold right before the first byte, whatever the decision module has ordered before.
+// The group's restrictions and its lease apply right before the first byte, whatever the decision module has ordered before.
 func TestMaySend_FollowsRestrictionsAndLease(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
@@ -51,12 +51,13 @@
 	check("plans known", later, true, false)
 }
 
-// A worker that was excluded for want of the lease alone warms up since its listed start; one that was enabled by an override, since then.
+// A worker that was excluded only for lack of the lease warms up from its listed start; one that was enabled by an override, from
+// then on.
 func TestSetLeaseExpiry_KeepsStartTimes(t *testing.T) {
 	for _, c := range []struct {
 		name           string
-		started        time.Duration // the list's start, ago
-		overridden     bool          // disabled and enabled, while the lease does not run
+		started        time.Duration // listed start, as time before now
+		overridden     bool          // disabled and enabled while the lease has expired
 		minAge, maxAge time.Duration
 	}{
 		{"started lately", 3 * time.Second, false, 2 * time.Second, 4 * time.Second},
@@ -84,8 +85,8 @@
 	}
 }
 
-// Where plans are unknown the decision module is notified that it may not use a worker before it is notified of the worker. It is notified
-// too when a lease runs out by itself.
+// If plans are unknown, the decision module is notified that it must not use a worker before it is notified of the worker. It is
+// also notified when a lease expires.
 func TestSetLeaseExpiry_TellsDecider(t *testing.T) {
 	decider := &scriptedDecider{}
 	engine := newEngine(t, decider)
--- a/internal/engine/outlier_test.go
+++ b/internal/engine/outlier_test.go
@@ -6,7 +6,8 @@
 	"birchfork/dispatch"
 )
 
-// Attempts that fail in a row at one worker are reported, a chance failure is not. What others report reaches the decision module, by name.
+// Attempts that fail in a row at one worker are reported, a single failure is not. Reports of others reach the decision module,
+// by name.
 func TestOnOutlier_ReportsConsecutiveFailures(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
@@ -17,10 +18,10 @@
 	finish := func(result dispatch.Result) {
 		engine.mu.Lock()
 		defer engine.mu.Unlock()
-		attempt.finished = false // once more
+		attempt.finished = false // to finish it again
 		attempt.finish(result, nil)
 	}
-	finish(dispatch.ResultFailed) // before anybody listens
+	finish(dispatch.ResultFailed) // before a function is set
 	finish(dispatch.ResultFailed)
 	engine.OnOutlier(func(worker string) {
 		reports++
--- a/internal/engine/overrides_test.go
+++ b/internal/engine/overrides_test.go
@@ -19,8 +19,8 @@
 	return map[string]Override{name: {At: at}}
 }
 
-// An attempt that was ordered before its worker was disabled is not sent after that, nor once the worker is enabled: the process that it
-// was meant for is gone.
+// An attempt that was ordered before its worker was disabled is not sent after that, not even once the worker is enabled: the
+// process for which it was meant has ended.
 func TestMaySend_FalseAfterWorkerWasDisabled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		decider := &scriptedDecider{respond: sendToFirstWorker}
@@ -66,7 +66,7 @@
 	})
 }
 
-// The newest override of a worker counts, in whatever order they come. One that was given a while ago counts since then.
+// The newest override of a worker counts, in whatever order they arrive. One from a while ago counts from its time.
 func TestApplyOverrides_IgnoresOlder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		decider := &scriptedDecider{}
--- a/internal/engine/recentids_test.go
+++ b/internal/engine/recentids_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The id of a request that has ended does not open another one: it would have a second effect, and others may know the id.
+// The id of a request that has ended cannot open another one: that would have a second effect, and others may know the id.
 func TestOpen_RejectsRecentID(t *testing.T) {
 	engine := newEngine(t, &scriptedDecider{})
 	engine.maxOpen = 0
--- a/internal/engine/reconfigure_test.go
+++ b/internal/engine/reconfigure_test.go
@@ -8,14 +8,15 @@
 	"birchfork/dispatch"
 )
 
-// reconfigureTo puts settings in the platform's JSON in force.
+// reconfigureTo applies settings in the platform's JSON.
 func reconfigureTo(t *testing.T, engine *Engine, settingsJSON string) {
 	t.Helper()
 	decoded, names := decodeSettings(t, settingsJSON)
 	engine.Reconfigure(Reconfiguration{Settings: decoded, Names: names, MaxOpen: 9})
 }
 
-// An open request goes on over a change of settings, with its id, its class and its attempts. Names are as the new settings have them.
+// An open request continues over a change of settings, with its id, its class and its attempts. Names are those of the new
+// settings.
 func TestReconfigure_KeepsOpenRequests(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
@@ -47,7 +48,7 @@
 	}
 }
 
-// More attempts than a request was opened with have no room among its decisions: one beyond would block the engine.
+// The decisions of a request have no capacity for more attempts than it was opened with: a further one would block the engine.
 func TestReconfigure_MoreAttemptsDoNotBlock(t *testing.T) {
 	decider := &scriptedDecider{}
 	engine := newEngine(t, decider)
--- a/internal/engine/request_test.go
+++ b/internal/engine/request_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// A request is answered once, and its id is given to another request then.
+// A request is answered once, and its id is then reused for another request.
 func TestRequest_ServedOnceAndIDFreed(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
@@ -68,8 +68,8 @@
 	}
 }
 
-// A request whose client has gone may have an attempt that nobody carries out any more: it must end, or the decision module counts its
-// slot as used for ever.
+// A request whose client has disconnected may have an attempt that nobody carries out: it must end, or the decision module counts
+// its slot as used forever.
 func TestClose_EndsUntakenAttempt(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
@@ -89,7 +89,7 @@
 	}
 }
 
-// A request whose time is up fails, unless the decision module's answer has just come.
+// A request whose time is up fails, unless the decision module's answer has just arrived.
 func TestAbort_PrefersDeciderAnswer(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
@@ -100,7 +100,7 @@
 		t.Fatalf("decision %+v", decision)
 	}
 	request.Close()
-	request = mustOpen(t, engine, "b") // nobody takes its attempt: it never ran
+	request = mustOpen(t, engine, "b") // its attempt is never received: it never ran
 	if decision := request.Abort(); decision.Kind != DecisionShed {
 		t.Fatalf("decision %+v", decision)
 	}
@@ -148,7 +148,7 @@
 	}
 }
 
-// Attempts outlive their request, whose id must not be used again while one of them can still name it.
+// Attempts outlive their request, whose id must not be reused while one of them can still refer to it.
 func TestRequest_KeepsIDWhileAttemptInFlight(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
--- a/internal/engine/restrictions_test.go
+++ b/internal/engine/restrictions_test.go
@@ -14,8 +14,8 @@
 	return names
 }
 
-// At a host under maintenance nothing is sent to a worker of another name either, and what runs at a worker that has moved away counts for
-// the host where it runs.
+// At a host under maintenance nothing is sent to a worker with another name either, and what runs at a worker that has moved away
+// counts for the host where it runs.
 func TestSetRestrictions_BindsHosts(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
@@ -32,7 +32,7 @@
 	engine.SetRestrictions(Restrictions{LeasedHosts: map[string]bool{"h0": true}, MaintenanceHosts: map[string]bool{"h0": true}})
 	engine.UpdateEndpoints(EndpointList{Version: 2, Snapshot: true, Endpoints: []Endpoint{endpoint("old", "h1:1"), endpoint("new", "h0:1")}})
 	if names, hosts := engine.BusyWorkers(); fmt.Sprint(names, hosts) != "[] [h0]" {
-		t.Errorf("busy are %v at %v", names, hosts) // old is at a host of no plan now; its attempt is not
+		t.Errorf("busy are %v at %v", names, hosts) // old is now at a host of no plan; its attempt is not
 	}
 	engine.SetRestrictions(Restrictions{LeasedHosts: map[string]bool{"h0": true, "h1": true}, MaintenanceHosts: map[string]bool{"h0": true}})
 	if names, hosts := engine.BusyWorkers(); fmt.Sprint(names, hosts) != "[old] [h0 h1]" {
@@ -53,7 +53,7 @@
 	}
 }
 
-// What runs, or may run still, at a worker of a plan makes it busy; what is known to be over does not.
+// A worker of a plan is busy while a request runs there, or may still run; not once it is known to have ended.
 func TestBusyWorkers_UntilAttemptsAreOver(t *testing.T) {
 	for result, busy := range map[dispatch.Result]bool{
 		dispatch.ResultOK:           false,
--- a/internal/frontend/body_test.go
+++ b/internal/frontend/body_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// A client that sends 60 MB at full speed gets its response before it is through, and the response survives the reset that its bytes meet;
-// with a chunked body too.
+// A client that sends 60 MB at full speed gets its response before it has finished, and the response survives the reset that its bytes
+// cause; also with a chunked body.
 func TestHandler_RejectsHugeBodyEarly(t *testing.T) {
 	h := newHarness(t, "", 0)
 	for i, framing := range []string{"Content-Length: 60000000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n"} {
@@ -39,7 +39,7 @@
 		for range 600 {
 			n, err := c.Write(block)
 			if sent += n; err != nil {
-				break // cut off
+				break // connection closed
 			}
 		}
 		res, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -56,7 +56,7 @@
 	}
 }
 
-// A chunked body is allowed. What is behind it is not read.
+// A chunked body is allowed. What follows it is not read.
 func TestHandler_ChunkedBody(t *testing.T) {
 	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
 	h := newHarness(t, w.Address, 0)
@@ -72,7 +72,7 @@
 	}
 }
 
-// Bodies hold memory only as far as they have arrived, and together no more than their budget; small ones always fit.
+// Bodies use memory only as far as they have arrived, and together no more than their budget; small ones always fit.
 func TestHandler_BodiesStayWithinBudget(t *testing.T) {
 	release := make(chan bool)
 	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool { <-release; return upstreamtest.RespondDone(c, r) })
@@ -99,7 +99,7 @@
 	waitFor(t, "all is given back", func() bool { return h.handler.BodyBudget.available.Load() == 100<<10 })
 }
 
-// What is reserved stays so when the limit changes.
+// Reservations are kept when the limit changes.
 func TestMemoryBudget_SetLimitKeepsReservations(t *testing.T) {
 	var b MemoryBudget
 	b.SetLimit(100)
@@ -110,7 +110,7 @@
 	if b.reserve(1) {
 		t.Error("more is taken than there is")
 	}
-	b.available.Add(60) // given back
+	b.available.Add(60) // released
 	if !b.reserve(50) || b.reserve(1) {
 		t.Error("not all is there again, or more than all")
 	}
--- a/internal/frontend/clientgone_test.go
+++ b/internal/frontend/clientgone_test.go
@@ -25,13 +25,14 @@
 	c.Close()
 	waitFor(t, "the client counts as gone", func() bool { return h.engine.Counters.ClientsGone.Load() == 1 })
 	close(release)
-	h.settled(t) // the attempt still ends in order
+	h.settled(t) // the attempt still ends properly
 	if h.engine.Counters.Served.Load() != 0 || h.engine.Counters.Outcomes[dispatch.ResultOK].Load() != 1 {
 		t.Fatal(h.engine.Counters.Fields())
 	}
 }
 
-// net/http stops reading at the first byte behind a request, so that it would see a client that leaves after that only by its response.
+// net/http stops reading at the first byte after a request, and would notice a client that leaves after that only when it writes the
+// response.
 func TestHandler_SeesClientGoBehindSurplusBytes(t *testing.T) {
 	w, open := startGatedWorker(t)
 	h := newHarness(t, w.Address, 0)
@@ -50,7 +51,7 @@
 	h.settled(t)
 }
 
-// A client that sends on and on behind its request is not waited for, and what it sends takes no memory.
+// A client that sends endlessly after its request is not waited for, and its data takes no memory.
 func TestHandler_SurplusFloodEndsRequest(t *testing.T) {
 	w, _ := startGatedWorker(t)
 	h := newHarness(t, w.Address, 0)
@@ -64,7 +65,7 @@
 	}
 }
 
-// A client that has ended only its sending still reads: it must not take an empty response of net/http's for a result.
+// A client that has closed only its sending direction still reads: it must not take an empty response of net/http's for a result.
 func TestHandler_HalfClosedClientGetsNoResponse(t *testing.T) {
 	w, _ := startGatedWorker(t)
 	h := newHarness(t, w.Address, 0)
@@ -81,7 +82,7 @@
 	waitFor(t, "it counts as gone", func() bool { return h.engine.Counters.ClientsGone.Load() == 1 })
 }
 
-// A request that is read after its client has left is not opened at the engine.
+// A request that is read after its client has disconnected is not opened at the engine.
 func TestHandler_GoneClientIsNotOpened(t *testing.T) {
 	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
 	h := newHarness(t, w.Address, 0)
@@ -99,7 +100,7 @@
 	}
 	delayed := &delayedListener{Listener: listener, ready: make(chan bool)}
 	h.serve(t, delayed)
-	close(delayed.ready) // all of it has come, and all have left, before the first is read
+	close(delayed.ready) // all have arrived, and all clients have left, before the first is read
 	waitFor(t, "all were read", func() bool { return h.engine.Counters.ClientsGoneEarly.Load() == 20 })
 	if sent, accepted := h.engine.Counters.AttemptsSent.Load(), h.engine.Counters.Accepted.Load(); sent != 0 || accepted != 0 || w.RequestCount() != 0 {
 		t.Fatalf("%d opened, %d attempts, %d at the worker", accepted, sent, w.RequestCount())
@@ -117,7 +118,7 @@
 	return l.Listener.Accept()
 }
 
-// departedClient returns the handler's side of a connection whose client has left, which nobody has read yet.
+// departedClient returns the handler's side of a connection whose client has left, which has not been read yet.
 func departedClient(t *testing.T) *clientConn {
 	t.Helper()
 	c, far := connectClient(t, &ConnTracker{Counters: new(engine.Counters)})
@@ -129,7 +130,7 @@
 	return c
 }
 
-// For a client whose leaving has arrived and was not read yet, as after a stall, nothing must be sent to a worker.
+// For a client whose disconnect has arrived and was not read yet, as after a stall, nothing must be sent to a worker.
 func TestTransport_SendsNothingForGoneClient(t *testing.T) {
 	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
 	h := newHarness(t, w.Address, 0)
--- a/internal/frontend/conntracker_test.go
+++ b/internal/frontend/conntracker_test.go
@@ -15,7 +15,7 @@
 	"birchfork/internal/upstream/upstreamtest"
 )
 
-// A lower limit closes connections at once that are too many and await no response.
+// A lower limit immediately closes connections over it that await no response.
 func TestConnTracker_FollowsLimits(t *testing.T) {
 	c := &ConnTracker{SoftLimit: 9, HardLimit: 9, Counters: &engine.Counters{}}
 	for i := range 6 {
@@ -32,7 +32,7 @@
 	}
 }
 
-// With a crowd of idle connections over the limit, each new one costs a single look at the others, and no memory that grows with their number.
+// With many idle connections over the limit, each new one costs a single pass over the others, and no memory that grows with their number.
 func TestConnTracker_EvictionCostIsConstant(t *testing.T) {
 	for _, limit := range []int{10, 1000} {
 		c := &ConnTracker{SoftLimit: limit, Counters: new(engine.Counters)}
@@ -63,7 +63,7 @@
 	}
 }
 
-// Of the connections that may be closed the lowest class goes first, and of these the one that is silent for longest.
+// Of the connections that may be closed the lowest class is closed first, and within it the one that has been silent for longest.
 func TestConnTracker_EvictionOrder(t *testing.T) {
 	now := time.Now()
 	c := &ConnTracker{Counters: new(engine.Counters)}
@@ -83,7 +83,7 @@
 		add(func(*clientConn) {}),
 		add(func(conn *clientConn) { conn.proven, conn.since = true, now.Add(-3*time.Minute) }),
 		add(func(conn *clientConn) { conn.proven = true }),
-		add(func(conn *clientConn) { conn.since = now.Add(time.Minute) }), // has just come
+		add(func(conn *clientConn) { conn.since = now.Add(time.Minute) }), // has just connected
 	}
 	for limit := len(order); limit > 0; limit-- {
 		c.SoftLimit = limit
@@ -101,7 +101,7 @@
 	}
 }
 
-// A process that drains waits for requests that have begun to arrive, wait unread, or may arrive at once, and for nothing else.
+// A draining process waits for requests that have begun to arrive, are unread, or may arrive at any moment, and for nothing else.
 func TestConnTracker_PendingCountsOpenWork(t *testing.T) {
 	c := &ConnTracker{SoftLimit: 9, HardLimit: 9, Counters: &engine.Counters{}}
 	idle, _ := connectClient(t, c)
@@ -129,11 +129,12 @@
 	idle.awaitingResponse = true
 	want(2, "a whole one")
 	fresh, _ := connectClient(t, c)
-	fresh.since = time.Now().Add(time.Hour) // has just come, however slow this machine is
+	fresh.since = time.Now().Add(time.Hour) // has just connected, however slow this machine is
 	want(3, "one that has just come")
 }
 
-// Connections beyond the limit are accepted all the same, as what waits in the kernel takes a place too. Idle ones are evicted for them.
+// Connections over the limit are accepted nevertheless, since one that waits in the kernel occupies a place too. Idle ones are evicted for
+// them.
 func TestConnTracker_EvictsIdle(t *testing.T) {
 	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
 	h := newHarness(t, w.Address, 0)
@@ -191,7 +192,7 @@
 	}
 }
 
-// A connection may look idle while its next request has arrived already, read or not: closing it would lose that request.
+// A connection may look idle while its next request has already arrived, read or not: closing it would lose that request.
 func TestConnTracker_CloseIdleKeepsUnreadRequests(t *testing.T) {
 	h := newHarness(t, "", 0)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/frontend/fixture_test.go
+++ b/internal/frontend/fixture_test.go
@@ -30,7 +30,7 @@
 	server *http.Server
 }
 
-// newHarness starts a harness that ends with the test. maxOpen bounds its open requests; 0 does not.
+// newHarness starts a harness that stops when the test ends. maxOpen limits its open requests; 0: no limit.
 func newHarness(t testing.TB, worker string, maxOpen int) *harness {
 	t.Helper()
 	h := &harness{engine: enginetest.New(t, maxOpen)}
@@ -57,7 +57,7 @@
 	return h
 }
 
-// settled waits until no attempt is in flight and no connection to a worker in use, which every end has to bring about.
+// settled waits until no attempt is in flight and no connection to a worker in use, which every end must lead to.
 func (h *harness) settled(t testing.TB) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
@@ -94,7 +94,7 @@
 	return n
 }
 
-// newRequest returns a proper request of a class.
+// newRequest returns a valid request of a class.
 func newRequest(t testing.TB, url, class, id, body string) *http.Request {
 	t.Helper()
 	r, err := http.NewRequest("POST", url+"/"+class+"/x%20y?q=1", strings.NewReader(body))
@@ -139,8 +139,8 @@
 	return c
 }
 
-// readResponse reads a response to the end of its body. It returns the status, 0 where the head cannot be read, and whether the response says
-// that the connection is closed behind it.
+// readResponse reads a response to the end of its body. It returns the status, 0 if the head cannot be read, and whether the response says
+// that the connection is closed after it.
 func readResponse(in *bufio.Reader) (status int, last bool, err error) {
 	res, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -151,7 +151,7 @@
 	return res.StatusCode, res.Close, err
 }
 
-// serve starts a server of the harness's handler on a listener of its own, until the test ends.
+// serve starts a server of the harness's handler on a listener, until the test ends.
 func (h *harness) serve(t *testing.T, listener net.Listener) {
 	t.Helper()
 	server := h.handler.HTTPServer()
@@ -159,7 +159,7 @@
 	go func() { _ = server.Serve(h.handler.Conns.WrapListener(listener)) }() // ends when the server is closed
 }
 
-// readToClose reads a response and returns its status, and whether the connection ends behind it with nothing more.
+// readToClose reads a response and returns its status, and whether the connection ends after it without further data.
 func readToClose(t *testing.T, c net.Conn) (status int, closed bool) {
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
@@ -172,7 +172,7 @@
 	return status, errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// waitFor waits until ok holds; what says of what, for a failure.
+// waitFor waits until ok returns true; what describes the condition in a failure.
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
--- a/internal/frontend/golden_test.go
+++ b/internal/frontend/golden_test.go
@@ -22,7 +22,7 @@
 	"birchfork/internal/upstream/upstreamtest"
 )
 
-// goldenCounters names the counters that the golden files of clients record.
+// goldenCounters are the counters that the golden files of clients record.
 var goldenCounters = []string{
 	"taken", "served", "refused", "failed", "gone", "gone_early", "bad_requests", "turned_away", "overdue", "bad_heads", "bad_framing",
 	"bad_sizes", "bad_bodies", "bad_classes", "bad_methods", "bad_ids", "rejected", "unreadable", "unwritten", "sent", "bad_runner_lines",
@@ -44,8 +44,8 @@
 
 var dateHeader = regexp.MustCompile(`\r\nDate: [^\r]*\r\n`)
 
-// exchangeRaw sends the bytes of a request on a connection of its own and returns those of the answer, less its date, and
-// whether the server closed the connection behind it.
+// exchangeRaw sends the bytes of a request on a new connection and returns those of the answer, without its date, and whether the server
+// closed the connection after it.
 func exchangeRaw(t *testing.T, h *harness, sent string) (answer string, closed bool) {
 	t.Helper()
 	c := sendRaw(t, h, sent)
@@ -69,7 +69,7 @@
 	return dateHeader.ReplaceAllString(received.String(), "\r\nDate: DATE\r\n"), closed
 }
 
-// formatExchange is one request of a client with its answer.
+// formatExchange formats one request of a client with its answer.
 func formatExchange(t *testing.T, name, sent, answer string, closed bool, counted string) string {
 	t.Helper()
 	if len(sent) > 4<<10 {
@@ -78,7 +78,7 @@
 	return fmt.Sprintf("== %s\n> request\n%s< response\n%sclosed: %t\ncounted: %s\n\n", name, goldentest.QuoteLines(sent), goldentest.QuoteLines(answer), closed, counted)
 }
 
-// rawRequest is a client's request with the usual headers; change edits them, with an empty value for a header to be left out.
+// rawRequest returns a client's request with the usual headers; change replaces them, or removes a header with an empty value.
 func rawRequest(start string, change map[string]string, body string) string {
 	all := map[string]string{
 		"Host": "h", "X-Request-Id": "a", "X-Class": "search", "X-Tenant": "acme", "X-Deadline-Ms": "5000",
@@ -95,7 +95,7 @@
 	return b.String() + "\r\n" + body
 }
 
-// TestGoldenClientEndings records each way in which a request that reaches the module can end, byte for byte.
+// TestGoldenClientEndings records each way in which a request that reaches the module can end, byte by byte.
 func TestGoldenClientEndings(t *testing.T) {
 	answer := func(s string) func(c net.Conn, r *http.Request) bool {
 		return func(c net.Conn, r *http.Request) bool {
@@ -138,7 +138,7 @@
 	goldentest.Check(t, "frontend-endings.txt", []byte(b.String()))
 }
 
-// limitSearch puts the operator's limits of one route in force, which takes all requests of class search.
+// limitSearch applies operators' limits to one route, which takes all requests of class search.
 func limitSearch(t *testing.T, h *harness, limit admission.RouteConfig) {
 	t.Helper()
 	limit.Name, limit.Priority = "gold", admission.MaxPriority
@@ -150,7 +150,7 @@
 	h.engine.SetLimits(table, admission.Config{Routes: table.AdmissionConfigs()}, make([]dispatch.Class, 3))
 }
 
-// TestGoldenOverLimit records the answers to requests that a limit leaves no place for.
+// TestGoldenOverLimit records the answers to requests that exceed a limit.
 func TestGoldenOverLimit(t *testing.T) {
 	var b strings.Builder
 	for _, c := range []struct {
@@ -191,7 +191,7 @@
 	goldentest.Check(t, "frontend-over-limit.txt", []byte(b.String()))
 }
 
-// TestGoldenBadRequests records status and text of the answer to each kind of request that is no proper one.
+// TestGoldenBadRequests records status and text of the answer to each kind of invalid request.
 func TestGoldenBadRequests(t *testing.T) {
 	var b strings.Builder
 	for _, c := range badRequests() {
@@ -267,7 +267,7 @@
 // maxGoldenText is longer than any text that the handler accepts.
 const maxGoldenText = 5000
 
-// TestGoldenHead records what the headers of a proper request are decoded to.
+// TestGoldenHead records the decoded headers of a valid request.
 func TestGoldenHead(t *testing.T) {
 	var b strings.Builder
 	for _, change := range []map[string]string{
@@ -296,7 +296,7 @@
 	goldentest.Check(t, "frontend-head.txt", []byte(b.String()))
 }
 
-// TestGoldenUp records the answers to the platform's question whether the dispatcher is up.
+// TestGoldenUp records the answers to the platform's health check.
 func TestGoldenUp(t *testing.T) {
 	var b strings.Builder
 	for _, c := range []struct {
--- a/internal/frontend/golden_upstream_test.go
+++ b/internal/frontend/golden_upstream_test.go
@@ -44,7 +44,7 @@
 	goldentest.Check(t, "upstream-forwarded.txt", []byte(b.String()))
 }
 
-// recordingWorker starts a worker that answers one request well and hands over its bytes. It returns the worker's address.
+// recordingWorker starts a worker that answers one request successfully and passes on its bytes. It returns the worker's address.
 func recordingWorker(t *testing.T, received chan<- string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -72,8 +72,8 @@
 	return l.Addr().String()
 }
 
-// TestGoldenWorkerAnswers records what becomes of a worker's whole answer: the bytes that the client gets, the outcome that is
-// counted, and whether the connection is used again.
+// TestGoldenWorkerAnswers records the effect of a worker's complete answer: the bytes that the client gets, the outcome that is counted,
+// and whether the connection is reused.
 func TestGoldenWorkerAnswers(t *testing.T) {
 	const empty = "Content-Length: 0\r\n\r\n"
 	done := upstreamtest.StatusLine("ID", "done", `,"result":"r"`)
--- a/internal/frontend/handler_test.go
+++ b/internal/frontend/handler_test.go
@@ -16,7 +16,7 @@
 
 // A request that no worker can take in time is shed, with a Retry-After within the settings.
 func TestHandler_ShedRequestGetsRetryAfter(t *testing.T) {
-	h := newHarness(t, "", 0) // no worker is known: jobs are held until nobody can wait for them any more
+	h := newHarness(t, "", 0) // no worker is known: requests are queued until they can no longer be served in time
 	r := newRequest(t, h.url, "search", "a", "")
 	r.Header.Set("X-Deadline-Ms", "1000")
 	status, _, head := doRequest(t, r)
@@ -44,7 +44,7 @@
 	h.settled(t)
 }
 
-// Over the soft limit on connections new requests are rejected, with the Retry-After that is set.
+// Over the soft limit on connections new requests are rejected, with the configured Retry-After.
 func TestHandler_RejectsOverSoftLimit(t *testing.T) {
 	release := make(chan bool)
 	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool { <-release; return upstreamtest.RespondDone(c, r) })
@@ -94,7 +94,7 @@
 	h.settled(t)
 }
 
-// At the forced end a decision to send and the end are both ready, and a select takes any of several cases that are ready.
+// At the forced end a decision to send and the end are both ready, and a select takes any of several ready cases.
 func TestHandler_ForceCloseSendsNothing(t *testing.T) {
 	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
 	h := newHarness(t, w.Address, 0)
@@ -102,7 +102,7 @@
 	h.handler.ForceClose()
 	for i := range 40 { // without the guard half of them would be sent
 		status, _, _ := doRequest(t, newRequest(t, h.url, "book", strconv.Itoa(i), ""))
-		if status != 503 { // nothing of it ran, so it is shed, and the client may try again
+		if status != 503 { // it never ran, so it is shed, and the client may retry
 			t.Fatalf("request %d: status %d", i, status)
 		}
 	}
@@ -112,7 +112,7 @@
 	h.settled(t)
 }
 
-// The health check passes while a worker is up and the process is not to stop.
+// The health check passes while a worker is up and the process is not stopping.
 func TestHandler_Up(t *testing.T) {
 	h := newHarness(t, "", 0)
 	up := func() int {
@@ -147,7 +147,7 @@
 	}
 }
 
-// Without keep-alives requests are served as before, and connections are closed behind the response.
+// Without keep-alives requests are served as before, and connections are closed after the response.
 func TestHandler_ServesWithKeepAlivesDisabled(t *testing.T) {
 	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
 	h := newHarness(t, w.Address, 0)
@@ -162,13 +162,13 @@
 	}
 }
 
-// A client that never takes its response must not hold its connection and the request for ever.
+// A client that never reads its response must not occupy its connection and the request forever.
 func TestHandler_UnreadResponseTimesOut(t *testing.T) {
 	defer func(d time.Duration) { writeTimeout = d }(writeTimeout)
 	writeTimeout = 50 * time.Millisecond
 	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
 	h := newHarness(t, w.Address, 0)
-	near, far := net.Pipe() // takes nothing in by itself
+	near, far := net.Pipe() // has no buffer of its own
 	defer far.Close()
 	h.serve(t, &singleConnListener{conn: near, done: make(chan bool)})
 	io.WriteString(far, rawRequestHead+"Content-Length: 0\r\n\r\n")
@@ -194,7 +194,7 @@
 
 func (l *singleConnListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// The write timeout counts for one response alone, not for the next one on the same connection.
+// The write timeout applies to each response separately, not to the next one on the same connection.
 func TestHandler_WriteTimeoutIsPerResponse(t *testing.T) {
 	defer func(d time.Duration) { writeTimeout = d }(writeTimeout)
 	writeTimeout = 200 * time.Millisecond
@@ -217,7 +217,7 @@
 	}
 }
 
-// The timeout of reading a request must not be taken for the client's leaving later.
+// The timeout for reading a request must not be taken for a later disconnect of the client.
 func TestHandler_RequestTimeoutEndsWithBody(t *testing.T) {
 	defer func(d time.Duration) { requestTimeout = d }(requestTimeout)
 	requestTimeout = 300 * time.Millisecond
@@ -232,7 +232,7 @@
 	}
 }
 
-// A client that does not send its request in time, from its connecting on, must not hold a connection.
+// A client that does not send its request in time, from its connection on, must not occupy a connection.
 func TestHandler_SlowRequestsTimeOut(t *testing.T) {
 	defer func(d time.Duration) { requestTimeout = d }(requestTimeout)
 	requestTimeout = 100 * time.Millisecond
@@ -244,7 +244,7 @@
 		c := sendRaw(t, h, send)
 		stop := make(chan bool)
 		if send != "" {
-			go func() { // drips on
+			go func() { // continues byte by byte
 				for {
 					select {
 					case <-stop:
--- a/internal/frontend/headscanner_test.go
+++ b/internal/frontend/headscanner_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The scanner finds the end of a head and its framing where net/http does, however the bytes are split.
+// The scanner finds the end of a head and its framing at the same place as net/http, however the bytes are split.
 func FuzzHeadScanner(f *testing.F) {
 	f.Add([]byte(rawRequestHead+"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc"), 7)
 	f.Add([]byte(rawRequestHead+"Content-Length:\n 3\n\n"), 1)
--- a/internal/frontend/lingeringclose_test.go
+++ b/internal/frontend/lingeringclose_test.go
@@ -14,13 +14,13 @@
 	"birchfork/internal/upstream/upstreamtest"
 )
 
-// setSmallReceiveBuffer leaves a client little room for what it has not read.
+// setSmallReceiveBuffer leaves a client little buffer for unread data.
 func setSmallReceiveBuffer(_, _ string, raw syscall.RawConn) (err error) {
 	controlErr := raw.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
 	return errors.Join(controlErr, err)
 }
 
-// largeSendBufferListener is a listener whose connections have room for all of a long response.
+// largeSendBufferListener is a listener whose connections can buffer a long response completely.
 type largeSendBufferListener struct{ net.Listener }
 
 func (l largeSendBufferListener) Accept() (net.Conn, error) {
@@ -31,17 +31,17 @@
 	return c, err
 }
 
-// A close over unread bytes would reset the connection, and the part of the response that the kernel still has would be lost.
+// A close over unread bytes would reset the connection, and the part of the response that is still in the kernel would be lost.
 func TestHandler_FinalResponseSurvivesSurplusBytes(t *testing.T) {
 	for _, late := range []time.Duration{lingerTimeout / 4, 2 * lingerTimeout} { // during the lingering close, and after it
 		testLastResponse(t, late)
 	}
 }
 
-// testLastResponse makes a request whose client sends more behind the response, and reads that as late as late says.
+// testLastResponse sends a request whose client sends more after the response, and reads the response with the delay late.
 func testLastResponse(t *testing.T, late time.Duration) {
 	t.Helper()
-	const size = 512 << 10 // more than a client takes before it reads
+	const size = 512 << 10 // more than a client receives before it reads
 	result := strings.Repeat("r", size)
 	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool {
 		io.WriteString(c, upstreamtest.Answer(upstreamtest.StatusLine(r.Header.Get("X-Request-Id"), "done", `,"result":"`+result+`"`)))
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	// The first request's answer is the last one, as something came behind it.
+	// The first request's answer is the last one, since surplus bytes arrived after it.
 	io.WriteString(c, strings.Replace(rawRequestHead, "Host: h", "Host: h\r\nConnection: close", 1)+"Content-Length: 0\r\n\r\n")
 	serverSide := serverSideConn(t, h)
 	waitFor(t, "the answer is with the kernel", func() bool {
--- a/internal/frontend/request_test.go
+++ b/internal/frontend/request_test.go
@@ -13,7 +13,7 @@
 	"birchfork/internal/upstream/upstreamtest"
 )
 
-// A request with a fault gets the status for it, and is not opened at the engine.
+// An invalid request gets the status for its fault, and is not opened at the engine.
 func TestHandler_BadRequestsNeverReachDispatcher(t *testing.T) {
 	h := newHarness(t, "", 0)
 	for _, c := range []struct {
@@ -88,14 +88,14 @@
 	})
 }
 
-// A request that cannot be read, or that hides another behind its end, gets a response, is not forwarded, and ends its connection.
+// A request that cannot be parsed, or that hides another one after its end, gets a response, is not forwarded, and ends its connection.
 func TestHandler_MalformedRequests(t *testing.T) {
 	hidden := "POST /search HTTP/1.1\r\nHost: h\r\nX-Request-Id: hidden\r\nX-Class: search\r\nX-Deadline-Ms: 5000\r\n" +
 		"Content-Length: 0\r\n\r\n"
 	both := rawRequestHead + "Transfer-Encoding: chunked\r\nContent-Length: " + strconv.Itoa(len(hidden)+5) + "\r\n\r\n0\r\n\r\n" + hidden
 	for _, c := range []struct {
 		name, send string
-		status     int // 0: a close will do
+		status     int // 0: closing the connection suffices
 		counter    string
 	}{
 		{"both lengths", both, 400, "bad_framing"},
@@ -137,7 +137,7 @@
 	}
 }
 
-// A request whose body does not arrive as a whole is not opened at the engine.
+// A request whose body does not arrive completely is not opened at the engine.
 func TestHandler_PartialRequestIsNotForwarded(t *testing.T) {
 	h := newHarness(t, "", 0)
 	c := sendRaw(t, h, rawRequestHead+"Content-Length: 10\r\n\r\nhalf")
--- a/internal/frontend/sharedlistener_test.go
+++ b/internal/frontend/sharedlistener_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// connect opens connections to an address until the test ends.
+// connect opens connections to an address, which are closed when the test ends.
 func connect(t *testing.T, address string, count int) {
 	t.Helper()
 	for range count {
@@ -19,7 +19,7 @@
 	}
 }
 
-// acceptAll accepts connections, with room for count, until the listener's Accept fails, and hands over its error.
+// acceptAll accepts connections, with capacity for count, until the listener's Accept fails, and passes on its error.
 func acceptAll(listener net.Listener, count int) (accepted <-chan net.Conn, ended <-chan error) {
 	conns, failed := make(chan net.Conn, count), make(chan error, 1)
 	go func() {
@@ -35,7 +35,7 @@
 	return conns, failed
 }
 
-// A listener that drains returns all connections that the kernel has accepted for it; later ones are those of the other listener.
+// A draining listener returns all connections that the kernel has accepted for it; later ones go to the other listener.
 func TestSharedListener_DrainAcceptsPending(t *testing.T) {
 	first, err := ListenShared("127.0.0.1:0")
 	if err != nil {
@@ -54,7 +54,7 @@
 	for range connCount {
 		(<-accepted).Close()
 	}
-	for { // until it listens no more
+	for { // until it no longer listens
 		raw, err := first.SyscallConn()
 		if err != nil || raw.Control(func(uintptr) {}) != nil {
 			break
--- a/internal/frontend/upstream_test.go
+++ b/internal/frontend/upstream_test.go
@@ -19,7 +19,7 @@
 	"birchfork/internal/upstream/upstreamtest"
 )
 
-// A worker gets the request as the client sent it, and the client the worker's result; the connection is used again.
+// A worker gets the request as the client sent it, and the client gets the worker's result; the connection is reused.
 func TestTransport_ForwardsRequestAndResult(t *testing.T) {
 	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
 	h := newHarness(t, w.Address, 0)
@@ -49,7 +49,7 @@
 	}
 }
 
-// answerCase is an answer of a worker to the request ID, and what becomes of it.
+// answerCase is a worker's answer to the request ID, and its effect.
 type answerCase struct {
 	name   string
 	answer string
@@ -59,7 +59,7 @@
 	bad    int64
 }
 
-// answerCases are the answers of the protocol, and what a broken worker may make of them.
+// answerCases returns the answers of the protocol, and what a faulty worker may send.
 func answerCases() []answerCase {
 	long := strings.Repeat("x", upstream.MaxLineBytes+8192)
 	return []answerCase{
@@ -145,7 +145,7 @@
 	}
 }
 
-// A retry tells its worker the time that the client still has, not what it had at the first attempt.
+// A retry sends its worker the time that the client has left, not that of the first attempt.
 func TestTransport_RetrySendsTimeLeft(t *testing.T) {
 	type observation struct {
 		at time.Time
@@ -158,7 +158,7 @@
 		ms, _ := strconv.ParseInt(r.Header.Get("X-Deadline-Ms"), 10, 64)
 		observations <- observation{time.Now(), ms}
 		if first.Swap(false) {
-			time.Sleep(60 * time.Millisecond) // time that the first attempt takes from the client
+			time.Sleep(60 * time.Millisecond) // time of the client used by the first attempt
 			io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 			return true
 		}
@@ -176,7 +176,7 @@
 	}
 }
 
-// A retry is not sent where the window in which workers drop repeats has ended while its connection was set up.
+// A retry is not sent if the window within which workers drop repeats has ended while its connection was set up.
 func TestTransport_RetryStaysWithinWindow(t *testing.T) {
 	e := enginetest.NewWith(t, 0, strings.NewReplacer(`"attempts_cap":1`, `"attempts_cap":3`, `"name":"search","deadline":5,"aim":0.4,"effect":"free"`,
 		`"name":"search","deadline":5,"aim":4,"effect":"guarded","group":"all","window":0.2`).Replace(enginetest.Settings))
@@ -191,11 +191,11 @@
 	h := newHarness(t, "", 0)
 	var dials atomic.Int32
 	pool := upstream.NewPool(func(ctx context.Context, a string) (net.Conn, error) {
-		if dials.Add(1) == 2 { // the repeat's connection comes up when its window is over
+		if dials.Add(1) == 2 { // the retry's connection is established when its window has ended
 			time.Sleep(250 * time.Millisecond)
 		}
 		return (&net.Dialer{}).DialContext(ctx, "tcp", a)
-	}, &e.Counters, 8, time.Nanosecond) // none is kept
+	}, &e.Counters, 8, time.Nanosecond) // no connection is kept
 	defer pool.Close()
 	h.handler.Engine, h.handler.Transport = e, &upstream.Transport{Pool: pool, Counters: &e.Counters}
 	status, _, _ := doRequest(t, newRequest(t, h.url, "search", "a", ""))
@@ -207,7 +207,7 @@
 	}
 }
 
-// An answer that does not end behind its outcome must not hold its connection for ever, nor be mixed with the next one.
+// An answer that continues after its outcome must neither occupy its connection forever nor be mixed with the next one.
 func TestTransport_ClosesConnOnEndlessResponse(t *testing.T) {
 	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool {
 		io.WriteString(c, upstreamtest.OKHead+upstreamtest.Chunk(upstreamtest.StatusLine(r.Header.Get("X-Request-Id"), "done", `,"result":"r"`)))
@@ -246,7 +246,7 @@
 			t.Fatalf("status %d, body %q", status, body)
 		}
 		h.settled(t)
-		time.Sleep(5 * time.Millisecond) // the surplus may come a little later than its answer
+		time.Sleep(5 * time.Millisecond) // the surplus may arrive slightly later than its answer
 	}
 	if w.ConnCount() != 2 {
 		t.Fatalf("%d connections", w.ConnCount())
@@ -265,8 +265,8 @@
 	return n, err
 }
 
-// Under the group's lease the last byte of a request is a write of its own, which does not happen where the lease ends before it: the worker
-// never begins, and the request is shed, after which the client may try again.
+// Under the group's lease the last byte of a request is a write of its own, which is omitted if the lease ends before it: the worker never
+// begins, and the request is shed, after which the client may retry.
 func TestTransport_LastByteNeedsLease(t *testing.T) {
 	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
 	h := newHarness(t, w.Address, 0)
--- a/internal/routes/golden_test.go
+++ b/internal/routes/golden_test.go
@@ -14,7 +14,7 @@
 	"birchfork/internal/goldentest"
 )
 
-// testdata/golden holds what random tables find and allow. UPDATE_GOLDEN=1 writes it.
+// testdata/golden contains what random tables find and allow. UPDATE_GOLDEN=1 writes it.
 
 // writeRandomTable writes what a random table finds for random requests and what its routes allow, or its conflicts.
 func writeRandomTable(w io.Writer, seed uint64) {
--- a/internal/settings/decode_test.go
+++ b/internal/settings/decode_test.go
@@ -8,7 +8,7 @@
 	"birchfork/dispatch"
 )
 
-// Settings in JSON mean the same as those that the simulator's protocol carries.
+// Settings in JSON mean the same as those in the simulator's protocol.
 func TestFlatten_EqualsSimulatorPairs(t *testing.T) {
 	wire := "classes.count=2\tclasses.0.aim=0.4\tclasses.0.deadline=10.0\tclasses.0.effect=free\tclasses.0.name=a_b\t" +
 		"classes.1.deadline=5\tclasses.1.effect=guarded\tclasses.1.group=zone\tclasses.1.window=2.5\tclasses.1.name=c\t" +
@@ -39,7 +39,7 @@
 	}
 }
 
-// A missing setting never takes a value of another deployment: it allows as little as there is, or nothing.
+// A missing setting never gets a value of another deployment: it allows as little as possible, or nothing.
 func TestDecode_MissingMeansNarrowest(t *testing.T) {
 	p, err := Flatten([]byte(`{"classes":[{"name":"c","deadline":5}],"weight_kind":"off"}`))
 	if err != nil {
@@ -56,7 +56,7 @@
 	if s.MaxAttempts != 1 || s.CanHedge || s.CanCancel || s.PeerMessages || s.RetryAfter || s.WeightsShowSize || s.ReportsStart || s.DrainGrace != 0 {
 		t.Errorf("more is allowed than was set: %+v", s)
 	}
-	want := dispatch.Settings{ // every value that stands in for a missing one
+	want := dispatch.Settings{ // every default of a missing setting
 		Classes: s.Classes, OverQuotaWeight: 1, Zone: -1, GroupSize: 1, Tick: dispatch.Millisecond, MaxAttempts: 1, MaxPollInterval: 10 * dispatch.Second,
 		SlowStartMinFactor: 1, OverloadMultiple: 1,
 	}
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -16,10 +16,10 @@
 	"birchfork/internal/goldentest"
 )
 
-// testdata/golden holds what the platform's settings decode to, the text of each error, and the ids and tags of names: some
-// of these are sent to other dispatchers. UPDATE_GOLDEN=1 writes it.
+// testdata/golden contains what the platform's settings decode to, the text of each error, and the ids and tags of names: some of these are
+// sent to other dispatchers. UPDATE_GOLDEN=1 writes it.
 
-// writeSettings writes each field under a name that no renaming of the field changes.
+// writeSettings writes each field under a name that does not change if the field is renamed.
 func writeSettings(w io.Writer, settings *dispatch.Settings) {
 	for _, c := range settings.Classes {
 		fmt.Fprintf(w, "class: aim %d, stretch %v, deadline %d, worth %v, late worth %v, effect %d, group %d, window %d, kind %d\n",
@@ -142,7 +142,7 @@
 		fmt.Fprintf(&out, "worker %q: id %d, tag %d, key %d\n", names.WorkerName(id), id, names.WorkerTag(id), HashKey(name))
 	}
 	fmt.Fprintf(&out, "plain %q, %q\n", NormalizeName("a b,c d"), NormalizeName("a_b"))
-	// Ids of requests are used again in an order that the decisions depend on.
+	// Ids of requests are reused in an order on which the decisions depend.
 	random := rand.New(rand.NewPCG(1, 1))
 	var open []dispatch.RequestID
 	for i := range 200 {
--- a/internal/settings/nametable_test.go
+++ b/internal/settings/nametable_test.go
@@ -7,8 +7,7 @@
 	"birchfork/dispatch"
 )
 
-// A request id is used again only when nothing can name the old request any more: after its final answer and the end of its
-// last attempt.
+// A request id is reused only when nothing can refer to the old request any more: after its final answer and the end of its last attempt.
 func TestNameTable_ReusesRequestIDAfterLastAttempt(t *testing.T) {
 	n := NewNameTable()
 	a, _ := n.OpenRequest([]byte("a"))
@@ -26,7 +25,7 @@
 	}
 }
 
-// Dispatchers agree on a worker's tag, whatever the order in which they meet the names.
+// Dispatchers agree on a worker's tag, whatever the order of the names.
 func TestNameTable_TagsDoNotDependOnOrder(t *testing.T) {
 	a, b := NewNameTable(), NewNameTable()
 	b.InternWorker("10.0.0.9:1")
@@ -36,7 +35,7 @@
 	}
 }
 
-// Other settings number their names in their own way: zones and kinds that are known keep their ids.
+// Other settings assign their own ids to names: known zones and kinds keep theirs.
 func TestNameTable_AdoptKeepsZoneAndKindIDs(t *testing.T) {
 	decode := func(js string) (dispatch.Settings, *NameTable) {
 		t.Helper()
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -14,10 +14,10 @@
 	"birchfork/internal/settings"
 )
 
-// testdata/golden holds the simulator's protocol: each message as it is read, each reply as it is written, and the text of
-// each error. UPDATE_GOLDEN=1 writes it.
+// testdata/golden contains the simulator's protocol: each message as decoded, each reply as encoded, and the text of each error.
+// UPDATE_GOLDEN=1 writes it.
 
-// goldenInput has each message with all its values set, and the values that stand for none.
+// goldenInput returns each message with all its values set, and with the values that mean none.
 func goldenInput() []string {
 	const query = "QUERY\tr-%d\t1\tacme\tbook\t0.25\t4.5\t77\t1\t1\t1.5\t2\n"
 	lines := []string{
@@ -54,7 +54,7 @@
 	dispatch.PeerMessageReceived: "note received",
 }
 
-// writeMessage writes each field under a name that no renaming of the field changes.
+// writeMessage writes each field under a name that does not change if the field is renamed.
 func writeMessage(w io.Writer, message *Message) {
 	switch message.Kind {
 	case BatchBegin:
--- a/internal/simprotocol/reader_test.go
+++ b/internal/simprotocol/reader_test.go
@@ -174,7 +174,7 @@
 	}
 }
 
-// malformedInput is an input with a fault in a line, and what the message says of it.
+// malformedInput is an input with a fault in a line, and what the error says of it.
 type malformedInput struct {
 	name, in string
 	line     int
--- a/internal/tomlfile/golden_test.go
+++ b/internal/tomlfile/golden_test.go
@@ -10,7 +10,7 @@
 	"birchfork/internal/goldentest"
 )
 
-// testdata/golden holds the text of every error: operators and their scripts read it. UPDATE_GOLDEN=1 writes it.
+// testdata/golden contains the text of every error: operators and their scripts read it. UPDATE_GOLDEN=1 writes it.
 
 // goldenSample has a field of each kind that Read supports.
 type goldenSample struct {
@@ -22,7 +22,7 @@
 	List     []string       `toml:"list"`
 	Part     goldenPart     `toml:"part"`
 	Items    []goldenPart   `toml:"item"`
-	Untagged map[string]int // left alone
+	Untagged map[string]int // ignored
 	goldenEmbedded
 }
 
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -24,7 +24,7 @@
 	hidden int
 }
 
-// Read keeps the defaults of what a file does not set, and records the line of each key.
+// Read keeps the defaults of keys that a file does not set, and records the line of each key.
 func TestRead_KeepsDefaults(t *testing.T) {
 	v := sample{Rate: 7, hidden: 1}
 	d := Read("f.toml", []byte("name='a'\nfor = \"1.5s\"\nlimits.memory_mb = 64\n[[class]]\nname='x'\nrange=[1, 2.5]\n[[class]]\nname='y'\ndeep={x=3}\n"), &v)
@@ -66,7 +66,7 @@
 	}
 }
 
-// A file that is no TOML, or too large, gives one error.
+// A file that is not TOML, or too large, gives one error.
 func TestRead_RejectsInvalidTOML(t *testing.T) {
 	for raw, line := range map[string]int{"a = \nb = 1": 1, "name = 'x'\n[class": 2, "name='a'\nname='b'": 2, strings.Repeat("#", MaxSize+1): 0} {
 		d := Read("f", []byte(raw), &sample{})
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -9,7 +9,7 @@
 	"birchfork/internal/goldentest"
 )
 
-// TestGoldenRequest records the bytes of a request as it is written to a worker.
+// TestGoldenRequest records the bytes of a request as written to a worker.
 func TestGoldenRequest(t *testing.T) {
 	var b strings.Builder
 	for _, c := range []struct {
@@ -28,7 +28,7 @@
 	goldentest.Check(t, "request.txt", []byte(b.String()))
 }
 
-// TestGoldenStatusUpdates records what each line of a worker's answer is decoded to.
+// TestGoldenStatusUpdates records the decoded form of each line of a worker's answer.
 func TestGoldenStatusUpdates(t *testing.T) {
 	var b strings.Builder
 	for _, sent := range []string{
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -15,7 +15,7 @@
 	"birchfork/internal/engine"
 )
 
-// pipeDialer is a DialFunc that keeps the remote ends of the connections it opens.
+// pipeDialer is a DialFunc that stores the remote ends of the connections it opens.
 type pipeDialer struct{ remotes []net.Conn }
 
 func (p *pipeDialer) dial(context.Context, string) (net.Conn, error) {
@@ -58,7 +58,7 @@
 	})
 }
 
-// At the limit the longest idle connection gives way, and none in use; closing one twice gives one place back.
+// At the limit the longest idle connection is closed, and none in use; closing one twice releases one place.
 func TestPool_KeepsMaxConns(t *testing.T) {
 	var counters engine.Counters
 	pool := NewPool((&pipeDialer{}).dial, &counters, 2, time.Minute)
@@ -68,7 +68,7 @@
 	}
 	pool.Put(second)
 	pool.Put(first)
-	third := mustGet(t, pool, "h:2") // the longest idle one gives way
+	third := mustGet(t, pool, "h:2") // the longest idle one is closed
 	if open, idle := pool.Counts(); open != 2 || idle != 1 {
 		t.Fatalf("%d open, %d idle", open, idle)
 	}
@@ -104,8 +104,8 @@
 	}
 }
 
-// A connection that its worker has closed or reset, or on which it has sent what nobody asked for, must not get a request: the request
-// would be lost though it never went out.
+// A connection that its worker has closed or reset, or on which it has sent unexpected data, must not get a request: the request would be
+// lost although it was never sent.
 func TestPool_DetectsEndedIdleConnection(t *testing.T) {
 	for name, spoil := range map[string]func(net.Conn){
 		"closed": func(c net.Conn) { c.Close() },
@@ -147,7 +147,7 @@
 	}
 }
 
-// A failed dial takes no place, and is the worker's fault unless this process has no descriptor left.
+// A failed dial occupies no place, and is the worker's fault unless this process has no descriptor left.
 func TestPool_FailedDialReleasesItsSlot(t *testing.T) {
 	var counters engine.Counters
 	fail := error(syscall.ECONNREFUSED)
@@ -166,7 +166,7 @@
 	}
 }
 
-// A lower limit closes idle connections at once, the longest idle first, and no more than are too many.
+// A lower limit immediately closes idle connections, the longest idle first, and no more than necessary.
 func TestPool_SetMaxConnsClosesIdle(t *testing.T) {
 	var counters engine.Counters
 	pool := NewPool((&pipeDialer{}).dial, &counters, 4, time.Minute)
--- a/internal/upstream/transport_test.go
+++ b/internal/upstream/transport_test.go
@@ -26,7 +26,7 @@
 	return &Transport{Pool: NewPool(dial, &e.Counters, 8, time.Minute), Counters: &e.Counters}
 }
 
-// closeSpy is a connection that calls onClose before it is closed and keeps the last linger time that was set.
+// closeSpy is a connection that calls onClose before it is closed and records the last linger time that was set.
 type closeSpy struct {
 	net.Conn
 	onClose func()
@@ -43,9 +43,9 @@
 	return s.Conn.Close()
 }
 
-// A machine that vanished takes the request and sends nothing. The attempt has to end by its timeout, and its connection has to be closed
-// before that is reported: a retry would run beside the first attempt while the connection is open. What the kernel still holds of the
-// request has to be dropped.
+// A machine that has vanished accepts the request and sends nothing. The attempt has to end by its timeout, and its connection has to be
+// closed before that is reported: otherwise a retry would run beside the first attempt. What the kernel still has of the request must be
+// discarded.
 func TestTransport_SilentWorkerTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := enginetest.New(t, 0)
@@ -66,7 +66,7 @@
 	})
 }
 
-// The other idle connections to a machine that vanished would swallow further requests; only a new one shows that it is gone.
+// The other idle connections to a machine that has vanished would accept further requests; only a new one shows that it is gone.
 func TestTransport_SilentWorkerLosesIdleConns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := enginetest.New(t, 0)
@@ -95,7 +95,7 @@
 	})
 }
 
-// A request whose last byte never left cannot have run, so even one that must not be repeated is not lost.
+// A request whose last byte was not sent cannot have run, so even one that must not be repeated is not lost.
 func TestTransport_PartialWriteNeverRan(t *testing.T) {
 	e := enginetest.New(t, 0)
 	e.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1"))
@@ -112,7 +112,7 @@
 	}
 }
 
-// Nothing may be sent to a worker that began to drain while the connection to it was set up.
+// Nothing may be sent to a worker that has begun to drain while the connection to it was set up.
 func TestTransport_DrainDuringDial(t *testing.T) {
 	e := enginetest.New(t, 0)
 	e.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1"))
@@ -135,7 +135,7 @@
 	r.Close()
 }
 
-// A worker that accepts no connection counts as unreachable; a dial that the request's own deadline cut short must not.
+// A worker that accepts no connection counts as unreachable, but not if the request's own deadline interrupted the dial.
 func TestTransport_DialTimeouts(t *testing.T) {
 	for _, c := range []struct {
 		name string
