--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -159,15 +159,15 @@
 	return e.revision
 }
 
-// ListedWorker is the latest start and state of a worker on the own endpoint list.
+// ListedWorker is the latest start and state of a worker on this dispatcher's endpoint list.
 type ListedWorker struct {
 	Name            string
 	StartedAtMillis int64 // the latest listed start, Unix time in milliseconds; 0: long ago
 	State           dispatch.WorkerState
 }
 
-// ListedWorkers returns all workers of the own endpoint list, including those that left it less than goneFor ago, and whether a list has
-// been received from discovery since the process started.
+// ListedWorkers returns all workers of this dispatcher's endpoint list, including those that left it less than goneFor ago, and whether a
+// list has been received from discovery since the process started.
 func (e *Engine) ListedWorkers(goneFor time.Duration) (workers []ListedWorker, synced bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/engine/exclusion.go
+++ b/internal/engine/exclusion.go
@@ -10,7 +10,7 @@
 	excludedByOperator    exclusion = 1 << iota // the operators have disabled it
 	excludedByMaintenance                       // the group has its machine under maintenance
 	excludedWithoutLease                        // it needs the lease, which has expired; the worker itself is not in doubt
-	excludedByPeers                             // another member of the group knows a later state of it than the own endpoint list
+	excludedByPeers                             // another member of the group knows a later state of it than this dispatcher's endpoint list
 
 	// restartExclusions are those after which a worker counts as restarted: whoever ends one has restarted it meanwhile.
 	restartExclusions = excludedByOperator | excludedByMaintenance
@@ -29,9 +29,9 @@
 	e.handle(e.now(), &dispatch.Event{Kind: dispatch.WorkerDisabled, Worker: id})
 }
 
-// include removes a reason that ended the given time ago. If none is left, requests are sent to the worker again. The decision module is
-// notified since when the worker warms up: since the last of restartExclusions ended or, after any other reason, since the listed start if
-// that is later. A worker that was warming up thus continues to do so. The caller must hold the lock.
+// include removes a reason that ended the given time ago. If none is left, requests are sent to the worker again. The decision module gets
+// the start of the worker's warm-up: the end of the last of restartExclusions or, after any other reason, the listed start if that is
+// later. A worker that was warming up thus continues to do so. The caller must hold the lock.
 func (e *Engine) include(id dispatch.WorkerID, reason exclusion, ago dispatch.Time) {
 	worker := &e.workers[id]
 	now := e.now()
@@ -65,8 +65,8 @@
 	}
 }
 
-// ExcludeOutdated excludes the workers of which other members of the group know a later state than the own endpoint list has, and includes
-// those that were excluded for this reason before. Unknown names are ignored.
+// ExcludeOutdated excludes the workers of which other members of the group know a later state than this dispatcher's endpoint list has, and
+// includes those that were excluded for this reason before. Unknown names are ignored.
 func (e *Engine) ExcludeOutdated(names []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
