--- a/cmd/birchfork/testbed_cluster.go
+++ b/cmd/birchfork/testbed_cluster.go
@@ -111,7 +111,7 @@
 	options := cluster.Options{Logs: c.Logs, Launch: memberLauncher(executable)}
 	ctx, stop := interruptible()
 	defer stop()
-	var sum cluster.Sum
+	var sum cluster.Summary
 	for i := 0; i < c.Runs && ctx.Err() == nil; i++ {
 		options.Seed = c.Seed + uint64(i)
 		for _, options.Scenario = range scenarios {
--- a/cmd/birchfork/testbed_run.go
+++ b/cmd/birchfork/testbed_run.go
@@ -79,7 +79,7 @@
 		if c.Operator != "" || c.Policy != testbed.PolicyRules || c.Mutant != "" {
 			return errors.New("--group makes an operator's file of its own: it goes with none of --operator, --policy and --plant")
 		}
-		removeGroup, err := cluster.Plain(&options)
+		removeGroup, err := cluster.FormGroup(&options)
 		if err != nil {
 			return fmt.Errorf("--group: %w", err)
 		}
--- /dev/null
+++ b/internal/testbed/cluster/disk.go
@@ -0,0 +1,33 @@
+package cluster
+
+import (
+	"os"
+	"path/filepath"
+)
+
+// readDisk returns the content of files of a member's disk by their names, without those that are missing or empty.
+func (h *harness) readDisk(member int, names ...string) map[string][]byte {
+	files := map[string][]byte{}
+	for _, name := range names {
+		if raw, err := os.ReadFile(filepath.Join(h.diskDir(member), name)); err == nil && len(raw) > 0 {
+			files[name] = raw
+		}
+	}
+	return files
+}
+
+// writeDisk writes files to a member's disk; a file that cannot be written is recorded, as the fault did not happen as planned.
+func (h *harness) writeDisk(member int, files map[string][]byte) {
+	for name, raw := range files {
+		if err := os.WriteFile(filepath.Join(h.diskDir(member), name), raw, 0o600); err != nil {
+			h.recordStatus(err.Error())
+		}
+	}
+}
+
+// removeDir removes a directory of a member; one that stays is recorded, as the fault did not happen as planned.
+func (h *harness) removeDir(dir string) {
+	if err := os.RemoveAll(dir); err != nil {
+		h.recordStatus(err.Error())
+	}
+}
--- /dev/null
+++ b/internal/testbed/cluster/inject.go
@@ -0,0 +1,289 @@
+package cluster
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"time"
+
+	"birchfork/internal/coordinator"
+)
+
+const (
+	// unknownEnd is how long a fault lasts that has not ended: longer than any run.
+	unknownEnd = 24 * time.Hour
+
+	// flapInterval is how long a flapping link is in either state.
+	flapInterval = 300 * time.Millisecond
+
+	// diskLossInterval is the least time between two losses of a disk: where a majority of voters forgets, no history is left to go on
+	// by, and no promise holds. A voter has its place again some seconds after it is back.
+	diskLossInterval = 12 * time.Second
+
+	// confirmDiskAfter is how long operators wait for a member that cannot know whether its disk is the last one it had. With another
+	// disk lost too few of three voters are left to know.
+	confirmDiskAfter = 8 * time.Second
+
+	// confirmDiskInterval is the time between two calls that confirm a disk.
+	confirmDiskInterval = time.Second
+)
+
+// The files of a member's disk.
+const (
+	logFile       = "group.db"
+	overridesFile = "words.db"
+)
+
+// injectFault waits for a fault's time, begins it, and ends it after its duration. It skips a fault of a process that has another one.
+func (h *harness) injectFault(ctx context.Context, f Fault) {
+	sleep(ctx, f.At)
+	if ctx.Err() != nil {
+		return
+	}
+	if f.Member < 0 {
+		f.Member = h.leader()
+	}
+	if f.isOf(processFaults) {
+		if !h.acquireProcess(&f) {
+			return
+		}
+		defer h.releaseProcess(f.Member)
+	}
+	startedAt := h.environment.Ledger().Now()
+	if f.Kind == PartitionFromLeader { // the leader of now: it may be another one when the fault ends
+		f.other = h.leader()
+		if f.other == f.Member {
+			f.other = h.nextMember(f.Member)
+		}
+	}
+	index := h.recordFault(f, startedAt)
+	defer h.recordFaultEnd(index, startedAt)
+	h.applyFault(ctx, f, index)
+}
+
+// applyFault carries a fault out for its duration; index is its number among the injected ones.
+func (h *harness) applyFault(ctx context.Context, f Fault, index int) {
+	switch f.Kind {
+	case PauseProcess:
+		h.environment.Stop(ctx, f.Member, f.For)
+	case KillProcess:
+		h.environment.Kill(ctx, f.Member, f.For, nil)
+	case CrashMachine:
+		h.crashMachine(ctx, f)
+	case LoseDisk:
+		h.loseDisk(ctx, f, index)
+	case OutdatedDisk, OutdatedDiskElsewhere:
+		h.restoreOutdatedDisk(ctx, f, index)
+	case ForeignDisk:
+		h.copyForeignDisk(ctx, f, index)
+	case Terminate:
+		h.environment.Terminate(ctx, f.Member)
+	case Upgrade:
+		h.environment.Upgrade(ctx, f.Member)
+	case WorkerCrash, WorkerDrain:
+		h.takeWorkerDown(ctx, f)
+	case WorkerHang:
+		h.hangWorker(ctx, f)
+	case FailForMember:
+		h.failForMember(ctx, f)
+	case FailForAll:
+		h.failForAll(ctx, f)
+	case FlappingPartition:
+		h.flapPartition(ctx, f)
+	default:
+		h.faultLinks(ctx, f)
+	}
+}
+
+// nextMember returns the number after a member's, in a circle.
+func (h *harness) nextMember(member int) int { return (member + 1) % len(h.addresses) }
+
+// recordFault records that a fault begins, as one whose end is not known yet, and returns its number.
+func (h *harness) recordFault(f Fault, startedAt time.Duration) (index int) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.injected = append(h.injected, Fault{Kind: f.Kind, Member: f.Member, At: startedAt, For: unknownEnd, other: f.other})
+	return len(h.injected) - 1
+}
+
+// recordFaultEnd records that a fault ended now.
+func (h *harness) recordFaultEnd(index int, startedAt time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.injected[index].For = h.environment.Ledger().Now() - startedAt
+}
+
+// recordDiskLoss records that a fault's disk is lost or replaced now.
+func (h *harness) recordDiskLoss(index int) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.injected[index].lostAt = h.environment.Ledger().Now()
+}
+
+// acquireProcess reserves a member's process for a fault; false: another fault has it. Where a disk would be lost too soon after
+// another one, the fault becomes a kill that keeps the disk.
+func (h *harness) acquireProcess(f *Fault) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.faultyMembers[f.Member] {
+		return false
+	}
+	now := h.environment.Ledger().Now()
+	if f.isOf(diskLossFaults) {
+		if h.lastDiskLoss > 0 && now-h.lastDiskLoss < diskLossInterval {
+			f.Kind = KillProcess
+		} else {
+			h.lastDiskLoss = now + f.For
+		}
+	}
+	h.faultyMembers[f.Member] = true
+	return true
+}
+
+// releaseProcess ends the reservation of a member's process.
+func (h *harness) releaseProcess(member int) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	delete(h.faultyMembers, member)
+}
+
+// crashMachine kills a member and loses its temporary files; operators confirm its disk if it is not back in time.
+func (h *harness) crashMachine(ctx context.Context, f Fault) {
+	confirming, stopConfirming := context.WithCancel(ctx)
+	var operators sync.WaitGroup
+	operators.Go(func() { h.confirmDisk(confirming, f) })
+	h.environment.Kill(ctx, f.Member, f.For, func() { h.removeDir(h.temporaryDir(f.Member)) })
+	stopConfirming()
+	operators.Wait()
+}
+
+// confirmDisk has operators confirm, from confirmDiskAfter after a machine came up again until ctx ends, that the disk of its member is
+// the last one that it had.
+func (h *harness) confirmDisk(ctx context.Context, f Fault) {
+	for sleep(ctx, f.For+confirmDiskAfter); ctx.Err() == nil; sleep(ctx, confirmDiskInterval) {
+		// Refused or unreachable: it is called again.
+		_, _ = h.clientOf(f.Member).Do(ctx, coordinator.Call{ConfirmDisk: true})
+	}
+}
+
+// loseDisk kills a member and starts it again with no files.
+func (h *harness) loseDisk(ctx context.Context, f Fault, index int) {
+	h.environment.Kill(ctx, f.Member, f.For, func() {
+		h.recordDiskLoss(index)
+		h.removeDir(h.diskDir(f.Member))
+		h.removeDir(h.temporaryDir(f.Member))
+	})
+}
+
+// restoreOutdatedDisk lets a member work on, kills it, and starts it again with its disk as it is now; elsewhere also without its
+// temporary files.
+func (h *harness) restoreOutdatedDisk(ctx context.Context, f Fault, index int) {
+	files := h.readDisk(f.Member, logFile, overridesFile)
+	sleep(ctx, f.For)
+	h.environment.Kill(ctx, f.Member, 0, func() {
+		h.recordDiskLoss(index)
+		h.writeDisk(f.Member, files)
+		if f.Kind == OutdatedDiskElsewhere {
+			h.removeDir(h.temporaryDir(f.Member))
+		}
+	})
+}
+
+// copyForeignDisk kills a member and starts it again with the overrides of the next member's disk.
+func (h *harness) copyForeignDisk(ctx context.Context, f Fault, index int) {
+	h.environment.Kill(ctx, f.Member, f.For, func() {
+		h.recordDiskLoss(index)
+		h.writeDisk(f.Member, h.readDisk(h.nextMember(f.Member), overridesFile))
+	})
+}
+
+// takeWorkerDown has a worker down for a while, or listed as draining for a while and then restarted.
+func (h *harness) takeWorkerDown(ctx context.Context, f Fault) {
+	ledger, fleet := h.environment.Ledger(), h.environment.Fleet()
+	h.mu.Lock()
+	outage := len(h.workerOutages)
+	h.workerOutages = append(h.workerOutages, workerOutage{from: ledger.Now()})
+	h.mu.Unlock()
+	if f.Kind == WorkerDrain {
+		fleet.Leave(f.Member)
+		sleep(ctx, f.For)
+		fleet.Down(f.Member)
+		sleep(ctx, workerRestartTime)
+	} else {
+		fleet.Down(f.Member)
+		sleep(ctx, f.For)
+	}
+	h.mu.Lock()
+	h.workerOutages[outage].until = ledger.Now()
+	h.mu.Unlock()
+	fleet.Up(f.Member)
+}
+
+// hangWorker keeps a worker's requests from ending.
+func (h *harness) hangWorker(ctx context.Context, f Fault) {
+	worker := h.environment.Fleet().Workers[f.Member]
+	worker.Hang(true)
+	sleep(ctx, f.For)
+	worker.Hang(false)
+}
+
+// failForMember has all of a member's requests fail at the first worker.
+func (h *harness) failForMember(ctx context.Context, f Fault) {
+	worker := h.environment.Fleet().Workers[0]
+	worker.ErrFor(f.Member, true)
+	sleep(ctx, f.For)
+	worker.ErrFor(f.Member, false)
+}
+
+// failForAll has all requests fail at the first worker.
+func (h *harness) failForAll(ctx context.Context, f Fault) {
+	worker := h.environment.Fleet().Workers[0]
+	worker.Err(1)
+	sleep(ctx, f.For)
+	worker.Err(0)
+}
+
+// flapPartition partitions a member and heals the partition by turns.
+func (h *harness) flapPartition(ctx context.Context, f Fault) {
+	f.Kind = Partition
+	for end := time.Now().Add(f.For); ctx.Err() == nil && time.Now().Before(end); sleep(ctx, flapInterval) {
+		h.beginLinkFault(f)
+		sleep(ctx, flapInterval)
+		h.endLinkFault(f)
+	}
+}
+
+// faultLinks has a fault of links for its duration.
+func (h *harness) faultLinks(ctx context.Context, f Fault) {
+	h.beginLinkFault(f)
+	sleep(ctx, f.For)
+	h.endLinkFault(f)
+}
+
+// beginLinkFault begins a fault of links.
+func (h *harness) beginLinkFault(f Fault) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.linkFaults = append(h.linkFaults, f)
+	h.updateLinks()
+}
+
+// endLinkFault ends a fault of links.
+func (h *harness) endLinkFault(f Fault) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if i := slices.Index(h.linkFaults, f); i >= 0 {
+		h.linkFaults = slices.Delete(h.linkFaults, i, i+1)
+	}
+	h.updateLinks()
+}
+
+// updateLinks sets the fault of every link by the active faults. The caller holds the lock.
+func (h *harness) updateLinks() {
+	for ends, l := range h.links {
+		l.setFault(h.memberLinkFault(ends[0], ends[1]))
+	}
+	for _, o := range h.outerLinks {
+		o.link.setFault(h.outerLinkFault(o.faultKind, o.member))
+	}
+}
--- a/internal/testbed/cluster/invariants.go
+++ b/internal/testbed/cluster/invariants.go
@@ -10,251 +10,214 @@
 	"birchfork/internal/maintenance"
 	"birchfork/internal/testbed"
 	"birchfork/internal/testbed/invariant"
-	"birchfork/internal/testbed/scenario"
 )
 
-// The rules of a group, beside the four.
+// The rules of a group, beside the four of a dispatcher.
 const (
-	DrainRule    = "clear"   // nothing begins or runs at a machine from its "clear" until it is put back
-	BudgetRule   = "budget"  // never more machines with staff, or not warm yet, than the plan allows
-	OrderRule    = "order"   // all answers tell one history
-	ProgressRule = "goes on" // the plan is through at the end of the day
-	OutlierRule  = "warned"  // a worker that fails for all gets no job that may not be repeated, once two have failed there
-	EndpointRule = "listed"  // a member whose discovery is silent sends nothing to a worker that others were told to leave
+	DrainRule    = "clear"   // no request starts or runs at a machine from the answer that it is drained until it is returned
+	BudgetRule   = "budget"  // never more machines in maintenance, or still warming up, than the plan allows
+	OrderRule    = "order"   // all answers belong to one history
+	ProgressRule = "goes on" // the plan has ended when the run ends
+	OutlierRule  = "warned"  // a worker that fails for all gets no non-idempotent request once two have failed there
+	EndpointRule = "listed"  // a member whose discovery is silent sends nothing to a worker that others know to be draining
 	UseRule      = "use"     // a worker that fails for one member alone is in use at the others
 )
 
-// Rules are their names in their order.
+// Rules are the names of the group's rules in the order in which results list them.
 var Rules = []string{DrainRule, BudgetRule, OrderRule, ProgressRule, OverrideRule, OutlierRule, EndpointRule, UseRule}
 
-// checkInvariants judges the group's rules by what workers and staff saw.
+// outageKnownWithin is how long a worker may be away before the leader has to know it: the way of the endpoint list to the members, and
+// of their reports to the leader. A choice that rests on earlier reports may be committed seconds later, where links are slow.
+const outageKnownWithin = 2 * time.Second
+
+// checkInvariants checks the group's rules by what workers and operators observed.
 func (h *harness) checkInvariants(s *testbed.Environment) []invariant.Violation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := drainViolations(s.Ledger().Attempts(), h.machineWorks)
-	out = append(out, budgetViolations(h.machineWorks, append(h.overridesInForce(), h.workerOutages...), h.waited, h.options.MaxUnavailable, s.Day().Scenario.Terms.SlowStartWindow)...)
-	out = append(out, orderViolations(h.statuses)...)
-	out = append(out, lostEntryViolations(h.statuses, h.machineWorks)...)
+	outages := append(h.overrideOutages(), h.workerOutages...)
+	out := drainViolations(s.Ledger().Attempts(), h.maintenanceWindows)
+	out = append(out, budgetViolations(h.maintenanceWindows, outages, h.lastSeenWaiting, h.options.MaxUnavailable, s.Day().Scenario.Terms.SlowStartWindow)...)
+	out = append(out, historyViolations(h.statuses)...)
+	out = append(out, undoneEntryViolations(h.statuses)...)
+	out = append(out, lostEntryViolations(h.statuses, h.maintenanceWindows)...)
 	out = append(out, h.overrideViolations(s)...)
 	out = append(out, h.endpointViolations(s)...)
-	if f := h.result.Faults; len(f) == 1 { // else something else may keep members away, or from hearing
-		from, to := h.result.Origin+f[0].At, h.result.Origin+f[0].At+f[0].For
-		switch f[0].Kind {
-		case FailForMember:
-			out = append(out, useViolations(s.Ledger().Attempts(), f[0].Member, from, to)...)
-		case FailForAll:
-			out = append(out, outlierViolations(s, from, to)...)
-		}
-	}
-	joiner := fmt.Sprintf("d%d", h.options.Joins)
-	joined := func(s observedStatus) bool {
-		return s.status.Confirmed && slices.ContainsFunc(s.status.Members, func(m coordinator.MemberStatus) bool { return m.Name == joiner })
-	}
-	if h.options.Joins > 0 && !slices.ContainsFunc(h.statuses, joined) {
-		out = append(out, invariant.Violation{Rule: ProgressRule, Kind: "not joined", At: s.Ledger().Now(), Who: h.options.Joins})
-	}
-	if h.options.Machines > 0 && h.result.Ended == 0 {
-		out = append(out, invariant.Violation{Rule: ProgressRule, Kind: "not through", At: s.Ledger().Now(), Who: -1, Lines: []string{h.result.LastStatus}})
-	}
-	return out
+	out = append(out, h.workerFailureViolations(s)...)
+	return append(out, h.progressViolations(s)...)
 }
 
-// endpointViolations are jobs at a worker that some other member was told to be draining so long ago that all could have heard.
-func (h *harness) endpointViolations(s *testbed.Environment) (out []invariant.Violation) {
-	for _, t := range s.Ledger().Deliveries() {
-		if t.State != invariant.Draining || t.Written == 0 {
-			continue
-		}
-		heard := h.quietFrom(t.Written) + convergeWithin
-		for _, a := range s.Ledger().Attempts() {
-			if a.Worker != t.Worker || a.Dispatcher == t.Dispatcher || a.First <= heard {
-				continue
-			}
-			own := slices.ContainsFunc(s.Ledger().Deliveries(), func(o *invariant.Delivery) bool { // its own discovery has told it since
-				newer := o.Incarnation > t.Incarnation || o.Incarnation == t.Incarnation && o.Has >= t.Has
-				heard := o.Written > 0 && o.Written <= a.First || o.State == invariant.Up && o.Has <= a.First // by its configuration
-				return o.Dispatcher == a.Dispatcher && o.Worker == t.Worker && newer && heard
-			})
-			if !own {
-				out = append(out, invariant.Violation{Rule: EndpointRule, Kind: "sent", At: a.First, Who: a.Dispatcher, ID: a.ID, Lines: []string{
-					fmt.Sprintf("dispatcher %d was told at %.3fs that the worker drains", t.Dispatcher, t.Written.Seconds())}})
-			}
-		}
+// workerFailureViolations checks how members use a worker that fails, in scenarios where that is the only fault: another one might keep
+// members away from the worker, or from each other's reports. The caller holds the lock.
+func (h *harness) workerFailureViolations(s *testbed.Environment) []invariant.Violation {
+	if len(h.result.Faults) != 1 {
+		return nil
+	}
+	f := h.result.Faults[0]
+	from := h.result.Origin + f.At
+	to := from + f.For
+	switch f.Kind {
+	case FailForMember:
+		return useViolations(s.Ledger().Attempts(), f.Member, from, to)
+	case FailForAll:
+		return outlierViolations(s, from, to)
 	}
-	return out
+	return nil
 }
 
-// reportWithin is how long a warning may take to all members.
-const reportWithin = time.Second
-
-// outlierViolations are jobs that may not be repeated, at the first worker, after some member has seen two fail in a row there.
-func outlierViolations(s *testbed.Environment, from, to time.Duration) (out []invariant.Violation) {
-	class := map[string]int{}
-	for _, t := range s.Ledger().Tries() {
-		class[t.ID] = t.Class
-	}
-	failed, second := map[int]int{}, to
-	for _, a := range s.Ledger().Attempts() {
-		if a.Worker == 0 && a.End == invariant.Errored && a.Ended >= from {
-			if failed[a.Dispatcher]++; failed[a.Dispatcher] >= 2 {
-				second = min(second, a.Ended)
-			}
-		}
-	}
-	for _, a := range s.Ledger().Attempts() {
-		if a.Worker == 0 && a.Last > second+reportWithin && a.Last < to && s.Day().Scenario.Classes[class[a.ID]].Effect == scenario.Unsafe {
-			out = append(out, invariant.Violation{Rule: OutlierRule, Kind: "lost", At: a.Last, Who: a.Dispatcher, ID: a.ID, Lines: []string{
-				fmt.Sprintf("a member had seen two jobs fail at the worker by %.3fs", second.Seconds())}})
-		}
+// progressViolations reports a member that never joined and a plan that has not ended. The caller holds the lock.
+func (h *harness) progressViolations(s *testbed.Environment) (out []invariant.Violation) {
+	joiner := memberName(h.options.Joins)
+	hasJoined := func(s observedStatus) bool {
+		return s.status.Confirmed && slices.ContainsFunc(s.status.Members, func(m coordinator.MemberStatus) bool { return m.Name == joiner })
 	}
-	return out
-}
-
-// What the others of a member for whom a worker fails are to send there after a while: by the first warning they may try it with
-// single jobs for some seconds.
-const (
-	settles = 3 * time.Second
-	useful  = 0.25 // of what they send to the mean worker
-)
-
-// useViolations are members that leave the first worker alone, as it fails for another one.
-func useViolations(attempts []*invariant.Attempt, spoilt int, from, to time.Duration) (out []invariant.Violation) {
-	all, there := map[int]int{}, map[int]int{}
-	workers := map[int]bool{}
-	for _, a := range attempts {
-		if a.Last < from+settles || a.Last >= to || a.Dispatcher == spoilt {
-			continue
-		}
-		workers[a.Worker] = true
-		if all[a.Dispatcher]++; a.Worker == 0 {
-			there[a.Dispatcher]++
-		}
+	if h.options.Joins > 0 && !slices.ContainsFunc(h.statuses, hasJoined) {
+		out = append(out, invariant.Violation{Rule: ProgressRule, Kind: "not joined", At: s.Ledger().Now(), Who: h.options.Joins})
 	}
-	for d, n := range all {
-		if mean := float64(n) / float64(len(workers)); float64(there[d]) < useful*mean {
-			out = append(out, invariant.Violation{Rule: UseRule, Kind: "left alone", At: to, Who: d, Lines: []string{
-				fmt.Sprintf("%d jobs went to the worker that fails for dispatcher %d alone, %.1f to the mean one", there[d], spoilt, mean)}})
-		}
+	if h.options.Machines > 0 && h.result.Ended == 0 {
+		out = append(out, invariant.Violation{Rule: ProgressRule, Kind: "not through", At: s.Ledger().Now(), Who: -1, Lines: []string{h.result.LastStatus}})
 	}
 	return out
 }
 
-// drainViolations are attempts at machines that staff had.
-func drainViolations(attempts []*invariant.Attempt, works []MachineWork) (out []invariant.Violation) {
-	for _, w := range works {
+// drainViolations returns the attempts at machines that operators had.
+func drainViolations(attempts []*invariant.Attempt, windows []MaintenanceWindow) (out []invariant.Violation) {
+	for _, w := range windows {
 		for _, a := range attempts {
 			if !slices.Contains(w.Workers, a.Worker) {
 				continue
 			}
-			back := w.ReturnedAt
-			if back == 0 {
-				back = 1 << 62
-			}
+			startedWithin := a.Last >= w.ReleasedAt && (w.ReturnedAt == 0 || a.Last < w.ReturnedAt)
+			ranInto := a.Last < w.ReleasedAt && (a.End == invariant.Open || a.Ended > w.ReleasedAt) && a.Last > 0
 			kind := ""
 			switch {
-			case a.Last >= w.ReleasedAt && a.Last < back:
+			case startedWithin:
 				kind = "begun"
-			case a.Last < w.ReleasedAt && (a.End == invariant.Open || a.Ended > w.ReleasedAt) && a.Last > 0:
+			case ranInto:
 				kind = "runs"
+			default:
+				continue
 			}
-			if kind != "" {
-				out = append(out, invariant.Violation{Rule: DrainRule, Kind: kind, At: a.Last, Who: a.Dispatcher, ID: a.ID, Lines: []string{
-					fmt.Sprintf("%s was told to be clear at %.3fs, put back at %.3fs", w.Machine, w.ReleasedAt.Seconds(), w.ReturnedAt.Seconds()),
-					fmt.Sprintf("the attempt's last byte came at %.3fs, it ended (%s) at %.3fs", a.Last.Seconds(), a.End, a.Ended.Seconds()),
-				}})
-			}
+			out = append(out, invariant.Violation{Rule: DrainRule, Kind: kind, At: a.Last, Who: a.Dispatcher, ID: a.ID, Lines: []string{
+				fmt.Sprintf("%s was told to be clear at %.3fs, put back at %.3fs", w.Machine, w.ReleasedAt.Seconds(), w.ReturnedAt.Seconds()),
+				fmt.Sprintf("the attempt's last byte came at %.3fs, it ended (%s) at %.3fs", a.Last.Seconds(), a.End, a.Ended.Seconds()),
+			}})
 		}
 	}
 	return out
 }
 
-// known is how long a worker has to be away until the group has to know it: the list's way to the members, and theirs to the
-// leader. A choice that rests on news before may be settled seconds later, where links are narrow.
-const known = 2 * time.Second
-
-// waited is when a settled answer was last asked for that has a machine as waiting: it was chosen after that. 0: there is none.
-func (h *harness) waited(machine string) (last time.Duration) {
+// lastSeenWaiting returns when the last confirmed answer was requested that has a machine as waiting: the machine was chosen after that.
+// 0: there is no such answer. The caller holds the lock.
+func (h *harness) lastSeenWaiting(machine string) (last time.Duration) {
 	for _, s := range h.statuses {
-		for _, p := range s.status.Plans {
-			for _, m := range p.Machines {
-				if s.status.Confirmed && m.Name == machine && m.Phase == maintenance.MachineWaiting {
-					last = max(last, s.requestedAt)
-				}
-			}
+		if s.status.Confirmed && hasMachineIn(s.status, machine, maintenance.MachineWaiting) {
+			last = max(last, s.requestedAt)
 		}
 	}
 	return last
 }
 
-// budgetViolations are moments at which staff got one more machine than may be away: with those that they had, those given back
-// that were not warm yet, and those that had long been away by themselves.
-func budgetViolations(works []MachineWork, downs []workerOutage, waited func(machine string) time.Duration, most int, warm time.Duration) (out []invariant.Violation) {
-	for _, w := range works {
-		away := 0
-		for _, o := range works {
-			if o.ReleasedAt <= w.ReleasedAt && (o.ReturnedAt == 0 || o.ReturnedAt+warm > w.ReleasedAt) {
-				away++
+// hasMachineIn reports whether a status has a machine in a phase.
+func hasMachineIn(s coordinator.Status, machine string, phase maintenance.MachinePhase) bool {
+	for _, p := range s.Plans {
+		for _, m := range p.Machines {
+			if m.Name == machine && m.Phase == phase {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// budgetViolations returns the moments at which operators got one machine more than may be unavailable. Unavailable are those that they
+// had, those that were returned less than slowStart ago, and workers that had been away by themselves for long when the machine was
+// chosen.
+func budgetViolations(windows []MaintenanceWindow, outages []workerOutage, lastSeenWaiting func(machine string) time.Duration, maxUnavailable int,
+	slowStart time.Duration,
+) (out []invariant.Violation) {
+	for _, w := range windows {
+		unavailable := 0
+		for _, o := range windows {
+			if o.ReleasedAt <= w.ReleasedAt && (o.ReturnedAt == 0 || o.ReturnedAt+slowStart > w.ReleasedAt) {
+				unavailable++
 			}
 		}
-		for _, d := range downs {
-			if d.from+known <= waited(w.Machine) && (d.until == 0 || d.until > w.ReleasedAt) {
-				away++
+		for _, o := range outages {
+			if o.from+outageKnownWithin <= lastSeenWaiting(w.Machine) && (o.until == 0 || o.until > w.ReleasedAt) {
+				unavailable++
 			}
 		}
-		if away > most {
+		if unavailable > maxUnavailable {
 			out = append(out, invariant.Violation{Rule: BudgetRule, Kind: "over", At: w.ReleasedAt, Who: -1, Lines: []string{
-				fmt.Sprintf("%d machines away when %s was told to be clear, %d may be", away, w.Machine, most)}})
+				fmt.Sprintf("%d machines away when %s was told to be clear, %d may be", unavailable, w.Machine, maxUnavailable)}})
 		}
 	}
 	return out
 }
 
-// orderViolations are answers that tell two histories: two states at one entry, or one that was settled and then was not.
-func orderViolations(all []observedStatus) (out []invariant.Violation) {
-	at := map[uint64]string{}
-	breach := func(kind string, s observedStatus, lines ...string) {
-		out = append(out, invariant.Violation{Rule: OrderRule, Kind: kind, At: s.receivedAt, Who: -1, Lines: lines})
-	}
-	for _, s := range all {
-		steps := map[string]string{}
-		for _, p := range s.status.Plans {
-			steps[p.Name] = string(p.Phase)
-			for _, m := range p.Machines {
-				steps[p.Name+"/"+m.Name] = string(m.Phase)
-			}
+// orderViolation returns a violation of the order of answers, as the answer s shows it.
+func orderViolation(kind string, s observedStatus, lines ...string) invariant.Violation {
+	return invariant.Violation{Rule: OrderRule, Kind: kind, At: s.receivedAt, Who: -1, Lines: lines}
+}
+
+// historyViolations returns the answers that have another state than an earlier one at the same applied entry.
+func historyViolations(statuses []observedStatus) (out []invariant.Violation) {
+	phasesAt := map[uint64]string{}
+	for _, s := range statuses {
+		index := s.status.AppliedIndex
+		phases := encodePhases(s.status)
+		if previous, ok := phasesAt[index]; ok && previous != phases {
+			out = append(out, orderViolation("two histories", s, fmt.Sprintf("entry %d", index), previous, phases))
 		}
-		raw, _ := json.Marshal(steps) // of strings alone
-		was, ok := at[s.status.AppliedIndex]
-		if ok && was != string(raw) {
-			breach("two histories", s, fmt.Sprintf("entry %d", s.status.AppliedIndex), was, string(raw))
+		phasesAt[index] = phases
+	}
+	return out
+}
+
+// encodePhases returns the phases of a status's plans and machines in a form that can be compared.
+func encodePhases(s coordinator.Status) string {
+	phases := map[string]string{}
+	for _, p := range s.Plans {
+		phases[p.Name] = string(p.Phase)
+		for _, m := range p.Machines {
+			phases[p.Name+"/"+m.Name] = string(m.Phase)
 		}
-		at[s.status.AppliedIndex] = string(raw)
 	}
-	for _, s := range all {
-		for _, o := range all {
-			if s.status.Confirmed && o.status.Confirmed && o.receivedAt < s.requestedAt && o.status.AppliedIndex > s.status.AppliedIndex {
-				breach("undone", s, fmt.Sprintf("entry %d was settled at %.3fs; an answer asked for at %.3fs knew %d", o.status.AppliedIndex,
-					o.receivedAt.Seconds(), s.requestedAt.Seconds(), s.status.AppliedIndex))
-				return out
+	raw, _ := json.Marshal(phases) // a map of strings cannot fail
+	return string(raw)
+}
+
+// undoneEntryViolations returns the first confirmed answer that had applied less than another confirmed answer that came before it was
+// requested; at most one.
+func undoneEntryViolations(statuses []observedStatus) []invariant.Violation {
+	for _, s := range statuses {
+		for _, earlier := range statuses {
+			bothConfirmed := s.status.Confirmed && earlier.status.Confirmed
+			if bothConfirmed && earlier.receivedAt < s.requestedAt && earlier.status.AppliedIndex > s.status.AppliedIndex {
+				return []invariant.Violation{orderViolation("undone", s, fmt.Sprintf("entry %d was settled at %.3fs; an answer asked for at %.3fs knew %d",
+					earlier.status.AppliedIndex, earlier.receivedAt.Seconds(), s.requestedAt.Seconds(), s.status.AppliedIndex))}
 			}
 		}
 	}
-	return out
+	return nil
 }
 
-// lostEntryViolations are settled answers that do not know what staff were told before they were asked for.
-func lostEntryViolations(all []observedStatus, works []MachineWork) (out []invariant.Violation) {
-	for _, s := range all {
-		for _, w := range works {
+// phasesBeforeClaim are the phases of a machine that operators do not have yet.
+var phasesBeforeClaim = []maintenance.MachinePhase{maintenance.MachineWaiting, maintenance.MachineDraining, maintenance.MachineDrained}
+
+// lostEntryViolations returns the first confirmed answer that lacks a machine's claim which had been acknowledged before it was
+// requested; at most one.
+func lostEntryViolations(statuses []observedStatus, windows []MaintenanceWindow) []invariant.Violation {
+	for _, s := range statuses {
+		for _, w := range windows {
 			if !s.status.Confirmed || s.requestedAt < w.ReleasedAt {
 				continue
 			}
 			for _, p := range s.status.Plans {
 				for _, m := range p.Machines {
-					if m.Name == w.Machine && (m.Phase == maintenance.MachineWaiting || m.Phase == maintenance.MachineDraining || m.Phase == maintenance.MachineDrained) {
-						return []invariant.Violation{{Rule: OrderRule, Kind: "undone", At: s.receivedAt, Who: -1, Lines: []string{
-							fmt.Sprintf("%s was told to be clear at %.3fs; an answer asked for at %.3fs has it as %s", w.Machine,
-								w.ReleasedAt.Seconds(), s.requestedAt.Seconds(), m.Phase)}}}
+					if m.Name == w.Machine && slices.Contains(phasesBeforeClaim, m.Phase) {
+						return []invariant.Violation{orderViolation("undone", s, fmt.Sprintf("%s was told to be clear at %.3fs; an answer asked for at %.3fs has it as %s",
+							w.Machine, w.ReleasedAt.Seconds(), s.requestedAt.Seconds(), m.Phase))}
 					}
 				}
 			}
--- a/internal/testbed/cluster/link.go
+++ b/internal/testbed/cluster/link.go
@@ -1,5 +1,3 @@
-// Package cluster plays a group of dispatchers: processes of the program with a forwarder on each directed link between two
-// of them, staff that hand in plans and work, faults by a timetable, and a judge of what the group promised.
 package cluster
 
 import (
@@ -11,61 +9,94 @@
 	"golang.org/x/sys/unix"
 )
 
-// link forwards connections from one member to another. Its faults hold for both directions of each connection on it or
-// for one alone; what was held is delivered when the fault ends, also where its sender has closed meanwhile, as a kernel does, but not
-// where it has reset the connection. A kernel that gives up by itself is not played.
+// link forwards connections from one member to another. Its faults apply to both directions of each connection or to one of them. Bytes
+// that a fault blocked are delivered when it ends, also where their sender has closed meanwhile, as a kernel does, but not where the
+// sender has reset the connection. It does not simulate a kernel that gives up by itself. It is safe for concurrent use.
 type link struct {
 	listener net.Listener
-	to       string
+	target   string // address of the member that is reached
 
-	mu    sync.Mutex
-	fault fault
-	wake  chan struct{} // closed when the fault changes
-	conns map[net.Conn]bool
-	bytes int64
-	shut  bool
+	mu      sync.Mutex
+	fault   linkFault
+	changed chan struct{} // closed when the fault changes or the link is closed
+	conns   map[net.Conn]bool
+	bytes   int64 // forwarded in both directions
+	closed  bool
 }
 
-// fault is what is wrong with a link.
-type fault struct {
-	there bool          // nothing passes towards the member that is called
-	back  bool          // nothing passes towards the caller
-	reset bool          // connections are reset, and new ones too
-	delay time.Duration // of each piece
-	rate  int           // bytes a second; 0: no bound
-	after int           // connections are reset after so many bytes; 0: never
+// linkFault is the fault of a link; the zero value is none.
+type linkFault struct {
+	blockForward    bool          // nothing passes towards the member that is reached
+	blockBackward   bool          // nothing passes towards the member that connects
+	reset           bool          // connections are reset, new ones too
+	delay           time.Duration // of each chunk
+	bytesPerSecond  int           // 0: no limit
+	resetAfterBytes int           // connections are reset after so many bytes in one direction; 0: never
+}
+
+// block blocks both directions if on.
+func (f *linkFault) block(on bool) {
+	f.blockForward = f.blockForward || on
+	f.blockBackward = f.blockBackward || on
+}
+
+// forwardBlocked reports whether the fault blocks the direction towards the member that is reached.
+func (f linkFault) forwardBlocked() bool { return f.blockForward }
+
+// backwardBlocked reports whether the fault blocks the direction towards the member that connects.
+func (f linkFault) backwardBlocked() bool { return f.blockBackward }
+
+// chunkDelay returns the time that a chunk of so many bytes takes.
+func (f linkFault) chunkDelay(bytes int) time.Duration {
+	delay := f.delay
+	if f.bytesPerSecond > 0 {
+		delay += time.Duration(bytes) * time.Second / time.Duration(f.bytesPerSecond)
+	}
+	return delay
 }
 
 const maxChunkBytes = 4 << 10
 
-// newLink forwards from an address of a host of the caller's choice. That of a member is not to be one: its free port is to stay
-// so until it listens.
-func newLink(host, to string) (*link, error) {
-	l, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
+// newLink returns a link to a target address, which listens on a free port of host. The host must not be a member's: the port that was
+// chosen for the member is to stay free until it listens.
+func newLink(host, target string) (*link, error) {
+	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return nil, fmt.Errorf("a link: %w", err)
 	}
-	k := &link{listener: l, to: to, wake: make(chan struct{}), conns: map[net.Conn]bool{}}
-	go k.accept()
-	return k, nil
+	l := &link{listener: listener, target: target, changed: make(chan struct{}), conns: map[net.Conn]bool{}}
+	go l.accept()
+	return l, nil
 }
 
-func (k *link) address() string { return k.listener.Addr().String() }
+// address returns the address on which the link listens.
+func (l *link) address() string { return l.listener.Addr().String() }
 
-// set changes what is wrong; the zero fault heals.
-func (k *link) set(f fault) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.fault = f
-	close(k.wake)
-	k.wake = make(chan struct{})
+// setFault replaces the fault; the zero fault heals the link.
+func (l *link) setFault(f linkFault) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.fault = f
+	l.notifyChange()
 	if f.reset {
-		for c := range k.conns {
-			reset(c)
-		}
+		l.resetAll()
+	}
+}
+
+// notifyChange wakes those that wait for a change. The caller holds the lock.
+func (l *link) notifyChange() {
+	close(l.changed)
+	l.changed = make(chan struct{})
+}
+
+// resetAll resets all connections. The caller holds the lock.
+func (l *link) resetAll() {
+	for c := range l.conns {
+		reset(c)
 	}
 }
 
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0) // fails on a closed connection
@@ -73,122 +104,147 @@
 	c.Close()
 }
 
-func (k *link) now() (fault, chan struct{}) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.fault, k.wake
+// currentFault returns the fault and a channel that is closed when it changes.
+func (l *link) currentFault() (linkFault, <-chan struct{}) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.fault, l.changed
+}
+
+// isClosed reports whether close was called.
+func (l *link) isClosed() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.closed
 }
 
-func (k *link) accept() {
+// accept forwards each new connection until the listener is closed.
+func (l *link) accept() {
 	for {
-		c, err := k.listener.Accept()
+		c, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
-		if f, _ := k.now(); f.reset || !k.keep(c, true) {
+		if f, _ := l.currentFault(); f.reset || !l.track(c) {
 			reset(c)
 			continue
 		}
-		go k.carry(c)
+		go l.forward(c)
 	}
 }
 
-// keep notes a connection; false: the link is closed.
-func (k *link) keep(c net.Conn, on bool) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if on && !k.shut {
-		k.conns[c] = true
-	} else {
-		delete(k.conns, c)
+// track adds a connection to those that are reset with the link; false: the link is closed.
+func (l *link) track(c net.Conn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closed {
+		return false
 	}
-	return !k.shut
+	l.conns[c] = true
+	return true
 }
 
-func (k *link) carry(c net.Conn) {
-	defer func() { k.keep(c, false); c.Close() }()
-	if !k.pass(func(f fault) bool { return f.there }) || broken(c) {
+// closeTracked closes a connection and forgets it.
+func (l *link) closeTracked(c net.Conn) {
+	l.mu.Lock()
+	delete(l.conns, c)
+	l.mu.Unlock()
+	c.Close()
+}
+
+// forward connects to the target and copies both directions until one of them ends.
+func (l *link) forward(in net.Conn) {
+	defer l.closeTracked(in)
+	if !l.waitUntilOpen(linkFault.forwardBlocked) || wasReset(in) {
 		return
 	}
-	out, err := net.Dial("tcp", k.to)
+	out, err := net.Dial("tcp", l.target)
 	if err != nil {
-		reset(c)
+		reset(in)
 		return
 	}
-	defer func() { k.keep(out, false); out.Close() }()
-	if !k.keep(out, true) {
+	defer l.closeTracked(out)
+	if !l.track(out) {
 		return
 	}
-	done := make(chan struct{}, 2)
-	go func() { k.copy(out, c, func(f fault) bool { return f.there }); done <- struct{}{} }()
-	go func() { k.copy(c, out, func(f fault) bool { return f.back }); done <- struct{}{} }()
-	<-done
-	c.Close()
+	ended := make(chan struct{}, 2)
+	go func() {
+		l.copyDirection(out, in, linkFault.forwardBlocked)
+		ended <- struct{}{}
+	}()
+	go func() {
+		l.copyDirection(in, out, linkFault.backwardBlocked)
+		ended <- struct{}{}
+	}()
+	<-ended
+	in.Close()
 	out.Close()
-	<-done
+	<-ended
 }
 
-// pass waits until a direction is open; false: the link is closed.
-func (k *link) pass(held func(fault) bool) bool {
+// waitUntilOpen waits until a direction is not blocked; false: the link is closed.
+func (l *link) waitUntilOpen(isBlocked func(linkFault) bool) bool {
 	for {
-		f, wake := k.now()
-		if !held(f) {
+		f, changed := l.currentFault()
+		if !isBlocked(f) {
 			return true
 		}
-		<-wake
-		k.mu.Lock()
-		shut := k.shut
-		k.mu.Unlock()
-		if shut {
+		<-changed
+		if l.isClosed() {
 			return false
 		}
 	}
 }
 
-func (k *link) copy(to, from net.Conn, held func(fault) bool) {
+// copyDirection copies one direction of a connection until it ends or the link's fault breaks it.
+func (l *link) copyDirection(to, from net.Conn, isBlocked func(linkFault) bool) {
 	buf := make([]byte, maxChunkBytes)
 	sent := 0
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			was, _ := k.now()
-			if !k.pass(held) {
-				return
-			}
-			if held(was) && broken(from) { // its kernel holds it no more
-				reset(to)
-				return
-			}
-			f, _ := k.now()
-			wait := f.delay
-			if f.rate > 0 {
-				wait += time.Duration(n) * time.Second / time.Duration(f.rate)
-			}
-			if wait > 0 {
-				time.Sleep(wait)
-			}
-			if f.after > 0 && sent+n > f.after {
-				_, _ = to.Write(buf[:f.after-min(sent, f.after)]) // the connection is reset next either way
-				reset(to)
-				reset(from)
-				return
-			}
-			if _, err := to.Write(buf[:n]); err != nil {
+			if !l.copyChunk(to, from, buf[:n], sent, isBlocked) {
 				return
 			}
 			sent += n
-			k.mu.Lock()
-			k.bytes += int64(n)
-			k.mu.Unlock()
 		}
 		if err != nil {
-			return // net/http's connections end whole: the other half goes with this one
+			return // net/http closes both directions at once: the other one ends with this one
 		}
 	}
 }
 
-// broken tells whether the other side of a connection has reset it.
-func broken(c net.Conn) bool {
+// copyChunk sends a chunk when its direction is open, after sent earlier bytes; false: the connection has ended.
+func (l *link) copyChunk(to, from net.Conn, chunk []byte, sent int, isBlocked func(linkFault) bool) bool {
+	before, _ := l.currentFault()
+	if !l.waitUntilOpen(isBlocked) {
+		return false
+	}
+	if isBlocked(before) && wasReset(from) { // its kernel has dropped what was unsent
+		reset(to)
+		return false
+	}
+	f, _ := l.currentFault()
+	if delay := f.chunkDelay(len(chunk)); delay > 0 {
+		time.Sleep(delay)
+	}
+	if f.resetAfterBytes > 0 && sent+len(chunk) > f.resetAfterBytes {
+		_, _ = to.Write(chunk[:f.resetAfterBytes-min(sent, f.resetAfterBytes)]) // the connection is reset next either way
+		reset(to)
+		reset(from)
+		return false
+	}
+	if _, err := to.Write(chunk); err != nil {
+		return false
+	}
+	l.mu.Lock()
+	l.bytes += int64(len(chunk))
+	l.mu.Unlock()
+	return true
+}
+
+// wasReset reports whether the other side has reset a connection.
+func wasReset(c net.Conn) bool {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
 		return false
@@ -197,19 +253,17 @@
 	if err != nil {
 		return true
 	}
-	failed := 0
-	err = raw.Control(func(fd uintptr) { failed, _ = unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_ERROR) })
-	return err != nil || failed != 0
+	socketError := 0
+	err = raw.Control(func(fd uintptr) { socketError, _ = unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_ERROR) })
+	return err != nil || socketError != 0
 }
 
-func (k *link) close() {
-	k.mu.Lock()
-	k.shut = true
-	close(k.wake)
-	k.wake = make(chan struct{})
-	for c := range k.conns {
-		reset(c)
-	}
-	k.mu.Unlock()
-	k.listener.Close()
+// close stops listening and resets all connections.
+func (l *link) close() {
+	l.mu.Lock()
+	l.closed = true
+	l.notifyChange()
+	l.resetAll()
+	l.mu.Unlock()
+	l.listener.Close()
 }
--- /dev/null
+++ b/internal/testbed/cluster/members.go
@@ -0,0 +1,197 @@
+package cluster
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"time"
+
+	"birchfork/internal/testbed"
+	"birchfork/internal/testbed/fakes"
+	"birchfork/internal/testbed/scenario"
+)
+
+// When and how members change beside the faults. Times count from the start of what needs them, not from the run's.
+const (
+	olderBuildFor     = 3 * time.Second // how long the member of an older build runs as such
+	joinsAfter        = 3 * time.Second // the plan runs by then
+	reconfiguredAfter = 500 * time.Millisecond
+	deadlineDivisor   = 8 // of the first deadlines: then a lease and the wait for attempts are shorter than an attempt that runs to its full deadline
+)
+
+// The numbers of voters.
+const (
+	smallGroupVoters = 3
+	largeGroupVoters = 5
+)
+
+// voters returns how many of so many members vote.
+func voters(members int) int {
+	if members >= largeGroupVoters {
+		return largeGroupVoters
+	}
+	return smallGroupVoters
+}
+
+// memberName returns the name of a member by its number.
+func memberName(member int) string { return fmt.Sprintf("d%d", member) }
+
+// operatorFile returns the path of the operators' configuration of a member.
+func (h *harness) operatorFile(name string) string { return filepath.Join(h.dir, name+".toml") }
+
+// temporaryDir returns the directory of a member's temporary files, which a crash of its machine loses.
+func (h *harness) temporaryDir(member int) string {
+	return filepath.Join(h.dir, "birchfork-"+memberName(member))
+}
+
+// diskDir returns the directory of a member's persistent state.
+func (h *harness) diskDir(member int) string {
+	return filepath.Join(h.dir, "disk-"+memberName(member))
+}
+
+// createLinks chooses the members' addresses and creates a link for each ordered pair of members.
+func (h *harness) createLinks() error {
+	members := h.options.Members
+	var err error
+	if h.addresses, err = testbed.FreeAddresses(members); err != nil {
+		return err
+	}
+	for from := range members {
+		for to := range members {
+			if to == from {
+				continue
+			}
+			if h.links[[2]int{from, to}], err = newLink(fakes.Loopback(), h.addresses[to]); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+// writeOperatorFiles writes the operators' configuration of all members. The absent member is in no other member's file and gets an
+// empty one; 0: there is none.
+func (h *harness) writeOperatorFiles(absent int) error {
+	for member := range h.options.Members {
+		text := ""
+		if member != absent || absent == 0 {
+			text = h.operatorConfig(member, absent)
+		}
+		if err := os.WriteFile(h.operatorFile(memberName(member)), []byte(text), 0o600); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// operatorConfig returns the operators' configuration of a member, which reaches every other member by their link.
+func (h *harness) operatorConfig(member, absent int) string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "[group]\nname = \"lab\"\nplans = true\nlease = %q\n", h.options.Lease)
+	if !h.options.Diskless {
+		fmt.Fprintf(&b, "folder = %q\n", h.diskDir(member))
+	}
+	for other := range h.options.Members {
+		if other == absent && absent > 0 {
+			continue
+		}
+		address := h.addresses[other]
+		if other != member {
+			address = h.links[[2]int{member, other}].address()
+		}
+		writeMemberSection(&b, other, address, h.options.Members)
+	}
+	return b.String()
+}
+
+// writeMemberSection writes a member's section of an operators' configuration, in a group of so many members.
+func writeMemberSection(b *strings.Builder, member int, address string, members int) {
+	fmt.Fprintf(b, "[[group.member]]\nname = %q\nlink = %q\nvoter = %t\n", memberName(member), address, member < voters(members))
+}
+
+// joinMember adds the absent member while the plan runs: it is down until all files name it and the others were restarted, one after
+// the other.
+func (h *harness) joinMember(ctx context.Context) {
+	h.environment.Kill(ctx, h.options.Joins, joinsAfter, func() {
+		if err := h.writeOperatorFiles(0); err != nil {
+			h.recordStatus(err.Error())
+		}
+		for member := range h.addresses {
+			if member != h.options.Joins && ctx.Err() == nil {
+				h.environment.Terminate(ctx, member)
+			}
+		}
+	})
+}
+
+// replaceOlderBuild restarts the member of an older build as one of the present build, after it has run for a while.
+func (h *harness) replaceOlderBuild(ctx context.Context) {
+	sleep(ctx, olderBuildFor)
+	h.environment.Terminate(ctx, h.options.OlderBuild)
+}
+
+// deliveredScenario returns the scenario whose settings a member is configured with: that of the run, or, before the members are
+// reconfigured, one with short deadlines.
+func (h *harness) deliveredScenario(_ int, s *scenario.Scenario) *scenario.Scenario {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if !h.options.Reconfigured || h.reconfigured {
+		return s
+	}
+	short := *s
+	short.Classes = slices.Clone(s.Classes)
+	for i := range short.Classes {
+		short.Classes[i].Deadline /= deadlineDivisor
+	}
+	return &short
+}
+
+// reconfigure waits a little and then has all members reload their configuration, with the full deadlines.
+func (h *harness) reconfigure(ctx context.Context) {
+	sleep(ctx, reconfiguredAfter)
+	h.mu.Lock()
+	h.reconfigured = true
+	h.mu.Unlock()
+	for member := range h.addresses {
+		h.environment.Reload(member)
+	}
+}
+
+// outerLink is a link from a member to a worker or to discovery.
+type outerLink struct {
+	faultKind string // of the fault that it may have
+	member    int
+	address   string
+	link      *link
+}
+
+// outerLinkMapper returns a function that replaces an address outside of the group by that of a link to it, which it creates at first
+// use. It returns nil where no fault of this kind is played.
+func (h *harness) outerLinkMapper(faultKind string) func(member int, address string) string {
+	if !slices.ContainsFunc(h.result.Faults, func(f Fault) bool { return f.Kind == faultKind }) {
+		return nil
+	}
+	return func(member int, address string) string {
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		for _, o := range h.outerLinks {
+			if o.faultKind == faultKind && o.member == member && o.address == address {
+				return o.link.address()
+			}
+		}
+		host, _, splitErr := net.SplitHostPort(address) // what the link leads to is known by its host
+		l, linkErr := newLink(host, address)
+		if err := errors.Join(splitErr, linkErr); err != nil {
+			h.result.LastStatus = err.Error()
+			return address
+		}
+		h.outerLinks = append(h.outerLinks, outerLink{faultKind, member, address, l})
+		l.setFault(h.outerLinkFault(faultKind, member))
+		return l.address()
+	}
+}
--- /dev/null
+++ b/internal/testbed/cluster/operator.go
@@ -0,0 +1,225 @@
+package cluster
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"time"
+
+	"birchfork/internal/coordinator"
+	"birchfork/internal/gossip"
+	"birchfork/internal/maintenance"
+	"birchfork/internal/testbed/scenario"
+)
+
+// workerRestartTime is how long a worker takes to come up again.
+const workerRestartTime = 200 * time.Millisecond
+
+// firstPlanName is the name of the first plan; the others have a number after it.
+const firstPlanName = "work"
+
+// uncommittedPrefix begins the text of an answer to a call whose outcome is open: it may have been committed or not.
+const uncommittedPrefix = "no member has settled"
+
+// planName returns the name of a plan by its number.
+func planName(plan int) string {
+	if plan == 0 {
+		return firstPlanName
+	}
+	return fmt.Sprintf("%s-%d", firstPlanName, plan+1)
+}
+
+// machineName returns the name of a machine of the plans by its number.
+func machineName(machine int) string { return fmt.Sprintf("m%d", machine) }
+
+// workerOf returns the worker on a machine of the plans: these have the last workers, which are the slowest, the last one first.
+func workerOf(day *scenario.Day, machine int) int { return len(day.Workers) - 1 - machine }
+
+// clientFrom returns a client that tries the members in turn, beginning with first.
+func (h *harness) clientFrom(first int) *coordinator.Client {
+	return &coordinator.Client{Addresses: append(slices.Clone(h.addresses[first:]), h.addresses[:first]...)}
+}
+
+// clientOf returns a client of one member alone.
+func (h *harness) clientOf(member int) *coordinator.Client {
+	return &coordinator.Client{Addresses: h.addresses[member : member+1]}
+}
+
+// call makes an operator's call to a random member first, and counts it.
+func (h *harness) call(ctx context.Context, c coordinator.Call) (*coordinator.Reply, error) {
+	r, err := h.clientFrom(rand.IntN(len(h.addresses))).Do(ctx, c)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.result.Calls++
+	if err == nil && strings.HasPrefix(r.Text, uncommittedPrefix) {
+		h.result.UncommittedCalls++
+	}
+	return r, err
+}
+
+// callUntilOK repeats a command until it is answered with OK; false: it is invalid, or ctx ended. A command whose outcome is open keeps
+// its id, so that it takes effect once.
+func (h *harness) callUntilOK(ctx context.Context, c *maintenance.Command) bool {
+	for ; ctx.Err() == nil; sleep(ctx, retryInterval) {
+		r, err := h.call(ctx, coordinator.Call{Command: c})
+		if err != nil {
+			continue
+		}
+		if r.Code == maintenance.CodeOK {
+			return true
+		}
+		if strings.HasPrefix(r.Text, uncommittedPrefix) {
+			continue
+		}
+		c.ID = ""
+		if r.Code == maintenance.CodeInvalid {
+			h.recordStatus(fmt.Sprintf("%s: %s", c.Kind, r.Text))
+			return false
+		}
+	}
+	return false
+}
+
+// startPlans submits and starts the plans, and waits until they run; false: they do not.
+func (h *harness) startPlans(ctx context.Context) bool {
+	for _, p := range h.plans() {
+		if !h.callUntilOK(ctx, &maintenance.Command{Kind: maintenance.CommandSubmitPlan, Plan: p}) {
+			return false
+		}
+		if !h.callUntilOK(ctx, &maintenance.Command{Kind: maintenance.CommandStartPlan, Name: p.Name}) {
+			return false
+		}
+	}
+	for ; ctx.Err() == nil; sleep(ctx, bootstrapInterval) {
+		r, err := h.clientFrom(0).Do(ctx, coordinator.Call{Status: true})
+		if err == nil && h.plansAreIn(r.Status, maintenance.PlanRunning) {
+			return true
+		}
+	}
+	return false
+}
+
+// planCount returns the number of plans that the machines are divided among.
+func (h *harness) planCount() int { return max(h.options.Plans, 1) }
+
+// plans returns the plans, with the machines divided among them in turn.
+func (h *harness) plans() []*maintenance.Plan {
+	plans := make([]*maintenance.Plan, h.planCount())
+	for i := range plans {
+		plans[i] = &maintenance.Plan{Name: planName(i), MaxUnavailable: h.options.MaxUnavailable, OnOverdue: maintenance.OverdueWait}
+	}
+	day := h.environment.Day()
+	for i := range h.options.Machines {
+		worker := workerOf(day, i)
+		m := maintenance.Machine{Name: machineName(i)}
+		if h.options.Hosts {
+			m.Host = h.environment.Fleet().Workers[worker].Host()
+		} else {
+			m.Workers = []string{day.Workers[worker].Name}
+		}
+		p := plans[i%len(plans)]
+		p.Machines = append(p.Machines, m)
+	}
+	return plans
+}
+
+// plansAreIn reports whether all plans are known to be in a phase.
+func (h *harness) plansAreIn(s *coordinator.Status, phase maintenance.PlanPhase) bool {
+	if s == nil || len(s.Plans) < h.planCount() {
+		return false
+	}
+	return !slices.ContainsFunc(s.Plans, func(p coordinator.PlanStatus) bool { return p.Phase != phase })
+}
+
+// maintainMachine claims a machine when it is drained, works on it, restarts its worker and returns it.
+func (h *harness) maintainMachine(ctx context.Context, machine int) {
+	if !h.callUntilOK(ctx, &maintenance.Command{Kind: maintenance.CommandClaimMachine, Machine: machineName(machine)}) {
+		return
+	}
+	ledger := h.environment.Ledger()
+	worker := workerOf(h.environment.Day(), machine)
+	h.mu.Lock()
+	window := len(h.maintenanceWindows)
+	h.maintenanceWindows = append(h.maintenanceWindows, MaintenanceWindow{Machine: machineName(machine), Workers: []int{worker}, ReleasedAt: ledger.Now()})
+	h.mu.Unlock()
+	h.workOn(ctx, machine, worker)
+	if ctx.Err() != nil {
+		return
+	}
+	h.mu.Lock()
+	h.maintenanceWindows[window].ReturnedAt = ledger.Now()
+	h.mu.Unlock()
+	h.restartWorker(ctx, worker)
+	h.callUntilOK(ctx, &maintenance.Command{Kind: maintenance.CommandReturnMachine, Machine: machineName(machine)})
+}
+
+// workOn spends the time of the work on a machine. Its worker stays up meanwhile, so that requests that are sent there are seen; in
+// scenarios with renamed workers it starts under another name half-way.
+func (h *harness) workOn(ctx context.Context, machine, worker int) {
+	if !h.options.Renamed {
+		sleep(ctx, h.options.Work)
+		return
+	}
+	sleep(ctx, h.options.Work/2)
+	h.environment.Fleet().Down(worker)
+	h.environment.Fleet().Rename(worker, "new-"+machineName(machine))
+	h.environment.Fleet().Up(worker)
+	sleep(ctx, h.options.Work/2)
+}
+
+// restartWorker takes a worker down and starts it again.
+func (h *harness) restartWorker(ctx context.Context, worker int) {
+	h.environment.Fleet().Down(worker)
+	sleep(ctx, workerRestartTime)
+	h.environment.Fleet().Up(worker)
+}
+
+// repeatPause pauses the first plan and resumes it, and then sends the first command again under its id, as after a lost answer: it is
+// not to take effect twice.
+func (h *harness) repeatPause(ctx context.Context) {
+	id := fmt.Sprintf("halt-%d", h.options.Seed)
+	pause := &maintenance.Command{ID: id, Kind: maintenance.CommandPausePlan, Name: firstPlanName}
+	if !h.callUntilOK(ctx, pause) {
+		return
+	}
+	if !h.callUntilOK(ctx, &maintenance.Command{Kind: maintenance.CommandResumePlan, Name: firstPlanName}) {
+		return
+	}
+	pause.ID = id // a rejected try cleared it
+	h.callUntilOK(ctx, pause)
+}
+
+// maintainWithoutPlan maintains the machines one after the other with overrides at each member in place of a plan.
+func (h *harness) maintainWithoutPlan(ctx context.Context) {
+	for machine := range h.options.Machines {
+		worker := workerOf(h.environment.Day(), machine)
+		h.overrideEverywhere(ctx, worker, true)
+		sleep(ctx, 2*h.scenario.Classes[0].Deadline) // nothing reports when the last request there has ended
+		sleep(ctx, h.options.Work)
+		if ctx.Err() != nil {
+			return
+		}
+		h.restartWorker(ctx, worker)
+		h.overrideEverywhere(ctx, worker, false)
+		sleep(ctx, h.scenario.Terms.SlowStartWindow)
+	}
+	h.mu.Lock()
+	h.result.Ended = h.environment.Ledger().Now()
+	h.mu.Unlock()
+}
+
+// overrideEverywhere writes an override at each member in turn, and repeats it there until it is accepted.
+func (h *harness) overrideEverywhere(ctx context.Context, worker int, disabled bool) {
+	name := h.environment.Day().Workers[worker].Name
+	for _, address := range h.addresses {
+		for ctx.Err() == nil {
+			r, err := gossip.CallMember(ctx, address, gossip.Call{Worker: name, Disabled: disabled})
+			if err == nil && !r.Invalid {
+				break
+			}
+			sleep(ctx, retryInterval)
+		}
+	}
+}
--- a/internal/testbed/cluster/result.go
+++ b/internal/testbed/cluster/result.go
@@ -1,6 +1,7 @@
 package cluster
 
 import (
+	"cmp"
 	"encoding/json"
 	"fmt"
 	"os"
@@ -8,89 +9,106 @@
 	"strings"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"birchfork/internal/testbed/invariant"
-	"birchfork/internal/testbed/scenario"
+	"birchfork/internal/testbed/report"
 )
 
-// day is a usual day for so many members: short jobs, quick lists, no trouble of its own.
-func day(members int, length time.Duration) (*scenario.Scenario, error) {
-	s, err := scenario.Load("calm")
-	if err != nil {
-		return nil, err
-	}
-	if err := s.Override(60, length, workers, members); err != nil {
-		return nil, err
-	}
-	for i := range s.Classes {
-		s.Classes[i].Deadline = 2 * time.Second
-	}
-	s.Terms.ConnectTimeout = 300 * time.Millisecond
-	s.Classes[0].Work = 600 * time.Millisecond
-	s.Uneven = 0
-	s.Terms.SlowStartWindow = time.Second
-	s.List.Lag, s.List.Jitter = 100*time.Millisecond, 100*time.Millisecond
-	return s, nil
+// crashKey is the name under which crashes of members are counted among the violated rules.
+const crashKey = "crash"
+
+// MaintenanceWindow is the time for which operators had a machine, as they observed it. Times are on the ledger's clock.
+type MaintenanceWindow struct {
+	Machine    string        `json:"Machine"`
+	Workers    []int         `json:"Runners"` // by their numbers
+	ReleasedAt time.Duration `json:"Told"`    // when the answer came that the machine is drained
+	ReturnedAt time.Duration `json:"Back"`    // right before they returned the machine; 0: they never did
 }
 
-// Rules broken in a run, by name.
-func (r *Result) broken() map[string]int {
-	out := map[string]int{}
-	for _, b := range r.Report.Violations {
-		out[b.Rule]++
+// Result is the outcome of a run. Its JSON keys are those of the files that Append writes.
+type Result struct {
+	Report             *report.Report      `json:"Report"`
+	MaintenanceWindows []MaintenanceWindow `json:"Works"`
+	Origin             time.Duration       `json:"Origin"`  // when all members were in and the plan ran: faults count from here
+	Ended              time.Duration       `json:"Ended"`   // when the plan was first seen to have ended; 0: it was not
+	LastStatus         string              `json:"Last"`    // what was last seen of the plan
+	Calls              int                 `json:"Calls"`   // operators' calls
+	UncommittedCalls   int                 `json:"Unclear"` // ... whose outcome was open when they were answered
+	Bytes              int64               `json:"Bytes"`   // over all links between members, with headers
+	FirstRelease       time.Duration       `json:"First"`   // from the origin until the first machine was drained
+	Silence            time.Duration       `json:"Silence"` // the longest time without a confirmed answer
+	Faults             []Fault             `json:"Faults"`
+	Convergence        []time.Duration     `json:"Reached"` // from each disabling override's acknowledgement until the last member had it
+	CPU                time.Duration       `json:"CPU"`     // of all members from the origin to the end, where none was restarted
+	Messages           int64               `json:"Passed"`  // messages between members over the same time
+	MessageBytes       int64               `json:"Carried"` // ... and their bytes, without headers
+}
+
+// violationCounts returns the number of violations by rule, and of crashes, without those of none.
+func (r *Result) violationCounts() map[string]int {
+	counts := map[string]int{}
+	for _, v := range r.Report.Violations {
+		counts[v.Rule]++
 	}
 	if r.Report.Crashes > 0 {
-		out["crash"] = r.Report.Crashes
+		counts[crashKey] = r.Report.Crashes
 	}
-	return out
+	return counts
 }
 
-// Line says in one line what a run came to.
+// Line returns the result of a run with a seed as one line for people.
 func (r *Result) Line(seed uint64) string {
-	var broken []string
-	all := r.broken()
-	for _, rule := range slices.Concat(Rules, invariant.Rules, []string{"crash"}) {
-		if n := all[rule]; n > 0 {
-			broken = append(broken, fmt.Sprintf("%s %d", rule, n))
+	return fmt.Sprintf("seed %d: %s; %s%d machines, first one after %.1f s, plan through after %.1f s, %.1f s without a settled answer, %d calls (%d open), goodput %.3f, %.0f kB, %.1f MB; %s",
+		seed, r.verdict(), r.convergenceText(), len(r.MaintenanceWindows), r.FirstRelease.Seconds(), max(r.Ended-r.Origin, 0).Seconds(), r.Silence.Seconds(),
+		r.Calls, r.UncommittedCalls, r.Report.Goodput, float64(r.Bytes)/1000, r.Report.RSSPeakMB, r.timetable())
+}
+
+// verdict returns which rules were violated, and how often.
+func (r *Result) verdict() string {
+	var violated []string
+	counts := r.violationCounts()
+	for _, rule := range slices.Concat(Rules, invariant.Rules, []string{crashKey}) {
+		if n := counts[rule]; n > 0 {
+			violated = append(violated, fmt.Sprintf("%s %d", rule, n))
 		}
 	}
-	verdict := "kept"
-	if len(broken) > 0 {
-		verdict = "BROKEN " + strings.Join(broken, ", ")
+	if len(violated) == 0 {
+		return "kept"
 	}
-	words := ""
-	if n := len(r.Convergence); n > 0 {
-		all := slices.Sorted(slices.Values(r.Convergence))
-		words = fmt.Sprintf("words at all members after %.2f s, the last after %.2f s, ", all[n/2].Seconds(), all[n-1].Seconds())
+	return "BROKEN " + strings.Join(violated, ", ")
+}
+
+// convergenceText returns the median and the longest time that overrides took to all members; empty: there were none.
+func (r *Result) convergenceText() string {
+	if len(r.Convergence) == 0 {
+		return ""
 	}
-	return fmt.Sprintf("seed %d: %s; %s%d machines, first one after %.1f s, plan through after %.1f s, %.1f s without a settled answer, %d calls (%d open), goodput %.3f, %.0f kB, %.1f MB; %s",
-		seed, verdict, words, len(r.MachineWorks), r.FirstRelease.Seconds(), max(r.Ended-r.Origin, 0).Seconds(), r.Silence.Seconds(), r.Calls, r.UncommittedCalls,
-		r.Report.Goodput, float64(r.Bytes)/1000, r.Report.RSSPeakMB, r.story())
+	sorted := slices.Sorted(slices.Values(r.Convergence))
+	median, longest := sorted[len(sorted)/2], sorted[len(sorted)-1]
+	return fmt.Sprintf("words at all members after %.2f s, the last after %.2f s, ", median.Seconds(), longest.Seconds())
 }
 
-// story is the faults in their order.
-func (r *Result) story() string {
-	all := slices.Clone(r.Faults)
-	slices.SortFunc(all, func(a, b Fault) int { return int(a.At - b.At) })
-	out := make([]string, 0, len(all))
-	for _, f := range all {
-		who := fmt.Sprintf("d%d", f.Member)
+// timetable returns the faults in the order of their times.
+func (r *Result) timetable() string {
+	faults := slices.Clone(r.Faults)
+	slices.SortFunc(faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
+	texts := make([]string, 0, len(faults))
+	for _, f := range faults {
+		who := memberName(f.Member)
 		if f.Member < 0 {
 			who = "the leader"
 		}
-		out = append(out, fmt.Sprintf("%s %s %.1f-%.1f", f.Kind, who, f.At.Seconds(), (f.At+f.For).Seconds()))
+		texts = append(texts, fmt.Sprintf("%s %s %.1f-%.1f", f.Kind, who, f.At.Seconds(), (f.At+f.For).Seconds()))
 	}
-	return strings.Join(out, ", ")
+	return strings.Join(texts, ", ")
 }
 
-// Append adds a run to a file, as a line of JSON.
+// Append appends the result of a run with a seed to a file, as a line of JSON.
 func (r *Result) Append(path string, seed uint64) error {
 	raw, err := json.Marshal(struct {
 		Seed uint64
 		*Result
 		Broken map[string]int
-	}{seed, r, r.broken()})
+	}{seed, r, r.violationCounts()})
 	if err != nil {
 		return err
 	}
@@ -102,39 +120,3 @@
 	_, err = f.Write(append(raw, '\n'))
 	return err
 }
-
-// Sum sums runs up.
-type Sum struct {
-	Runs, Broken, Machines int
-	took, silence          *hdrhistogram.Histogram // milliseconds
-}
-
-// Add adds a run.
-func (s *Sum) Add(r *Result) {
-	if s.took == nil {
-		s.took = hdrhistogram.New(1, int64(time.Hour/time.Millisecond), 3)
-		s.silence = hdrhistogram.New(1, int64(time.Hour/time.Millisecond), 3)
-	}
-	s.Runs++
-	s.Machines += len(r.MachineWorks)
-	if len(r.broken()) > 0 {
-		s.Broken++
-	}
-	// Both stay below the histograms' maximum of an hour: a run is shorter.
-	_ = s.silence.RecordValue(r.Silence.Milliseconds())
-	if r.Ended > r.Origin {
-		_ = s.took.RecordValue((r.Ended - r.Origin).Milliseconds())
-	}
-}
-
-// Line says in one line what they came to.
-func (s *Sum) Line() string {
-	if s.took == nil {
-		return "no run"
-	}
-	seconds := func(ms int64) float64 { return float64(ms) / 1000 }
-	return fmt.Sprintf("%d runs, %d with a broken rule or a crash; %d machines worked on; %d plans through, median %.1f s, worst %.1f s; "+
-		"longest time without a settled answer: median %.1f s, worst %.1f s",
-		s.Runs, s.Broken, s.Machines, s.took.TotalCount(), seconds(s.took.ValueAtQuantile(50)), seconds(s.took.Max()),
-		seconds(s.silence.ValueAtQuantile(50)), seconds(s.silence.Max()))
-}
--- /dev/null
+++ b/internal/testbed/cluster/run_test.go
@@ -0,0 +1,168 @@
+package cluster
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/sirupsen/logrus"
+
+	"birchfork/internal/failpoint"
+	"birchfork/internal/server"
+)
+
+const (
+	// memberEnv in the environment makes this test's own binary a member, with the failpoint that it names.
+	memberEnv = "GROUPS_TEST_MEMBER"
+
+	// logsEnv names a directory for the members' debug logs, to look into a failure.
+	logsEnv = "GROUPS_TEST_LOGS"
+
+	// noFailpoint is the value of memberEnv for a member without a failpoint.
+	noFailpoint = "none"
+)
+
+const (
+	// maxLateRuns is how often a run is repeated because the test machine itself was late.
+	maxLateRuns = 2
+
+	// maxSeeds is how many seeds are tried until a failpoint shows, which is chance, as is where requests run.
+	maxSeeds = 3
+)
+
+func TestMain(m *testing.M) {
+	failpointName := os.Getenv(memberEnv)
+	if failpointName == "" {
+		os.Exit(m.Run())
+	}
+	if failpointName != noFailpoint {
+		failpoint.Set(failpointName)
+	}
+	if err := runMember(os.Args[1], os.Args[2]); err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		os.Exit(1)
+	}
+}
+
+// runMember runs this process as a member until it is shut down.
+func runMember(config, operator string) error {
+	c, err := server.LoadWithOperator(config, operator, os.Getenv("EDGE_OPERATOR"))
+	if err != nil {
+		return err
+	}
+	log := logrus.New()
+	if dir := os.Getenv(logsEnv); dir != "" {
+		log.SetLevel(logrus.DebugLevel)
+		f, err := os.OpenFile(filepath.Join(dir, c.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+		if err == nil {
+			log.SetOutput(f)
+		}
+	}
+	return server.Run(c, log, nil)
+}
+
+// launch is a Launcher that runs members as processes of this test's binary.
+func launch(failpointName, config, operator string) *exec.Cmd {
+	if failpointName == "" {
+		failpointName = noFailpoint
+	}
+	cmd := exec.Command(os.Args[0], config, operator)
+	cmd.Env = append(os.Environ(), memberEnv+"="+failpointName)
+	return cmd
+}
+
+// TestScenarios runs every built-in scenario with real processes and faults between them. All rules hold and the plan ends; a failpoint
+// is caught by the rule that its scenario names, and each failpoint has a scenario that catches it.
+func TestScenarios(t *testing.T) {
+	scenarios, err := Decode(shippedName, shipped)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range failpoint.Names {
+		if !slices.ContainsFunc(scenarios, func(s Scenario) bool { return s.Failpoint == name && s.Caught != "" }) {
+			t.Errorf("no scenario catches %s", name)
+		}
+	}
+	for _, s := range scenarios {
+		t.Run(s.Name, func(t *testing.T) {
+			t.Parallel()
+			if s.Caught != "" {
+				checkCaught(t, s)
+			} else {
+				checkKept(t, s)
+			}
+		})
+	}
+}
+
+// runScenario runs a scenario, and repeats a run in which the test machine itself was late, which shows nothing.
+func runScenario(t *testing.T, s Scenario, seed uint64) *Result {
+	t.Helper()
+	run := func() *Result {
+		r, err := Run(context.Background(), Options{Scenario: s, Seed: seed, Launch: launch})
+		if err != nil {
+			t.Fatal(err)
+		}
+		return r
+	}
+	r := run()
+	for late := 0; r.Report.RanLate && late < maxLateRuns; late++ {
+		t.Log("ran late, played again: " + r.Line(seed))
+		r = run()
+	}
+	t.Log(r.Line(seed))
+	return r
+}
+
+// checkCaught checks that a scenario's failpoint violates the rule that has to catch it, with one of a few seeds.
+func checkCaught(t *testing.T, s Scenario) {
+	t.Helper()
+	for seed := range uint64(maxSeeds) {
+		if runScenario(t, s, seed+1).violationCounts()[s.Caught] > 0 {
+			return
+		}
+	}
+	t.Errorf("rule %q was not seen to break", s.Caught)
+}
+
+// checkKept checks that a scenario violates no rule, crashes no member and ends its plan.
+func checkKept(t *testing.T, s Scenario) {
+	t.Helper()
+	r := runScenario(t, s, 1)
+	for _, v := range r.Report.Violations {
+		t.Errorf("%s", v)
+	}
+	for _, c := range r.Report.CrashNotes {
+		t.Errorf("%s", c)
+	}
+	if len(r.MaintenanceWindows) != s.Machines || s.Machines > 0 && r.Ended == 0 {
+		t.Errorf("%d machines were worked on; the plan: %s", len(r.MaintenanceWindows), r.LastStatus)
+	}
+}
+
+// TestDecode_NamesEveryFault checks that an error names everything that is wrong with a scenario at once, by line and key.
+func TestDecode_NamesEveryFault(t *testing.T) {
+	_, err := Decode("f", []byte(`[[scenario]]
+members = 2
+machines = 20
+out = 0
+for = "1s"
+plant = "nope"
+[[scenario.fault]]
+kind = "rain"
+member = 7
+`))
+	for _, want := range []string{
+		"f:2: scenario[0].members: 2", "f:3: scenario[0].machines: 20", "f:4: scenario[0].out: 0", "f:5: scenario[0].for: 1s",
+		`f:6: scenario[0].plant: "nope"`, `f:8: scenario[0].fault[0].kind: "rain"`, "f:9: scenario[0].fault[0].member: there is no member 7",
+	} {
+		if err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%q is not in: %v", want, err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/testbed/cluster/summary.go
@@ -0,0 +1,48 @@
+package cluster
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+)
+
+// Summary adds up the results of runs. Its zero value is ready to use.
+type Summary struct {
+	Runs, Broken, Machines int
+	took, silence          *hdrhistogram.Histogram // milliseconds
+}
+
+// newTimeHistogram returns a histogram of milliseconds up to an hour.
+func newTimeHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, int64(time.Hour/time.Millisecond), 3)
+}
+
+// Add adds the result of a run.
+func (s *Summary) Add(r *Result) {
+	if s.took == nil {
+		s.took, s.silence = newTimeHistogram(), newTimeHistogram()
+	}
+	s.Runs++
+	s.Machines += len(r.MaintenanceWindows)
+	if len(r.violationCounts()) > 0 {
+		s.Broken++
+	}
+	// Both stay below the histograms' maximum of an hour: a run is shorter.
+	_ = s.silence.RecordValue(r.Silence.Milliseconds())
+	if r.Ended > r.Origin {
+		_ = s.took.RecordValue((r.Ended - r.Origin).Milliseconds())
+	}
+}
+
+// Line returns the summary as one line for people.
+func (s *Summary) Line() string {
+	if s.took == nil {
+		return "no run"
+	}
+	seconds := func(milliseconds int64) float64 { return float64(milliseconds) / 1000 }
+	return fmt.Sprintf("%d runs, %d with a broken rule or a crash; %d machines worked on; %d plans through, median %.1f s, worst %.1f s; "+
+		"longest time without a settled answer: median %.1f s, worst %.1f s",
+		s.Runs, s.Broken, s.Machines, s.took.TotalCount(), seconds(s.took.ValueAtQuantile(50)), seconds(s.took.Max()),
+		seconds(s.silence.ValueAtQuantile(50)), seconds(s.silence.Max()))
+}
