--- a/internal/testbed/ceiling.go
+++ b/internal/testbed/ceiling.go
@@ -30,7 +30,7 @@
 // startDirectWorker starts one worker, too large to be the limit, that clients reach without a dispatcher.
 func startDirectWorker(book fakes.Book) (*fakes.Worker, error) {
 	config := &fakes.Config{
-		Ledger: invariant.NewLedger(), Book: book, Dispatchers: 1, Notes: true, Fails: func() float64 { return 1 }, SuppressOutput: true,
+		Ledger: invariant.NewLedger(), Book: book, Dispatchers: 1, ReportsProgress: true, Fails: func() float64 { return 1 }, SuppressOutput: true,
 	}
 	spec := fakes.Spec{
 		Cores: 1024, Speed: 1, Memory: 1 << 20, Queue: 1 << 20, SlowStartWindow: 1, OverloadMultiple: 100, OverloadWindow: time.Second,
--- a/internal/testbed/cluster/inject.go
+++ b/internal/testbed/cluster/inject.go
@@ -65,7 +65,7 @@
 func (h *harness) applyFault(ctx context.Context, f Fault, index int) {
 	switch f.Kind {
 	case PauseProcess:
-		h.environment.Stop(ctx, f.Member, f.For)
+		h.environment.Pause(ctx, f.Member, f.For)
 	case KillProcess:
 		h.environment.Kill(ctx, f.Member, f.For, nil)
 	case CrashMachine:
@@ -205,7 +205,7 @@
 	h.workerOutages = append(h.workerOutages, workerOutage{from: ledger.Now()})
 	h.mu.Unlock()
 	if f.Kind == WorkerDrain {
-		fleet.Leave(f.Member)
+		fleet.MarkDraining(f.Member)
 		sleep(ctx, f.For)
 		fleet.Down(f.Member)
 		sleep(ctx, workerRestartTime)
--- a/internal/testbed/cluster/invariants.go
+++ b/internal/testbed/cluster/invariants.go
@@ -71,10 +71,10 @@
 		return s.status.Confirmed && slices.ContainsFunc(s.status.Members, func(m coordinator.MemberStatus) bool { return m.Name == joiner })
 	}
 	if h.options.Joins > 0 && !slices.ContainsFunc(h.statuses, hasJoined) {
-		out = append(out, invariant.Violation{Rule: ProgressRule, Kind: "not joined", At: s.Ledger().Now(), Who: h.options.Joins})
+		out = append(out, invariant.Violation{Rule: ProgressRule, Kind: "not joined", At: s.Ledger().Now(), Dispatcher: h.options.Joins})
 	}
 	if h.options.Machines > 0 && h.result.Ended == 0 {
-		out = append(out, invariant.Violation{Rule: ProgressRule, Kind: "not through", At: s.Ledger().Now(), Who: -1, Lines: []string{h.result.LastStatus}})
+		out = append(out, invariant.Violation{Rule: ProgressRule, Kind: "not through", At: s.Ledger().Now(), Dispatcher: -1, Lines: []string{h.result.LastStatus}})
 	}
 	return out
 }
@@ -97,7 +97,7 @@
 			default:
 				continue
 			}
-			out = append(out, invariant.Violation{Rule: DrainRule, Kind: kind, At: a.Last, Who: a.Dispatcher, ID: a.ID, Lines: []string{
+			out = append(out, invariant.Violation{Rule: DrainRule, Kind: kind, At: a.Last, Dispatcher: a.Dispatcher, ID: a.ID, Lines: []string{
 				fmt.Sprintf("%s was told to be clear at %.3fs, put back at %.3fs", w.Machine, w.ReleasedAt.Seconds(), w.ReturnedAt.Seconds()),
 				fmt.Sprintf("the attempt's last byte came at %.3fs, it ended (%s) at %.3fs", a.Last.Seconds(), a.End, a.Ended.Seconds()),
 			}})
@@ -148,7 +148,7 @@
 			}
 		}
 		if unavailable > maxUnavailable {
-			out = append(out, invariant.Violation{Rule: BudgetRule, Kind: "over", At: w.ReleasedAt, Who: -1, Lines: []string{
+			out = append(out, invariant.Violation{Rule: BudgetRule, Kind: "over", At: w.ReleasedAt, Dispatcher: -1, Lines: []string{
 				fmt.Sprintf("%d machines away when %s was told to be clear, %d may be", unavailable, w.Machine, maxUnavailable)}})
 		}
 	}
@@ -157,7 +157,7 @@
 
 // orderViolation returns a violation of the order of answers, as the answer s shows it.
 func orderViolation(kind string, s observedStatus, lines ...string) invariant.Violation {
-	return invariant.Violation{Rule: OrderRule, Kind: kind, At: s.receivedAt, Who: -1, Lines: lines}
+	return invariant.Violation{Rule: OrderRule, Kind: kind, At: s.receivedAt, Dispatcher: -1, Lines: lines}
 }
 
 // historyViolations returns the answers that have another state than an earlier one at the same applied entry.
--- a/internal/testbed/cluster/overrideinvariants.go
+++ b/internal/testbed/cluster/overrideinvariants.go
@@ -20,7 +20,7 @@
 
 // overrideViolation returns a violation of the rule on overrides.
 func overrideViolation(kind string, at time.Duration, who int, format string, v ...any) invariant.Violation {
-	return invariant.Violation{Rule: OverrideRule, Kind: kind, At: at, Who: who, Lines: []string{fmt.Sprintf(format, v...)}}
+	return invariant.Violation{Rule: OverrideRule, Kind: kind, At: at, Dispatcher: who, Lines: []string{fmt.Sprintf(format, v...)}}
 }
 
 // overrideViolations checks overrides by the requests that workers saw, and by what members answered at the end. The caller holds the
--- a/internal/testbed/cluster/run.go
+++ b/internal/testbed/cluster/run.go
@@ -205,7 +205,7 @@
 func (h *harness) addFaultMarks(finished *report.Report) {
 	seconds := func(at time.Duration) float64 { return (at - h.environment.Origin()).Seconds() }
 	mark := func(kind, whom string, from, until time.Duration) {
-		finished.Faults = append(finished.Faults, report.FaultMark{Kind: kind, At: seconds(from), Until: seconds(until), Whom: whom})
+		finished.Faults = append(finished.Faults, report.FaultMark{Kind: kind, At: seconds(from), Until: seconds(until), Target: whom})
 	}
 	for _, f := range h.injected {
 		whom := fmt.Sprintf("dispatcher %d", f.Member)
--- a/internal/testbed/cluster/workerinvariants.go
+++ b/internal/testbed/cluster/workerinvariants.go
@@ -33,7 +33,7 @@
 				continue
 			}
 			if !hasNewerDelivery(s.Ledger().Deliveries(), d, a) {
-				out = append(out, invariant.Violation{Rule: EndpointRule, Kind: "sent", At: a.First, Who: a.Dispatcher, ID: a.ID, Lines: []string{
+				out = append(out, invariant.Violation{Rule: EndpointRule, Kind: "sent", At: a.First, Dispatcher: a.Dispatcher, ID: a.ID, Lines: []string{
 					fmt.Sprintf("dispatcher %d was told at %.3fs that the worker drains", d.Dispatcher, d.Written.Seconds())}})
 			}
 		}
@@ -63,7 +63,7 @@
 	for _, a := range s.Ledger().Attempts() {
 		isLate := a.Worker == 0 && a.Last > secondFailure+outlierReportWithin && a.Last < to
 		if isLate && s.Day().Scenario.Classes[classes[a.ID]].Effect == scenario.Unsafe {
-			out = append(out, invariant.Violation{Rule: OutlierRule, Kind: "lost", At: a.Last, Who: a.Dispatcher, ID: a.ID, Lines: []string{
+			out = append(out, invariant.Violation{Rule: OutlierRule, Kind: "lost", At: a.Last, Dispatcher: a.Dispatcher, ID: a.ID, Lines: []string{
 				fmt.Sprintf("a member had seen two jobs fail at the worker by %.3fs", secondFailure.Seconds())}})
 		}
 	}
@@ -102,7 +102,7 @@
 	for dispatcher, n := range sent {
 		mean := float64(n) / float64(len(usedWorkers))
 		if float64(sentToFirst[dispatcher]) < minUseShare*mean {
-			out = append(out, invariant.Violation{Rule: UseRule, Kind: "left alone", At: to, Who: dispatcher, Lines: []string{
+			out = append(out, invariant.Violation{Rule: UseRule, Kind: "left alone", At: to, Dispatcher: dispatcher, Lines: []string{
 				fmt.Sprintf("%d jobs went to the worker that fails for dispatcher %d alone, %.1f to the mean one", sentToFirst[dispatcher], failingFor, mean)}})
 		}
 	}
--- a/internal/testbed/config.go
+++ b/internal/testbed/config.go
@@ -187,7 +187,7 @@
 func extraOf(s *scenario.Scenario, machineTypes []string) extraConfig {
 	extra := extraConfig{
 		ClassKinds: make([]int, 0, len(s.Classes)), ClassStretch: make([]float64, 0, len(s.Classes)),
-		Progress: s.Terms.Progress.Seconds(), ReportsStart: s.Terms.Notes,
+		Progress: s.Terms.Progress.Seconds(), ReportsStart: s.Terms.ReportsProgress,
 	}
 	for _, c := range s.Classes {
 		extra.ClassStretch = append(extra.ClassStretch, c.Stretch)
--- a/internal/testbed/environment.go
+++ b/internal/testbed/environment.go
@@ -34,8 +34,8 @@
 	return e.run.faults.waitUntil(ctx, at)
 }
 
-// Stop suspends a dispatcher's process with SIGSTOP. It resumes it after a time or when ctx ends.
-func (e *Environment) Stop(ctx context.Context, dispatcher int, length time.Duration) {
+// Pause suspends a dispatcher's process with SIGSTOP. It resumes it after a time or when ctx ends.
+func (e *Environment) Pause(ctx context.Context, dispatcher int, length time.Duration) {
 	d := e.run.dispatchers[dispatcher]
 	if d.signal(syscall.SIGSTOP, invariant.Stopped, invariant.Crashed) == nil {
 		return
--- a/internal/testbed/fakes/fleet.go
+++ b/internal/testbed/fakes/fleet.go
@@ -36,7 +36,7 @@
 	terms, list := &day.Scenario.Terms, &day.Scenario.List
 	f := &Fleet{day: day, addressFor: addressFor, renamed: map[int]string{}, quit: make(chan struct{})}
 	cfg := &Config{
-		Net: NewNet(), Ledger: l, Book: book, Dispatchers: day.Scenario.Dispatchers, Notes: terms.Notes, IdleClose: terms.IdleClose,
+		Net: NewNet(), Ledger: l, Book: book, Dispatchers: day.Scenario.Dispatchers, ReportsProgress: terms.ReportsProgress, IdleClose: terms.IdleClose,
 		Fails: failureSource(day),
 		OnOverload: func(i int) {
 			f.after(0, func() { f.publish(i, StatusRemoved, false, false) })
@@ -62,7 +62,7 @@
 
 // failureSource returns the fleet's seeded source for failing jobs, which is safe for concurrent use.
 func failureSource(day *scenario.Day) func() float64 {
-	r := scenario.Rand(day.Seed, scenario.StreamErr)
+	r := scenario.Rand(day.Seed, scenario.StreamFailures)
 	var mu sync.Mutex
 	return func() float64 {
 		mu.Lock()
@@ -132,7 +132,7 @@
 
 // Drain drains a worker and starts it again, warming up, once its process has been down for downtime.
 func (f *Fleet) Drain(i int, downtime time.Duration) {
-	f.Leave(i)
+	f.MarkDraining(i)
 	// Like a real one it accepts jobs until all dispatchers have had time to learn that it drains.
 	propagation := f.day.Scenario.List.Lag + f.day.Scenario.List.Jitter
 	f.after(propagation, func() {
@@ -147,8 +147,8 @@
 	})
 }
 
-// Leave lists a worker as draining; it goes on accepting jobs until Down.
-func (f *Fleet) Leave(i int) { f.publish(i, StatusDraining, false, false) }
+// MarkDraining lists a worker as draining; it goes on accepting jobs until Down.
+func (f *Fleet) MarkDraining(i int) { f.publish(i, StatusDraining, false, false) }
 
 // Down ends a worker's process, until Up.
 func (f *Fleet) Down(i int) {
@@ -181,8 +181,8 @@
 	return f.Workers[i].Name
 }
 
-// Ghosts lists n endpoints where no worker listens, or removes them from the list.
-func (f *Fleet) Ghosts(n int, on bool) {
+// SetDeadEndpoints lists n endpoints where no worker listens, or removes them from the list.
+func (f *Fleet) SetDeadEndpoints(n int, on bool) {
 	status := StatusUp
 	if !on {
 		status = StatusRemoved
--- a/internal/testbed/fakes/response.go
+++ b/internal/testbed/fakes/response.go
@@ -36,7 +36,7 @@
 // reject appends the response to a job that was not accepted and will not run.
 func (c *conn) reject() {
 	c.appendHead(http.StatusServiceUnavailable, "X-Not-Run: 1\r\n")
-	c.endAttempt(invariant.TurnedAway)
+	c.endAttempt(invariant.Rejected)
 }
 
 // appendLine appends a chunk with one line about the open job; fields is "" or more JSON fields with a leading comma.
--- a/internal/testbed/fakes/worker.go
+++ b/internal/testbed/fakes/worker.go
@@ -26,15 +26,15 @@
 
 // Config is what all workers of a fleet share.
 type Config struct {
-	Ledger         *invariant.Ledger
-	Book           Book
-	Dispatchers    int
-	Notes          bool             // workers report the start and the progress of jobs
-	IdleClose      time.Duration    // idle connections are closed after this; 0: never
-	Fails          func() float64   // draws from [0,1); a job fails where the draw is below the worker's failure rate
-	OnOverload     func(worker int) // called after a worker crashed under overload; may be nil
-	SuppressOutput bool             // no attempt or protocol fault is recorded: for measuring the testbed's own ceiling
-	Net            Net              // of the workers' hosts
+	Ledger          *invariant.Ledger
+	Book            Book
+	Dispatchers     int
+	ReportsProgress bool             // workers report the start and the progress of jobs
+	IdleClose       time.Duration    // idle connections are closed after this; 0: never
+	Fails           func() float64   // draws from [0,1); a job fails where the draw is below the worker's failure rate
+	OnOverload      func(worker int) // called after a worker crashed under overload; may be nil
+	SuppressOutput  bool             // no attempt or protocol fault is recorded: for measuring the testbed's own ceiling
+	Net             Net              // of the workers' hosts
 }
 
 // Worker is one stand-in. Each start is a new incarnation with new addresses, one for each dispatcher: so it is known which
--- a/internal/testbed/fakes/worker_jobs.go
+++ b/internal/testbed/fakes/worker_jobs.go
@@ -84,11 +84,11 @@
 	case Began:
 		w.jobsStarted++
 		w.cfg.Ledger.Do(func() { c.attempt.Ran = true })
-		if w.cfg.Notes {
+		if w.cfg.ReportsProgress {
 			c.appendLine(jobStarted, "")
 		}
 	case Progressed:
-		if w.cfg.Notes {
+		if w.cfg.ReportsProgress {
 			c.appendLine(jobRunning, `,"share":`+strconv.FormatFloat(min(e.Progress, 1), 'f', 3, 64))
 		}
 	case Finished:
--- a/internal/testbed/fakes/worker_test.go
+++ b/internal/testbed/fakes/worker_test.go
@@ -25,7 +25,7 @@
 func startWorker(t *testing.T, book orders) (*Worker, *invariant.Ledger) {
 	t.Helper()
 	ledger := invariant.NewLedger()
-	cfg := &Config{Ledger: ledger, Book: book, Dispatchers: 1, Notes: true, Fails: func() float64 { return 1 }, Net: NewNet()}
+	cfg := &Config{Ledger: ledger, Book: book, Dispatchers: 1, ReportsProgress: true, Fails: func() float64 { return 1 }, Net: NewNet()}
 	w := NewWorker(cfg, "w1", 0, spec())
 	if err := w.Start(true); err != nil {
 		t.Fatal(err)
@@ -96,11 +96,11 @@
 		{"unknown id", Order{}, nil, post("b", "/x", ""), "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n", invariant.Open, ""},
 		{"failing job", Order{Slots: 1, Work: time.Hour}, func(w *Worker) { w.FailFor(0, true) }, post("a", "/x", "body"),
 			chunks(startedLine, `{"id":"a","from":"w1","state":"failed"}`) + lastChunk, invariant.Errored, ""},
-		{"other type of worker", Order{Kind: "gpu"}, nil, post("a", "/x", "body"), notRun, invariant.TurnedAway, ""},
-		{"more slots than cores", Order{Slots: 3}, nil, post("a", "/x", "body"), notRun, invariant.TurnedAway, ""},
-		{"draining", Order{Slots: 1}, func(w *Worker) { w.Drain(time.Hour, time.Hour) }, post("a", "/x", "body"), notRun, invariant.TurnedAway, ""},
-		{"other target", Order{Slots: 3}, nil, post("a", "/y", "body"), notRun, invariant.TurnedAway, "POST /y came in place of POST /x"},
-		{"other body", Order{Slots: 3}, nil, post("a", "/x", "bod"), notRun, invariant.TurnedAway, "the body of 3 bytes is not the client's"},
+		{"other type of worker", Order{Kind: "gpu"}, nil, post("a", "/x", "body"), notRun, invariant.Rejected, ""},
+		{"more slots than cores", Order{Slots: 3}, nil, post("a", "/x", "body"), notRun, invariant.Rejected, ""},
+		{"draining", Order{Slots: 1}, func(w *Worker) { w.Drain(time.Hour, time.Hour) }, post("a", "/x", "body"), notRun, invariant.Rejected, ""},
+		{"other target", Order{Slots: 3}, nil, post("a", "/y", "body"), notRun, invariant.Rejected, "POST /y came in place of POST /x"},
+		{"other body", Order{Slots: 3}, nil, post("a", "/x", "bod"), notRun, invariant.Rejected, "the body of 3 bytes is not the client's"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			c.order.Target, c.order.Body = "/x", xxhash.Sum64String("body")
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -70,9 +70,9 @@
 		injector.waitUntil(ctx, e.Until)
 		injector.setActive(e, false)
 	case scenario.ListWrong:
-		fleet.Ghosts(e.Count, true)
+		fleet.SetDeadEndpoints(e.Count, true)
 		if injector.waitUntil(ctx, e.Until) {
-			fleet.Ghosts(e.Count, false)
+			fleet.SetDeadEndpoints(e.Count, false)
 		}
 	case scenario.ListMove:
 		for _, d := range e.Dispatchers {
--- a/internal/testbed/invariant/check.go
+++ b/internal/testbed/invariant/check.go
@@ -56,7 +56,7 @@
 	c.checkDrains()
 	c.checkOverloads()
 	for _, m := range l.moments {
-		if m.What == Crashed || m.What == Overstayed {
+		if m.Kind == Crashed || m.Kind == Overstayed {
 			c.verdict.Crashes = append(c.verdict.Crashes, m)
 		}
 	}
@@ -74,7 +74,7 @@
 
 func (c *checker) violate(rule, kind string, when time.Duration, dispatcher int, id string, lines ...string) {
 	c.verdict.Violations = append(c.verdict.Violations, Violation{
-		Rule: rule, Kind: kind, At: when, Who: dispatcher, ID: id, Lines: lines,
+		Rule: rule, Kind: kind, At: when, Dispatcher: dispatcher, ID: id, Lines: lines,
 	})
 }
 
@@ -134,9 +134,9 @@
 	for _, m := range c.ledger.moments {
 		switch {
 		case m.Dispatcher != dispatcher:
-		case m.What == Stopped:
+		case m.Kind == Stopped:
 			stopped = m.At
-		case stopped >= 0 && m.What == Woken:
+		case stopped >= 0 && m.Kind == Woken:
 			if stopped <= to+c.terms.Slack && m.At+wakeTime >= from {
 				return true
 			}
@@ -149,7 +149,7 @@
 // wasKilledIn reports whether the testbed killed a dispatcher between from and to.
 func (c *checker) wasKilledIn(dispatcher int, from, to time.Duration) bool {
 	for _, m := range c.ledger.moments {
-		if m.Dispatcher == dispatcher && m.What == Killed && m.At >= from-c.terms.Slack && m.At <= to+c.terms.Slack {
+		if m.Dispatcher == dispatcher && m.Kind == Killed && m.At >= from-c.terms.Slack && m.At <= to+c.terms.Slack {
 			return true
 		}
 	}
--- a/internal/testbed/invariant/check_test.go
+++ b/internal/testbed/invariant/check_test.go
@@ -73,15 +73,15 @@
 		{"a close with nothing sent on", 0, func(_ *Ledger, t *Try, a *Attempt) { t.Outcome, a.ID = Closed, "b" }, "answers/made-up-request"},
 		{"a close by a kill of ours", 1, func(l *Ledger, t *Try, _ *Attempt) {
 			t.Outcome = Closed
-			l.Moment(Moment{At: 1100 * ms, What: Killed})
+			l.Moment(Moment{At: 1100 * ms, Kind: Killed})
 		}, ""},
 		{"a close while we killed another", 0, func(l *Ledger, t *Try, _ *Attempt) {
 			t.Outcome = Closed
-			l.Moment(Moment{Dispatcher: 1, At: 1100 * ms, What: Killed})
+			l.Moment(Moment{Dispatcher: 1, At: 1100 * ms, Kind: Killed})
 		}, "answers/lost"},
 		{"a close long after a kill", 0, func(l *Ledger, t *Try, _ *Attempt) {
 			t.Outcome = Closed
-			l.Moment(Moment{At: 500 * ms, What: Killed})
+			l.Moment(Moment{At: 500 * ms, Kind: Killed})
 		}, "answers/lost"},
 		{"a client that left", 0, func(_ *Ledger, t *Try, _ *Attempt) { t.Outcome = Left }, ""},
 		{"another result", 0, func(_ *Ledger, t *Try, _ *Attempt) { t.Result = 8 }, "answers/made-up-answer"},
@@ -105,7 +105,7 @@
 		}, "effects/too-many-attempts"},
 		{"a never-twice one twice", 1, func(l *Ledger, _ *Try, _ *Attempt) { l.Attempt(again(1, 1100*ms)) }, "effects/sent-again effects/ran-twice"},
 		{"after it was turned away", 1, func(l *Ledger, _ *Try, a *Attempt) {
-			a.End, a.Ran, a.Ended = TurnedAway, false, 1050*ms
+			a.End, a.Ran, a.Ended = Rejected, false, 1050*ms
 			l.Attempt(again(1, 1100*ms))
 		}, ""},
 		{"before it was turned away", 1, func(l *Ledger, _ *Try, a *Attempt) {
@@ -156,7 +156,7 @@
 		}, ""},
 		{"news that a process before was told", 0, func(l *Ledger, _ *Try, _ *Attempt) {
 			l.Delivery(&Delivery{State: Draining, Has: 300 * ms, Written: 300 * ms})
-			l.Moment(Moment{At: 900 * ms, What: Started})
+			l.Moment(Moment{At: 900 * ms, Kind: Started})
 		}, ""},
 		{"news that nobody took counts as told later", 0, func(l *Ledger, t *Try, a *Attempt) {
 			a.First, a.Last, a.Ended = 9000*ms, 9000*ms, 9100*ms
@@ -191,8 +191,8 @@
 		l.Try(&Try{ID: id, Dispatcher: d, Sent: 900 * ms, Due: 3000 * ms, Ended: 1000 * ms, Outcome: Closed})
 		l.Attempt(&Attempt{ID: id, Dispatcher: d, First: 910 * ms, Last: 910 * ms, End: Dropped})
 	}
-	l.Moment(Moment{Dispatcher: 0, At: 1000 * ms, What: Killed})
-	l.Moment(Moment{Dispatcher: 1, At: 1000 * ms, What: Crashed})
+	l.Moment(Moment{Dispatcher: 0, At: 1000 * ms, Kind: Killed})
+	l.Moment(Moment{Dispatcher: 1, At: 1000 * ms, Kind: Crashed})
 	v := Check(l, terms())
 	if v.Lost != 1 || v.Excused != 2 || len(v.Crashes) != 1 || v.Count()[Answers] != 1 {
 		t.Errorf("lost %d, excused %d, crashes %v, %v", v.Lost, v.Excused, v.Crashes, v.Count())
--- a/internal/testbed/invariant/drains.go
+++ b/internal/testbed/invariant/drains.go
@@ -64,7 +64,7 @@
 func (c *checker) processStarts() map[int][]time.Duration {
 	starts := map[int][]time.Duration{}
 	for _, m := range c.ledger.moments {
-		if m.What == Started {
+		if m.Kind == Started {
 			starts[m.Dispatcher] = append(starts[m.Dispatcher], m.At)
 		}
 	}
--- a/internal/testbed/invariant/effects.go
+++ b/internal/testbed/invariant/effects.go
@@ -63,7 +63,7 @@
 
 // neverRan reports whether it was known by a time that an attempt had not run and would not.
 func neverRan(a *Attempt, by time.Duration) bool {
-	return (a.End == Returned || a.End == TurnedAway) && a.Ended <= by
+	return (a.End == Returned || a.End == Rejected) && a.Ended <= by
 }
 
 // dropsRepeat reports whether the second of two attempts of a keyed job is dropped where it is sent.
--- a/internal/testbed/invariant/ledger.go
+++ b/internal/testbed/invariant/ledger.go
@@ -50,15 +50,15 @@
 // End is how an attempt ended at its worker.
 type End uint8
 
-// The ends. Only Returned and TurnedAway state that it never ran.
+// The ends. Only Returned and Rejected state that it never ran.
 const (
-	Open       End = iota
-	Done           // with a result
-	Errored        // failed, or status 500
-	Returned       // returned from the queue, unstarted
-	TurnedAway     // 503 with X-Not-Run
-	Dropped        // the dispatcher closed the connection
-	Died           // the worker's process ended or its link was cut
+	Open     End = iota
+	Done         // with a result
+	Errored      // failed, or status 500
+	Returned     // returned from the queue, unstarted
+	Rejected     // 503 with X-Not-Run
+	Dropped      // the dispatcher closed the connection
+	Died         // the worker's process ended or its link was cut
 )
 
 var endNames = [...]string{"open", "done", "failed", "returned", "turned away", "dropped by the dispatcher", "lost with its worker"}
@@ -115,31 +115,31 @@
 type Moment struct {
 	Dispatcher int
 	At         time.Duration
-	What       What
+	Kind       MomentKind
 	Detail     string
 }
 
-// What is the kind of a Moment.
-type What uint8
+// MomentKind is the kind of a Moment.
+type MomentKind uint8
 
 // The moments. The testbed sends the signals.
 const (
-	Started    What = iota
-	Ready           // it answered that it is up
-	Killed          // by SIGKILL
-	Terminated      // SIGTERM sent
-	Reloaded        // SIGHUP sent
-	Exited          // with status 0, after SIGTERM
-	Crashed         // by itself, or with another status
-	Overstayed      // it had not ended when SIGKILL came after SIGTERM
-	Stopped         // by SIGSTOP
-	Woken           // by SIGCONT
+	Started    MomentKind = iota
+	Ready                 // it answered that it is up
+	Killed                // by SIGKILL
+	Terminated            // SIGTERM sent
+	Reloaded              // SIGHUP sent
+	Exited                // with status 0, after SIGTERM
+	Crashed               // by itself, or with another status
+	Overstayed            // it had not ended when SIGKILL came after SIGTERM
+	Stopped               // by SIGSTOP
+	Woken                 // by SIGCONT
 )
 
-var whatNames = [...]string{"started", "ready", "killed", "sent SIGTERM", "sent SIGHUP", "ended", "crashed", "did not end after SIGTERM", "sent SIGSTOP", "sent SIGCONT"}
+var momentKindNames = [...]string{"started", "ready", "killed", "sent SIGTERM", "sent SIGHUP", "ended", "crashed", "did not end after SIGTERM", "sent SIGSTOP", "sent SIGCONT"}
 
 // String returns the moment as reports have it.
-func (w What) String() string { return whatNames[w] }
+func (k MomentKind) String() string { return momentKindNames[k] }
 
 // ProtocolFault is input that a worker was sent and could not parse.
 type ProtocolFault struct {
--- a/internal/testbed/invariant/violation.go
+++ b/internal/testbed/invariant/violation.go
@@ -48,18 +48,18 @@
 
 // Violation is one violation of a rule, with the records that prove it.
 type Violation struct {
-	Rule  string        `json:"rule"`
-	Kind  string        `json:"kind"`
-	At    time.Duration `json:"at_ns"`
-	Who   int           `json:"dispatcher"` // -1: several
-	ID    string        `json:"request,omitempty"`
-	Lines []string      `json:"lines"`
+	Rule       string        `json:"rule"`
+	Kind       string        `json:"kind"`
+	At         time.Duration `json:"at_ns"`
+	Dispatcher int           `json:"dispatcher"` // -1: several
+	ID         string        `json:"request,omitempty"`
+	Lines      []string      `json:"lines"`
 }
 
 // String formats the violation with its proof, over several lines.
 func (v Violation) String() string {
-	who := fmt.Sprintf("dispatcher %d", v.Who)
-	if v.Who < 0 {
+	who := fmt.Sprintf("dispatcher %d", v.Dispatcher)
+	if v.Dispatcher < 0 {
 		who = "all dispatchers together"
 	}
 	return fmt.Sprintf("%s/%s at %s by %s\n    %s", v.Rule, v.Kind, formatTime(v.At), who, strings.Join(v.Lines, "\n    "))
--- a/internal/testbed/loadgen/generator.go
+++ b/internal/testbed/loadgen/generator.go
@@ -159,7 +159,7 @@
 			return
 		}
 		wait := clients.RetryWait
-		if planned.Obeys && answer.RetryAfter > 0 {
+		if planned.HonorsRetryAfter && answer.RetryAfter > 0 {
 			wait = answer.RetryAfter
 		}
 		if g.ledger.Now()+wait >= deadline-minRetryTime {
--- a/internal/testbed/loadgen/misbehaving.go
+++ b/internal/testbed/loadgen/misbehaving.go
@@ -17,11 +17,11 @@
 
 // MisbehavingClients counts what misbehaving clients sent and how it was answered. It is safe for concurrent use.
 type MisbehavingClients struct {
-	Sent     atomic.Int64 // malformed requests
-	Answered atomic.Int64 // by an error or a close, within responseTimeout
-	Ignored  atomic.Int64 // neither answered nor closed by then
-	Served   atomic.Int64 // answered with 200: a worker got a job for what cannot be read
-	NoPlace  atomic.Int64 // no connection was established
+	Sent         atomic.Int64 // malformed requests
+	Answered     atomic.Int64 // by an error or a close, within responseTimeout
+	Ignored      atomic.Int64 // neither answered nor closed by then
+	Served       atomic.Int64 // answered with 200: a worker got a job for what cannot be read
+	NotConnected atomic.Int64 // no connection was established
 }
 
 // Times of misbehaving clients.
@@ -104,7 +104,7 @@
 func (m *MisbehavingClients) send(ctx context.Context, addr string, request []byte) {
 	conn, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
-		m.NoPlace.Add(1)
+		m.NotConnected.Add(1)
 		return
 	}
 	defer conn.Close()
--- a/internal/testbed/loadgen/try.go
+++ b/internal/testbed/loadgen/try.go
@@ -55,7 +55,7 @@
 		ID:     id,
 		Class:  class.Name,
 		Target: fmt.Sprintf("/%s/lab?w=%d", class.Name, index),
-		Retry:  number > 0 && g.day.Scenario.Clients.Mark,
+		Retry:  number > 0 && g.day.Scenario.Clients.MarkRetries,
 	}
 	if planned.Body > 0 {
 		q.Body = g.padding[index%maxBodyOffset:][:planned.Body]
@@ -114,8 +114,8 @@
 func (e *exchange) receive(conn *Conn, dispatcher *Dispatcher) {
 	g := e.generator
 	waitUntil := e.try.Due + lateAnswerWait
-	leavesAt := g.origin + e.planned.At + e.planned.Leaves
-	leaves := e.planned.Leaves > 0 && leavesAt < waitUntil
+	leavesAt := g.origin + e.planned.At + e.planned.LeavesAfter
+	leaves := e.planned.LeavesAfter > 0 && leavesAt < waitUntil
 	if leaves {
 		waitUntil = leavesAt
 	}
--- a/internal/testbed/report/html.go
+++ b/internal/testbed/report/html.go
@@ -249,7 +249,7 @@
 {{range .Plots}}<div>{{.}}</div>
 {{end}}
 {{if .R.Faults}}<h2>Troubles (shaded above)</h2><table><tr><th>from</th><th>to</th><th>what</th><th>whom</th></tr>
-{{range .R.Faults}}<tr><td>{{printf "%.1f" .At}} s</td><td>{{printf "%.1f" .Until}} s</td><td>{{.Kind}}</td><td>{{.Whom}}</td></tr>
+{{range .R.Faults}}<tr><td>{{printf "%.1f" .At}} s</td><td>{{printf "%.1f" .Until}} s</td><td>{{.Kind}}</td><td>{{.Target}}</td></tr>
 {{end}}</table>{{end}}
 </body></html>
 `))
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -104,10 +104,10 @@
 
 // FaultMark is an injected fault on the time axis.
 type FaultMark struct {
-	Kind  string  `json:"kind"`
-	At    float64 `json:"at"`
-	Until float64 `json:"until"`
-	Whom  string  `json:"whom"` // affected workers, dispatchers, traffic or tenant
+	Kind   string  `json:"kind"`
+	At     float64 `json:"at"`
+	Until  float64 `json:"until"`
+	Target string  `json:"whom"` // affected workers, dispatchers, traffic or tenant
 }
 
 // MisbehavingLine counts what misbehaving clients sent and how they were answered.
--- a/internal/testbed/report/text.go
+++ b/internal/testbed/report/text.go
@@ -97,7 +97,7 @@
 // writeConditions writes the faults, the misbehaving clients and how service was right after restarts.
 func (r *Report) writeConditions(t *textTable) {
 	for _, f := range r.Faults {
-		t.row("trouble", "%.1f to %.1f s: %s %s", f.At, f.Until, f.Kind, f.Whom)
+		t.row("trouble", "%.1f to %.1f s: %s %s", f.At, f.Until, f.Kind, f.Target)
 	}
 	if m := r.Misbehaving; m != nil {
 		t.row("rude clients", "%d sent: %d answered or closed, %d ignored, %d served", m.Sent, m.Answered, m.Ignored, m.Served)
--- a/internal/testbed/restarts.go
+++ b/internal/testbed/restarts.go
@@ -40,7 +40,7 @@
 func (r *run) restartIntervals() restartIntervals {
 	restarts := restartIntervals{}
 	for _, m := range r.ledger.Moments() {
-		if m.What == invariant.Ready && m.At > r.load.Origin() {
+		if m.Kind == invariant.Ready && m.At > r.load.Origin() {
 			restarts[m.Dispatcher] = append(restarts[m.Dispatcher], interval{m.At, m.At + restartPeriod})
 		}
 	}
--- a/internal/testbed/result.go
+++ b/internal/testbed/result.go
@@ -30,7 +30,7 @@
 	out.RanLate = out.Testbed.LagP99 > lateThreshold.Seconds()*1000
 	out.Violations = verdict.Violations[:min(len(verdict.Violations), maxViolations)]
 	for _, c := range verdict.Crashes {
-		note := fmt.Sprintf("dispatcher %d %s at %.3fs: %s", c.Dispatcher, c.What, c.At.Seconds(), c.Detail)
+		note := fmt.Sprintf("dispatcher %d %s at %.3fs: %s", c.Dispatcher, c.Kind, c.At.Seconds(), c.Detail)
 		out.CrashNotes = append(out.CrashNotes, strings.TrimRight(note, ": "))
 	}
 	r.countRequests(out)
@@ -60,7 +60,7 @@
 // addFaults adds the injected faults, and how service went during and after them.
 func (r *run) addFaults(out *report.Report) {
 	for _, e := range r.day.Events {
-		out.Faults = append(out.Faults, report.FaultMark{Kind: e.Kind, At: e.At.Seconds(), Until: e.Until.Seconds(), Whom: r.describeTarget(&e)})
+		out.Faults = append(out.Faults, report.FaultMark{Kind: e.Kind, At: e.At.Seconds(), Until: e.Until.Seconds(), Target: r.describeTarget(&e)})
 	}
 	out.SummarizeFaults()
 }
@@ -74,7 +74,7 @@
 	}
 	out.Misbehaving = &report.MisbehavingLine{
 		Sent: clients.Sent.Load(), Answered: clients.Answered.Load(), Ignored: clients.Ignored.Load(), Served: clients.Served.Load(),
-		NotConnected: clients.NoPlace.Load(),
+		NotConnected: clients.NotConnected.Load(),
 	}
 	if out.Misbehaving.Served > 0 {
 		out.Rules[invariant.Answers] += int(out.Misbehaving.Served)
--- a/internal/testbed/scenario/arrivals.go
+++ b/internal/testbed/scenario/arrivals.go
@@ -89,12 +89,12 @@
 	factor := math.Exp(c.Spread*random.NormFloat64() - c.Spread*c.Spread/2) // log-normal with mean 1
 	r.Work = max(time.Microsecond, time.Duration(float64(c.Work)*factor))
 	r.Body = c.Body[0] + random.IntN(c.Body[1]-c.Body[0]+1)
-	r.Obeys = random.Float64() < s.Clients.Obedient
+	r.HonorsRetryAfter = random.Float64() < s.Clients.HonorRetryAfterShare
 	if r.Tenant >= 0 {
 		r.OverQuota = !g.quotas[r.Tenant].take(at, s.Tenants[r.Tenant].Quota)
 	}
 	if s.Clients.LeaveShare > 0 && g.leaveRandom.Float64() < s.Clients.LeaveShare {
-		r.Leaves = 1 + time.Duration(g.leaveRandom.Float64()*float64(c.LatencyObjective+c.Work))
+		r.LeavesAfter = 1 + time.Duration(g.leaveRandom.Float64()*float64(c.LatencyObjective+c.Work))
 	}
 	return r
 }
--- a/internal/testbed/scenario/check.go
+++ b/internal/testbed/scenario/check.go
@@ -35,7 +35,7 @@
 	checkNumber(d, "list.keep", float64(s.List.Keep), 1, 1<<20)
 	checkNumber(d, "clients.retries", float64(s.Clients.Retries), 0, 20)
 	checkDuration(d, "clients.retry_wait", s.Clients.RetryWait, 0, time.Minute)
-	checkNumber(d, "clients.obedient", s.Clients.Obedient, 0, 1)
+	checkNumber(d, "clients.obedient", s.Clients.HonorRetryAfterShare, 0, 1)
 	checkNumber(d, "clients.leave", s.Clients.LeaveShare, 0, 1)
 	s.checkClasses(d)
 	s.checkTenants(d)
--- a/internal/testbed/scenario/day.go
+++ b/internal/testbed/scenario/day.go
@@ -20,7 +20,7 @@
 	streamRandomFaults
 	StreamLag         // lags of endpoint updates
 	StreamMisbehaving // misbehaving clients
-	StreamErr         // failing workers
+	StreamFailures    // failing workers
 	streamLeave
 )
 
@@ -29,15 +29,15 @@
 
 // Request is one request of a client. With its retries it makes one or more tries.
 type Request struct {
-	At         time.Duration // since the day's start
-	Class      int
-	Tenant     int // -1: none
-	Dispatcher int // that the client uses where it is up
-	Work       time.Duration
-	Body       int           // bytes
-	Obeys      bool          // honors Retry-After
-	OverQuota  bool          // beyond its tenant's quota
-	Leaves     time.Duration // time after its arrival at which the client disconnects; 0: never
+	At               time.Duration // since the day's start
+	Class            int
+	Tenant           int // -1: none
+	Dispatcher       int // that the client uses where it is up
+	Work             time.Duration
+	Body             int           // bytes
+	HonorsRetryAfter bool          // honors Retry-After
+	OverQuota        bool          // beyond its tenant's quota
+	LeavesAfter      time.Duration // time after its arrival at which the client disconnects; 0: never
 }
 
 // Worker is one worker of the fleet.
@@ -190,7 +190,7 @@
 		}
 	}
 	for _, r := range d.Requests {
-		put(int64(r.At), int64(r.Class), int64(r.Tenant), int64(r.Dispatcher), int64(r.Work), int64(r.Body), r.Obeys, r.OverQuota, int64(r.Leaves))
+		put(int64(r.At), int64(r.Class), int64(r.Tenant), int64(r.Dispatcher), int64(r.Work), int64(r.Body), r.HonorsRetryAfter, r.OverQuota, int64(r.LeavesAfter))
 	}
 	for _, w := range d.Workers {
 		put(w.Name, w.Kind, w.Zone, int64(w.Cores), w.Speed, w.Memory, int64(w.Queue), w.WarmingUp)
--- a/internal/testbed/scenario/load.go
+++ b/internal/testbed/scenario/load.go
@@ -70,10 +70,10 @@
 			Attempts: 6, DrainGrace: 500 * time.Millisecond, SlowStartMinFactor: 0.12, SlowStartWindow: 12 * time.Second,
 			OverloadMultiple: 2.5, OverloadWindow: 1500 * time.Millisecond, Hedging: true, RetryAfter: true,
 			MaxRetryAfter: 2 * time.Second, ConnectTimeout: 250 * time.Millisecond, IdleClose: 30 * time.Second,
-			Notes: true, Progress: time.Second, OverQuotaWeight: 0.05,
+			ReportsProgress: true, Progress: time.Second, OverQuotaWeight: 0.05,
 		},
-		List:    List{Lag: 500 * time.Millisecond, Jitter: 500 * time.Millisecond, Keep: 64},
-		Clients: Clients{Retries: 3, RetryWait: 100 * time.Millisecond, Obedient: 0.5, Mark: true},
+		List:    Discovery{Lag: 500 * time.Millisecond, Jitter: 500 * time.Millisecond, Keep: 64},
+		Clients: Clients{Retries: 3, RetryWait: 100 * time.Millisecond, HonorRetryAfterShare: 0.5, MarkRetries: true},
 	}
 }
 
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -28,7 +28,7 @@
 	Burst       Burst         `toml:"burst"`
 	Limits      Limits        `toml:"limits"`
 	Terms       Terms         `toml:"terms"`
-	List        List          `toml:"list"`
+	List        Discovery     `toml:"list"`
 	Clients     Clients       `toml:"clients"`
 	Classes     []Class       `toml:"class"`
 	Tenants     []Tenant      `toml:"tenant"`
@@ -62,13 +62,13 @@
 	MaxRetryAfter      time.Duration `toml:"most_retry_after"` // ... of this at most
 	ConnectTimeout     time.Duration `toml:"connect_timeout"`  // of a connection to a worker
 	IdleClose          time.Duration `toml:"idle_close"`       // after which workers close idle connections
-	Notes              bool          `toml:"notes"`            // workers report starts and progress
+	ReportsProgress    bool          `toml:"notes"`            // workers report starts and progress
 	Progress           time.Duration `toml:"progress"`         // between two reports of a running request; 0: none
 	OverQuotaWeight    float64       `toml:"over_share_worth"` // factor on the value of requests beyond a tenant's quota
 }
 
-// List configures how endpoint updates reach the dispatchers.
-type List struct {
+// Discovery configures how endpoint updates reach the dispatchers.
+type Discovery struct {
 	Lag    time.Duration `toml:"lag"`    // base lag of an update at a dispatcher's discovery agent
 	Jitter time.Duration `toml:"jitter"` // further lag, uniformly random for each agent and update
 	Keep   int           `toml:"keep"`   // versions kept; a dispatcher that is further behind gets the full list
@@ -76,11 +76,11 @@
 
 // Clients configures the behaviour of clients.
 type Clients struct {
-	Retries    int           `toml:"retries"`    // at most, of one request
-	RetryWait  time.Duration `toml:"retry_wait"` // 0: at once
-	Obedient   float64       `toml:"obedient"`   // share of clients that honor Retry-After
-	Mark       bool          `toml:"mark"`       // mark retries with X-Retry
-	LeaveShare float64       `toml:"leave"`      // share of requests whose client disconnects while it waits
+	Retries              int           `toml:"retries"`    // at most, of one request
+	RetryWait            time.Duration `toml:"retry_wait"` // 0: at once
+	HonorRetryAfterShare float64       `toml:"obedient"`   // share of clients that honor Retry-After
+	MarkRetries          bool          `toml:"mark"`       // mark retries with X-Retry
+	LeaveShare           float64       `toml:"leave"`      // share of requests whose client disconnects while it waits
 }
 
 // Class is a class of requests.
