--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -22,23 +22,23 @@
 
 // simulator generates random events for a few dispatchers and answers their actions.
 type simulator struct {
-	t         *testing.T
-	random    *rand.Rand
-	toRun     io.Writer
-	fromRun   *bufio.Reader
-	in, out   io.Writer // copies of what is sent and of the replies
-	nowMicros int64
-	queries   int
-	peers     []*simPeer
+	t           *testing.T
+	random      *rand.Rand
+	toAdapter   io.Writer
+	fromAdapter *bufio.Reader
+	in, out     io.Writer // copies of what is sent and of the replies
+	nowMicros   int64
+	queries     int
+	peers       []*simPeer
 }
 
 // simPeer is the simulator's view of one dispatcher.
 type simPeer struct {
-	timer         int64 // microseconds; 0: none
-	requests      []*simRequest
-	notes         []string // DATAGRAM lines for the next batch
-	version       int
-	listRequested bool // for the list
+	timer              int64 // microseconds; 0: none
+	requests           []*simRequest
+	peerMessages       []string // DATAGRAM lines for the next batch
+	version            int
+	endpointsRequested bool // for the list
 }
 
 type simRequest struct {
@@ -57,8 +57,8 @@
 
 const numPeers = 3
 
-// settingsOf returns random settings for one dispatcher.
-func (s *simulator) settingsOf(i int) string {
+// powerOnLine returns random settings for one dispatcher.
+func (s *simulator) powerOnLine(i int) string {
 	choose := func(of ...string) string { return of[s.random.IntN(len(of))] }
 	pairs := []string{
 		"classes.count=3",
@@ -107,13 +107,13 @@
 	fmt.Fprintf(&b, "BATCH\t%d.%06d\n", s.nowMicros/1e6, s.nowMicros%1e6)
 	for i := range s.peers {
 		fmt.Fprintf(&b, "ON\t%d\n", i)
-		s.eventsOf(&b, i)
+		s.writePeerEvents(&b, i)
 	}
 	b.WriteString("FLUSH\n")
 	s.exchange(b.String())
 }
 
-func (s *simulator) eventsOf(b *strings.Builder, i int) {
+func (s *simulator) writePeerEvents(b *strings.Builder, i int) {
 	peer := s.peers[i]
 	if peer == nil || s.random.IntN(400) == 0 {
 		if peer != nil {
@@ -121,24 +121,24 @@
 		}
 		peer = &simPeer{version: 1}
 		s.peers[i] = peer
-		b.WriteString(s.settingsOf(i))
+		b.WriteString(s.powerOnLine(i))
 		b.WriteString(s.pool(i, 0, numWorkers))
 		fmt.Fprintf(b, "MEMBERSHIP\t%s\t%d\t1\n", []string{"whole", "stale_copy"}[s.random.IntN(2)], i)
 	}
 	peer.requests = slices.DeleteFunc(peer.requests, func(request *simRequest) bool {
 		return request.answered && !slices.ContainsFunc(request.attempts, func(a simAttempt) bool { return a.inFlight })
 	})
-	for _, note := range peer.notes {
-		b.WriteString(note)
+	for _, message := range peer.peerMessages {
+		b.WriteString(message)
 	}
-	peer.notes = nil
+	peer.peerMessages = nil
 	if peer.timer != 0 && peer.timer <= s.nowMicros {
 		peer.timer = 0
 		b.WriteString("WAKEUP\tt\n")
 	}
 	switch k := s.random.IntN(60); {
-	case k == 0 || peer.listRequested && k < 40:
-		peer.listRequested = false
+	case k == 0 || peer.endpointsRequested && k < 40:
+		peer.endpointsRequested = false
 		peer.version++
 		fmt.Fprintf(b, "%sMEMBERSHIP\twhole\t%d\t%d\n", s.pool(i, 0, numWorkers), i, peer.version)
 	case k == 1:
@@ -148,7 +148,7 @@
 		fmt.Fprintf(b, "MEMBERSHIP\tbroken\t-\t-\n")
 	}
 	for _, request := range peer.requests {
-		s.eventsOfRequest(b, request)
+		s.writeRequestEvents(b, request)
 	}
 	for range s.random.IntN(5) / 2 {
 		s.queries++
@@ -160,7 +160,7 @@
 	}
 }
 
-func (s *simulator) eventsOfRequest(b *strings.Builder, request *simRequest) {
+func (s *simulator) writeRequestEvents(b *strings.Builder, request *simRequest) {
 	for i := range request.attempts {
 		attempt := &request.attempts[i]
 		if !attempt.inFlight {
@@ -202,12 +202,12 @@
 
 func (s *simulator) exchange(batch string) {
 	s.t.Helper()
-	if _, err := io.WriteString(io.MultiWriter(s.in, s.toRun), batch); err != nil {
+	if _, err := io.WriteString(io.MultiWriter(s.in, s.toAdapter), batch); err != nil {
 		s.t.Fatal(err)
 	}
-	by := -1
+	instance := -1
 	for {
-		line, err := s.fromRun.ReadString('\n')
+		line, err := s.fromAdapter.ReadString('\n')
 		if err != nil {
 			s.t.Fatal(err)
 		}
@@ -219,15 +219,15 @@
 		case "EOR":
 			return
 		case "BY":
-			by = int(micros(s.t, values[1]) / 1e6)
+			instance = int(micros(s.t, values[1]) / 1e6)
 		default:
-			s.reply(by, values)
+			s.reply(instance, values)
 		}
 	}
 }
 
-func (s *simulator) reply(by int, values []string) {
-	peer := s.peers[by]
+func (s *simulator) reply(instance int, values []string) {
+	peer := s.peers[instance]
 	find := func(id string) *simRequest {
 		i := slices.IndexFunc(peer.requests, func(request *simRequest) bool { return request.id == id })
 		if i < 0 {
@@ -246,10 +246,10 @@
 	case "ARM":
 		peer.timer = s.nowMicros + micros(s.t, values[2])
 	case "WATCH", "LOOKUP":
-		peer.listRequested = true
+		peer.endpointsRequested = true
 	case "WRITE_PEER":
 		to := s.peers[int(micros(s.t, values[1])/1e6)]
-		to.notes = append(to.notes, fmt.Sprintf("DATAGRAM\t%d\t%s\n", by, values[2]))
+		to.peerMessages = append(to.peerMessages, fmt.Sprintf("DATAGRAM\t%d\t%s\n", instance, values[2]))
 	default:
 		s.t.Fatalf("unknown reply %q", values)
 	}
@@ -265,22 +265,22 @@
 	return int64(n*1e6 + 0.5)
 }
 
-// converse runs a random conversation with run, and copies both directions.
-func converse(t *testing.T, seed uint64, batches int, in, out io.Writer) {
+// runConversation runs a random conversation with run, and copies both directions.
+func runConversation(t *testing.T, seed uint64, batches int, in, out io.Writer) {
 	t.Helper()
-	fromSim, toRun := io.Pipe()
-	fromRun, toSim := io.Pipe()
+	fromSim, toAdapter := io.Pipe()
+	fromAdapter, toSim := io.Pipe()
 	ended := make(chan error, 1)
 	go func() {
 		err := run(fromSim, toSim)
 		toSim.CloseWithError(err)
 		ended <- err
 	}()
-	s := &simulator{t: t, random: rand.New(rand.NewPCG(seed, 1)), toRun: toRun, fromRun: bufio.NewReader(fromRun), in: in, out: out, nowMicros: 1e6, peers: make([]*simPeer, numPeers)}
+	s := &simulator{t: t, random: rand.New(rand.NewPCG(seed, 1)), toAdapter: toAdapter, fromAdapter: bufio.NewReader(fromAdapter), in: in, out: out, nowMicros: 1e6, peers: make([]*simPeer, numPeers)}
 	for range batches {
 		s.batch()
 	}
-	if err := toRun.Close(); err != nil {
+	if err := toAdapter.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-ended; err != nil {
@@ -290,7 +290,7 @@
 
 func TestGolden_Conversation(t *testing.T) {
 	var in, out, replayed bytes.Buffer
-	converse(t, 7, 60, &in, &out)
+	runConversation(t, 7, 60, &in, &out)
 	goldentest.Check(t, "conversation.in", in.Bytes())
 	goldentest.Check(t, "conversation.out", out.Bytes())
 	recorded, err := os.ReadFile(filepath.Join("testdata", "golden", "conversation.in"))
@@ -309,7 +309,7 @@
 	for seed := range uint64(40) {
 		in, out := fnv.New64a(), fnv.New64a()
 		var text bytes.Buffer
-		converse(t, seed, 200, in, io.MultiWriter(out, &text))
+		runConversation(t, seed, 200, in, io.MultiWriter(out, &text))
 		fmt.Fprintf(&digests, "seed %d: input %016x, output %016x\n", seed, in.Sum64(), out.Sum64())
 		for line := range strings.Lines(text.String()) {
 			verb, _, _ := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -38,8 +38,8 @@
 		return r.parseAttemptChange(fields, names)
 	case lineResponse:
 		return r.parseResponse(fields, names)
-	case lineClientGone:
-		return r.parseClientGone(fields, names)
+	case lineClientDisconnected:
+		return r.parseClientDisconnected(fields, names)
 	case lineTimer:
 		r.event.Kind = dispatch.TimerFired
 		fields.text("handle")
@@ -63,7 +63,7 @@
 	class := fields.text("kind")
 	event.ExpectedWork = fields.duration("work")
 	event.TimeLeft = fields.duration("left")
-	event.AffinityKey = parseKey(fields)
+	event.AffinityKey = parseAffinityKey(fields)
 	fields.boolean("write")
 	fields.boolean("returned")
 	event.Memory = fields.number("mem_needed")
@@ -85,8 +85,8 @@
 	return err
 }
 
-// parseKey returns a request's key, the protocol's plus 1, since the protocol's keys begin with 0; 0: none.
-func parseKey(fields *fieldReader) uint64 {
+// parseAffinityKey returns a request's key, the protocol's plus 1, since the protocol's keys begin with 0; 0: none.
+func parseAffinityKey(fields *fieldReader) uint64 {
 	key, ok := settings.ParseInt(fields.next("target_key"))
 	if !ok || key < 0 {
 		return 0
@@ -138,7 +138,7 @@
 	return known, fields.finish()
 }
 
-func (r *Reader) parseClientGone(fields *fieldReader, names *settings.NameTable) (bool, error) {
+func (r *Reader) parseClientDisconnected(fields *fieldReader, names *settings.NameTable) (bool, error) {
 	r.event.Kind = dispatch.RequestAbandoned
 	known := r.parseRequestID(fields, names)
 	err := fields.finish()
--- a/internal/simprotocol/message.go
+++ b/internal/simprotocol/message.go
@@ -10,22 +10,22 @@
 
 // The messages of the simulator.
 const (
-	lineBatch         = "BATCH"          // a batch begins
-	lineFlush         = "FLUSH"          // the batch ends: the reply is due
-	lineOn            = "ON"             // selects the instance for the lines that follow
-	linePool          = "POOL"           // a numbered list of workers, for MEMBERSHIP
-	lineRow           = "ROW"            // one worker of the list
-	lineStart         = "POWER_ON"       // an instance starts, with a seed and settings
-	lineCrash         = "CRASH_NOW"      // an instance ends
-	lineRequest       = "QUERY"          // a request arrives
-	lineAttemptEnded  = "CLOSED_ATTEMPT" // an attempt has ended
-	lineAttemptChange = "CHANGE"         // an attempt has started to run, or reports progress
-	lineResponse      = "FIRST_BYTE"     // the response has started
-	lineClientGone    = "GONE"           // the client has disconnected
-	lineTimer         = "WAKEUP"         // the timer has fired
-	lineProbeDone     = "PROBE_DONE"     // a health check has ended
-	lineEndpoints     = "MEMBERSHIP"     // endpoints, or the loss of their watch
-	linePeerMessage   = "DATAGRAM"       // a message from a peer
+	lineBatch              = "BATCH"          // a batch begins
+	lineFlush              = "FLUSH"          // the batch ends: the reply is due
+	lineOn                 = "ON"             // selects the instance for the lines that follow
+	linePool               = "POOL"           // a numbered list of workers, for MEMBERSHIP
+	lineRow                = "ROW"            // one worker of the list
+	lineStart              = "POWER_ON"       // an instance starts, with a seed and settings
+	lineCrash              = "CRASH_NOW"      // an instance ends
+	lineRequest            = "QUERY"          // a request arrives
+	lineAttemptEnded       = "CLOSED_ATTEMPT" // an attempt has ended
+	lineAttemptChange      = "CHANGE"         // an attempt has started to run, or reports progress
+	lineResponse           = "FIRST_BYTE"     // the response has started
+	lineClientDisconnected = "GONE"           // the client has disconnected
+	lineTimer              = "WAKEUP"         // the timer has fired
+	lineProbeDone          = "PROBE_DONE"     // a health check has ended
+	lineEndpoints          = "MEMBERSHIP"     // endpoints, or the loss of their watch
+	linePeerMessage        = "DATAGRAM"       // a message from a peer
 )
 
 // The replies.
--- a/internal/simprotocol/reader_test.go
+++ b/internal/simprotocol/reader_test.go
@@ -261,7 +261,7 @@
 	})
 }
 
-func TestNotes_RoundTrip(t *testing.T) {
+func TestPeerMessage_RoundTrip(t *testing.T) {
 	for _, n := range []dispatch.PeerMessage{
 		{Kind: dispatch.LoadQuery, Tag: 0xfedcba98},
 		{Kind: dispatch.LoadReply, Tag: 1, Slots: 2.5},
@@ -282,7 +282,7 @@
 	}
 }
 
-func TestNotes_InMessages(t *testing.T) {
+func TestReaderWriter_PeerMessages(t *testing.T) {
 	note := string(appendPeerMessage(nil, dispatch.PeerMessage{Kind: dispatch.LoadReply, Tag: 9, Slots: 3}))
 	msgs, _, err := readAll(batch(startLine, "DATAGRAM\t4\t"+note+"\n", "DATAGRAM\t5\taGkgNw==\n"))
 	if err != nil {
