--- a/internal/simprotocol/endpoints.go
+++ b/internal/simprotocol/endpoints.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// poolCount is the number of numbered worker lists in the protocol.
+	// poolCount is the number of worker pools that the protocol numbers.
 	poolCount = 16
 
-	// maxPoolRows limits the workers in a list.
+	// maxPoolRows is the maximum number of workers in a pool.
 	maxPoolRows = 1 << 20
 
-	// noCell is the cell of a worker without one.
+	// noCell is the cell of a worker that belongs to no cell.
 	noCell = -1
 )
 
-// pool is a list of workers, which MEMBERSHIP lines refer to.
+// pool is a list of workers that MEMBERSHIP lines refer to by number.
 type pool struct {
 	rows  []poolRow
-	known bool // it has been sent
+	known bool // a POOL line has been received
 }
 
 type poolRow struct {
@@ -35,7 +35,7 @@
 	startedAt          dispatch.Time
 }
 
-// parsePool reads a list of workers, with the rows after its line.
+// parsePool parses a POOL line and reads its ROW lines.
 func (r *Reader) parsePool(fields *fieldReader) error {
 	page := fields.integer("page", 0, poolCount-1, -1)
 	count := fields.integer("rows", 0, maxPoolRows, -1)
@@ -46,14 +46,14 @@
 	for range count {
 		line, err := r.readLine()
 		if errors.Is(err, io.EOF) {
-			return errors.New("the input ended inside a pool")
+			return errors.New("truncated input: ended inside a pool")
 		}
 		if err != nil {
 			return err
 		}
 		name, rest, _ := bytes.Cut(line, []byte{'\t'})
 		if string(name) != lineRow {
-			return fmt.Errorf("a ROW is due, not %q", name)
+			return fmt.Errorf("unexpected message %q: must be ROW", name)
 		}
 		rowFields := fieldReader{rest: rest}
 		row := parseRow(&rowFields)
@@ -87,12 +87,12 @@
 	case "deregistered":
 		return dispatch.Gone
 	default:
-		fields.fail(fmt.Errorf("mode: %q is unknown", mode))
+		fields.fail(fmt.Errorf("mode: invalid value %q: must be healthy, cordoned or deregistered", mode))
 		return 0
 	}
 }
 
-// parseEndpoints reads what an endpoint source reports: a complete list, changes to one, or the loss of its watch.
+// parseEndpoints parses a MEMBERSHIP line: a complete endpoint list, changes to it, or the loss of its watch.
 func (r *Reader) parseEndpoints(fields *fieldReader, names *settings.NameTable) error {
 	event := &r.event
 	mode := fields.text("mode")
@@ -115,10 +115,10 @@
 		event.Kind = dispatch.EndpointWatchLost
 		return nil
 	default:
-		return fmt.Errorf("mode: %q is unknown", mode)
+		return fmt.Errorf("mode: invalid value %q: must be whole, stale_copy, patch or broken", mode)
 	}
 	if !r.pools[page].known {
-		return fmt.Errorf("page: list %d has not been sent", page)
+		return fmt.Errorf("page: pool %d has not been received", page)
 	}
 	for i := range r.pools[page].rows {
 		event.Workers = append(event.Workers, r.pools[page].rows[i].resolve(names))
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// resolve maps the names of a row to the ids of an instance.
+// resolve replaces the names in a row by the ids of an instance.
 func (p *poolRow) resolve(names *settings.NameTable) dispatch.Worker {
 	id := names.InternWorker(p.worker)
 	return dispatch.Worker{
--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// maxAttemptNumber limits the numbers of attempts.
+	// maxAttemptNumber is the maximum attempt number in a message.
 	maxAttemptNumber = 1 << 20
 
-	// maxSlots limits the slots of a request.
+	// maxSlots is the maximum number of slots that a request needs.
 	maxSlots = 1 << 20
 
-	// notReported means that a value is not in a load report.
+	// notReported marks a value that a load report does not contain.
 	notReported = -1
 )
 
-// What CHANGE reports of an attempt.
+// The values of "what" in a CHANGE line.
 const (
 	changeStarted    = 1
 	changeProgressed = 2
 )
 
-// parseEvent parses a line into r.event. It returns false for events that the dispatchers here do not use.
+// parseEvent parses a line into r.event. It returns false for an event that the dispatch module does not handle.
 func (r *Reader) parseEvent(name []byte, fields *fieldReader, names *settings.NameTable) (bool, error) {
 	r.event = dispatch.Event{Tenant: -1, Workers: r.workers[:0]}
 	switch string(name) {
@@ -51,7 +51,7 @@
 	case linePeerMessage:
 		return r.parsePeerMessage(fields)
 	}
-	return false, errors.New("the message is unknown")
+	return false, errors.New("unknown message")
 }
 
 func (r *Reader) parseRequest(fields *fieldReader, names *settings.NameTable) error {
@@ -85,7 +85,8 @@
 	return err
 }
 
-// parseAffinityKey returns a request's key, the protocol's plus 1, since the protocol's keys begin with 0; 0: none.
+// parseAffinityKey returns the affinity key of a request: the protocol's key plus 1, since the protocol's keys begin
+// at 0. It returns 0 if the request has no key.
 func parseAffinityKey(fields *fieldReader) uint64 {
 	key, ok := settings.ParseInt(fields.next("target_key"))
 	if !ok || key < 0 {
@@ -148,7 +149,7 @@
 	return known, err
 }
 
-// parseProbeDone checks the end of a health check, which the dispatchers here never request.
+// parseProbeDone validates the result of a health check and discards it: the dispatch module requests no health checks.
 func (r *Reader) parseProbeDone(fields *fieldReader) error {
 	fields.duration("spent")
 	parseResult(fields)
@@ -169,7 +170,7 @@
 	return known, nil
 }
 
-// parseRequestID reads the name of a request and reports whether it is open.
+// parseRequestID parses the name of a request and reports whether the request is open.
 func (r *Reader) parseRequestID(fields *fieldReader, names *settings.NameTable) bool {
 	id, ok := names.FindRequest(fields.text("tid"))
 	r.event.Request = id
@@ -184,13 +185,13 @@
 	r.event.Worker = names.InternWorkerBytes(fields.text("runner"))
 }
 
-// parseResult reads how an attempt ended. The protocol numbers results as the dispatch module does.
+// parseResult parses the result of an attempt. The protocol and the dispatch module use the same result codes.
 func parseResult(fields *fieldReader) dispatch.Result {
 	code := fields.integer("state_code", 0, maxID, -1)
 	return dispatch.Result(min(code, int64(dispatch.ResultUnknown)))
 }
 
-// parseLoadReport reads a worker's load report: comma-separated name:value pairs; unknown ones are skipped.
+// parseLoadReport parses a worker's load report: comma-separated name:value pairs. It skips unknown names.
 func (r *Reader) parseLoadReport(fields *fieldReader) {
 	report := &r.event.Report
 	*report = dispatch.LoadReport{FreeSlots: notReported, QueueLength: notReported}
@@ -204,7 +205,7 @@
 		name, value, found := bytes.Cut(pair, []byte{':'})
 		number, valid := settings.ParseDecimal(value)
 		if !found || !valid {
-			fields.fail(fmt.Errorf("server_stats: %q is not name:value", pair))
+			fields.fail(fmt.Errorf("server_stats: invalid pair %q: must be name:value", pair))
 			return
 		}
 		report.Known = true
--- a/internal/simprotocol/fields.go
+++ b/internal/simprotocol/fields.go
@@ -10,15 +10,15 @@
 )
 
 var (
-	errMissingValue = errors.New("a value is missing")
-	errExtraValue   = errors.New("there are more values than the message has")
+	errMissingValue = errors.New("missing value")
+	errExtraValue   = errors.New("too many values")
 )
 
-// fieldReader reads the values of one line from left to right and keeps the first error. After an error the returned
-// values must not be used.
+// fieldReader reads the values of one line from left to right and keeps the first error. The values that it returns
+// after an error are invalid.
 type fieldReader struct {
 	rest      []byte
-	exhausted bool // no value is left, not even an empty one
+	exhausted bool // no values remain, not even an empty one
 	err       error
 }
 
@@ -28,7 +28,7 @@
 	}
 }
 
-// finish returns the first error, or an error if values are left.
+// finish returns the first error, or errExtraValue if values remain.
 func (f *fieldReader) finish() error {
 	if !f.exhausted {
 		f.fail(errExtraValue)
@@ -36,7 +36,7 @@
 	return f.err
 }
 
-// next returns the next value as text.
+// next returns the next value as it stands in the line.
 func (f *fieldReader) next(name string) []byte {
 	if f.exhausted {
 		f.fail(fmt.Errorf("%s: %w", name, errMissingValue))
@@ -48,16 +48,16 @@
 	return value
 }
 
-// text returns a value that must be neither empty nor absent.
+// text returns the next value, which must be neither empty nor absent.
 func (f *fieldReader) text(name string) []byte {
 	value := f.next(name)
 	if len(value) == 0 || settings.IsAbsent(value) {
-		f.fail(fmt.Errorf("%s: a value is needed, not %q", name, value))
+		f.fail(fmt.Errorf("%s: invalid value %q: must be neither empty nor \"-\"", name, value))
 	}
 	return value
 }
 
-// integer returns an integer in a range; an absent one is def, if that is in the range.
+// integer returns an integer between minValue and maxValue, or def if the value is absent and def is in that range.
 func (f *fieldReader) integer(name string, minValue, maxValue, def int64) int64 {
 	text := f.next(name)
 	if settings.IsAbsent(text) && def >= minValue && def <= maxValue {
@@ -65,12 +65,12 @@
 	}
 	n, ok := settings.ParseInt(text)
 	if f.err == nil && (!ok || n < minValue || n > maxValue) {
-		f.fail(fmt.Errorf("%s: %q is not a whole number from %d to %d", name, text, minValue, maxValue))
+		f.fail(fmt.Errorf("%s: invalid value %q: must be an integer between %d and %d", name, text, minValue, maxValue))
 	}
 	return n
 }
 
-// number returns a non-negative number; an absent one is 0.
+// number returns a non-negative number, or 0 if the value is absent.
 func (f *fieldReader) number(name string) float64 {
 	text := f.next(name)
 	if settings.IsAbsent(text) {
@@ -78,20 +78,20 @@
 	}
 	n, ok := settings.ParseDecimal(text)
 	if f.err == nil && (!ok || n < 0) {
-		f.fail(fmt.Errorf("%s: %q is not a number from 0 on", name, text))
+		f.fail(fmt.Errorf("%s: invalid value %q: must be a non-negative number", name, text))
 	}
 	return n
 }
 
-// duration returns a duration or a time, which is written in seconds; an absent one is 0.
+// duration returns a duration or a time, which the protocol writes in seconds, or 0 if the value is absent.
 func (f *fieldReader) duration(name string) dispatch.Time {
 	seconds := f.number(name)
 	if seconds > settings.MaxSeconds {
-		f.fail(fmt.Errorf("%s: %v s is out of range", name, seconds))
+		f.fail(fmt.Errorf("%s: invalid value %v s: out of range", name, seconds))
 		return 0
 	}
 	return settings.FromSeconds(seconds)
 }
 
-// boolean returns a boolean, which is written as 0 or 1; an absent one is false.
+// boolean returns a boolean, which the protocol writes as 0 or 1, or false if the value is absent.
 func (f *fieldReader) boolean(name string) bool { return f.integer(name, 0, 1, 0) == 1 }
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -14,10 +14,10 @@
 	"birchfork/internal/settings"
 )
 
-// testdata/golden contains the simulator's protocol: each message as decoded, each reply as encoded, and the text of each error.
-// UPDATE_GOLDEN=1 writes it.
+// The files in testdata/golden contain each message of the simulator's protocol as decoded, each reply as encoded, and the
+// text of each error. UPDATE_GOLDEN=1 rewrites them.
 
-// goldenInput returns each message with all its values set, and with the values that mean none.
+// goldenInput returns each message with all its values set, and some again with values that are absent or zero.
 func goldenInput() []string {
 	const query = "QUERY\tr-%d\t1\tacme\tbook\t0.25\t4.5\t77\t1\t1\t1.5\t2\n"
 	lines := []string{
@@ -54,7 +54,7 @@
 	dispatch.PeerMessageReceived: "note received",
 }
 
-// writeMessage writes each field under a name that does not change if the field is renamed.
+// writeMessage writes each field under a fixed label, so that renaming a field does not change the golden file.
 func writeMessage(w io.Writer, message *Message) {
 	switch message.Kind {
 	case BatchBegin:
@@ -165,7 +165,7 @@
 	if err := w.WriteActions(5, n, []dispatch.Action{{Kind: 99}}); err != nil {
 		fmt.Fprintf(&out, "error: %v\n", err)
 	} else {
-		t.Error("an unknown action was written")
+		t.Error("WriteActions accepted an unknown action kind")
 	}
 	goldentest.Check(t, "replies.txt", out.Bytes())
 }
--- a/internal/simprotocol/message.go
+++ b/internal/simprotocol/message.go
@@ -1,22 +1,22 @@
-// Package simprotocol is the codec of the simulator's protocol: it reads batches of events for many dispatchers and
-// writes the actions back. It maps names to the ids of the dispatch module and makes no decisions.
+// Package simprotocol is the codec of the simulator's protocol. It reads batches of events for many dispatchers and
+// writes their actions as replies. It maps names to the ids of the dispatch module and makes no decisions.
 //
-// The input is lines of tab-separated values, the first of which names the message; "-" means a value that is not set.
-// A batch begins with BATCH and ends with FLUSH; ON selects the dispatcher for the lines that follow. The reply to a
-// batch is lines of the same form, and ends with EOR; BY names the dispatcher that acts.
+// The input consists of lines of tab-separated values. The first value is the name of the message, and "-" is an absent
+// value. A batch begins with BATCH and ends with FLUSH. ON selects the dispatcher for the lines that follow. The reply to
+// a batch has lines of the same form and ends with EOR. BY selects the dispatcher whose actions follow.
 package simprotocol
 
 import "birchfork/dispatch"
 
-// The messages of the simulator.
+// The names of the messages from the simulator.
 const (
 	lineBatch              = "BATCH"          // a batch begins
-	lineFlush              = "FLUSH"          // the batch ends: the reply is due
+	lineFlush              = "FLUSH"          // the batch ends; the simulator waits for the reply
 	lineOn                 = "ON"             // selects the instance for the lines that follow
-	linePool               = "POOL"           // a numbered list of workers, for MEMBERSHIP
-	lineRow                = "ROW"            // one worker of the list
-	lineStart              = "POWER_ON"       // an instance starts, with a seed and settings
-	lineCrash              = "CRASH_NOW"      // an instance ends
+	linePool               = "POOL"           // a numbered list of workers that MEMBERSHIP refers to
+	lineRow                = "ROW"            // one worker of a POOL
+	lineStart              = "POWER_ON"       // an instance starts with a seed and settings
+	lineCrash              = "CRASH_NOW"      // an instance stops
 	lineRequest            = "QUERY"          // a request arrives
 	lineAttemptEnded       = "CLOSED_ATTEMPT" // an attempt has ended
 	lineAttemptChange      = "CHANGE"         // an attempt has started to run, or reports progress
@@ -24,11 +24,11 @@
 	lineClientDisconnected = "GONE"           // the client has disconnected
 	lineTimer              = "WAKEUP"         // the timer has fired
 	lineProbeDone          = "PROBE_DONE"     // a health check has ended
-	lineEndpoints          = "MEMBERSHIP"     // endpoints, or the loss of their watch
-	linePeerMessage        = "DATAGRAM"       // a message from a peer
+	lineEndpoints          = "MEMBERSHIP"     // an endpoint list, changes to it, or the loss of its watch
+	linePeerMessage        = "DATAGRAM"       // a message from a peer has been received
 )
 
-// The replies.
+// The names of the lines of a reply.
 const (
 	replyInstance    = "BY"
 	replySend        = "CALL_OUT"
@@ -46,19 +46,19 @@
 // noInstance means that no instance is selected.
 const noInstance = -1
 
-// MessageKind is the type of a Message.
+// MessageKind is the kind of a Message.
 type MessageKind uint8
 
-// The kinds of messages, with the fields of Message that each uses.
+// The kinds of messages. The comments list the fields of Message that each kind sets besides Kind.
 const (
 	BatchBegin    MessageKind = iota // Now
-	BatchEnd                         // the reply is due
+	BatchEnd                         // none; the reply has to be sent
 	InstanceStart                    // Instance, Settings, Seed
 	InstanceStop                     // Instance
 	InstanceEvent                    // Instance, Event
 )
 
-// Message is one message to the host. Event and what it refers to are valid until the next call of Reader.Read.
+// Message is one message to the host. Event and its slices are valid until the next call of Reader.Read.
 type Message struct {
 	Kind     MessageKind
 	Now      dispatch.Time
--- a/internal/simprotocol/peermessage.go
+++ b/internal/simprotocol/peermessage.go
@@ -8,7 +8,8 @@
 	"birchfork/dispatch"
 )
 
-// A message between peers is a kind, four bytes of the worker's tag, and slots in eighths, encoded in base64.
+// A message between peers consists of one byte for the kind, the low four bytes of the worker's tag, and one byte for the
+// slots in eighths. It is encoded in base64.
 const (
 	peerMessageSize = 6
 	tagOffset       = 1
@@ -16,7 +17,7 @@
 	slotsScale      = 8
 )
 
-// decodePeerMessage decodes a message from a peer. known is false for a message that no peer of this version sends.
+// decodePeerMessage decodes a message from a peer. known is false if no peer of this version sends such a message.
 func decodePeerMessage(encoded []byte) (message dispatch.PeerMessage, known bool) {
 	var decoded [2 * peerMessageSize]byte
 	if base64.StdEncoding.DecodedLen(len(encoded)) > len(decoded) {
@@ -34,7 +35,7 @@
 	return message, true
 }
 
-// appendPeerMessage appends an encoded message. Slots over the maximum are encoded as the maximum.
+// appendPeerMessage appends the encoded message to buf. It limits the slots to the maximum that the encoding can hold.
 func appendPeerMessage(buf []byte, message dispatch.PeerMessage) []byte {
 	var encoded [peerMessageSize]byte
 	encoded[0] = byte(message.Kind)
--- a/internal/simprotocol/reader.go
+++ b/internal/simprotocol/reader.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	// readBufferSize is the size of the input's buffer, in bytes. Longer lines are copied.
+	// readBufferSize is the size of the input buffer in bytes. Longer lines are assembled in a second buffer.
 	readBufferSize = 1 << 18
 
-	// maxID limits the numbers of instances, peers and the like.
+	// maxID is the maximum of instance numbers, peer numbers and other ids and codes in messages.
 	maxID = 1 << 30
 )
 
-// Reader reads messages and stores the names of each instance, which a Writer needs. It is not safe for concurrent use.
+// Reader reads messages and keeps the name table of each instance, which Writer needs. It is not safe for concurrent use.
 type Reader struct {
 	in         *bufio.Reader
 	lineNumber int
-	longLine   []byte // a line that does not fit the buffer
+	longLine   []byte // buffer for a line longer than the input buffer
 
 	inBatch         bool
-	instance        int // of the following lines
+	instance        int // the instance that ON has selected
 	names           map[int]*settings.NameTable
-	freeSlotsValues map[int]string // the value of a load report that contains the free slots, by instance
+	freeSlotsValues map[int]string // by instance: the name under which load reports contain the free slots
 	pools           [poolCount]pool
 
-	event   dispatch.Event    // the last one, reused
-	workers []dispatch.Worker // of the last endpoint list, reused
+	event   dispatch.Event    // the last event, reused
+	workers []dispatch.Worker // the workers of the last endpoint list, reused
 }
 
 // NewReader returns a Reader that reads from in.
@@ -46,25 +46,25 @@
 	}
 }
 
-// Line returns the number of the last line read, counted from 1.
+// Line returns the number of the line read last. The first line is 1.
 func (r *Reader) Line() int { return r.lineNumber }
 
-// NameTable returns the names of an instance; nil if it has not started.
+// NameTable returns the name table of an instance, or nil if the instance has not started.
 func (r *Reader) NameTable(instance int) *settings.NameTable { return r.names[instance] }
 
-// Read reads the next message. It returns io.EOF if the input ends between two batches, and otherwise an error that
-// describes what is wrong with the line that Line returns.
+// Read reads the next message. It returns io.EOF if the input ends between two batches. Any other error describes the
+// line whose number Line returns.
 func (r *Reader) Read(message *Message) error {
 	for {
 		line, err := r.readLine()
 		if errors.Is(err, io.EOF) {
 			if r.inBatch {
-				return errors.New("the input ended inside a batch")
+				return errors.New("truncated input: ended inside a batch")
 			}
 			return io.EOF
 		}
 		if err != nil {
-			return fmt.Errorf("reading the input: %w", err)
+			return fmt.Errorf("reading input: %w", err)
 		}
 		name, rest, hasValues := bytes.Cut(line, []byte{'\t'})
 		fields := fieldReader{rest: rest, exhausted: !hasValues}
@@ -78,7 +78,7 @@
 	}
 }
 
-// readLine returns the next line without its ending, which may be missing on the last line of the input.
+// readLine returns the next line without its newline, which may be missing at the end of the input.
 func (r *Reader) readLine() ([]byte, error) {
 	line, err := r.in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -92,7 +92,7 @@
 	return bytes.TrimSuffix(line, []byte{'\n'}), nil
 }
 
-// readLongLine reads the rest of a line that does not fit the buffer.
+// readLongLine reads the rest of a line that is longer than the input buffer.
 func (r *Reader) readLongLine(begin []byte) ([]byte, error) {
 	r.longLine = append(r.longLine[:0], begin...)
 	for {
@@ -104,13 +104,13 @@
 	}
 }
 
-// parseLine parses one line. It returns false if the line is not a message to the host.
+// parseLine parses one line. It returns false if the line yields no message to the host.
 func (r *Reader) parseLine(name []byte, fields *fieldReader, message *Message) (bool, error) {
 	if string(name) == lineBatch {
 		return true, r.parseBatch(fields, message)
 	}
 	if !r.inBatch {
-		return false, errors.New("it stands outside a batch")
+		return false, errors.New("unexpected outside a batch")
 	}
 	switch string(name) {
 	case lineFlush:
@@ -123,14 +123,14 @@
 	case linePool:
 		return false, r.parsePool(fields)
 	case lineRow:
-		return false, errors.New("it stands outside a pool")
+		return false, errors.New("unexpected outside a pool")
 	}
 	return r.parseInstanceLine(name, fields, message)
 }
 
 func (r *Reader) parseBatch(fields *fieldReader, message *Message) error {
 	if r.inBatch {
-		return errors.New("the last batch has not ended")
+		return errors.New("previous batch has not ended")
 	}
 	message.Kind = BatchBegin
 	message.Now = fields.duration("clock")
@@ -142,7 +142,7 @@
 // parseInstanceLine parses a line for the selected instance.
 func (r *Reader) parseInstanceLine(name []byte, fields *fieldReader, message *Message) (bool, error) {
 	if r.instance < 0 {
-		return false, errors.New("no instance is set")
+		return false, errors.New("no instance selected")
 	}
 	message.Instance = r.instance
 	if string(name) == lineStart {
@@ -164,11 +164,11 @@
 
 func (r *Reader) parseStart(fields *fieldReader, message *Message) error {
 	if r.names[r.instance] != nil {
-		return fmt.Errorf("instance %d runs already", r.instance)
+		return fmt.Errorf("instance %d is already running", r.instance)
 	}
 	seed, err := strconv.ParseUint(string(fields.text("prng")), 10, 64)
 	if err != nil && fields.err == nil {
-		return errors.New("prng: not a whole number")
+		return errors.New("prng: must be an unsigned 64-bit integer")
 	}
 	if fields.err != nil {
 		return fields.err
@@ -189,7 +189,7 @@
 	return nil
 }
 
-// freeSlotsValue returns which value of a load report contains the free slots; empty for none.
+// freeSlotsValue returns the name under which load reports contain the free slots, or "" if they do not contain them.
 func freeSlotsValue(pairs *settings.Pairs) string {
 	found := ""
 	for _, value := range []string{"x0", "x1"} {
--- a/internal/simprotocol/reader_test.go
+++ b/internal/simprotocol/reader_test.go
@@ -24,7 +24,7 @@
 	return "BATCH\t100.5\nON\t0\n" + strings.Join(lines, "") + "FLUSH\n"
 }
 
-// readAll reads messages until the input ends or a line is malformed. Events are copied.
+// readAll reads messages until the input ends or a line is malformed. It copies each event, since the reader reuses it.
 func readAll(in string) ([]Message, *Reader, error) {
 	r := NewReader(strings.NewReader(in))
 	var out []Message
@@ -72,27 +72,27 @@
 	}{
 		{"query", []string{q}, dispatch.Event{Kind: dispatch.RequestArrived, Class: 1, ExpectedWork: 250 * dispatch.Millisecond, Retry: true,
 			TimeLeft: 4500 * dispatch.Millisecond, Slots: 2, Memory: 1.5}},
-		{"query with key 0", []string{"QUERY\tr-1\t0\t-\tsearch\t-\t4.5\t0\t-\t-\t-\t-\n"},
+		{"request with affinity key 0", []string{"QUERY\tr-1\t0\t-\tsearch\t-\t4.5\t0\t-\t-\t-\t-\n"},
 			dispatch.Event{Kind: dispatch.RequestArrived, Tenant: -1, TimeLeft: 4500 * dispatch.Millisecond, Slots: 1, AffinityKey: 1}},
-		{"query without hint, tenant, slots", []string{"QUERY\tr-1\t0\t-\tsearch\t-\t4.5\t-\t-\t-\t-\t-\n"},
+		{"request without expected work, tenant and slots", []string{"QUERY\tr-1\t0\t-\tsearch\t-\t4.5\t-\t-\t-\t-\t-\n"},
 			dispatch.Event{Kind: dispatch.RequestArrived, Tenant: -1, TimeLeft: 4500 * dispatch.Millisecond, Slots: 1}},
 		{"start", []string{poolLines, "MEMBERSHIP\twhole\t0\t7\n", q, "CHANGE\tr-1\t1\t10.0.0.2:7\t0\t-\n"},
 			dispatch.Event{Kind: dispatch.AttemptStarted, Worker: 1, Tenant: -1}},
 		{"progress", []string{q, "CHANGE\tr-1\t2\tx:1\t1\t0.5\n"},
 			dispatch.Event{Kind: dispatch.AttemptProgressed, Attempt: 1, Progress: 0.5, Tenant: -1}},
-		{"outcome with report", []string{q, "CLOSED_ATTEMPT\tr-1\t0\tx:1\t2\t0.0185\t0\t-\tx1:3,pending:4.5,new:1\n"},
+		{"attempt ended, with load report", []string{q, "CLOSED_ATTEMPT\tr-1\t0\tx:1\t2\t0.0185\t0\t-\tx1:3,pending:4.5,new:1\n"},
 			dispatch.Event{Kind: dispatch.AttemptEnded, Result: dispatch.ResultOverloaded, Elapsed: 18500, Tenant: -1,
 				Report: dispatch.LoadReport{Known: true, FreeSlots: 3, QueueLength: 4.5}}},
-		{"unknown outcome", []string{q, "CLOSED_ATTEMPT\tr-1\t0\tx:1\t77\t1\t0\t-\t-\n"},
+		{"attempt ended, unknown result", []string{q, "CLOSED_ATTEMPT\tr-1\t0\tx:1\t77\t1\t0\t-\t-\n"},
 			dispatch.Event{Kind: dispatch.AttemptEnded, Result: dispatch.ResultUnknown, Elapsed: dispatch.Second, Tenant: -1,
 				Report: dispatch.LoadReport{FreeSlots: -1, QueueLength: -1}}},
 		{"stream", []string{q, "FIRST_BYTE\tr-1\t0\t0.5\tx:1\n"},
 			dispatch.Event{Kind: dispatch.ResponseStarted, Elapsed: 500 * dispatch.Millisecond, Tenant: -1}},
-		{"the end of a health check is skipped", []string{"PROBE_DONE\t0.5\t0\tx:1\t-\n", q, "GONE\tr-1\n"},
+		{"health check result is skipped", []string{"PROBE_DONE\t0.5\t0\tx:1\t-\n", q, "GONE\tr-1\n"},
 			dispatch.Event{Kind: dispatch.RequestAbandoned, Tenant: -1}},
 		{"gone", []string{q, "GONE\tr-1\n"}, dispatch.Event{Kind: dispatch.RequestAbandoned, Tenant: -1}},
 		{"timer", []string{"WAKEUP\tsweep\n"}, dispatch.Event{Kind: dispatch.TimerFired, Tenant: -1}},
-		{"list lost", []string{"MEMBERSHIP\tbroken\t0\t9\n"}, dispatch.Event{Kind: dispatch.EndpointWatchLost, Version: 9, Tenant: -1}},
+		{"endpoint watch lost", []string{"MEMBERSHIP\tbroken\t0\t9\n"}, dispatch.Event{Kind: dispatch.EndpointWatchLost, Version: 9, Tenant: -1}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			msgs, _, err := readAll(batch(append([]string{startLine}, c.lines...)...))
@@ -161,7 +161,7 @@
 		t.Fatalf("got\n%swant\n%s", out.String(), want)
 	}
 	if err := w.WriteActions(0, n, []dispatch.Action{{Kind: 99}}); err == nil {
-		t.Fatal("an unknown action passed")
+		t.Fatal("WriteActions accepted an unknown action kind")
 	}
 }
 
@@ -169,28 +169,28 @@
 	for _, us := range []dispatch.Time{0, 1, 10, 999999, 1000000, 1000001, 123456789, 457526232643} {
 		got, ok := settings.ParseDecimal(appendSeconds(nil, us))
 		if !ok || settings.FromSeconds(got) != us {
-			t.Errorf("%d us: written %s, read %v", us, appendSeconds(nil, us), got)
+			t.Errorf("%d us: encoded as %s, decoded as %v", us, appendSeconds(nil, us), got)
 		}
 	}
 }
 
-// malformedInput is an input with a fault in a line, and what the error says of it.
+// malformedInput is an input with one malformed line. want lists substrings, separated by |, one of which the error contains.
 type malformedInput struct {
 	name, in string
 	line     int
 	want     string
 }
 
-// malformedInputs returns an input for each kind of fault.
+// malformedInputs returns one input for each error that the reader reports.
 func malformedInputs() []malformedInput {
 	q := "QUERY\tr-1\t0\tacme\tsearch\t-\t1\t-\t0\t0\t-\t1\n"
 	return []malformedInput{
 		{"outside a batch", "ON\t0\n", 1, "outside a batch"},
 		{"unknown message", batch("WHAT\t1\n"), 3, "no instance|not started|unknown"},
-		{"unknown message of a started one", batch(startLine, "WHAT\t1\n"), 4, "unknown"},
+		{"unknown message to a started instance", batch(startLine, "WHAT\t1\n"), 4, "unknown"},
 		{"no instance", "BATCH\t1\nWAKEUP\tx\nFLUSH\n", 2, "no instance"},
 		{"not started", batch("WAKEUP\tx\n"), 3, "not started"},
-		{"started twice", batch(startLine, startLine), 4, "runs already"},
+		{"started twice", batch(startLine, startLine), 4, "already running"},
 		{"truncated", "BATCH\t1\nON\t0\n", 2, "ended inside a batch"},
 		{"truncated pool", "BATCH\t1\nPOOL\t0\t3\nROW\ta\tb\tc\t1\thealthy\t1\t-\n", 3, "ended inside a pool"},
 		{"batch in a batch", "BATCH\t1\nBATCH\t2\n", 2, "has not ended"},
@@ -200,19 +200,19 @@
 		{"bad seed", batch("POWER_ON\tx\ta=1\n"), 3, "prng"},
 		{"bad setting", batch("POWER_ON\t1\tclasses.count=many\n"), 3, "classes.count"},
 		{"huge count", batch("POWER_ON\t1\tclasses.count=999999999\n"), 3, "classes.count"},
-		{"no pair", batch("POWER_ON\t1\tnonsense\n"), 3, "path=value"},
+		{"setting without value", batch("POWER_ON\t1\tnonsense\n"), 3, "path=value"},
 		{"bad flag", batch("POWER_ON\t1\textra.tells_start=maybe\n"), 3, "extra.tells_start"},
 		{"bad effect", batch("POWER_ON\t1\tclasses.count=1\tclasses.0.effect=odd\n"), 3, "classes.0.effect"},
-		{"unknown list", batch(startLine, "MEMBERSHIP\twhole\t5\t1\n"), 4, "list 5"},
-		{"list number", batch(startLine, "MEMBERSHIP\twhole\t16\t1\n"), 4, "page"},
+		{"unknown pool", batch(startLine, "MEMBERSHIP\twhole\t5\t1\n"), 4, "pool 5"},
+		{"pool number out of range", batch(startLine, "MEMBERSHIP\twhole\t16\t1\n"), 4, "page"},
 		{"membership mode", batch(startLine, poolLines, "MEMBERSHIP\tnew\t0\t1\n"), 7, "mode"},
 		{"worker mode", "BATCH\t1\nPOOL\t0\t1\nROW\ta\tb\tc\t1\tasleep\t1\t-\n", 3, "asleep"},
-		{"pool line", "BATCH\t1\nPOOL\t0\t1\nFLUSH\n", 3, "ROW is due"},
+		{"pool line", "BATCH\t1\nPOOL\t0\t1\nFLUSH\n", 3, "must be ROW"},
 		{"missing value", batch(startLine, "QUERY\tr-1\t0\n"), 4, "missing"},
-		{"surplus value", batch(startLine, "WAKEUP\tx\ty\n"), 4, "more values"},
+		{"extra value", batch(startLine, "WAKEUP\tx\ty\n"), 4, "too many values"},
 		{"unknown class", batch(startLine, strings.Replace(q, "search", "nap", 1)), 4, "nap"},
 		{"unknown tenant", batch(startLine, strings.Replace(q, "acme", "emca", 1)), 4, "emca"},
-		{"request twice", batch(startLine, q, q), 5, "open already"},
+		{"duplicate request", batch(startLine, q, q), 5, "open already"},
 		{"negative time", batch(startLine, strings.Replace(q, "\t1\t-\t0", "\t-5\t-\t0", 1)), 4, "left"},
 		{"bad report", batch(startLine, q, "CLOSED_ATTEMPT\tr-1\t0\tx:1\t0\t1\t1\t-\tx0=4\n"), 5, "server_stats"},
 		{"empty line", batch(startLine, "\n"), 4, "unknown"},
@@ -254,7 +254,7 @@
 	f.Add("BATCH\t1\nFLUSH\n")
 	f.Add("BATCH\t-\nPOOL\t0\t0\nON\t-1\n")
 	f.Fuzz(func(t *testing.T, in string) {
-		_, r, err := readAll(in) // must neither panic nor hang
+		_, r, err := readAll(in) // must not panic and must return
 		if err != nil && (err.Error() == "" || r.Line() > strings.Count(in, "\n")+1) {
 			t.Fatalf("line %d: %v", r.Line(), err)
 		}
@@ -269,22 +269,22 @@
 	} {
 		got, known := decodePeerMessage(appendPeerMessage(nil, n))
 		if !known || got != n {
-			t.Errorf("got %+v, %v, want %+v", got, known, n)
+			t.Errorf("got %+v, known %v, want %+v", got, known, n)
 		}
 	}
 	if n, _ := decodePeerMessage(appendPeerMessage(nil, dispatch.PeerMessage{Kind: dispatch.UsageUpdate, Slots: 1e9})); n.Slots != 255.0/8 {
-		t.Errorf("more slots than a message holds became %v", n.Slots)
+		t.Errorf("slots above the maximum were decoded as %v", n.Slots)
 	}
 	for _, raw := range []string{"", "-", "aGkgNw==", "/////////w==", "not base64!", "AAAAAAAAAAAAAAAAAAAAAAAAAAAA"} {
 		if n, known := decodePeerMessage([]byte(raw)); known {
-			t.Errorf("%q was read as %+v", raw, n)
+			t.Errorf("malformed message %q was decoded as %+v", raw, n)
 		}
 	}
 }
 
 func TestReaderWriter_PeerMessages(t *testing.T) {
-	note := string(appendPeerMessage(nil, dispatch.PeerMessage{Kind: dispatch.LoadReply, Tag: 9, Slots: 3}))
-	msgs, _, err := readAll(batch(startLine, "DATAGRAM\t4\t"+note+"\n", "DATAGRAM\t5\taGkgNw==\n"))
+	encoded := string(appendPeerMessage(nil, dispatch.PeerMessage{Kind: dispatch.LoadReply, Tag: 9, Slots: 3}))
+	msgs, _, err := readAll(batch(startLine, "DATAGRAM\t4\t"+encoded+"\n", "DATAGRAM\t5\taGkgNw==\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -296,7 +296,7 @@
 	}
 	want := dispatch.PeerMessage{Kind: dispatch.LoadReply, Tag: 9, Slots: 3}
 	if len(received) != 1 || received[0].Peer != 4 || received[0].Message != want {
-		t.Fatalf("got %+v, want one message from 4; what no peer of this version sends is skipped", received)
+		t.Fatalf("got %+v, want one message from peer 4: unknown messages must be skipped", received)
 	}
 	var out bytes.Buffer
 	w := NewWriter(&out)
@@ -306,7 +306,7 @@
 	if err := w.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	if got := out.String(); got != "BY\t3\nWRITE_PEER\t12\t"+note+"\nEOR\n" {
+	if got := out.String(); got != "BY\t3\nWRITE_PEER\t12\t"+encoded+"\nEOR\n" {
 		t.Fatalf("got %q", got)
 	}
 }
--- a/internal/simprotocol/writer.go
+++ b/internal/simprotocol/writer.go
@@ -10,18 +10,19 @@
 	"birchfork/internal/settings"
 )
 
-// Writer writes replies: the actions of one batch, which Flush sends. It is not safe for concurrent use.
+// Writer collects the actions of a batch and writes them as one reply when Flush is called. It is not safe for concurrent
+// use.
 type Writer struct {
 	out      io.Writer
 	buf      []byte
-	instance int // of the following lines
+	instance int // the instance that the last BY line names
 }
 
 // NewWriter returns a Writer that writes to out.
 func NewWriter(out io.Writer) *Writer { return &Writer{out: out, instance: noInstance} }
 
-// WriteActions adds the actions of an instance to the reply and records in names what they mean for open requests. It
-// returns an error for an action of an unknown kind.
+// WriteActions adds the actions of an instance to the reply and updates the open requests in names. It returns an error
+// for an action of an unknown kind.
 func (w *Writer) WriteActions(instance int, names *settings.NameTable, actions []dispatch.Action) error {
 	for i := range actions {
 		w.selectInstance(instance)
@@ -65,13 +66,13 @@
 		w.addInt(action.Peer)
 		w.buf = appendPeerMessage(append(w.buf, '\t'), action.Message)
 	default:
-		return fmt.Errorf("action kind %d is unknown", action.Kind)
+		return fmt.Errorf("unknown action kind %d", action.Kind)
 	}
 	w.end()
 	return nil
 }
 
-// WriteCrash adds to the reply that an instance has crashed and no longer exists.
+// WriteCrash adds a line to the reply which reports that an instance has crashed and no longer exists.
 func (w *Writer) WriteCrash(instance int, reason string) {
 	w.selectInstance(instance)
 	w.begin(replyCrash)
@@ -79,7 +80,7 @@
 	w.end()
 }
 
-// Flush ends the reply and sends it.
+// Flush ends the reply and writes it to the output.
 func (w *Writer) Flush() error {
 	w.begin(replyEnd)
 	w.end()
@@ -121,7 +122,7 @@
 
 func (w *Writer) end() { w.buf = append(w.buf, '\n') }
 
-// appendSeconds appends a duration in seconds, with as many decimals as it needs.
+// appendSeconds appends a duration in seconds without trailing zeros after the decimal point.
 func appendSeconds(buf []byte, t dispatch.Time) []byte {
 	if t < 0 {
 		buf = append(buf, '-')
