--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -17,8 +17,9 @@
 	"birchfork/internal/goldentest"
 )
 
-// testdata/golden contains conversations between a random simulator and this program: one completely, of the others the
-// digests of both directions. They verify that the same seed gives the same decisions. UPDATE_GOLDEN=1 writes it.
+// testdata/golden records conversations between a random simulator and this program: one in full, and the digests of both
+// directions of the others. The tests verify that a seed always gives the same decisions. UPDATE_GOLDEN=1 rewrites the
+// files.
 
 // simulator generates random events for a few dispatchers and answers their actions.
 type simulator struct {
@@ -26,7 +27,7 @@
 	random      *rand.Rand
 	toAdapter   io.Writer
 	fromAdapter *bufio.Reader
-	in, out     io.Writer // copies of what is sent and of the replies
+	in, out     io.Writer // copies of the input and of the replies
 	nowMicros   int64
 	queries     int
 	peers       []*simPeer
@@ -34,11 +35,11 @@
 
 // simPeer is the simulator's view of one dispatcher.
 type simPeer struct {
-	timer              int64 // microseconds; 0: none
+	timer              int64 // due time in microseconds; 0: not set
 	requests           []*simRequest
 	peerMessages       []string // DATAGRAM lines for the next batch
 	version            int
-	endpointsRequested bool // for the list
+	endpointsRequested bool // an endpoint list is due
 }
 
 type simRequest struct {
@@ -57,9 +58,9 @@
 
 const numPeers = 3
 
-// powerOnLine returns random settings for one dispatcher.
+// powerOnLine returns a POWER_ON line with a random seed and random settings for dispatcher i.
 func (s *simulator) powerOnLine(i int) string {
-	choose := func(of ...string) string { return of[s.random.IntN(len(of))] }
+	choose := func(values ...string) string { return values[s.random.IntN(len(values))] }
 	pairs := []string{
 		"classes.count=3",
 		"classes.0.name=search", "classes.0.aim=" + choose("0.4", "1.5", "2.5"), "classes.0.deadline=5", "classes.0.effect=free", "classes.0.worth=5", "classes.0.late_worth=0.2",
@@ -81,7 +82,7 @@
 
 const numWorkers = 12
 
-// pool returns a random list of workers.
+// pool returns the lines of a pool of count workers in random states.
 func (s *simulator) pool(page, first, count int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "POOL\t%d\t%d\n", page, count)
@@ -100,7 +101,7 @@
 	return b.String()
 }
 
-// batch sends one batch of events, and reads the reply.
+// batch sends one batch of random events to all dispatchers and reads the reply.
 func (s *simulator) batch() {
 	s.nowMicros += int64(1+s.random.IntN(40)) * 1000
 	var b strings.Builder
@@ -154,7 +155,7 @@
 		s.queries++
 		request := &simRequest{id: fmt.Sprintf("r-%d", s.queries)}
 		peer.requests = append(peer.requests, request)
-		choose := func(of ...string) string { return of[s.random.IntN(len(of))] }
+		choose := func(values ...string) string { return values[s.random.IntN(len(values))] }
 		fmt.Fprintf(b, "QUERY\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t0\t0\t%s\t%s\n", request.id, s.random.IntN(2), choose("acme", "umbrella", "-"), choose("search", "search", "book", "pay"),
 			choose("-", "0.05", "0.2"), choose("0.8", "2.5", "3"), choose("-", "1", "7"), choose("-", "0.5"), choose("-", "1", "2"))
 	}
@@ -231,7 +232,7 @@
 	find := func(id string) *simRequest {
 		i := slices.IndexFunc(peer.requests, func(request *simRequest) bool { return request.id == id })
 		if i < 0 {
-			s.t.Fatalf("%q names a request that is not open", values)
+			s.t.Fatalf("reply %q for a request that is not open", values)
 		}
 		return peer.requests[i]
 	}
@@ -265,16 +266,16 @@
 	return int64(n*1e6 + 0.5)
 }
 
-// runConversation runs a random conversation with run, and copies both directions.
+// runConversation connects a random simulator to run, and copies the input and the replies to in and out.
 func runConversation(t *testing.T, seed uint64, batches int, in, out io.Writer) {
 	t.Helper()
 	fromSim, toAdapter := io.Pipe()
 	fromAdapter, toSim := io.Pipe()
-	ended := make(chan error, 1)
+	runErr := make(chan error, 1)
 	go func() {
 		err := run(fromSim, toSim)
 		toSim.CloseWithError(err)
-		ended <- err
+		runErr <- err
 	}()
 	s := &simulator{t: t, random: rand.New(rand.NewPCG(seed, 1)), toAdapter: toAdapter, fromAdapter: bufio.NewReader(fromAdapter), in: in, out: out, nowMicros: 1e6, peers: make([]*simPeer, numPeers)}
 	for range batches {
@@ -283,7 +284,7 @@
 	if err := toAdapter.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if err := <-ended; err != nil {
+	if err := <-runErr; err != nil {
 		t.Fatal(err)
 	}
 }
@@ -305,19 +306,19 @@
 
 func TestGolden_Conversations(t *testing.T) {
 	var digests bytes.Buffer
-	verbs := map[string]int{}
+	replyCounts := map[string]int{}
 	for seed := range uint64(40) {
 		in, out := fnv.New64a(), fnv.New64a()
 		var text bytes.Buffer
 		runConversation(t, seed, 200, in, io.MultiWriter(out, &text))
 		fmt.Fprintf(&digests, "seed %d: input %016x, output %016x\n", seed, in.Sum64(), out.Sum64())
 		for line := range strings.Lines(text.String()) {
-			verb, _, _ := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
-			verbs[verb]++
+			reply, _, _ := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
+			replyCounts[reply]++
 		}
 	}
-	for _, verb := range slices.Sorted(maps.Keys(verbs)) {
-		fmt.Fprintf(&digests, "%d of %s\n", verbs[verb], verb)
+	for _, reply := range slices.Sorted(maps.Keys(replyCounts)) {
+		fmt.Fprintf(&digests, "%d of %s\n", replyCounts[reply], reply)
 	}
 	goldentest.Check(t, "conversations.txt", digests.Bytes())
 }
--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -11,7 +11,7 @@
 	"birchfork/internal/simprotocol"
 )
 
-// decider is the interface of the dispatch module that a host uses.
+// decider is the part of the dispatch module that a host calls.
 type decider interface {
 	Handle(now dispatch.Time, event *dispatch.Event, actions []dispatch.Action) []dispatch.Action
 }
@@ -20,7 +20,7 @@
 	return dispatch.New(settings, seed)
 }
 
-// run handles messages until the input ends between two batches. Its error names the malformed line.
+// run handles messages until the input ends between two batches. Its errors contain the number of the line.
 func run(in io.Reader, out io.Writer) error {
 	h := newHost(in, out)
 	for {
@@ -34,15 +34,15 @@
 	}
 }
 
-// host runs many dispatchers, which share only the process.
+// host runs many dispatchers in one process. They share no state.
 type host struct {
 	reader     *simprotocol.Reader
 	writer     *simprotocol.Writer
 	instances  map[int]decider
 	newDecider func(dispatch.Settings, uint64) (decider, error)
 	now        dispatch.Time
-	message    simprotocol.Message // the last message, reused
-	actions    []dispatch.Action   // of the last event, reused
+	message    simprotocol.Message // the message being handled, reused
+	actions    []dispatch.Action   // the actions for the last event, reused
 }
 
 func newHost(in io.Reader, out io.Writer) *host {
@@ -84,16 +84,16 @@
 	return nil
 }
 
-// handleEvent passes an event to one dispatcher. A panic ends that dispatcher and is reported; it does not end the
-// process.
+// handleEvent passes an event to one dispatcher. If the dispatcher panics, the host reports a crash and removes that
+// dispatcher; the others continue to run.
 func (h *host) handleEvent(message *simprotocol.Message) error {
 	instance := h.instances[message.Instance]
 	if instance == nil {
-		return nil // it has panicked earlier
+		return nil // the dispatcher has panicked earlier
 	}
 	defer func() {
 		if cause := recover(); cause != nil {
-			fmt.Fprintf(os.Stderr, "simadapter: instance %d: %v\n%s", message.Instance, cause, debug.Stack())
+			fmt.Fprintf(os.Stderr, "simadapter: instance %d panicked: %v\n%s", message.Instance, cause, debug.Stack())
 			h.writer.WriteCrash(message.Instance, fmt.Sprint(cause))
 			delete(h.instances, message.Instance)
 		}
--- a/cmd/simadapter/host_test.go
+++ b/cmd/simadapter/host_test.go
@@ -15,7 +15,7 @@
 
 const queryLine = "QUERY\tr-1\t0\t-\tsearch\t-\t5\t-\t0\t0\t-\t1\n"
 
-func TestRun_Decides(t *testing.T) {
+func TestRun_SendsRequestToWorker(t *testing.T) {
 	in := "BATCH\t1\nFLUSH\nBATCH\t2\nON\t4\n" + startLine + listLines + queryLine + "FLUSH\n" +
 		"BATCH\t3\nON\t4\nCLOSED_ATTEMPT\tr-1\t0\t10.0.0.1:7\t0\t1\t1\t-\t-\nFLUSH\n"
 	var out bytes.Buffer
@@ -28,22 +28,22 @@
 	}
 }
 
-func TestRun_NamesLine(t *testing.T) {
+func TestRun_ErrorNamesLine(t *testing.T) {
 	for _, c := range []struct{ name, in, want string }{
 		{"codec", "BATCH\t1\nON\tx\n", "line 2: ON: i"},
 		{"module", "BATCH\t1\nON\t0\nPOWER_ON\t1\tx=1\n", "line 3: settings of instance 0: settings: Classes"},
 	} {
 		err := run(strings.NewReader(c.in), &bytes.Buffer{})
 		if err == nil || !strings.HasPrefix(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %q", c.name, err, c.want)
+			t.Errorf("%s: got error %v, want prefix %q", c.name, err, c.want)
 		}
 	}
 }
 
-// panicking panics at its first event.
-type panicking struct{}
+// panickingDecider is a decider that panics at its first event.
+type panickingDecider struct{}
 
-func (panicking) Handle(dispatch.Time, *dispatch.Event, []dispatch.Action) []dispatch.Action {
+func (panickingDecider) Handle(dispatch.Time, *dispatch.Event, []dispatch.Action) []dispatch.Action {
 	panic("no such thing")
 }
 
@@ -51,7 +51,7 @@
 	in := "BATCH\t2\nON\t4\n" + startLine + listLines + queryLine + "FLUSH\n"
 	var out bytes.Buffer
 	h := newHost(strings.NewReader(in), &out)
-	h.newDecider = func(dispatch.Settings, uint64) (decider, error) { return panicking{}, nil }
+	h.newDecider = func(dispatch.Settings, uint64) (decider, error) { return panickingDecider{}, nil }
 	for {
 		if err := h.step(); err != nil {
 			break
