--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -53,11 +53,11 @@
 	benchmarkRequests(b, testSettings(), taggedFleet(12), 64)
 }
 
-func BenchmarkHandle_Keys(b *testing.B) {
+func BenchmarkHandle_AffinityKeys(b *testing.B) {
 	benchmarkRequests(b, affinitySettings(), taggedFleet(100), 32)
 }
 
-func BenchmarkHandle_Notes(b *testing.B) {
+func BenchmarkHandle_PeerMessages(b *testing.B) {
 	s := testSettings()
 	s.GroupSize, s.PeerMessages = 40, true
 	benchmarkRequests(b, s, taggedFleet(100), 32)
--- a/dispatch/golden_streams_test.go
+++ b/dispatch/golden_streams_test.go
@@ -9,14 +9,14 @@
 // The streams of events with which golden_test.go drives the module.
 
 const (
-	goldenEvents = 400 // random events per seed
-	goldenQuiet  = 300 // steps of 15 ms without events at the end of each seed, in which timers still fire
-	goldenRun    = 3 * Second
+	goldenEvents    = 400 // random events per seed
+	goldenIdleSteps = 300 // steps of 15 ms without events at the end of each seed, in which timers still fire
+	goldenDuration  = 3 * Second
 )
 
-// goldenStream passes one seed's events to a dispatcher: for even seeds random ones that contradict each other, for odd seeds
+// runGoldenStream passes one seed's events to a dispatcher: for even seeds random ones that contradict each other, for odd seeds
 // those of a simulated fleet. The four rules are checked throughout.
-func goldenStream(seed uint64, digest *actionDigest) error {
+func runGoldenStream(seed uint64, digest *actionDigest) error {
 	rng := rand.New(rand.NewPCG(seed, 41))
 	settings := goldenSettings(rng)
 	dispatcher, err := New(settings, seed)
@@ -91,7 +91,7 @@
 		event := s.nextEvent()
 		switch event.Kind {
 		case RequestArrived:
-			drawRequest(rng, &event, limited)
+			randomizeRequest(rng, &event, limited)
 		case EndpointSnapshot:
 			event.Stale = rng.IntN(4) == 0
 		case AttemptProgressed:
@@ -105,7 +105,7 @@
 			return err
 		}
 	}
-	for range goldenQuiet {
+	for range goldenIdleSteps {
 		s.now += 15 * ms
 		if err := s.fireTimers(); err != nil {
 			return err
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// drawRequest sets the fields of a request that random_test.go does not.
-func drawRequest(rng *rand.Rand, event *Event, limited bool) {
+// randomizeRequest sets the fields of a request that random_test.go does not.
+func randomizeRequest(rng *rand.Rand, event *Event, limited bool) {
 	if rng.IntN(3) == 0 {
 		event.ExpectedWork = 0
 	}
@@ -125,10 +125,10 @@
 	if !limited {
 		return
 	}
-	some := func(t Time) Time { return t * Time(rng.IntN(2)) * Time(1+rng.IntN(20)) / 20 }
+	randomOrZero := func(t Time) Time { return t * Time(rng.IntN(2)) * Time(1+rng.IntN(20)) / 20 }
 	event.RouteLimits = RouteLimits{
-		Timeout: some(3 * Second), AttemptTimeout: some(Second), MaxQueueTime: some(Second), MaxAttempts: rng.IntN(4), NoHedging: rng.IntN(4) == 0,
-		HedgeDelay: some(100 * ms), RetryNotRunOnly: rng.IntN(4) == 0, DedupWindow: some(2 * Second), RetryBackoff: some(100 * ms), MaxRetryBackoff: some(400 * ms),
+		Timeout: randomOrZero(3 * Second), AttemptTimeout: randomOrZero(Second), MaxQueueTime: randomOrZero(Second), MaxAttempts: rng.IntN(4), NoHedging: rng.IntN(4) == 0,
+		HedgeDelay: randomOrZero(100 * ms), RetryNotRunOnly: rng.IntN(4) == 0, DedupWindow: randomOrZero(2 * Second), RetryBackoff: randomOrZero(100 * ms), MaxRetryBackoff: randomOrZero(400 * ms),
 		BackoffJitter: float64(rng.IntN(3)) / 3,
 	}
 }
@@ -149,13 +149,13 @@
 // goldenFleet simulates workers: each runs as many requests as it has slots and queues the others.
 type goldenFleet struct {
 	*randomStream
-	digest  *actionDigest
-	due     []goldenDue // sorted by time, then in the order of addition
-	workers []goldenWorker
-	next    RequestID
+	digest      *actionDigest
+	scheduled   []scheduledEvent // sorted by time, then in the order of addition
+	workers     []goldenWorker
+	nextRequest RequestID
 }
 
-type goldenDue struct {
+type scheduledEvent struct {
 	at    Time
 	event Event
 }
@@ -196,9 +196,9 @@
 	rate := 1500 + f.rng.IntN(3000) // slots times microseconds between two arrivals, in hundreds
 	gap := max(rate*100/slots, 1)
 	limited := f.rng.IntN(3) == 0
-	end := f.now + goldenRun
+	end := f.now + goldenDuration
 	for at := f.now; at < end; at += Time(f.rng.IntN(2 * gap)) {
-		if err := f.passTime(at); err != nil {
+		if err := f.advanceTo(at); err != nil {
 			return err
 		}
 		if err := f.handle(f.arrival(limited)); err != nil {
@@ -210,16 +210,16 @@
 			}
 		}
 	}
-	return f.passTime(end + 6*Second)
+	return f.advanceTo(end + 6*Second)
 }
 
 // arrival returns the next request.
 func (f *goldenFleet) arrival(limited bool) Event {
 	rng := f.rng
-	event := Event{Kind: RequestArrived, Request: f.next, Class: rng.IntN(4), Tenant: rng.IntN(3) - 1, ExpectedWork: 100*ms + Time(rng.IntN(200))*ms,
+	event := Event{Kind: RequestArrived, Request: f.nextRequest, Class: rng.IntN(4), Tenant: rng.IntN(3) - 1, ExpectedWork: 100*ms + Time(rng.IntN(200))*ms,
 		TimeLeft: 5 * Second, Slots: 1, Retry: rng.IntN(10) == 0, AffinityKey: uint64(rng.IntN(5))}
-	f.next++
-	drawRequest(rng, &event, limited)
+	f.nextRequest++
+	randomizeRequest(rng, &event, limited)
 	return event
 }
 
@@ -233,7 +233,7 @@
 	case 1:
 		return f.endpointEvent(EndpointSnapshot)
 	case 2:
-		return Event{Kind: RequestAbandoned, Request: RequestID(rng.IntN(int(f.next) + 1))}
+		return Event{Kind: RequestAbandoned, Request: RequestID(rng.IntN(int(f.nextRequest) + 1))}
 	case 3:
 		return f.settingsEvent()
 	}
@@ -245,22 +245,22 @@
 	return Event{Kind: WorkerDisabled + EventKind(rng.IntN(3)), Worker: WorkerID(rng.IntN(len(f.workers)))}
 }
 
-// passTime lets time pass until at, and delivers all that becomes due.
-func (f *goldenFleet) passTime(at Time) error {
+// advanceTo lets time pass until at, and delivers all that becomes due.
+func (f *goldenFleet) advanceTo(at Time) error {
 	for {
 		slices.Sort(f.timers)
 		f.timers = slices.Compact(f.timers)
-		isEventDue := len(f.due) > 0 && f.due[0].at <= at
+		isEventDue := len(f.scheduled) > 0 && f.scheduled[0].at <= at
 		isTimerDue := len(f.timers) > 0 && f.timers[0] <= at
 		switch {
-		case isTimerDue && (!isEventDue || f.due[0].at >= f.timers[0]):
+		case isTimerDue && (!isEventDue || f.scheduled[0].at >= f.timers[0]):
 			f.now, f.timers = max(f.now, f.timers[0]), f.timers[1:]
 			if err := f.handle(Event{Kind: TimerFired}); err != nil {
 				return err
 			}
 		case isEventDue:
-			next := f.due[0]
-			f.now, f.due = next.at, f.due[1:]
+			next := f.scheduled[0]
+			f.now, f.scheduled = next.at, f.scheduled[1:]
 			if err := f.deliver(next.event); err != nil {
 				return err
 			}
@@ -273,8 +273,8 @@
 
 func (f *goldenFleet) schedule(wait Time, event Event) {
 	at := f.now + wait
-	i, _ := slices.BinarySearchFunc(f.due, at+1, func(d goldenDue, at Time) int { return cmp.Compare(d.at, at) })
-	f.due = slices.Insert(f.due, i, goldenDue{at, event})
+	i, _ := slices.BinarySearchFunc(f.scheduled, at+1, func(d scheduledEvent, at Time) int { return cmp.Compare(d.at, at) })
+	f.scheduled = slices.Insert(f.scheduled, i, scheduledEvent{at, event})
 }
 
 // inFlight reports whether an attempt has not ended.
--- a/dispatch/golden_test.go
+++ b/dispatch/golden_test.go
@@ -27,7 +27,7 @@
 	for first := uint64(0); first < goldenSeeds; first += goldenBlock {
 		digest := &actionDigest{hash: sha256.New()}
 		for seed := first; seed < first+goldenBlock; seed++ {
-			if err := goldenStream(seed, digest); err != nil {
+			if err := runGoldenStream(seed, digest); err != nil {
 				t.Fatalf("seed %d: %v", seed, err)
 			}
 		}
--- a/dispatch/outlier_test.go
+++ b/dispatch/outlier_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// requestsAtFirst lets n requests arrive, all of which succeed, and counts the sends to worker 0.
-func requestsAtFirst(h *harness, class, n int) (got int) {
+// countSendsToWorker0 lets n requests arrive, all of which succeed, and counts the sends to worker 0.
+func countSendsToWorker0(h *harness, class, n int) (got int) {
 	for range n {
 		id, actions := h.arrive(class, 10*ms)
 		for _, w := range sendTargets(actions) {
@@ -128,26 +128,26 @@
 // ignored for a while. At most a third of the workers are ejected.
 func TestOutlierReported_LimitsToProbes(t *testing.T) {
 	h := newHarness(t, testSettings(), fleet(6)...)
-	requestsAt := func(class, n int) int { return requestsAtFirst(h, class, n) }
+	countSends := func(class, n int) int { return countSendsToWorker0(h, class, n) }
 	reportOutlier := func(w WorkerID) { h.handle(Event{Kind: OutlierReported, Worker: w}) }
 	reportOutlier(-1)
 	reportOutlier(99)
-	if requestsAt(classNonIdempotent, 60) == 0 {
+	if countSends(classNonIdempotent, 60) == 0 {
 		t.Fatal("nothing goes to the worker in the first place")
 	}
 	reportOutlier(0)
-	if n := requestsAt(classNonIdempotent, 60); n > 0 {
+	if n := countSends(classNonIdempotent, 60); n > 0 {
 		t.Errorf("%d non-idempotent requests went to an ejected worker", n)
 	}
 	h.wait(Second)
-	if n := requestsAt(classIdempotent, 60); n == 0 {
+	if n := countSends(classIdempotent, 60); n == 0 {
 		t.Error("no probe")
 	}
-	if reportOutlier(0); requestsAt(classNonIdempotent, 60) == 0 {
+	if reportOutlier(0); countSends(classNonIdempotent, 60) == 0 {
 		t.Error("a worker that has proved good for us is ejected by another's report")
 	}
 	h.wait(outlierReportInterval)
-	if reportOutlier(0); requestsAt(classNonIdempotent, 60) > 0 {
+	if reportOutlier(0); countSends(classNonIdempotent, 60) > 0 {
 		t.Error("a later report is ignored")
 	}
 	h.wait(Second)
@@ -162,7 +162,7 @@
 			h.handle(Event{Kind: AttemptEnded, Request: id, Result: ResultOK, Final: true})
 		}
 	}
-	if n := requestsAt(classNonIdempotent, 60); n > 0 {
+	if n := countSends(classNonIdempotent, 60); n > 0 {
 		t.Errorf("%d non-idempotent requests went there after a probe that failed", n)
 	}
 	for w := range WorkerID(6) {
--- a/dispatch/reconfigure_test.go
+++ b/dispatch/reconfigure_test.go
@@ -16,11 +16,11 @@
 	if actions := h.handle(Event{Kind: AttemptEnded, Request: old, Result: ResultFailed}); len(sendTargets(actions)) != 1 {
 		t.Fatalf("an idempotent request was not retried: %v", actions)
 	}
-	young, actions := h.arrive(0, 100*ms)
+	newer, actions := h.arrive(0, 100*ms)
 	if len(sendTargets(actions)) != 1 {
 		t.Fatalf("%v", actions)
 	}
-	if actions := h.handle(Event{Kind: AttemptEnded, Request: young, Result: ResultFailed}); len(actions) != 1 || actions[0].Kind != Fail {
+	if actions := h.handle(Event{Kind: AttemptEnded, Request: newer, Result: ResultFailed}); len(actions) != 1 || actions[0].Kind != Fail {
 		t.Fatalf("a non-idempotent request that failed: %v", actions)
 	}
 	if _, actions := h.arrive(2, 100*ms); len(actions) != 0 {
@@ -49,9 +49,9 @@
 	s := testSettings()
 	h := newHarness(t, s, fleet(4)...)
 	id, _ := h.arrive(classIdempotent, 100*ms)
-	few := s
-	few.MaxAttempts = 1
-	h.changeSettings(few, 0, 1, 2, 3)
+	fewer := s
+	fewer.MaxAttempts = 1
+	h.changeSettings(fewer, 0, 1, 2, 3)
 	if actions := h.handle(Event{Kind: AttemptEnded, Request: id, Result: ResultFailed}); len(actions) != 1 || actions[0].Kind != Reject {
 		t.Fatalf("after its only attempt: %v", actions)
 	}
--- a/dispatch/simfleet_test.go
+++ b/dispatch/simfleet_test.go
@@ -11,43 +11,43 @@
 // simFleet is many dispatchers that send to the same workers, in virtual time: workers with slots and a first-come queue, requests
 // at random dispatchers, and faults. It counts what workers that are warming up are sent.
 type simFleet struct {
-	t           *testing.T
-	day         simDay
-	settings    Settings
-	rng         *rand.Rand
-	now         Time
-	events      simEvents
-	serial      int
-	dispatchers []*simDispatcher
-	workers     []*simWorker
-	version     uint64
-	worst       float64 // of all windows: calls beyond the budget, in parts of N
-	worstAge    Time    // the age of the worker in that window
-	toWarming   int     // calls that they were sent
-	served      int
+	t            *testing.T
+	scenario     simScenario
+	settings     Settings
+	rng          *rand.Rand
+	now          Time
+	events       simEvents
+	sequence     int
+	dispatchers  []*simDispatcher
+	workers      []*simWorker
+	version      uint64
+	maxExcess    float64 // of all windows: calls beyond the budget, in parts of N
+	maxExcessAge Time    // the age of the worker in that window
+	warmingCalls int     // calls that they were sent
+	served       int
 }
 
-// simDay is what a simFleet plays. Times are since the first event.
-type simDay struct {
-	seed          uint64
-	dispatchers   int
-	workers       int
-	slots         []int   // of the workers in turn
-	load          float64 // arrivals, as a share of what all workers can run once warmed up
-	burst         float64 // factor on the arrivals from burstAt on, for 5 s; 0: none
-	burstAt       Time
-	warming       int     // workers that start when the day begins
-	listedAfter   Time    // from their start
-	slow          int     // workers, from the last, that are slower ...
-	slowFactor    float64 // ... by this, from faultAt on
-	hung          int     // workers, from the last, that hang from faultAt on
-	failing       int     // workers, from the last, at which every call fails from faultAt on
-	faultAt       Time
-	restartsEach  Time // one dispatcher after another is started anew; 0: none
-	reloadsEach   Time // all dispatchers get their settings again; 0: none
-	uneven        bool // the first dispatcher gets half of the requests
-	clientRetries bool // a rejected request is sent again, unmarked
-	length        Time
+// simScenario is what a simFleet plays. Times are since the first event.
+type simScenario struct {
+	seed            uint64
+	dispatchers     int
+	workers         int
+	slots           []int   // of the workers in turn
+	load            float64 // arrivals, as a share of what all workers can run once warmed up
+	burst           float64 // factor on the arrivals from burstAt on, for 5 s; 0: none
+	burstAt         Time
+	warmingWorkers  int     // workers that start when the day begins
+	listingDelay    Time    // from their start
+	slowWorkers     int     // workers, from the last, that are slower ...
+	slowFactor      float64 // ... by this, from faultAt on
+	hungWorkers     int     // workers, from the last, that hang from faultAt on
+	failingWorkers  int     // workers, from the last, at which every call fails from faultAt on
+	faultAt         Time
+	restartInterval Time // one dispatcher after another is started anew; 0: none
+	reloadInterval  Time // all dispatchers get their settings again; 0: none
+	skewed          bool // the first dispatcher gets half of the requests
+	clientRetries   bool // a rejected request is sent again, unmarked
+	duration        Time
 }
 
 const (
@@ -56,16 +56,16 @@
 )
 
 type simEvent struct {
-	at     Time
-	serial int
-	run    func()
+	at       Time
+	sequence int
+	run      func()
 }
 
 type simEvents []simEvent
 
 func (e simEvents) Len() int { return len(e) }
 func (e simEvents) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].serial < e[j].serial
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
 func (e simEvents) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *simEvents) Push(x any)   { *e = append(*e, x.(simEvent)) }
@@ -85,48 +85,48 @@
 }
 
 type simWorker struct {
-	fleet   *simFleet
-	entry   Worker
-	slots   int
-	slow    float64
-	hung    bool
-	failing bool
-	running int
-	queue   []*simJob
-	calls   []Time // while it is warming up, within the window
+	fleet    *simFleet
+	entry    Worker
+	slots    int
+	slowdown float64
+	hung     bool
+	failing  bool
+	running  int
+	queue    []*simJob
+	calls    []Time // while it is warming up, within the window
 }
 
 type simJob struct {
-	from    *simDispatcher
-	life    int
-	request RequestID
-	attempt int
-	worker  *simWorker
-	running bool
-	ended   bool
+	from              *simDispatcher
+	senderIncarnation int
+	request           RequestID
+	attempt           int
+	worker            *simWorker
+	running           bool
+	ended             bool
 }
 
-// runSimDay plays a day.
-func runSimDay(t *testing.T, day simDay) *simFleet {
+// runSimScenario plays a day.
+func runSimScenario(t *testing.T, scenario simScenario) *simFleet {
 	t.Helper()
 	s := testSettings()
-	s.GroupSize, s.PriceCrossZone, s.PriceWaste = day.dispatchers, 0, 0.04
+	s.GroupSize, s.PriceCrossZone, s.PriceWaste = scenario.dispatchers, 0, 0.04
 	s.SlowStartMinFactor, s.SlowStartWindow = 0.12, 24*Second
 	s.OverloadMultiple, s.OverloadWindow = 2.5, 1500*ms
 	s.WeightsShowSize = true
-	f := &simFleet{t: t, day: day, settings: s, rng: rand.New(rand.NewPCG(day.seed, 17)), now: 100 * Second, worst: math.Inf(-1)}
-	for i := range day.workers {
-		w := &simWorker{fleet: f, slots: day.slots[i%len(day.slots)], slow: 1}
+	f := &simFleet{t: t, scenario: scenario, settings: s, rng: rand.New(rand.NewPCG(scenario.seed, 17)), now: 100 * Second, maxExcess: math.Inf(-1)}
+	for i := range scenario.workers {
+		w := &simWorker{fleet: f, slots: scenario.slots[i%len(scenario.slots)], slowdown: 1}
 		w.entry = Worker{ID: WorkerID(i), Weight: float64(w.slots), Tag: uint64(i)}
 		f.workers = append(f.workers, w)
 	}
-	for i := range day.dispatchers {
+	for i := range scenario.dispatchers {
 		d := &simDispatcher{fleet: f, index: i}
 		f.dispatchers = append(f.dispatchers, d)
 		d.start()
 	}
-	f.plan()
-	end := f.now + day.length
+	f.scheduleEvents()
+	end := f.now + scenario.duration
 	for len(f.events) > 0 && f.events[0].at <= end {
 		e := heap.Pop(&f.events).(simEvent)
 		f.now = e.at
@@ -136,22 +136,22 @@
 }
 
 // plan schedules what happens on the day.
-func (f *simFleet) plan() {
+func (f *simFleet) scheduleEvents() {
 	begin := f.now + 3*Second // dispatchers have learned a little by then
-	for i := range f.day.warming {
+	for i := range f.scenario.warmingWorkers {
 		w := f.workers[i]
 		w.entry.State = Gone
 		f.after(begin-f.now, func() { w.entry.StartedAt = f.now })
-		f.after(begin-f.now+f.day.listedAfter, func() { w.entry.State = Ready; f.publish() })
+		f.after(begin-f.now+f.scenario.listingDelay, func() { w.entry.State = Ready; f.publish() })
 	}
 	f.publish()
-	f.after(begin-f.now+f.day.faultAt, f.beginFaults)
+	f.after(begin-f.now+f.scenario.faultAt, f.beginFaults)
 	f.scheduleArrival(begin)
-	if each := f.day.restartsEach; each > 0 {
-		f.repeat(each, func(n int) { f.dispatchers[n%len(f.dispatchers)].start() })
+	if interval := f.scenario.restartInterval; interval > 0 {
+		f.repeat(interval, func(n int) { f.dispatchers[n%len(f.dispatchers)].start() })
 	}
-	if each := f.day.reloadsEach; each > 0 {
-		f.repeat(each, func(int) {
+	if interval := f.scenario.reloadInterval; interval > 0 {
+		f.repeat(interval, func(int) {
 			for _, d := range f.dispatchers {
 				s := f.settings
 				d.handle(Event{Kind: SettingsChanged, Settings: &s, OldClasses: []int{0, 1, 2, 3}})
@@ -163,29 +163,29 @@
 func (f *simFleet) beginFaults() {
 	for i := range f.workers {
 		w, fromLast := f.workers[i], len(f.workers)-i
-		if fromLast <= f.day.slow {
-			w.slow = f.day.slowFactor
+		if fromLast <= f.scenario.slowWorkers {
+			w.slowdown = f.scenario.slowFactor
 		}
-		w.hung = fromLast <= f.day.hung
-		w.failing = fromLast <= f.day.failing
+		w.hung = fromLast <= f.scenario.hungWorkers
+		w.failing = fromLast <= f.scenario.failingWorkers
 	}
 }
 
 // after runs do once wait has passed.
 func (f *simFleet) after(wait Time, do func()) {
-	f.serial++
-	heap.Push(&f.events, simEvent{f.now + wait, f.serial, do})
+	f.sequence++
+	heap.Push(&f.events, simEvent{f.now + wait, f.sequence, do})
 }
 
-func (f *simFleet) repeat(each Time, do func(n int)) {
+func (f *simFleet) repeat(interval Time, do func(n int)) {
 	n := 0
 	var again func()
 	again = func() {
 		do(n)
 		n++
-		f.after(each, again)
+		f.after(interval, again)
 	}
-	f.after(each, again)
+	f.after(interval, again)
 }
 
 // publish sends the list to all dispatchers.
@@ -212,14 +212,14 @@
 	for _, w := range f.workers {
 		slots += w.slots
 	}
-	rate := f.day.load * float64(slots) / float64(simWork)
-	from := begin + f.day.burstAt
-	if f.day.burst > 0 && f.now >= from && f.now < from+5*Second {
-		rate *= f.day.burst
+	rate := f.scenario.load * float64(slots) / float64(simWork)
+	from := begin + f.scenario.burstAt
+	if f.scenario.burst > 0 && f.now >= from && f.now < from+5*Second {
+		rate *= f.scenario.burst
 	}
 	f.after(max(1, Time(f.rng.ExpFloat64()/rate)), func() {
 		i := f.rng.IntN(len(f.dispatchers))
-		if f.day.uneven && f.rng.IntN(2) == 0 {
+		if f.scenario.skewed && f.rng.IntN(2) == 0 {
 			i = 0
 		}
 		f.dispatchers[i].arrive(3)
@@ -231,7 +231,7 @@
 func (d *simDispatcher) start() {
 	for id := range d.next {
 		for _, j := range d.jobs[id] {
-			j.worker.drop(j)
+			j.worker.remove(j)
 		}
 	}
 	d.incarnation++
@@ -255,24 +255,24 @@
 
 // handleFor passes an event and carries out the actions. A rejected request is tried again retries times.
 func (d *simDispatcher) handleFor(e Event, retries int) {
-	f, life := d.fleet, d.incarnation
+	f, senderIncarnation := d.fleet, d.incarnation
 	for _, a := range d.dispatcher.Handle(f.now, &e, nil) {
 		switch a.Kind {
 		case Send:
-			j := &simJob{from: d, life: life, request: a.Request, attempt: len(d.jobs[a.Request]), worker: f.workers[a.Worker]}
+			j := &simJob{from: d, senderIncarnation: senderIncarnation, request: a.Request, attempt: len(d.jobs[a.Request]), worker: f.workers[a.Worker]}
 			d.jobs[a.Request] = append(d.jobs[a.Request], j)
-			f.after(simLatency, func() { j.worker.offer(j) })
+			f.after(simLatency, func() { j.worker.receive(j) })
 		case Cancel:
-			if j := d.jobs[a.Request][a.Attempt]; j.worker.drop(j) {
+			if j := d.jobs[a.Request][a.Attempt]; j.worker.remove(j) {
 				f.after(simLatency, func() { j.report(AttemptEnded, ResultCancelled) })
 			}
 		case Reject:
-			if f.day.clientRetries && retries > 0 {
+			if f.scenario.clientRetries && retries > 0 {
 				f.after(100*ms, func() { d.arrive(retries - 1) })
 			}
 		case SetTimer:
 			f.after(a.Wait, func() {
-				if d.incarnation == life {
+				if d.incarnation == senderIncarnation {
 					d.handle(Event{Kind: TimerFired})
 				}
 			})
@@ -289,23 +289,23 @@
 	return s.SlowStartMinFactor + (1-s.SlowStartMinFactor)*float64(age)/float64(s.SlowStartWindow)
 }
 
-// offer takes a call, and compares the calls of the window with the budget of the platform's terms.
-func (w *simWorker) offer(j *simJob) {
+// receive takes a call, and compares the calls of the window with the budget of the platform's terms.
+func (w *simWorker) receive(j *simJob) {
 	f := w.fleet
 	if factor := w.factor(); factor < 1 {
-		f.toWarming++
+		f.warmingCalls++
 		w.calls = append(w.calls, f.now)
 		w.calls = slices.DeleteFunc(w.calls, func(at Time) bool { return at <= f.now-f.settings.OverloadWindow })
 		n := f.settings.OverloadMultiple * factor * float64(w.slots) * float64(f.settings.OverloadWindow) / float64(simWork)
-		if beyond := (float64(len(w.calls)) - slowStartBudget(n)) / n; beyond > f.worst {
-			f.worst, f.worstAge = beyond, f.now-w.entry.StartedAt
+		if beyond := (float64(len(w.calls)) - slowStartBudget(n)) / n; beyond > f.maxExcess {
+			f.maxExcess, f.maxExcessAge = beyond, f.now-w.entry.StartedAt
 		}
 	}
 	if j.ended {
 		return
 	}
 	w.queue = append(w.queue, j)
-	w.begin()
+	w.startQueued()
 }
 
 // slowStartBudget returns the calls that the platform's terms allow in a window of which the settings name n.
@@ -317,14 +317,14 @@
 }
 
 // begin begins queued calls while there are free slots.
-func (w *simWorker) begin() {
+func (w *simWorker) startQueued() {
 	for !w.hung && w.running < w.slots && len(w.queue) > 0 {
 		j := w.queue[0]
 		w.queue = w.queue[1:]
 		j.running = true
 		w.running++
 		w.fleet.after(simLatency, func() { j.report(AttemptStarted, ResultOK) })
-		run := Time(float64(simWork) * w.slow / w.factor() * (0.7 + 0.6*w.fleet.rng.Float64()))
+		run := Time(float64(simWork) * w.slowdown / w.factor() * (0.7 + 0.6*w.fleet.rng.Float64()))
 		result := ResultOK
 		if w.failing {
 			run, result = 2*ms, ResultFailed
@@ -343,18 +343,18 @@
 		w.fleet.served++
 	}
 	w.fleet.after(simLatency, func() { j.report(AttemptEnded, result) })
-	w.begin()
+	w.startQueued()
 }
 
 // drop ends a call that is cancelled, and reports whether it had not ended.
-func (w *simWorker) drop(j *simJob) bool {
+func (w *simWorker) remove(j *simJob) bool {
 	if j.ended {
 		return false
 	}
 	j.ended = true
 	if j.running {
 		w.running--
-		w.begin()
+		w.startQueued()
 	} else {
 		w.queue = slices.DeleteFunc(w.queue, func(queued *simJob) bool { return queued == j })
 	}
@@ -363,20 +363,20 @@
 
 // report reports to the dispatcher what happened to a call.
 func (j *simJob) report(kind EventKind, result Result) {
-	if j.from.incarnation == j.life {
+	if j.from.incarnation == j.senderIncarnation {
 		j.from.handle(Event{Kind: kind, Request: j.request, Attempt: j.attempt, Worker: j.worker.entry.ID, Result: result, Final: result == ResultOK && kind == AttemptEnded})
 	}
 }
 
-// usedWhileWarming returns the calls to workers that are warming up, as a share of what these can run at least while listed.
-func (f *simFleet) usedWhileWarming() float64 {
+// utilizationWhileWarming returns the calls to workers that are warming up, as a share of what these can run at least while listed.
+func (f *simFleet) utilizationWhileWarming() float64 {
 	const step = 100 * ms
 	capacity, s := 0.0, &f.settings
-	for _, w := range f.workers[:f.day.warming] {
-		for age := f.day.listedAfter; w.entry.StartedAt+age < f.now; age += step {
+	for _, w := range f.workers[:f.scenario.warmingWorkers] {
+		for age := f.scenario.listingDelay; w.entry.StartedAt+age < f.now; age += step {
 			factor := s.SlowStartMinFactor + (1-s.SlowStartMinFactor)*float64(age)/float64(s.SlowStartWindow)
 			capacity += factor * float64(w.slots) * float64(step) / float64(simWork)
 		}
 	}
-	return float64(f.toWarming) / capacity
+	return float64(f.warmingCalls) / capacity
 }
