--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -11,8 +11,8 @@
 	r.sampled = isRetry // retries get no worker that is warming up: a burst of them would overload it
 	if !isRetry {
 		d.arrived.add(d.now, d.settings.OverloadWindow)
-		r.mayJoinWarming = true // by its first samples only: each arrival is counted once
-		defer d.endFirstSamples(r)
+		r.maySampleWarming = true // by its first samples only: each arrival is counted once
+		defer d.endInitialSampling(r)
 	}
 	quotaWeight := 1.0
 	if d.overQuota(r, isRetry) {
--- a/dispatch/capacity.go
+++ b/dispatch/capacity.go
@@ -63,7 +63,7 @@
 		return
 	}
 	w.reportedCapacity = w.slotsInUse + report.FreeSlots
-	w.reportedCapacityUntil = d.now + loadReportTTL
+	w.reportedCapacityExpiry = d.now + loadReportTTL
 	size := math.Floor(min(report.FreeSlots, w.kind.size+maxSizeStep))
 	w.kind.size, w.kind.sizeReported = max(w.kind.size, size), true
 }
@@ -76,13 +76,13 @@
 	return 1
 }
 
-// minRelativeSize returns the least size, relative to the mean, that a worker may have. Guards against
+// relativeSizeLowerBound returns the least size, relative to the mean, that a worker may have. Guards against
 // overloading small workers where the endpoint list has no sizes: all are sampled alike, and one of many
 // dispatchers sends a worker too little to learn its capacity.
-func (d *Dispatcher) minRelativeSize(w *worker) float64 {
+func (d *Dispatcher) relativeSizeLowerBound(w *worker) float64 {
 	mayDiffer := d.settings.KindCount > 1 && !w.kind.sizeReported
 	if mayDiffer && !d.settings.WeightsShowSize && !d.settings.PeerMessages {
-		return unknownRelativeSize
+		return assumedRelativeSize
 	}
 	return d.relativeSize(w)
 }
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -23,22 +23,22 @@
 	totalQuota float64 // of all tenants, in requests per second
 	arrivals   float64 // requests counted against quotas, without clients' retries
 
-	workers              []*worker // by id; nil: unknown
-	workersByTag         map[uint64]*worker
-	kinds                []kindState // the last is for kinds that the settings do not name
-	zones                []zoneState // the last is for zones that the settings do not name
-	fleet                kindState   // all workers together
-	ready                []*worker
-	readyInZone          []*worker // the ready ones in this dispatcher's zone
-	awaitingFirstRequest []*worker // enabled by an operator and not used since
-	meanListedWeight     float64   // of the ready ones
-	warmingUntil         Time      // when the last of the ready ones has warmed up
-	ejectedCount         int       // of the ready ones
-	warmCapacity         float64   // capacity weight of the ready ones that have warmed up ...
-	readyCapacity        float64   // ... and of all ready ones ...
-	referencesUntil      Time      // ... until when both are used
-	ring                 []ringPoint
-	ringAdditions        []*worker // workers whose points are not on the ring yet
+	workers                []*worker // by id; nil: unknown
+	workersByTag           map[uint64]*worker
+	kinds                  []kindState // the last is for kinds that the settings do not name
+	zones                  []zoneState // the last is for zones that the settings do not name
+	fleet                  kindState   // all workers together
+	ready                  []*worker
+	readyInZone            []*worker // the ready ones in this dispatcher's zone
+	awaitingFirstRequest   []*worker // enabled by an operator and not used since
+	meanListedWeight       float64   // of the ready ones
+	allWarmedUpAt          Time      // when the last of the ready ones has warmed up
+	ejectedCount           int       // of the ready ones
+	warmedUpCapacityWeight float64   // capacity weight of the ready ones that have warmed up ...
+	readyCapacityWeight    float64   // ... and of all ready ones ...
+	capacityWeightsExpiry  Time      // ... until when both are used
+	ring                   []ringPoint
+	ringAdditions          []*worker // workers whose points are not on the ring yet
 
 	requests     []*request // by id; nil: unknown
 	freeRequests []*request
--- a/dispatch/estimate.go
+++ b/dispatch/estimate.go
@@ -16,9 +16,9 @@
 	// maxSlowdownRatio is the most that one run's slowdown counts as, in multiples of the fleet's slowdown.
 	maxSlowdownRatio = 20.0
 
-	// unhintedRunShare is the factor on the weight of a run in a worker's slowdown where its work was
+	// unhintedRunFactor is the factor on the weight of a run in a worker's slowdown where its work was
 	// unknown: a long run then mostly means much work.
-	unhintedRunShare = 1.0 / 4
+	unhintedRunFactor = 1.0 / 4
 )
 
 // expectedWork returns a request's expected work in microseconds on a standard core.
@@ -75,7 +75,7 @@
 	w := a.worker
 	run, weight := float64(d.now-max(a.startedAt, a.sentAt)), fastEWMAWeight
 	if r.work == 0 {
-		weight *= unhintedRunShare
+		weight *= unhintedRunFactor
 	}
 	deviation := min(1, math.Abs(run/max(d.expectedWork(r)*d.slowdownOf(w), 1)-1))
 	r.class.relativeDeviation += (deviation - r.class.relativeDeviation) * slowEWMAWeight
--- a/dispatch/fleet.go
+++ b/dispatch/fleet.go
@@ -75,7 +75,7 @@
 // recomputeReady recomputes the list of ready workers and the figures derived from it.
 func (d *Dispatcher) recomputeReady() {
 	d.ready, d.readyInZone = d.ready[:0], d.readyInZone[:0]
-	d.meanListedWeight, d.ejectedCount, d.warmingUntil = 0, 0, 0
+	d.meanListedWeight, d.ejectedCount, d.allWarmedUpAt = 0, 0, 0
 	for _, w := range d.workers {
 		if w == nil || !w.isReady() {
 			continue
@@ -83,7 +83,7 @@
 		d.ready = append(d.ready, w)
 		d.meanListedWeight += w.Weight
 		if w.lastStart() > 0 {
-			d.warmingUntil = max(d.warmingUntil, w.lastStart()+d.settings.SlowStartWindow)
+			d.allWarmedUpAt = max(d.allWarmedUpAt, w.lastStart()+d.settings.SlowStartWindow)
 		}
 		if w.ejected {
 			d.ejectedCount++
@@ -93,7 +93,7 @@
 		}
 	}
 	d.meanListedWeight /= float64(max(1, len(d.ready)))
-	d.referencesUntil = d.now
+	d.capacityWeightsExpiry = d.now
 	for _, w := range d.ready {
 		if w.readmittedAt == d.now { // by this event, before the mean size was known
 			w.capacity = d.meanCapacity * d.relativeSize(w)
--- a/dispatch/hedging.go
+++ b/dispatch/hedging.go
@@ -39,15 +39,15 @@
 	return d.canCancel() && !d.settings.CanHedge && mayRunAgain
 }
 
-// isHopeless reports whether a request is only queued at workers, and has no weight after its latency
+// expiresAtObjective reports whether a request is only queued at workers, and has no weight after its latency
 // objective.
-func (d *Dispatcher) isHopeless(r *request) bool {
+func (d *Dispatcher) expiresAtObjective(r *request) bool {
 	return r.class.LateWeight <= 0 && d.canCancel() && r.inFlight() > 0 && !r.isRunning()
 }
 
-// startAllowance returns the time after a send within which a request starts if nothing is queued at the
-// worker.
-func (d *Dispatcher) startAllowance(r *request, w *worker) Time {
+// maxUnqueuedStartDelay returns the upper bound of the time from a send to the start of a request at a worker
+// with an empty queue.
+func (d *Dispatcher) maxUnqueuedStartDelay(r *request, w *worker) Time {
 	slack := startSlack
 	if d.canHedge(r) {
 		slack = hedgeStartSlack
@@ -58,9 +58,9 @@
 	return 2*d.zoneOf(w).startDelay + slack
 }
 
-// signalDue returns when the next check of an attempt is due: for a missing start or progress, a hedge, or
+// nextCheckAt returns when the next check of an attempt is due: for a missing start or progress, a hedge, or
 // lateness.
-func (d *Dispatcher) signalDue(r *request, a *attempt) Time {
+func (d *Dispatcher) nextCheckAt(r *request, a *attempt) Time {
 	switch {
 	case !a.inFlight:
 		return never
@@ -72,7 +72,7 @@
 	case !d.settings.ReportsStart:
 		return never
 	case !a.queueDetected:
-		return a.sentAt + d.startAllowance(r, a.worker)
+		return a.sentAt + d.maxUnqueuedStartDelay(r, a.worker)
 	case !a.hedgeDecided:
 		return a.sentAt + r.limits.HedgeDelay
 	case !a.late:
@@ -81,10 +81,10 @@
 	return never
 }
 
-// handleOverdueSignal handles a check of an attempt that is due (see signalDue): it adjusts the state of the
-// worker or the shedding, and hedges or migrates the request.
-func (d *Dispatcher) handleOverdueSignal(r *request, a *attempt) {
-	if d.now < d.signalDue(r, a) {
+// checkOverdueAttempt checks an attempt if its next check is due (see nextCheckAt): it adjusts the state of
+// the worker or the shedding, and hedges or migrates the request.
+func (d *Dispatcher) checkOverdueAttempt(r *request, a *attempt) {
+	if d.now < d.nextCheckAt(r, a) {
 		return
 	}
 	switch {
--- a/dispatch/hedging_test.go
+++ b/dispatch/hedging_test.go
@@ -163,7 +163,7 @@
 func TestMigration_DelayIsBounded(t *testing.T) {
 	h := newHarness(t, migrationSettings(), fleet(2)...)
 	r := &request{class: &h.dispatcher.classes[classIdempotent], maxAttempts: 4, attempts: make([]attempt, 80)}
-	if wait := h.dispatcher.startAllowance(r, h.dispatcher.workers[0]); wait < Second {
+	if wait := h.dispatcher.maxUnqueuedStartDelay(r, h.dispatcher.workers[0]); wait < Second {
 		t.Errorf("a wait of %v at the eightieth attempt: shifted out of its bits", wait)
 	}
 }
--- a/dispatch/messages.go
+++ b/dispatch/messages.go
@@ -8,9 +8,9 @@
 
 // aggregatedUsage is the usage of a worker by all dispatchers, as recorded by the worker's aggregator.
 type aggregatedUsage struct {
-	totalSlots      float64
-	overloadedUntil Time
-	byPeer          []peerUsage
+	totalSlots     float64
+	overloadExpiry Time
+	byPeer         []peerUsage
 }
 
 type peerUsage struct {
@@ -48,7 +48,7 @@
 		d.recordPeerUsage(peer, message)
 	case OverloadNotice:
 		usage := d.usageByTag[message.Tag]
-		usage.overloadedUntil = d.now + overloadTTL
+		usage.overloadExpiry = d.now + overloadTTL
 		d.usageByTag[message.Tag] = usage
 	case LoadQuery:
 		d.replyLoad(peer, message.Tag)
--- a/dispatch/peers.go
+++ b/dispatch/peers.go
@@ -30,7 +30,7 @@
 	}
 	usage := d.usageByTag[tag]
 	slots := usage.totalSlots
-	if d.now < usage.overloadedUntil {
+	if d.now < usage.overloadExpiry {
 		slots += overloadPenalty
 	}
 	d.sendToPeer(peer, PeerMessage{Kind: LoadReply, Tag: tag, Slots: slots})
@@ -41,8 +41,8 @@
 	return d.settings.PeerMessages && w.groupLoadAt > 0 && d.now < w.groupLoadAt+loadReplyTTL
 }
 
-// awaitsLoad reports whether a worker's load has been queried and the reply is still awaited.
-func (d *Dispatcher) awaitsLoad(w *worker) bool {
+// awaitsLoadReply reports whether a worker's load has been queried and the reply is still awaited.
+func (d *Dispatcher) awaitsLoadReply(w *worker) bool {
 	return w.loadQueriedAt > w.groupLoadAt && d.now < w.loadQueriedAt+loadQueryTimeout
 }
 
--- a/dispatch/peers_test.go
+++ b/dispatch/peers_test.go
@@ -148,7 +148,7 @@
 	if a, b := h.dispatcher.placementCost(r, quick), h.dispatcher.placementCost(r, slow); a >= b {
 		t.Errorf("cost %v of the quick worker, %v of one half as quick under the same load", a, b)
 	}
-	quick.reportedCapacity, quick.reportedCapacityUntil = 0, h.now+Second // a report of a moment ago
+	quick.reportedCapacity, quick.reportedCapacityExpiry = 0, h.now+Second // a report of a moment ago
 	if !h.dispatcher.hasCapacity(r, quick) {
 		t.Error("a report keeps a request from a worker whose aggregator has just told of capacity")
 	}
--- a/dispatch/placement.go
+++ b/dispatch/placement.go
@@ -46,7 +46,7 @@
 // sampleCandidate returns a random worker that may be used, nil if it found none. With inZone it is one of
 // this dispatcher's zone where a crossing has a price.
 func (d *Dispatcher) sampleCandidate(r *request, inZone bool) *worker {
-	isFirstRound := r.firstCandidates && r.samplingRound == 0
+	isFirstRound := r.hasInitialCandidates && r.samplingRound == 0
 	if w := d.dueFirstRequest(); w != nil && inZone && isFirstRound && r.class.WorkerKind < 0 {
 		return w
 	}
@@ -63,7 +63,7 @@
 			continue
 		case isWarmingUp && i > 0: // nor does it get the samples of workers passed over
 			continue
-		case isWarmingUp && !(r.mayJoinWarming && d.rng.Float64() < d.slowStartChance(w, len(workers))):
+		case isWarmingUp && !(r.maySampleWarming && d.rng.Float64() < d.samplingProbability(w, len(workers))):
 			return nil // no further sample: that would raise the others' chance
 		}
 		zone.nextProbeAt = d.now + minProbeInterval
@@ -98,7 +98,7 @@
 	var best *worker
 	lowestCost := math.Inf(1)
 	for i, w := range r.candidates {
-		if d.awaitsLoad(w) {
+		if d.awaitsLoadReply(w) {
 			return false
 		}
 		if !d.hasCapacity(r, w) {
@@ -146,7 +146,7 @@
 	knowsLoad := d.knowsGroupLoad(w)
 	hasWaited := d.now >= r.queuedAt+d.crossZoneDelay()
 	switch {
-	case !knowsLoad && d.now < w.reportedCapacityUntil && slots > w.reportedCapacity:
+	case !knowsLoad && d.now < w.reportedCapacityExpiry && slots > w.reportedCapacity:
 		return false
 	case d.weighsByLoad(w) && w.Weight < d.meanListedWeight/2 && !hasWaited:
 		return false // its weight shows that others fill it
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -76,7 +76,7 @@
 	d.serial++
 	r.queueTicket, r.queuedAt = d.serial, d.now
 	r.candidates, r.samplingRound, r.keySamples = r.candidates[:0], 0, 0
-	r.firstCandidates, r.sampled = !r.sampled, true
+	r.hasInitialCandidates, r.sampled = !r.sampled, true
 	d.queuedSlots[r.band] += r.slots
 	d.queues[r.band].push(r)
 }
--- a/dispatch/queueing.go
+++ b/dispatch/queueing.go
@@ -49,10 +49,10 @@
 // reevaluate handles what has become due for a request.
 func (d *Dispatcher) reevaluate(r *request) {
 	for i := range r.attempts {
-		d.handleOverdueSignal(r, &r.attempts[i])
+		d.checkOverdueAttempt(r, &r.attempts[i])
 	}
 	switch {
-	case d.isDue(r):
+	case d.mustRespond(r):
 		d.respond(r)
 	case r.queueTicket != 0 && d.now >= r.nextSamplingAt:
 		r.samplingRound++
@@ -66,9 +66,9 @@
 	}
 }
 
-// isDue reports whether a request has to be answered now, since waiting longer cannot help.
-func (d *Dispatcher) isDue(r *request) bool {
-	if d.now >= r.deadline || d.now >= r.objectiveAt && d.isHopeless(r) {
+// mustRespond reports whether a request has to be answered now, since waiting longer cannot help.
+func (d *Dispatcher) mustRespond(r *request) bool {
+	if d.now >= r.deadline || d.now >= r.objectiveAt && d.expiresAtObjective(r) {
 		return true
 	}
 	return r.isWaitingUnsent() && (d.now >= d.queueDeadline(r) || len(r.attempts) >= d.maxAttempts(r))
--- a/dispatch/reconfigure.go
+++ b/dispatch/reconfigure.go
@@ -38,11 +38,11 @@
 	}
 }
 
-func (d *Dispatcher) changedClasses(classes []Class, oldNumbers []int) []classState {
+func (d *Dispatcher) changedClasses(classes []Class, oldIndices []int) []classState {
 	states := make([]classState, 0, len(classes))
 	for i, c := range classes {
 		state := newClassState(c)
-		if old := oldNumber(oldNumbers, i); old >= 0 && old < len(d.classes) {
+		if old := oldIndex(oldIndices, i); old >= 0 && old < len(d.classes) {
 			state = d.classes[old]
 			state.Class = c
 		}
@@ -51,11 +51,11 @@
 	return states
 }
 
-func (d *Dispatcher) changedTenants(tenants []Tenant, oldNumbers []int) []tenantState {
+func (d *Dispatcher) changedTenants(tenants []Tenant, oldIndices []int) []tenantState {
 	states := make([]tenantState, 0, len(tenants))
 	for i, t := range tenants {
 		state := tenantState{}
-		if old := oldNumber(oldNumbers, i); old >= 0 && old < len(d.tenants) {
+		if old := oldIndex(oldIndices, i); old >= 0 && old < len(d.tenants) {
 			state = d.tenants[old]
 		}
 		state.Tenant = t
@@ -64,10 +64,10 @@
 	return states
 }
 
-// oldNumber returns the index that a class or tenant had in the old settings, -1 if it is new.
-func oldNumber(oldNumbers []int, i int) int {
-	if i < len(oldNumbers) {
-		return oldNumbers[i]
+// oldIndex returns the index that a class or tenant had in the old settings, -1 if it is new.
+func oldIndex(oldIndices []int, i int) int {
+	if i < len(oldIndices) {
+		return oldIndices[i]
 	}
 	return -1
 }
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -51,15 +51,15 @@
 	attempts       []attempt
 	retryNotBefore Time
 
-	queueTicket     uint64 // of its live entries in queues; 0: it is not queued
-	queuedAt        Time
-	candidates      []*worker // in whose queues it has an entry, in the order in which they were sampled
-	firstCandidates bool      // they are the first that were sampled for it
-	mayJoinWarming  bool      // samples of workers that are warming up may count
-	sampled         bool      // candidates have been sampled for it before
-	samplingRound   int       // since it was queued
-	nextSamplingAt  Time
-	keySamples      uint64 // samples by its affinity key, since it was queued
+	queueTicket          uint64 // of its live entries in queues; 0: it is not queued
+	queuedAt             Time
+	candidates           []*worker // in whose queues it has an entry, in the order in which they were sampled
+	hasInitialCandidates bool      // they are the first that were sampled for it
+	maySampleWarming     bool      // samples of workers that are warming up may count
+	sampled              bool      // candidates have been sampled for it before
+	samplingRound        int       // since it was queued
+	nextSamplingAt       Time
+	keySamples           uint64 // samples by its affinity key, since it was queued
 }
 
 // classState is a class and what was learned from its requests.
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -3,8 +3,8 @@
 import "slices"
 
 const (
-	// unknownRelativeSize is the size relative to the mean that a worker may have if its size is unknown.
-	unknownRelativeSize = 0.5
+	// assumedRelativeSize is the size relative to the mean that a worker may have if its size is unknown.
+	assumedRelativeSize = 0.5
 
 	// A worker that an operator has enabled gets requests by sampling alone for a time between
 	// firstRequestMinDelay and firstRequestMaxDelay; after that the next request goes there.
@@ -27,13 +27,13 @@
 func (d *Dispatcher) isWarmingUp(w *worker) bool { return d.slowStartFactor(w) < 1 }
 
 // slowStartAllows enforces rule four: a worker that is warming up gets a request only as one of the first
-// candidates that were sampled for it (see slowStartChance), after its start has become known, and within
+// candidates that were sampled for it (see samplingProbability), after its start has become known, and within
 // this dispatcher's part of the worker's budget.
 func (d *Dispatcher) slowStartAllows(r *request, w *worker) bool {
 	if !d.isWarmingUp(w) {
 		return true
 	}
-	wasSampled := r.firstCandidates && r.queuedAt >= w.readmittedAt && r.isCandidate(w)
+	wasSampled := r.hasInitialCandidates && r.queuedAt >= w.readmittedAt && r.isCandidate(w)
 	return wasSampled && d.hasSlowStartBudget(w)
 }
 
@@ -41,7 +41,7 @@
 // has capacity: the queues that cause the rejection are at the others. Otherwise such workers would get the
 // fewest requests when they are needed most.
 func (d *Dispatcher) sendToWarming(r *request) bool {
-	if d.now >= d.warmingUntil || d.settings.PeerMessages { // messages about the load would come too late
+	if d.now >= d.allWarmedUpAt || d.settings.PeerMessages { // messages about the load would come too late
 		return false
 	}
 	d.joinQueue(r)
@@ -54,9 +54,9 @@
 // seldom picks one that is warming up. Each dispatcher sends it one request, at a random time; of many
 // dispatchers only as many do so as it can take.
 func (d *Dispatcher) scheduleFirstRequest(w *worker) {
-	bears := d.settings.OverloadMultiple * d.settings.SlowStartMinFactor * float64(firstRequestMaxDelay) /
-		(d.meanWork * d.slowdownOf(w))
-	if d.rng.Float64()*float64(d.settings.GroupSize) < max(1, bears) {
+	maxFirstRequests := d.settings.OverloadMultiple * d.settings.SlowStartMinFactor *
+		float64(firstRequestMaxDelay) / (d.meanWork * d.slowdownOf(w))
+	if d.rng.Float64()*float64(d.settings.GroupSize) < max(1, maxFirstRequests) {
 		delay := d.rng.Float64() * float64(firstRequestMaxDelay-firstRequestMinDelay)
 		w.firstRequestDue = w.enabledAt + firstRequestMinDelay + Time(delay)
 		d.awaitingFirstRequest = append(d.awaitingFirstRequest, w)
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -265,7 +265,7 @@
 			d.arrived.add(d.now, d.settings.OverloadWindow)
 			d.recordCompletion(h.worker(5))
 		}
-		return d.slowStartChance(warming, len(d.ready))
+		return d.samplingProbability(warming, len(d.ready))
 	}
 	want := slowStartShare * d.settings.OverloadMultiple * d.slowStartFactor(warming) / 9 * 10 / initialCandidates
 	if got := chance(); got < 0.99*want || got > 1.01*want {
--- a/dispatch/timers.go
+++ b/dispatch/timers.go
@@ -20,11 +20,11 @@
 			due = min(due, d.queueDeadline(r))
 		}
 	}
-	if d.isHopeless(r) {
+	if d.expiresAtObjective(r) {
 		due = min(due, r.objectiveAt)
 	}
 	for i := range r.attempts {
-		due = min(due, d.signalDue(r, &r.attempts[i]))
+		due = min(due, d.nextCheckAt(r, &r.attempts[i]))
 	}
 	d.setTimer(r, due)
 }
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -22,8 +22,8 @@
 	capacity          float64
 	capacityReducedAt Time
 	// The limit by the last load report.
-	reportedCapacity      float64
-	reportedCapacityUntil Time
+	reportedCapacity       float64
+	reportedCapacityExpiry Time
 
 	groupLoad     float64 // slots in use by all dispatchers, as its aggregator reported
 	groupLoadAt   Time
@@ -62,8 +62,8 @@
 	connectFailureRate float64 // recent
 	nextProbeAt        Time    // of a zone that cannot be reached
 
-	warmCapacity float64     // capacity weight of its ready workers that have warmed up
-	completed    recentCount // requests that these have completed
+	warmedUpCapacityWeight float64     // capacity weight of its ready workers that have warmed up
+	completed              recentCount // requests that these have completed
 }
 
 // initialStartDelay is assumed as a zone's startDelay until one is known.
