--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// benchStep is the time between two requests of a benchmark.
+// benchStep is the time between two arrivals in a benchmark.
 const benchStep = 2 * Millisecond
 
-// benchmarkRequests measures the time of a dispatcher for one request, from its arrival to its end, with parallel requests in
-// progress.
+// benchmarkRequests measures the time that a dispatcher needs for one request, from its arrival to its end, with parallel requests
+// in progress.
 func benchmarkRequests(b *testing.B, s Settings, workers []Worker, parallel int) {
 	d, err := New(s, 7)
 	if err != nil {
--- a/dispatch/fixtures_test.go
+++ b/dispatch/fixtures_test.go
@@ -30,21 +30,21 @@
 	return s
 }
 
-// migrationSettings returns settings under which a request has one attempt in flight at a time and a cancellation pays.
+// migrationSettings returns settings that allow one attempt in flight at a time, with a price of waste low enough for migration.
 func migrationSettings() Settings {
 	s := hedgingSettings()
 	s.CanHedge, s.MaxAttempts = false, 5
 	return s
 }
 
-// affinitySettings returns settings under which a fetch has a price.
+// affinitySettings returns settings with a price for fetches, which enables affinity.
 func affinitySettings() Settings {
 	s := testSettings()
 	s.PriceFetch = 0.1
 	return s
 }
 
-// loadWeightSettings returns settings under which weights fall with load and nothing else shows the load.
+// loadWeightSettings returns settings under which the listed weights decrease with load and are the only information about it.
 func loadWeightSettings() Settings {
 	s := testSettings()
 	s.WeightsShowLoad = true
@@ -59,7 +59,7 @@
 	return w
 }
 
-// taggedFleet returns a fleet whose tags are distributed like hashes of names.
+// taggedFleet returns a fleet whose tags are distributed like hashes.
 func taggedFleet(n int) []Worker {
 	w := fleet(n)
 	for i := range w {
--- a/dispatch/golden_streams_test.go
+++ b/dispatch/golden_streams_test.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// The streams of events with which golden_test.go drives the module.
+// This file generates the event streams of golden_test.go.
 
 const (
 	goldenEvents    = 400 // random events per seed
-	goldenIdleSteps = 300 // steps of 15 ms without events at the end of each seed, in which timers still fire
+	goldenIdleSteps = 300 // steps of 15 ms at the end of each seed, in which only timers fire
 	goldenDuration  = 3 * Second
 )
 
-// runGoldenStream passes one seed's events to a dispatcher: for even seeds random ones that contradict each other, for odd seeds
-// those of a simulated fleet. The four rules are checked throughout.
+// runGoldenStream passes the events of one seed to a dispatcher: random, contradictory events for even seeds, and the events of a
+// simulated fleet for odd seeds. It checks the four rules for every action.
 func runGoldenStream(seed uint64, digest *actionDigest) error {
 	rng := rand.New(rand.NewPCG(seed, 41))
 	settings := goldenSettings(rng)
@@ -39,7 +39,7 @@
 	return newGoldenFleet(stream, digest).runGolden()
 }
 
-// goldenSettings returns random settings of every form: peer messages, prices, hedging and migration, sizes and weights, zones,
+// goldenSettings returns random settings. They vary peer messages, prices, hedging and migration, sizes and weights, zones, and
 // quotas.
 func goldenSettings(rng *rand.Rand) Settings {
 	s := testSettings()
@@ -77,7 +77,7 @@
 	return s
 }
 
-// runGolden passes the events of random_test.go, with more random fields.
+// runGolden passes the random events of random_test.go, with additional random fields.
 func (s *randomStream) runGolden() error {
 	rng := s.rng
 	maxStep, limited := 1000*(2+rng.IntN(40)), rng.IntN(2) == 0
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// randomizeRequest sets the fields of a request that random_test.go does not.
+// randomizeRequest sets the fields of a request that random_test.go leaves unset. limited adds random route limits.
 func randomizeRequest(rng *rand.Rand, event *Event, limited bool) {
 	if rng.IntN(3) == 0 {
 		event.ExpectedWork = 0
@@ -146,11 +146,11 @@
 	}
 }
 
-// goldenFleet simulates workers: each runs as many requests as it has slots and queues the others.
+// goldenFleet simulates workers. Each runs as many requests as it has slots and queues the others.
 type goldenFleet struct {
 	*randomStream
 	digest      *actionDigest
-	scheduled   []scheduledEvent // sorted by time, then in the order of addition
+	scheduled   []scheduledEvent // sorted by time, then by order of insertion
 	workers     []goldenWorker
 	nextRequest RequestID
 }
@@ -163,10 +163,10 @@
 type goldenWorker struct {
 	slots       int
 	running     int
-	slowdown    float64 // time of a run divided by its work
-	failureRate float64 // share of requests that fail
+	slowdown    float64 // run time divided by work
+	failureRate float64 // fraction of requests that fail
 	unreachable bool
-	queue       []Event // starts to be reported
+	queue       []Event // AttemptStarted events of the queued requests
 }
 
 func newGoldenFleet(stream *randomStream, digest *actionDigest) *goldenFleet {
@@ -187,13 +187,14 @@
 	return f
 }
 
-// runGolden lets requests arrive for a while, at 0.5 to 1.5 times the fleet's capacity, and then time pass until nothing is due.
+// runGolden lets requests arrive at 0.5 to 1.5 times the fleet's capacity for goldenDuration. It then advances the clock until no
+// event is due.
 func (f *goldenFleet) runGolden() error {
 	slots := 0
 	for _, w := range f.workers {
 		slots += w.slots
 	}
-	rate := 1500 + f.rng.IntN(3000) // slots times microseconds between two arrivals, in hundreds
+	rate := 1500 + f.rng.IntN(3000) // slots times microseconds between two arrivals, divided by 100
 	gap := max(rate*100/slots, 1)
 	limited := f.rng.IntN(3) == 0
 	end := f.now + goldenDuration
@@ -223,8 +224,8 @@
 	return event
 }
 
-// disturbance returns a change of the endpoint list, an operator's override, a report of another dispatcher or a client's
-// disconnect.
+// disturbance returns a change of the endpoint list or of the settings, a client's disconnect, an operator's override, or an outlier
+// report of another dispatcher.
 func (f *goldenFleet) disturbance() Event {
 	rng := f.rng
 	switch rng.IntN(6) {
@@ -245,7 +246,7 @@
 	return Event{Kind: WorkerDisabled + EventKind(rng.IntN(3)), Worker: WorkerID(rng.IntN(len(f.workers)))}
 }
 
-// advanceTo lets time pass until at, and delivers all that becomes due.
+// advanceTo advances the clock to at, and delivers the events and fires the timers that become due.
 func (f *goldenFleet) advanceTo(at Time) error {
 	for {
 		slices.Sort(f.timers)
@@ -277,13 +278,13 @@
 	f.scheduled = slices.Insert(f.scheduled, i, scheduledEvent{at, event})
 }
 
-// inFlight reports whether an attempt has not ended.
+// inFlight reports whether the attempt of event has not ended.
 func (f *goldenFleet) inFlight(event *Event) bool {
 	observed := f.checker.requests[event.Request]
 	return observed != nil && event.Attempt < len(observed.attempts) && observed.attempts[event.Attempt].inFlight
 }
 
-// deliver passes a due event to the dispatcher, unless its attempt has ended meanwhile, and lets the worker continue.
+// deliver passes a due event to the dispatcher unless its attempt has already ended, and updates the state of the worker.
 func (f *goldenFleet) deliver(event Event) error {
 	if event.Kind == PeerMessageReceived {
 		return f.handle(event)
@@ -317,7 +318,7 @@
 	return ResultOK
 }
 
-// execute carries out an action.
+// execute adds an action to the digest and carries it out.
 func (f *goldenFleet) execute(now Time, action Action) {
 	f.digest.add(now, action)
 	switch action.Kind {
--- a/dispatch/golden_test.go
+++ b/dispatch/golden_test.go
@@ -18,8 +18,8 @@
 	goldenBlock = 50 // seeds per line of the file
 )
 
-// TestGolden_ActionsOfRandomEvents verifies that a change of the code changes no decision: it passes 1,000 seeded streams of
-// random events, under as many random settings, to the module and compares digests of all actions with those in
+// TestGolden_ActionsOfRandomEvents verifies that the module still makes the same decisions. It passes 1,000 seeded streams of
+// random events, each with its own random settings, to the module and compares digests of all actions with those in
 // testdata/golden/actions.txt. UPDATE_GOLDEN=1 rewrites the file, which is allowed only if a decision is meant to change. The
 // file was written on amd64; a processor that fuses multiplication and addition may round differently.
 func TestGolden_ActionsOfRandomEvents(t *testing.T) {
@@ -57,7 +57,7 @@
 	}
 }
 
-// actionDigest hashes actions, each with the time of its event.
+// actionDigest hashes actions together with the times of their events.
 type actionDigest struct {
 	hash    hash.Hash
 	buf     []byte
@@ -65,7 +65,7 @@
 	sends   int
 }
 
-// add hashes one action, each field separately, so that the digest does not depend on the names of fields or types.
+// add hashes one action. It hashes the fields separately, so that the digest does not depend on the names of fields or types.
 func (d *actionDigest) add(now Time, action Action) {
 	d.actions++
 	if action.Kind == Send {
--- a/dispatch/harness_test.go
+++ b/dispatch/harness_test.go
@@ -7,7 +7,7 @@
 
 const ms = Millisecond
 
-// harness drives one dispatcher: it keeps the time, fires the requested timers and collects actions.
+// harness drives one dispatcher: it advances the clock, fires the requested timers and collects the actions.
 type harness struct {
 	t           *testing.T
 	dispatcher  *Dispatcher
@@ -30,7 +30,7 @@
 	return h
 }
 
-// handle passes one event and returns the actions except timers.
+// handle passes one event and returns the actions other than timers.
 func (h *harness) handle(event Event) []Action {
 	h.actions = h.dispatcher.Handle(h.now, &event, h.actions[:0])
 	var out []Action
@@ -44,7 +44,7 @@
 	return out
 }
 
-// wait lets time pass, fires timers, and returns the actions meanwhile.
+// wait advances the clock by t, fires timers that become due, and returns the actions.
 func (h *harness) wait(t Time) []Action {
 	var out []Action
 	for end := h.now + t; ; {
@@ -63,15 +63,15 @@
 	return id, h.handle(Event{Kind: RequestArrived, Request: id, Class: class, Tenant: -1, ExpectedWork: work, TimeLeft: 5 * Second, Slots: 1})
 }
 
-// arriveAndSend lets a request arrive that must be sent immediately and returns its id and worker.
+// arriveAndSend lets a request arrive, which must be sent, and returns its id and its worker.
 func (h *harness) arriveAndSend(class int, work Time) (RequestID, WorkerID) {
 	h.t.Helper()
 	id, actions := h.arrive(class, work)
-	if len(actions) == 0 { // both candidates are the same worker without capacity: others are sampled after an interval
+	if len(actions) == 0 { // both candidates may be the same worker without capacity; more are sampled after an interval
 		actions = h.wait(candidateInterval + ms)
 	}
 	if len(actions) != 1 || actions[0].Kind != Send || actions[0].Request != id {
-		h.t.Fatalf("an arrival with capacity: got %v, want one send", actions)
+		h.t.Fatalf("arrival while there is capacity: got %v, want one send", actions)
 	}
 	return id, actions[0].Worker
 }
@@ -84,15 +84,15 @@
 	return h.handle(Event{Kind: AttemptStarted, Request: id, Attempt: attempt})
 }
 
-// startAndEnd starts an attempt immediately and ends it successfully after t.
+// startAndEnd starts the first attempt immediately and ends it successfully after t.
 func (h *harness) startAndEnd(id RequestID, t Time) []Action {
 	h.start(id, 0)
 	out := h.wait(t)
 	return append(out, h.end(id, 0, ResultOK)...)
 }
 
-// countSendsTo lets requests arrive one gap apart, ends every attempt at one worker with result and all others successfully, and
-// counts the sends to that worker.
+// countSendsTo lets requests arrive at intervals of gap and counts the sends to worker. Attempts at worker end with result, all
+// others end successfully.
 func (h *harness) countSendsTo(worker WorkerID, requests int, work, gap Time, result Result) int {
 	n := 0
 	for range requests {
@@ -127,7 +127,7 @@
 	return id, actions
 }
 
-// override lets an operator disable or enable a worker.
+// override disables or enables a worker, as an operator does.
 func (h *harness) override(disable bool, w WorkerID) {
 	kind := WorkerEnabled
 	if disable {
@@ -140,7 +140,7 @@
 	return h.handle(Event{Kind: SettingsChanged, Settings: &s, OldClasses: classes})
 }
 
-// countSends lets requests arrive one at a time and counts the sends to workers for which isTarget is true.
+// countSends lets requests arrive one at a time and counts the sends to workers for which isTarget returns true.
 func (h *harness) countSends(requests int, isTarget func(WorkerID) bool) (n int) {
 	for range requests {
 		id, actions := h.arrive(classIdempotent, 50*ms)
@@ -157,10 +157,10 @@
 	return n
 }
 
-// worker returns the worker with an id.
+// worker returns the worker with the given id.
 func (h *harness) worker(id WorkerID) *worker { return h.dispatcher.workers[id] }
 
-// startAllAttempts starts every attempt in flight.
+// startAllAttempts reports the start of every attempt.
 func startAllAttempts(h *harness) {
 	h.wait(ms)
 	for id := range h.nextRequest {
--- a/dispatch/random_test.go
+++ b/dispatch/random_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestHandle_KeepsRulesUnderRandomEvents passes seeded random events, including contradictory, late and duplicate ones, and
-// checks the four rules. It neither models workers nor measures anything.
+// TestHandle_KeepsRulesUnderRandomEvents passes seeded random events to a dispatcher, including contradictory, late and duplicate
+// ones, and checks the four rules. It does not model workers.
 func TestHandle_KeepsRulesUnderRandomEvents(t *testing.T) {
 	total := 0
 	for seed := range uint64(90) {
@@ -19,7 +19,7 @@
 		total += sends
 	}
 	if total < 5000 {
-		t.Fatalf("only %d sends in all: the test tests little", total)
+		t.Fatalf("only %d sends in total, want at least 5000: the test covers too little", total)
 	}
 }
 
@@ -33,7 +33,7 @@
 			t.Fatal(err)
 		}
 		if len(a) < 100 || !slices.Equal(a, b) {
-			t.Fatalf("seed %d: two runs differ, or did little (%d actions)", seed, len(a))
+			t.Fatalf("seed %d: two runs differ or have too few actions (%d)", seed, len(a))
 		}
 	}
 }
@@ -45,7 +45,7 @@
 	now        Time
 	timers     []Time
 	record     *[]string
-	observe    func(now Time, a Action) // called for every action, unless nil
+	observe    func(now Time, a Action) // called for every action if not nil
 	workers    int
 }
 
@@ -78,7 +78,7 @@
 		return 0, err
 	}
 	for range 3000 {
-		if rng.IntN(4) > 0 { // sometimes the clock stands still
+		if rng.IntN(4) > 0 { // several events may have the same time
 			stream.now += Time(rng.IntN(30000))
 		}
 		if err := stream.fireTimers(); err != nil {
@@ -88,7 +88,7 @@
 			return 0, err
 		}
 	}
-	for range 3000 { // no more events: every open request must get its answer in time
+	for range 3000 { // only timers fire: every open request must be answered by its deadline
 		stream.now += 5 * ms
 		if err := stream.fireTimers(); err != nil {
 			return 0, err
@@ -96,7 +96,7 @@
 	}
 	for id, observed := range stream.checker.requests {
 		if observed.open {
-			return 0, fmt.Errorf("rule one: request %d never got an answer", id)
+			return 0, fmt.Errorf("rule one: request %d was never answered", id)
 		}
 	}
 	return stream.checker.sends, nil
@@ -149,7 +149,7 @@
 		}
 		if action.Kind == SetTimer {
 			if action.Wait < 0 {
-				return fmt.Errorf("a timer of %v", action.Wait)
+				return fmt.Errorf("timer with negative wait %v", action.Wait)
 			}
 			s.timers = append(s.timers, s.now+action.Wait)
 		}
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// fireTimers delivers the due timers at their times.
+// fireTimers fires the timers that are due, each at its own time.
 func (s *randomStream) fireTimers() error {
 	end := s.now
 	for {
@@ -202,12 +202,12 @@
 	return event
 }
 
-// nextEvent returns a random event.
+// nextEvent returns a random event, often for a request with an attempt in flight.
 func (s *randomStream) nextEvent() Event {
 	rng := s.rng
 	id := RequestID(rng.IntN(len(s.checker.requests) + 1))
 	attempt := 0
-	for range 20 { // mostly one with an attempt in flight
+	for range 20 { // prefer a request with an attempt in flight
 		if observed := s.checker.requests[id]; observed != nil && slices.ContainsFunc(observed.attempts, func(s observedAttempt) bool { return s.inFlight }) {
 			break
 		}
@@ -217,7 +217,7 @@
 	}
 	if observed := s.checker.requests[id]; observed != nil && len(observed.attempts) > 0 {
 		attempt = rng.IntN(len(observed.attempts) + 1)
-		// A worker of this test runs at most maxSlots, so that a peak can be bounded.
+		// No worker runs more than maxSlots requests, so that checkSlowStart has an upper bound.
 		if rng.IntN(2) == 0 && attempt < len(observed.attempts) && s.running(observed.attempts[attempt].worker) < maxSlots {
 			return Event{Kind: AttemptStarted, Request: id, Attempt: attempt}
 		}
@@ -253,14 +253,14 @@
 		return e
 	case n < 96:
 		return Event{Kind: RequestAbandoned, Request: id}
-	case n < 99: // messages: invalid, old, from unknown senders
+	case n < 99: // messages, some of them invalid, old or from unknown senders
 		return Event{Kind: PeerMessageReceived, Peer: rng.IntN(s.checker.settings.GroupSize+4) - 2, Message: PeerMessage{Kind: PeerMessageKind(rng.IntN(4)), Tag: uint64(rng.IntN(20)) * 7919,
 			Slots: rng.Float64()*9 - 2}}
 	}
 	return Event{Kind: TimerFired}
 }
 
-// settingsEvent returns random settings: idempotency changes under a class's name, attempts and hedging change.
+// settingsEvent returns a change to random settings: the idempotency of one class, the number of attempts, and hedging.
 func (s *randomStream) settingsEvent() Event {
 	settings := s.checker.settings
 	settings.Classes = slices.Clone(settings.Classes)
--- a/dispatch/rulechecker_test.go
+++ b/dispatch/rulechecker_test.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// ruleChecker checks the four rules from outside, by the events and the returned actions.
+// ruleChecker checks the four rules from outside the module, using only the events and the returned actions.
 type ruleChecker struct {
 	settings     Settings
 	requests     map[RequestID]*observedRequest
 	workers      map[WorkerID]Worker
 	version      uint64
-	warmingSends map[WorkerID][]Time // sends while it is warming up
-	disabled     map[WorkerID]bool   // by an operator
+	warmingSends map[WorkerID][]Time // times of the sends to each worker while warming up
+	disabled     map[WorkerID]bool   // workers that an operator has disabled
 	disabledAt   map[WorkerID]Time
 	enabledAt    map[WorkerID]Time
 	responses    int
@@ -50,18 +50,18 @@
 	}
 }
 
-// check checks one action.
+// check checks one action against the rules and the settings.
 func (c *ruleChecker) check(now Time, action Action) error {
 	observed := c.requests[action.Request]
 	switch action.Kind {
 	case SendToPeer:
 		isPeer := action.Peer >= 0 && action.Peer < c.settings.GroupSize && action.Peer != c.settings.Ordinal
 		if !c.settings.PeerMessages || !isPeer {
-			return fmt.Errorf("a message to %d", action.Peer)
+			return fmt.Errorf("message to invalid peer %d", action.Peer)
 		}
 	case Cancel:
 		if !c.settings.CanCancel || observed == nil || action.Attempt >= len(observed.attempts) {
-			return fmt.Errorf("%v, of an attempt never made or not allowed", action)
+			return fmt.Errorf("%v: unknown attempt, or cancellation not allowed", action)
 		}
 	case Send, Reject, Fail:
 		if observed == nil || !observed.open {
@@ -85,7 +85,7 @@
 	for _, previous := range observed.attempts {
 		mayRepeat := class.Idempotency == Idempotent || class.Idempotency == Deduplicated && class.DedupScope == DedupEverywhere
 		if action.Kind == Reject && !previous.neverRan && !mayRepeat {
-			return fmt.Errorf("rule two: rejected though it may have run")
+			return fmt.Errorf("rule two: rejected a request that may have run")
 		}
 	}
 	return nil
@@ -103,46 +103,46 @@
 		}
 	}
 	if inFlight > 1 {
-		return fmt.Errorf("three attempts in flight at once")
+		return fmt.Errorf("more than two attempts in flight")
 	}
 	if len(observed.attempts) >= min(observed.maxAttempts, c.settings.MaxAttempts) {
 		return fmt.Errorf("too many attempts")
 	}
 	if c.disabled[to] {
-		return fmt.Errorf("rule three: sent to worker %d, which is disabled", to)
+		return fmt.Errorf("rule three: sent to disabled worker %d", to)
 	}
 	if w, ok := c.workers[to]; !ok || w.State != Ready {
-		return fmt.Errorf("rule three: sent to a worker in state %v, known %v", w.State, ok)
+		return fmt.Errorf("rule three: sent to a worker that is not ready: state %v, known %v", w.State, ok)
 	}
 	observed.attempts = append(observed.attempts, observedAttempt{worker: to, sentAt: now, inFlight: true})
 	return c.checkSlowStart(now, w)
 }
 
-// checkRepeat checks a send to w after an earlier one.
+// checkRepeat checks a send to w of a request that already has the attempt previous.
 func (c *ruleChecker) checkRepeat(now Time, class Class, previous observedAttempt, w Worker) error {
 	if previous.neverRan {
 		return nil
 	}
 	if previous.inFlight && !c.settings.CanHedge {
-		return fmt.Errorf("a hedged request where none is allowed")
+		return fmt.Errorf("hedged a request, but hedging is not allowed")
 	}
 	switch class.Idempotency {
 	case NonIdempotent:
-		return fmt.Errorf("rule two: a non-idempotent request sent again")
+		return fmt.Errorf("rule two: non-idempotent request sent again")
 	case Deduplicated:
 		previousWorker := c.workers[previous.worker]
 		if now > previous.sentAt+class.DedupWindow {
-			return fmt.Errorf("rule two: sent again after the window")
+			return fmt.Errorf("rule two: sent again after the dedup window")
 		}
 		if class.DedupScope == DedupZone && previousWorker.Zone != w.Zone || class.DedupScope == DedupCell && previousWorker.Cell != w.Cell {
-			return fmt.Errorf("rule two: sent again outside the scope")
+			return fmt.Errorf("rule two: sent again outside the dedup scope")
 		}
 	}
 	return nil
 }
 
-// checkSlowStart counts sends. Every request of the test takes 100 ms of work or more at slowdowns of 1 or more, and no worker
-// ever runs more than maxSlots at a time, so a count above the limit certainly violates the rule.
+// checkSlowStart counts the sends in the window. Every request of the test takes at least 100 ms of work at slowdowns of 1 or more,
+// and no worker runs more than maxSlots requests at a time. A count above the limit therefore violates the rule.
 func (c *ruleChecker) checkSlowStart(now Time, w Worker) error {
 	start := w.StartedAt
 	if start <= c.disabledAt[w.ID] {
@@ -161,7 +161,7 @@
 	factor := s.SlowStartMinFactor + (1-s.SlowStartMinFactor)*float64(max(age, 0))/float64(s.SlowStartWindow)
 	limit := s.OverloadMultiple * factor * maxSlots * float64(s.OverloadWindow) / float64(100*ms)
 	if float64(len(sends)) > limit+1 {
-		return fmt.Errorf("rule four: %d sends in a window to worker %d at slow-start factor %v", len(sends), w.ID, factor)
+		return fmt.Errorf("rule four: %d sends within the window to worker %d at slow-start factor %v", len(sends), w.ID, factor)
 	}
 	return nil
 }
--- a/dispatch/simfleet_test.go
+++ b/dispatch/simfleet_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// simFleet is many dispatchers that send to the same workers, in virtual time: workers with slots and a first-come queue, requests
-// at random dispatchers, and faults. It counts what workers that are warming up are sent.
+// simFleet simulates many dispatchers that send to the same workers, in virtual time. Each worker has slots and a first-in,
+// first-out queue, requests arrive at random dispatchers, and faults occur. It counts the calls that workers receive while warming
+// up.
 type simFleet struct {
 	t            *testing.T
 	scenario     simScenario
@@ -21,32 +22,33 @@
 	dispatchers  []*simDispatcher
 	workers      []*simWorker
 	version      uint64
-	maxExcess    float64 // of all windows: calls beyond the budget, in parts of N
-	maxExcessAge Time    // the age of the worker in that window
-	warmingCalls int     // calls that they were sent
+	maxExcess    float64 // maximum over all windows of the calls beyond the budget, as a fraction of N
+	maxExcessAge Time    // age of the worker at the end of that window
+	warmingCalls int     // calls that workers received while warming up
 	served       int
 }
 
-// simScenario is what a simFleet plays. Times are since the first event.
+// simScenario is the configuration of a run of simFleet. burstAt and faultAt count from the start of the warming workers, 3 s after the
+// beginning of the run.
 type simScenario struct {
 	seed            uint64
 	dispatchers     int
 	workers         int
-	slots           []int   // of the workers in turn
-	load            float64 // arrivals, as a share of what all workers can run once warmed up
-	burst           float64 // factor on the arrivals from burstAt on, for 5 s; 0: none
+	slots           []int   // slots per worker, assigned to the workers in rotation
+	load            float64 // arrivals as a fraction of the capacity of all workers once they are warmed up
+	burst           float64 // factor on the arrival rate for 5 s from burstAt; 0: none
 	burstAt         Time
-	warmingWorkers  int     // workers that start when the day begins
-	listingDelay    Time    // from their start
-	slowWorkers     int     // workers, from the last, that are slower ...
-	slowFactor      float64 // ... by this, from faultAt on
-	hungWorkers     int     // workers, from the last, that hang from faultAt on
-	failingWorkers  int     // workers, from the last, at which every call fails from faultAt on
+	warmingWorkers  int     // number of workers, the first ones, that start 3 s after the beginning
+	listingDelay    Time    // time from the start of these workers until they are listed
+	slowWorkers     int     // number of workers, the last ones, that become slower at faultAt
+	slowFactor      float64 // factor on the service times of the slow workers
+	hungWorkers     int     // number of workers, the last ones, that hang from faultAt
+	failingWorkers  int     // number of workers, the last ones, that fail every call from faultAt
 	faultAt         Time
-	restartInterval Time // one dispatcher after another is started anew; 0: none
-	reloadInterval  Time // all dispatchers get their settings again; 0: none
-	skewed          bool // the first dispatcher gets half of the requests
-	clientRetries   bool // a rejected request is sent again, unmarked
+	restartInterval Time // time between restarts of one dispatcher after another; 0: none
+	reloadInterval  Time // time between reloads of the settings at all dispatchers; 0: none
+	skewed          bool // the first dispatcher receives half of the requests
+	clientRetries   bool // clients send a rejected request again, without marking it as a retry
 	duration        Time
 }
 
@@ -80,7 +82,7 @@
 	index       int
 	incarnation int
 	dispatcher  *Dispatcher
-	jobs        map[RequestID][]*simJob // by attempt
+	jobs        map[RequestID][]*simJob // indexed by attempt
 	next        RequestID
 }
 
@@ -93,7 +95,7 @@
 	failing  bool
 	running  int
 	queue    []*simJob
-	calls    []Time // while it is warming up, within the window
+	calls    []Time // times of the calls received while warming up, within the window
 }
 
 type simJob struct {
@@ -106,7 +108,7 @@
 	ended             bool
 }
 
-// runSimScenario plays a day.
+// runSimScenario runs a scenario and returns the fleet with its counters.
 func runSimScenario(t *testing.T, scenario simScenario) *simFleet {
 	t.Helper()
 	s := testSettings()
@@ -135,9 +137,9 @@
 	return f
 }
 
-// plan schedules what happens on the day.
+// scheduleEvents schedules the events of the scenario.
 func (f *simFleet) scheduleEvents() {
-	begin := f.now + 3*Second // dispatchers have learned a little by then
+	begin := f.now + 3*Second // the dispatchers have learned their first estimates by then
 	for i := range f.scenario.warmingWorkers {
 		w := f.workers[i]
 		w.entry.State = Gone
@@ -171,7 +173,7 @@
 	}
 }
 
-// after runs do once wait has passed.
+// after schedules do to run after wait.
 func (f *simFleet) after(wait Time, do func()) {
 	f.sequence++
 	heap.Push(&f.events, simEvent{f.now + wait, f.sequence, do})
@@ -188,7 +190,7 @@
 	f.after(interval, again)
 }
 
-// publish sends the list to all dispatchers.
+// publish sends the endpoint list to all dispatchers.
 func (f *simFleet) publish() {
 	f.version++
 	for _, d := range f.dispatchers {
@@ -206,7 +208,7 @@
 	return e
 }
 
-// scheduleArrival lets requests arrive, as a Poisson process.
+// scheduleArrival schedules the next arrival of a Poisson process, which schedules the one after it.
 func (f *simFleet) scheduleArrival(begin Time) {
 	slots := 0
 	for _, w := range f.workers {
@@ -227,7 +229,7 @@
 	})
 }
 
-// start starts a dispatcher, again where it ran: what its clients wait for is lost.
+// start starts or restarts a dispatcher. A restart loses its open requests.
 func (d *simDispatcher) start() {
 	for id := range d.next {
 		for _, j := range d.jobs[id] {
@@ -253,7 +255,8 @@
 
 func (d *simDispatcher) handle(e Event) { d.handleFor(e, 0) }
 
-// handleFor passes an event and carries out the actions. A rejected request is tried again retries times.
+// handleFor passes an event to the dispatcher and carries out the actions. The client of a rejected request retries up to retries
+// times.
 func (d *simDispatcher) handleFor(e Event, retries int) {
 	f, senderIncarnation := d.fleet, d.incarnation
 	for _, a := range d.dispatcher.Handle(f.now, &e, nil) {
@@ -280,7 +283,7 @@
 	}
 }
 
-// factor returns the share of its capacity that the worker has.
+// factor returns the fraction of its full capacity that the worker has at present.
 func (w *simWorker) factor() float64 {
 	s, age := &w.fleet.settings, w.fleet.now-w.entry.StartedAt
 	if w.entry.StartedAt == 0 || age >= s.SlowStartWindow {
@@ -289,7 +292,8 @@
 	return s.SlowStartMinFactor + (1-s.SlowStartMinFactor)*float64(age)/float64(s.SlowStartWindow)
 }
 
-// receive takes a call, and compares the calls of the window with the budget of the platform's terms.
+// receive queues a call. While the worker is warming up, it also records the excess of the calls in the window over the platform's
+// budget.
 func (w *simWorker) receive(j *simJob) {
 	f := w.fleet
 	if factor := w.factor(); factor < 1 {
@@ -308,7 +312,7 @@
 	w.startQueued()
 }
 
-// slowStartBudget returns the calls that the platform's terms allow in a window of which the settings name n.
+// slowStartBudget returns the maximum number of calls per window that the platform allows where the settings give a limit of n.
 func slowStartBudget(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -316,7 +320,7 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// begin begins queued calls while there are free slots.
+// startQueued starts queued calls while there are free slots.
 func (w *simWorker) startQueued() {
 	for !w.hung && w.running < w.slots && len(w.queue) > 0 {
 		j := w.queue[0]
@@ -335,7 +339,7 @@
 
 func (w *simWorker) finish(j *simJob, result Result) {
 	if j.ended || w.hung {
-		return // a worker that hangs does so for the rest of the day
+		return // a worker that hangs does so until the end of the run
 	}
 	j.ended = true
 	w.running--
@@ -346,7 +350,7 @@
 	w.startQueued()
 }
 
-// drop ends a call that is cancelled, and reports whether it had not ended.
+// remove removes a cancelled call and reports whether the call was still queued or running.
 func (w *simWorker) remove(j *simJob) bool {
 	if j.ended {
 		return false
@@ -361,14 +365,15 @@
 	return true
 }
 
-// report reports to the dispatcher what happened to a call.
+// report reports the start or end of a call to its dispatcher, unless the dispatcher has restarted.
 func (j *simJob) report(kind EventKind, result Result) {
 	if j.from.incarnation == j.senderIncarnation {
 		j.from.handle(Event{Kind: kind, Request: j.request, Attempt: j.attempt, Worker: j.worker.entry.ID, Result: result, Final: result == ResultOK && kind == AttemptEnded})
 	}
 }
 
-// utilizationWhileWarming returns the calls to workers that are warming up, as a share of what these can run at least while listed.
+// utilizationWhileWarming returns the calls received while warming up as a fraction of the minimum that these workers can run while
+// listed.
 func (f *simFleet) utilizationWhileWarming() float64 {
 	const step = 100 * ms
 	capacity, s := 0.0, &f.settings
--- a/dispatch/validate_test.go
+++ b/dispatch/validate_test.go
@@ -7,8 +7,8 @@
 
 func TestNew_ValidatesSettings(t *testing.T) {
 	for _, c := range []struct {
-		field string
-		spoil func(*Settings)
+		field      string
+		invalidate func(*Settings)
 	}{
 		{"Classes", func(s *Settings) { s.Classes = nil }},
 		{"Classes[1].WorkerKind", func(s *Settings) { s.Classes[1].WorkerKind = 2 }},
@@ -23,9 +23,9 @@
 		{"SlowStartMinFactor", func(s *Settings) { s.SlowStartMinFactor = -0.1 }},
 	} {
 		s := testSettings()
-		c.spoil(&s)
+		c.invalidate(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), c.field) {
-			t.Errorf("%s: error %v does not name it", c.field, err)
+			t.Errorf("%s: got error %v, want one that names the field", c.field, err)
 		}
 	}
 }
--- a/dispatch/warmingbudget_test.go
+++ b/dispatch/warmingbudget_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// soakSeedsVariable is the environment variable with the number of seeds for which each day is played; 1 without it.
+// soakSeedsVariable is the environment variable that sets the number of seeds per scenario. The default is 1.
 const soakSeedsVariable = "SLOW_START_SEEDS"
 
-// budgetScenarios are days on which workers that are warming up must not be sent more than their budget. Each changes the plain day,
-// and states which part of their least capacity these workers are sent at least.
+// budgetScenarios are scenarios in which workers that are warming up must not receive more calls than their budget. Each changes the
+// plain scenario. minUtilization is the minimum of the calls that these workers receive, as a fraction of their minimum capacity.
 var budgetScenarios = []struct {
 	name           string
 	minUtilization float64
@@ -41,8 +41,8 @@
 	{"light load", 0.15, func(s *simScenario) { s.load = 0.4 }},
 }
 
-// Incident 6b9c04, the decisions alone: whatever arrives, and whatever the others do, all dispatchers together keep a warming
-// worker's budget, and still use the worker.
+// TestSlowStart_FleetKeepsBudget guards against incident 6b9c04, with the decision module alone: under any traffic, and whatever the
+// other workers do, all dispatchers together keep within the budget of a warming worker and still use that worker.
 func TestSlowStart_FleetKeepsBudget(t *testing.T) {
 	seeds, err := strconv.Atoi(os.Getenv(soakSeedsVariable))
 	if err != nil {
@@ -59,12 +59,12 @@
 				c.change(&scenario)
 				f := runSimScenario(t, scenario)
 				utilization := f.utilizationWhileWarming()
-				t.Logf("seed %d: %+.2f N beyond the budget at the age of %.1f s, used %.2f, served %d", seed, f.maxExcess, float64(f.maxExcessAge)/float64(Second), utilization, f.served)
+				t.Logf("seed %d: maximum excess over the budget %+.2f N at an age of %.1f s, utilization %.2f, served %d", seed, f.maxExcess, float64(f.maxExcessAge)/float64(Second), utilization, f.served)
 				if f.maxExcess > 0 {
-					t.Errorf("seed %d: a warming worker was sent %.2f N beyond its budget, %.1f s after its start", seed, f.maxExcess, float64(f.maxExcessAge)/float64(Second))
+					t.Errorf("seed %d: a warming worker received %.2f N calls beyond its budget, %.1f s after its start", seed, f.maxExcess, float64(f.maxExcessAge)/float64(Second))
 				}
 				if utilization < c.minUtilization {
-					t.Errorf("seed %d: warming workers were sent %.2f of their least capacity, want %.2f", seed, utilization, c.minUtilization)
+					t.Errorf("seed %d: warming workers received %.2f of their minimum capacity, want at least %.2f", seed, utilization, c.minUtilization)
 				}
 			}
 		})
