--- a/dispatch/affinity_test.go
+++ b/dispatch/affinity_test.go
@@ -29,11 +29,11 @@
 	}
 	for key, w := range workersByKey {
 		if len(w) != 1 {
-			t.Errorf("key %d met %d workers, want one", key, len(w))
+			t.Errorf("key %d was sent to %d workers, want one", key, len(w))
 		}
 	}
 	if len(all) < 15 {
-		t.Errorf("40 keys met %d of 30 workers", len(all))
+		t.Errorf("40 keys were sent to %d of 30 workers, want at least 15", len(all))
 	}
 }
 
@@ -49,7 +49,7 @@
 		h.startAndEnd(id, 100*ms)
 	}
 	if len(workers) < 10 {
-		t.Errorf("40 requests met %d of 30 workers, want an even spread", len(workers))
+		t.Errorf("40 requests of one key were sent to %d of 30 workers, want at least 10: a fetch has no price", len(workers))
 	}
 }
 
@@ -64,30 +64,30 @@
 	for range 5 {
 		id, actions = h.arriveWithKey(7)
 		if countKind(actions, Send) != 1 || actions[0].Worker == affinityWorker {
-			t.Fatalf("got %v, want a send to another than %d", actions, affinityWorker)
+			t.Fatalf("got %v, want a send to a worker other than %d", actions, affinityWorker)
 		}
 		next[actions[0].Worker] = true
 		h.startAndEnd(id, 100*ms)
 	}
 	if len(next) != 1 {
-		t.Errorf("the key met %d workers after its own had left, want one", len(next))
+		t.Errorf("the key was sent to %d workers after its worker began to drain, want one", len(next))
 	}
 	for _, w := range h.dispatcher.workers {
 		w.slotsInUse = 100
 	}
 	id, _ = h.arriveWithKey(7)
 	if r := h.dispatcher.request(id); r.isCandidate(h.dispatcher.workers[affinityWorker]) {
-		t.Error("a queued request has spent a candidate on the draining worker")
+		t.Error("the draining worker is a candidate of a queued request")
 	}
 	if &h.dispatcher.ring[0] != ring {
-		t.Error("the ring was rebuilt for a change of the endpoint list: that costs more CPU than the platform allows")
+		t.Error("the ring was rebuilt after a change of the endpoint list, which costs more CPU time than the platform allows")
 	}
 	if bare := newHarness(t, testSettings(), taggedFleet(30)...); len(bare.dispatcher.ring) != 0 {
-		t.Error("a ring is kept where a fetch has no price")
+		t.Error("the dispatcher has a ring although a fetch has no price")
 	}
 }
 
-// A hash that always leads to one worker would send it, while it is warming up, all requests of that key.
+// Guards against a hash that sends all requests of a key to one worker while that worker is warming up.
 func TestAffinity_WarmingWorkerGetsEvenShare(t *testing.T) {
 	h := newHarness(t, affinitySettings(), taggedFleet(30)...)
 	id, actions := h.arriveWithKey(7)
@@ -107,11 +107,12 @@
 		h.startAndEnd(id, 10*ms)
 	}
 	if sends > 15 {
-		t.Errorf("%d of 100 requests of a key went to its worker while that was warming up, want about one in 30 samples", sends)
+		t.Errorf("%d of 100 requests of a key went to its worker while that was warming up, want at most 15: one in 30 samples", sends)
 	}
 }
 
-// Workers are replaced for weeks: their points must not crowd out those of the remaining ones.
+// Guards against a ring that keeps the points of gone workers: workers are replaced for weeks, and the points of those that remain
+// would become too few.
 func TestAffinity_RingForgetsGoneWorkers(t *testing.T) {
 	h := newHarness(t, affinitySettings())
 	list := taggedFleet(3000)
@@ -121,14 +122,14 @@
 		h.startAndEnd(id, 10*ms)
 	}
 	if n := len(h.dispatcher.ring); n != 30*pointsPerWorker {
-		t.Fatalf("%d points for 30 workers", n)
+		t.Fatalf("the ring has %d points for 30 workers", n)
 	}
 	h.handle(Event{Kind: EndpointUpdate, Version: 101, Workers: []Worker{{ID: 2999, Tag: list[2999].Tag, State: Gone}, list[0]}})
 	h.arriveWithKey(8)
-	h.handle(Event{Kind: EndpointUpdate, Version: 102, Workers: []Worker{list[2999], list[1]}}) // it returns
+	h.handle(Event{Kind: EndpointUpdate, Version: 102, Workers: []Worker{list[2999], list[1]}}) // worker 2999 returns
 	h.arriveWithKey(9)
 	if n := len(h.dispatcher.ring); n != 32*pointsPerWorker {
-		t.Errorf("%d points, want those of 32 workers: one that has come back has its points again, once", n)
+		t.Errorf("the ring has %d points, want those of 32 workers: a worker that returns gets its points back exactly once", n)
 	}
 }
 
@@ -139,7 +140,7 @@
 		keysByWorker[h.dispatcher.sampleWorker(&request{affinityKey: key + 1}, h.dispatcher.ready).ID]++
 	}
 	if highest := slices.Max(keysByWorker); highest > 200 {
-		t.Errorf("a worker is the first of %d keys, where 100 are the mean: it keeps only so many", highest)
+		t.Errorf("a worker is the first of %d keys, want at most 200: the mean is 100, and the data that a worker caches is limited", highest)
 	}
 }
 
@@ -151,7 +152,7 @@
 	id, _ := h.arriveWithKey(7)
 	actions := append(h.end(id, 0, ResultOverloaded), h.wait(candidateInterval+ms)...)
 	if countKind(actions, Send) != 1 || actions[0].Worker != next.ID {
-		t.Errorf("got %v, want it sent to worker %d, the second in the order of its key", actions, next.ID)
+		t.Errorf("got %v, want a send to worker %d, the second in the order of the key", actions, next.ID)
 	}
 }
 
@@ -161,20 +162,20 @@
 	affinityWorker := actions[0].Worker
 	h.start(id, 0)
 	if _, actions = h.arriveWithKey(7); countKind(actions, Send) != 1 || actions[0].Worker != affinityWorker {
-		t.Errorf("got %v, want the key's worker %d, which has capacity and one request, before an idle one", actions, affinityWorker)
+		t.Errorf("got %v, want a send to the worker of the key, %d: it has capacity and is preferred to an idle worker", actions, affinityWorker)
 	}
 }
 
 func TestAffinity_OneWorkerOrNone(t *testing.T) {
 	h := newHarness(t, affinitySettings())
 	if _, actions := h.arriveWithKey(7); len(actions) != 0 {
-		t.Fatalf("got %v without a list", actions)
+		t.Fatalf("got %v without an endpoint list", actions)
 	}
 	h.handle(Event{Kind: EndpointSnapshot, Version: 1})
 	id, actions := h.arriveWithKey(7)
 	wantKinds(t, actions)
 	actions = append(h.handle(Event{Kind: EndpointSnapshot, Version: 2, Workers: taggedFleet(1)}), h.wait(2*candidateInterval)...)
 	if countKind(actions, Send) == 0 || h.dispatcher.request(id) == nil {
-		t.Fatalf("got %v once there is a worker", actions)
+		t.Fatalf("got %v after a worker was listed, want a send", actions)
 	}
 }
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -53,7 +53,7 @@
 	benchmarkRequests(b, testSettings(), taggedFleet(12), 64)
 }
 
-func BenchmarkHandle_AffinityKeys(b *testing.B) {
+func BenchmarkHandle_Keys(b *testing.B) {
 	benchmarkRequests(b, affinitySettings(), taggedFleet(100), 32)
 }
 
--- a/dispatch/endpoints_test.go
+++ b/dispatch/endpoints_test.go
@@ -28,7 +28,7 @@
 	last := h.now
 	for range 6 {
 		if countKind(h.wait(s.MaxPollInterval), WatchEndpoints) == 0 {
-			t.Fatal("did not poll again in time")
+			t.Fatal("no new watch request within the maximum poll interval")
 		}
 		gaps = append(gaps, h.now-last)
 		last = h.now
@@ -51,7 +51,7 @@
 	h := newHarness(t, s)
 	h.handle(Event{Kind: EndpointSnapshot, Stale: true, Workers: fleet(2), Version: 3})
 	polls := 0
-	for range 100 { // ten seconds in which every poll fails immediately
+	for range 100 { // for ten seconds every poll fails immediately
 		if n := countKind(h.wait(100*ms), WatchEndpoints); n > 0 {
 			polls += n
 			h.handle(Event{Kind: EndpointWatchLost})
@@ -60,7 +60,7 @@
 		}
 	}
 	if polls < 3 || polls > 12 {
-		t.Fatalf("%d polls in ten seconds", polls)
+		t.Fatalf("%d polls in ten seconds, want 3 to 12", polls)
 	}
 }
 
@@ -76,13 +76,13 @@
 
 func TestEndpoints_QueuedRequestsGetNewCandidate(t *testing.T) {
 	s := testSettings()
-	s.PriceCrossZone = 0.1 // candidates stay in the own zone, worker 0's
+	s.PriceCrossZone = 0.1 // the candidates are in the local zone, which has only worker 0
 	h := newHarness(t, s, Worker{ID: 0, Zone: 0}, Worker{ID: 1, Zone: 1})
 	h.dispatcher.workers[0].slotsInUse, h.dispatcher.workers[1].slotsInUse = 100, 100
 	id, _ := h.arrive(classIdempotent, 100*ms)
 	h.handle(Event{Kind: EndpointUpdate, Version: 2, Workers: []Worker{{ID: 0, State: Draining}}})
 	q := h.dispatcher.workers[1].queues[bandNormal]
 	if !slices.ContainsFunc(q.items[q.head:], func(e queueEntry) bool { return e.isLive() && e.request.id == id }) {
-		t.Fatal("the queued request has no entry at the worker that is left")
+		t.Fatal("the queued request is not queued at the remaining worker")
 	}
 }
--- a/dispatch/estimate_test.go
+++ b/dispatch/estimate_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// runsWithHints gives a dispatcher runs whose hints are alternately wrong, or always right.
+// runsWithHints returns a dispatcher that has completed requests whose hints of the expected work were correct, or, if misleading
+// is set, unrelated to the run times.
 func runsWithHints(t *testing.T, misleading bool) *harness {
 	h := newHarness(t, testSettings(), fleet(4)...)
 	for i := range 200 {
@@ -31,9 +32,9 @@
 		name     string
 		harness  *harness
 		min, max Time
-	}{{"good hints", good, 750 * ms, 950 * ms}, {"hints that tell nothing", misleading, 200 * ms, 450 * ms}} {
+	}{{"good hints", good, 750 * ms, 950 * ms}, {"hints unrelated to the run times", misleading, 200 * ms, 450 * ms}} {
 		if got := c.harness.dispatcher.classes[classIdempotent].calibrateHint(900 * ms); got < c.min || got > c.max {
-			t.Errorf("%s: a hint of 0.9 s is taken for %v us, want %v to %v", c.name, got, c.min, c.max)
+			t.Errorf("%s: a hint of 0.9 s is calibrated to %v us, want %v to %v", c.name, got, c.min, c.max)
 		}
 	}
 }
@@ -43,7 +44,7 @@
 	run := 100 * ms
 	for i := range 160 {
 		if i == 100 {
-			run = 300 * ms // all of them, for a while
+			run = 300 * ms // all runs take longer from here on
 		}
 		id, actions := h.arrive(classIdempotent, 0)
 		if countKind(append(actions, h.wait(20*ms)...), Send) == 1 {
@@ -52,12 +53,12 @@
 	}
 	meanRun := h.dispatcher.classes[classIdempotent].meanRun
 	if meanRun > 200e3 || h.dispatcher.fleet.slowdown < 1.4 {
-		t.Fatalf("mean run %v us, slowdown %v after 60 runs three times as long", meanRun, h.dispatcher.fleet.slowdown)
+		t.Fatalf("mean run %v us, slowdown %v after 60 runs that took three times as long, want the slowdown alone increased", meanRun, h.dispatcher.fleet.slowdown)
 	}
 }
 
-// Where a request's work is unknown, a queued request has to be sent the earlier the more run times vary: a short request's
-// objective is earlier by more than its run is shorter. Requests with hints are not affected.
+// If the work of a queued request is unknown, it has to be sent earlier the more the run times vary: a short request has an earlier
+// objective, and the difference is larger than that of the run times. Requests with hints are not affected.
 func TestLatestOnTimeSend_AllowsForRunDeviation(t *testing.T) {
 	slack := func(work Time, runs ...Time) Time {
 		h := newHarness(t, testSettings(), fleet(1)...)
@@ -77,14 +78,15 @@
 	}
 	even, uneven := slack(0, 200*ms), slack(0, 100*ms, 300*ms)
 	if even > 40*ms || uneven < even+30*ms {
-		t.Errorf("kept %d us with even runs, %d us with uneven ones", even, uneven)
+		t.Errorf("slack %d us with equal runs, %d us with varying runs, want at most 40 ms and at least 30 ms more", even, uneven)
 	}
 	if hinted := slack(200*ms, 100*ms, 300*ms); hinted != 0 {
-		t.Errorf("a request with a hint keeps %d us", hinted)
+		t.Errorf("slack %d us of a request with a hint, want 0", hinted)
 	}
 }
 
-// Where many dispatchers share the load each sees few runs of each kind, and nothing is known about a new worker.
+// With many dispatchers each sees few runs of each kind, and knows nothing about a new worker: the slowdown of a kind has to adapt
+// within a few runs.
 func TestSlowdown_KindsDifferAfterFewRuns(t *testing.T) {
 	s := testSettings()
 	list := fleet(20)
@@ -93,7 +95,7 @@
 	}
 	h := newHarness(t, s, list...)
 	if small, big := h.dispatcher.capacityOf(h.dispatcher.workers[0]), h.dispatcher.capacityOf(h.dispatcher.workers[1]); small != initialCapacity/2 || big != initialCapacity*1.5 {
-		t.Errorf("new workers listed as 1 and 3 of a mean of 2 have capacities of %v and %v", small, big)
+		t.Errorf("new workers with weights 1 and 3 (mean 2) have capacities %v and %v, want 1/2 and 3/2 of the initial capacity", small, big)
 	}
 	runs := [2]int{}
 	for runs[0] < 6 || runs[1] < 6 {
@@ -108,6 +110,6 @@
 		h.end(id, 0, ResultOK)
 	}
 	if slow, quick := h.dispatcher.kinds[0].slowdown, h.dispatcher.kinds[1].slowdown; slow < 1.5*quick {
-		t.Errorf("after %v runs of 300 and 100 ms the kinds' slowdowns are %.2f and %.2f", runs, slow, quick)
+		t.Errorf("after %v runs of 300 and 100 ms the slowdowns of the kinds are %.2f and %.2f, want the first at least 1.5 times the second", runs, slow, quick)
 	}
 }
--- a/dispatch/module_test.go
+++ b/dispatch/module_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// The files of the module by content: decisions are those that deploy/balancer.toml names under policy.
+// The files of the module, grouped by content. decisionFiles are the files that deploy/balancer.toml lists under policy.
 var (
 	decisionFiles = []string{
 		"send.go", "admission.go", "queueing.go", "placement.go", "affinity.go", "capacity.go", "estimate.go", "slowstart.go", "slowstartbudget.go",
@@ -24,7 +24,7 @@
 )
 
 const (
-	// maxDecisionLines is for each file: the limit for all of them together is gone.
+	// maxDecisionLines is the maximum number of non-blank lines of each file. Their total is not limited.
 	maxDecisionLines   = 150
 	maxDecisionColumns = 110
 )
@@ -38,7 +38,8 @@
 	return text
 }
 
-// TestModule_Size checks the size of the decision files, which is part of the module's contract, and that doc.go names each file.
+// TestModule_Size checks the size limits of the decision files, which are part of the contract of the module, and that doc.go names
+// every file.
 func TestModule_Size(t *testing.T) {
 	for _, file := range decisionFiles {
 		lines := 0
@@ -47,11 +48,11 @@
 				lines++
 			}
 			if n := len([]rune(string(bytes.ReplaceAll(l, []byte("\t"), []byte("    "))))); n > maxDecisionColumns {
-				t.Errorf("%s: line %d has %d columns", file, i+1, n)
+				t.Errorf("%s: line %d has %d columns, which exceeds the limit", file, i+1, n)
 			}
 		}
 		if lines > maxDecisionLines {
-			t.Errorf("%s: %d non-blank lines, want %d at most", file, lines, maxDecisionLines)
+			t.Errorf("%s: %d non-blank lines, want at most %d", file, lines, maxDecisionLines)
 		}
 	}
 	head := readSource(t, "doc.go")
@@ -62,7 +63,7 @@
 	}
 }
 
-// sources returns all files of the module except tests.
+// sources returns the names of all Go files of the module except tests.
 func sources(t *testing.T) (files []string) {
 	t.Helper()
 	all, err := filepath.Glob("*.go")
@@ -81,7 +82,7 @@
 	known := slices.Concat(decisionFiles, interfaceFiles, stateFiles, []string{"doc.go"})
 	slices.Sort(known)
 	if all := sources(t); !slices.Equal(all, known) {
-		t.Errorf("files %v, want those of the lists above, %v", all, known)
+		t.Errorf("files %v, want those that are listed in this test, %v", all, known)
 	}
 }
 
@@ -90,7 +91,7 @@
 		text := readSource(t, f)
 		for _, bad := range []string{`"time"`, `"os"`, `"net`, `"sync`, `"reflect"`, "go func", `"io"`} {
 			if bytes.Contains(text, []byte(bad)) {
-				t.Errorf("%s holds %s", f, bad)
+				t.Errorf("%s contains %s", f, bad)
 			}
 		}
 	}
@@ -99,10 +100,10 @@
 func TestModule_InterfaceHoldsTypesOnly(t *testing.T) {
 	for _, file := range interfaceFiles {
 		if bytes.Contains(readSource(t, file), []byte("func ")) {
-			t.Errorf("%s holds a function", file)
+			t.Errorf("%s contains a function", file)
 		}
 	}
 	if k := reflect.TypeOf(Settings{}).Kind(); k != reflect.Struct {
-		t.Errorf("Settings is a %v", k)
+		t.Errorf("Settings is a %v, want a struct", k)
 	}
 }
--- a/dispatch/outlier_test.go
+++ b/dispatch/outlier_test.go
@@ -2,17 +2,17 @@
 
 import "testing"
 
-func TestOutlier_QuickErrorsMakeNoBlackHole(t *testing.T) {
+func TestOutlier_FastFailingWorkerAttractsNoRequests(t *testing.T) {
 	h := newHarness(t, testSettings(), fleet(6)...)
 	bad := h.countSendsTo(0, 200, 50*ms, 10*ms, ResultFailed)
 	if bad > 20 {
-		t.Fatalf("%d of 200 requests went to a worker that fails all, want probes only", bad)
+		t.Fatalf("%d of 200 requests went to a worker that fails every request, want at most 20 probes", bad)
 	}
 	if !h.dispatcher.workers[0].ejected {
 		t.Fatal("the failing worker is not ejected")
 	}
 	h.wait(5 * Second)
-	h.dispatcher.workers[1].slotsInUse += 100 // only the worker that failed before has capacity
+	h.dispatcher.workers[1].slotsInUse += 100 // only the worker that failed has capacity
 	for i := 2; i < 6; i++ {
 		h.dispatcher.workers[i].slotsInUse += 100
 	}
@@ -29,7 +29,7 @@
 		}
 	}
 	if tried < 1 || h.dispatcher.workers[0].ejected {
-		t.Fatalf("%d probes, ejected %v: a worker that serves again must be readmitted", tried, h.dispatcher.workers[0].ejected)
+		t.Fatalf("%d probes, ejected %v: a worker that succeeds again must be readmitted", tried, h.dispatcher.workers[0].ejected)
 	}
 }
 
@@ -51,7 +51,7 @@
 		}
 	}
 	if ejected > 2 {
-		t.Fatalf("%d of 6 ejected when all fail alike, want at most a third", ejected)
+		t.Fatalf("%d of 6 workers ejected although all fail equally, want at most a third", ejected)
 	}
 }
 
@@ -59,7 +59,7 @@
 	h := newHarness(t, testSettings(), fleet(3)...)
 	tried := h.countSendsTo(0, 400, 20*ms, 20*ms, ResultUnreachable) // over eight seconds
 	if tried < 3 || tried > 12 {
-		t.Fatalf("%d sends to an unreachable worker in eight seconds, want a few probes", tried)
+		t.Fatalf("%d sends to an unreachable worker in eight seconds, want 3 to 12 probes", tried)
 	}
 }
 
@@ -71,15 +71,15 @@
 	h.wait(Second)
 	h.handle(Event{Kind: AttemptProgressed, Request: id, Progress: 0.4})
 	if actions := h.wait(Second); len(actions) != 0 {
-		t.Fatalf("got %v within the time of a progress report", actions)
+		t.Fatalf("got %v before the progress report was overdue", actions)
 	}
 	h.wait(progressSlack + 20*ms)
 	if !h.dispatcher.workers[w].unresponsive {
-		t.Fatal("the worker that has stalled is not unresponsive")
+		t.Fatal("the stalled worker is not marked as unresponsive")
 	}
 	h.handle(Event{Kind: AttemptProgressed, Request: id, Progress: 0.6})
 	if h.dispatcher.workers[w].unresponsive {
-		t.Fatal("the worker gave a sign and is still unresponsive")
+		t.Fatal("the worker is still marked as unresponsive after a progress report")
 	}
 }
 
@@ -106,11 +106,11 @@
 		}
 	}
 	if lost > 20 {
-		t.Fatalf("%d of 100 requests went to twenty workers behind a cut link", lost)
+		t.Fatalf("%d of 100 requests went to the twenty workers of an unreachable zone, want at most 20", lost)
 	}
 }
 
-// countSendsToWorker0 lets n requests arrive, all of which succeed, and counts the sends to worker 0.
+// countSendsToWorker0 lets n requests arrive, all of which succeed, and returns the number of sends to worker 0.
 func countSendsToWorker0(h *harness, class, n int) (got int) {
 	for range n {
 		id, actions := h.arrive(class, 10*ms)
@@ -124,8 +124,8 @@
 	return got
 }
 
-// A worker that fails for another dispatcher gets no non-idempotent request until a probe succeeds; then further reports are
-// ignored for a while. At most a third of the workers are ejected.
+// A worker that another dispatcher reports as an outlier receives no non-idempotent request until a probe succeeds. After that,
+// further reports within outlierReportInterval are ignored. At most a third of the workers are ejected.
 func TestOutlierReported_LimitsToProbes(t *testing.T) {
 	h := newHarness(t, testSettings(), fleet(6)...)
 	countSends := func(class, n int) int { return countSendsToWorker0(h, class, n) }
@@ -133,7 +133,7 @@
 	reportOutlier(-1)
 	reportOutlier(99)
 	if countSends(classNonIdempotent, 60) == 0 {
-		t.Fatal("nothing goes to the worker in the first place")
+		t.Fatal("no request goes to the worker before the report")
 	}
 	reportOutlier(0)
 	if n := countSends(classNonIdempotent, 60); n > 0 {
@@ -141,18 +141,18 @@
 	}
 	h.wait(Second)
 	if n := countSends(classIdempotent, 60); n == 0 {
-		t.Error("no probe")
+		t.Error("the ejected worker was not probed")
 	}
 	if reportOutlier(0); countSends(classNonIdempotent, 60) == 0 {
-		t.Error("a worker that has proved good for us is ejected by another's report")
+		t.Error("a report ejected a worker right after a successful probe")
 	}
 	h.wait(outlierReportInterval)
 	if reportOutlier(0); countSends(classNonIdempotent, 60) > 0 {
-		t.Error("a later report is ignored")
+		t.Error("a report after the interval was ignored")
 	}
 	h.wait(Second)
 	failed := 0
-	for failed == 0 { // its first probe fails: it stays ejected
+	for failed == 0 { // the first probe fails: the worker stays ejected
 		id, actions := h.arrive(classIdempotent, 10*ms)
 		to := sendTargets(actions)[0]
 		if to == 0 {
@@ -163,7 +163,7 @@
 		}
 	}
 	if n := countSends(classNonIdempotent, 60); n > 0 {
-		t.Errorf("%d non-idempotent requests went there after a probe that failed", n)
+		t.Errorf("%d non-idempotent requests went to the worker after a failed probe", n)
 	}
 	for w := range WorkerID(6) {
 		reportOutlier(w)
@@ -175,6 +175,6 @@
 		}
 	}
 	if ejected != 2 {
-		t.Errorf("%d of 6 are ejected", ejected)
+		t.Errorf("%d of 6 workers are ejected, want 2", ejected)
 	}
 }
--- a/dispatch/peers_test.go
+++ b/dispatch/peers_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// newPeerPair connects two dispatchers by messages without delay.
+// newPeerPair returns two dispatchers. deliverMessages exchanges their messages without delay.
 func newPeerPair(t *testing.T) [2]*harness {
 	var p [2]*harness
 	for i := range p {
@@ -10,7 +10,7 @@
 		s.GroupSize, s.Ordinal, s.PeerMessages = 2, i, true
 		list := fleet(40)
 		for w := range list {
-			list[w].Tag = 7 // one aggregator for all: dispatcher 1
+			list[w].Tag = 7 // the parity of the tag makes dispatcher 1 the aggregator of all workers
 			list[w].Tag += uint64(2 * w)
 		}
 		p[i] = newHarness(t, s)
@@ -20,7 +20,7 @@
 	return p
 }
 
-// deliverMessages delivers messages between the two until there are none, and returns the other actions.
+// deliverMessages delivers the messages among actions, and the messages that they cause, and returns all other actions.
 func deliverMessages(p [2]*harness, from int, actions []Action) (rest []Action) {
 	for _, a := range actions {
 		if a.Kind != SendToPeer {
@@ -47,7 +47,7 @@
 	for range 20 {
 		id, w := send(0)
 		if w == inUse {
-			t.Fatalf("sent to worker %d, the one that the other uses", w)
+			t.Fatalf("sent to worker %d, which the other dispatcher uses", w)
 		}
 		deliverMessages(p, 0, p[0].startAndEnd(id, 0))
 	}
@@ -57,12 +57,12 @@
 	p := newPeerPair(t)
 	_, actions := p[0].arrive(classIdempotent, 100*ms)
 	if countKind(actions, SendToPeer) == 0 || countKind(actions, Send) != 0 {
-		t.Fatalf("got %v, want the load asked for first", actions)
+		t.Fatalf("got %v, want load queries before the send", actions)
 	}
 	if actions = p[0].wait(loadQueryTimeout + ms); countKind(actions, Send) != 1 {
-		t.Fatalf("got %v, want the request sent though no message came", actions)
+		t.Fatalf("got %v, want a send although no reply was received", actions)
 	}
-	p[0].handle(Event{Kind: PeerMessageReceived, Peer: 99, Message: PeerMessage{Kind: LoadReply, Tag: 12345, Slots: 1e9}}) // nonsense
+	p[0].handle(Event{Kind: PeerMessageReceived, Peer: 99, Message: PeerMessage{Kind: LoadReply, Tag: 12345, Slots: 1e9}}) // invalid sender, tag and slots
 	p[0].handle(Event{Kind: PeerMessageReceived, Peer: -4, Message: PeerMessage{Kind: UsageUpdate, Tag: 7, Slots: -3}})
 }
 
@@ -71,13 +71,13 @@
 	d := p[1].dispatcher
 	p[1].handle(Event{Kind: PeerMessageReceived, Peer: 0, Message: PeerMessage{Kind: UsageUpdate, Tag: 7, Slots: 2}})
 	if d.usageByTag[7].totalSlots != 2 {
-		t.Fatalf("sum %v", d.usageByTag[7].totalSlots)
+		t.Fatalf("total usage %v, want 2", d.usageByTag[7].totalSlots)
 	}
 	p[1].wait(usageTTL)
 	p[1].handle(Event{Kind: TimerFired})
 	d.recordPeerUsage(1, PeerMessage{Kind: UsageUpdate, Tag: 7, Slots: 1})
 	if d.usageByTag[7].totalSlots != 1 {
-		t.Fatalf("sum %v long after the first update, want only the second", d.usageByTag[7].totalSlots)
+		t.Fatalf("total usage %v after the first update expired, want 1 from the second", d.usageByTag[7].totalSlots)
 	}
 }
 
@@ -102,18 +102,18 @@
 		p[1].wait(c.after)
 		replies := p[1].handle(Event{Kind: PeerMessageReceived, Peer: 0, Message: query})
 		if len(replies) != 1 || replies[0].Message.Slots < c.min || replies[0].Message.Slots > c.max {
-			t.Errorf("%v after a rejection the aggregator tells %v", c.after, replies)
+			t.Errorf("%v after a rejection the aggregator replies %v", c.after, replies)
 		}
 	}
 }
 
-// A worker that its aggregator has just reported as full must not count as free because the reply is slightly old.
-func TestPeers_OlderLoadBeatsNone(t *testing.T) {
+// Guards against sends to full workers: an old load reply is better than no information when the aggregator does not answer.
+func TestPeers_OldLoadReplyIsUsedWithoutNewOne(t *testing.T) {
 	s := testSettings()
 	s.GroupSize, s.Ordinal, s.PeerMessages = 2, 0, true
 	list := taggedFleet(2)
 	for i := range list {
-		list[i].Tag = uint64(2*i + 1) // the other one is the aggregator of both
+		list[i].Tag = uint64(2*i + 1) // the other dispatcher is the aggregator of both workers
 	}
 	h := newHarness(t, s, list...)
 	h.wait(2 * aggregatorWarmup)
@@ -125,7 +125,7 @@
 	h.arrive(classIdempotent, 100*ms)
 	report()
 	sends := 0
-	for range 5 { // from here on the aggregators do not reply
+	for range 5 { // from here on the aggregator does not reply
 		sends += countKind(h.wait(loadQueryTimeout), Send)
 	}
 	if sends != 0 {
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestPeers_LoadCountsBySlowdownAndBeforeReports(t *testing.T) {
+func TestPeers_GroupLoadIsScaledBySlowdownAndOverridesReports(t *testing.T) {
 	s := testSettings()
 	s.GroupSize, s.PeerMessages = 2, true
 	h := newHarness(t, s, fleet(2)...)
@@ -146,11 +146,11 @@
 	h.dispatcher.now = h.now
 	r := &request{class: &h.dispatcher.classes[classIdempotent], maxAttempts: 4, slots: 1, open: true, deadline: never, queuedAt: h.now}
 	if a, b := h.dispatcher.placementCost(r, quick), h.dispatcher.placementCost(r, slow); a >= b {
-		t.Errorf("cost %v of the quick worker, %v of one half as quick under the same load", a, b)
+		t.Errorf("cost %v of the fast worker, %v of one at half its speed under the same load, want the first lower", a, b)
 	}
-	quick.reportedCapacity, quick.reportedCapacityExpiry = 0, h.now+Second // a report of a moment ago
+	quick.reportedCapacity, quick.reportedCapacityExpiry = 0, h.now+Second // a report that is still valid
 	if !h.dispatcher.hasCapacity(r, quick) {
-		t.Error("a report keeps a request from a worker whose aggregator has just told of capacity")
+		t.Error("a load report without free slots overrides the newer load from the aggregator")
 	}
 }
 
@@ -166,10 +166,10 @@
 	_, actions := h.arrive(classIdempotent, 100*ms)
 	for range 3 {
 		if n := countKind(actions, SendToPeer); n > maxLoadQueries {
-			t.Fatalf("%d messages for one sampling, want %d at most", n, maxLoadQueries)
+			t.Fatalf("%d messages for one sampling, want at most %d", n, maxLoadQueries)
 		}
 		for _, w := range h.dispatcher.workers {
-			w.groupLoad, w.groupLoadAt = 99, h.now // all full
+			w.groupLoad, w.groupLoadAt = 99, h.now // all workers are full
 		}
 		actions = h.wait(loadQueryTimeout + ms)
 	}
@@ -185,7 +185,7 @@
 		actions = append(actions, h.wait(2*loadQueryTimeout)...)
 		for _, a := range actions {
 			if a.Kind == SendToPeer && (a.Peer < 0 || a.Peer >= 899) {
-				t.Fatalf("a message to %d", a.Peer)
+				t.Fatalf("message to invalid peer %d", a.Peer)
 			}
 		}
 		messages, sends = messages+countKind(actions, SendToPeer), sends+countKind(actions, Send)
@@ -194,6 +194,6 @@
 		}
 	}
 	if sends < 50 || messages < 50 {
-		t.Errorf("%d sends and %d messages for 50 requests, though no aggregator answers", sends, messages)
+		t.Errorf("%d sends and %d messages for 50 requests without replies, want at least 50 of each", sends, messages)
 	}
 }
--- a/dispatch/placement_test.go
+++ b/dispatch/placement_test.go
@@ -9,7 +9,7 @@
 		_, w := h.arriveAndSend(classIdempotent, 100*ms)
 		got[w]++
 	}
-	// Both candidates may be the same worker, but four requests must fill the two capacities of two.
+	// Both candidates may be the same worker, but four requests have to use the full capacity of both workers, two each.
 	if got[0] != 2 || got[1] != 2 {
 		t.Fatalf("sends by worker %v, want two each", got)
 	}
@@ -31,17 +31,17 @@
 		t.Fatalf("got %v, want the oldest queued request %d sent first", actions, c)
 	}
 	if n := countKind(actions, Send); n > 2 {
-		t.Fatalf("%d sends for one slot and one step of capacity", n)
+		t.Fatalf("%d sends for one free slot and one step of capacity, want at most 2", n)
 	}
 }
 
 func TestSampleCandidates_AddsWorkersAfterInterval(t *testing.T) {
 	s := testSettings()
-	s.PriceCrossZone = 0.1 // candidates stay in the own zone, here worker 0
+	s.PriceCrossZone = 0.1 // the candidates are in the local zone, which has only worker 0
 	h := newHarness(t, s, Worker{ID: 0, Zone: 0}, Worker{ID: 1, Zone: 1})
 	for range 2 {
 		if _, w := h.arriveAndSend(classIdempotent, 100*ms); w != 0 {
-			t.Fatalf("sent to worker %d, want the own zone's", w)
+			t.Fatalf("sent to worker %d, want that of the local zone", w)
 		}
 	}
 	_, actions := h.arrive(classIdempotent, 100*ms)
@@ -70,7 +70,7 @@
 		}
 	}
 	if sends != 2 {
-		t.Fatalf("%d sends, want the two that the capacity allows", sends)
+		t.Fatalf("%d sends, want two, as the capacity allows", sends)
 	}
 }
 
@@ -78,14 +78,14 @@
 	work := func(n int) int {
 		h := newHarness(t, testSettings(), fleet(n)...)
 		for _, w := range h.dispatcher.workers {
-			w.slotsInUse = 100 // no capacity anywhere: a queued request tries further workers
+			w.slotsInUse = 100 // no worker has capacity, so a queued request samples further workers
 		}
 		id, _ := h.arrive(classIdempotent, 100*ms)
 		h.wait(200 * ms)
 		return len(h.dispatcher.request(id).candidates)
 	}
 	if a, b := work(200), work(2000); a > maxCandidates || b > maxCandidates {
-		t.Fatalf("%d and %d candidates weighed for one request, want %d at most", a, b, maxCandidates)
+		t.Fatalf("%d and %d candidates for one request, want at most %d", a, b, maxCandidates)
 	}
 }
 
@@ -96,20 +96,20 @@
 	h.dispatcher.workers[0].capacityReducedAt, h.dispatcher.workers[1].capacityReducedAt = 0, 0
 	h.dispatcher.workers[0].capacity = 1
 	if capacity := h.dispatcher.capacityOf(h.dispatcher.workers[0]); capacity != h.dispatcher.meanCapacity {
-		t.Errorf("capacity %v of an idle worker, want the usual %v: its weight is no size", capacity, h.dispatcher.meanCapacity)
+		t.Errorf("capacity %v of an idle worker, want the mean %v: its weight is not its size", capacity, h.dispatcher.meanCapacity)
 	}
 	r := &request{class: &h.dispatcher.classes[classIdempotent], maxAttempts: 4, slots: 1, open: true, deadline: never, queuedAt: h.now}
 	if idle, busy := h.dispatcher.placementCost(r, h.dispatcher.workers[0]), h.dispatcher.placementCost(r, h.dispatcher.workers[1]); idle >= busy {
-		t.Errorf("cost %v at the idle worker, %v at the busy one", idle, busy)
+		t.Errorf("cost %v of the idle worker, %v of the busy one, want the first lower", idle, busy)
 	}
 	list[1].Weight = 1
 	h.handle(Event{Kind: EndpointUpdate, Version: 2, Workers: list[1:]})
 	w := h.dispatcher.workers[1]
 	if h.dispatcher.hasCapacity(r, w) {
-		t.Error("a worker at a sixth of the other's weight has capacity at once")
+		t.Error("a worker with a sixth of the weight of the other has capacity immediately")
 	}
 	if h.now += h.dispatcher.crossZoneDelay(); !func() bool { h.dispatcher.now = h.now; return h.dispatcher.hasCapacity(r, w) }() {
-		t.Error("it has no capacity even after a wait: an old weight must not shut it for good")
+		t.Error("the worker has no capacity after the delay: an old weight must not exclude it permanently")
 	}
 }
 
@@ -132,7 +132,7 @@
 			}
 		}
 		if sends < 20 {
-			t.Errorf("weights %s: %d of 20 requests were sent", name, sends)
+			t.Errorf("weights %s: %d sends for 20 requests, want at least 20", name, sends)
 		}
 	}
 }
--- a/dispatch/reconfigure_test.go
+++ b/dispatch/reconfigure_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A request keeps the class under which it arrived, and new ones get the new class: here an idempotent class becomes
+// An open request keeps the class with which it arrived, and new requests get the new class. Here the idempotent class becomes
 // non-idempotent.
 func TestSettingsChanged_OpenRequestsKeepClass(t *testing.T) {
 	s := testSettings()
@@ -14,21 +14,21 @@
 	s.Classes = []Class{s.Classes[classNonIdempotent], s.Classes[classIdempotent]}
 	h.changeSettings(s, -1, classNonIdempotent) // the first class is new
 	if actions := h.handle(Event{Kind: AttemptEnded, Request: old, Result: ResultFailed}); len(sendTargets(actions)) != 1 {
-		t.Fatalf("an idempotent request was not retried: %v", actions)
+		t.Fatalf("got %v, want a retry of the idempotent request", actions)
 	}
 	newer, actions := h.arrive(0, 100*ms)
 	if len(sendTargets(actions)) != 1 {
 		t.Fatalf("%v", actions)
 	}
 	if actions := h.handle(Event{Kind: AttemptEnded, Request: newer, Result: ResultFailed}); len(actions) != 1 || actions[0].Kind != Fail {
-		t.Fatalf("a non-idempotent request that failed: %v", actions)
+		t.Fatalf("got %v, want a failure of the non-idempotent request", actions)
 	}
 	if _, actions := h.arrive(2, 100*ms); len(actions) != 0 {
-		t.Fatalf("a class that is gone: %v", actions)
+		t.Fatalf("got %v, want no action for a request of a removed class", actions)
 	}
 }
 
-// What was learned about a class is kept under its name, whatever its index is now.
+// The estimates of a class are kept under its name, whatever its new index.
 func TestSettingsChanged_KeepsClassEstimates(t *testing.T) {
 	s := testSettings()
 	h := newHarness(t, s, fleet(1)...)
@@ -37,14 +37,14 @@
 	s.Classes[0].LatencyObjective++
 	h.changeSettings(s, classDedupEverywhere, 77)
 	if c := h.dispatcher.classes[0]; c.meanRun != 12345 || c.runCount != 9 || c.LatencyObjective != s.Classes[0].LatencyObjective {
-		t.Errorf("%+v", c)
+		t.Errorf("class %+v, want the estimates kept and the new objective", c)
 	}
 	if c := h.dispatcher.classes[1]; c.meanRun != float64(c.LatencyObjective) || c.runCount != 0 {
-		t.Errorf("a class from nowhere: %+v", c)
+		t.Errorf("class %+v, want the initial estimates: its old index is unknown", c)
 	}
 }
 
-// A lower number of attempts applies to open requests immediately; a higher one applies only to those that arrive.
+// A lower maximum of attempts applies to open requests immediately. A higher one applies only to requests that arrive later.
 func TestSettingsChanged_FewerAttemptsApplyAtOnce(t *testing.T) {
 	s := testSettings()
 	h := newHarness(t, s, fleet(4)...)
@@ -53,27 +53,27 @@
 	fewer.MaxAttempts = 1
 	h.changeSettings(fewer, 0, 1, 2, 3)
 	if actions := h.handle(Event{Kind: AttemptEnded, Request: id, Result: ResultFailed}); len(actions) != 1 || actions[0].Kind != Reject {
-		t.Fatalf("after its only attempt: %v", actions)
+		t.Fatalf("got %v after the only attempt, want a rejection", actions)
 	}
 	id, _ = h.arrive(classIdempotent, 100*ms)
 	h.changeSettings(s, 0, 1, 2, 3)
 	if actions := h.handle(Event{Kind: AttemptEnded, Request: id, Result: ResultFailed}); len(actions) != 1 || actions[0].Kind != Reject {
-		t.Fatalf("one that came while one attempt was allowed: %v", actions)
+		t.Fatalf("got %v, want a rejection: the request arrived while one attempt was allowed", actions)
 	}
 	id, _ = h.arrive(classIdempotent, 100*ms)
 	if actions := h.handle(Event{Kind: AttemptEnded, Request: id, Result: ResultFailed}); len(sendTargets(actions)) != 1 {
-		t.Fatalf("one that came since: %v", actions)
+		t.Fatalf("got %v, want a retry: the request arrived after the change", actions)
 	}
 }
 
-// A request that is queued for an attempt that is no longer allowed ends immediately, as its idempotency allows.
+// A request that is queued for an attempt that is no longer allowed is answered immediately, as its idempotency allows.
 func TestSettingsChanged_EndsQueuedWithoutAttempts(t *testing.T) {
 	s := testSettings()
 	h := newHarness(t, s, fleet(2)...)
 	id, _ := h.arrive(classIdempotent, 100*ms)
-	h.handle(Event{Kind: EndpointSnapshot, Version: 2}) // no worker is left
+	h.handle(Event{Kind: EndpointSnapshot, Version: 2}) // no worker remains
 	if actions := h.handle(Event{Kind: AttemptEnded, Request: id, Result: ResultFailed}); len(actions) != 0 {
-		t.Fatalf("it is not queued: %v", actions)
+		t.Fatalf("got %v, want the request queued", actions)
 	}
 	second, actions := h.arrive(classIdempotent, 100*ms)
 	if len(actions) != 0 {
@@ -81,11 +81,11 @@
 	}
 	s.MaxAttempts = 1
 	if actions := h.changeSettings(s, 0, 1, 2, 3); len(actions) != 1 || actions[0].Kind != Reject || actions[0].Request != id {
-		t.Fatalf("%v, want the end of %d alone and not of %d, which has made none", actions, id, second)
+		t.Fatalf("got %v, want request %d rejected, and not request %d, which has had no attempt", actions, id, second)
 	}
 }
 
-// New zones and kinds are appended to the known ones, and each worker keeps what was learned about its own.
+// New zones and kinds are appended to the known ones, and the estimates of each worker's zone and kind are kept.
 func TestSettingsChanged_KeepsZoneAndKindNumbers(t *testing.T) {
 	s := testSettings()
 	h := newHarness(t, s, Worker{ID: 0, Zone: 0, Kind: 1}, Worker{ID: 1, Zone: 5, Kind: 7})
@@ -97,7 +97,7 @@
 	if a.kind.slowdown != 3 || b.kind.slowdown != 4 || h.dispatcher.zoneOf(a).queueWait != 5 || h.dispatcher.zoneOf(b).queueWait != 6 || len(h.dispatcher.readyInZone) != 0 {
 		t.Fatalf("%v %v %v %v", a.kind, b.kind, h.dispatcher.zoneOf(a), h.dispatcher.zoneOf(b))
 	}
-	s.ZoneCount, s.KindCount, s.Zone = 1, 1, 0 // fewer are named: the known ones are kept
+	s.ZoneCount, s.KindCount, s.Zone = 1, 1, 0 // with fewer zones and kinds, the known ones are kept
 	h.changeSettings(s, 0, 1, 2, 3)
 	if h.dispatcher.settings.ZoneCount != 4 || len(h.dispatcher.zones) != 5 || len(h.dispatcher.readyInZone) != 1 || a.kind.slowdown != 3 {
 		t.Fatalf("%+v", h.dispatcher.settings)
--- a/dispatch/retry_test.go
+++ b/dispatch/retry_test.go
@@ -39,21 +39,21 @@
 	id, _ := h.arriveAndSend(classDedupEverywhere, 100*ms)
 	h.wait(100 * ms)
 	if actions := append(h.end(id, 0, ResultFailed), h.wait(5*Second)...); countKind(actions, Send) != 0 {
-		t.Fatalf("got %v, want no further attempt", actions)
+		t.Fatalf("got %v, want no further attempt after the dedup window", actions)
 	}
 }
 
-// A retry has to be sent before the end of the dedup window, which began with the order of the first attempt that may have run:
-// setting up its connection takes time.
-func TestRetry_TellsSendBefore(t *testing.T) {
+// A retry has to be sent before the end of the dedup window, since setting up its connection takes time. The window begins when the
+// dispatcher orders the first attempt that may have run.
+func TestRetry_SetsSendBefore(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		class int
 		first Result
 		bound bool
 	}{
-		{"deduplicated, after one that may have run", classDedupEverywhere, ResultFailed, true},
-		{"deduplicated, after one that never ran", classDedupEverywhere, ResultOverloaded, false},
+		{"deduplicated, after an attempt that may have run", classDedupEverywhere, ResultFailed, true},
+		{"deduplicated, after an attempt that never ran", classDedupEverywhere, ResultOverloaded, false},
 		{"idempotent", classIdempotent, ResultFailed, false},
 	} {
 		s := testSettings()
@@ -62,15 +62,15 @@
 		arrivedAt := h.now
 		id, first := h.arrive(c.class, 100*ms)
 		if countKind(first, Send) != 1 || first[0].SendBefore < never {
-			t.Fatalf("%s: the first attempt is bound: %+v", c.name, first)
+			t.Fatalf("%s: got %+v, want one send without a time limit", c.name, first)
 		}
 		h.wait(50 * ms)
 		actions := append(h.end(id, 0, c.first), h.wait(100*ms)...)
 		if countKind(actions, Send) != 1 || actions[0].Kind != Send {
-			t.Fatalf("%s: got %v, want a further attempt", c.name, actions)
+			t.Fatalf("%s: got %v, want a second attempt", c.name, actions)
 		}
 		if sendBefore := actions[0].SendBefore; c.bound && sendBefore != arrivedAt+500*ms-s.Tick || !c.bound && sendBefore < never {
-			t.Errorf("%s: out by %v after the first, want 499 ms: %v", c.name, sendBefore-arrivedAt, c.bound)
+			t.Errorf("%s: the retry must be sent within %v of the first send, want a limit of 499 ms: %v", c.name, sendBefore-arrivedAt, c.bound)
 		}
 	}
 }
--- a/dispatch/send_test.go
+++ b/dispatch/send_test.go
@@ -20,10 +20,10 @@
 			}
 		}
 		if final.Kind == Send || h.now > began+5*Second {
-			t.Fatalf("class %d: final answer %v at %v after its arrival", class, final, h.now-began)
+			t.Fatalf("class %d: final answer %v at %v after the arrival, want one within 5 s", class, final, h.now-began)
 		}
 		if class == classNonIdempotent && final.Kind != Fail {
-			t.Fatalf("a non-idempotent request that may have run got %v, want a failure", final)
+			t.Fatalf("got %v for a non-idempotent request that may have run, want a failure", final)
 		}
 	}
 }
@@ -32,12 +32,12 @@
 	for _, st := range []WorkerState{Draining, Gone} {
 		h := newHarness(t, testSettings(), fleet(2)...)
 		h.handle(Event{Kind: EndpointUpdate, Version: 2, Workers: []Worker{{ID: 0, State: st}}})
-		h.handle(Event{Kind: EndpointUpdate, Version: 1, Workers: []Worker{{ID: 0}}}) // a late event
+		h.handle(Event{Kind: EndpointUpdate, Version: 1, Workers: []Worker{{ID: 0}}}) // an older version
 		for range 6 {
 			_, actions := h.arrive(classIdempotent, 100*ms)
 			for _, a := range append(actions, h.wait(100*ms)...) {
 				if a.Kind == Send && a.Worker == 0 {
-					t.Fatalf("state %v: sent to it", st)
+					t.Fatalf("sent to a worker in state %v", st)
 				}
 			}
 		}
@@ -54,7 +54,7 @@
 	wantKinds(t, actions)
 	actions = h.wait(Second)
 	if len(actions) != 1 || actions[0].Kind != Reject || actions[0].Request != old {
-		t.Fatalf("got %v, want the queued request rejected once it cannot be in time", actions)
+		t.Fatalf("got %v, want the queued request rejected once it would be late", actions)
 	}
 }
 
@@ -73,16 +73,16 @@
 		{Kind: AttemptEnded, Request: id, Attempt: 7, Result: ResultFailed},
 		{Kind: AttemptEnded, Request: id, Attempt: -1, Result: ResultFailed},
 		{Kind: AttemptStarted, Request: 99}, {Kind: AttemptProgressed, Request: 99}, {Kind: RequestAbandoned, Request: 99},
-		{Kind: RequestArrived, Request: id, Class: classIdempotent, TimeLeft: Second}, // an id that is open
+		{Kind: RequestArrived, Request: id, Class: classIdempotent, TimeLeft: Second}, // the id of an open request
 		{Kind: RequestArrived, Request: 50, Class: 77, TimeLeft: Second},
 		{Kind: EventKind(200)},
 	} {
 		if actions := h.handle(e); len(actions) != 0 {
-			t.Fatalf("event %+v: got %v", e, actions)
+			t.Fatalf("event %+v: got %v, want no actions", e, actions)
 		}
 	}
 	h.end(id, 0, ResultOK)
 	if actions := h.end(id, 0, ResultOK); len(actions) != 0 {
-		t.Fatalf("a second end: got %v", actions)
+		t.Fatalf("got %v for the second end of an attempt, want no actions", actions)
 	}
 }
--- a/dispatch/shedding_test.go
+++ b/dispatch/shedding_test.go
@@ -16,11 +16,11 @@
 		early += countKind(actions, Reject)
 		rejected += countKind(append(actions, h.wait(30*ms)...), Reject)
 	}
-	if early < 5 { // once the oldest has waited for a while the backlog estimate counts
-		t.Fatalf("%d of 20 requests beyond the backlog rejected at their arrival", early)
+	if early < 5 { // the backlog estimate applies once the oldest request has waited for some time
+		t.Fatalf("%d of 20 requests beyond the backlog rejected at arrival, want at least 5", early)
 	}
 	if actions := h.wait(2 * Second); countKind(actions, Reject)+rejected != 20 {
-		t.Fatalf("%d rejected, want all once they cannot end in time", countKind(actions, Reject)+rejected)
+		t.Fatalf("%d of 20 requests rejected, want all once they would be late", countKind(actions, Reject)+rejected)
 	}
 }
 
@@ -33,19 +33,19 @@
 	h.start(a, 0)
 	h.start(b, 0)
 	h.wait(Second)
-	var flood RequestID
+	var last RequestID
 	for range 36 {
-		flood = h.nextRequest
+		last = h.nextRequest
 		h.nextRequest++
-		h.handle(Event{Kind: RequestArrived, Request: flood, Tenant: 0, ExpectedWork: 300 * ms, TimeLeft: 5 * Second, Slots: 1})
+		h.handle(Event{Kind: RequestArrived, Request: last, Tenant: 0, ExpectedWork: 300 * ms, TimeLeft: 5 * Second, Slots: 1})
 	}
-	if r := h.dispatcher.request(flood); r != nil && r.band != bandOverQuota {
-		t.Fatal("the last of 36 requests at once of a tenant with five a second is not over its quota")
+	if r := h.dispatcher.request(last); r != nil && r.band != bandOverQuota {
+		t.Fatal("the last of 36 simultaneous requests is not over the quota of its tenant, 5 per second")
 	}
 	other := h.nextRequest
 	h.handle(Event{Kind: RequestArrived, Request: other, Tenant: 1, ExpectedWork: 300 * ms, TimeLeft: 5 * Second, Slots: 1})
 	if r := h.dispatcher.request(other); r == nil || r.band != bandNormal {
-		t.Fatal("another tenant's request suffers from the flood")
+		t.Fatal("the burst affects a request of another tenant")
 	}
 }
 
@@ -58,7 +58,7 @@
 	}
 	h.wait(Second)
 	for _, id := range ids {
-		h.start(id, 0) // far too late
+		h.start(id, 0) // starts far too late
 	}
 	rejected := 0
 	for range 20 {
@@ -66,11 +66,11 @@
 		rejected += countKind(actions, Reject)
 	}
 	if rejected < 5 {
-		t.Fatalf("%d of 20 arrivals rejected while all start too late", rejected)
+		t.Fatalf("%d of 20 arrivals rejected while all requests start too late, want at least 5", rejected)
 	}
-	h.wait(4 * shedDecayTime) // starts give no information meanwhile
+	h.wait(4 * shedDecayTime) // no starts are reported meanwhile
 	if _, actions := h.arrive(classIdempotent, 100*ms); countKind(actions, Reject) != 0 {
-		t.Fatal("still rejected long after")
+		t.Fatal("request rejected although shedding should have decayed")
 	}
 }
 
@@ -89,7 +89,7 @@
 		}
 	}
 	if rejected[0] < 75 || rejected[1] > 30 {
-		t.Fatalf("rejected %d of 150 beyond a quota, %d of 150 within one", rejected[0], rejected[1])
+		t.Fatalf("rejected %d of 150 over quota and %d of 150 within quota, want at least 75 and at most 30", rejected[0], rejected[1])
 	}
 }
 
@@ -103,17 +103,18 @@
 		return h.dispatcher.shedding
 	}
 	if none, half := shed(0), shed(0.5); none <= 0 || half >= 0.6*none {
-		t.Errorf("a late start sheds by %v where it loses all weight, by %v where it loses half", none, half)
+		t.Errorf("shedding %v after a late start that loses all weight, %v after one that loses half, want the second below 0.6 of the first", none, half)
 	}
 }
 
-// With few arrivals per second several of one tenant arrive together by chance.
+// Guards against false over-quota decisions: with few arrivals per second, several requests of one tenant may arrive together by
+// chance.
 func TestQuota_QuietTenantIsWithinQuota(t *testing.T) {
 	s := testSettings()
 	s.Tenants, s.OverQuotaWeight, s.GroupSize = []Tenant{{QuotaRPS: 40}, {QuotaRPS: 40}}, 0.1, 40
 	h := newHarness(t, s, fleet(20)...)
 	overQuota := 0
-	for i := range 200 { // 0.8 per second of each, a fifth below the part of 1; in groups of four
+	for i := range 200 { // 0.8 per second of each tenant, in groups of four: a fifth below this dispatcher's part of the quota, 1
 		id, tenant := h.nextRequest, i/4%2
 		h.nextRequest++
 		h.handle(Event{Kind: RequestArrived, Request: id, Tenant: tenant, ExpectedWork: 50 * ms, TimeLeft: 5 * Second, Slots: 1})
@@ -125,12 +126,12 @@
 		}
 	}
 	if overQuota > 10 {
-		t.Errorf("%d of 200 requests within the quota were taken for beyond it", overQuota)
+		t.Errorf("%d of 200 requests within the quota were counted as over quota, want at most 10", overQuota)
 	}
 }
 
-// Shedding because of requests that leave their queues by themselves would leave slots idle; requests that stay in them increase
-// it.
+// Late requests that can migrate leave their queues by themselves: shedding because of them would leave slots idle. Late requests
+// that stay in their queues increase the shedding.
 func TestShedding_MigratedRequestsDoNotCount(t *testing.T) {
 	for class, sheds := range map[int]bool{classIdempotent: false, classNonIdempotent: true} {
 		s := migrationSettings()
--- a/dispatch/simfleet_test.go
+++ b/dispatch/simfleet_test.go
@@ -28,8 +28,8 @@
 	served       int
 }
 
-// simScenario is the configuration of a run of simFleet. burstAt and faultAt count from the start of the warming workers, 3 s after the
-// beginning of the run.
+// simScenario is the configuration of a run of simFleet. burstAt and faultAt count from the start of the warming workers, 3 s after
+// the beginning of the run.
 type simScenario struct {
 	seed            uint64
 	dispatchers     int
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// TestSlowStart_LimitsSendsToWarmingWorkers lets requests arrive at independent dispatchers, half of them at one, for much of the
-// fleet's capacity while some workers are warming up, and counts what each of these gets in any window.
+// TestSlowStart_LimitsSendsToWarmingWorkers checks the number of requests that each warming worker receives in any window. Requests
+// for much of the fleet's capacity arrive at independent dispatchers, half of them at one.
 func TestSlowStart_LimitsSendsToWarmingWorkers(t *testing.T) {
 	for _, c := range []struct {
 		dispatchers          int
-		load                 float64   // share of the fleet's capacity once it has warmed up
+		load                 float64   // arrivals as a fraction of the fleet's capacity once it is warmed up
 		sizes                []float64 // slots of the workers
-		listed               bool      // sizes are in the endpoint list and known for each kind; otherwise a dispatcher knows neither
-		warming, minRequests []int     // indices of workers that are warming up, and the requests that each gets at least in ten seconds
+		listed               bool      // the endpoint list contains the sizes and the dispatchers know the size of each kind; otherwise neither
+		warming, minRequests []int     // indices of the warming workers, and the minimum of requests for each in ten seconds
 	}{
 		{20, 1, []float64{1, 1, 1, 1, 1, 1, 1, 1, 1, 1}, true, []int{0}, []int{10}},
 		{80, 0.8, []float64{1, 1, 1, 1, 1, 5, 5, 5, 5, 5}, true, []int{0, 9}, []int{3, 150}},
@@ -24,20 +24,20 @@
 		sent := runWarmingFleet(t, c.dispatchers, c.load, c.sizes, c.listed, c.warming)
 		for i, w := range c.warming {
 			if len(sent[w]) < c.minRequests[i] {
-				t.Errorf("%d dispatchers, sizes %v: worker %d got %d requests in ten seconds, want %d", c.dispatchers, c.sizes, w, len(sent[w]), c.minRequests[i])
+				t.Errorf("%d dispatchers, sizes %v: worker %d received %d requests in ten seconds, want at least %d", c.dispatchers, c.sizes, w, len(sent[w]), c.minRequests[i])
 			}
 		}
 	}
 }
 
-// runWarmingFleet returns the times of all sends to workers that are warming up, and fails if a window contains more than a
-// worker can take.
+// runWarmingFleet simulates ten seconds and returns the times of all sends to warming workers. It fails the test if a window
+// contains more requests than a worker can run.
 func runWarmingFleet(t *testing.T, dispatchers int, load float64, sizes []float64, listed bool, warming []int) map[int][]Time {
 	t.Helper()
 	s := testSettings()
 	s.GroupSize, s.PriceCrossZone, s.KindCount, s.WeightsShowSize = dispatchers, 0, 6, listed
-	s.Classes[classIdempotent].ObjectiveStretch, s.Classes[classIdempotent].WorkerKind = 50, -1 // nothing is rejected
-	capacity := 0.0                                                                             // requests of the load in 100 ms
+	s.Classes[classIdempotent].ObjectiveStretch, s.Classes[classIdempotent].WorkerKind = 50, -1 // no request is rejected
+	capacity := 0.0                                                                             // arrivals in 100 ms
 	for _, n := range sizes {
 		capacity += n * load
 	}
@@ -45,24 +45,24 @@
 	for i := range s.GroupSize {
 		f.harnesses = append(f.harnesses, f.newHarness(t, s, i, listed))
 	}
-	for step := range 1000 { // 10 ms each: requests of 100 ms arrive, as many as the slots can run
+	for step := range 1000 { // steps of 10 ms
 		f.step(step)
 		f.checkWindows(t, &s)
 	}
 	return f.sent
 }
 
-// warmingFleet is many dispatchers that send to the same workers, some of which are warming up.
+// warmingFleet simulates many dispatchers that send to the same workers, some of which are warming up. Each request runs for 100 ms.
 type warmingFleet struct {
 	harnesses []*harness
 	sizes     []float64 // slots of the workers
 	warming   []int     // indices of workers that are warming up
-	arrivals  float64   // requests in 10 ms
-	due       float64   // requests that have not arrived yet
+	arrivals  float64   // arrivals in 10 ms
+	due       float64   // arrivals that are due, with a fraction
 	sent      map[int][]Time
 }
 
-// newHarness drives dispatcher i. It knows the sizes only if they are listed.
+// newHarness returns the harness of dispatcher i, which knows the sizes only if they are listed.
 func (f *warmingFleet) newHarness(t *testing.T, s Settings, i int, listed bool) *harness {
 	t.Helper()
 	h := newHarness(t, s)
@@ -86,7 +86,8 @@
 	return h
 }
 
-// step lets requests arrive, every second one at the first dispatcher, lets 10 ms pass, and ends what has run for 100 ms.
+// step lets requests arrive, every second one at the first dispatcher, advances the clocks by 10 ms, and ends the attempts that were
+// sent 100 ms earlier.
 func (f *warmingFleet) step(step int) {
 	var actions []Action
 	for f.due += f.arrivals; f.due >= 1; f.due-- {
@@ -115,7 +116,7 @@
 	}
 }
 
-// checkWindows fails if the window that ends now contains more requests for a worker than it can take.
+// checkWindows fails the test if the window that ends now contains more requests for a worker than it can run.
 func (f *warmingFleet) checkWindows(t *testing.T, s *Settings) {
 	t.Helper()
 	first := f.harnesses[0]
@@ -129,7 +130,7 @@
 		factor := first.dispatcher.slowStartFactor(first.worker(WorkerID(w)))
 		limit := s.OverloadMultiple * factor * f.sizes[w] * float64(s.OverloadWindow/(100*ms))
 		if float64(n) > limit+1 {
-			t.Fatalf("%d dispatchers, sizes %v: a window held %d requests for warming worker %d, which bears %.1f", s.GroupSize, f.sizes, n, w, limit)
+			t.Fatalf("%d dispatchers, sizes %v: %d requests within a window for warming worker %d, want at most %.1f", s.GroupSize, f.sizes, n, w, limit)
 		}
 	}
 }
@@ -138,7 +139,7 @@
 	h := newHarness(t, testSettings())
 	list := fleet(4)
 	for i := range list {
-		list[i].StartedAt = h.now - 15*Second // so nearly warmed up that almost every sample counts
+		list[i].StartedAt = h.now - 15*Second // nearly warmed up, so that almost every sample counts
 	}
 	h.handle(Event{Kind: EndpointSnapshot, Workers: list, Version: 1})
 	sends := [2]int{}
@@ -150,11 +151,11 @@
 		}
 	}
 	if sends[0] < 10 || sends[1] != 0 {
-		t.Fatalf("%d first tries and %d retries went to workers that are warming up", sends[0], sends[1])
+		t.Fatalf("%d first tries and %d retries went to warming workers, want at least 10 and no retries", sends[0], sends[1])
 	}
 }
 
-// While late starts at other workers cause all requests to be shed, those that are warming up still get the samples that count.
+// While late starts at other workers cause all requests to be shed, warming workers still receive the requests whose samples count.
 func TestSendToWarming_TakesShedRequests(t *testing.T) {
 	h := newHarness(t, testSettings())
 	list := fleet(8)
@@ -165,7 +166,7 @@
 	toWarming, rejected := 0, 0
 	for i := range 200 {
 		h.dispatcher.shedding, h.dispatcher.sheddingAt = 1, h.now
-		h.dispatcher.recordCompletion(h.worker(7)) // of a request that was sent before
+		h.dispatcher.recordCompletion(h.worker(7)) // completes a request that was sent earlier
 		retry := i%2 == 1
 		actions := h.handle(Event{Kind: RequestArrived, Request: RequestID(i), Tenant: -1, ExpectedWork: 20 * ms, TimeLeft: 5 * Second, Slots: 1, Retry: retry})
 		if len(actions) != 1 {
@@ -178,15 +179,15 @@
 			toWarming++
 			h.startAndEnd(RequestID(i), 0)
 		default:
-			t.Fatalf("got %v (retry: %v), want a rejection or a first try sent to a worker that is warming up", a, retry)
+			t.Fatalf("got %v (retry: %v), want a rejection, or a first try sent to a warming worker", a, retry)
 		}
 	}
 	if toWarming < 30 || rejected < 100 {
-		t.Errorf("%d went to workers that are warming up and %d were rejected", toWarming, rejected)
+		t.Errorf("%d requests went to warming workers and %d were rejected, want at least 30 and 100", toWarming, rejected)
 	}
 }
 
-// A request that the backlog would reject may go to a worker that is warming up, but not one whose time has passed.
+// A request that would be rejected because of the backlog may go to a warming worker, unless it would be late anyway.
 func TestSendToWarming_TakesRequestsBeyondBacklog(t *testing.T) {
 	sendsWithTimeLeft := func(left Time) (n int) {
 		h := newHarness(t, testSettings())
@@ -196,8 +197,8 @@
 		}
 		h.handle(Event{Kind: EndpointSnapshot, Workers: list, Version: 1})
 		for i := range 200 {
-			h.dispatcher.queuedSlots[bandNormal], h.dispatcher.slotsInUse, h.dispatcher.queues[bandNormal] = 1e6, 1, queue{} // a longer backlog than can be waited for
-			h.dispatcher.recordCompletion(h.worker(3))                                                                       // of a request that was sent before
+			h.dispatcher.queuedSlots[bandNormal], h.dispatcher.slotsInUse, h.dispatcher.queues[bandNormal] = 1e6, 1, queue{} // a backlog too long to wait for
+			h.dispatcher.recordCompletion(h.worker(3))                                                                       // completes a request that was sent earlier
 			old := &request{queueTicket: 1, queuedAt: h.now - 9*Second}
 			h.dispatcher.queues[bandNormal].push(old)
 			for _, a := range h.handle(Event{Kind: RequestArrived, Request: RequestID(i), Tenant: -1, ExpectedWork: 20 * ms, TimeLeft: left, Slots: 1}) {
@@ -210,15 +211,15 @@
 		return n
 	}
 	if n := sendsWithTimeLeft(5 * Second); n < 10 {
-		t.Errorf("%d of 200 went to workers that are warming up", n)
+		t.Errorf("%d of 200 requests went to warming workers, want at least 10", n)
 	}
-	if n := sendsWithTimeLeft(100 * ms); n != 0 { // of five seconds, the rest of which earlier tries have used
-		t.Errorf("%d requests were sent that cannot be in time", n)
+	if n := sendsWithTimeLeft(100 * ms); n != 0 { // earlier tries have used the rest of the five seconds
+		t.Errorf("%d requests were sent that would be late", n)
 	}
 }
 
-// On a recorded day most workers of one zone had left and six returned, warming up: all dispatchers of that zone sampled these
-// six.
+// Guards against overload of the few warming workers of a zone. In a recorded run most workers of one zone had left and six
+// returned, warming up: all dispatchers of that zone sampled these six.
 func TestSlowStart_FewWarmingWorkersOfAZone(t *testing.T) {
 	s := testSettings()
 	s.PriceCrossZone = 0.02
@@ -232,11 +233,11 @@
 	}
 	h.handle(Event{Kind: EndpointSnapshot, Workers: list, Version: 1})
 	if n := h.countSends(300, func(w WorkerID) bool { return w < 2 }); n > 30 {
-		t.Errorf("%d of 300 requests went to two warming workers, alone in their zone with half of all traffic; want a tenth of them at most", n)
+		t.Errorf("%d of 300 requests went to two warming workers, the only ones in a zone with half of all traffic, want at most a tenth", n)
 	}
 }
 
-func TestSlowStart_SkippedWorkersAddNothing(t *testing.T) {
+func TestSlowStart_UnresponsiveWorkersDoNotRaiseShare(t *testing.T) {
 	h := newHarness(t, testSettings())
 	list := taggedFleet(10)
 	list[0].StartedAt = h.now
@@ -245,13 +246,13 @@
 		w.unresponsive, w.nextProbeAt = true, never
 	}
 	if n := h.countSends(300, func(w WorkerID) bool { return w == 0 }); n > 45 {
-		t.Errorf("%d of 300 requests went to a warming worker, one of ten, as eight others give no sign", n)
+		t.Errorf("%d of 300 requests went to the warming worker, one of ten with eight of them unresponsive, want at most 45", n)
 	}
 }
 
-// Samples of warming workers count as won until measured: no more than slowStartShare of the budget then, and at most one and a half
-// times that after many lost ones.
-func TestSlowStartChance_RaisedByLostSamplesOnly(t *testing.T) {
+// Samples of warming workers are assumed to be won until they are measured, which limits the sends to slowStartShare of the
+// budget. After many lost samples the probability is at most 1.5 times as high.
+func TestSamplingProbability_RaisedByLostSamplesOnly(t *testing.T) {
 	s := testSettings()
 	s.WeightsShowSize = true
 	h := newHarness(t, s)
@@ -259,7 +260,7 @@
 	list[0].StartedAt = h.now
 	h.handle(Event{Kind: EndpointSnapshot, Workers: list, Version: 1})
 	d, warming := h.dispatcher, h.worker(0)
-	chance := func() float64 {
+	probability := func() float64 {
 		d.completed, d.zones[0].completed, d.arrived = recentCount{}, recentCount{}, recentCount{}
 		for range 20 {
 			d.arrived.add(d.now, d.settings.OverloadWindow)
@@ -268,18 +269,18 @@
 		return d.samplingProbability(warming, len(d.ready))
 	}
 	want := slowStartShare * d.settings.OverloadMultiple * d.slowStartFactor(warming) / 9 * 10 / initialCandidates
-	if got := chance(); got < 0.99*want || got > 1.01*want {
-		t.Errorf("a sample counts with probability %.4f before any is measured, want %.4f", got, want)
+	if got := probability(); got < 0.99*want || got > 1.01*want {
+		t.Errorf("sampling probability %.4f before any sample is measured, want %.4f", got, want)
 	}
 	for range 100 {
 		d.recordSampleOutcome(&request{candidates: []*worker{warming}})
 	}
-	if got := chance(); got < 1.49*want || got > 1.51*want {
-		t.Errorf("a sample counts with probability %.4f after many lost ones, want %.4f", got, 1.5*want)
+	if got := probability(); got < 1.49*want || got > 1.51*want {
+		t.Errorf("sampling probability %.4f after many lost samples, want %.4f", got, 1.5*want)
 	}
 }
 
-// New workers are used though the warmed-up ones are listed as ready and complete nothing.
+// Warming workers are used although the warmed-up workers, which are listed as ready, complete no requests.
 func TestSlowStart_UsedWhereOthersCompleteNothing(t *testing.T) {
 	h := newHarness(t, testSettings())
 	list := fleet(4)
@@ -296,6 +297,6 @@
 		}
 	}
 	if toWarming < 5 {
-		t.Errorf("%d of 400 requests went to two warming workers while the others completed nothing", toWarming)
+		t.Errorf("%d of 400 requests went to two warming workers while the others completed none, want at least 5", toWarming)
 	}
 }
