--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// admit decides on a request that has arrived: it is queued, sent, or rejected. A request that would be
-// rejected may still be sent to a worker that is warming up. Rejection guards against queues in which every
-// request ends late, at the workers or here, and against waits that cannot succeed.
+// admit sends, queues or rejects a request that has arrived. A request that would be rejected may still be
+// sent to a worker that is warming up. Rejection guards against queues, at the workers or here, in which
+// every request ends late, and against waits that cannot succeed.
 func (d *Dispatcher) admit(r *request, isRetry bool) {
 	d.retryBudget = min(maxRetryBudget, d.retryBudget+retryBudgetRatio)
 	d.meanWork += (d.expectedWork(r) - d.meanWork) * slowEWMAWeight
-	r.sampled = isRetry // retries get no worker that is warming up: a burst of them would overload it
+	r.sampled = isRetry // a burst of retries would overload a worker that is warming up
 	if !isRetry {
 		d.arrived.add(d.now, d.settings.OverloadWindow)
-		r.maySampleWarming = true // by its first samples only: each arrival is counted once
+		r.maySampleWarming = true // in its initial sampling only: each arrival is counted once
 		defer d.endInitialSampling(r)
 	}
 	quotaWeight := 1.0
@@ -29,10 +29,11 @@
 	}
 }
 
-// latestOnTimeSend returns the last moment to send a request for an answer of full weight by a typical
-// worker. A request with much work gets at least a quarter of its time. Where the work is unknown, the
-// expected error is added, without which half of the requests would be late: a deviation changes the run time
-// once, and the objective by ObjectiveStretch times as much.
+// latestOnTimeSend returns the latest time to send a request so that a typical worker answers it within its
+// latency objective. It is at least a quarter of the objective after the arrival, for requests with much
+// work. If the work is unknown, the expected estimation error is added to the run time; otherwise half of the
+// requests would be late. An error changes the run time by its own amount and the objective by
+// ObjectiveStretch times that amount.
 func (d *Dispatcher) latestOnTimeSend(r *request) Time {
 	run := d.expectedWork(r) * d.fleet.slowdown
 	if r.work == 0 {
@@ -41,8 +42,8 @@
 	return max(r.objectiveAt-Time(run), r.arrivedAt+(r.objectiveAt-r.arrivedAt)/4)
 }
 
-// backlogDelay estimates how long the work queued ahead of a request takes at the rate of the work in flight
-// (Little's law), bounded by how long requests have actually been queued.
+// backlogDelay estimates the time until the work queued ahead of a request is completed, from the work in
+// flight (Little's law). The upper bound depends on the age of the oldest queued request.
 func (d *Dispatcher) backlogDelay(r *request) Time {
 	ahead := d.queuedSlots[bandNormal]
 	if r.band == bandOverQuota {
--- a/dispatch/affinity.go
+++ b/dispatch/affinity.go
@@ -1,13 +1,13 @@
 package dispatch
 
-// maxRingScan is how many points of the consistent-hash ring are checked for a worker that is ready and has
-// warmed up.
+// maxRingScan is the maximum number of points of the consistent-hash ring that are checked for a ready worker
+// that has warmed up.
 const maxRingScan = 64
 
-// sampleWorker returns a random worker of a non-empty list. Where requests need data that workers cache, the
+// sampleWorker returns a random worker of a non-empty list. If a request needs data that workers cache, the
 // hash of the affinity key replaces the random source: all dispatchers sample the same workers for a key, in
-// the same order. A worker that is warming up is sampled uniformly, since the hash would send it all requests
-// of its keys.
+// the same order. A worker that is warming up is sampled uniformly, since the hash would select it for all
+// requests with its keys.
 func (d *Dispatcher) sampleWorker(r *request, workers []*worker) *worker {
 	w := workers[d.rng.IntN(len(workers))]
 	if r.affinityKey == 0 || d.isWarmingUp(w) {
@@ -19,7 +19,8 @@
 	return w
 }
 
-// nextAffinityWorker returns the worker at the next hash of a request's affinity key, nil if none is near.
+// nextAffinityWorker returns the worker at the next hash of a request's affinity key, nil if none was found
+// within maxRingScan points.
 func (d *Dispatcher) nextAffinityWorker(r *request) *worker {
 	r.keySamples++
 	start := d.ringIndex(uint32(splitmix64(r.affinityKey + r.keySamples<<56)))
--- a/dispatch/capacity.go
+++ b/dispatch/capacity.go
@@ -2,29 +2,29 @@
 
 import "math"
 
-// A worker's capacity is its learned concurrency limit: the slots that this dispatcher uses there.
+// A worker's capacity is its learned concurrency limit: the slots that this dispatcher may use there.
 const (
-	initialCapacity = 2.0     // slots; assumed by every dispatcher for a worker of unknown size
+	initialCapacity = 2.0     // slots; assumed for a worker before anything has been learned
 	capacityStep    = 0.5     // slots of growth for each slot of a request that succeeds at the limit
 	minCapacity     = 1.0 / 8 // slots
 
-	// capacityRecoveryRuns is the number of mean run times after which a reduction has no effect any more: by
-	// then the load by other dispatchers has changed.
+	// capacityRecoveryRuns is the number of mean run times after which a reduction no longer has an effect:
+	// the load from other dispatchers has changed by then.
 	capacityRecoveryRuns = 2.0
 
-	// singleSlotReduction is the factor on a capacity of one slot whose request was queued behind others.
+	// singleSlotReduction is the factor on a capacity of one slot if a request was queued at the worker.
 	singleSlotReduction = 0.75
 
-	// loadReportTTL is how long a report of free slots is used: slots turn over within a run.
+	// loadReportTTL limits the use of a report of free slots, which change within the time of one run.
 	loadReportTTL = 200 * Millisecond
 
-	// maxSizeStep is the most slots by which one report raises a kind's size: an absurd report must not lift
-	// the limit.
+	// maxSizeStep is the maximum number of slots by which one report raises a kind's size: a wrong report
+	// must not remove the limit.
 	maxSizeStep = 8.0
 )
 
-// capacityOf returns a worker's capacity. Where this dispatcher has no attempt there and peers report no
-// load, a reduction fades until the capacity is the mean, scaled by the listed size.
+// capacityOf returns a worker's capacity. While this dispatcher has no attempt there and peers report no
+// load, a reduced capacity recovers linearly to the mean, scaled by the listed size.
 func (d *Dispatcher) capacityOf(w *worker) float64 {
 	usual := d.meanCapacity * d.relativeSize(w)
 	if w.capacity >= usual || w.slotsInUse > 0 || d.settings.PeerMessages {
@@ -34,13 +34,13 @@
 	return w.capacity + (usual-w.capacity)*min(1, age/recovery)
 }
 
-// growCapacity raises a worker's capacity after a request has succeeded at the limit.
+// growCapacity increases a worker's capacity after a request has succeeded at the limit.
 func (w *worker) growCapacity(slots float64) {
 	w.capacity += min(w.capacity, slots*capacityStep)
 }
 
-// reduceCapacity lowers a worker's capacity to the slots that run there for this dispatcher, or below one
-// slot. Guards against a queue at the worker, which is out of this dispatcher's control.
+// reduceCapacity reduces a worker's capacity to the slots that run there for this dispatcher, or below one
+// slot if none runs. Guards against a queue at the worker, which this dispatcher cannot control.
 func (d *Dispatcher) reduceCapacity(w *worker) {
 	if w.slotsRunning >= 1 {
 		w.capacity = min(d.capacityOf(w), w.slotsRunning)
@@ -56,8 +56,8 @@
 	w.capacityReducedAt = d.now
 }
 
-// recordLoadReport records a worker's load report. Free slots limit its capacity and never raise it, since
-// all dispatchers would send there at once.
+// recordLoadReport records a worker's load report. Free slots limit the worker's capacity and never raise it;
+// otherwise all dispatchers would send there at once.
 func (d *Dispatcher) recordLoadReport(w *worker, report LoadReport) {
 	if !report.Known || !(report.FreeSlots >= 0) {
 		return
@@ -76,9 +76,9 @@
 	return 1
 }
 
-// relativeSizeLowerBound returns the least size, relative to the mean, that a worker may have. Guards against
-// overloading small workers where the endpoint list has no sizes: all are sampled alike, and one of many
-// dispatchers sends a worker too little to learn its capacity.
+// relativeSizeLowerBound returns a lower bound of a worker's size relative to the mean. Guards against
+// overloading small workers if the endpoint list has no sizes: all workers are sampled with the same
+// probability, and one of many dispatchers sends a worker too few requests to learn its capacity.
 func (d *Dispatcher) relativeSizeLowerBound(w *worker) float64 {
 	mayDiffer := d.settings.KindCount > 1 && !w.kind.sizeReported
 	if mayDiffer && !d.settings.WeightsShowSize && !d.settings.PeerMessages {
--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -1,13 +1,13 @@
 package dispatch
 
 const (
-	initialPollBackoff = 200 * Millisecond // before a lost endpoint list is polled again; doubles
-	pollsPerInterval   = 3                 // at least, within Settings.MaxPollInterval without an answer
+	initialPollBackoff = 200 * Millisecond // before the first poll after a lost watch; doubles
+	pollsPerInterval   = 3                 // minimum number per Settings.MaxPollInterval without an answer
 )
 
-// handleEndpoints applies the endpoint list, samples another candidate for requests that are queued at
-// workers that are leaving, and restores the watch where it is needed. Outdated events are ignored: they
-// would bring a draining worker back.
+// handleEndpoints applies the endpoint list, samples another candidate for each request that is queued at a
+// worker that is not ready any more, and restores the watch if needed. Outdated events are ignored: they
+// would mark a draining worker as ready.
 func (d *Dispatcher) handleEndpoints(event *Event) {
 	if event.Version < d.endpointVersion {
 		return
@@ -20,21 +20,21 @@
 	d.resampleOrphaned()
 }
 
-// handleWatchLost keeps the last endpoint list and schedules a poll, with a backoff that is bounded so that
+// handleWatchLost keeps the last endpoint list and schedules a poll. The backoff has an upper bound, so that
 // rule three holds.
 func (d *Dispatcher) handleWatchLost() {
 	d.nextPollAt = min(d.nextPollAt, d.now+d.pollBackoff)
 	d.pollBackoff = min(2*d.pollBackoff, d.settings.MaxPollInterval/pollsPerInterval)
 }
 
-// watchEndpoints requests the endpoint list. The answer may get lost, so the request is repeated.
+// watchEndpoints requests the endpoint list. The request is repeated, since the answer may be lost.
 func (d *Dispatcher) watchEndpoints() {
 	d.nextPollAt = d.now + d.settings.MaxPollInterval/pollsPerInterval
 	d.emit(Action{Kind: WatchEndpoints})
 }
 
-// handleOverride applies an operator's override, which disables or enables a worker. It is independent of the
-// endpoint list, and no list undoes it.
+// handleOverride applies an operator's override, which disables or enables a worker. The override is
+// independent of the endpoint list, and no list changes it.
 func (d *Dispatcher) handleOverride(event *Event) {
 	if event.Worker < 0 {
 		return
--- a/dispatch/estimate.go
+++ b/dispatch/estimate.go
@@ -4,20 +4,20 @@
 
 // Weights of the newest value in exponentially weighted moving averages.
 const (
-	fastEWMAWeight     = 0.2   // of figures of one worker, kind or zone, which see few values
-	slowEWMAWeight     = 0.02  // of figures over all workers or requests
-	classRunEWMAWeight = 0.005 // of a class's mean run time, so that it does not follow a temporary slowdown
+	fastEWMAWeight     = 0.2   // for one worker, kind or zone, which have few values
+	slowEWMAWeight     = 0.02  // for all workers or requests
+	classRunEWMAWeight = 0.005 // for a class's mean run time, which must not follow a temporary slowdown
 )
 
 const (
-	// priorRuns is how many runs the assumed initial slowdown counts as, since one run says little.
+	// priorRuns is the weight of the assumed initial slowdown, in runs: a single run is not significant.
 	priorRuns = 4.0
 
-	// maxSlowdownRatio is the most that one run's slowdown counts as, in multiples of the fleet's slowdown.
+	// maxSlowdownRatio is the upper bound of one run's slowdown, in multiples of the fleet's slowdown.
 	maxSlowdownRatio = 20.0
 
-	// unhintedRunFactor is the factor on the weight of a run in a worker's slowdown where its work was
-	// unknown: a long run then mostly means much work.
+	// unhintedRunFactor is the factor on the weight of a run in a worker's slowdown if its work was unknown:
+	// a long run then usually has much work.
 	unhintedRunFactor = 1.0 / 4
 )
 
@@ -37,8 +37,8 @@
 	return w.kind.slowdown
 }
 
-// calibrateHint shrinks a hint of a request's work towards the mean, the more the less hints have predicted
-// run times, by a regression of logarithms.
+// calibrateHint shrinks a hint of a request's work towards the mean, by a regression of logarithms. The less
+// accurately hints have predicted run times, the more it shrinks the hint.
 func (c *classState) calibrateHint(hint Time) Time {
 	if hint <= 0 {
 		return 0
@@ -63,8 +63,8 @@
 	c.meanLogRun += logRun * slowEWMAWeight
 }
 
-// recordSlowdown adds a run's slowdown to the mean. Where many dispatchers share the load each sees few runs:
-// the first ones have more weight.
+// recordSlowdown adds a run's slowdown to the mean. The first runs have more weight, since each of many
+// dispatchers observes few runs.
 func (k *kindState) recordSlowdown(slowdown float64) {
 	k.runCount++
 	k.slowdown += (slowdown - k.slowdown) * max(slowEWMAWeight, 1/(k.runCount+priorRuns))
--- a/dispatch/hedging.go
+++ b/dispatch/hedging.go
@@ -1,46 +1,46 @@
 package dispatch
 
 const (
-	// startSlack is how far a start may exceed twice the zone's shortest start delay and still count as one
-	// without a queue.
+	// startSlack is the time by which a start delay may exceed twice the zone's minimum before the request
+	// counts as queued at the worker.
 	startSlack = 40 * Millisecond
 
-	// hedgeStartSlack replaces startSlack where an attempt at another worker costs next to nothing.
+	// hedgeStartSlack replaces startSlack if an attempt at another worker has almost no cost.
 	hedgeStartSlack = 10 * Millisecond
 
-	// progressSlack is how late a progress report may be before the worker counts as stalled.
+	// progressSlack is the delay of a progress report after which the attempt counts as stalled.
 	progressSlack = 400 * Millisecond
 
-	// maxCancelPrice is the highest price of a cancelled attempt, its work and its fetch, at which waiting
+	// maxCancelPrice is the maximum price of a cancelled attempt (wasted work plus fetch) up to which waiting
 	// requests are hedged, migrated and cancelled.
 	maxCancelPrice = 0.1
 )
 
-// canCancel reports whether attempts that wait, or that nobody waits for, are cancelled: only where wasted
-// work is cheap, since a cancellation may stop nothing. Guards against workers that are filled with work of
-// no value.
+// canCancel reports whether attempts that wait, or whose result is no longer needed, are cancelled. Wasted
+// work has to be cheap, since a cancellation may come too late to save any. Guards against workers that spend
+// their capacity on results that are no longer needed.
 func (d *Dispatcher) canCancel() bool {
 	isCheap := d.settings.PriceWaste+d.settings.PriceFetch <= maxCancelPrice
 	return d.settings.CanCancel && d.settings.ReportsStart && isCheap
 }
 
-// canHedge reports whether a request that waits at a worker is also sent to another one, or migrated. The
-// first start cancels the other attempt.
+// canHedge reports whether a request that waits at a worker is also sent to another worker, or migrated
+// there. The first attempt to start cancels the other.
 func (d *Dispatcher) canHedge(r *request) bool {
 	mayRunTwice := r.class.Idempotency == Idempotent && !r.limits.RetryNotRunOnly
 	mayHedge := d.settings.CanHedge && mayRunTwice && !r.limits.NoHedging
 	return d.canCancel() && mayHedge || d.canMigrate(r)
 }
 
-// canMigrate reports whether a request that waits at a worker is cancelled there before it is sent to another
-// one.
+// canMigrate reports whether a request that waits at a worker is cancelled there and then sent to another
+// worker.
 func (d *Dispatcher) canMigrate(r *request) bool {
 	mayRunAgain := r.class.Idempotency != NonIdempotent && !r.limits.RetryNotRunOnly
 	return d.canCancel() && !d.settings.CanHedge && mayRunAgain
 }
 
-// expiresAtObjective reports whether a request is only queued at workers, and has no weight after its latency
-// objective.
+// expiresAtObjective reports whether a request is answered at its latency objective unless it starts: it is
+// queued at workers without running, and a late answer has no value.
 func (d *Dispatcher) expiresAtObjective(r *request) bool {
 	return r.class.LateWeight <= 0 && d.canCancel() && r.inFlight() > 0 && !r.isRunning()
 }
@@ -52,14 +52,14 @@
 	if d.canHedge(r) {
 		slack = hedgeStartSlack
 	}
-	if d.canMigrate(r) { // the number of attempts is limited: they must not be used up at once
+	if d.canMigrate(r) { // grows with each attempt, since the number of attempts is limited
 		slack = hedgeStartSlack << min(len(r.attempts)-1, maxDoublings)
 	}
 	return 2*d.zoneOf(w).startDelay + slack
 }
 
-// nextCheckAt returns when the next check of an attempt is due: for a missing start or progress, a hedge, or
-// lateness.
+// nextCheckAt returns the time of the next check of an attempt: for a missing start or progress report, for a
+// hedge, or for lateness.
 func (d *Dispatcher) nextCheckAt(r *request, a *attempt) Time {
 	switch {
 	case !a.inFlight:
@@ -94,7 +94,7 @@
 		return
 	case a.hedgeDecided:
 		a.late = true
-		if !d.canMigrate(r) { // a migrating one waits in several queues, and leaves the last at its objective
+		if !d.canMigrate(r) { // a migrating request waits in several queues, the last until its objective
 			d.adjustShedding(shedIncrease * (1 - r.class.LateWeight))
 		}
 		return
@@ -108,7 +108,7 @@
 	}
 }
 
-// hedge sends a request whose attempt a waits at a worker to another worker, where rules and prices allow it.
+// hedge hedges or migrates a request whose attempt a waits at a worker, if rules and prices allow it.
 func (d *Dispatcher) hedge(r *request, a *attempt) {
 	if !d.canHedge(r) || len(r.attempts) >= d.maxAttempts(r) || r.isRunning() || r.queueTicket != 0 {
 		return
--- a/dispatch/outcome.go
+++ b/dispatch/outcome.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// handleAttempt handles an event of an attempt in flight.
+// handleAttempt handles an event about an attempt in flight.
 func (d *Dispatcher) handleAttempt(r *request, a *attempt, event *Event) {
 	switch event.Kind {
 	case AttemptStarted:
@@ -18,7 +18,7 @@
 	}
 }
 
-// handleStarted handles the report that an attempt has begun to run. Where the request could be hedged, its
+// handleStarted handles the report that an attempt has begun to run. If the request could be hedged, its
 // other attempts are cancelled.
 func (d *Dispatcher) handleStarted(r *request, a *attempt) {
 	w := a.worker
@@ -40,7 +40,8 @@
 	d.schedule(r)
 }
 
-// recordStartDelay adds the time from a send to its start to the figures of the worker's zone and kind.
+// recordStartDelay updates the start delays of the worker's zone and kind with the time from a send to its
+// start.
 func (d *Dispatcher) recordStartDelay(w *worker, delay Time) {
 	zone := d.zoneOf(w)
 	zone.startDelay = min(zone.startDelay, delay)
@@ -50,7 +51,8 @@
 	zone.queueWait += (wait - zone.queueWait) * fastEWMAWeight
 }
 
-// handleEnded handles the end of an attempt: the request is answered, retried or waits for another attempt.
+// handleEnded handles the end of an attempt: the request is closed, answered or retried, or waits for another
+// attempt.
 func (d *Dispatcher) handleEnded(r *request, a *attempt, event *Event) {
 	w := a.worker
 	wasAtCapacity := w.slotsInUse+r.slots > w.capacity
@@ -70,12 +72,12 @@
 	case ResultOverloaded:
 		d.limitCapacityToUse(w)
 		d.sendToAggregator(w, OverloadNotice)
-	case ResultTimedOut: // guards against work that may still fill the worker, uncounted by its aggregator
+	case ResultTimedOut: // the work may still occupy the worker, unknown to its aggregator
 		d.sendToAggregator(w, OverloadNotice)
 	case ResultUnreachable:
 		zone := d.zoneOf(w)
 		zone.connectFailureRate += (1 - zone.connectFailureRate) * fastEWMAWeight
-		d.markUnresponsive(w) // guards against a dead worker: it fails all and always has capacity
+		d.markUnresponsive(w) // a dead worker fails every request and always has capacity
 	case ResultFailed, ResultDisconnected:
 		d.recordOutcome(w, 1)
 	}
@@ -84,7 +86,7 @@
 	d.dispatchNext(w)
 }
 
-// continueRequest decides how a request continues after its attempt a has ended.
+// continueRequest closes, retries or answers a request after its attempt a has ended, where that is due.
 func (d *Dispatcher) continueRequest(r *request, a *attempt, isFinal bool) {
 	if isFinal || !r.open {
 		d.closeRequest(r)
--- a/dispatch/outlier.go
+++ b/dispatch/outlier.go
@@ -1,7 +1,8 @@
 package dispatch
 
 const (
-	// outlierMargin is how far a failure rate may exceed twice the fleet's before the worker is ejected.
+	// outlierMargin is the amount by which a worker's failure rate may exceed twice the fleet's before the
+	// worker is ejected.
 	outlierMargin = 0.25
 
 	// The interval between probes of a worker that is ejected or unresponsive doubles from minProbeInterval
@@ -9,13 +10,13 @@
 	minProbeInterval = 250 * Millisecond
 	maxProbeInterval = 4 * Second
 
-	// outlierReportInterval is how long after a report further ones about a worker that has since succeeded
-	// here are ignored: it may fail for one dispatcher alone.
+	// outlierReportInterval is the time after a report during which further reports about a worker that has
+	// since succeeded here are ignored: it may fail for one dispatcher only.
 	outlierReportInterval = 10 * Second
 )
 
-// recordOutcome records a success (0) or a failure (1). It ejects a worker that fails far more than its
-// peers, and ends the ejection once it does not.
+// recordOutcome records a success (0) or a failure (1). It ejects a worker whose failure rate is far above
+// the fleet's, and ends the ejection once the rate has dropped.
 func (d *Dispatcher) recordOutcome(w *worker, failure float64) {
 	w.outcomeCount++
 	w.failureRate += (failure - w.failureRate) * max(fastEWMAWeight, 1/(w.outcomeCount+1))
@@ -32,11 +33,12 @@
 	w.ejected = eject
 }
 
-// maxEjected returns how many workers may be ejected, a third: where more fail, they are not the cause.
+// maxEjected returns the maximum number of ejected workers, a third of those that are ready: if more fail,
+// the workers are not the cause.
 func (d *Dispatcher) maxEjected() int { return len(d.ready) / 3 }
 
-// handleOutlierReport ejects a worker that fails for another dispatcher: it gets single probes, by requests
-// that may be retried, until one succeeds here. Observations of this dispatcher take precedence.
+// handleOutlierReport ejects a worker that fails for another dispatcher. The worker receives single requests
+// that may be retried, as probes, until one succeeds here. Observations of this dispatcher take precedence.
 func (d *Dispatcher) handleOutlierReport(event *Event) {
 	if event.Worker < 0 {
 		return
@@ -56,7 +58,7 @@
 	d.resampleOrphaned()
 }
 
-// markUnresponsive limits a worker that gives no signal to single probes until it gives one.
+// markUnresponsive limits a worker to single probes until it sends a signal.
 func (d *Dispatcher) markUnresponsive(w *worker) {
 	if !w.unresponsive {
 		w.unresponsive = true
@@ -64,13 +66,13 @@
 	}
 }
 
-// scheduleProbe sets when a worker that is ejected or unresponsive gets its next request.
+// scheduleProbe sets the time of the next probe of a worker that is ejected or unresponsive.
 func (d *Dispatcher) scheduleProbe(w *worker) {
 	w.probeInterval = min(max(2*w.probeInterval, minProbeInterval), maxProbeInterval)
 	w.nextProbeAt = d.now + w.probeInterval
 }
 
-// awaitsProbe reports whether a worker gets no request until its next probe.
+// awaitsProbe reports whether a worker receives no request until its next probe.
 func (d *Dispatcher) awaitsProbe(w *worker) bool {
 	return (w.ejected || w.unresponsive) && d.now < w.nextProbeAt
 }
--- a/dispatch/peers.go
+++ b/dispatch/peers.go
@@ -1,29 +1,29 @@
 package dispatch
 
-// Where dispatchers may exchange messages, one of them is the aggregator of each worker, chosen by the
-// worker's tag, and adds up the usage of the worker by all. The only effect of a lost message is that a
-// request is placed without knowing the load.
+// If dispatchers may exchange messages, each worker has one dispatcher as its aggregator, selected by the
+// worker's tag. The aggregator adds up the usage of the worker by all dispatchers. The only effect of a lost
+// message is that a request is placed with an unknown load.
 const (
-	// loadQueryTimeout is how long the reply to a load query is awaited: a round trip takes up to 54 ms.
+	// loadQueryTimeout limits the wait for a reply to a load query. The round trip takes up to 54 ms.
 	loadQueryTimeout = 60 * Millisecond
 
-	// loadReplyTTL is how long a reply is used. It is long, as an old reply is better than none.
+	// loadReplyTTL limits the use of a reply. It is long, since an old reply is better than none.
 	loadReplyTTL = 600 * Millisecond
 
-	// maxLoadQueries is how many workers are sampled at once where each is queried: messages have a price.
+	// maxLoadQueries is the maximum number of workers sampled and queried at once: messages have a price.
 	maxLoadQueries = 4
 
-	// aggregatorWarmup is how long after its start an aggregator does not reply: it does not know all usage
-	// yet.
+	// aggregatorWarmup is the time after its start during which an aggregator does not reply: it has not
+	// received all usage updates yet.
 	aggregatorWarmup = 1 * Second
 
-	// overloadTTL is how long a worker counts as overloaded after a report of it: queues last.
-	// overloadPenalty is added to its usage, in slots.
+	// overloadTTL is the time after an OverloadNotice during which a worker counts as overloaded, since
+	// queues do not empty at once. overloadPenalty, in slots, is added to its usage.
 	overloadTTL     = 2 * Second
 	overloadPenalty = 16.0
 )
 
-// replyLoad sends a peer the usage of a worker by all dispatchers.
+// replyLoad replies to a peer with the usage of a worker by all dispatchers.
 func (d *Dispatcher) replyLoad(peer int, tag uint64) {
 	if d.now < d.startedAt+aggregatorWarmup {
 		return
@@ -36,12 +36,12 @@
 	d.sendToPeer(peer, PeerMessage{Kind: LoadReply, Tag: tag, Slots: slots})
 }
 
-// knowsGroupLoad reports whether a worker's load has been reported recently.
+// knowsGroupLoad reports whether a worker's load has been received within loadReplyTTL.
 func (d *Dispatcher) knowsGroupLoad(w *worker) bool {
 	return d.settings.PeerMessages && w.groupLoadAt > 0 && d.now < w.groupLoadAt+loadReplyTTL
 }
 
-// awaitsLoadReply reports whether a worker's load has been queried and the reply is still awaited.
+// awaitsLoadReply reports whether the reply to a load query about a worker is still awaited.
 func (d *Dispatcher) awaitsLoadReply(w *worker) bool {
 	return w.loadQueriedAt > w.groupLoadAt && d.now < w.loadQueriedAt+loadQueryTimeout
 }
--- a/dispatch/placement.go
+++ b/dispatch/placement.go
@@ -4,26 +4,26 @@
 
 const (
 	initialCandidates = 2  // workers sampled when a request is queued: d in the paper (docs/design.md)
-	furtherCandidates = 24 // workers sampled each time that no candidate has had capacity
+	furtherCandidates = 24 // workers sampled each time that no candidate had capacity
 	maxCandidates     = 64 // per request: bounds the work of an event
-	maxScan           = 8  // queued requests checked for one that fits; samples taken for one candidate
+	maxScan           = 8  // queued requests that are checked for one that fits; samples per candidate
 
-	// crossZoneWait, times the price of a crossing, is how much longer a request waits before workers of
-	// other zones become candidates.
+	// crossZoneWait, multiplied by the price of a crossing, is the additional time that a request is queued
+	// before workers of other zones become candidates.
 	crossZoneWait = 200 * Millisecond
 
-	// priceWeight, times its price, is what a crossing or a fetch adds to the cost of a placement.
+	// priceWeight, multiplied by the price of a crossing or a fetch, is added to the cost of a placement.
 	priceWeight = 15.0
 
 	// unreachableZoneRate is the share of failed connects above which a zone counts as unreachable.
 	unreachableZoneRate = 0.5
 )
 
-// sampleCandidates adds up to n random workers to a request's candidates. Where peers report loads, it
-// queries those that are unknown.
+// sampleCandidates adds up to n random workers to a request's candidates. If peers report loads, it queries
+// the loads that are unknown.
 func (d *Dispatcher) sampleCandidates(r *request, n int) {
 	r.nextSamplingAt = d.now + candidateInterval
-	if d.settings.PeerMessages { // others may fill a worker: none is used without knowing its load
+	if d.settings.PeerMessages { // other dispatchers may fill a worker, so its load has to be known
 		r.nextSamplingAt = d.now + loadQueryTimeout
 		n = min(n, maxLoadQueries)
 	}
@@ -43,8 +43,8 @@
 	return candidateInterval + Time(d.settings.PriceCrossZone*float64(crossZoneWait))
 }
 
-// sampleCandidate returns a random worker that may be used, nil if it found none. With inZone it is one of
-// this dispatcher's zone where a crossing has a price.
+// sampleCandidate returns a random worker that may be used, nil if it found none. If inZone is set and a
+// crossing has a price, the worker is in this dispatcher's zone.
 func (d *Dispatcher) sampleCandidate(r *request, inZone bool) *worker {
 	isFirstRound := r.hasInitialCandidates && r.samplingRound == 0
 	if w := d.dueFirstRequest(); w != nil && inZone && isFirstRound && r.class.WorkerKind < 0 {
@@ -61,10 +61,10 @@
 		switch {
 		case d.awaitsProbe(w), d.isUnreachable(zone):
 			continue
-		case isWarmingUp && i > 0: // nor does it get the samples of workers passed over
+		case isWarmingUp && i > 0: // only the first sample counts: others would raise the probability
 			continue
 		case isWarmingUp && !(r.maySampleWarming && d.rng.Float64() < d.samplingProbability(w, len(workers))):
-			return nil // no further sample: that would raise the others' chance
+			return nil // a further sample would raise the probability of the other workers
 		}
 		zone.nextProbeAt = d.now + minProbeInterval
 		return w
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// staysInZone reports whether a sample is taken from this dispatcher's zone only. Otherwise it is taken from
-// all zones, the more often the longer starts are delayed in this zone.
+// staysInZone reports whether a sample is taken from this dispatcher's zone only rather than from all zones.
+// The probability of the latter rises with the start delay in this zone.
 func (d *Dispatcher) staysInZone(r *request, inZone bool) bool {
 	price := priceWeight * d.settings.PriceCrossZone
 	if r.affinityKey != 0 || price <= 0 || len(d.readyInZone) == 0 {
@@ -92,8 +92,8 @@
 	return zone.connectFailureRate > unreachableZoneRate && d.now < zone.nextProbeAt
 }
 
-// place sends a queued request to the candidate with capacity and the lowest cost, ties at random. It waits
-// for replies to load queries, and reports whether the request was sent.
+// place sends a queued request to the candidate with capacity that has the lowest cost, and reports whether
+// it did. Ties are broken at random. While the reply to a load query is awaited, nothing is sent.
 func (d *Dispatcher) place(r *request) bool {
 	var best *worker
 	lowestCost := math.Inf(1)
@@ -105,7 +105,7 @@
 			continue
 		}
 		cost := d.placementCost(r, w)
-		if r.affinityKey != 0 { // each further worker in the order of its key costs a fetch
+		if r.affinityKey != 0 { // each further worker in the order of the key adds the cost of a fetch
 			cost += priceWeight * d.settings.PriceFetch * float64(i)
 		}
 		if cost < lowestCost || cost == lowestCost && d.rng.IntN(2) == 0 {
@@ -115,8 +115,8 @@
 	return best != nil && d.send(r, best)
 }
 
-// placementCost returns the utilisation of w after the send, weighted by its slowdown, plus costs where
-// starts are delayed or w is in another zone.
+// placementCost returns the utilisation of w after the send, weighted by its slowdown, plus costs for delayed
+// starts and for a worker in another zone.
 func (d *Dispatcher) placementCost(r *request, w *worker) float64 {
 	var cost float64
 	if d.knowsGroupLoad(w) {
@@ -134,12 +134,12 @@
 	return cost
 }
 
-// hasCapacity reports whether r may go to w by the rules, by w's health and by its capacity.
+// hasCapacity reports whether the rules, w's health and its capacity allow sending r to w.
 func (d *Dispatcher) hasCapacity(r *request, w *worker) bool {
 	if !d.maySend(r, w) || r.class.WorkerKind >= 0 && w.Kind != r.class.WorkerKind {
 		return false
 	}
-	if r.hasTried(w) && len(d.ready) > 1 { // guards against a worker that fails one request again and again
+	if r.hasTried(w) && len(d.ready) > 1 { // guards against a worker that fails one request repeatedly
 		return false
 	}
 	slots := w.slotsInUse + r.slots
@@ -149,8 +149,8 @@
 	case !knowsLoad && d.now < w.reportedCapacityExpiry && slots > w.reportedCapacity:
 		return false
 	case d.weighsByLoad(w) && w.Weight < d.meanListedWeight/2 && !hasWaited:
-		return false // its weight shows that others fill it
-	case w.ejected || w.unresponsive: // guards against a black hole: a failing worker always has capacity
+		return false // its weight shows that other dispatchers fill it
+	case w.ejected || w.unresponsive: // a failing worker always has capacity and would attract requests
 		return w.slotsInUse == 0 && d.now >= w.nextProbeAt && r.class.Idempotency != NonIdempotent
 	case knowsLoad:
 		return w.groupLoad+r.slots <= w.kind.size || w.groupLoad <= w.kind.size && hasWaited
@@ -158,7 +158,7 @@
 	return slots <= d.capacityOf(w) || w.slotsInUse == 0
 }
 
-// weighsByLoad reports whether w's listed weight is the only sign of its load.
+// weighsByLoad reports whether w's listed weight is the only indication of its load.
 func (d *Dispatcher) weighsByLoad(w *worker) bool {
 	return !d.settings.PeerMessages && d.settings.WeightsShowLoad && w.Weight > 0
 }
--- a/dispatch/queueing.go
+++ b/dispatch/queueing.go
@@ -1,9 +1,9 @@
 package dispatch
 
-// candidateInterval is how long a request waits for its candidates before further workers are sampled.
+// candidateInterval is the time that a request waits for its candidates before further workers are sampled.
 const candidateInterval = 10 * Millisecond
 
-// enqueue queues a request at random ready workers and sends it at once where one of them has capacity.
+// enqueue queues a request at random ready workers and sends it at once if one of them has capacity.
 func (d *Dispatcher) enqueue(r *request) {
 	d.joinQueue(r)
 	d.sampleCandidates(r, initialCandidates)
@@ -12,7 +12,7 @@
 	}
 }
 
-// queueDeadline returns the last moment to send a queued request that has nothing in flight.
+// queueDeadline returns the latest time to send a queued request that has no attempt in flight.
 func (d *Dispatcher) queueDeadline(r *request) Time {
 	if r.limits.MaxQueueTime > 0 {
 		return min(d.latestOnTimeSend(r), r.arrivedAt+r.limits.MaxQueueTime)
@@ -20,8 +20,8 @@
 	return d.latestOnTimeSend(r)
 }
 
-// dispatchNext sends queued requests to a worker while it has capacity: the oldest of its own queue, then the
-// oldest of all that have waited long enough for it to become their candidate.
+// dispatchNext sends queued requests to a worker while it has capacity. The oldest requests of the worker's
+// queue come first, then the oldest of all queued requests that have waited long enough to use any worker.
 func (d *Dispatcher) dispatchNext(w *worker) {
 	queuedBefore := d.now - candidateInterval
 	if w.Zone != d.settings.Zone {
@@ -37,7 +37,7 @@
 	}
 }
 
-// placeQueued places the requests that have waited for a worker's load.
+// placeQueued places the requests that have waited for the load of w.
 func (d *Dispatcher) placeQueued(w *worker) {
 	for band := range w.queues {
 		for _, r := range w.queues[band].oldest(d.now) {
@@ -46,7 +46,7 @@
 	}
 }
 
-// reevaluate handles what has become due for a request.
+// reevaluate performs the checks and steps that have become due for a request.
 func (d *Dispatcher) reevaluate(r *request) {
 	for i := range r.attempts {
 		d.checkOverdueAttempt(r, &r.attempts[i])
@@ -66,7 +66,7 @@
 	}
 }
 
-// mustRespond reports whether a request has to be answered now, since waiting longer cannot help.
+// mustRespond reports whether a request has to be answered now, since waiting longer cannot succeed.
 func (d *Dispatcher) mustRespond(r *request) bool {
 	if d.now >= r.deadline || d.now >= r.objectiveAt && d.expiresAtObjective(r) {
 		return true
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -1,12 +1,13 @@
 package dispatch
 
 const (
-	retryBudgetRatio = 0.15 // retries earned by each arrival: bounds retry storms
-	maxRetryBudget   = 10.0 // retries that can be saved up
-	maxDoublings     = 20   // of a pause that doubles with each attempt, so that it does not overflow
+	retryBudgetRatio = 0.15 // retries added to the budget per arrival: bounds retry storms
+	maxRetryBudget   = 10.0 // retries that the budget holds at most
+	maxDoublings     = 20   // of a pause or allowance that doubles with each attempt: avoids an overflow
 )
 
-// mayRetry reports whether an attempt at w cannot cause a second effect, whatever happened to earlier ones.
+// mayRetry reports whether an attempt at w cannot cause a duplicate effect, whatever the outcome of earlier
+// attempts.
 func (d *Dispatcher) mayRetry(r *request, w *worker) bool {
 	for i := range r.attempts {
 		if d.forbidsRetry(r, &r.attempts[i], w) {
@@ -16,7 +17,7 @@
 	return d.now < d.retryDeadline(r)
 }
 
-// forbidsRetry reports whether the earlier attempt a forbids one at w.
+// forbidsRetry reports whether the earlier attempt a forbids an attempt at w.
 func (d *Dispatcher) forbidsRetry(r *request, a *attempt, w *worker) bool {
 	if a.neverRan {
 		return false
@@ -43,14 +44,14 @@
 }
 
 // retryDeadline returns the time before which the first byte of a further attempt has to be sent. Workers
-// drop repeats for a limited time, counted from the order of the first attempt that may have run: it was sent
-// no sooner.
+// drop repeats for the deduplication window. It is measured from the Send action of the first attempt that
+// may have run, since the attempt cannot have been sent earlier.
 func (d *Dispatcher) retryDeadline(r *request) Time {
 	return r.mayHaveRunSince() + r.dedupWindow - d.settings.Tick
 }
 
-// retry queues a request for a further attempt after the attempt a, and reports whether rules, budget and
-// time allow one.
+// retry queues a request for a further attempt after the attempt a, if the rules, the retry budget and the
+// remaining time allow one, and reports whether it did.
 func (d *Dispatcher) retry(r *request, a *attempt) bool {
 	if d.now >= d.queueDeadline(r) || len(r.attempts) >= d.maxAttempts(r) {
 		return false
@@ -67,8 +68,8 @@
 	return true
 }
 
-// takeRetryBudget takes one retry from the budget, if there is one. Guards against a retry storm when all
-// workers are slow or failing.
+// takeRetryBudget takes one retry from the budget and reports whether one was available. Guards against a
+// retry storm when all workers are slow or failing.
 func (d *Dispatcher) takeRetryBudget(r *request) bool {
 	if r.class.Idempotency == NonIdempotent || d.retryBudget < 1 {
 		return false
@@ -77,8 +78,7 @@
 	return true
 }
 
-// backOff sets the pause before the next attempt, so that no worker gets a request again before it can have
-// recovered.
+// backOff sets the pause before the next attempt, which gives the workers time to recover.
 func (d *Dispatcher) backOff(r *request) {
 	limits := &r.limits
 	if limits.RetryBackoff <= 0 {
--- a/dispatch/send.go
+++ b/dispatch/send.go
@@ -1,9 +1,9 @@
 package dispatch
 
-// Attempts and final answers. Everything that is sent to a worker passes send, every answer to a client
-// passes respond: the four rules are enforced here.
+// This file emits attempts and final answers and enforces the four rules: every attempt is sent by send,
+// every answer to a client by respond.
 
-// maySend reports whether the rules allow an attempt of r at w.
+// maySend reports whether the rules allow sending r to w.
 func (d *Dispatcher) maySend(r *request, w *worker) bool {
 	inTime := r.open && d.now < r.deadline && d.now >= r.retryNotBefore
 	mayAttempt := inTime && len(r.attempts) < d.maxAttempts(r) // rule one
@@ -13,8 +13,8 @@
 		d.slowStartAllows(r, w) // rule four
 }
 
-// maxAttempts returns how many attempts a request may have. Guards against an attempt that new settings no
-// longer allow.
+// maxAttempts returns the maximum number of attempts of a request. The current settings apply too, so that a
+// request makes no attempt that new settings no longer allow.
 func (d *Dispatcher) maxAttempts(r *request) int {
 	if r.limits.MaxAttempts > 0 {
 		return min(r.limits.MaxAttempts, r.maxAttempts, d.settings.MaxAttempts)
@@ -22,7 +22,7 @@
 	return min(r.maxAttempts, d.settings.MaxAttempts)
 }
 
-// send sends r to w and reports whether the rules allow it.
+// send sends r to w if the rules allow it, and reports whether it did.
 func (d *Dispatcher) send(r *request, w *worker) bool {
 	if !d.maySend(r, w) {
 		return false
@@ -36,7 +36,7 @@
 	if w.ejected || w.unresponsive {
 		d.scheduleProbe(w)
 	}
-	sendBefore := d.retryDeadline(r) // from the attempts before this one
+	sendBefore := d.retryDeadline(r) // derived from earlier attempts only
 	r.attempts = append(r.attempts, a)
 	if len(d.awaitingFirstRequest) > 0 {
 		d.clearFirstRequest(w)
@@ -53,7 +53,7 @@
 	return true
 }
 
-// releaseSlots ends an attempt that was in flight and frees its slots.
+// releaseSlots marks an attempt as no longer in flight and frees its slots.
 func (d *Dispatcher) releaseSlots(r *request, a *attempt) {
 	a.inFlight = false
 	a.worker.slotsInUse -= r.slots
@@ -64,7 +64,8 @@
 	d.sendToAggregator(a.worker, UsageUpdate)
 }
 
-// cancelAttempts cancels a request's attempts in flight except one. Their ends are reported like any other.
+// cancelAttempts cancels a request's attempts in flight except one. The end of a cancelled attempt is
+// reported by an event like any other.
 func (d *Dispatcher) cancelAttempts(r *request, except *attempt) {
 	for i := range r.attempts {
 		a := &r.attempts[i]
@@ -75,8 +76,8 @@
 	}
 }
 
-// respond gives the final answer: a rejection where a further try by the client cannot cause a second effect,
-// else a failure.
+// respond sends the final answer: a rejection if a retry by the client cannot cause a duplicate effect, else
+// a failure.
 func (d *Dispatcher) respond(r *request) {
 	if !r.open {
 		return
--- a/dispatch/shedding.go
+++ b/dispatch/shedding.go
@@ -3,35 +3,35 @@
 import "math"
 
 const (
-	shedIncrease = 0.3 // increase for each request that starts too late as it was queued at a worker ...
-	shedDecrease = 0.1 // ... and decrease for each other start: a quarter may be late
+	shedIncrease = 0.3 // per request that was queued at a worker too long to be on time
+	shedDecrease = 0.1 // per other start: in balance a quarter of the requests is late
 
-	// shedDecayTime is the time constant by which shedding decays by itself: a dispatcher that rejects
-	// everything sees no start.
+	// shedDecayTime is the time constant with which shedding decays without starts: a dispatcher that rejects
+	// every request receives no start reports.
 	shedDecayTime = 5 * Second
 
-	// shedExponent makes requests beyond a tenant's quota be shed before the others.
+	// shedExponent lets requests beyond a tenant's quota be shed before others.
 	shedExponent = 3.0
 
-	// trafficPriorSeconds is the time for which a dispatcher is assumed to have had an equal part of all
-	// traffic, in addition to the arrivals that it has seen.
+	// trafficPriorSeconds is the weight, in seconds of observed arrivals, of the prior assumption that a
+	// dispatcher receives an equal share of all traffic.
 	trafficPriorSeconds = 5.0
 
-	// minQuotaBurst is the least burst of requests that a tenant's quota allows. A dispatcher with little
-	// traffic gets that many only over seconds, and several arrive together by chance alone.
+	// minQuotaBurst is the minimum capacity of a tenant's token bucket, in requests. A dispatcher with little
+	// traffic refills it only over seconds, while random arrivals come in groups.
 	minQuotaBurst = 12.0
 )
 
-// adjustShedding applies the decay since the last change, then a change: by how many requests start too late.
-// With many dispatchers the queues are at the workers.
+// adjustShedding applies the decay since the last change, then adds change. Shedding follows the share of
+// requests that start too late, since with many dispatchers the queues are at the workers.
 func (d *Dispatcher) adjustShedding(change float64) {
 	decay := math.Exp(-float64(d.now-d.sheddingAt) / float64(shedDecayTime))
 	d.shedding = min(1, max(0, d.shedding*decay+change))
 	d.sheddingAt = d.now
 }
 
-// overQuota reports whether a request exceeds its tenant's quota, by a token bucket. This dispatcher's part
-// of the quota is its part of all traffic since its start, so that a burst does not raise it.
+// overQuota reports whether a request exceeds its tenant's quota, measured by a token bucket. This
+// dispatcher's share of the quota is its share of all traffic since its start: a burst does not raise it.
 func (d *Dispatcher) overQuota(r *request, isRetry bool) bool {
 	tenant := r.tenant
 	if tenant == nil || d.settings.OverQuotaWeight >= 1 || d.totalQuota <= 0 {
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -3,16 +3,17 @@
 import "slices"
 
 const (
-	// assumedRelativeSize is the size relative to the mean that a worker may have if its size is unknown.
+	// assumedRelativeSize is the assumed size of a worker, relative to the mean, if its size is unknown.
 	assumedRelativeSize = 0.5
 
-	// A worker that an operator has enabled gets requests by sampling alone for a time between
-	// firstRequestMinDelay and firstRequestMaxDelay; after that the next request goes there.
+	// A worker that an operator has enabled receives requests only by sampling for a random time between
+	// firstRequestMinDelay and firstRequestMaxDelay. If it received none, the next request is sent there.
 	firstRequestMinDelay = 500 * Millisecond
 	firstRequestMaxDelay = 3 * Second
 )
 
-// slowStartFactor returns the least share of its capacity that a worker has; 1: it has warmed up.
+// slowStartFactor returns the lower bound of the share of its capacity that a worker has reached; 1: it has
+// warmed up.
 func (d *Dispatcher) slowStartFactor(w *worker) float64 {
 	start := w.lastStart()
 	age := max(0, d.now-start)
@@ -23,12 +24,12 @@
 	return minFactor + (1-minFactor)*float64(age)/float64(d.settings.SlowStartWindow)
 }
 
-// isWarmingUp reports whether a worker does not have its full capacity yet.
+// isWarmingUp reports whether a worker has not reached its full capacity yet.
 func (d *Dispatcher) isWarmingUp(w *worker) bool { return d.slowStartFactor(w) < 1 }
 
-// slowStartAllows enforces rule four: a worker that is warming up gets a request only as one of the first
-// candidates that were sampled for it (see samplingProbability), after its start has become known, and within
-// this dispatcher's part of the worker's budget.
+// slowStartAllows enforces rule four: a worker that is warming up receives a request only if it is one of the
+// request's initial candidates (see samplingProbability), the request was queued after the worker's start
+// became known, and this dispatcher's part of the worker's budget is not used up.
 func (d *Dispatcher) slowStartAllows(r *request, w *worker) bool {
 	if !d.isWarmingUp(w) {
 		return true
@@ -38,10 +39,10 @@
 }
 
 // sendToWarming sends a request that would be rejected to a worker that is warming up, if one is sampled and
-// has capacity: the queues that cause the rejection are at the others. Otherwise such workers would get the
-// fewest requests when they are needed most.
+// has capacity. The queues that cause the rejection are at other workers, so that workers that are warming up
+// would otherwise receive the fewest requests under overload.
 func (d *Dispatcher) sendToWarming(r *request) bool {
-	if d.now >= d.allWarmedUpAt || d.settings.PeerMessages { // messages about the load would come too late
+	if d.now >= d.allWarmedUpAt || d.settings.PeerMessages { // load messages would arrive too late
 		return false
 	}
 	d.joinQueue(r)
@@ -51,8 +52,8 @@
 }
 
 // scheduleFirstRequest ensures that a worker that an operator has enabled is used again, since sampling
-// seldom picks one that is warming up. Each dispatcher sends it one request, at a random time; of many
-// dispatchers only as many do so as it can take.
+// rarely selects a worker that is warming up. Each dispatcher sends it one request at a random time. In a
+// large group a random part of the dispatchers does so, about as many as the worker can run requests.
 func (d *Dispatcher) scheduleFirstRequest(w *worker) {
 	maxFirstRequests := d.settings.OverloadMultiple * d.settings.SlowStartMinFactor *
 		float64(firstRequestMaxDelay) / (d.meanWork * d.slowdownOf(w))
@@ -63,7 +64,7 @@
 	}
 }
 
-// clearFirstRequest removes a worker from those that await a first request, and all that are disabled.
+// clearFirstRequest removes w and all disabled workers from those that await a first request.
 func (d *Dispatcher) clearFirstRequest(w *worker) {
 	d.awaitingFirstRequest = slices.DeleteFunc(d.awaitingFirstRequest, func(waiting *worker) bool {
 		return waiting == w || waiting.disabled
