--- a/dispatch/action.go
+++ b/dispatch/action.go
@@ -3,10 +3,10 @@
 // ActionKind is the type of an Action.
 type ActionKind uint8
 
-// The kinds of actions. Each comment lists the fields of Action that the kind uses.
+// The values of ActionKind. Each comment lists the fields of Action that the kind uses.
 const (
 	// Send (Request, Worker, Wait, SendBefore) starts an attempt. Wait is its timeout, 0 for the client's
-	// own.
+	// timeout.
 	Send ActionKind = iota
 	// Cancel (Request, Attempt) cancels an attempt in flight.
 	Cancel
@@ -16,7 +16,7 @@
 	Fail
 	// SetTimer (Wait) requests a TimerFired event after Wait.
 	SetTimer
-	// WatchEndpoints requests a watch of the endpoint list: its changes from now on.
+	// WatchEndpoints requests a watch, which reports all further changes of the endpoint list.
 	WatchEndpoints
 	// FetchEndpoints requests the complete endpoint list once.
 	FetchEndpoints
@@ -24,15 +24,15 @@
 	SendToPeer
 )
 
-// Action is one step for the caller to carry out. Attempts of a request are numbered 0, 1, 2 in the order of
-// their Sends.
+// Action is one step for the caller to carry out. Attempts of a request are numbered from 0 in the order of
+// their Send actions.
 type Action struct {
 	Kind       ActionKind
 	Request    RequestID
 	Attempt    int
 	Worker     WorkerID
 	Wait       Time
-	SendBefore Time // the attempt is sent only if its first byte goes out before this time; 0: no bound
+	SendBefore Time // the first byte of the attempt has to be sent before this time; 0: no bound
 	Peer       int
 	Message    PeerMessage
 }
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -6,11 +6,11 @@
 	"math/rand/v2"
 )
 
-// never is a time that is never reached. Two of it can be added without an overflow.
+// never is a time that is never reached. The sum of two such times does not overflow.
 const never = Time(math.MaxInt64 / 4)
 
-// Dispatcher makes the decisions of one dispatcher of a group. It is not safe for concurrent use: its caller
-// passes it one event at a time.
+// Dispatcher makes the decisions of one dispatcher of a group. It is not safe for concurrent use: the caller
+// passes one event at a time.
 type Dispatcher struct {
 	settings  Settings
 	rng       *rand.Rand
@@ -21,7 +21,7 @@
 	classes    []classState
 	tenants    []tenantState
 	totalQuota float64 // of all tenants, in requests per second
-	arrivals   float64 // requests counted against quotas, without clients' retries
+	arrivals   float64 // requests counted against quotas, excluding clients' retries
 
 	workers                []*worker // by id; nil: unknown
 	workersByTag           map[uint64]*worker
@@ -29,45 +29,45 @@
 	zones                  []zoneState // the last is for zones that the settings do not name
 	fleet                  kindState   // all workers together
 	ready                  []*worker
-	readyInZone            []*worker // the ready ones in this dispatcher's zone
-	awaitingFirstRequest   []*worker // enabled by an operator and not used since
-	meanListedWeight       float64   // of the ready ones
-	allWarmedUpAt          Time      // when the last of the ready ones has warmed up
-	ejectedCount           int       // of the ready ones
-	warmedUpCapacityWeight float64   // capacity weight of the ready ones that have warmed up ...
-	readyCapacityWeight    float64   // ... and of all ready ones ...
-	capacityWeightsExpiry  Time      // ... until when both are used
+	readyInZone            []*worker // ready workers in this dispatcher's zone
+	awaitingFirstRequest   []*worker // enabled by an operator and without a request since
+	meanListedWeight       float64   // of the ready workers
+	allWarmedUpAt          Time      // when all ready workers have warmed up
+	ejectedCount           int       // of the ready workers
+	warmedUpCapacityWeight float64   // sum over the ready workers that have warmed up
+	readyCapacityWeight    float64   // sum over all ready workers
+	capacityWeightsExpiry  Time      // of both sums
 	ring                   []ringPoint
 	ringAdditions          []*worker // workers whose points are not on the ring yet
 
 	requests     []*request // by id; nil: unknown
 	freeRequests []*request
 	queues       [bandCount]queue   // all queued requests, in the order in which they were queued
-	queuedSlots  [bandCount]float64 // slots that they take
+	queuedSlots  [bandCount]float64 // slots that the queued requests need
 	timers       timerHeap
-	timerAt      Time   // when the caller's timer is due; never: it is not set
-	serial       uint64 // the last number given to a queue ticket or a timer
+	timerAt      Time   // due time of the caller's timer; never: not set
+	serial       uint64 // last number assigned to a queue ticket or a timer
 
 	completed recentCount // requests that warmed-up workers have completed
-	arrived   recentCount // first tries of clients
-	// The part of the samples of warming workers that was sent there, minSampleWinRate at least.
+	arrived   recentCount // requests of clients, excluding retries
+	// The share of the samples of warming workers after which the request was sent there.
 	sampleWinRate float64
 	slotsInUse    float64 // of this dispatcher's attempts in flight at all workers
-	meanCapacity  float64 // of workers, as of the ends of attempts
+	meanCapacity  float64 // of workers, updated at the end of each attempt
 	meanWork      float64 // of the requests that arrived, in microseconds
 	failureRate   float64 // of attempts at all workers
 	retryBudget   float64 // retries that may be made now
 	shedding      float64 // strength of load shedding, 0 (none) to 1 ...
 	sheddingAt    Time    // ... as of this time
 
-	usageByTag map[uint64]aggregatedUsage // by tag of the workers whose aggregator this dispatcher is
+	usageByTag map[uint64]aggregatedUsage // by tag of the workers for which this dispatcher is the aggregator
 
 	endpointVersion uint64
-	nextPollAt      Time // when to request the endpoint list again
+	nextPollAt      Time // time of the next request for the endpoint list
 	pollBackoff     Time
 }
 
-// New returns a dispatcher that knows no worker yet. Its error wraps a *SettingsError.
+// New returns a dispatcher without workers. Its error wraps a *SettingsError.
 func New(s Settings, seed uint64) (*Dispatcher, error) {
 	if err := validate(&s); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -104,9 +104,9 @@
 	return d, nil
 }
 
-// Handle handles one event and appends the resulting actions to actions. Events about requests, attempts,
-// classes and workers that the dispatcher does not know are ignored. A time before that of the last event is
-// treated as the time of the last event.
+// Handle handles one event and appends the resulting actions to actions. Events about unknown requests,
+// attempts, classes and workers are ignored. A time before that of the last event counts as the time of the
+// last event.
 func (d *Dispatcher) Handle(now Time, event *Event, actions []Action) []Action {
 	d.now, d.actions = max(now, d.now), actions
 	if d.startedAt == 0 {
@@ -153,7 +153,7 @@
 	}
 }
 
-// emit adds an action to those of the event that is being handled.
+// emit appends an action to the actions of the event that is being handled.
 func (d *Dispatcher) emit(a Action) { d.actions = append(d.actions, a) }
 
 // request returns the request with an id, nil if there is none.
@@ -164,7 +164,7 @@
 	return nil
 }
 
-// attempt returns the request and the attempt in flight that an event is about, nil if there is none.
+// attempt returns the request and the attempt in flight to which an event belongs, nil if there is none.
 func (d *Dispatcher) attempt(event *Event) (*request, *attempt) {
 	r := d.request(event.Request)
 	if r == nil || event.Attempt < 0 || event.Attempt >= len(r.attempts) {
--- a/dispatch/event.go
+++ b/dispatch/event.go
@@ -3,13 +3,13 @@
 // EventKind is the type of an Event.
 type EventKind uint8
 
-// The kinds of events. Each comment lists the fields of Event that the kind uses.
+// The values of EventKind. Each comment lists the fields of Event that the kind uses.
 const (
 	// EndpointSnapshot (Workers, Version, Stale) is the complete endpoint list.
 	EndpointSnapshot EventKind = iota
 	// EndpointUpdate (Workers, Version) contains the entries of the endpoint list that changed.
 	EndpointUpdate
-	// EndpointWatchLost reports that a watch broke or a request for the endpoint list failed.
+	// EndpointWatchLost reports that a watch was lost or a request for the endpoint list failed.
 	EndpointWatchLost
 	// RequestArrived (Request, Class, Tenant, ExpectedWork, TimeLeft, Slots, Memory, Retry, RouteLimits,
 	// AffinityKey) is a request from a client.
@@ -18,34 +18,34 @@
 	AttemptStarted
 	// AttemptProgressed (Request, Attempt, Worker, Progress) reports the progress of a running request.
 	AttemptProgressed
-	// ResponseStarted (Request, Attempt, Worker) reports that a streamed answer is on its way to the client.
+	// ResponseStarted (Request, Attempt, Worker) reports that a streamed answer is being sent to the client.
 	ResponseStarted
 	// AttemptEnded (Request, Attempt, Worker, Result, Elapsed, Final, Report) reports the end of an attempt,
-	// once for each.
+	// exactly once per attempt.
 	AttemptEnded
-	// RequestAbandoned (Request) reports that the request needs no answer any more.
+	// RequestAbandoned (Request) reports that the request no longer needs an answer.
 	RequestAbandoned
-	// TimerFired reports that the delay of a SetTimer has passed.
+	// TimerFired reports that the delay of a SetTimer action has elapsed.
 	TimerFired
 	// PeerMessageReceived (Peer, Message) is a message from another dispatcher.
 	PeerMessageReceived
-	// WorkerDisabled (Worker) reports that an operator has disabled a worker, whatever the endpoint list
-	// says. The worker need not be listed.
+	// WorkerDisabled (Worker) reports that an operator has disabled a worker, independent of the endpoint
+	// list. The worker may be unlisted.
 	WorkerDisabled
-	// WorkerEnabled (Worker, Elapsed) reports that an operator enabled a worker again Elapsed ago. It was
-	// restarted while it was disabled.
+	// WorkerEnabled (Worker, Elapsed) reports that an operator has enabled a worker again. Elapsed is the
+	// time since then. The worker was restarted while it was disabled.
 	WorkerEnabled
-	// OutlierReported (Worker) reports that requests fail at a worker according to another dispatcher.
+	// OutlierReported (Worker) reports that another dispatcher has found a worker at which requests fail.
 	OutlierReported
-	// SettingsChanged (Settings, OldClasses, OldTenants) replaces the settings for requests that arrive from
-	// now on.
+	// SettingsChanged (Settings, OldClasses, OldTenants) replaces the settings for requests that arrive after
+	// this event.
 	SettingsChanged
 )
 
-// Result is how an attempt ended.
+// Result is the outcome of an attempt.
 type Result uint8
 
-// The results.
+// The values of Result.
 const (
 	ResultOK           Result = iota
 	ResultFailed              // an error from the worker; may have run
@@ -58,14 +58,14 @@
 	ResultUnknown             // may have run
 )
 
-// Event is one input of the dispatcher. Which fields are used depends on Kind.
+// Event is one input of the dispatcher. Kind determines which fields are used.
 type Event struct {
 	Kind    EventKind
 	Request RequestID
 	Attempt int
 	Worker  WorkerID
 	Result  Result
-	Final   bool // the request has ended, by this event or earlier
+	Final   bool // the request has ended with this event or earlier
 	Elapsed Time // since the attempt was sent, or the worker enabled
 	// Progress is the completed share of the work.
 	Progress float64
@@ -73,22 +73,22 @@
 	Class        int
 	Tenant       int  // -1: none
 	ExpectedWork Time // on a standard core; 0: unknown
-	TimeLeft     Time // until the client gives up this try
+	TimeLeft     Time // until the client abandons the request
 	Slots        int
 	Memory       float64
 	Retry        bool // the client marks it as a retry
 	RouteLimits  RouteLimits
 	AffinityKey  uint64 // of data that the request needs and workers cache; 0: none
 
-	// OldClasses and OldTenants give the index that each class and tenant of the new settings had in the old
-	// ones, -1 for a new one. Zones and kinds keep their indices; new ones are appended.
+	// OldClasses and OldTenants hold the index that each class and tenant of the new settings had in the old
+	// settings, -1 if it is new. Zones and kinds keep their indices; new ones are appended.
 	Settings               *Settings
 	OldClasses, OldTenants []int
 
 	Version uint64
-	Stale   bool // a copy saved before a restart
+	Stale   bool // the list is a copy that was saved before a restart
 	Workers []Worker
 	Report  LoadReport
-	Peer    int // its number in the group
+	Peer    int // ordinal of the sender in the group
 	Message PeerMessage
 }
--- a/dispatch/fleet.go
+++ b/dispatch/fleet.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// findOrAddWorker returns the worker with an id. One that has not been listed yet is Gone.
+// findOrAddWorker returns the worker with an id. A worker that has not been listed yet is added as Gone.
 func (d *Dispatcher) findOrAddWorker(id WorkerID) *worker {
 	for int(id) >= len(d.workers) {
 		d.workers = append(d.workers, nil)
@@ -19,7 +19,7 @@
 	return &d.zones[d.settings.ZoneCount]
 }
 
-// applyEndpoints applies the endpoint list, or its changes.
+// applyEndpoints applies a complete endpoint list or changes of it.
 func (d *Dispatcher) applyEndpoints(event *Event) {
 	d.endpointVersion = event.Version
 	if event.Kind == EndpointSnapshot {
@@ -35,7 +35,7 @@
 	d.recomputeReady()
 }
 
-// applyEndpoint applies one entry. A worker that is new or has restarted is readmitted.
+// applyEndpoint applies one entry. A new or restarted worker is readmitted.
 func (d *Dispatcher) applyEndpoint(entry *Worker) {
 	w := d.findOrAddWorker(entry.ID)
 	if !w.everListed {
@@ -50,8 +50,8 @@
 	d.linkWorker(w)
 }
 
-// linkWorker connects a worker to the state of its kind, and adds it to the consistent-hash ring where the
-// settings use one.
+// linkWorker links a worker to the state of its kind, and adds it to the consistent-hash ring if the settings
+// use one.
 func (d *Dispatcher) linkWorker(w *worker) {
 	w.kind = &d.kinds[len(d.kinds)-1]
 	if w.everListed && w.Kind >= 0 && w.Kind < d.settings.KindCount {
@@ -63,7 +63,7 @@
 	}
 }
 
-// readmit resets what was learned about a worker that is new, has restarted or was enabled.
+// readmit resets the statistics of a worker that is new, has restarted or was enabled.
 func (d *Dispatcher) readmit(w *worker) {
 	w.readmittedAt = d.now
 	w.capacity, w.capacityReducedAt = d.meanCapacity, d.now
@@ -72,7 +72,7 @@
 	w.markResponsive()
 }
 
-// recomputeReady recomputes the list of ready workers and the figures derived from it.
+// recomputeReady recomputes the list of ready workers and the values derived from it.
 func (d *Dispatcher) recomputeReady() {
 	d.ready, d.readyInZone = d.ready[:0], d.readyInZone[:0]
 	d.meanListedWeight, d.ejectedCount, d.allWarmedUpAt = 0, 0, 0
@@ -95,7 +95,7 @@
 	d.meanListedWeight /= float64(max(1, len(d.ready)))
 	d.capacityWeightsExpiry = d.now
 	for _, w := range d.ready {
-		if w.readmittedAt == d.now { // by this event, before the mean size was known
+		if w.readmittedAt == d.now { // during this event, before the mean size was known
 			w.capacity = d.meanCapacity * d.relativeSize(w)
 		}
 	}
--- a/dispatch/messages.go
+++ b/dispatch/messages.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// usageTTL is how long a peer's usage counts that is not reported again: the message about its end may have
-// been lost.
+// usageTTL is the time after which a peer's usage expires unless it is reported again: the message about its
+// end may have been lost.
 const usageTTL = 10 * Second
 
-// aggregatedUsage is the usage of a worker by all dispatchers, as recorded by the worker's aggregator.
+// aggregatedUsage is the usage of a worker by all dispatchers, recorded by the worker's aggregator.
 type aggregatedUsage struct {
 	totalSlots     float64
 	overloadExpiry Time
@@ -35,13 +35,14 @@
 	d.usageByTag[message.Tag] = usage
 }
 
-// isValidMessage reports whether this dispatcher can use a peer's message. Others are ignored.
+// isValidMessage reports whether a peer's message is valid. Invalid messages are ignored.
 func (d *Dispatcher) isValidMessage(event *Event) bool {
 	isPeer := event.Peer >= 0 && event.Peer < d.settings.GroupSize && event.Peer != d.settings.Ordinal
 	return d.settings.PeerMessages && isPeer && event.Message.Slots >= 0
 }
 
-// handlePeerMessage handles a message, as the worker's aggregator or as the sender of a load query.
+// handlePeerMessage handles a message as the worker's aggregator, or a reply to a load query of this
+// dispatcher.
 func (d *Dispatcher) handlePeerMessage(peer int, message PeerMessage) {
 	switch message.Kind {
 	case UsageUpdate:
@@ -57,7 +58,7 @@
 	}
 }
 
-// recordGroupLoad records a worker's load and places the requests that have waited for it.
+// recordGroupLoad records a worker's load and places the requests that have waited for the reply.
 func (d *Dispatcher) recordGroupLoad(peer int, message PeerMessage) {
 	w := d.workersByTag[message.Tag]
 	if w == nil {
@@ -69,7 +70,7 @@
 	}
 }
 
-// sendToAggregator sends a message to a worker's aggregator, with this dispatcher's usage of the worker.
+// sendToAggregator sends a message with this dispatcher's usage of a worker to the worker's aggregator.
 func (d *Dispatcher) sendToAggregator(w *worker, kind PeerMessageKind) {
 	if d.settings.PeerMessages {
 		aggregator := int(w.Tag % uint64(d.settings.GroupSize))
--- a/dispatch/outcome.go
+++ b/dispatch/outcome.go
@@ -86,7 +86,7 @@
 	d.dispatchNext(w)
 }
 
-// continueRequest closes, retries or answers a request after its attempt a has ended, where that is due.
+// continueRequest closes, retries or answers a request, if necessary, after its attempt a has ended.
 func (d *Dispatcher) continueRequest(r *request, a *attempt, isFinal bool) {
 	if isFinal || !r.open {
 		d.closeRequest(r)
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -1,9 +1,9 @@
 package dispatch
 
-// compactFrom is the number of dropped entries at the head of a queue above which their space may be reused.
+// compactFrom is the number of dropped entries at the head of a queue above which the queue may be compacted.
 const compactFrom = 64
 
-// queueEntry is a request's entry in a queue. It is live while the request is queued under the same ticket.
+// queueEntry is a request's entry in a queue. It is live while the request is queued with the same ticket.
 type queueEntry struct {
 	request *request
 	ticket  uint64
@@ -38,7 +38,7 @@
 	return requests
 }
 
-// headAge returns how long the oldest request has been queued.
+// headAge returns the age of the oldest queued request; 0: the queue is empty.
 func (q *queue) headAge(now Time) Time {
 	q.trim()
 	if q.head == len(q.items) {
@@ -57,7 +57,8 @@
 	return requests
 }
 
-// trim drops dead entries at the head, and frees the space before it once that is most of the queue.
+// trim drops dead entries at the head, and compacts the queue once the dropped entries occupy more than half
+// of its space.
 func (q *queue) trim() {
 	for q.head < len(q.items) && !q.items[q.head].isLive() {
 		q.items[q.head] = queueEntry{}
@@ -89,7 +90,8 @@
 	}
 }
 
-// takeOrphaned empties the queues of workers that are not ready, and returns their requests.
+// takeOrphaned empties the queues of workers that are not ready and returns the requests that were queued
+// there.
 func (d *Dispatcher) takeOrphaned() (orphaned []*request) {
 	for _, w := range d.workers {
 		if w == nil || w.isReady() {
--- a/dispatch/recentcount.go
+++ b/dispatch/recentcount.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// recentCount counts recent requests: each counts less as time passes, with the overload window as the time
+// recentCount is a count of recent requests that decays exponentially, with the overload window as the time
 // constant.
 type recentCount struct {
 	count     float64 // as of countedAt
@@ -15,7 +15,7 @@
 	c.countedAt = now
 }
 
-// at returns the number of recent requests.
+// at returns the decayed count at the time now.
 func (c *recentCount) at(now, window Time) float64 {
 	if c.count == 0 {
 		return 0
--- a/dispatch/reconfigure.go
+++ b/dispatch/reconfigure.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// changeSettings replaces the settings. Open requests keep the class under which they arrived: they point to
-// its state, which is freed with the last of them. What was learned about a class is kept. Invalid settings
-// are ignored.
+// changeSettings replaces the settings. Invalid settings are ignored. Open requests keep the class with which
+// they arrived: they refer to its state, which is freed with the last of them. Learned state of a class is
+// kept if the new settings contain the class.
 func (d *Dispatcher) changeSettings(event *Event) {
 	if event.Settings == nil || validate(event.Settings) != nil {
 		return
@@ -18,7 +18,7 @@
 	for _, t := range s.Tenants {
 		d.totalQuota += t.QuotaRPS
 	}
-	for len(d.zones) <= s.ZoneCount { // new zones are inserted before the last, which is for unknown ones
+	for len(d.zones) <= s.ZoneCount { // inserted before the last zone, which is for unnamed zones
 		d.zones = slices.Insert(d.zones, len(d.zones)-1, newZoneState())
 	}
 	for len(d.kinds) <= s.KindCount {
@@ -31,7 +31,7 @@
 		}
 	}
 	d.recomputeReady()
-	for _, r := range d.requests { // those that may make no further attempt are answered
+	for _, r := range d.requests { // answers requests that may make no further attempt
 		if r != nil && r.open {
 			d.reevaluate(r)
 		}
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// The bands of queued requests. Requests of a band are served before those of the next.
+// The bands of queued requests, in descending order of priority.
 const (
 	bandNormal    = iota
-	bandOverQuota // beyond its tenant's quota
+	bandOverQuota // beyond the tenant's quota
 	bandCount
 )
 
@@ -16,59 +16,59 @@
 type attempt struct {
 	worker        *worker
 	sentAt        Time
-	startedAt     Time // when it began to run; 0: it has not
-	lastSignalAt  Time // when it was sent, started or last progressed
+	startedAt     Time // when it began to run; 0: not yet
+	lastSignalAt  Time // time of the last send, start or progress
 	inFlight      bool
 	neverRan      bool
 	cancelled     bool
-	queueDetected bool    // its start is overdue: it waits in a queue at the worker
-	hedgeDecided  bool    // the request has been hedged or migrated because of it, or will not be
-	late          bool    // waited there too long to be answered in time
-	stalled       bool    // its progress is overdue
-	groupLoad     float64 // slots in use at the worker by all dispatchers, this attempt's included; 0: unknown
+	queueDetected bool    // the start is overdue: the attempt is queued at the worker
+	hedgeDecided  bool    // the decision whether to hedge or migrate the request has been made
+	late          bool    // queued there too long for an answer within the objective
+	stalled       bool    // the progress report is overdue
+	groupLoad     float64 // slots in use at the worker by all dispatchers, including this attempt; 0: unknown
 }
 
-// request is a request that has no answer yet or has an attempt in flight.
+// request is the state of a request that has no answer yet or has an attempt in flight.
 type request struct {
 	id          RequestID
 	class       *classState
 	tenant      *tenantState // nil: none
 	band        int
-	slots       float64 // slots, or units of memory if that is more
-	workHint    Time    // the expected work as given by the client; 0: unknown
-	work        Time    // workHint, corrected by how well hints have predicted run times; 0: unknown
+	slots       float64 // the greater of its slots and its units of memory
+	workHint    Time    // expected work according to the client; 0: unknown
+	work        Time    // workHint, corrected by the accuracy of earlier hints; 0: unknown
 	affinityKey uint64  // 0: none
 	limits      RouteLimits
-	maxAttempts int  // by the settings under which it arrived
-	dedupWindow Time // how long workers drop repeats; never: forever
+	maxAttempts int  // according to the settings at its arrival
+	dedupWindow Time // for which workers drop repeats; never: unlimited
 
 	arrivedAt   Time
-	deadline    Time // the last moment for an answer
-	objectiveAt Time // the last moment for an answer of full weight
+	deadline    Time // latest time for an answer
+	objectiveAt Time // latest time for an answer of full weight
 	open        bool // an answer is still required
 	timerSerial uint64
 
 	attempts       []attempt
 	retryNotBefore Time
 
-	queueTicket          uint64 // of its live entries in queues; 0: it is not queued
+	queueTicket          uint64 // of its live queue entries; 0: not queued
 	queuedAt             Time
-	candidates           []*worker // in whose queues it has an entry, in the order in which they were sampled
-	hasInitialCandidates bool      // they are the first that were sampled for it
-	maySampleWarming     bool      // samples of workers that are warming up may count
-	sampled              bool      // candidates have been sampled for it before
-	samplingRound        int       // since it was queued
+	candidates           []*worker // workers whose queues contain the request, in sampling order
+	hasInitialCandidates bool      // candidates were sampled when it was queued for the first time
+	maySampleWarming     bool      // workers that are warming up may be sampled
+	sampled              bool      // it has been queued before, or is a client's retry
+	samplingRound        int       // number of sampling rounds since it was queued
 	nextSamplingAt       Time
-	keySamples           uint64 // samples by its affinity key, since it was queued
+	keySamples           uint64 // samples by its affinity key since it was queued
 }
 
-// classState is a class and what was learned from its requests.
+// classState is a class and the statistics of its requests.
 type classState struct {
 	Class
-	meanRun           float64 // in microseconds; too slow to follow a temporary slowdown
+	meanRun           float64 // in microseconds; does not follow a temporary slowdown
 	runCount          float64
-	relativeDeviation float64 // mean deviation of runs from the expected time, as a share of it
-	// The regression of the logarithms of run times on those of hints.
+	relativeDeviation float64 // mean deviation of run times from the expected time, as a share of the latter
+	// The regression of the logarithms of run times on the logarithms of hints.
 	meanLogHint, meanLogRun            float64
 	logHintVariance, logHintCovariance float64
 }
@@ -76,11 +76,11 @@
 // tenantState is a tenant and its token bucket.
 type tenantState struct {
 	Tenant
-	tokens     float64 // requests that the quota allows now
+	tokens     float64 // number of requests that the quota allows now
 	refilledAt Time
 }
 
-// newClassState returns a class about which nothing has been learned.
+// newClassState returns a class without statistics.
 func newClassState(c Class) classState {
 	logObjective := math.Log(float64(max(c.LatencyObjective, 1)))
 	return classState{
@@ -93,7 +93,7 @@
 	}
 }
 
-// newRequest creates and registers the request of an event.
+// newRequest creates and registers a request for a RequestArrived event.
 func (d *Dispatcher) newRequest(event *Event) *request {
 	r := d.allocateRequest()
 	*r = request{
@@ -126,7 +126,7 @@
 	if event.Tenant >= 0 && event.Tenant < len(d.tenants) {
 		r.tenant = &d.tenants[event.Tenant]
 	}
-	elapsed := max(0, r.class.Deadline-event.TimeLeft) // time used by earlier tries of the client
+	elapsed := max(0, r.class.Deadline-event.TimeLeft) // during earlier tries of the client
 	objective := r.class.LatencyObjective + Time(r.class.ObjectiveStretch*d.expectedWork(r))
 	r.objectiveAt = min(d.now-elapsed+objective, r.deadline)
 	for int(r.id) >= len(d.requests) {
@@ -136,7 +136,7 @@
 	return r
 }
 
-// allocateRequest returns an empty request, a reused one if there is one.
+// allocateRequest returns a request for reuse, or a new one if none is free.
 func (d *Dispatcher) allocateRequest() *request {
 	n := len(d.freeRequests)
 	if n == 0 {
@@ -147,8 +147,8 @@
 	return r
 }
 
-// closeRequest ends a request that needs no answer any more. Its attempts in flight occupy their slots until
-// the end of each is reported; after the last one the request is removed.
+// closeRequest closes a request that no longer needs an answer. Each attempt in flight occupies its slots
+// until its end is reported. The request is removed when none is left.
 func (d *Dispatcher) closeRequest(r *request) {
 	d.dequeue(r)
 	if d.canCancel() {
@@ -173,7 +173,7 @@
 	return n
 }
 
-// isWaitingUnsent reports whether the request is queued with nothing in flight.
+// isWaitingUnsent reports whether the request is queued without an attempt in flight.
 func (r *request) isWaitingUnsent() bool { return r.queueTicket != 0 && r.inFlight() == 0 }
 
 // isRunning reports whether an attempt in flight has begun to run.
@@ -199,7 +199,7 @@
 // mayHaveRun reports whether an attempt may have run.
 func (r *request) mayHaveRun() bool { return r.mayHaveRunSince() != never }
 
-// mayHaveRunSince returns when the first attempt that may have run was ordered; never: there is none.
+// mayHaveRunSince returns the time of the Send action of the first attempt that may have run; never: none.
 func (r *request) mayHaveRunSince() Time {
 	for i := range r.attempts {
 		if !r.attempts[i].neverRan {
@@ -212,8 +212,8 @@
 // isCandidate reports whether w is one of the request's candidates.
 func (r *request) isCandidate(w *worker) bool { return slices.Contains(r.candidates, w) }
 
-// addCandidate adds a candidate and queues the request there. The oldest candidate is dropped when there are
-// maxCandidates.
+// addCandidate adds a candidate and queues the request there. If there are maxCandidates already, the oldest
+// one is dropped.
 func (r *request) addCandidate(w *worker) {
 	if len(r.candidates) == maxCandidates {
 		r.candidates = append(r.candidates[:0], r.candidates[1:]...)
--- a/dispatch/ring.go
+++ b/dispatch/ring.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// pointsPerWorker is high enough that the workers' parts of the ring are about equal.
+// pointsPerWorker is high enough that the workers' shares of the ring are about equal.
 const pointsPerWorker = 16
 
 // ringPoint is a point of a worker on the consistent-hash ring. The points are the same at every dispatcher.
@@ -18,9 +18,9 @@
 	return cmp.Or(cmp.Compare(p.position, other.position), cmp.Compare(p.worker, other.worker))
 }
 
-// ringIndex returns the index of the first point from a position on. The ring is updated only here and only
-// when there are new workers: a dispatcher whose requests have no affinity keys keeps none, and changes of
-// the endpoint list cost no sorting.
+// ringIndex returns the index of the first point at or after a position. The ring is updated only here and
+// only if there are new workers: a dispatcher whose requests have no affinity keys has no ring, and changes
+// of the endpoint list need no sorting.
 func (d *Dispatcher) ringIndex(position uint32) int {
 	if len(d.ringAdditions) > 0 {
 		d.updateRing()
@@ -31,8 +31,8 @@
 	return i
 }
 
-// updateRing merges in the points of new workers and removes those of workers that have left the endpoint
-// list. Guards against a ring full of unlisted workers, in which a key would find no ready one.
+// updateRing adds the points of new workers and removes the points of workers that have left the endpoint
+// list. Guards against a ring in which most workers are unlisted, so that no ready worker is found for a key.
 func (d *Dispatcher) updateRing() {
 	additions := make([]ringPoint, 0, len(d.ringAdditions)*pointsPerWorker)
 	for _, w := range d.ringAdditions {
@@ -66,7 +66,7 @@
 	return append(append(merged, a...), b...)
 }
 
-// splitmix64 distributes numbers uniformly (the finalizer of the generator of that name).
+// splitmix64 maps numbers to uniformly distributed ones (the finalizer of the SplitMix64 generator).
 func splitmix64(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/dispatch/slowstartbudget.go
+++ b/dispatch/slowstartbudget.go
@@ -30,7 +30,7 @@
 )
 
 // samplingProbability returns the probability that a sample of a worker that is warming up counts, where the
-// sample was taken from sampledFrom workers. It is the worker's share of the budget, derived from the recent
+// sample was taken from sampledFrom workers. It is a share of the worker's budget, derived from the recent
 // throughput of warmed-up workers, divided by the recent arrivals. All dispatchers together therefore send
 // the worker a share of its budget, however much arrives, fails or waits elsewhere. A probability that
 // depends on the arrivals alone would pass bursts on to the worker.
--- a/dispatch/timers.go
+++ b/dispatch/timers.go
@@ -1,6 +1,7 @@
 package dispatch
 
-// timer is when a request has to be reevaluated. Only the one with the request's own timerSerial is valid.
+// timer is the time at which a request has to be reevaluated. It is valid if its serial is the request's
+// timerSerial.
 type timer struct {
 	due     Time
 	serial  uint64
@@ -36,7 +37,7 @@
 	d.timers.push(timer{due: max(due, d.now+1), request: r, serial: r.timerSerial})
 }
 
-// runTimers handles what is due and requests a timer from the caller for what is due next.
+// runTimers handles all due timers and polls, and requests a timer from the caller for the next due time.
 func (d *Dispatcher) runTimers() {
 	for len(d.timers) > 0 && d.timers[0].due <= d.now {
 		t := d.timers.pop()
@@ -57,7 +58,7 @@
 	}
 }
 
-// timerHeap is a binary heap, the earliest timer first. container/heap would allocate for each timer.
+// timerHeap is a binary min-heap by due time. container/heap would allocate memory for each timer.
 type timerHeap []timer
 
 func (h *timerHeap) push(t timer) {
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -9,29 +9,29 @@
 	Second           = 1000 * Millisecond
 )
 
-// Ids are dense: the caller assigns them from 0 upwards.
+// Ids are dense: the caller assigns them consecutively from 0.
 type (
-	// RequestID is a request's id. It may be reused once the request has had its final answer and all its
+	// RequestID identifies a request. It may be reused once the request has its final answer and all its
 	// attempts have ended.
 	RequestID uint32
-	// WorkerID is the id of a worker, assigned to its name.
+	// WorkerID identifies a worker. The caller maps worker names to ids.
 	WorkerID int32
 )
 
-// Idempotency is what it means to run a request of a class twice.
+// Idempotency states whether a request of a class may run more than once.
 type Idempotency uint8
 
-// The kinds of idempotency.
+// The values of Idempotency.
 const (
 	Idempotent    Idempotency = iota // may run again at any time
-	Deduplicated                     // carries an idempotency key: workers of a scope drop repeats for a while
+	Deduplicated                     // has an idempotency key: workers of a scope drop repeats for a time
 	NonIdempotent                    // must never run twice
 )
 
-// DedupScope is the set of workers that drop repeats of a Deduplicated request.
+// DedupScope is the set of workers that drop repeats of each other's Deduplicated requests.
 type DedupScope uint8
 
-// The scopes.
+// The values of DedupScope.
 const (
 	DedupEverywhere DedupScope = iota // all workers
 	DedupZone                         // the workers of one zone
@@ -41,10 +41,10 @@
 // WorkerState is the state of a worker on the endpoint list.
 type WorkerState uint8
 
-// The states.
+// The values of WorkerState.
 const (
 	Ready    WorkerState = iota
-	Draining             // shuts down gracefully: finishes its requests and must get no new ones
+	Draining             // shuts down gracefully: completes its requests and must receive no new ones
 	Gone
 )
 
@@ -53,12 +53,12 @@
 	ID               WorkerID
 	Zone, Kind, Cell int
 	State            WorkerState
-	StartedAt        Time    // 0: long ago
-	Tag              uint64  // a hash of its name, the same at every dispatcher
-	Weight           float64 // its size relative to the others', approximately; 0: unknown
+	StartedAt        Time    // 0: long before the slow-start window
+	Tag              uint64  // hash of its name, the same at every dispatcher
+	Weight           float64 // approximate size relative to other workers; 0: unknown
 }
 
-// LoadReport is a worker's report of its own load. It is delayed and inexact.
+// LoadReport is a worker's report of its own load. It is delayed and approximate.
 type LoadReport struct {
 	Known       bool
 	FreeSlots   float64 // -1: unknown
@@ -68,17 +68,17 @@
 // PeerMessageKind is the type of a PeerMessage.
 type PeerMessageKind uint8
 
-// The kinds of messages, with the meaning of Slots.
+// The values of PeerMessageKind, with the meaning of Slots.
 const (
-	LoadQuery      PeerMessageKind = iota // requests the usage of the worker
+	LoadQuery      PeerMessageKind = iota // requests the slots in use at the worker
 	LoadReply                             // Slots: in use by all dispatchers
 	UsageUpdate                           // Slots: in use by the sender
-	OverloadNotice                        // the worker rejected a request of the sender's, or one timed out there
+	OverloadNotice                        // the worker rejected a request, or a request timed out there
 )
 
 // PeerMessage is a message between dispatchers about one worker.
 type PeerMessage struct {
 	Kind  PeerMessageKind
-	Tag   uint64 // the worker's
+	Tag   uint64 // of the worker
 	Slots float64
 }
--- a/dispatch/validate.go
+++ b/dispatch/validate.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// SettingsError is an invalid field of Settings, and the reason.
+// SettingsError reports an invalid field of Settings.
 type SettingsError struct {
-	Field  string // as in Go, for instance "Classes[1].Deadline"
+	Field  string // Go path, for instance "Classes[1].Deadline"
 	Reason string
 }
 
@@ -15,8 +15,8 @@
 	return &SettingsError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// validate returns a *SettingsError for the first invalid field. Conditions on numbers are written so that
-// NaN fails them.
+// validate returns a *SettingsError for the first invalid field. Conditions on floating-point numbers are
+// written so that NaN is rejected.
 func validate(s *Settings) error {
 	for _, part := range []func(*Settings) error{
 		validateClasses, validateTenants, validateGroup, validateTimes, validateNumbers,
@@ -30,30 +30,31 @@
 
 func validateClasses(s *Settings) error {
 	if len(s.Classes) == 0 {
-		return invalid("Classes", "there are none")
+		return invalid("Classes", "must not be empty")
 	}
 	for i := range s.Classes {
 		c := &s.Classes[i]
 		field := func(name string) string { return fmt.Sprintf("Classes[%d].%s", i, name) }
 		switch {
 		case c.WorkerKind < -1 || c.WorkerKind >= s.KindCount:
-			return invalid(field("WorkerKind"), "%d is out of range", c.WorkerKind)
+			return invalid(field("WorkerKind"),
+				"invalid value %d: must be at least -1 and less than KindCount", c.WorkerKind)
 		case c.Idempotency > NonIdempotent:
-			return invalid(field("Idempotency"), "%d is out of range", c.Idempotency)
+			return invalid(field("Idempotency"), "invalid value %d: out of range", c.Idempotency)
 		case c.DedupScope > DedupCell:
-			return invalid(field("DedupScope"), "%d is out of range", c.DedupScope)
+			return invalid(field("DedupScope"), "invalid value %d: out of range", c.DedupScope)
 		case c.LatencyObjective < 0:
-			return invalid(field("LatencyObjective"), "%d is negative", c.LatencyObjective)
+			return invalid(field("LatencyObjective"), "invalid value %d: must be at least 0", c.LatencyObjective)
 		case c.Deadline <= 0:
-			return invalid(field("Deadline"), "%d is not above 0", c.Deadline)
+			return invalid(field("Deadline"), "invalid value %d: must be greater than 0", c.Deadline)
 		case c.DedupWindow < 0:
-			return invalid(field("DedupWindow"), "%d is negative", c.DedupWindow)
+			return invalid(field("DedupWindow"), "invalid value %d: must be at least 0", c.DedupWindow)
 		case !(c.ObjectiveStretch >= 0):
-			return invalid(field("ObjectiveStretch"), "%v is negative", c.ObjectiveStretch)
+			return invalid(field("ObjectiveStretch"), "invalid value %v: must be at least 0", c.ObjectiveStretch)
 		case !(c.LateWeight >= 0):
-			return invalid(field("LateWeight"), "%v is negative", c.LateWeight)
+			return invalid(field("LateWeight"), "invalid value %v: must be at least 0", c.LateWeight)
 		case !(c.PriorityWeight >= 0):
-			return invalid(field("PriorityWeight"), "%v is negative", c.PriorityWeight)
+			return invalid(field("PriorityWeight"), "invalid value %v: must be at least 0", c.PriorityWeight)
 		}
 	}
 	return nil
@@ -62,23 +63,24 @@
 func validateTenants(s *Settings) error {
 	for i, t := range s.Tenants {
 		if !(t.QuotaRPS >= 0) {
-			return invalid(fmt.Sprintf("Tenants[%d].QuotaRPS", i), "%v is negative", t.QuotaRPS)
+			return invalid(fmt.Sprintf("Tenants[%d].QuotaRPS", i),
+				"invalid value %v: must be at least 0", t.QuotaRPS)
 		}
 	}
 	return nil
 }
 
-// validateGroup checks the dispatcher's zone, its number in the group, and the number of attempts.
+// validateGroup checks the dispatcher's zone, the group size, its ordinal and the number of attempts.
 func validateGroup(s *Settings) error {
 	switch {
 	case s.Zone < -1 || s.Zone >= s.ZoneCount:
-		return invalid("Zone", "%d is out of range", s.Zone)
+		return invalid("Zone", "invalid value %d: must be at least -1 and less than ZoneCount", s.Zone)
 	case s.GroupSize < 1:
-		return invalid("GroupSize", "%d is less than 1", s.GroupSize)
+		return invalid("GroupSize", "invalid value %d: must be at least 1", s.GroupSize)
 	case s.Ordinal < 0 || s.Ordinal >= s.GroupSize:
-		return invalid("Ordinal", "%d is not in the group", s.Ordinal)
+		return invalid("Ordinal", "invalid value %d: must be at least 0 and less than GroupSize", s.Ordinal)
 	case s.MaxAttempts < 1:
-		return invalid("MaxAttempts", "%d is less than 1", s.MaxAttempts)
+		return invalid("MaxAttempts", "invalid value %d: must be at least 1", s.MaxAttempts)
 	}
 	return nil
 }
@@ -99,7 +101,7 @@
 		{"IdleTimeout", s.IdleTimeout},
 	} {
 		if setting.value < 0 {
-			return invalid(setting.field, "%d is negative", setting.value)
+			return invalid(setting.field, "invalid value %d: must be at least 0", setting.value)
 		}
 	}
 	return nil
@@ -117,7 +119,7 @@
 		{"OverQuotaWeight", s.OverQuotaWeight},
 	} {
 		if !(setting.value >= 0) {
-			return invalid(setting.field, "%v is negative", setting.value)
+			return invalid(setting.field, "invalid value %v: must be at least 0", setting.value)
 		}
 	}
 	return nil
