--- a/internal/admission/bounds_test.go
+++ b/internal/admission/bounds_test.go
@@ -73,7 +73,7 @@
 		Retry:  rapid.Bool().Draw(t, "retry"),
 	}
 	route := p.config.Routes[request.Route]
-	openOnRoute, openInAll, queued := p.a.OpenOnRoute(request.Route), p.a.OpenRequests(), p.a.routes[request.Route].queued
+	openOnRoute, openInAll, queued := p.a.OpenRequestsOnRoute(request.Route), p.a.OpenRequests(), p.a.routes[request.Route].queued
 	decisionA, decisionB := p.a.Admit(p.now, request), p.b.Admit(p.now, request)
 	if decisionA.Reason != decisionB.Reason || decisionA.RetryAfter != decisionB.RetryAfter {
 		t.Fatalf("two limiters differ: %+v and %+v", decisionA, decisionB)
@@ -119,7 +119,7 @@
 	}
 }
 
-func (p *limiterPair) checkNothingLeaks(t *rapid.T) {
+func (p *limiterPair) checkNoLeaks(t *rapid.T) {
 	for _, held := range p.open {
 		p.a.Release(p.now, held.a, Ignored)
 	}
@@ -153,6 +153,6 @@
 			}
 			pair.checkBounds(t)
 		}
-		pair.checkNothingLeaks(t)
+		pair.checkNoLeaks(t)
 	})
 }
--- a/internal/admission/concurrencylimit.go
+++ b/internal/admission/concurrencylimit.go
@@ -52,8 +52,8 @@
 // full reports whether the limit on open requests is reached.
 func (c *concurrencyLimit) full() bool { return float64(c.open) >= math.Floor(c.current) }
 
-// reservedFrom reports whether the rest of the limit is reserved for priorities above the given one.
-func (c *concurrencyLimit) reservedFrom(priority int) bool {
+// isReservedFrom reports whether the rest of the limit is reserved for priorities above the given one.
+func (c *concurrencyLimit) isReservedFrom(priority int) bool {
 	reserved := priorityReserve * float64(MaxPriority-priority) / MaxPriority
 	return float64(c.open) >= c.current*(1-reserved)
 }
@@ -88,7 +88,7 @@
 	samples := c.timely + c.late
 	switch {
 	case samples >= minSamples:
-		c.follow(samples)
+		c.adjust(samples)
 	case c.open == 0:
 		c.current = float64(c.maxOpen) // nothing is open, so there is no contention
 	}
@@ -98,12 +98,12 @@
 	c.peakOpen = c.open
 }
 
-// follow lowers the limit if too many outcomes were late, and otherwise raises it if it was in use.
-func (c *concurrencyLimit) follow(samples int) {
-	tooMuchLate := float64(c.late) > maxLateFraction*float64(samples)
+// adjust lowers the limit if too many outcomes were late, and otherwise raises it if it was in use.
+func (c *concurrencyLimit) adjust(samples int) {
+	tooManyLate := float64(c.late) > maxLateFraction*float64(samples)
 	inUse := float64(c.peakOpen) >= contentionThreshold*c.current
 	switch {
-	case tooMuchLate:
+	case tooManyLate:
 		// Starts from what was in use: lowering a limit far above it would have no effect for a long time.
 		lowered := min(c.current, float64(c.peakOpen)) * decreaseFactor
 		c.current = max(float64(min(c.minOpen, c.maxOpen)), lowered, 1)
--- a/internal/admission/golden_test.go
+++ b/internal/admission/golden_test.go
@@ -40,8 +40,8 @@
 	return config
 }
 
-// playHistory runs a random history of requests, outcomes and reloads, and writes each decision.
-func playHistory(w io.Writer, seed uint64, steps int) [NumReasons]int64 {
+// runRandomHistory runs a random history of requests, outcomes and reloads, and writes each decision.
+func runRandomHistory(w io.Writer, seed uint64, steps int) [NumReasons]int64 {
 	random := rand.New(rand.NewPCG(seed, 1))
 	config := goldenConfig(random)
 	limiter := New(config)
@@ -70,7 +70,7 @@
 				open = append(open, decision.Permit)
 			}
 			fmt.Fprintf(w, "%d route %d, tenant %d, key %d, retry %v: %d %s, wait %d, held %v, on the route %d, open %d, limit %d\n",
-				now, request.Route, request.Tenant, request.Key, request.Retry, decision.Reason, decision.Reason, decision.RetryAfter, decision.Permit.Valid(), limiter.OpenOnRoute(request.Route), limiter.OpenRequests(), limiter.CurrentLimit())
+				now, request.Route, request.Tenant, request.Key, request.Retry, decision.Reason, decision.Reason, decision.RetryAfter, decision.Permit.Valid(), limiter.OpenRequestsOnRoute(request.Route), limiter.OpenRequests(), limiter.CurrentLimit())
 		}
 	}
 	for i, n := range limiter.Counts() {
@@ -81,13 +81,13 @@
 
 func TestGolden_Decisions(t *testing.T) {
 	var out bytes.Buffer
-	playHistory(&out, 1, 400)
+	runRandomHistory(&out, 1, 400)
 	goldentest.Check(t, "history.txt", out.Bytes())
 	out.Reset()
 	var sum [NumReasons]int64
 	for seed := range uint64(100) {
 		h := fnv.New64a()
-		for i, n := range playHistory(h, seed, 2000) {
+		for i, n := range runRandomHistory(h, seed, 2000) {
 			sum[i] += n
 		}
 		fmt.Fprintf(&out, "seed %d: %016x\n", seed, h.Sum64())
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -99,8 +99,8 @@
 // Counts returns the number of decisions by reason.
 func (l *Limiter) Counts() [NumReasons]int64 { return l.counts }
 
-// OpenOnRoute returns the number of open requests of a route, given by its index.
-func (l *Limiter) OpenOnRoute(route int) int { return l.routes[route].open }
+// OpenRequestsOnRoute returns the number of open requests of a route, given by its index.
+func (l *Limiter) OpenRequestsOnRoute(route int) int { return l.routes[route].open }
 
 // Admit decides on a request. A rejected request consumes nothing.
 func (l *Limiter) Admit(now time.Duration, request Request) Decision {
@@ -173,7 +173,7 @@
 		return Admitted
 	case l.total.full():
 		return OpenLimitReached
-	case l.total.reservedFrom(route.Priority):
+	case l.total.isReservedFrom(route.Priority):
 		return PriorityShed
 	case tenant != nil && l.total.contended() && float64(tenant.open) >= l.tenantQuota(tenant):
 		return TenantQuotaExceeded
--- a/internal/admission/retrybudget.go
+++ b/internal/admission/retrybudget.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	// maxSavedTime is the time over which a route may accumulate its MinRetriesPerSecond.
-	maxSavedTime = 10 * time.Second
+	// maxAccumulationTime is the time over which a route may accumulate its MinRetriesPerSecond.
+	maxAccumulationTime = 10 * time.Second
 
-	// maxSavedRequests is the number of first requests over which a route may accumulate its RetryBudget.
-	maxSavedRequests = 100
+	// maxAccumulationRequests is the number of first requests over which a route may accumulate its RetryBudget.
+	maxAccumulationRequests = 100
 
-	// retryWaitWithoutFloor is the Retry-After if only first requests add tokens.
-	retryWaitWithoutFloor = time.Second
+	// retryWaitWithoutMinRate is the Retry-After if only first requests add tokens.
+	retryWaitWithoutMinRate = time.Second
 
 	// maxRetryWait limits the Retry-After of an exhausted budget, in seconds.
 	maxRetryWait = 3600
@@ -40,7 +40,7 @@
 
 // maxTokens limits the accumulated tokens: a quiet hour must not allow a retry storm.
 func (b *retryBudget) maxTokens() float64 {
-	return max(1, b.minPerSecond, b.minPerSecond*maxSavedTime.Seconds(), b.perRequest*maxSavedRequests)
+	return max(1, b.minPerSecond, b.minPerSecond*maxAccumulationTime.Seconds(), b.perRequest*maxAccumulationRequests)
 }
 
 // refill adds the tokens for the time since the last refill.
@@ -68,7 +68,7 @@
 // wait returns the time until one token has been added by time alone.
 func (b *retryBudget) wait() time.Duration {
 	if b.minPerSecond <= 0 {
-		return retryWaitWithoutFloor
+		return retryWaitWithoutMinRate
 	}
 	return time.Duration(min((1-b.tokens)/b.minPerSecond, maxRetryWait) * float64(time.Second))
 }
--- a/internal/admission/tokenbucket.go
+++ b/internal/admission/tokenbucket.go
@@ -10,9 +10,9 @@
 	// unlimitedRate is the rate, in requests per second, from which a limit has no noticeable effect.
 	unlimitedRate = 1e9
 
-	// slowestRate is the rate, in requests per second, below which the next token counts as never available: one token
+	// minRate is the rate, in requests per second, below which the next token counts as never available: one token
 	// in more than eleven days.
-	slowestRate = 1e-6
+	minRate = 1e-6
 
 	// maxWait is longer than any relevant wait, and far enough from the limit of its type for sums.
 	maxWait = time.Duration(math.MaxInt64 / 4)
@@ -34,7 +34,7 @@
 		return 0
 	}
 	interval := time.Duration(float64(time.Second) / rate)
-	if rate < slowestRate {
+	if rate < minRate {
 		interval = maxWait / time.Duration(burst+1)
 	}
 	tolerance := interval * time.Duration(burst-1)
--- a/internal/discovery/request.go
+++ b/internal/discovery/request.go
@@ -89,7 +89,7 @@
 	case http.StatusOK:
 		return response, nil
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		w.watcher.Engine.Counters.DiscoveryBusy.Add(1)
+		w.watcher.Engine.Counters.DiscoveryRejections.Add(1)
 		return nil, busyError{response.StatusCode, parseRetryAfter(response.Header)}
 	default:
 		return nil, fmt.Errorf("status %d", response.StatusCode)
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -121,7 +121,7 @@
 		w.current.cancel()
 		w.current = from
 		w.successor = nil
-		w.Engine.Counters.DiscoveryMoves.Add(1)
+		w.Engine.Counters.DiscoveryAddressChanges.Add(1)
 		w.Log.WithField("discovery", from.address).Info("the list comes from another address now")
 	}
 	if from != w.current {
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -50,7 +50,7 @@
 		serve(newEvents))
 	watcher.MoveTo(fresh)
 	waitFor(t, "the new address has taken over", func() bool { return watcher.Address() == fresh })
-	if !ready() || e.Counters.DiscoveryMoves.Load() != 1 {
+	if !ready() || e.Counters.DiscoveryAddressChanges.Load() != 1 {
 		t.Fatal(e.Counters.Fields())
 	}
 	n := e.Counters.EndpointUpdates.Load()
@@ -61,7 +61,7 @@
 	watcher.MoveTo(fresh)
 	newEvents <- updateChunk(4, false, entryUp)
 	waitFor(t, "the address that counts goes on", ready)
-	if e.Counters.DiscoveryMoves.Load() != 1 {
+	if e.Counters.DiscoveryAddressChanges.Load() != 1 {
 		t.Error("it moved though nothing new told its list")
 	}
 }
--- a/internal/engine/admission_test.go
+++ b/internal/engine/admission_test.go
@@ -24,7 +24,7 @@
 
 // The operators' limit rejects with its reason before the decision module gets a request, and each way in which a request ends
 // releases its reservation once.
-func TestReservation_ReleasedOnceByEveryEnd(t *testing.T) {
+func TestReservation_ReleasedExactlyOnce(t *testing.T) {
 	decider := &scriptedDecider{}
 	engine := newEngine(t, decider)
 	table, config := routesOf(t, routes.Route{
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -104,11 +104,11 @@
 	if a.sendBefore > 0 && engine.now() >= a.sendBefore {
 		return false
 	}
-	return worker.usable() && engine.leaseAllows(worker) && a.isFor(worker)
+	return worker.usable() && engine.leaseAllows(worker) && a.isForSameProcess(worker)
 }
 
-// isFor reports whether the worker is still the process that the attempt was meant for. The caller must hold the lock.
-func (a *Attempt) isFor(worker *workerState) bool {
+// isForSameProcess reports whether the worker is still the process that the attempt was meant for. The caller must hold the lock.
+func (a *Attempt) isForSameProcess(worker *workerState) bool {
 	return worker.endpoint.Address == a.address &&
 		worker.endpoint.StartedAtMillis == a.workerStartedAtMillis &&
 		worker.generation == a.workerGeneration
@@ -186,7 +186,7 @@
 	a.cancel(errEnded)
 	request, engine := a.request, a.request.engine
 	engine.Counters.recordOutcome(result)
-	engine.noteAttemptEnd(a, result)
+	engine.recordAttemptEnd(a, result)
 	engine.trackFailures(a.worker, result)
 	if result == dispatch.ResultOK {
 		request.respond(Decision{Kind: DecisionServe, Result: answer})
--- a/internal/engine/attempt_test.go
+++ b/internal/engine/attempt_test.go
@@ -88,7 +88,7 @@
 }
 
 // An invalid request is at fault itself: it ends immediately, and the decision module records nothing about the worker.
-func TestReportInvalidRequest_BlamesNoWorker(t *testing.T) {
+func TestReportInvalidRequest_IsNotWorkerFailure(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
 	engine.UpdateEndpoints(listWith(dispatch.Ready, "127.0.0.1:1", 0))
@@ -102,7 +102,7 @@
 	if len(ends) != 1 || ends[0].Result != dispatch.ResultNotSent || !ends[0].Final || decider.count(dispatch.RequestAbandoned) != 1 {
 		t.Fatalf("events %+v", decider.events)
 	}
-	if engine.OpenRequests() != 0 || engine.requests[request.id] != nil || engine.Counters.ClientsGone.Load() != 0 {
+	if engine.OpenRequests() != 0 || engine.requests[request.id] != nil || engine.Counters.ClientDisconnects.Load() != 0 {
 		t.Fatal("the request is still kept")
 	}
 }
--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -12,16 +12,16 @@
 // atomic, and may be read and changed at any time. Fields returns them by the names that operators read.
 type Counters struct {
 	// Requests.
-	Accepted          atomic.Int64 // admitted: the decision module decides on them
-	Served            atomic.Int64 // final decisions of the decision module ...
-	Shed              atomic.Int64
-	Failed            atomic.Int64
-	Overdue           atomic.Int64 // answered without such a decision: their time was up or this process was stopping
-	RejectedOverLimit atomic.Int64 // answered 503 without being admitted: too many requests or connections
-	ClientsGone       atomic.Int64 // clients that disconnected before the response
-	ClientsGoneEarly  atomic.Int64 // clients that disconnected before their request was read; not admitted
-	WriteFailures     atomic.Int64 // responses that could not be written completely
-	Unreadable        atomic.Int64 // connections that ended within a request, by an error of net/http or a close
+	Accepted               atomic.Int64 // admitted: the decision module decides on them
+	Served                 atomic.Int64 // final decisions of the decision module ...
+	Shed                   atomic.Int64
+	Failed                 atomic.Int64
+	Overdue                atomic.Int64 // answered without such a decision: their time was up or this process was stopping
+	RejectedOverLimit      atomic.Int64 // answered 503 without being admitted: too many requests or connections
+	ClientDisconnects      atomic.Int64 // clients that disconnected before the response
+	EarlyClientDisconnects atomic.Int64 // clients that disconnected before their request was read; not admitted
+	WriteFailures          atomic.Int64 // responses that could not be written completely
+	InterruptedRequests    atomic.Int64 // connections that ended within a request, by an error of net/http or a close
 
 	// Requests that were answered 4xx: the total, and by cause.
 	BadRequests       atomic.Int64
@@ -49,12 +49,12 @@
 	ClientConnsClosed atomic.Int64 // from clients: closed to enforce the limit
 
 	// Discovery and the group.
-	EndpointUpdates  atomic.Int64
-	MalformedUpdates atomic.Int64 // lists and endpoints that could not be parsed
-	WatchFailures    atomic.Int64
-	DiscoveryBusy    atomic.Int64 // requests for the list that discovery rejected
-	DiscoveryMoves   atomic.Int64 // lists adopted from another address
-	OutlierReports   atomic.Int64 // from other dispatchers: attempts fail at a worker
+	EndpointUpdates         atomic.Int64
+	MalformedUpdates        atomic.Int64 // lists and endpoints that could not be parsed
+	WatchFailures           atomic.Int64
+	DiscoveryRejections     atomic.Int64 // requests for the list that discovery rejected
+	DiscoveryAddressChanges atomic.Int64 // lists adopted from another address
+	OutlierReports          atomic.Int64 // from other dispatchers: attempts fail at a worker
 
 	// The process.
 	Reloads            atomic.Int64 // configurations read again and applied
@@ -105,10 +105,10 @@
 		"failed":      &c.Failed,
 		"overdue":     &c.Overdue,
 		"turned_away": &c.RejectedOverLimit,
-		"gone":        &c.ClientsGone,
-		"gone_early":  &c.ClientsGoneEarly,
+		"gone":        &c.ClientDisconnects,
+		"gone_early":  &c.EarlyClientDisconnects,
 		"unwritten":   &c.WriteFailures,
-		"unreadable":  &c.Unreadable,
+		"unreadable":  &c.InterruptedRequests,
 
 		"bad_requests": &c.BadRequests,
 		"bad_heads":    &c.BadHeaders,
@@ -134,8 +134,8 @@
 		"news":        &c.EndpointUpdates,
 		"bad_news":    &c.MalformedUpdates,
 		"watch_broke": &c.WatchFailures,
-		"list_busy":   &c.DiscoveryBusy,
-		"list_moves":  &c.DiscoveryMoves,
+		"list_busy":   &c.DiscoveryRejections,
+		"list_moves":  &c.DiscoveryAddressChanges,
 		"warnings":    &c.OutlierReports,
 
 		"reloads":     &c.Reloads,
--- a/internal/engine/endpointlog.go
+++ b/internal/engine/endpointlog.go
@@ -22,9 +22,9 @@
 	named []string // the first of them
 }
 
-// noteChange notes a change of a worker's entry: its state, the age that its start counts as and, once it was sent something meanwhile, how
+// recordChange notes a change of a worker's entry: its state, the age that its start counts as and, once it was sent something meanwhile, how
 // many attempts of this dispatcher it got while it was warming up. The caller must hold the lock.
-func (e *Engine) noteChange(worker *workerState) {
+func (e *Engine) recordChange(worker *workerState) {
 	e.changes.count++
 	if len(e.changes.named) >= maxLoggedChanges {
 		return
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -54,7 +54,7 @@
 	defer e.mu.Unlock()
 	e.revision++
 	e.listVersion = list.Version
-	e.following = e.synced
+	e.syncedBefore = e.synced
 	e.synced = e.synced || !list.Stale
 	e.Counters.EndpointUpdates.Add(1)
 	event := dispatch.Event{Kind: dispatch.EndpointUpdate, Version: e.revision, Stale: list.Stale}
@@ -96,8 +96,8 @@
 			worker.goneAt = e.now()
 		}
 		worker.endpoint.State = dispatch.Gone
-		if wasListed && e.following {
-			e.noteChange(worker)
+		if wasListed && e.syncedBefore {
+			e.recordChange(worker)
 		}
 		if wasReady {
 			e.onEndpointRetired(RetiredEndpoint{worker.endpoint.Address})
@@ -124,7 +124,7 @@
 		worker.goneAt = e.now()
 	}
 	if host := hostOf(old.Address); host != hostOf(endpoint.Address) {
-		if worker.mayRun(time.Now()) {
+		if worker.mayBeRunning(time.Now()) {
 			worker.formerHosts = append(worker.formerHosts, host)
 		} else {
 			worker.formerHosts = nil
@@ -132,8 +132,8 @@
 	}
 	worker.latestStartMillis = max(worker.latestStartMillis, endpoint.StartedAtMillis) // a worker may be listed as gone without its start
 	worker.endpoint = *endpoint
-	if changed && e.following {
-		e.noteChange(worker)
+	if changed && e.syncedBefore {
+		e.recordChange(worker)
 	}
 	return worker.startedAt
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -79,7 +79,7 @@
 	listVersion       uint64        // discovery's version of the list
 	revision          uint64        // number of updates of the list: its version for the decision module
 	changes           endpointChanges
-	following         bool      // the update that is applied is not the first from discovery since the process started
+	syncedBefore      bool      // the update that is applied is not the first from discovery since the process started
 	synced            bool      // a list has been received from discovery since the process started
 	watchingSince     time.Time // when the watch on discovery came up; zero: it is down
 	onEndpointRetired func(RetiredEndpoint)
@@ -89,16 +89,16 @@
 
 	// Stalls of the process: see heartbeat.go.
 	lastHeartbeat time.Time // zero: there was no heartbeat, and stalls are not detected
-	pausedUntil   time.Time // nothing is sent before this time: a stall has just ended
+	pauseEnd      time.Time // nothing is sent before this time: a stall has just ended
 
 	// The group's decisions: see restrictions.go and lease.go.
-	restrictions       Restrictions
-	maintenanceWorkers []dispatch.WorkerID // workers that the restrictions exclude ...
-	leasedWorkers      []dispatch.WorkerID // ... and those that need the lease
-	maxAttemptDuration time.Duration       // of attempts that begin from now on; 0: no bound
-	leaseExpiry        time.Time
-	plansUnknown       bool // the group's plans are unknown, so that all workers need the lease
-	anyWithoutLease    bool // some worker is excluded because the lease has expired
+	restrictions          Restrictions
+	maintenanceWorkers    []dispatch.WorkerID // workers that the restrictions exclude ...
+	leasedWorkers         []dispatch.WorkerID // ... and those that need the lease
+	maxAttemptDuration    time.Duration       // of attempts that begin from now on; 0: no bound
+	leaseExpiry           time.Time
+	plansUnknown          bool // the group's plans are unknown, so that all workers need the lease
+	leaseExclusionsActive bool // some worker is excluded because the lease has expired
 }
 
 // New returns an Engine that knows no worker yet. It fails if the decision module rejects the settings. Close stops it.
--- a/internal/engine/exclusion.go
+++ b/internal/engine/exclusion.go
@@ -10,7 +10,7 @@
 	excludedByOperator    exclusion = 1 << iota // the operators have disabled it
 	excludedByMaintenance                       // the group has its machine under maintenance
 	excludedWithoutLease                        // it needs the lease, which has expired; the worker itself is not in doubt
-	excludedByPeers                             // another member of the group knows a later state of it than this dispatcher's endpoint list
+	excludedAsOutdated                          // another member of the group knows a later state of it than this dispatcher's endpoint list
 
 	// restartExclusions are those after which a worker counts as restarted: whoever ends one has restarted it meanwhile.
 	restartExclusions = excludedByOperator | excludedByMaintenance
@@ -32,13 +32,13 @@
 // include removes a reason that ended the given time ago. If none is left, requests are sent to the worker again. The decision module gets
 // the start of the worker's warm-up: the end of the last of restartExclusions or, after any other reason, the listed start if that is
 // later. A worker that was warming up thus continues to do so. The caller must hold the lock.
-func (e *Engine) include(id dispatch.WorkerID, reason exclusion, ago dispatch.Time) {
+func (e *Engine) include(id dispatch.WorkerID, reason exclusion, elapsed dispatch.Time) {
 	worker := &e.workers[id]
 	now := e.now()
 	wasExcluded := worker.exclusions != 0
 	restarted := reason&restartExclusions != 0
 	if restarted {
-		worker.includedAt = max(worker.includedAt, now-ago)
+		worker.includedAt = max(worker.includedAt, now-elapsed)
 	}
 	worker.exclusions &^= reason
 	if worker.exclusions != 0 {
@@ -78,6 +78,6 @@
 	}
 	for i := range e.workers {
 		id := dispatch.WorkerID(i)
-		e.setExcluded(id, excludedByPeers, outdated[id])
+		e.setExcluded(id, excludedAsOutdated, outdated[id])
 	}
 }
--- a/internal/engine/golden_http_test.go
+++ b/internal/engine/golden_http_test.go
@@ -157,7 +157,7 @@
 	if err != nil {
 		t.Fatalf("%s: %v", c.name, err)
 	}
-	return "== " + c.name + "\n" + answer + "== counted:" + moved(before, e.Counters.Fields()) + "\n\n"
+	return "== " + c.name + "\n" + answer + "== counted:" + changedCounters(before, e.Counters.Fields()) + "\n\n"
 }
 
 // readAnswer reads one answer and leaves out the date. Line endings are shown as \r\n and \n.
@@ -182,9 +182,9 @@
 	return answer + strings.ReplaceAll(string(body), "\n", "\\n\n"), err
 }
 
-// moved returns the names of the counters that differ, sorted, each with a leading space. Those of connections and attempts are
+// changedCounters returns the names of the counters that differ, sorted, each with a leading space. Those of connections and attempts are
 // left out.
-func moved(before, after logrus.Fields) string {
+func changedCounters(before, after logrus.Fields) string {
 	var names []string
 	for name, value := range after {
 		ofAttempt := strings.HasPrefix(name, "ended_") || name == "sent" || name == "dials" || name == "client_conns"
@@ -196,8 +196,8 @@
 	return strings.Join(names, "")
 }
 
-// once answers every arrival with one action.
-func once(action dispatch.Action) deciderFunc {
+// respondOnce answers every arrival with one action.
+func respondOnce(action dispatch.Action) deciderFunc {
 	return func(event *dispatch.Event) []dispatch.Action {
 		if event.Kind != dispatch.RequestArrived {
 			return nil
@@ -209,7 +209,7 @@
 }
 
 // sendOnce sends every request to the one worker, once.
-var sendOnce = once(dispatch.Action{Kind: dispatch.Send})
+var sendOnce = respondOnce(dispatch.Action{Kind: dispatch.Send})
 
 // goldenCases returns a case for each answer that results from the decision module, the limits and the checks of a request. Their
 // names are in the golden file.
@@ -219,11 +219,11 @@
 		{name: "an unknown tenant", headers: "X-Tenant: nobody\r\n"},
 		{name: "an id that is open", sameID: true},
 		{name: "too many open", maxOpen: 2, before: []limitedRequest{{path: "/search/x", admitted: 2}}},
-		{name: "refused by the module", decider: once(dispatch.Action{Kind: dispatch.Reject})},
-		{name: "refused by the module until later", decider: once(dispatch.Action{Kind: dispatch.Reject, Wait: 1500 * dispatch.Millisecond})},
-		{name: "given up by the module", decider: once(dispatch.Action{Kind: dispatch.Fail})},
+		{name: "refused by the module", decider: respondOnce(dispatch.Action{Kind: dispatch.Reject})},
+		{name: "refused by the module until later", decider: respondOnce(dispatch.Action{Kind: dispatch.Reject, Wait: 1500 * dispatch.Millisecond})},
+		{name: "given up by the module", decider: respondOnce(dispatch.Action{Kind: dispatch.Fail})},
 		{name: "refused by the module, on a route that says when to come back", limited: true, path: "/search/by-concurrency",
-			decider: once(dispatch.Action{Kind: dispatch.Reject})},
+			decider: respondOnce(dispatch.Action{Kind: dispatch.Reject})},
 		{name: "served", decider: sendOnce, worker: "HTTP/1.1 200 OK\r\nContent-Length: 62\r\n\r\n" +
 			`{"id":"id-1","from":"w","state":"done","result":"the result"}` + "\n"},
 		{name: "a worker cannot use it", decider: sendOnce, worker: "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"},
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -46,11 +46,11 @@
 		}
 	}
 	// The golden file contains the values of this order.
-	set(&c.Accepted, &c.Served, &c.Shed, &c.Failed, &c.ClientsGone, &c.ClientsGoneEarly)
+	set(&c.Accepted, &c.Served, &c.Shed, &c.Failed, &c.ClientDisconnects, &c.EarlyClientDisconnects)
 	set(&c.BadRequests, &c.BadHeaders, &c.BadFraming, &c.BadSizes, &c.BadBodies, &c.BadClasses, &c.BadMethods, &c.BadIDs)
-	set(&c.RejectedByWorkers, &c.Unreadable, &c.RejectedOverLimit, &c.OutlierReports, &c.Overdue, &c.WriteFailures)
+	set(&c.RejectedByWorkers, &c.InterruptedRequests, &c.RejectedOverLimit, &c.OutlierReports, &c.Overdue, &c.WriteFailures)
 	set(&c.AttemptsSent, &c.Dials, &c.ReusedConns, &c.StaleConns, &c.NoFileDescriptor, &c.ClientConns, &c.ClientConnsClosed)
-	set(&c.BadWorkerLines, &c.MalformedUpdates, &c.EndpointUpdates, &c.WatchFailures, &c.DiscoveryBusy, &c.DiscoveryMoves)
+	set(&c.BadWorkerLines, &c.MalformedUpdates, &c.EndpointUpdates, &c.WatchFailures, &c.DiscoveryRejections, &c.DiscoveryAddressChanges)
 	set(&c.Reloads, &c.BadReloads, &c.Stalls, &c.Panics, &c.InvalidActions, &c.UnsupportedActions)
 	for _, result := range []dispatch.Result{
 		dispatch.ResultOK, dispatch.ResultFailed, dispatch.ResultOverloaded, dispatch.ResultTimedOut, dispatch.ResultUnreachable,
--- a/internal/engine/heartbeat.go
+++ b/internal/engine/heartbeat.go
@@ -22,7 +22,7 @@
 // recordHeartbeat records a heartbeat and, if it is late, until when nothing is sent. The caller must hold the lock.
 func (e *Engine) recordHeartbeat(now time.Time) {
 	if !e.lastHeartbeat.IsZero() && now.Sub(e.lastHeartbeat) > stallThreshold {
-		e.pausedUntil = now.Add(stallPause)
+		e.pauseEnd = now.Add(stallPause)
 		e.Counters.Stalls.Add(1)
 	}
 	e.lastHeartbeat = now
@@ -36,7 +36,7 @@
 	if !e.lastHeartbeat.IsZero() {
 		e.recordHeartbeat(now) // an attempt may be the first to run after the stall
 	}
-	pause := e.pausedUntil.Sub(now)
+	pause := e.pauseEnd.Sub(now)
 	e.mu.Unlock()
 	if pause <= 0 {
 		return
--- a/internal/engine/lease.go
+++ b/internal/engine/lease.go
@@ -37,14 +37,14 @@
 func (e *Engine) updateLeaseExclusions() {
 	inUse := e.plansUnknown || len(e.leasedWorkers) > 0
 	e.leaseInUse.Store(inUse)
-	if !inUse && !e.anyWithoutLease {
+	if !inUse && !e.leaseExclusionsActive {
 		return
 	}
-	e.anyWithoutLease = false
+	e.leaseExclusionsActive = false
 	for i := range e.workers {
 		e.setExcluded(dispatch.WorkerID(i), excludedWithoutLease, !e.leaseAllows(&e.workers[i]))
 		if e.workers[i].exclusions&excludedWithoutLease != 0 {
-			e.anyWithoutLease = true
+			e.leaseExclusionsActive = true
 		}
 	}
 }
--- a/internal/engine/lease_test.go
+++ b/internal/engine/lease_test.go
@@ -87,7 +87,7 @@
 
 // If plans are unknown, the decision module is notified that it must not use a worker before it is notified of the worker. It is
 // also notified when a lease expires.
-func TestSetLeaseExpiry_TellsDecider(t *testing.T) {
+func TestSetLeaseExpiry_NotifiesDecider(t *testing.T) {
 	decider := &scriptedDecider{}
 	engine := newEngine(t, decider)
 	engine.SetPlansUnknown(true)
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -145,7 +145,7 @@
 	r.engine.mu.Lock()
 	defer r.engine.mu.Unlock()
 	if !r.finished {
-		r.engine.Counters.ClientsGone.Add(1)
+		r.engine.Counters.ClientDisconnects.Add(1)
 		r.abandon()
 	}
 	r.drainDecisions()
--- a/internal/engine/request_test.go
+++ b/internal/engine/request_test.go
@@ -70,7 +70,7 @@
 
 // A request whose client has disconnected may have an attempt that nobody carries out: it must end, or the decision module counts
 // its slot as used forever.
-func TestClose_EndsUntakenAttempt(t *testing.T) {
+func TestClose_FinishesUnreceivedAttempt(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
 	engine.UpdateEndpoints(listWith(dispatch.Ready, "127.0.0.1:1", 0))
@@ -106,7 +106,7 @@
 	}
 	request.Close()
 	counters := &engine.Counters
-	if counters.Served.Load() != 1 || counters.Overdue.Load() != 1 || counters.ClientsGone.Load() != 0 {
+	if counters.Served.Load() != 1 || counters.Overdue.Load() != 1 || counters.ClientDisconnects.Load() != 0 {
 		t.Fatal(counters.Fields())
 	}
 	if n := decider.count(dispatch.RequestAbandoned); n != 1 {
--- a/internal/engine/restrictions.go
+++ b/internal/engine/restrictions.go
@@ -76,9 +76,9 @@
 	e.maxAttemptDuration = d
 }
 
-// noteAttemptEnd records the end of an attempt. Unless the outcome shows that the request has ended at the worker, it may run up to its
+// recordAttemptEnd records the end of an attempt. Unless the outcome shows that the request has ended at the worker, it may run up to its
 // deadline. The caller must hold the lock.
-func (e *Engine) noteAttemptEnd(attempt *Attempt, result dispatch.Result) {
+func (e *Engine) recordAttemptEnd(attempt *Attempt, result dispatch.Result) {
 	worker := e.knownWorker(attempt.worker)
 	if worker == nil {
 		return
@@ -87,8 +87,8 @@
 	switch result {
 	case dispatch.ResultTimedOut, dispatch.ResultCancelled, dispatch.ResultDisconnected, dispatch.ResultUnknown:
 		deadline, ok := attempt.ctx.Deadline()
-		if end := deadline.Add(runtimeSlack); ok && end.After(worker.mayRunUntil) {
-			worker.mayRunUntil = end
+		if end := deadline.Add(runtimeSlack); ok && end.After(worker.latestRequestEnd) {
+			worker.latestRequestEnd = end
 		}
 	}
 }
@@ -104,7 +104,7 @@
 	now := time.Now()
 	for id := range e.workers {
 		worker := &e.workers[id]
-		if !worker.mayRun(now) {
+		if !worker.mayBeRunning(now) {
 			continue
 		}
 		hosts = append(hosts, worker.formerHosts...)
--- a/internal/engine/restrictions_test.go
+++ b/internal/engine/restrictions_test.go
@@ -16,7 +16,7 @@
 
 // At a host under maintenance nothing is sent to a worker with another name either, and what runs at a worker that has moved away
 // counts for the host where it runs.
-func TestSetRestrictions_BindsHosts(t *testing.T) {
+func TestSetRestrictions_AppliesToHosts(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
 	endpoint := func(name, address string) Endpoint {
@@ -54,7 +54,7 @@
 }
 
 // A worker of a plan is busy while a request runs there, or may still run; not once it is known to have ended.
-func TestBusyWorkers_UntilAttemptsAreOver(t *testing.T) {
+func TestBusyWorkers_UntilRequestsEnd(t *testing.T) {
 	for result, busy := range map[dispatch.Result]bool{
 		dispatch.ResultOK:           false,
 		dispatch.ResultFailed:       false,
--- a/internal/engine/starttime.go
+++ b/internal/engine/starttime.go
@@ -30,7 +30,7 @@
 func (e *Engine) startAge(startedAtMillis int64) dispatch.Time {
 	startedAt := dispatch.Time(startedAtMillis) * dispatch.Millisecond
 	age := min(dispatch.Time(time.Now().UnixMicro()), e.now()) - startedAt
-	if age < 0 || e.following && age > maxListingDelay {
+	if age < 0 || e.syncedBefore && age > maxListingDelay {
 		return 0
 	}
 	return age
--- a/internal/engine/starttime_test.go
+++ b/internal/engine/starttime_test.go
@@ -13,11 +13,11 @@
 func TestStartTime_SteppedClock(t *testing.T) {
 	const age = 2 * dispatch.Second
 	for _, c := range []struct {
-		name          string
-		step          dispatch.Time // of the process's clock against the wall clock
-		listedAhead   time.Duration // the listed start is that much later
-		following     bool
-		least, utmost dispatch.Time // age
+		name           string
+		step           dispatch.Time // of the process's clock against the wall clock
+		listedAhead    time.Duration // the listed start is that much later
+		syncedBefore   bool
+		minAge, maxAge dispatch.Time // age
 	}{
 		{"no step", 0, 0, true, age, age},
 		{"process ahead by an hour", 3600 * dispatch.Second, 0, true, age, age},
@@ -31,7 +31,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				decider := &scriptedDecider{}
 				engine := newEngine(t, decider)
-				if c.following {
+				if c.syncedBefore {
 					engine.UpdateEndpoints(EndpointList{Snapshot: true})
 				}
 				engine.epoch += c.step
@@ -43,8 +43,8 @@
 				engine.UpdateEndpoints(listWith(dispatch.Ready, "127.0.0.1:1", started))
 				events := decider.eventsOf(dispatch.EndpointUpdate)
 				got := decider.times[len(decider.times)-4] - events[0].Workers[0].StartedAt
-				if got < c.least || got > c.utmost+2*dispatch.Millisecond {
-					t.Errorf("a worker started 2 s ago counts as started %v us ago, want %v to %v", got, c.least, c.utmost)
+				if got < c.minAge || got > c.maxAge+2*dispatch.Millisecond {
+					t.Errorf("a worker started 2 s ago counts as started %v us ago, want %v to %v", got, c.minAge, c.maxAge)
 				}
 				if first, last := events[0].Workers[0].StartedAt, events[len(events)-1].Workers[0].StartedAt; first != last {
 					t.Errorf("the same start is %v and then %v", first, last)
--- a/internal/engine/worker.go
+++ b/internal/engine/worker.go
@@ -24,7 +24,7 @@
 	needsLease bool          // requests may be sent there only under the group's lease
 
 	inFlight            int       // attempts that have not ended
-	mayRunUntil         time.Time // until then a request whose attempt has ended may still run there
+	latestRequestEnd    time.Time // until then a request whose attempt has ended may still run there
 	formerHosts         []string  // hosts where it was listed before, and where a request may still run
 	consecutiveFailures int       // failed attempts since the last one that was served
 }
@@ -43,8 +43,10 @@
 	return servingSince > 0 && now-servingSince < warmUp
 }
 
-// mayRun reports whether a request of this dispatcher runs at the worker, or may run there.
-func (w *workerState) mayRun(now time.Time) bool { return w.inFlight > 0 || now.Before(w.mayRunUntil) }
+// mayBeRunning reports whether a request of this dispatcher runs at the worker, or may run there.
+func (w *workerState) mayBeRunning(now time.Time) bool {
+	return w.inFlight > 0 || now.Before(w.latestRequestEnd)
+}
 
 // ensureWorker returns the state of a worker, and creates it if there is none. The caller must hold the lock.
 func (e *Engine) ensureWorker(id dispatch.WorkerID) *workerState {
--- a/internal/frontend/clientgone_test.go
+++ b/internal/frontend/clientgone_test.go
@@ -23,7 +23,7 @@
 	c := sendRaw(t, h, rawRequestHead+"Content-Length: 0\r\n\r\n")
 	waitFor(t, "the worker has it", func() bool { return w.RequestCount() == 1 })
 	c.Close()
-	waitFor(t, "the client counts as gone", func() bool { return h.engine.Counters.ClientsGone.Load() == 1 })
+	waitFor(t, "the client counts as gone", func() bool { return h.engine.Counters.ClientDisconnects.Load() == 1 })
 	close(release)
 	h.settled(t) // the attempt still ends properly
 	if h.engine.Counters.Served.Load() != 0 || h.engine.Counters.Outcomes[dispatch.ResultOK].Load() != 1 {
@@ -46,7 +46,7 @@
 		return serverSide.surplus
 	})
 	c.Close()
-	waitFor(t, "the client counts as gone", func() bool { return h.engine.Counters.ClientsGone.Load() == 1 })
+	waitFor(t, "the client counts as gone", func() bool { return h.engine.Counters.ClientDisconnects.Load() == 1 })
 	open()
 	h.settled(t)
 }
@@ -58,7 +58,7 @@
 	c := sendRaw(t, h, rawRequestHead+"Content-Length: 0\r\n\r\n")
 	waitFor(t, "the worker has it", func() bool { return w.RequestCount() == 1 })
 	go func() { _, _ = c.Write(make([]byte, 4*maxSurplusBytes)) }() // until the connection is closed
-	waitFor(t, "the client counts as gone", func() bool { return h.engine.Counters.ClientsGone.Load() == 1 })
+	waitFor(t, "the client counts as gone", func() bool { return h.engine.Counters.ClientDisconnects.Load() == 1 })
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if b, _ := io.ReadAll(c); len(b) != 0 {
 		t.Fatalf("it received %q", b)
@@ -79,7 +79,7 @@
 	if len(b) != 0 || err != nil && !strings.Contains(err.Error(), "reset") {
 		t.Fatalf("it received %q, %v", b, err)
 	}
-	waitFor(t, "it counts as gone", func() bool { return h.engine.Counters.ClientsGone.Load() == 1 })
+	waitFor(t, "it counts as gone", func() bool { return h.engine.Counters.ClientDisconnects.Load() == 1 })
 }
 
 // A request that is read after its client has disconnected is not opened at the engine.
@@ -101,7 +101,7 @@
 	delayed := &delayedListener{Listener: listener, ready: make(chan bool)}
 	h.serve(t, delayed)
 	close(delayed.ready) // all have arrived, and all clients have left, before the first is read
-	waitFor(t, "all were read", func() bool { return h.engine.Counters.ClientsGoneEarly.Load() == 20 })
+	waitFor(t, "all were read", func() bool { return h.engine.Counters.EarlyClientDisconnects.Load() == 20 })
 	if sent, accepted := h.engine.Counters.AttemptsSent.Load(), h.engine.Counters.Accepted.Load(); sent != 0 || accepted != 0 || w.RequestCount() != 0 {
 		t.Fatalf("%d opened, %d attempts, %d at the worker", accepted, sent, w.RequestCount())
 	}
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -129,7 +129,7 @@
 	deadline := receivedAt.Add(spec.TimeLeft - responseMargin)
 	spec.TimeLeft = time.Until(deadline)
 	if outgoing.Client.ClientGone() {
-		h.Engine.Counters.ClientsGoneEarly.Add(1)
+		h.Engine.Counters.EarlyClientDisconnects.Add(1)
 		abortConnection()
 	}
 	if h.Conns.OverLimit() {
--- a/internal/frontend/handler_test.go
+++ b/internal/frontend/handler_test.go
@@ -227,8 +227,8 @@
 	})
 	h := newHarness(t, w.Address, 0)
 	r := newRequest(t, h.url, "search", "a", "body")
-	if status, _, _ := doRequest(t, r); status != 200 || h.engine.Counters.ClientsGone.Load() != 0 {
-		t.Fatalf("status %d, %d gone", status, h.engine.Counters.ClientsGone.Load())
+	if status, _, _ := doRequest(t, r); status != 200 || h.engine.Counters.ClientDisconnects.Load() != 0 {
+		t.Fatalf("status %d, %d gone", status, h.engine.Counters.ClientDisconnects.Load())
 	}
 }
 
--- a/internal/frontend/lingeringclose.go
+++ b/internal/frontend/lingeringclose.go
@@ -81,7 +81,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.requestStarted && !c.noMoreRequests && !c.evicted {
-		c.tracker.Counters.Unreadable.Add(1)
+		c.tracker.Counters.InterruptedRequests.Add(1)
 	}
 	c.noMoreRequests = true
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -12,8 +12,8 @@
 	"birchfork/internal/socket"
 )
 
-// unlimited is a read limit that is never reached.
-const unlimited = 1 << 62
+// noReadLimit is a read limit that is never reached.
+const noReadLimit = 1 << 62
 
 // Conn is a connection to a worker that belongs to a Pool. The goroutine that got it from the pool owns it until Put, Close or Reset.
 // Reader and the read limit are not safe for concurrent use; everything else is as safe as net.Conn.
@@ -29,7 +29,7 @@
 }
 
 func newConn(pool *Pool, address string, raw net.Conn) *Conn {
-	c := &Conn{Conn: raw, pool: pool, address: address, input: io.LimitedReader{R: raw, N: unlimited}}
+	c := &Conn{Conn: raw, pool: pool, address: address, input: io.LimitedReader{R: raw, N: noReadLimit}}
 	c.Reader = bufio.NewReader(&c.input)
 	return c
 }
@@ -48,7 +48,7 @@
 	var err error
 	c.closeOnce.Do(func() {
 		err = c.Conn.Close()
-		c.pool.releasePlace()
+		c.pool.releaseCapacity()
 	})
 	return err
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -64,14 +64,14 @@
 }
 
 func (p *Pool) openConn(ctx context.Context, address string) (*Conn, error) {
-	dial, ok := p.reservePlace()
+	dial, ok := p.reserveCapacity()
 	if !ok {
 		p.counters.NoFileDescriptor.Add(1)
 		return nil, ErrNoFileDescriptor
 	}
 	raw, err := dial(ctx, address)
 	if err != nil {
-		p.releasePlace()
+		p.releaseCapacity()
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 			p.counters.NoFileDescriptor.Add(1)
 			return nil, fmt.Errorf("%w: %w", ErrNoFileDescriptor, err)
@@ -95,9 +95,9 @@
 	return nil
 }
 
-// reservePlace reserves a place for a connection that is to be opened with the returned function. At the limit the longest idle connection
+// reserveCapacity reserves a place for a connection that is to be opened with the returned function. At the limit the longest idle connection
 // is closed; ok is false if there is none.
-func (p *Pool) reservePlace() (dial DialFunc, ok bool) {
+func (p *Pool) reserveCapacity() (dial DialFunc, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.open >= p.maxConns && len(p.idle) > 0 {
@@ -111,8 +111,8 @@
 	return p.dial, true
 }
 
-// releasePlace releases what reservePlace reserved.
-func (p *Pool) releasePlace() {
+// releaseCapacity releases what reserveCapacity reserved.
+func (p *Pool) releaseCapacity() {
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
@@ -125,7 +125,7 @@
 		_ = conn.Close()
 		return
 	}
-	conn.setReadLimit(unlimited)
+	conn.setReadLimit(noReadLimit)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	conn.idleSince = time.Now()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -107,7 +107,7 @@
 // A connection that its worker has closed or reset, or on which it has sent unexpected data, must not get a request: the request would be
 // lost although it was never sent.
 func TestPool_DetectsEndedIdleConnection(t *testing.T) {
-	for name, spoil := range map[string]func(net.Conn){
+	for name, breakConn := range map[string]func(net.Conn){
 		"closed": func(c net.Conn) { c.Close() },
 		"reset":  func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); c.Close() },
 		"spoke":  func(c net.Conn) { io.WriteString(c, "HTTP/1.1 408 x\r\n") },
@@ -129,7 +129,7 @@
 		if !first.isReusable() {
 			t.Fatalf("%s: open before it", name)
 		}
-		spoil(remote)
+		breakConn(remote)
 		for deadline := time.Now().Add(5 * time.Second); first.isReusable(); time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
 				t.Fatalf("%s: the connection still passes for open", name)
@@ -148,7 +148,7 @@
 }
 
 // A failed dial occupies no place, and is the worker's fault unless this process has no descriptor left.
-func TestPool_FailedDialReleasesItsSlot(t *testing.T) {
+func TestPool_FailedDialReleasesCapacity(t *testing.T) {
 	var counters engine.Counters
 	fail := error(syscall.ECONNREFUSED)
 	pool := NewPool(func(context.Context, string) (net.Conn, error) { return nil, fmt.Errorf("dial: %w", fail) }, &counters, 1, time.Minute)
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -141,15 +141,15 @@
 
 // resultOfStatus returns the result of an attempt whose response has a status other than 200.
 func resultOfStatus(response *http.Response) dispatch.Result {
-	mayBeUnrun := response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusGatewayTimeout
-	if mayBeUnrun && response.Header.Get("X-Not-Run") == "1" {
+	mayNotHaveRun := response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusGatewayTimeout
+	if mayNotHaveRun && response.Header.Get("X-Not-Run") == "1" {
 		return dispatch.ResultOverloaded
 	}
 	return dispatch.ResultFailed
 }
 
-// isConnEnd reports whether a read failed because the connection ended, broke or timed out. All other errors are malformed responses.
-func isConnEnd(err error) bool {
+// isConnError reports whether a read failed because the connection ended, broke or timed out. All other errors are malformed responses.
+func isConnError(err error) bool {
 	var timeout interface{ Timeout() bool }
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &timeout)
 }
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -11,8 +11,8 @@
 	"birchfork/internal/engine"
 )
 
-// silentAfter is how long a worker may take to send the head of its response before its idle connections count as dead, if none arrives.
-const silentAfter = 500 * time.Millisecond
+// silenceThreshold is how long a worker may take to send the head of its response before its idle connections count as dead, if none arrives.
+const silenceThreshold = 500 * time.Millisecond
 
 // Transport carries out attempts over the connections of a pool. It is safe for concurrent use.
 type Transport struct {
@@ -25,7 +25,7 @@
 	result         dispatch.Result
 	jobResult      []byte // if result is ResultOK
 	invalidRequest bool   // the request is invalid, according to the worker
-	silent         bool   // no response arrived within silentAfter
+	silent         bool   // no response arrived within silenceThreshold
 
 	// The rest of the response that decided the result; nil unless it was well-formed so far.
 	response *http.Response
@@ -85,7 +85,7 @@
 	sentAt := time.Now()
 	response, err := t.readHead(conn, request.Method) //nolint:bodyclose // it ends with the connection, or in drain
 	if err != nil {
-		return outcome{result: resultOfReadError(attempt), silent: time.Since(sentAt) >= silentAfter}
+		return outcome{result: resultOfReadError(attempt), silent: time.Since(sentAt) >= silenceThreshold}
 	}
 	body := bufio.NewReader(response.Body)
 	if response.StatusCode != http.StatusOK {
@@ -125,12 +125,12 @@
 	conn.setReadLimit(maxHeadBytes)
 	response, err := http.ReadResponse(conn.Reader, &http.Request{Method: method})
 	if err != nil {
-		if !isConnEnd(err) || conn.readLimitReached() {
+		if !isConnError(err) || conn.readLimitReached() {
 			t.Counters.BadWorkerLines.Add(1)
 		}
 		return nil, err
 	}
-	conn.setReadLimit(unlimited)
+	conn.setReadLimit(noReadLimit)
 	return response, nil
 }
 
@@ -139,7 +139,7 @@
 	for {
 		update, err := readStatusUpdate(body, id)
 		if err != nil {
-			if !isConnEnd(err) {
+			if !isConnError(err) {
 				t.Counters.BadWorkerLines.Add(1)
 			}
 			return outcome{result: resultOfReadError(attempt)}
--- a/internal/upstream/transport_test.go
+++ b/internal/upstream/transport_test.go
@@ -67,7 +67,7 @@
 }
 
 // The other idle connections to a machine that has vanished would accept further requests; only a new one shows that it is gone.
-func TestTransport_SilentWorkerLosesIdleConns(t *testing.T) {
+func TestTransport_SilentWorkerClosesIdleConns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := enginetest.New(t, 0)
 		e.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1"))
