--- a/internal/engine/admission.go
+++ b/internal/engine/admission.go
@@ -12,37 +12,37 @@
 	"birchfork/internal/settings"
 )
 
-// LimitError is the operators' limit by which a request was rejected.
+// LimitError is the error for a request that exceeds one of the operators' limits.
 type LimitError struct {
 	Reason     admission.Reason
 	Route      string
-	RetryAfter time.Duration // minimum delay; 0: no advice
+	RetryAfter time.Duration // minimum delay before a retry; 0: unspecified
 }
 
-// Error returns the text that clients read, which must not change.
+// Error returns the text of the response to the client, which must not change.
 func (l *LimitError) Error() string {
 	return fmt.Sprintf("no place left: %s of %s", l.Reason, l.Route)
 }
 
-// admitter applies the operators' routes and limits. It is immutable, except for the limiter, which the engine's lock guards.
+// admitter applies the operators' routes and limits. It is immutable except for the limiter, which is guarded by the engine's lock.
 type admitter struct {
 	routes      *routes.Table
 	limiter     *admission.Limiter
 	classes     []dispatch.Class
-	routeLimits []dispatch.RouteLimits // by route, including those of its fallbacks
+	routeLimits []dispatch.RouteLimits // by route index, with the limits of the fallbacks included
 }
 
-// reservation is the share of the operators' limits that a request uses. It is released once. The zero reservation uses nothing.
+// reservation is what a request uses of the operators' limits. It is released once. The zero reservation uses nothing.
 type reservation struct {
 	limiter    *admission.Limiter // nil: nothing is reserved
 	permit     admission.Permit
 	class      *dispatch.Class
 	arrivedAt  dispatch.Time
-	retryAfter time.Duration // minimum Retry-After of the client if the request is rejected; 0: none
+	retryAfter time.Duration // minimum Retry-After if the request is rejected; 0: none
 }
 
-// SetLimits replaces the operators' routes and limits. Open requests keep their reservations and what they were allowed. Rates and counts
-// of a route are kept if its name is.
+// SetLimits replaces the operators' routes and limits. Open requests keep their reservations and their route limits. A route that keeps its
+// name keeps its rate limiter state and its counts.
 func (e *Engine) SetLimits(table *routes.Table, config admission.Config, classes []dispatch.Class) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -64,8 +64,8 @@
 	e.admitter = a
 }
 
-// LimitFields returns the log fields of the operators' limits, with a counter for each reason; nil if there are no limits. Operators read
-// their names, which must not change.
+// LimitFields returns the log fields for the operators' limits, with a counter for each reason, or nil if there are no limits. The field
+// names must not change, because operators rely on them.
 func (e *Engine) LimitFields() logrus.Fields {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -80,8 +80,8 @@
 	return fields
 }
 
-// admit checks a request against the operators' limits, along the fallbacks of its route. If all of them reject it, the error is a
-// *LimitError with the reason of the first route. The caller must hold the lock.
+// admit checks a request against the operators' limits of its route and then of each fallback. If all of them reject the request, the error
+// is a *LimitError with the reason of the first route. The caller must hold the lock.
 func (e *Engine) admit(now dispatch.Time, spec *RequestSpec, class, tenant int) (reservation, dispatch.RouteLimits, error) {
 	a := e.admitter
 	if a == nil {
@@ -109,7 +109,7 @@
 	return reservation{}, dispatch.RouteLimits{}, rejection
 }
 
-// release returns the permit to the limiter. A second call has no effect.
+// release returns the permit to the limiter. Further calls have no effect.
 func (r *reservation) release(now dispatch.Time, outcome admission.Outcome) {
 	if r.limiter != nil {
 		r.limiter.Release(duration(now), r.permit, outcome)
@@ -117,15 +117,15 @@
 	}
 }
 
-// markSent records that an attempt of the request has been ordered, so that it does not count as queued any more.
+// markSent records that an attempt of the request has been started, so that the request no longer counts as queued.
 func (r *reservation) markSent() {
 	if r.limiter != nil {
 		r.limiter.MarkSent(&r.permit)
 	}
 }
 
-// finish releases the reservation of a request that has a final decision. A served request counts as timely if it is within the latency
-// objective, all others count as late.
+// finish releases the reservation of a request that has a final decision. A request that was served within the latency objective counts as
+// timely, any other request as late.
 func (r *reservation) finish(request *Request, kind DecisionKind) {
 	if r.limiter == nil {
 		return
@@ -138,7 +138,8 @@
 	r.release(now, outcome)
 }
 
-// withinObjective reports whether an answer now is within the latency objective of the class, which grows with the request's run time.
+// withinObjective reports whether a response at the given time is within the latency objective of the class. The objective grows with the
+// request's run time.
 func (r *reservation) withinObjective(now, runTime dispatch.Time) bool {
 	objective := float64(r.class.LatencyObjective) + r.class.ObjectiveStretch*float64(runTime)
 	return float64(now-r.arrivedAt) <= objective
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -8,36 +8,36 @@
 	"birchfork/dispatch"
 )
 
-// Causes of the end of an attempt's context.
+// Causes of the cancellation of an attempt's context.
 var (
-	errCancelled = errors.New("the attempt was cancelled")
-	errEnded     = errors.New("the attempt has ended")
+	errCancelled = errors.New("attempt cancelled")
+	errEnded     = errors.New("attempt ended")
 )
 
-// Attempt is one attempt of a request at a worker. Its user calls MaySend immediately before sending the first byte, reports what the
-// worker says about the request, and always ends it with Finish or ReportInvalidRequest.
+// Attempt is one attempt of a request at a worker. Its user calls MaySend immediately before it sends the first byte, passes the worker's
+// reports on, and always ends the attempt with Finish or ReportInvalidRequest.
 type Attempt struct {
 	request    *Request
-	number     int // index among the attempts of its request, from 0
+	number     int // index among the attempts of the request
 	worker     dispatch.WorkerID
 	address    string
-	sentAt     dispatch.Time // when it was ordered
-	sendBefore dispatch.Time // the attempt is sent only if its first byte goes out before this time; 0: no bound
+	sentAt     dispatch.Time // time at which the decision module started the attempt
+	sendBefore dispatch.Time // deadline for the first byte of the attempt; 0: none
 	ctx        context.Context
 	cancel     context.CancelCauseFunc
 	stop       context.CancelFunc // releases the timer of ctx
 
-	// The worker process that the attempt is meant for: see workerState. It is not sent to a later one.
+	// The worker process for which the attempt was started: see workerState. The attempt is not sent to a later process of the worker.
 	workerStartedAtMillis int64
 	workerGeneration      int
 
 	// Guarded by the engine's lock.
-	startedAt dispatch.Time // when the worker reported that the request runs; 0: not yet
+	startedAt dispatch.Time // time at which the worker reported that the request runs; 0: not yet
 	finished  bool
-	neverRan  bool // according to its outcome
+	neverRan  bool // according to the outcome
 }
 
-// startAttempt begins an attempt that the decision module has ordered. The caller must hold the lock.
+// startAttempt starts an attempt that the decision module has requested. The caller must hold the lock.
 func (r *Request) startAttempt(now dispatch.Time, action *dispatch.Action) {
 	r.engine.names.AttemptSent(r.id)
 	r.reservation.markSent()
@@ -62,8 +62,8 @@
 	r.decisions <- Decision{Kind: DecisionSend, Attempt: attempt}
 }
 
-// attemptDeadline returns the latest end of an attempt that begins now: the request's deadline, the attempt's timeout (0: none) or the
-// longest duration that the group allows, whichever is first. The caller must hold the lock.
+// attemptDeadline returns the deadline of an attempt that starts now. It is the earliest of the request's deadline, the attempt's timeout
+// (0: none) and the maximum duration that the group allows. The caller must hold the lock.
 func (r *Request) attemptDeadline(timeout time.Duration) time.Time {
 	deadline := r.deadline
 	for _, limit := range [...]time.Duration{timeout, r.engine.maxAttemptDuration} {
@@ -77,7 +77,7 @@
 	return deadline
 }
 
-// Context returns the attempt's context. It ends at the attempt's deadline, or when the attempt is cancelled or has ended.
+// Context returns the attempt's context. It is done at the attempt's deadline, or when the attempt is cancelled or has ended.
 func (a *Attempt) Context() context.Context { return a.ctx }
 
 // Cancelled reports whether the decision module cancelled the attempt.
@@ -86,9 +86,9 @@
 // Address returns the worker's address, as host:port.
 func (a *Attempt) Address() string { return a.address }
 
-// MaySend reports whether the attempt may still be sent. It must be called immediately before the first byte. It guards against changes
-// while the connection was set up: a drain, an expired lease, a deadline, or the end of the time within which workers drop repeats. After a
-// stall of the process it waits: see waitAfterStall.
+// MaySend reports whether the attempt may still be sent. It must be called immediately before the first byte is sent, because the state may
+// have changed while the connection was set up: the worker drains, the lease has expired, a deadline has passed, or the time has elapsed
+// within which workers drop duplicates. After a stall of the process MaySend waits: see waitAfterStall.
 func (a *Attempt) MaySend() bool {
 	engine := a.request.engine
 	engine.waitAfterStall(a.ctx)
@@ -107,19 +107,19 @@
 	return worker.usable() && engine.leaseAllows(worker) && a.isForSameProcess(worker)
 }
 
-// isForSameProcess reports whether the worker is still the process that the attempt was meant for. The caller must hold the lock.
+// isForSameProcess reports whether the worker is still the process for which the attempt was started. The caller must hold the lock.
 func (a *Attempt) isForSameProcess(worker *workerState) bool {
 	return worker.endpoint.Address == a.address &&
 		worker.endpoint.StartedAtMillis == a.workerStartedAtMillis &&
 		worker.generation == a.workerGeneration
 }
 
-// NeedsLease reports whether the attempt may be sent only under the group's lease. Its last byte then has to be sent separately,
-// immediately after a further call of MaySend.
+// NeedsLease reports whether the attempt may be sent only while the group's lease is valid. The last byte then has to be sent separately,
+// immediately after another call of MaySend.
 func (a *Attempt) NeedsLease() bool {
 	engine := a.request.engine
 	if !engine.leaseInUse.Load() {
-		return false // without a group; the lock is not needed
+		return false // avoids the lock if there is no group
 	}
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
@@ -130,15 +130,15 @@
 	return worker != nil && worker.needsLease
 }
 
-// ReportStarted reports that the worker has begun to run the request.
+// ReportStarted reports that the worker has started to run the request.
 func (a *Attempt) ReportStarted() { a.report(dispatch.Event{Kind: dispatch.AttemptStarted}) }
 
-// ReportProgress reports the completed fraction of the request, from 0 to 1.
+// ReportProgress reports the completed fraction of the request, between 0 and 1.
 func (a *Attempt) ReportProgress(fraction float64) {
 	a.report(dispatch.Event{Kind: dispatch.AttemptProgressed, Progress: fraction})
 }
 
-// report passes an event of an attempt that has not ended to the decision module.
+// report passes an event of the attempt to the decision module, unless the attempt has ended.
 func (a *Attempt) report(event dispatch.Event) {
 	engine := a.request.engine
 	engine.mu.Lock()
@@ -154,8 +154,8 @@
 	engine.handle(now, &event)
 }
 
-// ReportInvalidRequest ends the attempt and its request because the request is invalid to the worker. It never ran, the worker is not at
-// fault, and no other worker could use it either.
+// ReportInvalidRequest ends the attempt and its request because the worker reported the request as invalid. The request never ran. It does
+// not count as a failure of the worker, and a retry at another worker would fail too.
 func (a *Attempt) ReportInvalidRequest() {
 	request := a.request
 	request.engine.mu.Lock()
@@ -167,7 +167,7 @@
 	a.finish(dispatch.ResultNotSent, nil)
 }
 
-// Finish ends the attempt with its outcome; answer is the worker's result if the outcome is dispatch.ResultOK. Only the first call has an
+// Finish ends the attempt with the given outcome. If the outcome is dispatch.ResultOK, answer is the worker's result. Further calls have no
 // effect.
 func (a *Attempt) Finish(result dispatch.Result, answer []byte) {
 	a.request.engine.mu.Lock()
--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -8,64 +8,64 @@
 	"birchfork/dispatch"
 )
 
-// Counters count requests, attempts, connections and how they end. The packages that implement the protocols count here too. All fields are
-// atomic, and may be read and changed at any time. Fields returns them by the names that operators read.
+// Counters count requests, attempts, connections and their outcomes. The packages that implement the protocols use them too. All fields are
+// atomic and may be read and changed at any time. Fields returns the values by log field name.
 type Counters struct {
 	// Requests.
-	Accepted               atomic.Int64 // admitted: the decision module decides on them
-	Served                 atomic.Int64 // final decisions of the decision module ...
+	Accepted               atomic.Int64 // admitted and passed to the decision module
+	Served                 atomic.Int64 // by final decision of the decision module
 	Shed                   atomic.Int64
 	Failed                 atomic.Int64
-	Overdue                atomic.Int64 // answered without such a decision: their time was up or this process was stopping
-	RejectedOverLimit      atomic.Int64 // answered 503 without being admitted: too many requests or connections
+	Overdue                atomic.Int64 // answered without a final decision: their deadline passed or this process was stopping
+	RejectedOverLimit      atomic.Int64 // answered 503 without admission: too many requests or connections
 	ClientDisconnects      atomic.Int64 // clients that disconnected before the response
-	EarlyClientDisconnects atomic.Int64 // clients that disconnected before their request was read; not admitted
+	EarlyClientDisconnects atomic.Int64 // clients that disconnected before their request was read and admitted
 	WriteFailures          atomic.Int64 // responses that could not be written completely
-	InterruptedRequests    atomic.Int64 // connections that ended within a request, by an error of net/http or a close
+	InterruptedRequests    atomic.Int64 // connections that ended within a request: closed, or an error of net/http
 
-	// Requests that were answered 4xx: the total, and by cause.
+	// Requests answered 4xx: the total, and by cause.
 	BadRequests       atomic.Int64
 	BadHeaders        atomic.Int64 // missing or invalid headers
-	BadFraming        atomic.Int64 // ambiguous lengths, or more data than the length
-	BadSizes          atomic.Int64 // bodies over the limit
-	BadBodies         atomic.Int64 // bodies that did not arrive completely
-	BadClasses        atomic.Int64 // classes that are not in the settings
+	BadFraming        atomic.Int64 // ambiguous lengths, or more data than announced
+	BadSizes          atomic.Int64 // bodies that exceed the limit
+	BadBodies         atomic.Int64 // truncated bodies
+	BadClasses        atomic.Int64 // unknown classes
 	BadMethods        atomic.Int64
-	BadIDs            atomic.Int64 // ids that are open or were recently
+	BadIDs            atomic.Int64 // ids of open or recent requests
 	RejectedByWorkers atomic.Int64 // requests that a worker reported as invalid
 
 	// Attempts.
-	AttemptsSent   atomic.Int64                             // ordered by the decision module
+	AttemptsSent   atomic.Int64                             // requested by the decision module
 	Outcomes       [dispatch.ResultUnknown + 1]atomic.Int64 // by dispatch.Result
-	SentToWarming  atomic.Int64                             // of these, to workers that are warming up
-	BadWorkerLines atomic.Int64                             // lines from workers that could not be parsed
+	SentToWarming  atomic.Int64                             // attempts at workers that were warming up
+	BadWorkerLines atomic.Int64                             // malformed lines from workers
 
 	// Connections.
-	Dials             atomic.Int64 // to workers: opened
-	ReusedConns       atomic.Int64 // to workers: reused
-	StaleConns        atomic.Int64 // to workers: found closed before reuse
-	NoFileDescriptor  atomic.Int64 // attempts that found no free file descriptor
+	Dials             atomic.Int64 // opened to workers
+	ReusedConns       atomic.Int64 // to workers, reused
+	StaleConns        atomic.Int64 // to workers, found closed before reuse
+	NoFileDescriptor  atomic.Int64 // attempts that failed for lack of a file descriptor
 	ClientConns       atomic.Int64 // from clients
-	ClientConnsClosed atomic.Int64 // from clients: closed to enforce the limit
+	ClientConnsClosed atomic.Int64 // from clients, closed to enforce the limit
 
 	// Discovery and the group.
 	EndpointUpdates         atomic.Int64
-	MalformedUpdates        atomic.Int64 // lists and endpoints that could not be parsed
+	MalformedUpdates        atomic.Int64 // malformed lists and endpoints
 	WatchFailures           atomic.Int64
-	DiscoveryRejections     atomic.Int64 // requests for the list that discovery rejected
-	DiscoveryAddressChanges atomic.Int64 // lists adopted from another address
-	OutlierReports          atomic.Int64 // from other dispatchers: attempts fail at a worker
+	DiscoveryRejections     atomic.Int64 // list requests that discovery rejected
+	DiscoveryAddressChanges atomic.Int64 // changes to the list of another discovery address
+	OutlierReports          atomic.Int64 // reports by other dispatchers of failing attempts at a worker
 
 	// The process.
-	Reloads            atomic.Int64 // configurations read again and applied
-	BadReloads         atomic.Int64 // configurations read again and found invalid
-	Stalls             atomic.Int64 // times that the process stood still
+	Reloads            atomic.Int64 // reloads of a valid configuration
+	BadReloads         atomic.Int64 // reloads of an invalid configuration
+	Stalls             atomic.Int64 // stalls of the process
 	Panics             atomic.Int64 // of the decision module
 	InvalidActions     atomic.Int64 // of the decision module
-	UnsupportedActions atomic.Int64 // of the decision module: no protocol here supports them
+	UnsupportedActions atomic.Int64 // of the decision module, not supported by the protocols
 }
 
-// outcomeNames are the names of outcomes in log fields.
+// outcomeNames are the names of attempt outcomes in log fields.
 var outcomeNames = [...]string{
 	dispatch.ResultOK:           "ok",
 	dispatch.ResultFailed:       "failed",
@@ -95,7 +95,7 @@
 	c.Outcomes[min(result, dispatch.ResultUnknown)].Add(1)
 }
 
-// Fields returns all counters by the names that operators read in the log, which must not change.
+// Fields returns all counters by log field name. The names must not change, because operators rely on them.
 func (c *Counters) Fields() logrus.Fields {
 	fields := logrus.Fields{}
 	for name, counter := range map[string]*atomic.Int64{
--- a/internal/engine/endpointlog.go
+++ b/internal/engine/endpointlog.go
@@ -10,20 +10,20 @@
 	"birchfork/dispatch"
 )
 
-// maxLoggedChanges is the number of changed workers that the line for an update names.
+// maxLoggedChanges is the maximum number of changed workers that the log line for an update names.
 const maxLoggedChanges = 8
 
-// stateNames are the names of states in log fields.
+// stateNames are the names of worker states in log fields.
 var stateNames = [...]string{dispatch.Ready: "ready", dispatch.Draining: "draining", dispatch.Gone: "gone"}
 
-// endpointChanges are the changes of workers by the update that is applied, for the log.
+// endpointChanges are the worker changes of the current endpoint update, for the log.
 type endpointChanges struct {
 	count int
-	named []string // the first of them
+	named []string // descriptions of the first maxLoggedChanges
 }
 
-// recordChange notes a change of a worker's entry: its state, the age that its start counts as and, once it was sent something meanwhile, how
-// many attempts of this dispatcher it got while it was warming up. The caller must hold the lock.
+// recordChange records a change of a worker for the log: its state, its age and, if not 0, the number of attempts that this dispatcher sent
+// to it while it was warming up. The caller must hold the lock.
 func (e *Engine) recordChange(worker *workerState) {
 	e.changes.count++
 	if len(e.changes.named) >= maxLoggedChanges {
@@ -39,7 +39,7 @@
 	e.changes.named = append(e.changes.named, text)
 }
 
-// logChanges logs the noted changes in one line. The caller must hold the lock.
+// logChanges logs the recorded changes in one line. The caller must hold the lock.
 func (e *Engine) logChanges() {
 	if e.changes.count == 0 {
 		return
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -7,11 +7,11 @@
 	"birchfork/internal/settings"
 )
 
-// EndpointList is a list of workers, or of changes, as received from discovery.
+// EndpointList is a list of workers, complete or only those that changed, as received from discovery.
 type EndpointList struct {
 	Version   uint64 // discovery's version
-	Snapshot  bool   // complete, not only the workers that changed
-	Stale     bool   // a copy saved before the process started
+	Snapshot  bool   // the list is complete; otherwise it contains only the workers that changed
+	Stale     bool   // the list is a copy that was saved before the process started
 	Endpoints []Endpoint
 }
 
@@ -21,21 +21,21 @@
 	Cell                      int    // -1: none
 	Weight                    float64
 	State                     dispatch.WorkerState
-	StartedAtMillis           int64 // its last start, Unix time in milliseconds; 0: long ago
+	StartedAtMillis           int64 // the last start as Unix time in milliseconds; 0: long ago
 }
 
-// RetiredEndpoint is an address to which connections are of no use any more: its worker has moved, restarted or is leaving.
+// RetiredEndpoint is an address whose connections must not be reused, because its worker has moved, restarted or is leaving.
 type RetiredEndpoint struct{ Address string }
 
-// OnEndpointRetired sets the function that is called when an endpoint is retired, replacing the previous one. It is called with the
-// engine's lock held and must not call the engine.
+// OnEndpointRetired sets the function that is called when an endpoint is retired, and replaces the previous one. The function is called
+// with the engine's lock held and must not call the engine.
 func (e *Engine) OnEndpointRetired(f func(RetiredEndpoint)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.onEndpointRetired = f
 }
 
-// Ready reports whether any worker may be sent to, and whether an endpoint list has been received from discovery since the process started.
+// Ready reports whether any worker is usable, and whether an endpoint list has been received from discovery since the process started.
 func (e *Engine) Ready() (available, synced bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -47,8 +47,8 @@
 	return false, e.synced
 }
 
-// UpdateEndpoints applies an update from discovery. Updates must be passed in order. The version for the decision module is the engine's
-// own count of updates, since discovery's may restart from a lower number.
+// UpdateEndpoints applies an update from discovery. Updates must be passed in order. The version that the decision module receives is the
+// engine's own count of updates, because discovery's version may restart from a lower number.
 func (e *Engine) UpdateEndpoints(list EndpointList) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -78,12 +78,12 @@
 	if len(e.restrictions.MaintenanceHosts)+len(e.restrictions.LeasedHosts) > 0 {
 		e.applyRestrictions() // a worker may have moved to a restricted host
 	}
-	e.updateLeaseExclusions() // before the decision module learns of a worker that it must not use yet
+	e.updateLeaseExclusions() // before the decision module is notified of workers that need the lease
 	e.logChanges()
 	e.handle(e.now(), &event)
 }
 
-// retireUnlisted marks all workers as gone that a snapshot does not contain. The caller must hold the lock.
+// retireUnlisted marks all workers as gone that are missing in a snapshot. The caller must hold the lock.
 func (e *Engine) retireUnlisted(listed map[dispatch.WorkerID]bool) {
 	for id := range e.workers {
 		if listed[dispatch.WorkerID(id)] {
@@ -105,7 +105,7 @@
 	}
 }
 
-// updateWorker applies one endpoint and returns its start on the decision module's clock. The caller must hold the lock.
+// updateWorker applies one endpoint and returns the worker's start on the decision module's clock. The caller must hold the lock.
 func (e *Engine) updateWorker(id dispatch.WorkerID, endpoint *Endpoint) dispatch.Time {
 	worker := e.ensureWorker(id)
 	old := &worker.endpoint
@@ -130,7 +130,7 @@
 			worker.formerHosts = nil
 		}
 	}
-	worker.latestStartMillis = max(worker.latestStartMillis, endpoint.StartedAtMillis) // a worker may be listed as gone without its start
+	worker.latestStartMillis = max(worker.latestStartMillis, endpoint.StartedAtMillis) // an entry for a worker that is gone may lack the start
 	worker.endpoint = *endpoint
 	if changed && e.syncedBefore {
 		e.recordChange(worker)
@@ -138,7 +138,7 @@
 	return worker.startedAt
 }
 
-// Endpoints returns the complete endpoint list and its revision: while the revision is the same, so is the list.
+// Endpoints returns the complete endpoint list and its revision. The list is unchanged while the revision is.
 func (e *Engine) Endpoints() (list EndpointList, revision uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -151,22 +151,22 @@
 	return list, e.revision
 }
 
-// EndpointsRevision returns the revision of the endpoint list: the number of updates.
+// EndpointsRevision returns the revision of the endpoint list, which is the number of updates.
 func (e *Engine) EndpointsRevision() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.revision
 }
 
-// ListedWorker is the latest start and state of a worker on this dispatcher's endpoint list.
+// ListedWorker contains the latest start and the state of a worker on this dispatcher's endpoint list.
 type ListedWorker struct {
 	Name            string
-	StartedAtMillis int64 // the latest listed start, Unix time in milliseconds; 0: long ago
+	StartedAtMillis int64 // the latest listed start as Unix time in milliseconds; 0: long ago
 	State           dispatch.WorkerState
 }
 
-// ListedWorkers returns all workers of this dispatcher's endpoint list, including those that left it less than goneFor ago, and whether a
-// list has been received from discovery since the process started.
+// ListedWorkers returns all workers of this dispatcher's endpoint list, including those that have been gone for less than goneFor. synced
+// reports whether a list has been received from discovery since the process started.
 func (e *Engine) ListedWorkers(goneFor time.Duration) (workers []ListedWorker, synced bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -182,7 +182,7 @@
 	return workers, e.synced
 }
 
-// SetWatching sets whether the watch on discovery is up: it has delivered its list and has not broken since.
+// SetWatching sets whether the discovery watch is up. It is up from the delivery of its list until it breaks.
 func (e *Engine) SetWatching(watching bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -194,7 +194,7 @@
 	}
 }
 
-// WatchingFor returns how long the watch on discovery has been up without a break; negative: it is down.
+// WatchingFor returns the time since the discovery watch came up; it is negative while the watch is down.
 func (e *Engine) WatchingFor() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/engine/exclusion.go
+++ b/internal/engine/exclusion.go
@@ -2,17 +2,17 @@
 
 import "birchfork/dispatch"
 
-// exclusion is a set of reasons why nothing is sent to a worker, whatever the endpoint list says of it.
+// exclusion is a set of reasons why nothing is sent to a worker, whatever its state on the endpoint list.
 type exclusion uint8
 
-// The reasons.
+// Reasons for an exclusion.
 const (
-	excludedByOperator    exclusion = 1 << iota // the operators have disabled it
-	excludedByMaintenance                       // the group has its machine under maintenance
-	excludedWithoutLease                        // it needs the lease, which has expired; the worker itself is not in doubt
-	excludedAsOutdated                          // another member of the group knows a later state of it than this dispatcher's endpoint list
+	excludedByOperator    exclusion = 1 << iota // an operator has disabled the worker
+	excludedByMaintenance                       // the group has the worker's machine under maintenance
+	excludedWithoutLease                        // the worker needs the lease, which has expired
+	excludedAsOutdated                          // another member of the group knows a later state of the worker than this endpoint list has
 
-	// restartExclusions are those after which a worker counts as restarted: whoever ends one has restarted it meanwhile.
+	// restartExclusions are the reasons after which a worker counts as restarted, because it is restarted before the exclusion ends.
 	restartExclusions = excludedByOperator | excludedByMaintenance
 )
 
@@ -22,16 +22,17 @@
 	if reason != excludedWithoutLease {
 		worker.generation++
 		if worker.exclusions == 0 {
-			e.onEndpointRetired(RetiredEndpoint{worker.endpoint.Address}) // connections lead to a process that ends or has ended
+			e.onEndpointRetired(RetiredEndpoint{worker.endpoint.Address}) // the worker process at the other end is about to end or has ended
 		}
 	}
 	worker.exclusions |= reason
 	e.handle(e.now(), &dispatch.Event{Kind: dispatch.WorkerDisabled, Worker: id})
 }
 
-// include removes a reason that ended the given time ago. If none is left, requests are sent to the worker again. The decision module gets
-// the start of the worker's warm-up: the end of the last of restartExclusions or, after any other reason, the listed start if that is
-// later. A worker that was warming up thus continues to do so. The caller must hold the lock.
+// include removes a reason; elapsed is the time since it ceased to apply. If no reason is left, requests are sent to the worker again. The
+// decision module receives the time since the worker's warm-up started. The warm-up starts at the end of the last of restartExclusions or,
+// after any other reason, at the listed start if that is later, so that a worker that was warming up continues to do so. The caller must
+// hold the lock.
 func (e *Engine) include(id dispatch.WorkerID, reason exclusion, elapsed dispatch.Time) {
 	worker := &e.workers[id]
 	now := e.now()
@@ -54,7 +55,7 @@
 	e.handle(now, &dispatch.Event{Kind: dispatch.WorkerEnabled, Worker: id, Elapsed: now - since})
 }
 
-// setExcluded excludes a worker for a reason, or includes it, unless that is the case already. The caller must hold the lock.
+// setExcluded adds or removes a reason for the exclusion of a worker. It has no effect if nothing changes. The caller must hold the lock.
 func (e *Engine) setExcluded(id dispatch.WorkerID, reason exclusion, excluded bool) {
 	was := e.workers[id].exclusions&reason != 0
 	switch {
@@ -65,8 +66,8 @@
 	}
 }
 
-// ExcludeOutdated excludes the workers of which other members of the group know a later state than this dispatcher's endpoint list has, and
-// includes those that were excluded for this reason before. Unknown names are ignored.
+// ExcludeOutdated excludes the named workers, for which other members of the group know a later state than this dispatcher's endpoint list
+// has. It includes all other workers that were excluded for this reason before. Unknown names are ignored.
 func (e *Engine) ExcludeOutdated(names []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/engine/heartbeat.go
+++ b/internal/engine/heartbeat.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// Detection and handling of a stall of the process.
+// Parameters for stalls of the process.
 const (
-	stallThreshold = 250 * time.Millisecond // longest time without a heartbeat that is not a stall
-	stallPause     = 30 * time.Millisecond  // time after a stall for the watch on discovery to read what has arrived meanwhile
+	stallThreshold = 250 * time.Millisecond // a longer time without a heartbeat is a stall
+	stallPause     = 30 * time.Millisecond  // time for the discovery watch to read the updates that arrived during the stall
 )
 
-// Heartbeat records that the process runs. It must be called every few dozen milliseconds. It also notices that a lease has expired.
+// Heartbeat records that the process is running. It must be called every few dozen milliseconds. It also checks whether the lease has
+// expired.
 func (e *Engine) Heartbeat() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -19,7 +20,7 @@
 	e.updateLeaseExclusions()
 }
 
-// recordHeartbeat records a heartbeat and, if it is late, until when nothing is sent. The caller must hold the lock.
+// recordHeartbeat records a heartbeat and, if it follows a stall, starts the pause in which nothing is sent. The caller must hold the lock.
 func (e *Engine) recordHeartbeat(now time.Time) {
 	if !e.lastHeartbeat.IsZero() && now.Sub(e.lastHeartbeat) > stallThreshold {
 		e.pauseEnd = now.Add(stallPause)
@@ -28,13 +29,13 @@
 	e.lastHeartbeat = now
 }
 
-// waitAfterStall waits until the pause after a stall is over, or until ctx ends. It guards against an attempt at a worker whose drain
-// arrived while the process stood still: the drain counts as delivered, although the watch has not read it yet.
+// waitAfterStall waits until the pause after a stall is over or ctx is done. It prevents an attempt at a worker whose drain arrived during
+// the stall: the drain counts as delivered, although the discovery watch has not read it yet.
 func (e *Engine) waitAfterStall(ctx context.Context) {
 	e.mu.Lock()
 	now := time.Now()
 	if !e.lastHeartbeat.IsZero() {
-		e.recordHeartbeat(now) // an attempt may be the first to run after the stall
+		e.recordHeartbeat(now) // the attempt may run before the first heartbeat after the stall
 	}
 	pause := e.pauseEnd.Sub(now)
 	e.mu.Unlock()
--- a/internal/engine/lease.go
+++ b/internal/engine/lease.go
@@ -7,7 +7,7 @@
 	"birchfork/internal/failpoint"
 )
 
-// SetLeaseExpiry sets when the group's lease expires. A time that is not in the future ends the lease.
+// SetLeaseExpiry sets the expiry of the group's lease. A time that is not in the future ends the lease.
 func (e *Engine) SetLeaseExpiry(expiry time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -15,7 +15,8 @@
 	e.updateLeaseExclusions()
 }
 
-// SetPlansUnknown sets whether the group's maintenance plans are unknown. Any worker may be under maintenance then, and needs the lease.
+// SetPlansUnknown sets whether the group's maintenance plans are unknown. If they are, any worker may be under maintenance, and all workers
+// need the lease.
 func (e *Engine) SetPlansUnknown(unknown bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -32,8 +33,8 @@
 	return !needed || time.Now().Before(e.leaseExpiry)
 }
 
-// updateLeaseExclusions notifies the decision module of the workers to which nothing may be sent without the lease, so that it chooses
-// others. A worker that is included again counts as started at its listed start. The caller must hold the lock.
+// updateLeaseExclusions excludes the workers that need the lease while it is not valid, so that the decision module chooses others, and
+// includes them again when it is. A worker that is included again counts as started at its listed start. The caller must hold the lock.
 func (e *Engine) updateLeaseExclusions() {
 	inUse := e.plansUnknown || len(e.leasedWorkers) > 0
 	e.leaseInUse.Store(inUse)
--- a/internal/engine/outlier.go
+++ b/internal/engine/outlier.go
@@ -5,20 +5,20 @@
 	"birchfork/internal/failpoint"
 )
 
-// minConsecutiveFailures is how many attempts in a row have to fail at a worker before the worker is reported to the other dispatchers. With
-// 1, every chance failure would be reported. In testbed runs of 16 dispatchers with three bad workers, 9 requests failed in three runs with
-// 1, 30 with 2 and 42 with 3 (docs/results.md).
+// minConsecutiveFailures is the number of consecutive failed attempts at a worker after which it is reported to the other dispatchers. With
+// 1, every random failure would be reported. Higher values fail more requests: in three testbed runs of 16 dispatchers with three bad
+// workers, 9 requests failed with 1, 30 with 2 and 42 with 3 (docs/results.md).
 const minConsecutiveFailures = 2
 
-// OnOutlier sets the function that is called when several attempts in a row have failed at a worker, replacing the previous one. It is
-// called with the engine's lock held and must not call the engine.
+// OnOutlier sets the function that is called after minConsecutiveFailures or more consecutive failed attempts at a worker, and replaces the
+// previous one. The function is called with the engine's lock held and must not call the engine.
 func (e *Engine) OnOutlier(f func(worker string)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.onOutlier = f
 }
 
-// HandleOutlierReport passes another dispatcher's report that attempts fail at a worker to the decision module. Unknown names are ignored.
+// HandleOutlierReport passes another dispatcher's report of failing attempts at a worker to the decision module. Unknown names are ignored.
 func (e *Engine) HandleOutlierReport(name string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -34,8 +34,8 @@
 	e.handle(e.now(), &dispatch.Event{Kind: dispatch.OutlierReported, Worker: id})
 }
 
-// trackFailures counts failed attempts in a row at a worker, and reports the worker. Outcomes that do not depend on the worker are ignored.
-// The caller must hold the lock.
+// trackFailures counts consecutive failed attempts at a worker and reports the worker as an outlier. Outcomes that do not depend
+// on the worker are ignored. The caller must hold the lock.
 func (e *Engine) trackFailures(id dispatch.WorkerID, result dispatch.Result) {
 	worker := e.knownWorker(id)
 	if e.onOutlier == nil || worker == nil {
--- a/internal/engine/overrides.go
+++ b/internal/engine/overrides.go
@@ -8,16 +8,16 @@
 	"birchfork/dispatch"
 )
 
-// Override is the operators' last decision on a worker.
+// Override is the latest operator override of a worker.
 type Override struct {
-	Disabled bool      // nothing is sent to the worker; otherwise it is enabled again
-	At       time.Time // time of the decision
+	Disabled bool      // true: nothing is sent to the worker; false: the worker is enabled again
+	At       time.Time // time of the operator's command
 }
 
-// ApplyOverrides applies operators' overrides, keyed by worker name. Once it returns nothing is sent to a disabled worker, whatever the
-// endpoint list says. A worker that is enabled again has been restarted meanwhile, and counts as started at that time. An override that is
-// not newer than the one in force is ignored: another process of this dispatcher may repeat it. Names that have not been listed are
-// accepted, since they may be listed later.
+// ApplyOverrides applies operators' overrides, keyed by worker name. After it has returned, nothing is sent to a disabled worker, whatever
+// its state on the endpoint list. A worker that is enabled again counts as started at the time of that override, because it has been
+// restarted. An override that is not newer than the one in force is ignored, because a sibling process may repeat it. Names of workers that
+// have not been listed are accepted, because they may be listed later.
 func (e *Engine) ApplyOverrides(overrides map[string]Override) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -41,7 +41,7 @@
 	}
 }
 
-// DisabledWorkers returns the names of the workers that the operators have disabled, sorted.
+// DisabledWorkers returns the sorted names of the workers that operators have disabled.
 func (e *Engine) DisabledWorkers() (names []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -9,21 +9,21 @@
 	"birchfork/internal/settings"
 )
 
-// RequestSpec is a request as a frontend has decoded it.
+// RequestSpec is a request as decoded by a frontend.
 type RequestSpec struct {
 	ID       string
 	Class    string
 	Tenant   string        // empty: none
-	TimeLeft time.Duration // until its client gives up
-	Slots    int           // that it takes at a worker; below 1 counts as 1
+	TimeLeft time.Duration // time until the client times out
+	Slots    int           // slots that the request occupies at a worker; values below 1 count as 1
 	Memory   float64
-	Retry    bool   // its client marks it as a retry
-	Key      string // affinity key: the data that the request needs; empty: none
+	Retry    bool   // the client has marked the request as a retry
+	Key      string // affinity key, which identifies the data that the request needs; empty: none
 	Method   string // Method and Path are matched by the operators' routes
 	Path     string
 }
 
-// Errors of Open. Clients read their texts, which must not change.
+// Errors of Open. Their texts must not change, because they are sent to clients.
 var (
 	ErrUnknownClass  = errors.New("the class is not in the settings")
 	ErrUnknownTenant = errors.New("the tenant is not in the settings")
@@ -34,11 +34,11 @@
 // DecisionKind is the type of a Decision.
 type DecisionKind uint8
 
-// The kinds of decisions, with the fields of Decision that each uses. All but DecisionSend are final.
+// The kinds of decisions, each with the field of Decision that it uses. All kinds except DecisionSend are final.
 const (
-	DecisionSend    DecisionKind = iota // Attempt: to be carried out
-	DecisionServe                       // Result: answers the request
-	DecisionShed                        // RetryAfter: the request is rejected, and no attempt of it has run
+	DecisionSend    DecisionKind = iota // Attempt: the attempt to execute
+	DecisionServe                       // Result: the response to the client
+	DecisionShed                        // RetryAfter: the request is rejected; none of its attempts has run
 	DecisionFail                        // the request has failed, and may have run
 	DecisionInvalid                     // the request is invalid, according to a worker
 )
@@ -48,25 +48,25 @@
 	Kind       DecisionKind
 	Attempt    *Attempt
 	Result     []byte
-	RetryAfter time.Duration // 0: no advice
+	RetryAfter time.Duration // 0: unspecified
 }
 
-// Request is an open request. Whoever opened it reads its decisions until a final one arrives, and always closes it.
+// Request is an open request. The caller of Open receives its decisions until a final one arrives, and always closes it.
 type Request struct {
 	engine      *Engine
 	id          dispatch.RequestID
-	deadline    time.Time // when its client gives up
+	deadline    time.Time // time at which the client times out
 	decisions   chan Decision
-	maxAttempts int // capacity of decisions, without the final one
+	maxAttempts int // maximum number of attempts; decisions has this capacity plus one for the final decision
 
 	// Guarded by the engine's lock.
 	attempts    []*Attempt
-	finished    bool        // no answer is required any more
-	reservation reservation // its use of the operators' limits
+	finished    bool        // the request has been answered or abandoned
+	reservation reservation // what the request uses of the operators' limits
 }
 
-// Open admits a request and passes it to the decision module. It returns ErrUnknownClass, ErrUnknownTenant, ErrTooManyOpen, ErrDuplicateID
-// or a *LimitError for a request that is not admitted, of which the decision module is not notified.
+// Open admits a request and passes it to the decision module. For a request that is not admitted it returns ErrUnknownClass,
+// ErrUnknownTenant, ErrTooManyOpen, ErrDuplicateID or a *LimitError, and does not notify the decision module.
 func (e *Engine) Open(spec RequestSpec) (*Request, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -77,8 +77,8 @@
 	if e.maxOpen > 0 && e.openRequests >= e.maxOpen {
 		return nil, ErrTooManyOpen
 	}
-	// Guards against a client that sends the id of another client's request: it gets neither that request's answer nor its attempts, and
-	// causes no second effect. Clients use a new id for each request.
+	// A client may send the id of another client's request. It must not receive the response to that request, use its attempts, or cause a
+	// second effect. Clients use a new id for each request.
 	if e.recentIDs.contains(spec.ID) {
 		return nil, ErrDuplicateID
 	}
@@ -100,7 +100,7 @@
 	return request, nil
 }
 
-// classAndTenant returns the ids of a request's class and tenant; the tenant's is -1 if there is none. The caller must hold the lock.
+// classAndTenant returns the ids of a request's class and tenant; the tenant id is -1 if there is none. The caller must hold the lock.
 func (e *Engine) classAndTenant(spec *RequestSpec) (class, tenant int, err error) {
 	class, err = e.names.ClassID([]byte(settings.NormalizeName(spec.Class)))
 	if err != nil {
@@ -116,13 +116,13 @@
 	return class, tenant, nil
 }
 
-// addRequest registers and counts a request that has been admitted. The caller must hold the lock.
+// addRequest registers and counts an admitted request. The caller must hold the lock.
 func (e *Engine) addRequest(id dispatch.RequestID, spec *RequestSpec, reserved reservation) *Request {
 	request := &Request{
 		engine:      e,
 		id:          id,
 		deadline:    time.Now().Add(spec.TimeLeft),
-		decisions:   make(chan Decision, e.maxAttempts+1), // all attempts and the final decision: sending never blocks
+		decisions:   make(chan Decision, e.maxAttempts+1), // room for all attempts and the final decision, so that sending never blocks
 		maxAttempts: e.maxAttempts,
 		reservation: reserved,
 	}
@@ -136,11 +136,11 @@
 	return request
 }
 
-// Decisions returns the channel on which the decisions on the request arrive in order. It is never closed.
+// Decisions returns the channel that delivers the decisions on the request in order. It is never closed.
 func (r *Request) Decisions() <-chan Decision { return r.decisions }
 
-// Close ends the caller's use of the request. Without a final decision, its client has disconnected. Attempts that have begun continue
-// until they end by themselves or are cancelled. Close may be called more than once.
+// Close ends the caller's use of the request. A request without a final decision is abandoned, because its client has disconnected. Running
+// attempts continue until they end by themselves or are cancelled. Close may be called more than once.
 func (r *Request) Close() {
 	r.engine.mu.Lock()
 	defer r.engine.mu.Unlock()
@@ -151,8 +151,8 @@
 	r.drainDecisions()
 }
 
-// Abort ends the request because its time is up, or because this process stops. It returns the final decision: the decision module's if
-// that has arrived meanwhile, otherwise DecisionShed if the request cannot have run, and DecisionFail if it may have.
+// Abort ends the request because its deadline has passed or this process stops. It returns the decision module's final decision if there is
+// one. Otherwise it returns DecisionShed if the request cannot have run, or DecisionFail if it may have run.
 func (r *Request) Abort() Decision {
 	r.engine.mu.Lock()
 	defer r.engine.mu.Unlock()
@@ -161,7 +161,7 @@
 	}
 	r.engine.Counters.Overdue.Add(1)
 	r.abandon()
-	r.drainDecisions() // an attempt that was not received from the channel never ran
+	r.drainDecisions() // an attempt that has not been received from the channel never ran
 	for _, attempt := range r.attempts {
 		if !attempt.neverRan {
 			return Decision{Kind: DecisionFail}
@@ -170,8 +170,8 @@
 	return Decision{Kind: DecisionShed}
 }
 
-// abandon ends a request without a decision of the decision module, and notifies the module that its client has gone. The caller must hold
-// the lock.
+// abandon ends a request without a final decision of the decision module, and notifies the module that the request was abandoned. The
+// caller must hold the lock.
 func (r *Request) abandon() {
 	r.finish()
 	r.reservation.release(r.engine.now(), admission.Ignored)
@@ -180,14 +180,14 @@
 	r.engine.releaseID(r)
 }
 
-// finish records that no answer is required any more. The caller must hold the lock.
+// finish records that the request has been answered or abandoned. The caller must hold the lock.
 func (r *Request) finish() {
 	r.finished = true
 	r.engine.openRequests--
 }
 
-// drainDecisions receives the remaining decisions and returns the final one, if it is among them. It guards against an attempt that nobody
-// carries out, and so nobody ends. The caller must hold the lock.
+// drainDecisions receives the remaining decisions and returns the final one if it is among them. It finishes the attempts among them, since
+// no caller will execute and finish them. The caller must hold the lock.
 func (r *Request) drainDecisions() (final Decision) {
 	for {
 		select {
@@ -203,7 +203,7 @@
 	}
 }
 
-// respond ends a request with a final decision; a second one is ignored. The caller must hold the lock.
+// respond ends a request with a final decision. Further final decisions are ignored. The caller must hold the lock.
 func (r *Request) respond(decision Decision) {
 	if r.finished {
 		return
@@ -215,13 +215,13 @@
 	}
 	r.reservation.finish(r, decision.Kind)
 	r.decisions <- decision
-	if decision.Kind != DecisionServe { // with DecisionServe, the end of the attempt that has just succeeded does both
+	if decision.Kind != DecisionServe { // after DecisionServe, the end of the successful attempt does both
 		r.engine.names.RequestAnswered(r.id)
 		r.engine.releaseID(r)
 	}
 }
 
-// runTime returns how long the request has run until now at the worker where it started first. The caller must hold the lock.
+// runTime returns the time since the request first started to run at a worker; 0 if it has not started. The caller must hold the lock.
 func (r *Request) runTime(now dispatch.Time) (longest dispatch.Time) {
 	for _, attempt := range r.attempts {
 		if attempt.startedAt > 0 {
@@ -231,7 +231,8 @@
 	return longest
 }
 
-// releaseID removes a request whose id has been released: it is finished, and so are all its attempts. The caller must hold the lock.
+// releaseID removes a request if its id has been released because the request and all its attempts are finished. The caller must hold the
+// lock.
 func (e *Engine) releaseID(request *Request) {
 	if e.names.RequestName(request.id) == "" && e.requests[request.id] == request {
 		e.requests[request.id] = nil
--- a/internal/engine/restrictions.go
+++ b/internal/engine/restrictions.go
@@ -9,19 +9,20 @@
 	"birchfork/internal/failpoint"
 )
 
-// Restrictions are the group's decisions on workers, by name or by the hosts where they are listed. They only exclude workers: none is used
-// because of them.
+// Restrictions are the group's restrictions on workers, by worker name or by listed host. They can only exclude workers; they never make a
+// worker usable.
 type Restrictions struct {
-	MaintenanceWorkers, MaintenanceHosts map[string]bool // under maintenance: nothing is sent there
-	LeasedWorkers, LeasedHosts           map[string]bool // of active plans: used only while the lease is valid
+	MaintenanceWorkers, MaintenanceHosts map[string]bool // under maintenance: nothing is sent to them
+	LeasedWorkers, LeasedHosts           map[string]bool // part of active plans: used only while the lease is valid
 }
 
-// runtimeSlack is how much later than its deadline a request may end at a worker, which knows only the time left: the time of the request's
-// transmission, and the inaccuracy of the worker's own timer.
+// runtimeSlack is the maximum time by which a request may exceed its deadline at a worker. The worker receives only the time left, so that
+// the transmission time and the inaccuracy of the worker's timer add to it.
 const runtimeSlack = 250 * time.Millisecond
 
-// SetRestrictions replaces the group's restrictions. Once it returns nothing is sent to workers under maintenance, and to leased ones only
-// while the lease is valid. A worker whose maintenance ends has been restarted meanwhile. The caller must not change the maps afterwards.
+// SetRestrictions replaces the group's restrictions. After it has returned, nothing is sent to workers under maintenance, and leased
+// workers are used only while the lease is valid. A worker whose maintenance ends counts as restarted. The caller must not change the maps
+// afterwards.
 func (e *Engine) SetRestrictions(restrictions Restrictions) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -29,7 +30,7 @@
 	e.applyRestrictions()
 }
 
-// applyRestrictions applies the restrictions to the workers as listed now: another worker may be listed at a restricted host. The caller
+// applyRestrictions applies the restrictions to the current endpoint list, on which another worker may be at a restricted host. The caller
 // must hold the lock.
 func (e *Engine) applyRestrictions() {
 	for _, id := range e.leasedWorkers {
@@ -52,7 +53,7 @@
 	e.updateLeaseExclusions()
 }
 
-// findWorkers returns the workers with these names, listed or not, and those at these hosts. The caller must hold the lock.
+// findWorkers returns the workers with the given names, listed or not, and the workers at the given hosts. The caller must hold the lock.
 func (e *Engine) findWorkers(names, hosts map[string]bool) (ids []dispatch.WorkerID) {
 	for _, name := range slices.Sorted(maps.Keys(names)) {
 		id := e.names.InternWorker(name)
@@ -68,16 +69,16 @@
 	return ids
 }
 
-// SetMaxAttemptDuration limits attempts that begin from now on, whatever time their clients allow; 0: no limit. A group that waits for a
-// member that does not respond has to know how long a request of that member may run.
+// SetMaxAttemptDuration limits the duration of new attempts, whatever the deadlines of their requests; 0: no limit. A group that waits for
+// an unresponsive member has to know how long a request of that member may run.
 func (e *Engine) SetMaxAttemptDuration(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.maxAttemptDuration = d
 }
 
-// recordAttemptEnd records the end of an attempt. Unless the outcome shows that the request has ended at the worker, it may run up to its
-// deadline. The caller must hold the lock.
+// recordAttemptEnd records the end of an attempt. Unless the outcome shows that the request has ended at the worker, the request may run
+// there until its deadline. The caller must hold the lock.
 func (e *Engine) recordAttemptEnd(attempt *Attempt, result dispatch.Result) {
 	worker := e.knownWorker(attempt.worker)
 	if worker == nil {
@@ -93,8 +94,8 @@
 	}
 }
 
-// BusyWorkers returns, sorted, the names of the workers that are leased or under maintenance where a request of this dispatcher runs or may
-// run, and the hosts where it does, including those from which other workers have moved away meanwhile.
+// BusyWorkers returns the sorted names of the workers that are leased or under maintenance and may be running a request of this dispatcher.
+// It also returns the sorted hosts of these workers, and the former hosts of any worker that may still be running a request there.
 func (e *Engine) BusyWorkers() (names, hosts []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/engine/starttime.go
+++ b/internal/engine/starttime.go
@@ -6,12 +6,13 @@
 	"birchfork/dispatch"
 )
 
-// maxListingDelay is the longest time from a worker's start to its first listing that a clock is believed.
+// maxListingDelay is the maximum plausible time between a worker's start and its first listing. A longer time is attributed to a clock
+// step.
 const maxListingDelay = 10 * dispatch.Second
 
-// startTime converts a listed start, Unix time in milliseconds, to the decision module's clock; 0 stays 0. Each start is converted once: a
-// further reading of the wall clock would give another time, which the decision module would take for a restart. The caller must hold the
-// lock.
+// startTime converts a listed start, in Unix milliseconds, to the decision module's clock; 0 stays 0. Each start is converted only once: a
+// second conversion would use another reading of the wall clock, and the decision module would take the different result for a restart. The
+// caller must hold the lock.
 func (e *Engine) startTime(worker *workerState, startedAtMillis int64) dispatch.Time {
 	if startedAtMillis <= 0 {
 		return 0
@@ -23,10 +24,10 @@
 	return worker.convertedStart
 }
 
-// startAge returns how long ago a worker started at most, for all that the clocks tell. A wall clock that is stepped forward must not make
-// a cold worker warm, and one that is stepped back must not keep it cold: the age is the lower one by the wall clock and by the clock of
-// this process, never below 0, and 0 for a worker that a followed list shows for the first time with an age that no new worker has. The
-// caller must hold the lock.
+// startAge returns the age of a worker that started at the given Unix time in milliseconds. A wall clock that is stepped forward must not
+// make a cold worker count as warm, and one that is stepped back must not keep it cold for as long as the step. The age is therefore the
+// lower of the ages by the wall clock and by the engine's clock, and at least 0. It is also 0 for a new start whose age exceeds
+// maxListingDelay, unless the first list from discovery contains it. The caller must hold the lock.
 func (e *Engine) startAge(startedAtMillis int64) dispatch.Time {
 	startedAt := dispatch.Time(startedAtMillis) * dispatch.Millisecond
 	age := min(dispatch.Time(time.Now().UnixMicro()), e.now()) - startedAt
