--- a/internal/admission/concurrencylimit.go
+++ b/internal/admission/concurrencylimit.go
@@ -7,35 +7,35 @@
 
 // Parameters of the adaptive limit.
 const (
-	adaptWindow      = 250 * time.Millisecond // the limit changes at most once in this time
-	minSamples       = 5                      // minimum number of outcomes in a window to adapt the limit
-	maxLateFraction  = 0.1                    // fraction of the outcomes that may be late
-	decreaseFactor   = 0.9                    // factor on the limit if more are late
-	increaseFraction = 0.04                   // growth of the limit, as a fraction of its maximum, if no more are late and it is in use
+	adaptWindow      = 250 * time.Millisecond // the limit changes at most once per window
+	minSamples       = 5                      // minimum number of outcomes in a window for a change of the limit
+	maxLateFraction  = 0.1                    // fraction of late outcomes above which the limit decreases
+	decreaseFactor   = 0.9                    // factor by which the limit decreases
+	increaseFraction = 0.04                   // step by which the limit increases, as a fraction of its maximum
 )
 
 const (
-	contentionThreshold = 0.75 // fraction of the limit in use from which there is contention
-	priorityReserve     = 0.3  // fraction of the limit that the lowest priority leaves to the highest
+	contentionThreshold = 0.75 // minimum fraction of the limit in use that counts as contention
+	priorityReserve     = 0.3  // fraction of the limit that is unavailable to the lowest priority
 )
 
-// concurrencyLimit limits the open requests over all routes. An adaptive limit follows the measured service by additive
-// increase and multiplicative decrease, and never exceeds the configured maximum.
+// concurrencyLimit limits the open requests of all routes. An adaptive limit changes with the fraction of late outcomes,
+// by additive increase and multiplicative decrease, and never exceeds the configured maximum.
 type concurrencyLimit struct {
 	maxOpen  int // 0: no limit
 	minOpen  int
 	adaptive bool
 
 	open    int
-	current float64 // at most maxOpen
+	current float64 // current limit, at most maxOpen; 0: no limit
 
 	windowStart time.Duration
-	timely      int // outcomes in the window
-	late        int
+	timely      int // timely outcomes in the window
+	late        int // late outcomes in the window
 	peakOpen    int // maximum of open in the window
 }
 
-// configure changes the bounds. An adaptive limit keeps its value if its maximum is unchanged.
+// configure sets the bounds. An adaptive limit keeps its current value if the maximum is unchanged.
 func (c *concurrencyLimit) configure(config *Config) {
 	sameMax := c.maxOpen == config.MaxOpen
 	c.maxOpen = config.MaxOpen
@@ -49,16 +49,16 @@
 // limited reports whether there is a limit.
 func (c *concurrencyLimit) limited() bool { return c.current > 0 }
 
-// full reports whether the limit on open requests is reached.
+// full reports whether the limit is reached.
 func (c *concurrencyLimit) full() bool { return float64(c.open) >= math.Floor(c.current) }
 
-// isReservedFrom reports whether the rest of the limit is reserved for priorities above the given one.
+// isReservedFrom reports whether the remaining capacity is reserved for priorities above the given one.
 func (c *concurrencyLimit) isReservedFrom(priority int) bool {
 	reserved := priorityReserve * float64(MaxPriority-priority) / MaxPriority
 	return float64(c.open) >= c.current*(1-reserved)
 }
 
-// contended reports whether so much of the limit is in use that tenants are limited to their quotas.
+// contended reports whether enough of the limit is in use for tenant quotas to apply.
 func (c *concurrencyLimit) contended() bool { return float64(c.open) >= contentionThreshold*c.current }
 
 func (c *concurrencyLimit) acquire() {
@@ -68,7 +68,7 @@
 
 func (c *concurrencyLimit) release() { c.open-- }
 
-// record counts an outcome of the current window.
+// record counts an outcome in the current window.
 func (c *concurrencyLimit) record(outcome Outcome) {
 	switch outcome {
 	case Timely:
@@ -79,7 +79,7 @@
 	}
 }
 
-// adapt changes the limit according to the window that has ended. It has no effect within a window.
+// adapt changes the limit according to the outcomes in the window, once the window has ended.
 func (c *concurrencyLimit) adapt(now time.Duration) {
 	windowEnded := now >= c.windowStart+adaptWindow
 	if !c.adaptive || c.maxOpen == 0 || !windowEnded {
@@ -90,7 +90,7 @@
 	case samples >= minSamples:
 		c.adjust(samples)
 	case c.open == 0:
-		c.current = float64(c.maxOpen) // nothing is open, so there is no contention
+		c.current = float64(c.maxOpen) // without open requests, there is no load to limit
 	}
 	c.windowStart = now
 	c.timely = 0
@@ -98,13 +98,13 @@
 	c.peakOpen = c.open
 }
 
-// adjust lowers the limit if too many outcomes were late, and otherwise raises it if it was in use.
+// adjust decreases the limit if too many outcomes were late. Otherwise it increases the limit if it was in use.
 func (c *concurrencyLimit) adjust(samples int) {
 	tooManyLate := float64(c.late) > maxLateFraction*float64(samples)
 	inUse := float64(c.peakOpen) >= contentionThreshold*c.current
 	switch {
 	case tooManyLate:
-		// Starts from what was in use: lowering a limit far above it would have no effect for a long time.
+		// The decrease starts at the peak in use: decreasing a limit far above that would have no effect for a long time.
 		lowered := min(c.current, float64(c.peakOpen)) * decreaseFactor
 		c.current = max(float64(min(c.minOpen, c.maxOpen)), lowered, 1)
 	case inUse:
--- a/internal/admission/config.go
+++ b/internal/admission/config.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// RateScope is the set of requests that a route's rate limit counts together.
+// RateScope is the set of requests that share one rate limit of a route.
 type RateScope uint8
 
-// The scopes.
+// Scopes of a rate limit.
 const (
 	PerRoute  RateScope = iota // all requests of the route
 	PerTenant                  // the requests of each tenant
@@ -15,23 +15,23 @@
 // MaxPriority is the highest priority of a route.
 const MaxPriority = 9
 
-// RouteConfig limits one route. A zero value is no limit.
+// RouteConfig contains the limits of one route. A zero value means no limit.
 type RouteConfig struct {
 	Name                string
-	RateLimited         bool    // Rate is in force; with a Rate of 0 nothing is admitted
+	RateLimited         bool    // Rate applies; a Rate of 0 rejects every request
 	Rate                float64 // requests per second
-	Burst               int     // requests that may arrive at once, at least 1
+	Burst               int     // requests that may arrive at the same time, at least 1
 	RateScope           RateScope
-	MaxConcurrent       int           // open requests; 0: no limit
-	MaxQueued           int           // open requests that have not been sent to a worker yet; 0: no limit
-	RetryBudgeted       bool          // RetryBudget and MinRetriesPerSecond are in force
+	MaxConcurrent       int           // maximum number of open requests; 0: no limit
+	MaxQueued           int           // maximum number of open requests that have not been sent to a worker; 0: no limit
+	RetryBudgeted       bool          // RetryBudget and MinRetriesPerSecond apply
 	RetryBudget         float64       // retries per first request
-	MinRetriesPerSecond float64       // retries per second that are always allowed
+	MinRetriesPerSecond float64       // retries per second that are allowed in addition to RetryBudget
 	Priority            int           // from 0 to MaxPriority
-	RetryAfter          time.Duration // minimum Retry-After of a rejection
+	RetryAfter          time.Duration // minimum Retry-After of rejected requests
 }
 
-// TenantConfig is a tenant's share of the total under contention.
+// TenantConfig defines a tenant's quota under contention.
 type TenantConfig struct {
 	Name   string
 	Weight float64 // relative to the weights of the other active tenants
@@ -41,8 +41,8 @@
 type Config struct {
 	Routes     []RouteConfig
 	Tenants    []TenantConfig
-	MaxOpen    int  // open requests over all routes; 0: no limit
-	Adaptive   bool // the limit on open requests follows the measured service, between MinOpen and MaxOpen
+	MaxOpen    int  // maximum number of open requests of all routes; 0: no limit
+	Adaptive   bool // the limit on open requests adapts to the fraction of late responses, between MinOpen and MaxOpen
 	MinOpen    int
-	MaxBuckets int // maximum number of buckets of rate limits by key or tenant; the least recently used are evicted
+	MaxBuckets int // maximum number of token buckets by key or tenant; the least recently used are evicted
 }
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// tenantActiveFor is how long after its last request a tenant counts as active.
+// tenantActiveFor is the time since its latest request for which a tenant counts as active.
 const tenantActiveFor = 2 * time.Second
 
-// Limiter decides on admission. It is not safe for concurrent use.
+// Limiter decides on the admission of requests. It is not safe for concurrent use.
 type Limiter struct {
 	now     time.Duration
 	routes  []*routeState
@@ -21,8 +21,8 @@
 type routeState struct {
 	RouteConfig
 	open    int
-	queued  int         // open requests that have not been sent to a worker yet
-	bucket  tokenBucket // for a rate limit by route
+	queued  int         // open requests that have not been sent to a worker
+	bucket  tokenBucket // for rate limits by route
 	retries retryBudget
 }
 
@@ -33,15 +33,15 @@
 	everActive    bool
 }
 
-// New returns a Limiter without open requests, at time 0.
+// New returns a Limiter without open requests whose time is 0.
 func New(config Config) *Limiter {
 	limiter := &Limiter{}
 	limiter.Reconfigure(0, config)
 	return limiter
 }
 
-// Reconfigure replaces the configuration. Open requests keep their permits; routes and tenants that keep their names
-// keep their buckets and counts.
+// Reconfigure replaces the configuration. Open requests keep their permits. Routes and tenants that keep their names keep
+// their token buckets and counts.
 func (l *Limiter) Reconfigure(now time.Duration, config Config) {
 	l.advance(now)
 	l.replaceRoutes(config.Routes)
@@ -86,8 +86,7 @@
 	}
 }
 
-// advance sets the time. It guards against a clock that goes back: the time then stands still until the clock has
-// caught up.
+// advance sets the time. If the clock goes back, the time remains unchanged until the clock has caught up.
 func (l *Limiter) advance(now time.Duration) { l.now = max(l.now, now) }
 
 // OpenRequests returns the number of open requests.
@@ -102,7 +101,7 @@
 // OpenRequestsOnRoute returns the number of open requests of a route, given by its index.
 func (l *Limiter) OpenRequestsOnRoute(route int) int { return l.routes[route].open }
 
-// Admit decides on a request. A rejected request consumes nothing.
+// Admit decides whether a request is admitted. A rejected request uses no capacity, token or retry budget.
 func (l *Limiter) Admit(now time.Duration, request Request) Decision {
 	l.advance(now)
 	l.total.adapt(l.now)
@@ -124,7 +123,7 @@
 	return decision
 }
 
-// activeTenant records a request of a tenant and returns the tenant's state; nil if there is no such index.
+// activeTenant records a request of a tenant and returns the tenant's state, or nil if there is no such tenant.
 func (l *Limiter) activeTenant(index int) *tenantState {
 	if index < 0 || index >= len(l.tenants) {
 		return nil
@@ -135,7 +134,7 @@
 	return tenant
 }
 
-// decide checks the limits in order. Those that consume tokens come last, so that a rejected request consumes nothing.
+// decide checks the limits in order. It checks limits that consume tokens last, so that a rejected request consumes none.
 func (l *Limiter) decide(route *routeState, tenant *tenantState, request Request) Decision {
 	if reason := route.checkCapacity(); reason != Admitted {
 		return Decision{Reason: reason}
@@ -165,8 +164,8 @@
 	return Admitted
 }
 
-// checkTotal checks the limit on open requests over all routes, and the parts of it that the route's priority and the
-// tenant may use.
+// checkTotal checks the limit on open requests of all routes, and the parts of it that are available to the route's
+// priority and to the tenant.
 func (l *Limiter) checkTotal(route *routeState, tenant *tenantState) Reason {
 	switch {
 	case !l.total.limited():
@@ -181,8 +180,8 @@
 	return Admitted
 }
 
-// tenantQuota returns how many open requests a tenant may have under contention: its weighted share of the limit among
-// the active tenants. It guards against one tenant that uses up the limit.
+// tenantQuota returns the maximum number of a tenant's open requests under contention: the tenant's weighted share of the
+// limit among the active tenants. It prevents one tenant from using up the limit.
 func (l *Limiter) tenantQuota(tenant *tenantState) float64 {
 	activeWeight := 0.0
 	for _, other := range l.tenants {
@@ -200,7 +199,7 @@
 	return t.open > 0 || t.everActive && now-t.lastRequestAt < tenantActiveFor
 }
 
-// takeToken takes a token of the route's rate limit and returns 0, or returns the time until a token is available.
+// takeToken takes a token from the route's rate limit. It returns 0, or the time until a token is available.
 func (l *Limiter) takeToken(route *routeState, request Request) time.Duration {
 	if !route.RateLimited {
 		return 0
@@ -219,7 +218,7 @@
 	}
 }
 
-// MarkSent records that a request was sent to a worker: it is no longer queued. Further calls have no effect.
+// MarkSent records that a request has been sent to a worker and is no longer queued. Further calls have no effect.
 func (l *Limiter) MarkSent(permit *Permit) {
 	if permit.Valid() && !permit.sent {
 		permit.sent = true
@@ -227,7 +226,7 @@
 	}
 }
 
-// Release returns a permit. It must be called once for each admitted request. An invalid permit has no effect.
+// Release releases a permit. It must be called once for each admitted request. An invalid permit has no effect.
 func (l *Limiter) Release(now time.Duration, permit Permit, outcome Outcome) {
 	if !permit.Valid() {
 		return
--- a/internal/admission/retrybudget.go
+++ b/internal/admission/retrybudget.go
@@ -3,25 +3,25 @@
 import "time"
 
 const (
-	// maxAccumulationTime is the time over which a route may accumulate its MinRetriesPerSecond.
+	// maxAccumulationTime is the time for which a route may accumulate tokens of MinRetriesPerSecond.
 	maxAccumulationTime = 10 * time.Second
 
-	// maxAccumulationRequests is the number of first requests over which a route may accumulate its RetryBudget.
+	// maxAccumulationRequests is the number of first requests for which a route may accumulate tokens of RetryBudget.
 	maxAccumulationRequests = 100
 
-	// retryWaitWithoutMinRate is the Retry-After if only first requests add tokens.
+	// retryWaitWithoutMinRate is the Retry-After of an exhausted budget to which only first requests add tokens.
 	retryWaitWithoutMinRate = time.Second
 
-	// maxRetryWait limits the Retry-After of an exhausted budget, in seconds.
+	// maxRetryWait is the maximum Retry-After of an exhausted budget, in seconds.
 	maxRetryWait = 3600
 )
 
-// retryBudget limits the retries of a route's clients: each first request adds a fraction of a token, each second adds
-// a minimum number of tokens, and each retry takes one.
+// retryBudget limits the retries of a route's clients. Each first request adds a fraction of a token, each second adds
+// minPerSecond tokens, and each retry takes one token.
 type retryBudget struct {
 	enabled      bool
-	perRequest   float64 // tokens added by a first request
-	minPerSecond float64 // tokens added each second
+	perRequest   float64 // tokens added by each first request
+	minPerSecond float64 // tokens added per second
 	tokens       float64
 	refilledAt   time.Duration
 }
@@ -30,7 +30,7 @@
 	return retryBudget{tokens: config.MinRetriesPerSecond, refilledAt: now}
 }
 
-// configure changes the budget's limits and keeps its tokens, up to the new maximum.
+// configure sets the budget's limits and keeps its tokens, up to the new maximum.
 func (b *retryBudget) configure(config *RouteConfig) {
 	b.enabled = config.RetryBudgeted
 	b.perRequest = config.RetryBudget
@@ -38,12 +38,12 @@
 	b.tokens = min(b.tokens, b.maxTokens())
 }
 
-// maxTokens limits the accumulated tokens: a quiet hour must not allow a retry storm.
+// maxTokens returns the maximum number of accumulated tokens. It prevents a retry storm after a time of low traffic.
 func (b *retryBudget) maxTokens() float64 {
 	return max(1, b.minPerSecond, b.minPerSecond*maxAccumulationTime.Seconds(), b.perRequest*maxAccumulationRequests)
 }
 
-// refill adds the tokens for the time since the last refill.
+// refill adds the tokens for the time that has elapsed since the last refill.
 func (b *retryBudget) refill(now time.Duration) {
 	if b.enabled {
 		b.tokens = min(b.tokens+b.minPerSecond*(now-b.refilledAt).Seconds(), b.maxTokens())
@@ -51,7 +51,7 @@
 	b.refilledAt = now
 }
 
-// allows reports whether a request is within the budget: a first request always is, a retry if there is a token.
+// allows reports whether a request is within the budget. A first request always is; a retry is if a token is left.
 func (b *retryBudget) allows(retry bool) bool { return !retry || !b.enabled || b.tokens >= 1 }
 
 // account takes the token of an admitted retry, or adds the tokens of an admitted first request.
@@ -65,7 +65,7 @@
 	}
 }
 
-// wait returns the time until one token has been added by time alone.
+// wait returns the time until a token is available if no first request arrives.
 func (b *retryBudget) wait() time.Duration {
 	if b.minPerSecond <= 0 {
 		return retryWaitWithoutMinRate
--- a/internal/admission/tokenbucket.go
+++ b/internal/admission/tokenbucket.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// unlimitedRate is the rate, in requests per second, from which a limit has no noticeable effect.
+	// unlimitedRate is the rate, in requests per second, from which a limit has no effect.
 	unlimitedRate = 1e9
 
-	// minRate is the rate, in requests per second, below which the next token counts as never available: one token
-	// in more than eleven days.
+	// minRate is the rate, in requests per second, below which the next token counts as never available. It
+	// corresponds to one token in more than eleven days.
 	minRate = 1e-6
 
-	// maxWait is longer than any relevant wait, and far enough from the limit of its type for sums.
+	// maxWait is longer than any relevant wait. It is a quarter of the maximum duration, so that sums do not overflow.
 	maxWait = time.Duration(math.MaxInt64 / 4)
 
-	// minCacheSize is the minimum number of token buckets that are kept by key or tenant, whatever is configured.
+	// minCacheSize is the lower bound on the configured number of token buckets by key or tenant.
 	minCacheSize = 1024
 )
 
-// tokenBucket is a token bucket in the form of the generic cell rate algorithm. Its state is the time at which the
-// bucket will be full.
+// tokenBucket is a token bucket that is implemented with the generic cell rate algorithm. Its state is the time at which
+// the bucket will be full.
 type tokenBucket struct{ fullAt time.Duration }
 
-// take takes one token and returns 0, or returns the time until a token is available.
+// take takes one token. It returns 0, or the time until a token is available.
 func (t *tokenBucket) take(now time.Duration, rate float64, burst int) time.Duration {
-	if !(rate > 0) { // NaN too
+	if !(rate > 0) { // 0, negative or NaN
 		return maxWait
 	}
 	if rate >= unlimitedRate {
@@ -42,8 +42,8 @@
 	if overflow {
 		tolerance = maxWait
 	}
-	// Guards against the state of a bucket with a larger burst or a lower rate, from before a reload: this bucket is
-	// full no later than an empty one with the current configuration would be.
+	// A reload may have reduced the burst or raised the rate. The bucket is full no later than an empty bucket with the
+	// current configuration would be.
 	fullAt := min(max(t.fullAt, now), now+tolerance+interval)
 	if wait := fullAt - tolerance - now; wait > 0 {
 		return wait
@@ -52,12 +52,12 @@
 	return 0
 }
 
-// bucketCache stores token buckets by route and key up to a maximum, and evicts the least recently used ones. A full
-// bucket contains no information, so only a caller who returns before its bucket is full gains from an eviction.
+// bucketCache stores token buckets by route and key. If it is full, it evicts the least recently used bucket. An eviction
+// has the effect of filling the bucket, so that only a client whose bucket was not full yet gains tokens.
 type bucketCache struct {
 	maxSize int
 	entries map[bucketID]*list.Element
-	recent  *list.List // of *cacheEntry, the most recently used first
+	recent  *list.List // elements of type *cacheEntry, the most recently used first
 }
 
 type bucketID struct {
@@ -74,7 +74,7 @@
 	return &bucketCache{maxSize: maxSize, entries: map[bucketID]*list.Element{}, recent: list.New()}
 }
 
-// get returns the bucket of a key, a full one for an unknown key.
+// get returns the bucket of a key. For an unknown key it returns a full bucket.
 func (c *bucketCache) get(route string, key uint64) *tokenBucket {
 	id := bucketID{route, key}
 	element, found := c.entries[id]
@@ -90,7 +90,7 @@
 	return &element.Value.(*cacheEntry).tokenBucket
 }
 
-// replaceOldest reuses the least recently used entry, and its memory, for a new key.
+// replaceOldest evicts the least recently used entry and reuses its memory for a new key.
 func (c *bucketCache) replaceOldest(id bucketID) *list.Element {
 	element := c.recent.Back()
 	entry := element.Value.(*cacheEntry)
--- a/internal/routes/match.go
+++ b/internal/routes/match.go
@@ -2,18 +2,18 @@
 
 import "strings"
 
-// Match is the set of requests to which a route applies. Empty fields match any request.
+// Match defines the requests to which a route applies. An empty field matches any value.
 type Match struct {
 	Class, Tenant, Method string
-	Path                  string // a prefix
+	Path                  string // prefix of the path
 }
 
-// Request is the part of a request by which its route is found.
+// Request contains the properties of a request that determine its route.
 type Request struct {
 	Class, Path, Tenant, Method string
 }
 
-// matches reports whether the route applies to a request.
+// matches reports whether m matches a request.
 func (m *Match) matches(request *Request) bool {
 	return (m.Class == "" || m.Class == request.Class) &&
 		(m.Tenant == "" || m.Tenant == request.Tenant) &&
@@ -30,7 +30,7 @@
 		strings.HasPrefix(m.Path, other.Path)
 }
 
-// overlaps reports whether there are requests that both match.
+// overlaps reports whether any request is matched by both m and other.
 func (m *Match) overlaps(other *Match) bool {
 	compatible := func(a, b string) bool { return a == "" || b == "" || a == b }
 	return compatible(m.Class, other.Class) &&
@@ -39,7 +39,7 @@
 		(strings.HasPrefix(m.Path, other.Path) || strings.HasPrefix(other.Path, m.Path))
 }
 
-// intersection returns a Match of the requests that two overlapping matches have in common.
+// intersection returns a Match of the requests that both m and other match. The two have to overlap.
 func (m *Match) intersection(other *Match) Match {
 	longer := func(a, b string) string {
 		if len(a) > len(b) {
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -1,5 +1,5 @@
-// Package routes finds the operator's route that a request takes, and what that route allows. It contains plain values:
-// no I/O, no clock, no lock. A Table is immutable, and so safe for concurrent use.
+// Package routes finds the operators' route for a request and returns the limits of that route. It does no I/O, reads no
+// clock and takes no lock. A Table is immutable, and therefore safe for concurrent use.
 package routes
 
 import (
@@ -12,31 +12,31 @@
 	"birchfork/internal/admission"
 )
 
-// maxChainLength limits a route and its fallbacks.
+// maxChainLength is the maximum number of routes in a chain: a route and its fallbacks.
 const maxChainLength = 4
 
-// noFallback is the Fallback of a route without one.
+// noFallback is the value of Route.Fallback for a route without a fallback.
 const noFallback = -1
 
-// Route is one of the operator's routes.
+// Route is one of the operators' routes.
 type Route struct {
 	Name      string
 	Match     Match
 	Limits    dispatch.RouteLimits
 	Admission admission.RouteConfig
-	Fallback  int // the route that a request takes next if this one has no capacity or no attempts left; -1: none
+	Fallback  int // index of the route that is tried next if this one has no capacity or no attempts left; -1: none
 }
 
-// Table finds routes. Its last route is the default route, for requests that no other one matches.
+// Table finds the routes of requests. Its last route is the default route, for requests that match no other route.
 type Table struct{ routes []Route }
 
-// Conflict is a pair of routes, by index, that can match the same request while neither is more specific.
+// Conflict is a pair of route indexes. Both routes match some request, and neither of the two is more specific.
 type Conflict struct{ A, B int }
 
-// ConflictError is the error of New. It contains all conflicts between routes.
+// ConflictError is the error that New returns. It contains all conflicts between routes.
 type ConflictError struct{ Conflicts []Conflict }
 
-// Error names the conflicts, one per line.
+// Error returns the conflicts, one per line.
 func (e *ConflictError) Error() string {
 	lines := make([]string, 0, len(e.Conflicts))
 	for _, conflict := range e.Conflicts {
@@ -46,8 +46,8 @@
 }
 
 // New returns a table of the given routes in order, followed by the default route. Two routes that overlap are in
-// conflict unless one is more specific than the other, or a third one matches exactly what they have in common. If
-// there are conflicts the error is a *ConflictError.
+// conflict unless one is more specific than the other, or another route matches exactly the requests that both match. If
+// there are conflicts, the error is a *ConflictError.
 func New(list []Route, defaultRoute Route) (*Table, error) {
 	if conflicts := findConflicts(list); len(conflicts) > 0 {
 		return nil, &ConflictError{conflicts}
@@ -86,7 +86,7 @@
 // Route returns a route by its index.
 func (t *Table) Route(i int) *Route { return &t.routes[i] }
 
-// Find returns the index of the most specific route that matches.
+// Find returns the index of the most specific route that matches a request.
 func (t *Table) Find(request *Request) int {
 	best := len(t.routes) - 1
 	for i := range t.routes[:best] {
@@ -107,8 +107,8 @@
 	return configs
 }
 
-// Chain returns the indexes of a route and its fallbacks, in the order in which a request takes them. It ends before a
-// fallback that is already in it, or after maxChainLength routes.
+// Chain returns the indexes of a route and its fallbacks, in the order in which they are tried. It ends before a fallback
+// that it already contains, or after maxChainLength routes.
 func (t *Table) Chain(i int) []int {
 	chain := []int{i}
 	for len(chain) < maxChainLength {
@@ -121,8 +121,9 @@
 	return chain
 }
 
-// RouteLimits returns the limits of a request that starts on a route: the route's own limits, with the attempts of its
-// fallbacks added. maxAttempts is what the platform allows for one route.
+// RouteLimits returns the limits of a request that starts on the given route: the limits of the route, combined with those
+// of its fallbacks. Attempts are added up, the longest attempt timeout applies, and so do all restrictions on hedging and
+// retries. maxAttempts is the platform's maximum for one route.
 func (t *Table) RouteLimits(i, maxAttempts int) dispatch.RouteLimits {
 	combined := t.routes[i].Limits
 	for _, fallback := range t.Chain(i)[1:] {
@@ -135,7 +136,7 @@
 	return combined
 }
 
-// attemptsOf returns a route's number of attempts; 0 means what the platform allows.
+// attemptsOf returns the maximum number of attempts on a route. If the route sets none, it is the platform's maximum.
 func attemptsOf(limits *dispatch.RouteLimits, maxAttempts int) int {
 	if limits.MaxAttempts > 0 {
 		return min(limits.MaxAttempts, maxAttempts)
@@ -143,7 +144,7 @@
 	return maxAttempts
 }
 
-// longerTimeout returns the longer of two timeouts; 0 is no timeout.
+// longerTimeout returns the longer of two timeouts; 0 means no timeout.
 func longerTimeout(a, b dispatch.Time) dispatch.Time {
 	if a == 0 || b == 0 {
 		return 0
@@ -151,5 +152,5 @@
 	return max(a, b)
 }
 
-// ToTime converts a duration to the unit of the dispatch module, rounded towards 0.
+// ToTime converts a duration to the dispatch module's unit of time, rounded towards 0.
 func ToTime(d time.Duration) dispatch.Time { return dispatch.Time(d.Microseconds()) }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -12,11 +12,11 @@
 	"birchfork/internal/socket"
 )
 
-// noReadLimit is a read limit that is never reached.
+// noReadLimit is the read limit of a connection without a limit.
 const noReadLimit = 1 << 62
 
 // Conn is a connection to a worker that belongs to a Pool. The goroutine that got it from the pool owns it until Put, Close or Reset.
-// Reader and the read limit are not safe for concurrent use; everything else is as safe as net.Conn.
+// Reader and the read limit are not safe for concurrent use; all other methods are, like those of net.Conn.
 type Conn struct {
 	net.Conn
 	Reader *bufio.Reader // data from the worker, up to the read limit
@@ -34,16 +34,16 @@
 	return c
 }
 
-// setReadLimit limits the bytes that may still be read from the connection; after them Reader returns io.EOF.
+// setReadLimit sets the number of bytes that may still be read from the connection. Reader returns io.EOF after them.
 func (c *Conn) setReadLimit(n int64) { c.input.N = n }
 
-// readLimitReached reports whether all bytes up to the read limit have been read.
+// readLimitReached reports whether the read limit has been reached.
 func (c *Conn) readLimitReached() bool { return c.input.N <= 0 }
 
-// interrupt makes the read or write in progress fail with a timeout, and all later ones.
+// interrupt makes the current read or write, and all later ones, fail with a timeout.
 func (c *Conn) interrupt() { c.SetDeadline(time.Unix(1, 0)) }
 
-// Close closes the connection and releases its place in the pool. Only the first call has an effect.
+// Close closes the connection and releases its capacity in the pool. Further calls have no effect.
 func (c *Conn) Close() error {
 	var err error
 	c.closeOnce.Do(func() {
@@ -53,17 +53,16 @@
 	return err
 }
 
-// Reset closes the connection like Close, and discards data that was written and has not been delivered: the kernel sends nothing more of
-// it.
+// Reset closes the connection like Close and discards written data that the kernel has not delivered yet.
 func (c *Conn) Reset() error {
 	if tcp, ok := c.Conn.(interface{ SetLinger(seconds int) error }); ok {
-		_ = tcp.SetLinger(0) // fails only on a connection that is broken already
+		_ = tcp.SetLinger(0) // fails only if the connection is already broken
 	}
 	return c.Close()
 }
 
-// isReusable reports whether an idle connection is open and silent. It detects a close or reset that has already arrived, by which a
-// request written now would be lost.
+// isReusable reports whether an idle connection is open and has no unread data. It detects a close or reset that has already arrived, after
+// which a request would be lost.
 func (c *Conn) isReusable() bool {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -1,4 +1,4 @@
-// Package upstream implements the exchange with workers: it keeps a pool of connections to them, writes a request on one, and reads the
-// worker's response line by line up to the outcome of the attempt. The engine decides what is sent where; this package carries out its
-// attempts and reports their progress and end to it.
+// Package upstream exchanges requests and responses with workers. It keeps a pool of connections to workers, writes a request on one of
+// them, and reads the worker's response line by line until the outcome of the attempt is known. The engine decides which attempts are sent
+// to which workers; this package executes the attempts and reports their progress and outcome to the engine.
 package upstream
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -13,33 +13,34 @@
 	"birchfork/internal/engine"
 )
 
-// ErrNoFileDescriptor is the error of Pool.Get if no further connection may be opened: this process has reached its limit, and the worker
-// is not at fault.
-var ErrNoFileDescriptor = errors.New("no file descriptor left")
+// ErrNoFileDescriptor is the error of Pool.Get if this process has reached its limit of connections or file descriptors. It is not a failure
+// of the worker.
+var ErrNoFileDescriptor = errors.New("no file descriptor available")
 
 // DialFunc opens a connection to a worker's address.
 type DialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// Pool owns the connections to workers: it opens them, keeps idle ones for reuse and limits their number. It is safe for concurrent use.
+// Pool owns the connections to workers. It opens connections, keeps idle ones for reuse and limits their number. It is safe for concurrent
+// use.
 type Pool struct {
 	counters *engine.Counters
 
 	mu          sync.Mutex
 	dial        DialFunc
 	maxConns    int           // maximum number of open connections
-	idleTimeout time.Duration // after which idle connections are closed
-	idle        []*Conn       // longest idle first
-	open        int           // connections that are idle, in use or being set up
-	closed      bool          // connections that are put back are closed
+	idleTimeout time.Duration // idle time after which a connection is closed
+	idle        []*Conn       // the longest idle first
+	open        int           // number of connections that are idle, in use or being set up
+	closed      bool          // Put closes connections instead of keeping them
 }
 
-// NewPool returns an empty pool of at most maxConns connections, which are counted in counters.
+// NewPool returns an empty pool of at most maxConns connections, which updates counters.
 func NewPool(dial DialFunc, counters *engine.Counters, maxConns int, idleTimeout time.Duration) *Pool {
 	return &Pool{dial: dial, counters: counters, maxConns: maxConns, idleTimeout: idleTimeout}
 }
 
-// Get returns the idle connection to address that was put back last, or opens one. The caller owns it until Put, Close or Reset. The error
-// is ErrNoFileDescriptor if the limit leaves none, otherwise the dial error.
+// Get returns the most recently used idle connection to address, or opens a new connection. The caller owns it until Put, Close or Reset.
+// The error is ErrNoFileDescriptor if the limit is reached, otherwise the dial error.
 func (p *Pool) Get(ctx context.Context, address string) (*Conn, error) {
 	if conn := p.reuse(address); conn != nil {
 		return conn, nil
@@ -47,7 +48,7 @@
 	return p.openConn(ctx, address)
 }
 
-// reuse takes an idle connection to address that is still open; nil if there is none.
+// reuse returns an idle connection to address that is still open, or nil if there is none.
 func (p *Pool) reuse(address string) *Conn {
 	for {
 		conn := p.takeIdle(address)
@@ -82,7 +83,7 @@
 	return newConn(p, address, raw), nil
 }
 
-// takeIdle takes the connection to address that has been idle for the shortest time; nil if there is none.
+// takeIdle removes and returns the most recently used idle connection to address, or nil if there is none.
 func (p *Pool) takeIdle(address string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,8 +96,8 @@
 	return nil
 }
 
-// reserveCapacity reserves a place for a connection that is to be opened with the returned function. At the limit the longest idle connection
-// is closed; ok is false if there is none.
+// reserveCapacity reserves capacity for one connection and returns the function that opens it. If the limit is reached, it closes the
+// connection that has been idle longest. ok is false if there is none.
 func (p *Pool) reserveCapacity() (dial DialFunc, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,14 +112,14 @@
 	return p.dial, true
 }
 
-// releaseCapacity releases what reserveCapacity reserved.
+// releaseCapacity releases the capacity that reserveCapacity has reserved.
 func (p *Pool) releaseCapacity() {
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
 }
 
-// Put returns a connection to the pool after a complete response. A connection on which the worker has sent more than that is closed.
+// Put returns a connection to the pool after a complete response. It closes a connection on which the worker has sent additional data.
 func (p *Pool) Put(conn *Conn) {
 	surplus := conn.Reader.Buffered() > 0
 	if surplus || conn.SetDeadline(time.Time{}) != nil {
@@ -135,7 +136,7 @@
 	}
 }
 
-// Reconfigure sets how connections are opened from now on, and after which time idle ones are closed.
+// Reconfigure sets the function that opens new connections, and the idle timeout.
 func (p *Pool) Reconfigure(dial DialFunc, idleTimeout time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -143,7 +144,7 @@
 	p.idleTimeout = idleTimeout
 }
 
-// SetMaxConns sets the maximum number of open connections. Idle ones over it are closed, the longest idle first.
+// SetMaxConns sets the maximum number of open connections. It closes idle connections above the maximum, the longest idle first.
 func (p *Pool) SetMaxConns(maxConns int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -162,15 +163,15 @@
 	p.closeIdle(func(conn *Conn) bool { return conn.address == address })
 }
 
-// CloseExpired closes connections that have been idle for the idle timeout. A worker closes idle connections too, at a time of its choice,
-// and a request that crosses that close would be lost.
+// CloseExpired closes connections that have reached the idle timeout. Workers close idle connections after a time of their own, and a
+// request that is sent while the worker closes the connection would be lost.
 func (p *Pool) CloseExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeIdle(func(conn *Conn) bool { return time.Since(conn.idleSince) >= p.idleTimeout })
 }
 
-// Close closes all idle connections, and from now on those that are put back. Connections in use stay open until then.
+// Close closes all idle connections. Connections in use stay open until they are put back, and are then closed.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -178,7 +179,7 @@
 	p.closeAllIdle()
 }
 
-// Counts returns the number of open connections, and how many of them are idle.
+// Counts returns the number of open connections and the number of idle ones among them.
 func (p *Pool) Counts() (open, idle int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -187,7 +188,7 @@
 
 func (p *Pool) closeAllIdle() { p.closeIdle(func(*Conn) bool { return true }) }
 
-// closeIdle closes the matching idle connections, longest idle first. The caller must hold the lock.
+// closeIdle closes the matching idle connections, the longest idle first. The caller must hold the lock.
 func (p *Pool) closeIdle(matches func(*Conn) bool) {
 	var closing []*Conn
 	kept := p.idle[:0]
@@ -201,7 +202,7 @@
 	clear(p.idle[len(kept):])
 	p.idle = kept
 	for _, conn := range closing {
-		conn.closeOnce.Do(func() { // not Conn.Close, which takes the lock
+		conn.closeOnce.Do(func() { // Conn.Close would take the lock again
 			conn.Conn.Close()
 			p.open--
 		})
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -11,23 +11,23 @@
 	ClientGone() bool
 }
 
-// Request is what is sent to a worker for one client request, the same in all its attempts. It must not be changed once the first attempt
-// has begun; attempts may then use it concurrently.
+// Request is the request that is sent to workers for one client request. All attempts of the client request share it, possibly concurrently.
+// It must not be changed after the first attempt has started.
 type Request struct {
-	Method, Target string // as the client sent them
+	Method, Target string // as sent by the client
 	ID             string
 	Headers        []byte // further forwarded headers, each with its line ending
 	Body           []byte
-	Client         ClientConn // nil if there is none to check
+	Client         ClientConn // nil: the client is not checked
 }
 
 func (r *Request) clientGone() bool { return r.Client != nil && r.Client.ClientGone() }
 
-// requestHeadSize is the initial capacity for a request's head; a longer one grows it.
+// requestHeadSize is the initial buffer capacity for the head of a request, in bytes. The buffer grows for a longer head.
 const requestHeadSize = 512
 
-// encode encodes the request for a worker at host. timeLeft is how long the client still waits for the result; it is sent in integer
-// milliseconds, and at least one.
+// encode encodes the request for a worker at host. timeLeft is the time for which the client still waits for the result. It is sent in whole
+// milliseconds, with a minimum of 1.
 func (r *Request) encode(host string, timeLeft time.Duration) []byte {
 	b := make([]byte, 0, requestHeadSize+len(r.Body))
 	b = append(b, r.Method...)
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -13,46 +13,46 @@
 	"birchfork/dispatch"
 )
 
-// MaxLineBytes limits a line of a worker's response: a result of 64 KiB with every byte escaped fits.
+// MaxLineBytes is the maximum length of a line in a worker's response. It is sufficient for a result of 64 KiB with every byte escaped.
 const MaxLineBytes = 1 << 20
 
 // Further limits on a worker's response.
 const (
-	maxHeadBytes  = 64 << 10        // of the status line and the headers
-	maxDrainBytes = 64 << 10        // of what is read after the line that decided the outcome
-	drainTimeout  = 1 * time.Second // for the end of the response, from that line on
+	maxHeadBytes  = 64 << 10        // maximum length of the status line and the headers
+	maxDrainBytes = 64 << 10        // maximum number of bytes to read after the line that determined the outcome
+	drainTimeout  = 1 * time.Second // maximum time to the end of the response after that line
 )
 
-// jobState is the state of a request in a line of a worker's response. The platform's protocol calls a request a job.
+// jobState is the state of a request according to a line of a worker's response. The platform's protocol calls a request a job.
 type jobState string
 
-// The states of the platform's protocol.
+// States of the platform's protocol.
 const (
-	stateStarted  jobState = "started"  // it runs
-	stateRunning  jobState = "running"  // it reports progress
-	stateDone     jobState = "done"     // it ended with a result
-	stateFailed   jobState = "failed"   // it ended without a result
-	stateReturned jobState = "returned" // the worker did not run it
-	stateLost     jobState = "lost"     // the worker does not know its state
+	stateStarted  jobState = "started"  // the job has started to run
+	stateRunning  jobState = "running"  // the job reports progress
+	stateDone     jobState = "done"     // the job ended with a result
+	stateFailed   jobState = "failed"   // the job ended without a result
+	stateReturned jobState = "returned" // the worker did not run the job
+	stateLost     jobState = "lost"     // the worker does not know the state of the job
 )
 
-// Errors of a line. They are counted together; the texts are for tests and debugging.
+// Errors of a malformed line. They share one counter; their texts are for tests and debugging.
 var (
-	errWrongID         = errors.New("the line is about another request")
+	errWrongID         = errors.New("invalid id: must be the id of the request")
 	errUnknownState    = errors.New("unknown state")
 	errLineTooLong     = errors.New("line too long")
-	errInvalidProgress = errors.New("progress is not between 0 and 1")
-	errNoResult        = errors.New("finished job without a result")
+	errInvalidProgress = errors.New("invalid share: must be between 0 and 1")
+	errNoResult        = errors.New("missing result: must be a string if the state is done")
 )
 
-// statusUpdate is a line of a worker's response.
+// statusUpdate is a decoded line of a worker's response.
 type statusUpdate struct {
 	State    jobState
-	Progress float64 // between 0 and 1, if the state is stateRunning
-	Result   []byte  // if the state is stateDone
+	Progress float64 // between 0 and 1; set if the state is stateRunning
+	Result   []byte  // set if the state is stateDone
 }
 
-// decodeStatusUpdate decodes a line about the request with an id.
+// decodeStatusUpdate decodes a line that has to refer to the request with the given id.
 func decodeStatusUpdate(line []byte, id string) (statusUpdate, error) {
 	var message struct {
 		ID       string          `json:"id"`
@@ -61,7 +61,7 @@
 		Result   json.RawMessage `json:"result"`
 	}
 	if err := json.Unmarshal(line, &message); err != nil {
-		return statusUpdate{}, fmt.Errorf("not a JSON object: %w", err)
+		return statusUpdate{}, fmt.Errorf("malformed status update: %w", err)
 	}
 	if message.ID != id {
 		return statusUpdate{}, errWrongID
@@ -87,7 +87,7 @@
 	}
 }
 
-// readStatusUpdate reads the next line about the request with an id, and skips empty ones.
+// readStatusUpdate reads and decodes the next line that is not empty. The line has to refer to the request with the given id.
 func readStatusUpdate(body *bufio.Reader, id string) (statusUpdate, error) {
 	for {
 		line, err := readLine(body, MaxLineBytes)
@@ -100,10 +100,10 @@
 	}
 }
 
-// readLine returns the next line without its ending, at most maxBytes. Only the last line of a complete response may lack its ending. The
-// line is valid until the next read.
+// readLine returns the next line, of at most maxBytes, without the line ending. Only the last line of a complete response may lack the line
+// ending. The returned slice is valid until the next read.
 func readLine(r *bufio.Reader, maxBytes int) ([]byte, error) {
-	var line []byte // the parts of the line that filled the buffer
+	var line []byte // parts of the line that have been read so far, each of the size of the buffer
 	for {
 		part, err := r.ReadSlice('\n')
 		size := len(line) + len(part)
@@ -125,7 +125,7 @@
 	}
 }
 
-// resultOfState returns the result of an attempt whose last line has a final state.
+// resultOfState returns the result of an attempt for the final state in its last line.
 func resultOfState(state jobState) dispatch.Result {
 	switch state {
 	case stateDone:
@@ -139,7 +139,7 @@
 	}
 }
 
-// resultOfStatus returns the result of an attempt whose response has a status other than 200.
+// resultOfStatus returns the result of an attempt for a response with a status other than 200.
 func resultOfStatus(response *http.Response) dispatch.Result {
 	mayNotHaveRun := response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusGatewayTimeout
 	if mayNotHaveRun && response.Header.Get("X-Not-Run") == "1" {
@@ -148,14 +148,15 @@
 	return dispatch.ResultFailed
 }
 
-// isConnError reports whether a read failed because the connection ended, broke or timed out. All other errors are malformed responses.
+// isConnError reports whether a read failed because the connection was closed, was reset or timed out. All other errors are caused by
+// malformed responses.
 func isConnError(err error) bool {
 	var timeout interface{ Timeout() bool }
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &timeout)
 }
 
-// drain reads the rest of a response whose outcome is known, and reports whether the connection can be reused: the response has to end
-// properly, and soon.
+// drain reads the rest of a response whose outcome is known, and reports whether the connection can be reused. The response has to be
+// complete within maxDrainBytes and drainTimeout.
 func drain(conn *Conn, response *http.Response, body io.Reader) bool {
 	defer response.Body.Close()
 	endsByClose := response.Close || response.ContentLength < 0 && len(response.TransferEncoding) == 0
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -11,54 +11,55 @@
 	"birchfork/internal/engine"
 )
 
-// silenceThreshold is how long a worker may take to send the head of its response before its idle connections count as dead, if none arrives.
+// silenceThreshold is the time without a response head after which a failed attempt makes the other idle connections to the worker count as
+// dead.
 const silenceThreshold = 500 * time.Millisecond
 
-// Transport carries out attempts over the connections of a pool. It is safe for concurrent use.
+// Transport executes attempts over the connections of a pool. It is safe for concurrent use.
 type Transport struct {
 	Pool     *Pool
 	Counters *engine.Counters
 }
 
-// outcome is how an attempt ended.
+// outcome is the outcome of an attempt.
 type outcome struct {
 	result         dispatch.Result
 	jobResult      []byte // if result is ResultOK
-	invalidRequest bool   // the request is invalid, according to the worker
-	silent         bool   // no response arrived within silenceThreshold
+	invalidRequest bool   // the worker reported the request as invalid
+	silent         bool   // no response head arrived within silenceThreshold
 
-	// The rest of the response that decided the result; nil unless it was well-formed so far.
+	// The response that determined the result, with the unread rest of its body; nil if the response was malformed or incomplete.
 	response *http.Response
 	body     *bufio.Reader
 }
 
-// Do carries out one attempt and reports its progress and its end to the engine. It owns the attempt's connection, which is returned to the
-// pool after a complete response and closed in every other case. Do returns when the connection is released.
+// Do executes one attempt and reports its progress and outcome to the engine. It owns the attempt's connection, which it returns to the pool
+// after a complete response and closes in all other cases. Do returns after the connection has been released.
 func (t *Transport) Do(attempt *engine.Attempt, request *Request) {
 	conn, err := t.Pool.Get(attempt.Context(), attempt.Address())
 	if err != nil {
 		attempt.Finish(resultOfConnectError(attempt, err), nil)
 		return
 	}
-	// Guards against a drain, a deadline or a client's disconnect during the dial.
+	// During the dial, the worker may have begun to drain, a deadline may have passed, or the client may have disconnected.
 	if !attempt.MaySend() || request.clientGone() {
 		t.Pool.Put(conn)
 		attempt.Finish(dispatch.ResultNotSent, nil)
 		return
 	}
-	// A timeout or a cancellation interrupts whatever the connection is doing.
+	// A timeout or a cancellation interrupts any read or write on the connection.
 	stopInterrupt := context.AfterFunc(attempt.Context(), conn.interrupt)
 	outcome := t.exchange(attempt, request, conn)
 	interrupted := !stopInterrupt()
 	reusable := !interrupted && outcome.response != nil
 	if !reusable {
-		// Before the outcome is reported: no further attempt may run while this one's connection is open. The reset guards against a silent
-		// link, on which the kernel would continue to send what was written, even after the final answer.
+		// The connection is closed before the outcome is reported, because no further attempt may run while it is open. It is reset because
+		// the kernel would continue to send the written data over an unresponsive link, even after the final response.
 		_ = conn.Reset()
 	}
 	if outcome.silent {
-		// Guards against a machine that has vanished: its idle connections look open and accept data, whereas a new one cannot be opened,
-		// which shows in time that a request never ran.
+		// The worker's machine may have disappeared. Idle connections to it still look open and accept data. A new connection fails to open,
+		// so that it is known that the request never ran.
 		t.Pool.CloseIdleTo(attempt.Address())
 	}
 	outcome.report(attempt)
@@ -77,33 +78,34 @@
 	attempt.Finish(o.result, o.jobResult)
 }
 
-// exchange writes the request and reads the response up to the outcome.
+// exchange writes the request and reads the response until the outcome is known.
 func (t *Transport) exchange(attempt *engine.Attempt, request *Request, conn *Conn) outcome {
 	if result, sent := send(attempt, request, conn); !sent {
 		return outcome{result: result}
 	}
 	sentAt := time.Now()
-	response, err := t.readHead(conn, request.Method) //nolint:bodyclose // it ends with the connection, or in drain
+	response, err := t.readHead(conn, request.Method) //nolint:bodyclose // closed by drain, or with the connection
 	if err != nil {
 		return outcome{result: resultOfReadError(attempt), silent: time.Since(sentAt) >= silenceThreshold}
 	}
 	body := bufio.NewReader(response.Body)
 	if response.StatusCode != http.StatusOK {
-		// Guards against recording worker failures, and trying one worker after the other, for requests that no worker can use: for example
-		// with the id of another request that is open at another dispatcher.
+		// A request that no worker accepts must not count as a failure of workers or be retried at one worker after the other. An example is
+		// a request with the id of another request that is open at another dispatcher.
 		invalidRequest := response.StatusCode >= 400 && response.StatusCode < 500
 		return outcome{result: resultOfStatus(response), invalidRequest: invalidRequest, response: response, body: body}
 	}
 	return t.readUpdates(attempt, request.ID, response, body)
 }
 
-// send writes the request. If it was not written completely the worker cannot have run it, and result is the attempt's.
+// send writes the request. If it returns false, the request was not written completely, the worker cannot have run it, and result is the
+// result of the attempt.
 func send(attempt *engine.Attempt, request *Request, conn *Conn) (result dispatch.Result, sent bool) {
 	deadline, _ := attempt.Context().Deadline()
 	message := request.encode(attempt.Address(), time.Until(deadline))
 	if attempt.NeedsLease() {
-		// Guards against a worker that was put under maintenance while this process stood still in the middle of the request: a worker
-		// starts a request on its last byte.
+		// A worker starts a request when it receives the last byte. The last byte is sent after another check, because the process may have
+		// stalled after the first byte while the worker was put under maintenance.
 		lastByte := len(message) - 1
 		if _, err := conn.Write(message[:lastByte]); err != nil {
 			return resultOfWriteError(attempt), false
@@ -134,7 +136,7 @@
 	return response, nil
 }
 
-// readUpdates reads the lines of the response up to a final one, and reports the others to the engine.
+// readUpdates reads the lines of the response up to the final one, and reports progress to the engine.
 func (t *Transport) readUpdates(attempt *engine.Attempt, id string, response *http.Response, body *bufio.Reader) outcome {
 	for {
 		update, err := readStatusUpdate(body, id)
@@ -155,7 +157,8 @@
 	}
 }
 
-// resultOfConnectError returns the result of an attempt that got no connection. The limits of this process are not the worker's fault.
+// resultOfConnectError returns the result of an attempt without a connection. The limits of this process do not count as a failure of the
+// worker.
 func resultOfConnectError(attempt *engine.Attempt, err error) dispatch.Result {
 	if errors.Is(err, ErrNoFileDescriptor) || attempt.Context().Err() != nil {
 		return dispatch.ResultNotSent
@@ -163,7 +166,7 @@
 	return dispatch.ResultUnreachable
 }
 
-// resultOfWriteError returns the result of an attempt whose request could not be written completely.
+// resultOfWriteError returns the result of an attempt whose request was not written completely.
 func resultOfWriteError(attempt *engine.Attempt) dispatch.Result {
 	if attempt.Cancelled() {
 		return dispatch.ResultNotSent
@@ -171,7 +174,7 @@
 	return dispatch.ResultUnreachable
 }
 
-// resultOfReadError returns the result of an attempt whose response did not arrive completely.
+// resultOfReadError returns the result of an attempt whose response was incomplete or malformed.
 func resultOfReadError(attempt *engine.Attempt) dispatch.Result {
 	switch {
 	case attempt.Cancelled():
--- a/internal/upstream/upstreamtest/upstreamtest.go
+++ b/internal/upstream/upstreamtest/upstreamtest.go
@@ -1,4 +1,4 @@
-// Package upstreamtest provides workers and attempts for the tests of packages that exchange requests with workers.
+// Package upstreamtest provides workers and attempts for tests of the exchange with workers.
 package upstreamtest
 
 import (
@@ -16,7 +16,7 @@
 	"birchfork/internal/engine"
 )
 
-// Worker is a worker whose responses are written by the test. Its methods are safe for concurrent use.
+// Worker is a worker whose responses are defined by the test. Its methods are safe for concurrent use.
 type Worker struct {
 	Address  string
 	mu       sync.Mutex
@@ -25,8 +25,8 @@
 	accepted int
 }
 
-// StartWorker starts a worker that stops when the test ends. For each request it calls answer, which writes any response to the connection;
-// the connection is closed when answer returns false.
+// StartWorker starts a worker that stops when the test ends. For each request the worker calls answer, which writes the response to the
+// connection. The connection is closed if answer returns false.
 func StartWorker(t testing.TB, answer func(c net.Conn, r *http.Request) bool) *Worker {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,7 +35,7 @@
 	}
 	w := &Worker{Address: l.Addr().String()}
 	ctx, cancel := context.WithCancel(context.Background())
-	var serving sync.WaitGroup // the accept loop and the connections
+	var serving sync.WaitGroup // accept loop and connections
 	t.Cleanup(func() {
 		cancel()
 		l.Close()
@@ -56,7 +56,7 @@
 	return w
 }
 
-// serve answers the requests on one connection until answer returns false or ctx ends.
+// serve answers the requests on one connection until answer returns false or ctx is done.
 func (w *Worker) serve(ctx context.Context, c net.Conn, answer func(c net.Conn, r *http.Request) bool) {
 	defer c.Close()
 	defer context.AfterFunc(ctx, func() { c.Close() })()
@@ -80,7 +80,7 @@
 	}
 }
 
-// RequestCount returns how many requests the worker has received.
+// RequestCount returns the number of requests that the worker has received.
 func (w *Worker) RequestCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -94,7 +94,7 @@
 	return w.requests[i], w.bodies[i]
 }
 
-// ConnCount returns how many connections the worker has accepted.
+// ConnCount returns the number of connections that the worker has accepted.
 func (w *Worker) ConnCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -107,7 +107,8 @@
 // Chunk returns one chunk of a chunked body.
 func Chunk(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 
-// StatusLine returns one line of a worker's response about the request with an id; fields are further fields, each with a leading comma.
+// StatusLine returns one line of a worker's response for the request with the given id. fields contains further JSON fields, each with a
+// leading comma.
 func StatusLine(id, state, fields string) string {
 	return fmt.Sprintf(`{"id":%q,"from":"w","state":%q%s}`+"\n", id, state, fields)
 }
@@ -131,13 +132,13 @@
 	return true
 }
 
-// ListWithWorker returns a complete list with one ready worker, named w.
+// ListWithWorker returns a complete endpoint list with one ready worker, named w.
 func ListWithWorker(addr string) engine.EndpointList {
 	return engine.EndpointList{Version: 1, Snapshot: true, Endpoints: []engine.Endpoint{
 		{Name: "w", Address: addr, Zone: "a", Kind: "big", Cell: -1, State: dispatch.Ready}}}
 }
 
-// OpenAttempt opens a request with the id id-1, which is closed when the test ends, and returns it with its first attempt.
+// OpenAttempt opens a request with the id id-1 and returns it with its first attempt. The request is closed when the test ends.
 func OpenAttempt(t *testing.T, e *engine.Engine, class string, timeLeft time.Duration) (*engine.Request, *engine.Attempt) {
 	t.Helper()
 	request, err := e.Open(engine.RequestSpec{ID: "id-1", Class: class, TimeLeft: timeLeft})
