--- a/internal/admission/bounds_test.go
+++ b/internal/admission/bounds_test.go
@@ -38,7 +38,7 @@
 	return config
 }
 
-// limiterPair is two limiters with the same input, and their open permits.
+// limiterPair contains two limiters with the same input, and their open permits.
 type limiterPair struct {
 	config Config
 	a, b   *Limiter
@@ -76,14 +76,14 @@
 	openOnRoute, openInAll, queued := p.a.OpenRequestsOnRoute(request.Route), p.a.OpenRequests(), p.a.routes[request.Route].queued
 	decisionA, decisionB := p.a.Admit(p.now, request), p.b.Admit(p.now, request)
 	if decisionA.Reason != decisionB.Reason || decisionA.RetryAfter != decisionB.RetryAfter {
-		t.Fatalf("two limiters differ: %+v and %+v", decisionA, decisionB)
+		t.Fatalf("two limiters with the same input decide differently: %+v and %+v", decisionA, decisionB)
 	}
 	if decisionA.RetryAfter < 0 {
-		t.Fatalf("a Retry-After of %v", decisionA.RetryAfter)
+		t.Fatalf("negative Retry-After %v", decisionA.RetryAfter)
 	}
 	if decisionA.Reason != Admitted {
 		if decisionA.Permit.Valid() || p.a.OpenRequests() != openInAll {
-			t.Fatal("a rejected request holds a permit")
+			t.Fatal("a rejected request has a permit or counts as open")
 		}
 		return
 	}
@@ -91,10 +91,10 @@
 	beyondTotal := p.config.MaxOpen > 0 && openInAll >= p.config.MaxOpen
 	beyondRate := route.RateLimited && route.Rate == 0
 	if beyondRoute || beyondTotal || beyondRate {
-		t.Fatalf("admitted beyond a limit: %d on the route, %d in all, %+v", openOnRoute, openInAll, route)
+		t.Fatalf("admitted above a limit: %d open on the route, %d open in total, %+v", openOnRoute, openInAll, route)
 	}
 	if route.MaxQueued > 0 && queued >= route.MaxQueued {
-		t.Fatalf("admitted with %d queued of %d", queued, route.MaxQueued)
+		t.Fatalf("admitted with %d queued requests, limit %d", queued, route.MaxQueued)
 	}
 	if rapid.Bool().Draw(t, "sent") {
 		p.a.MarkSent(&decisionA.Permit)
@@ -108,13 +108,13 @@
 	limit := p.a.CurrentLimit()
 	outOfRange := p.config.MaxOpen > 0 && (limit > p.config.MaxOpen || limit < 1)
 	if p.a.OpenRequests() != len(p.open) || outOfRange {
-		t.Fatalf("%d open, %d held, limit %d of %d", p.a.OpenRequests(), len(p.open), limit, p.config.MaxOpen)
+		t.Fatalf("%d requests open, %d permits held, limit %d, maximum %d", p.a.OpenRequests(), len(p.open), limit, p.config.MaxOpen)
 	}
 	for _, route := range p.a.routes {
 		queueBroken := route.queued < 0 || route.queued > route.open
 		budgetBroken := route.retries.tokens < 0 || route.retries.tokens > route.retries.maxTokens()+1e-9
 		if route.open < 0 || queueBroken || budgetBroken {
-			t.Fatalf("route out of bounds: %+v", route)
+			t.Fatalf("route state out of range: %+v", route)
 		}
 	}
 }
@@ -125,18 +125,18 @@
 	}
 	for _, route := range p.a.routes {
 		if route.open != 0 || route.queued != 0 {
-			t.Fatalf("%d permits of %s leaked, %d queued", route.open, route.Name, route.queued)
+			t.Fatalf("%d permits of route %s leaked, %d requests still queued", route.open, route.Name, route.queued)
 		}
 	}
 	for _, tenant := range p.a.tenants {
 		if tenant.open != 0 {
-			t.Fatalf("%d permits of %s leaked", tenant.open, tenant.Name)
+			t.Fatalf("%d permits of tenant %s leaked", tenant.open, tenant.Name)
 		}
 	}
 }
 
-// Under any input, with reloads in between and a clock that jumps: no more is open than any limit allows, every permit is returned, no
-// count falls below 0, and two limiters with the same input decide alike.
+// For any input, including reloads and a clock that jumps, the number of open requests stays within every limit, every permit is released,
+// no count is negative, and two limiters with the same input make the same decisions.
 func TestLimiter_KeepsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := generateConfig(t)
--- a/internal/admission/golden_test.go
+++ b/internal/admission/golden_test.go
@@ -12,8 +12,8 @@
 	"birchfork/internal/goldentest"
 )
 
-// testdata/golden contains the names of reasons, which are parts of the counters' names that operators read, and the decisions on random
-// histories. UPDATE_GOLDEN=1 writes it.
+// testdata/golden contains the names of the reasons, which are used in log field names, and the decisions on random histories.
+// UPDATE_GOLDEN=1 updates it.
 
 func TestGolden_ReasonNames(t *testing.T) {
 	var out bytes.Buffer
@@ -40,7 +40,7 @@
 	return config
 }
 
-// runRandomHistory runs a random history of requests, outcomes and reloads, and writes each decision.
+// runRandomHistory runs a random sequence of requests, outcomes and reloads, writes each decision to w and returns the counts by reason.
 func runRandomHistory(w io.Writer, seed uint64, steps int) [NumReasons]int64 {
 	random := rand.New(rand.NewPCG(seed, 1))
 	config := goldenConfig(random)
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -8,7 +8,7 @@
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// Each limit rejects with its own reason, and is counted under that reason.
+// Each limit rejects requests with its own reason, and the rejections are counted by reason.
 func TestLimiter_RejectsWithReason(t *testing.T) {
 	limiter := New(Config{
 		Routes: []RouteConfig{
@@ -22,7 +22,7 @@
 		t.Helper()
 		decision := limiter.Admit(0, Request{Route: route, Tenant: tenant, Retry: retry})
 		if decision.Reason != want {
-			t.Errorf("route %d: %v, not %v", route, decision.Reason, want)
+			t.Errorf("route %d: reason %v, want %v", route, decision.Reason, want)
 		}
 		return decision
 	}
@@ -33,7 +33,7 @@
 	expect(2, -1, false, ConcurrencyExceeded)
 	admit(3, -1)
 	if decision := expect(3, -1, false, RateExceeded); decision.RetryAfter != 3*time.Second {
-		t.Errorf("Retry-After %v", decision.RetryAfter)
+		t.Errorf("Retry-After %v, want 3 s", decision.RetryAfter)
 	}
 	expect(4, -1, true, RetryBudgetExhausted)
 	admit(4, -1)
@@ -43,21 +43,21 @@
 	for range 8 {
 		admit(0, 0)
 	}
-	expect(1, 0, false, PriorityShed) // 14 of 20 are open
-	admit(0, 0)                       // 15: contention
+	expect(1, 0, false, PriorityShed) // 14 of 20 requests are open
+	admit(0, 0)                       // 15 of 20: contention begins
 	admit(0, 1)
 	admit(0, 0)
-	expect(0, 0, false, TenantQuotaExceeded) // it has ten, its quota of twenty shared by two
+	expect(0, 0, false, TenantQuotaExceeded) // it has 10 open requests, its quota of 20 shared by 2 tenants
 	admit(0, 1)
 	admit(0, 1)
 	admit(0, 1)
 	expect(0, 1, false, OpenLimitReached)
 	if limiter.Counts()[TenantQuotaExceeded] != 1 || limiter.Counts()[Admitted] != int64(len(permits)) || limiter.OpenRequests() != 20 {
-		t.Errorf("counted %v with %d open", limiter.Counts(), limiter.OpenRequests())
+		t.Errorf("counts %v with %d open requests", limiter.Counts(), limiter.OpenRequests())
 	}
 }
 
-// Under contention a quiet tenant is admitted, and a flooding one does not exceed its quota.
+// A tenant that floods the dispatcher is limited to its quota under contention, so that requests of other tenants are still admitted.
 func TestLimiter_FloodingTenantLeavesCapacity(t *testing.T) {
 	config := Config{Routes: []RouteConfig{{Name: "all", Priority: MaxPriority}}, MaxOpen: 40}
 	for i := range 5 {
@@ -70,7 +70,7 @@
 	}
 	var open []openRequest
 	requested, admitted := [5]int{}, [5]int{}
-	for step := range 4000 { // a request takes 200 ms: 40 open ones are 200 per second; the flood alone is 400
+	for step := range 4000 { // a request takes 200 ms, so that 40 open requests allow 200 per second; the flooding tenant sends 400
 		now := ms(step * 2)
 		remaining := open[:0]
 		for _, request := range open {
@@ -82,7 +82,7 @@
 		}
 		open = remaining
 		for tenant := range 5 {
-			if tenant > 0 && step%25 != tenant*5 { // 20 per second each
+			if tenant > 0 && step%25 != tenant*5 { // 20 requests per second for each other tenant
 				continue
 			}
 			requested[tenant]++
@@ -94,16 +94,16 @@
 	}
 	for tenant := 1; tenant < 5; tenant++ {
 		if fraction := float64(admitted[tenant]) / float64(requested[tenant]); fraction < 0.97 {
-			t.Errorf("quiet tenant %d got %.2f of its requests admitted", tenant, fraction)
+			t.Errorf("fraction of admitted requests of quiet tenant %d: %.2f, want at least 0.97", tenant, fraction)
 		}
 	}
 	if rate := float64(admitted[0]) / 8; rate < 60 {
-		t.Errorf("the flooding tenant got %.0f a second though there was capacity for more", rate)
+		t.Errorf("the flooding tenant got %.0f requests per second, want at least 60 of the free capacity", rate)
 	}
 }
 
-// A reload from 100 to 10 with 80 open requests ends none of them and admits none until fewer than 10 are open; then back
-// to 100.
+// A reload that reduces the limit from 100 to 10 with 80 open requests ends none of them, and no request is admitted until fewer
+// than 10 are open. A route that is removed and added again must not count the permits of the removed one.
 func TestLimiter_ReconfigureWithOpenRequests(t *testing.T) {
 	configWith := func(n int) Config {
 		return Config{Routes: []RouteConfig{{Name: "r", MaxConcurrent: n, Priority: MaxPriority}}}
@@ -116,29 +116,29 @@
 	limiter.Reconfigure(0, configWith(10))
 	for i := range 71 {
 		if limiter.Admit(0, Request{}).Reason != ConcurrencyExceeded {
-			t.Fatalf("admitted with %d open", 80-i)
+			t.Fatalf("admitted with %d open requests and a limit of 10", 80-i)
 		}
 		limiter.Release(0, permits[i], Timely)
 	}
 	if decision := limiter.Admit(0, Request{}); decision.Reason != Admitted {
-		t.Fatalf("rejected with 9 open: %v", decision.Reason)
+		t.Fatalf("rejected with 9 open requests and a limit of 10: %v", decision.Reason)
 	}
-	limiter.Reconfigure(0, Config{Routes: []RouteConfig{{Name: "other", Priority: MaxPriority}}}) // the route is removed, its permits are not
+	limiter.Reconfigure(0, Config{Routes: []RouteConfig{{Name: "other", Priority: MaxPriority}}}) // removes the route while its permits are held
 	for _, permit := range permits[71:] {
 		limiter.Release(0, permit, Timely)
 	}
 	if limiter.OpenRequests() != 1 {
-		t.Errorf("%d open", limiter.OpenRequests())
+		t.Errorf("%d requests open, want 1", limiter.OpenRequests())
 	}
 	limiter.Reconfigure(0, configWith(100))
 	for range 100 {
 		if limiter.Admit(0, Request{}).Reason != Admitted {
-			t.Fatal("a new route of an old name counts permits of the old one")
+			t.Fatal("a route that was added again counts permits of the removed route with its name")
 		}
 	}
 }
 
-// A reload does not refill the bucket of a route that keeps its name. A new route starts with a full one.
+// A reload does not refill the token bucket of a route that keeps its name. A new route starts with a full bucket.
 func TestLimiter_ReconfigureKeepsBuckets(t *testing.T) {
 	configWith := func(name string) Config {
 		return Config{Routes: []RouteConfig{{Name: name, RateLimited: true, Rate: 0.001, Burst: 1, Priority: MaxPriority}}}
@@ -150,12 +150,12 @@
 	}{{"r", Admitted}, {"r", RateExceeded}, {"s", Admitted}, {"s", RateExceeded}} {
 		limiter.Reconfigure(0, configWith(c.name))
 		if decision := limiter.Admit(0, Request{}); decision.Reason != c.want {
-			t.Errorf("step %d: %v, not %v", i, decision.Reason, c.want)
+			t.Errorf("step %d: reason %v, want %v", i, decision.Reason, c.want)
 		}
 	}
 }
 
-// BenchmarkLimiter_Admit admits and releases requests by key, with all limits configured: no allocation is expected.
+// BenchmarkLimiter_Admit admits and releases requests by key with all limits configured. No allocations are expected.
 func BenchmarkLimiter_Admit(b *testing.B) {
 	for _, keys := range []int{10, 1000, 100_000} {
 		b.Run(fmt.Sprint(keys, " keys"), func(b *testing.B) {
--- a/internal/engine/admission_test.go
+++ b/internal/engine/admission_test.go
@@ -10,7 +10,8 @@
 	"birchfork/internal/routes"
 )
 
-// routesOf returns routes and limits with one route r for the class search, and a default route.
+// routesOf returns a table with the given route, named r, for the class search, and a default route. It also returns the admission
+// limits.
 func routesOf(t *testing.T, route routes.Route) (*routes.Table, admission.Config) {
 	t.Helper()
 	route.Name, route.Admission.Name, route.Match.Class, route.Fallback = "r", "r", "search", -1
@@ -22,8 +23,8 @@
 	return table, admission.Config{Routes: table.AdmissionConfigs()}
 }
 
-// The operators' limit rejects with its reason before the decision module gets a request, and each way in which a request ends
-// releases its reservation once.
+// A request above the operators' limit is rejected with the limit's reason before the decision module receives it. Every way in which
+// a request can end releases its reservation exactly once.
 func TestReservation_ReleasedExactlyOnce(t *testing.T) {
 	decider := &scriptedDecider{}
 	engine := newEngine(t, decider)
@@ -50,7 +51,7 @@
 		decider.respond = func(event *dispatch.Event) []dispatch.Action {
 			if event.Kind == dispatch.RequestArrived {
 				if event.RouteLimits.MaxAttempts != 2 {
-					t.Errorf("the decision module gets %+v", event.RouteLimits)
+					t.Errorf("route limits in the event: %+v, want 2 attempts", event.RouteLimits)
 				}
 				return sendToFirstWorker(event)
 			}
@@ -61,31 +62,31 @@
 		_, err := engine.Open(specOf(string(rune('b' + 2*i))))
 		var limited *LimitError
 		if !errors.As(err, &limited) {
-			t.Fatalf("the second request: %v", err)
+			t.Fatalf("second request: error %v, want a LimitError", err)
 		}
 		if want := (LimitError{Reason: admission.ConcurrencyExceeded, Route: "r", RetryAfter: 70 * time.Millisecond}); *limited != want {
-			t.Fatalf("the second request: %+v, want %+v", *limited, want)
+			t.Fatalf("second request: error %+v, want %+v", *limited, want)
 		}
 		if decider.count(dispatch.RequestArrived) != arrived {
-			t.Error("the decision module saw a request that the limits rejected")
+			t.Error("the decision module received a request that was rejected by a limit")
 		}
 		end(request)
 		if fields := engine.LimitFields(); fields["limit_held"] != 0 {
-			t.Fatalf("after end %d, %v requests are held", i, fields["limit_held"])
+			t.Fatalf("case %d: %v requests hold a reservation after their end, want 0", i, fields["limit_held"])
 		}
 	}
 	request := mustOpen(t, engine, "z")
 	request.reservation.release(engine.now(), admission.Timely)
-	request.Close() // a second release has no effect
+	request.Close() // the second release must have no effect
 	if fields := engine.LimitFields(); fields["limit_held"] != 0 {
-		t.Errorf("%v requests are held after one was released twice", fields["limit_held"])
+		t.Errorf("%v requests hold a reservation after a second release, want 0", fields["limit_held"])
 	}
 	if fields := engine.LimitFields(); fields["limit_concurrent"] != int64(4) || fields["limit_admitted"] != int64(5) {
-		t.Errorf("counted %v", fields)
+		t.Errorf("counters %v, want limit_concurrent 4 and limit_admitted 5", fields)
 	}
 }
 
-// A reload keeps the reservations of open requests, and what they were allowed.
+// A reload keeps the reservations of open requests, which count towards the new limit.
 func TestSetLimits_KeepsOpenReservations(t *testing.T) {
 	decider := &scriptedDecider{}
 	engine := newEngine(t, decider)
@@ -97,20 +98,20 @@
 	first, second := mustOpen(t, engine, "a"), mustOpen(t, engine, "b")
 	setMaxConcurrent(1)
 	if _, err := engine.Open(specOf("c")); err == nil {
-		t.Fatal("admitted over the new limit")
+		t.Fatal("a request was admitted with 2 open requests and a new limit of 1")
 	}
 	first.Close()
 	if _, err := engine.Open(specOf("d")); err == nil {
-		t.Fatal("admitted at the new limit")
+		t.Fatal("a request was admitted with 1 open request and a new limit of 1")
 	}
 	second.Close()
 	mustOpen(t, engine, "e").Close()
 	if fields := engine.LimitFields(); fields["limit_held"] != 0 {
-		t.Errorf("%v requests are still held", fields["limit_held"])
+		t.Errorf("%v requests hold a reservation after all were closed, want 0", fields["limit_held"])
 	}
 }
 
-// If a route is at its limit a request takes its fallback; if all are, it is rejected with the reason of the first one.
+// A request takes the fallback if its route is at the limit. If all are, the request is rejected with the reason of the first route.
 func TestAdmit_FollowsFallbackRoutes(t *testing.T) {
 	engine := newEngine(t, &scriptedDecider{})
 	engine.maxOpen = 0
@@ -139,6 +140,6 @@
 	}
 	err = open("c")
 	if !errors.As(err, &limited) || limited.Route != "first" || limited.Reason != admission.ConcurrencyExceeded {
-		t.Errorf("with no room anywhere: %v", err)
+		t.Errorf("error %v, want the concurrency limit of route first", err)
 	}
 }
--- a/internal/engine/attempt_test.go
+++ b/internal/engine/attempt_test.go
@@ -9,7 +9,7 @@
 	"birchfork/dispatch"
 )
 
-// An attempt is sent only while its worker is the process that it was meant for, its request is open and its time is not up.
+// An attempt may be sent only while its worker is ready and the same process, its request is open and no deadline has passed.
 func TestMaySend(t *testing.T) {
 	const address = "127.0.0.1:1"
 	update := func(list EndpointList) func(*Engine, *Request) {
@@ -45,14 +45,14 @@
 			attempt := (<-request.Decisions()).Attempt
 			c.change(engine, request)
 			if got := attempt.MaySend(); got != c.maySend {
-				t.Errorf("%s: may send is %v", c.name, got)
+				t.Errorf("%s: MaySend returns %v", c.name, got)
 			}
 			attempt.Finish(dispatch.ResultNotSent, nil)
 		})
 	}
 }
 
-// The context of an attempt ends when the attempt is cancelled or times out, and no other attempt's does.
+// The cancellation or timeout of one attempt ends the context of that attempt only.
 func TestAttempt_ContextEndsByCancelAndTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		decider := &scriptedDecider{respond: func(event *dispatch.Event) []dispatch.Action {
@@ -75,11 +75,11 @@
 		first, second := (<-request.Decisions()).Attempt, (<-request.Decisions()).Attempt
 		first.ReportStarted()
 		if !second.Cancelled() || second.Context().Err() == nil || first.Cancelled() || first.Context().Err() != nil {
-			t.Fatal("not the second attempt alone is cancelled")
+			t.Fatal("want the second attempt cancelled and the first one not")
 		}
 		time.Sleep(1001 * time.Millisecond)
 		if first.Context().Err() == nil || first.Cancelled() {
-			t.Fatal("the first attempt did not time out")
+			t.Fatal("the first attempt has not timed out after its timeout of 1 s")
 		}
 		first.Finish(dispatch.ResultTimedOut, nil)
 		second.Finish(dispatch.ResultCancelled, nil)
@@ -87,7 +87,7 @@
 	})
 }
 
-// An invalid request is at fault itself: it ends immediately, and the decision module records nothing about the worker.
+// A request that a worker reports as invalid ends immediately, and the decision module records no failure of the worker.
 func TestReportInvalidRequest_IsNotWorkerFailure(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
@@ -95,19 +95,19 @@
 	request := mustOpen(t, engine, "a")
 	(<-request.Decisions()).Attempt.ReportInvalidRequest()
 	if decision := <-request.Decisions(); decision.Kind != DecisionInvalid {
-		t.Fatalf("decision %+v", decision)
+		t.Fatalf("decision %+v, want DecisionInvalid", decision)
 	}
 	request.Close()
 	ends := decider.eventsOf(dispatch.AttemptEnded)
 	if len(ends) != 1 || ends[0].Result != dispatch.ResultNotSent || !ends[0].Final || decider.count(dispatch.RequestAbandoned) != 1 {
-		t.Fatalf("events %+v", decider.events)
+		t.Fatalf("events %+v, want one end that is final and not sent, and one abandoned request", decider.events)
 	}
 	if engine.OpenRequests() != 0 || engine.requests[request.id] != nil || engine.Counters.ClientDisconnects.Load() != 0 {
-		t.Fatal("the request is still kept")
+		t.Fatal("the request is still open or stored, or counts as a client disconnect")
 	}
 }
 
-// An attempt ends with its request, and after the longest duration that the group allows if that is earlier.
+// The deadline of an attempt is the request's deadline, or the end of the group's maximum duration if that is earlier.
 func TestSetMaxAttemptDuration_BoundsDeadline(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
@@ -126,7 +126,7 @@
 		}
 		end, _ := (<-request.Decisions()).Attempt.Context().Deadline()
 		if left := time.Until(end); left > c.want || left < c.want-time.Second/2 {
-			t.Errorf("%+v: it ends in %v", c, left)
+			t.Errorf("%+v: the attempt's deadline is in %v", c, left)
 		}
 		request.Close()
 	}
--- a/internal/engine/clock_test.go
+++ b/internal/engine/clock_test.go
@@ -8,7 +8,8 @@
 	"birchfork/dispatch"
 )
 
-// The decision module ignores a timer's event that is earlier than requested, and never requests a timer again.
+// If the clock reads less than the requested time when the timer fires, the decision module would ignore the event as early, and
+// never request a timer again. The event must have the requested time.
 func TestTimer_NeverFiresEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var requested dispatch.Time
@@ -23,13 +24,13 @@
 		}
 		mustOpen(t, engine, "a")
 		engine.mu.Lock()
-		engine.epoch -= dispatch.Millisecond // the clock reads a millisecond less than the timer waited
+		engine.epoch -= dispatch.Millisecond // the clock reads 1 ms less than the due time when the timer fires
 		engine.mu.Unlock()
 		time.Sleep(2 * time.Millisecond)
 		synctest.Wait()
 		fired := decider.eventsOf(dispatch.TimerFired)
 		if len(fired) != 1 || decider.times[len(decider.times)-1] < requested {
-			t.Fatalf("fired %d times, at %v, asked for %v", len(fired), decider.times[len(decider.times)-1], requested)
+			t.Fatalf("%d timer events, the last at %v, want 1 not before %v", len(fired), decider.times[len(decider.times)-1], requested)
 		}
 	})
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -8,7 +8,7 @@
 	"birchfork/dispatch"
 )
 
-// A panic of the decision module loses one decision, but does not end the process.
+// A panic in the decision module loses one decision, but does not end the process.
 func TestDecide_RecoversFromPanic(t *testing.T) {
 	decider := &scriptedDecider{respond: func(event *dispatch.Event) []dispatch.Action {
 		if event.Kind == dispatch.RequestArrived {
@@ -20,11 +20,11 @@
 	request := mustOpen(t, engine, "a")
 	request.Close()
 	if engine.Counters.Panics.Load() != 1 || decider.count(dispatch.RequestAbandoned) != 1 || engine.OpenRequests() != 0 {
-		t.Fatalf("panics %d, events %+v", engine.Counters.Panics.Load(), decider.events)
+		t.Fatalf("panics %d, want 1; events %+v", engine.Counters.Panics.Load(), decider.events)
 	}
 }
 
-// Every attempt that the real decision module orders ends, and nothing of a request is left.
+// With the real decision module, every request ends and no state of it is left.
 func TestEngine_RealDeciderLeavesNothingOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine := newEngine(t, nil)
@@ -59,12 +59,12 @@
 		}
 		for id, request := range engine.requests {
 			if request != nil {
-				t.Errorf("request %d is still kept", id)
+				t.Errorf("request %d is still stored after its end", id)
 			}
 		}
 		broken := engine.Counters.Panics.Load() + engine.Counters.InvalidActions.Load()
 		if engine.OpenRequests() != 0 || served == 0 || broken > 0 {
-			t.Fatalf("%d open, %d served, %v", engine.OpenRequests(), served, engine.Counters.Fields())
+			t.Fatalf("%d requests open, %d served, counters %v", engine.OpenRequests(), served, engine.Counters.Fields())
 		}
 	})
 }
--- a/internal/engine/golden_http_test.go
+++ b/internal/engine/golden_http_test.go
@@ -25,7 +25,7 @@
 	"birchfork/internal/upstream"
 )
 
-// startWorker starts a worker that answers every request with one text, and stops when the test ends. It returns its address.
+// startWorker starts a worker that answers every request with the same text, and returns its address. It stops when the test ends.
 func startWorker(t *testing.T, answer string) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -49,7 +49,7 @@
 	return listener.Addr().String()
 }
 
-// answerOnce reads a request, answers it and closes the connection. Errors show in the answer that the client gets.
+// answerOnce reads a request, answers it and closes the connection. An error changes the response to the client.
 func answerOnce(conn net.Conn, answer string) {
 	defer conn.Close()
 	request, err := http.ReadRequest(bufio.NewReader(conn))
@@ -61,21 +61,21 @@
 	}
 }
 
-// goldenCase is one request by HTTP, and the state in which it arrives.
+// goldenCase is one HTTP request and the state of the engine at its arrival.
 type goldenCase struct {
 	name    string
-	class   string // empty: the one of the settings
-	path    string // empty: one that no route names
+	class   string // empty: the class of goldenSettings
+	path    string // empty: a path that matches no route
 	headers string // further headers, each with its line ending
 	maxOpen int
 	limited bool
-	before  []limitedRequest // opened before, and kept open
-	sameID  bool             // a request of the same id is open
+	before  []limitedRequest // requests that are opened before and stay open
+	sameID  bool             // a request with the same id is open
 	decider deciderFunc
-	worker  string // the worker's answer; empty: there is no worker
+	worker  string // response of the worker; empty: there is no worker
 }
 
-// serve serves clients by HTTP until the test ends, and returns its address.
+// serve serves HTTP clients until the test ends, and returns the server's address.
 func serve(t *testing.T, e *engine.Engine) (address string) {
 	t.Helper()
 	dialer := net.Dialer{Timeout: time.Second}
@@ -102,7 +102,7 @@
 	return listener.Addr().String()
 }
 
-// prepare returns an engine in the state of the case.
+// prepare returns an engine in the state that the case defines.
 func (c *goldenCase) prepare(t *testing.T) *engine.Engine {
 	t.Helper()
 	e, classes := newEngine(t, c.maxOpen, c.decider)
@@ -135,7 +135,7 @@
 	return e
 }
 
-// do sends the request, and returns all bytes of the answer except the date, and the counters that changed.
+// do sends the request. It returns the response without the Date header, and the names of the counters that changed.
 func (c *goldenCase) do(t *testing.T) string {
 	t.Helper()
 	e := c.prepare(t)
@@ -160,7 +160,7 @@
 	return "== " + c.name + "\n" + answer + "== counted:" + changedCounters(before, e.Counters.Fields()) + "\n\n"
 }
 
-// readAnswer reads one answer and leaves out the date. Line endings are shown as \r\n and \n.
+// readAnswer reads one response and omits the Date header. Line endings are written as \r\n and \n.
 func readAnswer(in *bufio.Reader) (answer string, err error) {
 	length := 0
 	for line := ""; line != "\r\n"; {
@@ -182,8 +182,8 @@
 	return answer + strings.ReplaceAll(string(body), "\n", "\\n\n"), err
 }
 
-// changedCounters returns the names of the counters that differ, sorted, each with a leading space. Those of connections and attempts are
-// left out.
+// changedCounters returns the sorted names of the counters that differ, each with a leading space. It omits counters of connections
+// and attempts.
 func changedCounters(before, after logrus.Fields) string {
 	var names []string
 	for name, value := range after {
@@ -196,7 +196,7 @@
 	return strings.Join(names, "")
 }
 
-// respondOnce answers every arrival with one action.
+// respondOnce returns a decider that answers every arrival with one action.
 func respondOnce(action dispatch.Action) deciderFunc {
 	return func(event *dispatch.Event) []dispatch.Action {
 		if event.Kind != dispatch.RequestArrived {
@@ -208,11 +208,11 @@
 	}
 }
 
-// sendOnce sends every request to the one worker, once.
+// sendOnce sends every request to the only worker, once.
 var sendOnce = respondOnce(dispatch.Action{Kind: dispatch.Send})
 
-// goldenCases returns a case for each answer that results from the decision module, the limits and the checks of a request. Their
-// names are in the golden file.
+// goldenCases returns a case for each response that results from the decision module, the limits and the checks of a request. The
+// golden file contains the names of the cases.
 func goldenCases() []goldenCase {
 	all := []goldenCase{
 		{name: "an unknown class", class: "other"},
@@ -228,7 +228,7 @@
 			`{"id":"id-1","from":"w","state":"done","result":"the result"}` + "\n"},
 		{name: "a worker cannot use it", decider: sendOnce, worker: "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"},
 	}
-	// Each limit in turn, with all before it in use.
+	// One case for each limit, with all earlier limits reached.
 	for i, c := range limitedRequests {
 		if c.rejected == 0 {
 			continue
@@ -248,7 +248,7 @@
 	return all
 }
 
-// TestAnswers_HTTPGolden records the answer by HTTP to each error and each final decision of this package.
+// TestAnswers_HTTPGolden compares the HTTP response to each error and each final decision of this package with the golden file.
 func TestAnswers_HTTPGolden(t *testing.T) {
 	got := ""
 	for _, c := range goldenCases() {
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -21,11 +21,11 @@
 	"birchfork/internal/settings"
 )
 
-// The golden files of this package contain what operators and clients read: the names of log fields, and the bytes of answers.
-// They were written by the code from before its identifiers were renamed. goldentest.Check describes how to rewrite them, which
-// only an intended change of what is read may do.
+// The golden files of this package contain the log field names that operators rely on and the responses that clients receive. They
+// were written before the identifiers in the code were renamed. goldentest.Check describes how to update them, which is allowed only
+// for an intended change of these names or responses.
 
-// fieldText returns one line per log field, with its value, sorted.
+// fieldText returns the sorted log fields, one per line, with their values.
 func fieldText(fields logrus.Fields) string {
 	lines := make([]string, 0, len(fields))
 	for name, value := range fields {
@@ -35,7 +35,7 @@
 	return strings.Join(lines, "")
 }
 
-// TestCounters_LogFieldsGolden sets every counter to a different value, so that a swapped name is detected.
+// TestCounters_LogFieldsGolden sets every counter to a different value, so that swapped names are detected.
 func TestCounters_LogFieldsGolden(t *testing.T) {
 	var c engine.Counters
 	next := int64(100)
@@ -45,7 +45,7 @@
 			next++
 		}
 	}
-	// The golden file contains the values of this order.
+	// The golden file depends on the values that this order gives.
 	set(&c.Accepted, &c.Served, &c.Shed, &c.Failed, &c.ClientDisconnects, &c.EarlyClientDisconnects)
 	set(&c.BadRequests, &c.BadHeaders, &c.BadFraming, &c.BadSizes, &c.BadBodies, &c.BadClasses, &c.BadMethods, &c.BadIDs)
 	set(&c.RejectedByWorkers, &c.InterruptedRequests, &c.RejectedOverLimit, &c.OutlierReports, &c.Overdue, &c.WriteFailures)
@@ -62,18 +62,18 @@
 	checkAllSet(t, reflect.ValueOf(&c).Elem(), "Counters")
 	fields := c.Fields()
 	if want := int(next - 100); len(fields) != want {
-		t.Errorf("%d fields for %d counters", len(fields), want)
+		t.Errorf("%d log fields for %d counters", len(fields), want)
 	}
 	goldentest.Check(t, "counters.txt", []byte(fieldText(fields)))
 }
 
-// checkAllSet fails the test for each counter in v that is 0.
+// checkAllSet reports an error for each counter in v that is 0.
 func checkAllSet(t *testing.T, v reflect.Value, path string) {
 	t.Helper()
 	switch {
 	case v.Type() == reflect.TypeFor[atomic.Int64]():
 		if v.Addr().Interface().(*atomic.Int64).Load() == 0 {
-			t.Errorf("this test sets no value for %s", path)
+			t.Errorf("the test does not set counter %s", path)
 		}
 	case v.Kind() == reflect.Array:
 		for i := range v.Len() {
@@ -84,11 +84,11 @@
 			checkAllSet(t, v.Field(i), path+"."+v.Type().Field(i).Name)
 		}
 	default:
-		t.Errorf("%s is no counter", path)
+		t.Errorf("%s: unexpected type, want a counter", path)
 	}
 }
 
-// deciderFunc is a decision module whose actions a test defines.
+// deciderFunc is a decision module that is implemented by a function of the test.
 type deciderFunc func(event *dispatch.Event) []dispatch.Action
 
 func (d deciderFunc) Handle(_ dispatch.Time, event *dispatch.Event, out []dispatch.Action) []dispatch.Action {
@@ -98,12 +98,12 @@
 	return append(out, d(event)...)
 }
 
-// goldenSettings has one class, and two tenants that share what the limits leave.
+// goldenSettings are settings with one class and two tenants that share the capacity under the limits.
 const goldenSettings = `{"classes":[{"name":"search","deadline":5,"aim":0.4,"effect":"free"}],"zones":["a"],"zone":"a",
 	"machine_types":["big"],"customers":[{"name":"acme","quota_rps":9},{"name":"other","quota_rps":9}],
 	"policy_limits":{"attempts_cap":3,"retry_after":true,"max_retry_after":2}}`
 
-// newEngine returns an engine with goldenSettings and a decider, which is closed when the test ends, and its classes.
+// newEngine returns an engine with goldenSettings and the given decider, and the engine's classes. It is closed when the test ends.
 func newEngine(t *testing.T, maxOpen int, decider deciderFunc) (*engine.Engine, []dispatch.Class) {
 	t.Helper()
 	names := settings.NewNameTable()
@@ -121,8 +121,8 @@
 	return e, decoded.Classes
 }
 
-// limitedRoutes returns a route for each limit, and a default route without a limit of its own. Together they may have 20 open
-// requests.
+// limitedRoutes returns a table with a route for each limit and a default route without a limit. All routes together may have 20
+// open requests.
 func limitedRoutes(t *testing.T) (*routes.Table, admission.Config) {
 	t.Helper()
 	limited := []admission.RouteConfig{
@@ -151,15 +151,15 @@
 	}
 }
 
-// limitedRequest is a kind of request that is repeated.
+// limitedRequest is a request that a test repeats.
 type limitedRequest struct {
 	path, tenant string
 	retry        bool
-	admitted     int // number that is opened ...
-	rejected     int // ... and then number that is rejected
+	admitted     int // number of requests that are admitted first
+	rejected     int // number of requests that are then rejected
 }
 
-// limitedRequests are rejected for each of the reasons, if they arrive in this order.
+// limitedRequests cause a rejection for each of the reasons if they arrive in this order.
 var limitedRequests = []limitedRequest{
 	{path: "/search/by-rate", tenant: "acme", admitted: 1, rejected: 2},
 	{path: "/search/by-concurrency", tenant: "acme", admitted: 1, rejected: 3},
@@ -173,11 +173,11 @@
 	{path: "/search/x", admitted: 5, rejected: 7},
 }
 
-// TestLimits_LogFieldsGolden has requests rejected for each reason, another number of times for each.
+// TestLimits_LogFieldsGolden causes a different number of rejections for each reason, so that swapped counters are detected.
 func TestLimits_LogFieldsGolden(t *testing.T) {
 	e, classes := newEngine(t, 0, nil)
 	if fields := e.LimitFields(); fields != nil {
-		t.Errorf("fields without limits: %v", fields)
+		t.Errorf("log fields without limits: %v, want nil", fields)
 	}
 	table, config := limitedRoutes(t)
 	e.SetLimits(table, config, classes)
@@ -191,7 +191,7 @@
 				ID: strconv.Itoa(id), Class: "search", Tenant: c.tenant, TimeLeft: time.Hour, Slots: 1, Retry: c.retry, Path: c.path,
 			})
 			if (err == nil) != (i < c.admitted) {
-				t.Fatalf("%+v, number %d: %v", c, i, err)
+				t.Fatalf("%+v: request %d: error %v", c, i, err)
 			}
 			if err == nil {
 				last, spare = request, last
--- a/internal/engine/helpers_test.go
+++ b/internal/engine/helpers_test.go
@@ -11,7 +11,7 @@
 	"birchfork/internal/settings"
 )
 
-// scriptedDecider is a decision module that records its events and returns the actions that a test defines.
+// scriptedDecider is a decision module that records its events and returns the actions of a function of the test.
 type scriptedDecider struct {
 	events  []dispatch.Event
 	times   []dispatch.Time
@@ -40,7 +40,7 @@
 // count returns the number of events of one kind.
 func (d *scriptedDecider) count(kind dispatch.EventKind) int { return len(d.eventsOf(kind)) }
 
-// basicSettings has one class, one zone, one kind of worker and one tenant, in the platform's JSON.
+// basicSettings are settings with one class, one zone, one kind of worker and one tenant, in the platform's JSON.
 const basicSettings = `{"classes":[{"name":"search","deadline":5,"aim":0.4,"effect":"free"}],"zones":["a"],"zone":"a",
 	"machine_types":["big"],"customers":[{"name":"acme","quota_rps":9}],"policy_limits":{"attempts_cap":3}}`
 
@@ -55,8 +55,8 @@
 	return decoded, names
 }
 
-// newEngine returns an engine with basicSettings that is closed when the test ends; with a nil decider it runs the real decision
-// module.
+// newEngine returns an engine with basicSettings and the given decider; nil: the real decision module. The engine is closed when the
+// test ends.
 func newEngine(t *testing.T, decider *scriptedDecider) *Engine {
 	t.Helper()
 	decoded, names := decodeSettings(t, basicSettings)
@@ -73,19 +73,19 @@
 	return engine
 }
 
-// specOf returns a request that is admitted.
+// specOf returns a valid request with the given id.
 func specOf(id string) RequestSpec {
 	return RequestSpec{ID: id, Class: "search", Tenant: "acme", TimeLeft: 5 * time.Second, Slots: 1}
 }
 
-// listWith returns an update about the one worker w.
+// listWith returns an endpoint update with the only worker w.
 func listWith(state dispatch.WorkerState, address string, startedAtMillis int64) EndpointList {
 	return EndpointList{Version: 1, Endpoints: []Endpoint{{
 		Name: "w", Address: address, Zone: "a", Kind: "big", State: state, StartedAtMillis: startedAtMillis,
 	}}}
 }
 
-// sendToFirstWorker answers every arrival with one attempt at worker 0.
+// sendToFirstWorker answers the arrival of a request with one attempt at worker 0.
 func sendToFirstWorker(event *dispatch.Event) []dispatch.Action {
 	if event.Kind == dispatch.RequestArrived {
 		return []dispatch.Action{{Kind: dispatch.Send, Request: event.Request}}
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// mustOpen opens a request that has to be admitted.
+// mustOpen opens a request, and fails the test if it is not admitted.
 func mustOpen(t *testing.T, engine *Engine, id string) *Request {
 	t.Helper()
 	request, err := engine.Open(specOf(id))
@@ -103,13 +103,13 @@
 	return request
 }
 
-// mustStart opens a request and returns its first attempt, which has been decided on.
+// mustStart opens a request and returns its first attempt.
 func mustStart(t *testing.T, engine *Engine, id string) *Attempt {
 	t.Helper()
 	return (<-mustOpen(t, engine, id).Decisions()).Attempt
 }
 
-// isExactly reports whether an error is a given one, and not one that wraps it: clients read the text, which must not change.
+// isExactly reports whether err is want itself. An error that wraps want has another text, but the text for clients must not change.
 func isExactly(err, want error) bool {
-	return err == want //nolint:errorlint // errors.Is would take a wrapped error, which has another text
+	return err == want //nolint:errorlint // errors.Is would accept a wrapped error, which has another text
 }
--- a/internal/engine/outlier_test.go
+++ b/internal/engine/outlier_test.go
@@ -6,8 +6,8 @@
 	"birchfork/dispatch"
 )
 
-// Attempts that fail in a row at one worker are reported, a single failure is not. Reports of others reach the decision module,
-// by name.
+// Consecutive failures at a worker are reported, a single failure is not. Reports from other dispatchers are passed to the decision
+// module if they name a known worker.
 func TestOnOutlier_ReportsConsecutiveFailures(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
@@ -18,15 +18,15 @@
 	finish := func(result dispatch.Result) {
 		engine.mu.Lock()
 		defer engine.mu.Unlock()
-		attempt.finished = false // to finish it again
+		attempt.finished = false // allows another finish of the same attempt
 		attempt.finish(result, nil)
 	}
-	finish(dispatch.ResultFailed) // before a function is set
+	finish(dispatch.ResultFailed) // no function is set yet
 	finish(dispatch.ResultFailed)
 	engine.OnOutlier(func(worker string) {
 		reports++
 		if worker != name {
-			t.Errorf("%q is reported", worker)
+			t.Errorf("reported worker %q, want w", worker)
 		}
 	})
 	for i, c := range []struct {
@@ -43,12 +43,12 @@
 	} {
 		finish(c.result)
 		if reports != c.reports {
-			t.Errorf("after %d ends %d reports, want %d", i+1, reports, c.reports)
+			t.Errorf("after %d attempts: %d reports, want %d", i+1, reports, c.reports)
 		}
 	}
 	engine.HandleOutlierReport("nobody")
 	engine.HandleOutlierReport(name)
 	if events := decider.eventsOf(dispatch.OutlierReported); len(events) != 1 || events[0].Worker != 0 {
-		t.Errorf("events %+v", events)
+		t.Errorf("OutlierReported events %+v, want one for worker 0", events)
 	}
 }
--- a/internal/engine/recentids_test.go
+++ b/internal/engine/recentids_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The id of a request that has ended cannot open another one: that would have a second effect, and others may know the id.
+// The id of a recent request is rejected. A second request with the id could have a second effect, and other clients may know the id.
 func TestOpen_RejectsRecentID(t *testing.T) {
 	engine := newEngine(t, &scriptedDecider{})
 	engine.maxOpen = 0
@@ -14,10 +14,10 @@
 	}
 	for _, i := range []int{3 * recentIDsPerGeneration, 2 * recentIDsPerGeneration} {
 		if _, err := engine.Open(specOf(fmt.Sprint(i))); !isExactly(err, ErrDuplicateID) {
-			t.Errorf("the id of %d, which has ended: %v", i, err)
+			t.Errorf("id of the closed request %d: error %v, want ErrDuplicateID", i, err)
 		}
 	}
 	if n := len(engine.recentIDs.current) + len(engine.recentIDs.previous); n > 2*recentIDsPerGeneration {
-		t.Errorf("%d ids are kept", n)
+		t.Errorf("%d ids are stored, want at most two generations", n)
 	}
 }
--- a/internal/engine/reconfigure_test.go
+++ b/internal/engine/reconfigure_test.go
@@ -8,15 +8,15 @@
 	"birchfork/dispatch"
 )
 
-// reconfigureTo applies settings in the platform's JSON.
+// reconfigureTo applies settings that are given in the platform's JSON.
 func reconfigureTo(t *testing.T, engine *Engine, settingsJSON string) {
 	t.Helper()
 	decoded, names := decodeSettings(t, settingsJSON)
 	engine.Reconfigure(Reconfiguration{Settings: decoded, Names: names, MaxOpen: 9})
 }
 
-// An open request continues over a change of settings, with its id, its class and its attempts. Names are those of the new
-// settings.
+// A change of the settings does not affect open requests: they keep their ids, classes and attempts. New requests use the names of
+// the new settings.
 func TestReconfigure_KeepsOpenRequests(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
@@ -25,15 +25,15 @@
 	attempt := (<-request.Decisions()).Attempt
 	reconfigureTo(t, engine, strings.Replace(basicSettings, `"name":"search"`, `"name":"find"`, 1))
 	if _, err := engine.Open(specOf("b")); !isExactly(err, ErrUnknownClass) {
-		t.Errorf("a class that is gone: %v", err)
+		t.Errorf("request of a removed class: error %v, want ErrUnknownClass", err)
 	}
 	spec := specOf("c")
 	spec.Class = "find"
 	if _, err := engine.Open(spec); err != nil {
-		t.Errorf("a new class: %v", err)
+		t.Errorf("request of an added class: %v", err)
 	}
 	if !attempt.MaySend() {
-		t.Error("an attempt that was ordered before may not be sent")
+		t.Error("MaySend returned false for an attempt that was started before the change")
 	}
 	attempt.Finish(dispatch.ResultOK, []byte("r"))
 	if decision := <-request.Decisions(); decision.Kind != DecisionServe || string(decision.Result) != "r" {
@@ -48,7 +48,8 @@
 	}
 }
 
-// The decisions of a request have no capacity for more attempts than it was opened with: a further one would block the engine.
+// The channel of a request has capacity only for the maximum number of attempts at its opening. If the settings raise the maximum, an
+// additional attempt of an open request would block the engine.
 func TestReconfigure_MoreAttemptsDoNotBlock(t *testing.T) {
 	decider := &scriptedDecider{}
 	engine := newEngine(t, decider)
--- a/internal/engine/request_test.go
+++ b/internal/engine/request_test.go
@@ -7,7 +7,7 @@
 	"birchfork/dispatch"
 )
 
-// What Open rejects does not reach the decision module.
+// The decision module is not notified of requests that Open rejects.
 func TestOpen_RejectsBeforeDecider(t *testing.T) {
 	decider := &scriptedDecider{}
 	engine := newEngine(t, decider)
@@ -21,23 +21,23 @@
 		spec := specOf("x")
 		c.change(&spec)
 		if _, err := engine.Open(spec); !isExactly(err, c.want) {
-			t.Errorf("%+v: %v, want %v", spec, err, c.want)
+			t.Errorf("%+v: error %v, want %v", spec, err, c.want)
 		}
 	}
 	mustOpen(t, engine, "a")
 	if _, err := engine.Open(specOf("a")); !isExactly(err, ErrDuplicateID) {
-		t.Errorf("a second request of the same id: %v", err)
+		t.Errorf("second request with the same id: error %v, want ErrDuplicateID", err)
 	}
 	mustOpen(t, engine, "b")
 	if _, err := engine.Open(specOf("c")); !isExactly(err, ErrTooManyOpen) {
-		t.Errorf("a request over the limit: %v", err)
+		t.Errorf("request above the limit: error %v, want ErrTooManyOpen", err)
 	}
 	if n := decider.count(dispatch.RequestArrived); n != 2 {
-		t.Fatalf("%d requests reached the decision module, want 2", n)
+		t.Fatalf("the decision module received %d requests, want 2", n)
 	}
 }
 
-// A request is answered once, and its id is then reused for another request.
+// A request is answered once, and its internal id is then reused for another request.
 func TestRequest_ServedOnceAndIDFreed(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
@@ -47,7 +47,7 @@
 	attempt.ReportStarted()
 	attempt.ReportProgress(0.5)
 	attempt.Finish(dispatch.ResultOK, []byte("x"))
-	attempt.Finish(dispatch.ResultFailed, nil) // only the first end counts
+	attempt.Finish(dispatch.ResultFailed, nil) // must have no effect
 	decision := <-request.Decisions()
 	if decision.Kind != DecisionServe || string(decision.Result) != "x" {
 		t.Fatalf("decision %+v", decision)
@@ -58,18 +58,18 @@
 		t.Fatalf("ends %+v", ends)
 	}
 	if decider.count(dispatch.RequestAbandoned) != 0 || decider.count(dispatch.AttemptStarted) != 1 {
-		t.Fatalf("events %+v", decider.events)
+		t.Fatalf("events %+v, want no RequestAbandoned and one AttemptStarted", decider.events)
 	}
 	if progress := decider.eventsOf(dispatch.AttemptProgressed)[0].Progress; progress != 0.5 {
 		t.Fatalf("progress %v, want 0.5", progress)
 	}
 	if got := mustOpen(t, engine, "b"); got.id != request.id {
-		t.Fatalf("the id %d was not used again, but %d", request.id, got.id)
+		t.Fatalf("the internal id %d was not reused; got %d", request.id, got.id)
 	}
 }
 
-// A request whose client has disconnected may have an attempt that nobody carries out: it must end, or the decision module counts
-// its slot as used forever.
+// If a client disconnects before an attempt was received from the channel, the attempt has to end. Otherwise the decision module
+// would count its slot as occupied forever.
 func TestClose_FinishesUnreceivedAttempt(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
@@ -78,7 +78,7 @@
 	request.Close()
 	request.Close()
 	if n := decider.count(dispatch.RequestAbandoned); n != 1 {
-		t.Fatalf("the request was abandoned %d times", n)
+		t.Fatalf("%d RequestAbandoned events, want 1", n)
 	}
 	ends := decider.eventsOf(dispatch.AttemptEnded)
 	if len(ends) != 1 || ends[0].Result != dispatch.ResultNotSent || !ends[0].Final {
@@ -89,7 +89,7 @@
 	}
 }
 
-// A request whose time is up fails, unless the decision module's answer has just arrived.
+// Abort returns the decision module's final decision if there is one, although the request's deadline has passed.
 func TestAbort_PrefersDeciderAnswer(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
@@ -100,7 +100,7 @@
 		t.Fatalf("decision %+v", decision)
 	}
 	request.Close()
-	request = mustOpen(t, engine, "b") // its attempt is never received: it never ran
+	request = mustOpen(t, engine, "b") // its attempt is not received from the channel, and therefore never ran
 	if decision := request.Abort(); decision.Kind != DecisionShed {
 		t.Fatalf("decision %+v", decision)
 	}
@@ -110,7 +110,7 @@
 		t.Fatal(counters.Fields())
 	}
 	if n := decider.count(dispatch.RequestAbandoned); n != 1 {
-		t.Fatalf("%d requests were abandoned, want 1", n)
+		t.Fatalf("%d RequestAbandoned events; want 1", n)
 	}
 	ends := decider.eventsOf(dispatch.AttemptEnded)
 	if len(ends) != 2 || ends[1].Result != dispatch.ResultNotSent || engine.OpenRequests() != 0 {
@@ -118,7 +118,7 @@
 	}
 }
 
-// Without an answer of the decision module, a request may be rejected only where none of its attempts can have run.
+// Without a final decision of the decision module, a request is shed only if none of its attempts can have run. Otherwise it fails.
 func TestAbort_ShedsOnlyWhatNeverRan(t *testing.T) {
 	engine := newEngine(t, &scriptedDecider{respond: sendToFirstWorker})
 	engine.UpdateEndpoints(listWith(dispatch.Ready, "127.0.0.1:1", 0))
@@ -141,14 +141,14 @@
 			attempt.Finish(c.result, nil)
 		}
 		if decision := request.Abort(); decision.Kind != c.want {
-			t.Errorf("after %s: decision %+v", c.name, decision)
+			t.Errorf("%s: decision %+v", c.name, decision)
 		}
 		request.Close()
 		attempt.Finish(dispatch.ResultTimedOut, nil)
 	}
 }
 
-// Attempts outlive their request, whose id must not be reused while one of them can still refer to it.
+// Attempts may outlive their request. The internal id of the request must not be reused while an attempt refers to it.
 func TestRequest_KeepsIDWhileAttemptInFlight(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
@@ -156,7 +156,7 @@
 	attempt := (<-request.Decisions()).Attempt
 	request.Close()
 	if next := mustOpen(t, engine, "b"); next.id == request.id {
-		t.Fatal("the id was used again")
+		t.Fatal("the internal id was reused while an attempt was in flight")
 	}
 	attempt.Finish(dispatch.ResultTimedOut, nil)
 	if engine.requests[request.id] != nil {
@@ -164,7 +164,7 @@
 	}
 }
 
-// A final decision is the last one, whatever the decision module orders.
+// No decision follows a final one, whatever actions the decision module returns.
 func TestDecisions_Final(t *testing.T) {
 	for _, c := range []struct {
 		action     dispatch.Action
@@ -177,7 +177,7 @@
 		decider := &scriptedDecider{respond: func(event *dispatch.Event) []dispatch.Action {
 			action := c.action
 			action.Request = event.Request
-			return []dispatch.Action{action, action, {Kind: dispatch.Send, Request: event.Request}} // nothing may follow a final decision
+			return []dispatch.Action{action, action, {Kind: dispatch.Send, Request: event.Request}} // only the first one may take effect
 		}}
 		engine := newEngine(t, decider)
 		request := mustOpen(t, engine, "a")
@@ -186,13 +186,13 @@
 		}
 		select {
 		case decision := <-request.Decisions():
-			t.Errorf("a further decision %+v", decision)
+			t.Errorf("decision %+v after a final one", decision)
 		default:
 		}
 		request.Close()
 		counters := &engine.Counters
 		if decider.count(dispatch.RequestAbandoned) != 0 || counters.AttemptsSent.Load() != 0 || counters.InvalidActions.Load() == 0 {
-			t.Errorf("events %+v, %d invalid actions", decider.events, counters.InvalidActions.Load())
+			t.Errorf("events %+v, %d invalid actions, want at least 1", decider.events, counters.InvalidActions.Load())
 		}
 	}
 }
--- a/internal/engine/restrictions_test.go
+++ b/internal/engine/restrictions_test.go
@@ -8,14 +8,14 @@
 	"birchfork/dispatch"
 )
 
-// busyWorkerNames returns the names of BusyWorkers alone.
+// busyWorkerNames returns only the names from BusyWorkers.
 func busyWorkerNames(e *Engine) []string {
 	names, _ := e.BusyWorkers()
 	return names
 }
 
-// At a host under maintenance nothing is sent to a worker with another name either, and what runs at a worker that has moved away
-// counts for the host where it runs.
+// Restrictions by host apply to every worker that is listed there, whatever its name. A request that runs at a worker which has moved
+// to another host still counts as running at the former host.
 func TestSetRestrictions_AppliesToHosts(t *testing.T) {
 	decider := &scriptedDecider{respond: sendToFirstWorker}
 	engine := newEngine(t, decider)
@@ -27,16 +27,16 @@
 	engine.SetLeaseExpiry(time.Now().Add(time.Hour))
 	attempt := mustStart(t, engine, "a")
 	if !attempt.NeedsLease() || !attempt.MaySend() {
-		t.Errorf("needs the lease %t, may send %t", attempt.NeedsLease(), attempt.MaySend())
+		t.Errorf("NeedsLease %t, MaySend %t, want true for both", attempt.NeedsLease(), attempt.MaySend())
 	}
 	engine.SetRestrictions(Restrictions{LeasedHosts: map[string]bool{"h0": true}, MaintenanceHosts: map[string]bool{"h0": true}})
 	engine.UpdateEndpoints(EndpointList{Version: 2, Snapshot: true, Endpoints: []Endpoint{endpoint("old", "h1:1"), endpoint("new", "h0:1")}})
 	if names, hosts := engine.BusyWorkers(); fmt.Sprint(names, hosts) != "[] [h0]" {
-		t.Errorf("busy are %v at %v", names, hosts) // old is now at a host of no plan; its attempt is not
+		t.Errorf("busy workers %v, hosts %v, want only h0", names, hosts) // old is now at an unrestricted host, its attempt still runs at h0
 	}
 	engine.SetRestrictions(Restrictions{LeasedHosts: map[string]bool{"h0": true, "h1": true}, MaintenanceHosts: map[string]bool{"h0": true}})
 	if names, hosts := engine.BusyWorkers(); fmt.Sprint(names, hosts) != "[old] [h0 h1]" {
-		t.Errorf("busy are %v at %v", names, hosts)
+		t.Errorf("busy workers %v, hosts %v, want old at h0 and h1", names, hosts)
 	}
 	excluded := map[dispatch.WorkerID]bool{}
 	for _, event := range decider.events {
@@ -49,11 +49,11 @@
 	}
 	id, _ := engine.names.FindWorker("new")
 	if len(excluded) != 1 || !excluded[id] {
-		t.Errorf("the decision module may not use %v, want %d alone", excluded, id)
+		t.Errorf("excluded workers %v, want only %d", excluded, id)
 	}
 }
 
-// A worker of a plan is busy while a request runs there, or may still run; not once it is known to have ended.
+// A worker of a plan is busy until it is known that no request of this dispatcher is running there any more.
 func TestBusyWorkers_UntilRequestsEnd(t *testing.T) {
 	for result, busy := range map[dispatch.Result]bool{
 		dispatch.ResultOK:           false,
@@ -71,7 +71,7 @@
 		name := listWith(dispatch.Ready, "a:1", 0).Endpoints[0].Name
 		attempt := mustStart(t, engine, "a")
 		if len(busyWorkerNames(engine)) != 0 {
-			t.Error("a worker of no plan is busy")
+			t.Error("a worker that is not part of a plan is busy")
 		}
 		engine.SetRestrictions(Restrictions{LeasedWorkers: map[string]bool{name: true}})
 		if len(busyWorkerNames(engine)) != 1 {
@@ -79,7 +79,7 @@
 		}
 		attempt.Finish(result, nil)
 		if (len(busyWorkerNames(engine)) == 1) != busy {
-			t.Errorf("%v: busy %v", result, busyWorkerNames(engine))
+			t.Errorf("result %v: busy workers %v", result, busyWorkerNames(engine))
 		}
 	}
 }
--- a/internal/engine/starttime_test.go
+++ b/internal/engine/starttime_test.go
@@ -8,19 +8,19 @@
 	"birchfork/dispatch"
 )
 
-// A stepped wall clock neither makes a new worker warm nor keeps it cold for as long as the step. The step is played by moving the
-// clock of the process, which then differs from the wall clock as after a step the other way.
+// A step of the wall clock must neither make a new worker count as warm nor keep it cold for as long as the step. The test simulates
+// the step by changing the engine's clock, which then differs from the wall clock as after a step in the opposite direction.
 func TestStartTime_SteppedClock(t *testing.T) {
 	const age = 2 * dispatch.Second
 	for _, c := range []struct {
 		name           string
-		step           dispatch.Time // of the process's clock against the wall clock
-		listedAhead    time.Duration // the listed start is that much later
+		step           dispatch.Time // of the engine's clock against the wall clock
+		listedAhead    time.Duration // by which the listed start is later
 		syncedBefore   bool
-		minAge, maxAge dispatch.Time // age
+		minAge, maxAge dispatch.Time // of the worker
 	}{
 		{"no step", 0, 0, true, age, age},
-		{"process ahead by an hour", 3600 * dispatch.Second, 0, true, age, age},
+		{"engine clock ahead by an hour", 3600 * dispatch.Second, 0, true, age, age},
 		{"wall clock ahead by an hour", -3600 * dispatch.Second, 0, true, 0, 0},
 		{"wall clock ahead by a second", -dispatch.Second, 0, true, age - dispatch.Second, age - dispatch.Second},
 		{"start in the future", 0, time.Hour, true, 0, 0},
@@ -44,10 +44,10 @@
 				events := decider.eventsOf(dispatch.EndpointUpdate)
 				got := decider.times[len(decider.times)-4] - events[0].Workers[0].StartedAt
 				if got < c.minAge || got > c.maxAge+2*dispatch.Millisecond {
-					t.Errorf("a worker started 2 s ago counts as started %v us ago, want %v to %v", got, c.minAge, c.maxAge)
+					t.Errorf("age %v us of a worker that started 2 s before, want %v to %v", got, c.minAge, c.maxAge)
 				}
 				if first, last := events[0].Workers[0].StartedAt, events[len(events)-1].Workers[0].StartedAt; first != last {
-					t.Errorf("the same start is %v and then %v", first, last)
+					t.Errorf("the same start was converted to %v and then to %v", first, last)
 				}
 			})
 		})
--- a/internal/engine/worker_test.go
+++ b/internal/engine/worker_test.go
@@ -8,7 +8,7 @@
 	"birchfork/dispatch"
 )
 
-// WorkerStatuses is what the members of a group report of workers.
+// The members of a group exchange the statuses that WorkerStatuses returns.
 func TestWorkerStatuses(t *testing.T) {
 	engine := newEngine(t, &scriptedDecider{})
 	endpoint := func(name string, state dispatch.WorkerState, age time.Duration) Endpoint {
@@ -49,20 +49,20 @@
 	time.Sleep(2 * time.Millisecond)
 	for _, status := range engine.WorkerStatuses(time.Millisecond, time.Minute) {
 		if status.Name == "gone" {
-			t.Error("a worker that left long ago has a status still")
+			t.Error("a worker that has been gone for longer than goneFor still has a status")
 		}
 	}
 }
 
-// A worker is known once it was listed, also as gone, or named by an override.
+// A worker is known after it was listed, even as gone, or named by an override.
 func TestKnowsWorker_ListedOrDisabled(t *testing.T) {
 	engine := newEngine(t, &scriptedDecider{})
 	if engine.KnowsWorker("w") || engine.KnowsWorker("v") {
-		t.Fatal("known before any list")
+		t.Fatal("a worker is known before any list or override")
 	}
 	engine.UpdateEndpoints(listWith(dispatch.Gone, "a:1", 0))
 	engine.ApplyOverrides(disabled("v", time.Now()))
 	if !engine.KnowsWorker("w") || !engine.KnowsWorker("v") || engine.KnowsWorker("") {
-		t.Fatal("not known")
+		t.Fatal("a listed or disabled worker is unknown, or the empty name is known")
 	}
 }
--- a/internal/routes/golden_test.go
+++ b/internal/routes/golden_test.go
@@ -14,9 +14,9 @@
 	"birchfork/internal/goldentest"
 )
 
-// testdata/golden contains what random tables find and allow. UPDATE_GOLDEN=1 writes it.
+// testdata/golden contains the routes and limits that random tables return. UPDATE_GOLDEN=1 updates it.
 
-// writeRandomTable writes what a random table finds for random requests and what its routes allow, or its conflicts.
+// writeRandomTable writes the limits of a random table's routes and the routes of random requests, or the conflicts of the table.
 func writeRandomTable(w io.Writer, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	choose := func(of ...string) string { return of[random.IntN(len(of))] }
--- a/internal/routes/table_test.go
+++ b/internal/routes/table_test.go
@@ -8,12 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-// matchesAll reports whether every field of a match is empty or covers the other values.
+// matchesAll reports whether every field of m is empty or matches the given value.
 func matchesAll(m Match, class, tenant, path string) bool {
 	return (m.Class == "" || m.Class == class) && (m.Tenant == "" || m.Tenant == tenant) && strings.HasPrefix(path, m.Path)
 }
 
-// A table finds the most specific route, whatever the order of the routes.
+// A table finds the most specific matching route, whatever the order of the routes.
 func TestTable_FindsMostSpecific(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sample := func(what string, all ...string) string { return rapid.SampledFrom(all).Draw(t, what) }
@@ -36,12 +36,12 @@
 		for _, route := range list {
 			if !matchesAll(route.Match, request.Class, request.Tenant, request.Path) {
 				if route.Match == found {
-					t.Fatalf("%+v does not match %+v", route.Match, request)
+					t.Fatalf("the found route %+v does not match %+v", route.Match, request)
 				}
 				continue
 			}
 			if !matchesAll(route.Match, found.Class, found.Tenant, found.Path) {
-				t.Fatalf("%+v takes %+v though %+v is not wider", request, found, route.Match)
+				t.Fatalf("request %+v: found %+v, although it is not more specific than %+v", request, found, route.Match)
 			}
 		}
 	})
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -9,7 +9,7 @@
 	"birchfork/internal/goldentest"
 )
 
-// TestGoldenRequest records the bytes of a request as written to a worker.
+// TestGoldenRequest compares the bytes of requests to workers with the golden file.
 func TestGoldenRequest(t *testing.T) {
 	var b strings.Builder
 	for _, c := range []struct {
@@ -28,7 +28,7 @@
 	goldentest.Check(t, "request.txt", []byte(b.String()))
 }
 
-// TestGoldenStatusUpdates records the decoded form of each line of a worker's answer.
+// TestGoldenStatusUpdates compares the decoded form of lines from workers with the golden file.
 func TestGoldenStatusUpdates(t *testing.T) {
 	var b strings.Builder
 	for _, sent := range []string{
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -15,7 +15,7 @@
 	"birchfork/internal/engine"
 )
 
-// pipeDialer is a DialFunc that stores the remote ends of the connections it opens.
+// pipeDialer implements a DialFunc that opens pipes and stores their remote ends.
 type pipeDialer struct{ remotes []net.Conn }
 
 func (p *pipeDialer) dial(context.Context, string) (net.Conn, error) {
@@ -33,7 +33,7 @@
 	return conn
 }
 
-// Idle connections are reused for their own address until the idle timeout.
+// An idle connection is reused for the same address only, and only until the idle timeout.
 func TestPool_ReusesIdleConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var counters engine.Counters
@@ -41,15 +41,15 @@
 		first := mustGet(t, pool, "h:1")
 		pool.Put(first)
 		if second := mustGet(t, pool, "h:1"); second != first {
-			t.Fatal("an idle connection was not used again")
+			t.Fatal("an idle connection was not reused")
 		}
 		pool.Put(first)
 		if second := mustGet(t, pool, "h:2"); second == first {
-			t.Fatal("a connection to another address was used")
+			t.Fatal("a connection to another address was reused")
 		}
 		time.Sleep(1001 * time.Millisecond)
 		if second := mustGet(t, pool, "h:1"); second == first {
-			t.Fatal("a connection was used that had been idle for long")
+			t.Fatal("a connection was reused after the idle timeout")
 		}
 		pool.CloseExpired()
 		if open, idle := pool.Counts(); open != 2 || idle != 0 {
@@ -58,32 +58,32 @@
 	})
 }
 
-// At the limit the longest idle connection is closed, and none in use; closing one twice releases one place.
+// At the limit, the connection that has been idle longest is closed, but none in use. A second Close must not release capacity again.
 func TestPool_KeepsMaxConns(t *testing.T) {
 	var counters engine.Counters
 	pool := NewPool((&pipeDialer{}).dial, &counters, 2, time.Minute)
 	first, second := mustGet(t, pool, "h:1"), mustGet(t, pool, "h:1")
 	if _, err := pool.Get(context.Background(), "h:2"); !errors.Is(err, ErrNoFileDescriptor) {
-		t.Fatalf("over the limit: %v", err)
+		t.Fatalf("above the limit: error %v, want ErrNoFileDescriptor", err)
 	}
 	pool.Put(second)
 	pool.Put(first)
-	third := mustGet(t, pool, "h:2") // the longest idle one is closed
+	third := mustGet(t, pool, "h:2") // closes the connection that has been idle longest
 	if open, idle := pool.Counts(); open != 2 || idle != 1 {
 		t.Fatalf("%d open, %d idle", open, idle)
 	}
 	if got := mustGet(t, pool, "h:1"); got != first {
-		t.Fatal("the one that had been idle for less was closed")
+		t.Fatal("the connection that had been idle for less time was closed")
 	}
 	_ = third.Close()
 	_ = third.Close()
 	_ = first.Close()
 	if open, _ := pool.Counts(); open != 0 {
-		t.Fatalf("%d open after all were closed", open)
+		t.Fatalf("%d connections open after all were closed", open)
 	}
 }
 
-// CloseIdleTo closes idle connections to the address, and none in use.
+// CloseIdleTo closes idle connections to the given address only, and no connection in use.
 func TestPool_CloseIdleTo(t *testing.T) {
 	var counters engine.Counters
 	pool := NewPool((&pipeDialer{}).dial, &counters, 9, time.Minute)
@@ -96,16 +96,16 @@
 	}
 	used.SetReadDeadline(time.Unix(1, 0))
 	if _, err := used.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("one in use was closed: %v", err)
+		t.Fatalf("a connection in use was closed: %v", err)
 	}
 	pool.Close()
 	if _, err := second.Write([]byte("x")); err == nil {
-		t.Fatal("an idle one is open still")
+		t.Fatal("an idle connection is open after Close")
 	}
 }
 
-// A connection that its worker has closed or reset, or on which it has sent unexpected data, must not get a request: the request would be
-// lost although it was never sent.
+// A connection that the worker has closed or reset, or on which it has sent unexpected data, must not be reused. A request on it would be
+// lost although the worker never received it.
 func TestPool_DetectsEndedIdleConnection(t *testing.T) {
 	for name, breakConn := range map[string]func(net.Conn){
 		"closed": func(c net.Conn) { c.Close() },
@@ -127,16 +127,16 @@
 		}
 		pool.Put(first)
 		if !first.isReusable() {
-			t.Fatalf("%s: open before it", name)
+			t.Fatalf("%s: the open connection is not reusable", name)
 		}
 		breakConn(remote)
 		for deadline := time.Now().Add(5 * time.Second); first.isReusable(); time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Fatalf("%s: the connection still passes for open", name)
+				t.Fatalf("%s: the connection is still reusable after 5 s", name)
 			}
 		}
 		if second := mustGet(t, pool, l.Addr().String()); second == first || c.StaleConns.Load() != 1 {
-			t.Fatalf("%s: the ended connection was used", name)
+			t.Fatalf("%s: the ended connection was reused", name)
 		}
 		if open, _ := pool.Counts(); open != 1 {
 			t.Fatalf("%s: %d open", name, open)
@@ -147,26 +147,26 @@
 	}
 }
 
-// A failed dial occupies no place, and is the worker's fault unless this process has no descriptor left.
+// A failed dial releases its capacity. It counts as a failure of the worker unless this process has no file descriptor available.
 func TestPool_FailedDialReleasesCapacity(t *testing.T) {
 	var counters engine.Counters
 	fail := error(syscall.ECONNREFUSED)
 	pool := NewPool(func(context.Context, string) (net.Conn, error) { return nil, fmt.Errorf("dial: %w", fail) }, &counters, 1, time.Minute)
 	for range 3 {
 		if _, err := pool.Get(context.Background(), "h:1"); err == nil || errors.Is(err, ErrNoFileDescriptor) {
-			t.Fatalf("a refused connection: %v", err)
+			t.Fatalf("refused connection: error %v", err)
 		}
 	}
-	fail = syscall.EMFILE // the process is out of descriptors: no fault of the worker's
+	fail = syscall.EMFILE // the process has no file descriptor available, which is not a failure of the worker
 	if _, err := pool.Get(context.Background(), "h:1"); !errors.Is(err, ErrNoFileDescriptor) {
-		t.Fatalf("out of descriptors: %v", err)
+		t.Fatalf("no file descriptor available: error %v, want ErrNoFileDescriptor", err)
 	}
 	if open, _ := pool.Counts(); open != 0 || counters.NoFileDescriptor.Load() != 1 {
-		t.Fatalf("%d open, %d without a descriptor", open, counters.NoFileDescriptor.Load())
+		t.Fatalf("%d connections open, %d attempts without a file descriptor, want 0 and 1", open, counters.NoFileDescriptor.Load())
 	}
 }
 
-// A lower limit immediately closes idle connections, the longest idle first, and no more than necessary.
+// A lower limit immediately closes as many idle connections as necessary, the longest idle first.
 func TestPool_SetMaxConnsClosesIdle(t *testing.T) {
 	var counters engine.Counters
 	pool := NewPool((&pipeDialer{}).dial, &counters, 4, time.Minute)
@@ -178,10 +178,10 @@
 		t.Fatalf("%d open, %d idle", open, idle)
 	}
 	if got := mustGet(t, pool, "h:1"); got != second {
-		t.Fatal("the one that was used last is not left")
+		t.Fatal("the most recently used connection was closed")
 	}
 	if _, err := pool.Get(context.Background(), "h:1"); !errors.Is(err, ErrNoFileDescriptor) {
-		t.Fatalf("over the limit: %v", err)
+		t.Fatalf("above the limit: error %v, want ErrNoFileDescriptor", err)
 	}
 	pool.SetMaxConns(1)
 	_ = third.Close()
--- a/internal/upstream/transport_test.go
+++ b/internal/upstream/transport_test.go
@@ -18,15 +18,15 @@
 	"birchfork/internal/upstream/upstreamtest"
 )
 
-// discard reads a connection to its end.
+// discard reads and discards all data from a connection.
 func discard(c net.Conn) { _, _ = io.Copy(io.Discard, c) }
 
-// newTransport returns a transport whose connections dial opens.
+// newTransport returns a transport that opens connections with dial.
 func newTransport(e *engine.Engine, dial DialFunc) *Transport {
 	return &Transport{Pool: NewPool(dial, &e.Counters, 8, time.Minute), Counters: &e.Counters}
 }
 
-// closeSpy is a connection that calls onClose before it is closed and records the last linger time that was set.
+// closeSpy is a connection that calls onClose before it is closed and records the linger time that was set last.
 type closeSpy struct {
 	net.Conn
 	onClose func()
@@ -43,9 +43,9 @@
 	return s.Conn.Close()
 }
 
-// A machine that has vanished accepts the request and sends nothing. The attempt has to end by its timeout, and its connection has to be
-// closed before that is reported: otherwise a retry would run beside the first attempt. What the kernel still has of the request must be
-// discarded.
+// The connection to a machine that has disappeared accepts the request and delivers no response. The attempt has to time out, and its
+// connection has to be closed before the outcome is reported. Otherwise a retry could run concurrently with the first attempt. Data of the
+// request that the kernel has not delivered must be discarded.
 func TestTransport_SilentWorkerTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := enginetest.New(t, 0)
@@ -61,12 +61,12 @@
 			t.Fatal(e.Counters.Fields())
 		}
 		if open, _ := transport.Pool.Counts(); open != 0 || !early || linger != 0 {
-			t.Fatalf("%d connections stayed open; closed before the end was reported: %v; what is written lingers for %d s", open, early, linger)
+			t.Fatalf("%d connections open; closed before the outcome was reported: %v; linger time %d s, want 0, true and 0 s", open, early, linger)
 		}
 	})
 }
 
-// The other idle connections to a machine that has vanished would accept further requests; only a new one shows that it is gone.
+// The other idle connections to a machine that has disappeared would accept further requests. Only the dial of a new connection fails.
 func TestTransport_SilentWorkerClosesIdleConns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := enginetest.New(t, 0)
@@ -90,18 +90,18 @@
 		_, a := upstreamtest.OpenAttempt(t, e, "search", 5*time.Second)
 		transport.Do(a, &Request{Method: "POST", Target: "/search", ID: "id-1"})
 		if open, _ := transport.Pool.Counts(); open != 0 || e.Counters.ReusedConns.Load() != 1 {
-			t.Fatalf("%d connections are left, %d were used again", open, e.Counters.ReusedConns.Load())
+			t.Fatalf("%d connections open, %d reused, want 0 and 1", open, e.Counters.ReusedConns.Load())
 		}
 	})
 }
 
-// A request whose last byte was not sent cannot have run, so even one that must not be repeated is not lost.
+// A request whose last byte was not sent cannot have run. It can be retried even if it must not run twice.
 func TestTransport_PartialWriteNeverRan(t *testing.T) {
 	e := enginetest.New(t, 0)
 	e.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1"))
 	near, far := net.Pipe()
 	go func() {
-		_, _ = io.ReadFull(far, make([]byte, 30)) // a part of the request
+		_, _ = io.ReadFull(far, make([]byte, 30)) // reads a part of the request
 		far.Close()
 	}()
 	transport := newTransport(e, func(context.Context, string) (net.Conn, error) { return near, nil })
@@ -112,7 +112,7 @@
 	}
 }
 
-// Nothing may be sent to a worker that has begun to drain while the connection to it was set up.
+// No request may be sent to a worker that has begun to drain during the dial.
 func TestTransport_DrainDuringDial(t *testing.T) {
 	e := enginetest.New(t, 0)
 	e.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1"))
@@ -130,20 +130,20 @@
 	}
 	far.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 	if n, err := far.Read(make([]byte, 1)); n != 0 || errors.Is(err, io.EOF) {
-		t.Fatalf("%d bytes came, %v: the unused connection should stay, silent", n, err)
+		t.Fatalf("%d bytes received, error %v: want the connection open and unused", n, err)
 	}
 	r.Close()
 }
 
-// A worker that accepts no connection counts as unreachable, but not if the request's own deadline interrupted the dial.
+// A worker whose dial times out counts as unreachable, but not if the request's deadline interrupted the dial.
 func TestTransport_DialTimeouts(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		dial DialFunc
 		want dispatch.Result
 	}{
-		{"by its own time-out", func(context.Context, string) (net.Conn, error) { return nil, os.ErrDeadlineExceeded }, dispatch.ResultUnreachable},
-		{"by the request's deadline", func(ctx context.Context, _ string) (net.Conn, error) {
+		{"dial timeout", func(context.Context, string) (net.Conn, error) { return nil, os.ErrDeadlineExceeded }, dispatch.ResultUnreachable},
+		{"request deadline", func(ctx context.Context, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}, dispatch.ResultNotSent},
@@ -161,7 +161,7 @@
 	}
 }
 
-// The limit on connections is this process's own: no worker is at fault.
+// An attempt that fails because of this process's limit on connections does not count as a failure of the worker.
 func TestTransport_NoDescriptorLeft(t *testing.T) {
 	e := enginetest.New(t, 0)
 	e.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1"))
@@ -173,7 +173,7 @@
 	}
 }
 
-// Whatever a worker sends, the attempt ends once and its connection is released.
+// Whatever a worker sends, the attempt ends exactly once and its connection is released.
 func FuzzTransportResponse(f *testing.F) {
 	f.Add([]byte(upstreamtest.Answer(upstreamtest.StatusLine("id-1", "done", `,"result":"r"`))))
 	f.Add([]byte("HTTP/1.1 503 x\r\nX-Not-Run: 1\r\n\r\n"))
@@ -184,7 +184,7 @@
 		near, far := net.Pipe()
 		go func() {
 			_, _ = http.ReadRequest(bufio.NewReader(far))
-			_, _ = far.Write(raw) // the transport may have closed the connection
+			_, _ = far.Write(raw) // fails if the transport has already closed the connection
 			far.Close()
 		}()
 		transport := newTransport(e, func(context.Context, string) (net.Conn, error) { return near, nil })
@@ -200,7 +200,7 @@
 			ended += e.Counters.Outcomes[i].Load()
 		}
 		if open, idle := transport.Pool.Counts(); ended != 1 || open != idle {
-			t.Fatalf("%d ends, %d connections in use", ended, open-idle)
+			t.Fatalf("%d attempts ended, %d connections in use, want 1 and 0", ended, open-idle)
 		}
 	})
 }
