--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -21,7 +21,7 @@
 	number     int // index among the attempts of the request
 	worker     dispatch.WorkerID
 	address    string
-	sentAt     dispatch.Time // time at which the decision module started the attempt
+	sentAt     dispatch.Time // time at which the decision module requested the attempt
 	sendBefore dispatch.Time // deadline for the first byte of the attempt; 0: none
 	ctx        context.Context
 	cancel     context.CancelCauseFunc
--- a/internal/engine/lease_test.go
+++ b/internal/engine/lease_test.go
@@ -62,7 +62,7 @@
 		minAge, maxAge time.Duration
 	}{
 		{"started recently", 3 * time.Second, false, 2 * time.Second, 4 * time.Second},
-		{"enabled meanwhile", time.Hour, true, 0, time.Second},
+		{"enabled by override", time.Hour, true, 0, time.Second},
 		{"started long ago", time.Hour, false, 59 * time.Minute, 61 * time.Minute},
 	} {
 		decider := &scriptedDecider{}
--- a/internal/engine/request_test.go
+++ b/internal/engine/request_test.go
@@ -50,12 +50,12 @@
 	attempt.Finish(dispatch.ResultFailed, nil) // must have no effect
 	decision := <-request.Decisions()
 	if decision.Kind != DecisionServe || string(decision.Result) != "x" {
-		t.Fatalf("decision %+v", decision)
+		t.Fatalf("decision %+v, want DecisionServe with result x", decision)
 	}
 	request.Close()
 	ends := decider.eventsOf(dispatch.AttemptEnded)
 	if len(ends) != 1 || !ends[0].Final || ends[0].Result != dispatch.ResultOK {
-		t.Fatalf("ends %+v", ends)
+		t.Fatalf("AttemptEnded events %+v", ends)
 	}
 	if decider.count(dispatch.RequestAbandoned) != 0 || decider.count(dispatch.AttemptStarted) != 1 {
 		t.Fatalf("events %+v, want no RequestAbandoned and one AttemptStarted", decider.events)
@@ -82,10 +82,10 @@
 	}
 	ends := decider.eventsOf(dispatch.AttemptEnded)
 	if len(ends) != 1 || ends[0].Result != dispatch.ResultNotSent || !ends[0].Final {
-		t.Fatalf("ends %+v", ends)
+		t.Fatalf("AttemptEnded events %+v", ends)
 	}
 	if engine.requests[request.id] != nil || engine.OpenRequests() != 0 {
-		t.Fatal("the request is still kept")
+		t.Fatal("the request is still stored after its end")
 	}
 }
 
@@ -97,12 +97,12 @@
 	request := mustOpen(t, engine, "a")
 	(<-request.Decisions()).Attempt.Finish(dispatch.ResultOK, []byte("x"))
 	if decision := request.Abort(); decision.Kind != DecisionServe || string(decision.Result) != "x" {
-		t.Fatalf("decision %+v", decision)
+		t.Fatalf("decision %+v, want DecisionServe with result x", decision)
 	}
 	request.Close()
 	request = mustOpen(t, engine, "b") // its attempt is not received from the channel, and therefore never ran
 	if decision := request.Abort(); decision.Kind != DecisionShed {
-		t.Fatalf("decision %+v", decision)
+		t.Fatalf("decision %+v, want DecisionShed", decision)
 	}
 	request.Close()
 	counters := &engine.Counters
@@ -110,11 +110,11 @@
 		t.Fatal(counters.Fields())
 	}
 	if n := decider.count(dispatch.RequestAbandoned); n != 1 {
-		t.Fatalf("%d RequestAbandoned events; want 1", n)
+		t.Fatalf("%d requests were abandoned, want 1", n)
 	}
 	ends := decider.eventsOf(dispatch.AttemptEnded)
 	if len(ends) != 2 || ends[1].Result != dispatch.ResultNotSent || engine.OpenRequests() != 0 {
-		t.Fatalf("ends %+v, %d requests open", ends, engine.OpenRequests())
+		t.Fatalf("AttemptEnded events %+v, %d requests open", ends, engine.OpenRequests())
 	}
 }
 
@@ -160,7 +160,7 @@
 	}
 	attempt.Finish(dispatch.ResultTimedOut, nil)
 	if engine.requests[request.id] != nil {
-		t.Fatal("the request is still kept")
+		t.Fatal("the request is still stored after its end")
 	}
 }
 
--- a/internal/engine/starttime_test.go
+++ b/internal/engine/starttime_test.go
@@ -15,9 +15,9 @@
 	for _, c := range []struct {
 		name           string
 		step           dispatch.Time // of the engine's clock against the wall clock
-		listedAhead    time.Duration // by which the listed start is later
+		listedAhead    time.Duration // added to the listed start
 		syncedBefore   bool
-		minAge, maxAge dispatch.Time // of the worker
+		minAge, maxAge dispatch.Time // bounds of the expected age
 	}{
 		{"no step", 0, 0, true, age, age},
 		{"engine clock ahead by an hour", 3600 * dispatch.Second, 0, true, age, age},
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -42,7 +42,7 @@
 	errUnknownState    = errors.New("unknown state")
 	errLineTooLong     = errors.New("line too long")
 	errInvalidProgress = errors.New("invalid share: must be between 0 and 1")
-	errNoResult        = errors.New("missing result: must be a string if the state is done")
+	errNoResult        = errors.New("missing or invalid result: must be a string if the state is done")
 )
 
 // statusUpdate is a decoded line of a worker's response.
