--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -50,7 +50,8 @@
 
 	completed recentCount // requests that warmed-up workers have completed
 	arrived   recentCount // requests of clients, excluding retries
-	// The share of the samples of warming workers after which the request was sent there.
+	// The share of the samples of warming workers after which the request was sent there; at least
+	// minSampleWinRate.
 	sampleWinRate float64
 	slotsInUse    float64 // of this dispatcher's attempts in flight at all workers
 	meanCapacity  float64 // of workers, updated at the end of each attempt
--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -6,7 +6,7 @@
 )
 
 // handleEndpoints applies the endpoint list, samples another candidate for each request that is queued at a
-// worker that is not ready any more, and restores the watch if needed. Outdated events are ignored: they
+// worker that is no longer ready, and restores the watch if needed. Outdated events are ignored: they
 // would mark a draining worker as ready.
 func (d *Dispatcher) handleEndpoints(event *Event) {
 	if event.Version < d.endpointVersion {
--- a/dispatch/placement.go
+++ b/dispatch/placement.go
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// staysInZone reports whether a sample is taken from this dispatcher's zone only rather than from all zones.
-// The probability of the latter rises with the start delay in this zone.
+// staysInZone reports whether a sample is taken from this dispatcher's zone rather than from all zones. The
+// longer starts are delayed in this zone, the more samples are taken from all zones.
 func (d *Dispatcher) staysInZone(r *request, inZone bool) bool {
 	price := priceWeight * d.settings.PriceCrossZone
 	if r.affinityKey != 0 || price <= 0 || len(d.readyInZone) == 0 {
--- a/dispatch/settings.go
+++ b/dispatch/settings.go
@@ -10,7 +10,7 @@
 	LateWeight       float64 // share of the weight that remains after the latency objective
 	Idempotency      Idempotency
 	DedupScope       DedupScope // of Deduplicated requests
-	DedupWindow      Time       // of Deduplicated requests: time after the first send while repeats are dropped
+	DedupWindow      Time       // of Deduplicated requests: time after the first send in which repeats are dropped
 	WorkerKind       int        // the only kind of worker that runs the class; -1: any kind
 }
 
@@ -33,7 +33,7 @@
 
 	MaxAttempts        int // per request
 	CanCancel          bool
-	CanHedge           bool // two attempts of one request may be in flight together
+	CanHedge           bool // two attempts of one request may be in flight at once
 	RetryAfter         bool // rejections may carry a Retry-After
 	MaxRetryAfter      Time
 	ConnectTimeout     Time
@@ -52,7 +52,7 @@
 
 	PriceWaste     float64 // of wasted work, as a share of all work
 	PriceFetch     float64 // of one fetch from the store for each request
-	PriceLateFail  float64 // of weight that ended unserved after its latency objective
+	PriceLateFail  float64 // of the weight of requests that ended unserved after their latency objective
 	PriceCrossZone float64 // of one crossing between zones for each request
 	IdleTimeout    Time    // time after which idle connections are closed
 }
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -63,7 +63,7 @@
 	nextProbeAt        Time    // of a zone that cannot be reached
 
 	warmedUpCapacityWeight float64     // capacity weight of its ready workers that have warmed up
-	completed              recentCount // requests that these have completed
+	completed              recentCount // requests that warmed-up workers have completed
 }
 
 // initialStartDelay is a zone's startDelay until a shorter one is observed.
