--- a/internal/boltstore/boltstore.go
+++ b/internal/boltstore/boltstore.go
@@ -17,8 +17,8 @@
 
 // Errors of Open for files that are not damaged and are left unchanged.
 var (
-	ErrLocked  = errors.New("file is in use by another process")
-	ErrForeign = errors.New("file belongs to another member or group") // returned by a load function
+	ErrLocked     = errors.New("file is in use by another process")
+	ErrOtherOwner = errors.New("file belongs to another member or group") // returned by a load function
 )
 
 const (
@@ -29,7 +29,7 @@
 // Open opens a file in a folder, creates both if they do not exist, and calls load to read the file.
 //
 // If the file cannot be read, Open renames it for operators to inspect, calls load again with an empty file, and returns the cause as
-// unreadable. If the file cannot be used, it returns an err and no db: ErrLocked, load's ErrForeign, or an error of the operating system,
+// unreadable. If the file cannot be used, it returns an err and no db: ErrLocked, load's ErrOtherOwner, or an error of the operating system,
 // after which the file may still be intact.
 func Open(folder, file string, load func(*bbolt.DB) error) (db *bbolt.DB, unreadable, err error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
@@ -40,7 +40,7 @@
 	if err == nil {
 		return db, nil, nil
 	}
-	if errors.Is(err, ErrLocked) || errors.Is(err, ErrForeign) || isSystemError(err) {
+	if errors.Is(err, ErrLocked) || errors.Is(err, ErrOtherOwner) || isSystemError(err) {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
 	movedPath := path + unreadableSuffix
--- a/internal/boltstore/boltstore_test.go
+++ b/internal/boltstore/boltstore_test.go
@@ -129,9 +129,9 @@
 	}
 }
 
-// TestOpen_FileStays checks that a file stays in place if it is foreign or the operating system reports an error.
-func TestOpen_FileStays(t *testing.T) {
-	for _, cause := range []error{ErrForeign, syscall.EIO} {
+// TestOpen_LeavesUndamagedFile checks that a file stays in place if it is foreign or the operating system reports an error.
+func TestOpen_LeavesUndamagedFile(t *testing.T) {
+	for _, cause := range []error{ErrOtherOwner, syscall.EIO} {
 		folder := t.TempDir()
 		db, unreadable, err := Open(folder, "f.db", func(*bbolt.DB) error { return fmt.Errorf("group x: %w", cause) })
 		if !errors.Is(err, cause) || db != nil || unreadable != nil {
@@ -143,8 +143,8 @@
 	}
 }
 
-// TestOpen_KeepsWhatIsThere checks that the contents of a closed file are read again.
-func TestOpen_KeepsWhatIsThere(t *testing.T) {
+// TestOpen_KeepsContents checks that the contents of a closed file are read again.
+func TestOpen_KeepsContents(t *testing.T) {
 	folder := t.TempDir()
 	for i := range 2 {
 		db, unreadable, err := Open(folder, "f.db", func(db *bbolt.DB) error {
--- a/internal/consensus/storage.go
+++ b/internal/consensus/storage.go
@@ -57,7 +57,7 @@
 }
 
 // OpenStorage opens the file in a directory, or creates it for fresh, whose incarnation counts only then. Without a directory nothing
-// outlives the process. A file of another group, member or format stays as it is, with an error that is boltstore.ErrForeign; one that
+// outlives the process. A file of another group, member or format stays as it is, with an error that is boltstore.ErrOtherOwner; one that
 // another process has open gives boltstore.ErrLocked.
 func OpenStorage(dir string, fresh Identity) (*Storage, error) {
 	fresh.Format = formatVersion
@@ -124,12 +124,12 @@
 func (s *Storage) readIdentity(meta *bbolt.Bucket) error {
 	var identity Identity
 	if err := json.Unmarshal(meta.Get(identityKey), &identity); err != nil {
-		return fmt.Errorf("%w: reading its identity: %w", boltstore.ErrForeign, err)
+		return fmt.Errorf("%w: reading its identity: %w", boltstore.ErrOtherOwner, err)
 	}
 	isOurs := identity.Format == formatVersion && identity.Group == s.identity.Group && identity.Name == s.identity.Name
 	if !isOurs {
 		return fmt.Errorf("%w: it is of format %d, group %q, member %q, not %d, %q, %q",
-			boltstore.ErrForeign, identity.Format, identity.Group, identity.Name, formatVersion, s.identity.Group, s.identity.Name)
+			boltstore.ErrOtherOwner, identity.Format, identity.Group, identity.Name, formatVersion, s.identity.Group, s.identity.Name)
 	}
 	s.identity = identity
 	return nil
--- a/internal/consensus/storage_test.go
+++ b/internal/consensus/storage_test.go
@@ -66,7 +66,7 @@
 	}
 	mustClose(t, storage)
 	for _, other := range []Identity{{Group: "h", Name: "a"}, {Group: "g", Name: "b"}} {
-		if _, err := OpenStorage(dir, other); !errors.Is(err, boltstore.ErrForeign) {
+		if _, err := OpenStorage(dir, other); !errors.Is(err, boltstore.ErrOtherOwner) {
 			t.Errorf("%+v: %v", other, err)
 		}
 	}
@@ -120,7 +120,7 @@
 	}
 	storage, err := OpenStorage(dir, Identity{Group: "g", Name: "a", Incarnation: "second", RaftID: 8})
 	switch {
-	case errors.Is(err, boltstore.ErrForeign): // the flipped bit is in its name
+	case errors.Is(err, boltstore.ErrOtherOwner): // the flipped bit is in its name
 		return
 	case err != nil:
 		t.Errorf("%s: %v", what, err)
--- a/internal/coordinator/apply.go
+++ b/internal/coordinator/apply.go
@@ -71,7 +71,7 @@
 
 // restrictionsOf returns the restrictions that a state places on a dispatcher.
 func restrictionsOf(state *maintenance.State) engine.Restrictions {
-	underMaintenance, leased := state.InMaintenance(), state.Leased()
+	underMaintenance, leased := state.Excluded(), state.Leased()
 	return engine.Restrictions{
 		MaintenanceWorkers: underMaintenance.Workers,
 		MaintenanceHosts:   underMaintenance.Hosts,
--- a/internal/coordinator/membership.go
+++ b/internal/coordinator/membership.go
@@ -194,7 +194,7 @@
 		return nil, err
 	}
 	storage, err := consensus.OpenStorage(c.options.Group.DataDir, identity)
-	isOthers := errors.Is(err, boltstore.ErrLocked) || errors.Is(err, boltstore.ErrForeign)
+	isOthers := errors.Is(err, boltstore.ErrLocked) || errors.Is(err, boltstore.ErrOtherOwner)
 	if err == nil || isOthers {
 		return storage, err
 	}
@@ -249,7 +249,7 @@
 		return err
 	}
 	storage, err := consensus.OpenStorage(options.Group.DataDir, identity)
-	if errors.Is(err, boltstore.ErrForeign) || errors.Is(err, boltstore.ErrLocked) {
+	if errors.Is(err, boltstore.ErrOtherOwner) || errors.Is(err, boltstore.ErrLocked) {
 		return fmt.Errorf("group.folder: %w", err)
 	}
 	if err != nil {
--- a/internal/coordinator/resume.go
+++ b/internal/coordinator/resume.go
@@ -22,7 +22,7 @@
 func (c *Coordinator) resume(ctx context.Context, current *membership) {
 	marker := c.openBootMarker()
 	recorded, isRecorded := marker.Lookup(current.identity.Incarnation)
-	if failpoint.Enabled(failpoint.TrustDisk) {
+	if failpoint.Enabled(failpoint.AcceptOutdatedDisk) {
 		c.startNode(current, marker, nil, true)
 		return
 	}
--- a/internal/failpoint/failpoint.go
+++ b/internal/failpoint/failpoint.go
@@ -35,7 +35,7 @@
 	AnswerBeforeSync    = "early-yes"      // operators get an answer seconds before an override is synced
 	OverwriteReplica    = "overwrites"     // entries that a member pulls replace its own
 	NoEndpointExchange  = "list-untold"    // members do not exchange endpoint lists
-	TrustDisk           = "trusts-disk"    // a member accepts any disk as its latest one
+	AcceptOutdatedDisk  = "trusts-disk"    // a member accepts any disk as its latest one
 )
 
 // Conditions that a correct program has to tolerate. They violate no rule.
@@ -51,7 +51,7 @@
 var Names = []string{
 	SendWithoutLease, OverlongLease, IgnoreMemberReports, IgnoreBudget, IgnoreUnavailable, RandomMachineOrder, RepeatCommands,
 	IgnoreRestoredState, SendBeforeJoin, WaitForLostMembers, AnswerBeforeCommit, IgnoreBusyWorkers, NoOverrideExchange, EnabledWins,
-	ResurrectEntries, EjectOnPeerReport, NoOutlierReports, ReuseDots, LastWriteWins, AnswerBeforeSync, OverwriteReplica, TrustDisk,
+	ResurrectEntries, EjectOnPeerReport, NoOutlierReports, ReuseDots, LastWriteWins, AnswerBeforeSync, OverwriteReplica, AcceptOutdatedDisk,
 	NoEndpointExchange,
 }
 
--- a/internal/failpoint/lean.go
+++ b/internal/failpoint/lean.go
@@ -29,7 +29,7 @@
 	AnswerBeforeSync    = ""
 	OverwriteReplica    = ""
 	NoEndpointExchange  = ""
-	TrustDisk           = ""
+	AcceptOutdatedDisk  = ""
 
 	ClockSkew    = ""
 	OlderBuild   = ""
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -141,7 +141,7 @@
 func (n *Node) openReplicaLocked() error {
 	replica := replication.New(newIncarnation(n.options.Self))
 	opened, unreadable, err := openStorage(n.options.Dir, n.options.Group, replica, n.onBatchWritten)
-	if errors.Is(err, boltstore.ErrLocked) || errors.Is(err, boltstore.ErrForeign) {
+	if errors.Is(err, boltstore.ErrLocked) || errors.Is(err, boltstore.ErrOtherOwner) {
 		return err
 	}
 	if unreadable != nil {
--- a/internal/gossip/storage.go
+++ b/internal/gossip/storage.go
@@ -65,7 +65,7 @@
 }
 
 // openStorage opens the file in dir and restores target from it. It returns nil if dir is empty. unreadable is why a damaged file was
-// replaced by an empty one. The error wraps boltstore.ErrLocked or ErrForeign, or is why dir cannot be used.
+// replaced by an empty one. The error wraps boltstore.ErrLocked or ErrOtherOwner, or is why dir cannot be used.
 func openStorage(dir, group string, target *replication.Replica, onWritten func(*storage, *batch)) (opened *storage, unreadable, err error) {
 	if dir == "" {
 		return nil, nil, nil
@@ -87,7 +87,7 @@
 	return opened, unreadable, nil
 }
 
-// load reads a file, or initializes an empty one. The error wraps boltstore.ErrForeign if the file has an identity other than want.
+// load reads a file, or initializes an empty one. The error wraps boltstore.ErrOtherOwner if the file has an identity other than want.
 func load(db *bbolt.DB, want identity) (stored contents, err error) {
 	err = db.Update(func(tx *bbolt.Tx) error {
 		meta, err := tx.CreateBucketIfNotExists(metaBucket)
@@ -122,7 +122,7 @@
 func checkIdentity(raw []byte, want identity) error {
 	var got identity
 	if err := json.Unmarshal(raw, &got); err != nil || got != want {
-		return fmt.Errorf("%w: format %d, group %q, not %d, %q", boltstore.ErrForeign, got.Format, got.Group, want.Format, want.Group)
+		return fmt.Errorf("%w: format %d, group %q, not %d, %q", boltstore.ErrOtherOwner, got.Format, got.Group, want.Format, want.Group)
 	}
 	return nil
 }
--- a/internal/maintenance/advance_test.go
+++ b/internal/maintenance/advance_test.go
@@ -9,24 +9,24 @@
 // than the fence timeout.
 func TestMachine_PassesThroughAllPhases(t *testing.T) {
 	f := newFixture(t, Plan{})
-	f.expect(CodeOK, Command{Kind: CommandStartPlan, Name: "p"})
+	f.expectCode(CodeOK, Command{Kind: CommandStartPlan, Name: "p"})
 	f.advance(second, "c")
 	f.expectPhases("") // not started: c has not confirmed it
 	f.advance(second)
 	f.expectPhases("m0 leaving") // the least weight
-	if excluded := f.state.InMaintenance().Workers; !excluded["r0"] || excluded["r1"] || !f.state.Leased().Workers["r5"] {
-		t.Errorf("excluded %v, leased %v", f.state.InMaintenance(), f.state.Leased())
+	if excluded := f.state.Excluded().Workers; !excluded["r0"] || excluded["r1"] || !f.state.Leased().Workers["r5"] {
+		t.Errorf("excluded %v, leased %v", f.state.Excluded(), f.state.Leased())
 	}
-	f.expect(CodeRetryLater, Command{Kind: CommandClaimMachine, Machine: "m0"})
+	f.expectCode(CodeRetryLater, Command{Kind: CommandClaimMachine, Machine: "m0"})
 	f.advance(4*second, "c")
 	f.expectPhases("m0 leaving")
 	f.advance(second, "c")
 	f.expectPhases("m0 clear")
-	f.expect(CodeOK, Command{Kind: CommandClaimMachine, Machine: "m0"})
-	f.expect(CodeOK, Command{Kind: CommandClaimMachine, Machine: "m0"}) // a repeated call
-	f.expect(CodeInvalid, Command{Kind: CommandSkipMachine, Machine: "m0"})
-	f.expect(CodeInvalid, Command{Kind: CommandReturnMachine, Machine: "m1"})
-	f.expect(CodeOK, Command{Kind: CommandReturnMachine, Machine: "m0"})
+	f.expectCode(CodeOK, Command{Kind: CommandClaimMachine, Machine: "m0"})
+	f.expectCode(CodeOK, Command{Kind: CommandClaimMachine, Machine: "m0"}) // a repeated call
+	f.expectCode(CodeInvalid, Command{Kind: CommandSkipMachine, Machine: "m0"})
+	f.expectCode(CodeInvalid, Command{Kind: CommandReturnMachine, Machine: "m1"})
+	f.expectCode(CodeOK, Command{Kind: CommandReturnMachine, Machine: "m0"})
 	f.advance(second) // no member reports it as warming up, which does not yet say that it is warm
 	f.expectPhases("m0 returning")
 	f.changeWorker("r0", func(w *Worker) { w.WarmingUp = true })
@@ -37,13 +37,13 @@
 	f.expectPhases("m0 warm, m1 leaving") // of the other zone
 	f.advance(second)
 	f.expectPhases("m0 done, m1 clear")
-	f.expect(CodeOK, Command{Kind: CommandAbortPlan, Name: "p"})
+	f.expectCode(CodeOK, Command{Kind: CommandAbortPlan, Name: "p"})
 	f.expectPhases("m0 done, m1 returning, m2 skipped, m3 skipped, m4 skipped, m5 skipped")
 	f.advance(3 * second)
 	f.advance(second)
 	f.expectPhases("m0 done, m1 skipped, m2 skipped, m3 skipped, m4 skipped, m5 skipped") // operators did not have m1
-	f.expect(CodeOK, Command{Kind: CommandReturnMachine, Machine: "m0"})                  // a repeated call after the end
-	f.expect(CodeInvalid, Command{Kind: CommandClaimMachine, Machine: "m1"})
+	f.expectCode(CodeOK, Command{Kind: CommandReturnMachine, Machine: "m0"})              // a repeated call after the end
+	f.expectCode(CodeInvalid, Command{Kind: CommandClaimMachine, Machine: "m1"})
 	if f.state.Plans[0].Phase != PlanEnded {
 		t.Errorf("the plan is %s", f.state.Plans[0].Phase)
 	}
@@ -101,17 +101,17 @@
 	f := newFixture(t, Plan{WorkTimeout: 2 * second, ReturnTimeout: 5 * second, OnOverdue: OverduePause})
 	f.startPlan()
 	f.advance(second)
-	f.expect(CodeOK, Command{Kind: CommandClaimMachine, Machine: "m0"})
+	f.expectCode(CodeOK, Command{Kind: CommandClaimMachine, Machine: "m0"})
 	f.advance(3 * second)
 	plan := f.state.Plans[0]
 	if plan.Phase != PlanPaused || !plan.MachineStates[0].Overdue {
 		t.Errorf("%s, %+v", plan.Phase, plan.MachineStates[0])
 	}
-	f.expect(CodeOK, Command{Kind: CommandReturnMachine, Machine: "m0"})
+	f.expectCode(CodeOK, Command{Kind: CommandReturnMachine, Machine: "m0"})
 	f.changeWorker("r0", func(w *Worker) { w.Unavailable = true })
 	f.advance(6 * second)
 	f.expectPhases("m0 failed")
-	f.expect(CodeInvalid, Command{Kind: CommandClaimMachine, Machine: "m0"})
+	f.expectCode(CodeInvalid, Command{Kind: CommandClaimMachine, Machine: "m0"})
 	f.changeWorker("r0", func(w *Worker) { w.Unavailable = false })
 	f.advance(second)
 	f.advance(second)
@@ -148,7 +148,7 @@
 		}
 	}
 	expectWorkers("r0 r1")
-	if excluded := f.state.InMaintenance(); !excluded.Hosts["h0"] || len(excluded.Workers) > 0 {
+	if excluded := f.state.Excluded(); !excluded.Hosts["h0"] || len(excluded.Workers) > 0 {
 		t.Errorf("excluded are %+v", excluded)
 	}
 	f.changeWorker("r0", func(w *Worker) { w.Gone, w.Unavailable = true, true })
@@ -160,8 +160,8 @@
 	expectWorkers("new r0 r1")
 	f.proposal.Reports["b"] = MemberReport{Incarnation: "1", SoleProcess: true}
 	f.advance(second)
-	f.expect(CodeOK, Command{Kind: CommandClaimMachine, Machine: "h"})
-	f.expect(CodeOK, Command{Kind: CommandReturnMachine, Machine: "h"})
+	f.expectCode(CodeOK, Command{Kind: CommandClaimMachine, Machine: "h"})
+	f.expectCode(CodeOK, Command{Kind: CommandReturnMachine, Machine: "h"})
 	otherPlan := &Plan{Name: "q", MaxUnavailable: 1, OnOverdue: OverdueWait, Machines: []Machine{{Name: "x", Host: "h0"}}}
 	problems := strings.Join(f.state.ValidatePlan(otherPlan), " ")
 	if !strings.Contains(problems, `machine[0].host: "h0" is in plan "p"`) {
--- a/internal/maintenance/apply.go
+++ b/internal/maintenance/apply.go
@@ -113,31 +113,31 @@
 
 // planChange is what a command does to a plan as a whole.
 type planChange struct {
-	from    []PlanPhase // phases in which it is allowed
-	to      PlanPhase
-	already []PlanPhase // phases in which it has no effect, as it was made before
+	from        []PlanPhase // phases in which it is allowed
+	to          PlanPhase
+	unchangedIn []PlanPhase // phases in which it has no effect, as it was made before
 }
 
 var planChanges = map[CommandKind]planChange{
 	CommandStartPlan: {
-		from:    []PlanPhase{PlanSubmitted},
-		to:      PlanAnnounced,
-		already: []PlanPhase{PlanAnnounced, PlanRunning},
+		from:        []PlanPhase{PlanSubmitted},
+		to:          PlanAnnounced,
+		unchangedIn: []PlanPhase{PlanAnnounced, PlanRunning},
 	},
 	CommandPausePlan: {
-		from:    []PlanPhase{PlanAnnounced, PlanRunning},
-		to:      PlanPaused,
-		already: []PlanPhase{PlanPaused},
+		from:        []PlanPhase{PlanAnnounced, PlanRunning},
+		to:          PlanPaused,
+		unchangedIn: []PlanPhase{PlanPaused},
 	},
 	CommandResumePlan: {
-		from:    []PlanPhase{PlanPaused},
-		to:      PlanAnnounced,
-		already: []PlanPhase{PlanAnnounced, PlanRunning},
+		from:        []PlanPhase{PlanPaused},
+		to:          PlanAnnounced,
+		unchangedIn: []PlanPhase{PlanAnnounced, PlanRunning},
 	},
 	CommandAbortPlan: {
-		from:    []PlanPhase{PlanSubmitted, PlanAnnounced, PlanRunning, PlanPaused},
-		to:      PlanAborting,
-		already: []PlanPhase{PlanAborting},
+		from:        []PlanPhase{PlanSubmitted, PlanAnnounced, PlanRunning, PlanPaused},
+		to:          PlanAborting,
+		unchangedIn: []PlanPhase{PlanAborting},
 	},
 }
 
@@ -148,7 +148,7 @@
 		return rejected("no plan is called %q", command.Name)
 	}
 	change := planChanges[command.Kind]
-	if slices.Contains(change.already, plan.Phase) {
+	if slices.Contains(change.unchangedIn, plan.Phase) {
 		return succeeded("%s is %s already", plan.Name, plan.Phase)
 	}
 	if !slices.Contains(change.from, plan.Phase) {
@@ -159,14 +159,14 @@
 	case CommandStartPlan:
 		plan.AnnouncedIndex = a.AppliedIndex // each member has to confirm this before the plan runs
 	case CommandAbortPlan:
-		a.abandonMachines(plan)
+		a.skipUnclaimedMachines(plan)
 	}
 	a.emit(plan.Name, "", "%s", plan.Phase)
 	return succeeded("%s", plan.Phase)
 }
 
-// abandonMachines skips the machines of an aborted plan that operators do not have.
-func (a *applier) abandonMachines(plan *PlanState) {
+// skipUnclaimedMachines skips the machines of an aborted plan that operators do not have.
+func (a *applier) skipUnclaimedMachines(plan *PlanState) {
 	for _, machine := range plan.MachineStates {
 		switch machine.Phase {
 		case MachineWaiting:
--- a/internal/maintenance/apply_test.go
+++ b/internal/maintenance/apply_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// TestApply_ActsOncePerID verifies that a repeated call has no further effect, that an entry that a snapshot covers is not applied again,
+// TestApply_ExecutesOncePerID verifies that a repeated call has no further effect, that an entry that a snapshot covers is not applied again,
 // and that a command of an unknown kind is invalid.
-func TestApply_ActsOncePerID(t *testing.T) {
+func TestApply_ExecutesOncePerID(t *testing.T) {
 	f := newFixture(t, Plan{})
 	f.startPlan()
 	pause := Command{ID: "x", Kind: CommandPausePlan, Name: "p"}
 	f.apply(pause)
-	f.expect(CodeOK, Command{Kind: CommandResumePlan, Name: "p"})
+	f.expectCode(CodeOK, Command{Kind: CommandResumePlan, Name: "p"})
 	if events := f.apply(pause); len(events) > 0 || f.state.Plans[0].Phase != PlanAnnounced {
 		t.Errorf("%v, the plan is %s", events, f.state.Plans[0].Phase)
 	}
@@ -25,7 +25,7 @@
 	if after := encode(t, f.state); !bytes.Equal(before, after) {
 		t.Error("an entry was applied twice")
 	}
-	f.expect(CodeInvalid, Command{Kind: "of tomorrow"})
+	f.expectCode(CodeInvalid, Command{Kind: "of tomorrow"})
 }
 
 // TestApply_IsDeterministic verifies that random entries give the same state, byte by byte, at a member that began from a snapshot, and
@@ -34,7 +34,7 @@
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		f := newFixture(t, Plan{MaxUnavailable: 1 + random.IntN(3)})
-		f.expect(CodeOK, Command{Kind: CommandStartPlan, Name: "p"})
+		f.expectCode(CodeOK, Command{Kind: CommandStartPlan, Name: "p"})
 		other, err := Decode(encode(t, f.state)) // of another member
 		if err != nil {
 			t.Fatal(err)
--- a/internal/maintenance/budget.go
+++ b/internal/maintenance/budget.go
@@ -18,9 +18,9 @@
 	underMaintenance bool // out of service because a plan has taken it
 }
 
-// machineUnit and workerUnit are the names of budget units. They sort machines before workers.
-func machineUnit(name string) string { return "machine " + name }
-func workerUnit(name string) string  { return "runner " + name }
+// machineUnitName and workerUnitName are the names of budget units. They sort machines before workers.
+func machineUnitName(name string) string { return "machine " + name }
+func workerUnitName(name string) string  { return "runner " + name }
 
 // budgetUnits returns the whole fleet as budget units, by name.
 func (s *State) budgetUnits(proposal *Advance) map[string]*budgetUnit {
@@ -36,7 +36,7 @@
 			}
 			taken := machine.Phase != MachineWaiting && machine.Phase != MachineWarm
 			unit := &budgetUnit{workers: machine.Workers, unavailable: taken, underMaintenance: taken}
-			units[machineUnit(machine.Name)] = unit
+			units[machineUnitName(machine.Name)] = unit
 			for _, worker := range machine.Workers {
 				unitOfWorker[worker] = unit
 			}
@@ -52,7 +52,7 @@
 		unit := unitOfWorker[name]
 		if unit == nil {
 			unit = &budgetUnit{workers: []string{name}}
-			units[workerUnit(name)] = unit
+			units[workerUnitName(name)] = unit
 		}
 		if worker.outOfService() && !failpoint.Enabled(failpoint.IgnoreUnavailable) {
 			unit.unavailable = true
@@ -135,11 +135,11 @@
 
 // budgetUsage says which part of the fleet would be out of service if a plan took one more machine.
 type budgetUsage struct {
-	alreadyOut        bool     // the machine itself is out of service before it is taken
-	unavailable       int      // units, the machine itself included
-	others            []string // those units but for the machine itself, sorted
-	unavailableByZone map[string]int
-	unavailableByKind map[string]int
+	alreadyUnavailable bool     // the machine itself is out of service before it is taken
+	unavailable        int      // units, the machine itself included
+	otherUnits         []string // those units but for the machine itself, sorted
+	unavailableByZone  map[string]int
+	unavailableByKind  map[string]int
 
 	knownWorkers    int // groups of unnamed workers count as one
 	totalWeight     float64
@@ -148,18 +148,18 @@
 	kindsInService  map[string]bool
 }
 
-// usageWith returns the usage if a machine were taken.
+// usageIfTaken returns the usage if a machine were taken.
 //
 // A machine that is out of service already costs nothing more when it is taken. For such a machine only units that plans have taken are
 // counted: otherwise two machines that have failed would prevent each other's repair.
-func usageWith(machine *MachineState, proposal *Advance, units map[string]*budgetUnit) *budgetUsage {
-	own := machineUnit(machine.Name)
+func usageIfTaken(machine *MachineState, proposal *Advance, units map[string]*budgetUnit) *budgetUsage {
+	own := machineUnitName(machine.Name)
 	usage := &budgetUsage{
-		alreadyOut:        units[own].unavailable,
-		unavailableByZone: map[string]int{},
-		unavailableByKind: map[string]int{},
-		zonesInService:    map[string]bool{},
-		kindsInService:    map[string]bool{},
+		alreadyUnavailable: units[own].unavailable,
+		unavailableByZone:  map[string]int{},
+		unavailableByKind:  map[string]int{},
+		zonesInService:     map[string]bool{},
+		kindsInService:     map[string]bool{},
 	}
 	for _, group := range proposal.UnnamedWorkers {
 		usage.knownWorkers++
@@ -170,10 +170,10 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(units)) { // in a fixed order, as sums of weights depend on it
 		unit := units[name]
-		unavailable := unit.unavailable && (unit.underMaintenance || !usage.alreadyOut)
+		unavailable := unit.unavailable && (unit.underMaintenance || !usage.alreadyUnavailable)
 		usage.addUnit(unit, proposal, unavailable || name == own)
 		if unavailable && name != own {
-			usage.others = append(usage.others, name)
+			usage.otherUnits = append(usage.otherUnits, name)
 		}
 	}
 	return usage
@@ -214,13 +214,13 @@
 	if failpoint.Enabled(failpoint.IgnoreBudget) {
 		return ""
 	}
-	usage := usageWith(machine, proposal, units)
+	usage := usageIfTaken(machine, proposal, units)
 	if usage.unavailable > plan.MaxUnavailable {
 		state := "away"
-		if usage.alreadyOut {
+		if usage.alreadyUnavailable {
 			state = "taken"
 		}
-		return fmt.Sprintf("%d machines would be %s, %d may be%s", usage.unavailable, state, plan.MaxUnavailable, listOthers(usage.others))
+		return fmt.Sprintf("%d machines would be %s, %d may be%s", usage.unavailable, state, plan.MaxUnavailable, formatOthers(usage.otherUnits))
 	}
 	for _, name := range machine.Workers {
 		worker, listed := proposal.Fleet[name]
@@ -231,7 +231,7 @@
 			return reason
 		}
 	}
-	if usage.weightInService < plan.MinCapacity*usage.totalWeight && !usage.alreadyOut {
+	if usage.weightInService < plan.MinCapacity*usage.totalWeight && !usage.alreadyUnavailable {
 		percent := 100 * usage.weightInService / usage.totalWeight
 		return fmt.Sprintf("%.0f%% of the capacity would stay, %.0f%% has to", percent, 100*plan.MinCapacity)
 	}
@@ -249,7 +249,7 @@
 		return fmt.Sprintf("%d machines of zone %s would be away, %d may be", inZone, zone, plan.MaxUnavailablePerZone)
 	case plan.MaxUnavailablePerKind > 0 && ofKind > plan.MaxUnavailablePerKind:
 		return fmt.Sprintf("%d machines of kind %s would be away, %d may be", ofKind, kind, plan.MaxUnavailablePerKind)
-	case u.alreadyOut:
+	case u.alreadyUnavailable:
 		return ""
 	case !u.zonesInService[zone]:
 		return fmt.Sprintf("it is the last of zone %s", zone)
@@ -262,8 +262,8 @@
 // maxNamesInReason is how many names a reason lists.
 const maxNamesInReason = 5
 
-// listOthers returns the names of units that are unavailable already, as the end of a reason.
-func listOthers(names []string) string {
+// formatOthers returns the names of units that are unavailable already, as the end of a reason.
+func formatOthers(names []string) string {
 	if len(names) == 0 {
 		return ""
 	}
--- a/internal/maintenance/budget_test.go
+++ b/internal/maintenance/budget_test.go
@@ -68,18 +68,18 @@
 // TestBudget_SharedByPlans verifies that a machine that one plan has taken counts against the budget of another.
 func TestBudget_SharedByPlans(t *testing.T) {
 	f := newFixture(t, Plan{Machines: []Machine{machineOf("m0", "r0")}})
-	f.expect(CodeOK, Command{Kind: CommandSubmitPlan, Plan: &Plan{
+	f.expectCode(CodeOK, Command{Kind: CommandSubmitPlan, Plan: &Plan{
 		Name: "q", MaxUnavailable: 1, OnOverdue: OverdueWait, Machines: []Machine{machineOf("n1", "r1")},
 	}})
-	f.expect(CodeOK, Command{Kind: CommandStartPlan, Name: "q"})
+	f.expectCode(CodeOK, Command{Kind: CommandStartPlan, Name: "q"})
 	f.startPlan()
 	f.advance(second)
 	_, n1 := f.state.FindMachine("q", "n1")
 	_, m0 := f.state.FindMachine("p", "m0")
-	if excluded := len(f.state.InMaintenance().Workers); excluded != 1 {
+	if excluded := len(f.state.Excluded().Workers); excluded != 1 {
 		t.Errorf("%d workers excluded: %s, %s", excluded, m0.Phase, n1.Phase)
 	}
-	f.expect(CodeOK, Command{Kind: CommandAbortPlan, Name: "p"})
+	f.expectCode(CodeOK, Command{Kind: CommandAbortPlan, Name: "p"})
 	for range 4 {
 		f.advance(3 * second)
 	}
--- a/internal/maintenance/fixture_test.go
+++ b/internal/maintenance/fixture_test.go
@@ -46,7 +46,7 @@
 		plan.OnOverdue = OverdueWait
 	}
 	plan.MaxUnavailable = max(plan.MaxUnavailable, 1)
-	f.expect(CodeOK, Command{Kind: CommandSubmitPlan, Plan: &plan})
+	f.expectCode(CodeOK, Command{Kind: CommandSubmitPlan, Plan: &plan})
 	return f
 }
 
@@ -64,8 +64,8 @@
 	return f.state.Apply(f.index, raw)
 }
 
-// expect applies a command as a call of an operator, and checks its result's code.
-func (f *fixture) expect(code Code, command Command) {
+// expectCode applies a command as a call of an operator, and checks its result's code.
+func (f *fixture) expectCode(code Code, command Command) {
 	f.t.Helper()
 	command.ID = fmt.Sprint("id", f.index)
 	f.apply(command)
@@ -129,6 +129,6 @@
 
 // startPlan starts the plan p and proposes to advance it by a second, in which it may take a machine.
 func (f *fixture) startPlan() {
-	f.expect(CodeOK, Command{Kind: CommandStartPlan, Name: "p"})
+	f.expectCode(CodeOK, Command{Kind: CommandStartPlan, Name: "p"})
 	f.advance(second)
 }
--- a/internal/maintenance/golden_test.go
+++ b/internal/maintenance/golden_test.go
@@ -173,7 +173,7 @@
 // entry, its events, and each answer of the queries.
 func TestGolden_HistoryDigests(t *testing.T) {
 	var b bytes.Buffer
-	play := func(fault string, seed uint64) {
+	run := func(fault string, seed uint64) {
 		failpoint.Set(fault)
 		defer failpoint.Set("")
 		h := newHistory(t, seed)
@@ -186,14 +186,14 @@
 		fmt.Fprintf(&b, "%s %d %016x\n", fault, seed, h.digest.Sum64())
 	}
 	for seed := range uint64(90) {
-		play("", seed)
+		run("", seed)
 	}
 	for _, fault := range []string{
 		failpoint.IgnoreMemberReports, failpoint.IgnoreBudget, failpoint.IgnoreUnavailable, failpoint.WaitForLostMembers,
 		failpoint.RepeatCommands,
 	} {
 		for seed := range uint64(5) {
-			play(fault, seed)
+			run(fault, seed)
 		}
 	}
 	goldentest.Check(t, "digests.txt", b.Bytes())
--- a/internal/maintenance/history_test.go
+++ b/internal/maintenance/history_test.go
@@ -262,38 +262,38 @@
 
 // digestQueries adds the answer of each query to the digest.
 func (h *history) digestQueries() {
-	note := func(value any) {
+	addToDigest := func(value any) {
 		raw, err := json.Marshal(value)
 		if err != nil {
 			h.t.Fatal(err)
 		}
 		fmt.Fprintf(h.digest, "%s\n", raw)
 	}
-	inMaintenance, leased := h.state.InMaintenance(), h.state.Leased()
-	note([]map[string]bool{inMaintenance.Workers, inMaintenance.Hosts, leased.Workers, leased.Hosts})
+	excluded, leased := h.state.Excluded(), h.state.Leased()
+	addToDigest([]map[string]bool{excluded.Workers, excluded.Hosts, leased.Workers, leased.Hosts})
 	proposal := h.proposal()
-	note(h.state.WouldChange(proposal))
+	addToDigest(h.state.WouldChange(proposal))
 	compact := h.state.Compact(proposal)
-	note(compact)
-	note(h.state.Compact(compact))
-	note(h.state.MemberNames())
+	addToDigest(compact)
+	addToDigest(h.state.Compact(compact))
+	addToDigest(h.state.MemberNames())
 	for _, plan := range h.state.Plans {
 		next, reasons := h.state.NextMachine(plan, proposal)
-		note(next)
-		note(reasons)
-		note(h.state.WaitReasons(plan, proposal))
+		addToDigest(next)
+		addToDigest(reasons)
+		addToDigest(h.state.WaitReasons(plan, proposal))
 	}
 	if plan := h.plan(); plan != nil {
-		note(h.state.ValidatePlan(plan))
-		note((&Command{Kind: CommandSubmitPlan, Plan: plan}).RequiredLevel())
+		addToDigest(h.state.ValidatePlan(plan))
+		addToDigest((&Command{Kind: CommandSubmitPlan, Plan: plan}).RequiredLevel())
 	}
 	plan, machine := h.state.FindMachine("", fmt.Sprint("m", h.random.IntN(4)))
-	note(plan)
-	note(machine)
+	addToDigest(plan)
+	addToDigest(machine)
 	result, known := h.state.Result(fmt.Sprint("call-", h.random.IntN(400)))
-	note(result)
-	note(known)
+	addToDigest(result)
+	addToDigest(known)
 	for _, name := range h.state.MemberNames() {
-		note(h.state.Members[name].HadIncarnation(fmt.Sprint("life-", h.random.IntN(10))))
+		addToDigest(h.state.Members[name].HadIncarnation(fmt.Sprint("life-", h.random.IntN(10))))
 	}
 }
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -178,8 +178,8 @@
 // WorkerSet is a set of workers: named ones, and all at some hosts.
 type WorkerSet struct{ Workers, Hosts map[string]bool }
 
-// InMaintenance returns the workers to which members must not send requests.
-func (s *State) InMaintenance() WorkerSet {
+// Excluded returns the workers to which members must not send requests.
+func (s *State) Excluded() WorkerSet {
 	return s.workerSet(func(_ *PlanState, machine *MachineState) bool { return machine.Phase.excluded() })
 }
 
@@ -196,15 +196,15 @@
 	for _, plan := range s.Plans {
 		for _, machine := range plan.MachineStates {
 			if selected(plan, machine) {
-				set.add(&machine.Machine)
+				set.addMachine(&machine.Machine)
 			}
 		}
 	}
 	return set
 }
 
-// add adds a machine's workers: all at its host if it has one.
-func (w WorkerSet) add(machine *Machine) {
+// addMachine adds a machine's workers: all at its host if it has one.
+func (w WorkerSet) addMachine(machine *Machine) {
 	if machine.Host != "" {
 		w.Hosts[machine.Host] = true
 		return
--- a/internal/replication/entry.go
+++ b/internal/replication/entry.go
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// compareDots orders entries by incarnation and counter.
-func compareDots(a, b *Entry) int {
+// compareByDot orders entries by incarnation and counter.
+func compareByDot(a, b *Entry) int {
 	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Counter, b.Counter))
 }
 
--- a/internal/replication/exchange.go
+++ b/internal/replication/exchange.go
@@ -28,8 +28,8 @@
 // NextChunk returns the next chunk for a reader that has seen known and has read up to a cursor. It has up to maxEntries entries, and at
 // least one if there is any; it has more where entries of one key do not fit, which are not split.
 func (r *Replica) NextChunk(known VersionVector, from Cursor, maxEntries int) Chunk {
-	chunk := Chunk{Incarnation: r.incarnation, From: from, Version: r.seenBeyond(known), Last: from}
-	missing := r.entriesBeyond(known, from)
+	chunk := Chunk{Incarnation: r.incarnation, From: from, Version: r.versionDelta(known), Last: from}
+	missing := r.missingEntries(known, from)
 	for i, entry := range missing {
 		full := len(chunk.Entries) >= max(maxEntries, 1)
 		if full && entry.key() != missing[i-1].key() {
@@ -42,8 +42,8 @@
 	return chunk
 }
 
-// seenBeyond returns the part of the replica's version vector that another one does not contain.
-func (r *Replica) seenBeyond(known VersionVector) VersionVector {
+// versionDelta returns the part of the replica's version vector that another one does not contain.
+func (r *Replica) versionDelta(known VersionVector) VersionVector {
 	beyond := VersionVector{}
 	for incarnation, counter := range r.version {
 		if known[incarnation] < counter {
@@ -53,8 +53,8 @@
 	return beyond
 }
 
-// entriesBeyond returns the entries that a version vector does not contain and whose keys are behind a cursor, in the order of keys.
-func (r *Replica) entriesBeyond(known VersionVector, from Cursor) []*Entry {
+// missingEntries returns the entries that a version vector does not contain and whose keys are behind a cursor, in the order of keys.
+func (r *Replica) missingEntries(known VersionVector, from Cursor) []*Entry {
 	var missing []*Entry
 	for incarnation, written := range r.byIncarnation {
 		first, _ := slices.BinarySearchFunc(written, known[incarnation]+1, compareCounter)
@@ -64,7 +64,7 @@
 			}
 		}
 	}
-	slices.SortFunc(missing, func(a, b *Entry) int { return cmp.Or(a.key().compare(b.key()), compareDots(a, b)) })
+	slices.SortFunc(missing, func(a, b *Entry) int { return cmp.Or(a.key().compare(b.key()), compareByDot(a, b)) })
 	return missing
 }
 
--- a/internal/replication/golden_test.go
+++ b/internal/replication/golden_test.go
@@ -92,7 +92,7 @@
 // TestGolden_HistoryDigests runs random histories of some replicas and compares a digest of all results of each.
 func TestGolden_HistoryDigests(t *testing.T) {
 	var b bytes.Buffer
-	play := func(fault string, seed uint64) {
+	run := func(fault string, seed uint64) {
 		failpoint.Set(fault)
 		defer failpoint.Set("")
 		h := newHistory(t, seed)
@@ -102,11 +102,11 @@
 		fmt.Fprintf(&b, "%s %d %016x\n", fault, seed, h.digest.Sum64())
 	}
 	for seed := range uint64(150) {
-		play("", seed)
+		run("", seed)
 	}
 	for _, fault := range []string{failpoint.EnabledWins, failpoint.ResurrectEntries, failpoint.LastWriteWins} {
 		for seed := range uint64(10) {
-			play(fault, seed)
+			run(fault, seed)
 		}
 	}
 	goldentest.Check(t, "history-digests.txt", b.Bytes())
--- a/internal/replication/history_test.go
+++ b/internal/replication/history_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// note adds a value to the digest.
-func (h *history) note(value any) {
+// addToDigest adds a value to the digest.
+func (h *history) addToDigest(value any) {
 	raw, err := json.Marshal(value)
 	if err != nil {
 		h.t.Fatal(err)
@@ -70,10 +70,10 @@
 		dots := replica.DotsInBuckets(replica.DifferingBuckets(other.BucketDigests()))
 		sortDots(dots)
 		removed := other.Removed(dots)
-		h.note(dots)
-		h.note(removed)
+		h.addToDigest(dots)
+		h.addToDigest(removed)
 		if replica.Version().Digest() == other.Version().Digest() {
-			h.note(replica.Discard(removed))
+			h.addToDigest(replica.Discard(removed))
 		}
 	case 8:
 		var members []VersionVector
@@ -82,17 +82,17 @@
 				members = append(members, member.Version())
 			}
 		}
-		h.note(replica.CollectGarbage(members))
+		h.addToDigest(replica.CollectGarbage(members))
 	case 9:
 		h.disks[i] = replica.NextChunk(nil, Cursor{}, 1000)
 	case 10:
 		h.start(i)
 	case 11:
 		changed, err := replica.Merge(&PullProgress{}, other.NextChunk(replica.Version(), Cursor{}, 1000))
-		h.note(changed)
-		h.note(err != nil)
+		h.addToDigest(changed)
+		h.addToDigest(err != nil)
 	}
-	h.noteReplica(h.replicas[i])
+	h.addReplicaToDigest(h.replicas[i])
 }
 
 // write writes a random entry at a replica, mostly an override.
@@ -108,7 +108,7 @@
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	h.note(written)
+	h.addToDigest(written)
 }
 
 // pull transfers one chunk from sender to reader.
@@ -119,27 +119,27 @@
 	}
 	replica, progress := h.replicas[reader], h.pulls[pull]
 	chunk := h.replicas[sender].NextChunk(replica.Version(), progress.Cursor, h.random.IntN(4))
-	h.note(chunk)
+	h.addToDigest(chunk)
 	changed, err := replica.Merge(progress, chunk)
-	h.note(changed)
-	h.note(err != nil)
+	h.addToDigest(changed)
+	h.addToDigest(err != nil)
 	if err != nil {
 		delete(h.pulls, pull)
 	}
 }
 
-// noteReplica adds the state of a replica to the digest, as its queries return it.
-func (h *history) noteReplica(replica *Replica) {
-	h.note(replica.Version())
-	h.note(replica.Version().Total())
-	h.note([]uint64{replica.Digest(), replica.Version().Digest(), uint64(replica.Len())})
+// addReplicaToDigest adds the state of a replica to the digest, as its queries return it.
+func (h *history) addReplicaToDigest(replica *Replica) {
+	h.addToDigest(replica.Version())
+	h.addToDigest(replica.Version().Total())
+	h.addToDigest([]uint64{replica.Digest(), replica.Version().Digest(), uint64(replica.Len())})
 	for _, kind := range []EntryKind{KindOverride, "later"} {
-		h.note(replica.Names(kind))
+		h.addToDigest(replica.Names(kind))
 		for _, name := range replica.Names(kind) {
 			entries := replica.Get(kind, name)
-			h.note(entries)
-			h.note([]bool{IsDisabled(entries), InConflict(entries)})
+			h.addToDigest(entries)
+			h.addToDigest([]bool{IsDisabled(entries), InConflict(entries)})
 		}
 	}
-	h.note([]bool{replica.Version().Covers(h.replicas[0].Version()), h.replicas[0].Version().Covers(replica.Version())})
+	h.addToDigest([]bool{replica.Version().Covers(h.replicas[0].Version()), h.replicas[0].Version().Covers(replica.Version())})
 }
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -90,7 +90,7 @@
 		}
 	}
 	r.entries[key] = append(r.entries[key], entry)
-	slices.SortFunc(r.entries[key], compareDots)
+	slices.SortFunc(r.entries[key], compareByDot)
 	written := r.byIncarnation[entry.Incarnation]
 	i, _ := slices.BinarySearchFunc(written, entry.Counter, compareCounter)
 	r.byIncarnation[entry.Incarnation] = slices.Insert(written, i, entry)
--- a/internal/testbed/simulation/attempts.go
+++ b/internal/testbed/simulation/attempts.go
@@ -23,7 +23,7 @@
 		return
 	}
 	w := m.world
-	leased, inMaintenance := m.state.Leased(), m.state.InMaintenance()
+	leased, inMaintenance := m.state.Leased(), m.state.Excluded()
 	for range attemptsPerTick {
 		machine := w.random.IntN(w.options.Machines)
 		worker := m.workerAt(machine)
