--- a/internal/maintenance/advance.go
+++ b/internal/maintenance/advance.go
@@ -10,11 +10,11 @@
 	"birchfork/internal/failpoint"
 )
 
-// advance carries out the leader's proposal: it advances the clock, starts plans that all members have confirmed, moves machines that are
-// drained, back in service, warm or overdue to their next phase, and takes the next machine. It takes one machine at a time, so that each
-// choice depends on the one before.
+// advance applies the leader's proposal: it advances the clock, starts plans that all members have confirmed, moves machines that are
+// drained, back in service, warm or overdue to their next phase, and begins to drain the next machine. Each proposal drains at most one
+// further machine, so that each choice takes the previous one into account.
 func (a *applier) advance(proposal *Advance) {
-	// Guards against a proposal of a former leader, or one that another has overtaken: its time would be counted twice.
+	// A proposal of a former leader, or one for an older state, is ignored: its elapsed time would be counted twice.
 	if proposal == nil || proposal.StateSeq != a.Seq {
 		return
 	}
@@ -27,11 +27,11 @@
 	a.takeNextMachine(proposal)
 }
 
-// advanceClock advances the group's clock, and raises FenceTimeout and WarmUp to the proposal's.
+// advanceClock advances the group's clock, and raises FenceTimeout and WarmUp to the proposal's values if those are higher.
 func (a *applier) advanceClock(proposal *Advance) {
 	if proposal.Elapsed > 0 {
 		a.Clock += proposal.Elapsed
-		a.Seq++ // no other proposal for the same state may count this time again
+		a.Seq++ // invalidates other proposals for the same state, which would count this time again
 	}
 	if proposal.FenceTimeout > a.FenceTimeout {
 		a.FenceTimeout = proposal.FenceTimeout
@@ -40,7 +40,7 @@
 	a.WarmUp = max(a.WarmUp, proposal.WarmUp)
 }
 
-// advancePlan updates an active plan and moves its machines to their next phases, but takes no further machine.
+// advancePlan updates an active plan and moves its machines to their next phases. It does not start to drain any machine.
 func (a *applier) advancePlan(plan *PlanState, proposal *Advance) {
 	if plan.Phase == PlanAnnounced && len(a.unconfirmedMembers(plan.AnnouncedIndex, proposal)) == 0 {
 		plan.Phase = PlanRunning
@@ -53,7 +53,7 @@
 	a.endIfFinished(plan)
 }
 
-// takeNextMachine begins to drain one machine of the first running plan that may take one.
+// takeNextMachine begins to drain one machine of the first running plan whose budget allows it.
 func (a *applier) takeNextMachine(proposal *Advance) {
 	for _, plan := range a.Plans {
 		if plan.Phase != PlanRunning {
@@ -69,9 +69,9 @@
 	}
 }
 
-// refreshWorkers updates the workers of a machine that is a host by those that are listed there. While nothing may be sent to the
-// machine, workers are only added, as attempts may still run at those that were listed; once it is put back, its workers are those that
-// have been started since, whatever their names are.
+// refreshWorkers updates the workers of a machine that is a host from the endpoint list. While the machine is excluded, workers are only
+// added, because attempts may still run at workers that are no longer listed. After the machine was returned, its workers are those that
+// are listed at the host, whatever their names are.
 func (a *applier) refreshWorkers(plan *PlanState, machine *MachineState, proposal *Advance) {
 	if machine.Host == "" || machine.Phase.finished() {
 		return
@@ -82,7 +82,7 @@
 		slices.Sort(workers)
 		workers = slices.Compact(workers)
 	} else if len(workers) == 0 && machine.Phase != MachineWaiting {
-		return // none has been started yet
+		return // no worker has been started yet
 	}
 	if slices.Equal(workers, machine.Workers) {
 		return
@@ -91,7 +91,7 @@
 	a.emit(plan.Name, machine.Name, "its runners are %s", strings.Join(workers, ", "))
 }
 
-// workersAt returns the names of the workers that are listed at a host, sorted.
+// workersAt returns the sorted names of the workers that are listed at a host.
 func (a *Advance) workersAt(host string) (names []string) {
 	for _, name := range slices.Sorted(maps.Keys(a.Fleet)) {
 		if worker := a.Fleet[name]; worker.Host == host && !worker.Gone {
@@ -101,7 +101,7 @@
 	return names
 }
 
-// advanceMachine moves a machine to its next phase if the proposal allows it.
+// advanceMachine moves a machine to its next phase if the proposal's facts allow it.
 func (a *applier) advanceMachine(plan *PlanState, machine *MachineState, proposal *Advance) {
 	elapsed := a.Clock - machine.PhaseStart
 	switch machine.Phase {
@@ -114,7 +114,7 @@
 	case MachineInMaintenance:
 		a.checkOverdue(plan, machine, elapsed, plan.WorkTimeout)
 	case MachineReturning:
-		// The members may not know yet that the workers were restarted: these count as warm only after WarmUp.
+		// Members may not know yet that the workers were restarted, so the machine counts as warm only after WarmUp.
 		if proposal.inService(machine) && elapsed >= a.WarmUp {
 			a.setPhase(plan, machine, MachineWarm)
 		} else if a.checkOverdue(plan, machine, elapsed, plan.ReturnTimeout) && plan.OnOverdue != OverdueWait {
@@ -133,15 +133,16 @@
 	}
 }
 
-// isDrained reports whether no attempt of any member runs at a draining machine: each member has confirmed this, or the fence timeout has
-// passed. After that no lease from before the drain is valid, and no attempt that was started under such a lease is running.
+// isDrained reports whether no attempt of any member runs at a draining machine: either each member has confirmed this, or the fence
+// timeout has elapsed. After the fence timeout no lease from before the drain is valid, and no attempt that was started under such a lease
+// is running.
 func (a *applier) isDrained(machine *MachineState, elapsed time.Duration, proposal *Advance) bool {
 	fenced := a.FenceTimeout > 0 && elapsed >= a.FenceTimeout && !failpoint.Enabled(failpoint.WaitForLostMembers)
 	return fenced || len(a.blockingMembers(machine, proposal)) == 0
 }
 
-// checkOverdue reports whether a phase has taken longer than its limit; 0 is no limit. The first time it marks the machine, and
-// pauses the plan if the plan says so.
+// checkOverdue reports whether a phase has taken longer than its limit; 0 means no limit. The first time, it marks the machine as overdue
+// and, with OverduePause, pauses the plan.
 func (a *applier) checkOverdue(plan *PlanState, machine *MachineState, elapsed, limit time.Duration) bool {
 	if limit <= 0 || elapsed < limit {
 		return false
@@ -159,18 +160,18 @@
 	return true
 }
 
-// WouldChange reports whether a proposal would have any effect besides advancing the clock. It does not change the state.
+// WouldChange reports whether a proposal would have an effect other than advancing the clock. It does not change the state.
 func (s *State) WouldChange(proposal *Advance) bool {
 	anyActive := slices.ContainsFunc(s.Plans, func(plan *PlanState) bool { return plan.Phase.active() })
 	if !anyActive && proposal.FenceTimeout <= s.FenceTimeout {
-		return false // the usual case, and a leader calls this several times a second
+		return false // fast path: a leader calls this several times a second
 	}
 	dryRun := &applier{State: s.Clone()}
 	dryRun.advance(proposal)
 	return len(dryRun.events) > 0
 }
 
-// unconfirmedMembers returns the members that have not confirmed a log index, sorted.
+// unconfirmedMembers returns the sorted names of the members that have not confirmed a log index.
 func (s *State) unconfirmedMembers(index uint64, proposal *Advance) (members []string) {
 	for _, name := range s.MemberNames() {
 		report := proposal.reportOf(s, name)
@@ -181,8 +182,8 @@
 	return members
 }
 
-// blockingMembers returns the members for which a draining machine is not drained yet, sorted: those that have not confirmed the
-// drain, and those that have attempts running at the machine.
+// blockingMembers returns the sorted names of the members that keep a machine from being drained: those that have not confirmed the drain,
+// and those with attempts running at the machine.
 func (s *State) blockingMembers(machine *MachineState, proposal *Advance) []string {
 	if failpoint.Enabled(failpoint.IgnoreMemberReports) {
 		return nil
@@ -198,7 +199,7 @@
 	return members
 }
 
-// isBusyAt reports whether attempts of the member run or may run at a machine.
+// isBusyAt reports whether attempts of the member are or may be running at a machine.
 func (r *MemberReport) isBusyAt(machine *Machine) bool {
 	if machine.Host != "" && slices.Contains(r.BusyHosts, machine.Host) {
 		return true
@@ -206,7 +207,7 @@
 	return slices.ContainsFunc(machine.Workers, func(worker string) bool { return slices.Contains(r.BusyWorkers, worker) })
 }
 
-// WaitReasons returns, by machine, what each machine of a plan waits for; "" stands for the plan as a whole.
+// WaitReasons returns what each machine of a plan waits for, by machine name. The key "" stands for the whole plan.
 func (s *State) WaitReasons(plan *PlanState, proposal *Advance) map[string]string {
 	reasons := map[string]string{}
 	switch plan.Phase {
--- a/internal/maintenance/advance_test.go
+++ b/internal/maintenance/advance_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// TestMachine_PassesThroughAllPhases follows one machine through a plan, and verifies that its drain waits for a silent member no longer
-// than the fence timeout.
+// TestMachine_PassesThroughAllPhases moves one machine through all phases of a plan, and verifies that its drain waits for a silent member
+// until the fence timeout and no longer.
 func TestMachine_PassesThroughAllPhases(t *testing.T) {
 	f := newFixture(t, Plan{})
 	f.expectCode(CodeOK, Command{Kind: CommandStartPlan, Name: "p"})
 	f.advance(second, "c")
-	f.expectPhases("") // not started: c has not confirmed it
+	f.expectPhases("") // not running yet: c has not confirmed the plan
 	f.advance(second)
-	f.expectPhases("m0 leaving") // the least weight
+	f.expectPhases("m0 leaving") // the lowest weight goes first
 	if excluded := f.state.Excluded().Workers; !excluded["r0"] || excluded["r1"] || !f.state.Leased().Workers["r5"] {
 		t.Errorf("excluded %v, leased %v", f.state.Excluded(), f.state.Leased())
 	}
@@ -27,37 +27,37 @@
 	f.expectCode(CodeInvalid, Command{Kind: CommandSkipMachine, Machine: "m0"})
 	f.expectCode(CodeInvalid, Command{Kind: CommandReturnMachine, Machine: "m1"})
 	f.expectCode(CodeOK, Command{Kind: CommandReturnMachine, Machine: "m0"})
-	f.advance(second) // no member reports it as warming up, which does not yet say that it is warm
+	f.advance(second) // no member reports it as warming up yet, so it does not count as warm
 	f.expectPhases("m0 returning")
 	f.changeWorker("r0", func(w *Worker) { w.WarmingUp = true })
 	f.advance(9 * second)
 	f.expectPhases("m0 returning")
 	f.changeWorker("r0", func(w *Worker) { w.WarmingUp = false })
 	f.advance(second)
-	f.expectPhases("m0 warm, m1 leaving") // of the other zone
+	f.expectPhases("m0 warm, m1 leaving") // m1 is in the other zone
 	f.advance(second)
 	f.expectPhases("m0 done, m1 clear")
 	f.expectCode(CodeOK, Command{Kind: CommandAbortPlan, Name: "p"})
 	f.expectPhases("m0 done, m1 returning, m2 skipped, m3 skipped, m4 skipped, m5 skipped")
 	f.advance(3 * second)
 	f.advance(second)
-	f.expectPhases("m0 done, m1 skipped, m2 skipped, m3 skipped, m4 skipped, m5 skipped") // operators did not have m1
-	f.expectCode(CodeOK, Command{Kind: CommandReturnMachine, Machine: "m0"})              // a repeated call after the end
+	f.expectPhases("m0 done, m1 skipped, m2 skipped, m3 skipped, m4 skipped, m5 skipped") // m1 was never claimed
+	f.expectCode(CodeOK, Command{Kind: CommandReturnMachine, Machine: "m0"})              // a repeated call after the plan has ended
 	f.expectCode(CodeInvalid, Command{Kind: CommandClaimMachine, Machine: "m1"})
 	if f.state.Plans[0].Phase != PlanEnded {
 		t.Errorf("the plan is %s", f.state.Plans[0].Phase)
 	}
 }
 
-// TestDrain_BlockedByMember verifies what keeps a machine from being drained before the fence timeout.
+// TestDrain_BlockedByMember verifies which reports of members keep a machine from being drained before the fence timeout.
 func TestDrain_BlockedByMember(t *testing.T) {
 	for name, change := range map[string]func(*fixture){
-		"an attempt of a member runs there": func(f *fixture) {
+		"a member has an attempt running": func(f *fixture) {
 			f.proposal.Reports["b"] = MemberReport{Incarnation: "1", SoleProcess: true, BusyWorkers: []string{"r0"}}
 		},
-		"a member's next incarnation reports": func(f *fixture) { f.proposal.Reports["b"] = MemberReport{Incarnation: "2", SoleProcess: true} },
-		"another process of a member runs":    func(f *fixture) { f.proposal.Reports["b"] = MemberReport{Incarnation: "1"} },
-		"a member has joined that has not reported": func(f *fixture) {
+		"the next incarnation reports": func(f *fixture) { f.proposal.Reports["b"] = MemberReport{Incarnation: "2", SoleProcess: true} },
+		"another process is running":   func(f *fixture) { f.proposal.Reports["b"] = MemberReport{Incarnation: "1"} },
+		"a new member has not reported": func(f *fixture) {
 			f.apply(Command{Kind: CommandJoinMember, Member: &Member{Name: "e", Incarnation: "1"}})
 		},
 	} {
@@ -68,14 +68,14 @@
 		f.expectPhases("m0 leaving")
 		reason := f.state.WaitReasons(f.state.Plans[0], &f.proposal)["m0"]
 		if !strings.Contains(reason, "b") && !strings.Contains(reason, "e") {
-			t.Errorf("%s: the reason is %q", name, reason)
+			t.Errorf("%s: reason is %q, must name the member", name, reason)
 		}
 		f.advance(5 * second)
 		f.expectPhases("m0 clear")
 	}
 }
 
-// TestOverdue_FollowsPlanSetting verifies what a plan does when a drain takes too long.
+// TestOverdue_FollowsPlanSetting verifies what a plan does when a drain exceeds its timeout, for each OverdueAction.
 func TestOverdue_FollowsPlanSetting(t *testing.T) {
 	for _, test := range []struct {
 		onOverdue OverdueAction
@@ -95,8 +95,8 @@
 	}
 }
 
-// TestReturn_FailsWhenLate verifies that a machine is marked as overdue when operators keep it too long, fails when it is not back in
-// service in time, and is done once it is.
+// TestReturn_FailsWhenLate verifies that a machine is marked as overdue when the maintenance exceeds its timeout, that it fails when it is
+// not back in service in time, and that it is done once it is back.
 func TestReturn_FailsWhenLate(t *testing.T) {
 	f := newFixture(t, Plan{WorkTimeout: 2 * second, ReturnTimeout: 5 * second, OnOverdue: OverduePause})
 	f.startPlan()
@@ -118,7 +118,7 @@
 	f.expectPhases("m0 done")
 }
 
-// TestAdvance_CountsTimeOnce verifies that a proposal for a former state does not count its time a second time.
+// TestAdvance_CountsTimeOnce verifies that the elapsed time of a proposal for a former state is not added to the clock a second time.
 func TestAdvance_CountsTimeOnce(t *testing.T) {
 	f := newFixture(t, Plan{})
 	f.startPlan()
@@ -126,14 +126,14 @@
 	late.StateSeq, late.Elapsed, late.Reports = f.state.Seq, 4*second, nil
 	f.apply(Command{Kind: CommandAdvance, Advance: &late})
 	clock := f.state.Clock
-	f.apply(Command{Kind: CommandAdvance, Advance: &late}) // as from a former leader
+	f.apply(Command{Kind: CommandAdvance, Advance: &late}) // for instance of a former leader
 	if f.state.Clock != clock {
-		t.Errorf("the clock went on from %v to %v", clock, f.state.Clock)
+		t.Errorf("a repeated proposal advanced the clock from %v to %v", clock, f.state.Clock)
 	}
 }
 
-// TestHost_CoversAllItsWorkers verifies that each worker that is listed at a host belongs to its machine, whatever its name is and
-// whenever it was listed.
+// TestHost_CoversAllItsWorkers verifies that each worker listed at a host belongs to the host's machine, whatever its name and whenever it
+// was added to the list.
 func TestHost_CoversAllItsWorkers(t *testing.T) {
 	f := newFixture(t, Plan{Machines: []Machine{{Name: "h", Host: "h0"}}})
 	for _, name := range []string{"r0", "r1"} {
@@ -144,16 +144,16 @@
 	expectWorkers := func(want string) {
 		t.Helper()
 		if got := strings.Join(f.state.Plans[0].MachineStates[0].Workers, " "); got != want {
-			t.Errorf("its workers are %q, want %q", got, want)
+			t.Errorf("workers of the host: %q, want %q", got, want)
 		}
 	}
 	expectWorkers("r0 r1")
 	if excluded := f.state.Excluded(); !excluded.Hosts["h0"] || len(excluded.Workers) > 0 {
-		t.Errorf("excluded are %+v", excluded)
+		t.Errorf("excluded: %+v, want host h0 alone", excluded)
 	}
 	f.changeWorker("r0", func(w *Worker) { w.Gone, w.Unavailable = true, true })
 	f.changeWorker("new", func(w *Worker) { *w = Worker{Host: "h0", Zone: "z0", Kind: "k0", Weight: 1, WarmingUp: true} })
-	// An attempt at a worker that the leader does not know yet.
+	// A member has an attempt at a worker that the leader does not know yet.
 	f.proposal.Reports["b"] = MemberReport{Incarnation: "1", SoleProcess: true, BusyHosts: []string{"h0"}}
 	f.advance(second)
 	f.expectPhases("h leaving")
@@ -165,9 +165,9 @@
 	otherPlan := &Plan{Name: "q", MaxUnavailable: 1, OnOverdue: OverdueWait, Machines: []Machine{{Name: "x", Host: "h0"}}}
 	problems := strings.Join(f.state.ValidatePlan(otherPlan), " ")
 	if !strings.Contains(problems, `machine[0].host: "h0" is in plan "p"`) {
-		t.Errorf("a second plan for it: %s", problems)
+		t.Errorf("problems of a second plan for the host: %s", problems)
 	}
-	fleet := f.proposal.Fleet // no worker at the host is listed yet, so the machine is not back
+	fleet := f.proposal.Fleet // no worker is listed at the host yet, so the machine is not back in service
 	f.proposal.Fleet = map[string]Worker{}
 	f.advance(9 * second)
 	expectWorkers("new r0 r1")
@@ -179,7 +179,7 @@
 	f.advance(second)
 	f.advance(second)
 	f.expectPhases("h done")
-	// A name that went during the maintenance does not count as unavailable; one that goes later does.
+	// A worker that left the list during the maintenance does not count as unavailable. One that leaves it later does.
 	units := f.state.budgetUnits(&f.proposal)
 	if units["runner r0"] != nil || units["runner new"].unavailable {
 		t.Errorf("units: %+v", units)
@@ -187,6 +187,6 @@
 	f.changeWorker("new", func(w *Worker) { w.Gone, w.Unavailable = true, true })
 	units = f.state.budgetUnits(&f.proposal)
 	if !units["runner new"].unavailable {
-		t.Error("a worker that has gone since does not count")
+		t.Error("a worker that left the list after the maintenance does not count as unavailable")
 	}
 }
--- a/internal/maintenance/apply.go
+++ b/internal/maintenance/apply.go
@@ -9,18 +9,18 @@
 	"birchfork/internal/failpoint"
 )
 
-// Apply carries out the command at an index of the log, and returns what it changed. It ignores an index that the state covers already,
-// as after a snapshot.
+// Apply executes the command at a log index and returns the resulting events. It ignores an index that the state already includes, for
+// instance after a snapshot was restored.
 //
-// It panics at a command that this build cannot read or does not support. This guards against a member that skips what the others carry
-// out: its state would differ from theirs while it confirms that it has applied everything.
+// It panics on a command that this build cannot decode or does not support. If a member skipped a command that the others execute, its
+// state would differ from theirs while it confirms that it has applied all entries.
 func (s *State) Apply(index uint64, raw []byte) []Event {
 	if index <= s.AppliedIndex {
 		return nil
 	}
 	var command Command
 	if err := json.Unmarshal(raw, &command); err != nil || command.Level > SupportedLevel() {
-		panic(fmt.Sprintf("entry %d is of a newer build: level %d, here is %d (%v)", index, command.Level, SupportedLevel(), err))
+		panic(fmt.Sprintf("entry %d is of a newer build: level %d, this build supports %d (%v)", index, command.Level, SupportedLevel(), err))
 	}
 	s.AppliedIndex = index
 	s.Level = max(s.Level, command.Level)
@@ -39,7 +39,7 @@
 	return a.events
 }
 
-// isRepeated reports whether a command belongs to a call that was carried out before.
+// isRepeated reports whether a command repeats a call that has a result already.
 func (s *State) isRepeated(command *Command) bool {
 	if command.ID == "" || failpoint.Enabled(failpoint.RepeatCommands) {
 		return false
@@ -48,18 +48,18 @@
 	return known
 }
 
-// applier carries out one command on its State, and collects the events.
+// applier executes one command on its State and collects the events.
 type applier struct {
 	*State
 	events []Event
 }
 
-// emit adds an event. plan and machine are empty if it concerns none.
+// emit adds an event. plan and machine are empty if the event concerns none.
 func (a *applier) emit(plan, machine, format string, args ...any) {
 	a.events = append(a.events, Event{Plan: plan, Machine: machine, Text: fmt.Sprintf(format, args...)})
 }
 
-// execute carries out a command of any kind.
+// execute executes a command of any kind.
 func (a *applier) execute(command *Command) Result {
 	switch command.Kind {
 	case CommandJoinMember:
@@ -81,7 +81,7 @@
 	return rejected("%q is no call that this build knows", command.Kind)
 }
 
-// submitPlan adds a plan, and drops the oldest ended ones beyond maxPlans.
+// submitPlan adds a plan and drops the oldest ended plans beyond maxPlans.
 func (a *applier) submitPlan(plan *Plan) Result {
 	if plan == nil {
 		return rejected("there is no plan in the call")
@@ -99,7 +99,7 @@
 	return succeeded("handed in")
 }
 
-// dropEndedPlans drops ended plans, the oldest first, until maxPlans are left or none has ended.
+// dropEndedPlans drops ended plans, the oldest first, until maxPlans plans or no ended ones are left.
 func (a *applier) dropEndedPlans() {
 	excess := len(a.Plans) - maxPlans
 	a.Plans = slices.DeleteFunc(a.Plans, func(plan *PlanState) bool {
@@ -111,11 +111,11 @@
 	})
 }
 
-// planChange is what a command does to a plan as a whole.
+// planChange describes a command that changes the phase of a plan.
 type planChange struct {
-	from        []PlanPhase // phases in which it is allowed
+	from        []PlanPhase // phases in which the command is allowed
 	to          PlanPhase
-	unchangedIn []PlanPhase // phases in which it has no effect, as it was made before
+	unchangedIn []PlanPhase // phases in which the command succeeds without effect: it was executed before
 }
 
 var planChanges = map[CommandKind]planChange{
@@ -141,7 +141,7 @@
 	},
 }
 
-// changePlan carries out a command on a plan as a whole.
+// changePlan executes a command that changes the phase of a plan.
 func (a *applier) changePlan(command *Command) Result {
 	plan := a.FindPlan(command.Name)
 	if plan == nil {
@@ -157,7 +157,7 @@
 	plan.Phase = change.to
 	switch command.Kind {
 	case CommandStartPlan:
-		plan.AnnouncedIndex = a.AppliedIndex // each member has to confirm this before the plan runs
+		plan.AnnouncedIndex = a.AppliedIndex // each member has to confirm this index before the plan runs
 	case CommandAbortPlan:
 		a.skipUnclaimedMachines(plan)
 	}
@@ -165,7 +165,7 @@
 	return succeeded("%s", plan.Phase)
 }
 
-// skipUnclaimedMachines skips the machines of an aborted plan that operators do not have.
+// skipUnclaimedMachines skips the machines of an aborted plan that no operator has claimed.
 func (a *applier) skipUnclaimedMachines(plan *PlanState) {
 	for _, machine := range plan.MachineStates {
 		switch machine.Phase {
@@ -178,7 +178,7 @@
 	a.endIfFinished(plan)
 }
 
-// changeMachine carries out a command on one machine.
+// changeMachine executes an operator's command on one machine.
 func (a *applier) changeMachine(command *Command) Result {
 	plan, machine := a.FindMachine(command.Name, command.Machine)
 	if machine == nil {
@@ -194,7 +194,7 @@
 	}
 }
 
-// claimMachine gives a drained machine to the operators.
+// claimMachine hands a drained machine to the operators.
 func (a *applier) claimMachine(plan *PlanState, machine *MachineState) Result {
 	switch machine.Phase {
 	case MachineDrained:
@@ -220,7 +220,7 @@
 	return succeeded("%s is %s", machine.Name, machine.Phase)
 }
 
-// skipMachine leaves a machine out of its plan, unless the operators have it.
+// skipMachine excludes a machine from its plan, unless operators have claimed it.
 func (a *applier) skipMachine(plan *PlanState, machine *MachineState) Result {
 	switch machine.Phase {
 	case MachineWaiting, MachineFailed:
@@ -236,7 +236,7 @@
 	return succeeded("%s is %s", machine.Name, machine.Phase)
 }
 
-// setPhase moves a machine to a phase, which begins now.
+// setPhase moves a machine to a phase that begins at the present index and time.
 func (a *applier) setPhase(plan *PlanState, machine *MachineState, phase MachinePhase) {
 	machine.Phase = phase
 	machine.PhaseIndex = a.AppliedIndex
@@ -245,13 +245,13 @@
 	a.emit(plan.Name, machine.Name, "%s", phase)
 }
 
-// withdraw puts back a machine that operators have not had.
+// withdraw puts a machine that no operator has claimed back into service.
 func (a *applier) withdraw(plan *PlanState, machine *MachineState) {
 	machine.Withdrawn = true
 	a.setPhase(plan, machine, MachineReturning)
 }
 
-// endIfFinished ends a plan if all its machines are finished.
+// endIfFinished ends a plan once all its machines are done or skipped.
 func (a *applier) endIfFinished(plan *PlanState) {
 	if plan.Phase == PlanEnded || !plan.finished() {
 		return
--- a/internal/maintenance/apply_test.go
+++ b/internal/maintenance/apply_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestApply_ExecutesOncePerID verifies that a repeated call has no further effect, that an entry that a snapshot covers is not applied again,
-// and that a command of an unknown kind is invalid.
+// TestApply_ExecutesOncePerID verifies that a repeated call has no further effect, that an entry that the state includes is not applied
+// again, and that a command of an unknown kind is invalid.
 func TestApply_ExecutesOncePerID(t *testing.T) {
 	f := newFixture(t, Plan{})
 	f.startPlan()
@@ -17,10 +17,10 @@
 	f.apply(pause)
 	f.expectCode(CodeOK, Command{Kind: CommandResumePlan, Name: "p"})
 	if events := f.apply(pause); len(events) > 0 || f.state.Plans[0].Phase != PlanAnnounced {
-		t.Errorf("%v, the plan is %s", events, f.state.Plans[0].Phase)
+		t.Errorf("the repeated call gave events %v, the plan is %s", events, f.state.Plans[0].Phase)
 	}
 	before := encode(t, f.state)
-	f.index-- // of an entry that the state covers
+	f.index-- // the state already includes the next index
 	f.apply(Command{Kind: CommandAbortPlan, Name: "p"})
 	if after := encode(t, f.state); !bytes.Equal(before, after) {
 		t.Error("an entry was applied twice")
@@ -28,14 +28,14 @@
 	f.expectCode(CodeInvalid, Command{Kind: "of tomorrow"})
 }
 
-// TestApply_IsDeterministic verifies that random entries give the same state, byte by byte, at a member that began from a snapshot, and
-// never take more machines than the plan allows.
+// TestApply_IsDeterministic verifies that random entries give the same state, byte by byte, at a member that started from a snapshot, and
+// never drain more machines than the plan's budget allows.
 func TestApply_IsDeterministic(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		f := newFixture(t, Plan{MaxUnavailable: 1 + random.IntN(3)})
 		f.expectCode(CodeOK, Command{Kind: CommandStartPlan, Name: "p"})
-		other, err := Decode(encode(t, f.state)) // of another member
+		other, err := Decode(encode(t, f.state)) // the state of another member
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -64,7 +64,7 @@
 				applyAtBoth(Command{Kind: CommandAdvance, Advance: &proposal})
 				after, limit := countUnderMaintenance(f.state), f.state.Plans[0].MaxUnavailable
 				if after > before && after > limit {
-					t.Fatalf("seed %d: %d machines are taken, %d may be", seed, after, limit)
+					t.Fatalf("seed %d: %d machines are out of service for the plan, limit %d", seed, after, limit)
 				}
 			}
 			if a, b := encode(t, f.state), encode(t, other); !bytes.Equal(a, b) {
@@ -74,7 +74,7 @@
 	}
 }
 
-// countUnderMaintenance counts the machines that the first plan has taken out of service and that are not back.
+// countUnderMaintenance counts the machines that the first plan has taken out of service and that are not back in service.
 func countUnderMaintenance(state *State) int {
 	count := 0
 	for _, machine := range state.Plans[0].MachineStates {
@@ -85,8 +85,8 @@
 	return count
 }
 
-// TestApply_RejectsNewerLevel verifies that an entry of a newer build panics and changes nothing, and that a state of a newer build is not
-// decoded.
+// TestApply_RejectsNewerLevel verifies that Apply panics on an entry of a newer build and leaves the state unchanged, and that Decode
+// rejects a state of a newer build.
 func TestApply_RejectsNewerLevel(t *testing.T) {
 	f := newFixture(t, Plan{})
 	before := encode(t, f.state)
@@ -101,7 +101,7 @@
 		}()
 	}
 	if after := encode(t, f.state); !bytes.Equal(after, before) {
-		t.Errorf("%s\nwas %s", after, before)
+		t.Errorf("state is\n%s\nwant\n%s", after, before)
 	}
 	f.apply(Command{Kind: CommandTrustHistory, Level: 2})
 	stored := encode(t, f.state)
--- a/internal/maintenance/budget.go
+++ b/internal/maintenance/budget.go
@@ -11,14 +11,14 @@
 	"birchfork/internal/failpoint"
 )
 
-// budgetUnit counts as one against a budget: a machine of a plan, or a worker that belongs to no such machine.
+// budgetUnit is a unit that a disruption budget counts: a machine of a plan, or a worker that belongs to no such machine.
 type budgetUnit struct {
 	workers          []string
 	unavailable      bool // out of service, for any reason
-	underMaintenance bool // out of service because a plan has taken it
+	underMaintenance bool // out of service because of a plan
 }
 
-// machineUnitName and workerUnitName are the names of budget units. They sort machines before workers.
+// machineUnitName and workerUnitName return names of budget units. Machines sort before workers.
 func machineUnitName(name string) string { return "machine " + name }
 func workerUnitName(name string) string  { return "runner " + name }
 
@@ -44,7 +44,7 @@
 	}
 	returnedHosts := s.returnedHosts()
 	for name, worker := range proposal.Fleet {
-		// The host's worker may have got another name during the maintenance: its former name must not count as unavailable.
+		// A worker at the host may have another name since the maintenance: its former name must not count as unavailable.
 		returned := returnedHosts[worker.Host]
 		if returned != nil && worker.Gone && !slices.Contains(returned.Workers, name) {
 			continue
@@ -61,7 +61,7 @@
 	return units
 }
 
-// returnedHosts returns, by host, the machines that are hosts and have been put back, or were skipped.
+// returnedHosts returns the machines that are hosts and were returned or skipped, by host.
 func (s *State) returnedHosts() map[string]*MachineState {
 	returned := map[string]*MachineState{}
 	for _, plan := range s.Plans {
@@ -74,11 +74,11 @@
 	return returned
 }
 
-// NextMachine returns the machine that a plan would take next; nil if it may take none. For each waiting machine that may not be
-// taken it returns the reason, by name.
+// NextMachine returns the machine that a plan would drain next, or nil if the budget allows none. reasons has, by name, why each other
+// waiting machine may not be drained.
 //
-// Machines that are out of service already go first, then those with the least weight in service, then those of another zone than
-// the one that was taken last, then by the plan's order.
+// Machines that are already out of service go first, then those with the lowest weight in service, then those of another zone than the
+// machine that was drained last, then by the plan's order.
 func (s *State) NextMachine(plan *PlanState, proposal *Advance) (next *MachineState, reasons map[string]string) {
 	reasons = map[string]string{}
 	units := s.budgetUnits(proposal)
@@ -99,11 +99,11 @@
 	return next, reasons
 }
 
-// machineRank orders machines that may be taken.
+// machineRank is the order in which machines that may be drained are chosen.
 type machineRank struct {
-	inService bool    // at least one worker is
-	weight    float64 // in service
-	sameZone  bool    // as the machine that was taken last
+	inService bool    // at least one worker is in service
+	weight    float64 // of the workers in service
+	sameZone  bool    // as the machine that was drained last
 }
 
 func rankOf(plan *PlanState, machine *MachineState, proposal *Advance) machineRank {
@@ -114,7 +114,7 @@
 	return machineRank{inService: weight != 0, weight: weight, sameZone: proposal.zoneOf(machine) == plan.LastZone}
 }
 
-// compare returns a negative number if a machine of this rank goes before one of the other.
+// compare returns a negative number if a machine of this rank goes before one of the other rank.
 func (r machineRank) compare(other machineRank) int {
 	return cmp.Or(
 		falseFirst(r.inService, other.inService),
@@ -133,25 +133,25 @@
 	return 1
 }
 
-// budgetUsage says which part of the fleet would be out of service if a plan took one more machine.
+// budgetUsage is the part of the fleet that would be out of service if a plan drained one more machine.
 type budgetUsage struct {
-	alreadyUnavailable bool     // the machine itself is out of service before it is taken
-	unavailable        int      // units, the machine itself included
-	otherUnits         []string // those units but for the machine itself, sorted
+	alreadyUnavailable bool     // the machine itself is out of service before its drain
+	unavailable        int      // number of units, including the machine itself
+	otherUnits         []string // sorted names of these units, without the machine itself
 	unavailableByZone  map[string]int
 	unavailableByKind  map[string]int
 
-	knownWorkers    int // groups of unnamed workers count as one
+	knownWorkers    int // each group of unnamed workers counts as one
 	totalWeight     float64
 	weightInService float64
-	zonesInService  map[string]bool // zones and kinds that keep a worker
+	zonesInService  map[string]bool // zones and kinds that keep a worker in service
 	kindsInService  map[string]bool
 }
 
-// usageIfTaken returns the usage if a machine were taken.
+// usageIfTaken returns the usage if a machine were drained.
 //
-// A machine that is out of service already costs nothing more when it is taken. For such a machine only units that plans have taken are
-// counted: otherwise two machines that have failed would prevent each other's repair.
+// Draining a machine that is already out of service does not reduce the capacity. For such a machine only units under maintenance are
+// counted: otherwise two failed machines would block each other's repair.
 func usageIfTaken(machine *MachineState, proposal *Advance, units map[string]*budgetUnit) *budgetUsage {
 	own := machineUnitName(machine.Name)
 	usage := &budgetUsage{
@@ -168,7 +168,7 @@
 		usage.zonesInService[group.Zone] = true
 		usage.kindsInService[group.Kind] = true
 	}
-	for _, name := range slices.Sorted(maps.Keys(units)) { // in a fixed order, as sums of weights depend on it
+	for _, name := range slices.Sorted(maps.Keys(units)) { // in a fixed order, because floating-point sums of weights depend on it
 		unit := units[name]
 		unavailable := unit.unavailable && (unit.underMaintenance || !usage.alreadyUnavailable)
 		usage.addUnit(unit, proposal, unavailable || name == own)
@@ -179,7 +179,7 @@
 	return usage
 }
 
-// addUnit counts a unit, which would be unavailable or in service.
+// addUnit adds a unit that would be unavailable or in service.
 func (u *budgetUsage) addUnit(unit *budgetUnit, proposal *Advance, unavailable bool) {
 	zones, kinds := map[string]bool{}, map[string]bool{}
 	for _, name := range unit.workers {
@@ -209,7 +209,7 @@
 	}
 }
 
-// budgetViolation returns why a plan may not take a machine now; empty if it may.
+// budgetViolation returns the reason why a plan may not drain a machine now; empty if it may.
 func budgetViolation(plan *PlanState, machine *MachineState, proposal *Advance, units map[string]*budgetUnit) string {
 	if failpoint.Enabled(failpoint.IgnoreBudget) {
 		return ""
@@ -241,7 +241,7 @@
 	return ""
 }
 
-// violationAt returns why no further worker of a zone and kind may go out of service; empty if it may.
+// violationAt returns the reason why no further worker of a zone and kind may be out of service; empty if one may.
 func (u *budgetUsage) violationAt(plan *PlanState, zone, kind string) string {
 	inZone, ofKind := u.unavailableByZone[zone], u.unavailableByKind[kind]
 	switch {
@@ -259,10 +259,10 @@
 	return ""
 }
 
-// maxNamesInReason is how many names a reason lists.
+// maxNamesInReason is the maximum number of unit names that a reason lists.
 const maxNamesInReason = 5
 
-// formatOthers returns the names of units that are unavailable already, as the end of a reason.
+// formatOthers returns the names of the units that are already unavailable, formatted as the end of a reason.
 func formatOthers(names []string) string {
 	if len(names) == 0 {
 		return ""
--- a/internal/maintenance/budget_test.go
+++ b/internal/maintenance/budget_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestBudget_LimitsMachinesTaken verifies which machines a plan takes under its budget, and in which order.
+// TestBudget_LimitsMachinesTaken verifies which machines a plan drains within its budget, and in which order.
 func TestBudget_LimitsMachinesTaken(t *testing.T) {
 	for name, test := range map[string]struct {
 		plan   Plan
@@ -49,7 +49,7 @@
 			f := newFixture(t, test.plan)
 			test.change(f)
 			report := MemberReport{Incarnation: "1", SoleProcess: true}
-			for i := range 6 { // so that no machine gets drained
+			for i := range 6 { // keeps each machine in draining
 				report.BusyWorkers = append(report.BusyWorkers, fmt.Sprint("r", i))
 			}
 			f.proposal.Reports["b"] = report
@@ -59,13 +59,13 @@
 			}
 			f.expectPhases(test.want)
 			if test.want == "" && len(f.state.WaitReasons(f.state.Plans[0], &f.proposal)) != len(f.state.Plans[0].MachineStates) {
-				t.Errorf("reasons: %v", f.state.WaitReasons(f.state.Plans[0], &f.proposal))
+				t.Errorf("reasons: %v, want one per machine", f.state.WaitReasons(f.state.Plans[0], &f.proposal))
 			}
 		})
 	}
 }
 
-// TestBudget_SharedByPlans verifies that a machine that one plan has taken counts against the budget of another.
+// TestBudget_SharedByPlans verifies that a machine that one plan has taken out of service counts against the budget of another plan.
 func TestBudget_SharedByPlans(t *testing.T) {
 	f := newFixture(t, Plan{Machines: []Machine{machineOf("m0", "r0")}})
 	f.expectCode(CodeOK, Command{Kind: CommandSubmitPlan, Plan: &Plan{
@@ -84,6 +84,6 @@
 		f.advance(3 * second)
 	}
 	if n1.Phase != MachineDrained {
-		t.Errorf("once the other plan has ended: %s", n1.Phase)
+		t.Errorf("after the other plan has ended, n1 is %s, want drained", n1.Phase)
 	}
 }
--- a/internal/maintenance/command.go
+++ b/internal/maintenance/command.go
@@ -10,25 +10,25 @@
 // CommandKind is the kind of a Command.
 type CommandKind string
 
-// The kinds of commands, with the fields of Command that each uses.
+// The kinds of commands. The comments name the fields of Command that each kind uses.
 const (
 	CommandJoinMember    CommandKind = "join"    // Member
-	CommandRetireMember  CommandKind = "retire"  // Name, of the member
-	CommandTrustHistory  CommandKind = "trust"   // ends State.HistoryLost
+	CommandRetireMember  CommandKind = "retire"  // Name of the member
+	CommandTrustHistory  CommandKind = "trust"   // no field; resets State.HistoryLost
 	CommandSubmitPlan    CommandKind = "plan"    // Plan
-	CommandStartPlan     CommandKind = "start"   // Name, of the plan, as for the next three
-	CommandPausePlan     CommandKind = "pause"   // takes no further machine
+	CommandStartPlan     CommandKind = "start"   // Name of the plan, as for the next three kinds
+	CommandPausePlan     CommandKind = "pause"   // drains no further machine
 	CommandResumePlan    CommandKind = "resume"  // continues a paused plan
-	CommandAbortPlan     CommandKind = "abort"   // puts back what operators do not have, and ends
-	CommandClaimMachine  CommandKind = "wait"    // Machine, and Name of its plan if that is not unique: operators take a drained machine over
-	CommandSkipMachine   CommandKind = "skip"    // Machine and Name as above: leave a machine out of its plan
-	CommandReturnMachine CommandKind = "done"    // Machine and Name as above: operators give a machine back, with its workers restarted
+	CommandAbortPlan     CommandKind = "abort"   // returns the machines that operators have not claimed, and ends the plan
+	CommandClaimMachine  CommandKind = "wait"    // Machine, and Name of its plan if Machine is not unique: operators claim a drained machine
+	CommandSkipMachine   CommandKind = "skip"    // Machine and Name as above: excludes a machine from its plan
+	CommandReturnMachine CommandKind = "done"    // Machine and Name as above: operators return a machine, with its workers restarted
 	CommandAdvance       CommandKind = "advance" // Advance
 )
 
 // Command is one entry of the group's log.
 type Command struct {
-	ID      string      `json:"id,omitempty"` // of an operator's call: a command whose ID has a result is not carried out again
+	ID      string      `json:"id,omitempty"` // of an operator's call: a command whose ID has a result is not executed again
 	Kind    CommandKind `json:"kind"`
 	Name    string      `json:"name,omitempty"`
 	Machine string      `json:"machine,omitempty"`
@@ -38,7 +38,7 @@
 	Level   int         `json:"needs,omitempty"` // the lowest level that a build has to support; see RequiredLevel
 }
 
-// The levels of commands. A build that does not support a command's level must not skip it, and leaves consensus instead.
+// The levels of commands. A build that does not support a command's level must not skip the command: it stops taking part in consensus.
 const (
 	levelBase    = 1
 	levelCompact = 2 // machines by host, compact proposals, CommandTrustHistory
@@ -55,7 +55,7 @@
 	return MaxLevel
 }
 
-// RequiredLevel returns the lowest level that a build has to support in order to carry the command out.
+// RequiredLevel returns the lowest level that a build has to support to execute the command.
 func (c *Command) RequiredLevel() int {
 	hasHost := func(machine Machine) bool { return machine.Host != "" }
 	switch {
@@ -76,13 +76,13 @@
 	Text string `json:"text"`
 }
 
-// Code tells how a call ended. The command line exits with it.
+// Code is the outcome of a call, and the exit status of the operators' command.
 type Code int
 
 // The codes of results.
 const (
 	CodeOK         Code = 0
-	CodeInvalid    Code = 1 // the call is invalid in the present state, and repeating it is no use
+	CodeInvalid    Code = 1 // the call is invalid in the present state; repeating it has no effect
 	CodeRetryLater Code = 2 // the call is not possible yet and may be repeated
 )
 
@@ -98,9 +98,9 @@
 	return Result{Code: CodeRetryLater, Text: fmt.Sprintf(format, args...)}
 }
 
-// Event is a change that a command made, for the log.
+// Event is a change that a command made. Events are logged.
 type Event struct {
-	Plan    string `json:"plan,omitempty"`    // empty: it concerns no plan
-	Machine string `json:"machine,omitempty"` // empty: it concerns no machine
+	Plan    string `json:"plan,omitempty"`    // empty: the event concerns no plan
+	Machine string `json:"machine,omitempty"` // empty: the event concerns no machine
 	Text    string `json:"what"`
 }
--- a/internal/maintenance/compact.go
+++ b/internal/maintenance/compact.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Compact returns a proposal that has the same effect on this state as the given one, in fewer bytes. Each log entry is sent to each
-// member, so its size must not grow with the number of members and workers. The compact proposal names only workers of plans, workers
-// that are out of service, and members that block something.
+// Compact returns a shorter proposal with the same effect on this state. Each log entry is sent to each member, so its size must not grow
+// with the number of members and workers. The compact proposal names only workers of plans, workers that are out of service, and members
+// that block a plan or a drain.
 func (s *State) Compact(proposal *Advance) *Advance {
 	compact := *proposal
 	compact.DefaultApplied = max(proposal.DefaultApplied, s.highestAwaitedIndex())
@@ -16,7 +16,7 @@
 	return &compact
 }
 
-// highestAwaitedIndex returns the highest log index that a plan waits for members to confirm.
+// highestAwaitedIndex returns the highest log index that members have to confirm for a plan.
 func (s *State) highestAwaitedIndex() uint64 {
 	index := uint64(0)
 	for _, plan := range s.Plans {
@@ -31,8 +31,8 @@
 	return index
 }
 
-// blockingReports returns the reports of members that have not confirmed an index, or block a drain. With index 0 there is no
-// default that could stand for a report, and all are returned.
+// blockingReports returns the reports of members that have not confirmed an index or block a drain. With index 0 it returns all reports,
+// because a DefaultApplied of 0 cannot replace any.
 func (s *State) blockingReports(proposal *Advance, index uint64) map[string]MemberReport {
 	reports := map[string]MemberReport{}
 	for _, name := range s.MemberNames() {
@@ -45,7 +45,7 @@
 	return reports
 }
 
-// relevantReport returns a report without the busy workers and hosts that belong to no draining machine.
+// relevantReport returns a report without busy workers and hosts that belong to no draining machine.
 func (s *State) relevantReport(report MemberReport) MemberReport {
 	var workers, hosts []string
 	for _, plan := range s.Plans {
@@ -67,11 +67,11 @@
 	return report
 }
 
-// splitFleet returns the workers that have to be named, and the others as groups in a fixed order.
+// splitFleet returns the workers that have to be named, and all others as groups in a fixed order.
 func (s *State) splitFleet(proposal *Advance) (named map[string]Worker, others []WorkerGroup) {
 	inPlans := s.workersOfPlans()
 	named = map[string]Worker{}
-	counts := map[WorkerGroup]int{} // by a group of count 0
+	counts := map[WorkerGroup]int{} // the keys have a Count of 0
 	for name, worker := range proposal.Fleet {
 		inPlan := inPlans.Workers[name] || inPlans.Hosts[worker.Host]
 		if inPlan || worker.outOfService() || worker.Gone {
@@ -95,7 +95,7 @@
 	return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Weight, b.Weight))
 }
 
-// workersOfPlans returns the workers of all plans that are kept: those that a machine names or has had, and all at its host.
+// workersOfPlans returns the workers of all plans in the state, including ended ones: those of each machine, and all at its host.
 func (s *State) workersOfPlans() WorkerSet {
 	set := WorkerSet{Workers: map[string]bool{}, Hosts: map[string]bool{}}
 	for _, plan := range s.Plans {
--- a/internal/maintenance/compact_test.go
+++ b/internal/maintenance/compact_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestCompact_SizeIndependentOfFleet verifies that a compact proposal is hardly longer for hundreds of members and workers than for few,
-// and that it names each member that blocks a drain.
+// TestCompact_SizeIndependentOfFleet verifies that a compact proposal for hundreds of members and workers is at most a few bytes longer
+// than one for few, and that it names each member that blocks a drain.
 func TestCompact_SizeIndependentOfFleet(t *testing.T) {
 	length := func(members, workers int) int {
 		state := New()
@@ -29,7 +29,7 @@
 			t.Errorf("%+v", compact)
 		}
 		if blocking := state.blockingMembers(draining, compact); len(blocking) != 2 {
-			t.Errorf("blocked by %v", blocking)
+			t.Errorf("blocked by %v, want 2 members", blocking)
 		}
 		raw, err := json.Marshal(compact)
 		if err != nil {
@@ -38,6 +38,6 @@
 		return len(raw)
 	}
 	if few, many := length(3, 12), length(300, 1200); many > few+10 {
-		t.Errorf("%d bytes for 300 members and 1200 workers, %d for few", many, few)
+		t.Errorf("%d bytes for 300 members and 1200 workers, %d bytes for 3 and 12", many, few)
 	}
 }
--- a/internal/maintenance/fixture_test.go
+++ b/internal/maintenance/fixture_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// fixture drives a State: three members, six workers of one machine each in two zones and of two kinds.
+// fixture drives a State with three members and six workers. The workers are of two zones and two kinds, one worker per machine.
 type fixture struct {
 	t        *testing.T
 	state    *State
@@ -20,8 +20,8 @@
 
 const second = time.Second
 
-// newFixture submits a plan. Where the plan sets nothing else, it has one machine for each worker, of which one may be unavailable at a
-// time.
+// newFixture returns a fixture that has submitted a plan. By default the plan has one machine per worker, of which one may be unavailable at
+// a time.
 func newFixture(t *testing.T, plan Plan) *fixture {
 	t.Helper()
 	f := &fixture{t: t, state: New(), proposal: Advance{
@@ -64,7 +64,7 @@
 	return f.state.Apply(f.index, raw)
 }
 
-// expectCode applies a command as a call of an operator, and checks its result's code.
+// expectCode applies a command as an operator's call and checks the code of its result.
 func (f *fixture) expectCode(code Code, command Command) {
 	f.t.Helper()
 	command.ID = fmt.Sprint("id", f.index)
@@ -74,8 +74,8 @@
 	}
 }
 
-// advance proposes that time has passed and that all members except the named ones have applied all entries. It also checks that the
-// compact proposal has the same effect as the full one.
+// advance applies a proposal with an elapsed time in which all members except the named ones have applied all entries. It also checks that
+// the compact proposal has the same effect as the full one.
 func (f *fixture) advance(elapsed time.Duration, except ...string) {
 	f.t.Helper()
 	proposal := f.proposal
@@ -93,7 +93,7 @@
 	f.apply(Command{Kind: CommandAdvance, Advance: &proposal})
 	full, compact := encode(f.t, f.state), encode(f.t, other.state)
 	if !bytes.Equal(full, compact) {
-		f.t.Errorf("entry %d: the compact proposal comes to\n%s\nnot to\n%s", f.index, compact, full)
+		f.t.Errorf("entry %d: the compact proposal gives the state\n%s\nwant\n%s", f.index, compact, full)
 	}
 }
 
@@ -106,14 +106,14 @@
 	return raw
 }
 
-// changeWorker changes what members know of a worker.
+// changeWorker changes what members know about a worker.
 func (f *fixture) changeWorker(name string, change func(*Worker)) {
 	worker := f.proposal.Fleet[name]
 	change(&worker)
 	f.proposal.Fleet[name] = worker
 }
 
-// expectPhases checks the phases of the first plan's machines, without those that are waiting.
+// expectPhases checks the phases of the first plan's machines, except the waiting ones.
 func (f *fixture) expectPhases(want string) {
 	f.t.Helper()
 	var got []string
@@ -127,7 +127,7 @@
 	}
 }
 
-// startPlan starts the plan p and proposes to advance it by a second, in which it may take a machine.
+// startPlan starts plan p and advances the state by a second, in which the plan may begin to drain a machine.
 func (f *fixture) startPlan() {
 	f.expectCode(CodeOK, Command{Kind: CommandStartPlan, Name: "p"})
 	f.advance(second)
--- a/internal/maintenance/golden_test.go
+++ b/internal/maintenance/golden_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// TestGolden_StoredForms covers the JSON of all types that are stored in the log and in snapshots, and sent between members.
+// TestGolden_StoredForms checks the JSON of all types that are stored in the log and in snapshots, and sent between members.
 func TestGolden_StoredForms(t *testing.T) {
 	plan, member, advance := goldenPlan(), goldenMember(), goldenAdvance()
 	goldentest.CheckJSON(t, "plan.json", plan)
@@ -78,7 +78,7 @@
 	goldentest.CheckJSON(t, "state.json", goldenState())
 }
 
-// TestGolden_Snapshot compares Encode and Decode with stored snapshots.
+// TestGolden_Snapshot checks Encode and Decode against stored snapshots.
 func TestGolden_Snapshot(t *testing.T) {
 	want := goldenState()
 	raw, err := want.Encode()
@@ -95,7 +95,7 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("reads back as %+v, want %+v", got, want)
+		t.Errorf("decoded as %+v, want %+v", got, want)
 	}
 	empty, err := New().Encode()
 	if err != nil {
@@ -104,7 +104,7 @@
 	goldentest.Check(t, "snapshot-empty.json", empty)
 }
 
-// TestGolden_Constants covers the constants in stored and sent values, and the result codes, which are exit statuses too.
+// TestGolden_Constants checks the constants in stored and sent values, and the result codes, which are also exit statuses.
 func TestGolden_Constants(t *testing.T) {
 	var b bytes.Buffer
 	fmt.Fprintln(&b, "machine:", []MachinePhase{
@@ -123,7 +123,7 @@
 	goldentest.Check(t, "words.txt", b.Bytes())
 }
 
-// TestGolden_CompactProposal covers the compact form of proposals.
+// TestGolden_CompactProposal checks the compact form of proposals.
 func TestGolden_CompactProposal(t *testing.T) {
 	h := newHistory(t, 7)
 	var b bytes.Buffer
@@ -141,8 +141,8 @@
 	goldentest.Check(t, "compact.jsonl", b.Bytes())
 }
 
-// TestGolden_Texts covers the texts of results, of problems of plans and of reasons, which are sent to operators, and those of events. Of
-// texts that differ in digits alone the golden file has one.
+// TestGolden_Texts checks the texts of results, plan problems and wait reasons, which are sent to operators, and of events. Of texts that
+// differ only in digits, the golden file has one.
 func TestGolden_Texts(t *testing.T) {
 	texts := map[string]bool{}
 	for seed := range uint64(60) {
@@ -169,8 +169,8 @@
 	goldentest.Check(t, "texts.txt", []byte(strings.Join(slices.Sorted(maps.Values(kinds)), "\n")+"\n"))
 }
 
-// TestGolden_HistoryDigests applies random histories of commands and compares a digest of all results of each: the state after each
-// entry, its events, and each answer of the queries.
+// TestGolden_HistoryDigests applies random histories of commands and checks a digest per history. The digest covers the state and the
+// events after each entry, and the results of queries.
 func TestGolden_HistoryDigests(t *testing.T) {
 	var b bytes.Buffer
 	run := func(fault string, seed uint64) {
@@ -199,7 +199,7 @@
 	goldentest.Check(t, "digests.txt", b.Bytes())
 }
 
-// TestGolden_Bounds covers how many plans and results a state keeps, and the results of incomplete commands.
+// TestGolden_Bounds checks how many plans and results a state keeps, and the results of incomplete commands.
 func TestGolden_Bounds(t *testing.T) {
 	h := newHistory(t, 3)
 	h.apply(Command{ID: "nobody", Kind: CommandJoinMember})
--- a/internal/maintenance/history_test.go
+++ b/internal/maintenance/history_test.go
@@ -21,11 +21,11 @@
 	random       *rand.Rand
 	state        *State
 	index        uint64
-	events       []Event           // of the newest command
-	fleet        map[string]Worker // as members know it
+	events       []Event           // of the last command
+	fleet        map[string]Worker // as the members know it
 	reports      map[string]MemberReport
 	incarnations int
-	digest       hash.Hash64 // of all results
+	digest       hash.Hash64 // of all states, events and query results
 }
 
 // newHistory returns a history with three members and eight workers.
@@ -46,7 +46,7 @@
 	return h
 }
 
-// step makes one random change of fleet, reports or state, or applies one random command.
+// step makes one random change to the fleet, the reports or the state, or applies one random command.
 func (h *history) step() {
 	switch n := h.random.IntN(100); {
 	case n < 12:
@@ -94,15 +94,15 @@
 	}
 }
 
-// id returns the random ID of a call. Some IDs are repeated.
+// id returns a random call ID. Some IDs repeat, and some are empty.
 func (h *history) id() string {
 	if h.random.IntN(10) == 0 {
-		return "" // not an operator's call
+		return "" // a command without an operator's call
 	}
 	return fmt.Sprint("call-", h.random.IntN(400))
 }
 
-// join adds a member, or its next incarnation.
+// join adds a member, or the next incarnation of an existing one.
 func (h *history) join(name string) {
 	h.incarnations++
 	incarnation := fmt.Sprint("life-", h.incarnations)
@@ -123,7 +123,7 @@
 	fmt.Fprintf(h.digest, "%s\n%q\n%s\n", raw, h.events, encode(h.t, h.state))
 }
 
-// changeFleet changes what members know of one random worker.
+// changeFleet changes what members know about one random worker.
 func (h *history) changeFleet() {
 	name := fmt.Sprint("r", h.random.IntN(10))
 	worker, listed := h.fleet[name]
@@ -166,7 +166,7 @@
 	h.reports[name] = report
 }
 
-// proposal returns a random proposal of a leader: mostly for the present state, with the reports of most members.
+// proposal returns a random proposal of a leader, usually for the present state and with the reports of most members.
 func (h *history) proposal() *Advance {
 	proposal := &Advance{
 		StateSeq:     h.state.Seq,
@@ -190,7 +190,7 @@
 	return proposal
 }
 
-// plan returns a random plan, or nil. Some plans have problems.
+// plan returns a random plan, or nil. Some plans are invalid.
 func (h *history) plan() *Plan {
 	plan := &Plan{
 		Name:                  fmt.Sprint("p", h.random.IntN(4)),
@@ -234,7 +234,7 @@
 	return plan
 }
 
-// texts returns the texts of the last step's events and result, and those of queries.
+// texts returns the texts of the last events, the last result and queries.
 func (h *history) texts() (texts []string) {
 	for _, event := range h.events {
 		texts = append(texts, "event: "+event.Text)
@@ -242,7 +242,7 @@
 	h.events = nil
 	if n := len(h.state.Results); n > 0 {
 		result := h.state.Results[n-1]
-		if !strings.Contains(result.Text, "\n") { // several lines are problems of a plan
+		if !strings.Contains(result.Text, "\n") { // several lines are the problems of a plan
 			texts = append(texts, fmt.Sprintf("answer %d: %q", result.Code, result.Text))
 		}
 	}
@@ -260,7 +260,7 @@
 	return texts
 }
 
-// digestQueries adds the answer of each query to the digest.
+// digestQueries adds the result of each query to the digest.
 func (h *history) digestQueries() {
 	addToDigest := func(value any) {
 		raw, err := json.Marshal(value)
--- a/internal/maintenance/member.go
+++ b/internal/maintenance/member.go
@@ -8,19 +8,19 @@
 // Member is a dispatcher of the group.
 type Member struct {
 	Name             string            `json:"name"`
-	Incarnation      string            `json:"life"` // drawn at random whenever the member begins with an empty disk
+	Incarnation      string            `json:"life"` // random, chosen whenever the member starts with an empty disk
 	RaftID           uint64            `json:"id"`   // of this incarnation
 	Voter            bool              `json:"voter"`
-	PastIncarnations []PastIncarnation `json:"old,omitempty"` // messages of these are ignored
+	PastIncarnations []PastIncarnation `json:"old,omitempty"` // their messages are ignored
 }
 
-// PastIncarnation is an incarnation of a member whose disk was lost.
+// PastIncarnation is a member's incarnation whose disk was lost.
 type PastIncarnation struct {
 	Incarnation string `json:"life"`
 	RaftID      uint64 `json:"id"`
 }
 
-// HadIncarnation reports whether an incarnation is one of the member's past ones.
+// HadIncarnation reports whether an incarnation is a past one of the member.
 func (m *Member) HadIncarnation(incarnation string) bool {
 	return slices.ContainsFunc(m.PastIncarnations, func(past PastIncarnation) bool { return past.Incarnation == incarnation })
 }
@@ -31,10 +31,10 @@
 	return &clone
 }
 
-// MemberNames returns the names of all members, sorted.
+// MemberNames returns the sorted names of all members.
 func (s *State) MemberNames() []string { return slices.Sorted(maps.Keys(s.Members)) }
 
-// joinMember adds a member, or replaces it by its next incarnation.
+// joinMember adds a member, or replaces an existing one by its next incarnation.
 func (a *applier) joinMember(member *Member) Result {
 	if member == nil || member.Name == "" {
 		return rejected("a member has a name")
@@ -63,7 +63,7 @@
 }
 
 // trustHistory allows plans to be started after the group was bootstrapped again: an operator has verified that no machine is under
-// maintenance by a plan that was lost.
+// maintenance for a plan that was lost.
 func (a *applier) trustHistory() Result {
 	if a.HistoryLost {
 		a.HistoryLost = false
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// MaxMachines is the highest number of machines in a plan.
+// MaxMachines is the maximum number of machines in a plan.
 const MaxMachines = 1000
 
 // OverdueAction is what a plan does when a phase of a machine takes longer than the plan allows.
@@ -13,9 +13,9 @@
 
 // The actions.
 const (
-	OverdueWait  OverdueAction = "wait"  // only emits an event
-	OverduePause OverdueAction = "pause" // pauses the plan; a machine that is not back in time has failed
-	OverdueSkip  OverdueAction = "skip"  // skips a machine that is not drained in time; one that is not back in time has failed
+	OverdueWait  OverdueAction = "wait"  // emits an event only
+	OverduePause OverdueAction = "pause" // pauses the plan; a machine that is not back in service in time has failed
+	OverdueSkip  OverdueAction = "skip"  // skips a machine that is not drained in time; one that is not back in service in time has failed
 )
 
 // Plan is a maintenance plan as operators submit it.
@@ -23,22 +23,22 @@
 	Name     string    `json:"name"`
 	Machines []Machine `json:"machines"`
 
-	// The disruption budget: how many machines may be out of service at a time, for any reason, in the whole fleet, in a zone and
-	// of a kind. 0 for a zone or kind sets no limit.
+	// The disruption budget: the maximum number of machines that may be out of service at a time for any reason, in the whole fleet, per
+	// zone and per kind. For zones and kinds 0 means no limit.
 	MaxUnavailable        int     `json:"out"`
 	MaxUnavailablePerZone int     `json:"zone_out"`
 	MaxUnavailablePerKind int     `json:"kind_out"`
-	MinCapacity           float64 `json:"capacity"` // share of the fleet's weight that stays in service, from 0 to 1
+	MinCapacity           float64 `json:"capacity"` // minimum share of the fleet's weight that stays in service, from 0 to 1
 
-	// How long a machine may take to be drained, to be worked on, and to be back in service. 0 sets no limit.
+	// How long the drain, the work and the return to service of a machine may take. 0 means no limit.
 	DrainTimeout  time.Duration `json:"leave"`
 	WorkTimeout   time.Duration `json:"work"`
 	ReturnTimeout time.Duration `json:"back"`
-	OnOverdue     OverdueAction `json:"overdue"` // what happens at a timeout
+	OnOverdue     OverdueAction `json:"overdue"` // what the plan does at a timeout
 }
 
-// Machine is a set of workers that are worked on together: either named ones, or all workers at a host, whatever their names are
-// at the time.
+// Machine is a set of workers that are under maintenance together: either named workers, or all workers at a host, whatever their names
+// are at the time.
 type Machine struct {
 	Name    string   `json:"name"`
 	Workers []string `json:"runners"`
@@ -51,27 +51,27 @@
 // The phases of a plan.
 const (
 	PlanSubmitted PlanPhase = "handed in" // not started
-	PlanAnnounced PlanPhase = "announced" // started, and runs once each member has confirmed that it knows the plan
+	PlanAnnounced PlanPhase = "announced" // started; runs once each member has confirmed that it knows the plan
 	PlanRunning   PlanPhase = "running"
-	PlanPaused    PlanPhase = "paused"   // takes no further machine
-	PlanAborting  PlanPhase = "aborting" // takes no further machine, and ends when those it has taken are back
+	PlanPaused    PlanPhase = "paused"   // drains no further machine
+	PlanAborting  PlanPhase = "aborting" // drains no further machine, and ends once the drained ones are back in service
 	PlanEnded     PlanPhase = "ended"
 )
 
-// active reports whether members need a lease to send to the plan's machines.
+// active reports whether members need a lease to send requests to the plan's machines.
 func (p PlanPhase) active() bool { return p != PlanSubmitted && p != PlanEnded }
 
 // MachinePhase is the phase of a machine of a plan.
 type MachinePhase string
 
-// The phases of a machine, in their order. The last two replace MachineDone: MachineSkipped is final, MachineFailed lasts until the
-// machine is back in service or skipped.
+// The phases of a machine, in order. MachineSkipped and MachineFailed replace MachineDone: MachineSkipped is final, MachineFailed lasts
+// until the machine is back in service or skipped.
 const (
 	MachineWaiting       MachinePhase = "waiting"
-	MachineDraining      MachinePhase = "leaving"   // nothing new is sent to its workers; what runs there ends
-	MachineDrained       MachinePhase = "clear"     // nothing of any member runs there, and nothing can be sent
-	MachineInMaintenance MachinePhase = "out"       // operators were notified that it is drained, and have it
-	MachineReturning     MachinePhase = "returning" // may be sent to again; not yet in full service
+	MachineDraining      MachinePhase = "leaving"   // its workers get no new requests; running attempts end
+	MachineDrained       MachinePhase = "clear"     // no member has an attempt running at its workers or can start one
+	MachineInMaintenance MachinePhase = "out"       // claimed by operators, who were notified that it is drained
+	MachineReturning     MachinePhase = "returning" // may get requests again; not yet in full service
 	MachineWarm          MachinePhase = "warm"      // in full service
 	MachineDone          MachinePhase = "done"
 	MachineSkipped       MachinePhase = "skipped"
@@ -83,26 +83,26 @@
 	return p == MachineDraining || p == MachineDrained || p == MachineInMaintenance
 }
 
-// finished reports whether the plan has finished with a machine in this phase.
+// finished reports whether the phase is final for the plan.
 func (p MachinePhase) finished() bool { return p == MachineDone || p == MachineSkipped }
 
-// PlanState is a plan and how far it has come.
+// PlanState is a plan with its progress.
 type PlanState struct {
 	Plan
 	Phase          PlanPhase       `json:"phase"`
 	AnnouncedIndex uint64          `json:"at"` // log index of the command that started it
 	MachineStates  []*MachineState `json:"places"`
-	LastZone       string          `json:"zone,omitempty"` // of the machine that was taken last
+	LastZone       string          `json:"zone,omitempty"` // of the machine that was drained last
 }
 
-// MachineState is a machine of a plan and how far it has come.
+// MachineState is a machine of a plan with its progress.
 type MachineState struct {
 	Machine
 	Phase      MachinePhase  `json:"step"`
 	PhaseIndex uint64        `json:"at"`                // log index of the command that began the phase
 	PhaseStart time.Duration `json:"since"`             // on the group's clock
 	Overdue    bool          `json:"overdue,omitempty"` // the phase has taken longer than the plan allows
-	Withdrawn  bool          `json:"left,omitempty"`    // put back before operators had it: it ends as skipped
+	Withdrawn  bool          `json:"left,omitempty"`    // put back into service before operators claimed it; ends as skipped
 }
 
 func (p *PlanState) clone() *PlanState {
@@ -115,26 +115,26 @@
 	return &clone
 }
 
-// finished reports whether the plan has finished with all its machines.
+// finished reports whether all machines of the plan are done or skipped.
 func (p *PlanState) finished() bool {
 	return !slices.ContainsFunc(p.MachineStates, func(machine *MachineState) bool { return !machine.Phase.finished() })
 }
 
-// includesWorker reports whether a machine that the plan has not finished with names a worker.
+// includesWorker reports whether a worker belongs to a machine of the plan that is not done or skipped.
 func (p *PlanState) includesWorker(worker string) bool {
 	return slices.ContainsFunc(p.MachineStates, func(machine *MachineState) bool {
 		return !machine.Phase.finished() && slices.Contains(machine.Workers, worker)
 	})
 }
 
-// includesHost reports whether a machine that the plan has not finished with is a host.
+// includesHost reports whether a host is a machine of the plan that is not done or skipped.
 func (p *PlanState) includesHost(host string) bool {
 	return slices.ContainsFunc(p.MachineStates, func(machine *MachineState) bool {
 		return !machine.Phase.finished() && machine.Host == host
 	})
 }
 
-// FindPlan returns the oldest plan of a name; nil if there is none.
+// FindPlan returns the oldest plan with a name, or nil.
 func (s *State) FindPlan(name string) *PlanState {
 	for _, plan := range s.Plans {
 		if plan.Name == name {
@@ -144,9 +144,9 @@
 	return nil
 }
 
-// FindMachine returns a machine by name, with its plan; nil if there is none. Without a plan's name it prefers an active plan to
-// a submitted one and that to an ended one, and among these the newest: so a call that is repeated after the end of its plan still
-// gets its result.
+// FindMachine returns a machine by name, and its plan; nil if there is none. If planName is empty, it searches all plans: it prefers active
+// plans to submitted ones, submitted ones to ended ones, and among equals the newest. Ended plans are included so that a call that is
+// repeated after the end of its plan still gets its result.
 func (s *State) FindMachine(planName, machineName string) (plan *PlanState, machine *MachineState) {
 	for _, candidate := range s.Plans {
 		if planName != "" && candidate.Name != planName {
@@ -164,7 +164,7 @@
 	return plan, machine
 }
 
-// searchRank orders plans for FindMachine, the preferred ones highest.
+// searchRank is FindMachine's preference for plans in a phase; the highest is preferred.
 func (p PlanPhase) searchRank() int {
 	switch {
 	case p.active():
@@ -175,16 +175,16 @@
 	return 0
 }
 
-// WorkerSet is a set of workers: named ones, and all at some hosts.
+// WorkerSet is a set of workers: named ones, and all workers at some hosts.
 type WorkerSet struct{ Workers, Hosts map[string]bool }
 
-// Excluded returns the workers to which members must not send requests.
+// Excluded returns the workers to which members must not send requests, because they are drained or under maintenance.
 func (s *State) Excluded() WorkerSet {
 	return s.workerSet(func(_ *PlanState, machine *MachineState) bool { return machine.Phase.excluded() })
 }
 
-// Leased returns the workers to which a member may send only while it holds the lease: those of active plans, until the plan has
-// finished with them.
+// Leased returns the workers to which a member may send requests only while it holds the lease: those of active plans, until their machine
+// is done or skipped.
 func (s *State) Leased() WorkerSet {
 	return s.workerSet(func(plan *PlanState, machine *MachineState) bool {
 		return plan.Phase.active() && !machine.Phase.finished()
@@ -203,7 +203,7 @@
 	return set
 }
 
-// addMachine adds a machine's workers: all at its host if it has one.
+// addMachine adds the workers of a machine: all at its host if it has one, else the named ones.
 func (w WorkerSet) addMachine(machine *Machine) {
 	if machine.Host != "" {
 		w.Hosts[machine.Host] = true
--- a/internal/maintenance/proposal.go
+++ b/internal/maintenance/proposal.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Advance is the leader's proposal: what it knows of the members and of the fleet, and the time that has passed. State.Compact
-// makes it smaller without changing its effect.
+// Advance is the leader's proposal: what it knows about the members and the fleet, and the elapsed time. State.Compact returns a shorter
+// one with the same effect.
 type Advance struct {
-	StateSeq     uint64                  `json:"seq"`    // State.Seq that the proposal was made for; with any other it has no effect
-	Elapsed      time.Duration           `json:"waited"` // since the proposer has had that state
-	FenceTimeout time.Duration           `json:"bound"`  // lease, clock drift and longest attempt, the highest of all members
-	WarmUp       time.Duration           `json:"warm"`   // time until a started worker takes its full share
+	StateSeq     uint64                  `json:"seq"`    // State.Seq for which the proposal was made; it has no effect with any other
+	Elapsed      time.Duration           `json:"waited"` // since the proposer reached that state
+	FenceTimeout time.Duration           `json:"bound"`  // lease plus longest attempt, with clock drift; the highest of all members
+	WarmUp       time.Duration           `json:"warm"`   // time until a started worker gets its full share of requests
 	Reports      map[string]MemberReport `json:"words"`  // by member
 	Fleet        map[string]Worker       `json:"fleet"`  // by worker
 
-	// Set in a compact proposal. Members that Reports does not name have applied this log index and block nothing.
+	// DefaultApplied is set in a compact proposal: members that are missing in Reports have applied this log index and block nothing.
 	DefaultApplied uint64 `json:"agreed,omitempty"`
-	// Set in a compact proposal: workers that Fleet does not name, which are in no plan and in full service.
+	// UnnamedWorkers is set in a compact proposal: workers that are missing in Fleet, are in no plan and are in full service.
 	UnnamedWorkers []WorkerGroup `json:"rest,omitempty"`
 }
 
@@ -26,39 +26,39 @@
 	Count  int     `json:"count"`
 }
 
-// MemberReport is the last report of a member on itself.
+// MemberReport is a member's newest report about itself.
 type MemberReport struct {
 	Incarnation string   `json:"life"`
-	Applied     uint64   `json:"applied"`           // log index up to which its dispatcher follows the state
-	SoleProcess bool     `json:"alone"`             // no other process of this dispatcher runs, and no attempts of an earlier one do
-	BusyWorkers []string `json:"busy,omitempty"`    // workers at which attempts of this member run or may run
-	BusyHosts   []string `json:"busy_at,omitempty"` // the hosts of these
+	Applied     uint64   `json:"applied"`           // log index up to which its dispatcher has applied the state
+	SoleProcess bool     `json:"alone"`             // no other process of this dispatcher is running, nor any attempt of an earlier process
+	BusyWorkers []string `json:"busy,omitempty"`    // workers at which attempts of this member are or may be running
+	BusyHosts   []string `json:"busy_at,omitempty"` // the hosts of these workers
 }
 
-// confirms reports whether the member, in its present incarnation, follows the state up to a log index in all its processes.
+// confirms reports whether the member's present incarnation has applied a log index in all its processes.
 func (r *MemberReport) confirms(member *Member, index uint64) bool {
 	return r.Incarnation == member.Incarnation && r.Applied >= index && r.SoleProcess
 }
 
-// Worker is what members know of a worker.
+// Worker is what members know about a worker.
 type Worker struct {
 	Zone        string  `json:"zone"`
 	Kind        string  `json:"kind"`
 	Host        string  `json:"host,omitempty"`
 	Weight      float64 `json:"weight"`
 	Unavailable bool    `json:"down,omitempty"` // draining or gone
-	Gone        bool    `json:"gone,omitempty"` // has left the endpoint list
+	Gone        bool    `json:"gone,omitempty"` // no longer on the endpoint list
 	WarmingUp   bool    `json:"cold,omitempty"`
 	Disabled    bool    `json:"hand,omitempty"` // by an operator's override at some dispatcher
 }
 
-// outOfService reports whether the worker takes less than its full share of requests.
+// outOfService reports whether the worker gets less than its full share of requests.
 func (w *Worker) outOfService() bool { return w.Unavailable || w.WarmingUp || w.Disabled }
 
 func (a *Advance) isCompact() bool { return a.DefaultApplied > 0 || len(a.UnnamedWorkers) > 0 }
 
-// reportOf returns what a member of the state reported; the zero MemberReport if it did not. A member that a compact proposal does
-// not name blocks nothing.
+// reportOf returns the report of a member of the state, or the zero MemberReport if the proposal has none. A member that is missing in a
+// compact proposal gets a report that blocks nothing.
 func (a *Advance) reportOf(state *State, name string) MemberReport {
 	report, named := a.Reports[name]
 	if named || a.DefaultApplied == 0 {
@@ -67,10 +67,10 @@
 	return MemberReport{Incarnation: state.Members[name].Incarnation, Applied: a.DefaultApplied, SoleProcess: true}
 }
 
-// inService reports whether all workers of a machine are listed and take their full share of requests.
+// inService reports whether all workers of a machine are listed and get their full share of requests.
 func (a *Advance) inService(machine *MachineState) bool { return len(a.serviceObstacles(machine)) == 0 }
 
-// serviceObstacles returns, for each worker of a machine that is not in full service, the reason.
+// serviceObstacles returns the reason for each worker of a machine that is not in full service.
 func (a *Advance) serviceObstacles(machine *MachineState) (obstacles []string) {
 	for _, name := range machine.Workers {
 		worker, listed := a.Fleet[name]
@@ -88,7 +88,7 @@
 	return obstacles
 }
 
-// zoneOf returns the zone of a machine's first listed worker; empty if none is listed.
+// zoneOf returns the zone of a machine's first listed worker, or an empty string.
 func (a *Advance) zoneOf(machine *MachineState) string {
 	for _, name := range machine.Workers {
 		if worker, listed := a.Fleet[name]; listed {
@@ -98,7 +98,7 @@
 	return ""
 }
 
-// weightInService returns the weight of those workers that take their full share.
+// weightInService returns the total weight of those workers that get their full share of requests.
 func (a *Advance) weightInService(workers []string) float64 {
 	weight := 0.0
 	for _, name := range workers {
--- a/internal/maintenance/validate.go
+++ b/internal/maintenance/validate.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// planValidator collects the problems of a plan that is to be submitted.
+// planValidator collects the problems of a plan before it is submitted.
 type planValidator struct {
 	state    *State
 	plan     *Plan
 	problems []string
 }
 
-// ValidatePlan returns all problems of a plan, also with the existing plans: each as the key of the plan's file, a colon and the reason.
-// An empty result means that the plan may be submitted.
+// ValidatePlan returns all problems of a plan, including conflicts with existing plans. Each has the form "key: reason", with the key in the
+// plan's file. An empty result means that the plan may be submitted. Apply stores the texts in results, so all builds have to return the
+// same ones.
 func (s *State) ValidatePlan(plan *Plan) []string {
 	v := &planValidator{state: s, plan: plan}
 	v.checkName()
@@ -78,7 +79,7 @@
 	if len(machines) == 0 || len(machines) > MaxMachines {
 		v.report("machine: there are %d; from 1 to %d", len(machines), MaxMachines)
 	}
-	// By name, host and worker: the machine of the plan that has it.
+	// The index of the machine with each name, host and worker.
 	names, hosts, workers := map[string]int{}, map[string]int{}, map[string]int{}
 	for i := range machines {
 		v.checkMachineName(i, names)
@@ -121,7 +122,7 @@
 	}
 }
 
-// checkWorkers checks that a machine's workers are in no other machine of any plan.
+// checkWorkers checks that the workers of a machine belong to no other machine of any plan.
 func (v *planValidator) checkWorkers(i int, workers map[string]int) {
 	for _, worker := range v.plan.Machines[i].Workers {
 		if first, used := workers[worker]; used {
--- a/internal/maintenance/validate_test.go
+++ b/internal/maintenance/validate_test.go
@@ -23,7 +23,7 @@
 		`machine[4].host: "h" is that of machine[3]`, "machine[5].host: it names runners too",
 	} {
 		if !strings.Contains(problems, want) {
-			t.Errorf("%q is not in:\n%s", want, problems)
+			t.Errorf("%q is missing in:\n%s", want, problems)
 		}
 	}
 }
