--- a/internal/replication/cluster_test.go
+++ b/internal/replication/cluster_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// The seed is fixed, so that CI runs the same histories each time. -rapid.seed runs others.
+// The seed is fixed, so that CI runs the same histories each time. -rapid.seed selects others.
 func init() {
 	if err := flag.Set("rapid.seed", "33"); err != nil {
 		panic(err)
@@ -23,7 +23,7 @@
 	entries []Entry
 }
 
-// cluster has some replicas and all entries that were ever written.
+// cluster is a set of replicas, with all entries that were ever written.
 type cluster struct {
 	t                *rapid.T
 	replicas         []*Replica
@@ -33,9 +33,9 @@
 	delayed          []func() // merges of delayed chunks
 
 	written      []Entry
-	collected    map[Dot]bool // dropped as garbage by a replica
+	collected    map[Dot]bool // dots of entries that a replica dropped as garbage
 	incarnations int
-	restarted    bool // any replica was, with what its disk had
+	restarted    bool // whether any replica was restarted from its disk
 }
 
 func newCluster(t *rapid.T, size int) *cluster {
@@ -55,7 +55,7 @@
 	return c
 }
 
-// start starts a replica with the state of its disk, which may be outdated.
+// start starts a replica with the contents of its disk, which may be outdated.
 func (c *cluster) start(i int) {
 	c.incarnations++
 	c.replicas[i] = New(fmt.Sprint("life", c.incarnations))
@@ -87,13 +87,13 @@
 	return entries
 }
 
-// requestDelayed requests a first chunk from sender that reader merges later.
+// requestDelayed requests a first chunk from sender, which reader merges in a later step.
 func (c *cluster) requestDelayed(reader, sender int) {
 	chunk := c.replicas[sender].NextChunk(c.replicas[reader].Version(), Cursor{}, 9)
 	replica := c.replicas[reader]
 	c.delayed = append(c.delayed, func() {
 		if replica != c.replicas[reader] {
-			return // restarted since
+			return // the reader was restarted in the meantime
 		}
 		if _, err := replica.Merge(&PullProgress{}, chunk); err != nil {
 			c.t.Fatal(err)
@@ -119,18 +119,18 @@
 	if err := json.Unmarshal(raw, &chunk); err != nil {
 		c.t.Fatal(err)
 	}
-	if _, err := c.replicas[reader].Merge(progress, chunk); err != nil { // the sender was restarted, so the pull starts again
+	if _, err := c.replicas[reader].Merge(progress, chunk); err != nil { // the sender was restarted, so the pull restarts
 		*progress = PullProgress{}
 		return false
 	}
 	if twice {
-		// The repeated chunk is out of order unless it is the first one of a pull: either is right.
+		// The repeated chunk is out of order unless it is the first one of a pull. Both outcomes are correct.
 		_, _ = c.replicas[reader].Merge(progress, chunk)
 	}
 	return chunk.Done
 }
 
-// repair drops the entries of replica i that replica j has seen removed, if both have equal version vectors.
+// repair drops the entries of replica i that replica j has replaced or dropped, if both have equal version vectors.
 func (c *cluster) repair(i, j int) {
 	a, b := c.replicas[i], c.replicas[j]
 	if a.Version().Digest() == b.Version().Digest() && a.Digest() != b.Digest() {
@@ -138,7 +138,7 @@
 	}
 }
 
-// collectGarbage drops the overrides of a replica that all others have reported to have, and checks that none of them was needed.
+// collectGarbage drops the overrides of a replica that all others have reported as seen, and checks that none of them was still needed.
 func (c *cluster) collectGarbage(i int) {
 	c.t.Helper()
 	var members []VersionVector
@@ -154,7 +154,7 @@
 			continue
 		}
 		if entry.Disabled {
-			c.t.Fatalf("an override that disables was dropped: %+v", entry)
+			c.t.Fatalf("an override that disables its worker was dropped: %+v", entry)
 		}
 		concurrent := c.latestUncollected(entry.Name)
 		c.collected[entry.Dot] = true
@@ -183,7 +183,7 @@
 	return slices.DeleteFunc(entries, func(entry Entry) bool { return c.collected[entry.Dot] })
 }
 
-// holdsOnlyCopy reports whether a replica holds one of the latest entries that no other one holds.
+// holdsOnlyCopy reports whether a replica holds one of the latest entries that no other replica holds.
 func (c *cluster) holdsOnlyCopy(i int) bool {
 	for _, name := range c.replicas[i].Names(KindOverride) {
 		for _, entry := range c.latest(name) {
@@ -205,7 +205,7 @@
 	return true
 }
 
-// exchangeAll pulls and repairs three times between all pairs of replicas, which makes them equal.
+// exchangeAll makes all replicas equal by pulls and repairs between all pairs, three times.
 func (c *cluster) exchangeAll() {
 	for range 3 {
 		for i := range c.replicas {
--- a/internal/replication/converge_test.go
+++ b/internal/replication/converge_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestReplicas_Converge verifies that replicas are equal after random histories once all have exchanged their entries, and that they hold
-// the entries that no other entry replaces. In a history entries are written, transferred in chunks, twice or late, lost with a disk,
-// restored from an outdated disk and dropped as garbage.
+// TestReplicas_Converge verifies that after a random history and a complete exchange all replicas are equal and hold the entries that no
+// other entry replaces. In a history, entries are written, transferred in chunks, duplicated, delayed, lost with a disk, restored from an
+// outdated disk and dropped as garbage.
 func TestReplicas_Converge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(2, 5).Draw(t, "replicas")
@@ -21,14 +21,14 @@
 		for i, replica := range c.replicas {
 			first := c.replicas[0]
 			if replica.Digest() != first.Digest() || replica.Version().Digest() != first.Version().Digest() {
-				t.Fatalf("replica %d has %v, replica 0 has %v", i, c.overrides(replica), c.overrides(first))
+				t.Fatalf("replica %d holds %v, replica 0 holds %v", i, c.overrides(replica), c.overrides(first))
 			}
 		}
 		for _, name := range []string{"a", "b", "c"} {
-			// Of an override that one replica has dropped as garbage others may have a copy, which a replica that has lost its disk pulls.
+			// Ignores overrides that a replica has dropped as garbage: a replica that has lost its disk may pull another's copy of one.
 			want, got := c.latestUncollected(name), c.withoutCollected(c.replicas[0].Get(KindOverride, name))
 			if !slices.Equal(dotsOf(got), dotsOf(want)) {
-				t.Fatalf("%s: %v, want %v", name, got, want)
+				t.Fatalf("entries of %s: %v, want %v", name, got, want)
 			}
 		}
 	})
--- a/internal/replication/digest.go
+++ b/internal/replication/digest.go
@@ -9,10 +9,10 @@
 	"birchfork/internal/failpoint"
 )
 
-// bucketCount is the number of buckets into which entries are divided by their keys, so that digests show where two replicas differ.
+// bucketCount is the number of buckets. Entries are assigned to buckets by key, so that digests locate differences between replicas.
 const bucketCount = 64
 
-// Digest returns a hash of the entries, the same for replicas that hold the same ones.
+// Digest returns a hash of the entries. Replicas with the same entries have the same digest.
 func (r *Replica) Digest() uint64 {
 	raw := make([]byte, 0, 8*bucketCount)
 	for _, digest := range r.bucketDigests {
@@ -34,7 +34,7 @@
 	return buckets
 }
 
-// DotsInBuckets returns the dots of the entries in some buckets, in any order.
+// DotsInBuckets returns the dots of the entries in the given buckets, in no particular order.
 func (r *Replica) DotsInBuckets(buckets []int) (dots []Dot) {
 	for key, entries := range r.entries {
 		if !slices.Contains(buckets, key.bucket()) {
@@ -47,7 +47,7 @@
 	return dots
 }
 
-// Removed returns those of some dots that the replica has seen and no longer holds: their entries were replaced or dropped.
+// Removed returns those of the given dots that the replica has seen but does not hold: their entries were replaced or dropped.
 func (r *Replica) Removed(dots []Dot) (removed []Dot) {
 	if failpoint.Enabled(failpoint.ResurrectEntries) {
 		return nil
@@ -60,8 +60,8 @@
 	return removed
 }
 
-// Discard drops entries that another replica has seen removed, and returns the keys whose entries have changed. It is for entries that
-// a replica got back from an outdated disk. The version vector still contains them.
+// Discard drops entries that another replica has replaced or dropped, and returns the keys whose entries have changed. It removes entries
+// that a replica has restored from an outdated disk. The version vector still contains them.
 func (r *Replica) Discard(removed []Dot) (changed []Key) {
 	for _, dot := range removed {
 		if entry := r.find(dot); entry != nil {
--- a/internal/replication/exchange.go
+++ b/internal/replication/exchange.go
@@ -9,24 +9,24 @@
 	"birchfork/internal/failpoint"
 )
 
-// errOutOfOrder is Merge's error for a chunk that is not the next one of its pull.
+// errOutOfOrder is returned by Merge for a chunk that is not the next one of the pull.
 var errOutOfOrder = errors.New("chunk out of order")
 
-// Cursor is the position of a reader in another replica's entries, which are sent in the order of their keys.
+// Cursor is the position of a reader in another replica's entries, which are sent in key order. It is the last key that was read.
 type Cursor = Key
 
-// Chunk is a part of the entries that a replica has and a reader has not seen.
+// Chunk contains some of the entries that a replica holds and a reader has not seen.
 type Chunk struct {
 	Incarnation string        `json:"life"` // of the sender
-	From        Cursor        `json:"from"` // where the chunk begins
+	From        Cursor        `json:"from"` // the cursor before the chunk
 	Entries     []Entry       `json:"entries,omitempty"`
-	Last        Cursor        `json:"last"` // where the next chunk begins
-	Done        bool          `json:"done"` // there is no further chunk
+	Last        Cursor        `json:"last"` // the cursor after the chunk
+	Done        bool          `json:"done"` // this is the last chunk
 	Version     VersionVector `json:"seen"` // what the sender has seen and the reader has not
 }
 
-// NextChunk returns the next chunk for a reader that has seen known and has read up to a cursor. It has up to maxEntries entries, and at
-// least one if there is any; it has more where entries of one key do not fit, which are not split.
+// NextChunk returns the next chunk for a reader that has seen known and has read up to a cursor. A chunk has up to maxEntries entries, and
+// at least one if any is left. It exceeds maxEntries rather than split the entries of one key.
 func (r *Replica) NextChunk(known VersionVector, from Cursor, maxEntries int) Chunk {
 	chunk := Chunk{Incarnation: r.incarnation, From: from, Version: r.versionDelta(known), Last: from}
 	missing := r.missingEntries(known, from)
@@ -42,7 +42,7 @@
 	return chunk
 }
 
-// versionDelta returns the part of the replica's version vector that another one does not contain.
+// versionDelta returns the part of the replica's version vector that known does not contain.
 func (r *Replica) versionDelta(known VersionVector) VersionVector {
 	beyond := VersionVector{}
 	for incarnation, counter := range r.version {
@@ -53,7 +53,7 @@
 	return beyond
 }
 
-// missingEntries returns the entries that a version vector does not contain and whose keys are behind a cursor, in the order of keys.
+// missingEntries returns the entries that known does not contain and whose keys are after a cursor, in key order.
 func (r *Replica) missingEntries(known VersionVector, from Cursor) []*Entry {
 	var missing []*Entry
 	for incarnation, written := range r.byIncarnation {
@@ -68,18 +68,18 @@
 	return missing
 }
 
-// PullProgress is the progress of a pull of another replica's entries. Its zero value starts a pull; a pull that was interrupted continues
-// from its Cursor.
+// PullProgress is the progress of a pull of another replica's entries. The zero value starts a pull. An interrupted pull continues at its
+// Cursor.
 type PullProgress struct {
 	Cursor Cursor
 
-	source        string        // incarnation of the sender; another one starts the pull again
+	source        string        // incarnation of the sender; a chunk of another one restarts the pull
 	sourceVersion VersionVector // what the sender had seen when the pull started
 }
 
-// Merge merges a chunk and returns the keys whose entries have changed. Entries take effect at once. What the sender had seen is added
-// to the version vector only with the last chunk: before that, entries that replace others may be missing. After an error nothing has
-// been merged, and the pull has to be started again.
+// Merge merges a chunk and returns the keys whose entries have changed. Entries take effect at once. The sender's version is merged into the
+// version vector only with the last chunk, because before that entries that replace others may be missing. If Merge fails, it has merged
+// nothing, and the pull has to be restarted.
 func (r *Replica) Merge(progress *PullProgress, chunk Chunk) (changed []Key, err error) {
 	if err := chunk.validate(); err != nil {
 		return nil, err
@@ -87,12 +87,12 @@
 	if progress.source != chunk.Incarnation {
 		*progress = PullProgress{source: chunk.Incarnation, sourceVersion: chunk.Version}
 	}
-	// A chunk may arrive twice or late: the last one would stand for missing ones before it.
+	// A chunk may arrive twice or late. If the last one arrived too early, the version would cover entries that are still missing.
 	if chunk.From != progress.Cursor {
-		return nil, fmt.Errorf("%w: it begins behind %q, want %q", errOutOfOrder, chunk.From.Name, progress.Cursor.Name)
+		return nil, fmt.Errorf("%w: begins after key %q, want %q", errOutOfOrder, chunk.From.Name, progress.Cursor.Name)
 	}
 	for _, entry := range chunk.Entries {
-		// An entry that was seen is here already, or was replaced or dropped.
+		// An entry that was seen is already held, or was replaced or dropped.
 		seen := r.version.Contains(entry.Dot) && !failpoint.Enabled(failpoint.ResurrectEntries)
 		if !seen && r.insert(&entry) {
 			changed = append(changed, entry.key())
@@ -106,10 +106,11 @@
 	return changed, nil
 }
 
-// validate checks a chunk from another member or a disk.
+// validate checks a chunk from another member or from a disk.
 func (c *Chunk) validate() error {
 	if c.Incarnation == "" || len(c.Incarnation) > maxIncarnationLength || len(c.Version) > maxIncarnations {
-		return fmt.Errorf("a piece of nobody's, or with %d lives; %d at the most", len(c.Version), maxIncarnations)
+		return fmt.Errorf("invalid chunk: missing or malformed sender, or %d incarnations in its version; must be at most %d",
+			len(c.Version), maxIncarnations)
 	}
 	for i := range c.Entries {
 		if err := c.Entries[i].validate(); err != nil {
@@ -119,11 +120,11 @@
 	return nil
 }
 
-// diskIncarnation is the sender of the one chunk as which Restore merges a disk.
+// diskIncarnation is the sender of the single chunk in which Restore merges a disk's contents.
 const diskIncarnation = "a disk"
 
-// Restore merges the entries and version vector of a replica that were stored on a disk, of this member or of another. After an error
-// nothing has been merged.
+// Restore merges the entries and the version vector of a replica that were stored on a disk of this or another member. If Restore fails, it
+// has merged nothing.
 func (r *Replica) Restore(version VersionVector, entries []Entry) error {
 	var progress PullProgress
 	_, err := r.Merge(&progress, Chunk{Incarnation: diskIncarnation, Entries: entries, Version: version, Done: true})
--- a/internal/replication/golden_test.go
+++ b/internal/replication/golden_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// TestGolden_Forms covers the JSON of all types that are stored on disk and sent between members.
+// TestGolden_Forms checks the JSON of all types that are stored on disk and sent between members.
 func TestGolden_Forms(t *testing.T) {
 	goldentest.CheckJSON(t, "entry.json", goldenEntry())
 	goldentest.CheckJSON(t, "entries.json", []Entry{
@@ -37,8 +37,8 @@
 	})
 }
 
-// TestGolden_Digests covers the digests of version vectors and entries, which members compare, and the bounds, which must be the same at
-// all members.
+// TestGolden_Digests checks the digests of version vectors and entries, which members compare, and the bounds, which must be the same at all
+// members.
 func TestGolden_Digests(t *testing.T) {
 	var b bytes.Buffer
 	version := VersionVector{"life-1": 21, "life-2": 22, "life-3": 1}
@@ -63,7 +63,7 @@
 	goldentest.Check(t, "digests.txt", b.Bytes())
 }
 
-// TestGolden_Errors covers the texts of errors that are sent to operators.
+// TestGolden_Errors checks the texts of errors that are sent to operators.
 func TestGolden_Errors(t *testing.T) {
 	var b bytes.Buffer
 	long := strings.Repeat("x", 2000)
@@ -89,7 +89,7 @@
 	goldentest.Check(t, "errors.txt", b.Bytes())
 }
 
-// TestGolden_HistoryDigests runs random histories of some replicas and compares a digest of all results of each.
+// TestGolden_HistoryDigests runs random histories of replicas and checks a digest of all results per history.
 func TestGolden_HistoryDigests(t *testing.T) {
 	var b bytes.Buffer
 	run := func(fault string, seed uint64) {
--- a/internal/replication/history_test.go
+++ b/internal/replication/history_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// history makes random operations on some replicas.
+// history executes random operations on a set of replicas.
 type history struct {
 	t            *testing.T
 	random       *rand.Rand
@@ -35,7 +35,7 @@
 	return h
 }
 
-// start starts a replica with the state of its disk.
+// start starts a replica with the contents of its disk.
 func (h *history) start(i int) {
 	h.incarnations++
 	h.replicas[i] = New(fmt.Sprint("life-", h.incarnations))
@@ -56,7 +56,7 @@
 	fmt.Fprintf(h.digest, "%s\n", raw)
 }
 
-// step makes one random operation, and adds its results to the digest.
+// step executes one random operation and adds its results to the digest.
 func (h *history) step() {
 	i := h.random.IntN(len(h.replicas))
 	j := (i + 1 + h.random.IntN(len(h.replicas)-1)) % len(h.replicas)
@@ -95,7 +95,7 @@
 	h.addReplicaToDigest(h.replicas[i])
 }
 
-// write writes a random entry at a replica, mostly an override.
+// write writes a random entry to a replica, usually an override.
 func (h *history) write(i int) {
 	entry := Entry{
 		Kind: KindOverride, Name: fmt.Sprint("r", h.random.IntN(9)), Disabled: h.random.IntN(2) == 0, Member: fmt.Sprint("d", i),
@@ -128,7 +128,7 @@
 	}
 }
 
-// addReplicaToDigest adds the state of a replica to the digest, as its queries return it.
+// addReplicaToDigest adds the results of all queries of a replica to the digest.
 func (h *history) addReplicaToDigest(replica *Replica) {
 	h.addToDigest(replica.Version())
 	h.addToDigest(replica.Version().Total())
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -9,15 +9,15 @@
 
 // Replica is one member's copy of the replicated state.
 type Replica struct {
-	incarnation   string        // in the dots of its own writes
-	version       VersionVector // what it has seen, including entries that it no longer holds
+	incarnation   string        // part of the dots of its own writes
+	version       VersionVector // all entries that it has seen, including those that it no longer holds
 	entries       map[Key][]*Entry
-	byIncarnation map[string][]*Entry // the same entries, by counter
-	bucketDigests [bucketCount]uint64 // of their dots
+	byIncarnation map[string][]*Entry // the same entries, sorted by counter
+	bucketDigests [bucketCount]uint64 // hashes of the dots of each bucket's entries
 	size          int                 // number of entries
 }
 
-// New returns an empty replica. The incarnation must never have been used before.
+// New returns an empty replica. No replica may have used the incarnation before.
 func New(incarnation string) *Replica {
 	return &Replica{
 		incarnation:   incarnation,
@@ -27,13 +27,13 @@
 	}
 }
 
-// Len returns how many entries the replica holds.
+// Len returns the number of entries that the replica holds.
 func (r *Replica) Len() int { return r.size }
 
-// Version returns what the replica has seen. The caller may change it.
+// Version returns a copy of the replica's version vector.
 func (r *Replica) Version() VersionVector { return maps.Clone(r.version) }
 
-// Get returns the concurrent entries of a key, in the order of their dots.
+// Get returns the concurrent entries of a key, sorted by dot.
 func (r *Replica) Get(kind EntryKind, name string) (entries []Entry) {
 	for _, entry := range r.entries[Key{Kind: kind, Name: name}] {
 		entries = append(entries, *entry)
@@ -41,7 +41,7 @@
 	return entries
 }
 
-// Names returns the names of all keys of a kind that have an entry, sorted.
+// Names returns the sorted names of all keys of a kind that have an entry.
 func (r *Replica) Names(kind EntryKind) (names []string) {
 	for key := range r.entries {
 		if key.Kind == kind {
@@ -52,11 +52,11 @@
 	return names
 }
 
-// Write adds an entry that replaces all of its key here, and returns it with its dot and causal context. It fails with ErrFull, and
-// where the entry is not valid.
+// Write adds an entry that replaces all entries of its key in this replica, and returns it with its dot and causal context. It fails with
+// ErrFull, or if the entry is invalid.
 func (r *Replica) Write(entry Entry) (Entry, error) {
 	replaced := r.entries[entry.key()]
-	if r.size >= MaxOverrides && len(replaced) == 0 { // a replacement is accepted: a worker can always be enabled again
+	if r.size >= MaxOverrides && len(replaced) == 0 { // replacements are accepted, so that a worker can always be enabled again
 		return Entry{}, ErrFull
 	}
 	entry.Dot = Dot{Incarnation: r.incarnation, Counter: r.version[r.incarnation] + 1}
@@ -73,7 +73,7 @@
 	return entry, nil
 }
 
-// insert adds an entry and removes those that it replaces. It returns false if the entry is held already, or was replaced.
+// insert adds an entry and removes those that it replaces. It returns false if the entry is already held or was replaced.
 func (r *Replica) insert(entry *Entry) bool {
 	key := entry.key()
 	for _, held := range r.entries[key] {
@@ -99,7 +99,7 @@
 	return true
 }
 
-// remove removes an entry that is held.
+// remove removes an entry that the replica holds.
 func (r *Replica) remove(entry *Entry) {
 	key := entry.key()
 	r.entries[key] = slices.DeleteFunc(r.entries[key], func(held *Entry) bool { return held == entry })
@@ -117,7 +117,7 @@
 	r.size--
 }
 
-// find returns the entry of a dot; nil if it is not held.
+// find returns the entry with a dot; nil if the replica does not hold it.
 func (r *Replica) find(dot Dot) *Entry {
 	written := r.byIncarnation[dot.Incarnation]
 	if i, found := slices.BinarySearchFunc(written, dot.Counter, compareCounter); found {
@@ -126,9 +126,9 @@
 	return nil
 }
 
-// CollectGarbage drops overrides that disable nothing and that all members have, given what each other member has seen, and returns their
-// keys. After that no member can send the entries that they replaced as if these were new. It drops nothing while a member has seen
-// what this replica has not: that may be an entry that was written concurrently.
+// CollectGarbage drops overrides that do not disable their worker and that all members have, and returns their keys. members has the version
+// vectors of all other members. Once all members have such an override, none can send the entries that it replaced as if they were new.
+// Nothing is dropped while a member has seen an entry that this replica has not, because that entry may have been written concurrently.
 func (r *Replica) CollectGarbage(members []VersionVector) (changed []Key) {
 	if slices.ContainsFunc(members, func(version VersionVector) bool { return !r.version.Covers(version) }) {
 		return nil
--- a/internal/replication/replica_test.go
+++ b/internal/replication/replica_test.go
@@ -15,7 +15,7 @@
 	}
 }
 
-// TestMerge_IgnoresStaleChunk verifies that an entry that was replaced and dropped is not inserted again from a delayed chunk.
+// TestMerge_IgnoresStaleChunk verifies that a delayed chunk does not insert an entry again that was replaced and dropped.
 func TestMerge_IgnoresStaleChunk(t *testing.T) {
 	a, b := New("a"), New("b")
 	mustWrite(t, a, "r", true)
@@ -25,34 +25,34 @@
 		t.Fatal(err)
 	}
 	if dropped := b.CollectGarbage([]VersionVector{a.Version()}); len(dropped) != 1 {
-		t.Fatalf("dropped %v", dropped)
+		t.Fatalf("dropped %v, want 1 key", dropped)
 	}
 	if changed, err := b.Merge(&PullProgress{}, stale); err != nil || len(changed) > 0 || b.Len() > 0 {
-		t.Errorf("taken: %v, %v", changed, err)
+		t.Errorf("stale chunk merged: changed %v, error %v", changed, err)
 	}
 }
 
-// TestWrite_RejectsWhenFull verifies that one override more than MaxOverrides is rejected, while existing ones can be replaced and those of
-// other replicas are merged.
+// TestWrite_RejectsWhenFull verifies that an override beyond MaxOverrides is rejected, while existing overrides can be replaced and those
+// of other replicas are merged.
 func TestWrite_RejectsWhenFull(t *testing.T) {
 	replica, other := New("l"), New("o")
 	for i := range MaxOverrides {
 		mustWrite(t, replica, fmt.Sprint("r", i), true)
 	}
 	if _, err := replica.Write(Entry{Kind: KindOverride, Name: "more", Disabled: true}); !errors.Is(err, ErrFull) {
-		t.Errorf("one more: %v", err)
+		t.Errorf("override beyond the limit: %v, want ErrFull", err)
 	}
 	if _, err := replica.Write(Entry{Kind: KindOverride, Name: "r7"}); err != nil || IsDisabled(replica.Get(KindOverride, "r7")) {
-		t.Errorf("one enabled again: %v", err)
+		t.Errorf("replacement of an existing override: %v", err)
 	}
 	mustWrite(t, other, "theirs", true)
 	_, err := replica.Merge(&PullProgress{}, other.NextChunk(nil, Cursor{}, 9))
 	if err != nil || !IsDisabled(replica.Get(KindOverride, "theirs")) {
-		t.Errorf("another's: %v", err)
+		t.Errorf("override of another replica was not merged: %v", err)
 	}
 }
 
-// FuzzMerge verifies that a chunk of any bytes is either merged completely or rejected, and that the replica's indexes stay consistent.
+// FuzzMerge verifies that an arbitrary chunk is either merged completely or rejected, and that the replica's indexes stay consistent.
 func FuzzMerge(f *testing.F) {
 	seed := New("l")
 	mustWrite(f, seed, "r", true)
@@ -71,10 +71,10 @@
 			}
 			before := replica.Len()
 			if _, err := replica.Merge(&PullProgress{}, chunk); err != nil && replica.Len() != before {
-				t.Fatalf("a part of a chunk was taken: %v", err)
+				t.Fatalf("rejected chunk was partly merged: %v", err)
 			}
 			if replica.Len() > before+len(chunk.Entries) {
-				t.Fatalf("%d entries of %d", replica.Len()-before, len(chunk.Entries))
+				t.Fatalf("%d entries merged from a chunk of %d", replica.Len()-before, len(chunk.Entries))
 			}
 		}
 		count := 0
@@ -88,11 +88,11 @@
 			}
 		}
 		if count != replica.Len() {
-			t.Fatalf("%d entries are named, %d counted", count, replica.Len())
+			t.Fatalf("%d entries found by name, Len is %d", count, replica.Len())
 		}
 		replica.Discard(replica.DotsInBuckets(replica.DifferingBuckets(nil)))
 		if replica.Len() > 0 || replica.Digest() != New("").Digest() {
-			t.Fatalf("%d left", replica.Len())
+			t.Fatalf("%d entries left after Discard of all", replica.Len())
 		}
 	})
 }
