--- a/internal/boltstore/boltstore.go
+++ b/internal/boltstore/boltstore.go
@@ -1,5 +1,5 @@
-// Package boltstore opens the bbolt files of a group's member, so that a damaged file ends neither the process nor the member's part in
-// the group. It also adds checksums to values, as bbolt's own cover only the meta pages of a file.
+// Package boltstore opens the bbolt files of a group member. A damaged file neither terminates the process nor ends its membership of the
+// group. The package also adds checksums to values, because bbolt's own checksums cover only the meta pages of a file.
 package boltstore
 
 import (
@@ -15,25 +15,25 @@
 	bbolterrors "go.etcd.io/bbolt/errors"
 )
 
-// Errors of Open for files that are not damaged and are left unchanged.
+// Errors that Open returns for intact files. It does not change these files.
 var (
 	ErrLocked     = errors.New("file is in use by another process")
-	ErrOtherOwner = errors.New("file belongs to another member or group") // returned by a load function
+	ErrOtherOwner = errors.New("file belongs to another member or group") // returned by load functions
 )
 
 const (
-	lockTimeout      = 100 * time.Millisecond // for another process to close the file
+	lockTimeout      = 100 * time.Millisecond // how long Open waits for another process to close the file
 	unreadableSuffix = ".unreadable"          // appended to the name of a damaged file
 )
 
 // Open opens a file in a folder, creates both if they do not exist, and calls load to read the file.
 //
-// If the file cannot be read, Open renames it for operators to inspect, calls load again with an empty file, and returns the cause as
-// unreadable. If the file cannot be used, it returns an err and no db: ErrLocked, load's ErrOtherOwner, or an error of the operating system,
-// after which the file may still be intact.
+// If the file cannot be read, Open renames it so that operators can inspect it, calls load again with an empty file, and returns the cause
+// as unreadable. If the file cannot be used, Open returns err and no db: ErrLocked, load's ErrOtherOwner, or an error of the operating
+// system, after which the file may still be intact.
 func Open(folder, file string, load func(*bbolt.DB) error) (db *bbolt.DB, unreadable, err error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
-		return nil, nil, fmt.Errorf("the group's folder: %w", err)
+		return nil, nil, fmt.Errorf("create the group's folder: %w", err)
 	}
 	path := filepath.Join(folder, file)
 	db, err = openAndLoad(path, load)
@@ -55,19 +55,19 @@
 	return db, unreadable, nil
 }
 
-// isSystemError reports whether err is an error of the operating system.
+// isSystemError reports whether err wraps an error of the operating system.
 func isSystemError(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno)
 }
 
-// openAndLoad opens a file and calls load to read it; after an error the file is closed. bbolt maps the file into memory: it panics on
-// damaged pages, and access to missing pages is a fault that would end the process. Both become errors.
+// openAndLoad opens a file and calls load to read it. It closes the file after an error. bbolt maps the file into memory: it panics on
+// damaged pages, and access to missing pages is a memory fault that would terminate the process. Both are returned as errors.
 func openAndLoad(path string, load func(*bbolt.DB) error) (db *bbolt.DB, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if fault := recover(); fault != nil {
-			err = fmt.Errorf("it cannot be read: %v", fault)
+			err = fmt.Errorf("file cannot be read: %v", fault)
 		}
 		if err != nil && db != nil {
 			db.Close()
--- a/internal/boltstore/boltstore_test.go
+++ b/internal/boltstore/boltstore_test.go
@@ -16,7 +16,7 @@
 	"birchfork/internal/goldentest"
 )
 
-// TestGolden_ChecksummedValues checks values with their checksums as stored in files, and that each is read back.
+// TestGolden_ChecksummedValues checks the stored form of values with checksums, and that each value is read back.
 func TestGolden_ChecksummedValues(t *testing.T) {
 	var b bytes.Buffer
 	for _, raw := range []string{"", "a", `{"format":1,"group":"edge"}`, strings.Repeat("value ", 20)} {
@@ -42,19 +42,19 @@
 	}
 }
 
-// TestVerifyChecksum_RejectsChangedBytes flips each bit and truncates at each byte.
+// TestVerifyChecksum_RejectsChangedBytes checks that a value with any single bit flipped, or truncated at any byte, is rejected.
 func TestVerifyChecksum_RejectsChangedBytes(t *testing.T) {
 	stored := AddChecksum([]byte("value"))
 	for i := range len(stored) * 8 {
 		changed := bytes.Clone(stored)
 		changed[i/8] ^= 1 << (i % 8)
 		if _, err := VerifyChecksum(changed); err == nil {
-			t.Errorf("bit %d changed: taken", i)
+			t.Errorf("value with bit %d flipped was accepted", i)
 		}
 	}
 	for i := range stored {
 		if _, err := VerifyChecksum(stored[:i]); err == nil {
-			t.Errorf("cut to %d bytes: taken", i)
+			t.Errorf("value truncated to %d bytes was accepted", i)
 		}
 	}
 }
@@ -70,23 +70,23 @@
 	}
 }
 
-// TestOpen_LockedFile checks that a file that is open is reported as locked.
+// TestOpen_LockedFile checks that Open returns ErrLocked for a file that is already open, and that files are private to their owner.
 func TestOpen_LockedFile(t *testing.T) {
 	folder, calls := t.TempDir(), 0
 	db, unreadable, err := Open(folder, "f.db", countCalls(&calls))
 	if err != nil || unreadable != nil || calls != 1 {
-		t.Fatalf("%v, %v after %d calls", unreadable, err, calls)
+		t.Fatalf("unreadable %v, error %v after %d calls of load", unreadable, err, calls)
 	}
 	defer db.Close()
 	if _, _, err := Open(folder, "f.db", countCalls(&calls)); !errors.Is(err, ErrLocked) {
-		t.Errorf("a file that is open: %v", err)
+		t.Errorf("second Open: %v, want ErrLocked", err)
 	}
 	if info, err := os.Stat(filepath.Join(folder, "f.db")); err != nil || info.Mode().Perm() != 0o600 {
-		t.Errorf("the file: %v, %v", info, err)
+		t.Errorf("file: %v, %v; want mode 0600", info, err)
 	}
 }
 
-// TestOpen_UnreadableFile checks that a file that cannot be read is renamed, and an empty one opened.
+// TestOpen_UnreadableFile checks that a file that cannot be read is renamed, and that an empty one is opened.
 func TestOpen_UnreadableFile(t *testing.T) {
 	errLoad := errors.New("unknown record")
 	for name, prepare := range map[string]func(path string) (load func(*bbolt.DB) error){
@@ -129,7 +129,7 @@
 	}
 }
 
-// TestOpen_LeavesUndamagedFile checks that a file stays in place if it is foreign or the operating system reports an error.
+// TestOpen_LeavesUndamagedFile checks that a file is not renamed if it belongs to another member or the operating system returns an error.
 func TestOpen_LeavesUndamagedFile(t *testing.T) {
 	for _, cause := range []error{ErrOtherOwner, syscall.EIO} {
 		folder := t.TempDir()
@@ -143,7 +143,7 @@
 	}
 }
 
-// TestOpen_KeepsContents checks that the contents of a closed file are read again.
+// TestOpen_KeepsContents checks that the contents of a file are still there when it is opened again.
 func TestOpen_KeepsContents(t *testing.T) {
 	folder := t.TempDir()
 	for i := range 2 {
--- a/internal/boltstore/checksum.go
+++ b/internal/boltstore/checksum.go
@@ -7,19 +7,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// checksumLength is the length of a checksum in bytes.
-const checksumLength = 8
+const checksumLength = 8 // bytes
 
 var errChecksum = errors.New("checksum mismatch")
 
-// AddChecksum returns a copy of a value, prefixed with its checksum.
+// AddChecksum returns a copy of a value that is prefixed with its checksum.
 func AddChecksum(raw []byte) []byte {
 	stored := make([]byte, 0, checksumLength+len(raw))
 	stored = binary.BigEndian.AppendUint64(stored, xxhash.Sum64(raw))
 	return append(stored, raw...)
 }
 
-// VerifyChecksum returns the value from a result of AddChecksum; it shares the memory of stored. It fails if the checksum does not match.
+// VerifyChecksum returns the value from a result of AddChecksum, or an error if the checksum does not match. The value shares the memory
+// of stored.
 func VerifyChecksum(stored []byte) ([]byte, error) {
 	if len(stored) < checksumLength {
 		return nil, errChecksum
--- a/internal/failpoint/failpoint.go
+++ b/internal/failpoint/failpoint.go
@@ -1,8 +1,7 @@
 //go:build !lean
 
-// Package failpoint enables deliberate faults in the program itself, to prove that the testbed's checks of a group detect them. Only the
-// testbed's commands set one. A lean build has none: there Enabled always returns false, and the compiler removes the code that depends on
-// it.
+// Package failpoint enables deliberate faults in the program, to prove that the testbed's checks of a group detect them. Only the testbed's
+// commands set a failpoint. A lean build has none: there Enabled always returns false, and the compiler removes the code that depends on it.
 package failpoint
 
 import (
@@ -11,43 +10,43 @@
 	"time"
 )
 
-// The faults, by the names that scenarios and flags use. Each violates a rule, which a check has to detect.
+// The failpoints that violate a rule, which a check has to detect. Scenarios and flags use their values.
 const (
-	SendWithoutLease    = "no-lease"       // requests are sent without a check of the lease
-	OverlongLease       = "long-lease"     // a lease lasts longer than the group waits for its end
-	IgnoreMemberReports = "few-words"      // a machine counts as drained without the members' reports
-	IgnoreBudget        = "no-budget"      // maintenance of machines begins without a check of the disruption budget
-	IgnoreUnavailable   = "dead-uncounted" // workers that are unavailable without maintenance do not count against the budget
-	RandomMachineOrder  = "own-order"      // each member chooses the next machine at random
-	RepeatCommands      = "acts-twice"     // a repeated call is carried out again
+	SendWithoutLease    = "no-lease"       // requests are sent without checking the lease
+	OverlongLease       = "long-lease"     // a lease is valid for longer than the group's fence timeout
+	IgnoreMemberReports = "few-words"      // a machine counts as drained without reports of the members
+	IgnoreBudget        = "no-budget"      // machines are drained without checking the disruption budget
+	IgnoreUnavailable   = "dead-uncounted" // workers that are out of service for other reasons than maintenance do not count against the budget
+	RandomMachineOrder  = "own-order"      // each member chooses the next machine to drain at random
+	RepeatCommands      = "acts-twice"     // a repeated call is executed again
 	IgnoreRestoredState = "forgets-out"    // a member that restarts with its disk ignores the restored state at first
-	SendBeforeJoin      = "sees-anyway"    // a member that starts with an empty disk sends before it has the group's plans
+	SendBeforeJoin      = "sees-anyway"    // a member that starts with an empty disk sends requests before it has received the group's plans
 	WaitForLostMembers  = "never-clear"    // a silent member blocks a drain indefinitely
-	AnswerBeforeCommit  = "silent-answer"  // operators get a machine before their claim is committed
+	AnswerBeforeCommit  = "silent-answer"  // a claim of a machine succeeds before it is committed
 	IgnoreBusyWorkers   = "ignores-busy"   // running attempts do not block a drain
 	NoOverrideExchange  = "words-stay"     // members do not exchange overrides
-	EnabledWins         = "in-wins"        // of concurrent overrides the one that enables wins
-	ResurrectEntries    = "reappears"      // an entry that was observed and removed is accepted again
-	EjectOnPeerReport   = "leaves-alone"   // a worker that others report as an outlier gets no more requests
+	EnabledWins         = "in-wins"        // of concurrent overrides, one that enables the worker takes precedence
+	ResurrectEntries    = "reappears"      // an entry that was seen and removed is accepted again
+	EjectOnPeerReport   = "leaves-alone"   // a worker that other members report as an outlier gets no more requests
 	NoOutlierReports    = "keeps-mum"      // members do not report outliers
-	ReuseDots           = "count-again"    // after each restart a member counts its dots from the start again, under the same incarnation
-	LastWriteWins       = "clock-wins"     // of two overrides the one with the later time wins; clocks are skewed as for ClockSkew
-	AnswerBeforeSync    = "early-yes"      // operators get an answer seconds before an override is synced
-	OverwriteReplica    = "overwrites"     // entries that a member pulls replace its own
+	ReuseDots           = "count-again"    // after a restart a member's dots start at 1 again, with the same incarnation
+	LastWriteWins       = "clock-wins"     // of two overrides, the one with the later time wins; clocks are skewed as under ClockSkew
+	AnswerBeforeSync    = "early-yes"      // operators get a response seconds before an override is synced to disk
+	OverwriteReplica    = "overwrites"     // a pull replaces a member's entries instead of being merged with them
 	NoEndpointExchange  = "list-untold"    // members do not exchange endpoint lists
-	AcceptOutdatedDisk  = "trusts-disk"    // a member accepts any disk as its latest one
+	AcceptOutdatedDisk  = "trusts-disk"    // a member resumes from its disk without verifying that the disk is not outdated
 )
 
-// Conditions that a correct program has to tolerate. They violate no rule.
+// The failpoints that are conditions which a correct program has to tolerate. They violate no rule.
 const (
-	ClockSkew    = "clocks-apart" // the members' wall clocks differ by hours
-	OlderBuild   = "older"        // a build that supports one command level less
-	NewerEntries = "newer-words"  // a build that writes an entry of a kind of its own beside each override
-	DiskFull     = "disk-fails"   // from diskFaultDelay after it was opened the disk accepts no write
-	DiskStall    = "disk-stalls"  // from diskFaultDelay after it was opened each synced write takes diskStallTime
+	ClockSkew    = "clocks-apart" // the wall clocks of the members differ by hours
+	OlderBuild   = "older"        // the build supports one command level less
+	NewerEntries = "newer-words"  // the build also writes an entry of an unknown kind with each override
+	DiskFull     = "disk-fails"   // writes to the disk fail from diskFaultDelay after it was opened
+	DiskStall    = "disk-stalls"  // each synced write takes diskStallTime from diskFaultDelay after the disk was opened
 )
 
-// Names lists the faults, in the order of the help text.
+// Names lists the failpoints that violate a rule, in the order of the help text.
 var Names = []string{
 	SendWithoutLease, OverlongLease, IgnoreMemberReports, IgnoreBudget, IgnoreUnavailable, RandomMachineOrder, RepeatCommands,
 	IgnoreRestoredState, SendBeforeJoin, WaitForLostMembers, AnswerBeforeCommit, IgnoreBusyWorkers, NoOverrideExchange, EnabledWins,
@@ -55,21 +54,20 @@
 	NoEndpointExchange,
 }
 
-// enabled is the fault or condition that is enabled; empty for none.
+// enabled is the enabled failpoint; empty: none.
 var enabled string
 
-// Set enables one fault or condition and disables any other; an empty name disables all. It is not safe for concurrent use with the other
-// functions.
+// Set enables one failpoint and disables any other; an empty name disables all. It is not safe for concurrent use with the other functions.
 func Set(name string) { enabled = name }
 
-// Enabled reports whether a fault or condition is enabled.
+// Enabled reports whether a failpoint is enabled.
 func Enabled(name string) bool { return enabled == name }
 
-// skewPerMember is the difference between the clocks of members with consecutive numbers under ClockSkew.
+// skewPerMember is the difference between the clocks of members with consecutive numbers.
 const skewPerMember = 2 * time.Hour
 
-// ClockOffset returns how far a member's wall clock is ahead: skewPerMember times the last digit of its name under ClockSkew and
-// LastWriteWins, else 0.
+// ClockOffset returns the offset of a member's wall clock: skewPerMember times the last digit of its name under ClockSkew and LastWriteWins,
+// else 0.
 func ClockOffset(member string) time.Duration {
 	skewed := Enabled(ClockSkew) || Enabled(LastWriteWins)
 	if !skewed || member == "" {
@@ -79,14 +77,14 @@
 	return time.Duration(digit) * skewPerMember
 }
 
-// How disks fail under DiskFull and DiskStall.
+// The times of the disk faults under DiskFull and DiskStall.
 const (
 	diskFaultDelay = 6 * time.Second // after the disk was opened
-	diskStallTime  = 5 * time.Second // of each write from then on
+	diskStallTime  = 5 * time.Second // duration of each synced write after diskFaultDelay
 )
 
-// BeforeSyncedWrite is called before each synced write to a disk, with the time at which that was opened. From diskFaultDelay after then
-// it returns syscall.ENOSPC under DiskFull and blocks for diskStallTime under DiskStall.
+// BeforeSyncedWrite has to be called before each synced write to a disk, with the time at which the disk was opened. From diskFaultDelay
+// after that time, it returns syscall.ENOSPC under DiskFull and blocks for diskStallTime under DiskStall.
 func BeforeSyncedWrite(opened time.Time) error {
 	if !Enabled(DiskFull) && !Enabled(DiskStall) {
 		return nil
--- a/internal/failpoint/failpoint_test.go
+++ b/internal/failpoint/failpoint_test.go
@@ -11,7 +11,7 @@
 	"birchfork/internal/goldentest"
 )
 
-// TestGolden_Names checks the names of faults and conditions, which scenarios and flags have as strings.
+// TestGolden_Names checks the names of the failpoints, which scenarios and flags use.
 func TestGolden_Names(t *testing.T) {
 	var b bytes.Buffer
 	fmt.Fprintln(&b, "faults of the program, in this order:")
@@ -25,38 +25,39 @@
 	goldentest.Check(t, "names.txt", b.Bytes())
 }
 
-// TestEnabled_OnlyTheOneSet checks that one fault at a time is enabled, and none by default.
+// TestEnabled_OnlyTheOneSet checks that at most one failpoint is enabled at a time, and none by default.
 func TestEnabled_OnlyTheOneSet(t *testing.T) {
 	t.Cleanup(func() { Set("") })
 	for _, set := range Names {
 		if Enabled(set) {
-			t.Errorf("%s is on before it is set", set)
+			t.Errorf("%s is enabled before it is set", set)
 		}
 		Set(set)
 		for _, name := range Names {
 			if Enabled(name) != (name == set) {
-				t.Errorf("with %s set: %s is %t", set, name, Enabled(name))
+				t.Errorf("with %s set: Enabled(%s) is %t", set, name, Enabled(name))
 			}
 		}
 		Set("")
 	}
 }
 
-// TestClockOffset_ByNamesLastDigit checks for two hours per unit of the digit, and only under the faults that skew clocks.
+// TestClockOffset_ByNamesLastDigit checks that the offset is two hours times the name's last digit, under the failpoints that skew
+// clocks, and else 0.
 func TestClockOffset_ByNamesLastDigit(t *testing.T) {
 	t.Cleanup(func() { Set("") })
 	for fault, want := range map[string]time.Duration{"": 0, SendWithoutLease: 0, ClockSkew: 6 * time.Hour, LastWriteWins: 6 * time.Hour} {
 		Set(fault)
 		if got := ClockOffset("edge-3"); got != want {
-			t.Errorf("%q: %v, want %v", fault, got, want)
+			t.Errorf("under %q: offset %v, want %v", fault, got, want)
 		}
 		if got := ClockOffset(""); got != 0 {
-			t.Errorf("%q, no name: %v", fault, got)
+			t.Errorf("under %q: offset %v without a name, want 0", fault, got)
 		}
 	}
 }
 
-// TestBeforeSyncedWrite_FailsAfterDelay checks from when on writes fail under DiskFull.
+// TestBeforeSyncedWrite_FailsAfterDelay checks that writes fail only under DiskFull, and only after diskFaultDelay.
 func TestBeforeSyncedWrite_FailsAfterDelay(t *testing.T) {
 	t.Cleanup(func() { Set("") })
 	long := time.Now().Add(-time.Hour)
@@ -73,7 +74,7 @@
 	} {
 		Set(c.fault)
 		if got := fmt.Sprint(BeforeSyncedWrite(c.opened)); got != c.want {
-			t.Errorf("%q: %s, want %s", c.fault, got, c.want)
+			t.Errorf("under %q: error %s, want %s", c.fault, got, c.want)
 		}
 	}
 }
--- a/internal/failpoint/lean.go
+++ b/internal/failpoint/lean.go
@@ -1,11 +1,11 @@
 //go:build lean
 
-// Package failpoint has no fault to enable in a lean build: Enabled always returns false.
+// Package failpoint has no failpoints in a lean build: Enabled always returns false.
 package failpoint
 
 import "time"
 
-// The names of the faults and conditions. A lean build has none of them.
+// The names of the failpoints. They are empty, because a lean build has none.
 const (
 	SendWithoutLease    = ""
 	OverlongLease       = ""
@@ -38,10 +38,10 @@
 	DiskStall    = ""
 )
 
-// Enabled reports whether a fault or condition is enabled, which none is in a lean build.
+// Enabled always returns false.
 func Enabled(string) bool { return false }
 
-// ClockOffset returns how far a member's wall clock is ahead, which is always 0 in a lean build.
+// ClockOffset returns 0: wall clocks are not skewed in a lean build.
 func ClockOffset(string) time.Duration { return 0 }
 
 // BeforeSyncedWrite does nothing.
