--- a/internal/boltstore/boltstore_test.go
+++ b/internal/boltstore/boltstore_test.go
@@ -37,7 +37,7 @@
 			t.Fatal(err)
 		}
 		if got, err := VerifyChecksum(raw); err != nil || string(got) != want {
-			t.Errorf("%s reads back as %q, %v", line, got, err)
+			t.Errorf("%s reads back as %q, error %v", line, got, err)
 		}
 	}
 }
@@ -90,7 +90,7 @@
 func TestOpen_UnreadableFile(t *testing.T) {
 	errLoad := errors.New("unknown record")
 	for name, prepare := range map[string]func(path string) (load func(*bbolt.DB) error){
-		"no bbolt file": func(path string) func(*bbolt.DB) error {
+		"not a bbolt file": func(path string) func(*bbolt.DB) error {
 			if err := os.WriteFile(path, bytes.Repeat([]byte("x"), 1<<16), 0o600); err != nil {
 				t.Fatal(err)
 			}
@@ -119,12 +119,12 @@
 		path := filepath.Join(folder, "f.db")
 		db, unreadable, err := Open(folder, "f.db", prepare(path))
 		if err != nil || unreadable == nil {
-			t.Errorf("%s: %v, %v", name, unreadable, err)
+			t.Errorf("%s: unreadable %v, error %v", name, unreadable, err)
 			continue
 		}
 		db.Close()
 		if _, err := os.Stat(path + ".unreadable"); err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: file was not renamed: %v", name, err)
 		}
 	}
 }
@@ -135,10 +135,10 @@
 		folder := t.TempDir()
 		db, unreadable, err := Open(folder, "f.db", func(*bbolt.DB) error { return fmt.Errorf("group x: %w", cause) })
 		if !errors.Is(err, cause) || db != nil || unreadable != nil {
-			t.Errorf("%v: %v, %v, %v", cause, db, unreadable, err)
+			t.Errorf("%v: db %v, unreadable %v, error %v", cause, db, unreadable, err)
 		}
 		if _, err := os.Stat(filepath.Join(folder, "f.db")); err != nil {
-			t.Errorf("%v: %v", cause, err)
+			t.Errorf("%v: file was renamed: %v", cause, err)
 		}
 	}
 }
@@ -160,7 +160,7 @@
 			})
 		})
 		if err != nil || unreadable != nil {
-			t.Fatalf("open %d: %v, %v", i, unreadable, err)
+			t.Fatalf("open %d: unreadable %v, error %v", i, unreadable, err)
 		}
 		if err := db.Close(); err != nil {
 			t.Fatal(err)
--- a/internal/maintenance/advance_test.go
+++ b/internal/maintenance/advance_test.go
@@ -45,7 +45,7 @@
 	f.expectCode(CodeOK, Command{Kind: CommandReturnMachine, Machine: "m0"})              // a repeated call after the plan has ended
 	f.expectCode(CodeInvalid, Command{Kind: CommandClaimMachine, Machine: "m1"})
 	if f.state.Plans[0].Phase != PlanEnded {
-		t.Errorf("the plan is %s", f.state.Plans[0].Phase)
+		t.Errorf("the plan is %s, want ended", f.state.Plans[0].Phase)
 	}
 }
 
@@ -68,7 +68,7 @@
 		f.expectPhases("m0 leaving")
 		reason := f.state.WaitReasons(f.state.Plans[0], &f.proposal)["m0"]
 		if !strings.Contains(reason, "b") && !strings.Contains(reason, "e") {
-			t.Errorf("%s: reason is %q, must name the member", name, reason)
+			t.Errorf("%s: reason is %q, must name the blocking member", name, reason)
 		}
 		f.advance(5 * second)
 		f.expectPhases("m0 clear")
@@ -90,7 +90,7 @@
 		f.expectPhases(test.phases)
 		plan := f.state.Plans[0]
 		if plan.Phase != test.plan || test.onOverdue != OverdueSkip && !plan.MachineStates[0].Overdue {
-			t.Errorf("%s: %s, %+v", test.onOverdue, plan.Phase, plan.MachineStates[0])
+			t.Errorf("%s: plan is %s, machine is %+v", test.onOverdue, plan.Phase, plan.MachineStates[0])
 		}
 	}
 }
@@ -105,7 +105,7 @@
 	f.advance(3 * second)
 	plan := f.state.Plans[0]
 	if plan.Phase != PlanPaused || !plan.MachineStates[0].Overdue {
-		t.Errorf("%s, %+v", plan.Phase, plan.MachineStates[0])
+		t.Errorf("plan is %s, want paused; machine is %+v, want overdue", plan.Phase, plan.MachineStates[0])
 	}
 	f.expectCode(CodeOK, Command{Kind: CommandReturnMachine, Machine: "m0"})
 	f.changeWorker("r0", func(w *Worker) { w.Unavailable = true })
@@ -182,7 +182,7 @@
 	// A worker that left the list during the maintenance does not count as unavailable. One that leaves it later does.
 	units := f.state.budgetUnits(&f.proposal)
 	if units["runner r0"] != nil || units["runner new"].unavailable {
-		t.Errorf("units: %+v", units)
+		t.Errorf("budget units after the maintenance: %+v", units)
 	}
 	f.changeWorker("new", func(w *Worker) { w.Gone, w.Unavailable = true, true })
 	units = f.state.budgetUnits(&f.proposal)
--- a/internal/maintenance/apply_test.go
+++ b/internal/maintenance/apply_test.go
@@ -106,7 +106,7 @@
 	f.apply(Command{Kind: CommandTrustHistory, Level: 2})
 	stored := encode(t, f.state)
 	if state, err := Decode(stored); err != nil || state.Level != 2 {
-		t.Errorf("%+v, %v", state, err)
+		t.Errorf("decoded %+v, error %v; want level 2", state, err)
 	}
 	if _, err := Decode(bytes.Replace(stored, []byte(`"level":2`), []byte(`"level":3`), 1)); err == nil {
 		t.Error("a state of a newer build was decoded")
--- a/internal/maintenance/budget_test.go
+++ b/internal/maintenance/budget_test.go
@@ -77,7 +77,7 @@
 	_, n1 := f.state.FindMachine("q", "n1")
 	_, m0 := f.state.FindMachine("p", "m0")
 	if excluded := len(f.state.Excluded().Workers); excluded != 1 {
-		t.Errorf("%d workers excluded: %s, %s", excluded, m0.Phase, n1.Phase)
+		t.Errorf("%d workers excluded, want 1; m0 is %s, n1 is %s", excluded, m0.Phase, n1.Phase)
 	}
 	f.expectCode(CodeOK, Command{Kind: CommandAbortPlan, Name: "p"})
 	for range 4 {
--- a/internal/maintenance/command.go
+++ b/internal/maintenance/command.go
@@ -19,7 +19,7 @@
 	CommandStartPlan     CommandKind = "start"   // Name of the plan, as for the next three kinds
 	CommandPausePlan     CommandKind = "pause"   // drains no further machine
 	CommandResumePlan    CommandKind = "resume"  // continues a paused plan
-	CommandAbortPlan     CommandKind = "abort"   // returns the machines that operators have not claimed, and ends the plan
+	CommandAbortPlan     CommandKind = "abort"   // returns unclaimed machines to service, and ends the plan once all are back
 	CommandClaimMachine  CommandKind = "wait"    // Machine, and Name of its plan if Machine is not unique: operators claim a drained machine
 	CommandSkipMachine   CommandKind = "skip"    // Machine and Name as above: excludes a machine from its plan
 	CommandReturnMachine CommandKind = "done"    // Machine and Name as above: operators return a machine, with its workers restarted
@@ -82,7 +82,7 @@
 // The codes of results.
 const (
 	CodeOK         Code = 0
-	CodeInvalid    Code = 1 // the call is invalid in the present state; repeating it has no effect
+	CodeInvalid    Code = 1 // the call is invalid in the present state; repeating it does not help
 	CodeRetryLater Code = 2 // the call is not possible yet and may be repeated
 )
 
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -45,7 +45,7 @@
 	Host    string   `json:"host,omitempty"`
 }
 
-// PlanPhase is the phase of a plan.
+// PlanPhase is the phase of a plan as a whole.
 type PlanPhase string
 
 // The phases of a plan.
@@ -90,7 +90,7 @@
 type PlanState struct {
 	Plan
 	Phase          PlanPhase       `json:"phase"`
-	AnnouncedIndex uint64          `json:"at"` // log index of the command that started it
+	AnnouncedIndex uint64          `json:"at"` // log index of the command that started the plan
 	MachineStates  []*MachineState `json:"places"`
 	LastZone       string          `json:"zone,omitempty"` // of the machine that was drained last
 }
@@ -178,7 +178,7 @@
 // WorkerSet is a set of workers: named ones, and all workers at some hosts.
 type WorkerSet struct{ Workers, Hosts map[string]bool }
 
-// Excluded returns the workers to which members must not send requests, because they are drained or under maintenance.
+// Excluded returns the workers to which members must not send requests, because these are draining, drained or under maintenance.
 func (s *State) Excluded() WorkerSet {
 	return s.workerSet(func(_ *PlanState, machine *MachineState) bool { return machine.Phase.excluded() })
 }
