--- a/internal/maintenance/budget.go
+++ b/internal/maintenance/budget.go
@@ -11,16 +11,16 @@
 	"birchfork/internal/failpoint"
 )
 
-// budgetUnit counts as one against a budget: a machine of a plan, or a worker that belongs to no such machine.
+// budgetUnit is a unit that a disruption budget counts: a machine of a plan, or a worker that belongs to no such machine.
 type budgetUnit struct {
 	workers          []string
 	unavailable      bool // out of service, for any reason
-	underMaintenance bool // out of service because a plan has taken it
+	underMaintenance bool // out of service because of a plan
 }
 
-// machineUnit and workerUnit are the names of budget units. They sort machines before workers.
-func machineUnit(name string) string { return "machine " + name }
-func workerUnit(name string) string  { return "runner " + name }
+// machineUnitName and workerUnitName return names of budget units. Machines sort before workers.
+func machineUnitName(name string) string { return "machine " + name }
+func workerUnitName(name string) string  { return "runner " + name }
 
 // budgetUnits returns the whole fleet as budget units, by name.
 func (s *State) budgetUnits(proposal *Advance) map[string]*budgetUnit {
@@ -36,7 +36,7 @@
 			}
 			taken := machine.Phase != MachineWaiting && machine.Phase != MachineWarm
 			unit := &budgetUnit{workers: machine.Workers, unavailable: taken, underMaintenance: taken}
-			units[machineUnit(machine.Name)] = unit
+			units[machineUnitName(machine.Name)] = unit
 			for _, worker := range machine.Workers {
 				unitOfWorker[worker] = unit
 			}
@@ -44,7 +44,7 @@
 	}
 	returnedHosts := s.returnedHosts()
 	for name, worker := range proposal.Fleet {
-		// The host's worker may have got another name during the maintenance: its former name must not count as unavailable.
+		// A worker at the host may have another name since the maintenance: its former name must not count as unavailable.
 		returned := returnedHosts[worker.Host]
 		if returned != nil && worker.Gone && !slices.Contains(returned.Workers, name) {
 			continue
@@ -52,7 +52,7 @@
 		unit := unitOfWorker[name]
 		if unit == nil {
 			unit = &budgetUnit{workers: []string{name}}
-			units[workerUnit(name)] = unit
+			units[workerUnitName(name)] = unit
 		}
 		if worker.outOfService() && !failpoint.Enabled(failpoint.IgnoreUnavailable) {
 			unit.unavailable = true
@@ -61,7 +61,7 @@
 	return units
 }
 
-// returnedHosts returns, by host, the machines that are hosts and have been put back, or were skipped.
+// returnedHosts returns the machines that are hosts and were returned or skipped, by host.
 func (s *State) returnedHosts() map[string]*MachineState {
 	returned := map[string]*MachineState{}
 	for _, plan := range s.Plans {
@@ -74,11 +74,11 @@
 	return returned
 }
 
-// NextMachine returns the machine that a plan would take next; nil if it may take none. For each waiting machine that may not be
-// taken it returns the reason, by name.
+// NextMachine returns the machine that a plan would drain next, or nil if the budget allows none. reasons has, by name, why each other
+// waiting machine may not be drained.
 //
-// Machines that are out of service already go first, then those with the least weight in service, then those of another zone than
-// the one that was taken last, then by the plan's order.
+// Machines that are already out of service go first, then those with the lowest weight in service, then those of another zone than the
+// machine that was drained last, then by the plan's order.
 func (s *State) NextMachine(plan *PlanState, proposal *Advance) (next *MachineState, reasons map[string]string) {
 	reasons = map[string]string{}
 	units := s.budgetUnits(proposal)
@@ -99,11 +99,11 @@
 	return next, reasons
 }
 
-// machineRank orders machines that may be taken.
+// machineRank is the order in which machines that may be drained are chosen.
 type machineRank struct {
-	inService bool    // at least one worker is
-	weight    float64 // in service
-	sameZone  bool    // as the machine that was taken last
+	inService bool    // at least one worker is in service
+	weight    float64 // of the workers in service
+	sameZone  bool    // as the machine that was drained last
 }
 
 func rankOf(plan *PlanState, machine *MachineState, proposal *Advance) machineRank {
@@ -114,7 +114,7 @@
 	return machineRank{inService: weight != 0, weight: weight, sameZone: proposal.zoneOf(machine) == plan.LastZone}
 }
 
-// compare returns a negative number if a machine of this rank goes before one of the other.
+// compare returns a negative number if a machine of this rank goes before one of the other rank.
 func (r machineRank) compare(other machineRank) int {
 	return cmp.Or(
 		falseFirst(r.inService, other.inService),
@@ -133,33 +133,33 @@
 	return 1
 }
 
-// budgetUsage says which part of the fleet would be out of service if a plan took one more machine.
+// budgetUsage is the part of the fleet that would be out of service if a plan drained one more machine.
 type budgetUsage struct {
-	alreadyOut        bool     // the machine itself is out of service before it is taken
-	unavailable       int      // units, the machine itself included
-	others            []string // those units but for the machine itself, sorted
-	unavailableByZone map[string]int
-	unavailableByKind map[string]int
+	alreadyUnavailable bool     // the machine itself is out of service before its drain
+	unavailable        int      // number of units, including the machine itself
+	otherUnits         []string // sorted names of these units, without the machine itself
+	unavailableByZone  map[string]int
+	unavailableByKind  map[string]int
 
-	knownWorkers    int // groups of unnamed workers count as one
+	knownWorkers    int // each group of unnamed workers counts as one
 	totalWeight     float64
 	weightInService float64
-	zonesInService  map[string]bool // zones and kinds that keep a worker
+	zonesInService  map[string]bool // zones and kinds that keep a worker in service
 	kindsInService  map[string]bool
 }
 
-// usageWith returns the usage if a machine were taken.
+// usageIfTaken returns the usage if a machine were drained.
 //
-// A machine that is out of service already costs nothing more when it is taken. For such a machine only units that plans have taken are
-// counted: otherwise two machines that have failed would prevent each other's repair.
-func usageWith(machine *MachineState, proposal *Advance, units map[string]*budgetUnit) *budgetUsage {
-	own := machineUnit(machine.Name)
+// Draining a machine that is already out of service does not reduce the capacity. For such a machine only units under maintenance are
+// counted: otherwise two failed machines would block each other's repair.
+func usageIfTaken(machine *MachineState, proposal *Advance, units map[string]*budgetUnit) *budgetUsage {
+	own := machineUnitName(machine.Name)
 	usage := &budgetUsage{
-		alreadyOut:        units[own].unavailable,
-		unavailableByZone: map[string]int{},
-		unavailableByKind: map[string]int{},
-		zonesInService:    map[string]bool{},
-		kindsInService:    map[string]bool{},
+		alreadyUnavailable: units[own].unavailable,
+		unavailableByZone:  map[string]int{},
+		unavailableByKind:  map[string]int{},
+		zonesInService:     map[string]bool{},
+		kindsInService:     map[string]bool{},
 	}
 	for _, group := range proposal.UnnamedWorkers {
 		usage.knownWorkers++
@@ -168,18 +168,18 @@
 		usage.zonesInService[group.Zone] = true
 		usage.kindsInService[group.Kind] = true
 	}
-	for _, name := range slices.Sorted(maps.Keys(units)) { // in a fixed order, as sums of weights depend on it
+	for _, name := range slices.Sorted(maps.Keys(units)) { // in a fixed order, because floating-point sums of weights depend on it
 		unit := units[name]
-		unavailable := unit.unavailable && (unit.underMaintenance || !usage.alreadyOut)
+		unavailable := unit.unavailable && (unit.underMaintenance || !usage.alreadyUnavailable)
 		usage.addUnit(unit, proposal, unavailable || name == own)
 		if unavailable && name != own {
-			usage.others = append(usage.others, name)
+			usage.otherUnits = append(usage.otherUnits, name)
 		}
 	}
 	return usage
 }
 
-// addUnit counts a unit, which would be unavailable or in service.
+// addUnit adds a unit that would be unavailable or in service.
 func (u *budgetUsage) addUnit(unit *budgetUnit, proposal *Advance, unavailable bool) {
 	zones, kinds := map[string]bool{}, map[string]bool{}
 	for _, name := range unit.workers {
@@ -209,18 +209,18 @@
 	}
 }
 
-// budgetViolation returns why a plan may not take a machine now; empty if it may.
+// budgetViolation returns the reason why a plan may not drain a machine now; empty if it may.
 func budgetViolation(plan *PlanState, machine *MachineState, proposal *Advance, units map[string]*budgetUnit) string {
 	if failpoint.Enabled(failpoint.IgnoreBudget) {
 		return ""
 	}
-	usage := usageWith(machine, proposal, units)
+	usage := usageIfTaken(machine, proposal, units)
 	if usage.unavailable > plan.MaxUnavailable {
 		state := "away"
-		if usage.alreadyOut {
+		if usage.alreadyUnavailable {
 			state = "taken"
 		}
-		return fmt.Sprintf("%d machines would be %s, %d may be%s", usage.unavailable, state, plan.MaxUnavailable, listOthers(usage.others))
+		return fmt.Sprintf("%d machines would be %s, %d may be%s", usage.unavailable, state, plan.MaxUnavailable, formatOthers(usage.otherUnits))
 	}
 	for _, name := range machine.Workers {
 		worker, listed := proposal.Fleet[name]
@@ -231,7 +231,7 @@
 			return reason
 		}
 	}
-	if usage.weightInService < plan.MinCapacity*usage.totalWeight && !usage.alreadyOut {
+	if usage.weightInService < plan.MinCapacity*usage.totalWeight && !usage.alreadyUnavailable {
 		percent := 100 * usage.weightInService / usage.totalWeight
 		return fmt.Sprintf("%.0f%% of the capacity would stay, %.0f%% has to", percent, 100*plan.MinCapacity)
 	}
@@ -241,7 +241,7 @@
 	return ""
 }
 
-// violationAt returns why no further worker of a zone and kind may go out of service; empty if it may.
+// violationAt returns the reason why no further worker of a zone and kind may be out of service; empty if one may.
 func (u *budgetUsage) violationAt(plan *PlanState, zone, kind string) string {
 	inZone, ofKind := u.unavailableByZone[zone], u.unavailableByKind[kind]
 	switch {
@@ -249,7 +249,7 @@
 		return fmt.Sprintf("%d machines of zone %s would be away, %d may be", inZone, zone, plan.MaxUnavailablePerZone)
 	case plan.MaxUnavailablePerKind > 0 && ofKind > plan.MaxUnavailablePerKind:
 		return fmt.Sprintf("%d machines of kind %s would be away, %d may be", ofKind, kind, plan.MaxUnavailablePerKind)
-	case u.alreadyOut:
+	case u.alreadyUnavailable:
 		return ""
 	case !u.zonesInService[zone]:
 		return fmt.Sprintf("it is the last of zone %s", zone)
@@ -259,11 +259,11 @@
 	return ""
 }
 
-// maxNamesInReason is how many names a reason lists.
+// maxNamesInReason is the maximum number of unit names that a reason lists.
 const maxNamesInReason = 5
 
-// listOthers returns the names of units that are unavailable already, as the end of a reason.
-func listOthers(names []string) string {
+// formatOthers returns the names of the units that are already unavailable, formatted as the end of a reason.
+func formatOthers(names []string) string {
 	if len(names) == 0 {
 		return ""
 	}
