--- a/internal/gossip/dissemination.go
+++ b/internal/gossip/dissemination.go
@@ -53,7 +53,7 @@
 			return idleFanout
 		case <-n.changed:
 			return fanout
-		case name := <-n.contacts:
+		case name := <-n.pendingSyncs:
 			pool.start(ctx, name)
 		}
 	}
--- a/internal/gossip/endpoints/table.go
+++ b/internal/gossip/endpoints/table.go
@@ -51,8 +51,8 @@
 	// localTrustDelay is how long this member's own watch has to report after a remote status arrived until the own list overrules that
 	// status: discovery reports a change within 6 s, and a silent watch is detected after 5 s.
 	localTrustDelay = 6 * time.Second
-	// remoteLifetime is how long a remote status is kept, so that it is not forwarded repeatedly.
-	remoteLifetime = 15 * time.Minute
+	// remoteStatusTTL is how long a remote status is kept, so that it is not forwarded repeatedly.
+	remoteStatusTTL = 15 * time.Minute
 )
 
 // Table has the statuses that are known to one member. It is not safe for concurrent use. Times count from any fixed moment.
@@ -83,8 +83,8 @@
 		old, known := previous[status.Name]
 		reported, isReported := t.remote[status.Name]
 		isNew := !known || status.supersedes(old)
-		othersKnow := isReported && !status.supersedes(reported.Status)
-		if t.localFresh && isNew && !othersKnow {
+		isReportedAlready := isReported && !status.supersedes(reported.Status)
+		if t.localFresh && isNew && !isReportedAlready {
 			updates = append(updates, status)
 		}
 		if isReported && !reported.supersedes(status) {
@@ -128,7 +128,7 @@
 
 // Excluded returns the workers to exclude at the time now, sorted by name: those of the own list for which others have reported a later
 // state. watchUptime is how long the own watch has reported without interruption; below 0: it does not report. While it does, Excluded
-// also forgets remote statuses that are older than remoteLifetime.
+// also forgets remote statuses that are older than remoteStatusTTL.
 func (t *Table) Excluded(now, watchUptime time.Duration) (names []string) {
 	watching := watchUptime >= 0
 	for name, reported := range t.remote {
@@ -137,7 +137,7 @@
 			reported.overruled = true
 			t.remote[name] = reported
 		}
-		if watching && age > remoteLifetime {
+		if watching && age > remoteStatusTTL {
 			delete(t.remote, name)
 		}
 		local, listed := t.local[name]
--- a/internal/gossip/endpoints/table_test.go
+++ b/internal/gossip/endpoints/table_test.go
@@ -86,8 +86,8 @@
 		t.Errorf("%v, one of which others have reported", updates)
 	}
 	table.UpdateLocal(up, true)
-	table.Excluded(2*remoteLifetime, time.Hour)
-	if updates, _ := table.Merge(2*remoteLifetime, draining[:1]); len(updates) != 1 {
+	table.Excluded(2*remoteStatusTTL, time.Hour)
+	if updates, _ := table.Merge(2*remoteStatusTTL, draining[:1]); len(updates) != 1 {
 		t.Error("it is never forgotten")
 	}
 	for i := range 2 * maxRemoteStatuses {
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -112,7 +112,7 @@
 			ours.BucketDigests = n.replica.BucketDigests()
 		}
 		select {
-		case n.contacts <- from.Name:
+		case n.pendingSyncs <- from.Name:
 		default: // enough members wait; this one is left to a later round
 		}
 		return ours, nil
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -20,8 +20,8 @@
 
 // The golden files contain what earlier builds have stored, sent and answered. UPDATE_GOLDEN=1 writes them.
 
-// goldenStarted is the start time of each process in these tests.
-var goldenStarted = time.Date(2024, 5, 6, 7, 8, 9, 10, time.UTC)
+// goldenStartTime is the start time of each process in these tests.
+var goldenStartTime = time.Date(2024, 5, 6, 7, 8, 9, 10, time.UTC)
 
 // goldenReplica has an override that replaced another one, two in conflict, and an entry of a kind that is unknown to this build.
 func goldenReplica(t *testing.T) *replication.Replica {
@@ -125,7 +125,7 @@
 // Each message and each reply has the same encoding as before, with all fields.
 func TestGolden_Messages(t *testing.T) {
 	dots := []replication.Dot{{Incarnation: "life-a", Counter: 1}, {Incarnation: "life-b", Counter: 2}}
-	about := MemberInfo{Version: "v", SettingsDigest: "s", OperatorDigest: "o", StartedAt: goldenStarted}
+	about := MemberInfo{Version: "v", SettingsDigest: "s", OperatorDigest: "o", StartedAt: goldenStartTime}
 	peertest.GoldenJSON(t, "hello.json", digest{VersionDigest: 1 << 63, EntryDigest: 2, BucketDigests: []uint64{3, 1<<64 - 1}, ObservedEntries: 4, StoredEntries: 5, Info: about})
 	peertest.GoldenJSON(t, "pull.json", pullRequest{Version: replication.VersionVector{"life-a": 1, "life-b": 2}, Cursor: replication.Cursor{Kind: replication.KindOverride, Name: "w1"}})
 	peertest.GoldenJSON(t, "gone.json", removals{VersionDigest: 1 << 62, Dots: dots})
@@ -139,7 +139,7 @@
 	peertest.GoldenJSON(t, "call.json", Call{Worker: "w1", Disabled: true})
 	peertest.GoldenJSON(t, "reply.json", Reply{
 		Member: "a", Text: "text", Invalid: true, CaughtUp: true, NotPersisted: "unkept", Digest: "digest", Incarnations: 1,
-		Overrides: []OverrideStatus{{Worker: "w1", Disabled: true, Conflict: true, Writes: []OverrideWrite{{Disabled: true, Member: "b", At: goldenStarted}}}},
+		Overrides: []OverrideStatus{{Worker: "w1", Disabled: true, Conflict: true, Writes: []OverrideWrite{{Disabled: true, Member: "b", At: goldenStartTime}}}},
 		Members: []MemberStatus{{
 			Name: "b", MemberInfo: about, LastContact: 2, LastInSync: 3, MissingEntries: 4, StoredEntries: 5, Messages: 6, BytesOut: 7, BytesIn: 8,
 		}},
@@ -152,7 +152,7 @@
 	t.Helper()
 	node, _ := startNode(t, "a", "", "b")
 	node.options.Info = func() MemberInfo {
-		return MemberInfo{Version: "v", SettingsDigest: "s", OperatorDigest: "o", StartedAt: goldenStarted}
+		return MemberInfo{Version: "v", SettingsDigest: "s", OperatorDigest: "o", StartedAt: goldenStartTime}
 	}
 	node.options.SetOverride = func(worker string, disabled bool) (string, error) {
 		if worker == "unknown" {
@@ -165,8 +165,8 @@
 	return node
 }
 
-// plainStatus returns an operator's reply without the values that depend on the time and on the time zone.
-func plainStatus(t *testing.T, answer string) string {
+// normalizeReply returns an operator's reply without the values that depend on the time and on the time zone.
+func normalizeReply(t *testing.T, answer string) string {
 	t.Helper()
 	head, body, _ := strings.Cut(answer, "\n{")
 	var r Reply
@@ -209,7 +209,7 @@
 	}
 	call := func(body string) {
 		answer := peertest.Post(t, listener.Addr().String(), "/group/words", nil, []byte(body))
-		fmt.Fprintf(&out, "/group/words %s\n%s----\n", body, plainStatus(t, answer))
+		fmt.Fprintf(&out, "/group/words %s\n%s----\n", body, normalizeReply(t, answer))
 	}
 	call(`{}`)
 	post("/group/copies/hello", `{"seen":1,"sum":2,"count":3,"held":4,"about":{"version":"v2","settings":"s2","operator":"o2","started":"2024-01-02T03:04:05Z"}}`)
@@ -222,7 +222,7 @@
 	post("/group/copies/pull", `{`)
 	node.mu.Lock()
 	node.peers["b"] = peerStatus{
-		info: MemberInfo{Version: "v2", SettingsDigest: "s2", OperatorDigest: "o2", StartedAt: goldenStarted.Add(time.Hour)}, lastContact: time.Now().Add(-2 * time.Hour),
+		info: MemberInfo{Version: "v2", SettingsDigest: "s2", OperatorDigest: "o2", StartedAt: goldenStartTime.Add(time.Hour)}, lastContact: time.Now().Add(-2 * time.Hour),
 		lastInSync: time.Now().Add(-3 * time.Hour), observedEntries: 1, storedEntries: 2,
 	}
 	node.traffic["b"] = traffic{messages: 11, bytesOut: 12, bytesIn: 13}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -19,8 +19,8 @@
 	"birchfork/internal/replication"
 )
 
-// maxContacts limits the members that have sent a different digest and wait for a sync.
-const maxContacts = 16
+// maxPendingSyncs limits the members that have sent a different digest and wait for a sync.
+const maxPendingSyncs = 16
 
 // incarnationLength is the number of characters of a replica's incarnation.
 const incarnationLength = 16
@@ -72,20 +72,20 @@
 	cancel context.CancelFunc // ends the loops
 	loops  sync.WaitGroup
 
-	changed  chan struct{} // signalled after a change of the replica: a round is due
-	contacts chan string   // members that differ from this one
+	changed      chan struct{} // signalled after a change of the replica: a round is due
+	pendingSyncs chan string   // members that differ from this one
 }
 
 // session is the state of a Node while it owns the replica.
 type session struct {
 	replica *replication.Replica // nil: another process of this dispatcher owns it
 
-	storage          *storage                 // nil: nothing is persisted
-	dirty            map[replication.Key]bool // entries to submit to the storage: new ones, or ones that it failed to write
-	submittedVersion uint64                   // digest of the version vector that was last submitted to the storage
-	writeFailed      bool                     // the storage failed to write it
-	lastBatch        *batch                   // last submitted to the storage
-	persistErr       error                    // why the replica may not be persisted; nil: it is persisted
+	storage                *storage                 // nil: nothing is persisted
+	dirty                  map[replication.Key]bool // entries to submit to the storage: new ones, or ones that it failed to write
+	submittedVersionDigest uint64                   // digest of the version vector that was last submitted to the storage
+	writeFailed            bool                     // the storage failed to write it
+	lastBatch              *batch                   // last submitted to the storage
+	persistErr             error                    // why the replica may not be persisted; nil: it is persisted
 
 	peerVersions map[string]replication.VersionVector // by member: its version vector when it was last in sync
 	pulls        map[string]*replication.PullProgress // by member
@@ -101,17 +101,17 @@
 // newSession returns the state of a Node whose replica has just been opened.
 func newSession(replica *replication.Replica, opened *storage, persistErr error) session {
 	return session{
-		replica:          replica,
-		storage:          opened,
-		dirty:            map[replication.Key]bool{},
-		submittedVersion: replica.Version().Digest(),
-		persistErr:       persistErr,
-		peerVersions:     map[string]replication.VersionVector{},
-		pulls:            map[string]*replication.PullProgress{},
-		syncing:          map[string]bool{},
-		caughtUpWith:     map[string]bool{},
-		localVersions:    map[string]int64{},
-		inherited:        map[string]bool{},
+		replica:                replica,
+		storage:                opened,
+		dirty:                  map[replication.Key]bool{},
+		submittedVersionDigest: replica.Version().Digest(),
+		persistErr:             persistErr,
+		peerVersions:           map[string]replication.VersionVector{},
+		pulls:                  map[string]*replication.PullProgress{},
+		syncing:                map[string]bool{},
+		caughtUpWith:           map[string]bool{},
+		localVersions:          map[string]int64{},
+		inherited:              map[string]bool{},
 	}
 }
 
@@ -126,7 +126,7 @@
 		peers:          map[string]peerStatus{},
 		traffic:        map[string]traffic{},
 		changed:        make(chan struct{}, 1),
-		contacts:       make(chan string, maxContacts),
+		pendingSyncs:   make(chan string, maxPendingSyncs),
 	}
 	node.mu.Lock()
 	defer node.mu.Unlock()
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -173,9 +173,9 @@
 	await(t, "the others have the entry of an unknown kind", func() bool { return hasNewerEntry(a) && hasNewerEntry(b) })
 	detachAll()
 	a.Close()
-	again, dispatcher := startNode(t, "a", dir, "b", "c")
-	if !dispatcher.isDisabled("r") || !dispatcher.isDisabled("q") || !hasNewerEntry(again) {
-		t.Errorf("after a restart: %v, the entry of an unknown kind: %t", dispatcher.disabled, hasNewerEntry(again))
+	restarted, dispatcher := startNode(t, "a", dir, "b", "c")
+	if !dispatcher.isDisabled("r") || !dispatcher.isDisabled("q") || !hasNewerEntry(restarted) {
+		t.Errorf("after a restart: %v, the entry of an unknown kind: %t", dispatcher.disabled, hasNewerEntry(restarted))
 	}
 	b.mu.Lock() // reopened from its own disk, to be attached again
 	if err := b.openReplicaLocked(); err != nil {
@@ -183,18 +183,18 @@
 	}
 	b.mu.Unlock()
 	c2, _ := startNode(t, "c", "", "a", "b")
-	detachAll = attachAll(t, again, b, c2)
+	detachAll = attachAll(t, restarted, b, c2)
 	defer detachAll()
-	setOverride(t, again, "r", false, 9)
-	setOverride(t, again, "q", false, 9)
+	setOverride(t, restarted, "r", false, 9)
+	setOverride(t, restarted, "q", false, 9)
 	await(t, "a member without a disk has the entry again", func() bool { return hasNewerEntry(c2) })
 	await(t, "no override is left", func() bool {
-		return countOverrides(again) == 0 && countOverrides(b) == 0 && countOverrides(c2) == 0 && !atB.isDisabled("r")
+		return countOverrides(restarted) == 0 && countOverrides(b) == 0 && countOverrides(c2) == 0 && !atB.isDisabled("r")
 	})
-	again.mu.Lock()
-	version := again.replica.Version()
-	again.mu.Unlock()
-	again.Close()
+	restarted.mu.Lock()
+	version := restarted.replica.Version()
+	restarted.mu.Unlock()
+	restarted.Close()
 	restored := replication.New("z")
 	stored, _, err := openStorage(dir, "g", restored, nil)
 	if err != nil || restored.Version().Digest() != version.Digest() {
--- a/internal/gossip/overrides.go
+++ b/internal/gossip/overrides.go
@@ -11,8 +11,8 @@
 	"birchfork/internal/replication"
 )
 
-// kindOfNewerBuild is the kind of the entries that the failpoint NewerEntries writes.
-const kindOfNewerBuild = "later"
+// newerBuildKind is the kind of the entries that the failpoint NewerEntries writes.
+const newerBuildKind = "later"
 
 // SetOverride replicates an override that an operator has set at this dispatcher, where it is in effect with the given version. It waits
 // until the override is persisted, for at most persistTimeout. If that fails, the note tells the operator why. The error is
@@ -78,7 +78,7 @@
 
 // writeNewerEntryLocked adds an entry of a kind that is unknown to this build, as a later build might.
 func (n *Node) writeNewerEntryLocked(worker string) error {
-	entry := replication.Entry{Kind: kindOfNewerBuild, Name: worker, Member: n.options.Self, Data: []byte(`{"of":"a newer build"}`)}
+	entry := replication.Entry{Kind: newerBuildKind, Name: worker, Member: n.options.Self, Data: []byte(`{"of":"a newer build"}`)}
 	if _, err := n.replica.Write(entry); err != nil {
 		return err
 	}
--- a/internal/gossip/persist.go
+++ b/internal/gossip/persist.go
@@ -12,8 +12,8 @@
 // persistTimeout is how long SetOverride waits for the storage.
 const persistTimeout = 3 * time.Second
 
-// unsyncedAnswerTime is how long after the start the failpoint AnswerBeforeSync prevents persisting.
-const unsyncedAnswerTime = 8 * time.Second
+// answerBeforeSyncPeriod is how long after the start the failpoint AnswerBeforeSync prevents persisting.
+const answerBeforeSyncPeriod = 8 * time.Second
 
 // Reasons why an override is not persisted, which operators are shown.
 var (
@@ -24,10 +24,10 @@
 // persistLocked submits to the storage what it may not have yet. It is called again in each round.
 func (n *Node) persistLocked() {
 	version := n.replica.Version().Digest()
-	if failpoint.Enabled(failpoint.AnswerBeforeSync) && time.Since(n.startedAt) < unsyncedAnswerTime {
+	if failpoint.Enabled(failpoint.AnswerBeforeSync) && time.Since(n.startedAt) < answerBeforeSyncPeriod {
 		return
 	}
-	changed := len(n.dirty) > 0 || version != n.submittedVersion || n.writeFailed
+	changed := len(n.dirty) > 0 || version != n.submittedVersionDigest || n.writeFailed
 	if !changed || n.storage == nil {
 		return
 	}
@@ -37,7 +37,7 @@
 		return
 	}
 	n.dirty = map[replication.Key]bool{}
-	n.submittedVersion = version
+	n.submittedVersionDigest = version
 	n.writeFailed = false
 	n.lastBatch = queued
 }
--- a/internal/peer/json.go
+++ b/internal/peer/json.go
@@ -26,7 +26,7 @@
 // RejectMalformed returns a function for ServeJSON's malformed that rejects the message with prefix and the decoder's error as reason.
 func RejectMalformed[Reply any](prefix string) func(decodeErr error) (Reply, error) {
 	return func(decodeErr error) (Reply, error) {
-		var none Reply
-		return none, &RejectedError{Reason: prefix + decodeErr.Error()}
+		var zero Reply
+		return zero, &RejectedError{Reason: prefix + decodeErr.Error()}
 	}
 }
--- a/internal/peer/queue.go
+++ b/internal/peer/queue.go
@@ -71,8 +71,8 @@
 	return false
 }
 
-// pop subtracts a message that was received from the queue from queuedBytes.
-func (q *sendQueue) pop(m message) { q.queuedBytes.Add(-int64(len(m.body))) }
+// release subtracts a message that was received from the queue from queuedBytes.
+func (q *sendQueue) release(m message) { q.queuedBytes.Add(-int64(len(m.body))) }
 
 // sendLoop sends the messages of one queue until the context ends.
 func (t *Transport) sendLoop(ctx context.Context, queue *sendQueue) {
@@ -81,7 +81,7 @@
 		case <-ctx.Done():
 			return
 		case m := <-queue.messages:
-			queue.pop(m)
+			queue.release(m)
 			t.deliver(ctx, queue, m)
 		}
 	}
@@ -113,7 +113,7 @@
 // dropQueued drops the messages that are queued at the call.
 func (t *Transport) dropQueued(queue *sendQueue) {
 	for n := len(queue.messages); n > 0; n-- {
-		queue.pop(<-queue.messages)
+		queue.release(<-queue.messages)
 		t.Counters.Dropped.Add(1)
 	}
 }
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -99,11 +99,11 @@
 	if n := p.a.Counters.Dropped.Load(); n < maxQueuedMessages-1 {
 		t.Errorf("%d dropped", n)
 	}
-	was := p.a.Counters.Dropped.Load()
+	droppedBefore := p.a.Counters.Dropped.Load()
 	for range 4 { // one is being sent, one is queued
 		p.a.Send("d", "/x", make([]byte, maxQueuedBytes/2+1))
 	}
-	if n := p.a.Counters.Dropped.Load() - was; n < 2 {
+	if n := p.a.Counters.Dropped.Load() - droppedBefore; n < 2 {
 		t.Errorf("%d dropped of four that exceed the limit on bytes", n)
 	}
 	for _, m := range []string{"1", "no", "2"} {
