--- a/internal/gossip/antientropy.go
+++ b/internal/gossip/antientropy.go
@@ -7,10 +7,11 @@
 	"birchfork/internal/replication"
 )
 
-// maxSyncSteps is how often a sync compares digests. Differences after the last step are left to a later round.
+// maxSyncSteps limits the digest comparisons of one sync. Differences that remain are left to a later round.
 const maxSyncSteps = 2
 
-// syncWith compares this replica with another member's and merges what this one lacks: entries by pullFrom, removals by fetchRemovals.
+// syncWith compares this replica with another member's and merges the differences: pullFrom fetches missing entries, fetchRemovals
+// fetches removals.
 func (n *Node) syncWith(ctx context.Context, name string) error {
 	for step := range maxSyncSteps {
 		inSync, err := n.syncStep(ctx, name, step)
@@ -21,7 +22,7 @@
 	return nil
 }
 
-// syncStep exchanges digests with a member and fetches one kind of difference. It returns inSync if there is none.
+// syncStep exchanges digests with a member and fetches either missing entries or removals. inSync reports that the replicas are equal.
 func (n *Node) syncStep(ctx context.Context, name string, step int) (inSync bool, err error) {
 	ours, version, err := n.localVersion()
 	if err != nil {
@@ -46,7 +47,7 @@
 		if err := n.pullFrom(ctx, name); err != nil {
 			return false, err
 		}
-		if step > 0 { // the step before has fetched the removals
+		if step > 0 { // the previous step has fetched the removals
 			n.markCaughtUp(name)
 		}
 	}
@@ -63,7 +64,7 @@
 	return ours, version, err
 }
 
-// recordDigest records the digest that a member has answered with. If the member is in sync, it has this replica's version vector.
+// recordDigest records a member's digest. A member that is in sync has the same version vector as this replica.
 func (n *Node) recordDigest(name string, theirs digest, inSync bool, version replication.VersionVector) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -74,8 +75,8 @@
 	}
 }
 
-// pullFrom fetches the entries that a member has and this replica lacks, chunk by chunk. After an error the next call continues after
-// the last chunk that was merged.
+// pullFrom fetches the entries that a member has and this replica lacks, chunk by chunk. After an error, the next call resumes after the
+// last merged chunk.
 func (n *Node) pullFrom(ctx context.Context, name string) error {
 	for {
 		request, progress, err := n.nextPull(name)
@@ -95,7 +96,7 @@
 	}
 }
 
-// nextPull returns the request for the next chunk, and the progress that the chunk belongs to.
+// nextPull returns the request for the next chunk and the progress of its pull.
 func (n *Node) nextPull(name string) (request pullRequest, progress *replication.PullProgress, err error) {
 	err = n.withReplica(func() error {
 		progress = n.pulls[name]
@@ -112,7 +113,7 @@
 	return request, progress, err
 }
 
-// mergeChunk merges a chunk that a member has sent. An invalid chunk ends the pull; the next pull starts from the beginning.
+// mergeChunk merges a member's chunk. An invalid chunk aborts the pull; the next pull starts from the beginning.
 func (n *Node) mergeChunk(name string, progress *replication.PullProgress, chunk replication.Chunk) error {
 	return n.withReplica(func() error {
 		changed, err := n.replica.Merge(progress, chunk)
--- a/internal/gossip/catchup.go
+++ b/internal/gossip/catchup.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// A member has caught up after its start once it has all entries of catchUpPeers others, or after catchUpTimeout without them.
+// A member has caught up once it has all entries of catchUpPeers other members, or catchUpTimeout after its start.
 const (
 	catchUpPeers   = 2
 	catchUpTimeout = 2 * time.Second
 )
 
-// CaughtUp reports whether this member has the overrides that others had at its start, or has waited for them for catchUpTimeout. It
+// CaughtUp reports whether this member has received the overrides that other members had at its start, or catchUpTimeout has elapsed. It
 // returns true if another process of this dispatcher owns the replica.
 func (n *Node) CaughtUp() bool {
 	n.mu.Lock()
@@ -20,14 +20,14 @@
 	return n.caughtUpWithEnoughLocked() || time.Since(n.startedAt) > catchUpTimeout
 }
 
-// caughtUpWithEnoughLocked reports whether this replica has all entries of catchUpPeers other members, or of all of them if they are fewer.
+// caughtUpWithEnoughLocked reports whether this replica has all entries of catchUpPeers other members, or of all if there are fewer.
 func (n *Node) caughtUpWithEnoughLocked() bool {
 	return len(n.caughtUpWith) >= min(catchUpPeers, len(n.options.Peers))
 }
 
-// servesPullsLocked reports whether other members may pull entries from this one. Guards against an outdated disk: a member that has
-// lost its own disk would pull entries from it that all others have removed. So entries are sent only once this member has caught up
-// with enough others, or its first contact with one was longer than catchUpTimeout ago.
+// servesPullsLocked reports whether other members may pull entries from this one: it has caught up with enough others, or more than
+// catchUpTimeout has elapsed since its first contact with one. Until then its disk may be outdated: a member that has lost its own disk
+// would pull entries from it that all others have removed.
 func (n *Node) servesPullsLocked() bool {
 	inContact := !n.firstContact.IsZero() && time.Since(n.firstContact) > catchUpTimeout
 	return n.caughtUpWithEnoughLocked() || inContact
--- a/internal/gossip/dissemination.go
+++ b/internal/gossip/dissemination.go
@@ -11,7 +11,7 @@
 	"birchfork/internal/replication"
 )
 
-// Times and limits of dissemination.
+// Intervals and limits of dissemination.
 const (
 	roundInterval      = time.Second // mean time between rounds while the replica does not change
 	idleFanout         = 1           // members that a round contacts while the replica does not change
@@ -19,15 +19,15 @@
 	maxConcurrentSyncs = 4
 )
 
-// wake makes a round begin at once, after a change of the replica.
+// wake starts a round at once, after a change of the replica.
 func (n *Node) wake() {
 	select {
 	case n.changed <- struct{}{}:
-	default: // a round is due already
+	default: // a round is already due
 	}
 }
 
-// disseminate syncs with random members, round by round, until the context ends. It returns once all syncs have ended.
+// disseminate syncs with random members, round by round, until the context is cancelled. It returns once all syncs have ended.
 func (n *Node) disseminate(ctx context.Context) {
 	pool := &syncPool{node: n, slots: make(chan struct{}, maxConcurrentSyncs)}
 	defer pool.running.Wait()
@@ -42,8 +42,8 @@
 	}
 }
 
-// awaitRound returns when a round is due, with the number of members to contact. Meanwhile it syncs with members that have announced
-// a difference.
+// awaitRound waits until a round is due and returns the number of members to contact. Meanwhile it syncs with members that have sent a
+// different digest.
 func (n *Node) awaitRound(ctx context.Context, pool *syncPool) (targets int) {
 	for {
 		select {
@@ -59,8 +59,7 @@
 	}
 }
 
-// collectGarbage drops entries that enable a worker again once all members have them, and submits what is not persisted yet to the
-// storage.
+// collectGarbage drops entries that enable a worker again once all members have them, and submits unpersisted changes to the storage.
 func (n *Node) collectGarbage() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -75,7 +74,7 @@
 	n.persistLocked()
 }
 
-// allPeerVersionsLocked returns the version vectors of the other members; false: not all are known.
+// allPeerVersionsLocked returns the version vectors of the other members; known reports whether all have been received.
 func (n *Node) allPeerVersionsLocked() (versions []replication.VersionVector, known bool) {
 	versions = make([]replication.VersionVector, 0, len(n.options.Peers))
 	for _, name := range n.options.Peers {
@@ -91,11 +90,11 @@
 // syncPool runs syncs with other members: at most one at a time with each, and maxConcurrentSyncs in total.
 type syncPool struct {
 	node    *Node
-	slots   chan struct{} // holds a token for each sync that runs
+	slots   chan struct{} // holds a token for each running sync
 	running sync.WaitGroup
 }
 
-// start begins a sync with a member, unless there is one already, and returns at once.
+// start begins a sync with a member unless one is running, and returns at once.
 func (p *syncPool) start(ctx context.Context, name string) {
 	if failpoint.Enabled(failpoint.NoOverrideExchange) || !p.node.beginSync(name) {
 		return
@@ -114,7 +113,7 @@
 	})
 }
 
-// beginSync marks a member as syncing; false: a sync with it runs already, or this process does not own the replica.
+// beginSync marks a member as syncing. It returns false if a sync with it is already running or this process does not own the replica.
 func (n *Node) beginSync(name string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/gossip/endpoints/broadcaster.go
+++ b/internal/gossip/endpoints/broadcaster.go
@@ -13,10 +13,10 @@
 	"birchfork/internal/peer"
 )
 
-// Times and limits of a Broadcaster.
+// Intervals and limits of a Broadcaster.
 const (
-	pollInterval        = 250 * time.Millisecond // between checks of this dispatcher's own list
-	fanout              = 4                      // members to which an update is sent; each forwards it to as many
+	pollInterval        = 250 * time.Millisecond // between checks of this dispatcher's list
+	fanout              = 4                      // members that receive an update; each forwards it to the same number
 	maxMessageStatuses  = 1000
 	initialSyncPeers    = 2 // members whose snapshots are fetched after a start
 	initialSyncInterval = time.Second
@@ -31,20 +31,20 @@
 
 // Source is the endpoint list of this dispatcher. Its methods are called from several goroutines.
 type Source interface {
-	// Statuses returns the statuses of the listed workers; fresh: discovery has reported the list since the start.
+	// Statuses returns the statuses of the listed workers. fresh reports whether discovery has reported the list since the start.
 	Statuses() (statuses []Status, fresh bool)
 	// Revision changes with each change of the list.
 	Revision() uint64
-	// WatchUptime returns how long the watch has reported without interruption; below 0: it does not report.
+	// WatchUptime returns how long the watch has reported without interruption. It is negative if the watch does not report.
 	WatchUptime() time.Duration
-	// ExcludeOutdated excludes the named workers. It replaces the names of the previous call.
+	// ExcludeOutdated excludes the named workers, which replace those of the previous call.
 	ExcludeOutdated(names []string)
 }
 
 // Broadcaster exchanges statuses with the other members. It is safe for concurrent use, except for Attach and Detach, which only its
 // owner calls.
 type Broadcaster struct {
-	Sent     atomic.Int64 // messages, each to several members
+	Sent     atomic.Int64 // messages, each sent to several members
 	Accepted atomic.Int64 // statuses that were new
 	Rejected atomic.Int64 // invalid or excess statuses, and malformed messages
 
@@ -55,10 +55,10 @@
 
 	mu             sync.Mutex
 	table          *Table
-	sourceRevision uint64 // of the list that the table was last updated from
+	sourceRevision uint64 // revision of the list that the table was last updated from
 	excluded       int    // number of excluded workers
 
-	cancel context.CancelFunc // ends the loops
+	cancel context.CancelFunc // stops the loops
 	loops  sync.WaitGroup
 }
 
@@ -68,7 +68,7 @@
 }
 
 // Attach connects the Broadcaster to a transport that does not serve yet: it registers the handlers and starts the loops, which Detach
-// ends.
+// stops.
 func (b *Broadcaster) Attach(transport *peer.Transport) {
 	transport.Handle(updatesPath, func(_ context.Context, _ peer.Sender, body []byte) ([]byte, error) {
 		statuses, err := decodeStatuses(body)
@@ -86,13 +86,13 @@
 	b.loops.Go(func() { b.initialSync(ctx, transport) })
 }
 
-// Detach ends the loops.
+// Detach stops the loops and waits for them.
 func (b *Broadcaster) Detach() {
 	b.cancel()
 	b.loops.Wait()
 }
 
-// Fields returns the counters by the names that the log shows.
+// Fields returns the counters by their names in the log.
 func (b *Broadcaster) Fields() map[string]int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -104,13 +104,13 @@
 	}
 }
 
-// handleSnapshot answers a member that has just started with the local statuses.
+// handleSnapshot returns the local statuses to a member that has just started.
 func (b *Broadcaster) handleSnapshot(context.Context, peer.Sender, []byte) ([]byte, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	statuses, fresh := b.table.Local()
 	if !fresh || failpoint.Enabled(failpoint.NoEndpointExchange) {
-		return nil, &peer.RejectedError{Reason: "this member's own discovery has told nothing yet"}
+		return nil, &peer.RejectedError{Reason: "this member has not received an endpoint list from its discovery yet"}
 	}
 	return json.Marshal(statuses)
 }
@@ -118,12 +118,12 @@
 // decodeStatuses decodes a message. The error is a *peer.RejectedError.
 func decodeStatuses(body []byte) (statuses []Status, err error) {
 	if err := json.Unmarshal(body, &statuses); err != nil {
-		return nil, &peer.RejectedError{Reason: "no facts of a list: " + err.Error()}
+		return nil, &peer.RejectedError{Reason: "malformed endpoint statuses: " + err.Error()}
 	}
 	return statuses, nil
 }
 
-// merge merges another member's statuses into the table and returns those that were new.
+// merge merges another member's statuses into the table and returns the new ones.
 func (b *Broadcaster) merge(statuses []Status) (updates []Status) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -140,13 +140,13 @@
 func (b *Broadcaster) applyExclusionsLocked() {
 	names := b.table.Excluded(time.Since(b.startedAt), b.source.WatchUptime())
 	if len(names) != b.excluded {
-		b.log.WithField("workers", len(names)).Info("workers excluded that other members know to have come further")
+		b.log.WithField("workers", len(names)).Info("excluded workers for which other members have reported a later state")
 	}
 	b.excluded = len(names)
 	b.source.ExcludeOutdated(names)
 }
 
-// watchLoop polls this dispatcher's own list and broadcasts its changes.
+// watchLoop polls this dispatcher's list and broadcasts its changes.
 func (b *Broadcaster) watchLoop(ctx context.Context, transport *peer.Transport) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -159,11 +159,11 @@
 	}
 }
 
-// updateLocal updates the table from this dispatcher's own list if that has changed, and returns the updates for other members.
+// updateLocal updates the table from this dispatcher's list if the list has changed, and returns the updates for other members.
 func (b *Broadcaster) updateLocal() (updates []Status) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	// The revision is read before the statuses, so that the next call picks up a change between the two.
+	// The revision is read before the statuses, so that a change between the two is detected by the next call.
 	if revision := b.source.Revision(); revision != b.sourceRevision {
 		b.sourceRevision = revision
 		updates = b.table.UpdateLocal(b.source.Statuses())
@@ -174,7 +174,7 @@
 	return updates
 }
 
-// broadcast queues updates to fanout random members, in messages of at most maxMessageStatuses. It does not wait.
+// broadcast queues updates to fanout random members, in messages of up to maxMessageStatuses statuses. It does not wait.
 func (b *Broadcaster) broadcast(transport *peer.Transport, updates []Status) {
 	if failpoint.Enabled(failpoint.NoEndpointExchange) {
 		return
@@ -193,7 +193,7 @@
 	}
 }
 
-// initialSync fetches the snapshots of other members, until initialSyncPeers of them, or all if there are fewer, have answered.
+// initialSync fetches snapshots of other members until initialSyncPeers of them have answered, or all if there are fewer.
 func (b *Broadcaster) initialSync(ctx context.Context, transport *peer.Transport) {
 	enough := min(initialSyncPeers, len(b.peers))
 	synced := map[string]bool{}
@@ -213,8 +213,8 @@
 	}
 }
 
-// fetchSnapshot fetches a member's statuses and merges them; false: the member did not answer with any. They are not forwarded, as that
-// member has broadcast them itself.
+// fetchSnapshot fetches a member's statuses and merges them. It returns false if the request failed or the answer was malformed. The
+// statuses are not forwarded, as that member has broadcast them itself.
 func (b *Broadcaster) fetchSnapshot(ctx context.Context, transport *peer.Transport, name string) bool {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
--- a/internal/gossip/endpoints/golden_test.go
+++ b/internal/gossip/endpoints/golden_test.go
@@ -36,17 +36,17 @@
 	return NewBroadcaster([]string{"b"}, source, log), source
 }
 
-// goldenStatuses returns statuses of each state; the first has all fields.
+// goldenStatuses returns a status of each state. The first two have all fields.
 func goldenStatuses() []Status {
 	return []Status{{Name: "w1", StartedAt: 1700000000001, State: Draining}, {Name: "w2", StartedAt: 1700000000002, State: Gone}, {Name: "w3", State: Up}}
 }
 
-// Statuses of endpoints have the same encoding as before, each field and each value of the state. UPDATE_GOLDEN=1 writes the files.
+// TestGolden_Statuses verifies that statuses have the same encoding as in earlier builds. UPDATE_GOLDEN=1 writes the golden files.
 func TestGolden_Statuses(t *testing.T) {
 	peertest.GoldenJSON(t, "statuses.json", goldenStatuses()[:2])
 }
 
-// Messages of a member have the same path, headers and body as before.
+// TestGolden_Requests verifies that a member's messages have the same path, headers and body as in earlier builds.
 func TestGolden_Requests(t *testing.T) {
 	b := peertest.NewRecorder(t, func(path string, _ []byte) []byte {
 		if path != "/group/list/all" {
@@ -74,14 +74,14 @@
 	}
 }
 
-// Messages of a member of an earlier build are read and get the same answers as before.
+// TestGolden_Answers verifies that messages of a member of an earlier build are accepted and have the same answers as in that build.
 func TestGolden_Answers(t *testing.T) {
 	broadcaster, source := goldenBroadcaster(goldenStatuses(), true)
 	transport, listener := peertest.NewTransport(t, "127.0.0.1:1")
 	broadcaster.Attach(transport)
 	defer broadcaster.Detach()
 	transport.Serve(listener)
-	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) { // until the list is read
+	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) { // until the list has been read
 		broadcaster.mu.Lock()
 		_, fresh := broadcaster.table.Local()
 		broadcaster.mu.Unlock()
@@ -108,7 +108,7 @@
 	goldentest.Check(t, "answers.txt", []byte(out))
 }
 
-// Counters have the same names in the log as before.
+// TestGolden_Counters verifies that the counters have the same names in the log as in earlier builds.
 func TestGolden_Counters(t *testing.T) {
 	broadcaster, _ := goldenBroadcaster(nil, false)
 	peertest.GoldenCounters(t, "counters.txt", broadcaster.Fields())
--- a/internal/gossip/endpoints/table.go
+++ b/internal/gossip/endpoints/table.go
@@ -1,6 +1,6 @@
-// Package endpoints reports to the other members of a group which states workers have reached by this member's own discovery, and
-// excludes workers for which others have reported a later state, such as draining. Nothing is persisted. Table decides, without I/O,
-// clock or goroutine; Broadcaster exchanges the statuses.
+// Package endpoints shares the states of workers, as reported by this member's discovery, with the other members of a group. It excludes
+// workers for which other members have reported a later state, such as draining. Nothing is persisted. Table decides without I/O, clock
+// or goroutine; Broadcaster exchanges the statuses.
 package endpoints
 
 import (
@@ -20,8 +20,8 @@
 	Gone
 )
 
-// Status is a worker's state as some member's discovery has reported it. Of two statuses of one worker the one with the later start wins,
-// and with the same start the later state, so that merging statuses in any order has the same result.
+// Status is a worker's state as reported by a member's discovery. Of two statuses of a worker, the one with the later start wins; if the
+// starts are equal, the later state wins. So statuses can be merged in any order with the same result.
 type Status struct {
 	Name      string `json:"name"`
 	StartedAt int64  `json:"start,omitempty"` // Unix time in milliseconds by discovery's clock; 0: long ago
@@ -33,7 +33,7 @@
 	return cmp.Or(cmp.Compare(s.StartedAt, other.StartedAt), cmp.Compare(s.State, other.State)) > 0
 }
 
-// isValid reports whether a status from another member is well-formed.
+// isValid reports whether a status from another member has a name, state and start within their limits.
 func (s Status) isValid() bool {
 	validName := s.Name != "" && len(s.Name) <= maxNameBytes
 	validState := s.State >= Up && s.State <= Gone
@@ -46,35 +46,36 @@
 	maxRemoteStatuses = 20_000
 )
 
-// Times of a Table.
+// Durations of a Table.
 const (
-	// localTrustDelay is how long this member's own watch has to report after a remote status arrived until the own list overrules that
+	// localTrustDelay is how long this member's watch has to report after a remote status arrived before the local list overrules that
 	// status: discovery reports a change within 6 s, and a silent watch is detected after 5 s.
 	localTrustDelay = 6 * time.Second
-	// remoteStatusTTL is how long a remote status is kept, so that it is not forwarded repeatedly.
+	// remoteStatusTTL is how long a remote status is stored, so that it is not forwarded repeatedly.
 	remoteStatusTTL = 15 * time.Minute
 )
 
-// Table has the statuses that are known to one member. It is not safe for concurrent use. Times count from any fixed moment.
+// Table holds the statuses that are known to one member. It is not safe for concurrent use. All times are relative to the same moment,
+// which the caller chooses.
 type Table struct {
 	local      map[string]Status
 	localFresh bool                    // discovery has reported since the start
-	remote     map[string]remoteStatus // by worker: statuses that superseded the local one on arrival
+	remote     map[string]remoteStatus // by worker: statuses that superseded the local status on arrival
 }
 
 // remoteStatus is a status that another member has reported.
 type remoteStatus struct {
 	Status
 	receivedAt time.Duration
-	overruled  bool // the own list has not confirmed it for localTrustDelay and counts instead
+	overruled  bool // the local list has not confirmed it within localTrustDelay and is used instead
 }
 
 // NewTable returns an empty Table.
 func NewTable() *Table { return &Table{local: map[string]Status{}, remote: map[string]remoteStatus{}} }
 
-// UpdateLocal replaces the local statuses. fresh reports that they are from discovery rather than from a list of before the start. It
-// returns the updates for other members, sorted by name: statuses that supersede the previous fresh ones and that no other member has
-// reported.
+// UpdateLocal replaces the local statuses. fresh means that discovery has reported them since the start; otherwise they are from an
+// earlier list. UpdateLocal returns the updates for other members, sorted by name: statuses that supersede the previous fresh ones and
+// that no other member has reported.
 func (t *Table) UpdateLocal(statuses []Status, fresh bool) (updates []Status) {
 	previous := t.local
 	t.local = make(map[string]Status, len(statuses))
@@ -96,15 +97,15 @@
 	return updates
 }
 
-// Local returns the local statuses, sorted by name, for a member that starts. fresh has the meaning that it has in UpdateLocal.
+// Local returns the local statuses, sorted by name, for a member that has just started. fresh has the same meaning as in UpdateLocal.
 func (t *Table) Local() (statuses []Status, fresh bool) {
 	return slices.SortedFunc(maps.Values(t.local), compareNames), t.localFresh
 }
 
 func compareNames(a, b Status) int { return cmp.Compare(a.Name, b.Name) }
 
-// Merge merges statuses from another member, received at the time now. It returns those that were new, to be forwarded, and the number
-// of those that are invalid or exceed maxRemoteStatuses.
+// Merge merges statuses that were received from another member at the time now. It returns the new ones, which are to be forwarded, and
+// the number of statuses that are invalid or exceed maxRemoteStatuses.
 func (t *Table) Merge(now time.Duration, statuses []Status) (updates []Status, rejected int) {
 	for _, status := range statuses {
 		if !status.isValid() {
@@ -126,9 +127,9 @@
 	return updates, rejected
 }
 
-// Excluded returns the workers to exclude at the time now, sorted by name: those of the own list for which others have reported a later
-// state. watchUptime is how long the own watch has reported without interruption; below 0: it does not report. While it does, Excluded
-// also forgets remote statuses that are older than remoteStatusTTL.
+// Excluded returns the workers to exclude at the time now, sorted by name: workers of the local list for which other members have
+// reported a later state. watchUptime is how long the local watch has reported without interruption; a negative value means that it does
+// not report. While it reports, Excluded also deletes remote statuses that are older than remoteStatusTTL.
 func (t *Table) Excluded(now, watchUptime time.Duration) (names []string) {
 	watching := watchUptime >= 0
 	for name, reported := range t.remote {
--- a/internal/gossip/endpoints/table_test.go
+++ b/internal/gossip/endpoints/table_test.go
@@ -15,7 +15,8 @@
 	}
 }), 0, 12)
 
-// In whatever order, batches and repetitions statuses arrive, the same workers are excluded, and no status is an update twice.
+// TestTable_MergeIsOrderIndependent verifies that the excluded workers do not depend on the order, batches and repetitions in which
+// statuses arrive, and that no status is an update twice.
 func TestTable_MergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		local, all := []Status{{Name: "a"}, {Name: "b", StartedAt: 2}}, genStatuses.Draw(t, "statuses")
@@ -30,15 +31,15 @@
 			shuffled = shuffled[n:]
 		}
 		if a, b := one.Excluded(0, -1), two.Excluded(0, -1); !slices.Equal(a, b) {
-			t.Fatalf("%v and %v", a, b)
+			t.Fatalf("excluded %v and %v, depending on the order", a, b)
 		}
 		if updates, _ := two.Merge(0, all); len(updates) > 0 {
-			t.Fatalf("updates again: %v", updates)
+			t.Fatalf("known statuses are updates again: %v", updates)
 		}
 	})
 }
 
-// A worker is excluded by statuses that supersede the local one, until the own list overrules them.
+// TestTable_Excluded verifies that a worker is excluded by statuses that supersede the local one, until the local list overrules them.
 func TestTable_Excluded(t *testing.T) {
 	const beforeTrust = localTrustDelay - 1
 	for what, c := range map[string]struct {
@@ -46,54 +47,54 @@
 		now, watchUptime time.Duration
 		excluded         bool
 	}{
-		"it drains":                           {Status{StartedAt: 5}, Status{StartedAt: 5, State: Draining}, 0, 0, true},
-		"it is gone, the own watch is silent": {Status{StartedAt: 5}, Status{StartedAt: 5, State: Gone}, time.Hour, -1, true},
-		"it was restarted":                    {Status{StartedAt: 5}, Status{StartedAt: 6}, beforeTrust, time.Hour, true},
-		"an earlier start drains":             {Status{StartedAt: 5}, Status{StartedAt: 4, State: Draining}, 0, -1, false},
-		"the own list says the same":          {Status{State: Draining}, Status{State: Draining}, 0, -1, false},
-		"the own list overrules it":           {Status{}, Status{State: Draining}, localTrustDelay, time.Hour, false},
-		"the own watch is too young":          {Status{}, Status{State: Draining}, time.Hour, beforeTrust, true},
+		"draining worker":                          {Status{StartedAt: 5}, Status{StartedAt: 5, State: Draining}, 0, 0, true},
+		"gone, the local watch does not report":    {Status{StartedAt: 5}, Status{StartedAt: 5, State: Gone}, time.Hour, -1, true},
+		"restarted worker":                         {Status{StartedAt: 5}, Status{StartedAt: 6}, beforeTrust, time.Hour, true},
+		"draining with an earlier start":           {Status{StartedAt: 5}, Status{StartedAt: 4, State: Draining}, 0, -1, false},
+		"the local list reports the same":          {Status{State: Draining}, Status{State: Draining}, 0, -1, false},
+		"overruled by the local list":              {Status{}, Status{State: Draining}, localTrustDelay, time.Hour, false},
+		"the local watch has reported too briefly": {Status{}, Status{State: Draining}, time.Hour, beforeTrust, true},
 	} {
 		table := NewTable()
 		c.local.Name, c.reported.Name = "w", "w"
 		table.UpdateLocal([]Status{c.local}, true)
 		table.Merge(0, []Status{c.reported})
 		if excluded := len(table.Excluded(c.now, c.watchUptime)) > 0; excluded != c.excluded {
-			t.Errorf("%s: excluded %t", what, excluded)
+			t.Errorf("%s: excluded: %t", what, excluded)
 		}
 	}
 }
 
-// Updates for other members are the statuses that are new since a fresh list, unless another member has reported them. A status that the
-// own list has overruled is no update when it arrives again, until it is forgotten.
+// TestTable_Updates verifies that updates are the statuses that are new since a fresh list and that no other member has reported. A status
+// that the local list has overruled is not an update when it arrives again, until it is deleted after remoteStatusTTL.
 func TestTable_Updates(t *testing.T) {
 	table := NewTable()
 	up, draining := []Status{{Name: "v"}, {Name: "w"}}, []Status{{Name: "v", State: Draining}, {Name: "w", State: Draining}}
 	if updates := table.UpdateLocal(up, false); len(updates) > 0 {
-		t.Errorf("an old list: %v", updates)
+		t.Errorf("updates from a list that is not fresh: %v", updates)
 	}
 	if updates := table.UpdateLocal(up, true); len(updates) > 0 {
-		t.Errorf("the first fresh list: %v", updates)
+		t.Errorf("updates from the first fresh list: %v", updates)
 	}
 	if updates, rejected := table.Merge(0, append(draining[:1:1], Status{}, Status{Name: "x", StartedAt: -1}, Status{Name: "x", State: 3})); len(updates) != 1 || rejected != 3 {
-		t.Errorf("%v, %d rejected", updates, rejected)
+		t.Errorf("updates %v, %d rejected; want one update and 3 rejected", updates, rejected)
 	}
 	table.Excluded(localTrustDelay, time.Hour)
 	if updates, _ := table.Merge(localTrustDelay, draining[:1]); len(updates) > 0 || len(table.Excluded(localTrustDelay, time.Hour)) > 0 {
-		t.Errorf("it came again: %v", updates)
+		t.Errorf("an overruled status is an update again: %v", updates)
 	}
 	if updates := table.UpdateLocal(draining, true); !slices.Equal(updates, draining[1:]) {
-		t.Errorf("%v, one of which others have reported", updates)
+		t.Errorf("updates %v, want only the one that no other member has reported", updates)
 	}
 	table.UpdateLocal(up, true)
 	table.Excluded(2*remoteStatusTTL, time.Hour)
 	if updates, _ := table.Merge(2*remoteStatusTTL, draining[:1]); len(updates) != 1 {
-		t.Error("it is never forgotten")
+		t.Error("an overruled status is not deleted after remoteStatusTTL")
 	}
 	for i := range 2 * maxRemoteStatuses {
 		table.Merge(0, []Status{{Name: string(rune(i + 1000)), StartedAt: 1}})
 	}
 	if len(table.remote) > maxRemoteStatuses {
-		t.Errorf("%d are stored", len(table.remote))
+		t.Errorf("%d remote statuses are stored", len(table.remote))
 	}
 }
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -25,17 +25,17 @@
 
 // Rejections of messages.
 var (
-	errNoReplica        = &peer.RejectedError{Reason: "this process has no copy"}
-	errNotCaughtUp      = &peer.RejectedError{Reason: "this process has just started: it has to hear of others first what its disk is worth"}
-	errDifferentVersion = &peer.RejectedError{Reason: "not the same was seen here"}
+	errNoReplica        = &peer.RejectedError{Reason: "this process does not own the replica"}
+	errNotCaughtUp      = &peer.RejectedError{Reason: "this process has just started and has not caught up with other members yet"}
+	errDifferentVersion = &peer.RejectedError{Reason: "version vectors differ"}
 )
 
-// digest summarizes a replica, so that two members can detect differences. It is both the request and the reply.
+// digest summarizes a replica, so that two members can detect differences. It is used as request and as reply.
 type digest struct {
 	VersionDigest   uint64     `json:"seen"`           // of the version vector
 	EntryDigest     uint64     `json:"sum"`            // of all entries
 	BucketDigests   []uint64   `json:"sums,omitempty"` // of the entries by bucket; only in a reply to a digest with the same VersionDigest
-	ObservedEntries int        `json:"count"`          // number of entries that the replica has ever had, including removed ones
+	ObservedEntries int        `json:"count"`          // number of entries that the replica has ever had, removed ones included
 	StoredEntries   int        `json:"held"`
 	Info            MemberInfo `json:"about,omitzero"`
 }
@@ -45,7 +45,7 @@
 	return d.VersionDigest == other.VersionDigest && d.EntryDigest == other.EntryDigest
 }
 
-// pullRequest requests a chunk of the entries that the sender lacks. The reply is a replication.Chunk.
+// pullRequest requests a chunk of the entries that its sender lacks. The reply is a replication.Chunk.
 type pullRequest struct {
 	Version replication.VersionVector `json:"seen"`
 	Cursor  replication.Cursor        `json:"from"`
@@ -53,7 +53,7 @@
 
 // removals lists entries of the sender; the reply lists those of them that were removed.
 type removals struct {
-	VersionDigest uint64            `json:"seen"` // of the version vector, which has to be the same at both members
+	VersionDigest uint64            `json:"seen"` // of the version vector, which must be equal at both members
 	Dots          []replication.Dot `json:"dots"`
 }
 
@@ -77,7 +77,7 @@
 		return err
 	}
 	if err := json.Unmarshal(answer, reply); err != nil {
-		return fmt.Errorf("%s of %s: %w", path, to, err)
+		return fmt.Errorf("decoding the reply to %s from %s: %w", path, to, err)
 	}
 	return nil
 }
@@ -87,7 +87,7 @@
 func handle[Request, Reply any](n *Node, body []byte, serve func(*Request) (Reply, error)) ([]byte, error) {
 	malformed := func(decodeErr error) (Reply, error) {
 		n.Counters.Rejected.Add(1)
-		return peer.RejectMalformed[Reply]("no message about copies: ")(decodeErr)
+		return peer.RejectMalformed[Reply]("malformed replication message: ")(decodeErr)
 	}
 	return peer.ServeJSON(body, malformed, func(request *Request) (reply Reply, err error) {
 		err = n.withReplica(func() error {
@@ -98,7 +98,7 @@
 	})
 }
 
-// handleDigest compares digests. A member that differs may have entries that this one lacks, so that a sync with it is scheduled.
+// handleDigest compares digests. If they differ, it schedules a sync, as the sender may have entries that this replica lacks.
 func (n *Node) handleDigest(_ context.Context, from peer.Sender, body []byte) ([]byte, error) {
 	return handle(n, body, func(theirs *digest) (digest, error) {
 		ours := n.localDigestLocked()
@@ -113,7 +113,7 @@
 		}
 		select {
 		case n.pendingSyncs <- from.Name:
-		default: // enough members wait; this one is left to a later round
+		default: // the queue is full; the sync is left to a later round
 		}
 		return ours, nil
 	})
@@ -129,7 +129,7 @@
 	})
 }
 
-// handleRemovals returns which of the sender's entries this replica has removed. Guards against a sender with another version vector: a
+// handleRemovals returns which of the sender's entries this replica has removed. It rejects a sender with another version vector, as a
 // removed entry may have been replaced by one that the sender lacks.
 func (n *Node) handleRemovals(_ context.Context, _ peer.Sender, body []byte) ([]byte, error) {
 	return handle(n, body, func(request *removals) (removals, error) {
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -18,12 +18,13 @@
 	"birchfork/internal/replication"
 )
 
-// The golden files contain what earlier builds have stored, sent and answered. UPDATE_GOLDEN=1 writes them.
+// The golden files contain the files, requests and answers of earlier builds. UPDATE_GOLDEN=1 writes them.
 
 // goldenStartTime is the start time of each process in these tests.
 var goldenStartTime = time.Date(2024, 5, 6, 7, 8, 9, 10, time.UTC)
 
-// goldenReplica has an override that replaced another one, two in conflict, and an entry of a kind that is unknown to this build.
+// goldenReplica returns a replica with an override that replaced another one, two overrides in conflict, and an entry of a kind that is
+// unknown to this build.
 func goldenReplica(t *testing.T) *replication.Replica {
 	t.Helper()
 	mine, theirs := replication.New("life-a"), replication.New("life-b")
@@ -47,14 +48,14 @@
 	return mine
 }
 
-// goldenKeys are the keys of all entries of goldenReplica.
+// goldenKeys has the keys of all entries of goldenReplica.
 var goldenKeys = map[replication.Key]bool{
 	{Kind: replication.KindOverride, Name: "w1"}: true,
 	{Kind: replication.KindOverride, Name: "w2"}: true,
 	{Kind: newerKind, Name: "w3"}:                true,
 }
 
-// dump returns the logical content of a bbolt file: buckets, keys and values.
+// dump returns the buckets, keys and values of a bbolt file as text.
 func dump(t *testing.T, db *bbolt.DB) []byte {
 	t.Helper()
 	var out strings.Builder
@@ -73,23 +74,24 @@
 	return []byte(out.String())
 }
 
-// The file has the same buckets, keys and values as before, and this build opens a file of an earlier one.
+// TestGolden_Storage verifies that the file has the same buckets, keys and values as in earlier builds, and that this build opens a file of
+// an earlier one.
 func TestGolden_Storage(t *testing.T) {
 	want := goldenReplica(t)
 	dir := t.TempDir()
-	d, _, err := openStorage(dir, "g", replication.New("life-c"), func(*storage, *batch) {})
+	opened, _, err := openStorage(dir, "g", replication.New("life-c"), func(*storage, *batch) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := d.enqueue(want, goldenKeys)
+	queued, err := opened.enqueue(want, goldenKeys)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if <-b.done; b.err != nil {
-		t.Fatal(b.err)
+	if <-queued.done; queued.err != nil {
+		t.Fatal(queued.err)
 	}
-	goldentest.Check(t, "words.db.txt", dump(t, d.db))
-	if err := d.close(); err != nil {
+	goldentest.Check(t, "words.db.txt", dump(t, opened.db))
+	if err := opened.close(); err != nil {
 		t.Fatal(err)
 	}
 	file := filepath.Join(dir, "words.db")
@@ -107,22 +109,22 @@
 	if err := os.WriteFile(file, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, at := startNode(t, "a", dir, "b")
-	if s.replica.Digest() != want.Digest() || s.replica.Version().Digest() != want.Version().Digest() {
-		t.Errorf("it has %v, want %v", s.replica.Version(), want.Version())
+	node, dispatcher := startNode(t, "a", dir, "b")
+	if node.replica.Digest() != want.Digest() || node.replica.Version().Digest() != want.Version().Digest() {
+		t.Errorf("restored version %v, want %v", node.replica.Version(), want.Version())
 	}
 	for _, name := range []string{"w1", "w2", "w3"} {
-		if at.isDisabled(name) != (name != "w3") {
-			t.Errorf("%s is disabled: %t", name, at.isDisabled(name))
+		if dispatcher.isDisabled(name) != (name != "w3") {
+			t.Errorf("%s is disabled: %t", name, dispatcher.isDisabled(name))
 		}
 	}
-	if data := s.replica.Get(newerKind, "w3"); len(data) != 1 || string(data[0].Data) != newerData {
+	if data := node.replica.Get(newerKind, "w3"); len(data) != 1 || string(data[0].Data) != newerData {
 		t.Errorf("%+v", data)
 	}
-	goldentest.Check(t, "words.db.txt", dump(t, s.storage.db))
+	goldentest.Check(t, "words.db.txt", dump(t, node.storage.db))
 }
 
-// Each message and each reply has the same encoding as before, with all fields.
+// TestGolden_Messages verifies that each message and reply has the same encoding as in earlier builds, with all fields.
 func TestGolden_Messages(t *testing.T) {
 	dots := []replication.Dot{{Incarnation: "life-a", Counter: 1}, {Incarnation: "life-b", Counter: 2}}
 	about := MemberInfo{Version: "v", SettingsDigest: "s", OperatorDigest: "o", StartedAt: goldenStartTime}
@@ -147,7 +149,7 @@
 	})
 }
 
-// goldenNode returns member a of group g with member b, and with goldenReplica.
+// goldenNode returns member a of the group g of a and b, with goldenReplica.
 func goldenNode(t *testing.T) *Node {
 	t.Helper()
 	node, _ := startNode(t, "a", "", "b")
@@ -165,7 +167,7 @@
 	return node
 }
 
-// normalizeReply returns an operator's reply without the values that depend on the time and on the time zone.
+// normalizeReply returns the reply to an operator's call without the values that depend on time and time zone.
 func normalizeReply(t *testing.T, answer string) string {
 	t.Helper()
 	head, body, _ := strings.Cut(answer, "\n{")
@@ -190,7 +192,7 @@
 	return head + "\n" + string(raw) + "\n"
 }
 
-// Answers to messages and calls of an earlier build are the same as before, path by path.
+// TestGolden_Answers verifies that messages and calls of an earlier build have the same answers as in that build, for each path.
 func TestGolden_Answers(t *testing.T) {
 	node := goldenNode(t)
 	node.cancel = func() {}
@@ -244,7 +246,7 @@
 	goldentest.Check(t, "answers.txt", []byte(out.String()))
 }
 
-// goldenPeer answers as a member whose entries differ from goldenReplica's: first by its version, then by a removal alone.
+// goldenPeer answers as a member whose replica differs from goldenReplica: first in its version vector, then only by a removal.
 type goldenPeer struct {
 	t       *testing.T
 	replica *replication.Replica
@@ -276,11 +278,11 @@
 	case "/group/copies/gone":
 		return fmt.Appendf(nil, `{"seen":%s,"dots":[{"life":"life-d","count":1}]}`, request.Version)
 	}
-	p.t.Errorf("request at %s", path)
+	p.t.Errorf("unexpected request to %s", path)
 	return nil
 }
 
-// sortDots returns requests with the entries of the last one, which have no order, sorted.
+// sortDots returns requests with the dots of the last one sorted, as their order is random.
 func sortDots(t *testing.T, requests string) []byte {
 	t.Helper()
 	bodies := strings.SplitAfter(requests, "\n\n")
@@ -297,7 +299,8 @@
 	return []byte(strings.TrimSuffix(requests, last) + string(raw) + "\n")
 }
 
-// Messages to a member that differs have the same paths and bodies as before: a digest, two pulls, a digest, removals.
+// TestGolden_Requests verifies that the messages to a member with a different replica have the same paths and bodies as in earlier builds:
+// a digest, two pulls, a digest, removals.
 func TestGolden_Requests(t *testing.T) {
 	theirs := &goldenPeer{t: t, replica: replication.New("life-d")}
 	for _, name := range []string{"w4", "w5"} {
@@ -314,16 +317,16 @@
 	}
 	goldentest.Check(t, "requests.txt", sortDots(t, string(b.Text())))
 	if names := node.replica.Names(replication.KindOverride); !slices.Equal(names, []string{"w1", "w2", "w5"}) {
-		t.Errorf("it has %v", names)
+		t.Errorf("overrides after the sync: %v, want w1, w2, w5", names)
 	}
 	node.mu.Lock()
 	defer node.mu.Unlock()
 	if !node.caughtUpWith["b"] || node.traffic["b"].messages != 5 || node.Counters.Chunks.Load() != 2 || node.Counters.Merged.Load() != 2 || node.Counters.Removed.Load() != 1 {
-		t.Errorf("caught up %t, %+v, %v", node.caughtUpWith["b"], node.traffic["b"], node.Fields())
+		t.Errorf("caught up %t, traffic %+v, counters %v", node.caughtUpWith["b"], node.traffic["b"], node.Fields())
 	}
 }
 
-// An operator's call at a member has the same path, headers and body as before.
+// TestGolden_Call verifies that an operator's call to a member has the same path, headers and body as in earlier builds.
 func TestGolden_Call(t *testing.T) {
 	raw, err := os.ReadFile(peertest.GoldenPath("reply.json"))
 	if err != nil && !peertest.Updating() {
@@ -336,12 +339,12 @@
 	}
 	again, err := json.Marshal(r)
 	if err != nil || string(again)+"\n" != string(raw) {
-		t.Errorf("%s, %v", again, err)
+		t.Errorf("reply encoded again: %s, %v", again, err)
 	}
 	goldentest.Check(t, "call.txt", b.Text())
 }
 
-// Counters have the same names in log and status as before.
+// TestGolden_Counters verifies that the counters have the same names in log and status as in earlier builds.
 func TestGolden_Counters(t *testing.T) {
 	s, _ := startNode(t, "a", "")
 	peertest.GoldenCounters(t, "counters.txt", s.Fields())
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,6 +1,6 @@
 // Package gossip replicates the operators' overrides between the members of a group without a leader. A Node owns this process's
 // replica (package replication has its data and merges it), persists it, disseminates changes to some random members at once, and
-// compares the replica with that of one random member about every second, so that members that were cut off converge (anti-entropy).
+// compares the replica with that of one random member about every second, so that disconnected members converge (anti-entropy).
 // Messages are sent by package peer.
 package gossip
 
@@ -19,7 +19,7 @@
 	"birchfork/internal/replication"
 )
 
-// maxPendingSyncs limits the members that have sent a different digest and wait for a sync.
+// maxPendingSyncs limits the members that have sent a different digest and are queued for a sync.
 const maxPendingSyncs = 16
 
 // incarnationLength is the number of characters of a replica's incarnation.
@@ -30,12 +30,12 @@
 	Group string   // name of the group
 	Self  string   // name of this member
 	Peers []string // names of the other members
-	Dir   string   // directory in which the replica is persisted; empty: it is not persisted
+	Dir   string   // directory for the persisted replica; empty: it is not persisted
 
 	// ApplyOverride puts a worker's replicated override into effect at this dispatcher and returns its version there. It is called
 	// with the Node's lock held.
 	ApplyOverride func(worker string, disabled bool) (version int64)
-	// SetOverride sets an override as a call of the admin server does. The note is shown to the operator.
+	// SetOverride sets an override in the same way as the admin server. The note is shown to the operator.
 	SetOverride func(worker string, disabled bool) (note string, err error)
 	// Info describes this process to the other members and to operators. It may be nil.
 	Info func() MemberInfo
@@ -51,11 +51,11 @@
 	StartedAt      time.Time `json:"started"`  // by that member's clock
 }
 
-// Node is one member's part in the gossip. It is safe for concurrent use, except for Attach, Detach and Close, which only its owner
+// Node runs the gossip of one member. It is safe for concurrent use, except for Attach, Detach and Close, which only its owner
 // calls.
 //
-// A dispatcher may run as two processes during a hot restart. One of them at a time owns the replica, as one at a time can lock its
-// file: the Node of the other one does nothing until it is attached.
+// A dispatcher may run as two processes during a hot restart. Only one of them owns the replica at a time, as only one can lock its file.
+// The Node of the other process is idle until it is attached.
 type Node struct {
 	Counters Counters
 
@@ -69,11 +69,11 @@
 	traffic   map[string]traffic
 	transport *peer.Transport // nil: not attached
 
-	cancel context.CancelFunc // ends the loops
+	cancel context.CancelFunc // stops the loops
 	loops  sync.WaitGroup
 
-	changed      chan struct{} // signalled after a change of the replica: a round is due
-	pendingSyncs chan string   // members that differ from this one
+	changed      chan struct{} // signalled after a change of the replica, which makes a round due
+	pendingSyncs chan string   // members whose digests differ from this one's
 }
 
 // session is the state of a Node while it owns the replica.
@@ -81,20 +81,20 @@
 	replica *replication.Replica // nil: another process of this dispatcher owns it
 
 	storage                *storage                 // nil: nothing is persisted
-	dirty                  map[replication.Key]bool // entries to submit to the storage: new ones, or ones that it failed to write
+	dirty                  map[replication.Key]bool // keys of entries to submit to the storage: changed, or not written because of an error
 	submittedVersionDigest uint64                   // digest of the version vector that was last submitted to the storage
-	writeFailed            bool                     // the storage failed to write it
-	lastBatch              *batch                   // last submitted to the storage
-	persistErr             error                    // why the replica may not be persisted; nil: it is persisted
+	writeFailed            bool                     // the storage failed to write a batch since then
+	lastBatch              *batch                   // the batch last submitted to the storage
+	persistErr             error                    // why changes may not be persisted; nil: they are
 
-	peerVersions map[string]replication.VersionVector // by member: its version vector when it was last in sync
+	peerVersions map[string]replication.VersionVector // by member: its version vector when last in sync
 	pulls        map[string]*replication.PullProgress // by member
-	syncing      map[string]bool                      // members with which a sync runs
-	caughtUpWith map[string]bool                      // members whose entries this replica has all of
-	firstContact time.Time                            // with any member
+	syncing      map[string]bool                      // members with a running sync
+	caughtUpWith map[string]bool                      // members all of whose entries this replica has
+	firstContact time.Time                            // time of the first contact with any member
 
-	localVersions    map[string]int64 // by worker: the version of this dispatcher's own override that the replica accounts for
-	inherited        map[string]bool  // workers that were disabled at this dispatcher before the start and have no entry in the replica
+	localVersions    map[string]int64 // by worker: the version of this dispatcher's override that is merged into the replica
+	inherited        map[string]bool  // workers disabled at this dispatcher before the start, without an entry in the replica
 	hasLocalBaseline bool             // the overrides from before the start are merged: later changes are new
 }
 
@@ -115,7 +115,7 @@
 	}
 }
 
-// New opens the replica and applies its overrides, so that they are in effect before anything is dispatched. If another process of this
+// New opens the replica and applies its overrides, so that they are in effect before the first dispatch. If another process of this
 // dispatcher owns the replica, Attach opens it later. New returns an error if the file in the directory belongs to another group or
 // has another format.
 func New(options Options) (*Node, error) {
@@ -137,7 +137,7 @@
 }
 
 // openReplicaLocked begins a session with the contents of the storage. Unreadable or unusable storage is logged, and the member takes
-// part all the same.
+// part without it.
 func (n *Node) openReplicaLocked() error {
 	replica := replication.New(newIncarnation(n.options.Self))
 	opened, unreadable, err := openStorage(n.options.Dir, n.options.Group, replica, n.onBatchWritten)
@@ -159,7 +159,7 @@
 	return nil
 }
 
-// newIncarnation returns the incarnation of a new replica. It is random, as no dot of an earlier replica may be reused.
+// newIncarnation returns the incarnation of a new replica. It is random, so that no dot of an earlier replica is reused.
 func newIncarnation(self string) string {
 	if failpoint.Enabled(failpoint.ReuseDots) {
 		return self
@@ -168,12 +168,12 @@
 }
 
 // Attach connects the Node to a transport that does not serve yet. It opens the replica if the Node does not own it, registers the
-// handlers and starts the loops, which Detach ends.
+// handlers and starts the loops, which Detach stops.
 func (n *Node) Attach(transport *peer.Transport) {
 	n.mu.Lock()
 	if n.replica == nil {
 		if err := n.openReplicaLocked(); err != nil {
-			n.options.Log.WithError(err).Error("replica not opened, taking no part in gossip")
+			n.options.Log.WithError(err).Error("opening the replica failed, not taking part in gossip")
 		}
 	}
 	n.transport = transport
@@ -187,14 +187,14 @@
 	n.loops.Go(func() { n.disseminate(ctx) })
 }
 
-// Detach ends the loops and closes the Node: another process of this dispatcher may own the replica from then on.
+// Detach stops the loops and closes the Node. Another process of this dispatcher may own the replica afterwards.
 func (n *Node) Detach() {
 	n.cancel()
 	n.loops.Wait()
 	n.Close()
 }
 
-// Close persists what is not persisted yet and releases the replica and its file. An attached Node is closed by Detach.
+// Close persists pending changes and releases the replica and its file. An attached Node must be closed by Detach.
 func (n *Node) Close() {
 	n.mu.Lock()
 	n.transport = nil
@@ -211,7 +211,7 @@
 	}
 }
 
-// withReplica calls f with the lock held. It returns errNoReplica without a call if this process does not own the replica.
+// withReplica calls f with the lock held. It returns errNoReplica without calling f if this process does not own the replica.
 func (n *Node) withReplica(f func() error) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeDispatcher is a dispatcher as needed by a Node: the overrides in effect, with a version that counts up.
+// fakeDispatcher holds the overrides in effect, as a Node needs them from a dispatcher. Each applied override gets the next version.
 type fakeDispatcher struct {
 	mu       sync.Mutex
 	disabled map[string]bool
@@ -43,7 +43,7 @@
 	return d.disabled[worker]
 }
 
-// startNode returns a member of group g that is not attached, and its dispatcher.
+// startNode returns an unattached member of group g and its dispatcher.
 func startNode(t *testing.T, name, dir string, peers ...string) (*Node, *fakeDispatcher) {
 	t.Helper()
 	log := logrus.New()
@@ -58,8 +58,8 @@
 	return node, dispatcher
 }
 
-// A member that has just started sends no entries: one that has lost its disk would pull entries from an outdated disk that all others
-// have removed.
+// TestNode_RejectsPullsBeforeCatchUp verifies that a member that has just started sends no entries. Its disk may be outdated, and a member
+// that has lost its own disk would pull entries from it that all others have removed.
 func TestNode_RejectsPullsBeforeCatchUp(t *testing.T) {
 	node, _ := startNode(t, "a", t.TempDir(), "b", "c")
 	pullOnce := func() error {
@@ -67,22 +67,22 @@
 		return err
 	}
 	if err := pullOnce(); !errors.Is(err, errNotCaughtUp) {
-		t.Errorf("right after the start: %v", err)
+		t.Errorf("pull right after the start: %v", err)
 	}
 	node.markCaughtUp("b")
 	if node.markCaughtUp("c"); pullOnce() != nil {
-		t.Errorf("caught up with two others: %v", pullOnce())
+		t.Errorf("pull after catching up with two others: %v", pullOnce())
 	}
 	clear(node.caughtUpWith)
 	if node.startedAt = node.startedAt.Add(-time.Hour); !errors.Is(pullOnce(), errNotCaughtUp) {
-		t.Errorf("no contact with any member: %v", pullOnce())
+		t.Errorf("pull without contact to any member: %v", pullOnce())
 	}
 	if node.firstContact = time.Now().Add(-2 * catchUpTimeout); pullOnce() != nil {
-		t.Errorf("in contact with one other for a while: %v", pullOnce())
+		t.Errorf("pull after catchUpTimeout of contact with one other: %v", pullOnce())
 	}
 }
 
-// attachAll attaches nodes to each other, and returns a function that detaches them.
+// attachAll attaches nodes to each other and returns a function that detaches them.
 func attachAll(t *testing.T, nodes ...*Node) (detachAll func()) {
 	t.Helper()
 	names := make([]string, 0, len(nodes))
@@ -102,7 +102,7 @@
 	}
 }
 
-// setOverride sets an override, which has to succeed with or without a note.
+// setOverride sets an override and fails the test on an error. It ignores the note.
 func setOverride(t *testing.T, node *Node, worker string, disabled bool, version int64) {
 	t.Helper()
 	if _, err := node.SetOverride(worker, disabled, version); err != nil {
@@ -110,23 +110,23 @@
 	}
 }
 
-// await waits until ok returns true, for at most 20 s.
+// await waits for up to 20 s until ok returns true.
 func await(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not within 20 s: ", what)
+			t.Fatal("timed out after 20 s: ", what)
 		}
 	}
 }
 
-// newerKind and newerData are of an entry of a newer build, which members store and forward.
+// newerKind and newerData are the kind and data of an entry of a newer build, which members store and forward.
 const (
 	newerKind = "later"
 	newerData = `{"x":1}`
 )
 
-// writeNewerEntry adds the entry to a node's replica, as a member of a newer build would.
+// writeNewerEntry adds an entry of newerKind to a node's replica, as a member of a newer build would.
 func writeNewerEntry(t *testing.T, node *Node) {
 	t.Helper()
 	node.mu.Lock()
@@ -138,7 +138,7 @@
 	node.wake()
 }
 
-// hasNewerEntry reports whether a node's replica has the entry.
+// hasNewerEntry reports whether a node's replica has the entry of writeNewerEntry.
 func hasNewerEntry(node *Node) bool {
 	node.mu.Lock()
 	defer node.mu.Unlock()
@@ -153,7 +153,8 @@
 	return len(node.replica.Names(replication.KindOverride))
 }
 
-// An override reaches all members and survives a restart; one that enables the worker again is removed once all members have it.
+// TestNode_OverrideReachesAllMembers verifies that an override reaches all members and survives a restart, and that an override that
+// enables the worker again is removed once all members have it.
 func TestNode_OverrideReachesAllMembers(t *testing.T) {
 	dir := t.TempDir()
 	a, atA := startNode(t, "a", dir, "b", "c")
@@ -161,23 +162,23 @@
 	c, atC := startNode(t, "c", "", "a", "b")
 	detachAll := attachAll(t, a, b, c)
 	if note, err := a.SetOverride("r", true, 1); note != "" || err != nil {
-		t.Errorf("note %q, %v", note, err)
+		t.Errorf("note %q, error %v; want neither", note, err)
 	}
 	if note, _ := c.SetOverride("q", true, 1); !strings.Contains(note, "no folder") {
 		t.Errorf("note without a directory: %q", note)
 	}
-	await(t, "all members have both", func() bool {
+	await(t, "all members have both overrides", func() bool {
 		return atB.isDisabled("r") && atC.isDisabled("r") && atA.isDisabled("q") && atB.isDisabled("q")
 	})
 	writeNewerEntry(t, c)
-	await(t, "the others have the entry of an unknown kind", func() bool { return hasNewerEntry(a) && hasNewerEntry(b) })
+	await(t, "the other members have the entry of an unknown kind", func() bool { return hasNewerEntry(a) && hasNewerEntry(b) })
 	detachAll()
 	a.Close()
 	restarted, dispatcher := startNode(t, "a", dir, "b", "c")
 	if !dispatcher.isDisabled("r") || !dispatcher.isDisabled("q") || !hasNewerEntry(restarted) {
-		t.Errorf("after a restart: %v, the entry of an unknown kind: %t", dispatcher.disabled, hasNewerEntry(restarted))
+		t.Errorf("after a restart: disabled %v, has the entry of an unknown kind: %t", dispatcher.disabled, hasNewerEntry(restarted))
 	}
-	b.mu.Lock() // reopened from its own disk, to be attached again
+	b.mu.Lock() // reopened from its disk, to be attached again
 	if err := b.openReplicaLocked(); err != nil {
 		t.Fatal(err)
 	}
@@ -205,7 +206,8 @@
 	}
 }
 
-// A stalled disk blocks only an operator's call, which waits until the override is synced.
+// TestNode_StalledStorageBlocksOnlyItsWriter verifies that a stalled disk blocks only the operator's call that waits until its override is
+// synced.
 func TestNode_StalledStorageBlocksOnlyItsWriter(t *testing.T) {
 	a, dispatcher := startNode(t, "a", t.TempDir())
 	b, _ := startNode(t, "b", "")
@@ -223,7 +225,7 @@
 	if _, err := b.SetOverride("q", true, 1); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the other member's override is in effect here", func() bool { return dispatcher.isDisabled("q") })
+	await(t, "the other member's override is in effect", func() bool { return dispatcher.isDisabled("q") })
 	a.MergeLocalOverrides(nil)
 	a.CaughtUp()
 	select {
@@ -240,7 +242,8 @@
 	detachAll()
 }
 
-// A member with another version vector gets no removals: a removed entry may have been replaced by one that it lacks.
+// TestNode_RemovalsNeedEqualVersions verifies that a member with another version vector gets no removals, as a removed entry may have been
+// replaced by one that it lacks.
 func TestNode_RemovalsNeedEqualVersions(t *testing.T) {
 	node, _ := startNode(t, "a", "")
 	setOverride(t, node, "r", true, 1)
@@ -258,7 +261,7 @@
 	}
 }
 
-// An override ends a conflict, also one that is in effect already.
+// TestNode_OverrideEndsConflict verifies that an override resolves a conflict, even if the override is already in effect.
 func TestNode_OverrideEndsConflict(t *testing.T) {
 	node, _ := startNode(t, "a", "")
 	other := replication.New("other")
@@ -278,8 +281,8 @@
 	}
 }
 
-// New overrides of this dispatcher's other processes are replicated; those from before the start only if the replica has no entry for the
-// worker, once this member has caught up.
+// TestNode_MergesLocalOverrides verifies that new overrides of this dispatcher's other processes are replicated. Overrides from before the
+// start are replicated only if the replica has no entry for the worker, once this member has caught up.
 func TestNode_MergesLocalOverrides(t *testing.T) {
 	node, dispatcher := startNode(t, "a", "", "b")
 	if _, err := node.replica.Write(replication.Entry{Kind: replication.KindOverride, Name: "known", Disabled: true, Member: "b"}); err != nil {
@@ -305,7 +308,7 @@
 	if node.replica.Len() != 2 || !node.isDisabledLocked("lost") {
 		t.Errorf("%d entries, lost is disabled: %t", node.replica.Len(), node.isDisabledLocked("lost"))
 	}
-	overrides["lost"] = hotrestart.Override{Disabled: false, At: overrides["lost"].At} // as from a file that was not written yet
+	overrides["lost"] = hotrestart.Override{Disabled: false, At: overrides["lost"].At} // as read from a file that is not yet updated
 	node.MergeLocalOverrides(overrides)
 	if !node.isDisabledLocked("lost") {
 		t.Error("an old override was replicated again")
@@ -318,37 +321,37 @@
 	}
 }
 
-// Malformed messages are rejected and counted, and no part of them is merged.
+// TestNode_RejectsMalformedMessages verifies that malformed messages are rejected and counted, and that no part of them is merged.
 func TestNode_RejectsMalformedMessages(t *testing.T) {
 	node, _ := startNode(t, "a", "", "b")
 	long := strings.Repeat("x", replication.MaxNameLength+1)
 	for _, body := range []string{"", "{", "[]", `{"seen":"x"}`, `{"seen":-1}`} {
 		for _, handler := range []peer.Handler{node.handleDigest, node.handlePull, node.handleRemovals} {
 			if out, err := handler(context.Background(), peer.Sender{Name: "b"}, []byte(body)); err == nil && len(out) > 4096 {
-				t.Errorf("%q: %d bytes", body, len(out))
+				t.Errorf("malformed message %q has a reply of %d bytes", body, len(out))
 			}
 		}
 	}
 	if n := node.Counters.Rejected.Load(); n < 10 {
-		t.Errorf("%d counted", n)
+		t.Errorf("%d rejections counted, want at least 10", n)
 	}
 	valid := replication.Entry{Kind: replication.KindOverride, Name: "r", Dot: replication.Dot{Incarnation: "l", Counter: 1}}
 	for what, change := range map[string]func(*replication.Chunk){
-		"kind":      func(chunk *replication.Chunk) { chunk.Entries[1].Kind = "" },
-		"long kind": func(chunk *replication.Chunk) { chunk.Entries[1].Kind = replication.EntryKind(long) },
-		"data":      func(chunk *replication.Chunk) { chunk.Entries[1].Data = []byte(strings.Repeat("1", 2000)) },
-		"zero":      func(chunk *replication.Chunk) { chunk.Entries[1].Name = "a\x00b" },
-		"name":      func(chunk *replication.Chunk) { chunk.Entries[1].Name = long },
-		"no name":   func(chunk *replication.Chunk) { chunk.Entries[1].Name = "" },
-		"count":     func(chunk *replication.Chunk) { chunk.Entries[1].Counter = 0 },
-		"life":      func(chunk *replication.Chunk) { chunk.Incarnation = "" },
-		"member":    func(chunk *replication.Chunk) { chunk.Entries[1].Member = long },
-		"from":      func(chunk *replication.Chunk) { chunk.From.Name = "z" },
+		"kind":           func(chunk *replication.Chunk) { chunk.Entries[1].Kind = "" },
+		"length of kind": func(chunk *replication.Chunk) { chunk.Entries[1].Kind = replication.EntryKind(long) },
+		"data":           func(chunk *replication.Chunk) { chunk.Entries[1].Data = []byte(strings.Repeat("1", 2000)) },
+		"zero":           func(chunk *replication.Chunk) { chunk.Entries[1].Name = "a\x00b" },
+		"name":           func(chunk *replication.Chunk) { chunk.Entries[1].Name = long },
+		"empty name":     func(chunk *replication.Chunk) { chunk.Entries[1].Name = "" },
+		"count":          func(chunk *replication.Chunk) { chunk.Entries[1].Counter = 0 },
+		"life":           func(chunk *replication.Chunk) { chunk.Incarnation = "" },
+		"member":         func(chunk *replication.Chunk) { chunk.Entries[1].Member = long },
+		"from":           func(chunk *replication.Chunk) { chunk.From.Name = "z" },
 	} {
 		chunk := replication.Chunk{Incarnation: "l", Entries: []replication.Entry{valid, valid}, Done: true}
 		change(&chunk)
 		if _, err := node.replica.Merge(&replication.PullProgress{}, chunk); err == nil || node.replica.Len() > 0 {
-			t.Errorf("%s: %v, %d entries", what, err, node.replica.Len())
+			t.Errorf("chunk with invalid %s: error %v, %d entries", what, err, node.replica.Len())
 		}
 	}
 	if _, err := node.replica.Write(replication.Entry{Kind: replication.KindOverride, Name: long}); err == nil {
--- a/internal/gossip/outliers/golden_test.go
+++ b/internal/gossip/outliers/golden_test.go
@@ -11,7 +11,8 @@
 	"birchfork/internal/peer/peertest"
 )
 
-// A report has the same path, headers and body as before, and one from an earlier build is read. UPDATE_GOLDEN=1 writes the files.
+// TestGolden_Report verifies that a report has the same path, headers and body as in earlier builds, and that a report from an earlier
+// build is accepted. UPDATE_GOLDEN=1 writes the golden files.
 func TestGolden_Report(t *testing.T) {
 	peertest.GoldenJSON(t, "report.json", report{Worker: "w1"})
 	b := peertest.NewRecorder(t, func(string, []byte) []byte { return nil })
@@ -34,14 +35,14 @@
 	out += peertest.Post(t, listener.Addr().String(), "/group/warn", peertest.Headers(), []byte(`{"worker":""}`))
 	goldentest.Check(t, "answers.txt", []byte(out))
 	if name := <-reported; name != "w2" {
-		t.Errorf("reported: %s", name)
+		t.Errorf("reported worker %s, want w2", name)
 	}
 	if out, err := broadcaster.handleReport(context.Background(), peer.Sender{Name: "b"}, raw); len(out) > 0 || err != nil {
-		t.Errorf("%q, %v", out, err)
+		t.Errorf("answer %q, error %v; want neither", out, err)
 	}
 }
 
-// Counters have the same names in the log as before.
+// TestGolden_Counters verifies that the counters have the same names in the log as in earlier builds.
 func TestGolden_Counters(t *testing.T) {
 	peertest.GoldenCounters(t, "counters.txt", New(nil, nil).Fields())
 }
--- a/internal/gossip/outliers/outliers.go
+++ b/internal/gossip/outliers/outliers.go
@@ -1,5 +1,5 @@
-// Package outliers reports workers at which requests fail to the other members of a group, and receives their reports. Nothing is
-// persisted and delivery is not guaranteed. The decision module decides what a report means for a worker.
+// Package outliers exchanges reports of workers with failing requests between the members of a group. Nothing is persisted and delivery
+// is not guaranteed. The decision module decides what a report means for a worker.
 package outliers
 
 import (
@@ -15,17 +15,17 @@
 
 // Limits on reports.
 const (
-	maxPending        = 64                     // reports that wait to be sent; more are dropped
-	fanout            = 32                     // members that a report is sent to
-	minReportInterval = 250 * time.Millisecond // between reports of one worker, whose failures continue until it is ejected
+	maxPending        = 64                     // queued reports; further ones are dropped
+	fanout            = 32                     // members that receive a report
+	minReportInterval = 250 * time.Millisecond // for each worker, as its failures continue until it is ejected
 	maxNameBytes      = 256                    // of a worker's name
-	maxTrackedWorkers = 10_000                 // workers for which the time of the last report is kept
+	maxTrackedWorkers = 10_000                 // workers for which the time of the last report is stored
 )
 
 // reportPath is the path of reports between members.
 const reportPath = "/group/warn"
 
-// report is the message that requests fail at a worker.
+// report is a message that a worker has failing requests.
 type report struct {
 	Worker string `json:"worker"`
 }
@@ -33,14 +33,14 @@
 // Broadcaster exchanges reports with the other members. It is safe for concurrent use, except for Attach and Detach, which only its
 // owner calls.
 type Broadcaster struct {
-	Sent     atomic.Int64 // reports, each to several members
+	Sent     atomic.Int64 // reports, each sent to several members
 	Rejected atomic.Int64 // malformed messages
 
 	peers    []string
 	onReport func(worker string)
 	pending  chan string
 
-	cancel context.CancelFunc // ends the loop
+	cancel context.CancelFunc // stops the loop
 	loops  sync.WaitGroup
 }
 
@@ -50,7 +50,7 @@
 	return &Broadcaster{peers: peers, onReport: onReport, pending: make(chan string, maxPending)}
 }
 
-// Report queues a report to other members that requests fail at a worker. It does not wait; a report that does not fit is dropped.
+// Report queues a report to other members that a worker has failing requests. It does not wait; if the queue is full, it drops the report.
 func (b *Broadcaster) Report(worker string) {
 	select {
 	case b.pending <- worker:
@@ -58,7 +58,7 @@
 	}
 }
 
-// Attach connects the Broadcaster to a transport that does not serve yet: it registers the handler and starts the loop, which Detach ends.
+// Attach connects the Broadcaster to a transport that does not serve yet: it registers the handler and starts the loop, which Detach stops.
 func (b *Broadcaster) Attach(transport *peer.Transport) {
 	transport.Handle(reportPath, b.handleReport)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -66,18 +66,18 @@
 	b.loops.Go(func() { b.sendLoop(ctx, transport) })
 }
 
-// Detach ends the loop.
+// Detach stops the loop and waits for it.
 func (b *Broadcaster) Detach() {
 	b.cancel()
 	b.loops.Wait()
 }
 
-// Fields returns the counters by the names that the log shows.
+// Fields returns the counters by their names in the log.
 func (b *Broadcaster) Fields() map[string]int64 {
 	return map[string]int64{"warnings_told": b.Sent.Load(), "warnings_refused": b.Rejected.Load()}
 }
 
-// sendLoop sends pending reports, at most one in minReportInterval for each worker.
+// sendLoop sends pending reports, at most one per worker within minReportInterval.
 func (b *Broadcaster) sendLoop(ctx context.Context, transport *peer.Transport) {
 	lastSent := map[string]time.Time{}
 	for {
@@ -116,7 +116,7 @@
 	err := json.Unmarshal(body, &received)
 	if err != nil || received.Worker == "" || len(received.Worker) > maxNameBytes {
 		b.Rejected.Add(1)
-		return nil, &peer.RejectedError{Reason: "no warning"}
+		return nil, &peer.RejectedError{Reason: "malformed outlier report"}
 	}
 	b.onReport(received.Worker)
 	return nil, nil
--- a/internal/gossip/outliers/outliers_test.go
+++ b/internal/gossip/outliers/outliers_test.go
@@ -8,7 +8,8 @@
 	"birchfork/internal/peer/peertest"
 )
 
-// A report reaches the other members, an immediate second one of the same worker is dropped, and a malformed one is rejected.
+// TestBroadcaster_ReportsReachOtherMembers verifies that a report reaches the other members, that an immediate second report of the same
+// worker is dropped, and that a malformed report is rejected.
 func TestBroadcaster_ReportsReachOtherMembers(t *testing.T) {
 	reported := make(chan string, 9)
 	a, b := New([]string{"b"}, nil), New([]string{"a"}, func(worker string) { reported <- worker })
@@ -22,14 +23,14 @@
 		a.Report(worker)
 	}
 	if first, second := <-reported, <-reported; first != "r" || second != "q" || len(reported) > 0 {
-		t.Errorf("reported: %s, %s", first, second)
+		t.Errorf("reported workers %s, %s; want r, q once each", first, second)
 	}
 	for _, body := range []string{"", "{}", `{"worker":""}`} {
 		if _, err := b.handleReport(context.Background(), peer.Sender{Name: "a"}, []byte(body)); err == nil {
-			t.Errorf("%q was accepted", body)
+			t.Errorf("malformed report %q was accepted", body)
 		}
 	}
 	if a.Sent.Load() != 2 || b.Rejected.Load() != 3 {
-		t.Errorf("%v, %v", a.Fields(), b.Fields())
+		t.Errorf("counters of the sender %v, of the receiver %v", a.Fields(), b.Fields())
 	}
 }
--- a/internal/gossip/overrides.go
+++ b/internal/gossip/overrides.go
@@ -15,13 +15,13 @@
 const newerBuildKind = "later"
 
 // SetOverride replicates an override that an operator has set at this dispatcher, where it is in effect with the given version. It waits
-// until the override is persisted, for at most persistTimeout. If that fails, the note tells the operator why. The error is
+// for up to persistTimeout until the override is persisted. If that fails, the note tells the operator why. The error wraps
 // replication.ErrFull if there are too many overrides.
 func (n *Node) SetOverride(worker string, disabled bool, version int64) (note string, err error) {
 	n.mu.Lock()
 	if n.replica == nil {
 		n.mu.Unlock()
-		return "", nil // MergeLocalOverrides passes it to the replica in the process that owns it
+		return "", nil // MergeLocalOverrides merges it in the process that owns the replica
 	}
 	err = n.setOverrideLocked(worker, disabled, version)
 	batch, persistErr := n.lastBatch, n.persistErr
@@ -36,7 +36,7 @@
 		persistErr = n.awaitWritten(batch)
 	}
 	if persistErr != nil {
-		note = fmt.Sprintf("this member does not keep it over a restart: %v", persistErr)
+		note = fmt.Sprintf("the override does not survive a restart of this member: %v", persistErr)
 	}
 	return note, nil
 }
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// writeOverrideLocked adds an entry to the replica. It replaces all entries of the worker in this replica.
+// writeOverrideLocked adds an entry to the replica, which replaces all entries of the worker there.
 func (n *Node) writeOverrideLocked(worker string, disabled bool) error {
 	entry := replication.Entry{
 		Kind:      replication.KindOverride,
@@ -67,7 +67,7 @@
 		WrittenAt: time.Now().Add(failpoint.ClockOffset(n.options.Self)).UnixMilli(),
 	}
 	if _, err := n.replica.Write(entry); err != nil {
-		return fmt.Errorf("it binds here alone: %w", err)
+		return fmt.Errorf("the override is in effect at this dispatcher only: %w", err)
 	}
 	n.dirty[replication.Key{Kind: entry.Kind, Name: worker}] = true
 	if failpoint.Enabled(failpoint.NewerEntries) {
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// writeNewerEntryLocked adds an entry of a kind that is unknown to this build, as a later build might.
+// writeNewerEntryLocked adds an entry of a kind that is unknown to this build, as a newer build might.
 func (n *Node) writeNewerEntryLocked(worker string) error {
 	entry := replication.Entry{Kind: newerBuildKind, Name: worker, Member: n.options.Self, Data: []byte(`{"of":"a newer build"}`)}
 	if _, err := n.replica.Write(entry); err != nil {
@@ -92,8 +92,8 @@
 }
 
 // MergeLocalOverrides merges all overrides of this dispatcher. It is called repeatedly, so that an override that was set at another of its
-// processes is replicated too. Those of the first call were set before the replica was opened: the replica's entries win over them, and
-// one without an entry is replicated once this member has caught up.
+// processes is replicated too. The overrides of the first call were set before the replica was opened: the replica's entries win over
+// them, and an override without an entry is replicated once this member has caught up.
 func (n *Node) MergeLocalOverrides(overrides hotrestart.Overrides) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -121,11 +121,11 @@
 // mergeLocalLocked replicates an override that was set at another process of this dispatcher.
 func (n *Node) mergeLocalLocked(worker string, override hotrestart.Override) {
 	if n.isDisabledLocked(worker) != override.Disabled {
-		_ = n.setOverrideLocked(worker, override.Disabled, override.At) // a full replica leaves it in effect here alone
+		_ = n.setOverrideLocked(worker, override.Disabled, override.At) // if the replica is full, it is in effect here only
 	}
 }
 
-// mergeInheritedLocked merges an override that is older than the session. The replica's entries win; without an entry for the worker the
+// mergeInheritedLocked merges an override that is older than the session. The replica's entries win. If there is none for the worker, the
 // override is left to writeInheritedLocked.
 func (n *Node) mergeInheritedLocked(worker string, override hotrestart.Override) {
 	entries := n.replica.Get(replication.KindOverride, worker)
@@ -137,11 +137,11 @@
 	}
 }
 
-// writeInheritedLocked replicates the inherited overrides for whose workers the replica still has no entry.
+// writeInheritedLocked replicates the inherited overrides of workers for which the replica still has no entry.
 func (n *Node) writeInheritedLocked() {
 	for _, worker := range slices.Sorted(maps.Keys(n.inherited)) {
 		if len(n.replica.Get(replication.KindOverride, worker)) == 0 {
-			_ = n.setOverrideLocked(worker, true, n.localVersions[worker]) // a full replica leaves it in effect here alone
+			_ = n.setOverrideLocked(worker, true, n.localVersions[worker]) // if the replica is full, it is in effect here only
 		}
 	}
 	clear(n.inherited)
--- a/internal/gossip/persist.go
+++ b/internal/gossip/persist.go
@@ -9,19 +9,19 @@
 	"birchfork/internal/replication"
 )
 
-// persistTimeout is how long SetOverride waits for the storage.
+// persistTimeout limits how long SetOverride waits for the storage.
 const persistTimeout = 3 * time.Second
 
 // answerBeforeSyncPeriod is how long after the start the failpoint AnswerBeforeSync prevents persisting.
 const answerBeforeSyncPeriod = 8 * time.Second
 
-// Reasons why an override is not persisted, which operators are shown.
+// Reasons why an override is not persisted, as shown to operators.
 var (
-	errNoDir          = errors.New("[group] has no folder")
-	errPersistTimeout = fmt.Errorf("its disk has not taken it in %v; it may yet", persistTimeout)
+	errNoDir          = errors.New("no folder is set in [group]")
+	errPersistTimeout = fmt.Errorf("the write timed out after %v and may still complete", persistTimeout)
 )
 
-// persistLocked submits to the storage what it may not have yet. It is called again in each round.
+// persistLocked submits changes that may not be persisted yet to the storage. It is called in each round.
 func (n *Node) persistLocked() {
 	version := n.replica.Version().Digest()
 	if failpoint.Enabled(failpoint.AnswerBeforeSync) && time.Since(n.startedAt) < answerBeforeSyncPeriod {
@@ -60,7 +60,7 @@
 	n.persistFailedLocked(tried.err)
 }
 
-// persistFailedLocked records why the replica is not persisted, and logs the first of consecutive failures.
+// persistFailedLocked records why changes are not persisted, and logs the first of consecutive failures.
 func (n *Node) persistFailedLocked(err error) {
 	n.Counters.PersistFailures.Add(1)
 	if n.persistErr == nil {
@@ -69,7 +69,7 @@
 	n.persistErr = err
 }
 
-// awaitWritten waits until the storage has tried to write a batch, for at most persistTimeout, and returns the error, if any.
+// awaitWritten waits for up to persistTimeout until the storage has tried to write a batch, and returns the error, if any.
 func (n *Node) awaitWritten(queued *batch) error {
 	select {
 	case <-queued.done:
--- a/internal/gossip/status.go
+++ b/internal/gossip/status.go
@@ -9,13 +9,13 @@
 	"birchfork/internal/replication"
 )
 
-// Counters count since the Node was made. They are safe for concurrent use.
+// Counters count since the Node was created. They are safe for concurrent use.
 type Counters struct {
-	Rounds          atomic.Int64 // of dissemination
-	Chunks          atomic.Int64 // that were merged
+	Rounds          atomic.Int64 // rounds of dissemination
+	Chunks          atomic.Int64 // merged chunks
 	Merged          atomic.Int64 // entries that changed the replica
 	Removed         atomic.Int64 // entries that other members had removed
-	Rejected        atomic.Int64 // messages and chunks that were malformed
+	Rejected        atomic.Int64 // malformed messages and chunks
 	PersistFailures atomic.Int64
 }
 
@@ -76,7 +76,7 @@
 	n.traffic[to] = count
 }
 
-// statusLocked returns the report of this member, as the reply to a call.
+// statusLocked returns the report of this member as the reply to a call.
 func (n *Node) statusLocked() *Reply {
 	return &Reply{
 		Member:       n.options.Self,
@@ -90,7 +90,7 @@
 	}
 }
 
-// notPersistedLocked returns why overrides do not survive a restart; empty: they do.
+// notPersistedLocked returns why overrides do not survive a restart, or an empty string if they do.
 func (n *Node) notPersistedLocked() string {
 	switch {
 	case n.persistErr != nil:
@@ -101,7 +101,7 @@
 	return ""
 }
 
-// memberStatusesLocked returns this member's status and then the others', by name.
+// memberStatusesLocked returns this member's status, followed by those of the other members, sorted by name.
 func (n *Node) memberStatusesLocked() []MemberStatus {
 	ours := n.localDigestLocked()
 	statuses := make([]MemberStatus, 0, 1+len(n.options.Peers))
@@ -123,7 +123,7 @@
 	return statuses
 }
 
-// timeSince returns the time since t; below 0 for a zero t, which means never.
+// timeSince returns the time since t. It is negative for a zero t, which means never.
 func timeSince(t time.Time) time.Duration {
 	if t.IsZero() {
 		return -1
@@ -131,7 +131,7 @@
 	return time.Since(t)
 }
 
-// overrideStatusesLocked returns the overrides by worker.
+// overrideStatusesLocked returns the status of each worker's override.
 func (n *Node) overrideStatusesLocked() (statuses []OverrideStatus) {
 	for _, worker := range n.replica.Names(replication.KindOverride) {
 		entries := n.replica.Get(replication.KindOverride, worker)
--- a/internal/gossip/storage.go
+++ b/internal/gossip/storage.go
@@ -30,15 +30,15 @@
 	versionKey  = []byte("seen")
 )
 
-// identity identifies a file's format and group. It does not name the member: the file of another member does no harm, as its entries are
-// valid at any member and no incarnation is read from it.
+// identity identifies a file's format and group. It does not contain the member's name: another member's file is safe to use, as its
+// entries are valid at any member and no incarnation is read from it.
 type identity struct {
 	Format int    `json:"format"`
 	Group  string `json:"group"`
 }
 
-// storage persists a replica's entries together with its version vector, in one synced transaction for each batch. A goroutine of its
-// own writes, so that a stalled disk blocks only callers that wait for a batch. A nil *storage can be closed.
+// storage persists a replica's entries together with its version vector, in one synced transaction for each batch. A separate goroutine
+// writes, so that a stalled disk blocks only callers that wait for a batch. close accepts a nil *storage.
 type storage struct {
 	db        *bbolt.DB
 	openedAt  time.Time
@@ -47,13 +47,13 @@
 	done      chan struct{}          // closed when the goroutine has ended
 
 	mu   sync.Mutex
-	next *batch // nil: no batch waits
+	next *batch // written next; nil: none
 }
 
 // batch is the contents of one transaction.
 type batch struct {
 	version []byte
-	entries map[replication.Key][]byte // a nil value deletes the key: it has no entry left
+	entries map[replication.Key][]byte // a nil value deletes the key, which has no entry left
 	done    chan struct{}              // closed once err is known
 	err     error
 }
@@ -64,8 +64,8 @@
 	entries []replication.Entry
 }
 
-// openStorage opens the file in dir and restores target from it. It returns nil if dir is empty. unreadable is why a damaged file was
-// replaced by an empty one. The error wraps boltstore.ErrLocked or ErrForeign, or is why dir cannot be used.
+// openStorage opens the file in dir and restores target from it. It returns nil if dir is empty. unreadable is the reason why a damaged
+// file was replaced by an empty one. The error wraps boltstore.ErrLocked or ErrForeign, or is the reason why dir cannot be used.
 func openStorage(dir, group string, target *replication.Replica, onWritten func(*storage, *batch)) (opened *storage, unreadable, err error) {
 	if dir == "" {
 		return nil, nil, nil
@@ -122,7 +122,7 @@
 func checkIdentity(raw []byte, want identity) error {
 	var got identity
 	if err := json.Unmarshal(raw, &got); err != nil || got != want {
-		return fmt.Errorf("%w: format %d, group %q, not %d, %q", boltstore.ErrForeign, got.Format, got.Group, want.Format, want.Group)
+		return fmt.Errorf("%w: found format %d, group %q; expected format %d, group %q", boltstore.ErrForeign, got.Format, got.Group, want.Format, want.Group)
 	}
 	return nil
 }
@@ -160,7 +160,7 @@
 	return boltstore.AddChecksum(raw), nil
 }
 
-// entryKey returns the key of entries in the file. For overrides it is the name alone, as in files of builds that had no other kind.
+// entryKey returns the key of entries in the file. For overrides it is the name alone, as in files of builds without other kinds.
 func entryKey(key replication.Key) []byte {
 	if key.Kind == replication.KindOverride {
 		return []byte(key.Name)
@@ -168,8 +168,8 @@
 	return []byte("\x00" + string(key.Kind) + "\x00" + key.Name)
 }
 
-// enqueue adds the version vector of source and its entries for the given keys to the batch that is written next, and returns that batch.
-// It does not wait. It must not be called after close.
+// enqueue adds the version vector of source and its entries for the given keys to the next batch and returns that batch. It does not
+// wait. It must not be called after close.
 func (s *storage) enqueue(source *replication.Replica, keys map[replication.Key]bool) (*batch, error) {
 	version, err := encodeChecksummed(source.Version())
 	if err != nil {
@@ -188,12 +188,12 @@
 	maps.Copy(s.next.entries, encoded)
 	select {
 	case s.wake <- struct{}{}:
-	default: // the goroutine was signalled already
+	default: // the goroutine is already signalled
 	}
 	return s.next, nil
 }
 
-// encodeEntries returns the encoded entries of source for the given keys; nil for a key without entries.
+// encodeEntries returns the encoded entries of source for the given keys. The value is nil for a key without entries.
 func encodeEntries(source *replication.Replica, keys map[replication.Key]bool) (map[replication.Key][]byte, error) {
 	encoded := make(map[replication.Key][]byte, len(keys))
 	for key := range keys {
@@ -211,7 +211,7 @@
 	return encoded, nil
 }
 
-// writeLoop writes one batch after the other until close.
+// writeLoop writes batches one after another until close.
 func (s *storage) writeLoop() {
 	defer close(s.done)
 	for range s.wake {
@@ -233,16 +233,16 @@
 	return next
 }
 
-// write writes a batch. Guards against a file that was truncated since it was opened: bbolt maps it into memory, and an access beyond its
-// end is a fault that would otherwise end the process.
+// write writes a batch. It returns an error if the file was truncated since it was opened: bbolt maps the file into memory, and an access
+// beyond its end is a fault that would otherwise end the process.
 func (s *storage) write(b *batch) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if v := recover(); v != nil {
-			err = fmt.Errorf("it cannot be read any more: %v", v)
+			err = fmt.Errorf("file no longer readable: %v", v)
 		}
 		if err != nil {
-			err = fmt.Errorf("the group's disk: %w", err)
+			err = fmt.Errorf("group storage: %w", err)
 		}
 	}()
 	if err := failpoint.BeforeSyncedWrite(s.openedAt); err != nil {
@@ -270,7 +270,7 @@
 	return bucket.Put(key, value)
 }
 
-// close writes the waiting batch, ends the goroutine and closes the file.
+// close writes the pending batch, stops the goroutine and closes the file.
 func (s *storage) close() error {
 	if s == nil {
 		return nil
--- a/internal/gossip/storage_test.go
+++ b/internal/gossip/storage_test.go
@@ -10,7 +10,7 @@
 	"birchfork/internal/replication"
 )
 
-// storedNode writes an override to storage in dir, and returns the file's path and content.
+// storedNode writes an override to storage in dir and returns the path and contents of the file.
 func storedNode(t *testing.T, dir string) (file string, raw []byte) {
 	t.Helper()
 	node, _ := startNode(t, "a", dir)
@@ -24,7 +24,7 @@
 	return file, raw
 }
 
-// wantNotPersisted fails the test unless a new override has a note that it is not persisted.
+// wantNotPersisted sets an override and fails the test unless its note contains wantNote.
 func wantNotPersisted(t *testing.T, what string, node *Node, wantNote string) {
 	t.Helper()
 	if note, err := node.SetOverride("r", true, 1); err != nil || !strings.Contains(note, wantNote) {
@@ -32,17 +32,18 @@
 	}
 }
 
-// Another group's storage is an error.
+// TestNode_RejectsStorageOfAnotherGroup verifies that New returns an error for a file that another group has written.
 func TestNode_RejectsStorageOfAnotherGroup(t *testing.T) {
 	dir := t.TempDir()
 	storedNode(t, dir)
 	node, _ := startNode(t, "a", "")
-	if _, err := New(Options{Group: "other", Dir: dir, Log: node.options.Log}); err == nil || !strings.Contains(err.Error(), `group "g", not 1, "other"`) {
-		t.Errorf("another group's: %v", err)
+	if _, err := New(Options{Group: "other", Dir: dir, Log: node.options.Log}); err == nil || !strings.Contains(err.Error(), `found format 1, group "g"; expected format 1, group "other"`) {
+		t.Errorf("storage of another group: %v", err)
 	}
 }
 
-// A damaged file, truncated or with a byte changed, is replaced by an empty one or read correctly.
+// TestNode_ReplacesDamagedStorage verifies that a file that is truncated or has a changed byte is replaced by an empty one or read
+// correctly.
 func TestNode_ReplacesDamagedStorage(t *testing.T) {
 	dir := t.TempDir()
 	file, raw := storedNode(t, dir)
@@ -54,7 +55,7 @@
 			}
 			node, dispatcher := startNode(t, "a", dir)
 			if n := node.replica.Len(); n > 1 || n == 1 && !dispatcher.isDisabled("r") {
-				t.Errorf("cut at %d: %d entries, %v", offset, n, dispatcher.disabled)
+				t.Errorf("damaged at offset %d: %d entries, disabled %v", offset, n, dispatcher.disabled)
 			} else {
 				lost += 1 - n
 			}
@@ -62,40 +63,41 @@
 		}
 	}
 	if lost == 0 {
-		t.Error("no damaged file lost anything: the test is void")
+		t.Error("no damaged file was replaced: the test has covered no damage")
 	}
 }
 
-// Each override has a note for operators while the storage is unusable. The file is not replaced, as it may be intact.
+// TestNode_UnusableStorage verifies that each override has a note for operators while the storage is unusable. The file is not replaced,
+// as it may be intact.
 func TestNode_UnusableStorage(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.Mkdir(filepath.Join(dir, fileName), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	node, _ := startNode(t, "a", dir)
-	wantNotPersisted(t, "a file that is a directory", node, "does not keep it over a restart")
+	wantNotPersisted(t, "a file that is a directory", node, "the override does not survive a restart of this member")
 	if _, err := os.Stat(filepath.Join(dir, fileName)); err != nil {
-		t.Errorf("it was replaced: %v", err)
+		t.Errorf("the unusable file was replaced: %v", err)
 	}
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	node, _ = startNode(t, "a", file)
-	wantNotPersisted(t, "a directory that is a file", node, "does not keep it over a restart")
+	wantNotPersisted(t, "a directory that is a file", node, "the override does not survive a restart of this member")
 }
 
-// An override has a note for operators if its write failed, and the write is retried.
+// TestNode_FailedWrites verifies that an override has a note for operators if its write failed, and that the write is retried.
 func TestNode_FailedWrites(t *testing.T) {
 	node, _ := startNode(t, "a", t.TempDir())
 	node.storage.db.Close() // all further writes fail
-	wantNotPersisted(t, "a disk that fails", node, "does not keep it over a restart: the group's disk")
+	wantNotPersisted(t, "a failing disk", node, "the override does not survive a restart of this member: group storage: ")
 	if n := node.Counters.PersistFailures.Load(); n != 1 {
-		t.Errorf("%d failures counted", n)
+		t.Errorf("%d failures counted, want 1", n)
 	}
 	node.mu.Lock()
 	defer node.mu.Unlock()
 	if !node.writeFailed || !node.dirty[replication.Key{Kind: replication.KindOverride, Name: "r"}] {
-		t.Error("what the storage failed to write is not handed to it again")
+		t.Error("an entry that the storage failed to write is not submitted again")
 	}
 }
