--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -2,23 +2,23 @@
 
 import "errors"
 
-// RejectedError is an answer by which a member declines a request permanently: a retry does not help. A Handler returns one to decline a
-// message, and Request and CallMember return the one that the other side has declined with.
+// RejectedError reports that a member has rejected a message and that a retry does not help. A Handler returns it to reject a message;
+// Request and CallMember return it if the other member has rejected theirs.
 type RejectedError struct {
 	Reason string
 }
 
-// Error returns the reason as the member gave it.
+// Error returns the reason that the member has given.
 func (e *RejectedError) Error() string { return e.Reason }
 
-// unavailableError is an answer by which a member reports that it cannot serve a request at present.
+// unavailableError reports that a member has answered that it cannot serve a request at present.
 type unavailableError struct {
 	message string
 }
 
 func (e *unavailableError) Error() string { return e.message }
 
-// isAnswer reports whether err is a member's answer, so that the member can be reached.
+// isAnswer reports whether err comes from a member's answer, which shows that the member is reachable.
 func isAnswer(err error) bool {
 	var rejected *RejectedError
 	var unavailable *unavailableError
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -15,9 +15,9 @@
 	"birchfork/internal/peer/peertest"
 )
 
-// The golden files contain what members of earlier builds send and answer. UPDATE_GOLDEN=1 writes them.
+// The golden files contain the requests and answers of earlier builds. UPDATE_GOLDEN=1 writes them.
 
-// goldenTransport returns the transport of member a, which serves a path for members and one for operators, and its address.
+// goldenTransport returns the transport of member a and its address. The transport serves one path for members and one for operators.
 func goldenTransport(t *testing.T, b string) (transport *peer.Transport, address string) {
 	t.Helper()
 	transport, listener := peertest.NewTransport(t, b)
@@ -37,7 +37,7 @@
 	return transport, listener.Addr().String()
 }
 
-// Requests of a member and of an operator have the same method, path, headers and body as before.
+// TestGolden_Requests verifies that requests of members and operators have the same method, path, headers and body as in earlier builds.
 func TestGolden_Requests(t *testing.T) {
 	b := peertest.NewRecorder(t, func(string, []byte) []byte { return []byte(`"yes"`) })
 	transport, _ := goldenTransport(t, b.Address())
@@ -55,7 +55,7 @@
 	goldentest.Check(t, "requests.txt", b.Text())
 }
 
-// Answers have the same status, content type and text as before, including each kind of rejection.
+// TestGolden_Answers verifies the status, content type and text of each kind of answer, rejections included.
 func TestGolden_Answers(t *testing.T) {
 	_, address := goldenTransport(t, "127.0.0.1:1")
 	var out strings.Builder
@@ -82,10 +82,10 @@
 	goldentest.Check(t, "answers.txt", []byte(out.String()))
 }
 
-// Callers get the same result or error for each answer as before.
+// TestGolden_Errors verifies the result or error that callers get for each kind of answer.
 func TestGolden_Errors(t *testing.T) {
 	_, other := goldenTransport(t, "127.0.0.1:1")
-	transport, address := goldenTransport(t, other) // the transport at the address of b is named a: it rejects messages to b
+	transport, address := goldenTransport(t, other) // the transport at b's address belongs to a member named a, so that it rejects messages to b
 	var out strings.Builder
 	for _, to := range []string{"a", "b", "c"} {
 		for _, body := range []string{"m", "reject", "fail"} {
@@ -100,7 +100,7 @@
 	goldentest.Check(t, "errors.txt", []byte(out.String()))
 }
 
-// Counters have the same names in log and status as before.
+// TestGolden_Counters verifies that the counters have the same names in log and status as in earlier builds.
 func TestGolden_Counters(t *testing.T) {
 	var c peer.Counters
 	peertest.GoldenCounters(t, "counters.txt", c.Values())
--- a/internal/peer/handler.go
+++ b/internal/peer/handler.go
@@ -8,8 +8,8 @@
 	"net/http"
 )
 
-// Handler serves a message and returns the body of the answer. A *RejectedError becomes status 409 with its reason, any other error status
-// 503 with its text: the message cannot be served at present. Handlers are called from several goroutines.
+// Handler serves a message and returns the body of the answer. A *RejectedError is sent as status 409 with its reason. Any other error is
+// sent as status 503 with its text: the message cannot be served at present. Handlers are called from several goroutines.
 type Handler func(ctx context.Context, from Sender, body []byte) ([]byte, error)
 
 // Handle registers the handler of messages from members at a path.
@@ -29,14 +29,15 @@
 	})
 }
 
-// HandleOperator registers the handler of operators' calls at a path. Calls name no sender, so that the handler gets an empty Sender.
+// HandleOperator registers the handler of operators' calls at a path. The handler gets an empty Sender, as calls do not name one.
 func (t *Transport) HandleOperator(path string, handler Handler) {
 	t.mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 		t.serve(w, r, Sender{}, handler)
 	})
 }
 
-// rejectionReason returns why a message is not for this member, or not from a current member of its group; empty: it is accepted.
+// rejectionReason returns why a message is not for this member or not from a current member of its group. It is empty if the message is
+// accepted.
 func (t *Transport) rejectionReason(r *http.Request, from Sender) string {
 	self := t.options.Identity()
 	group, to := r.Header.Get(groupHeader), r.Header.Get(toHeader)
@@ -44,15 +45,15 @@
 	bothJoined := from.ClusterID != "" && self.ClusterID != ""
 	switch {
 	case group != t.options.Group:
-		return fmt.Sprintf("another group: %q, here is %q", group, t.options.Group)
+		return fmt.Sprintf("group mismatch: got %q, want %q", group, t.options.Group)
 	case to != t.options.Self:
-		return fmt.Sprintf("for member %q, here is %q", to, t.options.Self)
+		return fmt.Sprintf("message for member %q received by %q", to, t.options.Self)
 	case !isMember:
-		return fmt.Sprintf("%q is no member by our file", from.Name)
+		return fmt.Sprintf("%q is not a member in the operator's file", from.Name)
 	case bothJoined && from.ClusterID != self.ClusterID:
-		return fmt.Sprintf("another founding of the group: %q, here is %q", from.ClusterID, self.ClusterID)
+		return fmt.Sprintf("cluster ID mismatch: got %q, want %q", from.ClusterID, self.ClusterID)
 	case t.options.IsStale(from.Name, from.Incarnation):
-		return fmt.Sprintf("an earlier life of %s: %q", from.Name, from.Incarnation)
+		return fmt.Sprintf("stale incarnation of %s: %q", from.Name, from.Incarnation)
 	}
 	return ""
 }
@@ -62,7 +63,7 @@
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		t.Counters.Rejected.Add(1)
-		http.Error(w, "the message did not come whole, or is too long", http.StatusBadRequest)
+		http.Error(w, "message truncated or too long", http.StatusBadRequest)
 		return
 	}
 	t.Counters.Accepted.Add(1)
@@ -75,6 +76,6 @@
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 	default:
-		_, _ = w.Write(answer) // a sender that is gone sees the failure itself
+		_, _ = w.Write(answer) // a sender that has disconnected detects the failure itself
 	}
 }
--- a/internal/peer/json.go
+++ b/internal/peer/json.go
@@ -2,8 +2,8 @@
 
 import "encoding/json"
 
-// ServeJSON implements a Handler for JSON: it decodes body into a Request, calls serve and encodes the Reply. If body does not decode, it
-// calls malformed instead, with the decoder's error. Errors of malformed and serve are returned as they are.
+// ServeJSON implements a Handler for JSON: it decodes body into a Request, calls serve and encodes the Reply. If decoding fails, it calls
+// malformed with the decoder's error instead. It returns errors of malformed and serve unchanged.
 func ServeJSON[Request, Reply any](
 	body []byte,
 	malformed func(decodeErr error) (Reply, error),
@@ -23,7 +23,8 @@
 	return json.Marshal(reply)
 }
 
-// RejectMalformed returns a function for ServeJSON's malformed that rejects the message with prefix and the decoder's error as reason.
+// RejectMalformed returns a function for ServeJSON's malformed parameter. It rejects the message; the reason is prefix followed by the
+// decoder's error.
 func RejectMalformed[Reply any](prefix string) func(decodeErr error) (Reply, error) {
 	return func(decodeErr error) (Reply, error) {
 		var zero Reply
--- a/internal/peer/json_test.go
+++ b/internal/peer/json_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// TestServeJSON verifies that replies are encoded, that errors are returned, and that malformed handles a body that is not valid JSON.
 func TestServeJSON(t *testing.T) {
 	type request struct {
 		N int `json:"n"`
@@ -29,7 +30,7 @@
 		{"a request", `{"n":3}`, explain, `{"twice":6}`, ""},
 		{"an error", `{"n":-1}`, explain, "", "below 0"},
 		{"malformed, answered", `{`, explain, `{"twice":0,"text":"unexpected end of JSON input"}`, ""},
-		{"malformed, rejected", `{`, RejectMalformed[reply]("no request: "), "", "no request: unexpected end of JSON input"},
+		{"malformed, rejected", `{`, RejectMalformed[reply]("malformed request: "), "", "malformed request: unexpected end of JSON input"},
 	} {
 		got, err := ServeJSON([]byte(c.body), c.malformed, twice)
 		gotErr := ""
@@ -42,6 +43,6 @@
 	}
 	var rejected *RejectedError
 	if _, err := ServeJSON(nil, RejectMalformed[reply](""), twice); !errors.As(err, &rejected) {
-		t.Errorf("rejected with %T", err)
+		t.Errorf("rejected with %T, want a *RejectedError", err)
 	}
 }
--- a/internal/peer/member.go
+++ b/internal/peer/member.go
@@ -5,12 +5,12 @@
 // Member is a member of the group as listed in the operator's file.
 type Member struct {
 	Name    string
-	Address string // host:port where it listens for the other members
+	Address string // host:port at which it listens for the other members
 	Zone    string
-	Voter   bool // it votes in the group's consensus
+	Voter   bool // whether it votes in the group's consensus
 }
 
-// Sender identifies the process that a message comes from.
+// Sender identifies the process that has sent a message.
 type Sender struct {
 	Name        string
 	Incarnation string
--- a/internal/peer/operator.go
+++ b/internal/peer/operator.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// callTimeout limits an operator's call at one member.
+// callTimeout limits an operator's call to one member.
 const callTimeout = 5 * time.Second
 
-// CallMember makes an operator's call at the member at address (host:port), at a path that HandleOperator serves: it sends call as JSON
-// and decodes the answer into reply. It takes up to callTimeout. The error is a *RejectedError if the member declines.
+// CallMember makes an operator's call to the member at address (host:port), at a path that HandleOperator serves: it sends call as JSON
+// and decodes the answer into reply. It times out after callTimeout. The error is a *RejectedError if the member rejects the call.
 func CallMember(ctx context.Context, address, path string, call, reply any) error {
 	body, err := json.Marshal(call)
 	if err != nil {
@@ -29,7 +29,7 @@
 		return err
 	}
 	if err := json.Unmarshal(raw, reply); err != nil {
-		return fmt.Errorf("%s is no member of a group: %w", address, err)
+		return fmt.Errorf("malformed answer from %s, which may not be a group member: %w", address, err)
 	}
 	return nil
 }
--- a/internal/peer/peertest/peertest.go
+++ b/internal/peer/peertest/peertest.go
@@ -1,5 +1,5 @@
-// Package peertest supports tests of the messages between members of a group: golden files, a server that records requests in place of a
-// member, and requests with literal headers as earlier builds send them.
+// Package peertest supports tests of the messages between members of a group. It has golden files, a server that records requests in
+// place of a member, and requests with the literal headers of earlier builds.
 package peertest
 
 import (
@@ -29,8 +29,8 @@
 // GoldenPath returns the path of a golden file of the package under test.
 func GoldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
 
-// GoldenJSON compares the JSON encoding of value with the golden file, and value with what the file decodes to. It fails the test
-// if a field of value is zero, as an omitted field would prove nothing.
+// GoldenJSON compares the JSON encoding of value with the golden file, and value with the decoded file. It fails the test if a field of
+// value is zero, as the encoding of an omitted field would not be checked.
 func GoldenJSON[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	requireNonZero(t, name, reflect.ValueOf(value))
@@ -52,7 +52,7 @@
 	}
 }
 
-// requireNonZero fails the test for each exported field below v that has its zero value.
+// requireNonZero fails the test if v or an exported field in it has its zero value.
 func requireNonZero(t testing.TB, path string, v reflect.Value) {
 	t.Helper()
 	if !v.IsValid() || v.IsZero() {
@@ -77,13 +77,13 @@
 	}
 }
 
-// GoldenCounters compares the names of counters, sorted, with the golden file.
+// GoldenCounters compares the sorted names of counters with the golden file.
 func GoldenCounters(t *testing.T, name string, counters map[string]int64) {
 	t.Helper()
 	goldentest.Check(t, name, []byte(strings.Join(slices.Sorted(maps.Keys(counters)), "\n")+"\n"))
 }
 
-// Recorder is an HTTP server in place of a member, which records its requests. It is safe for concurrent use.
+// Recorder is an HTTP server that stands in for a member and records the requests to it. It is safe for concurrent use.
 type Recorder struct {
 	server *httptest.Server
 
@@ -91,7 +91,7 @@
 	requests []string
 }
 
-// NewRecorder starts a server that answers each request with the result of answer. The test's cleanup closes it.
+// NewRecorder starts a server that answers each request with the result of answer. It is closed when the test ends.
 func NewRecorder(t testing.TB, answer func(path string, body []byte) []byte) *Recorder {
 	r := &Recorder{}
 	r.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -123,14 +123,14 @@
 // Address returns the server's address as host:port.
 func (r *Recorder) Address() string { return r.server.Listener.Addr().String() }
 
-// Requests returns the requests so far, as text without the host.
+// Requests returns the requests received so far, as text without the host.
 func (r *Recorder) Requests() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.requests)
 }
 
-// Text returns all requests so far, with a line between them.
+// Text returns all requests received so far, with a separator line between them.
 func (r *Recorder) Text() []byte { return []byte(strings.Join(r.Requests(), "----\n")) }
 
 // Headers returns the headers of a message from member b to member a of group g.
@@ -140,8 +140,8 @@
 	}
 }
 
-// NewTransport returns the transport of member a of group g, with a listener that it does not serve yet. Its only other member, b, has
-// the given address. The test's cleanup closes it.
+// NewTransport returns the transport of member a of group g, and a listener that it does not serve yet. The only other member, b, has
+// the given address. The transport is closed when the test ends.
 func NewTransport(t testing.TB, addressOfB string) (*peer.Transport, net.Listener) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -160,8 +160,8 @@
 	return transport, listener
 }
 
-// NewGroup returns the transports of the members of group g, and their listeners, which they do not serve yet. The test's cleanup
-// closes the transports.
+// NewGroup returns the transports of the members of group g, and their listeners, which they do not serve yet. The transports are closed
+// when the test ends.
 func NewGroup(t testing.TB, names ...string) (transports []*peer.Transport, listeners []net.Listener) {
 	t.Helper()
 	members := make([]peer.Member, 0, len(names))
@@ -188,7 +188,7 @@
 	return transports, listeners
 }
 
-// Post sends a message to a member and returns status, content type and body of the answer as text.
+// Post sends a message to a member and returns the status, content type and body of the answer as text.
 func Post(t testing.TB, address, path string, headers map[string]string, body []byte) string {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+path, bytes.NewReader(body))
--- a/internal/peer/queue.go
+++ b/internal/peer/queue.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Limits of the queue to each member.
+// Limits and delays of the queue to each member.
 const (
 	maxQueuedMessages = 256
 	maxQueuedBytes    = 4 << 20
-	sendTimeout       = time.Second           // for a member to answer a queued message
-	retryDelay        = 50 * time.Millisecond // of a queue after a member could not be reached
+	sendTimeout       = time.Second           // from sending a queued message to its answer
+	retryDelay        = 50 * time.Millisecond // pause of a queue after its member was unreachable
 )
 
-// sendQueue has the messages that wait to be sent to one member. Its goroutine sends them in order.
+// sendQueue holds the messages to be sent to one member. Its goroutine sends them in order.
 type sendQueue struct {
 	member      Member
 	messages    chan message
-	queuedBytes atomic.Int64 // of the messages' bodies
+	queuedBytes atomic.Int64 // total size of the messages' bodies
 }
 
 // message is a queued message.
@@ -27,8 +27,8 @@
 	body []byte
 }
 
-// Send queues a message for a member and returns at once. The answer is ignored. A message that does not fit the queue is dropped and
-// counted; one for a name that is not a member's is dropped.
+// Send queues a message for a member and returns at once. The answer is ignored. A message for a full queue is dropped and counted. A
+// message for an unknown member is dropped.
 func (t *Transport) Send(to, path string, body []byte) {
 	queue := t.queueTo(to)
 	if queue == nil {
@@ -39,8 +39,8 @@
 	}
 }
 
-// queueTo returns the queue to a member. The first call for a member creates the queue and starts its goroutine. It returns nil for a name
-// that is not a member's, and after Close if there was no queue before.
+// queueTo returns the queue to a member. The first call for a member creates the queue and starts its goroutine. It returns nil for an
+// unknown member, and for a member without a queue after Close.
 func (t *Transport) queueTo(name string) *sendQueue {
 	member, ok := t.member(name)
 	if !ok {
@@ -57,7 +57,7 @@
 	return queue
 }
 
-// push queues a message and reports whether it fits.
+// push queues a message. It returns false if the message exceeds the queue's limits.
 func (q *sendQueue) push(m message) bool {
 	size := int64(len(m.body))
 	if q.queuedBytes.Add(size) <= maxQueuedBytes {
@@ -71,10 +71,10 @@
 	return false
 }
 
-// release subtracts a message that was received from the queue from queuedBytes.
+// release subtracts the size of a message that was taken from the queue from queuedBytes.
 func (q *sendQueue) release(m message) { q.queuedBytes.Add(-int64(len(m.body))) }
 
-// sendLoop sends the messages of one queue until the context ends.
+// sendLoop sends the messages of one queue until the context is cancelled.
 func (t *Transport) sendLoop(ctx context.Context, queue *sendQueue) {
 	for {
 		select {
@@ -87,8 +87,8 @@
 	}
 }
 
-// deliver sends one message. If the member cannot be reached it drops the queued messages, as they are outdated by the time that the
-// member is back (raft resends what still matters), and waits for retryDelay.
+// deliver sends one message. If the member is unreachable, it drops the queued messages, as they are outdated by the time the member is
+// reachable again (raft resends those that still matter), and waits for retryDelay.
 func (t *Transport) deliver(ctx context.Context, queue *sendQueue, m message) {
 	requestCtx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
@@ -99,7 +99,7 @@
 		return
 	}
 	t.Counters.Lost.Add(1)
-	if isAnswer(err) { // declined; the next messages may be accepted, as they may be for another incarnation
+	if isAnswer(err) { // the next messages may be accepted, for example by another incarnation
 		return
 	}
 	t.options.OnUnreachable(queue.member.Name)
@@ -110,7 +110,7 @@
 	}
 }
 
-// dropQueued drops the messages that are queued at the call.
+// dropQueued drops the messages that are queued when it is called.
 func (t *Transport) dropQueued(queue *sendQueue) {
 	for n := len(queue.messages); n > 0; n-- {
 		queue.release(<-queue.messages)
--- a/internal/peer/request.go
+++ b/internal/peer/request.go
@@ -17,11 +17,11 @@
 	toHeader          = "X-Birchfork-To"
 )
 
-// Request sends a message to a member and returns the body of its answer. The error is a *RejectedError if the member declines.
+// Request sends a message to a member and returns the body of its answer. The error is a *RejectedError if the member rejects the message.
 func (t *Transport) Request(ctx context.Context, to, path string, body []byte) ([]byte, error) {
 	member, ok := t.member(to)
 	if !ok {
-		return nil, fmt.Errorf("%q is no member by our file", to)
+		return nil, fmt.Errorf("%q is not a member in the operator's file", to)
 	}
 	req, err := newRequest(ctx, member.Address, path, body)
 	if err != nil {
@@ -41,7 +41,8 @@
 	return http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(body))
 }
 
-// do sends a request and returns the body of an answer with status 200; any other status becomes an error, 409 a *RejectedError.
+// do sends a request and returns the body of an answer with status 200. Status 409 is returned as a *RejectedError, any other status as an
+// *unavailableError.
 func do(client *http.Client, req *http.Request) ([]byte, error) {
 	res, err := client.Do(req)
 	if err != nil {
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -1,6 +1,6 @@
-// Package peer transports messages between the members of a group of dispatchers over HTTP/1.1 on a listener of its own: requests with an
-// answer, and messages without one through a bounded queue for each member. The listener also accepts operators' calls. The package
-// handles paths and bytes only; the packages that register a Handler define the messages.
+// Package peer transports messages between the members of a group of dispatchers over HTTP/1.1 on a separate listener: requests with an
+// answer, and messages without an answer through a bounded queue for each member. The listener also accepts operators' calls. The package
+// handles only paths and bytes; the packages that register a Handler define the messages.
 package peer
 
 import (
@@ -21,14 +21,14 @@
 const (
 	maxBodyBytes      = 8 << 20                // of a message or an answer
 	maxHeaderBytes    = 4 << 10                // of a request
-	dialTimeout       = 500 * time.Millisecond // for a connection to a member
-	headerTimeout     = time.Second            // for a request's headers
-	requestTimeout    = 10 * time.Second       // for a request and its answer in total
+	dialTimeout       = 500 * time.Millisecond // for connecting to a member
+	headerTimeout     = time.Second            // for reading a request's headers
+	requestTimeout    = 10 * time.Second       // for a request and its answer together
 	serverIdleTimeout = 2 * time.Minute        // of a connection from a member
 	clientIdleTimeout = time.Minute            // of a connection to a member
-	maxIdlePerMember  = 2                      // idle connections that are kept to each member
-	maxConnsPerMember = 8                      // connections to each member; as many are accepted for each member
-	maxOperatorConns  = 32                     // connections from operators in addition
+	maxIdlePerMember  = 2                      // idle connections to each member
+	maxConnsPerMember = 8                      // connections to each member; the listener accepts the same number for each member
+	maxOperatorConns  = 32                     // additional connections, for operators
 )
 
 // Options are the settings of a Transport. All functions are called from several goroutines.
@@ -37,15 +37,15 @@
 	Self    string   // name of this member
 	Members []Member // all members, this one included
 
-	Identity      func() Sender                       // identifies this process in its messages
+	Identity      func() Sender                       // returns the identity that this process sends in its messages
 	IsStale       func(name, incarnation string) bool // reports whether a member has begun a later incarnation
-	OnUnreachable func(name string)                   // called with the name of a member that a queued message could not reach
+	OnUnreachable func(name string)                   // called with the name of a member for which sending a queued message failed
 
 	Log logrus.FieldLogger
 }
 
-// Transport sends messages to the members of a group and serves their messages. Handle and HandleOperator have to be called before Serve;
-// all other methods are safe for concurrent use. Close ends its goroutines.
+// Transport sends messages to the members of a group and serves their messages. Handle and HandleOperator must be called before Serve;
+// all other methods are safe for concurrent use. Close stops its goroutines.
 type Transport struct {
 	Counters Counters
 
@@ -56,13 +56,13 @@
 	serveDone chan error   // the only result of server.Serve
 
 	client    *http.Client
-	ctx       context.Context // ends with Close
+	ctx       context.Context // cancelled by Close
 	cancel    context.CancelFunc
 	senders   sync.WaitGroup // one goroutine for each queue
 	closeOnce sync.Once
 
 	mu     sync.Mutex
-	queues map[string]*sendQueue // by member; created with the first message
+	queues map[string]*sendQueue // by member; each is created with the first message
 }
 
 // NewTransport returns a Transport that can send at once. It receives only after Serve.
@@ -81,7 +81,7 @@
 	}
 }
 
-// Serve accepts connections on listener in a goroutine of its own, until Close. Connections over the limit wait to be accepted.
+// Serve accepts connections on listener in a separate goroutine until Close. Connections over the limit wait to be accepted.
 func (t *Transport) Serve(listener net.Listener) {
 	t.server = &http.Server{
 		Handler:           t.mux,
@@ -103,7 +103,7 @@
 	t.closeOnce.Do(func() {
 		t.cancel()
 		if t.server != nil {
-			_ = t.server.Close() // an error of closing the listener changes nothing: it is not used again
+			_ = t.server.Close() // an error of closing the listener has no effect: the listener is not used again
 			<-t.serveDone
 		}
 		t.senders.Wait()
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -14,13 +14,13 @@
 	"go.uber.org/goleak"
 )
 
-// transportPair has the transports of two members and the messages that the second accepts.
+// transportPair has the transports of two members and the messages that the second has received.
 type transportPair struct {
 	a, b        *Transport
 	members     []Member
 	mu          sync.Mutex
 	received    []string // by b
-	unreachable int      // notices to a
+	unreachable int      // number of OnUnreachable calls at a
 }
 
 func newTransportPair(t *testing.T, sender Sender, change func(*Options)) *transportPair {
@@ -54,7 +54,8 @@
 	return p
 }
 
-// A message from another group, cluster, incarnation or name is rejected with its reason, and counted.
+// TestTransport_RejectsForeignMessages verifies that a message from another group, cluster, incarnation or name is rejected with the reason
+// and counted.
 func TestTransport_RejectsForeignMessages(t *testing.T) {
 	unchanged := func(*Options) {}
 	for _, c := range []struct {
@@ -64,10 +65,10 @@
 	}{
 		{Sender{"a", "1", "f"}, unchanged, ""},
 		{Sender{"a", "1", ""}, unchanged, ""}, // not joined yet
-		{Sender{"a", "1", "other"}, unchanged, "another founding"},
-		{Sender{"a", "0", "f"}, unchanged, "an earlier life of a"},
-		{Sender{"z", "1", "f"}, unchanged, `"z" is no member`},
-		{Sender{"a", "1", "f"}, func(o *Options) { o.Group = "h" }, "another group"},
+		{Sender{"a", "1", "other"}, unchanged, `cluster ID mismatch: got "other", want "f"`},
+		{Sender{"a", "0", "f"}, unchanged, `stale incarnation of a: "0"`},
+		{Sender{"z", "1", "f"}, unchanged, `"z" is not a member in the operator's file`},
+		{Sender{"a", "1", "f"}, func(o *Options) { o.Group = "h" }, `group mismatch: got "h", want "g"`},
 	} {
 		p := newTransportPair(t, c.sender, c.change)
 		out, err := p.a.Request(context.Background(), "b", "/x", []byte("m"))
@@ -81,30 +82,30 @@
 	}
 }
 
-// A peer that does not answer blocks no sender: its queue is bounded, messages that do not fit are dropped and counted, and an answer that
-// declines loses only that message.
+// TestTransport_StalledPeerBlocksNobody verifies that a peer that does not answer does not block the senders. Its queue is bounded, messages
+// for a full queue are dropped and counted, and an answer with an error loses only the message that it answers.
 func TestTransport_StalledPeerBlocksNobody(t *testing.T) {
 	p := newTransportPair(t, Sender{"a", "1", "f"}, func(*Options) {})
-	stalled, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections, reads nothing
+	stalled, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections but reads nothing
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer stalled.Close()
-	for _, name := range []string{"c", "d"} { // both before the first Send: the transport's goroutines read the members
+	for _, name := range []string{"c", "d"} { // both before the first Send, as the transport's goroutines read the members
 		p.a.options.Members = append(p.a.options.Members, Member{Name: name, Address: stalled.Addr().String()})
 	}
 	for range 2 * maxQueuedMessages {
 		p.a.Send("c", "/x", []byte("m"))
 	}
 	if n := p.a.Counters.Dropped.Load(); n < maxQueuedMessages-1 {
-		t.Errorf("%d dropped", n)
+		t.Errorf("%d messages dropped from the full queue", n)
 	}
 	droppedBefore := p.a.Counters.Dropped.Load()
-	for range 4 { // one is being sent, one is queued
+	for range 4 { // one is in flight, one is queued
 		p.a.Send("d", "/x", make([]byte, maxQueuedBytes/2+1))
 	}
 	if n := p.a.Counters.Dropped.Load() - droppedBefore; n < 2 {
-		t.Errorf("%d dropped of four that exceed the limit on bytes", n)
+		t.Errorf("%d dropped of four messages that exceed the limit on bytes together", n)
 	}
 	for _, m := range []string{"1", "no", "2"} {
 		p.a.Send("b", "/x", []byte(m))
@@ -115,15 +116,15 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if strings.Join(p.received, " ") != "1 no 2" || p.a.Counters.Lost.Load() != 1 || p.unreachable != 0 {
-		t.Errorf("received %q; %d lost, %d notices", p.received, p.a.Counters.Lost.Load(), p.unreachable)
+		t.Errorf("received %q; %d lost, %d calls of OnUnreachable", p.received, p.a.Counters.Lost.Load(), p.unreachable)
 	}
 }
 
-// A message over the limit is rejected, and connections over the limit wait.
+// TestTransport_Limits verifies that a message over the size limit is rejected and that connections over the limit wait.
 func TestTransport_Limits(t *testing.T) {
 	p := newTransportPair(t, Sender{"a", "1", "f"}, func(*Options) {})
 	if _, err := p.a.Request(context.Background(), "b", "/x", make([]byte, maxBodyBytes+1)); err == nil || p.b.Counters.Rejected.Load() != 1 || len(p.received) > 0 {
-		t.Errorf("a message that is too long: %v", err)
+		t.Errorf("message over the size limit: %v", err)
 	}
 	p.a.client.CloseIdleConnections()
 	conns := make([]net.Conn, 0, 2*maxConnsPerMember+maxOperatorConns)
@@ -138,17 +139,17 @@
 	ctx, cancel := context.WithTimeout(context.Background(), headerTimeout/4)
 	defer cancel()
 	if _, err := p.a.Request(ctx, "b", "/x", []byte("m")); err == nil {
-		t.Error("one connection over the limit was served")
+		t.Error("a connection over the limit was served")
 	}
 	for _, c := range conns {
 		c.Close()
 	}
 	if _, err := p.a.Request(context.Background(), "b", "/x", []byte("m")); err != nil {
-		t.Errorf("once they are closed: %v", err)
+		t.Errorf("request after the connections were closed: %v", err)
 	}
 }
 
-// Malformed requests reach no handler and leave no goroutine behind.
+// TestTransport_RejectsMalformedRequests verifies that malformed requests do not reach a handler and leak no goroutine.
 func TestTransport_RejectsMalformedRequests(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	p := newTransportPair(t, Sender{"a", "1", "f"}, func(*Options) {})
@@ -170,6 +171,6 @@
 		}
 	}
 	if len(p.received) > 0 {
-		t.Errorf("accepted: %q", p.received)
+		t.Errorf("messages passed to the handler: %q", p.received)
 	}
 }
