--- a/cmd/simadapter/host_test.go
+++ b/cmd/simadapter/host_test.go
@@ -24,7 +24,7 @@
 	}
 	replies := strings.Split(out.String(), "EOR\n")
 	if len(replies) != 4 || replies[0] != "" || !strings.HasPrefix(replies[1], "BY\t4\nCALL_OUT\tr-1\t10.0.0.1:7\t0\n") {
-		t.Fatalf("replies %q", replies)
+		t.Fatalf("replies %q, want 3, the first without actions and the second with a CALL_OUT", replies)
 	}
 }
 
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// tenantActiveFor is the time since its latest request for which a tenant counts as active.
+// tenantActiveFor is the time for which a tenant counts as active after its latest request.
 const tenantActiveFor = 2 * time.Second
 
 // Limiter decides on the admission of requests. It is not safe for concurrent use.
@@ -33,7 +33,7 @@
 	everActive    bool
 }
 
-// New returns a Limiter without open requests whose time is 0.
+// New returns a Limiter at time 0 without open requests.
 func New(config Config) *Limiter {
 	limiter := &Limiter{}
 	limiter.Reconfigure(0, config)
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -47,13 +47,13 @@
 	admit(0, 0)                       // 15 of 20: contention begins
 	admit(0, 1)
 	admit(0, 0)
-	expect(0, 0, false, TenantQuotaExceeded) // it has 10 open requests, its quota of 20 shared by 2 tenants
+	expect(0, 0, false, TenantQuotaExceeded) // the tenant has 10 open requests; its quota is half of 20
 	admit(0, 1)
 	admit(0, 1)
 	admit(0, 1)
 	expect(0, 1, false, OpenLimitReached)
 	if limiter.Counts()[TenantQuotaExceeded] != 1 || limiter.Counts()[Admitted] != int64(len(permits)) || limiter.OpenRequests() != 20 {
-		t.Errorf("counts %v with %d open requests", limiter.Counts(), limiter.OpenRequests())
+		t.Errorf("counts %v, want one TenantQuotaExceeded and one Admitted per permit; %d open requests, want 20", limiter.Counts(), limiter.OpenRequests())
 	}
 }
 
--- a/internal/admission/tokenbucket_test.go
+++ b/internal/admission/tokenbucket_test.go
@@ -42,7 +42,8 @@
 	})
 }
 
-// Rates of 0, near 0, NaN and above the resolution of the clock, and bursts that would overflow a duration.
+// A bucket yields the right number of tokens for rates of 0, near 0, NaN and above the resolution of the clock, and for bursts
+// that would overflow a duration.
 func TestTokenBucket_ExtremeRates(t *testing.T) {
 	for _, c := range []struct {
 		rate  float64
--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -37,7 +37,7 @@
 		e.setTimer(now, now+max(action.Wait, 0))
 	case dispatch.Send, dispatch.Cancel, dispatch.Reject, dispatch.Fail:
 		e.executeForRequest(now, action)
-	default: // the module's settings enable no other action, since the protocols support none
+	default: // the module's settings enable no other actions, because the protocols do not support them
 		e.Counters.UnsupportedActions.Add(1)
 	}
 }
--- a/internal/engine/admission.go
+++ b/internal/engine/admission.go
@@ -29,7 +29,7 @@
 	routes      *routes.Table
 	limiter     *admission.Limiter
 	classes     []dispatch.Class
-	routeLimits []dispatch.RouteLimits // by route index, with the limits of the fallbacks included
+	routeLimits []dispatch.RouteLimits // by route index, including the limits of the fallbacks
 }
 
 // reservation is what a request uses of the operators' limits. It is released once. The zero reservation uses nothing.
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -14,8 +14,8 @@
 	errEnded     = errors.New("attempt ended")
 )
 
-// Attempt is one attempt of a request at a worker. Its user calls MaySend immediately before it sends the first byte, passes the worker's
-// reports on, and always ends the attempt with Finish or ReportInvalidRequest.
+// Attempt is one attempt of a request at a worker. Its user calls MaySend immediately before it sends the first byte, reports the
+// start and the progress of the request, and always ends the attempt with Finish or ReportInvalidRequest.
 type Attempt struct {
 	request    *Request
 	number     int // index among the attempts of the request
--- a/internal/engine/attempt_test.go
+++ b/internal/engine/attempt_test.go
@@ -45,7 +45,7 @@
 			attempt := (<-request.Decisions()).Attempt
 			c.change(engine, request)
 			if got := attempt.MaySend(); got != c.maySend {
-				t.Errorf("%s: MaySend returns %v", c.name, got)
+				t.Errorf("%s: MaySend returned %v, want %v", c.name, got, c.maySend)
 			}
 			attempt.Finish(dispatch.ResultNotSent, nil)
 		})
@@ -126,7 +126,7 @@
 		}
 		end, _ := (<-request.Decisions()).Attempt.Context().Deadline()
 		if left := time.Until(end); left > c.want || left < c.want-time.Second/2 {
-			t.Errorf("%+v: the attempt's deadline is in %v", c, left)
+			t.Errorf("%+v: the attempt's deadline is in %v, want %v or up to 0.5 s less", c, left, c.want)
 		}
 		request.Close()
 	}
--- a/internal/engine/counters.go
+++ b/internal/engine/counters.go
@@ -44,7 +44,7 @@
 	Dials             atomic.Int64 // opened to workers
 	ReusedConns       atomic.Int64 // to workers, reused
 	StaleConns        atomic.Int64 // to workers, found closed before reuse
-	NoFileDescriptor  atomic.Int64 // attempts that failed for lack of a file descriptor
+	NoFileDescriptor  atomic.Int64 // attempts that failed at the limit of connections or file descriptors
 	ClientConns       atomic.Int64 // from clients
 	ClientConnsClosed atomic.Int64 // from clients, closed to enforce the limit
 
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -83,7 +83,7 @@
 	e.handle(e.now(), &event)
 }
 
-// retireUnlisted marks all workers as gone that are missing in a snapshot. The caller must hold the lock.
+// retireUnlisted marks all workers that are missing in a snapshot as gone. The caller must hold the lock.
 func (e *Engine) retireUnlisted(listed map[dispatch.WorkerID]bool) {
 	for id := range e.workers {
 		if listed[dispatch.WorkerID(id)] {
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -20,7 +20,7 @@
 	request := mustOpen(t, engine, "a")
 	request.Close()
 	if engine.Counters.Panics.Load() != 1 || decider.count(dispatch.RequestAbandoned) != 1 || engine.OpenRequests() != 0 {
-		t.Fatalf("panics %d, want 1; events %+v", engine.Counters.Panics.Load(), decider.events)
+		t.Fatalf("panics %d, want 1; events %+v, want one RequestAbandoned and no open request", engine.Counters.Panics.Load(), decider.events)
 	}
 }
 
@@ -64,7 +64,8 @@
 		}
 		broken := engine.Counters.Panics.Load() + engine.Counters.InvalidActions.Load()
 		if engine.OpenRequests() != 0 || served == 0 || broken > 0 {
-			t.Fatalf("%d requests open, %d served, counters %v", engine.OpenRequests(), served, engine.Counters.Fields())
+			t.Fatalf("%d requests open, want 0; %d served, want at least 1; counters %v, want no panics and no invalid actions",
+				engine.OpenRequests(), served, engine.Counters.Fields())
 		}
 	})
 }
--- a/internal/engine/exclusion.go
+++ b/internal/engine/exclusion.go
@@ -10,7 +10,7 @@
 	excludedByOperator    exclusion = 1 << iota // an operator has disabled the worker
 	excludedByMaintenance                       // the group has the worker's machine under maintenance
 	excludedWithoutLease                        // the worker needs the lease, which has expired; its process is unchanged
-	excludedAsOutdated                          // another member of the group knows a later state of the worker than this endpoint list has
+	excludedAsOutdated                          // another member of the group knows a later state of the worker than this dispatcher's endpoint list has
 
 	// restartExclusions are the reasons after which a worker counts as restarted, because it is restarted before the exclusion ends.
 	restartExclusions = excludedByOperator | excludedByMaintenance
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -62,7 +62,7 @@
 	checkAllSet(t, reflect.ValueOf(&c).Elem(), "Counters")
 	fields := c.Fields()
 	if want := int(next - 100); len(fields) != want {
-		t.Errorf("%d log fields for %d counters", len(fields), want)
+		t.Errorf("%d log fields, want %d, one for each counter", len(fields), want)
 	}
 	goldentest.Check(t, "counters.txt", []byte(fieldText(fields)))
 }
@@ -191,7 +191,7 @@
 				ID: strconv.Itoa(id), Class: "search", Tenant: c.tenant, TimeLeft: time.Hour, Slots: 1, Retry: c.retry, Path: c.path,
 			})
 			if (err == nil) != (i < c.admitted) {
-				t.Fatalf("%+v: request %d: error %v", c, i, err)
+				t.Fatalf("%+v: request %d: error %v, want errors only for the rejected requests", c, i, err)
 			}
 			if err == nil {
 				last, spare = request, last
--- a/internal/engine/heartbeat.go
+++ b/internal/engine/heartbeat.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Parameters for stalls of the process.
+// Parameters of the detection and handling of stalls.
 const (
 	stallThreshold = 250 * time.Millisecond // a longer time without a heartbeat is a stall
 	stallPause     = 30 * time.Millisecond  // time for the discovery watch to read the updates that arrived during the stall
--- a/internal/engine/lease_test.go
+++ b/internal/engine/lease_test.go
@@ -19,7 +19,7 @@
 	check := func(what string, attempt *Attempt, maySend, needsLease bool) {
 		t.Helper()
 		if attempt.MaySend() != maySend || attempt.NeedsLease() != needsLease {
-			t.Errorf("%s: MaySend %t, NeedsLease %t", what, attempt.MaySend(), attempt.NeedsLease())
+			t.Errorf("%s: MaySend %t, NeedsLease %t, want %t and %t", what, attempt.MaySend(), attempt.NeedsLease(), maySend, needsLease)
 		}
 	}
 	attempt := newAttempt("a")
@@ -81,7 +81,7 @@
 			t.Fatalf("%s: %d WorkerEnabled events, want 1", c.name, len(events))
 		}
 		if age := time.Duration(events[0].Elapsed) * time.Microsecond; age < c.minAge || age > c.maxAge {
-			t.Errorf("%s: worker age %v", c.name, age)
+			t.Errorf("%s: worker age %v, want %v to %v", c.name, age, c.minAge, c.maxAge)
 		}
 	}
 }
--- a/internal/engine/outlier.go
+++ b/internal/engine/outlier.go
@@ -34,8 +34,8 @@
 	e.handle(e.now(), &dispatch.Event{Kind: dispatch.OutlierReported, Worker: id})
 }
 
-// trackFailures counts consecutive failed attempts at a worker and reports the worker as an outlier. Outcomes that do not depend
-// on the worker are ignored. The caller must hold the lock.
+// trackFailures counts consecutive failed attempts at a worker. From minConsecutiveFailures on, it reports the worker as an outlier after
+// each of them. Outcomes that do not depend on the worker are ignored. The caller must hold the lock.
 func (e *Engine) trackFailures(id dispatch.WorkerID, result dispatch.Result) {
 	worker := e.knownWorker(id)
 	if e.onOutlier == nil || worker == nil {
--- a/internal/engine/reconfigure_test.go
+++ b/internal/engine/reconfigure_test.go
@@ -37,11 +37,11 @@
 	}
 	attempt.Finish(dispatch.ResultOK, []byte("r"))
 	if decision := <-request.Decisions(); decision.Kind != DecisionServe || string(decision.Result) != "r" {
-		t.Errorf("%+v", decision)
+		t.Errorf("decision %+v, want DecisionServe with result r", decision)
 	}
 	events := decider.eventsOf(dispatch.SettingsChanged)
 	if len(events) != 1 {
-		t.Fatalf("%+v", events)
+		t.Fatalf("SettingsChanged events %+v, want one", events)
 	}
 	if !slices.Equal(events[0].OldClasses, []int{-1}) || !slices.Equal(events[0].OldTenants, []int{0}) {
 		t.Errorf("old classes %v, want [-1]; old tenants %v, want [0]", events[0].OldClasses, events[0].OldTenants)
--- a/internal/engine/request_test.go
+++ b/internal/engine/request_test.go
@@ -55,7 +55,7 @@
 	request.Close()
 	ends := decider.eventsOf(dispatch.AttemptEnded)
 	if len(ends) != 1 || !ends[0].Final || ends[0].Result != dispatch.ResultOK {
-		t.Fatalf("AttemptEnded events %+v", ends)
+		t.Fatalf("AttemptEnded events %+v, want one that is final and OK", ends)
 	}
 	if decider.count(dispatch.RequestAbandoned) != 0 || decider.count(dispatch.AttemptStarted) != 1 {
 		t.Fatalf("events %+v, want no RequestAbandoned and one AttemptStarted", decider.events)
@@ -82,7 +82,7 @@
 	}
 	ends := decider.eventsOf(dispatch.AttemptEnded)
 	if len(ends) != 1 || ends[0].Result != dispatch.ResultNotSent || !ends[0].Final {
-		t.Fatalf("AttemptEnded events %+v", ends)
+		t.Fatalf("AttemptEnded events %+v, want one that is final and not sent", ends)
 	}
 	if engine.requests[request.id] != nil || engine.OpenRequests() != 0 {
 		t.Fatal("the request is still stored after its end")
@@ -107,14 +107,14 @@
 	request.Close()
 	counters := &engine.Counters
 	if counters.Served.Load() != 1 || counters.Overdue.Load() != 1 || counters.ClientDisconnects.Load() != 0 {
-		t.Fatal(counters.Fields())
+		t.Fatal("want 1 request served, 1 overdue and no client disconnect; counters", counters.Fields())
 	}
 	if n := decider.count(dispatch.RequestAbandoned); n != 1 {
 		t.Fatalf("%d requests were abandoned, want 1", n)
 	}
 	ends := decider.eventsOf(dispatch.AttemptEnded)
 	if len(ends) != 2 || ends[1].Result != dispatch.ResultNotSent || engine.OpenRequests() != 0 {
-		t.Fatalf("AttemptEnded events %+v, %d requests open", ends, engine.OpenRequests())
+		t.Fatalf("AttemptEnded events %+v, want two, the second not sent; %d requests open, want 0", ends, engine.OpenRequests())
 	}
 }
 
@@ -141,7 +141,7 @@
 			attempt.Finish(c.result, nil)
 		}
 		if decision := request.Abort(); decision.Kind != c.want {
-			t.Errorf("%s: decision %+v", c.name, decision)
+			t.Errorf("%s: decision %+v, want kind %v", c.name, decision, c.want)
 		}
 		request.Close()
 		attempt.Finish(dispatch.ResultTimedOut, nil)
@@ -186,13 +186,13 @@
 		}
 		select {
 		case decision := <-request.Decisions():
-			t.Errorf("decision %+v after a final one", decision)
+			t.Errorf("decision %+v after a final one, want none", decision)
 		default:
 		}
 		request.Close()
 		counters := &engine.Counters
 		if decider.count(dispatch.RequestAbandoned) != 0 || counters.AttemptsSent.Load() != 0 || counters.InvalidActions.Load() == 0 {
-			t.Errorf("events %+v, %d invalid actions, want at least 1", decider.events, counters.InvalidActions.Load())
+			t.Errorf("events %+v, want no RequestAbandoned and no attempt sent; %d invalid actions, want at least 1", decider.events, counters.InvalidActions.Load())
 		}
 	}
 }
--- a/internal/engine/restrictions.go
+++ b/internal/engine/restrictions.go
@@ -16,8 +16,8 @@
 	LeasedWorkers, LeasedHosts           map[string]bool // part of active plans: used only while the lease is valid
 }
 
-// runtimeSlack is the maximum time by which a request may exceed its deadline at a worker. The worker receives only the time left, so that
-// the transmission time and the inaccuracy of the worker's timer add to it.
+// runtimeSlack is the maximum time by which a request may exceed its deadline at a worker. The worker receives the time left instead of the
+// deadline, so that the transmission time and the inaccuracy of the worker's timer delay the end.
 const runtimeSlack = 250 * time.Millisecond
 
 // SetRestrictions replaces the group's restrictions. After it has returned, nothing is sent to workers under maintenance, and leased
--- a/internal/engine/restrictions_test.go
+++ b/internal/engine/restrictions_test.go
@@ -79,7 +79,7 @@
 		}
 		attempt.Finish(result, nil)
 		if (len(busyWorkerNames(engine)) == 1) != busy {
-			t.Errorf("result %v: busy workers %v", result, busyWorkerNames(engine))
+			t.Errorf("result %v: busy workers %v, want the worker busy: %t", result, busyWorkerNames(engine), busy)
 		}
 	}
 }
--- a/internal/engine/worker_test.go
+++ b/internal/engine/worker_test.go
@@ -30,7 +30,7 @@
 	got := map[string]string{}
 	for _, status := range engine.WorkerStatuses(time.Hour, time.Minute) {
 		if status.Zone != "a" || status.Kind != "big" || status.Weight != 2 {
-			t.Errorf("%+v", status)
+			t.Errorf("status %+v, want zone a, kind big and weight 2", status)
 		}
 		got[status.Name] = fmt.Sprintf("unavailable %t, warming up %t, disabled %t", status.Unavailable, status.WarmingUp, status.Disabled)
 	}
--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -13,7 +13,7 @@
 	// maxAttemptNumber is the maximum attempt number in a message.
 	maxAttemptNumber = 1 << 20
 
-	// maxSlots is the maximum number of slots that a request needs.
+	// maxSlots is the maximum number of slots that a request may need.
 	maxSlots = 1 << 20
 
 	// notReported marks a value that a load report does not contain.
@@ -210,7 +210,7 @@
 		}
 		report.Known = true
 		switch string(name) {
-		case r.freeSlotsValues[r.instance]:
+		case r.freeSlotsNames[r.instance]:
 			report.FreeSlots = max(number, 0)
 		case "pending":
 			report.QueueLength = max(number, 0)
--- a/internal/simprotocol/reader.go
+++ b/internal/simprotocol/reader.go
@@ -26,11 +26,11 @@
 	lineNumber int
 	longLine   []byte // buffer for a line longer than the input buffer
 
-	inBatch         bool
-	instance        int // the instance that ON has selected
-	names           map[int]*settings.NameTable
-	freeSlotsValues map[int]string // by instance: the name under which load reports contain the free slots
-	pools           [poolCount]pool
+	inBatch        bool
+	instance       int // the instance that ON has selected
+	names          map[int]*settings.NameTable
+	freeSlotsNames map[int]string // by instance: the name under which load reports contain the free slots
+	pools          [poolCount]pool
 
 	event   dispatch.Event    // the last event, reused
 	workers []dispatch.Worker // the workers of the last endpoint list, reused
@@ -39,10 +39,10 @@
 // NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{
-		in:              bufio.NewReaderSize(in, readBufferSize),
-		instance:        noInstance,
-		names:           map[int]*settings.NameTable{},
-		freeSlotsValues: map[int]string{},
+		in:             bufio.NewReaderSize(in, readBufferSize),
+		instance:       noInstance,
+		names:          map[int]*settings.NameTable{},
+		freeSlotsNames: map[int]string{},
 	}
 }
 
@@ -185,16 +185,16 @@
 		return err
 	}
 	r.names[r.instance] = names
-	r.freeSlotsValues[r.instance] = freeSlotsValue(pairs)
+	r.freeSlotsNames[r.instance] = freeSlotsName(pairs)
 	return nil
 }
 
-// freeSlotsValue returns the name under which load reports contain the free slots, or "" if they do not contain them.
-func freeSlotsValue(pairs *settings.Pairs) string {
+// freeSlotsName returns the name under which load reports contain the free slots, or "" if they do not contain them.
+func freeSlotsName(pairs *settings.Pairs) string {
 	found := ""
-	for _, value := range []string{"x0", "x1"} {
-		if pairs.Text("extra.report_"+value, "") == "free_slots" {
-			found = value
+	for _, name := range []string{"x0", "x1"} {
+		if pairs.Text("extra.report_"+name, "") == "free_slots" {
+			found = name
 		}
 	}
 	return found
--- a/internal/simprotocol/reader_test.go
+++ b/internal/simprotocol/reader_test.go
@@ -54,12 +54,12 @@
 	m := msgs[1]
 	s := m.Settings
 	if m.Kind != InstanceStart || m.Seed != 42 || len(s.Classes) != 2 || len(s.Tenants) != 1 || s.Zone != 1 || s.ZoneCount != 2 {
-		t.Fatalf("got %+v", m)
+		t.Fatalf("message %+v, want the start of an instance with seed 42, 2 classes, 1 tenant and zone 1 of 2", m)
 	}
 	c := s.Classes[1]
 	if c.Idempotency != dispatch.Deduplicated || c.DedupScope != dispatch.DedupZone || c.DedupWindow != 2500*dispatch.Millisecond || c.WorkerKind != 0 ||
 		c.ObjectiveStretch != 2 || s.Classes[0].WorkerKind != -1 || !s.EndpointsOnRequest || s.Tick != 2*dispatch.Millisecond {
-		t.Fatalf("got %+v", s)
+		t.Fatalf("settings %+v, want class 1 deduplicated by zone within 2.5 s, endpoints on request and a tick of 2 ms", s)
 	}
 }
 
@@ -86,7 +86,7 @@
 		{"attempt ended, unknown result", []string{q, "CLOSED_ATTEMPT\tr-1\t0\tx:1\t77\t1\t0\t-\t-\n"},
 			dispatch.Event{Kind: dispatch.AttemptEnded, Result: dispatch.ResultUnknown, Elapsed: dispatch.Second, Tenant: -1,
 				Report: dispatch.LoadReport{FreeSlots: -1, QueueLength: -1}}},
-		{"stream", []string{q, "FIRST_BYTE\tr-1\t0\t0.5\tx:1\n"},
+		{"response started", []string{q, "FIRST_BYTE\tr-1\t0\t0.5\tx:1\n"},
 			dispatch.Event{Kind: dispatch.ResponseStarted, Elapsed: 500 * dispatch.Millisecond, Tenant: -1}},
 		{"health check result is skipped", []string{"PROBE_DONE\t0.5\t0\tx:1\t-\n", q, "GONE\tr-1\n"},
 			dispatch.Event{Kind: dispatch.RequestAbandoned, Tenant: -1}},
@@ -101,7 +101,7 @@
 			}
 			got := *msgs[len(msgs)-2].Event
 			if len(got.Workers) != 0 {
-				t.Fatalf("workers %v", got.Workers)
+				t.Fatalf("workers %v, want none", got.Workers)
 			}
 			got.Workers = nil
 			if !reflect.DeepEqual(got, c.want) {
@@ -119,15 +119,15 @@
 	}
 	first, next := msgs[2].Event, msgs[3].Event
 	if first.Kind != dispatch.EndpointSnapshot || !first.Stale || first.Version != 3 || len(first.Workers) != 2 {
-		t.Fatalf("first list: %+v", first)
+		t.Fatalf("first list: %+v, want a stale snapshot with version 3 and 2 workers", first)
 	}
 	w := first.Workers[1]
 	if w.ID != 1 || w.Zone != 1 || w.Cell != -1 || w.State != dispatch.Draining || w.StartedAt != 99500*dispatch.Millisecond {
-		t.Fatalf("worker %+v", w)
+		t.Fatalf("worker %+v, want id 1 in zone 1, no cell, draining, started at 99.5 s", w)
 	}
 	if next.Kind != dispatch.EndpointUpdate || len(next.Workers) != 1 || next.Workers[0].ID != 2 ||
 		next.Workers[0].Kind != -1 || next.Workers[0].State != dispatch.Gone {
-		t.Fatalf("second list: %+v", next)
+		t.Fatalf("second list: %+v, want an update with worker 2 of unknown kind, gone", next)
 	}
 }
 
@@ -240,7 +240,7 @@
 func TestReader_CrashForgetsInstance(t *testing.T) {
 	msgs, r, err := readAll(batch(startLine, "CRASH_NOW\n", startLine))
 	if err != nil || len(msgs) != 5 || msgs[2].Kind != InstanceStop || r.NameTable(0) == nil {
-		t.Fatalf("%v %v", msgs, err)
+		t.Fatalf("messages %v, error %v, want a stop and another start of the instance", msgs, err)
 	}
 }
 
@@ -273,7 +273,7 @@
 		}
 	}
 	if n, _ := decodePeerMessage(appendPeerMessage(nil, dispatch.PeerMessage{Kind: dispatch.UsageUpdate, Slots: 1e9})); n.Slots != 255.0/8 {
-		t.Errorf("slots above the maximum were decoded as %v", n.Slots)
+		t.Errorf("slots above the maximum were decoded as %v, want 31.875", n.Slots)
 	}
 	for _, raw := range []string{"", "-", "aGkgNw==", "/////////w==", "not base64!", "AAAAAAAAAAAAAAAAAAAAAAAAAAAA"} {
 		if n, known := decodePeerMessage([]byte(raw)); known {
@@ -307,6 +307,6 @@
 		t.Fatal(err)
 	}
 	if got := out.String(); got != "BY\t3\nWRITE_PEER\t12\t"+encoded+"\nEOR\n" {
-		t.Fatalf("got %q", got)
+		t.Fatalf("reply %q, want one WRITE_PEER line for peer 12", got)
 	}
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -53,7 +53,7 @@
 		}
 		pool.CloseExpired()
 		if open, idle := pool.Counts(); open != 2 || idle != 0 {
-			t.Fatalf("%d open, %d idle", open, idle)
+			t.Fatalf("%d open, %d idle, want 2 and 0", open, idle)
 		}
 	})
 }
@@ -70,7 +70,7 @@
 	pool.Put(first)
 	third := mustGet(t, pool, "h:2") // closes the connection that has been idle longest
 	if open, idle := pool.Counts(); open != 2 || idle != 1 {
-		t.Fatalf("%d open, %d idle", open, idle)
+		t.Fatalf("%d open, %d idle, want 2 and 1", open, idle)
 	}
 	if got := mustGet(t, pool, "h:1"); got != first {
 		t.Fatal("the connection that had been idle for less time was closed")
@@ -79,7 +79,7 @@
 	_ = third.Close()
 	_ = first.Close()
 	if open, _ := pool.Counts(); open != 0 {
-		t.Fatalf("%d connections open after all were closed", open)
+		t.Fatalf("%d connections open after all were closed, want 0", open)
 	}
 }
 
@@ -92,11 +92,11 @@
 	pool.Put(second)
 	pool.CloseIdleTo("h:1")
 	if open, idle := pool.Counts(); open != 2 || idle != 1 {
-		t.Fatalf("%d open, %d idle", open, idle)
+		t.Fatalf("%d open, %d idle, want 2 and 1", open, idle)
 	}
 	used.SetReadDeadline(time.Unix(1, 0))
 	if _, err := used.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("a connection in use was closed: %v", err)
+		t.Fatalf("a connection in use was closed: error %v, want a timeout", err)
 	}
 	pool.Close()
 	if _, err := second.Write([]byte("x")); err == nil {
@@ -108,9 +108,9 @@
 // lost although the worker never received it.
 func TestPool_DetectsEndedIdleConnection(t *testing.T) {
 	for name, breakConn := range map[string]func(net.Conn){
-		"closed": func(c net.Conn) { c.Close() },
-		"reset":  func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); c.Close() },
-		"spoke":  func(c net.Conn) { io.WriteString(c, "HTTP/1.1 408 x\r\n") },
+		"closed":    func(c net.Conn) { c.Close() },
+		"reset":     func(c net.Conn) { _ = c.(*net.TCPConn).SetLinger(0); c.Close() },
+		"sent data": func(c net.Conn) { io.WriteString(c, "HTTP/1.1 408 x\r\n") },
 	} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -139,7 +139,7 @@
 			t.Fatalf("%s: the ended connection was reused", name)
 		}
 		if open, _ := pool.Counts(); open != 1 {
-			t.Fatalf("%s: %d open", name, open)
+			t.Fatalf("%s: %d open, want 1", name, open)
 		}
 		pool.Close()
 		l.Close()
@@ -154,7 +154,7 @@
 	pool := NewPool(func(context.Context, string) (net.Conn, error) { return nil, fmt.Errorf("dial: %w", fail) }, &counters, 1, time.Minute)
 	for range 3 {
 		if _, err := pool.Get(context.Background(), "h:1"); err == nil || errors.Is(err, ErrNoFileDescriptor) {
-			t.Fatalf("refused connection: error %v", err)
+			t.Fatalf("refused connection: error %v, want one other than ErrNoFileDescriptor", err)
 		}
 	}
 	fail = syscall.EMFILE // the process has no file descriptor available, which is not a failure of the worker
@@ -175,7 +175,7 @@
 	pool.Put(second)
 	pool.SetMaxConns(2)
 	if open, idle := pool.Counts(); open != 2 || idle != 1 {
-		t.Fatalf("%d open, %d idle", open, idle)
+		t.Fatalf("%d open, %d idle, want 2 and 1", open, idle)
 	}
 	if got := mustGet(t, pool, "h:1"); got != second {
 		t.Fatal("the most recently used connection was closed")
@@ -187,6 +187,6 @@
 	_ = third.Close()
 	pool.Put(second)
 	if open, _ := pool.Counts(); open != 1 {
-		t.Fatalf("%d open", open)
+		t.Fatalf("%d open, want 1", open)
 	}
 }
--- a/internal/upstream/transport_test.go
+++ b/internal/upstream/transport_test.go
@@ -58,7 +58,7 @@
 		_, a := upstreamtest.OpenAttempt(t, e, "quick", 60*time.Millisecond)
 		transport.Do(a, &Request{Method: "POST", Target: "/search", ID: "id-1"})
 		if e.Counters.Outcomes[dispatch.ResultTimedOut].Load() != 1 {
-			t.Fatal(e.Counters.Fields())
+			t.Fatal("want 1 attempt timed out; counters", e.Counters.Fields())
 		}
 		if open, _ := transport.Pool.Counts(); open != 0 || !early || linger != 0 {
 			t.Fatalf("%d connections open; closed before the outcome was reported: %v; linger time %d s, want 0, true and 0 s", open, early, linger)
@@ -108,7 +108,7 @@
 	_, a := upstreamtest.OpenAttempt(t, e, "search", 5*time.Second)
 	transport.Do(a, &Request{Method: "POST", Target: "/search", ID: "id-1", Body: make([]byte, 1000)})
 	if e.Counters.Outcomes[dispatch.ResultUnreachable].Load() != 1 {
-		t.Fatal(e.Counters.Fields())
+		t.Fatal("want 1 attempt unreachable; counters", e.Counters.Fields())
 	}
 }
 
@@ -126,7 +126,7 @@
 	r, a := upstreamtest.OpenAttempt(t, e, "search", 5*time.Second)
 	transport.Do(a, &Request{Method: "POST", Target: "/search", ID: "id-1"})
 	if e.Counters.Outcomes[dispatch.ResultNotSent].Load() != 1 {
-		t.Fatal(e.Counters.Fields())
+		t.Fatal("want 1 attempt not sent; counters", e.Counters.Fields())
 	}
 	far.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 	if n, err := far.Read(make([]byte, 1)); n != 0 || errors.Is(err, io.EOF) {
@@ -155,7 +155,7 @@
 			_, a := upstreamtest.OpenAttempt(t, e, "quick", 60*time.Millisecond)
 			transport.Do(a, &Request{Method: "POST", Target: "/search", ID: "id-1"})
 			if e.Counters.Outcomes[c.want].Load() != 1 {
-				t.Errorf("%s: %v", c.name, e.Counters.Fields())
+				t.Errorf("%s: want 1 attempt with result %v; counters %v", c.name, c.want, e.Counters.Fields())
 			}
 		})
 	}
@@ -169,7 +169,7 @@
 	_, a := upstreamtest.OpenAttempt(t, e, "search", 5*time.Second)
 	transport.Do(a, &Request{})
 	if e.Counters.Outcomes[dispatch.ResultNotSent].Load() != 1 || e.Counters.NoFileDescriptor.Load() != 1 {
-		t.Fatal(e.Counters.Fields())
+		t.Fatal("want 1 attempt not sent for lack of a file descriptor; counters", e.Counters.Fields())
 	}
 }
 
--- a/internal/upstream/upstreamtest/upstreamtest.go
+++ b/internal/upstream/upstreamtest/upstreamtest.go
@@ -148,7 +148,7 @@
 	t.Cleanup(request.Close)
 	decision := <-request.Decisions()
 	if decision.Attempt == nil {
-		t.Fatalf("decision %+v", decision)
+		t.Fatalf("decision %+v, want an attempt", decision)
 	}
 	return request, decision.Attempt
 }
