--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -21,9 +21,9 @@
 	"birchfork/internal/settings"
 )
 
-// The golden files of this package contain the log field names that operators rely on and the responses that clients receive. They
-// were written before the identifiers in the code were renamed. goldentest.Check describes how to update them, which is allowed only
-// for an intended change of these names or responses.
+// The golden files of this package contain the log field names that operators rely on and the responses that clients receive. A renamed
+// identifier must not change them. goldentest.Check describes how to update them, which is allowed only for an intended change of these
+// names or responses.
 
 // fieldText returns the sorted log fields, one per line, with their values.
 func fieldText(fields logrus.Fields) string {
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -121,9 +121,9 @@
 	return chain
 }
 
-// RouteLimits returns the limits of a request that starts on the given route: the limits of the route, combined with those
-// of its fallbacks. Attempts are added up, the longest attempt timeout applies, and so do all restrictions on hedging and
-// retries. maxAttempts is the platform's maximum for one route.
+// RouteLimits returns the limits of a request that starts on the given route: the limits of the route, combined with
+// those of its fallbacks. Attempts are added up, where the sum so far counts as at most maxAttempts, the platform's
+// maximum for one route. The longest attempt timeout applies, and so do all restrictions on hedging and retries.
 func (t *Table) RouteLimits(i, maxAttempts int) dispatch.RouteLimits {
 	combined := t.routes[i].Limits
 	for _, fallback := range t.Chain(i)[1:] {
--- a/internal/simprotocol/fields.go
+++ b/internal/simprotocol/fields.go
@@ -36,7 +36,7 @@
 	return f.err
 }
 
-// next returns the next value as it stands in the line.
+// next returns the next value without parsing it.
 func (f *fieldReader) next(name string) []byte {
 	if f.exhausted {
 		f.fail(fmt.Errorf("%s: %w", name, errMissingValue))
