--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -8,7 +8,7 @@
 func (d *Dispatcher) admit(r *request, isRetry bool) {
 	d.retryBudget = min(maxRetryBudget, d.retryBudget+retryBudgetRatio)
 	d.meanWork += (d.expectedWork(r) - d.meanWork) * slowEWMAWeight
-	r.sampled = isRetry // a burst of retries would overload a worker that is warming up
+	r.sampled = isRetry // retries get no warming worker: a burst of them would overload it
 	if !isRetry {
 		d.arrived.add(d.now, d.settings.OverloadWindow)
 		r.maySampleWarming = true // in its initial sampling only: each arrival is counted once
@@ -30,9 +30,9 @@
 }
 
 // latestOnTimeSend returns the latest time to send a request so that a typical worker answers it within its
-// latency objective. It is at least a quarter of the objective after the arrival, for requests with much
-// work. If the work is unknown, the expected estimation error is added to the run time; otherwise half of the
-// requests would be late. An error changes the run time by its own amount and the objective by
+// latency objective. A request with much work keeps at least a quarter of the time from its arrival to its
+// objective. If the work is unknown, the expected estimation error is added to the run time; otherwise half
+// of the requests would be late. An error changes the run time by its own amount and the objective by
 // ObjectiveStretch times that amount.
 func (d *Dispatcher) latestOnTimeSend(r *request) Time {
 	run := d.expectedWork(r) * d.fleet.slowdown
@@ -43,7 +43,7 @@
 }
 
 // backlogDelay estimates the time until the work queued ahead of a request is completed, from the work in
-// flight (Little's law). The upper bound depends on the age of the oldest queued request.
+// flight (Little's law). It is at most about twice the actual delay, the age of the oldest queued request.
 func (d *Dispatcher) backlogDelay(r *request) Time {
 	ahead := d.queuedSlots[bandNormal]
 	if r.band == bandOverQuota {
--- a/dispatch/affinity_test.go
+++ b/dispatch/affinity_test.go
@@ -122,7 +122,7 @@
 		h.startAndEnd(id, 10*ms)
 	}
 	if n := len(h.dispatcher.ring); n != 30*pointsPerWorker {
-		t.Fatalf("the ring has %d points for 30 workers", n)
+		t.Fatalf("the ring has %d points, want those of 30 workers", n)
 	}
 	h.handle(Event{Kind: EndpointUpdate, Version: 101, Workers: []Worker{{ID: 2999, Tag: list[2999].Tag, State: Gone}, list[0]}})
 	h.arriveWithKey(8)
@@ -169,7 +169,7 @@
 func TestAffinity_OneWorkerOrNone(t *testing.T) {
 	h := newHarness(t, affinitySettings())
 	if _, actions := h.arriveWithKey(7); len(actions) != 0 {
-		t.Fatalf("got %v without an endpoint list", actions)
+		t.Fatalf("got %v without an endpoint list, want no actions", actions)
 	}
 	h.handle(Event{Kind: EndpointSnapshot, Version: 1})
 	id, actions := h.arriveWithKey(7)
--- a/dispatch/capacity.go
+++ b/dispatch/capacity.go
@@ -15,7 +15,7 @@
 	// singleSlotReduction is the factor on a capacity of one slot if a request was queued at the worker.
 	singleSlotReduction = 0.75
 
-	// loadReportTTL limits the use of a report of free slots, which change within the time of one run.
+	// loadReportTTL is the time for which a report of free slots is used: slots change within one run time.
 	loadReportTTL = 200 * Millisecond
 
 	// maxSizeStep is the maximum number of slots by which one report raises a kind's size: a wrong report
--- a/dispatch/capacity_test.go
+++ b/dispatch/capacity_test.go
@@ -96,7 +96,7 @@
 	}
 	for _, w := range h.dispatcher.ready {
 		if w.capacity < initialCapacity || w.ejected || w.unresponsive {
-			t.Fatalf("worker %d: capacity %v, ejected %v, unresponsive %v after a shared slowdown", w.ID, w.capacity, w.ejected, w.unresponsive)
+			t.Fatalf("worker %d: capacity %v, ejected %v, unresponsive %v after a shared slowdown, want the initial capacity or more and neither flag set", w.ID, w.capacity, w.ejected, w.unresponsive)
 		}
 	}
 }
@@ -139,7 +139,7 @@
 		h.wait(50 * ms)
 		h.end(ids[0], 0, ResultOK)
 		if w.capacity <= capacity {
-			t.Errorf("capacity %v after a success at a capacity of %v", w.capacity, capacity)
+			t.Errorf("capacity %v after a success at the limit, want more than %v", w.capacity, capacity)
 		}
 	}
 }
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -18,10 +18,10 @@
 	startedAt Time     // time of the first event
 	actions   []Action // of the event that is being handled
 
-	classes    []classState
-	tenants    []tenantState
-	totalQuota float64 // of all tenants, in requests per second
-	arrivals   float64 // requests counted against quotas, excluding clients' retries
+	classes       []classState
+	tenants       []tenantState
+	totalQuota    float64 // of all tenants, in requests per second
+	quotaArrivals float64 // requests counted against quotas, excluding clients' retries
 
 	workers                []*worker // by id; nil: unknown
 	workersByTag           map[uint64]*worker
@@ -30,7 +30,7 @@
 	fleet                  kindState   // all workers together
 	ready                  []*worker
 	readyInZone            []*worker // ready workers in this dispatcher's zone
-	awaitingFirstRequest   []*worker // enabled by an operator and without a request since
+	awaitingFirstRequest   []*worker // enabled by an operator; no request sent there since
 	meanListedWeight       float64   // of the ready workers
 	allWarmedUpAt          Time      // when all ready workers have warmed up
 	ejectedCount           int       // of the ready workers
--- a/dispatch/endpoints_test.go
+++ b/dispatch/endpoints_test.go
@@ -36,7 +36,7 @@
 	}
 	wantKinds(t, h.handle(Event{Kind: EndpointUpdate, Version: 4, Workers: []Worker{{ID: 0, State: Draining}}}))
 	if actions := h.wait(2 * s.MaxPollInterval); countKind(actions, WatchEndpoints) != 0 {
-		t.Fatalf("got %v while the watch stands", actions)
+		t.Fatalf("got %v while the watch is active, want no poll", actions)
 	}
 	for _, g := range gaps {
 		if g > s.MaxPollInterval {
@@ -70,7 +70,7 @@
 	w.failureRate, w.unresponsive, w.capacity = 1, true, 9
 	h.handle(Event{Kind: EndpointUpdate, Version: 2, Workers: []Worker{{ID: 0, StartedAt: h.now}}})
 	if w.failureRate != 0 || w.unresponsive || w.capacity == 9 || h.dispatcher.slowStartFactor(w) >= 1 {
-		t.Fatalf("after a restart: failure rate %v, unresponsive %v, capacity %v, slow-start factor %v", w.failureRate, w.unresponsive, w.capacity, h.dispatcher.slowStartFactor(w))
+		t.Fatalf("after a restart: failure rate %v, unresponsive %v, capacity %v, slow-start factor %v, want all reset", w.failureRate, w.unresponsive, w.capacity, h.dispatcher.slowStartFactor(w))
 	}
 }
 
--- a/dispatch/golden_streams_test.go
+++ b/dispatch/golden_streams_test.go
@@ -194,8 +194,8 @@
 	for _, w := range f.workers {
 		slots += w.slots
 	}
-	rate := 1500 + f.rng.IntN(3000) // slots times microseconds between two arrivals, divided by 100
-	gap := max(rate*100/slots, 1)
+	slotTimePerArrival := 1500 + f.rng.IntN(3000) // slots times microseconds between two arrivals, divided by 100
+	gap := max(slotTimePerArrival*100/slots, 1)
 	limited := f.rng.IntN(3) == 0
 	end := f.now + goldenDuration
 	for at := f.now; at < end; at += Time(f.rng.IntN(2 * gap)) {
--- a/dispatch/hedging.go
+++ b/dispatch/hedging.go
@@ -11,7 +11,7 @@
 	// progressSlack is the delay of a progress report after which the attempt counts as stalled.
 	progressSlack = 400 * Millisecond
 
-	// maxCancelPrice is the maximum price of a cancelled attempt (wasted work plus fetch) up to which waiting
+	// maxCancelPrice is the maximum price of a cancelled attempt (wasted work plus fetch) at which waiting
 	// requests are hedged, migrated and cancelled.
 	maxCancelPrice = 0.1
 )
@@ -52,7 +52,7 @@
 	if d.canHedge(r) {
 		slack = hedgeStartSlack
 	}
-	if d.canMigrate(r) { // grows with each attempt, since the number of attempts is limited
+	if d.canMigrate(r) { // doubles, so that the limited number of attempts is not used up at once
 		slack = hedgeStartSlack << min(len(r.attempts)-1, maxDoublings)
 	}
 	return 2*d.zoneOf(w).startDelay + slack
--- a/dispatch/hedging_test.go
+++ b/dispatch/hedging_test.go
@@ -30,25 +30,25 @@
 func TestHedging_UsesAllAttemptsTwoAtATime(t *testing.T) {
 	h := newHarness(t, hedgingSettings(), fleet(8)...)
 	id, _ := h.arriveAndSend(classIdempotent, 100*ms)
-	sends, out := 1, 1
+	sends, inFlight := 1, 1
 	for range 100 {
 		for _, a := range h.wait(5 * ms) {
 			switch a.Kind {
 			case Send:
 				sends++
-				out++
+				inFlight++
 			case Cancel:
-				out--
+				inFlight--
 				for _, b := range h.end(id, a.Attempt, ResultCancelled) {
 					if b.Kind == Send {
 						sends++
-						out++
+						inFlight++
 					}
 				}
 			}
 		}
-		if out > 2 {
-			t.Fatalf("%d attempts in flight, want at most two", out)
+		if inFlight > 2 {
+			t.Fatalf("%d attempts in flight, want at most two", inFlight)
 		}
 	}
 	if sends != h.dispatcher.settings.MaxAttempts {
@@ -123,13 +123,13 @@
 		}
 		wantKinds(t, h.start(id, 1))
 		if actions = h.wait(200 * ms); len(actions) != 0 {
-			t.Fatalf("class %d: got %v while the request is running", class, actions)
+			t.Fatalf("class %d: got %v while the request is running, want no actions", class, actions)
 		}
 	}
 	h := newHarness(t, migrationSettings(), fleet(12)...)
 	h.arriveAndSend(classNonIdempotent, 100*ms)
 	if actions := h.wait(300 * ms); len(actions) != 0 {
-		t.Errorf("non-idempotent request was migrated: %v", actions)
+		t.Errorf("got %v for a non-idempotent request, want no migration", actions)
 	}
 }
 
@@ -147,7 +147,7 @@
 			}
 			waits = append(waits, h.now-h.dispatcher.request(id).attempts[a.Attempt].sentAt)
 			if actions := append(h.end(id, a.Attempt, ResultCancelled), h.wait(candidateInterval+ms)...); countKind(actions, Send) != 1 {
-				t.Fatalf("migration %d: got %v", len(waits), actions)
+				t.Fatalf("migration %d: got %v, want one send", len(waits), actions)
 			}
 		}
 		if h.now > 110*Second {
--- a/dispatch/module_test.go
+++ b/dispatch/module_test.go
@@ -91,7 +91,7 @@
 		text := readSource(t, f)
 		for _, bad := range []string{`"time"`, `"os"`, `"net`, `"sync`, `"reflect"`, "go func", `"io"`} {
 			if bytes.Contains(text, []byte(bad)) {
-				t.Errorf("%s contains %s", f, bad)
+				t.Errorf("%s contains %s, want no I/O, clock, lock or goroutine", f, bad)
 			}
 		}
 	}
--- a/dispatch/outlier_test.go
+++ b/dispatch/outlier_test.go
@@ -4,9 +4,9 @@
 
 func TestOutlier_FastFailingWorkerAttractsNoRequests(t *testing.T) {
 	h := newHarness(t, testSettings(), fleet(6)...)
-	bad := h.countSendsTo(0, 200, 50*ms, 10*ms, ResultFailed)
-	if bad > 20 {
-		t.Fatalf("%d of 200 requests went to a worker that fails every request, want at most 20 probes", bad)
+	sends := h.countSendsTo(0, 200, 50*ms, 10*ms, ResultFailed)
+	if sends > 20 {
+		t.Fatalf("%d of 200 requests went to a worker that fails every request, want at most 20 probes", sends)
 	}
 	if !h.dispatcher.workers[0].ejected {
 		t.Fatal("the failing worker is not ejected")
@@ -16,20 +16,20 @@
 	for i := 2; i < 6; i++ {
 		h.dispatcher.workers[i].slotsInUse += 100
 	}
-	tried := 0
+	probes := 0
 	for range 40 {
 		_, actions := h.arrive(classIdempotent, 50*ms)
 		for _, a := range append(actions, h.wait(250*ms)...) {
 			if a.Kind == Send && a.Worker == 0 {
-				tried++
-				number := len(h.dispatcher.request(a.Request).attempts) - 1
-				h.start(a.Request, number)
-				h.end(a.Request, number, ResultOK)
+				probes++
+				attempt := len(h.dispatcher.request(a.Request).attempts) - 1
+				h.start(a.Request, attempt)
+				h.end(a.Request, attempt, ResultOK)
 			}
 		}
 	}
-	if tried < 1 || h.dispatcher.workers[0].ejected {
-		t.Fatalf("%d probes, ejected %v: a worker that succeeds again must be readmitted", tried, h.dispatcher.workers[0].ejected)
+	if probes < 1 || h.dispatcher.workers[0].ejected {
+		t.Fatalf("%d probes, ejected %v: a worker that succeeds again must be readmitted", probes, h.dispatcher.workers[0].ejected)
 	}
 }
 
@@ -57,9 +57,9 @@
 
 func TestOutlier_UnreachableWorkerIsProbed(t *testing.T) {
 	h := newHarness(t, testSettings(), fleet(3)...)
-	tried := h.countSendsTo(0, 400, 20*ms, 20*ms, ResultUnreachable) // over eight seconds
-	if tried < 3 || tried > 12 {
-		t.Fatalf("%d sends to an unreachable worker in eight seconds, want 3 to 12 probes", tried)
+	probes := h.countSendsTo(0, 400, 20*ms, 20*ms, ResultUnreachable) // over eight seconds
+	if probes < 3 || probes > 12 {
+		t.Fatalf("%d sends to an unreachable worker in eight seconds, want 3 to 12 probes", probes)
 	}
 }
 
@@ -133,11 +133,11 @@
 	reportOutlier(-1)
 	reportOutlier(99)
 	if countSends(classNonIdempotent, 60) == 0 {
-		t.Fatal("no request goes to the worker before the report")
+		t.Fatal("no request went to the worker before the report, want some")
 	}
 	reportOutlier(0)
 	if n := countSends(classNonIdempotent, 60); n > 0 {
-		t.Errorf("%d non-idempotent requests went to an ejected worker", n)
+		t.Errorf("%d non-idempotent requests went to an ejected worker, want none", n)
 	}
 	h.wait(Second)
 	if n := countSends(classIdempotent, 60); n == 0 {
@@ -163,7 +163,7 @@
 		}
 	}
 	if n := countSends(classNonIdempotent, 60); n > 0 {
-		t.Errorf("%d non-idempotent requests went to the worker after a failed probe", n)
+		t.Errorf("%d non-idempotent requests went to the worker after a failed probe, want none", n)
 	}
 	for w := range WorkerID(6) {
 		reportOutlier(w)
--- a/dispatch/override_test.go
+++ b/dispatch/override_test.go
@@ -100,13 +100,13 @@
 	if got := h.dispatcher.slowStartFactor(w); got > s.SlowStartMinFactor {
 		t.Fatalf("slow-start factor %v when the worker is enabled, want %v", got, s.SlowStartMinFactor)
 	}
-	back := h.now
+	enabledAt := h.now
 	h.wait(s.SlowStartWindow / 2)
-	h.handle(Event{Kind: EndpointUpdate, Workers: []Worker{{ID: 0, StartedAt: back - Second}}, Version: 2})
+	h.handle(Event{Kind: EndpointUpdate, Workers: []Worker{{ID: 0, StartedAt: enabledAt - Second}}, Version: 2})
 	if got := h.dispatcher.slowStartFactor(w); got < 0.5 || got > 0.6 {
 		t.Fatalf("slow-start factor %v after half of the window, with a start that was listed late, want 0.5 to 0.6", got)
 	}
-	if w.readmittedAt != back {
+	if w.readmittedAt != enabledAt {
 		t.Fatal("a start that was already known counts as another restart")
 	}
 	h.handle(Event{Kind: EndpointUpdate, Workers: []Worker{{ID: 0, StartedAt: h.now}}, Version: 3})
--- a/dispatch/peers.go
+++ b/dispatch/peers.go
@@ -7,7 +7,7 @@
 	// loadQueryTimeout limits the wait for a reply to a load query. The round trip takes up to 54 ms.
 	loadQueryTimeout = 60 * Millisecond
 
-	// loadReplyTTL limits the use of a reply. It is long, since an old reply is better than none.
+	// loadReplyTTL is the time for which a reply is used. It is long: an old reply is better than none.
 	loadReplyTTL = 600 * Millisecond
 
 	// maxLoadQueries is the maximum number of workers sampled and queried at once: messages have a price.
--- a/dispatch/peers_test.go
+++ b/dispatch/peers_test.go
@@ -102,7 +102,7 @@
 		p[1].wait(c.after)
 		replies := p[1].handle(Event{Kind: PeerMessageReceived, Peer: 0, Message: query})
 		if len(replies) != 1 || replies[0].Message.Slots < c.min || replies[0].Message.Slots > c.max {
-			t.Errorf("%v after a rejection the aggregator replies %v", c.after, replies)
+			t.Errorf("%v after a rejection the aggregator replies %v, want one reply, with the penalty until it expires", c.after, replies)
 		}
 	}
 }
@@ -129,7 +129,7 @@
 		sends += countKind(h.wait(loadQueryTimeout), Send)
 	}
 	if sends != 0 {
-		t.Errorf("%d sends to workers that were reported as full", sends)
+		t.Errorf("%d sends to workers that were reported as full, want none", sends)
 	}
 }
 
--- a/dispatch/placement_test.go
+++ b/dispatch/placement_test.go
@@ -75,7 +75,7 @@
 }
 
 func TestSampleCandidates_IsBounded(t *testing.T) {
-	work := func(n int) int {
+	countCandidates := func(n int) int {
 		h := newHarness(t, testSettings(), fleet(n)...)
 		for _, w := range h.dispatcher.workers {
 			w.slotsInUse = 100 // no worker has capacity, so a queued request samples further workers
@@ -84,7 +84,7 @@
 		h.wait(200 * ms)
 		return len(h.dispatcher.request(id).candidates)
 	}
-	if a, b := work(200), work(2000); a > maxCandidates || b > maxCandidates {
+	if a, b := countCandidates(200), countCandidates(2000); a > maxCandidates || b > maxCandidates {
 		t.Fatalf("%d and %d candidates for one request, want at most %d", a, b, maxCandidates)
 	}
 }
--- a/dispatch/random_test.go
+++ b/dispatch/random_test.go
@@ -33,7 +33,7 @@
 			t.Fatal(err)
 		}
 		if len(a) < 100 || !slices.Equal(a, b) {
-			t.Fatalf("seed %d: two runs differ or have too few actions (%d)", seed, len(a))
+			t.Fatalf("seed %d: got %d actions, or two runs that differ, want at least 100 actions and equal runs", seed, len(a))
 		}
 	}
 }
--- a/dispatch/reconfigure.go
+++ b/dispatch/reconfigure.go
@@ -18,7 +18,7 @@
 	for _, t := range s.Tenants {
 		d.totalQuota += t.QuotaRPS
 	}
-	for len(d.zones) <= s.ZoneCount { // inserted before the last zone, which is for unnamed zones
+	for len(d.zones) <= s.ZoneCount { // inserted before the last, which is for zones that the settings do not name
 		d.zones = slices.Insert(d.zones, len(d.zones)-1, newZoneState())
 	}
 	for len(d.kinds) <= s.KindCount {
--- a/dispatch/reconfigure_test.go
+++ b/dispatch/reconfigure_test.go
@@ -9,7 +9,7 @@
 	h := newHarness(t, s, fleet(3)...)
 	old, actions := h.arrive(classIdempotent, 100*ms)
 	if len(sendTargets(actions)) != 1 {
-		t.Fatalf("%v", actions)
+		t.Fatalf("got %v, want one send", actions)
 	}
 	s.Classes = []Class{s.Classes[classNonIdempotent], s.Classes[classIdempotent]}
 	h.changeSettings(s, -1, classNonIdempotent) // the first class is new
@@ -18,7 +18,7 @@
 	}
 	newer, actions := h.arrive(0, 100*ms)
 	if len(sendTargets(actions)) != 1 {
-		t.Fatalf("%v", actions)
+		t.Fatalf("got %v, want one send", actions)
 	}
 	if actions := h.handle(Event{Kind: AttemptEnded, Request: newer, Result: ResultFailed}); len(actions) != 1 || actions[0].Kind != Fail {
 		t.Fatalf("got %v, want a failure of the non-idempotent request", actions)
@@ -77,7 +77,7 @@
 	}
 	second, actions := h.arrive(classIdempotent, 100*ms)
 	if len(actions) != 0 {
-		t.Fatalf("%v", actions)
+		t.Fatalf("got %v, want the second request queued", actions)
 	}
 	s.MaxAttempts = 1
 	if actions := h.changeSettings(s, 0, 1, 2, 3); len(actions) != 1 || actions[0].Kind != Reject || actions[0].Request != id {
@@ -95,12 +95,12 @@
 	h.changeSettings(s, 0, 1, 2, 3)
 	a, b := h.dispatcher.workers[0], h.dispatcher.workers[1]
 	if a.kind.slowdown != 3 || b.kind.slowdown != 4 || h.dispatcher.zoneOf(a).queueWait != 5 || h.dispatcher.zoneOf(b).queueWait != 6 || len(h.dispatcher.readyInZone) != 0 {
-		t.Fatalf("%v %v %v %v", a.kind, b.kind, h.dispatcher.zoneOf(a), h.dispatcher.zoneOf(b))
+		t.Fatalf("kinds %v and %v, zones %v and %v, want the slowdowns 3 and 4 and the queue waits 5 and 6 kept", a.kind, b.kind, h.dispatcher.zoneOf(a), h.dispatcher.zoneOf(b))
 	}
 	s.ZoneCount, s.KindCount, s.Zone = 1, 1, 0 // with fewer zones and kinds, the known ones are kept
 	h.changeSettings(s, 0, 1, 2, 3)
 	if h.dispatcher.settings.ZoneCount != 4 || len(h.dispatcher.zones) != 5 || len(h.dispatcher.readyInZone) != 1 || a.kind.slowdown != 3 {
-		t.Fatalf("%+v", h.dispatcher.settings)
+		t.Fatalf("settings %+v, want 4 zones, one ready worker in the zone and the slowdown of the kind kept", h.dispatcher.settings)
 	}
 }
 
@@ -118,6 +118,6 @@
 		h.changeSettings(b, 0)
 	}
 	if h.dispatcher.settings.MaxAttempts != s.MaxAttempts || len(h.dispatcher.classes) != len(s.Classes) {
-		t.Fatalf("%+v", h.dispatcher.settings)
+		t.Fatalf("settings %+v, want those from before the invalid ones", h.dispatcher.settings)
 	}
 }
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -40,7 +40,7 @@
 	affinityKey uint64  // 0: none
 	limits      RouteLimits
 	maxAttempts int  // according to the settings at its arrival
-	dedupWindow Time // for which workers drop repeats; never: unlimited
+	dedupWindow Time // time for which workers drop repeats; never: unlimited
 
 	arrivedAt   Time
 	deadline    Time // latest time for an answer
@@ -54,7 +54,7 @@
 	queueTicket          uint64 // of its live queue entries; 0: not queued
 	queuedAt             Time
 	candidates           []*worker // workers whose queues contain the request, in sampling order
-	hasInitialCandidates bool      // candidates were sampled when it was queued for the first time
+	hasInitialCandidates bool      // the candidates are those of the first time that it was queued
 	maySampleWarming     bool      // workers that are warming up may be sampled
 	sampled              bool      // it has been queued before, or is a client's retry
 	samplingRound        int       // number of sampling rounds since it was queued
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -2,8 +2,8 @@
 
 const (
 	retryBudgetRatio = 0.15 // retries added to the budget per arrival: bounds retry storms
-	maxRetryBudget   = 10.0 // retries that the budget holds at most
-	maxDoublings     = 20   // of a pause or allowance that doubles with each attempt: avoids an overflow
+	maxRetryBudget   = 10.0 // maximum number of retries in the budget
+	maxDoublings     = 20   // of a pause or slack that doubles with each attempt: avoids an overflow
 )
 
 // mayRetry reports whether an attempt at w cannot cause a duplicate effect, whatever the outcome of earlier
--- a/dispatch/retry_test.go
+++ b/dispatch/retry_test.go
@@ -70,7 +70,7 @@
 			t.Fatalf("%s: got %v, want a second attempt", c.name, actions)
 		}
 		if sendBefore := actions[0].SendBefore; c.bound && sendBefore != arrivedAt+500*ms-s.Tick || !c.bound && sendBefore < never {
-			t.Errorf("%s: the retry must be sent within %v of the first send, want a limit of 499 ms: %v", c.name, sendBefore-arrivedAt, c.bound)
+			t.Errorf("%s: SendBefore of the retry is %v after the first send, want a limit of 499 ms: %v", c.name, sendBefore-arrivedAt, c.bound)
 		}
 	}
 }
--- a/dispatch/rulechecker_test.go
+++ b/dispatch/rulechecker_test.go
@@ -166,4 +166,5 @@
 	return nil
 }
 
+// maxSlots is the maximum number of requests that a worker of the random tests runs at once.
 const maxSlots = 4
--- a/dispatch/send_test.go
+++ b/dispatch/send_test.go
@@ -20,7 +20,7 @@
 			}
 		}
 		if final.Kind == Send || h.now > began+5*Second {
-			t.Fatalf("class %d: final answer %v at %v after the arrival, want one within 5 s", class, final, h.now-began)
+			t.Fatalf("class %d: final answer %v, %v after the arrival, want one within 5 s", class, final, h.now-began)
 		}
 		if class == classNonIdempotent && final.Kind != Fail {
 			t.Fatalf("got %v for a non-idempotent request that may have run, want a failure", final)
@@ -37,7 +37,7 @@
 			_, actions := h.arrive(classIdempotent, 100*ms)
 			for _, a := range append(actions, h.wait(100*ms)...) {
 				if a.Kind == Send && a.Worker == 0 {
-					t.Fatalf("sent to a worker in state %v", st)
+					t.Fatalf("sent to a worker in state %v, want no send", st)
 				}
 			}
 		}
--- a/dispatch/settings.go
+++ b/dispatch/settings.go
@@ -50,10 +50,10 @@
 	OverloadMultiple   float64 // a warming worker fails if its load exceeds this multiple of its capacity ...
 	OverloadWindow     Time    // ... for this time
 
-	PriceWaste     float64 // of wasted work, as a share of all work
-	PriceFetch     float64 // of one fetch from the store for each request
-	PriceLateFail  float64 // of the weight of requests that ended unserved after their latency objective
-	PriceCrossZone float64 // of one crossing between zones for each request
+	PriceWaste     float64 // price of wasted work, as a share of all work
+	PriceFetch     float64 // price of one fetch from the store per request
+	PriceLateFail  float64 // price of the weight of requests that ended unserved after their latency objective
+	PriceCrossZone float64 // price of one crossing between zones per request
 	IdleTimeout    Time    // time after which idle connections are closed
 }
 
@@ -62,7 +62,7 @@
 type RouteLimits struct {
 	Timeout         Time // for the whole request, from its arrival
 	AttemptTimeout  Time
-	MaxQueueTime    Time // time in the queue without an attempt in flight
+	MaxQueueTime    Time // from its arrival, while it is queued without an attempt in flight
 	MaxAttempts     int
 	NoHedging       bool // at most one attempt in flight
 	HedgeDelay      Time // minimum time from an attempt to its hedge
--- a/dispatch/shedding.go
+++ b/dispatch/shedding.go
@@ -38,14 +38,14 @@
 		return false
 	}
 	prior := d.totalQuota / float64(d.settings.GroupSize) * trafficPriorSeconds
-	ownRate := (prior + d.arrivals) / (trafficPriorSeconds + float64(d.now-d.startedAt)/float64(Second))
+	ownRate := (prior + d.quotaArrivals) / (trafficPriorSeconds + float64(d.now-d.startedAt)/float64(Second))
 	rate := tenant.QuotaRPS * min(1, ownRate/d.totalQuota)
 	refilled := tenant.tokens + rate*float64(d.now-tenant.refilledAt)/float64(Second)
 	tenant.tokens = min(max(minQuotaBurst, rate), refilled)
 	tenant.refilledAt = d.now
 	isOver := tenant.tokens < 1
 	if !isRetry {
-		d.arrivals++
+		d.quotaArrivals++
 		tenant.tokens = max(0, tenant.tokens-1)
 	}
 	return isOver
--- a/dispatch/shedding_test.go
+++ b/dispatch/shedding_test.go
@@ -114,7 +114,7 @@
 	s.Tenants, s.OverQuotaWeight, s.GroupSize = []Tenant{{QuotaRPS: 40}, {QuotaRPS: 40}}, 0.1, 40
 	h := newHarness(t, s, fleet(20)...)
 	overQuota := 0
-	for i := range 200 { // 0.8 per second of each tenant, in groups of four: a fifth below this dispatcher's part of the quota, 1
+	for i := range 200 { // 0.8 per second of each tenant, in groups of four: a fifth below this dispatcher's share of the quota
 		id, tenant := h.nextRequest, i/4%2
 		h.nextRequest++
 		h.handle(Event{Kind: RequestArrived, Request: id, Tenant: tenant, ExpectedWork: 50 * ms, TimeLeft: 5 * Second, Slots: 1})
--- a/dispatch/simfleet_test.go
+++ b/dispatch/simfleet_test.go
@@ -22,7 +22,7 @@
 	dispatchers  []*simDispatcher
 	workers      []*simWorker
 	version      uint64
-	maxExcess    float64 // maximum over all windows of the calls beyond the budget, as a fraction of N
+	maxExcess    float64 // maximum over all windows of the calls beyond the budget, as a fraction of the limit n (see slowStartBudget)
 	maxExcessAge Time    // age of the worker at the end of that window
 	warmingCalls int     // calls that workers received while warming up
 	served       int
@@ -312,7 +312,7 @@
 	w.startQueued()
 }
 
-// slowStartBudget returns the maximum number of calls per window that the platform allows where the settings give a limit of n.
+// slowStartBudget returns the maximum number of calls per window that the platform allows if the settings give a limit of n.
 func slowStartBudget(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -39,8 +39,8 @@
 }
 
 // sendToWarming sends a request that would be rejected to a worker that is warming up, if one is sampled and
-// has capacity. The queues that cause the rejection are at other workers, so that workers that are warming up
-// would otherwise receive the fewest requests under overload.
+// has capacity. The queues that cause the rejection are at other workers: without this step, workers that are
+// warming up would receive the fewest requests when they are needed most.
 func (d *Dispatcher) sendToWarming(r *request) bool {
 	if d.now >= d.allWarmedUpAt || d.settings.PeerMessages { // load messages would arrive too late
 		return false
@@ -53,7 +53,7 @@
 
 // scheduleFirstRequest ensures that a worker that an operator has enabled is used again, since sampling
 // rarely selects a worker that is warming up. Each dispatcher sends it one request at a random time. In a
-// large group a random part of the dispatchers does so, about as many as the worker can run requests.
+// large group only a random part does so: together about as many requests as the worker can run by then.
 func (d *Dispatcher) scheduleFirstRequest(w *worker) {
 	maxFirstRequests := d.settings.OverloadMultiple * d.settings.SlowStartMinFactor *
 		float64(firstRequestMaxDelay) / (d.meanWork * d.slowdownOf(w))
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -214,7 +214,7 @@
 		t.Errorf("%d of 200 requests went to warming workers, want at least 10", n)
 	}
 	if n := sendsWithTimeLeft(100 * ms); n != 0 { // earlier tries have used the rest of the five seconds
-		t.Errorf("%d requests were sent that would be late", n)
+		t.Errorf("%d requests were sent that would be late, want none", n)
 	}
 }
 
--- a/dispatch/slowstartbudget.go
+++ b/dispatch/slowstartbudget.go
@@ -7,7 +7,8 @@
 
 // This file limits the requests that are sent to a worker that is warming up. The limits derive from
 // completed and sent requests rather than from arrivals: with many dispatchers, each of which receives a
-// small part of the traffic, only these show how much the fleet can run.
+// small part of the traffic, only these show how much the fleet can run. The budget of a worker is the number
+// of requests that it may be sent within the overload window.
 
 const (
 	// slowStartShare is the share of a warming worker's budget that all dispatchers together use. The rest
@@ -67,6 +68,7 @@
 // at least one request. Guards against requests that are queued at the worker and released together.
 func (d *Dispatcher) hasSlowStartBudget(w *worker) bool {
 	budget := max(1, d.slowStartCapacityWeight(w)*d.throughputPerCapacity(w))
+	// 1/e is what remains of the count of one request after the overload window.
 	return w.warmingSends.at(d.now, d.settings.OverloadWindow) <= budget-1+1/math.E
 }
 
--- a/dispatch/types.go
+++ b/dispatch/types.go
@@ -53,7 +53,7 @@
 	ID               WorkerID
 	Zone, Kind, Cell int
 	State            WorkerState
-	StartedAt        Time    // 0: long before the slow-start window
+	StartedAt        Time    // 0: longer ago than the slow-start window
 	Tag              uint64  // hash of its name, the same at every dispatcher
 	Weight           float64 // approximate size relative to other workers; 0: unknown
 }
--- a/dispatch/validate.go
+++ b/dispatch/validate.go
@@ -40,9 +40,9 @@
 			return invalid(field("WorkerKind"),
 				"invalid value %d: must be at least -1 and less than KindCount", c.WorkerKind)
 		case c.Idempotency > NonIdempotent:
-			return invalid(field("Idempotency"), "invalid value %d: out of range", c.Idempotency)
+			return invalid(field("Idempotency"), "invalid value %d: must be one of the values of Idempotency", c.Idempotency)
 		case c.DedupScope > DedupCell:
-			return invalid(field("DedupScope"), "invalid value %d: out of range", c.DedupScope)
+			return invalid(field("DedupScope"), "invalid value %d: must be one of the values of DedupScope", c.DedupScope)
 		case c.LatencyObjective < 0:
 			return invalid(field("LatencyObjective"), "invalid value %d: must be at least 0", c.LatencyObjective)
 		case c.Deadline <= 0:
--- a/dispatch/warmingbudget_test.go
+++ b/dispatch/warmingbudget_test.go
@@ -41,8 +41,9 @@
 	{"light load", 0.15, func(s *simScenario) { s.load = 0.4 }},
 }
 
-// TestSlowStart_FleetKeepsBudget guards against incident 6b9c04, with the decision module alone: under any traffic, and whatever the
-// other workers do, all dispatchers together keep within the budget of a warming worker and still use that worker.
+// TestSlowStart_FleetKeepsBudget guards against incident 6b9c04, in which a burst overloaded a warming worker, with the decision
+// module alone: under any traffic, and whatever the other workers do, all dispatchers together keep within the budget of a warming
+// worker and still use that worker.
 func TestSlowStart_FleetKeepsBudget(t *testing.T) {
 	seeds, err := strconv.Atoi(os.Getenv(soakSeedsVariable))
 	if err != nil {
@@ -59,9 +60,9 @@
 				c.change(&scenario)
 				f := runSimScenario(t, scenario)
 				utilization := f.utilizationWhileWarming()
-				t.Logf("seed %d: maximum excess over the budget %+.2f N at an age of %.1f s, utilization %.2f, served %d", seed, f.maxExcess, float64(f.maxExcessAge)/float64(Second), utilization, f.served)
+				t.Logf("seed %d: maximum excess over the budget %+.2f of the limit at an age of %.1f s, utilization %.2f, served %d", seed, f.maxExcess, float64(f.maxExcessAge)/float64(Second), utilization, f.served)
 				if f.maxExcess > 0 {
-					t.Errorf("seed %d: a warming worker received %.2f N calls beyond its budget, %.1f s after its start", seed, f.maxExcess, float64(f.maxExcessAge)/float64(Second))
+					t.Errorf("seed %d: a warming worker exceeded its budget by %.2f of the limit, %.1f s after its start, want no excess", seed, f.maxExcess, float64(f.maxExcessAge)/float64(Second))
 				}
 				if utilization < c.minUtilization {
 					t.Errorf("seed %d: warming workers received %.2f of their minimum capacity, want at least %.2f", seed, utilization, c.minUtilization)
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -12,7 +12,7 @@
 	disabledAt        Time // most recent time
 	enabledAt         Time // most recent time; 0: never
 	readmittedAt      Time // most recent first listing, restart or enabling
-	firstRequestDue   Time // when a request is sent there without sampling, if it was enabled
+	firstRequestDue   Time // due time of a request that is sent there without sampling, after it was enabled
 	outlierReportedAt Time // most recent report by another dispatcher; 0: never
 
 	slotsInUse   float64 // of this dispatcher's attempts in flight
@@ -44,7 +44,7 @@
 	onRing bool // has points on the consistent-hash ring, or is queued in ringAdditions
 }
 
-// kindState is the statistics of the workers of one kind, or of all workers.
+// kindState holds the statistics of the workers of one kind, or of all workers.
 type kindState struct {
 	size         float64 // maximum number of slots known to have run at once
 	sizeReported bool    // the size includes a report of free slots
@@ -55,7 +55,7 @@
 
 func newKindState() kindState { return kindState{size: 1, slowdown: 1} }
 
-// zoneState is the statistics of the workers of one zone.
+// zoneState holds the statistics of the workers of one zone.
 type zoneState struct {
 	startDelay         Time    // minimum time from a send to the report of its start
 	queueWait          float64 // mean delay of a start, in mean run times
