--- a/cmd/birchfork/group.go
+++ b/cmd/birchfork/group.go
@@ -104,13 +104,13 @@
 func printGroupStatus(w io.Writer, status *coordinator.Status) {
 	fmt.Fprintf(w, "according to %s; leader %s, term %d, entry %d\n", status.Member, orNone(status.Leader), status.Term, status.AppliedIndex)
 	fmt.Fprintf(w, "lease %v, longest attempt %v, fence timeout for a silent member %v\n",
-		status.Bounds.Lease, status.Bounds.MaxAttempt, status.Bounds.FenceTimeout)
+		status.Bounds.Lease, status.Bounds.MaxAttemptDuration, status.Bounds.FenceTimeout)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "MEMBER\tZONE\tINCARNATION\tVOTER\tLAST REPORT\tAPPLIED")
 	for _, m := range status.Members {
 		lastReport := "not by this leader"
-		if m.LastReport >= 0 {
-			lastReport = m.LastReport.Round(time.Millisecond).String() + " ago"
+		if m.LastReportAge >= 0 {
+			lastReport = m.LastReportAge.Round(time.Millisecond).String() + " ago"
 		}
 		fmt.Fprintf(t, "%s\t%s\t%s\t%t\t%s\t%d\n", m.Name, orNone(m.Zone), m.Incarnation, m.IsVoter, lastReport, m.Applied)
 	}
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -22,7 +22,7 @@
 	learnerHeartbeatTicks = electionTicks / 2
 
 	readRetryTicks      = 10        // until an unanswered read round is started again
-	maxPending          = 1024      // each: messages and reads that wait
+	maxQueueLength      = 1024      // each: messages and reads that wait
 	maxMessageBytes     = 256 << 10 // of the entries in one message
 	maxUncommittedBytes = 4 << 20   // of proposals
 	maxInflightMessages = 64        // to one follower
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -45,15 +45,15 @@
 		return nil, err
 	}
 	core := &Core{options: options, confState: confState, lastReadRound: seed >> 1, learnerHeartbeats: map[uint64]int{}}
-	if err := core.restoreStored(); err != nil {
+	if err := core.restoreSnapshot(); err != nil {
 		return nil, err
 	}
 	core.rawNode, err = raft.NewRawNode(core.raftConfig())
 	return core, err
 }
 
-// restoreStored restores the state machine from the storage's snapshot, if there is one.
-func (c *Core) restoreStored() error {
+// restoreSnapshot restores the state machine from the storage's snapshot, if there is one.
+func (c *Core) restoreSnapshot() error {
 	snapshot, err := c.options.Storage.memory.Snapshot()
 	if err != nil {
 		return err
--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -118,21 +118,21 @@
 	network.addLearner(3)
 	network.propose(20)
 	network.checkEqual("added")
-	joins := network.snapshots
+	joinSnapshots := network.snapshots
 	network.partitioned[3] = true
 	network.propose(trailingEntries / 2)
 	network.partitioned[3] = false
 	network.run(20)
 	network.checkEqual("a little behind")
-	if network.snapshots != joins {
-		t.Errorf("%d snapshots for a member that the log was enough for", network.snapshots-joins)
+	if network.snapshots != joinSnapshots {
+		t.Errorf("%d snapshots for a member that the log was enough for", network.snapshots-joinSnapshots)
 	}
 	network.partitioned[3] = true
 	network.propose(snapshotThreshold + 2*trailingEntries)
 	network.partitioned[3] = false
 	network.run(40)
 	network.checkEqual("far behind")
-	if network.snapshots == joins {
+	if network.snapshots == joinSnapshots {
 		t.Error("it caught up without a snapshot")
 	}
 	first, err := network.cores[1].options.Storage.memory.FirstIndex()
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// content returns all buckets, keys and values of a bbolt file, with one line for each.
-func content(t *testing.T, path string) []byte {
+// dumpFile returns all buckets, keys and values of a bbolt file, with one line for each.
+func dumpFile(t *testing.T, path string) []byte {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
 	if err != nil {
@@ -115,7 +115,7 @@
 func TestGolden_StorageContent(t *testing.T) {
 	dir := t.TempDir()
 	writeGoldenStorage(t, dir)
-	goldentest.Check(t, "group.db.txt", content(t, filepath.Join(dir, "group.db")))
+	goldentest.Check(t, "group.db.txt", dumpFile(t, filepath.Join(dir, "group.db")))
 }
 
 // TestGolden_ReadsStorage verifies that all of a file that an earlier build wrote is read.
@@ -132,7 +132,7 @@
 			t.Fatal(err)
 		}
 	}
-	goldentest.Check(t, "group.db.txt", content(t, old))
+	goldentest.Check(t, "group.db.txt", dumpFile(t, old))
 	raw, err := os.ReadFile(old)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -38,7 +38,7 @@
 		options:  options,
 		id:       options.Storage.identity.RaftID,
 		calls:    make(chan func(*Core), maxPendingCalls),
-		incoming: make(chan *raftpb.Message, maxPending),
+		incoming: make(chan *raftpb.Message, maxQueueLength),
 		stop:     make(chan struct{}),
 		done:     make(chan struct{}),
 	}
--- a/internal/consensus/position.go
+++ b/internal/consensus/position.go
@@ -30,9 +30,9 @@
 	return p
 }
 
-// Misses reports whether storage at p has lost something that was promised. It ignores the terms of entries, as messages do not tell
+// Lacks reports whether storage at p has lost something that was promised. It ignores the terms of entries, as messages do not tell
 // them.
-func (p Position) Misses(promised Position) bool {
+func (p Position) Lacks(promised Position) bool {
 	return p.Term < promised.Term || p.LastIndex < promised.LastIndex
 }
 
--- a/internal/consensus/reads.go
+++ b/internal/consensus/reads.go
@@ -15,7 +15,7 @@
 // ReadIndex calls done with an index such that everything that was committed before the call of ReadIndex is at or below it: a quorum
 // has confirmed since the call that this member, or its leader, leads. done may never be called.
 func (c *Core) ReadIndex(done func(index uint64, err error)) {
-	if len(c.pendingReads) >= maxPending {
+	if len(c.pendingReads) >= maxQueueLength {
 		done(0, ErrBusy)
 		return
 	}
--- a/internal/consensus/storage_test.go
+++ b/internal/consensus/storage_test.go
@@ -75,17 +75,17 @@
 	}
 }
 
-// corruption counts how corrupt files were opened.
-type corruption struct {
-	complete int // read in full
-	replaced int // set aside, so that a new incarnation began
+// corruptFileOutcomes counts how corrupt files were opened.
+type corruptFileOutcomes struct {
+	readInFull int // read in full
+	setAside   int // set aside, so that a new incarnation began
 }
 
 // TestStorage_CorruptFileBeginsNewIncarnation verifies that a truncated file, or one with a flipped bit, is either read in full or set
 // aside for a new incarnation. A part of its state must never be used, as the member could vote twice in a term.
 func TestStorage_CorruptFileBeginsNewIncarnation(t *testing.T) {
 	_, raw := newStorageDir(t)
-	var outcomes corruption
+	var outcomes corruptFileOutcomes
 	for n := 0; n < len(raw); n += 509 {
 		outcomes.try(t, fmt.Sprintf("torn at %d", n), raw[:n])
 	}
@@ -106,13 +106,13 @@
 		}
 		at += len(entry) + next
 	}
-	if outcomes.complete == 0 || outcomes.replaced == 0 {
-		t.Errorf("%d read in full, %d set aside", outcomes.complete, outcomes.replaced)
+	if outcomes.readInFull == 0 || outcomes.setAside == 0 {
+		t.Errorf("%d read in full, %d set aside", outcomes.readInFull, outcomes.setAside)
 	}
 }
 
 // try opens a storage file with some content, and counts the outcome.
-func (c *corruption) try(t *testing.T, what string, raw []byte) {
+func (c *corruptFileOutcomes) try(t *testing.T, what string, raw []byte) {
 	t.Helper()
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, storageFile), raw, 0o600); err != nil {
@@ -131,9 +131,9 @@
 	incarnation, position := storage.Identity().Incarnation, storage.Position()
 	switch {
 	case incarnation == "first" && position == storedPosition && hardState.GetVote() == 9 && entriesAreComplete(storage):
-		c.complete++
+		c.readInFull++
 	case incarnation == "second" && storage.IsEmpty():
-		c.replaced++
+		c.setAside++
 	case incarnation == "first" && position.LastIndex < storedPosition.LastIndex: // an older state: bbolt used its other meta page
 	default:
 		t.Errorf("%s: %+v, position %+v, %v", what, storage.Identity(), position, hardState)
--- a/internal/coordinator/apply.go
+++ b/internal/coordinator/apply.go
@@ -39,7 +39,7 @@
 	previousSeq := c.state.Seq
 	events := c.state.Apply(index, data)
 	if c.state.Seq != previousSeq {
-		c.seqSince = time.Now()
+		c.seqChangedAt = time.Now()
 	}
 	return events, restrictionsOf(c.state)
 }
@@ -59,7 +59,7 @@
 	}
 	c.mu.Lock()
 	c.state = state
-	c.seqSince = time.Now()
+	c.seqChangedAt = time.Now()
 	restrictions := restrictionsOf(state)
 	c.mu.Unlock()
 	if !c.ignoresRestoredState() {
@@ -122,7 +122,7 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(appliedInterval): // raft's own entries are applied without a change of the state
+		case <-time.After(appliedPollInterval): // raft's own entries are applied without a change of the state
 		case <-ctx.Done():
 			return ctx.Err()
 		}
--- a/internal/coordinator/bootstrap.go
+++ b/internal/coordinator/bootstrap.go
@@ -26,13 +26,13 @@
 	if clusterID := c.sender().ClusterID; clusterID != "" {
 		return &Reply{Text: "this member is in the group already, founded as " + clusterID}
 	}
-	unclear, err := c.membersNotOutside(ctx, current)
+	unconfirmed, err := c.unconfirmedMembers(ctx, current)
 	if err != nil {
 		return &Reply{Code: maintenance.CodeInvalid, Text: err.Error()}
 	}
-	if len(unclear) > 0 {
-		name := slices.Min(slices.Collect(maps.Keys(unclear)))
-		return retryLater("each member has to say that it is in no group yet; %s: %v", name, unclear[name])
+	if len(unconfirmed) > 0 {
+		name := slices.Min(slices.Collect(maps.Keys(unconfirmed)))
+		return retryLater("each member has to say that it is in no group yet; %s: %v", name, unconfirmed[name])
 	}
 	select {
 	case current.bootstrap <- afterDataLoss:
@@ -48,20 +48,20 @@
 	return &Reply{Text: "founded"}
 }
 
-// membersNotOutside returns, by name, the other members that have not answered that they are in no group, each with the error of its
+// unconfirmedMembers returns, by name, the other members that have not answered that they are in no group, each with the error of its
 // request; the error is nil for a member that accepted the request, as one in a group may.
-func (c *Coordinator) membersNotOutside(ctx context.Context, current *membership) (map[string]error, error) {
+func (c *Coordinator) unconfirmedMembers(ctx context.Context, current *membership) (map[string]error, error) {
 	request, err := json.Marshal(joinRequest{Name: c.options.Self}) // without an incarnation it is never granted
 	if err != nil {
 		return nil, err
 	}
-	unclear := map[string]error{}
+	unconfirmed := map[string]error{}
 	for _, member := range c.others() {
 		if _, err := c.request(ctx, current, member.Name, pathJoin, request); !isRejectedAs(err, errRejectOutsideGroup) {
-			unclear[member.Name] = err
+			unconfirmed[member.Name] = err
 		}
 	}
-	return unclear, nil
+	return unconfirmed, nil
 }
 
 // bootstrapStorage creates the group on this member's storage, and starts the node.
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -34,7 +34,7 @@
 	positionQueryTimeout = 500 * time.Millisecond // for the other members' positions
 	commitTimeout        = 2 * time.Second        // for an operator's call to be committed
 	pollInterval         = 5 * time.Millisecond   // between checks of a condition that is expected soon
-	appliedInterval      = 10 * time.Millisecond  // between checks of the applied index, while the state does not change
+	appliedPollInterval  = 10 * time.Millisecond  // between checks of the applied index, while the state does not change
 	goneWorkerRetention  = 15 * time.Minute       // how long a worker that has left the endpoint list counts as unavailable
 )
 
@@ -95,18 +95,18 @@
 	closing atomic.Bool        // the process ends and has transferred leadership already
 
 	// mu guards the fields below. It may be held while the dispatcher locks its own mutex, never the other way round.
-	mu       sync.Mutex
-	state    *maintenance.State
-	seqSince time.Time     // when state got its present Seq
-	changed  chan struct{} // closed and replaced at each change of state
+	mu           sync.Mutex
+	state        *maintenance.State
+	seqChangedAt time.Time     // when state got its present Seq
+	changed      chan struct{} // closed and replaced at each change of state
 
 	lastReports       map[string]receivedReport     // by member, since this process started
-	observedNames     map[uint64]string             // members by raft ID, from the messages they sent
-	observedPositions map[string]consensus.Position // by incarnation of other members: what their messages have promised
+	senderNames       map[uint64]string             // members by raft ID, from the messages they sent
+	promisedPositions map[string]consensus.Position // by incarnation of other members: what their messages have promised
 
-	maxAttempt time.Duration // upper bound from the decision to send an attempt until its end
-	warmUp     time.Duration // Options.WarmUp, or longer after ExtendTimes
-	membership *membership   // nil: this process does not have it
+	maxAttemptDuration time.Duration // upper bound from the decision to send an attempt until its end
+	warmUp             time.Duration // Options.WarmUp, or longer after ExtendTimes
+	membership         *membership   // nil: this process does not have it
 }
 
 // Start starts a Coordinator and returns at once. Where maintenance plans are in use, the dispatcher treats plans as unknown until the
@@ -114,17 +114,17 @@
 func Start(options Options) *Coordinator {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Coordinator{
-		options:           options,
-		cancel:            cancel,
-		done:              make(chan struct{}),
-		state:             maintenance.New(),
-		seqSince:          time.Now(),
-		changed:           make(chan struct{}),
-		lastReports:       map[string]receivedReport{},
-		observedNames:     map[uint64]string{},
-		observedPositions: map[string]consensus.Position{},
-		maxAttempt:        options.MaxDeadline + options.MaxDelivery,
-		warmUp:            options.WarmUp,
+		options:            options,
+		cancel:             cancel,
+		done:               make(chan struct{}),
+		state:              maintenance.New(),
+		seqChangedAt:       time.Now(),
+		changed:            make(chan struct{}),
+		lastReports:        map[string]receivedReport{},
+		senderNames:        map[uint64]string{},
+		promisedPositions:  map[string]consensus.Position{},
+		maxAttemptDuration: options.MaxDeadline + options.MaxDelivery,
+		warmUp:             options.WarmUp,
 	}
 	options.Dispatcher.SetMaxAttemptDuration(options.MaxDeadline)
 	options.Dispatcher.SetPlansUnknown(options.Group.MaintenancePlans && !failpoint.Enabled(failpoint.SendBeforeJoin))
@@ -149,7 +149,7 @@
 // fenceTimeout returns how long after an entry was committed this member may still send or run attempts by an earlier state. A leader that
 // has waited that long needs no report from it. c.mu must be held.
 func (c *Coordinator) fenceTimeout() time.Duration {
-	timeout := c.options.Group.LeaseDuration + c.maxAttempt
+	timeout := c.options.Group.LeaseDuration + c.maxAttemptDuration
 	return timeout + timeout/clockDriftDivisor // the clock that measures it may run faster
 }
 
@@ -159,11 +159,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.warmUp = max(c.warmUp, warmUp)
-	maxAttempt := maxDeadline + maxDelivery
-	if maxAttempt <= c.maxAttempt {
+	maxAttemptDuration := maxDeadline + maxDelivery
+	if maxAttemptDuration <= c.maxAttemptDuration {
 		return
 	}
-	c.maxAttempt = maxAttempt
+	c.maxAttemptDuration = maxAttemptDuration
 	c.options.Dispatcher.SetLeaseExpiry(time.Time{}) // before any attempt begins that may run longer
 	c.options.Dispatcher.SetMaxAttemptDuration(maxDeadline)
 }
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -33,11 +33,11 @@
 		return reply.Code == maintenance.CodeRetryLater && strings.Contains(reply.Text, "d2: ")
 	})
 	time.Sleep(2 * joinInterval)
-	if !g.dispatchers[0].lacksPlans() {
+	if !g.dispatchers[0].hasUnknownPlans() {
 		t.Error("plans count as known though a member that may have some is silent")
 	}
 	g.start(2)
-	g.eventually("all are in no group", func() bool { return !g.dispatchers[0].lacksPlans() })
+	g.eventually("all are in no group", func() bool { return !g.dispatchers[0].hasUnknownPlans() })
 	g.bootstrap()
 	checkInvalidPlan(g)
 	g.call(1, maintenance.CodeOK, Call{Command: &maintenance.Command{Kind: maintenance.CommandSubmitPlan, Plan: testPlan}, Check: true})
--- a/internal/coordinator/golden_test.go
+++ b/internal/coordinator/golden_test.go
@@ -214,7 +214,7 @@
 	c.state.Members["d0"] = &maintenance.Member{Name: "d0", Incarnation: "l0", RaftID: 1, Voter: true}
 	c.state.Members["d1"] = &maintenance.Member{Name: "d1", Incarnation: "l1", RaftID: 2, Voter: true}
 	mustApply(t, c, maintenance.Command{Kind: maintenance.CommandSubmitPlan, Plan: testPlan})
-	c.maxAttempt = 9 * time.Second
+	c.maxAttemptDuration = 9 * time.Second
 	c.membership = &membership{transport: peer.NewTransport(peer.Options{
 		Group: "g", Self: "d0", Identity: c.sender, IsStale: c.isPastIncarnation, OnUnreachable: c.reportUnreachable,
 	})}
--- a/internal/coordinator/handlers.go
+++ b/internal/coordinator/handlers.go
@@ -86,8 +86,8 @@
 	id, promised, err := node.Receive(body)
 	if id != 0 {
 		c.mu.Lock()
-		c.observedNames[id] = from.Name
-		c.observedPositions[from.Incarnation] = c.observedPositions[from.Incarnation].Merge(promised)
+		c.senderNames[id] = from.Name
+		c.promisedPositions[from.Incarnation] = c.promisedPositions[from.Incarnation].Merge(promised)
 		c.mu.Unlock()
 	}
 	return nil, err
@@ -104,7 +104,7 @@
 func (c *Coordinator) servePosition(from peer.Sender, sent *consensus.Position) (consensus.Position, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if sent.Misses(c.observedPositions[from.Incarnation]) {
+	if sent.Lacks(c.promisedPositions[from.Incarnation]) {
 		return consensus.Position{}, errStaleDisk
 	}
 	if c.membership == nil || c.membership.identity.ClusterID == "" {
--- a/internal/coordinator/handlers_test.go
+++ b/internal/coordinator/handlers_test.go
@@ -17,7 +17,7 @@
 	startGroupOfOne(t, g)
 	c := g.coordinators[0]
 	c.mu.Lock()
-	c.observedPositions[memberHeader["X-Birchfork-Life"]] = consensus.Position{Term: 5, LastIndex: 8}
+	c.promisedPositions[memberHeader["X-Birchfork-Life"]] = consensus.Position{Term: 5, LastIndex: 8}
 	c.mu.Unlock()
 	for _, test := range []struct {
 		name, position string
--- a/internal/coordinator/leader.go
+++ b/internal/coordinator/leader.go
@@ -31,8 +31,8 @@
 func (c *Coordinator) proposeAdvance(ctx context.Context, node *consensus.Node) {
 	c.mu.Lock()
 	advance := c.collectAdvance()
-	silent, older := c.membersBelowLevel(compactLevel)
-	if len(silent)+len(older) == 0 {
+	unreported, older := c.membersBelowLevel(compactLevel)
+	if len(unreported)+len(older) == 0 {
 		advance = c.state.Compact(advance)
 	}
 	isUseful := c.state.WouldChange(advance)
@@ -60,7 +60,7 @@
 func (c *Coordinator) collectAdvance() *maintenance.Advance {
 	advance := &maintenance.Advance{
 		StateSeq:     c.state.Seq,
-		Elapsed:      time.Since(c.seqSince),
+		Elapsed:      time.Since(c.seqChangedAt),
 		FenceTimeout: c.fenceTimeout(),
 		WarmUp:       c.warmUp,
 		Reports:      map[string]maintenance.MemberReport{},
@@ -170,16 +170,16 @@
 		known[member.RaftID] = true
 	}
 	for _, id := range slices.Concat(status.Learners, status.Voters) {
-		if !known[id] && !c.holdsVoteForSuccessor(status, id) {
+		if !known[id] && !c.isVoterToBeReplaced(status, id) {
 			return []*raftpb.ConfChangeSingle{confChange(raftpb.ConfChangeRemoveNode, id)}
 		}
 	}
 	return nil
 }
 
-// holdsVoteForSuccessor reports whether a raft ID is that of an earlier incarnation of a voter whose present incarnation does not vote
+// isVoterToBeReplaced reports whether a raft ID is that of an earlier incarnation of a voter whose present incarnation does not vote
 // yet. It stays a voter until nextPromotion replaces it. c.mu must be held.
-func (c *Coordinator) holdsVoteForSuccessor(status consensus.Status, id uint64) bool {
+func (c *Coordinator) isVoterToBeReplaced(status consensus.Status, id uint64) bool {
 	for _, member := range c.state.Members {
 		if hadRaftID(member, id) {
 			return member.Voter && slices.Contains(status.Voters, id) && !slices.Contains(status.Voters, member.RaftID)
--- a/internal/coordinator/lease_test.go
+++ b/internal/coordinator/lease_test.go
@@ -20,7 +20,7 @@
 	checkAcceptLease(g)
 	checkGrantNeedsQuorum(g)
 	g.start(1)
-	g.eventually("it trusts its disk, though nobody else is there", func() bool { return !g.dispatchers[1].lacksPlans() })
+	g.eventually("it trusts its disk, though nobody else is there", func() bool { return !g.dispatchers[1].hasUnknownPlans() })
 }
 
 // checkLongerAttempts extends the second member's attempts: it has no lease until the group waits for as long.
@@ -40,8 +40,8 @@
 	}
 	for i, want := range []time.Duration{60 * time.Millisecond, time.Minute} {
 		g.dispatchers[i].set(func() {
-			if g.dispatchers[i].maxAttempt != want {
-				g.t.Errorf("attempts of member %d may run for %v, want %v", i, g.dispatchers[i].maxAttempt, want)
+			if g.dispatchers[i].maxAttemptDuration != want {
+				g.t.Errorf("attempts of member %d may run for %v, want %v", i, g.dispatchers[i].maxAttemptDuration, want)
 			}
 		})
 	}
--- a/internal/coordinator/membership.go
+++ b/internal/coordinator/membership.go
@@ -194,8 +194,8 @@
 		return nil, err
 	}
 	storage, err := consensus.OpenStorage(c.options.Group.DataDir, identity)
-	isOthers := errors.Is(err, boltstore.ErrLocked) || errors.Is(err, boltstore.ErrForeign)
-	if err == nil || isOthers {
+	belongsToOther := errors.Is(err, boltstore.ErrLocked) || errors.Is(err, boltstore.ErrForeign)
+	if err == nil || belongsToOther {
 		return storage, err
 	}
 	c.options.Log.WithError(err).Error("group storage unavailable, taking part without persistence")
@@ -325,7 +325,7 @@
 			return ""
 		}
 	}
-	return c.observedNames[id] // while this member has not received the state yet
+	return c.senderNames[id] // while this member has not received the state yet
 }
 
 // hadRaftID reports whether an earlier incarnation of a member had a raft ID.
--- a/internal/coordinator/membership_test.go
+++ b/internal/coordinator/membership_test.go
@@ -71,7 +71,7 @@
 		defer c.mu.Unlock()
 		return c.state.Members["d2"].Incarnation != pastIncarnation
 	})
-	g.eventually("it has a lease", func() bool { return g.dispatchers[2].hasLease() && !g.dispatchers[2].lacksPlans() })
+	g.eventually("it has a lease", func() bool { return g.dispatchers[2].hasLease() && !g.dispatchers[2].hasUnknownPlans() })
 	g.dispatchers[2].set(func() {
 		if history := fmt.Sprint(g.dispatchers[2].plansUnknown); !strings.HasPrefix(history, "[true true") {
 			t.Errorf("plans unknown: %s; it trusted the old disk", history)
@@ -156,8 +156,8 @@
 			time.Sleep(time.Millisecond)
 		}
 		c.Close() // nothing changes after this
-		if lacksPlans := dispatcher.lacksPlans(); lacksPlans == confirmed {
-			t.Errorf("confirmed: %t; plans unknown: %t", confirmed, lacksPlans)
+		if hasUnknownPlans := dispatcher.hasUnknownPlans(); hasUnknownPlans == confirmed {
+			t.Errorf("confirmed: %t; plans unknown: %t", confirmed, hasUnknownPlans)
 		}
 	}
 }
--- a/internal/coordinator/precheck.go
+++ b/internal/coordinator/precheck.go
@@ -32,8 +32,8 @@
 	case maintenance.CommandSubmitPlan:
 		return c.precheckPlan(command.Plan, call.Check)
 	case maintenance.CommandStartPlan:
-		if obstacle := c.startObstacle(); obstacle != "" {
-			return &Reply{Code: maintenance.CodeRetryLater, Text: obstacle}
+		if rejection := c.startRejection(); rejection != "" {
+			return &Reply{Code: maintenance.CodeRetryLater, Text: rejection}
 		}
 	case maintenance.CommandClaimMachine:
 		return c.precheckClaim(command)
@@ -43,19 +43,19 @@
 
 // precheckLevel returns the reply to a command that some member's build may not support, else nil. c.mu must be held.
 func (c *Coordinator) precheckLevel(command *maintenance.Command) *Reply {
-	silent, older := c.membersBelowLevel(command.RequiredLevel())
+	unreported, older := c.membersBelowLevel(command.RequiredLevel())
 	switch {
 	case len(older) > 0:
 		return retryLater("of a build that does not know this call: %s", strings.Join(older, ", "))
-	case len(silent) > 0:
-		return retryLater("not heard of yet by this leader, and may be of a build that does not know this call: %s", strings.Join(silent, ", "))
+	case len(unreported) > 0:
+		return retryLater("not heard of yet by this leader, and may be of a build that does not know this call: %s", strings.Join(unreported, ", "))
 	}
 	return nil
 }
 
 // membersBelowLevel returns the members that may not support a level of entries: silent ones, of which this leader has no report, and
 // those whose build is older. There are none if a committed entry has required the level already. c.mu must be held.
-func (c *Coordinator) membersBelowLevel(level int) (silent, older []string) {
+func (c *Coordinator) membersBelowLevel(level int) (unreported, older []string) {
 	if level <= max(c.state.Level, 1) {
 		return nil, nil
 	}
@@ -63,12 +63,12 @@
 		report, ok := c.lastReports[name]
 		switch {
 		case !ok:
-			silent = append(silent, name)
+			unreported = append(unreported, name)
 		case report.Level < level:
 			older = append(older, name)
 		}
 	}
-	return silent, older
+	return unreported, older
 }
 
 // precheckPlan returns the reply to a plan that is invalid or only to be validated, else nil. c.mu must be held.
@@ -103,17 +103,17 @@
 	return &Reply{Code: maintenance.CodeRetryLater, Text: text}
 }
 
-// startObstacle returns why no plan may start; empty: plans may start. Each member in the operator's file has to be in the group and to
+// startRejection returns why no plan may start; empty: plans may start. Each member in the operator's file has to be in the group and to
 // have plans enabled, as a dispatcher outside the group sends to every worker. c.mu must be held.
-func (c *Coordinator) startObstacle() string {
-	var missing, silent, withoutPlans []string
+func (c *Coordinator) startRejection() string {
+	var missing, unreported, withoutPlans []string
 	for _, member := range c.options.Group.Members {
 		report, hasReport := c.lastReports[member.Name]
 		switch {
 		case c.state.Members[member.Name] == nil:
 			missing = append(missing, member.Name)
 		case !hasReport:
-			silent = append(silent, member.Name)
+			unreported = append(unreported, member.Name)
 		case !report.Plans:
 			withoutPlans = append(withoutPlans, member.Name)
 		}
@@ -121,8 +121,8 @@
 	switch {
 	case len(missing) > 0:
 		return "not in the group yet: " + strings.Join(missing, ", ")
-	case len(silent) > 0:
-		return "not heard of yet by this leader: " + strings.Join(silent, ", ")
+	case len(unreported) > 0:
+		return "not heard of yet by this leader: " + strings.Join(unreported, ", ")
 	case c.state.HistoryLost:
 		return historyLostText
 	case len(withoutPlans) > 0 || !c.options.Group.MaintenancePlans:
--- a/internal/coordinator/precheck_test.go
+++ b/internal/coordinator/precheck_test.go
@@ -102,7 +102,7 @@
 		}
 	}
 	c.state.HistoryLost = true
-	if got := c.startObstacle(); got != historyLostText {
+	if got := c.startRejection(); got != historyLostText {
 		t.Errorf("a start after the history was lost: %q", got)
 	}
 }
--- a/internal/coordinator/status.go
+++ b/internal/coordinator/status.go
@@ -25,20 +25,20 @@
 
 // Bounds are the times after which a machine counts as drained although a member is silent.
 type Bounds struct {
-	Lease        time.Duration `json:"lease"`   // of the member that the status is from
-	MaxAttempt   time.Duration `json:"attempt"` // the longest that an attempt of that member may run
-	FenceTimeout time.Duration `json:"settled"` // how long the group waits for a silent member
+	Lease              time.Duration `json:"lease"`   // of the member that the status is from
+	MaxAttemptDuration time.Duration `json:"attempt"` // the longest that an attempt of that member may run
+	FenceTimeout       time.Duration `json:"settled"` // how long the group waits for a silent member
 }
 
 // MemberStatus describes a member.
 type MemberStatus struct {
-	Name        string        `json:"name"`
-	Zone        string        `json:"zone"` // in the operator's file of the member that the status is from
-	Incarnation string        `json:"life"`
-	IsVoter     bool          `json:"votes"`
-	LastReport  time.Duration `json:"heard"`   // time since its last report to the member that the status is from; negative: there was none
-	Applied     uint64        `json:"applied"` // index of the last entry that it has applied, by that report
-	SoleProcess bool          `json:"alone"`   // no other process of its dispatcher may send or run attempts, by that report
+	Name          string        `json:"name"`
+	Zone          string        `json:"zone"` // in the operator's file of the member that the status is from
+	Incarnation   string        `json:"life"`
+	IsVoter       bool          `json:"votes"`
+	LastReportAge time.Duration `json:"heard"`   // time since its last report to the member that the status is from; negative: there was none
+	Applied       uint64        `json:"applied"` // index of the last entry that it has applied, by that report
+	SoleProcess   bool          `json:"alone"`   // no other process of its dispatcher may send or run attempts, by that report
 }
 
 // PlanStatus describes a plan.
@@ -65,9 +65,9 @@
 		Confirmed:    isConfirmed,
 		AppliedIndex: c.state.AppliedIndex,
 		Bounds: Bounds{
-			Lease:        c.options.Group.LeaseDuration,
-			MaxAttempt:   c.maxAttempt,
-			FenceTimeout: c.state.FenceTimeout,
+			Lease:              c.options.Group.LeaseDuration,
+			MaxAttemptDuration: c.maxAttemptDuration,
+			FenceTimeout:       c.state.FenceTimeout,
 		},
 	}
 	nodeStatus := consensus.Status{}
@@ -99,14 +99,14 @@
 	for _, name := range c.state.MemberNames() {
 		member := c.state.Members[name]
 		status := MemberStatus{
-			Name:        name,
-			Zone:        zones[name],
-			Incarnation: member.Incarnation,
-			IsVoter:     slices.Contains(voters, member.RaftID),
-			LastReport:  -1,
+			Name:          name,
+			Zone:          zones[name],
+			Incarnation:   member.Incarnation,
+			IsVoter:       slices.Contains(voters, member.RaftID),
+			LastReportAge: -1,
 		}
 		if report, ok := c.lastReports[name]; ok {
-			status.LastReport = time.Since(report.receivedAt)
+			status.LastReportAge = time.Since(report.receivedAt)
 			status.Applied = report.Applied
 			status.SoleProcess = report.SoleProcess
 		}
--- a/internal/coordinator/testgroup_test.go
+++ b/internal/coordinator/testgroup_test.go
@@ -22,14 +22,14 @@
 
 // fakeDispatcher records the values that a Coordinator sets.
 type fakeDispatcher struct {
-	mu           sync.Mutex
-	restrictions engine.Restrictions
-	lease        time.Time
-	plansUnknown []bool // values of SetPlansUnknown, in order
-	maxAttempt   time.Duration
-	disabled     bool // an operator has disabled the first worker at this dispatcher
-	siblings     int  // other processes of this dispatcher
-	newer        bool // one of them is newer than this one
+	mu                 sync.Mutex
+	restrictions       engine.Restrictions
+	lease              time.Time
+	plansUnknown       []bool // values of SetPlansUnknown, in order
+	maxAttemptDuration time.Duration
+	disabled           bool // an operator has disabled the first worker at this dispatcher
+	siblings           int  // other processes of this dispatcher
+	newer              bool // one of them is newer than this one
 }
 
 func (d *fakeDispatcher) SetRestrictions(restrictions engine.Restrictions) {
@@ -45,7 +45,7 @@
 }
 
 func (d *fakeDispatcher) SetMaxAttemptDuration(limit time.Duration) {
-	d.set(func() { d.maxAttempt = limit })
+	d.set(func() { d.maxAttemptDuration = limit })
 }
 
 func (d *fakeDispatcher) BusyWorkers() (names, hosts []string) { return nil, nil }
@@ -75,8 +75,8 @@
 	return time.Now().Before(d.lease)
 }
 
-// lacksPlans reports whether the last call of SetPlansUnknown had the value true.
-func (d *fakeDispatcher) lacksPlans() bool {
+// hasUnknownPlans reports whether the last call of SetPlansUnknown had the value true.
+func (d *fakeDispatcher) hasUnknownPlans() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.plansUnknown) > 0 && d.plansUnknown[len(d.plansUnknown)-1]
@@ -189,13 +189,13 @@
 		votes := 0
 		if status := g.status(0); status != nil {
 			for _, member := range status.Members {
-				if member.IsVoter && member.LastReport >= 0 {
+				if member.IsVoter && member.LastReportAge >= 0 {
 					votes++
 				}
 			}
 		}
 		for _, dispatcher := range g.dispatchers {
-			if !dispatcher.hasLease() || dispatcher.lacksPlans() {
+			if !dispatcher.hasLease() || dispatcher.hasUnknownPlans() {
 				return false
 			}
 		}
--- a/internal/testbed/cluster/play.go
+++ b/internal/testbed/cluster/play.go
@@ -106,7 +106,7 @@
 		}
 		reported := 0
 		for _, m := range r.Status.Members {
-			if m.IsVoter && m.LastReport >= 0 {
+			if m.IsVoter && m.LastReportAge >= 0 {
 				reported++
 			}
 		}
