--- a/internal/consensus/bootmarker.go
+++ b/internal/consensus/bootmarker.go
@@ -8,30 +8,30 @@
 	"strings"
 )
 
-// BootMarker records the position of an incarnation beside its storage, in a file that must not outlive the machine's boot. Storage that
-// is older than its marker was restored from a copy; without a marker this is not detected. Methods of a nil BootMarker record nothing.
+// BootMarker records the position of an incarnation in a file that must not survive a reboot. Storage that is older than its marker was
+// restored from a copy, which cannot be detected without a marker. Methods of a nil BootMarker record nothing.
 //
-// It is not safe for concurrent use; a Node owns its boot marker.
+// A BootMarker is not safe for concurrent use. A Node owns its boot marker.
 type BootMarker struct {
 	path   string
 	bootID string
 	file   *os.File
 }
 
-// bootRecord is the file's content.
+// bootRecord is the content of the marker file.
 type bootRecord struct {
 	BootID      string `json:"boot"`
 	Incarnation string `json:"life"`
 	Position
 }
 
-// bootRecordSize is the file's size in bytes. A write of less than a page is complete or missing if the process dies.
+// bootRecordSize is the size of the marker file in bytes. If the process dies, a write of less than a page is either complete or missing.
 const bootRecordSize = 256
 
-// bootIDFile has the ID of the machine's boot. A marker of an earlier boot may have been restored from a copy together with the storage.
+// bootIDFile contains the ID of the current boot. A marker of an earlier boot may have been restored from a copy together with the storage.
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
-// OpenBootMarker opens or creates the marker at a path. It fails if the system has no boot ID.
+// OpenBootMarker opens or creates the marker at path. It returns an error if the system has no boot ID.
 func OpenBootMarker(path string) (*BootMarker, error) {
 	bootID, err := os.ReadFile(bootIDFile)
 	if err != nil {
@@ -44,13 +44,13 @@
 	return &BootMarker{path: path, bootID: strings.TrimSpace(string(bootID)), file: file}, nil
 }
 
-// Lookup returns the position that was recorded for an incarnation since the machine's boot; false: none was.
+// Lookup returns the position recorded for an incarnation since the last boot, and false if none was recorded.
 func (b *BootMarker) Lookup(incarnation string) (Position, bool) {
 	if b == nil {
 		return Position{}, false
 	}
 	raw := make([]byte, bootRecordSize)
-	n, _ := b.file.ReadAt(raw, 0) // a short record does not decode
+	n, _ := b.file.ReadAt(raw, 0) // decoding rejects a truncated record
 	var record bootRecord
 	if err := json.Unmarshal(bytes.TrimRight(raw[:n], "\n"), &record); err != nil {
 		return Position{}, false
@@ -61,7 +61,7 @@
 	return record.Position, true
 }
 
-// record records a position. It does not sync: the marker is for a process that dies, not for a machine that does.
+// record writes a position. It does not sync, because the marker only has to survive a crash of the process, not of the machine.
 func (b *BootMarker) record(incarnation string, position Position) error {
 	if b == nil {
 		return nil
@@ -71,7 +71,7 @@
 		return fmt.Errorf("encoding the boot marker: %w", err)
 	}
 	if len(raw) > bootRecordSize {
-		return fmt.Errorf("encoding the boot marker: %d bytes are more than %d", len(raw), bootRecordSize)
+		return fmt.Errorf("encoding the boot marker: record has %d bytes, must have at most %d", len(raw), bootRecordSize)
 	}
 	padding := bytes.Repeat([]byte{'\n'}, bootRecordSize-len(raw))
 	if _, err := b.file.WriteAt(append(raw, padding...), 0); err != nil {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// Close closes the file.
+// Close closes the marker file.
 func (b *BootMarker) Close() error {
 	if b == nil {
 		return nil
@@ -88,7 +88,7 @@
 	return b.file.Close()
 }
 
-// erase empties the file.
+// erase truncates the marker file to zero bytes.
 func (b *BootMarker) erase() error {
 	return os.Truncate(b.path, 0)
 }
--- a/internal/consensus/bootmarker_test.go
+++ b/internal/consensus/bootmarker_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestBootMarker verifies that a marker is valid for one incarnation and one boot of the machine, and not at all if it is incomplete.
+// TestBootMarker verifies that a marker is only valid for its incarnation and boot, and that a truncated marker is invalid.
 func TestBootMarker(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "mark")
 	open := func() *BootMarker {
@@ -24,27 +24,27 @@
 			t.Fatal(err)
 		}
 		if got, ok := open().Lookup("a"); !ok || got != want {
-			t.Errorf("%+v, %t, want %+v", got, ok, want)
+			t.Errorf("position %+v, found %t, want %+v", got, ok, want)
 		}
 	}
 	if _, ok := open().Lookup("b"); ok {
-		t.Error("it counts for another incarnation")
+		t.Error("marker is valid for another incarnation")
 	}
 	marker := open()
 	marker.bootID = "another"
 	if _, ok := marker.Lookup("a"); ok {
-		t.Error("it counts for another boot")
+		t.Error("marker is valid for another boot")
 	}
 	for n := range int64(40) {
 		if err := os.Truncate(path, n); err != nil {
 			t.Fatal(err)
 		}
 		if _, ok := open().Lookup("a"); ok {
-			t.Errorf("%d bytes of it count", n)
+			t.Errorf("marker truncated to %d bytes is valid", n)
 		}
 	}
 	var none *BootMarker
 	if _, ok := none.Lookup("a"); ok || none.record("a", short) != nil {
-		t.Error("a nil marker counts, or fails")
+		t.Error("nil marker has a position, or record returned an error")
 	}
 }
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -1,8 +1,8 @@
-// Package consensus runs one member's part in a raft group: it ticks go.etcd.io/raft, persists what raft wants persisted, carries its
-// messages and applies committed entries to a state machine in the order of the log.
+// Package consensus runs one member of a raft group: it ticks go.etcd.io/raft, persists its state, sends and receives its messages, and
+// applies committed entries to a state machine in log order.
 //
-// Core is the part without clock, goroutine and network; a simulation drives it directly. Node runs a Core in one goroutine, which owns
-// the Core, its Storage and its BootMarker.
+// Core has no clock, goroutine or network, so that a simulation can drive it directly. Node runs a Core in one goroutine, which owns the
+// Core, its Storage and its BootMarker.
 package consensus
 
 import (
@@ -12,65 +12,66 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Times and limits.
+// Intervals and limits.
 const (
 	tickInterval   = 50 * time.Millisecond
 	heartbeatTicks = 3  // 150 ms
-	electionTicks  = 20 // a follower campaigns 1 to 2 s after the last message of its leader
+	electionTicks  = 20 // a follower campaigns 1 to 2 s after the last message from its leader
 
-	// A learner that answers one heartbeat in each half of an election timeout does not count as inactive.
+	// A learner that answers one heartbeat per half election timeout counts as active.
 	learnerHeartbeatTicks = electionTicks / 2
 
-	readRetryTicks      = 10        // until an unanswered read round is started again
-	maxQueueLength      = 1024      // each: messages and reads that wait
-	maxMessageBytes     = 256 << 10 // of the entries in one message
-	maxUncommittedBytes = 4 << 20   // of proposals
-	maxInflightMessages = 64        // to one follower
-	snapshotThreshold   = 1000      // applied entries after which the log is compacted
-	trailingEntries     = 200       // kept from before a snapshot, for followers that are a little behind
+	readRetryTicks      = 10        // before an unanswered read round is restarted
+	maxQueueLength      = 1024      // of the message queue and of the pending reads, each
+	maxMessageBytes     = 256 << 10 // total size of the entries in one message
+	maxUncommittedBytes = 4 << 20   // total size of uncommitted proposals
+	maxInflightMessages = 64        // unacknowledged, to one follower
+	snapshotThreshold   = 1000      // number of applied entries that triggers a snapshot and log compaction
+	trailingEntries     = 200       // kept before a snapshot, so that slightly lagging followers need no snapshot
 )
 
-// StateMachine is what committed entries are applied to. Only the caller of a Core, which for a Node is its goroutine, calls it.
+// StateMachine receives the committed entries. Its methods are called in calls of a Core only; with a Node, in the node's goroutine.
 type StateMachine interface {
-	// Apply applies the entry at an index. Indexes ascend, with gaps where raft has entries of its own.
+	// Apply applies the entry at an index. Indexes ascend, with gaps for raft's internal entries.
 	Apply(index uint64, data []byte)
-	// Snapshot returns the state after the last entry that was applied.
+	// Snapshot returns the state after the last applied entry.
 	Snapshot() ([]byte, error)
-	// Restore replaces the state by that of a snapshot.
+	// Restore replaces the state with that of a snapshot.
 	Restore(data []byte) error
 }
 
-// Errors of proposals, reads and messages. Their texts are answers to other members.
+// Errors of proposals, reads and messages. Their texts are sent to other members.
 var (
-	// ErrNoLeader means that this member cannot propose: it does not lead, or leadership is changing.
+	// ErrNoLeader means that this member cannot propose because it is not the leader or leadership is changing.
 	ErrNoLeader = errors.New("no leader is known")
 	// ErrStopped means that the node was closed or has failed.
-	ErrStopped = errors.New("the agreement has stopped")
-	// ErrBusy means that a queue is full. The call may be repeated.
-	ErrBusy = errors.New("too much waits to be agreed on")
+	ErrStopped = errors.New("consensus has stopped")
+	// ErrBusy means that a queue is full. The caller may retry.
+	ErrBusy = errors.New("too many messages or reads are pending")
 	// ErrWrongIncarnation means that a message is for another incarnation of this member.
-	ErrWrongIncarnation = errors.New("it is for another life than ours")
+	ErrWrongIncarnation = errors.New("message is for another incarnation of this member")
 )
 
 // Options configures a Core or a Node.
 type Options struct {
 	Storage    *Storage
-	BootMarker *BootMarker // nil: none
-	// MaxPromised bounds what this incarnation may have promised to others and lost since. Nil: its storage is known to be complete.
+	BootMarker *BootMarker // may be nil
+	// MaxPromised is an upper bound on what this incarnation may have promised to others and then lost. Nil means that its storage is
+	// known to be complete.
 	MaxPromised  *Position
 	StateMachine StateMachine
-	// Send sends a message to the member with a raft ID. It must not block.
+	// Send sends a message to the member with raft ID to. It must not block.
 	Send func(to uint64, raw []byte, snapshot bool)
 	Log  logrus.FieldLogger
 }
 
-// Status describes a member's part at one moment.
+// Status describes a member at one point in time.
 type Status struct {
-	LeaderID uint64 // raft ID; 0: no leader is known
+	LeaderID uint64 // raft ID, 0 if no leader is known
 	IsLeader bool
-	Applied  uint64 // index of the last entry that was applied
+	Applied  uint64 // index of the last applied entry
 	Position
 	Voters   []uint64 // raft IDs
 	Learners []uint64
-	Failure  string // why consensus stopped; empty: it runs
+	Failure  string // why consensus stopped, empty while it is running
 }
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -11,29 +11,29 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Core is one member's part without clock, goroutine or network: its caller ticks it and delivers its messages. It is not safe for
-// concurrent use.
+// Core is one member of a raft group without clock, goroutine or network: its caller ticks it and delivers its messages. It is not safe
+// for concurrent use.
 //
-// Its methods panic if the storage fails, or if raft finds a state that is impossible. After a panic the core must not be used.
+// Its methods panic if the storage fails or raft detects an impossible state. The core must not be used after a panic.
 type Core struct {
 	options           Options
 	rawNode           *raft.RawNode
 	confState         *raftpb.ConfState // the group's members as of the last applied entry
 	applied           uint64            // index of the last applied entry
 	snapshotIndex     uint64            // index of the last snapshot
-	recordedPosition  Position          // what the boot marker has
+	recordedPosition  Position          // last position written to the boot marker
 	ticks             int
 	learnerHeartbeats map[uint64]int // the tick of each learner's last heartbeat, by raft ID
 
-	// Reads, see ReadIndex. Rounds are numbered from a random start.
+	// State of reads, see ReadIndex. Round numbers begin at a random value.
 	pendingReads    []pendingRead
 	lastReadRound   uint64
-	activeReadRound uint64 // 0: none
-	ticksSinceRead  int    // since the last round began
+	activeReadRound uint64 // 0 if none
+	ticksSinceRead  int    // since the last read round began
 }
 
-// NewCore returns a core that continues from its storage. With empty storage it waits to be added to the group by the leader. seed
-// distinguishes its reads from those of an earlier process of the same incarnation.
+// NewCore returns a core that resumes from its storage. With empty storage it waits until the leader adds it to the group. seed
+// distinguishes its read rounds from those of an earlier process of the same incarnation.
 func NewCore(options Options, seed uint64) (*Core, error) {
 	if options.MaxPromised != nil {
 		if err := options.Storage.raiseTerm(options.MaxPromised.Term); err != nil {
@@ -52,7 +52,7 @@
 	return core, err
 }
 
-// restoreSnapshot restores the state machine from the storage's snapshot, if there is one.
+// restoreSnapshot restores the state machine from the stored snapshot, if there is one.
 func (c *Core) restoreSnapshot() error {
 	snapshot, err := c.options.Storage.memory.Snapshot()
 	if err != nil {
@@ -89,7 +89,7 @@
 	}
 }
 
-// Tick advances the core's clock by one tick. With manual elections a member that does not lead campaigns only by Campaign.
+// Tick advances the core's clock by one tick. If manualElections is set, the member only campaigns when Campaign is called.
 func (c *Core) Tick(manualElections bool) {
 	c.ticksSinceRead++
 	c.ticks++
@@ -111,7 +111,7 @@
 	c.process()
 }
 
-// Step delivers messages of other members, with one synced write for all.
+// Step delivers messages from other members, with a single synced write for all of them.
 func (c *Core) Step(messages ...*raftpb.Message) {
 	for _, message := range messages {
 		if c.rejectsVoteRequest(message) {
@@ -124,14 +124,14 @@
 	c.process()
 }
 
-// lacksPromised reports whether the log may have lost entries that this member has acknowledged. Such a member must not campaign.
+// lacksPromised reports whether the log may have lost entries that this member has acknowledged. If so, the member must not campaign.
 func (c *Core) lacksPromised() bool {
 	return c.options.MaxPromised != nil && c.options.Storage.Position().logOlderThan(*c.options.MaxPromised)
 }
 
-// rejectsVoteRequest reports whether a message asks for a vote that this member may not give: in a term in which it may have voted
-// already, or for a log that may lack what it has acknowledged. It guards against outdated storage, which would vote as if nothing were
-// lost.
+// rejectsVoteRequest reports whether a message requests a vote that this member must not grant: in a term in which it may have voted
+// already, or for a log that may lack entries that this member has acknowledged. Without this check, a member with outdated storage could
+// vote twice in a term or elect a leader without committed entries.
 func (c *Core) rejectsVoteRequest(message *raftpb.Message) bool {
 	promised := c.options.MaxPromised
 	isVoteRequest := message.GetType() == raftpb.MsgVote || message.GetType() == raftpb.MsgPreVote
@@ -143,13 +143,13 @@
 	return mayHaveVoted || candidate.logOlderThan(*promised)
 }
 
-// Propose proposes an entry, at the leader: see Node.Propose.
+// Propose proposes an entry. This member must be the leader: see Node.Propose.
 func (c *Core) Propose(data []byte) error {
 	defer c.process()
 	return proposalError(c.rawNode.Propose(data))
 }
 
-// ProposeConfChange proposes a change of the group's members, with an entry for the state machine.
+// ProposeConfChange proposes a change of the group's members, together with an entry for the state machine.
 func (c *Core) ProposeConfChange(changes []*raftpb.ConfChangeSingle, data []byte) error {
 	defer c.process()
 	transition := raftpb.ConfChangeTransitionAuto
@@ -157,7 +157,7 @@
 	return proposalError(c.rawNode.ProposeConfChange(change))
 }
 
-// proposalError translates raft's error of a proposal.
+// proposalError translates an error that raft returned for a proposal.
 func proposalError(err error) error {
 	if errors.Is(err, raft.ErrProposalDropped) {
 		return ErrNoLeader
@@ -165,7 +165,7 @@
 	return err
 }
 
-// CaughtUp returns the raft IDs of the members that are active and have nearly all entries; nil unless this member leads.
+// CaughtUp returns the raft IDs of the active members that have nearly all entries, or nil if this member is not the leader.
 func (c *Core) CaughtUp() (ids []uint64) {
 	if c.rawNode.BasicStatus().RaftState != raft.StateLeader {
 		return nil
@@ -179,7 +179,7 @@
 	return ids
 }
 
-// Status returns the present status. It never has a Failure.
+// Status returns the current status. Its Failure is always empty.
 func (c *Core) Status() Status {
 	basic := c.rawNode.BasicStatus()
 	return Status{
@@ -192,7 +192,7 @@
 	}
 }
 
-// process carries out the work that raft has after an event.
+// process does the work that raft has ready after an event.
 func (c *Core) process() {
 	c.startReadRound()
 	for c.rawNode.HasReady() {
@@ -201,10 +201,10 @@
 	c.compactLog()
 }
 
-// processReady carries out one batch of raft's work in the order that raft needs: persist, then send, then apply.
+// processReady processes one batch of raft's work in the order that raft requires: persist, then send, then apply.
 func (c *Core) processReady(ready raft.Ready) {
 	if err := c.options.Storage.save(ready.HardState, ready.Entries, ready.Snapshot); err != nil {
-		panic(err) // messages that depend on it must not be sent: see Node.recoverFailure
+		panic(err) // messages that depend on this write must not be sent: see Node.recoverFailure
 	}
 	c.recordPosition()
 	for _, message := range ready.Messages {
@@ -222,8 +222,8 @@
 	c.rawNode.Advance(ready)
 }
 
-// recordPosition writes the storage's position to the boot marker, before any message that depends on it is sent. A marker that cannot
-// be written is erased, as an outdated one is worse than none.
+// recordPosition writes the storage's position to the boot marker before any message that depends on the position is sent. If the write
+// fails, the marker is erased, because outdated storage could pass for the latest one by an outdated marker.
 func (c *Core) recordPosition() {
 	position := c.options.Storage.Position()
 	if position == c.recordedPosition {
@@ -232,12 +232,12 @@
 	c.recordedPosition = position
 	if err := c.options.BootMarker.record(c.options.Storage.identity.Incarnation, position); err != nil {
 		err = errors.Join(err, c.options.BootMarker.erase())
-		c.options.Log.WithError(err).Error("boot marker cannot be written: after a restart other members have to verify the disk")
+		c.options.Log.WithError(err).Error("boot marker not writable: after a restart other members have to verify the disk")
 		c.options.BootMarker = nil
 	}
 }
 
-// send sends a raft message, unless it is a heartbeat that a learner does not need.
+// send sends a raft message. It skips heartbeats that a learner does not need.
 func (c *Core) send(message *raftpb.Message) {
 	if message.GetType() == raftpb.MsgHeartbeat && !c.heartbeatDue(message.GetTo()) {
 		return
@@ -249,25 +249,25 @@
 	isSnapshot := message.GetType() == raftpb.MsgSnap
 	c.options.Send(message.GetTo(), raw, isSnapshot)
 	if isSnapshot {
-		// The follower's next response shows whether it arrived.
+		// Raft learns from the follower's next response whether the snapshot arrived.
 		c.rawNode.ReportSnapshot(message.GetTo(), raft.SnapshotFinish)
 	}
 }
 
-// heartbeatDue reports whether a member is to get a heartbeat now. Learners neither vote nor confirm reads: a few heartbeats are enough
-// for them to notice missing entries. In a group of hundreds, heartbeats of learners would be most of the leader's traffic.
+// heartbeatDue reports whether to send a heartbeat to a member now. Learners neither vote nor confirm reads, so they only need enough
+// heartbeats to detect missing entries. In a group of hundreds, heartbeats to learners would be most of the leader's traffic.
 func (c *Core) heartbeatDue(to uint64) bool {
 	if !slices.Contains(c.confState.GetLearners(), to) {
 		return true
 	}
 	if last, ok := c.learnerHeartbeats[to]; ok && c.ticks-last < learnerHeartbeatTicks {
-		return false // also heartbeats with a read round: all have one while a read waits
+		return false // heartbeats of a read round are skipped too: all carry one while reads are pending
 	}
 	c.learnerHeartbeats[to] = c.ticks
 	return true
 }
 
-// applySnapshot replaces the state by a leader's snapshot.
+// applySnapshot replaces the state with a snapshot from the leader.
 func (c *Core) applySnapshot(snapshot *raftpb.Snapshot) {
 	if err := c.options.StateMachine.Restore(snapshot.GetData()); err != nil {
 		panic(err)
@@ -298,7 +298,7 @@
 	c.applied = entry.GetIndex()
 }
 
-// mustUnmarshal decodes bytes that raft itself has encoded, and panics if that fails.
+// mustUnmarshal decodes bytes that raft has encoded. It panics on an error.
 func mustUnmarshal(raw []byte, message proto.Message) {
 	if err := proto.Unmarshal(raw, message); err != nil {
 		panic(err)
--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -12,7 +12,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// hashChain is a state machine whose state depends on the order of all entries.
+// hashChain is a state machine whose state depends on all entries and their order.
 type hashChain struct {
 	t         *testing.T
 	lastIndex uint64
@@ -21,7 +21,7 @@
 
 func (c *hashChain) Apply(index uint64, data []byte) {
 	if index <= c.lastIndex {
-		c.t.Errorf("entry %d comes after %d", index, c.lastIndex)
+		c.t.Errorf("entry %d applied after entry %d", index, c.lastIndex)
 	}
 	c.lastIndex = index
 	c.sum = xxhash.Sum64(append(binary.BigEndian.AppendUint64(nil, c.sum), data...))
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// testNetwork delivers messages between three cores without delay. Those to and from a partitioned core are lost.
+// testNetwork delivers messages between three cores without delay. Messages to and from partitioned cores are lost.
 type testNetwork struct {
 	t           *testing.T
 	cores       map[uint64]*Core
@@ -75,7 +75,7 @@
 	n.queue = append(n.queue, message)
 }
 
-// run advances all cores by ticks, and delivers the messages of each tick.
+// run advances all cores by a number of ticks, and delivers the messages of each tick.
 func (n *testNetwork) run(ticks int) {
 	for range ticks {
 		for id := uint64(1); id <= 3; id++ {
@@ -93,18 +93,18 @@
 	}
 }
 
-// checkEqual checks that all state machines have the same state.
+// checkEqual checks that all state machines are in the same state.
 func (n *testNetwork) checkEqual(when string) {
 	n.t.Helper()
 	for id := uint64(2); id <= 3; id++ {
 		if *n.chains[id] != *n.chains[1] {
-			n.t.Errorf("%s: member %d has %+v, the leader %+v", when, id, *n.chains[id], *n.chains[1])
+			n.t.Errorf("%s: member %d has state %+v, the leader %+v", when, id, *n.chains[id], *n.chains[1])
 		}
 	}
 }
 
-// TestCore_CompactsLogAndCatchesUp verifies that the log is compacted in memory and in the file, that a member that is a little behind
-// catches up from the log and one that is far behind by a snapshot, and that a restart continues from the file.
+// TestCore_CompactsLogAndCatchesUp verifies that the log is compacted in memory and in the file, that a slightly lagging member catches up
+// from the log and one that is far behind from a snapshot, and that members resume from the file after a restart.
 func TestCore_CompactsLogAndCatchesUp(t *testing.T) {
 	network := &testNetwork{
 		t: t, cores: map[uint64]*Core{}, chains: map[uint64]*hashChain{}, dirs: map[uint64]string{}, partitioned: map[uint64]bool{},
@@ -125,7 +125,7 @@
 	network.run(20)
 	network.checkEqual("a little behind")
 	if network.snapshots != joinSnapshots {
-		t.Errorf("%d snapshots for a member that the log was enough for", network.snapshots-joinSnapshots)
+		t.Errorf("%d snapshots sent to a member that could catch up from the log", network.snapshots-joinSnapshots)
 	}
 	network.partitioned[3] = true
 	network.propose(snapshotThreshold + 2*trailingEntries)
@@ -133,11 +133,11 @@
 	network.run(40)
 	network.checkEqual("far behind")
 	if network.snapshots == joinSnapshots {
-		t.Error("it caught up without a snapshot")
+		t.Error("the member caught up without a snapshot")
 	}
 	first, err := network.cores[1].options.Storage.memory.FirstIndex()
 	if err != nil || first < snapshotThreshold-trailingEntries {
-		t.Errorf("the log still begins at %d: %v", first, err)
+		t.Errorf("log not compacted: first index %d, error %v", first, err)
 	}
 	for id := uint64(1); id <= 3; id++ {
 		mustClose(t, network.cores[id].options.Storage)
@@ -150,8 +150,8 @@
 	}
 }
 
-// addLearner adds a member to the group of the first one, which leads. It checks that the member counts as caught up once it can be
-// reached, and not before.
+// addLearner adds a member at the first member, which is the leader. It checks that the new member counts as caught up only once it is
+// reachable.
 func (n *testNetwork) addLearner(id uint64) {
 	n.t.Helper()
 	leader := n.cores[1]
@@ -162,10 +162,10 @@
 	}
 	n.run(2)
 	if slices.Contains(leader.CaughtUp(), id) {
-		n.t.Errorf("member %d counts as caught up before it has anything", id)
+		n.t.Errorf("member %d counts as caught up before it has received entries", id)
 	}
 	n.partitioned[id] = false
-	for range 3 * electionTicks { // raft counts it as active from an answered heartbeat until its next check
+	for range 3 * electionTicks { // raft counts a member as active from an answered heartbeat until the next activity check
 		n.run(1)
 		if slices.Contains(leader.CaughtUp(), id) {
 			return
@@ -174,7 +174,7 @@
 	n.t.Errorf("member %d does not count as caught up", id)
 }
 
-// propose proposes entries at the first member, and runs the network so that they are committed.
+// propose proposes entries at the first member, and runs the network until they are committed.
 func (n *testNetwork) propose(entries int) {
 	n.t.Helper()
 	for i := range entries {
@@ -188,8 +188,8 @@
 	n.run(5)
 }
 
-// TestCore_BoundsVotesAfterStateLoss verifies that a member that may have lost state neither votes in a term in which it may have voted
-// nor for a log that may lack entries that it has acknowledged, and does not campaign while its own log may lack them.
+// TestCore_BoundsVotesAfterStateLoss verifies that a member that may have lost state does not vote in a term in which it may have voted
+// or for a log that may lack entries that it has acknowledged, and does not campaign while its own log may lack them.
 func TestCore_BoundsVotesAfterStateLoss(t *testing.T) {
 	logger := logrus.New()
 	logger.SetLevel(logrus.PanicLevel)
@@ -209,13 +209,13 @@
 		t.Fatal(err)
 	}
 	if position := storage.Position(); position.Term != 5 {
-		t.Errorf("its storage is in term %d, not in the promised one", position.Term)
+		t.Errorf("storage is in term %d, want the promised term 5", position.Term)
 	}
 	for range 10 * electionTicks {
 		core.Tick(false)
 	}
 	if core.Status().IsLeader {
-		t.Error("it leads with a log that lacks what it may have acknowledged")
+		t.Error("the member leads with a log that lacks entries it may have acknowledged")
 	}
 	from, to := uint64(2), uint64(1)
 	for _, request := range []struct {
@@ -227,19 +227,19 @@
 				Type: &kind, From: &from, To: &to, Term: &request.term, Index: &request.lastIndex, LogTerm: &request.lastTerm,
 			}
 			if got := core.rejectsVoteRequest(message); got != request.rejected {
-				t.Errorf("%+v by %s: rejected %t", request, kind, got)
+				t.Errorf("%+v as %s: rejected %t", request, kind, got)
 			}
 		}
 	}
 	kind := raftpb.MsgApp
 	if core.rejectsVoteRequest(&raftpb.Message{Type: &kind, Term: &promised.Term}) {
-		t.Error("entries are rejected")
+		t.Error("a message with entries was rejected as a vote request")
 	}
-	core.options.MaxPromised = &Position{Term: 5, LastIndex: 1, LastTerm: 1} // its log has this entry
+	core.options.MaxPromised = &Position{Term: 5, LastIndex: 1, LastTerm: 1} // the log has this entry
 	for range 10 * electionTicks {
 		core.Tick(false)
 	}
 	if !core.Status().IsLeader || core.Status().Term <= promised.Term {
-		t.Errorf("%+v: it does not lead though it lacks nothing", core.Status())
+		t.Errorf("%+v: the member does not lead although its log is complete", core.Status())
 	}
 }
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -20,11 +20,10 @@
 	"birchfork/internal/goldentest"
 )
 
-// The golden files hold each form in which this package stores or sends anything, as written by an earlier build. A difference means
-// that members of two builds, or one member before and after an upgrade, would not understand each other. UPDATE_GOLDEN=1 writes the
-// files anew.
+// The golden files contain each format in which this package stores or sends data, as written by an earlier build. A difference means
+// that members of two builds, or a member before and after an upgrade, would be incompatible. UPDATE_GOLDEN=1 rewrites the files.
 
-// goldenDir is the directory of goldentest.Check's files.
+// goldenDir is the directory from which goldentest.Check reads its files.
 const goldenDir = "testdata/golden"
 
 var (
@@ -36,7 +35,7 @@
 	goldenState = []byte(`{"state":"of the machine"}`)
 )
 
-// goldenEntries returns the entries of a log, with each type of entry.
+// goldenEntries returns the entries of a log with every type of entry.
 func goldenEntries(t *testing.T) []*raftpb.Entry {
 	t.Helper()
 	add, remove := raftpb.ConfChangeAddLearnerNode, raftpb.ConfChangeRemoveNode
@@ -65,7 +64,7 @@
 	return all
 }
 
-// writeGoldenStorage writes a storage file with each kind of value.
+// writeGoldenStorage writes a storage file with every kind of value.
 func writeGoldenStorage(t *testing.T, dir string) {
 	t.Helper()
 	fresh := goldenIdentity
@@ -87,7 +86,7 @@
 	}
 }
 
-// dumpFile returns all buckets, keys and values of a bbolt file, with one line for each.
+// dumpFile returns all buckets, keys and values of a bbolt file, one per line.
 func dumpFile(t *testing.T, path string) []byte {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
@@ -111,14 +110,14 @@
 	return out.Bytes()
 }
 
-// TestGolden_StorageContent compares the buckets, keys and values of the storage's file with those of an earlier build.
+// TestGolden_StorageContent verifies that the buckets, keys and values of the storage file are as written by an earlier build.
 func TestGolden_StorageContent(t *testing.T) {
 	dir := t.TempDir()
 	writeGoldenStorage(t, dir)
 	goldentest.Check(t, "group.db.txt", dumpFile(t, filepath.Join(dir, "group.db")))
 }
 
-// TestGolden_ReadsStorage verifies that all of a file that an earlier build wrote is read.
+// TestGolden_ReadsStorage verifies that a file written by an earlier build is read completely.
 func TestGolden_ReadsStorage(t *testing.T) {
 	old := filepath.Join(goldenDir, "group.db")
 	if os.Getenv("UPDATE_GOLDEN") == "1" {
@@ -172,8 +171,8 @@
 	}
 }
 
-// TestGolden_JSON compares the JSON of the identity and of the position, which is also sent between members, with that of an earlier
-// build, and reads the latter.
+// TestGolden_JSON verifies that the JSON of an identity and of a position, which is also sent between members, is as written by an earlier
+// build, and that the earlier build's JSON is decoded.
 func TestGolden_JSON(t *testing.T) {
 	position := Position{Term: 21, LastIndex: 22, LastTerm: 23}
 	for name, v := range map[string]any{"identity.json": &goldenIdentity, "position.json": &position} {
@@ -193,7 +192,7 @@
 	}
 }
 
-// TestGolden_BootMarker compares the bytes of a boot marker with those of an earlier build, and reads the latter.
+// TestGolden_BootMarker verifies that a boot marker has the same bytes as one of an earlier build, and that the latter is read.
 func TestGolden_BootMarker(t *testing.T) {
 	const boot = "01234567-89ab-cdef-0123-456789abcdef"
 	position := Position{Term: 31, LastIndex: 32, LastTerm: 33}
@@ -223,11 +222,11 @@
 		t.Fatal(err)
 	}
 	if got, ok := open().Lookup("life-4"); !ok || got != position {
-		t.Errorf("%+v, %t, want %+v", got, ok, position)
+		t.Errorf("position %+v, found %t, want %+v", got, ok, position)
 	}
 }
 
-// recorder is a state machine that keeps its entries as lines.
+// recorder is a state machine that records its entries as lines.
 type recorder struct{ lines []string }
 
 func (r *recorder) Apply(index uint64, data []byte) {
@@ -239,7 +238,7 @@
 	return nil
 }
 
-// messageLog runs a group of two and writes each raft message that its members send.
+// messageLog runs a group of two members and records each raft message that they send.
 type messageLog struct {
 	t        *testing.T
 	out      bytes.Buffer
@@ -248,7 +247,7 @@
 	queue    []*raftpb.Message
 }
 
-// start starts a member with empty storage. The first one bootstraps the group.
+// start starts a member with empty storage. The first member bootstraps the group.
 func (l *messageLog) start(id uint64) {
 	l.t.Helper()
 	storage, err := OpenStorage("", Identity{Group: "g", Name: fmt.Sprint("d", id), Incarnation: "l", RaftID: id})
@@ -273,7 +272,7 @@
 	}
 }
 
-// run advances both cores by ticks, and delivers the messages of each tick.
+// run advances both cores by a number of ticks, and delivers the messages of each tick.
 func (l *messageLog) run(ticks int) {
 	for range ticks {
 		l.cores[1].Tick(true)
@@ -286,7 +285,7 @@
 	}
 }
 
-// changeMember has the first member change the second one's part in the group.
+// changeMember changes the second member's role in the group, by a proposal at the first member.
 func (l *messageLog) changeMember(kind raftpb.ConfChangeType, data []byte) {
 	l.t.Helper()
 	changes := []*raftpb.ConfChangeSingle{{Type: &kind, NodeId: proto.Uint64(2)}}
@@ -296,8 +295,8 @@
 	l.run(2 * electionTicks)
 }
 
-// TestGolden_RaftMessages compares the raft messages of a group of two, from its bootstrap to a confirmed read, with those of an earlier
-// build, in their bytes and order.
+// TestGolden_RaftMessages verifies that a group of two members, from its bootstrap to a confirmed read, sends the same bytes in the same
+// order as with an earlier build.
 func TestGolden_RaftMessages(t *testing.T) {
 	l := &messageLog{t: t, cores: map[uint64]*Core{}, machines: map[uint64]*recorder{}}
 	l.start(1)
@@ -318,7 +317,7 @@
 	goldentest.Check(t, "raft-messages.txt", l.out.Bytes())
 }
 
-// writeStatus writes a member's status and the entries that it has applied.
+// writeStatus writes a member's status and its applied entries.
 func writeStatus(out io.Writer, id uint64, s Status, machine *recorder) {
 	fmt.Fprintf(out, "member %d: leader %d %t, applied %d, term %d, last %d of term %d, voters %v, learners %v: %q\n", id,
 		s.LeaderID, s.IsLeader, s.Applied, s.Term, s.LastIndex, s.LastTerm, s.Voters, s.Learners, machine.lines)
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -13,13 +13,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// maxPendingCalls is how many calls may wait for a node's goroutine.
+// maxPendingCalls is the maximum number of calls queued for a node's goroutine.
 const maxPendingCalls = 64
 
 // Node runs a Core in a goroutine of its own until Close. Its methods are safe for concurrent use.
 type Node struct {
 	options  Options
-	id       uint64 // raft ID; the storage belongs to the goroutine
+	id       uint64 // raft ID, copied because only the goroutine may access the storage
 	calls    chan func(*Core)
 	incoming chan *raftpb.Message
 	stop     chan struct{}
@@ -27,8 +27,8 @@
 	status   atomic.Pointer[Status]
 }
 
-// Start starts a node. With empty storage it waits to be added to the group by its leader. The node owns the storage and the
-// boot marker from then on, and closes them.
+// Start starts a node. With empty storage it waits until the leader adds it to the group. The node takes ownership of the storage and
+// the boot marker, and closes them.
 func Start(options Options) (*Node, error) {
 	core, err := NewCore(options, rand.Uint64())
 	if err != nil {
@@ -47,20 +47,20 @@
 	return node, nil
 }
 
-// Bootstrap creates a group on empty storage, whose member is the only voter. clusterID distinguishes this group from others of its name,
-// state is its initial snapshot.
+// Bootstrap creates a group on empty storage, with the storage's member as the only voter. clusterID distinguishes the group from others
+// of the same name. state is the group's initial snapshot.
 func Bootstrap(storage *Storage, clusterID string, state []byte) error {
 	return storage.bootstrap(clusterID, state)
 }
 
-// run is the node's goroutine.
+// run is the main loop of the node's goroutine.
 func (n *Node) run(core *Core) {
 	defer close(n.done)
 	defer n.recoverFailure()
 	debug.SetPanicOnFault(true) // the storage's file is mapped into memory: see boltstore.Open
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	core.process() // applies what the storage has as committed
+	core.process() // applies the committed entries of the storage
 	for {
 		n.publishStatus(core)
 		select {
@@ -76,7 +76,7 @@
 	}
 }
 
-// drainIncoming returns a message and those queued after it, so that one synced write is enough for all.
+// drainIncoming returns first and all messages queued after it, so that one synced write covers all of them.
 func (n *Node) drainIncoming(first *raftpb.Message) []*raftpb.Message {
 	waiting := len(n.incoming)
 	messages := make([]*raftpb.Message, 1, 1+waiting)
@@ -92,7 +92,8 @@
 	n.status.Store(&status)
 }
 
-// recoverFailure stops consensus, and not the process, if the storage fails or raft finds a state that is impossible.
+// recoverFailure recovers from a panic of the core, so that a failure of the storage or an impossible state in raft stops consensus but
+// not the process.
 func (n *Node) recoverFailure() {
 	cause := recover()
 	if cause == nil {
@@ -109,12 +110,12 @@
 // Status returns the status after the last event.
 func (n *Node) Status() Status { return *n.status.Load() }
 
-// Receive queues a message of another member. It returns the sender's raft ID and what the sender has promised by the message. It does
-// not block: if the queue is full, the message is dropped and ErrBusy returned.
+// Receive queues a message from another member. It returns the sender's raft ID and the position that the sender promises with the
+// message. It does not block: if the queue is full, it drops the message and returns ErrBusy.
 func (n *Node) Receive(raw []byte) (from uint64, promised Position, err error) {
 	message := &raftpb.Message{}
 	if err := proto.Unmarshal(raw, message); err != nil {
-		return 0, Position{}, fmt.Errorf("no message of raft's: %w", err)
+		return 0, Position{}, fmt.Errorf("malformed raft message: %w", err)
 	}
 	if message.GetTo() != n.id {
 		return 0, Position{}, ErrWrongIncarnation
@@ -128,10 +129,10 @@
 	}
 }
 
-// promisedBy returns what the sender of a message promises by it.
+// promisedBy returns the position that the sender of a message promises with it.
 func promisedBy(message *raftpb.Message) Position {
 	switch message.GetType() {
-	case raftpb.MsgPreVote, raftpb.MsgPreVoteResp: // their term is one that the sender has not entered yet
+	case raftpb.MsgPreVote, raftpb.MsgPreVoteResp: // the sender has not entered the message's term yet
 		return Position{}
 	case raftpb.MsgAppResp:
 		if message.GetReject() {
@@ -154,7 +155,7 @@
 	}
 }
 
-// await has the node's goroutine make a call, and waits for what the call sends.
+// await runs call in the node's goroutine and returns the result that call sends on the channel.
 func await[T any](ctx context.Context, n *Node, call func(*Core, chan<- T)) (result T, err error) {
 	results := make(chan T, 1)
 	if err := n.submit(ctx, func(core *Core) { call(core, results) }); err != nil {
@@ -170,7 +171,7 @@
 	}
 }
 
-// do has the node's goroutine make a call, and returns its error.
+// do runs call in the node's goroutine and returns its error.
 func (n *Node) do(ctx context.Context, call func(*Core) error) error {
 	callErr, err := await(ctx, n, func(core *Core, results chan<- error) { results <- call(core) })
 	if err != nil {
@@ -179,18 +180,18 @@
 	return callErr
 }
 
-// Propose proposes an entry, at the leader. A nil error says that it was appended, not that it is committed: the state machine sees it
-// once it is, or never. It may be committed although an error is returned.
+// Propose proposes an entry. This member must be the leader. A nil error means that the entry was appended to the log, not that it is or
+// will be committed. The entry may be committed even if an error is returned.
 func (n *Node) Propose(ctx context.Context, data []byte) error {
 	return n.do(ctx, func(core *Core) error { return core.Propose(data) })
 }
 
-// ProposeConfChange proposes a change of the group's members, with an entry for the state machine, as Propose does.
+// ProposeConfChange proposes a change of the group's members together with an entry for the state machine. Errors are as for Propose.
 func (n *Node) ProposeConfChange(ctx context.Context, changes []*raftpb.ConfChangeSingle, data []byte) error {
 	return n.do(ctx, func(core *Core) error { return core.ProposeConfChange(changes, data) })
 }
 
-// ReadIndex returns an index such that everything that was committed before the call is at or below it: see Core.ReadIndex.
+// ReadIndex returns an index at or above that of every entry committed before the call: see Core.ReadIndex.
 func (n *Node) ReadIndex(ctx context.Context) (uint64, error) {
 	type result struct {
 		index uint64
@@ -202,7 +203,7 @@
 	return r.index, errors.Join(r.err, err)
 }
 
-// CaughtUp returns the raft IDs of the members that are active and have nearly all entries; nil unless this member leads.
+// CaughtUp returns the raft IDs of the active members that have nearly all entries, or nil if this member is not the leader.
 func (n *Node) CaughtUp(ctx context.Context) []uint64 {
 	ids, err := await(ctx, n, func(core *Core, results chan<- []uint64) { results <- core.CaughtUp() })
 	if err != nil {
@@ -211,20 +212,21 @@
 	return ids
 }
 
-// MarkConfirmed notes in the storage that the group has confirmed this incarnation: see Identity.
+// MarkConfirmed records in the storage that the group has confirmed this incarnation: see Identity.
 func (n *Node) MarkConfirmed(ctx context.Context) error {
 	return n.do(ctx, func(core *Core) error { return core.options.Storage.MarkConfirmed() })
 }
 
-// TransferLeadership transfers leadership to a voter, if this member leads. It does not wait: Status shows whether it succeeded.
+// TransferLeadership starts to transfer leadership to a voter if this member is the leader. It does not wait for the result, which
+// Status reports.
 func (n *Node) TransferLeadership(ctx context.Context, to uint64) {
-	_ = n.submit(ctx, func(core *Core) { // after an error this member still leads
+	_ = n.submit(ctx, func(core *Core) { // after an error this member is still the leader
 		core.rawNode.TransferLeader(to)
 		core.process()
 	})
 }
 
-// ReportUnreachable reports to raft that messages to a member are lost. It does not block.
+// ReportUnreachable tells raft that messages to a member were lost. It does not block.
 func (n *Node) ReportUnreachable(id uint64) {
 	select {
 	case n.calls <- func(core *Core) { core.rawNode.ReportUnreachable(id) }:
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -8,7 +8,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// TestNode_Receive verifies that messages for another incarnation are rejected, and which position the sender of a message promises.
+// TestNode_Receive verifies that malformed messages and messages for another incarnation are rejected, and that Receive returns the position
+// that the sender promises.
 func TestNode_Receive(t *testing.T) {
 	storage, err := OpenStorage("", testIdentity)
 	if err != nil {
@@ -40,10 +41,10 @@
 			t.Fatal(err)
 		}
 		if _, position, err := node.Receive(raw); position != c.want || !errors.Is(err, c.err) {
-			t.Errorf("%v to %d: %+v, %v", c.kind, c.to, position, err)
+			t.Errorf("%v to %d: promised %+v, error %v", c.kind, c.to, position, err)
 		}
 	}
 	if _, _, err := node.Receive([]byte{0xff}); err == nil {
-		t.Error("bytes that are no message were accepted")
+		t.Error("malformed message accepted")
 	}
 }
--- a/internal/consensus/position_test.go
+++ b/internal/consensus/position_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestPosition_Lacks verifies that a position lacks a promise by its term or by its last index.
+// TestPosition_Lacks verifies that Lacks compares both the term and the last index.
 func TestPosition_Lacks(t *testing.T) {
 	for _, c := range []struct {
 		position, promised Position
@@ -14,7 +14,7 @@
 		{Position{Term: 5, LastIndex: 9}, Position{}, false},
 	} {
 		if c.position.Lacks(c.promised) != c.lacks {
-			t.Errorf("%+v lacks %+v is %t", c.position, c.promised, !c.lacks)
+			t.Errorf("%+v lacks %+v: got %t", c.position, c.promised, !c.lacks)
 		}
 	}
 }
--- a/internal/consensus/raftlogger.go
+++ b/internal/consensus/raftlogger.go
@@ -6,8 +6,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// raftLogger is raft's logger. It writes to the dispatcher's logger, raft's routine messages at debug level. For states that are
-// impossible it panics, which stops consensus at this member: see Node.recoverFailure.
+// raftLogger passes raft's messages to the dispatcher's logger, routine ones at debug level. It panics when raft reports an impossible
+// state, which stops consensus at this member: see Node.recoverFailure.
 type raftLogger struct{ log logrus.FieldLogger }
 
 func (l raftLogger) Debug(v ...any)                   { l.log.Debug(v...) }
--- a/internal/consensus/reads.go
+++ b/internal/consensus/reads.go
@@ -6,25 +6,25 @@
 	"go.etcd.io/raft/v3"
 )
 
-// pendingRead is a read that waits for a quorum.
+// pendingRead is a read that waits for confirmation by a quorum.
 type pendingRead struct {
-	minRound uint64 // confirmed by a read round of this number or a later one
+	minRound uint64 // the first read round that can confirm this read
 	done     func(index uint64, err error)
 }
 
-// ReadIndex calls done with an index such that everything that was committed before the call of ReadIndex is at or below it: a quorum
-// has confirmed since the call that this member, or its leader, leads. done may never be called.
+// ReadIndex calls done with an index at or above that of every entry committed before the call of ReadIndex. By then, a quorum has
+// confirmed since the call that this member or its known leader is the leader. done may never be called.
 func (c *Core) ReadIndex(done func(index uint64, err error)) {
 	if len(c.pendingReads) >= maxQueueLength {
 		done(0, ErrBusy)
 		return
 	}
-	// A round that is under way began before this call, and does not confirm it.
+	// A round in progress began before this call and cannot confirm it.
 	c.pendingReads = append(c.pendingReads, pendingRead{minRound: c.lastReadRound + 1, done: done})
 	c.process()
 }
 
-// startReadRound asks raft to confirm all reads that wait, in one round.
+// startReadRound asks raft to confirm all pending reads in one round.
 func (c *Core) startReadRound() {
 	isWaiting := c.activeReadRound != 0 && c.ticksSinceRead < readRetryTicks
 	if isWaiting || len(c.pendingReads) == 0 {
@@ -36,14 +36,14 @@
 	c.rawNode.ReadIndex(binary.BigEndian.AppendUint64(nil, c.lastReadRound))
 }
 
-// completeReads completes the reads that a round has confirmed.
+// completeReads calls done for the reads that a round has confirmed.
 func (c *Core) completeReads(readState raft.ReadState) {
 	round := binary.BigEndian.Uint64(readState.RequestCtx)
 	if round == c.activeReadRound {
 		c.activeReadRound = 0
 	}
 	pending := c.pendingReads
-	c.pendingReads = nil // done may add further ones
+	c.pendingReads = nil // done may add reads
 	var remaining []pendingRead
 	for _, read := range pending {
 		if read.minRound <= round {
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -5,7 +5,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// compactLog replaces old entries by a snapshot once enough were applied since the last one.
+// compactLog replaces old entries with a snapshot once snapshotThreshold entries were applied since the last snapshot.
 func (c *Core) compactLog() {
 	if c.applied-c.snapshotIndex < snapshotThreshold {
 		return
@@ -18,7 +18,7 @@
 	}
 }
 
-// snapshot stores a snapshot of the applied entries, with the group's present members.
+// snapshot stores a snapshot of the applied entries and the current members of the group.
 func (c *Core) snapshot() error {
 	if c.snapshotIndex == c.applied {
 		return nil
@@ -34,17 +34,17 @@
 	return nil
 }
 
-// raftStorage is the storage that raft reads. It makes a new snapshot for each follower that needs one: a snapshot from before the
-// follower was added would not name it as a member.
+// raftStorage is the storage that raft reads. It takes a new snapshot for each follower that needs one, because a snapshot from before
+// the follower was added does not list it as a member.
 type raftStorage struct {
 	*raft.MemoryStorage
 	core *Core
 }
 
-// Snapshot implements raft.Storage. Raft calls it while the caller of the core is in a call of the core.
+// Snapshot implements raft.Storage. Raft only calls it during a call of one of the core's methods.
 func (s raftStorage) Snapshot() (*raftpb.Snapshot, error) {
 	if err := s.core.snapshot(); err != nil {
-		s.core.options.Log.WithError(err).Error("snapshot for a follower failed")
+		s.core.options.Log.WithError(err).Error("taking a snapshot for a follower failed")
 		return nil, raft.ErrSnapshotTemporarilyUnavailable
 	}
 	return s.MemoryStorage.Snapshot()
--- a/internal/consensus/storage.go
+++ b/internal/consensus/storage.go
@@ -14,51 +14,51 @@
 	"birchfork/internal/boltstore"
 )
 
-// Identity identifies the member, incarnation and group that own a storage.
+// Identity identifies the member, incarnation and group that a storage belongs to.
 type Identity struct {
-	Format      int    `json:"format"`  // of the file; OpenStorage sets it
+	Format      int    `json:"format"`  // format of the file, set by OpenStorage
 	Group       string `json:"group"`   // the group's name in the operator's file
-	ClusterID   string `json:"founded"` // random, from the group's bootstrap; empty: the member is in no group yet
+	ClusterID   string `json:"founded"` // random, from the group's bootstrap; empty while the member is in no group
 	Name        string `json:"name"`    // the member's name
-	Incarnation string `json:"life"`    // random, a new one for each empty storage
+	Incarnation string `json:"life"`    // random, new for each empty storage
 	RaftID      uint64 `json:"id"`      // of this incarnation
-	// Confirmed means that this incarnation has had a lease once. No plan has begun to run since without its confirmation.
+	// Confirmed means that this incarnation has had a lease. Since then, no plan can have started without its confirmation.
 	Confirmed bool `json:"heard"`
 }
 
-// formatVersion is the format of the file. OpenStorage rejects others.
+// formatVersion is the format of the file. OpenStorage rejects files of other formats.
 const formatVersion = 1
 
-// storageFile is the file's name.
+// storageFile is the name of the file in the storage directory.
 const storageFile = "group.db"
 
-// The buckets of the file, and the keys of the first. The keys of the log are indexes in big-endian order.
+// The buckets of the file and the keys of the meta bucket. The keys of the log bucket are big-endian entry indexes.
 var (
 	metaBucket   = []byte("meta")
 	identityKey  = []byte("identity") // JSON
-	hardStateKey = []byte("hard")     // checksummed raft message, as all below
+	hardStateKey = []byte("hard")     // checksummed raft message, like all values below
 	snapshotKey  = []byte("snapshot")
 
 	logBucket = []byte("log")
 )
 
-// Storage holds one member's log, hard state and snapshot: in a file, or in memory alone. It is not safe for concurrent use; a Node owns
-// its storage.
+// Storage holds one member's log, hard state and snapshot, either in a file or only in memory. It is not safe for concurrent use. A Node
+// owns its storage.
 type Storage struct {
-	// Unreadable is the reason why an existing file could not be read. The file was moved aside, and this storage is empty. Nil: the file
-	// was read, or there was none.
+	// Unreadable is the error of reading an existing file. The file was moved aside, and this storage is empty. Nil means that the file
+	// was read or did not exist.
 	Unreadable error
 
-	db       *bbolt.DB // nil: in memory alone
+	db       *bbolt.DB // nil if only in memory
 	path     string
 	identity Identity
-	memory   *raft.MemoryStorage // what raft reads: the same as the file, and a few compacted entries
+	memory   *raft.MemoryStorage // read by raft: the content of the file, and a few compacted entries
 	openedAt time.Time
 }
 
-// OpenStorage opens the file in a directory, or creates it for fresh, whose incarnation counts only then. Without a directory nothing
-// outlives the process. A file of another group, member or format stays as it is, with an error that is boltstore.ErrForeign; one that
-// another process has open gives boltstore.ErrLocked.
+// OpenStorage opens the file in a directory, or creates it with the identity fresh. An existing file keeps its incarnation. If dir is
+// empty, the storage is only in memory. For a file of another group, member or format, OpenStorage returns boltstore.ErrForeign and does
+// not change the file; for a file that another process has open, it returns boltstore.ErrLocked.
 func OpenStorage(dir string, fresh Identity) (*Storage, error) {
 	fresh.Format = formatVersion
 	storage := &Storage{identity: fresh, memory: raft.NewMemoryStorage(), openedAt: time.Now()}
@@ -79,7 +79,7 @@
 	return storage, nil
 }
 
-// load reads the file into memory, or writes the identity to an empty one.
+// load reads the file into memory, or initializes an empty file with the identity.
 func (s *Storage) load() error {
 	empty := false
 	err := s.db.View(func(tx *bbolt.Tx) error {
@@ -120,15 +120,15 @@
 	return s.readEntries(log, snapshotIndex+1)
 }
 
-// readIdentity reads the file's identity, and fails if the file is of another member, group or format.
+// readIdentity reads the file's identity. It returns an error if the file belongs to another member or group, or has another format.
 func (s *Storage) readIdentity(meta *bbolt.Bucket) error {
 	var identity Identity
 	if err := json.Unmarshal(meta.Get(identityKey), &identity); err != nil {
-		return fmt.Errorf("%w: reading its identity: %w", boltstore.ErrForeign, err)
+		return fmt.Errorf("%w: reading the identity: %w", boltstore.ErrForeign, err)
 	}
 	isOurs := identity.Format == formatVersion && identity.Group == s.identity.Group && identity.Name == s.identity.Name
 	if !isOurs {
-		return fmt.Errorf("%w: it is of format %d, group %q, member %q, not %d, %q, %q",
+		return fmt.Errorf("%w: found format %d, group %q, member %q, want %d, %q, %q",
 			boltstore.ErrForeign, identity.Format, identity.Group, identity.Name, formatVersion, s.identity.Group, s.identity.Name)
 	}
 	s.identity = identity
@@ -161,7 +161,7 @@
 	return s.memory.SetHardState(hardState)
 }
 
-// readEntries reads the entries from an index on. They must follow each other without a gap; older ones are covered by the snapshot.
+// readEntries reads the entries from index next on, which must be contiguous. It skips older entries, which the snapshot covers.
 func (s *Storage) readEntries(log *bbolt.Bucket, next uint64) error {
 	return log.ForEach(func(k, v []byte) error {
 		entry := &raftpb.Entry{}
@@ -172,7 +172,7 @@
 			return nil
 		}
 		if entry.GetIndex() != next {
-			return fmt.Errorf("entry %d in place of entry %d", entry.GetIndex(), next)
+			return fmt.Errorf("found entry %d, want entry %d", entry.GetIndex(), next)
 		}
 		next++
 		return s.memory.Append([]*raftpb.Entry{entry})
@@ -182,7 +182,7 @@
 // Identity returns the storage's identity.
 func (s *Storage) Identity() Identity { return s.identity }
 
-// SetClusterID stores the ID of the group that the member has joined. It must not be called once a Node has the storage.
+// SetClusterID stores the ID of the group that the member has joined. It must not be called once a Node owns the storage.
 func (s *Storage) SetClusterID(clusterID string) error {
 	s.identity.ClusterID = clusterID
 	return s.saveIdentity()
@@ -194,7 +194,7 @@
 	return s.saveIdentity()
 }
 
-// IsEmpty reports whether this incarnation has stored nothing: it has neither voted nor received anything.
+// IsEmpty reports whether this incarnation has stored no raft state, so that it has neither voted nor received entries.
 func (s *Storage) IsEmpty() bool {
 	hardState, confState, err := s.memory.InitialState()
 	if err != nil {
@@ -207,7 +207,7 @@
 	return raft.IsEmptyHardState(hardState) && len(confState.GetVoters()) == 0 && lastIndex == 0
 }
 
-// Position returns the position that this incarnation has reached.
+// Position returns the stored position of this incarnation.
 func (s *Storage) Position() (position Position) {
 	if hardState, _, err := s.memory.InitialState(); err == nil {
 		position.Term = hardState.GetTerm()
@@ -217,10 +217,10 @@
 	return position
 }
 
-// IsDurable reports whether the storage outlives the process.
+// IsDurable reports whether the storage is in a file.
 func (s *Storage) IsDurable() bool { return s.db != nil }
 
-// Remove removes the file, after Close: the next storage in the directory begins empty.
+// Remove deletes the file, so that the next storage in the directory is empty. It must be called after Close.
 func (s *Storage) Remove() error {
 	if s.db == nil {
 		return nil
--- a/internal/consensus/storage_test.go
+++ b/internal/consensus/storage_test.go
@@ -16,10 +16,10 @@
 
 var testIdentity = Identity{Group: "g", Name: "a", Incarnation: "first", RaftID: 7}
 
-// storedPosition is the position of newStorageDir's file.
+// storedPosition is the position of the file that newStorageDir writes.
 var storedPosition = Position{Term: 3, LastIndex: 4, LastTerm: 3}
 
-// newStorageDir returns a directory with a storage file that has a vote and three entries, and the file's bytes.
+// newStorageDir returns a directory with a storage file that contains a vote and three entries, and the file's bytes.
 func newStorageDir(t *testing.T) (dir string, raw []byte) {
 	t.Helper()
 	dir = t.TempDir()
@@ -46,8 +46,8 @@
 	return dir, raw
 }
 
-// TestStorage_BelongsToOneMember verifies that a file keeps its first incarnation, that a second process cannot open it, and that the
-// file of another group or member is rejected and not changed.
+// TestStorage_BelongsToOneMember verifies that a file keeps its first incarnation, that only one process can open it, and that a file of
+// another group or member is rejected and not changed.
 func TestStorage_BelongsToOneMember(t *testing.T) {
 	dir, raw := newStorageDir(t)
 	storage, err := OpenStorage(dir, Identity{Group: "g", Name: "a", Incarnation: "second", RaftID: 8})
@@ -62,7 +62,7 @@
 		t.Errorf("position %+v, %v, empty: %t", storage.Position(), hardState, storage.IsEmpty())
 	}
 	if _, err := OpenStorage(dir, testIdentity); !errors.Is(err, boltstore.ErrLocked) {
-		t.Errorf("a second owner: %v", err)
+		t.Errorf("opening a file that is open already: %v", err)
 	}
 	mustClose(t, storage)
 	for _, other := range []Identity{{Group: "h", Name: "a"}, {Group: "g", Name: "b"}} {
@@ -71,33 +71,33 @@
 		}
 	}
 	if now, _ := os.ReadFile(filepath.Join(dir, storageFile)); !bytes.Equal(now, raw) {
-		t.Error("a file that was refused was changed")
+		t.Error("the rejected file was changed")
 	}
 }
 
-// corruptFileOutcomes counts how corrupt files were opened.
+// corruptFileOutcomes counts the outcomes of opening corrupt files.
 type corruptFileOutcomes struct {
-	readInFull int // read in full
-	setAside   int // set aside, so that a new incarnation began
+	readInFull int
+	setAside   int // a new incarnation began
 }
 
-// TestStorage_CorruptFileBeginsNewIncarnation verifies that a truncated file, or one with a flipped bit, is either read in full or set
-// aside for a new incarnation. A part of its state must never be used, as the member could vote twice in a term.
+// TestStorage_CorruptFileBeginsNewIncarnation verifies that a file that is truncated or has a flipped bit is either read in full or set
+// aside for a new incarnation. With only part of its state, the member could vote twice in a term.
 func TestStorage_CorruptFileBeginsNewIncarnation(t *testing.T) {
 	_, raw := newStorageDir(t)
 	var outcomes corruptFileOutcomes
 	for n := 0; n < len(raw); n += 509 {
-		outcomes.try(t, fmt.Sprintf("torn at %d", n), raw[:n])
+		outcomes.try(t, fmt.Sprintf("truncated at %d", n), raw[:n])
 	}
 	flip := func(n int) {
 		flipped := bytes.Clone(raw)
 		flipped[n] ^= 4
-		outcomes.try(t, fmt.Sprintf("flipped at %d", n), flipped)
+		outcomes.try(t, fmt.Sprintf("bit flipped at %d", n), flipped)
 	}
 	for n := 3; n < len(raw); n += 211 {
 		flip(n)
 	}
-	entry := bytes.Repeat([]byte{3}, 40) // the data of one entry, of which the file may have several copies
+	entry := bytes.Repeat([]byte{3}, 40) // data of one entry; the file may contain several copies
 	for at := bytes.Index(raw, entry); at >= 0; {
 		flip(at + 7)
 		next := bytes.Index(raw[at+len(entry):], entry)
@@ -111,7 +111,7 @@
 	}
 }
 
-// try opens a storage file with some content, and counts the outcome.
+// try opens a storage file with the given content, and counts the outcome.
 func (c *corruptFileOutcomes) try(t *testing.T, what string, raw []byte) {
 	t.Helper()
 	dir := t.TempDir()
@@ -120,7 +120,7 @@
 	}
 	storage, err := OpenStorage(dir, Identity{Group: "g", Name: "a", Incarnation: "second", RaftID: 8})
 	switch {
-	case errors.Is(err, boltstore.ErrForeign): // the flipped bit is in its name
+	case errors.Is(err, boltstore.ErrForeign): // the flipped bit is in the identity
 		return
 	case err != nil:
 		t.Errorf("%s: %v", what, err)
@@ -134,13 +134,13 @@
 		c.readInFull++
 	case incarnation == "second" && storage.IsEmpty():
 		c.setAside++
-	case incarnation == "first" && position.LastIndex < storedPosition.LastIndex: // an older state: bbolt used its other meta page
+	case incarnation == "first" && position.LastIndex < storedPosition.LastIndex: // an older complete state: bbolt used its other meta page
 	default:
 		t.Errorf("%s: %+v, position %+v, %v", what, storage.Identity(), position, hardState)
 	}
 }
 
-// entriesAreComplete reports whether the storage has all entries of newStorageDir's file.
+// entriesAreComplete reports whether the storage has all entries of the file that newStorageDir writes.
 func entriesAreComplete(storage *Storage) bool {
 	entries, err := storage.memory.Entries(2, 5, 1<<20)
 	for i, entry := range entries {
@@ -151,8 +151,8 @@
 	return err == nil
 }
 
-// TestStorage_ReplacesConflictingEntries verifies that the entries of a former leader are replaced by those of the present one, in memory
-// and in the file.
+// TestStorage_ReplacesConflictingEntries verifies that entries of a former leader are replaced by those of the current leader, in memory and
+// in the file.
 func TestStorage_ReplacesConflictingEntries(t *testing.T) {
 	dir, _ := newStorageDir(t)
 	for i := range 2 {
--- a/internal/consensus/storage_write.go
+++ b/internal/consensus/storage_write.go
@@ -15,7 +15,7 @@
 	"birchfork/internal/failpoint"
 )
 
-// saveIdentity writes the identity.
+// saveIdentity writes the identity to the file, if there is one.
 func (s *Storage) saveIdentity() error {
 	if s.db == nil {
 		return nil
@@ -31,8 +31,8 @@
 	return meta.Put(identityKey, raw)
 }
 
-// save writes hard state, entries and a leader's snapshot in one synced transaction; empty parts are not changed. Memory is
-// updated after the file.
+// save writes the hard state, entries and a snapshot from the leader in one synced transaction. Empty arguments change nothing. The
+// memory is updated after the file.
 func (s *Storage) save(hardState *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error {
 	if raft.IsEmptyHardState(hardState) {
 		hardState = nil
@@ -69,14 +69,14 @@
 	return s.memory.Append(entries)
 }
 
-// writeState writes those parts of save that are not empty.
+// writeState writes the non-empty arguments of save to the file.
 func writeState(tx *bbolt.Tx, hardState *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error {
 	meta, log := tx.Bucket(metaBucket), tx.Bucket(logBucket)
 	if snapshot != nil {
 		if err := putChecksummed(meta, snapshotKey, snapshot); err != nil {
 			return err
 		}
-		// A leader's snapshot replaces the complete log: later entries are of another leader and were never committed.
+		// A snapshot from the leader replaces the whole log: later entries are from another leader and were never committed.
 		if err := deleteEntriesFrom(log, 0); err != nil {
 			return err
 		}
@@ -89,7 +89,7 @@
 	if len(entries) == 0 {
 		return nil
 	}
-	// Entries from here on are of another leader and were never committed.
+	// Stored entries from this index on are from another leader and were never committed.
 	if err := deleteEntriesFrom(log, entries[0].GetIndex()); err != nil {
 		return err
 	}
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// putChecksummed writes a message with its checksum.
+// putChecksummed writes a message with a checksum.
 func putChecksummed(bucket *bbolt.Bucket, key []byte, message proto.Message) error {
 	raw, err := proto.Marshal(message)
 	if err != nil {
@@ -110,7 +110,7 @@
 	return bucket.Put(key, boltstore.AddChecksum(raw))
 }
 
-// decodeChecksummed reads what putChecksummed wrote.
+// decodeChecksummed verifies and decodes a value that putChecksummed wrote.
 func decodeChecksummed(value []byte, message proto.Message) error {
 	raw, err := boltstore.VerifyChecksum(value)
 	if err != nil {
@@ -143,7 +143,8 @@
 	return nil
 }
 
-// saveSnapshot stores a snapshot that this member has made, and deletes the entries up to its index. Memory keeps them until compact.
+// saveSnapshot stores a snapshot taken by this member and deletes the entries up to its index from the file. compact drops them from
+// memory.
 func (s *Storage) saveSnapshot(index uint64, confState *raftpb.ConfState, data []byte) error {
 	snapshot, err := s.memory.CreateSnapshot(index, confState, data)
 	if err != nil || s.db == nil {
@@ -169,7 +170,7 @@
 	return nil
 }
 
-// bootstrap stores the initial state of a group whose only voter is this incarnation.
+// bootstrap stores the initial state of a group with this incarnation as its only voter.
 func (s *Storage) bootstrap(clusterID string, state []byte) error {
 	if err := s.SetClusterID(clusterID); err != nil {
 		return err
@@ -185,8 +186,8 @@
 	return s.save(&raftpb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}, nil, snapshot)
 }
 
-// raiseTerm raises the storage's term to at least a given one, without a vote in it. Core.rejectsVoteRequest keeps the member from voting
-// again in a term in which it may have voted.
+// raiseTerm raises the stored term to at least term, without a vote. Core.rejectsVoteRequest prevents the member from voting again in a
+// term in which it may have voted.
 func (s *Storage) raiseTerm(term uint64) error {
 	hardState, _, err := s.memory.InitialState()
 	if err != nil || hardState.GetTerm() >= term {
