--- a/internal/coordinator/apply.go
+++ b/internal/coordinator/apply.go
@@ -10,10 +10,11 @@
 	"birchfork/internal/maintenance"
 )
 
-// restoredStateGrace is how long after a membership's start failpoint.IgnoreRestoredState applies.
+// restoredStateGrace is the time after the start of a membership during which failpoint.IgnoreRestoredState applies.
 const restoredStateGrace = 2 * time.Second
 
-// Apply implements consensus.StateMachine: it applies a committed command to the state, and the state to the dispatcher.
+// Apply implements consensus.StateMachine. It applies a committed command to the state, and sets the resulting restrictions at the
+// dispatcher.
 func (c *Coordinator) Apply(index uint64, data []byte) {
 	events, restrictions := c.applyEntry(index, data)
 	if len(events) > 0 && !c.ignoresRestoredState() {
@@ -32,7 +33,7 @@
 	c.notifyChanged()
 }
 
-// applyEntry applies a command to the state. It panics for a command that needs a newer build, which stops the node: see consensus.Node.
+// applyEntry applies a command to the state. It panics if the command requires a newer build, which stops the node: see consensus.Node.
 func (c *Coordinator) applyEntry(index uint64, data []byte) ([]maintenance.Event, engine.Restrictions) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// restrictionsOf returns the restrictions that a state places on a dispatcher.
+// restrictionsOf returns the restrictions that a state imposes on the dispatcher.
 func restrictionsOf(state *maintenance.State) engine.Restrictions {
 	underMaintenance, leased := state.InMaintenance(), state.Leased()
 	return engine.Restrictions{
@@ -80,7 +81,7 @@
 	}
 }
 
-// ignoresRestoredState reports whether failpoint.IgnoreRestoredState keeps the state from the dispatcher.
+// ignoresRestoredState reports whether failpoint.IgnoreRestoredState currently withholds the state from the dispatcher.
 func (c *Coordinator) ignoresRestoredState() bool {
 	if !failpoint.Enabled(failpoint.IgnoreRestoredState) {
 		return false
@@ -89,7 +90,7 @@
 	return current == nil || time.Since(current.startedAt) < restoredStateGrace
 }
 
-// notifyChanged wakes the goroutines that wait for a change of the state.
+// notifyChanged wakes the goroutines that are waiting for a change of the state.
 func (c *Coordinator) notifyChanged() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,8 +98,8 @@
 	c.changed = make(chan struct{})
 }
 
-// readBarrier waits until this member has applied every entry that was committed before the call, and returns the index of the last one.
-// A quorum has confirmed since the call that this member leads.
+// readBarrier waits until this member has applied every entry committed before the call, and returns the index up to which it has. By then,
+// a quorum has confirmed since the call that this member is the leader.
 func (c *Coordinator) readBarrier(ctx context.Context, node *consensus.Node) (index uint64, err error) {
 	index, err = node.ReadIndex(ctx)
 	if err != nil {
@@ -107,7 +108,7 @@
 	return index, c.waitApplied(ctx, index)
 }
 
-// waitApplied waits until this member has applied all entries up to an index.
+// waitApplied waits until this member has applied all entries up to index.
 func (c *Coordinator) waitApplied(ctx context.Context, index uint64) error {
 	for {
 		c.mu.Lock()
@@ -122,14 +123,14 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(appliedPollInterval): // raft's own entries are applied without a change of the state
+		case <-time.After(appliedPollInterval): // raft's internal entries do not change the state
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// waitForState waits until condition returns true, and checks it after each change of the state. condition is called with c.mu held.
+// waitForState waits until condition returns true. It checks condition now and after each change of the state, with c.mu held.
 func (c *Coordinator) waitForState(ctx context.Context, condition func(*maintenance.State) bool) error {
 	for {
 		c.mu.Lock()
--- a/internal/coordinator/bootstrap.go
+++ b/internal/coordinator/bootstrap.go
@@ -13,18 +13,18 @@
 	"birchfork/internal/maintenance"
 )
 
-// errStorageNotEmpty is the error of creating a group on storage that has entries already.
+// errStorageNotEmpty means that a group cannot be created because the storage already has entries.
 var errStorageNotEmpty = errors.New("the group's storage is not empty")
 
-// bootstrap creates the group at this member, as an operator's call demands; the other members join it. It creates the group only if
-// every other member has answered that it is in no group.
+// bootstrap creates the group at this member for an operator's call; the other members join it later. It only creates the group if every
+// other member has answered that it is in no group.
 func (c *Coordinator) bootstrap(ctx context.Context, afterDataLoss bool) *Reply {
 	current := c.currentMembership()
 	if current == nil {
 		return retryLater(noMembershipText)
 	}
 	if clusterID := c.sender().ClusterID; clusterID != "" {
-		return &Reply{Text: "this member is in the group already, founded as " + clusterID}
+		return &Reply{Text: "this member is in a group already, with cluster ID " + clusterID}
 	}
 	unconfirmed, err := c.unconfirmedMembers(ctx, current)
 	if err != nil {
@@ -32,7 +32,7 @@
 	}
 	if len(unconfirmed) > 0 {
 		name := slices.Min(slices.Collect(maps.Keys(unconfirmed)))
-		return retryLater("each member has to say that it is in no group yet; %s: %v", name, unconfirmed[name])
+		return retryLater("every other member must confirm that it is in no group; %s: %v", name, unconfirmed[name])
 	}
 	select {
 	case current.bootstrap <- afterDataLoss:
@@ -48,10 +48,10 @@
 	return &Reply{Text: "founded"}
 }
 
-// unconfirmedMembers returns, by name, the other members that have not answered that they are in no group, each with the error of its
-// request; the error is nil for a member that accepted the request, as one in a group may.
+// unconfirmedMembers returns, by name, the other members that have not answered that they are in no group, with the errors of the requests
+// to them. The error is nil for a member that accepted the request, as a member in a group may.
 func (c *Coordinator) unconfirmedMembers(ctx context.Context, current *membership) (map[string]error, error) {
-	request, err := json.Marshal(joinRequest{Name: c.options.Self}) // without an incarnation it is never granted
+	request, err := json.Marshal(joinRequest{Name: c.options.Self}) // without an incarnation, the request is never granted
 	if err != nil {
 		return nil, err
 	}
@@ -64,7 +64,7 @@
 	return unconfirmed, nil
 }
 
-// bootstrapStorage creates the group on this member's storage, and starts the node.
+// bootstrapStorage creates the group in this member's storage and starts the node.
 func (c *Coordinator) bootstrapStorage(current *membership, afterDataLoss bool) error {
 	if !current.storage.IsEmpty() {
 		return errStorageNotEmpty
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// confirmDisk confirms, as an operator's call demands, that this member's disk is the latest one that it had. Only a member whose disk is
-// not verified yet accepts the confirmation: see resume.
+// confirmDisk records an operator's confirmation that this member's disk has the member's latest state. Only a member whose disk is not
+// verified yet accepts the confirmation: see resume.
 func (c *Coordinator) confirmDisk() *Reply {
 	current := c.currentMembership()
 	if current == nil {
@@ -98,6 +98,6 @@
 	case current.diskConfirmed <- struct{}{}:
 		return &Reply{Text: "taken"}
 	case <-time.After(joinInterval + requestTimeout):
-		return retryLater("this member does not wait for a word on its disk")
+		return retryLater("this member is not waiting for its disk to be confirmed")
 	}
 }
--- a/internal/coordinator/calls.go
+++ b/internal/coordinator/calls.go
@@ -13,50 +13,50 @@
 	"birchfork/internal/peer"
 )
 
-// Call is an operator's call. One of Command, Bootstrap, ConfirmDisk and Status is set.
+// Call is an operator's call. Exactly one of Command, Bootstrap, ConfirmDisk and Status is set.
 type Call struct {
-	Command       *maintenance.Command `json:"command,omitempty"` // carried out once for each ID, however often it arrives
-	Check         bool                 `json:"check,omitempty"`   // only validate Command, which submits a plan
+	Command       *maintenance.Command `json:"command,omitempty"` // executed once per ID, even if received repeatedly
+	Check         bool                 `json:"check,omitempty"`   // with a Command that submits a plan: only validate the plan
 	Bootstrap     bool                 `json:"found,omitempty"`   // create the group at this member
-	AfterDataLoss bool                 `json:"again,omitempty"`   // with Bootstrap: the group existed before, and its log is lost
-	ConfirmDisk   bool                 `json:"vouch,omitempty"`   // this member's disk is the latest one that it had
+	AfterDataLoss bool                 `json:"again,omitempty"`   // with Bootstrap: the group existed before and its log is lost
+	ConfirmDisk   bool                 `json:"vouch,omitempty"`   // the operator confirms that this member's disk has its latest state
 	Status        bool                 `json:"status,omitempty"`
-	Local         bool                 `json:"local,omitempty"` // with Status: as known to this member, without contacting the leader
+	Local         bool                 `json:"local,omitempty"` // with Status: return what this member knows, without contacting the leader
 }
 
-// Reply answers a Call.
+// Reply is the reply to a Call.
 type Reply struct {
 	Code   maintenance.Code `json:"code"`
 	Text   string           `json:"text"`
 	Status *Status          `json:"status,omitempty"`
 }
 
-// NotCommittedText begins the text of the reply to a call that no leader could commit in time.
+// NotCommittedText is the beginning of the reply's text if no leader could commit a call in time.
 const NotCommittedText = "not settled yet, ask again"
 
-// noMembershipText is the reply to calls that this process can only serve while it has the membership.
-const noMembershipText = "this process does not speak for its dispatcher in the group"
+// noMembershipText is the reply's text for a call that this process could only serve if it had the membership.
+const noMembershipText = "this process does not have its dispatcher's membership in the group"
 
-// malformedCallPrefix begins the answer to a body that is no Call; the decoder's error follows.
-const malformedCallPrefix = "no call: "
+// malformedCallPrefix is the beginning of the answer to a malformed call. The decoding error follows.
+const malformedCallPrefix = "malformed call: "
 
-// isNotCommitted reports whether the member failed to get the call committed. Another member may succeed.
+// isNotCommitted reports whether the member could not get the call committed. Another member may succeed.
 func (r *Reply) isNotCommitted() bool {
 	return r.Code == maintenance.CodeRetryLater && strings.HasPrefix(r.Text, NotCommittedText)
 }
 
-// invalid returns the reply to a call that fails however often it is repeated.
+// invalid returns the reply to a call that fails again if it is repeated.
 func invalid(format string, args ...any) *Reply {
 	return &Reply{Code: maintenance.CodeInvalid, Text: fmt.Sprintf(format, args...)}
 }
 
-// retryLater returns the reply to a call that cannot be carried out at present.
+// retryLater returns the reply to a call that cannot be executed at present.
 func retryLater(format string, args ...any) *Reply {
 	return &Reply{Code: maintenance.CodeRetryLater, Text: fmt.Sprintf(format, args...)}
 }
 
-// handleOperatorCall serves an operator's call at any member. It does without peer.ServeJSON because the leader's answer is passed on as
-// received: decoding it would lose the fields that only a newer build knows, and encoding it again could change its bytes.
+// handleOperatorCall serves an operator's call at any member. It does not use peer.ServeJSON because it returns the leader's answer as
+// received: decoding would drop the fields that only a newer build knows, and encoding again could change the bytes.
 func (c *Coordinator) handleOperatorCall(ctx context.Context, _ peer.Sender, body []byte) ([]byte, error) {
 	var call Call
 	if err := json.Unmarshal(body, &call); err != nil {
@@ -83,7 +83,7 @@
 	return json.Marshal(reply)
 }
 
-// localStatus returns the status as known to this member.
+// localStatus returns the status known to this member.
 func (c *Coordinator) localStatus() *Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,7 +99,7 @@
 	})
 }
 
-// serveCall carries out an operator's call at the leader, once a quorum has confirmed that this member leads.
+// serveCall executes an operator's call at the leader, after a quorum has confirmed that this member is the leader.
 func (c *Coordinator) serveCall(ctx context.Context, call *Call) (*Reply, error) {
 	node := c.node()
 	if node == nil {
@@ -118,18 +118,18 @@
 	return c.commit(ctx, node, call.Command)
 }
 
-// replyWithoutEntry returns the reply to a call that needs no entry in the log, or nil if it needs one. c.mu must be held.
+// replyWithoutEntry returns the reply to a call that needs no log entry, or nil if the call needs one. c.mu must be held.
 func (c *Coordinator) replyWithoutEntry(call *Call) (*Reply, error) {
 	if call.Status {
 		return &Reply{Status: c.status(true)}, nil
 	}
 	if call.Command == nil {
-		return nil, &peer.RejectedError{Reason: "a call for nothing"}
+		return nil, &peer.RejectedError{Reason: "call requests no action"}
 	}
 	return c.precheck(call), nil
 }
 
-// commit proposes a command as an entry, waits until it is applied and returns its result.
+// commit proposes a command as an entry, waits until the entry is applied, and returns the command's result.
 func (c *Coordinator) commit(ctx context.Context, node *consensus.Node, command *maintenance.Command) (*Reply, error) {
 	raw, err := encodeEntry(command)
 	if err != nil {
--- a/internal/coordinator/client.go
+++ b/internal/coordinator/client.go
@@ -9,22 +9,22 @@
 	"birchfork/internal/peer"
 )
 
-// Times of a client.
+// Timeouts and intervals of a client.
 const (
-	clientTimeout       = 12 * time.Second       // for a call, over all attempts
-	clientRetryInterval = 200 * time.Millisecond // between rounds of attempts
+	clientTimeout       = 12 * time.Second       // of a call, including all attempts
+	clientRetryInterval = 200 * time.Millisecond // between rounds over all addresses
 )
 
-// commandIDLength is the number of characters of a command's ID.
+// commandIDLength is the length of a command's ID in characters.
 const commandIDLength = 16
 
-// Client makes operators' calls. It is safe for concurrent use.
+// Client sends operators' calls. It is safe for concurrent use.
 type Client struct {
-	Addresses []string // of members, host:port; the next one is called if one does not answer
+	Addresses []string // host:port of members, tried in this order until one answers
 }
 
-// Do makes a call at one member after another, until one answers or 12 s have passed; in the latter case the reply has
-// maintenance.CodeRetryLater. All attempts of a command share one ID, so that it is carried out once. The error is always nil.
+// Do sends a call to one member after another until one answers. After clientTimeout it returns a reply with maintenance.CodeRetryLater.
+// All attempts of a command have the same ID, so that it is executed once. The error is always nil.
 func (c *Client) Do(ctx context.Context, call Call) (*Reply, error) {
 	if call.Command != nil && call.Command.ID == "" {
 		call.Command.ID = rand.Text()[:commandIDLength]
@@ -40,7 +40,7 @@
 		reply := &Reply{}
 		if err := peer.CallMember(ctx, c.Addresses[i%len(c.Addresses)], PathOperator, call, reply); err != nil {
 			isOwnTimeout := ctx.Err() != nil && i > 0
-			if !isOwnTimeout { // after a timeout of this client the error before it explains more
+			if !isOwnTimeout { // the error before this client's own timeout is more informative
 				lastErr = err
 			}
 			continue
@@ -51,8 +51,8 @@
 		lastErr = errors.New(reply.Text)
 		triedAll := i >= len(c.Addresses)-1
 		if triedAll && reply.Status != nil {
-			return reply, nil // the status as known to that member alone
+			return reply, nil // the status known to that member only
 		}
 	}
-	return retryLater("no member has settled it: %v", lastErr), nil
+	return retryLater("no member could commit the call: %v", lastErr), nil
 }
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -19,25 +19,25 @@
 	Machines:       []maintenance.Machine{{Name: "m1", Workers: []string{"r1"}}},
 }
 
-// Three members carry out a plan: any of them accepts calls, committed entries are applied at each, an operator's override at one member
-// counts against the budget of all, and no goroutine is left running.
+// TestCoordinator_ThreeMembers runs a plan with three members. It verifies that each member accepts calls and applies committed entries, that
+// an operator's override at one member counts against the group's budget, and that no goroutine leaks.
 func TestCoordinator_ThreeMembers(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	g := newTestGroup(t)
 	defer g.close()
 	g.start(0)
 	g.start(1)
-	// A member that does not answer may be in a group: none is created, and plans stay unknown.
-	g.eventually("the reply names who does not answer", func() bool {
+	// A member that does not answer may be in a group, so no group is created and plans stay unknown.
+	g.eventually("the reply names the member that does not answer", func() bool {
 		reply := g.call(0, -1, Call{Bootstrap: true})
 		return reply.Code == maintenance.CodeRetryLater && strings.Contains(reply.Text, "d2: ")
 	})
 	time.Sleep(2 * joinInterval)
 	if !g.dispatchers[0].hasUnknownPlans() {
-		t.Error("plans count as known though a member that may have some is silent")
+		t.Error("plans count as known although a member that may have some has not answered")
 	}
 	g.start(2)
-	g.eventually("all are in no group", func() bool { return !g.dispatchers[0].hasUnknownPlans() })
+	g.eventually("all members have answered that they are in no group", func() bool { return !g.dispatchers[0].hasUnknownPlans() })
 	g.bootstrap()
 	checkInvalidPlan(g)
 	g.call(1, maintenance.CodeOK, Call{Command: &maintenance.Command{Kind: maintenance.CommandSubmitPlan, Plan: testPlan}, Check: true})
@@ -58,12 +58,12 @@
 		`machine[2].host: no runner is listed at "nowhere"`,
 	} {
 		if !strings.Contains(reply.Text, want) {
-			g.t.Errorf("%q is not in %q", want, reply.Text)
+			g.t.Errorf("reply lacks %q: %q", want, reply.Text)
 		}
 	}
 }
 
-// checkPlanRuns runs testPlan from its submission to its end, with two obstacles in between.
+// checkPlanRuns runs testPlan from its submission to its end. A second process of one member and an override at another delay it.
 func checkPlanRuns(g *testGroup) {
 	g.t.Helper()
 	g.dispatchers[2].set(func() { g.dispatchers[2].disabled = true })
@@ -75,7 +75,7 @@
 		return status != nil && status.Plans[0].Reason == "waits until members have it in force: [d1]"
 	})
 	g.dispatchers[1].set(func() { g.dispatchers[1].siblings = 0 })
-	g.eventually("an override at the third member counts against the budget", func() bool {
+	g.eventually("the override at the third member counts against the budget", func() bool {
 		return g.waitReason("m1") == "2 machines would be away, 1 may be: runner r0"
 	})
 	g.dispatchers[2].set(func() { g.dispatchers[2].disabled = false })
@@ -84,7 +84,7 @@
 	})
 	for i, dispatcher := range g.dispatchers {
 		if underMaintenance, leased := dispatcher.restricted(); underMaintenance != 1 || leased != 1 {
-			g.t.Errorf("at member %d: %d under maintenance, %d under a lease", i, underMaintenance, leased)
+			g.t.Errorf("member %d: %d workers under maintenance, %d that need a lease, want 1 and 1", i, underMaintenance, leased)
 		}
 	}
 	g.command(0, maintenance.CodeOK, maintenance.Command{Kind: maintenance.CommandReturnMachine, Machine: "m1"})
@@ -94,13 +94,14 @@
 	})
 }
 
-// A newer process of a dispatcher gets the membership. The older one gets it back when the newer one ends.
+// TestCoordinator_YieldsToNewerProcess verifies that an older process yields the membership to a newer one, and acquires it again when the
+// newer process ends.
 func TestCoordinator_YieldsToNewerProcess(t *testing.T) {
 	g := newTestGroup(t)
 	defer g.close()
 	g.startAll()
 	g.dispatchers[0].set(func() { g.dispatchers[0].newer = true })
-	g.eventually("the address is free, and another member leads", func() bool {
+	g.eventually("the address is free and another member leads", func() bool {
 		status := g.status(1)
 		if status == nil || !status.Confirmed || status.Leader == "d0" {
 			return false
@@ -113,20 +114,20 @@
 	})
 	for end := time.Now().Add(4 * membershipInterval); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if g.coordinators[0].node() != nil {
-			t.Fatal("it has taken the membership again beside a newer process")
+			t.Fatal("the older process acquired the membership while a newer one exists")
 		}
 	}
 	if user := g.users[0]; user.attached.Load() != 1 || user.detached.Load() != 1 {
-		t.Errorf("the transport's user was attached %d times and detached %d times", user.attached.Load(), user.detached.Load())
+		t.Errorf("transport user attached %d times and detached %d times, want 1 and 1", user.attached.Load(), user.detached.Load())
 	}
 	g.dispatchers[0].set(func() { g.dispatchers[0].newer = false })
-	g.eventually("it takes part again", func() bool {
+	g.eventually("the older process takes part again", func() bool {
 		node := g.coordinators[0].node()
 		return node != nil && node.Status().LeaderID != 0
 	})
 }
 
-// The call of a member that cannot reach the leader is relayed by another member.
+// TestCoordinator_RelaysCalls verifies that another member relays the call of a member that cannot reach the leader.
 func TestCoordinator_RelaysCalls(t *testing.T) {
 	g := newTestGroup(t)
 	defer g.close()
--- a/internal/coordinator/golden_answers_test.go
+++ b/internal/coordinator/golden_answers_test.go
@@ -16,8 +16,8 @@
 	"birchfork/internal/goldentest"
 )
 
-// callPaths are the paths of operators' calls: from a member to the leader, relayed by another member, and from an operator, who names no
-// sender.
+// callPaths are the paths of operators' calls: from a member to the leader, relayed by another member, and from an operator, without the
+// headers of a sender.
 var callPaths = []struct {
 	path   string
 	header map[string]string
@@ -27,7 +27,7 @@
 	{"/group/staff", nil},
 }
 
-// oddBodies are bodies that no client sends. Those of the last four lines decode.
+// oddBodies are bodies that no client sends. Those in the last four lines can be decoded.
 var oddBodies = []string{
 	"", " \n", "no JSON", `{"status":true`, `{"status":true} {}`, `[]`, `"text"`,
 	`{"found":"yes"}`, `{"vouch":1}`, `{"status":"<&>"}`, `{"command":[]}`,
@@ -37,7 +37,8 @@
 	"{\"command\":{\"id\":\"k\",\"kind\":\"retire\",\"name\":\"\xff\u2028\"}}",
 }
 
-// Operators' calls with malformed bodies, unknown fields and wrong methods get the same status, headers and body as before.
+// TestGolden_OddCalls verifies that the answers to calls with malformed bodies, unknown fields and wrong methods have the same status, headers
+// and body as in an earlier build.
 func TestGolden_OddCalls(t *testing.T) {
 	g := newTestGroup(t)
 	defer g.close()
@@ -56,8 +57,8 @@
 	goldentest.Check(t, "odd-calls.txt", out.Bytes())
 }
 
-// maskDecodeError masks the text and the length of the standard library's error for a body, which differ between versions of Go. Only the
-// exact text of decoding the body into a Call is masked, plain or in JSON.
+// maskDecodeError masks the standard library's error of decoding a body into a Call, and the content length, as both differ between versions
+// of Go. Only the exact text of the error is masked, plain or in JSON.
 func maskDecodeError(answer, body string) string {
 	err := json.Unmarshal([]byte(body), new(Call))
 	if err == nil {
@@ -70,7 +71,7 @@
 	return contentLength.ReplaceAllString(masked, "Content-Length: #")
 }
 
-// answerText sends a request and returns the status, the headers except the date, and the body of the answer, each line quoted.
+// answerText sends a request and returns the answer's status, headers except the date, and body, with each line quoted.
 func answerText(t *testing.T, address, method, path, body string, header map[string]string) string {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
--- a/internal/coordinator/golden_exchanges_test.go
+++ b/internal/coordinator/golden_exchanges_test.go
@@ -23,25 +23,25 @@
 	"birchfork/internal/maintenance"
 )
 
-// Parts of an answer that depend on the time or on the standard library's texts.
+// Patterns of the parts of an answer that depend on the time or on texts of the standard library.
 var (
 	timeDependent = regexp.MustCompile(`-?[0-9]+|true|false`)
 	libraryText   = regexp.MustCompile(`invalid character .*`)
 	contentLength = regexp.MustCompile(`Content-Length: [0-9]+`)
 )
 
-// memberHeader is the header of messages from member d1 to d0 of the group that startGroupOfOne starts.
+// memberHeader contains the headers of messages from member d1 to d0 in the group that startGroupOfOne starts.
 var memberHeader = map[string]string{
 	"X-Birchfork-Group": "g", "X-Birchfork-Founded": "f0", "X-Birchfork-From": "d1", "X-Birchfork-Life": "l1", "X-Birchfork-To": "d0",
 }
 
-// exchange is a message to a path.
+// exchange is a message sent to a path.
 type exchange struct {
 	path, body    string
-	timeDependent bool // numbers and booleans of the answer are masked
+	timeDependent bool // mask numbers and booleans in the answer
 }
 
-// memberExchanges are messages of a member.
+// memberExchanges are messages from a member.
 var memberExchanges = []exchange{
 	{"/group/join", `{"name":"d1","life":"l1","id":9}`, false},
 	{"/group/relay/group/join", `{"name":"d1","life":"l1","id":9}`, false},
@@ -62,7 +62,7 @@
 	{"/group/raft", ``, false},
 }
 
-// operatorExchanges are calls of an operator.
+// operatorExchanges are calls from an operator.
 var operatorExchanges = []exchange{
 	{"/group/staff", `{"found":true}`, false},
 	{"/group/staff", `{"vouch":true}`, false},
@@ -75,8 +75,8 @@
 	{"/group/staff", `{"status":true,"local":true}`, true},
 }
 
-// The paths for members and operators accept the same messages and answer the same as before, and the entry by which a member joins is the
-// same.
+// TestGolden_Exchanges verifies that the paths for members and operators accept the same messages and return the same answers as in an earlier
+// build, and that the entry of a joining member is the same.
 func TestGolden_Exchanges(t *testing.T) {
 	g := newTestGroup(t)
 	defer g.close()
@@ -94,8 +94,8 @@
 	goldentest.Check(t, "join-entry.json", joinEntry(t, filepath.Join(g.dirs[0], "group.db")))
 }
 
-// startGroupOfOne starts the first member on storage with a known identity, as the only voter, and waits until it has a lease. The second
-// member is never started.
+// startGroupOfOne starts the first member as the only voter, on storage with a known identity, and waits until it has a lease. The second
+// member is not started.
 func startGroupOfOne(t *testing.T, g *testGroup) {
 	t.Helper()
 	g.group.Members = g.group.Members[:2]
@@ -120,16 +120,16 @@
 	c := g.start(0)
 	for end := time.Now().Add(20 * time.Second); !c.isLeader(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it does not lead")
+			t.Fatal("timed out after 20 s: the first member does not lead")
 		}
-		if c.node() == nil { // nothing else verifies its disk
+		if c.node() == nil { // only a confirmation can verify its disk
 			post(t, g.addresses[0], "/group/staff", `{"vouch":true}`, nil)
 		}
 	}
-	g.eventually("it has a lease", g.dispatchers[0].hasLease)
+	g.eventually("the first member has a lease", g.dispatchers[0].hasLease)
 }
 
-// write sends the message, and writes it with its answer.
+// write sends the message, and writes the message and its answer to out.
 func (e exchange) write(t *testing.T, out io.Writer, address string, header map[string]string) {
 	t.Helper()
 	status, answer := post(t, address, e.path, e.body, header)
@@ -140,7 +140,7 @@
 	fmt.Fprintf(out, "%s %s\n  %d %s\n", e.path, e.body, status, answer)
 }
 
-// post sends a message, and returns the status and the body of the answer.
+// post sends a message and returns the status and body of the answer.
 func post(t *testing.T, address, path, body string, header map[string]string) (int, string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
@@ -164,7 +164,7 @@
 	return res.StatusCode, strings.TrimSpace(string(raw))
 }
 
-// joinEntry returns the command of the first change of raft's members in a log.
+// joinEntry returns the command in the first membership change of a stored log.
 func joinEntry(t *testing.T, path string) []byte {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: time.Second})
@@ -184,7 +184,7 @@
 				return err
 			}
 			if e.GetIndex() != binary.BigEndian.Uint64(k) {
-				t.Errorf("entry %d is at %x", e.GetIndex(), k)
+				t.Errorf("entry %d is stored at key %x", e.GetIndex(), k)
 			}
 			if e.GetType() != raftpb.EntryConfChangeV2 || found != nil {
 				return nil
--- a/internal/coordinator/golden_test.go
+++ b/internal/coordinator/golden_test.go
@@ -23,10 +23,10 @@
 // The golden files contain each format in which this package stores or sends data, as written by an earlier build. A difference means
 // that members of two builds, or an operator's scripts, would not be compatible. UPDATE_GOLDEN=1 rewrites the files.
 
-// goldenDir is the directory of goldentest.Check's files.
+// goldenDir is the directory from which goldentest.Check reads its files.
 const goldenDir = "testdata/golden"
 
-// fill sets all fields below a value to non-zero values that differ from each other.
+// fill recursively sets all fields of a value to distinct non-zero values.
 func fill(v reflect.Value, n *int) {
 	*n++
 	switch v.Kind() {
@@ -59,22 +59,22 @@
 	case reflect.Float64:
 		v.SetFloat(float64(*n) + 0.5)
 	default:
-		panic("a field of kind " + v.Kind().String())
+		panic("unsupported field kind " + v.Kind().String())
 	}
 }
 
-// filled returns a value of a type with all fields set.
+// filled returns a value of type T with all fields set.
 func filled[T any]() *T {
 	v, n := new(T), 0
 	fill(reflect.ValueOf(v).Elem(), &n)
 	return v
 }
 
-// Messages between members, operators' calls and replies, and entries of the log have the same JSON as before, and the JSON
-// of an earlier build decodes in full.
+// TestGolden_JSON verifies that messages between members, operators' calls and replies, and log entries have the same JSON as in an earlier
+// build, and that the JSON of an earlier build is decoded completely.
 func TestGolden_JSON(t *testing.T) {
 	state := filled[maintenance.State]()
-	state.Level = maintenance.MaxLevel // a higher one is of a newer build
+	state.Level = maintenance.MaxLevel // a higher level would require a newer build
 	command := filled[maintenance.Command]()
 	raw, err := encodeEntry(command) // sets the level that the command requires
 	if err != nil {
@@ -116,14 +116,14 @@
 		err = c.Restore(old)
 	}
 	if err != nil || !reflect.DeepEqual(c.state, state) {
-		t.Errorf("a snapshot of before: %+v, want %+v, %v", c.state, state, err)
+		t.Errorf("restored snapshot of an earlier build: %+v, want %+v, error %v", c.state, state, err)
 	}
 	if raw, err := c.Snapshot(); err != nil || !bytes.Equal(raw, old) {
-		t.Errorf("a snapshot of before is written as %s, %v", raw, err)
+		t.Errorf("snapshot of an earlier build is encoded as %s, error %v", raw, err)
 	}
 }
 
-// Texts that a member of another build compares, or that an operator is shown, are the same as before.
+// TestGolden_Texts verifies that texts that other builds compare, or that are shown to operators, do not change unnoticed.
 func TestGolden_Texts(t *testing.T) {
 	var out bytes.Buffer
 	for _, text := range []any{
@@ -144,7 +144,7 @@
 	goldentest.Check(t, "texts.txt", out.Bytes())
 }
 
-// writeReply writes what precheck replies to a call.
+// writeReply writes the reply of precheck to a call.
 func writeReply(out io.Writer, c *Coordinator, what string, call Call) {
 	reply := c.precheck(&call)
 	if reply == nil {
@@ -153,12 +153,12 @@
 	fmt.Fprintf(out, "%s: %d %q\n", what, reply.Code, reply.Text)
 }
 
-// commandCall is a call with a command, and perhaps a plan.
+// commandCall returns a call with a command, and a plan unless it is nil.
 func commandCall(kind maintenance.CommandKind, plan *maintenance.Plan) Call {
 	return Call{Command: &maintenance.Command{ID: "id", Kind: kind, Name: "p", Machine: "m", Plan: plan}}
 }
 
-// writeLevelReplies writes the replies while members are silent, of older builds, or without plans.
+// writeLevelReplies writes the replies while members have not reported, have older builds or have plans disabled.
 func writeLevelReplies(out io.Writer, c *Coordinator) {
 	byHost := planOf("p", maintenance.Machine{Name: "m", Host: "h1"})
 	withoutID := commandCall(maintenance.CommandStartPlan, nil)
@@ -178,7 +178,7 @@
 	c.state.HistoryLost = false
 }
 
-// writePlanReplies writes the replies to calls that are invalid in themselves, or that do not match the fleet or conflict with another plan.
+// writePlanReplies writes the replies to calls that are invalid, do not match the fleet or conflict with another plan.
 func writePlanReplies(t *testing.T, out io.Writer, c *Coordinator) {
 	t.Helper()
 	byName := maintenance.Machine{Name: "m", Workers: []string{"r1"}}
@@ -205,7 +205,7 @@
 	writeReply(out, c, "pause", commandCall(maintenance.CommandPausePlan, nil))
 }
 
-// The status of a member, and the names of its counters in logs and in the status, are the same as before.
+// TestGolden_Status verifies that the JSON of a member's status and the names of its logged counters are the same as in an earlier build.
 func TestGolden_Status(t *testing.T) {
 	c := newIdleCoordinator()
 	c.options.Dispatcher.(*fakeDispatcher).disabled = true
--- a/internal/coordinator/handlers.go
+++ b/internal/coordinator/handlers.go
@@ -9,49 +9,49 @@
 	"birchfork/internal/peer"
 )
 
-// Paths of the members' transport. A message to a path below pathRelay was relayed by another member and is not relayed again.
+// Paths of the transport between members. A message to a path below pathRelay was relayed by another member and is not relayed again.
 const (
 	pathRaft     = "/group/raft"
 	pathJoin     = "/group/join"
 	pathReport   = "/group/report"
 	pathPosition = "/group/recall"
 	pathCall     = "/group/call"
-	pathRelay    = "/group/relay" // prefix of the path that the message is for
+	pathRelay    = "/group/relay" // prefix of the original path
 	// PathOperator is the path of operators' calls.
 	PathOperator = "/group/staff"
 )
 
-// outsideGroupText is the text of a rejection and of an error. Members of other builds compare it.
+// outsideGroupText is the text of a rejection and of an error. Other builds compare it, so it must not change.
 const outsideGroupText = "this member is in no group yet"
 
-// Errors for messages that cannot be answered at present. The sender may retry. Their texts are shown to operators.
+// Errors for messages that cannot be answered at present, so that the sender may retry. Their texts are shown to operators.
 var (
 	errOutsideGroup    = errors.New(outsideGroupText)
 	errNoLeader        = errors.New("no leader can be reached")
-	errDiskUnconfirmed = errors.New("this member does not know yet whether its disk is its last one")
-	errFenceTimeout    = errors.New("attempts may run for longer than what is settled; that is settled first")
+	errDiskUnconfirmed = errors.New("this member's disk is not verified yet")
+	errFenceTimeout    = errors.New("the group's fence timeout is too short for the member's attempts and has to be extended first")
 )
 
-// Rejections. Members of other builds compare their texts.
+// Rejections. Other builds compare their texts, so these must not change.
 var (
 	errRejectOutsideGroup = &peer.RejectedError{Reason: outsideGroupText}
 	errStaleDisk          = &peer.RejectedError{Reason: "that disk has forgotten what this life has said"}
 	errUnknownIncarnation = &peer.RejectedError{Reason: "no member under this life: ask to be taken in"}
 )
 
-// isRejected reports whether err is another member's rejection, as opposed to a failure to answer.
+// isRejected reports whether err is a rejection by another member, as opposed to a missing answer.
 func isRejected(err error) bool {
 	var rejected *peer.RejectedError
 	return errors.As(err, &rejected)
 }
 
-// isRejectedAs reports whether err is another member's rejection with the reason of want.
+// isRejectedAs reports whether err is a rejection by another member for the same reason as want.
 func isRejectedAs(err error, want *peer.RejectedError) bool {
 	var rejected *peer.RejectedError
 	return errors.As(err, &rejected) && rejected.Reason == want.Reason
 }
 
-// registerHandlers registers the handlers of a membership's transport.
+// registerHandlers registers the message handlers with a membership's transport.
 func (c *Coordinator) registerHandlers(transport *peer.Transport) {
 	transport.Handle(pathRaft, c.handleRaft)
 	transport.Handle(pathPosition, c.handlePosition)
@@ -72,12 +72,12 @@
 	transport.HandleOperator(PathOperator, c.handleOperatorCall)
 }
 
-// leaderHandlers returns, by path, the handlers of messages that only the leader can answer.
+// leaderHandlers returns the handlers for messages that only the leader can answer, by path.
 func (c *Coordinator) leaderHandlers() map[string]peer.Handler {
 	return map[string]peer.Handler{pathJoin: c.handleJoin, pathReport: c.handleReport, pathCall: c.handleCall}
 }
 
-// handleRaft handles a raft message, and records what its sender promises by it.
+// handleRaft handles a raft message, and records the position that its sender promises.
 func (c *Coordinator) handleRaft(_ context.Context, from peer.Sender, body []byte) ([]byte, error) {
 	node := c.node()
 	if node == nil {
@@ -93,14 +93,14 @@
 	return nil, err
 }
 
-// handlePosition handles the position of another member's storage, and answers with this member's: see resume.
+// handlePosition receives the position of another member's storage and answers with that of this member: see resume.
 func (c *Coordinator) handlePosition(_ context.Context, from peer.Sender, body []byte) ([]byte, error) {
-	return peer.ServeJSON(body, peer.RejectMalformed[consensus.Position]("no mark: "), func(sent *consensus.Position) (consensus.Position, error) {
+	return peer.ServeJSON(body, peer.RejectMalformed[consensus.Position]("malformed position: "), func(sent *consensus.Position) (consensus.Position, error) {
 		return c.servePosition(from, sent)
 	})
 }
 
-// servePosition returns this member's position, unless the sender's is behind what its incarnation has promised.
+// servePosition returns this member's position, or errStaleDisk if the sender's storage is behind what its incarnation has promised.
 func (c *Coordinator) servePosition(from peer.Sender, sent *consensus.Position) (consensus.Position, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,13 +116,13 @@
 	return c.membership.node.Status().Position, nil
 }
 
-// isLeader reports whether this member considers itself the leader. A quorum may have elected another one.
+// isLeader reports whether this member believes that it is the leader. A quorum may have elected another one.
 func (c *Coordinator) isLeader() bool {
 	node := c.node()
 	return node != nil && node.Status().IsLeader
 }
 
-// leaderName returns the leader's name; empty: none is known.
+// leaderName returns the leader's name, or an empty string if no leader is known.
 func (c *Coordinator) leaderName() string {
 	node := c.node()
 	if node == nil {
@@ -131,21 +131,21 @@
 	return c.memberName(node.Status().LeaderID)
 }
 
-// request sends a message to a member and returns its answer, within requestTimeout.
+// request sends a message to a member and returns its answer. It times out after requestTimeout.
 func (c *Coordinator) request(ctx context.Context, current *membership, to, path string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	return current.transport.Request(ctx, to, path, body)
 }
 
-// forwardToLeader forwards a message to the leader, for a member that may not reach it.
+// forwardToLeader forwards a message to the leader and returns the leader's answer.
 func (c *Coordinator) forwardToLeader(ctx context.Context, path string, body []byte) ([]byte, error) {
 	current := c.currentMembership()
 	if current == nil {
 		return nil, errRejectOutsideGroup
 	}
 	if c.node() == nil {
-		// A member of a group whose disk is not verified yet must not count as outside of any group, as its group may have plans.
+		// A member whose disk is not verified yet must not answer that it is in no group, because its group may have plans.
 		if c.sender().ClusterID != "" {
 			return nil, errDiskUnconfirmed
 		}
@@ -158,8 +158,8 @@
 	return c.request(ctx, current, leader, pathRelay+path, body)
 }
 
-// requestLeader gets the leader's answer to a message: it handles the message itself if this member leads, else sends it to the leader,
-// directly or through another member if this one cannot reach the leader.
+// requestLeader returns the leader's answer to a message. It handles the message itself if this member is the leader. Otherwise it sends
+// the message to the leader, or through another member if the leader cannot be reached directly.
 func (c *Coordinator) requestLeader(ctx context.Context, path string, body []byte) ([]byte, error) {
 	if c.isLeader() {
 		return c.leaderHandlers()[path](ctx, c.sender(), body)
@@ -171,8 +171,8 @@
 	return c.requestThroughMembers(ctx, path, body, err)
 }
 
-// requestThroughMembers sends a message to other members in random order, to be forwarded to the leader, until one answers. If none does
-// it returns the last error, which is lastErr if there is no member to try.
+// requestThroughMembers sends a message to the other members in random order until one answers; each forwards it to the leader. If none
+// answers, it returns the last error, which is lastErr if there is no member to try.
 func (c *Coordinator) requestThroughMembers(ctx context.Context, path string, body []byte, lastErr error) ([]byte, error) {
 	current := c.currentMembership()
 	if current == nil {
--- a/internal/coordinator/handlers_test.go
+++ b/internal/coordinator/handlers_test.go
@@ -9,8 +9,8 @@
 	"birchfork/internal/maintenance"
 )
 
-// TestPosition_RejectsStaleDisk verifies that a member whose disk has less than its messages have promised is rejected, so that it does
-// not resume with that disk, and that one with all of it is not.
+// TestPosition_RejectsStaleDisk verifies that a member is rejected if its disk is behind what its messages have promised, so that it does
+// not resume with that disk, and is accepted if the disk is complete.
 func TestPosition_RejectsStaleDisk(t *testing.T) {
 	g := newTestGroup(t)
 	defer g.close()
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestJoin_RejectsPastIncarnation verifies that an incarnation of a member that another one has replaced does not join again.
+// TestJoin_RejectsPastIncarnation verifies that a replaced incarnation of a member cannot join again.
 func TestJoin_RejectsPastIncarnation(t *testing.T) {
 	g := newTestGroup(t)
 	defer g.close()
@@ -46,10 +46,10 @@
 	}
 	c.mu.Unlock()
 	status, answer := post(t, g.addresses[0], "/group/join", `{"name":"d1","life":"l0","id":8}`, memberHeader)
-	if status == http.StatusOK || !strings.Contains(answer, "an earlier life of d1") {
-		t.Errorf("the past incarnation: %d %s", status, answer)
+	if status == http.StatusOK || !strings.Contains(answer, "past incarnation of d1") {
+		t.Errorf("join of the past incarnation: %d %s", status, answer)
 	}
 	if status, answer := post(t, g.addresses[0], "/group/join", `{"name":"d1","life":"l1","id":9}`, memberHeader); status != http.StatusOK {
-		t.Errorf("the present incarnation: %d %s", status, answer)
+		t.Errorf("join of the current incarnation: %d %s", status, answer)
 	}
 }
--- a/internal/coordinator/join.go
+++ b/internal/coordinator/join.go
@@ -26,13 +26,13 @@
 	ClusterID string `json:"founded"`
 }
 
-// join sends requests to join to the other members, until this one is added or an operator's call creates the group at this member.
+// join sends join requests to the other members until this member is added or an operator's call creates the group here.
 func (c *Coordinator) join(ctx context.Context, current *membership) {
 	request, err := json.Marshal(joinRequest{
 		Name: c.options.Self, Incarnation: current.identity.Incarnation, RaftID: current.identity.RaftID,
 	})
 	if err != nil {
-		c.options.Log.WithError(err).Error("join request cannot be encoded")
+		c.options.Log.WithError(err).Error("encoding the join request failed")
 		return
 	}
 	for {
@@ -53,11 +53,11 @@
 	}
 }
 
-// joinThroughAny sends the request to the other members in random order, until one of them answers that this member was added. It reports
+// joinThroughAny sends the join request to the other members in random order until one answers that this member was added. It reports
 // whether the node was started.
 func (c *Coordinator) joinThroughAny(ctx context.Context, current *membership, request []byte) bool {
 	others := c.others()
-	outside := 0 // how many are in no group themselves
+	outside := 0 // number of other members that are in no group either
 	for _, i := range rand.Perm(len(others)) {
 		raw, err := c.request(ctx, current, others[i].Name, pathJoin, request)
 		if isRejectedAs(err, errRejectOutsideGroup) {
@@ -75,16 +75,16 @@
 		c.options.Log.WithField("cluster", reply.ClusterID).Info("joined group")
 		return true
 	}
-	// If no other member is in a group, there is no plan that this one could lack.
+	// If no other member is in a group, no plan exists that this member could lack.
 	if outside == len(others) {
 		c.options.Dispatcher.SetPlansUnknown(false)
 	}
 	return false
 }
 
-// handleJoin handles a joinRequest at the leader: it adds the member as a learner and answers once that is committed.
+// handleJoin handles a joinRequest at the leader. It adds the member as a learner and answers once the change is committed.
 func (c *Coordinator) handleJoin(ctx context.Context, _ peer.Sender, body []byte) ([]byte, error) {
-	return peer.ServeJSON(body, peer.RejectMalformed[*joinReply]("no call to be taken in: "), func(request *joinRequest) (*joinReply, error) {
+	return peer.ServeJSON(body, peer.RejectMalformed[*joinReply]("malformed join request: "), func(request *joinRequest) (*joinReply, error) {
 		return c.serveJoin(ctx, request)
 	})
 }
@@ -93,17 +93,17 @@
 func (c *Coordinator) serveJoin(ctx context.Context, request *joinRequest) (*joinReply, error) {
 	i := slices.IndexFunc(c.options.Group.Members, func(listed peer.Member) bool { return listed.Name == request.Name })
 	if i < 0 || request.RaftID == 0 || request.Incarnation == "" {
-		return nil, &peer.RejectedError{Reason: "no member by our file: " + request.Name}
+		return nil, &peer.RejectedError{Reason: "join request must have a listed member, an incarnation and a raft ID: " + request.Name}
 	}
 	node, clusterID := c.node(), c.sender().ClusterID
-	if node == nil { // the membership has just passed to another process
+	if node == nil { // another process has just acquired the membership
 		return nil, errOutsideGroup
 	}
 	c.mu.Lock()
 	member := c.state.Members[request.Name]
 	c.mu.Unlock()
 	if member != nil && member.HadIncarnation(request.Incarnation) {
-		return nil, &peer.RejectedError{Reason: "an earlier life of " + request.Name}
+		return nil, &peer.RejectedError{Reason: "past incarnation of " + request.Name}
 	}
 	if member == nil || member.Incarnation != request.Incarnation {
 		if err := c.addMember(ctx, node, request, c.options.Group.Members[i].Voter); err != nil {
@@ -113,10 +113,10 @@
 	return &joinReply{ClusterID: clusterID}, nil
 }
 
-// addMember proposes to add a member, and waits until that is committed. A member that is to vote becomes a voter once it has caught up:
-// see reconcileVoters.
+// addMember proposes to add a member as a learner, and waits until the change is committed. A future voter becomes one after it has caught
+// up: see reconcileVoters.
 func (c *Coordinator) addMember(ctx context.Context, node *consensus.Node, request *joinRequest, isVoter bool) error {
-	// As in earlier builds this entry has no level, unlike those of encodeEntry.
+	// This entry has no level, unlike those of encodeEntry, for compatibility with earlier builds.
 	entry, err := json.Marshal(maintenance.Command{Kind: maintenance.CommandJoinMember, Member: &maintenance.Member{
 		Name: request.Name, Incarnation: request.Incarnation, RaftID: request.RaftID, Voter: isVoter,
 	}})
--- a/internal/coordinator/leader.go
+++ b/internal/coordinator/leader.go
@@ -15,7 +15,7 @@
 // compactLevel is the lowest level of entries with compact advances: see maintenance.State.Compact.
 const compactLevel = 2
 
-// leaderLoop proposes advances of plans and changes of voters while this member leads, until ctx ends.
+// leaderLoop proposes advances of plans and changes of voters while this member is the leader, until ctx ends.
 func (c *Coordinator) leaderLoop(ctx context.Context) {
 	for ; ctx.Err() == nil; sleep(ctx, leaderInterval) {
 		node := c.node()
@@ -27,7 +27,7 @@
 	}
 }
 
-// proposeAdvance proposes an entry with the members' reports, if it would change the state.
+// proposeAdvance proposes an entry with the members' reports if it would change the state.
 func (c *Coordinator) proposeAdvance(ctx context.Context, node *consensus.Node) {
 	c.mu.Lock()
 	advance := c.collectAdvance()
@@ -49,14 +49,14 @@
 	}
 }
 
-// encodeEntry sets the level that a command requires and encodes it as an entry.
+// encodeEntry sets the level that a command requires, and encodes the command as an entry.
 func encodeEntry(command *maintenance.Command) ([]byte, error) {
 	command.Level = command.RequiredLevel()
 	return json.Marshal(command)
 }
 
-// collectAdvance returns the members' last reports together with the fleet as known to this member. It forgets the reports of names that
-// are no longer members. c.mu must be held.
+// collectAdvance returns an advance with the members' last reports and the fleet known to this member. It deletes reports from former
+// members. c.mu must be held.
 func (c *Coordinator) collectAdvance() *maintenance.Advance {
 	advance := &maintenance.Advance{
 		StateSeq:     c.state.Seq,
@@ -79,7 +79,7 @@
 	return advance
 }
 
-// localFleet returns the workers as known to this member's dispatcher, by name. c.mu must be held.
+// localFleet returns the workers known to this member's dispatcher, by name. c.mu must be held.
 func (c *Coordinator) localFleet() map[string]maintenance.Worker {
 	fleet := map[string]maintenance.Worker{}
 	for _, status := range c.options.Dispatcher.WorkerStatuses(goneWorkerRetention, c.warmUp) {
@@ -97,8 +97,8 @@
 	return fleet
 }
 
-// mergeObservations adds to a fleet what a member has reported about its workers. An operator's override counts until the member reports
-// its end. The member's own observations expire: otherwise a silent member could block a plan for ever. c.mu must be held.
+// mergeObservations merges a member's reported observations of workers into a fleet. An operator's override applies until the member reports
+// its end. Other observations expire, because a silent member could otherwise block a plan forever. c.mu must be held.
 func (c *Coordinator) mergeObservations(fleet map[string]maintenance.Worker, report receivedReport) {
 	if time.Since(report.receivedAt) < c.observationLifetime() {
 		markWorkers(fleet, report.Unavailable, func(worker *maintenance.Worker) { worker.Unavailable = true })
@@ -107,7 +107,7 @@
 	markWorkers(fleet, report.Disabled, func(worker *maintenance.Worker) { worker.Disabled = true })
 }
 
-// markWorkers calls mark for each named worker of a fleet. Names that the fleet lacks are skipped.
+// markWorkers calls mark for each named worker in fleet. It skips unknown names.
 func markWorkers(fleet map[string]maintenance.Worker, names []string, mark func(*maintenance.Worker)) {
 	for _, name := range names {
 		worker, ok := fleet[name]
@@ -119,14 +119,14 @@
 	}
 }
 
-// observationLifetime returns how long a member's observations of workers count: as long as the group waits for a silent member, but at
-// least minObservationReports report intervals. c.mu must be held.
+// observationLifetime returns how long a member's observations of workers are used: as long as the group waits for a silent member, but at
+// least minObservationReports idle report intervals. c.mu must be held.
 func (c *Coordinator) observationLifetime() time.Duration {
 	return max(c.state.FenceTimeout, minObservationReports*idleReportInterval)
 }
 
-// reconcileVoters brings raft's members in line with the state, by one change at a time: voters that have caught up are promoted, members
-// that were retired or have a newer incarnation are removed.
+// reconcileVoters proposes one change at a time to bring raft's membership in line with the state: it promotes caught-up learners that are
+// to vote, and removes retired members and past incarnations.
 func (c *Coordinator) reconcileVoters(ctx context.Context, node *consensus.Node) {
 	status := node.Status()
 	caughtUp := node.CaughtUp(ctx)
@@ -140,12 +140,12 @@
 		return
 	}
 	if err := node.ProposeConfChange(ctx, changes, nil); err != nil {
-		c.options.Log.WithError(err).Debug("change of voters not proposed")
+		c.options.Log.WithError(err).Debug("membership change not proposed")
 	}
 }
 
-// nextPromotion returns the changes that make one caught-up learner a voter, or nil if there is none to promote. The same change removes
-// the member's earlier incarnations from the voters. c.mu must be held.
+// nextPromotion returns the changes that make one caught-up learner a voter, or nil if there is none to promote. The same changes remove
+// the member's past incarnations from the voters. c.mu must be held.
 func (c *Coordinator) nextPromotion(status consensus.Status, caughtUp []uint64) []*raftpb.ConfChangeSingle {
 	for _, member := range c.state.Members {
 		isReadyLearner := slices.Contains(status.Learners, member.RaftID) && slices.Contains(caughtUp, member.RaftID)
@@ -163,7 +163,7 @@
 	return nil
 }
 
-// nextRemoval returns the change that removes one raft ID that no longer belongs to a member, or nil if there is none. c.mu must be held.
+// nextRemoval returns the change that removes one raft ID that no longer belongs to a member, or nil if none exists. c.mu must be held.
 func (c *Coordinator) nextRemoval(status consensus.Status) []*raftpb.ConfChangeSingle {
 	known := map[uint64]bool{}
 	for _, member := range c.state.Members {
@@ -177,8 +177,8 @@
 	return nil
 }
 
-// isVoterToBeReplaced reports whether a raft ID is that of an earlier incarnation of a voter whose present incarnation does not vote
-// yet. It stays a voter until nextPromotion replaces it. c.mu must be held.
+// isVoterToBeReplaced reports whether a raft ID belongs to a past incarnation that still votes while the member's current incarnation does
+// not. It remains a voter until nextPromotion replaces it. c.mu must be held.
 func (c *Coordinator) isVoterToBeReplaced(status consensus.Status, id uint64) bool {
 	for _, member := range c.state.Members {
 		if hadRaftID(member, id) {
@@ -188,8 +188,8 @@
 	return false
 }
 
-// transferLeadership transfers leadership to another voter, if this member leads, and waits for the transfer for up to requestTimeout. It
-// uses only the values of ctx, not its cancellation.
+// transferLeadership transfers leadership to another voter if this member is the leader, and waits for the transfer for up to
+// requestTimeout. It uses the values of ctx but ignores its cancellation.
 func (c *Coordinator) transferLeadership(ctx context.Context) {
 	node := c.node()
 	if node == nil || !node.Status().IsLeader {
@@ -207,7 +207,7 @@
 	}
 }
 
-// otherVoter returns the raft ID of one of the given members that votes and is not this one, or 0 if there is none.
+// otherVoter returns one of the given raft IDs that belongs to a voter other than this member, or 0 if there is none.
 func (c *Coordinator) otherVoter(ids []uint64) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/coordinator/lease.go
+++ b/internal/coordinator/lease.go
@@ -11,25 +11,25 @@
 	"birchfork/internal/peer"
 )
 
-// statusReport is a member's report to the leader, by which it renews its lease. Durations are in nanoseconds.
+// statusReport is a member's report to the leader, which renews the member's lease. Durations are in nanoseconds.
 type statusReport struct {
 	Name string `json:"name"`
 	maintenance.MemberReport
 	FenceTimeout time.Duration `json:"bound"`
 	WarmUp       time.Duration `json:"warm"`
 	Plans        bool          `json:"plans"` // maintenance plans are enabled in the member's configuration
-	Level        int           `json:"level"` // the highest level of entries that its build supports
+	Level        int           `json:"level"` // the highest entry level that the member's build supports
 	Unavailable  []string      `json:"down,omitempty"`
 	WarmingUp    []string      `json:"cold,omitempty"`
 	Disabled     []string      `json:"hand,omitempty"`
 }
 
-// leaseGrant is the leader's answer to a statusReport. It grants a lease once the member has applied all entries up to Index.
+// leaseGrant is the leader's answer to a statusReport. The lease takes effect once the member has applied all entries up to Index.
 type leaseGrant struct {
 	Index uint64 `json:"index"`
 }
 
-// receivedReport is a member's last report, as the leader received it.
+// receivedReport is the last report that the leader received from a member.
 type receivedReport struct {
 	statusReport
 	receivedAt time.Time
@@ -48,15 +48,15 @@
 		c.mu.Unlock()
 		select {
 		case <-time.After(interval):
-		case <-changed: // the leader waits for the report that the change is applied
+		case <-changed: // the leader needs a report that the change was applied
 			sleep(ctx, min(interval, leaderInterval))
 		case <-ctx.Done():
 		}
 	}
 }
 
-// renewInterval returns the time until the next renewal: a fraction of the lease after a failure or while a plan is open, else
-// idleReportInterval. c.mu must be held.
+// renewInterval returns the time until the next renewal: a fraction of the lease duration after a failure or while a plan is open,
+// otherwise idleReportInterval. c.mu must be held.
 func (c *Coordinator) renewInterval(hasFailed bool) time.Duration {
 	isOpen := func(plan *maintenance.PlanState) bool { return plan.Phase != maintenance.PlanEnded }
 	if hasFailed || slices.ContainsFunc(c.state.Plans, isOpen) {
@@ -65,7 +65,7 @@
 	return idleReportInterval
 }
 
-// renewLease sends a report to the leader and accepts the lease that its answer grants.
+// renewLease sends a report to the leader and accepts the lease granted by the answer.
 func (c *Coordinator) renewLease(ctx context.Context) error {
 	current := c.currentMembership()
 	if current == nil || c.node() == nil {
@@ -73,7 +73,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, max(requestTimeout, c.options.Group.LeaseDuration/2))
 	defer cancel()
-	startedAt := time.Now() // the lease counts from a time before the report
+	startedAt := time.Now() // the lease starts before the report was made
 	sent := c.statusReport()
 	body, err := json.Marshal(sent)
 	if err != nil {
@@ -93,8 +93,8 @@
 	return c.acceptLease(ctx, sent, startedAt, grant)
 }
 
-// acceptLease puts a lease into effect that was granted for the report sent and counts from startedAt, once this member has applied the
-// entries that the grant requires.
+// acceptLease puts the lease granted for the report sent into effect, once this member has applied the entries that the grant requires. The
+// lease starts at startedAt.
 func (c *Coordinator) acceptLease(ctx context.Context, sent statusReport, startedAt time.Time, grant leaseGrant) error {
 	if err := c.waitApplied(ctx, grant.Index); err != nil {
 		return err
@@ -107,7 +107,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.fenceTimeout() != sent.FenceTimeout { // ExtendTimes was called meanwhile: the longer time has to be reported first
+	if c.fenceTimeout() != sent.FenceTimeout { // ExtendTimes was called in the meantime, and its fence timeout has to be reported first
 		return errFenceTimeout
 	}
 	c.options.Dispatcher.SetLeaseExpiry(startedAt.Add(c.options.Group.LeaseDuration))
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// markConfirmed records in the storage, once, that the group has confirmed this incarnation.
+// markConfirmed records in the storage that the group has confirmed this incarnation. Further calls do nothing.
 func (c *Coordinator) markConfirmed(ctx context.Context) error {
 	current, node := c.currentMembership(), c.node()
 	if current == nil || node == nil || current.confirmed {
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// statusReport returns this member's report. It reads the applied index before the busy workers, so that these were observed with at least
-// the reported entries in effect.
+// statusReport returns this member's report. It reads the applied index before the busy workers, so that at least the reported entries were
+// in effect when the workers were observed.
 func (c *Coordinator) statusReport() statusReport {
 	node := c.node()
 	c.mu.Lock()
@@ -149,7 +149,7 @@
 	alive, _ := c.options.Siblings()
 	report.Incarnation = current.identity.Incarnation
 	report.Applied = node.Status().Applied
-	// Attempts of an earlier process may still run at workers, and another live process may send by an older state.
+	// Attempts of an earlier process may still run at workers, and another live process may send based on an older state.
 	report.SoleProcess = alive == 0 && time.Since(current.startedAt) > maxAttemptDuration
 	report.BusyWorkers, report.BusyHosts = c.options.Dispatcher.BusyWorkers()
 	for _, worker := range c.options.Dispatcher.WorkerStatuses(goneWorkerRetention, report.WarmUp) {
@@ -166,14 +166,14 @@
 	return report
 }
 
-// handleReport handles a member's statusReport at the leader, and grants the member a lease.
+// handleReport handles a member's statusReport at the leader and grants the member a lease.
 func (c *Coordinator) handleReport(ctx context.Context, _ peer.Sender, body []byte) ([]byte, error) {
-	return peer.ServeJSON(body, peer.RejectMalformed[*leaseGrant]("no report: "), func(report *statusReport) (*leaseGrant, error) {
+	return peer.ServeJSON(body, peer.RejectMalformed[*leaseGrant]("malformed report: "), func(report *statusReport) (*leaseGrant, error) {
 		return c.serveReport(ctx, report)
 	})
 }
 
-// serveReport records a member's report and grants it a lease as of a read barrier.
+// serveReport records a member's report and grants a lease that requires the index of a read barrier.
 func (c *Coordinator) serveReport(ctx context.Context, report *statusReport) (*leaseGrant, error) {
 	node := c.node()
 	if node == nil {
@@ -190,7 +190,7 @@
 		return nil, errUnknownIncarnation
 	}
 	c.lastReports[report.Name] = receivedReport{*report, time.Now()}
-	// Guards against a member whose lease and attempts last longer than the group waits for a silent one.
+	// The group would not wait long enough for this member's lease and attempts to end if the member became silent.
 	if c.state.FenceTimeout < report.FenceTimeout {
 		return nil, errFenceTimeout
 	}
--- a/internal/coordinator/membership.go
+++ b/internal/coordinator/membership.go
@@ -19,37 +19,37 @@
 	"birchfork/internal/peer"
 )
 
-// incarnationLength is the number of characters of an incarnation, and of a cluster ID.
+// incarnationLength is the length of an incarnation and of a cluster ID, in characters.
 const incarnationLength = 10
 
-// membership is the state of a process while it takes part in the group.
+// membership is the state of a process that takes part in the group.
 type membership struct {
 	transport     *peer.Transport
-	storage       *consensus.Storage // owned by node once there is one
+	storage       *consensus.Storage // owned by node once node is set
 	startedAt     time.Time
-	startPosition consensus.Position // of the storage
+	startPosition consensus.Position // position of the storage when it was opened
 
 	// Coordinator.mu guards identity and node.
 	identity consensus.Identity
-	node     *consensus.Node // nil: this member has not joined yet, or its disk is not verified yet
+	node     *consensus.Node // nil until this member has joined, or its disk is verified
 
-	confirmed bool // the storage has recorded that the group confirmed this incarnation; used by renewLoop only
+	confirmed bool // the storage has recorded that the group has confirmed this incarnation; only used by renewLoop
 
-	bootstrap          chan bool     // operators' calls to create the group at this member; true: after a data loss
-	diskConfirmed      chan struct{} // operators' calls that confirm the disk
-	unknownIncarnation chan struct{} // signalled if the group does not know this incarnation, or its disk is outdated
+	bootstrap          chan bool     // operators' calls to create the group at this member; true after a data loss
+	diskConfirmed      chan struct{} // operators' confirmations of the disk
+	unknownIncarnation chan struct{} // signalled if the group does not know this incarnation, or the disk is outdated
 }
 
-// signalUnknownIncarnation makes the membership end, so that a new incarnation begins. It does not block.
+// signalUnknownIncarnation requests the end of the membership, so that a new incarnation begins. It does not block.
 func (m *membership) signalUnknownIncarnation() {
 	select {
 	case m.unknownIncarnation <- struct{}{}:
-	default: // it was signalled already
+	default: // already signalled
 	}
 }
 
-// runMembership gets the membership and keeps it until ctx ends, a newer process needs it or the group does not know this incarnation. It
-// returns at once if there is a newer process.
+// runMembership acquires the membership and keeps it until ctx ends, a newer process needs it or the group does not know this incarnation.
+// It returns immediately if there is a newer process.
 func (c *Coordinator) runMembership(ctx context.Context) error {
 	if c.newerSiblingExists() {
 		return nil
@@ -78,7 +78,7 @@
 	return newer
 }
 
-// openMembership opens the listener and the storage, which only one process can have open at a time.
+// openMembership opens the listener and the storage. Only one process at a time can have them open.
 func (c *Coordinator) openMembership() (*membership, net.Listener, error) {
 	self, ok := c.self()
 	if !ok {
@@ -115,7 +115,7 @@
 	return current, listener, nil
 }
 
-// serveMembership registers the handlers and starts to serve the membership's transport.
+// serveMembership registers the handlers with the membership's transport and starts to serve it.
 func (c *Coordinator) serveMembership(current *membership, listener net.Listener) {
 	c.registerHandlers(current.transport)
 	for _, user := range c.options.TransportUsers {
@@ -135,7 +135,7 @@
 	logUnreadable(c.options.Log, current.storage)
 }
 
-// resumeOrJoin starts the membership's node as soon as possible: on its storage if that has a group, else by joining one.
+// resumeOrJoin resumes from the membership's storage if that belongs to a group, and otherwise joins the group.
 func (c *Coordinator) resumeOrJoin(ctx context.Context, current *membership) {
 	if current.storage.Identity().ClusterID != "" {
 		c.resume(ctx, current)
@@ -144,7 +144,7 @@
 	}
 }
 
-// watchMembership waits until the membership has to end, and returns whether its storage is to be discarded.
+// watchMembership waits until the membership has to end, and reports whether its storage has to be discarded.
 func (c *Coordinator) watchMembership(ctx context.Context, current *membership) (discardStorage bool) {
 	for {
 		select {
@@ -162,7 +162,7 @@
 	}
 }
 
-// closeMembership closes what openMembership opened, once the loops have ended.
+// closeMembership closes the transport, waits for the loops to end, and closes the storage.
 func (c *Coordinator) closeMembership(current *membership, loops *sync.WaitGroup, discardStorage bool) error {
 	for _, user := range c.options.TransportUsers {
 		user.Detach()
@@ -187,7 +187,7 @@
 }
 
 // openStorage opens the storage in the group's directory. If the operating system returns an error, this member takes part without
-// persistence: without a membership its dispatcher would send nothing.
+// persistence, because its dispatcher would send nothing without a membership.
 func (c *Coordinator) openStorage() (*consensus.Storage, error) {
 	identity, err := newIdentity(&c.options)
 	if err != nil {
@@ -202,7 +202,7 @@
 	return consensus.OpenStorage("", identity)
 }
 
-// logUnreadable logs the error by which storage found its file unreadable, if there was one.
+// logUnreadable logs the error of reading the storage's file, if there was one.
 func logUnreadable(log logrus.FieldLogger, storage *consensus.Storage) {
 	if storage.Unreadable != nil {
 		log.WithError(storage.Unreadable).Error("group storage unreadable, beginning a new incarnation")
@@ -213,7 +213,7 @@
 func newIdentity(options *Options) (consensus.Identity, error) {
 	id, err := rand.Int(rand.Reader, new(big.Int).SetUint64(1<<62))
 	if err != nil {
-		return consensus.Identity{}, fmt.Errorf("drawing a raft ID: %w", err)
+		return consensus.Identity{}, fmt.Errorf("generating a raft ID: %w", err)
 	}
 	return consensus.Identity{
 		Group:       options.Group.Name,
@@ -223,8 +223,8 @@
 	}, nil
 }
 
-// Check returns why a process without siblings could not take part, as errors that name the key of the operator's file: its address is in
-// use, or its directory is another member's or locked. It uses only Group, Self and Log of the options.
+// Check reports whether a process without siblings could take part in the group. Its errors name the key in the operator's file: the address
+// is in use, or the directory belongs to another member or is locked. Check only uses Group, Self and Log of the options.
 func Check(options Options) error {
 	var errs []error
 	for i, member := range options.Group.Members {
@@ -241,8 +241,8 @@
 	return errors.Join(append(errs, checkStorage(&options))...)
 }
 
-// checkStorage returns an error if the group's directory belongs to another member or is locked. Errors of the operating system are no
-// obstacle: see openStorage.
+// checkStorage returns an error if the group's directory belongs to another member or is locked. It ignores errors of the operating system,
+// because a member can take part without persistence: see openStorage.
 func checkStorage(options *Options) error {
 	identity, err := newIdentity(options)
 	if err != nil {
@@ -256,11 +256,11 @@
 		return nil
 	}
 	logUnreadable(options.Log, storage)
-	_ = storage.Close() // nothing was written that has to be stored
+	_ = storage.Close() // nothing that has to be kept was written
 	return nil
 }
 
-// self returns this member's entry in the operator's file; false: there is none.
+// self returns this member's entry in the operator's file, and false if there is none.
 func (c *Coordinator) self() (peer.Member, bool) {
 	i := slices.IndexFunc(c.options.Group.Members, func(member peer.Member) bool { return member.Name == c.options.Self })
 	if i < 0 {
@@ -275,14 +275,14 @@
 	return slices.DeleteFunc(slices.Clone(c.options.Group.Members), isSelf)
 }
 
-// currentMembership returns the membership; nil: this process has none.
+// currentMembership returns the membership, or nil if this process has none.
 func (c *Coordinator) currentMembership() *membership {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.membership
 }
 
-// node returns the membership's node; nil: there is none.
+// node returns the membership's node, or nil if there is none.
 func (c *Coordinator) node() *consensus.Node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -292,7 +292,7 @@
 	return c.membership.node
 }
 
-// sender returns the sender of this member's messages.
+// sender returns the identity with which this member sends messages.
 func (c *Coordinator) sender() peer.Sender {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -304,7 +304,7 @@
 	return sender
 }
 
-// isPastIncarnation reports whether a member has begun a newer incarnation than the given one.
+// isPastIncarnation reports whether a newer incarnation of a member has replaced the given one.
 func (c *Coordinator) isPastIncarnation(name, incarnation string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -312,8 +312,8 @@
 	return member != nil && member.HadIncarnation(incarnation)
 }
 
-// memberName returns the name of the member with a raft ID; empty: none has it, or it belonged to an earlier incarnation, which receives
-// nothing any more.
+// memberName returns the name of the member with a raft ID. It returns an empty string if there is none, or if the ID belongs to a past
+// incarnation, to which nothing must be sent.
 func (c *Coordinator) memberName(id uint64) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -325,15 +325,15 @@
 			return ""
 		}
 	}
-	return c.senderNames[id] // while this member has not received the state yet
+	return c.senderNames[id] // used until this member has received the state
 }
 
-// hadRaftID reports whether an earlier incarnation of a member had a raft ID.
+// hadRaftID reports whether a past incarnation of a member had a raft ID.
 func hadRaftID(member *maintenance.Member, id uint64) bool {
 	return slices.ContainsFunc(member.PastIncarnations, func(past maintenance.PastIncarnation) bool { return past.RaftID == id })
 }
 
-// reportUnreachable reports to the node that a message to a member was lost.
+// reportUnreachable tells the node that a message to a member was lost.
 func (c *Coordinator) reportUnreachable(name string) {
 	c.mu.Lock()
 	member := c.state.Members[name]
@@ -343,7 +343,7 @@
 	}
 }
 
-// send sends a raft message. It does not block.
+// send sends a raft message to the member with raft ID to. It does not block.
 func (c *Coordinator) send(to uint64, raw []byte, _ bool) {
 	name := c.memberName(to)
 	current := c.currentMembership()
--- a/internal/coordinator/membership_test.go
+++ b/internal/coordinator/membership_test.go
@@ -18,7 +18,8 @@
 	"birchfork/internal/peer"
 )
 
-// Check reports by key why a process without siblings could not take part. A directory that the operating system denies is no reason.
+// TestCheck_ReportsByKey verifies that the errors of Check name the key in the operator's file, and that an error of the operating system for
+// the directory is ignored.
 func TestCheck_ReportsByKey(t *testing.T) {
 	g := newTestGroup(t)
 	defer g.close()
@@ -37,7 +38,7 @@
 	err = Check(other)
 	for _, want := range []string{"group.member[2].link: ", "group.folder: ", `member "d1"`} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q is not in: %v", want, err)
+			t.Errorf("error lacks %q: %v", want, err)
 		}
 	}
 	notADir := filepath.Join(g.dirs[1], "file")
@@ -50,11 +51,12 @@
 	}
 	g.dirs[1] = notADir
 	g.start(1)
-	g.eventually("it takes part", func() bool { return g.call(1, -1, Call{Status: true, Local: true}).Status != nil })
+	g.eventually("the member takes part", func() bool { return g.call(1, -1, Call{Status: true, Local: true}).Status != nil })
 }
 
-// A member whose disk is older than what its incarnation has promised begins another incarnation. It neither votes nor sends by the old
-// disk; nothing is sent to its old incarnation, which gets no lease. A plan does not start without a member that was retired.
+// TestCoordinator_StaleDiskBeginsNewIncarnation verifies that a member whose disk is behind what its incarnation has promised begins a new
+// incarnation instead of voting and sending based on the stale disk, and that the old incarnation gets no messages and no lease. It also
+// verifies that no plan starts while a listed member is retired.
 func TestCoordinator_StaleDiskBeginsNewIncarnation(t *testing.T) {
 	g := newTestGroup(t)
 	defer g.close()
@@ -66,19 +68,19 @@
 	pastID := c.state.Members["d2"].RaftID
 	c.mu.Unlock()
 	g.start(2)
-	g.eventually("it has another incarnation", func() bool {
+	g.eventually("the member has a new incarnation", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return c.state.Members["d2"].Incarnation != pastIncarnation
 	})
-	g.eventually("it has a lease", func() bool { return g.dispatchers[2].hasLease() && !g.dispatchers[2].hasUnknownPlans() })
+	g.eventually("the new incarnation has a lease", func() bool { return g.dispatchers[2].hasLease() && !g.dispatchers[2].hasUnknownPlans() })
 	g.dispatchers[2].set(func() {
 		if history := fmt.Sprint(g.dispatchers[2].plansUnknown); !strings.HasPrefix(history, "[true true") {
-			t.Errorf("plans unknown: %s; it trusted the old disk", history)
+			t.Errorf("values of SetPlansUnknown: %s; the member trusted the stale disk", history)
 		}
 	})
 	if !c.isPastIncarnation("d2", pastIncarnation) || c.memberName(pastID) != "" {
-		t.Errorf("its past incarnation is known: %t, and has a name: %q", c.isPastIncarnation("d2", pastIncarnation), c.memberName(pastID))
+		t.Errorf("past incarnation is known: %t, want true; its raft ID has the name %q, want none", c.isPastIncarnation("d2", pastIncarnation), c.memberName(pastID))
 	}
 	for i := range g.coordinators {
 		if g.coordinators[i].isLeader() {
@@ -89,11 +91,11 @@
 	g.command(0, maintenance.CodeOK, maintenance.Command{Kind: maintenance.CommandRetireMember, Name: "d2"})
 	reply := g.command(1, maintenance.CodeRetryLater, maintenance.Command{Kind: maintenance.CommandStartPlan, Name: "p"})
 	if reply.Text != "not in the group yet: d2" {
-		t.Errorf("a start without a member of the file: %+v", reply)
+		t.Errorf("start of a plan without a listed member: %+v", reply)
 	}
 }
 
-// restartWithStaleDisk restarts the third member, submits a plan, and puts back the file from before once the member is closed again.
+// restartWithStaleDisk restarts the third member, submits a plan, closes the member and restores the file from before the restart.
 func restartWithStaleDisk(g *testGroup) {
 	g.t.Helper()
 	file := filepath.Join(g.dirs[2], "group.db")
@@ -103,9 +105,9 @@
 		g.t.Fatal(err)
 	}
 	g.start(2)
-	g.eventually("it is back", g.dispatchers[2].hasLease)
+	g.eventually("the third member has a lease again", g.dispatchers[2].hasLease)
 	g.command(0, maintenance.CodeOK, maintenance.Command{Kind: maintenance.CommandSubmitPlan, Plan: testPlan})
-	g.eventually("it has the plan", func() bool {
+	g.eventually("the third member has the plan", func() bool {
 		status := g.call(2, -1, Call{Status: true, Local: true}).Status
 		return status != nil && len(status.Plans) == 1
 	})
@@ -115,7 +117,7 @@
 	}
 }
 
-// checkReportRejected checks that a leader rejects the report of a past incarnation of the third member.
+// checkReportRejected checks that the leader rejects a report from a past incarnation of the third member.
 func checkReportRejected(t *testing.T, leader *Coordinator, pastIncarnation string) {
 	t.Helper()
 	raw, err := json.Marshal(statusReport{Name: "d2", MemberReport: maintenance.MemberReport{Incarnation: pastIncarnation}})
@@ -123,12 +125,12 @@
 		t.Fatal(err)
 	}
 	if _, err := leader.handleReport(context.Background(), peer.Sender{}, raw); !errors.Is(err, errUnknownIncarnation) {
-		t.Errorf("the report of a past incarnation: %v", err)
+		t.Errorf("report from a past incarnation: %v", err)
 	}
 }
 
-// A member trusts its disk at the start only if the group has confirmed that incarnation once: a disk with a vote but without a plan lacks
-// the plans of the group.
+// TestCoordinator_TrustsConfirmedDisk verifies that a starting member only trusts its disk if the group has confirmed the incarnation. An
+// unconfirmed disk may have a vote but lack the group's plans.
 func TestCoordinator_TrustsConfirmedDisk(t *testing.T) {
 	for _, confirmed := range []bool{false, true} {
 		groupConfig := config.Group{
@@ -150,19 +152,19 @@
 			MaxDeadline: time.Second,
 			Log:         discardLogger(),
 		})
-		diskConfirmed := false // nobody else can verify the disk
+		diskConfirmed := false // no other member can verify the disk
 		for end := time.Now().Add(10 * time.Second); c.node() == nil && time.Now().Before(end); {
 			diskConfirmed = diskConfirmed || c.confirmDisk().Code == maintenance.CodeOK
 			time.Sleep(time.Millisecond)
 		}
 		c.Close() // nothing changes after this
 		if hasUnknownPlans := dispatcher.hasUnknownPlans(); hasUnknownPlans == confirmed {
-			t.Errorf("confirmed: %t; plans unknown: %t", confirmed, hasUnknownPlans)
+			t.Errorf("incarnation confirmed: %t, plans unknown: %t", confirmed, hasUnknownPlans)
 		}
 	}
 }
 
-// writeStorage writes the storage of a member that has created a group.
+// writeStorage writes storage of a member that has created a group.
 func writeStorage(t *testing.T, dir string, identity consensus.Identity, confirmed bool) {
 	t.Helper()
 	storage, err := consensus.OpenStorage(dir, identity)
--- a/internal/coordinator/precheck.go
+++ b/internal/coordinator/precheck.go
@@ -10,15 +10,15 @@
 	"birchfork/internal/maintenance"
 )
 
-// historyLostText explains why no plan may start after the group was created anew.
+// historyLostText is the reason why no plan may start after the group was created again.
 const historyLostText = "machines may be with staff by a plan that was forgotten when the group was founded again; once none is: birchfork group trust"
 
-// precheck returns the reply to a call whose command needs no entry: it was carried out already, is only to be validated, or cannot be
-// carried out. It returns nil if the command needs an entry. c.mu must be held.
+// precheck returns the reply to a call whose command needs no entry because it was executed already, is only to be validated, or cannot be
+// executed. It returns nil if the command needs an entry. c.mu must be held.
 func (c *Coordinator) precheck(call *Call) *Reply {
 	command := call.Command
 	if command.ID == "" {
-		return invalid("a call without an id")
+		return invalid("missing command ID")
 	}
 	if result, ok := c.state.Result(command.ID); ok && !failpoint.Enabled(failpoint.RepeatCommands) {
 		return &Reply{Code: result.Code, Text: result.Text}
@@ -28,7 +28,7 @@
 	}
 	switch command.Kind {
 	case maintenance.CommandJoinMember, maintenance.CommandAdvance:
-		return invalid("no call of staff")
+		return invalid("command is not available to operators")
 	case maintenance.CommandSubmitPlan:
 		return c.precheckPlan(command.Plan, call.Check)
 	case maintenance.CommandStartPlan:
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// precheckLevel returns the reply to a command that some member's build may not support, else nil. c.mu must be held.
+// precheckLevel returns the reply to a command that some member's build may not support, or nil. c.mu must be held.
 func (c *Coordinator) precheckLevel(command *maintenance.Command) *Reply {
 	unreported, older := c.membersBelowLevel(command.RequiredLevel())
 	switch {
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// membersBelowLevel returns the members that may not support a level of entries: silent ones, of which this leader has no report, and
-// those whose build is older. There are none if a committed entry has required the level already. c.mu must be held.
+// membersBelowLevel returns the members that may not support entries of a level: those from which this leader has not received a report
+// yet, and those with an older build. It returns none if a committed entry has already required the level. c.mu must be held.
 func (c *Coordinator) membersBelowLevel(level int) (unreported, older []string) {
 	if level <= max(c.state.Level, 1) {
 		return nil, nil
@@ -71,7 +71,7 @@
 	return unreported, older
 }
 
-// precheckPlan returns the reply to a plan that is invalid or only to be validated, else nil. c.mu must be held.
+// precheckPlan returns the reply to a plan that is invalid or only to be validated, or nil. c.mu must be held.
 func (c *Coordinator) precheckPlan(plan *maintenance.Plan, validateOnly bool) *Reply {
 	if plan == nil {
 		return invalid("there is no plan in the call")
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// precheckClaim returns the reply to a claim of a machine that is not drained yet, with the reason, else nil. c.mu must be held.
+// precheckClaim returns the reply to a claim of a machine that is not drained yet, with the reason, or nil. c.mu must be held.
 func (c *Coordinator) precheckClaim(command *maintenance.Command) *Reply {
 	plan, machine := c.state.FindMachine(command.Name, command.Machine)
 	if machine == nil {
@@ -103,8 +103,8 @@
 	return &Reply{Code: maintenance.CodeRetryLater, Text: text}
 }
 
-// startRejection returns why no plan may start; empty: plans may start. Each member in the operator's file has to be in the group and to
-// have plans enabled, as a dispatcher outside the group sends to every worker. c.mu must be held.
+// startRejection returns the reason why no plan may start, or an empty string if plans may start. Each member in the operator's file must be
+// in the group and have plans enabled, because a dispatcher outside the group sends to every worker. c.mu must be held.
 func (c *Coordinator) startRejection() string {
 	var missing, unreported, withoutPlans []string
 	for _, member := range c.options.Group.Members {
@@ -131,10 +131,10 @@
 	return ""
 }
 
-// fleetMismatches returns where a plan does not match the present fleet, each text beginning with the plan's key. c.mu must be held.
+// fleetMismatches returns the mismatches between a plan and the current fleet, each prefixed with the key in the plan. c.mu must be held.
 func (c *Coordinator) fleetMismatches(plan *maintenance.Plan) (problems []string) {
 	fleet := c.collectAdvance().Fleet
-	hostMachines := map[string]int{} // indexes of the machines that are given by host, by that host
+	hostMachines := map[string]int{} // index of the machine that is given by host, by that host
 	for i, machine := range plan.Machines {
 		if machine.Host == "" {
 			continue
@@ -159,8 +159,8 @@
 	return problems
 }
 
-// overlaps returns which machines of a plan are in another open plan already that gives them the other way: by host instead of by the names
-// of workers, or the reverse. They would count twice against the budget. c.mu must be held.
+// overlaps returns the machines of a plan that another open plan also contains but specifies differently: by host instead of by the names of
+// workers, or vice versa. They would count twice against the budget. c.mu must be held.
 func (c *Coordinator) overlaps(plan *maintenance.Plan, fleet map[string]maintenance.Worker) (problems []string) {
 	for _, otherPlan := range c.state.Plans {
 		if otherPlan.Phase == maintenance.PlanEnded {
@@ -179,7 +179,7 @@
 	return problems
 }
 
-// machineOverlaps returns where the machine at index i of a plan overlaps with a machine of another plan.
+// machineOverlaps returns the overlaps of the machine at index i of a plan with a machine of another plan.
 func machineOverlaps(i int, machine, other maintenance.Machine, otherPlan string, fleet map[string]maintenance.Worker) (problems []string) {
 	for _, name := range machine.Workers {
 		if other.Host != "" && fleet[name].Host == other.Host {
--- a/internal/coordinator/precheck_test.go
+++ b/internal/coordinator/precheck_test.go
@@ -11,7 +11,7 @@
 	"birchfork/internal/peer"
 )
 
-// newIdleCoordinator returns the first member of two, without a membership and loops.
+// newIdleCoordinator returns the coordinator of the first of two members, without a membership and without loops.
 func newIdleCoordinator() *Coordinator {
 	return &Coordinator{
 		options: Options{
@@ -39,17 +39,18 @@
 	c.state.Apply(c.state.AppliedIndex+1, raw)
 }
 
-// planOf returns a plan of machines.
+// planOf returns a plan with the given machines.
 func planOf(name string, machines ...maintenance.Machine) *maintenance.Plan {
 	return &maintenance.Plan{Name: name, MaxUnavailable: 1, OnOverdue: maintenance.OverdueWait, Machines: machines}
 }
 
-// reportOfLevel returns the report of a build that supports entries up to a level.
+// reportOfLevel returns the report of a build that supports entries up to level.
 func reportOfLevel(level int) receivedReport {
 	return receivedReport{statusReport: statusReport{Plans: true, Level: level}}
 }
 
-// A plan is rejected if another one has one of its machines, given the other way: by host or by the names of workers.
+// TestPrecheck_PlanOverlaps verifies that a plan is rejected if another plan contains one of its machines but specifies it differently: by host
+// instead of by the names of workers, or vice versa.
 func TestPrecheck_PlanOverlaps(t *testing.T) {
 	c := newIdleCoordinator()
 	mustApply(t, c, maintenance.Command{
@@ -63,13 +64,13 @@
 		`"r0", which is there, is in plan "names"`:     {Name: "m", Host: "h0"},
 	} {
 		if got := strings.Join(c.fleetMismatches(planOf("q", machine)), " "); !strings.Contains(got, want) {
-			t.Errorf("%q, want %q", got, want)
+			t.Errorf("mismatches %q, want %q", got, want)
 		}
 	}
 }
 
-// While a member's build does not, or may not, support a level of entries, no entry of that level is proposed, unless one is committed
-// already.
+// TestPrecheck_OlderBuilds verifies that no entry of a level is proposed while a member's build may not support it, unless an entry of that
+// level is committed already.
 func TestPrecheck_OlderBuilds(t *testing.T) {
 	c := newIdleCoordinator()
 	for _, name := range []string{"d0", "d1"} {
@@ -85,24 +86,24 @@
 	}
 	for _, step := range []struct {
 		change func()
-		byHost string // the answer to a plan by host
+		byHost string // reply to a plan that gives its machine by host
 	}{
 		{func() {}, "not heard of yet by this leader, and may be of a build that does not know this call: d1"},
 		{func() { c.lastReports["d1"] = reportOfLevel(1) }, "of a build that does not know this call: d1"},
 		{func() { c.lastReports["d1"] = reportOfLevel(2) }, "yes"},
-		// Such a member has stopped: see maintenance.State.Apply.
+		// A member with an older build has stopped at the committed entry: see maintenance.State.Apply.
 		{func() { c.lastReports["d1"], c.state.Level = reportOfLevel(1), 2 }, "yes"},
 	} {
 		step.change()
 		if got := submit(maintenance.Machine{Name: "m", Host: "h1"}); got != step.byHost {
-			t.Errorf("a plan by host: %q, want %q", got, step.byHost)
+			t.Errorf("plan by host: %q, want %q", got, step.byHost)
 		}
 		if got := submit(maintenance.Machine{Name: "m", Workers: []string{"r1"}}); got != "yes" {
-			t.Errorf("a plan by name: %q", got)
+			t.Errorf("plan by name: %q, want yes", got)
 		}
 	}
 	c.state.HistoryLost = true
 	if got := c.startRejection(); got != historyLostText {
-		t.Errorf("a start after the history was lost: %q", got)
+		t.Errorf("start of a plan after the history was lost: %q", got)
 	}
 }
--- a/internal/coordinator/resume.go
+++ b/internal/coordinator/resume.go
@@ -13,12 +13,12 @@
 	"birchfork/internal/peer"
 )
 
-// resume starts the node on storage that belongs to a group, once it is verified that the storage is not an outdated copy: with such a
-// copy the member would vote as if nothing were lost, and would lack plans.
+// resume starts the node on storage that belongs to a group after it has verified that the storage is not an outdated copy. With such a copy,
+// the member could vote twice in a term, or for a leader without committed entries, and would lack plans.
 //
-// The boot marker, an operator's call or the positions of enough other voters verify it. Each entry that was committed and each vote that
-// was given with this incarnation's help is known to a quorum, and so to at least one of any verificationQuorum voters. Their positions
-// are an upper bound on what this incarnation may have promised and lost.
+// The storage is verified by the boot marker, by an operator's call or by the positions of enough other voters. A quorum knows each entry
+// that was committed and each vote that was granted with this incarnation's help, and any verificationQuorum voters include a member of
+// that quorum. Their positions are therefore an upper bound on what this incarnation may have promised and lost.
 func (c *Coordinator) resume(ctx context.Context, current *membership) {
 	marker := c.openBootMarker()
 	recorded, isRecorded := marker.Lookup(current.identity.Incarnation)
@@ -36,7 +36,7 @@
 			_ = marker.Close() // nothing was written to it
 			current.signalUnknownIncarnation()
 			return
-		case isRecorded || !isVoter: // a non-voter needs no verification: it sends nothing before it has a lease
+		case isRecorded || !isVoter: // a non-voter needs no verification, because it sends nothing before it has a lease
 			c.startNode(current, marker, nil, isRecorded)
 			return
 		case len(positions) >= neededAnswers:
@@ -60,8 +60,8 @@
 	}
 }
 
-// verificationQuorum returns whether this member votes, and how many other voters have to answer with their position to verify its disk:
-// so many that every majority of the voters contains one of them.
+// verificationQuorum reports whether this member is a voter, and returns how many other voters have to answer with their position to verify
+// its disk. Every majority of the voters contains at least one of that many voters.
 func (c *Coordinator) verificationQuorum() (isVoter bool, neededAnswers int) {
 	voters := 0
 	for _, member := range c.options.Group.Members {
@@ -75,7 +75,7 @@
 	return isVoter, voters - majority + 1
 }
 
-// upperBound returns the lowest position that is not older than any of the given ones.
+// upperBound returns the lowest position that is not older than any of the given positions.
 func upperBound(positions map[string]consensus.Position) *consensus.Position {
 	bound := consensus.Position{}
 	for _, position := range positions {
@@ -84,22 +84,22 @@
 	return &bound
 }
 
-// openBootMarker opens the boot marker; nil: none is configured, or it cannot be opened.
+// openBootMarker opens the boot marker. It returns nil if none is configured or it cannot be opened.
 func (c *Coordinator) openBootMarker() *consensus.BootMarker {
 	if c.options.BootMarkerPath == "" {
 		return nil
 	}
 	marker, err := consensus.OpenBootMarker(c.options.BootMarkerPath)
 	if err != nil {
-		c.options.Log.WithError(err).Warn("no boot marker: after a restart other members have to verify the disk")
+		c.options.Log.WithError(err).Warn("boot marker unavailable: after a restart other members have to verify the disk")
 	}
 	return marker
 }
 
-// startNode starts the membership's node on its storage. maxPromised is an upper bound on what this incarnation may have promised and lost;
-// nil: it has lost nothing. isVerified reports that the storage is known to be the latest one.
+// startNode starts the membership's node on its storage. maxPromised is an upper bound on what this incarnation may have promised and lost,
+// or nil if it has lost nothing. isVerified means that the storage is known to have the latest state.
 func (c *Coordinator) startNode(current *membership, marker *consensus.BootMarker, maxPromised *consensus.Position, isVerified bool) {
-	identity := current.storage.Identity() // the node owns the storage once it has started
+	identity := current.storage.Identity() // the node owns the storage from its start on
 	isDurable := current.storage.IsDurable()
 	node, err := consensus.Start(consensus.Options{
 		Storage:      current.storage,
@@ -117,15 +117,15 @@
 	current.node = node
 	current.identity = identity
 	c.mu.Unlock()
-	// Guards against storage that has a vote but no plan yet: only an incarnation that the group has confirmed once has all plans that
-	// had begun.
+	// The storage may have a vote but no plans yet. Only the storage of an incarnation that the group has confirmed is known to have all
+	// plans that have started.
 	if isDurable && identity.Confirmed && isVerified {
 		c.options.Dispatcher.SetPlansUnknown(false)
 	}
 }
 
-// queryPositions sends the position of this member's storage to all other members. It returns the positions that the voters among them
-// answer with, by name, and whether a member has rejected the storage as outdated, because it lacks what it has promised to that member.
+// queryPositions sends the position of this member's storage to all other members. It returns the positions in the voters' answers, by name,
+// and reports whether a member has rejected the storage as outdated because it is behind what it has promised to that member.
 func (c *Coordinator) queryPositions(ctx context.Context, current *membership) (positions map[string]consensus.Position, isStale bool) {
 	positions = map[string]consensus.Position{}
 	request, err := json.Marshal(current.startPosition)
@@ -153,7 +153,7 @@
 	return positions, isStale
 }
 
-// queryPosition sends a request of queryPositions to one member and returns its position.
+// queryPosition sends the request of queryPositions to one member and returns the member's position.
 func (c *Coordinator) queryPosition(
 	ctx context.Context, current *membership, member peer.Member, request []byte,
 ) (position consensus.Position, err error) {
--- a/internal/coordinator/status.go
+++ b/internal/coordinator/status.go
@@ -8,44 +8,44 @@
 	"birchfork/internal/maintenance"
 )
 
-// Status describes the group and its plans as known to one member. Durations are in nanoseconds.
+// Status describes the group and its plans as seen by one member. Durations are in nanoseconds.
 type Status struct {
-	Member       string         `json:"told"`    // the member that this status is from
-	Confirmed    bool           `json:"settled"` // the member leads, and a quorum has confirmed it; else the status may be outdated
-	Leader       string         `json:"leader"`  // empty: none is known
+	Member       string         `json:"told"`    // the member that reports this status
+	Confirmed    bool           `json:"settled"` // a quorum has confirmed that the member is the leader; otherwise the status may be outdated
+	Leader       string         `json:"leader"`  // empty if none is known
 	Term         uint64         `json:"term"`
 	AppliedIndex uint64         `json:"index"`            // index of the last entry that changed the state
-	Failure      string         `json:"failed,omitempty"` // why the member's raft node has stopped
+	Failure      string         `json:"failed,omitempty"` // why the member's raft node has stopped, empty while it is running
 	Bounds       Bounds         `json:"bounds"`
-	Members      []MemberStatus `json:"members"` // by name
+	Members      []MemberStatus `json:"members"` // sorted by name
 	Plans        []PlanStatus   `json:"plans"`
 
 	Links map[string]int64 `json:"links"` // counters of the member's transport, by name
 }
 
-// Bounds are the times after which a machine counts as drained although a member is silent.
+// Bounds are the durations that determine when a machine counts as drained although a member is silent.
 type Bounds struct {
-	Lease              time.Duration `json:"lease"`   // of the member that the status is from
-	MaxAttemptDuration time.Duration `json:"attempt"` // the longest that an attempt of that member may run
+	Lease              time.Duration `json:"lease"`   // of the member that reports the status
+	MaxAttemptDuration time.Duration `json:"attempt"` // the longest time that an attempt of that member may run
 	FenceTimeout       time.Duration `json:"settled"` // how long the group waits for a silent member
 }
 
 // MemberStatus describes a member.
 type MemberStatus struct {
 	Name          string        `json:"name"`
-	Zone          string        `json:"zone"` // in the operator's file of the member that the status is from
+	Zone          string        `json:"zone"` // from the operator's file of the member that reports the status
 	Incarnation   string        `json:"life"`
 	IsVoter       bool          `json:"votes"`
-	LastReportAge time.Duration `json:"heard"`   // time since its last report to the member that the status is from; negative: there was none
-	Applied       uint64        `json:"applied"` // index of the last entry that it has applied, by that report
-	SoleProcess   bool          `json:"alone"`   // no other process of its dispatcher may send or run attempts, by that report
+	LastReportAge time.Duration `json:"heard"`   // time since the member that reports the status received its last report; negative if there was none
+	Applied       uint64        `json:"applied"` // index of the last applied entry, as of the last report
+	SoleProcess   bool          `json:"alone"`   // no other process of its dispatcher can send or run attempts, as of the last report
 }
 
 // PlanStatus describes a plan.
 type PlanStatus struct {
 	Name     string                `json:"name"`
 	Phase    maintenance.PlanPhase `json:"phase"`
-	Reason   string                `json:"why,omitempty"` // what the plan itself waits for
+	Reason   string                `json:"why,omitempty"` // what the plan is waiting for
 	Machines []MachineStatus       `json:"machines"`
 }
 
@@ -53,12 +53,12 @@
 type MachineStatus struct {
 	Name          string                   `json:"name"`
 	Phase         maintenance.MachinePhase `json:"step"`
-	PhaseDuration time.Duration            `json:"for"` // time in this phase by the group's clock, as of the last entry
+	PhaseDuration time.Duration            `json:"for"` // time in this phase by the group's clock, as of the last applied entry
 	Overdue       bool                     `json:"overdue,omitempty"`
-	Reason        string                   `json:"why,omitempty"` // what the machine waits for
+	Reason        string                   `json:"why,omitempty"` // what the machine is waiting for
 }
 
-// status returns the status; the plans have reasons if isConfirmed is set. c.mu must be held.
+// status returns this member's status. The plans have reasons if isConfirmed is set. c.mu must be held.
 func (c *Coordinator) status(isConfirmed bool) *Status {
 	status := &Status{
 		Member:       c.options.Self,
@@ -89,7 +89,7 @@
 	return status
 }
 
-// memberStatuses returns the status of each member, by name. c.mu must be held.
+// memberStatuses returns the status of each member, sorted by name. c.mu must be held.
 func (c *Coordinator) memberStatuses(voters []uint64) []MemberStatus {
 	var statuses []MemberStatus //nolint:prealloc // without members it is null in JSON
 	zones := map[string]string{}
--- a/internal/coordinator/testgroup_test.go
+++ b/internal/coordinator/testgroup_test.go
@@ -20,7 +20,7 @@
 	"birchfork/internal/peer"
 )
 
-// fakeDispatcher records the values that a Coordinator sets.
+// fakeDispatcher records the values set by a Coordinator.
 type fakeDispatcher struct {
 	mu                 sync.Mutex
 	restrictions       engine.Restrictions
@@ -29,15 +29,15 @@
 	maxAttemptDuration time.Duration
 	disabled           bool // an operator has disabled the first worker at this dispatcher
 	siblings           int  // other processes of this dispatcher
-	newer              bool // one of them is newer than this one
+	newer              bool // one of these processes is newer than this one
 }
 
 func (d *fakeDispatcher) SetRestrictions(restrictions engine.Restrictions) {
 	d.set(func() { d.restrictions = restrictions })
 }
 
-func (d *fakeDispatcher) SetLeaseExpiry(until time.Time) {
-	d.set(func() { d.lease = until })
+func (d *fakeDispatcher) SetLeaseExpiry(expiry time.Time) {
+	d.set(func() { d.lease = expiry })
 }
 
 func (d *fakeDispatcher) SetPlansUnknown(unknown bool) {
@@ -61,7 +61,7 @@
 	return all
 }
 
-// restricted returns how many workers are under maintenance, and how many need a lease.
+// restricted returns the number of workers under maintenance and the number that need a lease.
 func (d *fakeDispatcher) restricted() (underMaintenance, leased int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -75,7 +75,7 @@
 	return time.Now().Before(d.lease)
 }
 
-// hasUnknownPlans reports whether the last call of SetPlansUnknown had the value true.
+// hasUnknownPlans reports whether the last call of SetPlansUnknown was with true.
 func (d *fakeDispatcher) hasUnknownPlans() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -95,7 +95,7 @@
 	return d.siblings, d.newer
 }
 
-// fakeTransportUser counts calls.
+// fakeTransportUser counts the calls of its methods.
 type fakeTransportUser struct{ attached, detached atomic.Int32 }
 
 func (u *fakeTransportUser) Attach(*peer.Transport) { u.attached.Add(1) }
@@ -116,7 +116,7 @@
 	markers      []string // paths of boot markers
 	dispatchers  []*fakeDispatcher
 	users        []*fakeTransportUser
-	coordinators []*Coordinator // nil: not started, or closed
+	coordinators []*Coordinator // nil if not started or already closed
 }
 
 func newTestGroup(t *testing.T) *testGroup {
@@ -127,7 +127,7 @@
 		coordinators: make([]*Coordinator, 3),
 	}
 	for i := range g.coordinators {
-		// Each has an IP of its own that no outgoing connection uses, so that the port stays free.
+		// Each member has its own IP, which no outgoing connection uses, so that the port stays free.
 		listener, err := net.Listen("tcp", fmt.Sprintf("127.83.7.%d:0", 1+i))
 		if err != nil {
 			t.Fatal(err)
@@ -143,7 +143,7 @@
 	return g
 }
 
-// start starts a member, or starts it again, with a new dispatcher.
+// start starts or restarts a member with a new dispatcher.
 func (g *testGroup) start(i int) *Coordinator {
 	own := g.group
 	own.DataDir = g.dirs[i]
@@ -181,11 +181,11 @@
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// bootstrap creates the group at the first member, and waits until all three vote and have a lease.
+// bootstrap creates the group at the first member, and waits until all three members vote and have a lease.
 func (g *testGroup) bootstrap() {
 	g.t.Helper()
 	g.eventually("the group is created", func() bool { return g.call(0, -1, Call{Bootstrap: true}).Code == maintenance.CodeOK })
-	g.eventually("all vote and have a lease", func() bool {
+	g.eventually("all members vote and have a lease", func() bool {
 		votes := 0
 		if status := g.status(0); status != nil {
 			for _, member := range status.Members {
@@ -203,7 +203,7 @@
 	})
 }
 
-// call makes a call at one member and checks the reply's code. Code -1 accepts any reply.
+// call sends a call to one member and checks the code of the reply. Code -1 accepts any reply.
 func (g *testGroup) call(member int, code maintenance.Code, call Call) *Reply {
 	g.t.Helper()
 	client := &Client{Addresses: g.addresses[member : member+1]}
@@ -217,29 +217,29 @@
 	return reply
 }
 
-// command makes a call with a command at one member.
+// command sends a call with a command to one member.
 func (g *testGroup) command(member int, code maintenance.Code, command maintenance.Command) *Reply {
 	g.t.Helper()
 	return g.call(member, code, Call{Command: &command})
 }
 
-// status returns the status that one member replies with; nil: there is none.
+// status returns the status in one member's reply, or nil if there is none.
 func (g *testGroup) status(member int) *Status {
 	g.t.Helper()
 	return g.call(member, -1, Call{Status: true}).Status
 }
 
-// eventually waits until a condition holds, and fails the test after 20 s.
+// eventually waits until condition returns true, and fails the test if that takes more than 20 s.
 func (g *testGroup) eventually(what string, condition func() bool) {
 	g.t.Helper()
 	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			g.t.Fatalf("not in time: %s; %+v", what, g.status(0))
+			g.t.Fatalf("timed out after 20 s: %s; status %+v", what, g.status(0))
 		}
 	}
 }
 
-// waitReason returns what a machine of the first plan waits for.
+// waitReason returns what a machine of the first plan is waiting for.
 func (g *testGroup) waitReason(machine string) string {
 	g.t.Helper()
 	status := g.status(1)
