--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -8,8 +8,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// TestNode_Receive verifies that malformed messages and messages for another incarnation are rejected, and that Receive returns the position
-// that the sender promises.
+// TestNode_Receive verifies that malformed messages and messages for another incarnation are rejected, and that Receive returns the
+// position that the sender promises.
 func TestNode_Receive(t *testing.T) {
 	storage, err := OpenStorage("", testIdentity)
 	if err != nil {
--- a/internal/consensus/storage_test.go
+++ b/internal/consensus/storage_test.go
@@ -151,8 +151,8 @@
 	return err == nil
 }
 
-// TestStorage_ReplacesConflictingEntries verifies that entries of a former leader are replaced by those of the current leader, in memory and
-// in the file.
+// TestStorage_ReplacesConflictingEntries verifies that entries of a former leader are replaced by those of the current leader, in memory
+// and in the file.
 func TestStorage_ReplacesConflictingEntries(t *testing.T) {
 	dir, _ := newStorageDir(t)
 	for i := range 2 {
--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -19,8 +19,8 @@
 	Machines:       []maintenance.Machine{{Name: "m1", Workers: []string{"r1"}}},
 }
 
-// TestCoordinator_ThreeMembers runs a plan with three members. It verifies that each member accepts calls and applies committed entries, that
-// an operator's override at one member counts against the group's budget, and that no goroutine leaks.
+// TestCoordinator_ThreeMembers runs a plan with three members. It verifies that each member accepts calls and applies committed entries,
+// that an operator's override at one member counts against the group's budget, and that no goroutine leaks.
 func TestCoordinator_ThreeMembers(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	g := newTestGroup(t)
--- a/internal/coordinator/golden_answers_test.go
+++ b/internal/coordinator/golden_answers_test.go
@@ -37,8 +37,8 @@
 	"{\"command\":{\"id\":\"k\",\"kind\":\"retire\",\"name\":\"\xff\u2028\"}}",
 }
 
-// TestGolden_OddCalls verifies that the answers to calls with malformed bodies, unknown fields and wrong methods have the same status, headers
-// and body as in an earlier build.
+// TestGolden_OddCalls verifies that the answers to calls with malformed bodies, unknown fields and wrong methods have the same status,
+// headers and body as in an earlier build.
 func TestGolden_OddCalls(t *testing.T) {
 	g := newTestGroup(t)
 	defer g.close()
@@ -57,8 +57,8 @@
 	goldentest.Check(t, "odd-calls.txt", out.Bytes())
 }
 
-// maskDecodeError masks the standard library's error of decoding a body into a Call, and the content length, as both differ between versions
-// of Go. Only the exact text of the error is masked, plain or in JSON.
+// maskDecodeError masks the standard library's error of decoding a body into a Call, and the content length, as both differ between
+// versions of Go. Only the exact text of the error is masked, plain or in JSON.
 func maskDecodeError(answer, body string) string {
 	err := json.Unmarshal([]byte(body), new(Call))
 	if err == nil {
--- a/internal/coordinator/golden_exchanges_test.go
+++ b/internal/coordinator/golden_exchanges_test.go
@@ -75,8 +75,8 @@
 	{"/group/staff", `{"status":true,"local":true}`, true},
 }
 
-// TestGolden_Exchanges verifies that the paths for members and operators accept the same messages and return the same answers as in an earlier
-// build, and that the entry of a joining member is the same.
+// TestGolden_Exchanges verifies that the paths for members and operators accept the same messages and return the same answers as in an
+// earlier build, and that the entry of a joining member is the same.
 func TestGolden_Exchanges(t *testing.T) {
 	g := newTestGroup(t)
 	defer g.close()
--- a/internal/coordinator/leader.go
+++ b/internal/coordinator/leader.go
@@ -97,8 +97,8 @@
 	return fleet
 }
 
-// mergeObservations merges a member's reported observations of workers into a fleet. An operator's override applies until the member reports
-// its end. Other observations expire, because a silent member could otherwise block a plan forever. c.mu must be held.
+// mergeObservations merges a member's reported observations of workers into a fleet. An operator's override applies until the member
+// reports its end. Other observations expire, because a silent member could otherwise block a plan forever. c.mu must be held.
 func (c *Coordinator) mergeObservations(fleet map[string]maintenance.Worker, report receivedReport) {
 	if time.Since(report.receivedAt) < c.observationLifetime() {
 		markWorkers(fleet, report.Unavailable, func(worker *maintenance.Worker) { worker.Unavailable = true })
--- a/internal/coordinator/membership.go
+++ b/internal/coordinator/membership.go
@@ -223,8 +223,8 @@
 	}, nil
 }
 
-// Check reports whether a process without siblings could take part in the group. Its errors name the key in the operator's file: the address
-// is in use, or the directory belongs to another member or is locked. Check only uses Group, Self and Log of the options.
+// Check reports whether a process without siblings could take part in the group. Its errors name the key in the operator's file: the
+// address is in use, or the directory belongs to another member or is locked. Check only uses Group, Self and Log of the options.
 func Check(options Options) error {
 	var errs []error
 	for i, member := range options.Group.Members {
--- a/internal/coordinator/membership_test.go
+++ b/internal/coordinator/membership_test.go
@@ -18,8 +18,8 @@
 	"birchfork/internal/peer"
 )
 
-// TestCheck_ReportsByKey verifies that the errors of Check name the key in the operator's file, and that an error of the operating system for
-// the directory is ignored.
+// TestCheck_ReportsByKey verifies that the errors of Check name the key in the operator's file, and that an error of the operating system
+// for the directory is ignored.
 func TestCheck_ReportsByKey(t *testing.T) {
 	g := newTestGroup(t)
 	defer g.close()
--- a/internal/coordinator/precheck.go
+++ b/internal/coordinator/precheck.go
@@ -103,8 +103,8 @@
 	return &Reply{Code: maintenance.CodeRetryLater, Text: text}
 }
 
-// startRejection returns the reason why no plan may start, or an empty string if plans may start. Each member in the operator's file must be
-// in the group and have plans enabled, because a dispatcher outside the group sends to every worker. c.mu must be held.
+// startRejection returns the reason why no plan may start, or an empty string if plans may start. Each member in the operator's file must
+// be in the group and have plans enabled, because a dispatcher outside the group sends to every worker. c.mu must be held.
 func (c *Coordinator) startRejection() string {
 	var missing, unreported, withoutPlans []string
 	for _, member := range c.options.Group.Members {
@@ -159,8 +159,8 @@
 	return problems
 }
 
-// overlaps returns the machines of a plan that another open plan also contains but specifies differently: by host instead of by the names of
-// workers, or vice versa. They would count twice against the budget. c.mu must be held.
+// overlaps returns the machines of a plan that another open plan also contains but specifies differently: by host instead of by the names
+// of workers, or vice versa. They would count twice against the budget. c.mu must be held.
 func (c *Coordinator) overlaps(plan *maintenance.Plan, fleet map[string]maintenance.Worker) (problems []string) {
 	for _, otherPlan := range c.state.Plans {
 		if otherPlan.Phase == maintenance.PlanEnded {
--- a/internal/coordinator/precheck_test.go
+++ b/internal/coordinator/precheck_test.go
@@ -49,8 +49,8 @@
 	return receivedReport{statusReport: statusReport{Plans: true, Level: level}}
 }
 
-// TestPrecheck_PlanOverlaps verifies that a plan is rejected if another plan contains one of its machines but specifies it differently: by host
-// instead of by the names of workers, or vice versa.
+// TestPrecheck_PlanOverlaps verifies that a plan is rejected if another plan contains one of its machines but specifies it differently: by
+// host instead of by the names of workers, or vice versa.
 func TestPrecheck_PlanOverlaps(t *testing.T) {
 	c := newIdleCoordinator()
 	mustApply(t, c, maintenance.Command{
--- a/internal/coordinator/resume.go
+++ b/internal/coordinator/resume.go
@@ -13,8 +13,8 @@
 	"birchfork/internal/peer"
 )
 
-// resume starts the node on storage that belongs to a group after it has verified that the storage is not an outdated copy. With such a copy,
-// the member could vote twice in a term, or for a leader without committed entries, and would lack plans.
+// resume starts the node on storage that belongs to a group after it has verified that the storage is not an outdated copy. With such a
+// copy, the member could vote twice in a term, or for a leader without committed entries, and would lack plans.
 //
 // The storage is verified by the boot marker, by an operator's call or by the positions of enough other voters. A quorum knows each entry
 // that was committed and each vote that was granted with this incarnation's help, and any verificationQuorum voters include a member of
@@ -124,8 +124,8 @@
 	}
 }
 
-// queryPositions sends the position of this member's storage to all other members. It returns the positions in the voters' answers, by name,
-// and reports whether a member has rejected the storage as outdated because it is behind what it has promised to that member.
+// queryPositions sends the position of this member's storage to all other members. It returns the positions in the voters' answers, by
+// name, and reports whether a member has rejected the storage as outdated because it is behind what it has promised to that member.
 func (c *Coordinator) queryPositions(ctx context.Context, current *membership) (positions map[string]consensus.Position, isStale bool) {
 	positions = map[string]consensus.Position{}
 	request, err := json.Marshal(current.startPosition)
