--- a/internal/boltstore/boltstore_test.go
+++ b/internal/boltstore/boltstore_test.go
@@ -75,7 +75,7 @@
 	folder, calls := t.TempDir(), 0
 	db, unreadable, err := Open(folder, "f.db", countCalls(&calls))
 	if err != nil || unreadable != nil || calls != 1 {
-		t.Fatalf("unreadable %v, error %v after %d calls of load", unreadable, err, calls)
+		t.Fatalf("unreadable %v, error %v after %d calls of load; want neither after 1", unreadable, err, calls)
 	}
 	defer db.Close()
 	if _, _, err := Open(folder, "f.db", countCalls(&calls)); !errors.Is(err, ErrLocked) {
@@ -119,7 +119,7 @@
 		path := filepath.Join(folder, "f.db")
 		db, unreadable, err := Open(folder, "f.db", prepare(path))
 		if err != nil || unreadable == nil {
-			t.Errorf("%s: unreadable %v, error %v", name, unreadable, err)
+			t.Errorf("%s: unreadable %v, error %v; want unreadable alone", name, unreadable, err)
 			continue
 		}
 		db.Close()
@@ -135,7 +135,7 @@
 		folder := t.TempDir()
 		db, unreadable, err := Open(folder, "f.db", func(*bbolt.DB) error { return fmt.Errorf("group x: %w", cause) })
 		if !errors.Is(err, cause) || db != nil || unreadable != nil {
-			t.Errorf("%v: db %v, unreadable %v, error %v", cause, db, unreadable, err)
+			t.Errorf("%v: db %v, unreadable %v, error %v; want this error alone", cause, db, unreadable, err)
 		}
 		if _, err := os.Stat(filepath.Join(folder, "f.db")); err != nil {
 			t.Errorf("%v: file was renamed: %v", cause, err)
@@ -160,7 +160,7 @@
 			})
 		})
 		if err != nil || unreadable != nil {
-			t.Fatalf("open %d: unreadable %v, error %v", i, unreadable, err)
+			t.Fatalf("open %d: unreadable %v, error %v; want neither", i, unreadable, err)
 		}
 		if err := db.Close(); err != nil {
 			t.Fatal(err)
--- a/internal/failpoint/failpoint.go
+++ b/internal/failpoint/failpoint.go
@@ -16,7 +16,7 @@
 	OverlongLease       = "long-lease"     // a lease is valid for longer than the group's fence timeout
 	IgnoreMemberReports = "few-words"      // a machine counts as drained without reports of the members
 	IgnoreBudget        = "no-budget"      // machines are drained without checking the disruption budget
-	IgnoreUnavailable   = "dead-uncounted" // workers that are out of service for other reasons than maintenance do not count against the budget
+	IgnoreUnavailable   = "dead-uncounted" // workers that are out of service for reasons other than maintenance do not count against the budget
 	RandomMachineOrder  = "own-order"      // each member chooses the next machine to drain at random
 	RepeatCommands      = "acts-twice"     // a repeated call is executed again
 	IgnoreRestoredState = "forgets-out"    // a member that restarts with its disk ignores the restored state at first
@@ -32,7 +32,7 @@
 	ReuseDots           = "count-again"    // after a restart a member's dots start at 1 again, with the same incarnation
 	LastWriteWins       = "clock-wins"     // of two overrides, the one with the later time wins; clocks are skewed as under ClockSkew
 	AnswerBeforeSync    = "early-yes"      // operators get a response seconds before an override is synced to disk
-	OverwriteReplica    = "overwrites"     // a pull replaces a member's entries instead of being merged with them
+	OverwriteReplica    = "overwrites"     // pulled entries replace those of a member instead of being merged with them
 	NoEndpointExchange  = "list-untold"    // members do not exchange endpoint lists
 	AcceptOutdatedDisk  = "trusts-disk"    // a member resumes from its disk without verifying that the disk is not outdated
 )
@@ -66,8 +66,8 @@
 // skewPerMember is the difference between the clocks of members with consecutive numbers.
 const skewPerMember = 2 * time.Hour
 
-// ClockOffset returns the offset of a member's wall clock: skewPerMember times the last digit of its name under ClockSkew and LastWriteWins,
-// else 0.
+// ClockOffset returns the time by which a member's wall clock is ahead: skewPerMember times the last digit of its name under ClockSkew and
+// LastWriteWins, else 0.
 func ClockOffset(member string) time.Duration {
 	skewed := Enabled(ClockSkew) || Enabled(LastWriteWins)
 	if !skewed || member == "" {
@@ -85,11 +85,11 @@
 
 // BeforeSyncedWrite has to be called before each synced write to a disk, with the time at which the disk was opened. From diskFaultDelay
 // after that time, it returns syscall.ENOSPC under DiskFull and blocks for diskStallTime under DiskStall.
-func BeforeSyncedWrite(opened time.Time) error {
+func BeforeSyncedWrite(openedAt time.Time) error {
 	if !Enabled(DiskFull) && !Enabled(DiskStall) {
 		return nil
 	}
-	if time.Since(opened) < diskFaultDelay {
+	if time.Since(openedAt) < diskFaultDelay {
 		return nil
 	}
 	if Enabled(DiskFull) {
--- a/internal/failpoint/failpoint_test.go
+++ b/internal/failpoint/failpoint_test.go
@@ -46,13 +46,13 @@
 // clocks, and else 0.
 func TestClockOffset_ByNamesLastDigit(t *testing.T) {
 	t.Cleanup(func() { Set("") })
-	for fault, want := range map[string]time.Duration{"": 0, SendWithoutLease: 0, ClockSkew: 6 * time.Hour, LastWriteWins: 6 * time.Hour} {
-		Set(fault)
+	for name, want := range map[string]time.Duration{"": 0, SendWithoutLease: 0, ClockSkew: 6 * time.Hour, LastWriteWins: 6 * time.Hour} {
+		Set(name)
 		if got := ClockOffset("edge-3"); got != want {
-			t.Errorf("under %q: offset %v, want %v", fault, got, want)
+			t.Errorf("under %q: offset %v, want %v", name, got, want)
 		}
 		if got := ClockOffset(""); got != 0 {
-			t.Errorf("under %q: offset %v without a name, want 0", fault, got)
+			t.Errorf("under %q: offset %v without a name, want 0", name, got)
 		}
 	}
 }
@@ -60,21 +60,21 @@
 // TestBeforeSyncedWrite_FailsAfterDelay checks that writes fail only under DiskFull, and only after diskFaultDelay.
 func TestBeforeSyncedWrite_FailsAfterDelay(t *testing.T) {
 	t.Cleanup(func() { Set("") })
-	long := time.Now().Add(-time.Hour)
+	hourEarlier := time.Now().Add(-time.Hour)
 	for _, c := range []struct {
-		fault  string
-		opened time.Time
-		want   string
+		failpoint string
+		openedAt  time.Time
+		want      string
 	}{
-		{"", long, "<nil>"},
-		{SendWithoutLease, long, "<nil>"},
+		{"", hourEarlier, "<nil>"},
+		{SendWithoutLease, hourEarlier, "<nil>"},
 		{DiskFull, time.Now(), "<nil>"},
-		{DiskFull, long, "the group's disk: no space left on device"},
+		{DiskFull, hourEarlier, "the group's disk: no space left on device"},
 		{DiskStall, time.Now(), "<nil>"},
 	} {
-		Set(c.fault)
-		if got := fmt.Sprint(BeforeSyncedWrite(c.opened)); got != c.want {
-			t.Errorf("under %q: error %s, want %s", c.fault, got, c.want)
+		Set(c.failpoint)
+		if got := fmt.Sprint(BeforeSyncedWrite(c.openedAt)); got != c.want {
+			t.Errorf("under %q: error %s, want %s", c.failpoint, got, c.want)
 		}
 	}
 }
--- a/internal/maintenance/advance.go
+++ b/internal/maintenance/advance.go
@@ -14,7 +14,7 @@
 // drained, back in service, warm or overdue to their next phase, and begins to drain the next machine. Each proposal drains at most one
 // further machine, so that each choice takes the previous one into account.
 func (a *applier) advance(proposal *Advance) {
-	// A proposal of a former leader, or one for an older state, is ignored: its elapsed time would be counted twice.
+	// A proposal of a former leader, or one for an older state, is ignored: otherwise its elapsed time would be counted twice.
 	if proposal == nil || proposal.StateSeq != a.Seq {
 		return
 	}
@@ -24,7 +24,7 @@
 			a.advancePlan(plan, proposal)
 		}
 	}
-	a.takeNextMachine(proposal)
+	a.drainNextMachine(proposal)
 }
 
 // advanceClock advances the group's clock, and raises FenceTimeout and WarmUp to the proposal's values if those are higher.
@@ -53,8 +53,8 @@
 	a.endIfFinished(plan)
 }
 
-// takeNextMachine begins to drain one machine of the first running plan whose budget allows it.
-func (a *applier) takeNextMachine(proposal *Advance) {
+// drainNextMachine begins to drain one machine of the first running plan whose budget allows it.
+func (a *applier) drainNextMachine(proposal *Advance) {
 	for _, plan := range a.Plans {
 		if plan.Phase != PlanRunning {
 			continue
@@ -70,8 +70,8 @@
 }
 
 // refreshWorkers updates the workers of a machine that is a host from the endpoint list. While the machine is excluded, workers are only
-// added, because attempts may still run at workers that are no longer listed. After the machine was returned, its workers are those that
-// are listed at the host, whatever their names are.
+// added, because attempts may still run at workers that are no longer listed. Before and after that, its workers are those that are listed
+// at the host, whatever their names are.
 func (a *applier) refreshWorkers(plan *PlanState, machine *MachineState, proposal *Advance) {
 	if machine.Host == "" || machine.Phase.finished() {
 		return
@@ -101,7 +101,7 @@
 	return names
 }
 
-// advanceMachine moves a machine to its next phase if the proposal's facts allow it.
+// advanceMachine moves a machine to its next phase if the state and the proposal allow it.
 func (a *applier) advanceMachine(plan *PlanState, machine *MachineState, proposal *Advance) {
 	elapsed := a.Clock - machine.PhaseStart
 	switch machine.Phase {
@@ -152,8 +152,8 @@
 	}
 	machine.Overdue = true
 	a.emit(plan.Name, machine.Name, "overdue: %s for longer than %v", machine.Phase, limit)
-	takesMachines := plan.Phase == PlanRunning || plan.Phase == PlanAnnounced
-	if plan.OnOverdue == OverduePause && takesMachines {
+	drainsMachines := plan.Phase == PlanRunning || plan.Phase == PlanAnnounced
+	if plan.OnOverdue == OverduePause && drainsMachines {
 		plan.Phase = PlanPaused
 		a.emit(plan.Name, "", "%s", PlanPaused)
 	}
--- a/internal/maintenance/advance_test.go
+++ b/internal/maintenance/advance_test.go
@@ -15,7 +15,7 @@
 	f.advance(second)
 	f.expectPhases("m0 leaving") // the lowest weight goes first
 	if excluded := f.state.Excluded().Workers; !excluded["r0"] || excluded["r1"] || !f.state.Leased().Workers["r5"] {
-		t.Errorf("excluded %v, leased %v", f.state.Excluded(), f.state.Leased())
+		t.Errorf("excluded %v, want r0 but not r1; leased %v, want r5 too", f.state.Excluded(), f.state.Leased())
 	}
 	f.expectCode(CodeRetryLater, Command{Kind: CommandClaimMachine, Machine: "m0"})
 	f.advance(4*second, "c")
@@ -122,11 +122,11 @@
 func TestAdvance_CountsTimeOnce(t *testing.T) {
 	f := newFixture(t, Plan{})
 	f.startPlan()
-	late := f.proposal
-	late.StateSeq, late.Elapsed, late.Reports = f.state.Seq, 4*second, nil
-	f.apply(Command{Kind: CommandAdvance, Advance: &late})
+	repeated := f.proposal
+	repeated.StateSeq, repeated.Elapsed, repeated.Reports = f.state.Seq, 4*second, nil
+	f.apply(Command{Kind: CommandAdvance, Advance: &repeated})
 	clock := f.state.Clock
-	f.apply(Command{Kind: CommandAdvance, Advance: &late}) // for instance of a former leader
+	f.apply(Command{Kind: CommandAdvance, Advance: &repeated}) // for instance from a former leader
 	if f.state.Clock != clock {
 		t.Errorf("a repeated proposal advanced the clock from %v to %v", clock, f.state.Clock)
 	}
@@ -165,7 +165,7 @@
 	otherPlan := &Plan{Name: "q", MaxUnavailable: 1, OnOverdue: OverdueWait, Machines: []Machine{{Name: "x", Host: "h0"}}}
 	problems := strings.Join(f.state.ValidatePlan(otherPlan), " ")
 	if !strings.Contains(problems, `machine[0].host: "h0" is in plan "p"`) {
-		t.Errorf("problems of a second plan for the host: %s", problems)
+		t.Errorf("problems of a second plan for the host: %s; must name plan p", problems)
 	}
 	fleet := f.proposal.Fleet // no worker is listed at the host yet, so the machine is not back in service
 	f.proposal.Fleet = map[string]Worker{}
@@ -182,7 +182,7 @@
 	// A worker that left the list during the maintenance does not count as unavailable. One that leaves it later does.
 	units := f.state.budgetUnits(&f.proposal)
 	if units["runner r0"] != nil || units["runner new"].unavailable {
-		t.Errorf("budget units after the maintenance: %+v", units)
+		t.Errorf("budget units after the maintenance: %+v, want none of r0, and that of the new worker available", units)
 	}
 	f.changeWorker("new", func(w *Worker) { w.Gone, w.Unavailable = true, true })
 	units = f.state.budgetUnits(&f.proposal)
--- a/internal/maintenance/apply.go
+++ b/internal/maintenance/apply.go
@@ -245,7 +245,7 @@
 	a.emit(plan.Name, machine.Name, "%s", phase)
 }
 
-// withdraw puts a machine that no operator has claimed back into service.
+// withdraw puts a machine back into service that no operator has claimed.
 func (a *applier) withdraw(plan *PlanState, machine *MachineState) {
 	machine.Withdrawn = true
 	a.setPhase(plan, machine, MachineReturning)
--- a/internal/maintenance/apply_test.go
+++ b/internal/maintenance/apply_test.go
@@ -17,7 +17,7 @@
 	f.apply(pause)
 	f.expectCode(CodeOK, Command{Kind: CommandResumePlan, Name: "p"})
 	if events := f.apply(pause); len(events) > 0 || f.state.Plans[0].Phase != PlanAnnounced {
-		t.Errorf("the repeated call gave events %v, the plan is %s", events, f.state.Plans[0].Phase)
+		t.Errorf("the repeated call gave events %v, want none; the plan is %s, want announced", events, f.state.Plans[0].Phase)
 	}
 	before := encode(t, f.state)
 	f.index-- // the state already includes the next index
@@ -94,7 +94,7 @@
 		func() {
 			defer func() {
 				if recover() == nil {
-					t.Errorf("%s was applied", raw)
+					t.Errorf("%s was applied, want a panic", raw)
 				}
 			}()
 			f.state.Apply(f.index+1, []byte(raw))
--- a/internal/maintenance/budget.go
+++ b/internal/maintenance/budget.go
@@ -34,8 +34,8 @@
 			if machine.Phase.finished() {
 				continue
 			}
-			taken := machine.Phase != MachineWaiting && machine.Phase != MachineWarm
-			unit := &budgetUnit{workers: machine.Workers, unavailable: taken, underMaintenance: taken}
+			disrupted := machine.Phase != MachineWaiting && machine.Phase != MachineWarm
+			unit := &budgetUnit{workers: machine.Workers, unavailable: disrupted, underMaintenance: disrupted}
 			units[machineUnitName(machine.Name)] = unit
 			for _, worker := range machine.Workers {
 				unitOfWorker[worker] = unit
@@ -99,7 +99,7 @@
 	return next, reasons
 }
 
-// machineRank is the order in which machines that may be drained are chosen.
+// machineRank orders the machines that a plan may drain.
 type machineRank struct {
 	inService bool    // at least one worker is in service
 	weight    float64 // of the workers in service
@@ -148,11 +148,11 @@
 	kindsInService  map[string]bool
 }
 
-// usageIfTaken returns the usage if a machine were drained.
+// usageIfDrained returns the usage if a machine were drained.
 //
 // Draining a machine that is already out of service does not reduce the capacity. For such a machine only units under maintenance are
 // counted: otherwise two failed machines would block each other's repair.
-func usageIfTaken(machine *MachineState, proposal *Advance, units map[string]*budgetUnit) *budgetUsage {
+func usageIfDrained(machine *MachineState, proposal *Advance, units map[string]*budgetUnit) *budgetUsage {
 	own := machineUnitName(machine.Name)
 	usage := &budgetUsage{
 		alreadyUnavailable: units[own].unavailable,
@@ -214,7 +214,7 @@
 	if failpoint.Enabled(failpoint.IgnoreBudget) {
 		return ""
 	}
-	usage := usageIfTaken(machine, proposal, units)
+	usage := usageIfDrained(machine, proposal, units)
 	if usage.unavailable > plan.MaxUnavailable {
 		state := "away"
 		if usage.alreadyUnavailable {
--- a/internal/maintenance/budget_test.go
+++ b/internal/maintenance/budget_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestBudget_LimitsMachinesTaken verifies which machines a plan drains within its budget, and in which order.
-func TestBudget_LimitsMachinesTaken(t *testing.T) {
+// TestBudget_LimitsDrainedMachines verifies which machines a plan drains within its budget, and in which order.
+func TestBudget_LimitsDrainedMachines(t *testing.T) {
 	for name, test := range map[string]struct {
 		plan   Plan
 		change func(*fixture)
@@ -49,7 +49,7 @@
 			f := newFixture(t, test.plan)
 			test.change(f)
 			report := MemberReport{Incarnation: "1", SoleProcess: true}
-			for i := range 6 { // keeps each machine in draining
+			for i := range 6 { // attempts at all workers, so that no machine is drained
 				report.BusyWorkers = append(report.BusyWorkers, fmt.Sprint("r", i))
 			}
 			f.proposal.Reports["b"] = report
--- a/internal/maintenance/compact_test.go
+++ b/internal/maintenance/compact_test.go
@@ -26,7 +26,7 @@
 		state.Plans = []*PlanState{{Phase: PlanRunning, AnnouncedIndex: 5, MachineStates: []*MachineState{draining}}}
 		compact := state.Compact(proposal)
 		if len(compact.Reports) != 2 || len(compact.Fleet) != 2 || compact.DefaultApplied != 9 || len(compact.UnnamedWorkers) != 3 {
-			t.Errorf("%+v", compact)
+			t.Errorf("compact proposal %+v; want 2 reports, 2 workers, default index 9 and 3 groups", compact)
 		}
 		if blocking := state.blockingMembers(draining, compact); len(blocking) != 2 {
 			t.Errorf("blocked by %v, want 2 members", blocking)
--- a/internal/maintenance/doc.go
+++ b/internal/maintenance/doc.go
@@ -14,9 +14,9 @@
 // skipped. A machine that is not back in service in time is failed until it is, or until it is skipped.
 //
 // The package enforces two rules. First, no request is sent to a worker of a machine from the start of the drain until operators return the
-// machine. A machine counts as drained once each member has confirmed the drain, or once the lease and the attempts of a silent member must
-// have ended (State.FenceTimeout). Second, no machine is drained beyond the plan's budget, which counts everything that is out of service
-// for any reason.
+// machine. A machine counts as drained only once each member has confirmed the drain, or once the lease and the attempts of a silent member
+// must have ended (State.FenceTimeout). Second, no machine is drained beyond the plan's budget, which counts everything that is out of
+// service for any reason.
 //
 // Nothing here is safe for concurrent use. The coordinator guards its State with a lock.
 package maintenance
--- a/internal/maintenance/fixture_test.go
+++ b/internal/maintenance/fixture_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// fixture drives a State with three members and six workers. The workers are of two zones and two kinds, one worker per machine.
+// fixture drives a State with three members and six workers, which are in two zones and of two kinds.
 type fixture struct {
 	t        *testing.T
 	state    *State
@@ -20,8 +20,8 @@
 
 const second = time.Second
 
-// newFixture returns a fixture that has submitted a plan. By default the plan has one machine per worker, of which one may be unavailable at
-// a time.
+// newFixture returns a fixture that has submitted a plan. By default the plan has one machine per worker, and one machine may be
+// unavailable at a time.
 func newFixture(t *testing.T, plan Plan) *fixture {
 	t.Helper()
 	f := &fixture{t: t, state: New(), proposal: Advance{
--- a/internal/maintenance/golden_test.go
+++ b/internal/maintenance/golden_test.go
@@ -154,19 +154,19 @@
 			}
 		}
 	}
-	kinds := map[string]string{} // by the text without its digits
+	distinct := map[string]string{} // by the text without its digits
 	for _, text := range slices.Sorted(maps.Keys(texts)) {
-		kind := strings.Map(func(r rune) rune {
+		withoutDigits := strings.Map(func(r rune) rune {
 			if r >= '0' && r <= '9' {
 				return -1
 			}
 			return r
 		}, text)
-		if _, ok := kinds[kind]; !ok {
-			kinds[kind] = text
+		if _, ok := distinct[withoutDigits]; !ok {
+			distinct[withoutDigits] = text
 		}
 	}
-	goldentest.Check(t, "texts.txt", []byte(strings.Join(slices.Sorted(maps.Values(kinds)), "\n")+"\n"))
+	goldentest.Check(t, "texts.txt", []byte(strings.Join(slices.Sorted(maps.Values(distinct)), "\n")+"\n"))
 }
 
 // TestGolden_HistoryDigests applies random histories of commands and checks a digest per history. The digest covers the state and the
--- a/internal/maintenance/plan.go
+++ b/internal/maintenance/plan.go
@@ -37,8 +37,8 @@
 	OnOverdue     OverdueAction `json:"overdue"` // what the plan does at a timeout
 }
 
-// Machine is a set of workers that are under maintenance together: either named workers, or all workers at a host, whatever their names
-// are at the time.
+// Machine is a set of workers that are drained and maintained together: either named workers, or all workers at a host, whatever their
+// names are at the time.
 type Machine struct {
 	Name    string   `json:"name"`
 	Workers []string `json:"runners"`
@@ -54,7 +54,7 @@
 	PlanAnnounced PlanPhase = "announced" // started; runs once each member has confirmed that it knows the plan
 	PlanRunning   PlanPhase = "running"
 	PlanPaused    PlanPhase = "paused"   // drains no further machine
-	PlanAborting  PlanPhase = "aborting" // drains no further machine, and ends once the drained ones are back in service
+	PlanAborting  PlanPhase = "aborting" // drains no further machine, and ends once all are back in service
 	PlanEnded     PlanPhase = "ended"
 )
 
@@ -134,7 +134,7 @@
 	})
 }
 
-// FindPlan returns the oldest plan with a name, or nil.
+// FindPlan returns the oldest plan with the given name; nil if there is none.
 func (s *State) FindPlan(name string) *PlanState {
 	for _, plan := range s.Plans {
 		if plan.Name == name {
--- a/internal/maintenance/state.go
+++ b/internal/maintenance/state.go
@@ -20,7 +20,7 @@
 	HistoryLost  bool               `json:"doubt,omitempty"` // after a repeated bootstrap: machines may be under maintenance for lost plans
 	AppliedIndex uint64             `json:"index"`           // log index of the newest command
 	Clock        time.Duration      `json:"clock"`           // the group's clock: never ahead of the elapsed time
-	FenceTimeout time.Duration      `json:"bound"`           // after it a silent member can neither send requests nor have attempts running
+	FenceTimeout time.Duration      `json:"bound"`           // afterwards a silent member can neither send requests nor have attempts running
 	WarmUp       time.Duration      `json:"warm"`            // time until a started worker gets its full share of requests
 	Members      map[string]*Member `json:"members"`
 	Plans        []*PlanState       `json:"plans"`   // in the order of submission
@@ -61,7 +61,7 @@
 	return &clone
 }
 
-// Result returns the result of the call with an ID, and whether the state has it.
+// Result returns the result of the call with the given ID, and whether the state has it.
 func (s *State) Result(id string) (Result, bool) {
 	i := slices.IndexFunc(s.Results, func(result Result) bool { return result.ID == id })
 	if i < 0 {
--- a/internal/maintenance/validate.go
+++ b/internal/maintenance/validate.go
@@ -13,7 +13,7 @@
 	problems []string
 }
 
-// ValidatePlan returns all problems of a plan, including conflicts with existing plans. Each has the form "key: reason", with the key in the
+// ValidatePlan returns all problems of a plan, including conflicts with existing plans. Each has the form "key: reason" with a key of the
 // plan's file. An empty result means that the plan may be submitted. Apply stores the texts in results, so all builds have to return the
 // same ones.
 func (s *State) ValidatePlan(plan *Plan) []string {
@@ -79,7 +79,7 @@
 	if len(machines) == 0 || len(machines) > MaxMachines {
 		v.report("machine: there are %d; from 1 to %d", len(machines), MaxMachines)
 	}
-	// The index of the machine with each name, host and worker.
+	// The indexes of the machines, by their name, host and workers.
 	names, hosts, workers := map[string]int{}, map[string]int{}, map[string]int{}
 	for i := range machines {
 		v.checkMachineName(i, names)
--- a/internal/replication/converge_test.go
+++ b/internal/replication/converge_test.go
@@ -25,7 +25,7 @@
 			}
 		}
 		for _, name := range []string{"a", "b", "c"} {
-			// Ignores overrides that a replica has dropped as garbage: a replica that has lost its disk may pull another's copy of one.
+			// Overrides that a replica has dropped as garbage are ignored: a replica that has lost its disk may pull them again.
 			want, got := c.latestUncollected(name), c.withoutCollected(c.replicas[0].Get(KindOverride, name))
 			if !slices.Equal(dotsOf(got), dotsOf(want)) {
 				t.Fatalf("entries of %s: %v, want %v", name, got, want)
--- a/internal/replication/entry.go
+++ b/internal/replication/entry.go
@@ -13,9 +13,9 @@
 	"birchfork/internal/failpoint"
 )
 
-// Bounds of what a replica accepts.
+// Bounds on what a replica accepts. The lengths are in bytes.
 const (
-	MaxNameLength        = 256 // in bytes; of an entry's name and of a member's
+	MaxNameLength        = 256 // of the name of an entry or a member
 	maxKindLength        = 32
 	maxDataLength        = 1 << 10
 	maxIncarnationLength = 64
--- a/internal/replication/exchange.go
+++ b/internal/replication/exchange.go
@@ -44,13 +44,13 @@
 
 // versionDelta returns the part of the replica's version vector that known does not contain.
 func (r *Replica) versionDelta(known VersionVector) VersionVector {
-	beyond := VersionVector{}
+	delta := VersionVector{}
 	for incarnation, counter := range r.version {
 		if known[incarnation] < counter {
-			beyond[incarnation] = counter
+			delta[incarnation] = counter
 		}
 	}
-	return beyond
+	return delta
 }
 
 // missingEntries returns the entries that known does not contain and whose keys are after a cursor, in key order.
@@ -78,7 +78,7 @@
 }
 
 // Merge merges a chunk and returns the keys whose entries have changed. Entries take effect at once. The sender's version is merged into the
-// version vector only with the last chunk, because before that entries that replace others may be missing. If Merge fails, it has merged
+// version vector only with the last chunk, because entries that replace others may be missing until then. If Merge fails, it has merged
 // nothing, and the pull has to be restarted.
 func (r *Replica) Merge(progress *PullProgress, chunk Chunk) (changed []Key, err error) {
 	if err := chunk.validate(); err != nil {
@@ -87,7 +87,7 @@
 	if progress.source != chunk.Incarnation {
 		*progress = PullProgress{source: chunk.Incarnation, sourceVersion: chunk.Version}
 	}
-	// A chunk may arrive twice or late. If the last one arrived too early, the version would cover entries that are still missing.
+	// A chunk may arrive twice or late. If the last chunk were merged before others, the version would cover entries that are missing.
 	if chunk.From != progress.Cursor {
 		return nil, fmt.Errorf("%w: begins after key %q, want %q", errOutOfOrder, chunk.From.Name, progress.Cursor.Name)
 	}
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -117,7 +117,7 @@
 	r.size--
 }
 
-// find returns the entry with a dot; nil if the replica does not hold it.
+// find returns the entry with the given dot; nil if the replica does not hold it.
 func (r *Replica) find(dot Dot) *Entry {
 	written := r.byIncarnation[dot.Incarnation]
 	if i, found := slices.BinarySearchFunc(written, dot.Counter, compareCounter); found {
--- a/internal/replication/replica_test.go
+++ b/internal/replication/replica_test.go
@@ -28,7 +28,7 @@
 		t.Fatalf("dropped %v, want 1 key", dropped)
 	}
 	if changed, err := b.Merge(&PullProgress{}, stale); err != nil || len(changed) > 0 || b.Len() > 0 {
-		t.Errorf("stale chunk merged: changed %v, error %v", changed, err)
+		t.Errorf("merge of a stale chunk: changed %v, error %v; want neither", changed, err)
 	}
 }
 
@@ -43,7 +43,7 @@
 		t.Errorf("override beyond the limit: %v, want ErrFull", err)
 	}
 	if _, err := replica.Write(Entry{Kind: KindOverride, Name: "r7"}); err != nil || IsDisabled(replica.Get(KindOverride, "r7")) {
-		t.Errorf("replacement of an existing override: %v", err)
+		t.Errorf("override r7 was not replaced by one that enables it: %v", err)
 	}
 	mustWrite(t, other, "theirs", true)
 	_, err := replica.Merge(&PullProgress{}, other.NextChunk(nil, Cursor{}, 9))
@@ -83,7 +83,7 @@
 			count += len(entries)
 			for i, entry := range entries {
 				if replica.find(entry.Dot) == nil || i > 0 && entry.Dot == entries[i-1].Dot {
-					t.Fatalf("%+v", entries)
+					t.Fatalf("entries with a duplicate dot, or one that find does not return: %+v", entries)
 				}
 			}
 		}
@@ -92,7 +92,7 @@
 		}
 		replica.Discard(replica.DotsInBuckets(replica.DifferingBuckets(nil)))
 		if replica.Len() > 0 || replica.Digest() != New("").Digest() {
-			t.Fatalf("%d entries left after Discard of all", replica.Len())
+			t.Fatalf("%d entries left after Discard of all, or not the digest of an empty replica", replica.Len())
 		}
 	})
 }
--- a/internal/replication/version.go
+++ b/internal/replication/version.go
@@ -20,7 +20,7 @@
 // VersionVector has, by incarnation, the highest counter up to which all entries have been seen.
 type VersionVector map[string]uint64
 
-// Contains reports whether the entry with a dot has been seen.
+// Contains reports whether the entry with the given dot has been seen.
 func (v VersionVector) Contains(dot Dot) bool { return v[dot.Incarnation] >= dot.Counter }
 
 // Covers reports whether v contains all entries that other contains.
@@ -58,7 +58,7 @@
 	}
 }
 
-// add adds the entry with a dot, and all entries of its incarnation before it.
+// add adds the entry with the given dot, and all entries of its incarnation before it.
 func (v VersionVector) add(dot Dot) {
 	v[dot.Incarnation] = max(v[dot.Incarnation], dot.Counter)
 }
