--- a/internal/coordinator/golden_test.go
+++ b/internal/coordinator/golden_test.go
@@ -216,7 +216,7 @@
 	mustApply(t, c, maintenance.Command{Kind: maintenance.CommandSubmitPlan, Plan: testPlan})
 	c.maxAttempt = 9 * time.Second
 	c.membership = &membership{transport: peer.NewTransport(peer.Options{
-		Group: "g", Self: "d0", Identity: c.sender, IsStale: c.isPastIncarnation, OnUnreachable: c.reportUnreachable,
+		Group: "g", Self: "d0", Identity: c.sender, IsPastIncarnation: c.isPastIncarnation, OnUnreachable: c.reportUnreachable,
 	})}
 	defer c.membership.transport.Close()
 	for _, confirmed := range []bool{false, true} {
--- a/internal/coordinator/membership.go
+++ b/internal/coordinator/membership.go
@@ -95,13 +95,13 @@
 	}
 	current := &membership{
 		transport: peer.NewTransport(peer.Options{
-			Group:         c.options.Group.Name,
-			Self:          c.options.Self,
-			Members:       c.options.Group.Members,
-			Identity:      c.sender,
-			IsStale:       c.isPastIncarnation,
-			OnUnreachable: c.reportUnreachable,
-			Log:           c.options.Log,
+			Group:             c.options.Group.Name,
+			Self:              c.options.Self,
+			Members:           c.options.Group.Members,
+			Identity:          c.sender,
+			IsPastIncarnation: c.isPastIncarnation,
+			OnUnreachable:     c.reportUnreachable,
+			Log:               c.options.Log,
 		}),
 		storage:            storage,
 		startedAt:          time.Now(),
--- a/internal/gossip/antientropy.go
+++ b/internal/gossip/antientropy.go
@@ -22,7 +22,8 @@
 	return nil
 }
 
-// syncStep exchanges digests with a member and fetches either missing entries or removals. inSync reports that the replicas are equal.
+// syncStep exchanges digests with a member. If the replicas are equal, it returns inSync; else it fetches either missing entries or
+// removals.
 func (n *Node) syncStep(ctx context.Context, name string, step int) (inSync bool, err error) {
 	ours, version, err := n.localVersion()
 	if err != nil {
@@ -47,7 +48,7 @@
 		if err := n.pullFrom(ctx, name); err != nil {
 			return false, err
 		}
-		if step > 0 { // the previous step has fetched the removals
+		if step > 0 { // the versions still differ after a step: removals need equal versions and are left to a later round
 			n.markCaughtUp(name)
 		}
 	}
--- a/internal/gossip/catchup.go
+++ b/internal/gossip/catchup.go
@@ -8,8 +8,8 @@
 	catchUpTimeout = 2 * time.Second
 )
 
-// CaughtUp reports whether this member has received the overrides that other members had at its start, or catchUpTimeout has elapsed. It
-// returns true if another process of this dispatcher owns the replica.
+// CaughtUp reports whether this member has received the overrides that other members had at its start, or has waited for catchUpTimeout.
+// It returns true if another process of this dispatcher owns the replica.
 func (n *Node) CaughtUp() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -26,7 +26,7 @@
 }
 
 // servesPullsLocked reports whether other members may pull entries from this one: it has caught up with enough others, or more than
-// catchUpTimeout has elapsed since its first contact with one. Until then its disk may be outdated: a member that has lost its own disk
+// catchUpTimeout has elapsed since its first contact with any. Until then its disk may be outdated: a member that has lost its own disk
 // would pull entries from it that all others have removed.
 func (n *Node) servesPullsLocked() bool {
 	inContact := !n.firstContact.IsZero() && time.Since(n.firstContact) > catchUpTimeout
--- a/internal/gossip/endpoints/broadcaster.go
+++ b/internal/gossip/endpoints/broadcaster.go
@@ -56,7 +56,7 @@
 	mu             sync.Mutex
 	table          *Table
 	sourceRevision uint64 // revision of the list that the table was last updated from
-	excluded       int    // number of excluded workers
+	excludedCount  int    // number of excluded workers
 
 	cancel context.CancelFunc // stops the loops
 	loops  sync.WaitGroup
@@ -100,7 +100,7 @@
 		"list_told":    b.Sent.Load(),
 		"list_taken":   b.Accepted.Load(),
 		"list_refused": b.Rejected.Load(),
-		"list_held":    int64(b.excluded),
+		"list_held":    int64(b.excludedCount),
 	}
 }
 
@@ -139,10 +139,10 @@
 // applyExclusionsLocked excludes the workers for which other members have reported a later state.
 func (b *Broadcaster) applyExclusionsLocked() {
 	names := b.table.Excluded(time.Since(b.startedAt), b.source.WatchUptime())
-	if len(names) != b.excluded {
+	if len(names) != b.excludedCount {
 		b.log.WithField("workers", len(names)).Info("excluded workers for which other members have reported a later state")
 	}
-	b.excluded = len(names)
+	b.excludedCount = len(names)
 	b.source.ExcludeOutdated(names)
 }
 
@@ -168,7 +168,7 @@
 		b.sourceRevision = revision
 		updates = b.table.UpdateLocal(b.source.Statuses())
 	}
-	if b.excluded > 0 || len(updates) > 0 {
+	if b.excludedCount > 0 || len(updates) > 0 {
 		b.applyExclusionsLocked()
 	}
 	return updates
--- a/internal/gossip/endpoints/golden_test.go
+++ b/internal/gossip/endpoints/golden_test.go
@@ -61,7 +61,7 @@
 	transport, _ := peertest.NewTransport(t, b.Address())
 	broadcaster, source := goldenBroadcaster([]Status{{Name: "w1"}, {Name: "w2"}}, true)
 	if updates := broadcaster.updateLocal(); len(updates) > 0 {
-		t.Errorf("%v", updates)
+		t.Errorf("updates from the first list: %v, want none", updates)
 	}
 	broadcaster.broadcast(transport, goldenStatuses())
 	for end := time.Now().Add(10 * time.Second); len(b.Requests()) == 0 && time.Now().Before(end); {
@@ -70,7 +70,7 @@
 	broadcaster.initialSync(context.Background(), transport)
 	goldentest.Check(t, "requests.txt", b.Text())
 	if names := <-source.excluded; len(names) != 2 || names[0] != "w1" || names[1] != "w2" {
-		t.Errorf("excluded: %v", names)
+		t.Errorf("excluded %v, want w1, w2", names)
 	}
 }
 
@@ -94,10 +94,10 @@
 	out += peertest.Post(t, address, "/group/list/news", peertest.Headers(), []byte(`[{"name":"w3","start":7,"state":1},{"name":"","state":2}]`))
 	out += peertest.Post(t, address, "/group/list/news", peertest.Headers(), []byte(`[`))
 	if names := <-source.excluded; len(names) != 1 || names[0] != "w3" {
-		t.Errorf("excluded: %v", names)
+		t.Errorf("excluded %v, want w3", names)
 	}
 	if f := broadcaster.Fields(); f["list_taken"] != 1 || f["list_refused"] != 2 || f["list_held"] != 1 {
-		t.Errorf("%v", f)
+		t.Errorf("counters %v, want 1 status accepted, 2 rejected and 1 worker excluded", f)
 	}
 	waiting, _ := goldenBroadcaster(nil, false)
 	transport, listener = peertest.NewTransport(t, "127.0.0.1:1")
--- a/internal/gossip/endpoints/table.go
+++ b/internal/gossip/endpoints/table.go
@@ -48,8 +48,8 @@
 
 // Durations of a Table.
 const (
-	// localTrustDelay is how long this member's watch has to report after a remote status arrived before the local list overrules that
-	// status: discovery reports a change within 6 s, and a silent watch is detected after 5 s.
+	// localTrustDelay is how long this member's watch must have reported, counted from the arrival of a remote status, before the local
+	// list overrules that status: discovery reports a change within 6 s, and a silent watch is detected after 5 s.
 	localTrustDelay = 6 * time.Second
 	// remoteStatusTTL is how long a remote status is stored, so that it is not forwarded repeatedly.
 	remoteStatusTTL = 15 * time.Minute
--- a/internal/gossip/endpoints/table_test.go
+++ b/internal/gossip/endpoints/table_test.go
@@ -60,7 +60,7 @@
 		table.UpdateLocal([]Status{c.local}, true)
 		table.Merge(0, []Status{c.reported})
 		if excluded := len(table.Excluded(c.now, c.watchUptime)) > 0; excluded != c.excluded {
-			t.Errorf("%s: excluded: %t", what, excluded)
+			t.Errorf("%s: excluded %t, want %t", what, excluded, c.excluded)
 		}
 	}
 }
@@ -71,17 +71,17 @@
 	table := NewTable()
 	up, draining := []Status{{Name: "v"}, {Name: "w"}}, []Status{{Name: "v", State: Draining}, {Name: "w", State: Draining}}
 	if updates := table.UpdateLocal(up, false); len(updates) > 0 {
-		t.Errorf("updates from a list that is not fresh: %v", updates)
+		t.Errorf("updates from a list that is not fresh: %v, want none", updates)
 	}
 	if updates := table.UpdateLocal(up, true); len(updates) > 0 {
-		t.Errorf("updates from the first fresh list: %v", updates)
+		t.Errorf("updates from the first fresh list: %v, want none", updates)
 	}
 	if updates, rejected := table.Merge(0, append(draining[:1:1], Status{}, Status{Name: "x", StartedAt: -1}, Status{Name: "x", State: 3})); len(updates) != 1 || rejected != 3 {
 		t.Errorf("updates %v, %d rejected; want one update and 3 rejected", updates, rejected)
 	}
 	table.Excluded(localTrustDelay, time.Hour)
 	if updates, _ := table.Merge(localTrustDelay, draining[:1]); len(updates) > 0 || len(table.Excluded(localTrustDelay, time.Hour)) > 0 {
-		t.Errorf("an overruled status is an update again: %v", updates)
+		t.Errorf("an overruled status is an update or excludes its worker again: updates %v", updates)
 	}
 	if updates := table.UpdateLocal(draining, true); !slices.Equal(updates, draining[1:]) {
 		t.Errorf("updates %v, want only the one that no other member has reported", updates)
@@ -95,6 +95,6 @@
 		table.Merge(0, []Status{{Name: string(rune(i + 1000)), StartedAt: 1}})
 	}
 	if len(table.remote) > maxRemoteStatuses {
-		t.Errorf("%d remote statuses are stored", len(table.remote))
+		t.Errorf("%d remote statuses are stored, want at most maxRemoteStatuses", len(table.remote))
 	}
 }
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -51,7 +51,7 @@
 	Cursor  replication.Cursor        `json:"from"`
 }
 
-// removals lists entries of the sender; the reply lists those of them that were removed.
+// removals is used as request and as reply. The request lists the sender's entries, the reply those that the receiver has removed.
 type removals struct {
 	VersionDigest uint64            `json:"seen"` // of the version vector, which must be equal at both members
 	Dots          []replication.Dot `json:"dots"`
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -115,11 +115,11 @@
 	}
 	for _, name := range []string{"w1", "w2", "w3"} {
 		if dispatcher.isDisabled(name) != (name != "w3") {
-			t.Errorf("%s is disabled: %t", name, dispatcher.isDisabled(name))
+			t.Errorf("%s is disabled: %t; want w1 and w2 only", name, dispatcher.isDisabled(name))
 		}
 	}
 	if data := node.replica.Get(newerKind, "w3"); len(data) != 1 || string(data[0].Data) != newerData {
-		t.Errorf("%+v", data)
+		t.Errorf("entries of the newer kind: %+v, want one with newerData", data)
 	}
 	goldentest.Check(t, "words.db.txt", dump(t, node.storage.db))
 }
@@ -322,7 +322,7 @@
 	node.mu.Lock()
 	defer node.mu.Unlock()
 	if !node.caughtUpWith["b"] || node.traffic["b"].messages != 5 || node.Counters.Chunks.Load() != 2 || node.Counters.Merged.Load() != 2 || node.Counters.Removed.Load() != 1 {
-		t.Errorf("caught up %t, traffic %+v, counters %v", node.caughtUpWith["b"], node.traffic["b"], node.Fields())
+		t.Errorf("caught up %t, traffic %+v, counters %v; want true, 5 messages, 2 chunks, 2 merged, 1 removed", node.caughtUpWith["b"], node.traffic["b"], node.Fields())
 	}
 }
 
@@ -339,7 +339,7 @@
 	}
 	again, err := json.Marshal(r)
 	if err != nil || string(again)+"\n" != string(raw) {
-		t.Errorf("reply encoded again: %s, %v", again, err)
+		t.Errorf("reply encoded again: %s, %v; want the bytes of reply.json", again, err)
 	}
 	goldentest.Check(t, "call.txt", b.Text())
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -25,7 +25,7 @@
 // incarnationLength is the number of characters of a replica's incarnation.
 const incarnationLength = 16
 
-// Options are the settings of a Node. Its functions are called from several goroutines.
+// Options are the settings of a Node. Their functions are called from several goroutines.
 type Options struct {
 	Group string   // name of the group
 	Self  string   // name of this member
@@ -83,7 +83,7 @@
 	storage                *storage                 // nil: nothing is persisted
 	dirty                  map[replication.Key]bool // keys of entries to submit to the storage: changed, or not written because of an error
 	submittedVersionDigest uint64                   // digest of the version vector that was last submitted to the storage
-	writeFailed            bool                     // the storage failed to write a batch since then
+	writeFailed            bool                     // the storage has failed to write a batch since the last submission
 	lastBatch              *batch                   // the batch last submitted to the storage
 	persistErr             error                    // why changes may not be persisted; nil: they are
 
@@ -93,7 +93,7 @@
 	caughtUpWith map[string]bool                      // members all of whose entries this replica has
 	firstContact time.Time                            // time of the first contact with any member
 
-	localVersions    map[string]int64 // by worker: the version of this dispatcher's override that is merged into the replica
+	localVersions    map[string]int64 // by worker: the version of this dispatcher's override that was last merged with the replica
 	inherited        map[string]bool  // workers disabled at this dispatcher before the start, without an entry in the replica
 	hasLocalBaseline bool             // the overrides from before the start are merged: later changes are new
 }
@@ -145,10 +145,10 @@
 		return err
 	}
 	if unreadable != nil {
-		n.options.Log.WithError(unreadable).Error("stored overrides unreadable, starting without them")
+		n.options.Log.WithError(unreadable).Error("group storage unreadable, starting without stored overrides")
 	}
 	if err != nil {
-		n.options.Log.WithError(err).Error("group folder unusable, overrides are not persisted")
+		n.options.Log.WithError(err).Error("group storage unusable, overrides are not persisted")
 	}
 	n.session = newSession(replica, opened, err)
 	for _, worker := range replica.Names(replication.KindOverride) {
@@ -207,7 +207,7 @@
 	n.replica, n.storage = nil, nil
 	n.mu.Unlock() // unlocked before close, as the storage's goroutine may wait for the lock to report a batch
 	if err := opened.close(); err != nil {
-		n.options.Log.WithError(err).Warn("closing the stored overrides failed")
+		n.options.Log.WithError(err).Warn("closing the group storage failed")
 	}
 }
 
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -67,7 +67,7 @@
 		return err
 	}
 	if err := pullOnce(); !errors.Is(err, errNotCaughtUp) {
-		t.Errorf("pull right after the start: %v", err)
+		t.Errorf("pull right after the start: %v, want errNotCaughtUp", err)
 	}
 	node.markCaughtUp("b")
 	if node.markCaughtUp("c"); pullOnce() != nil {
@@ -75,7 +75,7 @@
 	}
 	clear(node.caughtUpWith)
 	if node.startedAt = node.startedAt.Add(-time.Hour); !errors.Is(pullOnce(), errNotCaughtUp) {
-		t.Errorf("pull without contact to any member: %v", pullOnce())
+		t.Errorf("pull without contact to any member: %v, want errNotCaughtUp", pullOnce())
 	}
 	if node.firstContact = time.Now().Add(-2 * catchUpTimeout); pullOnce() != nil {
 		t.Errorf("pull after catchUpTimeout of contact with one other: %v", pullOnce())
@@ -165,7 +165,7 @@
 		t.Errorf("note %q, error %v; want neither", note, err)
 	}
 	if note, _ := c.SetOverride("q", true, 1); !strings.Contains(note, "no folder") {
-		t.Errorf("note without a directory: %q", note)
+		t.Errorf("note without a directory: %q, want one with \"no folder\"", note)
 	}
 	await(t, "all members have both overrides", func() bool {
 		return atB.isDisabled("r") && atC.isDisabled("r") && atA.isDisabled("q") && atB.isDisabled("q")
@@ -237,7 +237,7 @@
 		t.Fatal(err)
 	}
 	if reply := <-answered; reply != "<nil>" {
-		t.Errorf("%s", reply)
+		t.Errorf("note and error %s, want no note and <nil>", reply)
 	}
 	detachAll()
 }
@@ -273,11 +273,11 @@
 		t.Fatal(err)
 	}
 	if reply := node.statusLocked(); len(reply.Overrides) != 1 || !reply.Overrides[0].Conflict || !reply.Overrides[0].Disabled {
-		t.Errorf("%+v", reply.Overrides)
+		t.Errorf("overrides after concurrent writes: %+v, want one, disabled and in conflict", reply.Overrides)
 	}
 	setOverride(t, node, "r", true, 2)
 	if reply := node.statusLocked(); len(reply.Overrides[0].Writes) != 1 || reply.Overrides[0].Conflict || !reply.Overrides[0].Disabled {
-		t.Errorf("%+v", reply.Overrides)
+		t.Errorf("overrides after a new write: %+v, want one write, disabled and without a conflict", reply.Overrides)
 	}
 }
 
@@ -291,7 +291,7 @@
 	overrides := hotrestart.Overrides{"known": {Disabled: false, At: 3}, "lost": {Disabled: true, At: 3}, "back": {Disabled: false, At: 3}}
 	node.MergeLocalOverrides(overrides)
 	if !dispatcher.isDisabled("known") || node.replica.Len() != 1 {
-		t.Errorf("known is disabled: %t; %d entries", dispatcher.isDisabled("known"), node.replica.Len())
+		t.Errorf("known is disabled: %t, with %d entries; want true, 1", dispatcher.isDisabled("known"), node.replica.Len())
 	}
 	if _, applied := dispatcher.disabled["lost"]; applied || !node.inherited["lost"] {
 		t.Errorf("an inherited override was applied or replicated before catch-up: %v", dispatcher.disabled)
@@ -306,7 +306,7 @@
 	overrides["known"] = hotrestart.Override{Disabled: true, At: node.localVersions["known"]}
 	node.MergeLocalOverrides(overrides)
 	if node.replica.Len() != 2 || !node.isDisabledLocked("lost") {
-		t.Errorf("%d entries, lost is disabled: %t", node.replica.Len(), node.isDisabledLocked("lost"))
+		t.Errorf("%d entries, lost is disabled: %t; want 2, true", node.replica.Len(), node.isDisabledLocked("lost"))
 	}
 	overrides["lost"] = hotrestart.Override{Disabled: false, At: overrides["lost"].At} // as read from a file that is not yet updated
 	node.MergeLocalOverrides(overrides)
@@ -317,7 +317,7 @@
 	node.MergeLocalOverrides(overrides)
 	node.MergeLocalOverrides(overrides)
 	if entries := node.replica.Get(replication.KindOverride, "known"); len(entries) != 1 || entries[0].Disabled || !entries[0].CausalContext.Contains(replication.Dot{Incarnation: entries[0].Incarnation, Counter: 1}) {
-		t.Errorf("%+v", entries)
+		t.Errorf("entries of known: %+v, want one that enables it and replaces the first", entries)
 	}
 }
 
@@ -340,13 +340,13 @@
 		"kind":           func(chunk *replication.Chunk) { chunk.Entries[1].Kind = "" },
 		"length of kind": func(chunk *replication.Chunk) { chunk.Entries[1].Kind = replication.EntryKind(long) },
 		"data":           func(chunk *replication.Chunk) { chunk.Entries[1].Data = []byte(strings.Repeat("1", 2000)) },
-		"zero":           func(chunk *replication.Chunk) { chunk.Entries[1].Name = "a\x00b" },
+		"zero byte":      func(chunk *replication.Chunk) { chunk.Entries[1].Name = "a\x00b" },
 		"name":           func(chunk *replication.Chunk) { chunk.Entries[1].Name = long },
 		"empty name":     func(chunk *replication.Chunk) { chunk.Entries[1].Name = "" },
-		"count":          func(chunk *replication.Chunk) { chunk.Entries[1].Counter = 0 },
-		"life":           func(chunk *replication.Chunk) { chunk.Incarnation = "" },
+		"counter":        func(chunk *replication.Chunk) { chunk.Entries[1].Counter = 0 },
+		"incarnation":    func(chunk *replication.Chunk) { chunk.Incarnation = "" },
 		"member":         func(chunk *replication.Chunk) { chunk.Entries[1].Member = long },
-		"from":           func(chunk *replication.Chunk) { chunk.From.Name = "z" },
+		"start cursor":   func(chunk *replication.Chunk) { chunk.From.Name = "z" },
 	} {
 		chunk := replication.Chunk{Incarnation: "l", Entries: []replication.Entry{valid, valid}, Done: true}
 		change(&chunk)
--- a/internal/gossip/persist.go
+++ b/internal/gossip/persist.go
@@ -21,7 +21,7 @@
 	errPersistTimeout = fmt.Errorf("the write timed out after %v and may still complete", persistTimeout)
 )
 
-// persistLocked submits changes that may not be persisted yet to the storage. It is called in each round.
+// persistLocked submits to the storage the changes that may not be persisted yet. Each round calls it again.
 func (n *Node) persistLocked() {
 	version := n.replica.Version().Digest()
 	if failpoint.Enabled(failpoint.AnswerBeforeSync) && time.Since(n.startedAt) < answerBeforeSyncPeriod {
--- a/internal/gossip/status.go
+++ b/internal/gossip/status.go
@@ -19,7 +19,7 @@
 	PersistFailures atomic.Int64
 }
 
-// Fields returns the counters by the names that log and status show.
+// Fields returns the counters by their names in log and status.
 func (n *Node) Fields() map[string]int64 {
 	c := &n.Counters
 	return map[string]int64{
--- a/internal/gossip/storage.go
+++ b/internal/gossip/storage.go
@@ -134,11 +134,11 @@
 		}
 	}
 	err = entries.ForEach(func(key, value []byte) error {
-		var ofKey []replication.Entry
-		if err := decodeChecksummed(value, &ofKey); err != nil {
+		var keyEntries []replication.Entry
+		if err := decodeChecksummed(value, &keyEntries); err != nil {
 			return fmt.Errorf("entry %q: %w", key, err)
 		}
-		stored.entries = append(stored.entries, ofKey...)
+		stored.entries = append(stored.entries, keyEntries...)
 		return nil
 	})
 	return stored, err
--- a/internal/gossip/storage_test.go
+++ b/internal/gossip/storage_test.go
@@ -28,7 +28,7 @@
 func wantNotPersisted(t *testing.T, what string, node *Node, wantNote string) {
 	t.Helper()
 	if note, err := node.SetOverride("r", true, 1); err != nil || !strings.Contains(note, wantNote) {
-		t.Errorf("%s: %q, %v", what, note, err)
+		t.Errorf("%s: note %q, error %v; want a note with %q", what, note, err, wantNote)
 	}
 }
 
@@ -38,7 +38,7 @@
 	storedNode(t, dir)
 	node, _ := startNode(t, "a", "")
 	if _, err := New(Options{Group: "other", Dir: dir, Log: node.options.Log}); err == nil || !strings.Contains(err.Error(), `found format 1, group "g"; expected format 1, group "other"`) {
-		t.Errorf("storage of another group: %v", err)
+		t.Errorf("storage of another group: %v, want an error with both formats and groups", err)
 	}
 }
 
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -42,7 +42,7 @@
 	b := peertest.NewRecorder(t, func(string, []byte) []byte { return []byte(`"yes"`) })
 	transport, _ := goldenTransport(t, b.Address())
 	if out, err := transport.Request(context.Background(), "b", "/group/x", []byte("request")); err != nil || string(out) != `"yes"` {
-		t.Errorf("%q, %v", out, err)
+		t.Errorf("answer to a member %q, error %v; want \"yes\" with its quotes", out, err)
 	}
 	transport.Send("b", "/group/x", []byte("queued"))
 	for end := time.Now().Add(10 * time.Second); transport.Counters.Sent.Load() < 1 && time.Now().Before(end); {
@@ -50,7 +50,7 @@
 	}
 	var answer string
 	if err := peer.CallMember(context.Background(), b.Address(), "/group/y", map[string]string{"from": "operator"}, &answer); err != nil || answer != "yes" {
-		t.Errorf("%q, %v", answer, err)
+		t.Errorf("answer to an operator %q, error %v; want yes, decoded", answer, err)
 	}
 	goldentest.Check(t, "requests.txt", b.Text())
 }
--- a/internal/peer/handler.go
+++ b/internal/peer/handler.go
@@ -52,8 +52,8 @@
 		return fmt.Sprintf("%q is not a member in the operator's file", from.Name)
 	case bothJoined && from.ClusterID != self.ClusterID:
 		return fmt.Sprintf("cluster ID mismatch: got %q, want %q", from.ClusterID, self.ClusterID)
-	case t.options.IsStale(from.Name, from.Incarnation):
-		return fmt.Sprintf("stale incarnation of %s: %q", from.Name, from.Incarnation)
+	case t.options.IsPastIncarnation(from.Name, from.Incarnation):
+		return fmt.Sprintf("past incarnation of %s: %q", from.Name, from.Incarnation)
 	}
 	return ""
 }
--- a/internal/peer/member.go
+++ b/internal/peer/member.go
@@ -14,7 +14,7 @@
 type Sender struct {
 	Name        string
 	Incarnation string
-	ClusterID   string // of the group's bootstrap; empty: the process has not joined yet
+	ClusterID   string // created by the group's bootstrap; empty: the process has not joined yet
 }
 
 // Sample returns up to n of the names, chosen at random without repetition.
--- a/internal/peer/peertest/peertest.go
+++ b/internal/peer/peertest/peertest.go
@@ -149,12 +149,12 @@
 		t.Fatal(err)
 	}
 	transport := peer.NewTransport(peer.Options{
-		Group:         "g",
-		Self:          "a",
-		Members:       []peer.Member{{Name: "a", Address: listener.Addr().String()}, {Name: "b", Address: addressOfB}},
-		Identity:      func() peer.Sender { return peer.Sender{Name: "a", Incarnation: "l", ClusterID: "f"} },
-		IsStale:       func(name, incarnation string) bool { return name == "b" && incarnation == "0" },
-		OnUnreachable: func(string) {},
+		Group:             "g",
+		Self:              "a",
+		Members:           []peer.Member{{Name: "a", Address: listener.Addr().String()}, {Name: "b", Address: addressOfB}},
+		Identity:          func() peer.Sender { return peer.Sender{Name: "a", Incarnation: "l", ClusterID: "f"} },
+		IsPastIncarnation: func(name, incarnation string) bool { return name == "b" && incarnation == "0" },
+		OnUnreachable:     func(string) {},
 	})
 	t.Cleanup(transport.Close)
 	return transport, listener
@@ -175,12 +175,12 @@
 	}
 	for _, name := range names {
 		transport := peer.NewTransport(peer.Options{
-			Group:         "g",
-			Self:          name,
-			Members:       members,
-			Identity:      func() peer.Sender { return peer.Sender{Name: name, Incarnation: "1"} },
-			IsStale:       func(string, string) bool { return false },
-			OnUnreachable: func(string) {},
+			Group:             "g",
+			Self:              name,
+			Members:           members,
+			Identity:          func() peer.Sender { return peer.Sender{Name: name, Incarnation: "1"} },
+			IsPastIncarnation: func(string, string) bool { return false },
+			OnUnreachable:     func(string) {},
 		})
 		t.Cleanup(transport.Close)
 		transports = append(transports, transport)
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -31,15 +31,15 @@
 	maxOperatorConns  = 32                     // additional connections, for operators
 )
 
-// Options are the settings of a Transport. All functions are called from several goroutines.
+// Options are the settings of a Transport. Their functions are called from several goroutines.
 type Options struct {
 	Group   string   // name of the group
 	Self    string   // name of this member
 	Members []Member // all members, this one included
 
-	Identity      func() Sender                       // returns the identity that this process sends in its messages
-	IsStale       func(name, incarnation string) bool // reports whether a member has begun a later incarnation
-	OnUnreachable func(name string)                   // called with the name of a member for which sending a queued message failed
+	Identity          func() Sender                       // returns the identity that this process sends in its messages
+	IsPastIncarnation func(name, incarnation string) bool // reports whether a member has begun a later incarnation
+	OnUnreachable     func(name string)                   // called with the name of a member for which sending a queued message failed
 
 	Log logrus.FieldLogger
 }
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -23,6 +23,7 @@
 	unreachable int      // number of OnUnreachable calls at a
 }
 
+// newTransportPair returns the transports of members a and b of group g. Only b serves. change changes the options of a.
 func newTransportPair(t *testing.T, sender Sender, change func(*Options)) *transportPair {
 	t.Helper()
 	p := &transportPair{}
@@ -32,12 +33,12 @@
 	}
 	p.members = []Member{{Name: "a", Address: "127.0.0.1:1"}, {Name: "b", Address: listener.Addr().String()}}
 	o := Options{
-		Group: "g", Self: "a", Members: p.members, Identity: func() Sender { return sender }, IsStale: func(string, string) bool { return false },
+		Group: "g", Self: "a", Members: p.members, Identity: func() Sender { return sender }, IsPastIncarnation: func(string, string) bool { return false },
 		OnUnreachable: func(string) { p.mu.Lock(); p.unreachable++; p.mu.Unlock() },
 	}
 	remote := o
 	remote.Self, remote.Identity = "b", func() Sender { return Sender{"b", "1", "f"} }
-	remote.IsStale = func(name, incarnation string) bool { return name == "a" && incarnation == "0" }
+	remote.IsPastIncarnation = func(name, incarnation string) bool { return name == "a" && incarnation == "0" }
 	change(&o)
 	p.a, p.b = NewTransport(o), NewTransport(remote)
 	p.b.Handle("/x", func(_ context.Context, from Sender, body []byte) ([]byte, error) {
@@ -54,9 +55,9 @@
 	return p
 }
 
-// TestTransport_RejectsForeignMessages verifies that a message from another group, cluster, incarnation or name is rejected with the reason
-// and counted.
-func TestTransport_RejectsForeignMessages(t *testing.T) {
+// TestTransport_RejectsMismatchedSenders verifies that a message from another group, cluster, incarnation or name is rejected with the
+// reason and counted.
+func TestTransport_RejectsMismatchedSenders(t *testing.T) {
 	unchanged := func(*Options) {}
 	for _, c := range []struct {
 		sender Sender
@@ -66,7 +67,7 @@
 		{Sender{"a", "1", "f"}, unchanged, ""},
 		{Sender{"a", "1", ""}, unchanged, ""}, // not joined yet
 		{Sender{"a", "1", "other"}, unchanged, `cluster ID mismatch: got "other", want "f"`},
-		{Sender{"a", "0", "f"}, unchanged, `stale incarnation of a: "0"`},
+		{Sender{"a", "0", "f"}, unchanged, `past incarnation of a: "0"`},
 		{Sender{"z", "1", "f"}, unchanged, `"z" is not a member in the operator's file`},
 		{Sender{"a", "1", "f"}, func(o *Options) { o.Group = "h" }, `group mismatch: got "h", want "g"`},
 	} {
@@ -98,14 +99,14 @@
 		p.a.Send("c", "/x", []byte("m"))
 	}
 	if n := p.a.Counters.Dropped.Load(); n < maxQueuedMessages-1 {
-		t.Errorf("%d messages dropped from the full queue", n)
+		t.Errorf("%d messages dropped from the full queue, want at least maxQueuedMessages-1", n)
 	}
 	droppedBefore := p.a.Counters.Dropped.Load()
 	for range 4 { // one is in flight, one is queued
 		p.a.Send("d", "/x", make([]byte, maxQueuedBytes/2+1))
 	}
 	if n := p.a.Counters.Dropped.Load() - droppedBefore; n < 2 {
-		t.Errorf("%d dropped of four messages that exceed the limit on bytes together", n)
+		t.Errorf("%d dropped of four messages that exceed the limit on bytes together, want at least 2", n)
 	}
 	for _, m := range []string{"1", "no", "2"} {
 		p.a.Send("b", "/x", []byte(m))
@@ -116,7 +117,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if strings.Join(p.received, " ") != "1 no 2" || p.a.Counters.Lost.Load() != 1 || p.unreachable != 0 {
-		t.Errorf("received %q; %d lost, %d calls of OnUnreachable", p.received, p.a.Counters.Lost.Load(), p.unreachable)
+		t.Errorf("received %q; %d lost, %d calls of OnUnreachable; want 1, no, 2 received, 1 lost, no call", p.received, p.a.Counters.Lost.Load(), p.unreachable)
 	}
 }
 
@@ -124,7 +125,7 @@
 func TestTransport_Limits(t *testing.T) {
 	p := newTransportPair(t, Sender{"a", "1", "f"}, func(*Options) {})
 	if _, err := p.a.Request(context.Background(), "b", "/x", make([]byte, maxBodyBytes+1)); err == nil || p.b.Counters.Rejected.Load() != 1 || len(p.received) > 0 {
-		t.Errorf("message over the size limit: %v", err)
+		t.Errorf("message over the size limit: %v; want one rejection and no call of the handler", err)
 	}
 	p.a.client.CloseIdleConnections()
 	conns := make([]net.Conn, 0, 2*maxConnsPerMember+maxOperatorConns)
@@ -171,6 +172,6 @@
 		}
 	}
 	if len(p.received) > 0 {
-		t.Errorf("messages passed to the handler: %q", p.received)
+		t.Errorf("messages passed to the handler: %q, want none", p.received)
 	}
 }
