--- a/cmd/birchfork/group.go
+++ b/cmd/birchfork/group.go
@@ -104,7 +104,7 @@
 func printGroupStatus(w io.Writer, status *coordinator.Status) {
 	fmt.Fprintf(w, "according to %s; leader %s, term %d, entry %d\n", status.Member, orNone(status.Leader), status.Term, status.AppliedIndex)
 	fmt.Fprintf(w, "lease %v, longest attempt %v, fence timeout for a silent member %v\n",
-		status.Bounds.Lease, status.Bounds.MaxAttemptDuration, status.Bounds.FenceTimeout)
+		status.Bounds.Lease, status.Bounds.MaxAttemptLifetime, status.Bounds.FenceTimeout)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "MEMBER\tZONE\tINCARNATION\tVOTER\tLAST REPORT\tAPPLIED")
 	for _, m := range status.Members {
--- a/internal/consensus/consensus.go
+++ b/internal/consensus/consensus.go
@@ -27,10 +27,11 @@
 	maxUncommittedBytes = 4 << 20   // total size of uncommitted proposals
 	maxInflightMessages = 64        // unacknowledged, to one follower
 	snapshotThreshold   = 1000      // number of applied entries that triggers a snapshot and log compaction
-	trailingEntries     = 200       // kept before a snapshot, so that slightly lagging followers need no snapshot
+	trailingEntries     = 200       // kept in memory from before a snapshot, so that slightly lagging followers need no snapshot
 )
 
-// StateMachine receives the committed entries. Its methods are called in calls of a Core only; with a Node, in the node's goroutine.
+// StateMachine receives the committed entries. Its methods are only called by NewCore and during calls of a Core's methods. A Node calls
+// them in Start and in its goroutine.
 type StateMachine interface {
 	// Apply applies the entry at an index. Indexes ascend, with gaps for raft's internal entries.
 	Apply(index uint64, data []byte)
@@ -60,7 +61,7 @@
 	// known to be complete.
 	MaxPromised  *Position
 	StateMachine StateMachine
-	// Send sends a message to the member with raft ID to. It must not block.
+	// Send sends a message to the member with raft ID to. snapshot is set if the message contains a snapshot. Send must not block.
 	Send func(to uint64, raw []byte, snapshot bool)
 	Log  logrus.FieldLogger
 }
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -131,7 +131,7 @@
 
 // rejectsVoteRequest reports whether a message requests a vote that this member must not grant: in a term in which it may have voted
 // already, or for a log that may lack entries that this member has acknowledged. Without this check, a member with outdated storage could
-// vote twice in a term or elect a leader without committed entries.
+// vote twice in a term, or for a leader that lacks committed entries.
 func (c *Core) rejectsVoteRequest(message *raftpb.Message) bool {
 	promised := c.options.MaxPromised
 	isVoteRequest := message.GetType() == raftpb.MsgVote || message.GetType() == raftpb.MsgPreVote
@@ -223,7 +223,7 @@
 }
 
 // recordPosition writes the storage's position to the boot marker before any message that depends on the position is sent. If the write
-// fails, the marker is erased, because outdated storage could pass for the latest one by an outdated marker.
+// fails, the marker is erased, because an outdated marker would confirm outdated storage as complete.
 func (c *Core) recordPosition() {
 	position := c.options.Storage.Position()
 	if position == c.recordedPosition {
@@ -261,7 +261,7 @@
 		return true
 	}
 	if last, ok := c.learnerHeartbeats[to]; ok && c.ticks-last < learnerHeartbeatTicks {
-		return false // heartbeats of a read round are skipped too: all carry one while reads are pending
+		return false // also if it carries a read round, as all heartbeats do while reads are pending
 	}
 	c.learnerHeartbeats[to] = c.ticks
 	return true
--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -137,7 +137,7 @@
 	}
 	first, err := network.cores[1].options.Storage.memory.FirstIndex()
 	if err != nil || first < snapshotThreshold-trailingEntries {
-		t.Errorf("log not compacted: first index %d, error %v", first, err)
+		t.Errorf("log not compacted: first index %d, error %v, want at least %d", first, err, snapshotThreshold-trailingEntries)
 	}
 	for id := uint64(1); id <= 3; id++ {
 		mustClose(t, network.cores[id].options.Storage)
@@ -146,7 +146,7 @@
 	}
 	network.checkEqual("started again")
 	if last, _ := network.cores[1].options.Storage.memory.LastIndex(); network.chains[1].lastIndex != last {
-		t.Errorf("the leader has applied %d of %d entries", network.chains[1].lastIndex, last)
+		t.Errorf("the leader has applied entries up to %d, want %d", network.chains[1].lastIndex, last)
 	}
 }
 
@@ -227,7 +227,7 @@
 				Type: &kind, From: &from, To: &to, Term: &request.term, Index: &request.lastIndex, LogTerm: &request.lastTerm,
 			}
 			if got := core.rejectsVoteRequest(message); got != request.rejected {
-				t.Errorf("%+v as %s: rejected %t", request, kind, got)
+				t.Errorf("vote request %+v as %s: got rejected %t", request, kind, got)
 			}
 		}
 	}
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -152,22 +152,22 @@
 		t.Errorf("identity %+v, want %+v", storage.Identity(), goldenIdentity)
 	}
 	if want := (Position{Term: 6, LastIndex: 7, LastTerm: 6}); storage.Position() != want || storage.IsEmpty() || !storage.IsDurable() {
-		t.Errorf("position %+v, want %+v", storage.Position(), want)
+		t.Errorf("position %+v, want %+v; empty %t, want false; durable %t, want true", storage.Position(), want, storage.IsEmpty(), storage.IsDurable())
 	}
 	hardState, confState, err := storage.memory.InitialState()
 	if err != nil || !proto.Equal(hardState, goldenHardState) || !proto.Equal(confState, goldenConfState) {
-		t.Errorf("hard state %v, membership %v, %v", hardState, confState, err)
+		t.Errorf("hard state %v, conf state %v, error %v, want %v and %v", hardState, confState, err, goldenHardState, goldenConfState)
 	}
 	snapshot, err := storage.memory.Snapshot()
 	if err != nil || !bytes.Equal(snapshot.GetData(), goldenState) || snapshot.GetMetadata().GetIndex() != 3 || snapshot.GetMetadata().GetTerm() != 4 ||
 		!proto.Equal(snapshot.GetMetadata().GetConfState(), goldenConfState) {
-		t.Errorf("snapshot %v, %v", snapshot, err)
+		t.Errorf("snapshot %v, error %v, want index 3, term 4, %v and data %s", snapshot, err, goldenConfState, goldenState)
 	}
 	entries, err := storage.memory.Entries(4, 8, 1<<20)
 	want := goldenEntries(t)[2:]
 	same := func(a, b *raftpb.Entry) bool { return proto.Equal(a, b) }
 	if err != nil || !slices.EqualFunc(entries, want, same) {
-		t.Errorf("entries %v, want %v, %v", entries, want, err)
+		t.Errorf("entries %v, want %v, error %v", entries, want, err)
 	}
 }
 
@@ -187,7 +187,7 @@
 		}
 		back := reflect.New(reflect.TypeOf(v).Elem()).Interface()
 		if err := json.Unmarshal(old, back); err != nil || !reflect.DeepEqual(back, v) {
-			t.Errorf("%s: %+v, want %+v, %v", name, back, v, err)
+			t.Errorf("%s: decoded %+v, want %+v, error %v", name, back, v, err)
 		}
 	}
 }
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -41,7 +41,7 @@
 			t.Fatal(err)
 		}
 		if _, position, err := node.Receive(raw); position != c.want || !errors.Is(err, c.err) {
-			t.Errorf("%v to %d: promised %+v, error %v", c.kind, c.to, position, err)
+			t.Errorf("%v to %d: promised %+v, error %v, want %+v, %v", c.kind, c.to, position, err, c.want, c.err)
 		}
 	}
 	if _, _, err := node.Receive([]byte{0xff}); err == nil {
--- a/internal/consensus/position_test.go
+++ b/internal/consensus/position_test.go
@@ -14,7 +14,7 @@
 		{Position{Term: 5, LastIndex: 9}, Position{}, false},
 	} {
 		if c.position.Lacks(c.promised) != c.lacks {
-			t.Errorf("%+v lacks %+v: got %t", c.position, c.promised, !c.lacks)
+			t.Errorf("%+v lacks %+v: got %t, want %t", c.position, c.promised, !c.lacks, c.lacks)
 		}
 	}
 }
--- a/internal/consensus/reads.go
+++ b/internal/consensus/reads.go
@@ -12,8 +12,9 @@
 	done     func(index uint64, err error)
 }
 
-// ReadIndex calls done with an index at or above that of every entry committed before the call of ReadIndex. By then, a quorum has
-// confirmed since the call that this member or its known leader is the leader. done may never be called.
+// ReadIndex calls done with an index at or above that of every entry committed before the call of ReadIndex. Before that, a quorum
+// confirms that this member, or the leader known to it, still leads. If too many reads are pending, it calls done with ErrBusy. done may
+// never be called.
 func (c *Core) ReadIndex(done func(index uint64, err error)) {
 	if len(c.pendingReads) >= maxQueueLength {
 		done(0, ErrBusy)
--- a/internal/consensus/storage.go
+++ b/internal/consensus/storage.go
@@ -217,7 +217,7 @@
 	return position
 }
 
-// IsDurable reports whether the storage is in a file.
+// IsDurable reports whether the storage is in a file, which outlives the process.
 func (s *Storage) IsDurable() bool { return s.db != nil }
 
 // Remove deletes the file, so that the next storage in the directory is empty. It must be called after Close.
--- a/internal/consensus/storage_test.go
+++ b/internal/consensus/storage_test.go
@@ -56,18 +56,18 @@
 	}
 	hardState, _, _ := storage.memory.InitialState()
 	if identity := storage.Identity(); identity.Incarnation != "first" || identity.ClusterID != "f" {
-		t.Errorf("identity %+v", identity)
+		t.Errorf(`identity %+v, want incarnation "first" and cluster ID "f"`, identity)
 	}
 	if storage.Position() != storedPosition || hardState.GetVote() != 9 || storage.IsEmpty() {
-		t.Errorf("position %+v, %v, empty: %t", storage.Position(), hardState, storage.IsEmpty())
+		t.Errorf("position %+v, hard state %v, empty %t, want %+v, vote 9, not empty", storage.Position(), hardState, storage.IsEmpty(), storedPosition)
 	}
 	if _, err := OpenStorage(dir, testIdentity); !errors.Is(err, boltstore.ErrLocked) {
-		t.Errorf("opening a file that is open already: %v", err)
+		t.Errorf("opening a file that is open already: got error %v, want ErrLocked", err)
 	}
 	mustClose(t, storage)
 	for _, other := range []Identity{{Group: "h", Name: "a"}, {Group: "g", Name: "b"}} {
 		if _, err := OpenStorage(dir, other); !errors.Is(err, boltstore.ErrOtherOwner) {
-			t.Errorf("%+v: %v", other, err)
+			t.Errorf("opening the file as %+v: got error %v, want ErrOtherOwner", other, err)
 		}
 	}
 	if now, _ := os.ReadFile(filepath.Join(dir, storageFile)); !bytes.Equal(now, raw) {
@@ -107,7 +107,7 @@
 		at += len(entry) + next
 	}
 	if outcomes.readInFull == 0 || outcomes.setAside == 0 {
-		t.Errorf("%d read in full, %d set aside", outcomes.readInFull, outcomes.setAside)
+		t.Errorf("%d files read in full, %d set aside, want at least one of each", outcomes.readInFull, outcomes.setAside)
 	}
 }
 
@@ -136,7 +136,7 @@
 		c.setAside++
 	case incarnation == "first" && position.LastIndex < storedPosition.LastIndex: // an older complete state: bbolt used its other meta page
 	default:
-		t.Errorf("%s: %+v, position %+v, %v", what, storage.Identity(), position, hardState)
+		t.Errorf("%s: neither read in full nor set aside: %+v, position %+v, hard state %v", what, storage.Identity(), position, hardState)
 	}
 }
 
@@ -166,7 +166,7 @@
 			}
 		}
 		if term, err := storage.memory.Term(3); storage.Position().LastIndex != 3 || term != 4 || err != nil {
-			t.Errorf("position %+v, entry 3 of term %d, %v", storage.Position(), term, err)
+			t.Errorf("position %+v, entry 3 has term %d, error %v, want last index 3 and term 4", storage.Position(), term, err)
 		}
 		mustClose(t, storage)
 	}
--- a/internal/consensus/storage_write.go
+++ b/internal/consensus/storage_write.go
@@ -49,7 +49,7 @@
 	if s.db != nil {
 		write := func(tx *bbolt.Tx) error { return writeState(tx, hardState, entries, snapshot) }
 		if err := s.db.Update(write); err != nil {
-			return fmt.Errorf("the group's disk: %w", err)
+			return fmt.Errorf("group storage: %w", err)
 		}
 	}
 	return s.saveToMemory(hardState, entries, snapshot)
@@ -157,7 +157,7 @@
 		return deleteEntriesUpTo(tx.Bucket(logBucket), index)
 	})
 	if err != nil {
-		return fmt.Errorf("the group's disk: %w", err)
+		return fmt.Errorf("group storage: %w", err)
 	}
 	return nil
 }
--- a/internal/coordinator/bootstrap.go
+++ b/internal/coordinator/bootstrap.go
@@ -14,7 +14,7 @@
 )
 
 // errStorageNotEmpty means that a group cannot be created because the storage already has entries.
-var errStorageNotEmpty = errors.New("the group's storage is not empty")
+var errStorageNotEmpty = errors.New("group storage is not empty")
 
 // bootstrap creates the group at this member for an operator's call; the other members join it later. It only creates the group if every
 // other member has answered that it is in no group.
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -70,7 +70,7 @@
 	// Siblings returns how many other processes of this dispatcher are alive, and whether one of them is newer than this one.
 	Siblings    func() (alive int, newer bool)
 	MaxDeadline time.Duration // the longest deadline of any request class, which limits every attempt
-	MaxDelivery time.Duration // maximum time from the decision to send an attempt until its last byte has reached the worker or can no longer reach it
+	MaxDelivery time.Duration // from the decision to send an attempt until its last byte has reached the worker or can no longer reach it
 	WarmUp      time.Duration // from a worker's start until it is warm
 	// BootMarkerPath is the path of a file that does not survive a reboot. If it is empty, other members have to verify the disk after
 	// each restart.
@@ -104,7 +104,7 @@
 	senderNames       map[uint64]string             // member names by raft ID, from received messages
 	promisedPositions map[string]consensus.Position // by incarnation of other members, from received messages
 
-	maxAttemptDuration time.Duration // upper bound on the time from the decision to send an attempt until its end
+	maxAttemptLifetime time.Duration // upper bound on the time from the decision to send an attempt until its end
 	warmUp             time.Duration // Options.WarmUp, or longer after ExtendTimes
 	membership         *membership   // nil if this process does not have it
 }
@@ -123,7 +123,7 @@
 		lastReports:        map[string]receivedReport{},
 		senderNames:        map[uint64]string{},
 		promisedPositions:  map[string]consensus.Position{},
-		maxAttemptDuration: options.MaxDeadline + options.MaxDelivery,
+		maxAttemptLifetime: options.MaxDeadline + options.MaxDelivery,
 		warmUp:             options.WarmUp,
 	}
 	options.Dispatcher.SetMaxAttemptDuration(options.MaxDeadline)
@@ -149,7 +149,7 @@
 // fenceTimeout returns how long this member may still send or run attempts based on an earlier state after an entry was committed. A leader
 // that has waited that long needs no report from this member. c.mu must be held.
 func (c *Coordinator) fenceTimeout() time.Duration {
-	timeout := c.options.Group.LeaseDuration + c.maxAttemptDuration
+	timeout := c.options.Group.LeaseDuration + c.maxAttemptLifetime
 	return timeout + timeout/clockDriftDivisor // the clock of the leader, which measures the timeout, may run faster
 }
 
@@ -159,11 +159,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.warmUp = max(c.warmUp, warmUp)
-	maxAttemptDuration := maxDeadline + maxDelivery
-	if maxAttemptDuration <= c.maxAttemptDuration {
+	maxAttemptLifetime := maxDeadline + maxDelivery
+	if maxAttemptLifetime <= c.maxAttemptLifetime {
 		return
 	}
-	c.maxAttemptDuration = maxAttemptDuration
+	c.maxAttemptLifetime = maxAttemptLifetime
 	c.options.Dispatcher.SetLeaseExpiry(time.Time{}) // before attempts may run longer
 	c.options.Dispatcher.SetMaxAttemptDuration(maxDeadline)
 }
--- a/internal/coordinator/golden_test.go
+++ b/internal/coordinator/golden_test.go
@@ -107,7 +107,7 @@
 		}
 		back := reflect.New(reflect.TypeOf(v).Elem()).Interface()
 		if err := json.Unmarshal(old, back); err != nil || !reflect.DeepEqual(back, v) {
-			t.Errorf("%s: %+v, want %+v, %v", name, back, v, err)
+			t.Errorf("%s: decoded %+v, want %+v, error %v", name, back, v, err)
 		}
 	}
 	c := newIdleCoordinator()
@@ -119,7 +119,7 @@
 		t.Errorf("restored snapshot of an earlier build: %+v, want %+v, error %v", c.state, state, err)
 	}
 	if raw, err := c.Snapshot(); err != nil || !bytes.Equal(raw, old) {
-		t.Errorf("snapshot of an earlier build is encoded as %s, error %v", raw, err)
+		t.Errorf("snapshot of an earlier build is encoded as %s, error %v, want %s", raw, err, old)
 	}
 }
 
@@ -214,7 +214,7 @@
 	c.state.Members["d0"] = &maintenance.Member{Name: "d0", Incarnation: "l0", RaftID: 1, Voter: true}
 	c.state.Members["d1"] = &maintenance.Member{Name: "d1", Incarnation: "l1", RaftID: 2, Voter: true}
 	mustApply(t, c, maintenance.Command{Kind: maintenance.CommandSubmitPlan, Plan: testPlan})
-	c.maxAttemptDuration = 9 * time.Second
+	c.maxAttemptLifetime = 9 * time.Second
 	c.membership = &membership{transport: peer.NewTransport(peer.Options{
 		Group: "g", Self: "d0", Identity: c.sender, IsStale: c.isPastIncarnation, OnUnreachable: c.reportUnreachable,
 	})}
--- a/internal/coordinator/handlers.go
+++ b/internal/coordinator/handlers.go
@@ -171,8 +171,8 @@
 	return c.requestThroughMembers(ctx, path, body, err)
 }
 
-// requestThroughMembers sends a message to the other members in random order until one answers; each forwards it to the leader. If none
-// answers, it returns the last error, which is lastErr if there is no member to try.
+// requestThroughMembers sends a message to the other members except the leader, in random order, until one answers. Each forwards the
+// message to the leader. If none answers, it returns the last error, which is lastErr if there is no member to try.
 func (c *Coordinator) requestThroughMembers(ctx context.Context, path string, body []byte, lastErr error) ([]byte, error) {
 	current := c.currentMembership()
 	if current == nil {
--- a/internal/coordinator/handlers_test.go
+++ b/internal/coordinator/handlers_test.go
@@ -29,7 +29,7 @@
 	} {
 		status, answer := post(t, g.addresses[0], "/group/recall", test.position, memberHeader)
 		if (status != http.StatusOK) != test.stale || strings.Contains(answer, errStaleDisk.Reason) != test.stale {
-			t.Errorf("%s: %d %s", test.name, status, answer)
+			t.Errorf("%s: got %d %s, want rejected as stale: %t", test.name, status, answer, test.stale)
 		}
 	}
 }
@@ -47,9 +47,9 @@
 	c.mu.Unlock()
 	status, answer := post(t, g.addresses[0], "/group/join", `{"name":"d1","life":"l0","id":8}`, memberHeader)
 	if status == http.StatusOK || !strings.Contains(answer, "past incarnation of d1") {
-		t.Errorf("join of the past incarnation: %d %s", status, answer)
+		t.Errorf("join of the past incarnation: got %d %s, want a rejection as a past incarnation", status, answer)
 	}
 	if status, answer := post(t, g.addresses[0], "/group/join", `{"name":"d1","life":"l1","id":9}`, memberHeader); status != http.StatusOK {
-		t.Errorf("join of the current incarnation: %d %s", status, answer)
+		t.Errorf("join of the current incarnation: got %d %s, want 200", status, answer)
 	}
 }
--- a/internal/coordinator/join.go
+++ b/internal/coordinator/join.go
@@ -26,7 +26,7 @@
 	ClusterID string `json:"founded"`
 }
 
-// join sends join requests to the other members until this member is added or an operator's call creates the group here.
+// join sends join requests to the other members until this member is added or an operator's call creates the group at this member.
 func (c *Coordinator) join(ctx context.Context, current *membership) {
 	request, err := json.Marshal(joinRequest{
 		Name: c.options.Self, Incarnation: current.identity.Incarnation, RaftID: current.identity.RaftID,
@@ -89,7 +89,7 @@
 	})
 }
 
-// serveJoin adds the sender to the group, unless its incarnation is a member already.
+// serveJoin adds the requested member to the group, unless its incarnation is a member already.
 func (c *Coordinator) serveJoin(ctx context.Context, request *joinRequest) (*joinReply, error) {
 	i := slices.IndexFunc(c.options.Group.Members, func(listed peer.Member) bool { return listed.Name == request.Name })
 	if i < 0 || request.RaftID == 0 || request.Incarnation == "" {
--- a/internal/coordinator/lease.go
+++ b/internal/coordinator/lease.go
@@ -134,7 +134,7 @@
 	node := c.node()
 	c.mu.Lock()
 	current := c.membership
-	maxAttemptDuration := c.maxAttemptDuration
+	maxAttemptLifetime := c.maxAttemptLifetime
 	report := statusReport{
 		Name:         c.options.Self,
 		FenceTimeout: c.fenceTimeout(),
@@ -150,7 +150,7 @@
 	report.Incarnation = current.identity.Incarnation
 	report.Applied = node.Status().Applied
 	// Attempts of an earlier process may still run at workers, and another live process may send based on an older state.
-	report.SoleProcess = alive == 0 && time.Since(current.startedAt) > maxAttemptDuration
+	report.SoleProcess = alive == 0 && time.Since(current.startedAt) > maxAttemptLifetime
 	report.BusyWorkers, report.BusyHosts = c.options.Dispatcher.BusyWorkers()
 	for _, worker := range c.options.Dispatcher.WorkerStatuses(goneWorkerRetention, report.WarmUp) {
 		if worker.Unavailable {
--- a/internal/coordinator/lease_test.go
+++ b/internal/coordinator/lease_test.go
@@ -66,10 +66,10 @@
 	}
 	sent.FenceTimeout--
 	if err := c.acceptLease(context.Background(), sent, startedAt, leaseGrant{}); !errors.Is(err, errFenceTimeout) {
-		g.t.Errorf("lease for attempts that have become longer since the report: %v", err)
+		g.t.Errorf("lease for attempts that have become longer since the report: got error %v, want errFenceTimeout", err)
 	}
 	dispatcher.set(func() {
-		if dispatcher.lease.After(time.Now().Add(time.Minute)) {
+		if dispatcher.leaseExpiry.After(time.Now().Add(time.Minute)) {
 			g.t.Error("a rejected lease was set")
 		}
 	})
--- a/internal/coordinator/membership.go
+++ b/internal/coordinator/membership.go
@@ -31,7 +31,7 @@
 
 	// Coordinator.mu guards identity and node.
 	identity consensus.Identity
-	node     *consensus.Node // nil until this member has joined, or its disk is verified
+	node     *consensus.Node // nil until this member has joined or its disk is verified
 
 	confirmed bool // the storage has recorded that the group has confirmed this incarnation; only used by renewLoop
 
--- a/internal/coordinator/membership_test.go
+++ b/internal/coordinator/membership_test.go
@@ -55,7 +55,7 @@
 }
 
 // TestCoordinator_StaleDiskBeginsNewIncarnation verifies that a member whose disk is behind what its incarnation has promised begins a new
-// incarnation instead of voting and sending based on the stale disk, and that the old incarnation gets no messages and no lease. It also
+// incarnation instead of voting and sending based on the stale disk, and that the past incarnation gets no messages and no lease. It also
 // verifies that no plan starts while a listed member is retired.
 func TestCoordinator_StaleDiskBeginsNewIncarnation(t *testing.T) {
 	g := newTestGroup(t)
@@ -76,7 +76,7 @@
 	g.eventually("the new incarnation has a lease", func() bool { return g.dispatchers[2].hasLease() && !g.dispatchers[2].hasUnknownPlans() })
 	g.dispatchers[2].set(func() {
 		if history := fmt.Sprint(g.dispatchers[2].plansUnknown); !strings.HasPrefix(history, "[true true") {
-			t.Errorf("values of SetPlansUnknown: %s; the member trusted the stale disk", history)
+			t.Errorf("values of SetPlansUnknown: %s, want true twice first; the member trusted the stale disk", history)
 		}
 	})
 	if !c.isPastIncarnation("d2", pastIncarnation) || c.memberName(pastID) != "" {
@@ -91,7 +91,7 @@
 	g.command(0, maintenance.CodeOK, maintenance.Command{Kind: maintenance.CommandRetireMember, Name: "d2"})
 	reply := g.command(1, maintenance.CodeRetryLater, maintenance.Command{Kind: maintenance.CommandStartPlan, Name: "p"})
 	if reply.Text != "not in the group yet: d2" {
-		t.Errorf("start of a plan without a listed member: %+v", reply)
+		t.Errorf("start of a plan without a listed member: got %+v, want the text \"not in the group yet: d2\"", reply)
 	}
 }
 
@@ -125,7 +125,7 @@
 		t.Fatal(err)
 	}
 	if _, err := leader.handleReport(context.Background(), peer.Sender{}, raw); !errors.Is(err, errUnknownIncarnation) {
-		t.Errorf("report from a past incarnation: %v", err)
+		t.Errorf("report from a past incarnation: got error %v, want errUnknownIncarnation", err)
 	}
 }
 
@@ -159,7 +159,7 @@
 		}
 		c.Close() // nothing changes after this
 		if hasUnknownPlans := dispatcher.hasUnknownPlans(); hasUnknownPlans == confirmed {
-			t.Errorf("incarnation confirmed: %t, plans unknown: %t", confirmed, hasUnknownPlans)
+			t.Errorf("incarnation confirmed: %t, plans unknown: %t, want exactly one of them", confirmed, hasUnknownPlans)
 		}
 	}
 }
--- a/internal/coordinator/precheck_test.go
+++ b/internal/coordinator/precheck_test.go
@@ -104,6 +104,6 @@
 	}
 	c.state.HistoryLost = true
 	if got := c.startRejection(); got != historyLostText {
-		t.Errorf("start of a plan after the history was lost: %q", got)
+		t.Errorf("start of a plan after the history was lost: %q, want %q", got, historyLostText)
 	}
 }
--- a/internal/coordinator/resume.go
+++ b/internal/coordinator/resume.go
@@ -14,7 +14,7 @@
 )
 
 // resume starts the node on storage that belongs to a group after it has verified that the storage is not an outdated copy. With such a
-// copy, the member could vote twice in a term, or for a leader without committed entries, and would lack plans.
+// copy, the member could vote twice in a term, or for a leader that lacks committed entries, and would lack plans.
 //
 // The storage is verified by the boot marker, by an operator's call or by the positions of enough other voters. A quorum knows each entry
 // that was committed and each vote that was granted with this incarnation's help, and any verificationQuorum voters include a member of
--- a/internal/coordinator/status.go
+++ b/internal/coordinator/status.go
@@ -26,7 +26,7 @@
 // Bounds are the durations that determine when a machine counts as drained although a member is silent.
 type Bounds struct {
 	Lease              time.Duration `json:"lease"`   // of the member that reports the status
-	MaxAttemptDuration time.Duration `json:"attempt"` // the longest time that an attempt of that member may run
+	MaxAttemptLifetime time.Duration `json:"attempt"` // upper bound, for attempts of that member, from the decision to send one until its end
 	FenceTimeout       time.Duration `json:"settled"` // how long the group waits for a silent member
 }
 
@@ -36,7 +36,7 @@
 	Zone          string        `json:"zone"` // from the operator's file of the member that reports the status
 	Incarnation   string        `json:"life"`
 	IsVoter       bool          `json:"votes"`
-	LastReportAge time.Duration `json:"heard"`   // time since the member that reports the status received its last report; negative if there was none
+	LastReportAge time.Duration `json:"heard"`   // time since its last report to the member that reports the status; negative if there was none
 	Applied       uint64        `json:"applied"` // index of the last applied entry, as of the last report
 	SoleProcess   bool          `json:"alone"`   // no other process of its dispatcher can send or run attempts, as of the last report
 }
@@ -66,7 +66,7 @@
 		AppliedIndex: c.state.AppliedIndex,
 		Bounds: Bounds{
 			Lease:              c.options.Group.LeaseDuration,
-			MaxAttemptDuration: c.maxAttemptDuration,
+			MaxAttemptLifetime: c.maxAttemptLifetime,
 			FenceTimeout:       c.state.FenceTimeout,
 		},
 	}
--- a/internal/coordinator/testgroup_test.go
+++ b/internal/coordinator/testgroup_test.go
@@ -24,7 +24,7 @@
 type fakeDispatcher struct {
 	mu                 sync.Mutex
 	restrictions       engine.Restrictions
-	lease              time.Time
+	leaseExpiry        time.Time
 	plansUnknown       []bool // values of SetPlansUnknown, in order
 	maxAttemptDuration time.Duration
 	disabled           bool // an operator has disabled the first worker at this dispatcher
@@ -37,7 +37,7 @@
 }
 
 func (d *fakeDispatcher) SetLeaseExpiry(expiry time.Time) {
-	d.set(func() { d.lease = expiry })
+	d.set(func() { d.leaseExpiry = expiry })
 }
 
 func (d *fakeDispatcher) SetPlansUnknown(unknown bool) {
@@ -72,7 +72,7 @@
 func (d *fakeDispatcher) hasLease() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return time.Now().Before(d.lease)
+	return time.Now().Before(d.leaseExpiry)
 }
 
 // hasUnknownPlans reports whether the last call of SetPlansUnknown was with true.
--- a/internal/failpoint/failpoint.go
+++ b/internal/failpoint/failpoint.go
@@ -93,7 +93,7 @@
 		return nil
 	}
 	if Enabled(DiskFull) {
-		return fmt.Errorf("the group's disk: %w", syscall.ENOSPC)
+		return fmt.Errorf("group storage: %w", syscall.ENOSPC)
 	}
 	time.Sleep(diskStallTime)
 	return nil
--- a/internal/failpoint/failpoint_test.go
+++ b/internal/failpoint/failpoint_test.go
@@ -69,7 +69,7 @@
 		{"", long, "<nil>"},
 		{SendWithoutLease, long, "<nil>"},
 		{DiskFull, time.Now(), "<nil>"},
-		{DiskFull, long, "the group's disk: no space left on device"},
+		{DiskFull, long, "group storage: no space left on device"},
 		{DiskStall, time.Now(), "<nil>"},
 	} {
 		Set(c.fault)
