--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -40,7 +40,7 @@
 
 const (
 	renewalsPerLease      = 6   // attempts to renew a lease within its duration
-	minObservationReports = 3   // minimum lifetime of a member's observations of workers, in idle report intervals
+	minObservationReports = 3   // minimum number of idle reports that a member may miss before its observations of workers expire
 	clockDriftDivisor     = 100 // the rates of two monotonic clocks differ by at most 1/clockDriftDivisor
 )
 
--- a/internal/coordinator/golden_test.go
+++ b/internal/coordinator/golden_test.go
@@ -128,7 +128,7 @@
 	var out bytes.Buffer
 	for _, text := range []any{
 		errStaleDisk, outsideGroupText, NotCommittedText, historyLostText,
-		errOutsideGroup, errNoLeader, errDiskUnconfirmed, errFenceTimeout, errUnknownIncarnation,
+		errOutsideGroup, errNoLeader, errDiskUnverified, errFenceTimeout, errUnknownIncarnation,
 		consensus.ErrNoLeader, consensus.ErrStopped, consensus.ErrBusy,
 	} {
 		fmt.Fprintln(&out, text)
--- a/internal/coordinator/handlers.go
+++ b/internal/coordinator/handlers.go
@@ -26,10 +26,10 @@
 
 // Errors for messages that cannot be answered at present, so that the sender may retry. Their texts are shown to operators.
 var (
-	errOutsideGroup    = errors.New(outsideGroupText)
-	errNoLeader        = errors.New("no leader can be reached")
-	errDiskUnconfirmed = errors.New("this member's disk is not verified yet")
-	errFenceTimeout    = errors.New("the group's fence timeout is too short for the member's attempts and has to be extended first")
+	errOutsideGroup   = errors.New(outsideGroupText)
+	errNoLeader       = errors.New("no leader can be reached")
+	errDiskUnverified = errors.New("this member's disk is not verified yet")
+	errFenceTimeout   = errors.New("the group's fence timeout is too short for the member's attempts and has to be extended first")
 )
 
 // Rejections. Other builds compare their texts, so these must not change.
@@ -147,7 +147,7 @@
 	if c.node() == nil {
 		// A member whose disk is not verified yet must not answer that it is in no group, because its group may have plans.
 		if c.sender().ClusterID != "" {
-			return nil, errDiskUnconfirmed
+			return nil, errDiskUnverified
 		}
 		return nil, errRejectOutsideGroup
 	}
--- a/internal/coordinator/precheck.go
+++ b/internal/coordinator/precheck.go
@@ -151,7 +151,7 @@
 			worker, ok := fleet[name]
 			if !ok {
 				problems = append(problems, fmt.Sprintf("machine[%d].runners: %q is not on the list", i, name))
-			} else if j, isTwice := hostMachines[worker.Host]; isTwice {
+			} else if j, isGivenByHost := hostMachines[worker.Host]; isGivenByHost {
 				problems = append(problems, fmt.Sprintf("machine[%d].runners: %q is at the host of machine[%d]", i, name, j))
 			}
 		}
