--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -11,7 +11,7 @@
 	"birchfork/internal/simprotocol"
 )
 
-// decider is the part of the dispatch module that a host calls.
+// decider is the part of the decision module that a host calls.
 type decider interface {
 	Handle(now dispatch.Time, event *dispatch.Event, actions []dispatch.Action) []dispatch.Action
 }
@@ -78,7 +78,7 @@
 func (h *host) startInstance(message *simprotocol.Message) error {
 	instance, err := h.newDecider(message.Settings, message.Seed)
 	if err != nil {
-		return fmt.Errorf("settings of instance %d: %w", message.Instance, err)
+		return fmt.Errorf("starting instance %d: %w", message.Instance, err)
 	}
 	h.instances[message.Instance] = instance
 	return nil
--- a/cmd/simadapter/host_test.go
+++ b/cmd/simadapter/host_test.go
@@ -31,7 +31,7 @@
 func TestRun_ErrorNamesLine(t *testing.T) {
 	for _, c := range []struct{ name, in, want string }{
 		{"codec", "BATCH\t1\nON\tx\n", "line 2: ON: i"},
-		{"module", "BATCH\t1\nON\t0\nPOWER_ON\t1\tx=1\n", "line 3: settings of instance 0: settings: Classes"},
+		{"module", "BATCH\t1\nON\t0\nPOWER_ON\t1\tx=1\n", "line 3: starting instance 0: settings: Classes"},
 	} {
 		err := run(strings.NewReader(c.in), &bytes.Buffer{})
 		if err == nil || !strings.HasPrefix(err.Error(), c.want) {
--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -33,8 +33,8 @@
 	d.emit(Action{Kind: WatchEndpoints})
 }
 
-// handleOverride applies an operator's override, which disables or enables a worker. The override is
-// independent of the endpoint list, and no list changes it.
+// handleOverride disables or enables a worker for an operator or the group. The override is independent of
+// the endpoint list, and no list changes it.
 func (d *Dispatcher) handleOverride(event *Event) {
 	if event.Worker < 0 {
 		return
--- a/dispatch/event.go
+++ b/dispatch/event.go
@@ -29,11 +29,11 @@
 	TimerFired
 	// PeerMessageReceived (Peer, Message) is a message from another dispatcher.
 	PeerMessageReceived
-	// WorkerDisabled (Worker) reports that an operator has disabled a worker, independent of the endpoint
-	// list. The worker may be unlisted.
+	// WorkerDisabled (Worker) reports that an operator or the group has disabled a worker, independent of the
+	// endpoint list. The worker may be unlisted.
 	WorkerDisabled
-	// WorkerEnabled (Worker, Elapsed) reports that an operator has enabled a worker again. Elapsed is the
-	// time since then. The worker was restarted while it was disabled.
+	// WorkerEnabled (Worker, Elapsed) reports that a worker is enabled again. Elapsed is the time since its
+	// warm-up started, which may have been before this event.
 	WorkerEnabled
 	// OutlierReported (Worker) reports that another dispatcher has found a worker at which requests fail.
 	OutlierReported
@@ -66,7 +66,7 @@
 	Worker  WorkerID
 	Result  Result
 	Final   bool // the request has ended with this event or earlier
-	Elapsed Time // since the attempt was sent, or the worker enabled
+	Elapsed Time // since the attempt was sent, or the worker's warm-up started
 	// Progress is the completed share of the work.
 	Progress float64
 
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -3,7 +3,7 @@
 const (
 	retryBudgetRatio = 0.15 // retries added to the budget per arrival: bounds retry storms
 	maxRetryBudget   = 10.0 // maximum number of retries in the budget
-	maxDoublings     = 20   // of a pause or slack that doubles with each attempt: avoids an overflow
+	maxDoublings     = 20   // maximum doublings of a pause or slack, one per attempt: avoids an overflow
 )
 
 // mayRetry reports whether an attempt at w cannot cause a duplicate effect, whatever the outcome of earlier
--- a/dispatch/retry_test.go
+++ b/dispatch/retry_test.go
@@ -44,7 +44,7 @@
 }
 
 // A retry has to be sent before the end of the dedup window, since setting up its connection takes time. The window begins when the
-// dispatcher orders the first attempt that may have run.
+// dispatcher requests the first attempt that may have run.
 func TestRetry_SetsSendBefore(t *testing.T) {
 	for _, c := range []struct {
 		name  string
--- a/dispatch/worker.go
+++ b/dispatch/worker.go
@@ -8,9 +8,9 @@
 	everListed bool
 	queues     [bandCount]queue // requests that have the worker as a candidate
 
-	disabled          bool // by an operator, independent of the endpoint list
+	disabled          bool // by an operator or the group, independent of the endpoint list
 	disabledAt        Time // most recent time
-	enabledAt         Time // most recent time; 0: never
+	enabledAt         Time // latest start of the warm-up that an enabling reported; 0: never
 	readmittedAt      Time // most recent first listing, restart or enabling
 	firstRequestDue   Time // due time of a request that is sent there without sampling, after it was enabled
 	outlierReportedAt Time // most recent report by another dispatcher; 0: never
@@ -71,12 +71,11 @@
 
 func newZoneState() zoneState { return zoneState{startDelay: initialStartDelay} }
 
-// isReady reports whether the newest endpoint list contains the worker as ready and no operator has disabled
-// it.
+// isReady reports whether the newest endpoint list contains the worker as ready and it is not disabled.
 func (w *worker) isReady() bool { return w.listed && w.State == Ready && !w.disabled }
 
-// lastStart returns the last known start of the worker. Operators restart a worker while it is disabled:
-// unless the endpoint list contains a later start, the worker counts as started when it was enabled.
+// lastStart returns the last known start of the worker: the listed start if it is later than disabledAt, else
+// enabledAt, since operators restart a worker while it is disabled.
 func (w *worker) lastStart() Time {
 	if w.StartedAt > w.disabledAt {
 		return w.StartedAt
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,4 +1,4 @@
-// Package admission decides whether a dispatcher accepts a request, before the dispatch module decides on workers,
+// Package admission decides whether a dispatcher accepts a request, before the decision module decides on workers,
 // retries and load shedding. It enforces rate limits, concurrency limits by route, retry budgets, tenant quotas under
 // contention, and a limit on all open requests that adapts to the fraction of late responses.
 //
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -123,7 +123,7 @@
 	return decision
 }
 
-// activeTenant records a request of a tenant and returns the tenant's state, or nil if there is no such tenant.
+// activeTenant records a request of a tenant and returns the tenant's state, or nil if the index is not that of a tenant.
 func (l *Limiter) activeTenant(index int) *tenantState {
 	if index < 0 || index >= len(l.tenants) {
 		return nil
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -138,7 +138,7 @@
 	return worker.startedAt
 }
 
-// Endpoints returns the complete endpoint list and its revision. The list is unchanged while the revision is.
+// Endpoints returns the complete endpoint list and its revision. The list is unchanged as long as the revision is unchanged.
 func (e *Engine) Endpoints() (list EndpointList, revision uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -102,7 +102,8 @@
 	leaseExclusionsActive bool // a worker is excluded because the lease has expired
 }
 
-// New returns an Engine without workers. It fails if the decision module rejects the settings. Close stops the engine.
+// New returns an Engine without workers. If the decision module rejects the settings, the error wraps a
+// *dispatch.SettingsError. Close stops the engine.
 func New(options Options) (*Engine, error) {
 	options.Settings.MaxAttempts = min(options.Settings.MaxAttempts, maxAttempts)
 	decider := options.Decider
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -152,5 +152,5 @@
 	return max(a, b)
 }
 
-// ToTime converts a duration to the dispatch module's unit of time, rounded towards 0.
+// ToTime converts a duration to the decision module's unit of time, rounded towards 0.
 func ToTime(d time.Duration) dispatch.Time { return dispatch.Time(d.Microseconds()) }
--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -26,7 +26,7 @@
 	changeProgressed = 2
 )
 
-// parseEvent parses a line into r.event. It returns false for an event that the dispatch module does not handle.
+// parseEvent parses a line into r.event. It returns false for an event that the decision module does not handle.
 func (r *Reader) parseEvent(name []byte, fields *fieldReader, names *settings.NameTable) (bool, error) {
 	r.event = dispatch.Event{Tenant: -1, Workers: r.workers[:0]}
 	switch string(name) {
@@ -149,7 +149,7 @@
 	return known, err
 }
 
-// parseProbeDone validates the result of a health check and discards it: the dispatch module requests no health checks.
+// parseProbeDone validates the result of a health check and discards it: the decision module requests no health checks.
 func (r *Reader) parseProbeDone(fields *fieldReader) error {
 	fields.duration("spent")
 	parseResult(fields)
@@ -185,7 +185,7 @@
 	r.event.Worker = names.InternWorkerBytes(fields.text("runner"))
 }
 
-// parseResult parses the result of an attempt. The protocol and the dispatch module use the same result codes.
+// parseResult parses the result of an attempt. The protocol and the decision module use the same result codes.
 func parseResult(fields *fieldReader) dispatch.Result {
 	code := fields.integer("state_code", 0, maxID, -1)
 	return dispatch.Result(min(code, int64(dispatch.ResultUnknown)))
--- a/internal/simprotocol/message.go
+++ b/internal/simprotocol/message.go
@@ -1,5 +1,5 @@
 // Package simprotocol is the codec of the simulator's protocol. It reads batches of events for many dispatchers and
-// writes their actions as replies. It maps names to the ids of the dispatch module and makes no decisions.
+// writes their actions as replies. It maps names to the ids of the decision module and makes no decisions.
 //
 // The input consists of lines of tab-separated values. The first value is the name of the message, and "-" is an absent
 // value. A batch begins with BATCH and ends with FLUSH. ON selects the dispatcher for the lines that follow. The reply to
--- a/internal/simprotocol/reader.go
+++ b/internal/simprotocol/reader.go
@@ -168,7 +168,7 @@
 	}
 	seed, err := strconv.ParseUint(string(fields.text("prng")), 10, 64)
 	if err != nil && fields.err == nil {
-		return errors.New("prng: must be an unsigned 64-bit integer")
+		return errors.New("prng: invalid value: must be an unsigned 64-bit integer")
 	}
 	if fields.err != nil {
 		return fields.err
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -13,8 +13,8 @@
 	"birchfork/internal/engine"
 )
 
-// ErrNoFileDescriptor is the error of Pool.Get if this process has reached its limit of connections or file descriptors. It is not a failure
-// of the worker.
+// ErrNoFileDescriptor is wrapped by the error of Pool.Get if this process has reached its limit of connections or file descriptors. It is not
+// a failure of the worker.
 var ErrNoFileDescriptor = errors.New("no file descriptor available")
 
 // DialFunc opens a connection to a worker's address.
@@ -40,7 +40,7 @@
 }
 
 // Get returns the most recently used idle connection to address, or opens a new connection. The caller owns it until Put, Close or Reset.
-// The error is ErrNoFileDescriptor if the limit is reached, otherwise the dial error.
+// The error wraps ErrNoFileDescriptor if the limit of connections or file descriptors is reached, otherwise the dial error.
 func (p *Pool) Get(ctx context.Context, address string) (*Conn, error) {
 	if conn := p.reuse(address); conn != nil {
 		return conn, nil
