--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -30,7 +30,7 @@
 	fleet                  kindState   // all workers together
 	ready                  []*worker
 	readyInZone            []*worker // ready workers in this dispatcher's zone
-	awaitingFirstRequest   []*worker // enabled by an operator; no request sent there since
+	awaitingFirstRequest   []*worker // enabled again; no request sent there since
 	meanListedWeight       float64   // of the ready workers
 	allWarmedUpAt          Time      // when all ready workers have warmed up
 	ejectedCount           int       // of the ready workers
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -6,7 +6,7 @@
 	// assumedRelativeSize is the assumed size of a worker, relative to the mean, if its size is unknown.
 	assumedRelativeSize = 0.5
 
-	// A worker that an operator has enabled receives requests only by sampling for a random time between
+	// A worker that has been enabled again receives requests only by sampling for a random time between
 	// firstRequestMinDelay and firstRequestMaxDelay. If it received none, the next request is sent there.
 	firstRequestMinDelay = 500 * Millisecond
 	firstRequestMaxDelay = 3 * Second
@@ -51,8 +51,8 @@
 	return d.place(r)
 }
 
-// scheduleFirstRequest ensures that a worker that an operator has enabled is used again, since sampling
-// rarely selects a worker that is warming up. Each dispatcher sends it one request at a random time. In a
+// scheduleFirstRequest ensures that a worker that has been enabled again is used, since sampling rarely
+// selects a worker that is warming up. Each dispatcher sends it one request at a random time. In a
 // large group only a random part does so: together about as many requests as the worker can run by then.
 func (d *Dispatcher) scheduleFirstRequest(w *worker) {
 	maxFirstRequests := d.settings.OverloadMultiple * d.settings.SlowStartMinFactor *
--- a/internal/admission/retrybudget.go
+++ b/internal/admission/retrybudget.go
@@ -51,7 +51,8 @@
 	b.refilledAt = now
 }
 
-// allows reports whether a request is within the budget. A first request always is; a retry is if a token is left.
+// allows reports whether a request is within the budget. A first request always is. A retry needs a token if the budget is
+// enabled.
 func (b *retryBudget) allows(retry bool) bool { return !retry || !b.enabled || b.tokens >= 1 }
 
 // account takes the token of an admitted retry, or adds the tokens of an admitted first request.
--- a/internal/engine/starttime.go
+++ b/internal/engine/starttime.go
@@ -25,9 +25,9 @@
 }
 
 // startAge returns the age of a worker that started at the given Unix time in milliseconds. A wall clock that is stepped forward must not
-// make a cold worker count as warm, and one that is stepped back must not keep it cold for as long as the step. The age is therefore the
-// lower of the ages by the wall clock and by the engine's clock, and at least 0. After the first list from discovery, an age above
-// maxListingDelay also counts as 0, because a new start would have been listed sooner. The caller must hold the lock.
+// make a new worker count as warmed up, and one that is stepped back must not keep it warming up for as long as the step. The age is
+// therefore the lower of the ages by the wall clock and by the engine's clock, and at least 0. After the first list from discovery, an age
+// above maxListingDelay also counts as 0, because a new start would have been listed sooner. The caller must hold the lock.
 func (e *Engine) startAge(startedAtMillis int64) dispatch.Time {
 	startedAt := dispatch.Time(startedAtMillis) * dispatch.Millisecond
 	age := min(dispatch.Time(time.Now().UnixMicro()), e.now()) - startedAt
--- a/internal/engine/starttime_test.go
+++ b/internal/engine/starttime_test.go
@@ -8,8 +8,8 @@
 	"birchfork/dispatch"
 )
 
-// A step of the wall clock must neither make a new worker count as warm nor keep it warming up for as long as the step. The test simulates
-// the step by changing the engine's clock, which then differs from the wall clock as after a step in the opposite direction.
+// A step of the wall clock must neither make a new worker count as warmed up nor keep it warming up for as long as the step. The test
+// simulates the step by changing the engine's clock, which then differs from the wall clock as after a step in the opposite direction.
 func TestStartTime_SteppedClock(t *testing.T) {
 	const age = 2 * dispatch.Second
 	for _, c := range []struct {
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -34,7 +34,7 @@
 }
 
 // Do executes one attempt and reports its progress and outcome to the engine. It owns the attempt's connection, which it returns to the pool
-// after a complete response and closes in all other cases. Do returns after the connection has been released.
+// unused or after a complete response, and closes in all other cases. Do returns after the connection has been released.
 func (t *Transport) Do(attempt *engine.Attempt, request *Request) {
 	conn, err := t.Pool.Get(attempt.Context(), attempt.Address())
 	if err != nil {
