--- a/internal/boltstore/boltstore.go
+++ b/internal/boltstore/boltstore.go
@@ -26,16 +26,16 @@
 	unreadableSuffix = ".unreadable"          // appended to the name of a damaged file
 )
 
-// Open opens a file in a folder, creates both if they do not exist, and calls load to read the file.
+// Open opens a file in a directory, creates both if they do not exist, and calls load to read the file.
 //
 // If the file cannot be read, Open renames it so that operators can inspect it, calls load again with an empty file, and returns the cause
 // as unreadable. If the file cannot be used, Open returns err and no db: ErrLocked, load's ErrOtherOwner, or an error of the operating
 // system, after which the file may still be intact.
-func Open(folder, file string, load func(*bbolt.DB) error) (db *bbolt.DB, unreadable, err error) {
-	if err := os.MkdirAll(folder, 0o700); err != nil {
-		return nil, nil, fmt.Errorf("create the group's folder: %w", err)
+func Open(dir, file string, load func(*bbolt.DB) error) (db *bbolt.DB, unreadable, err error) {
+	if err := os.MkdirAll(dir, 0o700); err != nil {
+		return nil, nil, fmt.Errorf("creating the directory: %w", err)
 	}
-	path := filepath.Join(folder, file)
+	path := filepath.Join(dir, file)
 	db, err = openAndLoad(path, load)
 	if err == nil {
 		return db, nil, nil
--- a/internal/boltstore/boltstore_test.go
+++ b/internal/boltstore/boltstore_test.go
@@ -72,16 +72,16 @@
 
 // TestOpen_LockedFile checks that Open returns ErrLocked for a file that is already open, and that files are private to their owner.
 func TestOpen_LockedFile(t *testing.T) {
-	folder, calls := t.TempDir(), 0
-	db, unreadable, err := Open(folder, "f.db", countCalls(&calls))
+	dir, calls := t.TempDir(), 0
+	db, unreadable, err := Open(dir, "f.db", countCalls(&calls))
 	if err != nil || unreadable != nil || calls != 1 {
 		t.Fatalf("unreadable %v, error %v after %d calls of load; want neither after 1", unreadable, err, calls)
 	}
 	defer db.Close()
-	if _, _, err := Open(folder, "f.db", countCalls(&calls)); !errors.Is(err, ErrLocked) {
+	if _, _, err := Open(dir, "f.db", countCalls(&calls)); !errors.Is(err, ErrLocked) {
 		t.Errorf("second Open: %v, want ErrLocked", err)
 	}
-	if info, err := os.Stat(filepath.Join(folder, "f.db")); err != nil || info.Mode().Perm() != 0o600 {
+	if info, err := os.Stat(filepath.Join(dir, "f.db")); err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("file: %v, %v; want mode 0600", info, err)
 	}
 }
@@ -115,9 +115,9 @@
 			}
 		},
 	} {
-		folder := t.TempDir()
-		path := filepath.Join(folder, "f.db")
-		db, unreadable, err := Open(folder, "f.db", prepare(path))
+		dir := t.TempDir()
+		path := filepath.Join(dir, "f.db")
+		db, unreadable, err := Open(dir, "f.db", prepare(path))
 		if err != nil || unreadable == nil {
 			t.Errorf("%s: unreadable %v, error %v; want unreadable alone", name, unreadable, err)
 			continue
@@ -132,12 +132,12 @@
 // TestOpen_LeavesUndamagedFile checks that a file is not renamed if it belongs to another member or the operating system returns an error.
 func TestOpen_LeavesUndamagedFile(t *testing.T) {
 	for _, cause := range []error{ErrOtherOwner, syscall.EIO} {
-		folder := t.TempDir()
-		db, unreadable, err := Open(folder, "f.db", func(*bbolt.DB) error { return fmt.Errorf("group x: %w", cause) })
+		dir := t.TempDir()
+		db, unreadable, err := Open(dir, "f.db", func(*bbolt.DB) error { return fmt.Errorf("group x: %w", cause) })
 		if !errors.Is(err, cause) || db != nil || unreadable != nil {
 			t.Errorf("%v: db %v, unreadable %v, error %v; want this error alone", cause, db, unreadable, err)
 		}
-		if _, err := os.Stat(filepath.Join(folder, "f.db")); err != nil {
+		if _, err := os.Stat(filepath.Join(dir, "f.db")); err != nil {
 			t.Errorf("%v: file was renamed: %v", cause, err)
 		}
 	}
@@ -145,9 +145,9 @@
 
 // TestOpen_KeepsContents checks that the contents of a file are still there when it is opened again.
 func TestOpen_KeepsContents(t *testing.T) {
-	folder := t.TempDir()
+	dir := t.TempDir()
 	for i := range 2 {
-		db, unreadable, err := Open(folder, "f.db", func(db *bbolt.DB) error {
+		db, unreadable, err := Open(dir, "f.db", func(db *bbolt.DB) error {
 			return db.Update(func(tx *bbolt.Tx) error {
 				b, err := tx.CreateBucketIfNotExists([]byte("meta"))
 				if err != nil {
--- a/internal/failpoint/failpoint.go
+++ b/internal/failpoint/failpoint.go
@@ -29,7 +29,7 @@
 	ResurrectEntries    = "reappears"      // an entry that was seen and removed is accepted again
 	EjectOnPeerReport   = "leaves-alone"   // a worker that other members report as an outlier gets no more requests
 	NoOutlierReports    = "keeps-mum"      // members do not report outliers
-	ReuseDots           = "count-again"    // after a restart a member's dots start at 1 again, with the same incarnation
+	ReuseDots           = "count-again"    // a member that restarts with an empty disk keeps its incarnation, so its dots start at 1 again
 	LastWriteWins       = "clock-wins"     // of two overrides, the one with the later time wins; clocks are skewed as under ClockSkew
 	AnswerBeforeSync    = "early-yes"      // operators get a response seconds before an override is synced to disk
 	OverwriteReplica    = "overwrites"     // pulled entries replace those of a member instead of being merged with them
@@ -93,7 +93,7 @@
 		return nil
 	}
 	if Enabled(DiskFull) {
-		return fmt.Errorf("the group's disk: %w", syscall.ENOSPC)
+		return fmt.Errorf("writing to the group's disk: %w", syscall.ENOSPC)
 	}
 	time.Sleep(diskStallTime)
 	return nil
--- a/internal/failpoint/failpoint_test.go
+++ b/internal/failpoint/failpoint_test.go
@@ -69,7 +69,7 @@
 		{"", hourEarlier, "<nil>"},
 		{SendWithoutLease, hourEarlier, "<nil>"},
 		{DiskFull, time.Now(), "<nil>"},
-		{DiskFull, hourEarlier, "the group's disk: no space left on device"},
+		{DiskFull, hourEarlier, "writing to the group's disk: no space left on device"},
 		{DiskStall, time.Now(), "<nil>"},
 	} {
 		Set(c.failpoint)
--- a/internal/gossip/endpoints/broadcaster.go
+++ b/internal/gossip/endpoints/broadcaster.go
@@ -214,7 +214,7 @@
 }
 
 // fetchSnapshot fetches a member's statuses and merges them. It returns false if the request failed or the answer was malformed. The
-// statuses are not forwarded, as that member has broadcast them itself.
+// statuses are not forwarded, because that member has broadcast them itself.
 func (b *Broadcaster) fetchSnapshot(ctx context.Context, transport *peer.Transport, name string) bool {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
--- a/internal/gossip/endpoints/table.go
+++ b/internal/gossip/endpoints/table.go
@@ -127,9 +127,9 @@
 	return updates, rejected
 }
 
-// Excluded returns the workers to exclude at the time now, sorted by name: workers of the local list for which other members have
-// reported a later state. watchUptime is how long the local watch has reported without interruption; a negative value means that it does
-// not report. While it reports, Excluded also deletes remote statuses that are older than remoteStatusTTL.
+// Excluded returns the workers to exclude at the time now, sorted by name: workers whose local status is superseded by a remote status
+// that the local list has not overruled. watchUptime is how long the local watch has reported without interruption; a negative value means
+// that it does not report. While it reports, Excluded also deletes remote statuses that are older than remoteStatusTTL.
 func (t *Table) Excluded(now, watchUptime time.Duration) (names []string) {
 	watching := watchUptime >= 0
 	for name, reported := range t.remote {
--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -98,7 +98,7 @@
 	})
 }
 
-// handleDigest compares digests. If they differ, it schedules a sync, as the sender may have entries that this replica lacks.
+// handleDigest compares digests. If they differ, it schedules a sync, because the sender may have entries that this replica lacks.
 func (n *Node) handleDigest(_ context.Context, from peer.Sender, body []byte) ([]byte, error) {
 	return handle(n, body, func(theirs *digest) (digest, error) {
 		ours := n.localDigestLocked()
@@ -129,8 +129,8 @@
 	})
 }
 
-// handleRemovals returns which of the sender's entries this replica has removed. It rejects a sender with another version vector, as a
-// removed entry may have been replaced by one that the sender lacks.
+// handleRemovals returns which of the sender's entries this replica has removed. It rejects a sender with another version vector, because
+// a removed entry may have been replaced by one that the sender lacks.
 func (n *Node) handleRemovals(_ context.Context, _ peer.Sender, body []byte) ([]byte, error) {
 	return handle(n, body, func(request *removals) (removals, error) {
 		if request.VersionDigest != n.replica.Version().Digest() {
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -54,7 +54,8 @@
 // Node runs the gossip of one member. It is safe for concurrent use, except for Attach, Detach and Close, which only its owner
 // calls.
 //
-// A dispatcher may run as two processes during a hot restart. Only one of them owns the replica at a time, as only one can lock its file.
+// A dispatcher may run as two processes during a hot restart. Only one of them owns the replica at a time, because only one can
+// lock its file.
 // The Node of the other process is idle until it is attached.
 type Node struct {
 	Counters Counters
@@ -205,7 +206,7 @@
 	n.persistLocked()
 	opened := n.storage
 	n.replica, n.storage = nil, nil
-	n.mu.Unlock() // unlocked before close, as the storage's goroutine may wait for the lock to report a batch
+	n.mu.Unlock() // unlocked before close, because the storage's goroutine may wait for the lock to report a batch
 	if err := opened.close(); err != nil {
 		n.options.Log.WithError(err).Warn("closing the group storage failed")
 	}
--- a/internal/gossip/outliers/outliers.go
+++ b/internal/gossip/outliers/outliers.go
@@ -1,4 +1,4 @@
-// Package outliers exchanges reports of workers with failing requests between the members of a group. Nothing is persisted and delivery
+// Package outliers exchanges reports about workers with failing requests between the members of a group. Nothing is persisted and delivery
 // is not guaranteed. The decision module decides what a report means for a worker.
 package outliers
 
@@ -17,7 +17,7 @@
 const (
 	maxPending        = 64                     // queued reports; further ones are dropped
 	fanout            = 32                     // members that receive a report
-	minReportInterval = 250 * time.Millisecond // for each worker, as its failures continue until it is ejected
+	minReportInterval = 250 * time.Millisecond // for each worker, because its failures continue until it is ejected
 	maxNameBytes      = 256                    // of a worker's name
 	maxTrackedWorkers = 10_000                 // workers for which the time of the last report is stored
 )
--- a/internal/gossip/storage.go
+++ b/internal/gossip/storage.go
@@ -30,8 +30,8 @@
 	versionKey  = []byte("seen")
 )
 
-// identity identifies a file's format and group. It does not contain the member's name: another member's file is safe to use, as its
-// entries are valid at any member and no incarnation is read from it.
+// identity identifies a file's format and group. It does not contain the member's name: another member's file is safe to use, because
+// its entries are valid at any member and no incarnation is read from it.
 type identity struct {
 	Format int    `json:"format"`
 	Group  string `json:"group"`
--- a/internal/maintenance/apply.go
+++ b/internal/maintenance/apply.go
@@ -220,7 +220,7 @@
 	return succeeded("%s is %s", machine.Name, machine.Phase)
 }
 
-// skipMachine excludes a machine from its plan, unless operators have claimed it.
+// skipMachine makes a plan skip a machine, unless operators have claimed it.
 func (a *applier) skipMachine(plan *PlanState, machine *MachineState) Result {
 	switch machine.Phase {
 	case MachineWaiting, MachineFailed:
--- a/internal/maintenance/command.go
+++ b/internal/maintenance/command.go
@@ -21,7 +21,7 @@
 	CommandResumePlan    CommandKind = "resume"  // continues a paused plan
 	CommandAbortPlan     CommandKind = "abort"   // returns unclaimed machines to service, and ends the plan once all are back
 	CommandClaimMachine  CommandKind = "wait"    // Machine, and Name of its plan if Machine is not unique: operators claim a drained machine
-	CommandSkipMachine   CommandKind = "skip"    // Machine and Name as above: excludes a machine from its plan
+	CommandSkipMachine   CommandKind = "skip"    // Machine and Name as above: the plan skips the machine
 	CommandReturnMachine CommandKind = "done"    // Machine and Name as above: operators return a machine, with its workers restarted
 	CommandAdvance       CommandKind = "advance" // Advance
 )
--- a/internal/maintenance/state.go
+++ b/internal/maintenance/state.go
@@ -20,7 +20,7 @@
 	HistoryLost  bool               `json:"doubt,omitempty"` // after a repeated bootstrap: machines may be under maintenance for lost plans
 	AppliedIndex uint64             `json:"index"`           // log index of the newest command
 	Clock        time.Duration      `json:"clock"`           // the group's clock: never ahead of the elapsed time
-	FenceTimeout time.Duration      `json:"bound"`           // afterwards a silent member can neither send requests nor have attempts running
+	FenceTimeout time.Duration      `json:"bound"`           // time after which a silent member can no longer send requests or have attempts
 	WarmUp       time.Duration      `json:"warm"`            // time until a started worker gets its full share of requests
 	Members      map[string]*Member `json:"members"`
 	Plans        []*PlanState       `json:"plans"`   // in the order of submission
@@ -37,7 +37,7 @@
 func Decode(raw []byte) (*State, error) {
 	s := New()
 	if err := json.Unmarshal(raw, s); err != nil {
-		return nil, fmt.Errorf("decode the state: %w", err)
+		return nil, fmt.Errorf("decoding the state: %w", err)
 	}
 	if s.Level > SupportedLevel() {
 		return nil, fmt.Errorf("the state is of a newer build: level %d, this build supports %d", s.Level, SupportedLevel())
--- a/internal/peer/handler.go
+++ b/internal/peer/handler.go
@@ -29,7 +29,7 @@
 	})
 }
 
-// HandleOperator registers the handler of operators' calls at a path. The handler gets an empty Sender, as calls do not name one.
+// HandleOperator registers the handler of operators' calls at a path. The handler gets an empty Sender, because calls do not name one.
 func (t *Transport) HandleOperator(path string, handler Handler) {
 	t.mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 		t.serve(w, r, Sender{}, handler)
--- a/internal/peer/peertest/peertest.go
+++ b/internal/peer/peertest/peertest.go
@@ -30,7 +30,7 @@
 func GoldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
 
 // GoldenJSON compares the JSON encoding of value with the golden file, and value with the decoded file. It fails the test if a field of
-// value is zero, as the encoding of an omitted field would not be checked.
+// value is zero, because the encoding of an omitted field would not be checked.
 func GoldenJSON[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	requireNonZero(t, name, reflect.ValueOf(value))
--- a/internal/peer/queue.go
+++ b/internal/peer/queue.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// deliver sends one message. If the member is unreachable, it drops the queued messages, as they are outdated by the time the member is
-// reachable again (raft resends those that still matter), and waits for retryDelay.
+// deliver sends one message. If the member is unreachable, it drops the queued messages, because they are outdated by the time the member
+// is reachable again (raft resends those that still matter), and waits for retryDelay.
 func (t *Transport) deliver(ctx context.Context, queue *sendQueue, m message) {
 	requestCtx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
--- a/internal/replication/entry.go
+++ b/internal/replication/entry.go
@@ -21,12 +21,12 @@
 	maxIncarnationLength = 64
 	maxIncarnations      = 100_000
 
-	// MaxOverrides is the number of entries at which Write fails. Entries are never dropped for lack of space, and all of them fit into
-	// one response to an operator, which has at most 8 MB.
+	// MaxOverrides is the number of entries at which Write rejects further keys. Entries are never dropped for lack of space, and all of
+	// them fit into one response to an operator, which has at most 8 MB.
 	MaxOverrides = 10_000
 )
 
-// ErrFull is returned by Write if the replica holds MaxOverrides entries.
+// ErrFull is returned by Write for a key without an entry if the replica holds MaxOverrides entries.
 var ErrFull = errors.New("too many overrides already")
 
 // EntryKind is the kind of an entry. All kinds are merged in the same way, so that a build keeps and forwards entries of unknown kinds,
