--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -282,7 +282,7 @@
 	return nil
 }
 
-// sortDots returns requests with the dots of the last one sorted, as their order is random.
+// sortDots returns requests with the dots of the last one sorted, because their order is random.
 func sortDots(t *testing.T, requests string) []byte {
 	t.Helper()
 	bodies := strings.SplitAfter(requests, "\n\n")
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -55,8 +55,7 @@
 // calls.
 //
 // A dispatcher may run as two processes during a hot restart. Only one of them owns the replica at a time, because only one can
-// lock its file.
-// The Node of the other process is idle until it is attached.
+// lock its file. The Node of the other process is idle until it is attached.
 type Node struct {
 	Counters Counters
 
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -71,14 +71,14 @@
 	}
 	node.markCaughtUp("b")
 	if node.markCaughtUp("c"); pullOnce() != nil {
-		t.Errorf("pull after catching up with two others: %v", pullOnce())
+		t.Errorf("pull after catching up with two others: %v, want no error", pullOnce())
 	}
 	clear(node.caughtUpWith)
 	if node.startedAt = node.startedAt.Add(-time.Hour); !errors.Is(pullOnce(), errNotCaughtUp) {
 		t.Errorf("pull without contact to any member: %v, want errNotCaughtUp", pullOnce())
 	}
 	if node.firstContact = time.Now().Add(-2 * catchUpTimeout); pullOnce() != nil {
-		t.Errorf("pull after catchUpTimeout of contact with one other: %v", pullOnce())
+		t.Errorf("pull after catchUpTimeout of contact with one other: %v, want no error", pullOnce())
 	}
 }
 
@@ -242,8 +242,8 @@
 	detachAll()
 }
 
-// TestNode_RemovalsNeedEqualVersions verifies that a member with another version vector gets no removals, as a removed entry may have been
-// replaced by one that it lacks.
+// TestNode_RemovalsNeedEqualVersions verifies that a member with another version vector gets no removals, because a removed entry may have
+// been replaced by one that it lacks.
 func TestNode_RemovalsNeedEqualVersions(t *testing.T) {
 	node, _ := startNode(t, "a", "")
 	setOverride(t, node, "r", true, 1)
--- a/internal/gossip/outliers/outliers_test.go
+++ b/internal/gossip/outliers/outliers_test.go
@@ -31,6 +31,6 @@
 		}
 	}
 	if a.Sent.Load() != 2 || b.Rejected.Load() != 3 {
-		t.Errorf("counters of the sender %v, of the receiver %v", a.Fields(), b.Fields())
+		t.Errorf("counters of the sender %v, of the receiver %v; want 2 sent, 3 rejected", a.Fields(), b.Fields())
 	}
 }
--- a/internal/gossip/storage_test.go
+++ b/internal/gossip/storage_test.go
@@ -55,7 +55,7 @@
 			}
 			node, dispatcher := startNode(t, "a", dir)
 			if n := node.replica.Len(); n > 1 || n == 1 && !dispatcher.isDisabled("r") {
-				t.Errorf("damaged at offset %d: %d entries, disabled %v", offset, n, dispatcher.disabled)
+				t.Errorf("damaged at offset %d: %d entries, disabled %v; want none, or one that disables r", offset, n, dispatcher.disabled)
 			} else {
 				lost += 1 - n
 			}
@@ -68,7 +68,7 @@
 }
 
 // TestNode_UnusableStorage verifies that each override has a note for operators while the storage is unusable. The file is not replaced,
-// as it may be intact.
+// because it may be intact.
 func TestNode_UnusableStorage(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.Mkdir(filepath.Join(dir, fileName), 0o700); err != nil {
--- a/internal/maintenance/advance_test.go
+++ b/internal/maintenance/advance_test.go
@@ -90,7 +90,8 @@
 		f.expectPhases(test.phases)
 		plan := f.state.Plans[0]
 		if plan.Phase != test.plan || test.onOverdue != OverdueSkip && !plan.MachineStates[0].Overdue {
-			t.Errorf("%s: plan is %s, machine is %+v", test.onOverdue, plan.Phase, plan.MachineStates[0])
+			t.Errorf("%s: plan is %s, want %s; machine is %+v, want overdue unless returning",
+				test.onOverdue, plan.Phase, test.plan, plan.MachineStates[0])
 		}
 	}
 }
--- a/internal/maintenance/compact_test.go
+++ b/internal/maintenance/compact_test.go
@@ -38,6 +38,6 @@
 		return len(raw)
 	}
 	if few, many := length(3, 12), length(300, 1200); many > few+10 {
-		t.Errorf("%d bytes for 300 members and 1200 workers, %d bytes for 3 and 12", many, few)
+		t.Errorf("%d bytes for 300 members and 1200 workers, %d bytes for 3 and 12; want at most 10 more", many, few)
 	}
 }
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -76,7 +76,7 @@
 		var rejected *RejectedError
 		switch {
 		case c.want == "" && (err != nil || string(out) != "yes a"):
-			t.Errorf("%+v: %q, %v", c.sender, out, err)
+			t.Errorf("%+v: answer %q, error %v; want \"yes a\" and no error", c.sender, out, err)
 		case c.want != "" && (!errors.As(err, &rejected) || !strings.Contains(rejected.Reason, c.want) || p.b.Counters.Rejected.Load() != 1 || len(p.received) > 0):
 			t.Errorf("%+v: %v, want %q", c.sender, err, c.want)
 		}
@@ -92,7 +92,7 @@
 		t.Fatal(err)
 	}
 	defer stalled.Close()
-	for _, name := range []string{"c", "d"} { // both before the first Send, as the transport's goroutines read the members
+	for _, name := range []string{"c", "d"} { // both before the first Send, because the transport's goroutines read the members
 		p.a.options.Members = append(p.a.options.Members, Member{Name: name, Address: stalled.Addr().String()})
 	}
 	for range 2 * maxQueuedMessages {
