--- a/internal/testbed/fakes/machine_test.go
+++ b/internal/testbed/fakes/machine_test.go
@@ -181,3 +181,34 @@
 		t.Error("a single job pushed it over")
 	}
 }
+
+// The budget of a warming machine is N jobs of mean work and 3 roots of N + 3 more where N is below 30, in jobs and in work. The machine
+// has N = 15.75 and a budget of 30.66 jobs of 0.2 s, or 6.13 s of work, in 1.5 s.
+func TestMachine_WarmingBudget(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		rate int     // jobs a second
+		work float64 // seconds
+		want bool
+	}{
+		{"16 jobs of more than mean work", 10, 0.245, false},
+		{"29 jobs of mean work", 19, 0.2, false},
+		{"31 jobs of mean work", 20, 0.2, true},
+		{"38 jobs of little work", 25, 0.05, true},
+		{"16 jobs of 8 s of work", 10, 0.5, true},
+	} {
+		m := NewMachine(Spec{
+			Cores: 2, Speed: 1, Memory: 1, Queue: 1000, SlowStartMinFactor: 0.42, SlowStartWindow: time.Hour,
+			OverloadMultiple: 2.5, OverloadWindow: 1500 * time.Millisecond, MeanWork: 0.2,
+		}, 0, false)
+		interval := time.Second / time.Duration(c.rate)
+		for at := time.Duration(0); at < 5*time.Second; at += interval {
+			m.Advance(at)
+			m.Offer(&Job{Work: c.work, Slots: 1})
+			m.Advance(at)
+		}
+		if m.Crashed() != c.want {
+			t.Errorf("%s: crashed %t, want %t", c.name, m.Crashed(), c.want)
+		}
+	}
+}
