--- a/internal/config/accepted_test.go
+++ b/internal/config/accepted_test.go
@@ -11,7 +11,7 @@
 	"birchfork/internal/routes"
 )
 
-// policyGenerator lists values of keys for a random file. Some are invalid in some sections.
+// policyGenerator lists the values of each key in random files. Some are invalid in some sections.
 var policyGenerator = []struct {
 	key    string
 	values []string
@@ -65,7 +65,7 @@
 	return b.String()
 }
 
-// simulation drives the dispatch module with random events and checks each of its actions against the platform's rules and the route's
+// simulation drives the decision module with random events and checks each of its actions against the platform's rules and the route
 // limits.
 type simulation struct {
 	*rapid.T
@@ -120,7 +120,7 @@
 		case dispatch.Send, dispatch.Reject, dispatch.Fail:
 			request := s.requests[action.Request]
 			if request.answers > 0 {
-				s.Fatalf("an action after the final answer: %+v", action)
+				s.Fatalf("action after the final answer: %+v", action)
 			}
 			if action.Kind == dispatch.Send {
 				s.checkSend(action, request)
@@ -140,33 +140,33 @@
 }
 
 func (s *simulation) checkSend(action dispatch.Action, request *simulatedRequest) {
-	s.checkRepeat(request)
+	s.checkResend(request)
 	s.checkBounds(request)
 	if action.Wait != request.limits.AttemptTimeout {
-		s.Fatalf("an attempt may take %v, not %v", action.Wait, request.limits.AttemptTimeout)
+		s.Fatalf("attempt timeout %v, want %v", action.Wait, request.limits.AttemptTimeout)
 	}
 	request.attempts = append(request.attempts, simulatedAttempt{sentAt: s.now, inFlight: true})
 }
 
-// checkRepeat checks a further attempt against the class's idempotency and the limits on hedging and retries.
-func (s *simulation) checkRepeat(request *simulatedRequest) {
+// checkResend checks a hedge or retry against the class's idempotency and the limits on hedging and retries.
+func (s *simulation) checkResend(request *simulatedRequest) {
 	limits, inFlight := request.limits, request.inFlight()
 	idempotency := s.platform.Settings.Classes[request.classID].Idempotency
 	mayRepeat := idempotency != dispatch.NonIdempotent && !limits.RetryNotRunOnly
 	mayHedge := idempotency != dispatch.NonIdempotent && !limits.NoHedging
 	if request.mayHaveRun() && !mayRepeat {
-		s.Fatalf("sent again what may have run: class %d, %+v", request.classID, limits)
+		s.Fatalf("resent a request that may have run: class %d, %+v", request.classID, limits)
 	}
 	if inFlight > 0 && !mayHedge || inFlight > 1 {
-		s.Fatalf("%d in flight already: class %d, %+v", inFlight, request.classID, limits)
+		s.Fatalf("%d attempts already in flight: class %d, %+v", inFlight, request.classID, limits)
 	}
 	if inFlight > 0 && s.now < request.attempts[0].sentAt+limits.HedgeDelay {
-		s.Fatalf("hedged after %v, not before %v", s.now-request.attempts[0].sentAt, limits.HedgeDelay)
+		s.Fatalf("hedged after %v, want at least %v", s.now-request.attempts[0].sentAt, limits.HedgeDelay)
 	}
 	if limits.RetryBackoff > 0 && inFlight == 0 && len(request.attempts) > 0 {
 		last := request.attempts[len(request.attempts)-1]
 		if s.now < last.endedAt+limits.RetryBackoff {
-			s.Fatalf("retried after %v, not before %v", s.now-last.endedAt, limits.RetryBackoff)
+			s.Fatalf("retried after %v, want at least %v", s.now-last.endedAt, limits.RetryBackoff)
 		}
 	}
 }
@@ -176,14 +176,14 @@
 	limits, settings := request.limits, &s.platform.Settings
 	attempts := len(request.attempts)
 	if attempts >= settings.MaxAttempts || limits.MaxAttempts > 0 && attempts >= limits.MaxAttempts {
-		s.Fatalf("attempt %d of %d", attempts+1, limits.MaxAttempts)
+		s.Fatalf("attempt %d, want at most %d", attempts+1, limits.MaxAttempts)
 	}
 	if s.now >= request.deadline || limits.Timeout > 0 && s.now >= request.arrivedAt+limits.Timeout {
 		s.Fatal("sent past its deadline")
 	}
 	queuedFor := s.now - request.arrivedAt
 	if limits.MaxQueueTime > 0 && attempts == 0 && queuedFor > limits.MaxQueueTime+settings.Tick {
-		s.Fatalf("sent after %v of at most %v", queuedFor, limits.MaxQueueTime)
+		s.Fatalf("sent after queueing for %v, want at most %v", queuedFor, limits.MaxQueueTime)
 	}
 }
 
@@ -195,7 +195,7 @@
 	s.handle(dispatch.Event{Kind: dispatch.EndpointSnapshot, Version: 1, Workers: workers})
 }
 
-// advance lets a random time pass and fires the timers that become due.
+// advance advances the clock by a random time and fires the timers that become due.
 func (s *simulation) advance() {
 	until := s.now + dispatch.Time(rapid.IntRange(1, 150).Draw(s.T, "ms"))*dispatch.Millisecond
 	for s.timer != 0 && s.timer <= until {
@@ -246,20 +246,19 @@
 	})
 }
 
-// The checks of a file are sound: with any accepted file, the dispatch module driven by random events sends no class more often than its
-// rules allow.
+// With any file that passes the checks, the decision module does not break the platform's rules or the route limits under random events.
 func TestDecode_AcceptedFileKeepsRules(t *testing.T) {
-	passed := 0
+	accepted := 0
 	rapid.Check(t, func(t *rapid.T) {
 		platform := testPlatform()
 		config, err := Decode("f", []byte(generateFile(t)), platform)
 		if err != nil {
 			return
 		}
-		passed++
+		accepted++
 		dispatcher, err := dispatch.New(config.Settings, rapid.Uint64().Draw(t, "seed"))
 		if err != nil {
-			t.Fatalf("the module rejects the settings of a file that passed: %v", err)
+			t.Fatalf("the decision module rejects the settings of an accepted file: %v", err)
 		}
 		s := &simulation{T: t, platform: platform, table: config.Routes, dispatcher: dispatcher, now: dispatch.Second}
 		s.listWorkers()
@@ -272,7 +271,7 @@
 			}
 		}
 	})
-	if passed < 5 {
-		t.Errorf("only %d random files passed: too few to show anything", passed)
+	if accepted < 5 {
+		t.Errorf("only %d random files were accepted, want at least 5", accepted)
 	}
 }
--- a/internal/config/build_routes.go
+++ b/internal/config/build_routes.go
@@ -42,28 +42,29 @@
 	return route
 }
 
-// checkMatch adds an error for each reason why no request can take a route. reachable reports whether any class can.
+// checkMatch adds an error for each reason why no request can match a route. reachable reports whether the route matches
+// any class.
 func (c *checker) checkMatch(section *routeSection, key string, reachable bool) {
 	classKnown := section.Class == "" || slices.Contains(c.platform.ClassNames, section.Class)
 	if !classKnown {
-		c.addErrorf(key+".class", "no request can go by this route: the platform has no class %q; it has %s", section.Class, joinNames(c.platform.ClassNames))
+		c.addErrorf(key+".class", "no request can match this route: unknown class %q; the platform has %s", section.Class, joinNames(c.platform.ClassNames))
 	}
 	if section.Tenant != "" && !slices.Contains(c.platform.TenantNames, section.Tenant) {
-		c.addErrorf(key+".tenant", "no request can go by this route: the platform has no tenant %q; it has %s", section.Tenant, joinNames(c.platform.TenantNames))
+		c.addErrorf(key+".tenant", "no request can match this route: unknown tenant %q; the platform has %s", section.Tenant, joinNames(c.platform.TenantNames))
 	}
 	if section.Method != "" && section.Method != http.MethodPost {
-		c.addErrorf(key+".method", "no request can go by this route: jobs come by POST, not by %q", section.Method)
+		c.addErrorf(key+".method", "no request can match this route: requests have the method POST, not %q", section.Method)
 	}
 	switch {
 	case section.Path == "":
 	case !strings.HasPrefix(section.Path, "/"):
-		c.addErrorf(key+".path", "no request can go by this route: a path begins with /, and %q does not", section.Path)
+		c.addErrorf(key+".path", "no request can match this route: paths begin with /, and %q does not", section.Path)
 	case !reachable && classKnown:
-		c.addErrorf(key+".path", "no request can go by this route: a path begins with the request's class, and %q with none that the route matches", section.Path)
+		c.addErrorf(key+".path", "no request can match this route: paths begin with the request's class, and %q begins with no class that the route matches", section.Path)
 	}
 }
 
-// reachableClasses returns the ids of the classes whose requests a route can get: the first element of a path is the
+// reachableClasses returns the ids of the classes whose requests a route can match: the first element of a path is the
 // class.
 func (c *checker) reachableClasses(section *routeSection) []int {
 	var classIDs []int
@@ -83,8 +84,8 @@
 	return insideClass || strings.HasPrefix(classPath, prefix)
 }
 
-// routeLayers returns the layers of a route of the file. The layer of a class is included only if the route gets
-// requests of that class alone.
+// routeLayers returns the layers of a route of the file. The layer of a class is included only if the route matches
+// no other class.
 func (c *checker) routeLayers(i int, classIDs []int) []policyLayer {
 	section := &c.file.Routes[i]
 	layers := []policyLayer{c.defaultLayer()}
@@ -104,9 +105,9 @@
 	fallback := slices.IndexFunc(c.file.Routes, func(other routeSection) bool { return other.Name == name })
 	switch fallback {
 	case -1:
-		c.addErrorf(key, "there is no route %q", name)
+		c.addErrorf(key, "unknown route %q", name)
 	case i:
-		c.addErrorf(key, "a route cannot fall back on itself")
+		c.addErrorf(key, "a route cannot fall back to itself")
 	}
 	return fallback
 }
@@ -184,9 +185,9 @@
 	for _, conflict := range conflicts {
 		switch {
 		case conflict.B < inFile:
-			c.addErrorf(sectionKey("route", conflict.B), "a request could go by this route and by %q, and neither is more exact: give one a match of the other's besides, or write a third for what both match", list[conflict.A].Name)
+			c.addErrorf(sectionKey("route", conflict.B), "a request could match both this route and %q, and neither is more specific: add a condition of one to the other, or add a route for the requests that match both", list[conflict.A].Name)
 		case conflict.A < inFile:
-			c.addErrorf(sectionKey("route", conflict.A), "a request could go by this route and by the figures of %s, and neither is more exact: name the class and the tenant in the route", list[conflict.B].Name)
+			c.addErrorf(sectionKey("route", conflict.A), "a request could match both this route and the limits of %s, and neither is more specific: name the class and the tenant in the route", list[conflict.B].Name)
 		}
 	}
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -44,7 +44,7 @@
 	c.addErrorf(key, "%s", reason)
 }
 
-// build checks the file and builds the configuration, which is complete only if no error was added.
+// build checks the file and builds the configuration. The result is complete only if no error was added.
 func (c *checker) build() *OperatorConfig {
 	config := &OperatorConfig{Settings: c.platform.Settings}
 	c.config = config
@@ -54,7 +54,7 @@
 	c.checkPolicies()
 	config.Group = c.buildGroup()
 	if n := len(c.file.Routes); n > maxRoutes {
-		c.addErrorf("route", "%d are more than %d", n, maxRoutes)
+		c.addErrorf("route", "too many routes: got %d, at most %d are allowed", n, maxRoutes)
 		return config
 	}
 	operatorRoutes := c.buildRoutes()
@@ -86,7 +86,7 @@
 	return configs
 }
 
-// checkNames checks that classes and tenants are the platform's, and that names are unique.
+// checkNames checks that the platform has all classes and tenants, and that names are unique.
 func (c *checker) checkNames() {
 	classes := nameChecker{checker: c, section: "class", restricted: true, known: c.platform.ClassNames}
 	for i, section := range c.file.Classes {
@@ -98,14 +98,14 @@
 		weightKey := sectionKey("tenant", i) + ".weight"
 		validWeight := section.Weight > 0 && section.Weight <= maxWeight
 		if c.doc.Has(weightKey) && !validWeight {
-			c.addErrorf(weightKey, "%v is not above 0", section.Weight)
+			c.addErrorf(weightKey, "invalid value %v: must be above 0 and at most %v", section.Weight, maxWeight)
 		}
 	}
 	routeNames := nameChecker{checker: c, section: "route"}
 	for i, section := range c.file.Routes {
 		routeNames.check(i, section.Name)
 		if section.Name == defaultRouteName {
-			c.addErrorf(sectionKey("route", i)+".name", "%q is what goes by no route: take another name", defaultRouteName)
+			c.addErrorf(sectionKey("route", i)+".name", "reserved name %q: it is the route of requests that match no other route", defaultRouteName)
 		}
 	}
 }
@@ -123,11 +123,11 @@
 	key := sectionKey(n.section, i) + ".name"
 	switch {
 	case name == "":
-		n.addErrorf(key, "it has no name")
+		n.addErrorf(key, "missing name")
 	case slices.Contains(n.used, name):
-		n.addErrorf(key, "%q stands twice", name)
+		n.addErrorf(key, "duplicate name %q", name)
 	case n.restricted && !slices.Contains(n.known, name):
-		n.addErrorf(key, "the platform has no %s %q; it has %s", n.section, name, joinNames(n.known))
+		n.addErrorf(key, "unknown %s %q; the platform has %s", n.section, name, joinNames(n.known))
 	}
 	n.used = append(n.used, name)
 }
@@ -135,7 +135,7 @@
 // joinNames lists names for an error.
 func joinNames(names []string) string {
 	if len(names) == 0 {
-		return "there are none"
+		return "none"
 	}
 	return strings.Join(names, ", ")
 }
@@ -154,18 +154,18 @@
 	first, last := chain[0], chain[len(chain)-1]
 	key := sectionKey("route", first) + ".fallback"
 	if table.Route(last).Fallback >= 0 {
-		c.addErrorf(key, "the fallbacks go in a circle, or there are too many one after the other")
+		c.addErrorf(key, "the fallbacks form a cycle, or the chain of fallbacks is too long")
 		return
 	}
 	maxAttempts := c.platform.Settings.MaxAttempts
 	if attempts := table.RouteLimits(first, maxAttempts).MaxAttempts; attempts > maxAttempts {
-		c.addErrorf(key, "%s and its fallbacks allow %d attempts together, more than the platform's %d", table.Route(first).Name, attempts, maxAttempts)
+		c.addErrorf(key, "%s and its fallbacks allow %d attempts together, more than the platform's limit of %d", table.Route(first).Name, attempts, maxAttempts)
 	}
 	for _, fallback := range chain[1:] {
 		reachable := c.reachableClasses(&c.file.Routes[fallback])
 		for _, classID := range c.reachableClasses(&c.file.Routes[first]) {
 			if !slices.Contains(reachable, classID) {
-				c.addErrorf(key, "requests of %s would go on by %q, which does not match them", c.platform.ClassNames[classID], table.Route(fallback).Name)
+				c.addErrorf(key, "requests of class %s would fall back to %q, which does not match them", c.platform.ClassNames[classID], table.Route(fallback).Name)
 			}
 		}
 	}
@@ -178,7 +178,7 @@
 	if total > 0 {
 		for i := range c.file.Routes {
 			if limit := table.Route(i).Admission.MaxConcurrent; limit > total {
-				c.addErrorf(sectionKey("route", i)+".concurrent", "%d are more than total.concurrent, %d", limit, total)
+				c.addErrorf(sectionKey("route", i)+".concurrent", "invalid value %d: must be at most total.concurrent, %d", limit, total)
 			}
 		}
 		return
@@ -188,6 +188,6 @@
 		sum += table.Route(i).Admission.MaxConcurrent
 	}
 	if connections := c.platform.MaxClientConnections; connections > 0 && sum > connections {
-		c.addErrorf("route", "the routes' concurrent figures add up to %d, more than the %d clients' connections that the descriptors leave room for: lower them, or set total.concurrent", sum, connections)
+		c.addErrorf("route", "the concurrent limits of the routes add up to %d, more than the %d client connections that the file descriptor limit allows: lower them, or set total.concurrent", sum, connections)
 	}
 }
--- a/internal/config/check_platform.go
+++ b/internal/config/check_platform.go
@@ -41,7 +41,7 @@
 	value := c.file.Platform.DrainGrace
 	grace := routes.ToTime(value)
 	if grace < 0 || grace > settings.DrainGrace {
-		c.addErrorf("platform.drain_grace", "%v is beyond the platform's %v: nothing may be sent to a draining worker later than that", value, formatTime(settings.DrainGrace))
+		c.addErrorf("platform.drain_grace", "invalid value %v: must be between 0s and the platform's %v, after which nothing may be sent to a draining worker", value, formatTime(settings.DrainGrace))
 		return
 	}
 	settings.DrainGrace = grace
@@ -51,7 +51,7 @@
 	value := c.file.Platform.SlowStartWindow
 	window := routes.ToTime(value)
 	if window < settings.SlowStartWindow || value > maxDuration {
-		c.addErrorf("platform.warm_within", "%v is less than the platform's %v, or more than %v: a cold worker would be taken for a warm one", value, formatTime(settings.SlowStartWindow), maxDuration)
+		c.addErrorf("platform.warm_within", "invalid value %v: must be between the platform's %v and %v; a shorter one would treat a worker that is warming up as warmed up", value, formatTime(settings.SlowStartWindow), maxDuration)
 		return
 	}
 	settings.SlowStartWindow = window
@@ -60,7 +60,7 @@
 func (c *checker) applyOverloadMultiple(settings *dispatch.Settings) {
 	multiple := c.file.Platform.OverloadMultiple
 	if multiple < 1 || multiple > settings.OverloadMultiple {
-		c.addErrorf("platform.fall_multiple", "%v is not from 1 to the platform's %v: a cold worker would be pushed over", multiple, settings.OverloadMultiple)
+		c.addErrorf("platform.fall_multiple", "invalid value %v: must be between 1 and the platform's %v; a larger one could overload a worker that is warming up", multiple, settings.OverloadMultiple)
 		return
 	}
 	settings.OverloadMultiple = multiple
@@ -69,7 +69,7 @@
 func (c *checker) applySlowStartMinFactor(settings *dispatch.Settings) {
 	factor := c.file.Platform.SlowStartMinFactor
 	if factor <= 0 || factor > settings.SlowStartMinFactor {
-		c.addErrorf("platform.cold_from", "%v is not above 0 and at most the platform's %v: a cold worker would be pushed over", factor, settings.SlowStartMinFactor)
+		c.addErrorf("platform.cold_from", "invalid value %v: must be above 0 and at most the platform's %v; a larger one could overload a worker that is warming up", factor, settings.SlowStartMinFactor)
 		return
 	}
 	settings.SlowStartMinFactor = factor
@@ -94,17 +94,17 @@
 
 func (c *checker) checkTotalConcurrency(section *totalSection) {
 	if c.doc.Has("total.concurrent") && section.MaxConcurrent < 1 {
-		c.addErrorf("total.concurrent", "%d is less than 1: nothing could be taken; leave the key out for no limit", section.MaxConcurrent)
+		c.addErrorf("total.concurrent", "invalid value %d: must be at least 1; omit the key for no limit", section.MaxConcurrent)
 	}
 	if connections := c.platform.MaxClientConnections; connections > 0 && section.MaxConcurrent > connections {
-		c.addErrorf("total.concurrent", "%d are more than the %d clients' connections that the descriptors leave room for", section.MaxConcurrent, connections)
+		c.addErrorf("total.concurrent", "invalid value %d: must be at most %d, the number of client connections that the file descriptor limit allows", section.MaxConcurrent, connections)
 	}
 	if memory := c.platform.MemoryBytes; memory > 0 && int64(section.MaxConcurrent) > memory/openMemoryDivisor/bytesPerOpenRequest {
-		c.addErrorf("total.concurrent", "%d open requests take up to %d MB, more than half of the %d MB that there are",
+		c.addErrorf("total.concurrent", "%d open requests take up to %d MB, more than half of the %d MB of available memory",
 			section.MaxConcurrent, megabytes(int64(section.MaxConcurrent)*bytesPerOpenRequest), megabytes(memory))
 	}
 	if section.Adaptive && section.MaxConcurrent == 0 {
-		c.addErrorf("total.adaptive", "it lowers total.concurrent, which is missing")
+		c.addErrorf("total.adaptive", "requires total.concurrent, the limit that it lowers")
 	}
 	if !c.doc.Has("total.least") {
 		return
@@ -112,9 +112,9 @@
 	aboveMax := section.MaxConcurrent > 0 && section.MinConcurrent > section.MaxConcurrent
 	switch {
 	case section.MinConcurrent < 1 || aboveMax:
-		c.addErrorf("total.least", "%d is not from 1 to total.concurrent", section.MinConcurrent)
+		c.addErrorf("total.least", "invalid value %d: must be between 1 and total.concurrent", section.MinConcurrent)
 	case !section.Adaptive:
-		c.addErrorf("total.least", "it bounds the adaptive limit, which is off: set total.adaptive = true")
+		c.addErrorf("total.least", "requires total.adaptive = true: it is the lower bound of the adaptive limit")
 	}
 }
 
@@ -125,9 +125,9 @@
 	size, memory := int64(section.MaxKeys)*bytesPerKey, c.platform.MemoryBytes
 	switch {
 	case section.MaxKeys < 1:
-		c.addErrorf("total.keys", "%d is less than 1", section.MaxKeys)
+		c.addErrorf("total.keys", "invalid value %d: must be at least 1", section.MaxKeys)
 	case memory > 0 && size > memory/keysMemoryDivisor:
-		c.addErrorf("total.keys", "%d keys take about %d MB, more than an eighth of the %d MB that there are", section.MaxKeys, megabytes(size), megabytes(memory))
+		c.addErrorf("total.keys", "%d keys take about %d MB, more than an eighth of the %d MB of available memory", section.MaxKeys, megabytes(size), megabytes(memory))
 	}
 }
 
--- a/internal/config/check_policy.go
+++ b/internal/config/check_policy.go
@@ -51,7 +51,7 @@
 	} {
 		key := section + "." + check.key
 		if c.doc.Has(key) && (check.value < check.min || check.value > maxDuration) {
-			c.addErrorf(key, "%v is not from %v to %v", check.value, check.min, maxDuration)
+			c.addErrorf(key, "invalid value %v: must be between %v and %v", check.value, check.min, maxDuration)
 		}
 	}
 	for _, check := range []struct {
@@ -68,7 +68,7 @@
 	} {
 		key := section + "." + check.key
 		if c.doc.Has(key) && (check.value < check.min || check.value > check.max) {
-			c.addErrorf(key, "%v is not from %v to %v", check.value, check.min, check.max)
+			c.addErrorf(key, "invalid value %v: must be between %v and %v", check.value, check.min, check.max)
 		}
 	}
 	c.checkRetryBudgetValue(section+"."+keyRetryBudget, policy.RetryBudget)
@@ -78,19 +78,19 @@
 
 func (c *checker) checkRetryBudgetValue(key string, budget float64) {
 	if c.doc.Has(key) && (budget < 0 || budget > maxRetryBudget) {
-		c.addErrorf(key, "%v is not from 0 to %v: more repeats than that keep a storm alive by themselves", budget, maxRetryBudget)
+		c.addErrorf(key, "invalid value %v: must be between 0 and %v; with a larger budget a retry storm sustains itself", budget, maxRetryBudget)
 	}
 }
 
 func (c *checker) checkRetryModeValue(key string, mode RetryMode) {
 	if c.doc.Has(key) && !slices.Contains([]RetryMode{RetryAllowed, RetryNotRun, RetryAny}, mode) {
-		c.addErrorf(key, "%q is not one of %s, %s, %s", mode, RetryAllowed, RetryNotRun, RetryAny)
+		c.addErrorf(key, "invalid value %q: must be one of %s, %s, %s", mode, RetryAllowed, RetryNotRun, RetryAny)
 	}
 }
 
 func (c *checker) checkRateScopeValue(key string, scope rateScope) {
 	if c.doc.Has(key) && !slices.Contains([]rateScope{rateByRoute, rateByTenant, rateByKey}, scope) {
-		c.addErrorf(key, "%q is not one of %s, %s, %s", scope, rateByRoute, rateByTenant, rateByKey)
+		c.addErrorf(key, "invalid value %q: must be one of %s, %s, %s", scope, rateByRoute, rateByTenant, rateByKey)
 	}
 }
 
@@ -122,7 +122,7 @@
 		{keyAttemptTimeout, policy.AttemptTimeout},
 	} {
 		if policy.isSet(check.key) && check.timeout > 0 && check.timeout <= connectTimeout {
-			c.addErrorOncef(policy.keyPath(check.key), "%v is no longer than a connection to a worker may take, %v", check.timeout, connectTimeout)
+			c.addErrorOncef(policy.keyPath(check.key), "invalid value %v: must be longer than the connect timeout, %v", check.timeout, connectTimeout)
 		}
 	}
 	for _, check := range []struct {
@@ -133,7 +133,7 @@
 		{keyMaxQueueTime, policy.MaxQueueTime},
 	} {
 		if policy.isSet(keyTimeout) && policy.isSet(check.key) && check.part > policy.Timeout {
-			c.addErrorOncef(policy.keyPath(check.key), "%v is longer than the whole may take, %v", check.part, policy.Timeout)
+			c.addErrorOncef(policy.keyPath(check.key), "invalid value %v: must be at most the timeout of the request, %v", check.part, policy.Timeout)
 		}
 	}
 }
@@ -141,10 +141,10 @@
 func (c *checker) checkAttemptsAndHedging(policy *effectivePolicy) {
 	settings := &c.platform.Settings
 	if policy.isSet(keyMaxAttempts) && (policy.MaxAttempts < 1 || policy.MaxAttempts > settings.MaxAttempts) {
-		c.addErrorOncef(policy.keyPath(keyMaxAttempts), "%d is not from 1 to the platform's %d", policy.MaxAttempts, settings.MaxAttempts)
+		c.addErrorOncef(policy.keyPath(keyMaxAttempts), "invalid value %d: must be between 1 and the platform's limit of %d", policy.MaxAttempts, settings.MaxAttempts)
 	}
 	if policy.isSet(keyHedgeDelay) && policy.hedgingOff() {
-		c.addErrorOncef(policy.keyPath(keyHedgeDelay), "a delay for second copies, which are off")
+		c.addErrorOncef(policy.keyPath(keyHedgeDelay), "requires second_copies, which is set to false")
 	}
 	if policy.Hedging && !settings.CanHedge {
 		c.addErrorOncef(policy.keyPath(keyHedging), "the platform allows no second copies")
@@ -153,22 +153,22 @@
 
 func (c *checker) checkBackoff(policy *effectivePolicy) {
 	if policy.isSet(keyMaxRetryBackoff) && (!policy.isSet(keyRetryBackoff) || policy.MaxRetryBackoff < policy.RetryBackoff) {
-		c.addErrorOncef(policy.keyPath(keyMaxRetryBackoff), "%v is less than backoff, %v", policy.MaxRetryBackoff, policy.RetryBackoff)
+		c.addErrorOncef(policy.keyPath(keyMaxRetryBackoff), "invalid value %v: backoff must be set to at most this value, but is %v", policy.MaxRetryBackoff, policy.RetryBackoff)
 	}
 	if policy.isSet(keyBackoffJitter) && !policy.isSet(keyRetryBackoff) {
-		c.addErrorOncef(policy.keyPath(keyBackoffJitter), "it spreads backoff, which is missing")
+		c.addErrorOncef(policy.keyPath(keyBackoffJitter), "requires backoff, which is missing")
 	}
 }
 
 func (c *checker) checkRateAndQueue(policy *effectivePolicy) {
 	if policy.isSet(keyMaxQueued) && policy.isSet(keyMaxConcurrent) && policy.MaxQueued > policy.MaxConcurrent {
-		c.addErrorOncef(policy.keyPath(keyMaxQueued), "%d are more than concurrent, %d: those that wait are open too", policy.MaxQueued, policy.MaxConcurrent)
+		c.addErrorOncef(policy.keyPath(keyMaxQueued), "invalid value %d: must be at most concurrent, %d, which includes queued requests", policy.MaxQueued, policy.MaxConcurrent)
 	}
 	if policy.isSet(keyBurst) && !policy.isSet(keyRate) {
-		c.addErrorOncef(policy.keyPath(keyBurst), "it goes with rate, which is missing")
+		c.addErrorOncef(policy.keyPath(keyBurst), "requires rate, which is missing")
 	}
 	if policy.isSet(keyRateScope) && !policy.isSet(keyRate) {
-		c.addErrorOncef(policy.keyPath(keyRateScope), "it goes with rate, which is missing")
+		c.addErrorOncef(policy.keyPath(keyRateScope), "requires rate, which is missing")
 	}
 }
 
@@ -178,10 +178,10 @@
 	}
 	key := policy.keyPath(keyMinRetriesPerSecond)
 	if !policy.isSet(keyRetryBudget) {
-		c.addErrorOncef(key, "it goes with retry_budget, which is missing")
+		c.addErrorOncef(key, "requires retry_budget, which is missing")
 	}
 	if policy.isSet(keyRate) && policy.MinRetriesPerSecond > policy.Rate {
-		c.addErrorOncef(key, "%v repeats a second are more than the rate of all, %v: a storm would take the whole rate", policy.MinRetriesPerSecond, policy.Rate)
+		c.addErrorOncef(key, "invalid value %v: must be at most rate, %v; otherwise a retry storm could use the whole rate", policy.MinRetriesPerSecond, policy.Rate)
 	}
 }
 
@@ -189,7 +189,7 @@
 	settings := &c.platform.Settings
 	tooLong := !settings.RetryAfter || policy.RetryAfter > toDuration(settings.MaxRetryAfter)
 	if policy.RetryAfter > 0 && tooLong {
-		c.addErrorOncef(policy.keyPath(keyRetryAfter), "%v is more than the platform lets clients be told, %v", policy.RetryAfter, formatTime(settings.MaxRetryAfter))
+		c.addErrorOncef(policy.keyPath(keyRetryAfter), "invalid value %v: must be at most %v, the longest Retry-After that the platform allows", policy.RetryAfter, formatTime(settings.MaxRetryAfter))
 	}
 }
 
@@ -202,12 +202,12 @@
 	attempts, maxAttempts := max(policy.MaxAttempts, 1), c.platform.Settings.MaxAttempts
 	total := float64(attempts) * (1 + policy.RetryBudget)
 	if total > float64(maxAttempts) {
-		c.addErrorOncef(policy.keyPath(keyRetryBudget), "%d attempts for each request and %v repeats of it by its client come to %.1f, over the platform's %d: a storm would multiply",
+		c.addErrorOncef(policy.keyPath(keyRetryBudget), "%d attempts per request and %v client retries per request come to %.1f attempts, more than the platform's limit of %d: a retry storm would multiply",
 			attempts, policy.RetryBudget, total, maxAttempts)
 	}
 }
 
-// checkDeadline checks that nothing takes longer than the clients of a class wait.
+// checkDeadline checks that no timeout exceeds the deadline of a class.
 func (c *checker) checkDeadline(policy *effectivePolicy, class *dispatch.Class, name string) {
 	deadline := toDuration(class.Deadline)
 	for _, check := range []struct {
@@ -219,7 +219,7 @@
 		{keyMaxQueueTime, policy.MaxQueueTime},
 	} {
 		if check.value > deadline {
-			c.addErrorOncef(policy.keyPath(check.key), "%v is longer than clients of %s wait, %v", check.value, name, deadline)
+			c.addErrorOncef(policy.keyPath(check.key), "invalid value %v: must be at most the deadline of class %s, %v", check.value, name, deadline)
 		}
 	}
 }
@@ -237,7 +237,7 @@
 		c.addErrorOncef(policy.keyPath(keyHedgeDelay), "%s: it gets no second copies, so there is nothing to delay", request)
 	}
 	if policy.RetryMode == RetryAny {
-		c.addErrorOncef(policy.keyPath(keyRetryMode), "%s: what may have run is not sent again; write %q or %q", request, RetryAllowed, RetryNotRun)
+		c.addErrorOncef(policy.keyPath(keyRetryMode), "%s: attempts that may have run are not retried; use %q or %q", request, RetryAllowed, RetryNotRun)
 	}
 }
 
@@ -245,11 +245,11 @@
 	key := policy.keyPath(keyDedupWindow)
 	if class.Idempotency != dispatch.Deduplicated {
 		if policy.isSet(keyDedupWindow) {
-			c.addErrorOncef(key, "%s, which goes by %s, is not keyed: there is no window of repeats", name, subject)
+			c.addErrorOncef(key, "%s, which goes by %s, is not keyed: it has no deduplication window", name, subject)
 		}
 		return
 	}
 	if window := toDuration(class.DedupWindow); policy.DedupWindow > window {
-		c.addErrorOncef(key, "%v is past the window of %s, %v, in which workers drop repeats", policy.DedupWindow, name, window)
+		c.addErrorOncef(key, "invalid value %v: must be at most the deduplication window of class %s, %v", policy.DedupWindow, name, window)
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,7 @@
 // Package config reads and checks the operator's file: limits that an operator sets in addition to the platform's
-// configuration. The file can narrow what the rules and the platform allow and never widens it. A file that would is
-// rejected with all its errors, by line and key. The platform's own configuration is read by internal/server.
+// configuration. The file can narrow what the decision module's rules and the platform allow, but not widen it: a file
+// that tries to is rejected. All errors of a file are reported together, each with its line and key. The platform's own
+// configuration is read by internal/server.
 //
 // Load reads a file, checks it and returns an OperatorConfig. The checks are in check.go (names), check_platform.go
 // (limits over all routes) and check_policy.go (the values of one policy); build_routes.go builds the routes.
@@ -25,7 +26,7 @@
 	Settings             dispatch.Settings
 	ClassNames           []string // by the classes' ids in Settings
 	TenantNames          []string // by the tenants' ids in Settings
-	MaxClientConnections int      // connections from which requests can be accepted; 0: unknown
+	MaxClientConnections int      // that the file descriptor limit allows; 0: unknown
 	MemoryBytes          int64    // 0: unknown
 }
 
@@ -40,8 +41,7 @@
 	Digest      string            // of the file's text, in hexadecimal
 }
 
-// Load reads and checks an operator's file. If the file can be read, its error joins a tomlfile.Error for each error in
-// it, one per line.
+// Load reads and checks an operator's file. The error for an invalid file joins one tomlfile.Error per error in it.
 func Load(path string, platform Platform) (*OperatorConfig, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -61,8 +61,8 @@
 	return config, nil
 }
 
-// Decode checks the text of an operator's file; path is used in its errors. It leaves Path and Digest empty. Its error
-// joins a tomlfile.Error for each error in the file.
+// Decode checks the text of an operator's file. The path is only used in error messages; Path and Digest of the result
+// are empty. The error for an invalid file joins one tomlfile.Error per error in it.
 func Decode(path string, raw []byte, platform Platform) (*OperatorConfig, error) {
 	var file operatorFile
 	doc := tomlfile.Read(path, raw, &file)
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -54,8 +54,8 @@
 	Policy
 }
 
-// Policy is the values that the default section, a class, a tenant or a route can set. Which of them a section sets is
-// determined by the keys in the file, not by the values: see effectivePolicy.
+// Policy holds the values that the default section, a class, a tenant or a route can set. The keys in the file, not the
+// values, determine which of them a section sets: see effectivePolicy.
 type Policy struct {
 	Timeout             time.Duration `toml:"timeout"` // of a request, from its arrival
 	AttemptTimeout      time.Duration `toml:"attempt_timeout"`
@@ -64,7 +64,7 @@
 	Hedging             bool          `toml:"second_copies"`
 	HedgeDelay          time.Duration `toml:"hedge_after"`
 	RetryMode           RetryMode     `toml:"repeat"`
-	DedupWindow         time.Duration `toml:"repeat_within"` // retries start no later than this after the first attempt
+	DedupWindow         time.Duration `toml:"repeat_within"` // maximum time from the first attempt to a retry
 	RetryBackoff        time.Duration `toml:"backoff"`
 	MaxRetryBackoff     time.Duration `toml:"backoff_most"`
 	BackoffJitter       float64       `toml:"jitter"`       // the random fraction of a backoff, 0 to 1
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -13,10 +13,10 @@
 	"birchfork/internal/goldentest"
 )
 
-// testdata/golden contains the result of operator's files, as `check --explain` prints it and as the resulting configuration, and the text
-// of every error. UPDATE_GOLDEN=1 writes it.
+// testdata/golden holds the output of `check --explain` and the resulting configuration for several operator's files, and the text of every
+// error. UPDATE_GOLDEN=1 rewrites it.
 
-// goldenPlatform is a platform with a group that every-key.toml can name.
+// goldenPlatform returns a platform whose dispatcher is a member of the group in every-key.toml.
 func goldenPlatform() Platform {
 	platform := testPlatform()
 	platform.Name = "d1"
@@ -31,7 +31,7 @@
 			t.Fatal(err)
 		}
 		if config.Path != path {
-			t.Errorf("path %q, not %q", config.Path, path)
+			t.Errorf("path %q, want %q", config.Path, path)
 		}
 		var explained, settings bytes.Buffer
 		if err := config.Explain(&explained); err != nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-// writeConfig writes each field of a plan under a name that does not change if the field is renamed.
+// writeConfig writes each field of a configuration under a name that stays the same if the field is renamed.
 func writeConfig(w io.Writer, config *OperatorConfig) {
 	s := &config.Settings
 	fmt.Fprintf(w, "drain grace %d, warm within %d, fall multiple %v, cold from %v\n", s.DrainGrace, s.SlowStartWindow, s.OverloadMultiple, s.SlowStartMinFactor)
--- a/internal/config/group.go
+++ b/internal/config/group.go
@@ -58,18 +58,18 @@
 		DataDir:          section.DataDir,
 	}
 	if group.Name == "" {
-		c.addErrorf("group.name", "it is missing: members of one group share a name")
+		c.addErrorf("group.name", "missing group name: it must be the same for all members")
 	}
 	if !c.doc.Has("group.lease") {
 		group.LeaseDuration = defaultLease
 	} else if group.LeaseDuration < minLease || group.LeaseDuration > maxLease {
-		c.addErrorf("group.lease", "%v is not from %v to %v", group.LeaseDuration, minLease, maxLease)
+		c.addErrorf("group.lease", "invalid value %v: must be between %v and %v", group.LeaseDuration, minLease, maxLease)
 	}
 	if group.DataDir != "" && !filepath.IsAbs(group.DataDir) {
-		c.addErrorf("group.folder", "%q is no absolute path", group.DataDir)
+		c.addErrorf("group.folder", "invalid value %q: must be an absolute path", group.DataDir)
 	}
 	if n := len(section.Members); n > maxMembers {
-		c.addErrorf("group.member", "%d are more than %d", n, maxMembers)
+		c.addErrorf("group.member", "too many members: got %d, at most %d are allowed", n, maxMembers)
 		return group
 	}
 	group.Members = c.buildMembers(section.Members)
@@ -94,31 +94,31 @@
 		members = append(members, peer.Member{Name: section.Name, Address: section.Address, Zone: section.Zone, Voter: section.Voter})
 	}
 	if _, ok := indexByName[c.platform.Name]; !ok {
-		c.addErrorf("group.member", "%q, which is this dispatcher, is not among them", c.platform.Name)
+		c.addErrorf("group.member", "missing member %q: this dispatcher must be a member", c.platform.Name)
 	}
 	if voters < minVoters || voters > maxVoters || voters%2 == 0 {
-		c.addErrorf("group.member", "%d have voter = true; it has to be 3, 5 or %d", voters, maxVoters)
+		c.addErrorf("group.member", "the number of members with voter = true is %d: must be 3, 5 or %d", voters, maxVoters)
 	}
 	return members
 }
 
 func (c *checker) checkMemberName(key, name string, indexByName map[string]int) {
 	if name == "" {
-		c.addErrorf(key, "it is missing")
+		c.addErrorf(key, "missing name")
 		return
 	}
 	if first, duplicate := indexByName[name]; duplicate {
-		c.addErrorf(key, "%q is member[%d] already", name, first)
+		c.addErrorf(key, "duplicate name %q: it is the name of member[%d]", name, first)
 	}
 }
 
 func (c *checker) checkMemberAddress(key, address string, indexByAddress map[string]int) {
 	if !isHostPort(address) {
-		c.addErrorf(key, "%q is not host:port", address)
+		c.addErrorf(key, "invalid address %q: must be host:port", address)
 		return
 	}
 	if first, duplicate := indexByAddress[address]; duplicate {
-		c.addErrorf(key, "%q is that of member[%d] already", address, first)
+		c.addErrorf(key, "duplicate address %q: it is the address of member[%d]", address, first)
 	}
 }
 
--- a/internal/config/group_test.go
+++ b/internal/config/group_test.go
@@ -54,9 +54,9 @@
 	platform.Name = "stranger"
 	_, err = Decode("f", []byte(invalidGroup()), platform)
 	for _, want := range []string{
-		"group.name: it is missing", "group.lease: 1h30m0s", "group.folder:", `group.member[2].name: "d1" is member[1] already`,
-		`group.member[2].link: "10.0.0.1:9700" is that of member[0] already`, "group.member[3].name: it is missing",
-		`group.member[3].link: "nowhere" is not host:port`, `"stranger", which is this dispatcher`, "4 have voter = true",
+		"group.name: missing group name", "group.lease: invalid value 1h30m0s", "group.folder:", `group.member[2].name: duplicate name "d1": it is the name of member[1]`,
+		`group.member[2].link: duplicate address "10.0.0.1:9700": it is the address of member[0]`, "group.member[3].name: missing name",
+		`group.member[3].link: invalid address "nowhere": must be host:port`, `missing member "stranger": this dispatcher`, "members with voter = true is 4",
 	} {
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q is not in: %v", want, err)
