--- a/cmd/birchfork/main_test.go
+++ b/cmd/birchfork/main_test.go
@@ -36,12 +36,12 @@
 	}
 	status, std, err := call("check", write(t, `{"listen":"x","discovery":"y","settings":{}}`))
 	if status != 1 || strings.Count(std, "\n") != 3 || strings.Count(err, "\n") != 1 {
-		t.Errorf("check of an invalid one: %d, %q, %q", status, std, err)
+		t.Errorf("check of an invalid configuration: %d, %q, %q", status, std, err)
 	}
 }
 
-// With --free an address that is in use is named by its key.
-func TestCheck_FreeLooksAtAddresses(t *testing.T) {
+// With --free, an address in use is reported with its key.
+func TestCheck_FreeReportsUsedAddresses(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -70,14 +70,14 @@
 func TestCheck_NamesUnsupportedAndMixedSettings(t *testing.T) {
 	status, std, err := call("check", write(t, unsupportedConfig))
 	if status != 0 || strings.Count(std, "served without: ") != 2 || !strings.Contains(std, "policy_limits.peers") {
-		t.Errorf("check of a new shape: %d, %q, %q", status, std, err)
+		t.Errorf("check of unsupported settings: %d, %q, %q", status, std, err)
 	}
 	if _, std, _ := call("check", write(t, validConfig)); strings.Contains(std, "served without") {
-		t.Errorf("check of the old shape: %q", std)
+		t.Errorf("check of supported settings: %q", std)
 	}
 	status, std, _ = call("check", write(t, mixedConfig))
 	if status != 1 || strings.Count(std, "\n") != 2 || !strings.Contains(std, "weight_kind: ") || !strings.Contains(std, "prices.peer: ") {
-		t.Errorf("check of a mixture: %d, %q", status, std)
+		t.Errorf("check of mixed settings: %d, %q", status, std)
 	}
 }
 
--- a/cmd/birchfork/service_test.go
+++ b/cmd/birchfork/service_test.go
@@ -18,7 +18,7 @@
 	"time"
 )
 
-// runAsProgramEnv is the environment variable that makes the test binary run as the program, in processes without a build of their own.
+// runAsProgramEnv is the environment variable that makes the test binary run as the program, so that tests need no separate build of it.
 const runAsProgramEnv = "BIRCHFORK_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -28,8 +28,8 @@
 	os.Exit(m.Run())
 }
 
-// deployment is a discovery, workers that count the requests that reach them, and clients that count the result of each request, all on
-// loopback.
+// deployment is a discovery service, workers that count the requests they receive, and clients that count the results of their requests, all
+// on loopback.
 type deployment struct {
 	t         *testing.T
 	dir       string
@@ -37,14 +37,14 @@
 	listen    string
 	class     atomic.Value // of the clients' requests
 
-	mu      sync.Mutex
-	sent    []int          // requests by worker
-	effects map[string]int // attempts by request
+	mu       sync.Mutex
+	sent     []int          // requests by worker
+	attempts map[string]int // by request
 
-	served, other atomic.Int64
-	last          atomic.Value // the last result that was not 200
-	quit          chan struct{}
-	clients       sync.WaitGroup
+	served, notServed atomic.Int64
+	lastFailure       atomic.Value // the last result that was not 200
+	quit              chan struct{}
+	clients           sync.WaitGroup
 }
 
 func freeAddress(t *testing.T) string {
@@ -60,40 +60,40 @@
 const workerCount = 3
 
 func newDeployment(t *testing.T) *deployment {
-	w := &deployment{t: t, dir: t.TempDir(), listen: freeAddress(t), sent: make([]int, workerCount), effects: map[string]int{}, quit: make(chan struct{})}
-	w.class.Store("book")
+	d := &deployment{t: t, dir: t.TempDir(), listen: freeAddress(t), sent: make([]int, workerCount), attempts: map[string]int{}, quit: make(chan struct{})}
+	d.class.Store("book")
 	entries := make([]string, 0, workerCount)
 	for i := range workerCount {
-		s := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
+		worker := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
 			id := r.Header.Get("X-Request-Id")
-			w.mu.Lock()
-			w.sent[i]++
-			w.effects[id]++
-			w.mu.Unlock()
+			d.mu.Lock()
+			d.sent[i]++
+			d.attempts[id]++
+			d.mu.Unlock()
 			time.Sleep(5 * time.Millisecond)
 			fmt.Fprintf(out, "{\"id\":%q,\"state\":\"done\",\"result\":\"r\"}\n", id)
 		}))
-		t.Cleanup(s.Close)
-		entries = append(entries, fmt.Sprintf(`{"name":"w%d","address":%q,"zone":"a","type":"big","status":"up","weight":1}`, i, s.Listener.Addr()))
+		t.Cleanup(worker.Close)
+		entries = append(entries, fmt.Sprintf(`{"name":"w%d","address":%q,"zone":"a","type":"big","status":"up","weight":1}`, i, worker.Listener.Addr()))
 	}
 	gone := make(chan struct{})
-	d := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
+	discovery := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(out, `{"index":1,"snapshot":true,"endpoints":[%s]}`+"\n", strings.Join(entries, ","))
 		if r.URL.Query().Get("follow") != "" {
 			out.(http.Flusher).Flush()
 			<-gone
 		}
 	}))
-	t.Cleanup(d.Close)
+	t.Cleanup(discovery.Close)
 	t.Cleanup(func() { close(gone) })
-	w.discovery = d.Listener.Addr().String()
-	w.configure("book")
-	return w
+	d.discovery = discovery.Listener.Addr().String()
+	d.configure("book")
+	return d
 }
 
 func (d *deployment) configPath() string { return filepath.Join(d.dir, "config.json") }
 
-// configure writes a configuration with one class of requests that are never retried; without a class it writes an invalid file.
+// configure writes a configuration with one class, whose requests are never retried. If class is empty it writes an invalid file.
 func (d *deployment) configure(class string) {
 	d.t.Helper()
 	text := fmt.Sprintf(`{"name":"n","listen":%q,"discovery":%q,"seed":"1","limits":{"cores":1,"memory_mb":64,"sockets":256},
@@ -130,11 +130,11 @@
 		d.t.Fatal(err)
 	}
 	d.t.Cleanup(func() { _ = p.Process.Kill() }) // fails if it has ended
-	d.until("it is ready", func() bool { return p.call("GET", "/-/ready") == 200 })
+	d.until("the process is ready", func() bool { return p.call("GET", "/-/ready") == 200 })
 	return p
 }
 
-// call calls the admin server and returns the status; 0: there was no answer.
+// call calls the admin server and returns the status; 0: no answer.
 func (p *process) call(method, path string) int {
 	req, err := http.NewRequest(method, "http://"+p.operator+path, nil)
 	if err != nil {
@@ -154,7 +154,7 @@
 	d.t.Helper()
 	d.signal(p, syscall.SIGTERM)
 	if err := p.Wait(); err != nil {
-		d.t.Errorf("it ended with %v", err)
+		d.t.Errorf("process ended with: %v", err)
 	}
 }
 
@@ -176,18 +176,18 @@
 				text, _ := os.ReadFile(l)
 				d.t.Logf("%s", text)
 			}
-			d.t.Fatalf("not so in time: %s (served %d, else %d: %v)", what, d.served.Load(), d.other.Load(), d.last.Load())
+			d.t.Fatalf("timed out waiting until %s (served %d, not served %d, the last: %v)", what, d.served.Load(), d.notServed.Load(), d.lastFailure.Load())
 		}
 	}
 }
 
-// client sends one request after the other on a connection that it reuses. A request whose reused connection is closed before an answer is
-// sent once more on a new one, as the platform's clients do.
+// client sends one request after the other on a connection that it reuses. If a reused connection is closed before the answer, the request is
+// sent once more on a new connection, as the platform's clients do.
 func (d *deployment) client(c int) {
 	defer d.clients.Done()
 	var conn net.Conn
 	var in *bufio.Reader
-	ask := func(id, class string) (status int, err error) {
+	send := func(id, class string) (status int, err error) {
 		if conn == nil {
 			if conn, err = net.Dial("tcp", d.listen); err != nil {
 				return 0, err
@@ -221,21 +221,21 @@
 		}
 		id, class := fmt.Sprintf("c%d-%d", c, i), d.class.Load().(string)
 		reused := conn != nil
-		status, err := ask(id, class)
+		status, err := send(id, class)
 		if err != nil && reused {
-			status, err = ask(id, class)
+			status, err = send(id, class)
 		}
 		if status == 200 {
 			d.served.Add(1)
 			continue
 		}
-		d.other.Add(1)
-		d.last.Store(fmt.Sprintf("%s: %d, %v", id, status, err))
+		d.notServed.Add(1)
+		d.lastFailure.Store(fmt.Sprintf("%s: %d, %v", id, status, err))
 	}
 }
 
-// more waits until n more requests are served.
-func (d *deployment) more(n int64) {
+// awaitServed waits until n more requests are served.
+func (d *deployment) awaitServed(n int64) {
 	d.t.Helper()
 	from := d.served.Load()
 	d.until("requests are served", func() bool { return d.served.Load() >= from+n })
@@ -247,64 +247,64 @@
 	return d.sent[i]
 }
 
-// Real processes: a worker stays disabled over two hot restarts, followed by an invalid file, new settings, and the worker's enabling.
-// Every request is served, once.
-func TestServe_DayOfOperations(t *testing.T) {
-	w := newDeployment(t)
-	first := w.start()
+// Runs real processes: a worker stays disabled over two hot restarts; then an invalid file is rejected, new settings come into force, and the
+// worker is enabled. Every request is served, and none runs twice.
+func TestServe_HotRestartsAndReloads(t *testing.T) {
+	d := newDeployment(t)
+	first := d.start()
 	for c := range 6 {
-		w.clients.Add(1)
-		go w.client(c)
+		d.clients.Add(1)
+		go d.client(c)
 	}
-	w.more(100)
-	wants := func(p *process, path string, want int) {
+	d.awaitServed(100)
+	expectStatus := func(p *process, path string, want int) {
 		t.Helper()
 		if got := p.call("POST", path); got != want {
-			t.Errorf("%s: %d, want %d", path, got, want)
+			t.Errorf("%s: status %d, want %d", path, got, want)
 		}
 	}
-	wants(first, "/-/runners/nobody/disable", 404)
-	wants(first, "/-/runners/w0/disable", 200)
-	w.more(50) // requests that were in transit have arrived
-	sentBefore := w.sentTo(0)
+	expectStatus(first, "/-/runners/nobody/disable", 404)
+	expectStatus(first, "/-/runners/w0/disable", 200)
+	d.awaitServed(50) // by then requests that were in transit have arrived
+	sentBefore := d.sentTo(0)
 
-	second := w.start()
-	w.more(50)
-	w.end(first)
-	w.more(100)
-	third := w.start() // a second hot restart
-	w.end(second)
-	w.more(100)
-	if n := w.sentTo(0); n != sentBefore {
+	second := d.start()
+	d.awaitServed(50)
+	d.end(first)
+	d.awaitServed(100)
+	third := d.start() // a second hot restart
+	d.end(second)
+	d.awaitServed(100)
+	if n := d.sentTo(0); n != sentBefore {
 		t.Errorf("%d requests went to the disabled worker", n-sentBefore)
 	}
 
-	w.configure("")
-	w.signal(third, syscall.SIGHUP)
-	w.until("the broken file is rejected", func() bool { return strings.Contains(text(third.log), "the old one stays") })
-	w.more(50)
-	if w.other.Load() != 0 {
-		t.Errorf("%d requests were not served, the last: %v", w.other.Load(), w.last.Load())
+	d.configure("")
+	d.signal(third, syscall.SIGHUP)
+	d.until("the invalid file is rejected", func() bool { return strings.Contains(text(third.log), "the old one stays") })
+	d.awaitServed(50)
+	if d.notServed.Load() != 0 {
+		t.Errorf("%d requests were not served, the last: %v", d.notServed.Load(), d.lastFailure.Load())
 	}
-	w.configure("sell")
-	w.signal(third, syscall.SIGHUP)
-	w.until("the new settings are in force", func() bool { return strings.Contains(text(third.log), "classes_new=sell") })
-	w.class.Store("sell")
-	w.more(100)
-	wants(third, "/-/runners/w0/enable", 200)
-	w.until("the worker is used again", func() bool { return w.sentTo(0) > sentBefore })
-	close(w.quit)
-	w.clients.Wait()
-	w.end(third)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for id, n := range w.effects {
+	d.configure("sell")
+	d.signal(third, syscall.SIGHUP)
+	d.until("the new settings are in force", func() bool { return strings.Contains(text(third.log), "classes_new=sell") })
+	d.class.Store("sell")
+	d.awaitServed(100)
+	expectStatus(third, "/-/runners/w0/enable", 200)
+	d.until("the worker is used again", func() bool { return d.sentTo(0) > sentBefore })
+	close(d.quit)
+	d.clients.Wait()
+	d.end(third)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for id, n := range d.attempts {
 		if n > 1 {
 			t.Errorf("%s ran %d times", id, n)
 		}
 	}
-	if left, _ := filepath.Glob(filepath.Join(w.dir, "birchfork-n", "process-*")); len(left) > 0 {
-		t.Errorf("left: %v", left)
+	if left, _ := filepath.Glob(filepath.Join(d.dir, "birchfork-n", "process-*")); len(left) > 0 {
+		t.Errorf("files left over: %v", left)
 	}
 }
 
