--- a/cmd/birchfork/check.go
+++ b/cmd/birchfork/check.go
@@ -13,10 +13,10 @@
 	Operator string `help:"The operator's own file, TOML." env:"BIRCHFORK_OPERATOR" placeholder:"FILE"`
 	Admin    string `name:"operator-address" help:"The address of the admin server, host:port, in place of the configuration's." env:"EDGE_OPERATOR" placeholder:"ADDRESS"`
 	Explain  bool   `help:"Print the limits in force for each class and route, and where each comes from."`
-	Free     bool   `help:"Check as well that the addresses to listen on and the group's folder are free; a running dispatcher holds them."`
+	Free     bool   `help:"Also check that the listen addresses and the group's folder are free; a running dispatcher holds them."`
 }
 
-// Run prints every fault, one per line.
+// Run prints every error, one per line.
 func (c *check) Run(out output) error {
 	config, err := server.LoadWithOperator(c.Config, c.Operator, c.Admin)
 	if err != nil {
@@ -24,7 +24,7 @@
 		return fmt.Errorf("%s is not fit to serve by", strings.TrimSuffix(c.Config+" with "+c.Operator, " with "))
 	}
 	if c.Explain && config.Operator == nil {
-		return errors.New("--explain tells of the operator's file: name it with --operator")
+		return errors.New("--explain requires an operator's file: set --operator")
 	}
 	if c.Free {
 		if err := config.CheckAvailable(); err != nil {
--- a/cmd/birchfork/former_commands.go
+++ b/cmd/birchfork/former_commands.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// formerCommands maps the path of a command with a former name to its present name. Only the last element of a key is a former name; those
-// before it are present names.
+// formerCommands maps the path of a command with a former name to its present name. Only the last element of a path is a former name; the
+// elements before it are present names.
 var formerCommands = map[string]string{
 	"lab":                  "testbed",
 	"testbed histories":    "simulation",
--- a/cmd/birchfork/golden_test.go
+++ b/cmd/birchfork/golden_test.go
@@ -14,7 +14,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// commandRows lists a command with its arguments and flags, and those below it: what scripts may use.
+// commandRows lists the arguments, flags and commands below a command, which scripts may use.
 func commandRows(node *kong.Node, path string) (rows []string) {
 	for _, argument := range node.Positional {
 		rows = append(rows, fmt.Sprintf("%s <%s> required=%t default=%q enum=%q", path, argument.Name, argument.Required, argument.Default, argument.Enum))
@@ -44,8 +44,7 @@
 	return strings.TrimSuffix(strings.Join(words, " ")+" "+rest, " ")
 }
 
-// Every command, argument and flag that scripts use still works. The file contains those of the build before commands got their present
-// names.
+// Every command, argument and flag that scripts use still works. The golden file holds those of the build before the commands were renamed.
 func TestCommandLine_KeepsEveryCommandAndFlag(t *testing.T) {
 	parser, err := kong.New(&commands{}, kong.Name("birchfork"), kong.Writers(io.Discard, io.Discard))
 	if err != nil {
--- a/cmd/birchfork/group.go
+++ b/cmd/birchfork/group.go
@@ -14,7 +14,7 @@
 	"birchfork/internal/maintenance"
 )
 
-// GroupCommands contains the commands of a group of dispatchers. A lean build has none.
+// GroupCommands contains the commands for a group of dispatchers. A lean build does not have them.
 type GroupCommands struct {
 	Group       groupCommands       `cmd:"" help:"The group of dispatchers that agrees on machines under maintenance."`
 	Maintenance maintenanceCommands `cmd:"" help:"Rolling maintenance of machines under a disruption budget."`
@@ -22,20 +22,20 @@
 
 // groupCommands are the commands below group.
 type groupCommands struct {
-	Bootstrap    groupBootstrap    `cmd:"" help:"Bootstrap the group at the member that is named; the others join by themselves."`
+	Bootstrap    groupBootstrap    `cmd:"" help:"Bootstrap the group at the given member; the others join automatically."`
 	Status       groupStatus       `cmd:"" help:"Show members, voters, the leader and when each was last heard from."`
-	TrustHistory groupTrustHistory `cmd:"" help:"Confirm that no machine is under maintenance by a plan that was lost when the group was bootstrapped again: plans may start."`
-	ConfirmDisk  groupConfirmDisk  `cmd:"" help:"Confirm to the member that is named that its disk is its latest one, where too few others can confirm it."`
-	Retire       groupRetire       `cmd:"" help:"Retire a member that runs no more: nobody waits for it any longer."`
+	TrustHistory groupTrustHistory `cmd:"" help:"Confirm, after the group was bootstrapped again, that no lost plan has a machine in maintenance: plans may start."`
+	ConfirmDisk  groupConfirmDisk  `cmd:"" help:"Confirm to the given member that its disk is its latest one, if too few other members can confirm it."`
+	Retire       groupRetire       `cmd:"" help:"Retire a member that no longer runs, so that the others stop waiting for it."`
 
-	Overrides groupOverrides `cmd:"" help:"Show which workers operators have disabled or enabled, as one member has it."`
+	Overrides groupOverrides `cmd:"" help:"Show the workers that operators have disabled or enabled, as known to one member."`
 	Resolve   groupResolve   `cmd:"" help:"Resolve a conflict of overrides on a worker."`
-	Diff      groupDiff      `cmd:"" help:"Show the workers on which the members that are named have different overrides."`
+	Diff      groupDiff      `cmd:"" help:"Show the workers for which the given members have different overrides."`
 }
 
 type groupBootstrap struct {
 	memberFlags
-	AfterDataLoss bool `name:"again" help:"There was a group before, whose history most voters have lost: no plan starts before \"group trust-history\"."`
+	AfterDataLoss bool `name:"again" help:"The group existed before, and most voters have lost its history: no plan starts before \"group trust-history\"."`
 }
 
 // Run bootstraps the group.
@@ -48,7 +48,7 @@
 // Run confirms a member's disk.
 func (g *groupConfirmDisk) Run(out output) error {
 	if len(g.At) > 1 {
-		return errors.New("--at: one member is confirmed at a time")
+		return errors.New("--at: only one member can be confirmed at a time")
 	}
 	return g.callAndFinish(out, coordinator.Call{ConfirmDisk: true})
 }
@@ -72,7 +72,7 @@
 
 type groupStatus struct {
 	memberFlags
-	Local bool `help:"What the member that is asked knows itself, without the leader."`
+	Local bool `help:"Show what the queried member itself knows, without asking the leader."`
 }
 
 // Run prints the group's status.
--- a/cmd/birchfork/lean.go
+++ b/cmd/birchfork/lean.go
@@ -4,12 +4,12 @@
 
 import "errors"
 
-// TestbedCommands is the testbed's placeholder in a lean build: its libraries would cost a dispatcher in production some MB of memory.
+// TestbedCommands replaces the testbed in a lean build, because its libraries would cost a dispatcher in production several MB of memory.
 type TestbedCommands struct {
 	Testbed notInLeanBuild `cmd:"" help:"Not part of this build (tag lean)."`
 }
 
-// GroupCommands is the placeholder for groups of dispatchers in a lean build, for the same reason.
+// GroupCommands replaces the commands for a group of dispatchers in a lean build, for the same reason.
 type GroupCommands struct {
 	Group       notInLeanBuild `cmd:"" help:"Not part of this build (tag lean)."`
 	Maintenance notInLeanBuild `cmd:"" help:"Not part of this build (tag lean)."`
@@ -21,5 +21,5 @@
 
 // Run returns an error that says which build has the commands.
 func (notInLeanBuild) Run() error {
-	return errors.New("this build has no testbed, group and maintenance: build without -tags lean, or go run ./cmd/birchfork")
+	return errors.New("this build has no testbed, group and maintenance commands: build without -tags lean, or use go run ./cmd/birchfork")
 }
--- a/cmd/birchfork/main.go
+++ b/cmd/birchfork/main.go
@@ -13,17 +13,17 @@
 // commands is the command line.
 type commands struct {
 	Serve   serve   `cmd:"" help:"Serve until SIGTERM; SIGUSR1 logs the counters."`
-	Check   check   `cmd:"" help:"Check a configuration and name every fault in it."`
+	Check   check   `cmd:"" help:"Check a configuration and print every error in it."`
 	Version version `cmd:"" help:"Print the version of this build."`
 	GroupCommands
 	TestbedCommands
 }
 
 // errRuleViolated means that the testbed found a violated rule or a crashed dispatcher. The exit status is 2.
-var errRuleViolated = errors.New("a rule was broken, or a dispatcher crashed")
+var errRuleViolated = errors.New("a rule was violated, or a dispatcher crashed")
 
 // errRetryLater means that a call to the group was rejected temporarily and may be repeated. The exit status is 2.
-var errRetryLater = errors.New("not now")
+var errRetryLater = errors.New("rejected temporarily; try again later")
 
 // output is the streams to which a command writes.
 type output struct{ stdout, stderr io.Writer }
@@ -34,7 +34,7 @@
 func run(args []string, out output) int {
 	var c commands
 	parser, err := kong.New(&c, kong.Name("birchfork"), kong.Writers(out.stdout, out.stderr), kong.Bind(out),
-		kong.Description("A dispatcher beside a submitter: it pushes jobs to workers."))
+		kong.Description("A dispatcher that accepts requests from clients and pushes them to workers."))
 	if err != nil {
 		fmt.Fprintln(out.stderr, "birchfork:", err)
 		return 1
@@ -45,7 +45,7 @@
 	}
 	switch {
 	case errors.Is(err, errRuleViolated):
-		return 2 // the testbed's summary has already reported it
+		return 2 // the testbed has already printed the violation or crash
 	case errors.Is(err, errRetryLater):
 		fmt.Fprintln(out.stderr, "birchfork:", err)
 		return 2
--- a/cmd/birchfork/maintenance.go
+++ b/cmd/birchfork/maintenance.go
@@ -12,23 +12,23 @@
 	"birchfork/internal/maintenance"
 )
 
-// Timing of a call.
+// Polling intervals.
 const (
-	claimInterval  = 300 * time.Millisecond // between checks whether a machine is drained
+	claimInterval  = 300 * time.Millisecond // between claims of a machine that is not drained yet
 	statusInterval = time.Second
 )
 
 // maintenanceCommands are the commands below maintenance.
 type maintenanceCommands struct {
-	Check  maintenanceCheck  `cmd:"" help:"Check whether a plan could be submitted, and name every fault in it."`
+	Check  maintenanceCheck  `cmd:"" help:"Check whether a plan could be submitted, and print every error in it."`
 	Plan   maintenancePlan   `cmd:"" help:"Submit a plan. Nothing happens before it is started."`
 	Start  maintenanceStart  `cmd:"" help:"Start a plan."`
-	Pause  maintenancePause  `cmd:"" help:"Pause a plan: no further machine is taken."`
+	Pause  maintenancePause  `cmd:"" help:"Pause a plan: no further machine is taken out of service."`
 	Resume maintenanceResume `cmd:"" help:"Resume a plan."`
-	Abort  maintenanceAbort  `cmd:"" help:"Abort a plan: machines not yet released for work return, no further one is taken."`
+	Abort  maintenanceAbort  `cmd:"" help:"Abort a plan: machines not yet released for work return to service, and no further one is taken out."`
 	Status maintenanceStatus `cmd:"" help:"Show the plans and what each machine waits for."`
-	Wait   maintenanceWait   `cmd:"" help:"Wait until a machine is drained; from then on it is yours until done."`
-	Done   maintenanceDone   `cmd:"" help:"Return a machine: its workers were restarted."`
+	Wait   maintenanceWait   `cmd:"" help:"Wait until a machine is drained and released for work; \"maintenance done\" returns it."`
+	Done   maintenanceDone   `cmd:"" help:"Return a machine to service after its workers were restarted."`
 	Skip   maintenanceSkip   `cmd:"" help:"Leave a machine out of its plan, unless it was released for work."`
 }
 
@@ -48,7 +48,7 @@
 // Run submits the plan.
 func (c *maintenancePlan) Run(out output) error { return c.submitPlan(out, c.File, false) }
 
-// planArg is the argument of a call for a plan.
+// planArg is the argument of commands for one plan.
 type planArg struct {
 	memberFlags
 	Name string `arg:"" help:"The plan."`
@@ -81,11 +81,11 @@
 	return c.propose(out, maintenance.Command{Kind: maintenance.CommandAbortPlan, Name: c.Name})
 }
 
-// machineArg is the argument of a call for one machine.
+// machineArg is the argument of commands for one machine.
 type machineArg struct {
 	memberFlags
 	Machine string `arg:"" help:"The machine."`
-	Plan    string `help:"The plan, where several have a machine of this name." placeholder:"NAME"`
+	Plan    string `help:"The plan, if several have a machine of this name." placeholder:"NAME"`
 }
 
 type maintenanceWait struct {
@@ -93,7 +93,7 @@
 	For time.Duration `help:"Give up after this; 0: never." default:"0s" placeholder:"TIME"`
 }
 
-// Run claims the machine, repeatedly until it is drained.
+// Run claims the machine, repeating the call until the machine is drained or the time is over.
 func (c *maintenanceWait) Run(out output) error {
 	var end time.Time
 	if c.For > 0 {
@@ -166,5 +166,5 @@
 			fmt.Fprintf(t, "  %s\t%s\t%v\t%s\n", m.Name, step, m.PhaseDuration.Round(100*time.Millisecond), m.Reason)
 		}
 	}
-	_ = t.Flush() // as with all writes to the terminal
+	_ = t.Flush() // errors of writing to the terminal are ignored
 }
--- a/cmd/birchfork/maintenance_test.go
+++ b/cmd/birchfork/maintenance_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// All faults of an invalid plan are reported by file, line and key before any member is called; the exit status is 1.
+// All errors in an invalid plan are reported with file, line and key before any member is called; the exit status is 1.
 func TestMaintenance_RejectsInvalidPlan(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.toml")
 	text := "name = \"\"\nout = 0\noverdue = \"never\"\n[[machine]]\nname = \"m\"\nrunners = [\"a\"]\n[[machine]]\nname = \"m\"\nrunners = [\"a\"]\n"
@@ -20,22 +20,22 @@
 		t.Fatal(err)
 	}
 	for _, call := range []string{"check", "plan"} {
-		var out, bad bytes.Buffer
-		if status := run([]string{"outage", call, "--at", "127.0.0.1:1", path}, output{&out, &bad}); status != 1 {
+		var stdout, stderr bytes.Buffer
+		if status := run([]string{"outage", call, "--at", "127.0.0.1:1", path}, output{&stdout, &stderr}); status != 1 {
 			t.Errorf("%s: exit status %d", call, status)
 		}
 		for _, want := range []string{
 			":1: name: it is missing", ":2: out: 0 machines", `:3: overdue: "never"`, `:8: machine[1].name: "m"`,
 			`:9: machine[1].runners: "a" is in machine[0] already`,
 		} {
-			if !strings.Contains(bad.String(), path+want) {
-				t.Errorf("%s: %q is not in:\n%s", call, want, &bad)
+			if !strings.Contains(stderr.String(), path+want) {
+				t.Errorf("%s: %q is not in:\n%s", call, want, &stderr)
 			}
 		}
 	}
 }
 
-// Faults of a plan that the group reports have their line too. Exit status 1 means that a call is invalid, 2 that it may be repeated later.
+// Errors in a plan that the group reports also get their line. Exit status 1 means that a call is invalid, 2 that it may be repeated later.
 func TestRun_ExitStatus(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "plan.toml")
 	if err := os.WriteFile(path, []byte("name = \"p\"\n[[machine]]\nname = \"m\"\nrunners = [\"a\"]\n"), 0o600); err != nil {
@@ -65,28 +65,28 @@
 		{[]string{"wait", "--for", "1ms", "--at", at, "m"}, `{"code":2,"text":"m is waiting"}`, 2, "m is waiting"},
 		{[]string{"start", "--json", "--at", at, "p"}, `{"code":1,"text":"no plan"}`, 1, `{"code":1,"text":"no plan"}`},
 		{[]string{"words", "--at", at}, `{"told":"d1","words":[{"runner":"r","out":true,"conflict":true,"said":[{"member":"d0"}]}]}`, 0, "r       out       true      d0 back"},
-		{[]string{"words", "--at", "127.0.0.1:1"}, "", 2, "no member answers"},
+		{[]string{"words", "--at", "127.0.0.1:1"}, "", 2, "no member answered"},
 		{[]string{"resolve", "--at", at, "r", "back"}, `{"text":"yes; it is not kept"}`, 0, "yes; it is not kept"},
 		{[]string{"resolve", "--at", at, "r", "back"}, `{"wrong":true,"text":"no runner"}`, 1, "no runner"},
 		{[]string{"resolve", "--at", at, "r", "gone"}, "", 1, `must be one of "out","back"`},
 		{[]string{"diff", "--at", at}, `{"told":"d1"}`, 0, "d1 have the same overrides"},
-		{[]string{"diff", "--at", at, "d9"}, `{"told":"d1"}`, 1, `no member of --at is called "d9"`},
+		{[]string{"diff", "--at", at, "d9"}, `{"told":"d1"}`, 1, `unknown member "d9": no member of --at has this name`},
 		{[]string{"diff", "--at", at + "," + other}, `{"told":"d1","words":[{"runner":"r","said":[{"member":"d0"}]}]}`, 2, "r at d1: back by d0\nr at d2: nothing\n"},
 		{[]string{"diff", "--at", at + "," + other, "d2"}, `{"told":"d1","words":[{"runner":"r"}]}`, 0, "d2 have the same overrides"},
-		{[]string{"words"}, "", 1, "BIRCHFORK_GROUP: no member is named"},
+		{[]string{"words"}, "", 1, "missing member address: set --at or BIRCHFORK_GROUP"},
 		{[]string{"diff", "--at", at + ",127.0.0.1:1"}, `{"told":"d1"}`, 2, "127.0.0.1:1 did not answer"},
-		{[]string{"status", "--at", "nonsense"}, "", 1, `--at: "nonsense" is not host:port`},
-		{[]string{"status", "--at", ""}, "", 1, "no member is named"},
+		{[]string{"status", "--at", "nonsense"}, "", 1, `--at: invalid address "nonsense": must be host:port`},
+		{[]string{"status", "--at", ""}, "", 1, "missing member address"},
 	} {
 		reply = c.reply
-		var out, bad bytes.Buffer
+		var stdout, stderr bytes.Buffer
 		command := "outage"
 		if slices.Contains([]string{"words", "resolve", "diff"}, c.args[0]) {
 			command = "group"
 		}
-		status := run(append([]string{command}, c.args...), output{&out, &bad})
-		if status != c.status || !strings.Contains(out.String()+bad.String(), c.want) {
-			t.Errorf("%v: exit status %d, %s%s; want %d, %q", c.args, status, &out, &bad, c.status, c.want)
+		status := run(append([]string{command}, c.args...), output{&stdout, &stderr})
+		if status != c.status || !strings.Contains(stdout.String()+stderr.String(), c.want) {
+			t.Errorf("%v: exit status %d, %s%s; want %d, %q", c.args, status, &stdout, &stderr, c.status, c.want)
 		}
 	}
 }
--- a/cmd/birchfork/member_call.go
+++ b/cmd/birchfork/member_call.go
@@ -15,7 +15,7 @@
 
 // memberFlags selects the members to call, and the format of the reply.
 type memberFlags struct {
-	At   []string `help:"Where members listen for the group, host:port; the next is asked where one does not answer." env:"BIRCHFORK_GROUP" placeholder:"ADDRESS"`
+	At   []string `help:"Addresses, host:port, on which members listen for the group; if one does not answer, the next is tried." env:"BIRCHFORK_GROUP" placeholder:"ADDRESS"`
 	JSON bool     `name:"json" help:"Print the answer as JSON."`
 }
 
@@ -23,11 +23,11 @@
 func (m *memberFlags) validate() error {
 	for _, a := range m.At {
 		if host, port, err := net.SplitHostPort(a); err != nil || host == "" || port == "" {
-			return fmt.Errorf("--at: %q is not host:port", a)
+			return fmt.Errorf("--at: invalid address %q: must be host:port", a)
 		}
 	}
 	if len(m.At) == 0 {
-		return errors.New("--at, or BIRCHFORK_GROUP: no member is named")
+		return errors.New("missing member address: set --at or BIRCHFORK_GROUP")
 	}
 	return nil
 }
--- a/cmd/birchfork/overrides.go
+++ b/cmd/birchfork/overrides.go
@@ -30,10 +30,10 @@
 type groupResolve struct {
 	memberFlags
 	Worker   string `name:"runner" arg:"" help:"The worker, by its name in discovery."`
-	Override string `name:"word" arg:"" help:"out or back: it replaces all overrides that this member knows of." enum:"out,back"`
+	Override string `name:"word" arg:"" help:"out or back; replaces all overrides of the worker that this member knows of." enum:"out,back"`
 }
 
-// Run writes an override that supersedes all that the member knows.
+// Run writes an override that supersedes all overrides of the worker that the member knows.
 func (g *groupResolve) Run(out output) error {
 	reply, err := g.callOverrides(gossip.Call{Worker: g.Worker, Disabled: g.Override == "out"})
 	if err != nil {
@@ -47,7 +47,7 @@
 	Names []string `arg:"" optional:"" name:"member" help:"Members of --at to compare; none: all of them."`
 }
 
-// overrideDiff is the differences between the overrides of several members.
+// overrideDiff holds the differences between the overrides of several members.
 type overrideDiff struct {
 	Asked  []string                     `json:"asked"`  // the members that replied
 	Differ map[string]map[string]string `json:"differ"` // the override of each member, by worker and member
@@ -73,7 +73,7 @@
 	case len(diff.Silent) > 0:
 		return &retryLaterError{fmt.Sprintf("%s did not answer; the others differ on %d workers", strings.Join(diff.Silent, ", "), len(diff.Differ))}
 	case len(diff.Differ) > 0:
-		return &retryLaterError{fmt.Sprintf("they differ on %d workers; where all can be reached this passes within seconds", len(diff.Differ))}
+		return &retryLaterError{fmt.Sprintf("the members differ on %d workers; they converge within seconds if all can be reached", len(diff.Differ))}
 	case !g.JSON:
 		fmt.Fprintf(out.stdout, "%s have the same overrides\n", strings.Join(diff.Asked, ", "))
 	}
@@ -95,7 +95,7 @@
 	}
 	for _, name := range g.Names {
 		if len(diff.Silent) == 0 && !slices.Contains(diff.Asked, name) {
-			return nil, fmt.Errorf("no member of --at is called %q", name)
+			return nil, fmt.Errorf("unknown member %q: no member of --at has this name", name)
 		}
 	}
 	maps.DeleteFunc(diff.Differ, func(_ string, byMember map[string]string) bool { return diff.agreed(byMember) })
@@ -147,10 +147,10 @@
 func printOverrides(w io.Writer, reply *gossip.Reply) {
 	fmt.Fprintf(w, "according to %s, digest %s\n", reply.Member, reply.Digest)
 	if !reply.CaughtUp {
-		fmt.Fprintln(w, "it has just started and has not caught up with enough others")
+		fmt.Fprintln(w, "the member has just started and has not caught up with enough other members")
 	}
 	if reply.NotPersisted != "" {
-		fmt.Fprintf(w, "it persists nothing over a restart: %s\n", reply.NotPersisted)
+		fmt.Fprintf(w, "the member does not persist overrides across restarts: %s\n", reply.NotPersisted)
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "WORKER\tOVERRIDE\tCONFLICT\tWRITTEN AT, BY THAT MEMBER'S CLOCK")
@@ -164,7 +164,7 @@
 	_ = t.Flush() // errors of writing to the terminal are ignored
 }
 
-// overrideWord returns the command line's name of an override.
+// overrideWord returns the word for an override on the command line.
 func overrideWord(disabled bool) string {
 	if disabled {
 		return "out"
@@ -172,8 +172,8 @@
 	return "back"
 }
 
-// callOverrides sends a request to the members in turn until one replies. An override that was not acknowledged may be in force
-// nevertheless; writing it again has no effect.
+// callOverrides sends a request to the members in turn until one replies. An override that was not acknowledged may still be in force;
+// writing it again has no further effect.
 func (m *memberFlags) callOverrides(request gossip.Call) (reply *gossip.Reply, err error) {
 	if err := m.validate(); err != nil {
 		return nil, err
@@ -183,10 +183,10 @@
 			return reply, nil
 		}
 	}
-	return nil, &retryLaterError{fmt.Sprintf("no member answers, ask again (%v)", err)}
+	return nil, &retryLaterError{fmt.Sprintf("no member answered; try again: %v", err)}
 }
 
-// finishOverrides prints a reply and converts its fault, if any, to an error.
+// finishOverrides prints a reply, or returns an error if the call was invalid.
 func (m *memberFlags) finishOverrides(out output, reply *gossip.Reply) error {
 	if err := m.printJSON(out, reply); err != nil {
 		return err
--- a/cmd/birchfork/plan_file.go
+++ b/cmd/birchfork/plan_file.go
@@ -31,7 +31,7 @@
 	} `toml:"machine"`
 }
 
-// loadPlan reads a plan. The error lists every fault that the file alone shows, by line and key.
+// loadPlan reads a plan. Its error lists every error that can be found without the group, with line and key.
 func loadPlan(path string) (*maintenance.Plan, *tomlfile.Document, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -49,13 +49,13 @@
 	for _, machine := range file.Machines {
 		plan.Machines = append(plan.Machines, maintenance.Machine{Name: machine.Name, Workers: machine.Workers, Host: machine.Host})
 	}
-	return plan, document, faultsByLine(document, maintenance.New().ValidatePlan(plan))
+	return plan, document, addPlanErrors(document, maintenance.New().ValidatePlan(plan))
 }
 
-// faultsByLine adds the line in the file to each fault, which begins with its key.
-func faultsByLine(document *tomlfile.Document, faults []string) error {
-	for _, fault := range faults {
-		key, reason, _ := strings.Cut(fault, ": ")
+// addPlanErrors adds the messages, each of the form "key: reason", to the document's errors and returns all of them with their lines.
+func addPlanErrors(document *tomlfile.Document, messages []string) error {
+	for _, message := range messages {
+		key, reason, _ := strings.Cut(message, ": ")
 		document.AddErrorf(key, "%s", reason)
 	}
 	return document.Err()
@@ -69,7 +69,7 @@
 	}
 	reply, err := m.call(coordinator.Call{Command: &maintenance.Command{Kind: maintenance.CommandSubmitPlan, Plan: plan}, Check: check})
 	if err == nil && reply.Code == maintenance.CodeInvalid && !m.JSON {
-		return faultsByLine(document, strings.Split(reply.Text, "\n"))
+		return addPlanErrors(document, strings.Split(reply.Text, "\n"))
 	}
 	if err != nil {
 		return err
--- a/cmd/birchfork/testbed.go
+++ b/cmd/birchfork/testbed.go
@@ -15,7 +15,7 @@
 	"birchfork/internal/testbed/scenario"
 )
 
-// TestbedCommands contains the testbed's commands. A lean build has none.
+// TestbedCommands contains the testbed's commands. A lean build does not have them.
 type TestbedCommands struct {
 	Testbed testbedCommands `cmd:"" help:"Run a whole deployment on loopback and check its invariants."`
 }
@@ -23,11 +23,11 @@
 // testbedCommands are the commands below testbed.
 type testbedCommands struct {
 	Run     testbedRun     `cmd:"" help:"Run a scenario on loopback, check the four rules from outside, and report the result."`
-	Compare testbedCompare `cmd:"" help:"Compare two results; or run the same scenarios in turns on another build."`
+	Compare testbedCompare `cmd:"" help:"Compare two saved results, or run the same scenarios alternately on two builds."`
 	List    testbedList    `cmd:"" help:"List the built-in scenarios, the faults that scenarios inject and the mutants."`
-	Show    testbedShow    `cmd:"" help:"Print a built-in scenario, as a file to begin from."`
+	Show    testbedShow    `cmd:"" help:"Print a built-in scenario, as a file to start from."`
 	Report  testbedReport  `cmd:"" help:"Show a saved result again."`
-	Table   testbedTable   `cmd:"" help:"Run scenarios under the dispatch module and the baselines, on several seeds, and print a table."`
+	Table   testbedTable   `cmd:"" help:"Run scenarios under the decision module and the baselines, on several seeds, and print a table."`
 
 	Overhead testbedOverhead `cmd:"" help:"Measure the latency that a dispatcher adds to a direct request to a worker."`
 	Scale    testbedScale    `cmd:"" help:"Measure how the cost grows with workers and dispatchers."`
@@ -36,8 +36,8 @@
 	Replication testbedReplication `cmd:"" help:"Simulate replicas of the operator overrides in virtual time: time to convergence and its cost."`
 	Cluster     testbedCluster     `cmd:"" help:"Run a group of dispatchers with faults between them, and check its invariants."`
 
-	Member     testbedMember     `cmd:"" hidden:"" help:"Run one member with a failpoint: for the testbed itself."`
-	Dispatcher testbedDispatcher `cmd:"" hidden:"" help:"Run one dispatcher under a baseline policy, or a mutant: for the testbed itself."`
+	Member     testbedMember     `cmd:"" hidden:"" help:"Run one member with a failpoint; used by the testbed."`
+	Dispatcher testbedDispatcher `cmd:"" hidden:"" help:"Run one dispatcher under a baseline policy, or a mutant; used by the testbed."`
 }
 
 type testbedList struct{}
@@ -64,7 +64,7 @@
 }
 
 type testbedShow struct {
-	Name string `arg:"" help:"A scenario that comes with the program."`
+	Name string `arg:"" help:"A built-in scenario."`
 }
 
 // Run prints the scenario.
@@ -79,7 +79,7 @@
 
 type testbedReport struct {
 	File string `arg:"" help:"A saved result."`
-	HTML string `help:"Draw it as a page in this file." placeholder:"FILE" name:"html"`
+	HTML string `help:"Write the result as an HTML page to this file." placeholder:"FILE" name:"html"`
 }
 
 // Run prints a saved report.
--- a/cmd/birchfork/testbed_cluster.go
+++ b/cmd/birchfork/testbed_cluster.go
@@ -4,7 +4,6 @@
 
 import (
 	"cmp"
-	"errors"
 	"fmt"
 	"os/exec"
 	"slices"
@@ -24,41 +23,41 @@
 
 // testbedClusterRun runs scenarios of a group.
 type testbedClusterRun struct {
-	Scenario        string        `arg:"" optional:"" help:"A built-in scenario, or a TOML file with some, with a / or . in its name. With none, faults are drawn from the seed."`
+	Scenario        string        `arg:"" optional:"" help:"A built-in scenario, or a TOML file of scenarios, with a / or . in its name. Without it, faults are drawn from the seed."`
 	Members         int           `help:"Members, each a process of its own, in place of the scenario's 3." placeholder:"N"`
 	Seed            uint64        `help:"Seed of the run and its faults; with --runs, of the first run." default:"1"`
-	Runs            int           `help:"So many runs, one after the other, each with the next seed." default:"1"`
+	Runs            int           `help:"Number of runs, one after the other, each with the next seed." default:"1"`
 	For             time.Duration `help:"Length of a run in place of the scenario's 24s." placeholder:"TIME"`
-	RandomFaults    int           `name:"storm" help:"Faults that are drawn from the seed; 4 where no scenario is named." default:"-1" placeholder:"N"`
-	RandomOverrides int           `name:"say" help:"Operator overrides that are drawn from the seed." placeholder:"N"`
+	RandomFaults    int           `name:"storm" help:"Number of faults drawn from the seed; 4 if no scenario is given." default:"-1" placeholder:"N"`
+	RandomOverrides int           `name:"say" help:"Number of operator overrides drawn from the seed." placeholder:"N"`
 	Machines        int           `help:"Machines of the plan in place of the scenario's 2." default:"-1" placeholder:"N"`
 	MaxUnavailable  int           `name:"out" help:"Machines that may be unavailable at a time in place of the scenario's 1." placeholder:"N"`
 	Work            time.Duration `help:"How long each machine is in maintenance, in place of the scenario's." placeholder:"TIME"`
 	Lease           time.Duration `help:"The group's lease in place of the scenario's 1s." placeholder:"TIME"`
-	Diskless        bool          `help:"Members persist nothing over a restart."`
+	Diskless        bool          `help:"Members persist nothing across restarts."`
 	Failpoint       string        `name:"plant" help:"Enable this failpoint in every member, to see the invariant checker catch it." placeholder:"FAULT"`
 	Logs            string        `help:"Write each member's log to a file in this folder." placeholder:"DIR" type:"existingdir"`
-	JSON            string        `help:"Append the results to this file, a line a run." placeholder:"FILE" name:"json"`
-	HTML            string        `help:"Draw the last run as a page in this file." placeholder:"FILE" name:"html"`
+	JSON            string        `help:"Append the results to this file, one line per run." placeholder:"FILE" name:"json"`
+	HTML            string        `help:"Write the last run as an HTML page to this file." placeholder:"FILE" name:"html"`
 }
 
 // defaultRandomFaults is the number of random faults if no scenario is given.
 const defaultRandomFaults = 4
 
-// load returns the scenarios, with values replaced by flags.
+// load returns the selected scenarios with the flags applied.
 func (c *testbedClusterRun) load() ([]cluster.Scenario, error) {
 	if c.Failpoint != "" && !slices.Contains(failpoint.Names, c.Failpoint) {
-		return nil, fmt.Errorf("--plant: %q is none of %s", c.Failpoint, strings.Join(failpoint.Names, ", "))
+		return nil, fmt.Errorf("--plant: unknown failpoint %q: must be one of %s", c.Failpoint, strings.Join(failpoint.Names, ", "))
 	}
 	scenarios, err := c.selected()
 	if err != nil {
 		return nil, err
 	}
 	if c.Runs < 1 {
-		return nil, errors.New("--runs is above 0")
+		return nil, fmt.Errorf("--runs: invalid value %d: must be at least 1", c.Runs)
 	}
 	for i := range scenarios {
-		c.replaceFigures(&scenarios[i])
+		c.applyFlags(&scenarios[i])
 		if err := scenarios[i].Check(); err != nil {
 			return nil, err
 		}
@@ -80,8 +79,8 @@
 	return []cluster.Scenario{random}, nil
 }
 
-// replaceFigures replaces values of a scenario by those of flags.
-func (c *testbedClusterRun) replaceFigures(s *cluster.Scenario) {
+// applyFlags replaces values of a scenario by those of the flags that are set.
+func (c *testbedClusterRun) applyFlags(s *cluster.Scenario) {
 	s.Members = cmp.Or(c.Members, s.Members)
 	s.For = cmp.Or(c.For, s.For)
 	s.MaxUnavailable = cmp.Or(c.MaxUnavailable, s.MaxUnavailable)
@@ -106,7 +105,7 @@
 	}
 	executable, err := executablePath()
 	if err != nil {
-		return fmt.Errorf("finding this program: %w", err)
+		return fmt.Errorf("locating this executable: %w", err)
 	}
 	options := cluster.Options{Logs: c.Logs, Launch: memberLauncher(executable)}
 	ctx, stop := interruptible()
@@ -145,8 +144,8 @@
 // report prints the result of a run and writes it to the given files.
 func (c *testbedClusterRun) report(out output, result *cluster.Result, seed uint64) error {
 	fmt.Fprintln(out.stdout, result.Line(seed))
-	for _, breach := range result.Report.Violations {
-		fmt.Fprintln(out.stdout, "   ", breach)
+	for _, violation := range result.Report.Violations {
+		fmt.Fprintln(out.stdout, "   ", violation)
 	}
 	for _, crash := range result.Report.CrashNotes {
 		fmt.Fprintln(out.stdout, "   ", crash)
@@ -163,7 +162,7 @@
 }
 
 type testbedClusterList struct {
-	Text bool `help:"Print the scenarios as a file to begin from."`
+	Text bool `help:"Print the scenarios as a file to start from."`
 }
 
 // Run prints the list.
--- a/cmd/birchfork/testbed_compare.go
+++ b/cmd/birchfork/testbed_compare.go
@@ -17,15 +17,15 @@
 // testbedCompare compares results: saved ones, or those of alternating runs.
 type testbedCompare struct {
 	Results  []string      `arg:"" optional:"" help:"Two saved results of the same scenario and seed."`
-	Against  string        `help:"Another build of this program: run the same scenarios in turns." placeholder:"BINARY"`
-	Operator string        `help:"An operator's file for this build: the same scenarios in turns with it, and without it or on the other build." placeholder:"FILE"`
+	Against  string        `help:"Another build of this program, on which the same scenarios run alternately." placeholder:"BINARY"`
+	Operator string        `help:"An operator's file for this build. Runs alternate between this build with the file and this build without it, or the other build." placeholder:"FILE"`
 	Day      string        `help:"With --against: the scenario." default:"calm" placeholder:"SCENARIO"`
 	Seeds    []uint64      `help:"With --against: the seeds." default:"1,2,3"`
 	For      time.Duration `help:"With --against: length in place of the scenario's." placeholder:"TIME"`
 }
 
-// contestant is one of the two sides of a comparison.
-type contestant struct {
+// variant is one of the two sides of a comparison.
+type variant struct {
 	name   string
 	launch testbed.Launch
 }
@@ -36,9 +36,9 @@
 		return c.compareSaved(out)
 	}
 	if len(c.Results) != 0 {
-		return errors.New("--against and --operator run scenarios themselves: name no kept results beside them")
+		return errors.New("--against and --operator run scenarios themselves and take no saved results")
 	}
-	sides, err := c.contestants()
+	sides, err := c.variants()
 	if err != nil {
 		return err
 	}
@@ -60,7 +60,7 @@
 // compareSaved compares the two given saved results.
 func (c *testbedCompare) compareSaved(out output) error {
 	if len(c.Results) != 2 {
-		return errors.New("two kept results are needed, or --against BINARY, or --operator FILE")
+		return errors.New("expected two saved results, --against BINARY or --operator FILE")
 	}
 	a, err := report.Load(c.Results[0])
 	if err != nil {
@@ -73,29 +73,29 @@
 	return report.Compare(out.stdout, [][2]*report.Report{{a, b}}, filepath.Base(c.Results[0]), filepath.Base(c.Results[1]))
 }
 
-// contestants returns this build, with the operator's file if one is given, and the side that it is compared with.
-func (c *testbedCompare) contestants() (sides [2]contestant, err error) {
+// variants returns this build, with the operator's file if one is given, and the variant that it is compared with.
+func (c *testbedCompare) variants() (sides [2]variant, err error) {
 	launch, err := dispatcherLauncher(testbed.PolicyRules, "")
 	if err != nil {
 		return sides, err
 	}
-	sides[0] = contestant{"this build", launch}
-	sides[1] = contestant{"without the file", launch}
+	sides[0] = variant{"this build", launch}
+	sides[1] = variant{"without the file", launch}
 	if c.Against != "" {
 		if _, err := exec.LookPath(c.Against); err != nil {
 			return sides, fmt.Errorf("--against: %w", err)
 		}
-		sides[1] = contestant{filepath.Base(c.Against), launchProgram(c.Against, "serve")}
+		sides[1] = variant{filepath.Base(c.Against), launchProgram(c.Against, "serve")}
 	}
 	if c.Operator != "" {
 		launch, err = withOperatorFile(launch, c.Operator, testbed.PolicyRules)
-		sides[0] = contestant{"with the file", launch}
+		sides[0] = variant{"with the file", launch}
 	}
 	return sides, err
 }
 
 // runPairs runs the scenario for each seed, on both sides alternately, until ctx ends. broken reports whether a rule was violated.
-func (c *testbedCompare) runPairs(ctx context.Context, sides [2]contestant) (pairs [][2]*report.Report, broken bool, err error) {
+func (c *testbedCompare) runPairs(ctx context.Context, sides [2]variant) (pairs [][2]*report.Report, broken bool, err error) {
 	for _, seed := range c.Seeds {
 		var pair [2]*report.Report
 		for i, side := range sides {
--- a/cmd/birchfork/testbed_launch.go
+++ b/cmd/birchfork/testbed_launch.go
@@ -27,7 +27,7 @@
 func dispatcherLauncher(policy, mutantName string) (testbed.Launch, error) {
 	path, err := executablePath()
 	if err != nil {
-		return nil, fmt.Errorf("finding this program: %w", err)
+		return nil, fmt.Errorf("locating this executable: %w", err)
 	}
 	args := []string{"testbed", "dispatcher", "--policy", policy}
 	switch {
@@ -39,7 +39,7 @@
 	case policy == testbed.PolicyRules:
 		args = []string{"serve"}
 	case !slices.Contains(baseline.Policies, policy):
-		return nil, fmt.Errorf("--policy: %q is not one of %s, %s", policy, testbed.PolicyRules, strings.Join(baseline.Policies, ", "))
+		return nil, fmt.Errorf("--policy: unknown policy %q: must be one of %s, %s", policy, testbed.PolicyRules, strings.Join(baseline.Policies, ", "))
 	}
 	return launchProgram(path, args...), nil
 }
@@ -50,7 +50,7 @@
 	case file == "":
 		return launch, nil
 	case policy != testbed.PolicyRules:
-		return nil, errors.New("--operator narrows the mechanism: it goes with --policy rules")
+		return nil, errors.New("--operator requires --policy rules: it narrows the rules of the decision module")
 	}
 	file, err := filepath.Abs(file)
 	if err != nil {
@@ -107,7 +107,7 @@
 // Run serves with the failpoint enabled.
 func (c *testbedMember) Run(out output) error {
 	if !slices.Contains(append([]string{failpoint.DiskFull, failpoint.DiskStall, failpoint.NewerEntries, failpoint.OlderBuild, failpoint.ClockSkew}, failpoint.Names...), c.Failpoint) {
-		return errors.New("--plant: there is no such fault")
+		return fmt.Errorf("--plant: unknown failpoint %q", c.Failpoint)
 	}
 	failpoint.Set(c.Failpoint)
 	config, err := server.LoadWithOperator(c.Config, c.Operator, os.Getenv("EDGE_OPERATOR"))
--- a/cmd/birchfork/testbed_measure.go
+++ b/cmd/birchfork/testbed_measure.go
@@ -12,11 +12,11 @@
 )
 
 type testbedTable struct {
-	Scenarios []string      `arg:"" optional:"" help:"Scenarios; none: all that come with the program."`
+	Scenarios []string      `arg:"" optional:"" help:"Scenarios; none: all built-in ones."`
 	Seeds     []uint64      `help:"The seeds." default:"1,2,3"`
-	Policies  []string      `help:"Who decides." default:"rules,random,round-robin,least"`
+	Policies  []string      `help:"Decision policies to compare." default:"rules,random,round-robin,least"`
 	For       time.Duration `help:"Length in place of the scenarios'." placeholder:"TIME"`
-	Parallel  int           `name:"side" help:"Runs in parallel; each wants a core or two." default:"3"`
+	Parallel  int           `name:"side" help:"Number of runs in parallel; each needs one or two cores." default:"3"`
 }
 
 // Run runs all scenarios and prints a table.
@@ -31,8 +31,8 @@
 	for _, n := range names {
 		for _, p := range c.Policies {
 			for _, seed := range c.Seeds {
-				d := scenarioFlags{Scenario: n, For: c.For}
-				s, err := d.load()
+				flags := scenarioFlags{Scenario: n, For: c.For}
+				selected, err := flags.load()
 				if err != nil {
 					return err
 				}
@@ -40,7 +40,7 @@
 				if err != nil {
 					return err
 				}
-				cells = append(cells, testbed.Cell{Row: n, Column: p, Options: testbed.Options{Scenario: s, Seed: seed, Policy: p, Launch: launch}})
+				cells = append(cells, testbed.Cell{Row: n, Column: p, Options: testbed.Options{Scenario: selected, Seed: seed, Policy: p, Launch: launch}})
 			}
 		}
 	}
@@ -54,7 +54,7 @@
 type testbedOverhead struct {
 	Clients []int         `help:"Closed-loop clients." default:"1,32,128"`
 	For     time.Duration `help:"Length of each measurement." default:"3s"`
-	Rounds  int           `help:"Rounds; direct and through a dispatcher in turns." default:"3"`
+	Rounds  int           `help:"Number of rounds; each measures direct requests and requests through a dispatcher." default:"3"`
 	Profile string        `help:"Write a CPU profile of the dispatcher under the most clients to this file." placeholder:"FILE"`
 }
 
@@ -70,14 +70,14 @@
 }
 
 type testbedScale struct {
-	Workers     []int         `help:"Fleets." default:"10,100,300"`
-	Dispatchers []int         `help:"Dispatchers." default:"1,4,16"`
-	Rate        float64       `help:"Requests a second for each worker." default:"6"`
+	Workers     []int         `help:"Numbers of workers." default:"10,100,300"`
+	Dispatchers []int         `help:"Numbers of dispatchers." default:"1,4,16"`
+	Rate        float64       `help:"Requests per second for each worker." default:"6"`
 	For         time.Duration `help:"Length of each run." default:"8s"`
 	Seed        uint64        `help:"The seed." default:"1"`
 }
 
-// Run prints the cost for each group size.
+// Run prints the cost for each number of workers and dispatchers.
 func (c *testbedScale) Run(out output) error {
 	launch, err := dispatcherLauncher(testbed.PolicyRules, "")
 	if err != nil {
@@ -88,13 +88,13 @@
 	var cells []testbed.Cell
 	for _, w := range c.Workers {
 		for _, n := range c.Dispatchers {
-			d := scenarioFlags{Scenario: "calm", Rate: c.Rate * float64(w), For: c.For, Workers: w, Dispatchers: n}
-			s, err := d.load()
+			flags := scenarioFlags{Scenario: "calm", Rate: c.Rate * float64(w), For: c.For, Workers: w, Dispatchers: n}
+			selected, err := flags.load()
 			if err != nil {
 				return err
 			}
 			cells = append(cells, testbed.Cell{Row: fmt.Sprintf("%d workers", w), Column: fmt.Sprintf("%d dispatchers", n),
-				Options: testbed.Options{Scenario: s, Seed: c.Seed, Policy: testbed.PolicyRules, Launch: launch}})
+				Options: testbed.Options{Scenario: selected, Seed: c.Seed, Policy: testbed.PolicyRules, Launch: launch}})
 		}
 	}
 	broken, err := testbed.Table(ctx, out.stdout, cells, 1)
--- a/cmd/birchfork/testbed_run.go
+++ b/cmd/birchfork/testbed_run.go
@@ -21,13 +21,13 @@
 
 // scenarioFlags select a scenario and replace some of its values.
 type scenarioFlags struct {
-	Scenario    string        `arg:"" optional:"" help:"A built-in scenario (calm, if none is named), or a TOML file, with a / or . in its name."`
+	Scenario    string        `arg:"" optional:"" help:"A built-in scenario (calm by default), or a TOML file, with a / or . in its name."`
 	Seed        uint64        `help:"Seed of the scenario: arrivals, sizes, faults, speeds." default:"1"`
 	Rate        float64       `help:"Requests a second in place of the scenario's." placeholder:"N"`
-	For         time.Duration `help:"Length in place of the scenario's; faults past it are left out." placeholder:"TIME"`
-	Workers     int           `help:"Workers in place of the scenario's, in its proportions." placeholder:"N"`
+	For         time.Duration `help:"Length in place of the scenario's; later faults are left out." placeholder:"TIME"`
+	Workers     int           `help:"Workers in place of the scenario's, in the same proportions." placeholder:"N"`
 	Dispatchers int           `help:"Dispatchers in place of the scenario's." placeholder:"N"`
-	Storm       bool          `help:"Draw further faults from the seed, several at once."`
+	Storm       bool          `help:"Inject further faults drawn from the seed, several at once."`
 }
 
 // load returns the selected scenario.
@@ -40,20 +40,20 @@
 		return nil, err
 	}
 	if f.Rate < 0 || f.For < 0 || f.Workers < 0 || f.Dispatchers < 0 {
-		return nil, errors.New("--rate, --for, --workers and --dispatchers are above 0")
+		return nil, errors.New("--rate, --for, --workers and --dispatchers must be above 0")
 	}
 	return s, s.Override(f.Rate, f.For, f.Workers, f.Dispatchers)
 }
 
 type testbedRun struct {
 	scenarioFlags
-	Policy   string `help:"Who decides: rules (the mechanism), random, round-robin or least." default:"rules"`
-	Operator string `help:"The operator's file that the dispatchers serve by." placeholder:"FILE"`
+	Policy   string `help:"Decision policy: rules (the decision module), random, round-robin or least." default:"rules"`
+	Operator string `help:"The operator's file of the dispatchers." placeholder:"FILE"`
 	Group    bool   `help:"The dispatchers form a group (docs/replication.md)."`
 	Mutant   string `name:"plant" help:"Run the mutant with this fault instead, to see the invariant checker catch it." placeholder:"FAULT"`
 	JSON     string `help:"Save the result to this file." placeholder:"FILE" name:"json"`
-	HTML     string `help:"Draw the result as a page in this file." placeholder:"FILE" name:"html"`
-	Ceiling  bool   `help:"Measure the testbed's own ceiling first." default:"true" negatable:""`
+	HTML     string `help:"Write the result as an HTML page to this file." placeholder:"FILE" name:"html"`
+	Ceiling  bool   `help:"Measure the testbed's own maximum throughput first." default:"true" negatable:""`
 }
 
 // Run runs the scenario and prints its report.
@@ -77,7 +77,7 @@
 	options := testbed.Options{Scenario: selected, Seed: c.Seed, RandomFaults: c.Storm, Policy: c.Policy, Mutant: c.Mutant, Launch: launch, Ceiling: c.Ceiling}
 	if c.Group {
 		if c.Operator != "" || c.Policy != testbed.PolicyRules || c.Mutant != "" {
-			return errors.New("--group makes an operator's file of its own: it goes with none of --operator, --policy and --plant")
+			return errors.New("--group makes an operator's file of its own and cannot be combined with --operator, --policy or --plant")
 		}
 		removeGroup, err := cluster.FormGroup(&options)
 		if err != nil {
--- a/cmd/birchfork/testbed_simulation.go
+++ b/cmd/birchfork/testbed_simulation.go
@@ -19,20 +19,20 @@
 type testbedSimulation struct {
 	Members       int    `help:"Members." default:"3"`
 	Voters        int    `help:"Members that vote." default:"3"`
-	Seed          uint64 `help:"Of the first history; the others follow." default:"1"`
+	Seed          uint64 `help:"Seed of the first history; the others use the following seeds." default:"1"`
 	Runs          int    `help:"Number of histories." default:"1000"`
-	Ticks         int    `help:"Their length, in ticks of 50 ms." default:"700"`
-	FaultInterval int    `name:"calm" help:"Mean ticks from one fault to the next." default:"48"`
-	Fault         string `help:"Enable this fault in the cores." placeholder:"FAULT"`
-	Trace         bool   `name:"story" help:"Print a trace of what happens."`
-	Behind        []int  `help:"Measure how long a follower that lacks so many entries takes to catch up." placeholder:"N"`
-	Measure       []int  `help:"Measure a plan of 12 machines with so many members, in place of injecting faults; 0: from 3 to 300." placeholder:"N"`
+	Ticks         int    `help:"Length of a history, in ticks of 50 ms." default:"700"`
+	FaultInterval int    `name:"calm" help:"Mean number of ticks between faults." default:"48"`
+	Fault         string `help:"Simulate the mutant of the cores with this fault." placeholder:"FAULT"`
+	Trace         bool   `name:"story" help:"Print a trace of the events, if --runs is 1."`
+	Behind        []int  `help:"Measure how long a follower that lacks this many entries takes to catch up." placeholder:"N"`
+	Measure       []int  `help:"Measure a plan of 12 machines with this many members, without faults; 0: sizes from 3 to 300." placeholder:"N"`
 }
 
 // Run simulates histories on all cores of the machine; the same seeds give the same histories.
 func (c *testbedSimulation) Run(out output) error {
 	if c.Fault != "" && !slices.Contains(simulation.Mutants, c.Fault) {
-		return fmt.Errorf("--fault: %q is none of: %s", c.Fault, strings.Join(simulation.Mutants, "; "))
+		return fmt.Errorf("--fault: unknown fault %q: must be one of: %s", c.Fault, strings.Join(simulation.Mutants, "; "))
 	}
 	if len(c.Behind) > 0 {
 		return simulation.CatchUp(out.stdout, c.Behind)
@@ -42,7 +42,7 @@
 	}
 	smallest := min(c.Members, c.Voters, c.Runs, c.Ticks, c.FaultInterval)
 	if smallest < 1 || c.Voters > c.Members {
-		return errors.New("--members, --voters, --runs, --ticks and --calm are above 0, and no more vote than there are")
+		return errors.New("--members, --voters, --runs, --ticks and --calm must be at least 1, and --voters at most --members")
 	}
 	result := c.simulate(out)
 	fmt.Fprintf(out.stdout, "simulated: %d histories of %d members, %d voters, %d ticks: %d with a broken rule, %d machines done\n",
@@ -60,7 +60,7 @@
 		sizes = simulation.Sizes
 	}
 	if slices.Min(sizes) < 3 {
-		return errors.New("--measure: fewer than 3 members are no group")
+		return fmt.Errorf("--measure: invalid value %d: must be 0 or at least 3", slices.Min(sizes))
 	}
 	return simulation.Measure(out.stdout, sizes, min(c.Runs, maxMeasuredRuns))
 }
--- a/cmd/birchfork/testbed_test.go
+++ b/cmd/birchfork/testbed_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// A command with an invalid flag or argument ends with status 1 and a message that names it; nothing is started.
+// A command with an invalid flag or argument exits with status 1 and an error that names it, without starting anything.
 func TestTestbed_NamesFaultyFlags(t *testing.T) {
 	file := t.TempDir() + "/day.toml"
 	if err := os.WriteFile(file, []byte("rate = 'x'\nfoo = 1\n"), 0o600); err != nil {
@@ -23,18 +23,18 @@
 		{[]string{"lab", "run", file}, file + ":2: foo: no such key"},
 		{[]string{"lab", "run", "calm", "--policy", "best"}, "round-robin"},
 		{[]string{"lab", "run", "calm", "--plant", "best"}, "unsafe-twice"},
-		{[]string{"lab", "run", "calm", "--rate=-5"}, "above 0"},
+		{[]string{"lab", "run", "calm", "--rate=-5"}, "must be above 0"},
 		{[]string{"lab", "run", "calm", "--workers", "20000"}, "more than 10000"},
 		{[]string{"lab", "run", "calm", "--group", "--policy", "least"}, "--group makes an operator's file"},
 		{[]string{"lab", "run", "calm", "--group", "--dispatchers", "2"}, "2 dispatchers are no group"},
 		{[]string{"lab", "show", "nothing"}, "calm"},
 		{[]string{"lab", "report", "/nothing.json"}, "nothing.json"},
-		{[]string{"lab", "compare", "a.json"}, "two kept results"},
-		{[]string{"lab", "compare", "a.json", "--against", "x"}, "no kept results"},
+		{[]string{"lab", "compare", "a.json"}, "expected two saved results"},
+		{[]string{"lab", "compare", "a.json", "--against", "x"}, "take no saved results"},
 		{[]string{"lab", "compare", "--against", "/nothing/there"}, "--against"},
 	} {
 		if status, _, err := call(c.args...); status != 1 || !strings.Contains(err, c.want) {
-			t.Errorf("%v: status %d, %q does not say %q", c.args, status, err, c.want)
+			t.Errorf("%v: status %d, error %q does not contain %q", c.args, status, err, c.want)
 		}
 	}
 }
