--- a/cmd/birchfork/testbed_test.go
+++ b/cmd/birchfork/testbed_test.go
@@ -9,7 +9,7 @@
 )
 
 // A command with an invalid flag or argument exits with status 1 and an error that names it, without starting anything.
-func TestTestbed_NamesFaultyFlags(t *testing.T) {
+func TestTestbed_RejectsInvalidFlags(t *testing.T) {
 	file := t.TempDir() + "/day.toml"
 	if err := os.WriteFile(file, []byte("rate = 'x'\nfoo = 1\n"), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -86,7 +86,7 @@
 	return configs
 }
 
-// checkNames checks that the platform has all classes and tenants, and that names are unique.
+// checkNames checks that the platform has each class and tenant of the file, and that names are unique.
 func (c *checker) checkNames() {
 	classes := nameChecker{checker: c, section: "class", restricted: true, known: c.platform.ClassNames}
 	for i, section := range c.file.Classes {
