--- a/cmd/birchfork/service_test.go
+++ b/cmd/birchfork/service_test.go
@@ -64,7 +64,7 @@
 	d.class.Store("book")
 	entries := make([]string, 0, workerCount)
 	for i := range workerCount {
-		worker := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
+		workerServer := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
 			id := r.Header.Get("X-Request-Id")
 			d.mu.Lock()
 			d.sent[i]++
@@ -73,20 +73,20 @@
 			time.Sleep(5 * time.Millisecond)
 			fmt.Fprintf(out, "{\"id\":%q,\"state\":\"done\",\"result\":\"r\"}\n", id)
 		}))
-		t.Cleanup(worker.Close)
-		entries = append(entries, fmt.Sprintf(`{"name":"w%d","address":%q,"zone":"a","type":"big","status":"up","weight":1}`, i, worker.Listener.Addr()))
+		t.Cleanup(workerServer.Close)
+		entries = append(entries, fmt.Sprintf(`{"name":"w%d","address":%q,"zone":"a","type":"big","status":"up","weight":1}`, i, workerServer.Listener.Addr()))
 	}
 	gone := make(chan struct{})
-	discovery := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
+	discoveryServer := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(out, `{"index":1,"snapshot":true,"endpoints":[%s]}`+"\n", strings.Join(entries, ","))
 		if r.URL.Query().Get("follow") != "" {
 			out.(http.Flusher).Flush()
 			<-gone
 		}
 	}))
-	t.Cleanup(discovery.Close)
+	t.Cleanup(discoveryServer.Close)
 	t.Cleanup(func() { close(gone) })
-	d.discovery = discovery.Listener.Addr().String()
+	d.discovery = discoveryServer.Listener.Addr().String()
 	d.configure("book")
 	return d
 }
