--- a/internal/config/accepted_test.go
+++ b/internal/config/accepted_test.go
@@ -179,7 +179,7 @@
 		s.Fatalf("attempt %d, want at most %d", attempts+1, limits.MaxAttempts)
 	}
 	if s.now >= request.deadline || limits.Timeout > 0 && s.now >= request.arrivedAt+limits.Timeout {
-		s.Fatal("sent past its deadline")
+		s.Fatalf("sent %v after its arrival, want before the deadline after %v and the timeout %v (0: none)", s.now-request.arrivedAt, request.deadline-request.arrivedAt, limits.Timeout)
 	}
 	queuedFor := s.now - request.arrivedAt
 	if limits.MaxQueueTime > 0 && attempts == 0 && queuedFor > limits.MaxQueueTime+settings.Tick {
@@ -272,6 +272,6 @@
 		}
 	})
 	if accepted < 5 {
-		t.Errorf("only %d random files were accepted, want at least 5", accepted)
+		t.Errorf("only %d random files were accepted, want at least 5: too few to show anything", accepted)
 	}
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -188,6 +188,6 @@
 		sum += table.Route(i).Admission.MaxConcurrent
 	}
 	if connections := c.platform.MaxClientConnections; connections > 0 && sum > connections {
-		c.addErrorf("route", "the concurrent limits of the routes add up to %d, more than the %d client connections that the file descriptor limit allows: lower them, or set total.concurrent", sum, connections)
+		c.addErrorf("route", "the concurrent limits of the routes add up to %d, more than the %d client connections that the file descriptor budget allows: lower them, or set total.concurrent", sum, connections)
 	}
 }
--- a/internal/config/check_platform.go
+++ b/internal/config/check_platform.go
@@ -94,10 +94,10 @@
 
 func (c *checker) checkTotalConcurrency(section *totalSection) {
 	if c.doc.Has("total.concurrent") && section.MaxConcurrent < 1 {
-		c.addErrorf("total.concurrent", "invalid value %d: must be at least 1; omit the key for no limit", section.MaxConcurrent)
+		c.addErrorf("total.concurrent", "invalid value %d: must be at least 1, or no request could be accepted; omit the key for no limit", section.MaxConcurrent)
 	}
 	if connections := c.platform.MaxClientConnections; connections > 0 && section.MaxConcurrent > connections {
-		c.addErrorf("total.concurrent", "invalid value %d: must be at most %d, the number of client connections that the file descriptor limit allows", section.MaxConcurrent, connections)
+		c.addErrorf("total.concurrent", "invalid value %d: must be at most %d, the number of client connections that the file descriptor budget allows", section.MaxConcurrent, connections)
 	}
 	if memory := c.platform.MemoryBytes; memory > 0 && int64(section.MaxConcurrent) > memory/openMemoryDivisor/bytesPerOpenRequest {
 		c.addErrorf("total.concurrent", "%d open requests take up to %d MB, more than half of the %d MB of available memory",
--- a/internal/config/check_policy.go
+++ b/internal/config/check_policy.go
@@ -153,7 +153,7 @@
 
 func (c *checker) checkBackoff(policy *effectivePolicy) {
 	if policy.isSet(keyMaxRetryBackoff) && (!policy.isSet(keyRetryBackoff) || policy.MaxRetryBackoff < policy.RetryBackoff) {
-		c.addErrorOncef(policy.keyPath(keyMaxRetryBackoff), "invalid value %v: backoff must be set to at most this value, but is %v", policy.MaxRetryBackoff, policy.RetryBackoff)
+		c.addErrorOncef(policy.keyPath(keyMaxRetryBackoff), "invalid value %v: must be at least backoff, %v, and backoff must be set", policy.MaxRetryBackoff, policy.RetryBackoff)
 	}
 	if policy.isSet(keyBackoffJitter) && !policy.isSet(keyRetryBackoff) {
 		c.addErrorOncef(policy.keyPath(keyBackoffJitter), "requires backoff, which is missing")
@@ -181,7 +181,7 @@
 		c.addErrorOncef(key, "requires retry_budget, which is missing")
 	}
 	if policy.isSet(keyRate) && policy.MinRetriesPerSecond > policy.Rate {
-		c.addErrorOncef(key, "invalid value %v: must be at most rate, %v; otherwise a retry storm could use the whole rate", policy.MinRetriesPerSecond, policy.Rate)
+		c.addErrorOncef(key, "invalid value %v: must be at most rate, %v per second; otherwise a retry storm could use the whole rate", policy.MinRetriesPerSecond, policy.Rate)
 	}
 }
 
@@ -207,7 +207,7 @@
 	}
 }
 
-// checkDeadline checks that no timeout exceeds the deadline of a class.
+// checkDeadline checks that no time limit exceeds the deadline of a class, which is how long its clients wait.
 func (c *checker) checkDeadline(policy *effectivePolicy, class *dispatch.Class, name string) {
 	deadline := toDuration(class.Deadline)
 	for _, check := range []struct {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -26,7 +26,7 @@
 	Settings             dispatch.Settings
 	ClassNames           []string // by the classes' ids in Settings
 	TenantNames          []string // by the tenants' ids in Settings
-	MaxClientConnections int      // that the file descriptor limit allows; 0: unknown
+	MaxClientConnections int      // client connections from which requests are accepted; 0: unknown
 	MemoryBytes          int64    // 0: unknown
 }
 
--- a/internal/config/decode_test.go
+++ b/internal/config/decode_test.go
@@ -158,7 +158,7 @@
 		{"[default]\nburst = 5", "default.burst: requires rate"},
 		{"[default]\nrate = 5\nrate_by = 'user'", `default.rate_by: invalid value "user": must be one of route, tenant, key`},
 		{"[default]\njitter = 0.5", "default.jitter: requires backoff, which is missing"},
-		{"[default]\nbackoff = '1s'\nbackoff_most = '100ms'", "default.backoff_most: invalid value 100ms: backoff must be set to at most this value, but is 1s"},
+		{"[default]\nbackoff = '1s'\nbackoff_most = '100ms'", "default.backoff_most: invalid value 100ms: must be at least backoff, 1s, and backoff must be set"},
 		{"[default]\nretry_after = '5s'", "default.retry_after: invalid value 5s: must be at most 2s, the longest Retry-After that the platform allows"},
 		{"[default]\npriority = 10", "default.priority: invalid value 10: must be between 0 and 9"},
 		{"[default]\nsecnd_copies = true", "f:2: default.secnd_copies: no such key: did you mean second_copies?"},
@@ -178,14 +178,14 @@
 	}
 }
 
-// All errors of a file are reported at once.
+// All errors of a file are reported at once, one per line. The error for a missing file wraps os.ErrNotExist.
 func TestDecode_NamesAllErrors(t *testing.T) {
 	_, err := Decode("f", []byte("[default]\nattempts = 9\nrate = -1\n[platform]\ndrain_grace = '1h'\n[[route]]\nname='r'\nclass='x'\nsecond_copies=true\n"), testPlatform())
 	if err == nil || strings.Count(err.Error(), "\n") != 3 {
-		t.Errorf("errors: %v", err)
+		t.Errorf("errors: %v, want 4 lines", err)
 	}
 	if _, err := Load("./nothing.toml", testPlatform()); err == nil || !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("missing file: %v", err)
+		t.Errorf("missing file: %v, want %v", err, os.ErrNotExist)
 	}
 }
 
@@ -199,16 +199,16 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		config, err := Decode("f", raw, testPlatform())
 		if (config == nil) == (err == nil) {
-			t.Fatalf("configuration %v, error %v", config, err)
+			t.Fatalf("configuration %v, error %v; want either a configuration or an error", config, err)
 		}
 		var invalid tomlfile.Error
 		if err != nil && !errors.As(err, &invalid) {
-			t.Fatalf("not a tomlfile.Error: %v", err)
+			t.Fatalf("error %v, want a tomlfile.Error", err)
 		}
 		if err == nil {
 			for i := range config.Routes.Len() {
 				if n := config.Routes.RouteLimits(i, 6).MaxAttempts; n > 6 {
-					t.Fatalf("route %d allows %d attempts", i, n)
+					t.Fatalf("route %d allows %d attempts, want at most 6", i, n)
 				}
 			}
 		}
--- a/internal/config/group.go
+++ b/internal/config/group.go
@@ -114,7 +114,7 @@
 
 func (c *checker) checkMemberAddress(key, address string, indexByAddress map[string]int) {
 	if !isHostPort(address) {
-		c.addErrorf(key, "invalid address %q: must be host:port", address)
+		c.addErrorf(key, "invalid address %q: must be host:port, with a port between 1 and 65535", address)
 		return
 	}
 	if first, duplicate := indexByAddress[address]; duplicate {
--- a/internal/config/group_test.go
+++ b/internal/config/group_test.go
@@ -46,10 +46,10 @@
 		t.Fatal(err)
 	}
 	if g := config.Group; g.Name != "valdora" || !g.MaintenancePlans || g.LeaseDuration != defaultLease || len(g.Members) != 3 || g.Members[2].Address != "10.0.0.3:9700" || !g.Members[2].Voter {
-		t.Errorf("%+v", g)
+		t.Errorf("group: %+v", g)
 	}
 	if config, err = Decode("f", nil, platform); err != nil || config.Group != nil {
-		t.Errorf("%+v, %v", config.Group, err)
+		t.Errorf("file without a group: group %+v, error %v", config.Group, err)
 	}
 	platform.Name = "stranger"
 	_, err = Decode("f", []byte(invalidGroup()), platform)
