--- a/cmd/birchfork/main.go
+++ b/cmd/birchfork/main.go
@@ -22,7 +22,8 @@
 // errRuleViolated means that the testbed found a violated rule or a crashed dispatcher. The exit status is 2.
 var errRuleViolated = errors.New("a rule was violated, or a dispatcher crashed")
 
-// errRetryLater means that a call to the group was rejected temporarily and may be repeated. The exit status is 2.
+// errRetryLater means that a command for the group may succeed later: a call was rejected temporarily, no member answered, or members
+// differ. The exit status is 2.
 var errRetryLater = errors.New("rejected temporarily; try again later")
 
 // output is the streams to which a command writes.
--- a/cmd/birchfork/main_test.go
+++ b/cmd/birchfork/main_test.go
@@ -52,7 +52,7 @@
 		t.Errorf("without --free: %d, %q, %q", status, std, err)
 	}
 	if status, std, err := call("check", path, "--free"); status != 1 || !strings.Contains(std, "listen: ") || !strings.Contains(err, "cannot be started now") {
-		t.Errorf("%d, %q, %q", status, std, err)
+		t.Errorf("with --free and an address in use: %d, %q, %q", status, std, err)
 	}
 	if status, std, err := call("check", write(t, validConfig), "--free"); status != 0 {
 		t.Errorf("all free: %d, %q, %q", status, std, err)
--- a/cmd/birchfork/maintenance.go
+++ b/cmd/birchfork/maintenance.go
@@ -93,7 +93,7 @@
 	For time.Duration `help:"Give up after this; 0: never." default:"0s" placeholder:"TIME"`
 }
 
-// Run claims the machine, repeating the call until the machine is drained or the time is over.
+// Run claims the machine, repeating the call until the machine is drained or the time of --for has passed.
 func (c *maintenanceWait) Run(out output) error {
 	var end time.Time
 	if c.For > 0 {
--- a/cmd/birchfork/maintenance_test.go
+++ b/cmd/birchfork/maintenance_test.go
@@ -22,7 +22,7 @@
 	for _, call := range []string{"check", "plan"} {
 		var stdout, stderr bytes.Buffer
 		if status := run([]string{"outage", call, "--at", "127.0.0.1:1", path}, output{&stdout, &stderr}); status != 1 {
-			t.Errorf("%s: exit status %d", call, status)
+			t.Errorf("%s: exit status %d, want 1", call, status)
 		}
 		for _, want := range []string{
 			":1: name: it is missing", ":2: out: 0 machines", `:3: overdue: "never"`, `:8: machine[1].name: "m"`,
--- a/cmd/birchfork/overrides.go
+++ b/cmd/birchfork/overrides.go
@@ -186,7 +186,7 @@
 	return nil, &retryLaterError{fmt.Sprintf("no member answered; try again: %v", err)}
 }
 
-// finishOverrides prints a reply, or returns an error if the call was invalid.
+// finishOverrides prints a reply and, if the call was invalid, converts its text to an error.
 func (m *memberFlags) finishOverrides(out output, reply *gossip.Reply) error {
 	if err := m.printJSON(out, reply); err != nil {
 		return err
--- a/cmd/birchfork/service_test.go
+++ b/cmd/birchfork/service_test.go
@@ -248,7 +248,7 @@
 }
 
 // Runs real processes: a worker stays disabled over two hot restarts; then an invalid file is rejected, new settings come into force, and the
-// worker is enabled. Every request is served, and none runs twice.
+// worker is enabled. Every request before the new settings is served, and none runs twice.
 func TestServe_HotRestartsAndReloads(t *testing.T) {
 	d := newDeployment(t)
 	first := d.start()
@@ -300,7 +300,7 @@
 	defer d.mu.Unlock()
 	for id, n := range d.attempts {
 		if n > 1 {
-			t.Errorf("%s ran %d times", id, n)
+			t.Errorf("%s ran %d times, want once", id, n)
 		}
 	}
 	if left, _ := filepath.Glob(filepath.Join(d.dir, "birchfork-n", "process-*")); len(left) > 0 {
--- a/cmd/birchfork/testbed_compare.go
+++ b/cmd/birchfork/testbed_compare.go
@@ -18,7 +18,7 @@
 type testbedCompare struct {
 	Results  []string      `arg:"" optional:"" help:"Two saved results of the same scenario and seed."`
 	Against  string        `help:"Another build of this program, on which the same scenarios run alternately." placeholder:"BINARY"`
-	Operator string        `help:"An operator's file for this build. Runs alternate between this build with the file and this build without it, or the other build." placeholder:"FILE"`
+	Operator string        `help:"An operator's file for this build. Runs alternate between this build with the file and this build without it or the build of --against." placeholder:"FILE"`
 	Day      string        `help:"With --against: the scenario." default:"calm" placeholder:"SCENARIO"`
 	Seeds    []uint64      `help:"With --against: the seeds." default:"1,2,3"`
 	For      time.Duration `help:"With --against: length in place of the scenario's." placeholder:"TIME"`
@@ -60,7 +60,7 @@
 // compareSaved compares the two given saved results.
 func (c *testbedCompare) compareSaved(out output) error {
 	if len(c.Results) != 2 {
-		return errors.New("expected two saved results, --against BINARY or --operator FILE")
+		return fmt.Errorf("expected two saved results, --against BINARY or --operator FILE; got %d saved results", len(c.Results))
 	}
 	a, err := report.Load(c.Results[0])
 	if err != nil {
--- a/cmd/birchfork/testbed_measure.go
+++ b/cmd/birchfork/testbed_measure.go
@@ -54,7 +54,7 @@
 type testbedOverhead struct {
 	Clients []int         `help:"Closed-loop clients." default:"1,32,128"`
 	For     time.Duration `help:"Length of each measurement." default:"3s"`
-	Rounds  int           `help:"Number of rounds; each measures direct requests and requests through a dispatcher." default:"3"`
+	Rounds  int           `help:"Number of rounds; each measures first direct requests, then requests through a dispatcher." default:"3"`
 	Profile string        `help:"Write a CPU profile of the dispatcher under the most clients to this file." placeholder:"FILE"`
 }
 
--- a/cmd/birchfork/testbed_replication.go
+++ b/cmd/birchfork/testbed_replication.go
@@ -22,7 +22,7 @@
 	Workers      int           `name:"runners" help:"Number of workers that the overrides concern; 0: one per override, and none is enabled again." default:"6" placeholder:"N"`
 	WriteFor     time.Duration `name:"say" help:"Time over which overrides are written at random members; 0: the first member has all of them from the beginning." default:"20s" placeholder:"TIME"`
 	PartitionFor time.Duration `name:"cut" help:"Time for which the first member is partitioned, from the beginning." placeholder:"TIME"`
-	Faults       int           `help:"Number of partitions and of lost or outdated disks over the same time." default:"10" placeholder:"N"`
+	Faults       int           `help:"Number of partitions and of lost or outdated disks, at random times within --say; none if that is 0." default:"10" placeholder:"N"`
 	IdleFor      time.Duration `name:"idle" help:"Idle time that is measured after convergence." placeholder:"TIME"`
 	Seed         uint64        `help:"Seed of the first history; the others use the following seeds." default:"1"`
 	Runs         int           `help:"Number of histories per group size." default:"100"`
@@ -34,7 +34,7 @@
 	case slices.Min(c.Members) < 2 || c.Overrides < 1 || c.Runs < 1:
 		return errors.New("--members must be at least 2, and --words and --runs at least 1")
 	case c.Overrides > replication.MaxOverrides && c.Workers == 0:
-		return fmt.Errorf("--words: invalid value %d: a member accepts overrides of at most %d workers", c.Overrides, replication.MaxOverrides)
+		return fmt.Errorf("--words: invalid value %d: with --runners 0 it must be at most %d, the number of workers with an override that a member accepts", c.Overrides, replication.MaxOverrides)
 	}
 	t := tabwriter.NewWriter(out.stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "simulated: members\thistories\tbroken\tone after s: median, worst\tmessages a member\tkB a member\tidle, a member and second: messages, bytes")
--- a/cmd/birchfork/testbed_simulation.go
+++ b/cmd/birchfork/testbed_simulation.go
@@ -60,7 +60,7 @@
 		sizes = simulation.Sizes
 	}
 	if slices.Min(sizes) < 3 {
-		return fmt.Errorf("--measure: invalid value %d: must be 0 or at least 3", slices.Min(sizes))
+		return fmt.Errorf("--measure: invalid value %d: must be 0 or at least 3, the smallest group", slices.Min(sizes))
 	}
 	return simulation.Measure(out.stdout, sizes, min(c.Runs, maxMeasuredRuns))
 }
--- a/cmd/birchfork/testbed_test.go
+++ b/cmd/birchfork/testbed_test.go
@@ -34,7 +34,7 @@
 		{[]string{"lab", "compare", "--against", "/nothing/there"}, "--against"},
 	} {
 		if status, _, err := call(c.args...); status != 1 || !strings.Contains(err, c.want) {
-			t.Errorf("%v: status %d, error %q does not contain %q", c.args, status, err, c.want)
+			t.Errorf("%v: status %d, error %q; want status 1 and an error that contains %q", c.args, status, err, c.want)
 		}
 	}
 }
