--- a/internal/server/config.go
+++ b/internal/server/config.go
@@ -40,7 +40,7 @@
 	Names            *settings.NameTable    // of classes, tenants, zones and machine types in Settings
 	MaxOpen          int                    // open requests at a time; 0: no limit
 	Operator         *config.OperatorConfig // nil: there is no operator's file
-	Pushed           bool                   // endpoint lists are pushed to an agent on this machine, which answers at no cost
+	EndpointsPushed  bool                   // endpoint lists are pushed to an agent on this machine, which answers at no cost
 	Unsupported      []string               // settings that the protocol on sockets does not support yet, one line each
 
 	raw            []byte // contents of the platform's file
--- a/internal/server/golden_config_test.go
+++ b/internal/server/golden_config_test.go
@@ -43,7 +43,7 @@
 			endpoint.Name, endpoint.Address, endpoint.Zone, endpoint.Kind, endpoint.Cell, endpoint.Weight, int(endpoint.State), endpoint.StartedAtMillis))
 	}
 	line("policy_limits.open_cap", c.MaxOpen)
-	line("lists are pushed", c.Pushed)
+	line("lists are pushed", c.EndpointsPushed)
 	for i, u := range c.Unsupported {
 		line(fmt.Sprintf("served without, %d", i), u)
 	}
--- a/internal/server/platform.go
+++ b/internal/server/platform.go
@@ -147,7 +147,7 @@
 	}
 	c.MaxOpen = pairs.Int("policy_limits.open_cap", 0)
 	c.Unsupported = unsupportedSettings(pairs)
-	c.Pushed = !decoded.EndpointsOnRequest
+	c.EndpointsPushed = !decoded.EndpointsOnRequest
 	// The protocol on sockets has neither messages between dispatchers nor load reports, and the endpoint list is watched outside of the
 	// decision module, which must request none of these.
 	decoded.PeerMessages = false
--- a/internal/server/start.go
+++ b/internal/server/start.go
@@ -63,7 +63,7 @@
 	}
 	s.watcher = discovery.NewWatcher(ctx, s.engine, s.log, discovery.Source{
 		Address:   s.config.DiscoveryAddress,
-		Pushed:    s.config.Pushed,
+		Pushed:    s.config.EndpointsPushed,
 		FleetSize: s.config.Settings.GroupSize,
 		HasList:   hasList,
 		Version:   known.Version,
