--- a/internal/hotrestart/claim.go
+++ b/internal/hotrestart/claim.go
@@ -10,11 +10,11 @@
 	"syscall"
 )
 
-// claimPrefix begins the name of a claim file; the claim's id and the process id follow. A claim file contains the state of its process,
-// which has it locked while it is alive.
+// claimPrefix is the prefix of a claim file's name; the claim's id and the process id follow. A claim file contains the state of its
+// process, which holds a lock on the file while it is alive.
 const claimPrefix = "process-"
 
-// processState is the state of a process, as its claim file has it.
+// processState is the state of a process, as written to its claim file.
 type processState string
 
 // The states of a process.
--- a/internal/hotrestart/claim_test.go
+++ b/internal/hotrestart/claim_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Siblings are reported with their state while they are alive; the claims that they leave are removed.
+// Siblings are reported with their state while they are alive; claims of processes that have ended are removed.
 func TestSiblings_AppearAndDisappear(t *testing.T) {
 	dir := t.TempDir()
 	a := open(t, dir, "n")
@@ -22,7 +22,7 @@
 	b := open(t, dir, "n")
 	want(Siblings{Alive: 1, Newer: true})
 	if o := b.Siblings(); o.Newer {
-		t.Errorf("the newer one sees %+v", o)
+		t.Errorf("siblings of the newer process: %+v", o)
 	}
 	mark(t, b.MarkServing)
 	want(Siblings{Alive: 1, Serving: true, Newer: true})
@@ -32,11 +32,11 @@
 	mark(t, c.MarkServing)
 	want(Siblings{Alive: 2, Serving: true, Newer: true})
 	path := c.claimPath()
-	c.claimFile.Close() // as a kill does: the lock is released, the file stays
+	c.claimFile.Close() // as if the process were killed: the lock is released, the file stays
 	c.claimFile = nil
 	want(Siblings{Alive: 1, Newer: true})
 	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("the claim of a process that has ended is left: %v", err)
+		t.Errorf("the claim of a process that has ended is not removed: %v", err)
 	}
 	b.Close()
 	want(Siblings{})
--- a/internal/hotrestart/endpoints.go
+++ b/internal/hotrestart/endpoints.go
@@ -44,15 +44,15 @@
 	return decodeEndpoints(raw, p.name)
 }
 
-// decodeEndpoints decodes the file of the endpoint list. The error wraps errForeignFile if it is not of the dispatcher with this name.
+// decodeEndpoints decodes the file of the endpoint list. The error wraps errUnusableFile if it is not of the dispatcher with this name.
 func decodeEndpoints(raw []byte, name string) (json.RawMessage, error) {
 	var content endpointsContent
 	if err := json.Unmarshal(raw, &content); err != nil {
-		return nil, fmt.Errorf("%s: %w: %w", endpointsFile, errForeignFile, err)
+		return nil, fmt.Errorf("%s: %w: %w", endpointsFile, errUnusableFile, err)
 	}
 	ours := content.Format == endpointsFormat && content.Dispatcher == name
 	if !ours || len(content.Endpoints) == 0 {
-		return nil, fmt.Errorf("%s: %w", endpointsFile, errForeignFile)
+		return nil, fmt.Errorf("%s: %w", endpointsFile, errUnusableFile)
 	}
 	return content.Endpoints, nil
 }
--- a/internal/hotrestart/endpoints_test.go
+++ b/internal/hotrestart/endpoints_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The endpoint list is read by a later process; a torn one is an error.
+// A later process reads the saved endpoint list; a truncated file is an error.
 func TestEndpoints_SavedForSuccessor(t *testing.T) {
 	dir := t.TempDir()
 	a := open(t, dir, "n")
@@ -21,7 +21,7 @@
 		t.Fatalf("%s, %v", l, err)
 	}
 	writeTestFile(t, filepath.Join(a.dir, endpointsFile), `{"format":"birchfork li`)
-	if l, err := a.Endpoints(); l != nil || !errors.Is(err, errForeignFile) {
+	if l, err := a.Endpoints(); l != nil || !errors.Is(err, errUnusableFile) {
 		t.Fatalf("%s, %v", l, err)
 	}
 }
--- a/internal/hotrestart/files.go
+++ b/internal/hotrestart/files.go
@@ -18,14 +18,14 @@
 
 // Times and limits of files.
 const (
-	lockTimeout       = 50 * time.Millisecond // for another process to release the lock: it may be suspended, and callers wait
+	lockTimeout       = 50 * time.Millisecond // for another process to release the lock; short, as that process may be suspended and callers wait
 	lockRetryInterval = 5 * time.Millisecond
 	staleTempAge      = 1 * time.Minute // age from which an unfinished file counts as abandoned
 	maxFileSize       = 8 << 20         // bytes; larger files are not read
 )
 
-// errForeignFile is the error for a file that cannot be used. The next write replaces the file.
-var errForeignFile = errors.New("torn, of another format or of another dispatcher")
+// errUnusableFile is the error for a file whose content cannot be used. The next write replaces the file.
+var errUnusableFile = errors.New("truncated, of another format or of another dispatcher")
 
 // lock prevents other processes from writing until unlock is called. It fails after lockTimeout.
 func (p *Process) lock() (unlock func(), err error) {
--- a/internal/hotrestart/fixture_test.go
+++ b/internal/hotrestart/fixture_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// mustRead reads a file.
+// mustRead reads a file, or fails the test.
 func mustRead(t *testing.T, path string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(path)
@@ -16,7 +16,7 @@
 	return raw
 }
 
-// open opens a Process, which the test's cleanup closes.
+// open opens a Process. The test's cleanup closes it.
 func open(t *testing.T, dir, name string) *Process {
 	t.Helper()
 	p, err := Open(dir, name)
@@ -40,15 +40,15 @@
 	}
 }
 
-// mark changes a process's state.
-func mark(t *testing.T, state func() error) {
+// mark calls one of the Process methods that record its state, or fails the test.
+func mark(t *testing.T, record func() error) {
 	t.Helper()
-	if err := state(); err != nil {
+	if err := record(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// writeTestFile writes a file of the test.
+// writeTestFile writes a file, or fails the test.
 func writeTestFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -18,10 +18,10 @@
 // goldenName has characters that are not safe in a path.
 const goldenName = "edge 1/ü"
 
-// lateMicros is a time that no clock has reached: a newer override gets one microsecond more.
-const lateMicros = 9_000_000_000_000_000
+// futureMicros is a time in the far future, so that the version of a newer override is one microsecond later and not the clock's time.
+const futureMicros = 9_000_000_000_000_000
 
-// goldenDir returns the only directory below dir.
+// goldenDir returns the only entry of dir, which is the shared directory.
 func goldenDir(t *testing.T, dir string) string {
 	t.Helper()
 	all, err := filepath.Glob(filepath.Join(dir, "*"))
@@ -83,9 +83,9 @@
 
 // goldenOverrides are the overrides of testdata/golden/hand.
 var goldenOverrides = Overrides{
-	"w-1":     {Disabled: true, At: lateMicros + 1},
-	"w-2":     {Disabled: false, At: lateMicros + 12},
-	"a/b <ü>": {Disabled: true, At: lateMicros + 21},
+	"w-1":     {Disabled: true, At: futureMicros + 1},
+	"w-2":     {Disabled: false, At: futureMicros + 12},
+	"a/b <ü>": {Disabled: true, At: futureMicros + 21},
 }
 
 // TestGolden_Overrides checks the file of the operators' overrides, written and read.
@@ -94,7 +94,7 @@
 	p := open(t, dir, goldenName)
 	path := filepath.Join(goldenDir(t, dir), "hand")
 	before := fmt.Sprintf(`{"format":"birchfork hand 1","dispatcher":%q,"runners":{"w-1":{"out":false,"at":%d},"w-2":{"out":true,"at":%d},"a/b <ü>":{"out":false,"at":%d}}}`,
-		goldenName, lateMicros, lateMicros+11, lateMicros+20)
+		goldenName, futureMicros, futureMicros+11, futureMicros+20)
 	writeTestFile(t, path, before)
 	for _, name := range slices.Sorted(maps.Keys(goldenOverrides)) {
 		if _, err := p.SetOverride(name, goldenOverrides[name].Disabled); err != nil {
@@ -133,7 +133,7 @@
 	}
 }
 
-// TestGolden_Claims reads claims that another build left: which processes are alive and serve, and which is newer.
+// TestGolden_Claims reads claims in the format of earlier builds: which processes are alive and serve, and which are newer.
 func TestGolden_Claims(t *testing.T) {
 	for _, c := range []struct {
 		state string
--- a/internal/hotrestart/overrides.go
+++ b/internal/hotrestart/overrides.go
@@ -106,7 +106,7 @@
 		return err
 	}
 	defer unlock()
-	if err := p.readOverrides(); err != nil && !errors.Is(err, errForeignFile) { // a foreign file is replaced
+	if err := p.readOverrides(); err != nil && !errors.Is(err, errUnusableFile) { // an unusable file is replaced
 		return err
 	}
 	for worker, override := range p.overrides {
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// readOverrides merges the file's overrides into those of this process. A foreign file counts as read, so that
-// syncLocked returns the error once. p.mu must be held.
+// readOverrides merges the file's overrides into those of this process. An unusable file counts as read, so that syncLocked
+// returns the error once. p.mu must be held.
 func (p *Process) readOverrides() error {
 	path := filepath.Join(p.dir, overridesFile)
 	previous := p.lastRead
@@ -145,14 +145,14 @@
 	return nil
 }
 
-// decodeOverrides decodes the file of overrides. The error wraps errForeignFile if it is not of the dispatcher with this name.
+// decodeOverrides decodes the file of overrides. The error wraps errUnusableFile if it is not of the dispatcher with this name.
 func decodeOverrides(raw []byte, name string) (Overrides, error) {
 	var content overridesContent
 	if err := json.Unmarshal(raw, &content); err != nil {
-		return nil, fmt.Errorf("%w: %w", errForeignFile, err)
+		return nil, fmt.Errorf("%w: %w", errUnusableFile, err)
 	}
 	if content.Format != overridesFormat || content.Dispatcher != name {
-		return nil, errForeignFile
+		return nil, errUnusableFile
 	}
 	return content.Workers, nil
 }
--- a/internal/hotrestart/overrides_test.go
+++ b/internal/hotrestart/overrides_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Overrides may be set on either process, reach the other one and outlive both.
+// Overrides may be set in either process, reach the other one and persist after both have ended.
 func TestOverrides_SharedAndPersistent(t *testing.T) {
 	dir := t.TempDir()
 	a, b := open(t, dir, "n"), open(t, dir, "n")
@@ -31,7 +31,7 @@
 	set(a, "x", false)
 	expectOverrides(t, b, map[string]bool{"x": false, "y": true})
 	if override, err := b.SetOverride("z", false); err != nil || override != (Override{}) {
-		t.Errorf("a worker that was never disabled is enabled: %v, %v", override, err)
+		t.Errorf("enabling a worker that was never disabled: %v, %v", override, err)
 	}
 	a.Close()
 	b.Close()
@@ -39,11 +39,11 @@
 	expectOverrides(t, open(t, dir, "other"), map[string]bool{})
 }
 
-// The newest override of each worker wins, whichever process has it, also with clocks that do not advance or step back.
+// The newest override of each worker wins, in whichever process it was set, even if the clock stands still or steps back.
 func TestOverrides_NewestWins(t *testing.T) {
 	overrides := Overrides{"a": {true, 5}, "b": {true, 5}}
 	if overrides.merge(Overrides{"a": {false, 5}, "b": {true, 4}}) {
-		t.Error("an override that is not newer changed something")
+		t.Error("overrides that are not newer were merged")
 	}
 	if !overrides.merge(Overrides{"a": {false, 6}, "c": {true, 1}}) || overrides["a"].Disabled || !overrides["b"].Disabled || !overrides["c"].Disabled {
 		t.Errorf("%v", overrides)
@@ -56,9 +56,9 @@
 	}
 }
 
-// Files that are torn, of another format, of another dispatcher or no regular files are ignored with an error that names them, once, and
-// the next override replaces them.
-func TestSync_IgnoresForeignFiles(t *testing.T) {
+// A file that is truncated, of another format or of another dispatcher, or that is not a regular file, is ignored. Sync returns an error
+// that names the file, but only once for each version of it. The next override replaces the file.
+func TestSync_IgnoresUnusableFiles(t *testing.T) {
 	good := `{"format":"birchfork hand 1","dispatcher":"n","runners":{"x":{"out":true,"at":7}}}`
 	for _, c := range []struct {
 		text string
@@ -77,14 +77,14 @@
 		p := open(t, dir, "n")
 		writeTestFile(t, filepath.Join(p.dir, overridesFile), c.text)
 		overrides, err := p.Sync()
-		if (err == nil) != (len(c.want) > 0) || err != nil && (!errors.Is(err, errForeignFile) || !strings.HasPrefix(err.Error(), "hand: ")) {
+		if (err == nil) != (len(c.want) > 0) || err != nil && (!errors.Is(err, errUnusableFile) || !strings.HasPrefix(err.Error(), "hand: ")) {
 			t.Errorf("%.30q: %v", c.text, err)
 		}
 		if len(overrides) != len(c.want) {
 			t.Errorf("%.30q: %v", c.text, overrides)
 		}
 		if _, err := p.Sync(); err != nil {
-			t.Errorf("%.30q: reported again though nothing has changed: %v", c.text, err)
+			t.Errorf("%.30q: error repeated for an unchanged file: %v", c.text, err)
 		}
 		if _, err := p.SetOverride("y", true); err != nil {
 			t.Errorf("%.30q: %v", c.text, err)
@@ -102,7 +102,7 @@
 	}
 }
 
-// An override that cannot be written takes effect in this process at once, and is written as soon as possible.
+// An override that cannot be written takes effect in this process at once, and each Sync retries the write.
 func TestSetOverride_RetriesFailedWrite(t *testing.T) {
 	dir := t.TempDir()
 	p := open(t, dir, "n")
@@ -126,8 +126,8 @@
 	expectOverrides(t, other, map[string]bool{"x": true})
 }
 
-// Old overrides of enabled workers are dropped, so that the file does not grow; those of disabled ones are kept.
-func TestOverrides_OldEnabledForgotten(t *testing.T) {
+// Old overrides of enabled workers are dropped, so that the file does not grow; those of disabled workers are kept.
+func TestOverrides_DropsOldEnabled(t *testing.T) {
 	p := open(t, t.TempDir(), "n")
 	old := time.Now().Add(-2 * enabledRetention).UnixMicro()
 	p.overrides = Overrides{"back": {false, old}, "out": {true, old}}
@@ -140,16 +140,16 @@
 	}
 }
 
-// No content of a file makes the decoders panic, and they return either a value or errForeignFile.
+// No content of a file makes the decoders panic, and they return either a value or errUnusableFile.
 func FuzzFiles(f *testing.F) {
 	f.Add([]byte(`{"format":"birchfork hand 1","dispatcher":"n","runners":{"x":{"out":true,"at":7}}}`))
 	f.Add([]byte(`{"format":"birchfork list 1","dispatcher":"n","list":{"index":1}}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		if w, err := decodeOverrides(raw, "n"); err != nil && (w != nil || !errors.Is(err, errForeignFile)) {
+		if w, err := decodeOverrides(raw, "n"); err != nil && (w != nil || !errors.Is(err, errUnusableFile)) {
 			t.Fatalf("%v, %v", w, err)
 		}
 		endpoints, err := decodeEndpoints(raw, "n")
-		if (err == nil) != (endpoints != nil) || err != nil && !errors.Is(err, errForeignFile) {
+		if (err == nil) != (endpoints != nil) || err != nil && !errors.Is(err, errUnusableFile) {
 			t.Fatalf("%s, %v", endpoints, err)
 		}
 	})
--- a/internal/hotrestart/process.go
+++ b/internal/hotrestart/process.go
@@ -1,5 +1,5 @@
-// Package hotrestart implements the state that the processes of one dispatcher share during a hot restart, in which one replaces the other:
-// which of them are alive and serve, the operators' overrides of workers, and the newest endpoint list.
+// Package hotrestart implements the state that the processes of one dispatcher share during a hot restart, in which a new process replaces the
+// old one: which of them are alive and serve, the operators' overrides of workers, and the newest endpoint list.
 //
 // The state is in a few small files in one directory, each replaced atomically by a rename. The package owns these files. It makes no
 // decisions, and handles neither signals nor sockets.
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// dirPrefix begins the name of the shared directory; the dispatcher's name follows.
+// dirPrefix is the prefix of the shared directory's name; the dispatcher's name follows.
 const dirPrefix = "birchfork-"
 
 // Process is one process of a dispatcher. Its zero value shares nothing and keeps overrides to itself. A Process is safe for concurrent use,
--- a/internal/hotrestart/process_test.go
+++ b/internal/hotrestart/process_test.go
@@ -12,7 +12,7 @@
 // Without a directory nothing is shared, and each process has its own overrides.
 func TestProcess_WithoutDir(t *testing.T) {
 	if _, err := Open("", "n"); err == nil {
-		t.Error("a directory without a name was opened")
+		t.Error("an empty directory name was accepted")
 	}
 	file := filepath.Join(t.TempDir(), "file")
 	writeTestFile(t, file, "")
@@ -34,7 +34,7 @@
 	p.Close()
 }
 
-// Unfinished files of processes that were killed are removed; one that is being written is kept.
+// Unfinished files of killed processes are removed; a file that may still be written is kept.
 func TestOpen_RemovesStaleTemps(t *testing.T) {
 	dir := t.TempDir()
 	p := open(t, dir, "n")
