--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -16,7 +16,7 @@
 	"birchfork/internal/goldentest"
 )
 
-// goldenCalls have every path with every kind of answer, and invalid calls.
+// goldenCalls contain calls of every path with every kind of answer, and invalid calls.
 var goldenCalls = []string{
 	"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n",
 	"GET /-/ready HTTP/1.0\r\n\r\n",
@@ -56,7 +56,7 @@
 	"GET /-/ready HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 24<<10) + "\r\n\r\n",
 }
 
-// TestGolden_Answers checks each answer byte for byte, except its date, of a process that is ready and of one that is not.
+// TestGolden_Answers checks each answer byte for byte, except for its date, while the process is ready and while it is not.
 func TestGolden_Answers(t *testing.T) {
 	var ready error
 	service := Service{
--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -20,7 +20,7 @@
 // unknownPathText is the answer to a call of an unknown path.
 const unknownPathText = "no such path; there are /-/ready, /-/runners/ID/disable and /-/runners/ID/enable"
 
-// operation is the operation of a path.
+// operation is the method that a path requires and the function that carries out its calls.
 type operation struct {
 	method string
 	run    func() (note string, err error)
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -55,7 +55,7 @@
 	return accepted, nil
 }
 
-// add adds a connection, and returns the one to be closed in exchange; nil if the limit is kept or none can be closed.
+// add adds a connection, and returns the one to be closed in exchange; nil if the limit is not exceeded or none can be closed.
 func (l *limitedListener) add(accepted *conn) (evicted *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,6 +1,6 @@
 // Package admin serves the operators' HTTP calls to one dispatcher process: whether it is ready, and disabling and enabling workers. It
-// listens at an address of its own, answers in plain text and serves one call per connection. It has no state of the dispatcher: the
-// functions of a Service read and change that.
+// listens at an address of its own, answers in plain text and serves one call per connection. It holds no state of the dispatcher:
+// the functions of a Service read and change it.
 package admin
 
 import (
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -94,12 +94,12 @@
 		t.Fatalf("%.60q: %v, kept: %v", text, err, !res.Close)
 	}
 	if _, err := in.ReadByte(); !errors.Is(err, io.EOF) && !strings.Contains(fmt.Sprint(err), "reset") {
-		t.Fatalf("%.60q: the connection goes on behind its answer: %v", text, err)
+		t.Fatalf("%.60q: the connection is still open after its answer: %v", text, err)
 	}
 	return res.StatusCode, string(content)
 }
 
-// Each call gets its status and a text with the reason, and reaches the service or not.
+// Each call is answered with its status and a text with the reason. Only valid calls reach the service.
 func TestServer_Answers(t *testing.T) {
 	for _, c := range []struct {
 		head   string
@@ -154,13 +154,13 @@
 		t.Errorf("two calls in one write: %d", status)
 	}
 	if status, _ := exchange(t, server, call+"Content-Length: 100000\r\nExpect: 100-continue\r\n\r\n"); status != 200 {
-		t.Errorf("a body that is announced: %d", status)
+		t.Errorf("a body announced with Expect: %d", status)
 	}
 	if status, _ := exchange(t, server, call+"Content-Length: 10\r\n\r\n"); status != 200 {
-		t.Errorf("a body that never comes: %d", status)
+		t.Errorf("a body that never arrives: %d", status)
 	}
 	if status, _ := exchange(t, server, "what is this\r\n\r\n"); status != 400 {
-		t.Errorf("no HTTP at all: %d", status)
+		t.Errorf("a call that is not HTTP: %d", status)
 	}
 	c := dial(t, server)
 	for _, b := range []byte(call + "\r\n") {
@@ -170,11 +170,11 @@
 	}
 	res, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		t.Fatalf("a call in pieces: %v", err)
+		t.Fatalf("a call in single bytes: %v", err)
 	}
 	defer res.Body.Close()
 	if res.StatusCode != 200 {
-		t.Errorf("a call in pieces: %d", res.StatusCode)
+		t.Errorf("a call in single bytes: %d", res.StatusCode)
 	}
 	if got := strings.Join(f.calls, ","); got != "disable a,disable a,disable a,disable a" {
 		t.Errorf("carried out: %s", got)
@@ -182,7 +182,7 @@
 }
 
 // Callers with hundreds of connections without a complete call neither block others nor use many descriptors.
-func TestServer_SilentConnsKeepNobodyOut(t *testing.T) {
+func TestServer_SilentConnsDoNotBlockCalls(t *testing.T) {
 	f := &fakeService{}
 	server := f.start(t)
 	for i := range 300 {
@@ -192,7 +192,7 @@
 		}
 		if i%50 == 49 {
 			if status, _ := exchange(t, server, "GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n"); status != 200 {
-				t.Fatalf("beside %d: %d", i, status)
+				t.Fatalf("after silent connection %d: status %d", i, status)
 			}
 		}
 		server.listener.mu.Lock()
@@ -217,19 +217,19 @@
 	limited := &limitedListener{Listener: l, maxConns: 9}
 	conns := make([]*conn, 4) // pending, with unread bytes, silent, newest
 	for i := range conns {
-		far, err := net.Dial("tcp", l.Addr().String())
+		client, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer far.Close()
-		near, err := limited.Accept()
+		defer client.Close()
+		accepted, err := limited.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer near.Close()
-		conns[i] = near.(*conn)
+		defer accepted.Close()
+		conns[i] = accepted.(*conn)
 		if i == 1 {
-			io.WriteString(far, "GET")
+			io.WriteString(client, "GET")
 			for !conns[i].hasUnread() {
 				time.Sleep(time.Millisecond)
 			}
@@ -238,7 +238,7 @@
 	conns[0].setPending(true)
 	for _, want := range []*conn{conns[2], conns[1], nil} {
 		if got := limited.oldestIdle(conns[3]); got != want {
-			t.Fatalf("%p is chosen, want %p of %p", got, want, conns)
+			t.Fatalf("got %p, want %p of %p", got, want, conns)
 		}
 		if want != nil {
 			want.setPending(true)
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -40,7 +40,7 @@
 	t.Fatalf("%s: got %d lines, want %d", path, len(gotLines), len(wantLines))
 }
 
-// QuoteLines writes text as one quoted string a line, each with its line end, so that every byte can be seen.
+// QuoteLines returns each line of text as a quoted string, including its line end, so that every byte is visible.
 func QuoteLines(text string) string {
 	var quoted strings.Builder
 	for line := range strings.Lines(text) {
--- a/internal/goldentest/json.go
+++ b/internal/goldentest/json.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// CheckJSON compares a value's JSON with testdata/golden/name as Check does, and reads the file back into a value that has to equal
-// this one. Every field has to be set, or the file would not show that it is stored.
+// CheckJSON compares a value's JSON with testdata/golden/name as Check does, and checks that the file decodes to an equal value.
+// Every field has to be set, as the file would not show whether an unset field is stored.
 func CheckJSON[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	requireAllSet(t, name, reflect.ValueOf(value))
@@ -31,7 +31,7 @@
 	}
 }
 
-// requireAllSet fails where a field has its zero value. Of a slice the first element has to be complete, of a map each value.
+// requireAllSet fails the test for each field that has its zero value. It checks the first element of a slice and every value of a map.
 func requireAllSet(t *testing.T, path string, value reflect.Value) {
 	t.Helper()
 	if value.IsZero() {
--- a/internal/socket/peek.go
+++ b/internal/socket/peek.go
@@ -1,10 +1,10 @@
-// Package socket looks at sockets below the level of net.Conn.
+// Package socket provides socket operations below the level of net.Conn.
 package socket
 
 import "syscall"
 
-// Peek looks at the bytes that have arrived on a connection and leaves them there. It returns n > 0 where some have, n = 0 and no error at
-// the end of the stream, and syscall.EAGAIN where nothing has arrived. It never blocks, nor waits for a Read that does.
+// Peek reports whether bytes have arrived on a connection, without consuming them. It returns n > 0 if there are any, n = 0 and a nil error
+// at the end of the stream, and syscall.EAGAIN if nothing has arrived. It neither blocks nor waits for a concurrent Read that blocks.
 func Peek(conn syscall.RawConn) (n int, err error) {
 	controlErr := conn.Control(func(fd uintptr) { n, err = PeekFD(fd) })
 	if controlErr != nil {
