--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -94,7 +94,7 @@
 	case "full":
 		return "", fmt.Errorf("%w: %w", ErrUnavailable, errors.New("no room"))
 	case "fault":
-		return "a note that is not told", errors.New("another fault")
+		return "a note that must not be shown", errors.New("another fault")
 	case "note":
 		return "it is not\nkept", nil
 	}
--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -40,12 +40,12 @@
 			conn.setPending(true)
 			defer conn.setPending(false)
 		}
-		write(w, execute(service, r))
+		writeAnswer(w, execute(service, r))
 	})
 }
 
-// write writes an answer, with a header that announces the end of the connection.
-func write(w http.ResponseWriter, a answer) {
+// writeAnswer writes an answer, with a header that announces the end of the connection.
+func writeAnswer(w http.ResponseWriter, a answer) {
 	header := w.Header()
 	header.Set("Content-Type", "text/plain; charset=utf-8")
 	header.Set("Content-Length", strconv.Itoa(len(a.text)+1))
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -14,7 +14,7 @@
 
 // Limits on callers.
 const (
-	callTimeout      = 1500 * time.Millisecond // for a call to be received in full, from the connection on
+	callTimeout      = 1500 * time.Millisecond // for a call to be received in full, counted from the start of the connection
 	answerTimeout    = 1 * time.Second         // for the answer to be written, in addition
 	maxHeaderBytes   = 16 << 10
 	maxWorkerIDBytes = 256
--- a/internal/hotrestart/files.go
+++ b/internal/hotrestart/files.go
@@ -18,7 +18,7 @@
 
 // Times and limits of files.
 const (
-	lockTimeout       = 50 * time.Millisecond // for another process to release the lock; short, as that process may be suspended and callers wait
+	lockTimeout       = 50 * time.Millisecond // for another process to release the lock; it may be suspended while callers wait
 	lockRetryInterval = 5 * time.Millisecond
 	staleTempAge      = 1 * time.Minute // age from which an unfinished file counts as abandoned
 	maxFileSize       = 8 << 20         // bytes; larger files are not read
--- a/internal/hotrestart/process.go
+++ b/internal/hotrestart/process.go
@@ -1,5 +1,5 @@
-// Package hotrestart implements the state that the processes of one dispatcher share during a hot restart, in which a new process replaces the
-// old one: which of them are alive and serve, the operators' overrides of workers, and the newest endpoint list.
+// Package hotrestart implements the state that the processes of one dispatcher share during a hot restart, in which a new process
+// replaces the old one: which of them are alive and serve, the operators' overrides of workers, and the newest endpoint list.
 //
 // The state is in a few small files in one directory, each replaced atomically by a rename. The package owns these files. It makes no
 // decisions, and handles neither signals nor sockets.
--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -42,8 +42,8 @@
 }
 
 // setOverride disables a worker or enables it again, for an operator's call. The override is in effect in this process on return; siblings
-// and the other members of the group follow. The note, if any, is shown to the operator with the answer. The error is admin.ErrUnknownWorker, or
-// wraps admin.ErrUnavailable if the group's replica cannot accept the override.
+// and the other members of the group follow. The note, if any, is shown to the operator with the answer. The error is admin.ErrUnknownWorker,
+// or wraps admin.ErrUnavailable if the group's replica cannot accept the override.
 func (s *Server) setOverride(worker string, disabled bool) (note string, err error) {
 	log := s.log.WithField("worker", worker)
 	if !s.engine.KnowsWorker(worker) {
--- a/internal/server/budget.go
+++ b/internal/server/budget.go
@@ -10,7 +10,7 @@
 	reservedSockets        = 16  // for the listener, discovery, standard streams and the runtime: 8 are in use, the rest is spare
 	reservedSocketsDivisor = 32  // 1/reservedSocketsDivisor of all descriptors is reserved in addition
 	maxAdminConns          = 32  // upper bound on connections to the admin server
-	adminConnsDivisor      = 16  // they also take at most 1/adminConnsDivisor of all descriptors
+	adminConnsDivisor      = 16  // connections to the admin server also take at most 1/adminConnsDivisor of all descriptors
 	minSharedSockets       = 3   // lower bound per process: one to a worker and two from clients; a limit of 0 would mean no limit
 	workerConnFraction     = 0.4 // of the remaining descriptors, for connections to workers; with more clients than that, requests may wait
 	clientSoftFraction     = 0.9 // of the clients' part; beyond it requests are rejected, so that their connections close
--- a/internal/server/budget_test.go
+++ b/internal/server/budget_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Each of many processes may still open a connection to a worker, and its limit of clients is not 0, which would mean no limit.
+// With any number of processes, each may open a connection to a worker, and none has a client limit of 0, which would mean no limit.
 func TestDescriptorBudget_StaysPositive(t *testing.T) {
 	c := &Config{AdminAddress: "127.0.0.1:1", Limits: Limits{Sockets: minSockets}}
 	for processes := range 20 {
--- a/internal/server/config.go
+++ b/internal/server/config.go
@@ -26,7 +26,7 @@
 }
 
 // Config is the complete configuration of a dispatcher: the platform's configuration, restricted by the operator's file if there is one. It
-// does not change after it was loaded.
+// does not change after it is loaded.
 type Config struct {
 	Path             string // of the platform's file, for reloads
 	Name             string // of the dispatcher
@@ -109,7 +109,7 @@
 		return nil
 	}
 	if !groupsSupported {
-		return fmt.Errorf("%s: group: groups of dispatchers are not supported by this build (tag lean)", path)
+		return fmt.Errorf("%s: group: not supported by this build (tag lean); use a build without the tag", path)
 	}
 	c.settingsDigest = settingsDigest(c.raw)
 	return nil
@@ -171,7 +171,7 @@
 	return connect + c.maxDeadline()
 }
 
-// warmUp returns the longest time after its start at which a worker reaches its full capacity.
+// warmUp returns how long a worker may take after its start to reach its full capacity.
 func (c *Config) warmUp() time.Duration { return microseconds(c.Settings.SlowStartWindow) }
 
 // microseconds converts a time of the decision module, which is in microseconds.
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -17,9 +17,9 @@
 	killDelayMargin = 700 * time.Millisecond
 	finishMargin    = 250 * time.Millisecond // between the last response and the kill
 
-	minAcceptTime  = 600 * time.Millisecond // at least: new connections and requests are accepted as before
-	acceptFraction = 0.45                   // of the drain timeout: connections and requests are accepted as before
-	lingerTime     = 500 * time.Millisecond // afterwards: the listener stays open for clients that reconnect
+	minAcceptTime  = 600 * time.Millisecond // lower bound of the time in which everything is accepted as before
+	acceptFraction = 0.45                   // of the drain timeout, in which everything is accepted as before
+	lingerTime     = 500 * time.Millisecond // after that, in which the listener stays open for clients that reconnect
 	idleCloseDelay = 300 * time.Millisecond // with a serving sibling: until idle connections are closed
 
 	closeTimeout      = 100 * time.Millisecond // for the last responses to be written
@@ -69,8 +69,8 @@
 }
 
 // drain drains without a sibling that accepts the clients. Connected clients use their connections as long as these are open, and have no
-// alternative if all dispatchers are restarted in quick succession. At first, connections and requests are therefore accepted as before, and
-// only the health checks fail. Then connections are closed as they become idle, and open requests are finished.
+// alternative if all dispatchers are restarted in quick succession. At first, connections and requests are therefore accepted as before,
+// and only the health checks fail. Then connections are closed as they become idle, and open requests are finished.
 func (s *Server) drain() {
 	timeout := max(s.drainTimeout(), minAcceptTime)
 	deadline := time.Now().Add(timeout)
@@ -109,7 +109,7 @@
 	}
 }
 
-// hasUnfinished reports whether a request is open or partly received. A request counts as open only once its last byte has arrived.
+// hasUnfinished reports whether a request is open or partly received. A request counts as accepted once its last byte has arrived.
 func (s *Server) hasUnfinished() bool {
 	return s.engine.OpenRequests() > 0 || s.handler.Conns.Pending() > 0
 }
@@ -150,7 +150,7 @@
 }
 
 // leaveGroup ends the membership in the group and waits for the loops, but at most leaveGroupTimeout, as the disk may stall. Operator
-// overrides are on disk by then; anything else that is not closed in time is left as if the process had been killed.
+// overrides are synced already; anything else that is not closed in time is left as if the process had been killed.
 func (s *Server) leaveGroup() {
 	left := make(chan struct{})
 	go func() {
--- a/internal/server/missingkeys.go
+++ b/internal/server/missingkeys.go
@@ -12,14 +12,13 @@
 // settingsPrefix is the prefix of the keys of the platform's settings.
 const settingsPrefix = "settings."
 
-// optionalKeys may be added and removed by a reload. They are the keys that the platform's documentation calls optional, and those that take
-// effect only at a start. Keys of settings are listed without settingsPrefix.
+// optionalKeys may be added and removed by a reload. They are the keys that the platform's documentation calls optional, and those that
+// take effect only at a start. Keys of settings are listed without settingsPrefix.
 var optionalKeys = []string{"classes.aim_stretch", "known", "seed", "operator"}
 
 // missingKeys returns every key that the old file has and the current one lacks, as joined *ConfigError. This guards against truncated
 // files: at a start a default replaces a missing key, but a reload must not replace a configured value by a default. List members may be
-// added and removed, but each needs the keys that all old ones have. Files that are not valid JSON are skipped, as Decode reports
-// them.
+// added and removed, but each needs the keys that all old ones have. Files that are not valid JSON are skipped, as Decode reports them.
 func missingKeys(old, current json.RawMessage) error {
 	var oldValue, currentValue any
 	if json.Unmarshal(old, &oldValue) != nil || json.Unmarshal(current, &currentValue) != nil {
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -45,7 +45,10 @@
 	srv.log.(*logrus.Logger).SetOutput(&logged)
 	write(strings.Replace(renamed, `"deadline":5,"aim":0.4,`, `"deadline":0,`, 1))
 	srv.reload()
-	for _, want := range []string{"classes.0.deadline: invalid value 0: must be greater than 0", "settings.classes.0.aim: missing; a reload cannot remove this key"} {
+	for _, want := range []string{
+		"classes.0.deadline: invalid value 0: must be greater than 0",
+		"settings.classes.0.aim: missing; a reload cannot remove this key",
+	} {
 		if !logged.contains(want) {
 			t.Errorf("the log entry lacks %q", want)
 		}
@@ -163,8 +166,8 @@
 	return r
 }
 
-// The operator's file: a request over its limit is rejected at once with a reason. An invalid file changes nothing and is counted; a valid
-// one applies to requests that arrive from then on.
+// A request over a limit of the operator's file is rejected at once with a reason. A reload of an invalid file changes nothing and is
+// counted; a valid file applies to requests that arrive from then on.
 func TestReload_OperatorFile(t *testing.T) {
 	env := newTestEnv(t)
 	dir := t.TempDir()
