--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -29,7 +29,7 @@
 	next, err := previous.readAgain()
 	if err != nil {
 		s.engine.Counters.BadReloads.Add(1)
-		s.log.WithError(err).Error("the configuration was read again and is invalid: the old one stays")
+		s.log.WithError(err).Error("the configuration was read again and is not fit to serve by: the old one stays")
 		return
 	}
 	s.engine.Counters.Reloads.Add(1)
@@ -92,7 +92,8 @@
 	return addresses || identity || group
 }
 
-// setRetryAfter sets the Retry-After of rejected requests, up to the longest that the settings permit.
+// setRetryAfter sets the Retry-After of rejected requests, up to the longest that the settings permit. If they permit none, the header is
+// not sent.
 func (s *Server) setRetryAfter(settings dispatch.Settings) {
 	var maxDelay time.Duration
 	if settings.RetryAfter {
