--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -16,7 +16,7 @@
 	"birchfork/internal/goldentest"
 )
 
-// goldenCalls contain calls of every path with every kind of answer, and invalid calls.
+// goldenCalls covers each path with each kind of answer, and invalid calls.
 var goldenCalls = []string{
 	"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n",
 	"GET /-/ready HTTP/1.0\r\n\r\n",
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -91,7 +91,7 @@
 	defer res.Body.Close()
 	content, err := io.ReadAll(res.Body)
 	if err != nil || !res.Close {
-		t.Fatalf("%.60q: %v, kept: %v", text, err, !res.Close)
+		t.Fatalf("%.60q: %v, keep-alive: %v", text, err, !res.Close)
 	}
 	if _, err := in.ReadByte(); !errors.Is(err, io.EOF) && !strings.Contains(fmt.Sprint(err), "reset") {
 		t.Fatalf("%.60q: the connection is still open after its answer: %v", text, err)
--- a/internal/hotrestart/overrides_test.go
+++ b/internal/hotrestart/overrides_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// A file that is truncated, of another format or of another dispatcher, or that is not a regular file, is ignored. Sync returns an error
-// that names the file, but only once for each version of it. The next override replaces the file.
+// A file that is truncated, of another format or of another dispatcher is ignored: Sync returns an error that names the file, but only once
+// for each version of it, and the next override replaces the file. A file that is not a regular one is an error and is not read.
 func TestSync_IgnoresUnusableFiles(t *testing.T) {
 	good := `{"format":"birchfork hand 1","dispatcher":"n","runners":{"x":{"out":true,"at":7}}}`
 	for _, c := range []struct {
--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// checkReady returns why this process cannot serve; nil if it can. The texts are part of the admin server's answers.
+// checkReady returns an error with the reason if this process cannot serve. The texts are part of the admin server's answers.
 func (s *Server) checkReady() error {
 	if !s.isListening() {
 		return fmt.Errorf("%w: it does not know the runners yet", admin.ErrUnavailable)
--- a/internal/server/budget.go
+++ b/internal/server/budget.go
@@ -12,7 +12,7 @@
 	maxAdminConns          = 32  // upper bound on connections to the admin server
 	adminConnsDivisor      = 16  // connections to the admin server also take at most 1/adminConnsDivisor of all descriptors
 	minSharedSockets       = 3   // lower bound per process: one to a worker and two from clients; a limit of 0 would mean no limit
-	workerConnFraction     = 0.4 // of the remaining descriptors, for connections to workers; with more clients than that, requests may wait
+	workerConnFraction     = 0.4 // of the remaining descriptors, for connections to workers; if more clients than that send requests, some may wait
 	clientSoftFraction     = 0.9 // of the clients' part; beyond it requests are rejected, so that their connections close
 )
 
--- a/internal/server/config_test.go
+++ b/internal/server/config_test.go
@@ -148,7 +148,7 @@
 	} {
 		raw := strings.Replace(configText("127.0.0.1:8500", "127.0.0.1:9", "5"), c.change[0], c.change[1], 1)
 		if _, err := Decode([]byte(raw)); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v", c.change[1], err)
+			t.Errorf("%s: %v, want %q", c.change[1], err, c.want)
 		}
 	}
 	_, err := Decode([]byte(`{"listen":"x","discovery":"y","limits":{"cores":-1}}`))
--- a/internal/server/deployment_test.go
+++ b/internal/server/deployment_test.go
@@ -59,7 +59,7 @@
 	return w
 }
 
-// serve starts a dispatcher of a deployment and waits until it has the endpoint list.
+// serve starts a dispatcher with the settings of a deployment and waits until it has the endpoint list.
 func (w *testWorkers) serve(t *testing.T, deployment string, log *logrus.Logger) *Server {
 	t.Helper()
 	restoreLimits(t)
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -17,9 +17,9 @@
 	killDelayMargin = 700 * time.Millisecond
 	finishMargin    = 250 * time.Millisecond // between the last response and the kill
 
-	minAcceptTime  = 600 * time.Millisecond // lower bound of the time in which everything is accepted as before
 	acceptFraction = 0.45                   // of the drain timeout, in which everything is accepted as before
-	lingerTime     = 500 * time.Millisecond // after that, in which the listener stays open for clients that reconnect
+	minAcceptTime  = 600 * time.Millisecond // lower bound on that part: new clients still connect, and connected ones still send requests
+	lingerTime     = 500 * time.Millisecond // from then on, the listener stays open this long for clients that reconnect
 	idleCloseDelay = 300 * time.Millisecond // with a serving sibling: until idle connections are closed
 
 	closeTimeout      = 100 * time.Millisecond // for the last responses to be written
@@ -47,7 +47,7 @@
 		go s.coordinator.TransferLeadership() // takes up to a second; the drain does not wait for it
 	}
 	switch {
-	case !s.isListening(): // this process never had a client: its sibling serves all
+	case !s.isListening(): // this process never had a client: its sibling serves them all
 		s.handler.FailHealthChecks()
 		s.log.Info("stopping before accepting clients")
 	case s.sharedListener != nil && s.process.Siblings().Serving:
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -77,7 +77,7 @@
 	close(env.release)
 	go func() {
 		for id := range env.received {
-			_ = id // no other reader
+			_ = id // nothing else reads the ids
 		}
 	}()
 	slow := dialClient(t, srv)
--- a/internal/server/fixture_test.go
+++ b/internal/server/fixture_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// responseHead begins a response as workers and discovery write them.
+// responseHead is the head of the responses of workers and of discovery.
 const responseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 // chunk returns a chunk of such a response's body.
--- a/internal/server/golden_hotrestart_test.go
+++ b/internal/server/golden_hotrestart_test.go
@@ -35,8 +35,8 @@
 	if list.Version != 41 || !list.Stale || !slices.Equal(list.Endpoints, want) {
 		t.Errorf("initial endpoints %+v, want %+v", list, want)
 	}
-	if out := srv.engine.DisabledWorkers(); !slices.Equal(out, []string{"w"}) {
-		t.Errorf("disabled: %v", out)
+	if disabled := srv.engine.DisabledWorkers(); !slices.Equal(disabled, []string{"w"}) {
+		t.Errorf("disabled: %v", disabled)
 	}
 	waitFor(t, "the list is saved", func() bool {
 		info, err := os.Stat(filepath.Join(dir, goldenSharedDir, "list"))
--- a/internal/server/group.go
+++ b/internal/server/group.go
@@ -36,7 +36,7 @@
 	dispatch.Gone:     endpoints.Gone,
 }
 
-// checkGroupAvailable returns why this member could not take part in its group at present.
+// checkGroupAvailable returns an error if this member could not take part in its group at present.
 func (c *Config) checkGroupAvailable() error {
 	group := c.group()
 	if group == nil {
@@ -47,7 +47,8 @@
 	return coordinator.Check(coordinator.Options{Group: group, Self: c.Name, Log: log})
 }
 
-// joinGroup joins the group, if one is configured. The member's address and directory have to be available, unless a sibling may use them.
+// joinGroup joins the group, if one is configured. The member's address and directory have to be available, unless a sibling is alive, which
+// may use them.
 func (s *Server) joinGroup() error {
 	group := s.config.group()
 	if group == nil {
--- a/internal/server/hotrestart_test.go
+++ b/internal/server/hotrestart_test.go
@@ -15,8 +15,8 @@
 	"birchfork/internal/hotrestart"
 )
 
-// In a hot restart the old process finishes its requests and ends, and its overrides stay in effect. Both processes share the limits in the
-// meantime; afterwards the new one has all of them.
+// In a hot restart the old process finishes its requests and ends, and its overrides stay in effect. While both are alive, they
+// divide the limits; afterwards the new one has all of them.
 func TestHotRestart(t *testing.T) {
 	shared := t.TempDir()
 	t.Setenv("TMPDIR", shared)
@@ -43,8 +43,8 @@
 	if successor.randomSeed() == successor.config.Seed {
 		t.Error("both processes have the same seed")
 	}
-	if out := successor.engine.DisabledWorkers(); len(out) != 1 || out[0] != "w" {
-		t.Errorf("disabled in the new process: %v", out)
+	if disabled := successor.engine.DisabledWorkers(); len(disabled) != 1 || disabled[0] != "w" {
+		t.Errorf("disabled in the new process: %v", disabled)
 	}
 	waitFor(t, "the old process has half of the limits", func() bool { return debug.SetMemoryLimit(-1) == old.config.Limits.memoryBytes(memoryLimitFraction)/2 })
 
@@ -166,18 +166,19 @@
 	srv := env.startWithAdmin(t)
 	waitReady(t, srv)
 	expectPostStatus(t, srv, "/-/runners/w/disable", 200)
-	if out := srv.engine.DisabledWorkers(); len(out) != 1 {
-		t.Errorf("disabled: %v", out)
+	if disabled := srv.engine.DisabledWorkers(); len(disabled) != 1 {
+		t.Errorf("disabled: %v", disabled)
 	}
 	expectPostStatus(t, srv, "/-/runners/w/enable", 200)
-	if out := srv.engine.DisabledWorkers(); len(out) != 0 {
-		t.Errorf("disabled: %v", out)
+	if disabled := srv.engine.DisabledWorkers(); len(disabled) != 0 {
+		t.Errorf("disabled: %v", disabled)
 	}
 	close(env.release)
 	mustShutdown(t, srv)
 }
 
-// A new process starts with the endpoint list that the old one saved, if discovery is silent and the configuration's list is older.
+// If discovery is silent, a new process starts with the endpoint list that the old one saved, although the configuration's list has the same
+// version. A process that is stopped before it is ready never listens for clients.
 func TestHotRestart_InheritsEndpoints(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	restoreLimits(t)
--- a/internal/server/listener.go
+++ b/internal/server/listener.go
@@ -79,8 +79,8 @@
 	return s.httpServer.Serve(s.handler.Conns.WrapListener(listener))
 }
 
-// serveWhenReady serves clients once the handler is ready, which needs the endpoint list of discovery or a timeout. Until then the sibling
-// serves them all.
+// serveWhenReady serves clients once the handler is ready: when discovery has sent an endpoint list, or has not done so in time. Until then
+// the sibling serves all clients.
 func (s *Server) serveWhenReady(ctx context.Context) error {
 	ticker := time.NewTicker(readyPollInterval)
 	defer ticker.Stop()
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// The log line with counters has the counters of the engine and of the pool.
+// The log line with the counters has those of the engine and those of the pool.
 func TestLogCounters(t *testing.T) {
 	env := newTestEnv(t)
 	srv := env.start(t, "5")
--- a/internal/server/settingscheck.go
+++ b/internal/server/settingscheck.go
@@ -129,7 +129,7 @@
 	return lines
 }
 
-// checkUniqueNames rejects classes and customers that share a name: requests could never select one of them.
+// checkUniqueNames rejects two classes, or two customers, with the same name: requests could never select one of them.
 func checkUniqueNames(pairs *settings.Pairs) error {
 	var faults []error
 	for _, list := range []string{"classes", "customers"} {
--- a/internal/server/siblings.go
+++ b/internal/server/siblings.go
@@ -14,7 +14,7 @@
 
 // Intervals of the sync loop.
 const (
-	syncInterval = 100 * time.Millisecond // upper bound on the delay of an override that was set at a sibling; every drain takes longer
+	syncInterval = 100 * time.Millisecond // delay of an override that was set at a sibling; every drain takes longer
 	syncsPerSave = 5                      // of the endpoint list, if it has changed
 )
 
@@ -34,7 +34,7 @@
 }
 
 // initialEndpoints returns the endpoint list to start with: the one that another process saved, or the configuration's. While a sibling is
-// alive the saved list is up to date; otherwise the list with the higher version is used.
+// alive the saved list is up to date; otherwise the list with the higher version is newer and is used.
 func (s *Server) initialEndpoints() engine.EndpointList {
 	known := s.config.KnownEndpoints
 	raw, err := s.process.Endpoints()
