--- a/cmd/birchfork/testbed_cluster.go
+++ b/cmd/birchfork/testbed_cluster.go
@@ -126,7 +126,7 @@
 		}
 	}
 	fmt.Fprintln(out.stdout, sum.Line())
-	if sum.Broken > 0 {
+	if sum.Failed > 0 {
 		return errRuleViolated
 	}
 	return nil
--- a/internal/testbed/cluster/play.go
+++ b/internal/testbed/cluster/execute.go
@@ -25,7 +25,7 @@
 
 // play bootstraps the group and plays operators and faults beside the testbed's load. It returns when all of them are through or ctx
 // ends.
-func (h *harness) play(ctx context.Context, environment *testbed.Environment) {
+func (h *harness) execute(ctx context.Context, environment *testbed.Environment) {
 	h.environment = environment
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -39,7 +39,7 @@
 	if h.options.OlderBuild > 0 {
 		group.Go(func() { h.replaceOlderBuild(ctx) })
 	}
-	if h.options.Joins > 0 {
+	if h.options.JoiningMember > 0 {
 		group.Go(func() { h.joinMember(ctx) })
 	}
 	planned := h.options.Machines > 0 && !h.options.WithoutPlan
@@ -95,7 +95,7 @@
 // awaitMembers waits until all members but the absent one are in and all voters have reported. Its error is the last state of the
 // members, or last where none was seen.
 func (h *harness) awaitMembers(ctx context.Context, last string) error {
-	members := len(h.addresses) - min(h.options.Joins, 1)
+	members := len(h.addresses) - min(h.options.JoiningMember, 1)
 	for ; ctx.Err() == nil; sleep(ctx, bootstrapInterval) {
 		r, err := h.clientFrom(0).Do(ctx, coordinator.Call{Status: true})
 		if err != nil {
--- a/internal/testbed/cluster/fault.go
+++ b/internal/testbed/cluster/fault.go
@@ -62,8 +62,8 @@
 	// overrideLossFaults are the kinds after which a member may have forgotten an override.
 	overrideLossFaults = []string{LoseDisk, OutdatedDisk, OutdatedDiskElsewhere, ForeignDisk}
 
-	// outsideFaults are the kinds that leave members and the links between them alone.
-	outsideFaults = []string{WorkerCrash, WorkerDrain, WorkerHang, LoseWorkers, LoseDiscovery, FailForMember, FailForAll}
+	// externalFaults are the kinds that leave members and the links between them alone.
+	externalFaults = []string{WorkerCrash, WorkerDrain, WorkerHang, LoseWorkers, LoseDiscovery, FailForMember, FailForAll}
 )
 
 // Fault is one fault of the timetable.
@@ -82,5 +82,5 @@
 	return fmt.Sprintf("%s of member %d at %v for %v", f.Kind, f.Member, f.At, f.For)
 }
 
-// isOf reports whether the fault's kind is one of kinds.
-func (f Fault) isOf(kinds []string) bool { return slices.Contains(kinds, f.Kind) }
+// isOneOf reports whether the fault's kind is one of kinds.
+func (f Fault) isOneOf(kinds []string) bool { return slices.Contains(kinds, f.Kind) }
--- a/internal/testbed/cluster/inject.go
+++ b/internal/testbed/cluster/inject.go
@@ -43,7 +43,7 @@
 	if f.Member < 0 {
 		f.Member = h.leader()
 	}
-	if f.isOf(processFaults) {
+	if f.isOneOf(processFaults) {
 		if !h.acquireProcess(&f) {
 			return
 		}
@@ -129,7 +129,7 @@
 		return false
 	}
 	now := h.environment.Ledger().Now()
-	if f.isOf(diskLossFaults) {
+	if f.isOneOf(diskLossFaults) {
 		if h.lastDiskLoss > 0 && now-h.lastDiskLoss < diskLossInterval {
 			f.Kind = KillProcess
 		} else {
--- a/internal/testbed/cluster/invariants.go
+++ b/internal/testbed/cluster/invariants.go
@@ -66,12 +66,12 @@
 
 // progressViolations reports a member that never joined and a plan that has not ended. The caller holds the lock.
 func (h *harness) progressViolations(s *testbed.Environment) (out []invariant.Violation) {
-	joiner := memberName(h.options.Joins)
+	joiner := memberName(h.options.JoiningMember)
 	hasJoined := func(s observedStatus) bool {
 		return s.status.Confirmed && slices.ContainsFunc(s.status.Members, func(m coordinator.MemberStatus) bool { return m.Name == joiner })
 	}
-	if h.options.Joins > 0 && !slices.ContainsFunc(h.statuses, hasJoined) {
-		out = append(out, invariant.Violation{Rule: ProgressRule, Kind: "not joined", At: s.Ledger().Now(), Dispatcher: h.options.Joins})
+	if h.options.JoiningMember > 0 && !slices.ContainsFunc(h.statuses, hasJoined) {
+		out = append(out, invariant.Violation{Rule: ProgressRule, Kind: "not joined", At: s.Ledger().Now(), Dispatcher: h.options.JoiningMember})
 	}
 	if h.options.Machines > 0 && h.result.Ended == 0 {
 		out = append(out, invariant.Violation{Rule: ProgressRule, Kind: "not through", At: s.Ledger().Now(), Dispatcher: -1, Lines: []string{h.result.LastStatus}})
--- a/internal/testbed/cluster/members.go
+++ b/internal/testbed/cluster/members.go
@@ -117,12 +117,12 @@
 // joinMember adds the absent member while the plan runs: it is down until all files name it and the others were restarted, one after
 // the other.
 func (h *harness) joinMember(ctx context.Context) {
-	h.environment.Kill(ctx, h.options.Joins, joinsAfter, func() {
+	h.environment.Kill(ctx, h.options.JoiningMember, joinsAfter, func() {
 		if err := h.writeOperatorFiles(0); err != nil {
 			h.recordStatus(err.Error())
 		}
 		for member := range h.addresses {
-			if member != h.options.Joins && ctx.Err() == nil {
+			if member != h.options.JoiningMember && ctx.Err() == nil {
 				h.environment.Terminate(ctx, member)
 			}
 		}
--- a/internal/testbed/cluster/operator.go
+++ b/internal/testbed/cluster/operator.go
@@ -114,7 +114,7 @@
 	for i := range h.options.Machines {
 		worker := workerOf(day, i)
 		m := maintenance.Machine{Name: machineName(i)}
-		if h.options.Hosts {
+		if h.options.PlanByHost {
 			m.Host = h.environment.Fleet().Workers[worker].Host()
 		} else {
 			m.Workers = []string{day.Workers[worker].Name}
@@ -158,7 +158,7 @@
 // workOn spends the time of the work on a machine. Its worker stays up meanwhile, so that requests that are sent there are seen; in
 // scenarios with renamed workers it starts under another name half-way.
 func (h *harness) workOn(ctx context.Context, machine, worker int) {
-	if !h.options.Renamed {
+	if !h.options.RenameWorkers {
 		sleep(ctx, h.options.Work)
 		return
 	}
--- a/internal/testbed/cluster/overrideinvariants.go
+++ b/internal/testbed/cluster/overrideinvariants.go
@@ -141,7 +141,7 @@
 		moved = false
 		for _, f := range h.injected {
 			end := f.At + f.For
-			if !f.isOf(outsideFaults) && f.At < from+convergeWithin && end > from {
+			if !f.isOneOf(externalFaults) && f.At < from+convergeWithin && end > from {
 				from, moved = end, true
 			}
 		}
@@ -165,7 +165,7 @@
 	everywhereAt := h.faultFreeFrom(o.acknowledgedAt) + convergeWithin
 	return slices.ContainsFunc(h.injected, func(f Fault) bool {
 		wasLostAfter := f.lostAt == 0 || f.lostAt > o.requestedAt
-		return f.isOf(overrideLossFaults) && f.Member == o.Member && f.At < everywhereAt && wasLostAfter
+		return f.isOneOf(overrideLossFaults) && f.Member == o.Member && f.At < everywhereAt && wasLostAfter
 	})
 }
 
--- a/internal/testbed/cluster/random.go
+++ b/internal/testbed/cluster/random.go
@@ -17,7 +17,7 @@
 	length := h.options.For
 	for range h.options.RandomFaults {
 		f := Fault{Kind: FaultKinds[r.IntN(len(FaultKinds))], Member: r.IntN(h.options.Members+1) - 1}
-		if f.isOf(workerFaults) { // one that is in no plan
+		if f.isOneOf(workerFaults) { // one that is in no plan
 			f.Member = r.IntN(workers - maxMachines)
 		}
 		f.At = time.Duration(r.Int64N(int64(length / 2)))
--- a/internal/testbed/cluster/run.go
+++ b/internal/testbed/cluster/run.go
@@ -79,7 +79,7 @@
 	if err := h.createLinks(); err != nil {
 		return nil, err
 	}
-	if err := h.writeOperatorFiles(h.options.Joins); err != nil {
+	if err := h.writeOperatorFiles(h.options.JoiningMember); err != nil {
 		return nil, err
 	}
 	h.result.Faults = append(slices.Clone(o.Faults), h.randomFaults()...)
@@ -129,7 +129,7 @@
 		Scenario:           h.scenario,
 		Seed:               h.options.Seed,
 		Policy:             testbed.PolicyRules,
-		Alongside:          h.play,
+		Alongside:          h.execute,
 		CheckMore:          h.checkInvariants,
 		WorkerAddress:      h.outerLinkMapper(LoseWorkers),
 		DiscoveryAddress:   h.outerLinkMapper(LoseDiscovery),
@@ -159,7 +159,7 @@
 		failpoint string
 		member    int
 	}{
-		{failpoint.DiskFull, h.options.Failing},
+		{failpoint.DiskFull, h.options.FullDisk},
 		{failpoint.DiskStall, h.options.StallingDisk},
 		{failpoint.NewerEntries, h.options.NewerEntries},
 	} {
@@ -209,7 +209,7 @@
 	}
 	for _, f := range h.injected {
 		whom := fmt.Sprintf("dispatcher %d", f.Member)
-		if f.isOf(workerFaults) {
+		if f.isOneOf(workerFaults) {
 			whom = fmt.Sprintf("worker %d", f.Member)
 		}
 		mark(f.Kind, whom, f.At, f.At+f.For)
--- a/internal/testbed/cluster/run_test.go
+++ b/internal/testbed/cluster/run_test.go
@@ -84,17 +84,17 @@
 		t.Fatal(err)
 	}
 	for _, name := range failpoint.Names {
-		if !slices.ContainsFunc(scenarios, func(s Scenario) bool { return s.Failpoint == name && s.Caught != "" }) {
+		if !slices.ContainsFunc(scenarios, func(s Scenario) bool { return s.Failpoint == name && s.ExpectedViolation != "" }) {
 			t.Errorf("no scenario catches %s", name)
 		}
 	}
 	for _, s := range scenarios {
 		t.Run(s.Name, func(t *testing.T) {
 			t.Parallel()
-			if s.Caught != "" {
-				checkCaught(t, s)
+			if s.ExpectedViolation != "" {
+				checkViolation(t, s)
 			} else {
-				checkKept(t, s)
+				checkNoViolations(t, s)
 			}
 		})
 	}
@@ -119,19 +119,19 @@
 	return r
 }
 
-// checkCaught checks that a scenario's failpoint violates the rule that has to catch it, with one of a few seeds.
-func checkCaught(t *testing.T, s Scenario) {
+// checkViolation checks that a scenario's failpoint violates the rule that has to catch it, with one of a few seeds.
+func checkViolation(t *testing.T, s Scenario) {
 	t.Helper()
 	for seed := range uint64(maxSeeds) {
-		if runScenario(t, s, seed+1).violationCounts()[s.Caught] > 0 {
+		if runScenario(t, s, seed+1).violationCounts()[s.ExpectedViolation] > 0 {
 			return
 		}
 	}
-	t.Errorf("rule %q was not seen to break", s.Caught)
+	t.Errorf("rule %q was not seen to break", s.ExpectedViolation)
 }
 
-// checkKept checks that a scenario violates no rule, crashes no member and ends its plan.
-func checkKept(t *testing.T, s Scenario) {
+// checkNoViolations checks that a scenario violates no rule, crashes no member and ends its plan.
+func checkNoViolations(t *testing.T, s Scenario) {
 	t.Helper()
 	r := runScenario(t, s, 1)
 	for _, v := range r.Report.Violations {
@@ -145,8 +145,8 @@
 	}
 }
 
-// TestDecode_NamesEveryFault checks that an error names everything that is wrong with a scenario at once, by line and key.
-func TestDecode_NamesEveryFault(t *testing.T) {
+// TestDecode_ReportsAllErrors checks that an error names everything that is wrong with a scenario at once, by line and key.
+func TestDecode_ReportsAllErrors(t *testing.T) {
 	_, err := Decode("f", []byte(`[[scenario]]
 members = 2
 machines = 20
--- a/internal/testbed/cluster/scenario.go
+++ b/internal/testbed/cluster/scenario.go
@@ -15,32 +15,32 @@
 // Scenario is a group with its maintenance plan and a timetable of faults and overrides. Times of the timetable count from when the
 // group is bootstrapped and its plan runs.
 type Scenario struct {
-	Name            string        `toml:"name"`
-	About           string        `toml:"about"`
-	Members         int           `toml:"members"`
-	For             time.Duration `toml:"for"`       // length of the run
-	Machines        int           `toml:"machines"`  // machines of the plan, one worker each; 0: no plan
-	MaxUnavailable  int           `toml:"out"`       // machines that may be unavailable at a time
-	Work            time.Duration `toml:"work"`      // how long operators have each machine
-	Lease           time.Duration `toml:"lease"`     // the group's lease
-	Hosts           bool          `toml:"hosts"`     // plans name machines by their host, in place of their workers
-	Renamed         bool          `toml:"renamed"`   // while operators have a machine, its worker starts there under another name
-	Diskless        bool          `toml:"diskless"`  // members persist nothing over a restart
-	Plans           int           `toml:"plans"`     // plans among which the machines are divided in turn; 0: one
-	WithoutPlan     bool          `toml:"by_hand"`   // no plan: operators write overrides at each member, and wait for as long as an attempt may run
-	Reconfigured    bool          `toml:"retuned"`   // members begin with an eighth of the deadlines, and get the full ones by SIGHUP while the plan runs
-	OlderBuild      int           `toml:"older"`     // the member that runs an older build until it is restarted, before the plan begins; 0: none
-	Joins           int           `toml:"joins"`     // the member that is down and in no other member's file until the plan has run for a while; 0: none
-	RandomFaults    int           `toml:"storm"`     // number of further faults, drawn from the seed
-	RandomOverrides int           `toml:"say"`       // number of further overrides, drawn from the seed
-	Failing         int           `toml:"failing"`   // the member whose disk accepts no more writes after a while; 0: none
-	OldLists        bool          `toml:"old_lists"` // members begin with the endpoint list of the run's start after each restart
-	NewerEntries    int           `toml:"newer"`     // the member that runs a future build, with kinds of entries of its own; 0: none
-	StallingDisk    int           `toml:"stalling"`  // the member whose disk takes seconds for each synced write after a while; 0: none
-	Failpoint       string        `toml:"plant"`     // a failpoint that is switched on in every member ...
-	Caught          string        `toml:"caught"`    // ... and the rule that has to be violated by it
-	Faults          []Fault       `toml:"fault"`
-	Overrides       []Override    `toml:"word"`
+	Name              string        `toml:"name"`
+	About             string        `toml:"about"`
+	Members           int           `toml:"members"`
+	For               time.Duration `toml:"for"`       // length of the run
+	Machines          int           `toml:"machines"`  // machines of the plan, one worker each; 0: no plan
+	MaxUnavailable    int           `toml:"out"`       // machines that may be unavailable at a time
+	Work              time.Duration `toml:"work"`      // how long operators have each machine
+	Lease             time.Duration `toml:"lease"`     // the group's lease
+	PlanByHost        bool          `toml:"hosts"`     // plans name machines by their host, in place of their workers
+	RenameWorkers     bool          `toml:"renamed"`   // while operators have a machine, its worker starts there under another name
+	Diskless          bool          `toml:"diskless"`  // members persist nothing over a restart
+	Plans             int           `toml:"plans"`     // plans among which the machines are divided in turn; 0: one
+	WithoutPlan       bool          `toml:"by_hand"`   // no plan: operators write overrides at each member, and wait for as long as an attempt may run
+	Reconfigured      bool          `toml:"retuned"`   // members begin with an eighth of the deadlines, and get the full ones by SIGHUP while the plan runs
+	OlderBuild        int           `toml:"older"`     // the member that runs an older build until it is restarted, before the plan begins; 0: none
+	JoiningMember     int           `toml:"joins"`     // the member that is down and in no other member's file until the plan has run for a while; 0: none
+	RandomFaults      int           `toml:"storm"`     // number of further faults, drawn from the seed
+	RandomOverrides   int           `toml:"say"`       // number of further overrides, drawn from the seed
+	FullDisk          int           `toml:"failing"`   // the member whose disk accepts no more writes after a while; 0: none
+	OldLists          bool          `toml:"old_lists"` // members begin with the endpoint list of the run's start after each restart
+	NewerEntries      int           `toml:"newer"`     // the member that runs a future build, with kinds of entries of its own; 0: none
+	StallingDisk      int           `toml:"stalling"`  // the member whose disk takes seconds for each synced write after a while; 0: none
+	Failpoint         string        `toml:"plant"`     // a failpoint that is switched on in every member ...
+	ExpectedViolation string        `toml:"caught"`    // ... and the rule that has to be violated by it
+	Faults            []Fault       `toml:"fault"`
+	Overrides         []Override    `toml:"word"`
 }
 
 // Bounds on a scenario. The number of workers is the same in every run.
--- a/internal/testbed/cluster/summary.go
+++ b/internal/testbed/cluster/summary.go
@@ -9,7 +9,7 @@
 
 // Summary adds up the results of runs. Its zero value is ready to use.
 type Summary struct {
-	Runs, Broken, Machines int
+	Runs, Failed, Machines int
 	took, silence          *hdrhistogram.Histogram // milliseconds
 }
 
@@ -26,7 +26,7 @@
 	s.Runs++
 	s.Machines += len(r.MaintenanceWindows)
 	if len(r.violationCounts()) > 0 {
-		s.Broken++
+		s.Failed++
 	}
 	// Both stay below the histograms' maximum of an hour: a run is shorter.
 	_ = s.silence.RecordValue(r.Silence.Milliseconds())
@@ -43,6 +43,6 @@
 	seconds := func(milliseconds int64) float64 { return float64(milliseconds) / 1000 }
 	return fmt.Sprintf("%d runs, %d with a broken rule or a crash; %d machines worked on; %d plans through, median %.1f s, worst %.1f s; "+
 		"longest time without a settled answer: median %.1f s, worst %.1f s",
-		s.Runs, s.Broken, s.Machines, s.took.TotalCount(), seconds(s.took.ValueAtQuantile(50)), seconds(s.took.Max()),
+		s.Runs, s.Failed, s.Machines, s.took.TotalCount(), seconds(s.took.ValueAtQuantile(50)), seconds(s.took.Max()),
 		seconds(s.silence.ValueAtQuantile(50)), seconds(s.silence.Max()))
 }
--- a/internal/testbed/cluster/validate.go
+++ b/internal/testbed/cluster/validate.go
@@ -30,8 +30,8 @@
 	if s.Failpoint != "" && s.Failpoint != failpoint.ClockSkew && !slices.Contains(failpoint.Names, s.Failpoint) {
 		problem("plant", "%q is none of %s", s.Failpoint, strings.Join(failpoint.Names, ", "))
 	}
-	if s.Caught != "" && !slices.Contains(Rules, s.Caught) {
-		problem("caught", "%q is none of %s", s.Caught, strings.Join(Rules, ", "))
+	if s.ExpectedViolation != "" && !slices.Contains(Rules, s.ExpectedViolation) {
+		problem("caught", "%q is none of %s", s.ExpectedViolation, strings.Join(Rules, ", "))
 	}
 	for i, f := range s.Faults {
 		s.validateFault(f, fmt.Sprintf("fault[%d].", i), problem)
@@ -58,7 +58,7 @@
 	if s.Lease < minLease {
 		problem("lease", "%v is less than %v", s.Lease, minLease)
 	}
-	if s.Renamed && !s.Hosts {
+	if s.RenameWorkers && !s.PlanByHost {
 		problem("renamed", "it needs hosts = true: a machine that is known by name has no other")
 	}
 	if s.Work < 0 || s.RandomFaults < 0 {
@@ -80,15 +80,15 @@
 	}{
 		{"older", s.OlderBuild},
 		{"newer", s.NewerEntries},
-		{"failing", s.Failing},
+		{"failing", s.FullDisk},
 		{"stalling", s.StallingDisk},
 	} {
 		if special.member < 0 || special.member >= max(s.Members, 1) {
 			problem(special.key, "there is no member %d", special.member)
 		}
 	}
-	if s.Joins != 0 && (s.Joins < voters(s.Members) || s.Joins >= max(s.Members, 1)) {
-		problem("joins", "%d is no member that follows: the first %d vote", s.Joins, voters(s.Members))
+	if s.JoiningMember != 0 && (s.JoiningMember < voters(s.Members) || s.JoiningMember >= max(s.Members, 1)) {
+		problem("joins", "%d is no member that follows: the first %d vote", s.JoiningMember, voters(s.Members))
 	}
 }
 
@@ -97,7 +97,7 @@
 	if !slices.Contains(FaultKinds, f.Kind) {
 		problem(prefix+"kind", "%q is none of %s", f.Kind, strings.Join(FaultKinds, ", "))
 	}
-	isOfWorker := f.isOf(workerFaults)
+	isOfWorker := f.isOneOf(workerFaults)
 	switch {
 	case isOfWorker && (f.Member < 0 || f.Member >= workers):
 		problem(prefix+"member", "there is no worker %d; from 0 to %d", f.Member, workers-1)
--- a/internal/testbed/mutant/endpoints.go
+++ b/internal/testbed/mutant/endpoints.go
@@ -47,7 +47,7 @@
 }
 
 func newEndpoints(fault string) *endpoints {
-	return &endpoints{ignoresDrains: fault == DrainIgnored, prefersNewest: fault == ColdOverloaded, byName: map[string]endpoint{}}
+	return &endpoints{ignoresDrains: fault == IgnoresDraining, prefersNewest: fault == OverloadsWarmingUp, byName: map[string]endpoint{}}
 }
 
 // update applies a list or the changes in it.
--- a/internal/testbed/mutant/mutant.go
+++ b/internal/testbed/mutant/mutant.go
@@ -11,21 +11,21 @@
 
 // The names of the faults.
 const (
-	NoFault          = "none"
-	UnsafeRetry      = "unsafe-twice"
-	RefusesWhatRan   = "refuses-what-ran"
-	ManyAttempts     = "many-attempts"
-	LateAnswers      = "late"
-	LostRequests     = "lost"
-	SilentRequests   = "silent"
-	MadeUpAnswers    = "made-up"
-	AnswersTwice     = "twice"
-	SendsAfterAnswer = "after-final"
-	ChangedBodies    = "changed"
-	DrainIgnored     = "drain"
-	ColdOverloaded   = "cold"
-	Crash            = "crash"
-	IgnoresSIGTERM   = "stays"
+	NoFault            = "none"
+	UnsafeRetry        = "unsafe-twice"
+	RefusesWhatRan     = "refuses-what-ran"
+	ManyAttempts       = "many-attempts"
+	LateAnswers        = "late"
+	LostRequests       = "lost"
+	SilentRequests     = "silent"
+	MadeUpAnswers      = "made-up"
+	AnswersTwice       = "twice"
+	SendsAfterAnswer   = "after-final"
+	ChangedBodies      = "changed"
+	IgnoresDraining    = "drain"
+	OverloadsWarmingUp = "cold"
+	Crash              = "crash"
+	IgnoresSIGTERM     = "stays"
 )
 
 // Mutant is one selectable fault, with the violation that the invariant checker has to report.
@@ -48,8 +48,8 @@
 	{AnswersTwice, "answers some requests two times", invariant.Answers, invariant.AnsweredTwice},
 	{SendsAfterAnswer, "answers some requests, then sends them", invariant.Answers, invariant.SentAfterFinal},
 	{ChangedBodies, "hands some bodies on cut short", invariant.Answers, invariant.ChangedRequest},
-	{DrainIgnored, "goes on sending to workers that drain", invariant.Drains, invariant.SentAfterDrain},
-	{ColdOverloaded, "sends everything to the worker that started last", invariant.SlowStart, invariant.PushedOver},
+	{IgnoresDraining, "goes on sending to workers that drain", invariant.Drains, invariant.SentAfterDrain},
+	{OverloadsWarmingUp, "sends everything to the worker that started last", invariant.SlowStart, invariant.PushedOver},
 	{Crash, "ends by itself under load", "", "crashed"},
 	{IgnoresSIGTERM, "does not end on SIGTERM", "", "did not end after SIGTERM"},
 }
--- a/internal/testbed/simulation/attempts.go
+++ b/internal/testbed/simulation/attempts.go
@@ -23,16 +23,16 @@
 		return
 	}
 	w := m.world
-	leased, inMaintenance := m.state.Leased(), m.state.Excluded()
+	leased, excluded := m.state.Leased(), m.state.Excluded()
 	for range attemptsPerTick {
 		machine := w.random.IntN(w.options.Machines)
 		worker := m.workerAt(machine)
 		needsLease := !m.confirmed || w.contains(leased, worker, machine)
 		maySend := !needsLease || m.clock() < m.leaseEnd || w.options.Mutant == NoLease
-		if w.contains(inMaintenance, worker, machine) || !maySend {
+		if w.contains(excluded, worker, machine) || !maySend {
 			continue
 		}
-		if since, withOperators := w.operatorsSince[machineName(machine)]; withOperators {
+		if since, inMaintenance := w.maintenanceSince[machineName(machine)]; inMaintenance {
 			w.violation("clear: member %d sends to %s, which staff have since %.2fs", m.index, machineName(machine), since.Seconds())
 		}
 		duration := time.Duration(w.random.Int64N(int64(maxAttemptDuration)))
--- a/internal/testbed/simulation/checks.go
+++ b/internal/testbed/simulation/checks.go
@@ -12,8 +12,8 @@
 // checkMaintenance checks, when operators take a machine, that they have no more machines than the plan allows and that no attempt runs
 // at this one.
 func (w *world) checkMaintenance(index int, name string) {
-	if len(w.operatorsSince) > maxUnavailable {
-		w.violation("budget: %d machines are with staff, %d may be", len(w.operatorsSince), maxUnavailable)
+	if len(w.maintenanceSince) > maxUnavailable {
+		w.violation("budget: %d machines are with staff, %d may be", len(w.maintenanceSince), maxUnavailable)
 	}
 	for _, a := range w.attempts {
 		if a.machine == index {
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -11,13 +11,13 @@
 
 // The kinds of faults.
 const (
-	Partition FaultKind = "cut"    // messages between the member and all others are lost, in both directions or one
-	Link      FaultKind = "link"   // messages from the member to another one are lost
-	Stop      FaultKind = "stop"   // the member's process is stopped
-	Asleep    FaultKind = "asleep" // the same, and the member is partitioned for longer
-	Kill      FaultKind = "kill"   // the process dies and is restarted at once with its disk
-	Wipe      FaultKind = "wipe"   // the same with an empty disk, if all voters are in the group: else like Kill
-	Down      FaultKind = "down"   // a machine has an outage
+	Partition         FaultKind = "cut"    // messages between the member and all others are lost, in both directions or one
+	Link              FaultKind = "link"   // messages from the member to another one are lost
+	Pause             FaultKind = "stop"   // the member's process is stopped
+	PauseAndPartition FaultKind = "asleep" // the same, and the member is partitioned for longer
+	Kill              FaultKind = "kill"   // the process dies and is restarted at once with its disk
+	LoseDisk          FaultKind = "wipe"   // the same with an empty disk, if all voters are in the group: else like Kill
+	Outage            FaultKind = "down"   // a machine has an outage
 )
 
 // Direction is which messages a Partition loses.
@@ -35,7 +35,7 @@
 	Tick      int
 	Kind      FaultKind
 	Member    int       // index; below 0: the leader at that time
-	Other     int       // index of a member for Link, of a machine for Down
+	Other     int       // index of a member for Link, of a machine for Outage
 	Direction Direction // of a Partition
 	Ticks     int       // duration
 }
@@ -51,7 +51,7 @@
 func RandomFaults(options Options) []Fault {
 	random := rand.New(rand.NewPCG(options.Seed, faultStream))
 	interval := cmp.Or(options.FaultInterval, defaultFaultInterval)
-	kinds := []FaultKind{Partition, Link, Stop, Asleep, Kill, Kill, Down}
+	kinds := []FaultKind{Partition, Link, Pause, PauseAndPartition, Kill, Kill, Outage}
 	faults := []Fault{}
 	for tick := range options.Ticks {
 		if random.IntN(interval) > 0 {
@@ -69,10 +69,10 @@
 		case fault.Kind == Kill && tick < bootstrapTicks:
 			continue
 		case fault.Kind == Kill && random.IntN(6) == 0:
-			fault.Kind = Wipe
-		case fault.Kind == Asleep:
+			fault.Kind = LoseDisk
+		case fault.Kind == PauseAndPartition:
 			fault.Ticks += 20 + random.IntN(120)
-		case fault.Kind == Down:
+		case fault.Kind == Outage:
 			fault.Other = random.IntN(options.withDefaults().Machines)
 			fault.Ticks += maxReportDelay + random.IntN(200) // a shorter outage may end before the group knows of it
 		}
--- a/internal/testbed/simulation/golden_test.go
+++ b/internal/testbed/simulation/golden_test.go
@@ -16,10 +16,10 @@
 	goldenReplicationHistories = 20
 )
 
-// TestSimulate_KeepsDigests verifies that the same seeds give the same histories as in earlier builds: 200 of Simulate and 20 of
+// TestSimulate_MatchesGoldenDigests verifies that the same seeds give the same histories as in earlier builds: 200 of Simulate and 20 of
 // SimulateReplication, each by its digest. With the race detector, which makes them take ten times as long, it simulates every fifth.
 // UPDATE_GOLDEN=1 writes the file, in a build without the race detector.
-func TestSimulate_KeepsDigests(t *testing.T) {
+func TestSimulate_MatchesGoldenDigests(t *testing.T) {
 	lines := simulateGoldenHistories()
 	if os.Getenv("UPDATE_GOLDEN") != "" {
 		text := strings.Join(lines, "\n") + "\n"
--- a/internal/testbed/simulation/injection.go
+++ b/internal/testbed/simulation/injection.go
@@ -6,7 +6,7 @@
 	"birchfork/internal/consensus"
 )
 
-// wakeTicks is how long a member that was Asleep remains partitioned after its process goes on.
+// wakeTicks is how long a member that was PauseAndPartition remains partitioned after its process goes on.
 const wakeTicks = 30
 
 // injectFaults injects the faults that are due.
@@ -34,15 +34,15 @@
 		w.partition(m, fault.Direction, until)
 	case Link:
 		w.partitions[[2]int{m.index, fault.Other}] = until
-	case Stop:
-		m.stoppedUntil = until
-	case Asleep:
-		m.stoppedUntil = until
+	case Pause:
+		m.pausedUntil = until
+	case PauseAndPartition:
+		m.pausedUntil = until
 		w.partition(m, BothDirections, until+wakeTicks)
-	case Down:
+	case Outage:
 		w.outages = append(w.outages, outage{machine: fault.Other, from: w.tick, until: until})
-	case Kill, Wipe:
-		wipe := fault.Kind == Wipe && w.allVotersJoined()
+	case Kill, LoseDisk:
+		wipe := fault.Kind == LoseDisk && w.allVotersJoined()
 		if err := m.restart(wipe); err != nil {
 			panic(err)
 		}
@@ -52,7 +52,7 @@
 // restart starts another process of the member at once, with its disk or with an empty one. The mutant LosesState keeps its incarnation
 // with the empty disk.
 func (m *member) restart(wipe bool) error {
-	m.stoppedUntil = 0
+	m.pausedUntil = 0
 	switch {
 	case !wipe:
 		return m.startProcess()
--- a/internal/testbed/simulation/measure.go
+++ b/internal/testbed/simulation/measure.go
@@ -82,7 +82,7 @@
 		Ticks: maxMeasuredTicks, Faults: []Fault{}, StopWithPlan: true,
 	}
 	if m.fault == measuredLeaderStop {
-		options.Faults = []Fault{{Tick: leaderStopTick, Kind: Stop, Member: -1, Ticks: leaderStopTicks}}
+		options.Faults = []Fault{{Tick: leaderStopTick, Kind: Pause, Member: -1, Ticks: leaderStopTicks}}
 	}
 	result, err := Simulate(options)
 	if err != nil {
--- a/internal/testbed/simulation/member.go
+++ b/internal/testbed/simulation/member.go
@@ -28,7 +28,7 @@
 	state        *maintenance.State
 	stateSince   time.Duration // on its own clock: when the state got its Seq
 	processStart time.Duration
-	stoppedUntil int // tick until which the process is stopped
+	pausedUntil  int // tick until which the process is stopped
 
 	lastLeaderContact int // tick of the last message of a leader, or of the last campaign
 	electionTimeout   int // ticks without a leader until it campaigns
@@ -137,7 +137,7 @@
 func (m *member) clock() time.Duration { return time.Duration(float64(m.world.now) * m.clockSpeed) }
 
 // isRunning reports whether the process takes steps.
-func (m *member) isRunning() bool { return m.core != nil && m.world.tick >= m.stoppedUntil }
+func (m *member) isRunning() bool { return m.core != nil && m.world.tick >= m.pausedUntil }
 
 // advance simulates one tick of a member that is running.
 func (m *member) advance() {
--- a/internal/testbed/simulation/network.go
+++ b/internal/testbed/simulation/network.go
@@ -43,7 +43,7 @@
 func (w *world) deliverMessages() {
 	var arrived, remaining []envelope
 	for _, e := range w.inFlight {
-		if e.arrival <= w.tick && w.tick >= w.members[e.to].stoppedUntil {
+		if e.arrival <= w.tick && w.tick >= w.members[e.to].pausedUntil {
 			arrived = append(arrived, e)
 		} else {
 			remaining = append(remaining, e)
--- a/internal/testbed/simulation/operators.go
+++ b/internal/testbed/simulation/operators.go
@@ -85,7 +85,7 @@
 
 // operateMachine does what the operators have to do next for one machine.
 func (w *world) operateMachine(leader *member, index int, machine *maintenance.MachineState) {
-	since, withOperators := w.operatorsSince[machine.Name]
+	since, inMaintenance := w.maintenanceSince[machine.Name]
 	switch {
 	case machine.Phase == maintenance.MachineDrained && w.random.IntN(claimInterval) == 0:
 		if w.result.Drained == 0 {
@@ -94,10 +94,10 @@
 		leader.propose(maintenance.Command{ID: "take" + machine.Name, Kind: maintenance.CommandClaimMachine, Machine: machine.Name})
 	case machine.Phase == maintenance.MachineInMaintenance && w.returned[machine.Name]: // repeated, as a proposal may be dropped
 		leader.propose(maintenance.Command{ID: "done" + machine.Name, Kind: maintenance.CommandReturnMachine, Machine: machine.Name})
-	case machine.Phase == maintenance.MachineInMaintenance && !withOperators:
+	case machine.Phase == maintenance.MachineInMaintenance && !inMaintenance:
 		w.beginMaintenance(leader, index, machine.Name)
-	case withOperators && w.now-since > maintenanceDuration:
-		delete(w.operatorsSince, machine.Name) // from now on members may send to it
+	case inMaintenance && w.now-since > maintenanceDuration:
+		delete(w.maintenanceSince, machine.Name) // from now on members may send to it
 		w.returned[machine.Name] = true
 	}
 }
@@ -106,7 +106,7 @@
 // plan is restarted under another one, halfway through the work.
 func (w *world) beginMaintenance(leader *member, index int, name string) {
 	w.trace("%s is clear, says member %d", name, leader.index)
-	w.operatorsSince[name] = w.now
+	w.maintenanceSince[name] = w.now
 	w.checkMaintenance(index, name)
 	if isNamedByHost(index) {
 		restart := w.tick + int(maintenanceDuration/tickInterval)/2
--- a/internal/testbed/simulation/simulation_test.go
+++ b/internal/testbed/simulation/simulation_test.go
@@ -18,9 +18,9 @@
 	return result
 }
 
-// TestSimulate_KeepsRules verifies that groups of three and five members, and of five with three voters, violate no rule, and that most
+// TestSimulate_ViolatesNoRule verifies that groups of three and five members, and of five with three voters, violate no rule, and that most
 // machines get done.
-func TestSimulate_KeepsRules(t *testing.T) {
+func TestSimulate_ViolatesNoRule(t *testing.T) {
 	done := 0
 	for seed := range uint64(12) {
 		for _, options := range []Options{
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -32,8 +32,8 @@
 	outages     []outage
 	attempts    []attempt // those that are running
 
-	operatorsSince map[string]time.Duration // by machine: when operators learned that it is drained; they have it since
-	returned       map[string]bool          // machines on which operators have finished
+	maintenanceSince map[string]time.Duration // by machine: when operators learned that it is drained; they have it since
+	returned         map[string]bool          // machines on which operators have finished
 
 	committed    map[uint64]string // entries by index, as the first member applied them
 	applications map[uint64]int    // by index: how many members have applied the entry
@@ -47,20 +47,20 @@
 // newWorld returns a world before its first tick. The first member has bootstrapped the group.
 func newWorld(options Options) (*world, error) {
 	w := &world{
-		options:         options.withDefaults(),
-		random:          rand.New(rand.NewPCG(options.Seed, worldStream)),
-		partitions:      map[[2]int]int{},
-		pendingFaults:   options.Faults,
-		leader:          -1,
-		indexesByRaftID: map[uint64]int{},
-		operatorsSince:  map[string]time.Duration{},
-		returned:        map[string]bool{},
-		committed:       map[uint64]string{},
-		applications:    map[uint64]int{},
-		proposedAt:      map[string]time.Duration{},
-		drainChecked:    map[string]bool{},
-		result:          &Result{Costs: make([]Cost, options.Members)},
-		digest:          xxhash.New(),
+		options:          options.withDefaults(),
+		random:           rand.New(rand.NewPCG(options.Seed, worldStream)),
+		partitions:       map[[2]int]int{},
+		pendingFaults:    options.Faults,
+		leader:           -1,
+		indexesByRaftID:  map[uint64]int{},
+		maintenanceSince: map[string]time.Duration{},
+		returned:         map[string]bool{},
+		committed:        map[uint64]string{},
+		applications:     map[uint64]int{},
+		proposedAt:       map[string]time.Duration{},
+		drainChecked:     map[string]bool{},
+		result:           &Result{Costs: make([]Cost, options.Members)},
+		digest:           xxhash.New(),
 	}
 	if options.Faults == nil {
 		w.pendingFaults = RandomFaults(options)
