--- a/cmd/birchfork/testbed_test.go
+++ b/cmd/birchfork/testbed_test.go
@@ -26,7 +26,7 @@
 		{[]string{"lab", "run", "calm", "--rate=-5"}, "above 0"},
 		{[]string{"lab", "run", "calm", "--workers", "20000"}, "more than 10000"},
 		{[]string{"lab", "run", "calm", "--group", "--policy", "least"}, "--group makes an operator's file"},
-		{[]string{"lab", "run", "calm", "--group", "--dispatchers", "2"}, "2 dispatchers are no group"},
+		{[]string{"lab", "run", "calm", "--group", "--dispatchers", "2"}, "invalid number of dispatchers 2: a group has at least 3"},
 		{[]string{"lab", "show", "nothing"}, "calm"},
 		{[]string{"lab", "report", "/nothing.json"}, "nothing.json"},
 		{[]string{"lab", "compare", "a.json"}, "two kept results"},
--- a/internal/testbed/cluster/disk.go
+++ b/internal/testbed/cluster/disk.go
@@ -5,7 +5,7 @@
 	"path/filepath"
 )
 
-// readDisk returns the content of files of a member's disk by their names, without those that are missing or empty.
+// readDisk returns the contents of files on a member's disk by name. It leaves out files that are missing or empty.
 func (h *harness) readDisk(member int, names ...string) map[string][]byte {
 	files := map[string][]byte{}
 	for _, name := range names {
@@ -16,7 +16,7 @@
 	return files
 }
 
-// writeDisk writes files to a member's disk; a file that cannot be written is recorded, as the fault did not happen as planned.
+// writeDisk writes files to a member's disk. It records a failure, because the fault then was not injected as planned.
 func (h *harness) writeDisk(member int, files map[string][]byte) {
 	for name, raw := range files {
 		if err := os.WriteFile(filepath.Join(h.diskDir(member), name), raw, 0o600); err != nil {
@@ -25,7 +25,7 @@
 	}
 }
 
-// removeDir removes a directory of a member; one that stays is recorded, as the fault did not happen as planned.
+// removeDir removes a directory of a member. It records a failure, because the fault then was not injected as planned.
 func (h *harness) removeDir(dir string) {
 	if err := os.RemoveAll(dir); err != nil {
 		h.recordStatus(err.Error())
--- a/internal/testbed/cluster/doc.go
+++ b/internal/testbed/cluster/doc.go
@@ -1,7 +1,7 @@
-// Package cluster runs a group of dispatchers as real processes under faults and checks what the group promises.
+// Package cluster runs a group of dispatchers as real processes under faults and checks its invariants.
 //
-// Each member is a process of the program. A forwarder lies on each directed link between two members, so that links can be blocked,
-// delayed, throttled and reset. Simulated operators submit maintenance plans, work on drained machines and write overrides, while
-// faults are injected by the timetable of a [Scenario]. After the run, invariants of the group are checked by what workers and
-// operators observed; a member's own log lines are no evidence.
+// Each member is a process of the program. Each directed link between two members passes through a forwarder that can block, delay,
+// throttle and reset it. Simulated operators submit maintenance plans, work on drained machines and write overrides, while faults are
+// injected according to the timetable of a [Scenario]. After the run, the group's invariants are checked against the observations of
+// workers and operators; the members' own logs are not used as evidence.
 package cluster
--- a/internal/testbed/cluster/execute.go
+++ b/internal/testbed/cluster/execute.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// bootstrapInterval is the time between two calls while the group or its plan starts.
+	// bootstrapInterval is the interval between calls while the group or its plan starts.
 	bootstrapInterval = 50 * time.Millisecond
 
-	// retryInterval is the time between two tries of a call that was not answered as wanted.
+	// retryInterval is the interval between retries of a call.
 	retryInterval = 100 * time.Millisecond
 
-	// statusInterval is the time between two status calls to a member.
+	// statusInterval is the interval between status calls to a member.
 	statusInterval = 100 * time.Millisecond
 )
 
-// play bootstraps the group and plays operators and faults beside the testbed's load. It returns when all of them are through or ctx
-// ends.
+// execute bootstraps the group and runs the operators and faults of the scenario alongside the testbed's load. It returns when all of them
+// are finished or ctx ends.
 func (h *harness) execute(ctx context.Context, environment *testbed.Environment) {
 	h.environment = environment
 	var group sync.WaitGroup
 	defer group.Wait()
 	if err := h.formGroup(ctx); err != nil {
-		h.recordStatus("the group was not founded: " + err.Error())
+		h.recordStatus("bootstrapping the group: " + err.Error())
 		return
 	}
 	for member := range h.addresses {
@@ -68,7 +68,7 @@
 	group.Wait()
 }
 
-// formGroup bootstraps the group and waits until all members are in.
+// formGroup bootstraps the group and waits until all members have joined.
 func (h *harness) formGroup(ctx context.Context) error {
 	last, err := h.bootstrap(ctx)
 	if err != nil {
@@ -77,7 +77,7 @@
 	return h.awaitMembers(ctx, last)
 }
 
-// bootstrap calls the first member until it has bootstrapped the group, and returns the last answer's text.
+// bootstrap calls the members, beginning with the first, until one has bootstrapped the group. It returns the text of the last reply.
 func (h *harness) bootstrap(ctx context.Context) (last string, err error) {
 	for ; ctx.Err() == nil; sleep(ctx, bootstrapInterval) {
 		r, err := h.clientFrom(0).Do(ctx, coordinator.Call{Bootstrap: true})
@@ -92,8 +92,8 @@
 	return last, nil
 }
 
-// awaitMembers waits until all members but the absent one are in and all voters have reported. Its error is the last state of the
-// members, or last where none was seen.
+// awaitMembers waits until all members except the absent one have joined and all voters have reported. Its error is the last observed state
+// of the members, or last if none was observed.
 func (h *harness) awaitMembers(ctx context.Context, last string) error {
 	members := len(h.addresses) - min(h.options.JoiningMember, 1)
 	for ; ctx.Err() == nil; sleep(ctx, bootstrapInterval) {
@@ -118,7 +118,7 @@
 	return errors.New(last)
 }
 
-// pollStatus records the status that a member answers with, again and again until ctx ends. Every second call is answered locally.
+// pollStatus polls and records the status of a member until ctx ends. The member answers every second call from its local state.
 func (h *harness) pollStatus(ctx context.Context, member int) {
 	ledger := h.environment.Ledger()
 	client := &coordinator.Client{Addresses: []string{h.addresses[member]}}
@@ -136,7 +136,7 @@
 	}
 }
 
-// recordPlans records how the plans stand by a confirmed status, until they have ended. The caller holds the lock.
+// recordPlans records the state of the plans from a confirmed status, until they have ended. The caller holds the lock.
 func (h *harness) recordPlans(s *coordinator.Status) {
 	if !s.Confirmed || len(s.Plans) == 0 || h.result.Ended != 0 {
 		return
@@ -147,7 +147,7 @@
 	}
 }
 
-// leader returns the leader by the newest confirmed answer; 0 where none is known.
+// leader returns the leader according to the newest confirmed reply, or 0 if none is known.
 func (h *harness) leader() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -160,13 +160,13 @@
 	return 0
 }
 
-// usage is what all members have used and sent so far.
+// usage is the CPU time and the traffic of all members so far.
 type usage struct {
 	cpu             time.Duration
 	messages, bytes int64 // between members, without headers
 }
 
-// usage returns what members have used and sent so far; a member that does not answer is counted with its CPU time alone.
+// usage returns the usage of all members. Only the CPU time is counted of a member that does not reply.
 func (h *harness) usage(ctx context.Context) (u usage) {
 	for member := range h.addresses {
 		u.cpu += h.environment.CPU(member)
@@ -179,7 +179,7 @@
 	return u
 }
 
-// recordUsage records what members used between two readings.
+// recordUsage records the usage between two readings.
 func (h *harness) recordUsage(from, to usage) {
 	h.result.CPU = to.cpu - from.cpu
 	h.result.Messages = to.messages - from.messages
--- a/internal/testbed/cluster/fault.go
+++ b/internal/testbed/cluster/fault.go
@@ -8,34 +8,34 @@
 
 // The kinds of faults.
 const (
-	Partition             = "cut"    // nothing passes between the member and the others
-	DropInbound           = "deaf"   // nothing reaches the member; what it sends arrives
-	DropOutbound          = "mute"   // nothing that the member sends arrives
-	PartitionFromLeader   = "apart"  // nothing passes between the member and the present leader; all else does
-	FlappingPartition     = "flap"   // as Partition, for 300 ms out of 600
-	ResetLinks            = "reset"  // its links are reset
-	DelayLinks            = "slow"   // its links have 300 ms more latency, one way
-	LimitBandwidth        = "narrow" // its links pass 2 kB a second
-	BreakLinks            = "torn"   // its links break after 700 bytes
-	PauseProcess          = "stop"   // its process is paused
-	KillProcess           = "kill"   // its process is killed, and started again with its disk
-	CrashMachine          = "crash"  // ... as when its machine goes down: temporary files are lost
-	LoseDisk              = "wipe"   // ... and with an empty disk
-	OutdatedDisk          = "old"    // it works on, is killed, and started again with the disk that it had when the fault began
-	OutdatedDiskElsewhere = "put"    // as OutdatedDisk, on another machine: temporary files are lost too
-	ForeignDisk           = "alien"  // killed, and started again with the overrides of the next member's disk
-	Terminate             = "term"   // its process is shut down in order and started again
-	Upgrade               = "renew"  // a process starts beside it, and takes its place
-	SplitInTwo            = "halves" // the group is in two parts: members of even numbers, and of odd ones
-	SplitInThree          = "thirds" // ... in three, by their numbers modulo three
-	RingTopology          = "ring"   // each member reaches only the one before it and the one after it
-	LoseWorkers           = "far"    // nothing passes between the member and the workers
-	LoseDiscovery         = "unlist" // nothing passes between the member and discovery
-	FailForMember         = "spoilt" // all requests of the member fail at the first worker, those of others do not
-	FailForAll            = "errs"   // all requests of all members fail at the first worker
-	WorkerCrash           = "down"   // the worker of that number, no member, is killed and starts again cold
-	WorkerDrain           = "leaves" // ... is listed as draining and works on all the while, then restarts
-	WorkerHang            = "hang"   // requests at the worker of that number do not end by themselves
+	Partition             = "cut"    // blocks all traffic between the member and the others
+	DropInbound           = "deaf"   // drops messages to the member; its own messages arrive
+	DropOutbound          = "mute"   // drops messages from the member
+	PartitionFromLeader   = "apart"  // blocks only traffic between the member and the current leader
+	FlappingPartition     = "flap"   // like Partition, for 300 ms out of every 600 ms
+	ResetLinks            = "reset"  // resets the member's links
+	DelayLinks            = "slow"   // adds 300 ms of one-way latency to the member's links
+	LimitBandwidth        = "narrow" // limits the member's links to 2 kB/s
+	BreakLinks            = "torn"   // resets each connection of the member's links after 700 bytes
+	PauseProcess          = "stop"   // pauses the process
+	KillProcess           = "kill"   // kills the process and restarts it with its disk
+	CrashMachine          = "crash"  // like KillProcess; temporary files are lost, as when the machine goes down
+	LoseDisk              = "wipe"   // like CrashMachine, and the disk is empty
+	OutdatedDisk          = "old"    // at the end of the fault, kills the process and restarts it with the disk from the beginning of the fault
+	OutdatedDiskElsewhere = "put"    // like OutdatedDisk, on another machine: temporary files are lost too
+	ForeignDisk           = "alien"  // kills the process and restarts it with the overrides of the next member's disk
+	Terminate             = "term"   // shuts the process down gracefully and restarts it
+	Upgrade               = "renew"  // hot restart: a sibling process starts and takes over
+	SplitInTwo            = "halves" // splits the group into even-numbered and odd-numbered members
+	SplitInThree          = "thirds" // splits the group into three parts by member number modulo three
+	RingTopology          = "ring"   // each member reaches only its two neighbors by number
+	LoseWorkers           = "far"    // blocks traffic between the member and the workers
+	LoseDiscovery         = "unlist" // blocks traffic between the member and discovery
+	FailForMember         = "spoilt" // all requests of the member, and only those, fail at the first worker
+	FailForAll            = "errs"   // the requests of all members fail at the first worker
+	WorkerCrash           = "down"   // kills a worker, which restarts and has to warm up; Member is the worker's number
+	WorkerDrain           = "leaves" // lists a worker as draining while it goes on serving, then restarts it
+	WorkerHang            = "hang"   // requests at a worker do not end by themselves
 )
 
 // FaultKinds are all kinds of faults, in the order in which random faults are drawn from them.
@@ -50,19 +50,19 @@
 }
 
 var (
-	// workerFaults are the kinds whose number is a worker's.
+	// workerFaults are the kinds for which Fault.Member is the number of a worker.
 	workerFaults = []string{WorkerCrash, WorkerDrain, WorkerHang}
 
-	// processFaults are the kinds that stop or replace a member's process; a member has one of them at a time.
+	// processFaults are the kinds that stop or replace a member's process. A member has at most one of them at a time.
 	processFaults = []string{PauseProcess, KillProcess, CrashMachine, LoseDisk, OutdatedDisk, OutdatedDiskElsewhere, ForeignDisk, Terminate, Upgrade}
 
-	// diskLossFaults are the kinds after which a member has forgotten entries of the group's log.
+	// diskLossFaults are the kinds that lose entries of the group's log on the member's disk.
 	diskLossFaults = []string{LoseDisk, OutdatedDisk, OutdatedDiskElsewhere}
 
-	// overrideLossFaults are the kinds after which a member may have forgotten an override.
+	// overrideLossFaults are the kinds that may lose overrides on the member's disk.
 	overrideLossFaults = []string{LoseDisk, OutdatedDisk, OutdatedDiskElsewhere, ForeignDisk}
 
-	// externalFaults are the kinds that leave members and the links between them alone.
+	// externalFaults are the kinds that affect neither members nor the links between them.
 	externalFaults = []string{WorkerCrash, WorkerDrain, WorkerHang, LoseWorkers, LoseDiscovery, FailForMember, FailForAll}
 )
 
@@ -70,14 +70,13 @@
 type Fault struct {
 	Kind   string        `toml:"kind"`
 	Member int           `toml:"member"` // -1: the leader when the fault begins
-	At     time.Duration `toml:"at"`     // since the group was bootstrapped and its plan ran
+	At     time.Duration `toml:"at"`     // relative to the moment at which the group is bootstrapped and its plan runs
 	For    time.Duration `toml:"for"`
 
-	other  int           // PartitionFromLeader: the member at the other side
+	other  int           // PartitionFromLeader: the member on the other side
 	lostAt time.Duration // when a disk was lost or replaced, on the ledger's clock; 0: not yet, or none
 }
 
-// String describes the fault for people.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s of member %d at %v for %v", f.Kind, f.Member, f.At, f.For)
 }
--- a/internal/testbed/cluster/formgroup.go
+++ b/internal/testbed/cluster/formgroup.go
@@ -14,18 +14,18 @@
 	"birchfork/internal/testbed"
 )
 
-// FormGroup changes the options of a testbed run so that its dispatchers form a group, with no faults between them. The members' files
-// remain until remove is called.
+// FormGroup changes the options of a testbed run so that its dispatchers form a group, without faults between them. The members' files
+// are kept until remove is called.
 func FormGroup(o *testbed.Options) (remove func(), err error) {
 	members := o.Scenario.Dispatchers
 	if members < minMembers {
-		return nil, fmt.Errorf("%d dispatchers are no group; at least %d", members, minMembers)
+		return nil, fmt.Errorf("invalid number of dispatchers %d: a group has at least %d", members, minMembers)
 	}
 	dir, err := os.MkdirTemp("", "birchfork-group-")
 	if err != nil {
-		return nil, fmt.Errorf("a folder for the members: %w", err)
+		return nil, fmt.Errorf("creating the members' directory: %w", err)
 	}
-	remove = func() { _ = os.RemoveAll(dir) } // what is left lies in the temporary directory
+	remove = func() { _ = os.RemoveAll(dir) } // leftovers remain in the temporary directory
 	addresses, err := testbed.FreeAddresses(members)
 	if err != nil {
 		return nil, errors.Join(err, os.RemoveAll(dir))
@@ -48,7 +48,7 @@
 	return remove, nil
 }
 
-// groupConfig returns the operators' configuration that all members at these addresses share.
+// groupConfig returns the operator's configuration that all members at the given addresses share.
 func groupConfig(addresses []string) string {
 	var b strings.Builder
 	b.WriteString("[group]\nname = \"lab\"\n")
@@ -58,7 +58,7 @@
 	return b.String()
 }
 
-// bootstrapAt calls a member until it has bootstrapped its group.
+// bootstrapAt calls a member until it has bootstrapped the group.
 func bootstrapAt(ctx context.Context, address string) {
 	client := &coordinator.Client{Addresses: []string{address}}
 	for ; ctx.Err() == nil; sleep(ctx, retryInterval) {
--- a/internal/testbed/cluster/inject.go
+++ b/internal/testbed/cluster/inject.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// unknownEnd is how long a fault lasts that has not ended: longer than any run.
+	// unknownEnd is the duration of a fault that has not ended yet. It is longer than any run.
 	unknownEnd = 24 * time.Hour
 
-	// flapInterval is how long a flapping link is in either state.
+	// flapInterval is how long a flapping link stays in each state.
 	flapInterval = 300 * time.Millisecond
 
-	// diskLossInterval is the least time between two losses of a disk: where a majority of voters forgets, no history is left to go on
-	// by, and no promise holds. A voter has its place again some seconds after it is back.
+	// diskLossInterval is the minimum time between two disk losses. If a majority of voters lost their disks, the group's history would
+	// be lost and no rule could hold. A voter rejoins some seconds after its restart.
 	diskLossInterval = 12 * time.Second
 
-	// confirmDiskAfter is how long operators wait for a member that cannot know whether its disk is the last one it had. With another
-	// disk lost too few of three voters are left to know.
+	// confirmDiskAfter is how long operators wait for a member that cannot tell whether its disk is its most recent one. If another
+	// disk is lost too, the remaining one of three voters cannot tell it either.
 	confirmDiskAfter = 8 * time.Second
 
-	// confirmDiskInterval is the time between two calls that confirm a disk.
+	// confirmDiskInterval is the interval between calls that confirm a disk.
 	confirmDiskInterval = time.Second
 )
 
@@ -34,7 +34,8 @@
 	overridesFile = "words.db"
 )
 
-// injectFault waits for a fault's time, begins it, and ends it after its duration. It skips a fault of a process that has another one.
+// injectFault waits for the start of a fault, begins it and ends it after its duration. It skips a process fault while the process has
+// another one.
 func (h *harness) injectFault(ctx context.Context, f Fault) {
 	sleep(ctx, f.At)
 	if ctx.Err() != nil {
@@ -50,7 +51,7 @@
 		defer h.releaseProcess(f.Member)
 	}
 	startedAt := h.environment.Ledger().Now()
-	if f.Kind == PartitionFromLeader { // the leader of now: it may be another one when the fault ends
+	if f.Kind == PartitionFromLeader { // resolved once: the leader may change during the fault
 		f.other = h.leader()
 		if f.other == f.Member {
 			f.other = h.nextMember(f.Member)
@@ -61,7 +62,7 @@
 	h.applyFault(ctx, f, index)
 }
 
-// applyFault carries a fault out for its duration; index is its number among the injected ones.
+// applyFault applies a fault for its duration; index is its position in h.injected.
 func (h *harness) applyFault(ctx context.Context, f Fault, index int) {
 	switch f.Kind {
 	case PauseProcess:
@@ -95,10 +96,10 @@
 	}
 }
 
-// nextMember returns the number after a member's, in a circle.
+// nextMember returns the number of the member after the given one, wrapping around.
 func (h *harness) nextMember(member int) int { return (member + 1) % len(h.addresses) }
 
-// recordFault records that a fault begins, as one whose end is not known yet, and returns its number.
+// recordFault records the beginning of a fault with an unknown end, and returns its position in h.injected.
 func (h *harness) recordFault(f Fault, startedAt time.Duration) (index int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -106,22 +107,22 @@
 	return len(h.injected) - 1
 }
 
-// recordFaultEnd records that a fault ended now.
+// recordFaultEnd records that a fault has ended.
 func (h *harness) recordFaultEnd(index int, startedAt time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.injected[index].For = h.environment.Ledger().Now() - startedAt
 }
 
-// recordDiskLoss records that a fault's disk is lost or replaced now.
+// recordDiskLoss records that a fault has removed or replaced a disk.
 func (h *harness) recordDiskLoss(index int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.injected[index].lostAt = h.environment.Ledger().Now()
 }
 
-// acquireProcess reserves a member's process for a fault; false: another fault has it. Where a disk would be lost too soon after
-// another one, the fault becomes a kill that keeps the disk.
+// acquireProcess reserves a member's process for a fault. It returns false if another fault has it. A fault that would lose a disk too soon
+// after another one becomes a kill that keeps the disk.
 func (h *harness) acquireProcess(f *Fault) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -147,7 +148,7 @@
 	delete(h.faultyMembers, member)
 }
 
-// crashMachine kills a member and loses its temporary files; operators confirm its disk if it is not back in time.
+// crashMachine kills a member and removes its temporary files. Operators confirm its disk if it is not back in time.
 func (h *harness) crashMachine(ctx context.Context, f Fault) {
 	confirming, stopConfirming := context.WithCancel(ctx)
 	var operators sync.WaitGroup
@@ -157,16 +158,16 @@
 	operators.Wait()
 }
 
-// confirmDisk has operators confirm, from confirmDiskAfter after a machine came up again until ctx ends, that the disk of its member is
-// the last one that it had.
+// confirmDisk makes operators confirm that a member's disk is its most recent one, repeatedly from confirmDiskAfter after the machine
+// restarted until ctx ends.
 func (h *harness) confirmDisk(ctx context.Context, f Fault) {
 	for sleep(ctx, f.For+confirmDiskAfter); ctx.Err() == nil; sleep(ctx, confirmDiskInterval) {
-		// Refused or unreachable: it is called again.
+		// A failed call is repeated.
 		_, _ = h.clientOf(f.Member).Do(ctx, coordinator.Call{ConfirmDisk: true})
 	}
 }
 
-// loseDisk kills a member and starts it again with no files.
+// loseDisk kills a member and restarts it without files.
 func (h *harness) loseDisk(ctx context.Context, f Fault, index int) {
 	h.environment.Kill(ctx, f.Member, f.For, func() {
 		h.recordDiskLoss(index)
@@ -175,8 +176,8 @@
 	})
 }
 
-// restoreOutdatedDisk lets a member work on, kills it, and starts it again with its disk as it is now; elsewhere also without its
-// temporary files.
+// restoreOutdatedDisk copies a member's disk, kills the member after the fault's duration and restarts it with the copy. With
+// OutdatedDiskElsewhere the temporary files are lost too.
 func (h *harness) restoreOutdatedDisk(ctx context.Context, f Fault, index int) {
 	files := h.readDisk(f.Member, logFile, overridesFile)
 	sleep(ctx, f.For)
@@ -189,7 +190,7 @@
 	})
 }
 
-// copyForeignDisk kills a member and starts it again with the overrides of the next member's disk.
+// copyForeignDisk kills a member and restarts it with the overrides of the next member's disk.
 func (h *harness) copyForeignDisk(ctx context.Context, f Fault, index int) {
 	h.environment.Kill(ctx, f.Member, f.For, func() {
 		h.recordDiskLoss(index)
@@ -197,7 +198,7 @@
 	})
 }
 
-// takeWorkerDown has a worker down for a while, or listed as draining for a while and then restarted.
+// takeWorkerDown takes a worker down for the fault's duration, or lists it as draining for that time and then restarts it.
 func (h *harness) takeWorkerDown(ctx context.Context, f Fault) {
 	ledger, fleet := h.environment.Ledger(), h.environment.Fleet()
 	h.mu.Lock()
@@ -227,7 +228,7 @@
 	worker.Hang(false)
 }
 
-// failForMember has all of a member's requests fail at the first worker.
+// failForMember makes all requests of a member fail at the first worker.
 func (h *harness) failForMember(ctx context.Context, f Fault) {
 	worker := h.environment.Fleet().Workers[0]
 	worker.FailFor(f.Member, true)
@@ -235,7 +236,7 @@
 	worker.FailFor(f.Member, false)
 }
 
-// failForAll has all requests fail at the first worker.
+// failForAll makes all requests fail at the first worker.
 func (h *harness) failForAll(ctx context.Context, f Fault) {
 	worker := h.environment.Fleet().Workers[0]
 	worker.SetFailureRate(1)
@@ -243,7 +244,7 @@
 	worker.SetFailureRate(0)
 }
 
-// flapPartition partitions a member and heals the partition by turns.
+// flapPartition alternately partitions a member and heals the partition.
 func (h *harness) flapPartition(ctx context.Context, f Fault) {
 	f.Kind = Partition
 	for end := time.Now().Add(f.For); ctx.Err() == nil && time.Now().Before(end); sleep(ctx, flapInterval) {
@@ -253,7 +254,7 @@
 	}
 }
 
-// faultLinks has a fault of links for its duration.
+// faultLinks applies a fault of links for its duration.
 func (h *harness) faultLinks(ctx context.Context, f Fault) {
 	h.beginLinkFault(f)
 	sleep(ctx, f.For)
@@ -278,7 +279,7 @@
 	h.updateLinks()
 }
 
-// updateLinks sets the fault of every link by the active faults. The caller holds the lock.
+// updateLinks applies the active faults to every link. The caller holds the lock.
 func (h *harness) updateLinks() {
 	for ends, l := range h.links {
 		l.setFault(h.memberLinkFault(ends[0], ends[1]))
--- a/internal/testbed/cluster/invariants.go
+++ b/internal/testbed/cluster/invariants.go
@@ -12,25 +12,25 @@
 	"birchfork/internal/testbed/invariant"
 )
 
-// The rules of a group, beside the four of a dispatcher.
+// The rules of a group, in addition to the four rules of a dispatcher.
 const (
-	DrainRule    = "clear"   // no request starts or runs at a machine from the answer that it is drained until it is returned
-	BudgetRule   = "budget"  // never more machines in maintenance, or still warming up, than the plan allows
-	OrderRule    = "order"   // all answers belong to one history
+	DrainRule    = "clear"   // no request starts or runs on a machine from the reply that it is drained until it is returned
+	BudgetRule   = "budget"  // no more machines are in maintenance or warming up than the plan allows
+	OrderRule    = "order"   // all replies are consistent with a single history
 	ProgressRule = "goes on" // the plan has ended when the run ends
-	OutlierRule  = "warned"  // a worker that fails for all gets no non-idempotent request once two have failed there
-	EndpointRule = "listed"  // a member whose discovery is silent sends nothing to a worker that others know to be draining
-	UseRule      = "use"     // a worker that fails for one member alone is in use at the others
+	OutlierRule  = "warned"  // a worker that fails for all members gets no non-idempotent requests after two failures
+	EndpointRule = "listed"  // a member that lost discovery sends nothing to a worker that others know to be draining
+	UseRule      = "use"     // a worker that fails for only one member stays in use by the others
 )
 
 // Rules are the names of the group's rules in the order in which results list them.
 var Rules = []string{DrainRule, BudgetRule, OrderRule, ProgressRule, OverrideRule, OutlierRule, EndpointRule, UseRule}
 
-// outageKnownWithin is how long a worker may be away before the leader has to know it: the way of the endpoint list to the members, and
-// of their reports to the leader. A choice that rests on earlier reports may be committed seconds later, where links are slow.
+// outageKnownWithin is the time after which the leader has to know of a worker's outage. It covers the endpoint list update to the
+// members and their reports to the leader. On slow links, a choice that is based on earlier reports may be committed seconds later.
 const outageKnownWithin = 2 * time.Second
 
-// checkInvariants checks the group's rules by what workers and operators observed.
+// checkInvariants checks the group's rules against the observations of workers and operators.
 func (h *harness) checkInvariants(s *testbed.Environment) []invariant.Violation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -46,8 +46,8 @@
 	return append(out, h.progressViolations(s)...)
 }
 
-// workerFailureViolations checks how members use a worker that fails, in scenarios where that is the only fault: another one might keep
-// members away from the worker, or from each other's reports. The caller holds the lock.
+// workerFailureViolations checks how members use a failing worker, in scenarios without any other fault: another fault might separate
+// members from the worker or from each other's reports. The caller holds the lock.
 func (h *harness) workerFailureViolations(s *testbed.Environment) []invariant.Violation {
 	if len(h.result.Faults) != 1 {
 		return nil
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// progressViolations reports a member that never joined and a plan that has not ended. The caller holds the lock.
+// progressViolations reports a member that did not join and a plan that did not end. The caller holds the lock.
 func (h *harness) progressViolations(s *testbed.Environment) (out []invariant.Violation) {
 	joiner := memberName(h.options.JoiningMember)
 	hasJoined := func(s observedStatus) bool {
@@ -79,7 +79,7 @@
 	return out
 }
 
-// drainViolations returns the attempts at machines that operators had.
+// drainViolations returns the attempts at machines in maintenance.
 func drainViolations(attempts []*invariant.Attempt, windows []MaintenanceWindow) (out []invariant.Violation) {
 	for _, w := range windows {
 		for _, a := range attempts {
@@ -98,16 +98,16 @@
 				continue
 			}
 			out = append(out, invariant.Violation{Rule: DrainRule, Kind: kind, At: a.Last, Dispatcher: a.Dispatcher, ID: a.ID, Lines: []string{
-				fmt.Sprintf("%s was told to be clear at %.3fs, put back at %.3fs", w.Machine, w.ReleasedAt.Seconds(), w.ReturnedAt.Seconds()),
-				fmt.Sprintf("the attempt's last byte came at %.3fs, it ended (%s) at %.3fs", a.Last.Seconds(), a.End, a.Ended.Seconds()),
+				fmt.Sprintf("%s was reported as drained at %.3fs and returned at %.3fs", w.Machine, w.ReleasedAt.Seconds(), w.ReturnedAt.Seconds()),
+				fmt.Sprintf("the attempt's last byte arrived at %.3fs; the attempt ended (%s) at %.3fs", a.Last.Seconds(), a.End, a.Ended.Seconds()),
 			}})
 		}
 	}
 	return out
 }
 
-// lastSeenWaiting returns when the last confirmed answer was requested that has a machine as waiting: the machine was chosen after that.
-// 0: there is no such answer. The caller holds the lock.
+// lastSeenWaiting returns the request time of the last confirmed reply that lists a machine as waiting; the machine was chosen after
+// that time. It returns 0 if there is no such reply. The caller holds the lock.
 func (h *harness) lastSeenWaiting(machine string) (last time.Duration) {
 	for _, s := range h.statuses {
 		if s.status.Confirmed && hasMachineIn(s.status, machine, maintenance.MachineWaiting) {
@@ -117,7 +117,7 @@
 	return last
 }
 
-// hasMachineIn reports whether a status has a machine in a phase.
+// hasMachineIn reports whether a status lists a machine in the given phase.
 func hasMachineIn(s coordinator.Status, machine string, phase maintenance.MachinePhase) bool {
 	for _, p := range s.Plans {
 		for _, m := range p.Machines {
@@ -129,9 +129,9 @@
 	return false
 }
 
-// budgetViolations returns the moments at which operators got one machine more than may be unavailable. Unavailable are those that they
-// had, those that were returned less than slowStart ago, and workers that had been away by themselves for long when the machine was
-// chosen.
+// budgetViolations returns the moments at which a machine was released to operators although too many were unavailable. Machines in
+// maintenance and machines returned less than slowStart ago count as unavailable, and so do workers with an outage that the leader had to
+// know of when the machine was chosen.
 func budgetViolations(windows []MaintenanceWindow, outages []workerOutage, lastSeenWaiting func(machine string) time.Duration, maxUnavailable int,
 	slowStart time.Duration,
 ) (out []invariant.Violation) {
@@ -149,18 +149,18 @@
 		}
 		if unavailable > maxUnavailable {
 			out = append(out, invariant.Violation{Rule: BudgetRule, Kind: "over", At: w.ReleasedAt, Dispatcher: -1, Lines: []string{
-				fmt.Sprintf("%d machines away when %s was told to be clear, %d may be", unavailable, w.Machine, maxUnavailable)}})
+				fmt.Sprintf("%d machines were unavailable when %s was reported as drained; the plan allows %d", unavailable, w.Machine, maxUnavailable)}})
 		}
 	}
 	return out
 }
 
-// orderViolation returns a violation of the order of answers, as the answer s shows it.
+// orderViolation returns a violation of OrderRule that the reply s shows.
 func orderViolation(kind string, s observedStatus, lines ...string) invariant.Violation {
 	return invariant.Violation{Rule: OrderRule, Kind: kind, At: s.receivedAt, Dispatcher: -1, Lines: lines}
 }
 
-// historyViolations returns the answers that have another state than an earlier one at the same applied entry.
+// historyViolations returns the replies whose state differs from that of an earlier reply at the same applied index.
 func historyViolations(statuses []observedStatus) (out []invariant.Violation) {
 	phasesAt := map[uint64]string{}
 	for _, s := range statuses {
@@ -174,7 +174,7 @@
 	return out
 }
 
-// encodePhases returns the phases of a status's plans and machines in a form that can be compared.
+// encodePhases returns the phases of a status's plans and machines as a comparable string.
 func encodePhases(s coordinator.Status) string {
 	phases := map[string]string{}
 	for _, p := range s.Plans {
@@ -183,18 +183,18 @@
 			phases[p.Name+"/"+m.Name] = string(m.Phase)
 		}
 	}
-	raw, _ := json.Marshal(phases) // a map of strings cannot fail
+	raw, _ := json.Marshal(phases) // marshalling a map of strings cannot fail
 	return string(raw)
 }
 
-// undoneEntryViolations returns the first confirmed answer that had applied less than another confirmed answer that came before it was
-// requested; at most one.
+// undoneEntryViolations returns the first confirmed reply whose applied index is below that of a confirmed reply received before the
+// call; at most one.
 func undoneEntryViolations(statuses []observedStatus) []invariant.Violation {
 	for _, s := range statuses {
 		for _, earlier := range statuses {
 			bothConfirmed := s.status.Confirmed && earlier.status.Confirmed
 			if bothConfirmed && earlier.receivedAt < s.requestedAt && earlier.status.AppliedIndex > s.status.AppliedIndex {
-				return []invariant.Violation{orderViolation("undone", s, fmt.Sprintf("entry %d was settled at %.3fs; an answer asked for at %.3fs knew %d",
+				return []invariant.Violation{orderViolation("undone", s, fmt.Sprintf("entry %d was committed by %.3fs; the reply to a call at %.3fs had applied only %d",
 					earlier.status.AppliedIndex, earlier.receivedAt.Seconds(), s.requestedAt.Seconds(), s.status.AppliedIndex))}
 			}
 		}
@@ -202,11 +202,11 @@
 	return nil
 }
 
-// phasesBeforeClaim are the phases of a machine that operators do not have yet.
+// phasesBeforeClaim are the phases of a machine before operators claim it.
 var phasesBeforeClaim = []maintenance.MachinePhase{maintenance.MachineWaiting, maintenance.MachineDraining, maintenance.MachineDrained}
 
-// lostEntryViolations returns the first confirmed answer that lacks a machine's claim which had been acknowledged before it was
-// requested; at most one.
+// lostEntryViolations returns the first confirmed reply that lacks a machine's claim that had been acknowledged before the call; at most
+// one.
 func lostEntryViolations(statuses []observedStatus, windows []MaintenanceWindow) []invariant.Violation {
 	for _, s := range statuses {
 		for _, w := range windows {
@@ -216,7 +216,7 @@
 			for _, p := range s.status.Plans {
 				for _, m := range p.Machines {
 					if m.Name == w.Machine && slices.Contains(phasesBeforeClaim, m.Phase) {
-						return []invariant.Violation{orderViolation("undone", s, fmt.Sprintf("%s was told to be clear at %.3fs; an answer asked for at %.3fs has it as %s",
+						return []invariant.Violation{orderViolation("undone", s, fmt.Sprintf("%s was reported as drained at %.3fs; the reply to a call at %.3fs lists it as %s",
 							w.Machine, w.ReleasedAt.Seconds(), s.requestedAt.Seconds(), m.Phase))}
 					}
 				}
--- a/internal/testbed/cluster/link.go
+++ b/internal/testbed/cluster/link.go
@@ -9,12 +9,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// link forwards connections from one member to another. Its faults apply to both directions of each connection or to one of them. Bytes
-// that a fault blocked are delivered when it ends, also where their sender has closed meanwhile, as a kernel does, but not where the
-// sender has reset the connection. It does not simulate a kernel that gives up by itself. It is safe for concurrent use.
+// link forwards connections from one member to another. A fault applies to one or both directions of each connection. Bytes that a fault
+// blocked are delivered when it ends, even if the sender has closed the connection meanwhile, as a kernel does, but not if the sender has
+// reset it. Retransmission time-outs of the kernel are not simulated. It is safe for concurrent use.
 type link struct {
 	listener net.Listener
-	target   string // address of the member that is reached
+	target   string // address of the target member
 
 	mu      sync.Mutex
 	fault   linkFault
@@ -24,14 +24,14 @@
 	closed  bool
 }
 
-// linkFault is the fault of a link; the zero value is none.
+// linkFault is the fault of a link. The zero value is no fault.
 type linkFault struct {
-	blockForward    bool          // nothing passes towards the member that is reached
-	blockBackward   bool          // nothing passes towards the member that connects
-	reset           bool          // connections are reset, new ones too
-	delay           time.Duration // of each chunk
+	blockForward    bool          // blocks traffic to the target member
+	blockBackward   bool          // blocks traffic to the connecting member
+	reset           bool          // existing and new connections are reset
+	delay           time.Duration // delay of each chunk
 	bytesPerSecond  int           // 0: no limit
-	resetAfterBytes int           // connections are reset after so many bytes in one direction; 0: never
+	resetAfterBytes int           // resets a connection after this many bytes in one direction; 0: never
 }
 
 // block blocks both directions if on.
@@ -40,13 +40,13 @@
 	f.blockBackward = f.blockBackward || on
 }
 
-// forwardBlocked reports whether the fault blocks the direction towards the member that is reached.
+// forwardBlocked reports whether the fault blocks the direction to the target member.
 func (f linkFault) forwardBlocked() bool { return f.blockForward }
 
-// backwardBlocked reports whether the fault blocks the direction towards the member that connects.
+// backwardBlocked reports whether the fault blocks the direction to the connecting member.
 func (f linkFault) backwardBlocked() bool { return f.blockBackward }
 
-// chunkDelay returns the time that a chunk of so many bytes takes.
+// chunkDelay returns the delay of a chunk of the given size.
 func (f linkFault) chunkDelay(bytes int) time.Duration {
 	delay := f.delay
 	if f.bytesPerSecond > 0 {
@@ -57,12 +57,12 @@
 
 const maxChunkBytes = 4 << 10
 
-// newLink returns a link to a target address, which listens on a free port of host. The host must not be a member's: the port that was
-// chosen for the member is to stay free until it listens.
+// newLink returns a link to target that listens on a free port of host. No member may use the same host, because the link could take the
+// port that was chosen for the member before the member listens on it.
 func newLink(host, target string) (*link, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
-		return nil, fmt.Errorf("a link: %w", err)
+		return nil, fmt.Errorf("creating a link to %s: %w", target, err)
 	}
 	l := &link{listener: listener, target: target, changed: make(chan struct{}), conns: map[net.Conn]bool{}}
 	go l.accept()
@@ -83,7 +83,7 @@
 	}
 }
 
-// notifyChange wakes those that wait for a change. The caller holds the lock.
+// notifyChange wakes all goroutines that wait for a change. The caller holds the lock.
 func (l *link) notifyChange() {
 	close(l.changed)
 	l.changed = make(chan struct{})
@@ -133,7 +133,7 @@
 	}
 }
 
-// track adds a connection to those that are reset with the link; false: the link is closed.
+// track adds a connection to those that are reset with the link. It returns false if the link is closed.
 func (l *link) track(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -144,7 +144,7 @@
 	return true
 }
 
-// closeTracked closes a connection and forgets it.
+// closeTracked closes a connection and stops tracking it.
 func (l *link) closeTracked(c net.Conn) {
 	l.mu.Lock()
 	delete(l.conns, c)
@@ -182,7 +182,7 @@
 	<-ended
 }
 
-// waitUntilOpen waits until a direction is not blocked; false: the link is closed.
+// waitUntilOpen waits until a direction is not blocked. It returns false if the link is closed.
 func (l *link) waitUntilOpen(isBlocked func(linkFault) bool) bool {
 	for {
 		f, changed := l.currentFault()
@@ -196,7 +196,7 @@
 	}
 }
 
-// copyDirection copies one direction of a connection until it ends or the link's fault breaks it.
+// copyDirection copies one direction of a connection until the connection ends or the link's fault resets it.
 func (l *link) copyDirection(to, from net.Conn, isBlocked func(linkFault) bool) {
 	buf := make([]byte, maxChunkBytes)
 	sent := 0
@@ -209,18 +209,18 @@
 			sent += n
 		}
 		if err != nil {
-			return // net/http closes both directions at once: the other one ends with this one
+			return // net/http closes both directions at once, so the other one ends too
 		}
 	}
 }
 
-// copyChunk sends a chunk when its direction is open, after sent earlier bytes; false: the connection has ended.
+// copyChunk sends a chunk once its direction is open; sent is the number of bytes before it. It returns false if the connection has ended.
 func (l *link) copyChunk(to, from net.Conn, chunk []byte, sent int, isBlocked func(linkFault) bool) bool {
 	before, _ := l.currentFault()
 	if !l.waitUntilOpen(isBlocked) {
 		return false
 	}
-	if isBlocked(before) && wasReset(from) { // its kernel has dropped what was unsent
+	if isBlocked(before) && wasReset(from) { // the sender's kernel has dropped unsent bytes
 		reset(to)
 		return false
 	}
@@ -243,7 +243,7 @@
 	return true
 }
 
-// wasReset reports whether the other side has reset a connection.
+// wasReset reports whether the peer has reset a connection.
 func wasReset(c net.Conn) bool {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
--- a/internal/testbed/cluster/linkfaults.go
+++ b/internal/testbed/cluster/linkfaults.go
@@ -9,7 +9,7 @@
 	bytesUntilBreak = 700
 )
 
-// memberLinkFault returns the sum of the active faults of the link by which a member reaches another one. The caller holds the lock.
+// memberLinkFault returns the combined active faults of the link from one member to another. The caller holds the lock.
 func (h *harness) memberLinkFault(from, to int) (sum linkFault) {
 	for _, f := range h.linkFaults {
 		f.addTo(&sum, from, to, len(h.addresses))
@@ -17,8 +17,8 @@
 	return sum
 }
 
-// outerLinkFault returns the active fault of a member's link to workers or to discovery, by the kind of fault that this link may have.
-// The caller holds the lock.
+// outerLinkFault returns the active fault of a member's link to workers or to discovery; kind is the only kind of fault that affects the
+// link. The caller holds the lock.
 func (h *harness) outerLinkFault(kind string, member int) (sum linkFault) {
 	for _, f := range h.linkFaults {
 		sum.block(f.Kind == kind && f.Member == member)
@@ -26,7 +26,7 @@
 	return sum
 }
 
-// addTo adds the fault's effect on the link by which a member reaches another one, in a group of so many members.
+// addTo adds the fault's effect on the link from one member to another, in a group of the given size.
 func (f Fault) addTo(sum *linkFault, from, to, members int) {
 	sends, receives := from == f.Member, to == f.Member
 	affected := sends || receives
@@ -56,7 +56,7 @@
 	}
 }
 
-// degrade adds the effect of a fault that slows or breaks a link.
+// degrade adds the effect of a fault that delays, throttles or breaks a link.
 func (f Fault) degrade(sum *linkFault) {
 	switch f.Kind {
 	case DelayLinks:
--- a/internal/testbed/cluster/members.go
+++ b/internal/testbed/cluster/members.go
@@ -16,12 +16,12 @@
 	"birchfork/internal/testbed/scenario"
 )
 
-// When and how members change beside the faults. Times count from the start of what needs them, not from the run's.
+// Changes of members that are not faults. Delays start when the function that uses them is called, not with the run.
 const (
-	olderBuildFor     = 3 * time.Second // how long the member of an older build runs as such
-	joinsAfter        = 3 * time.Second // the plan runs by then
+	olderBuildFor     = 3 * time.Second // how long the member runs the older build
+	joinsAfter        = 3 * time.Second // by then the plan is running
 	reconfiguredAfter = 500 * time.Millisecond
-	deadlineDivisor   = 8 // of the first deadlines: then a lease and the wait for attempts are shorter than an attempt that runs to its full deadline
+	deadlineDivisor   = 8 // of the initial deadlines: they make a lease plus the wait for attempts shorter than an attempt with the full deadline
 )
 
 // The numbers of voters.
@@ -30,7 +30,7 @@
 	largeGroupVoters = 5
 )
 
-// voters returns how many of so many members vote.
+// voters returns the number of voters in a group of the given size.
 func voters(members int) int {
 	if members >= largeGroupVoters {
 		return largeGroupVoters
@@ -41,10 +41,10 @@
 // memberName returns the name of a member by its number.
 func memberName(member int) string { return fmt.Sprintf("d%d", member) }
 
-// operatorFile returns the path of the operators' configuration of a member.
+// operatorFile returns the path of a member's operator configuration.
 func (h *harness) operatorFile(name string) string { return filepath.Join(h.dir, name+".toml") }
 
-// temporaryDir returns the directory of a member's temporary files, which a crash of its machine loses.
+// temporaryDir returns the directory of a member's temporary files, which are lost when its machine crashes.
 func (h *harness) temporaryDir(member int) string {
 	return filepath.Join(h.dir, "birchfork-"+memberName(member))
 }
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// writeOperatorFiles writes the operators' configuration of all members. The absent member is in no other member's file and gets an
-// empty one; 0: there is none.
+// writeOperatorFiles writes the operator configuration of all members. The absent member gets an empty file and is left out of the other
+// members' files; 0: no member is absent.
 func (h *harness) writeOperatorFiles(absent int) error {
 	for member := range h.options.Members {
 		text := ""
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// operatorConfig returns the operators' configuration of a member, which reaches every other member by their link.
+// operatorConfig returns a member's operator configuration, in which the other members have the addresses of the links to them.
 func (h *harness) operatorConfig(member, absent int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[group]\nname = \"lab\"\nplans = true\nlease = %q\n", h.options.Lease)
@@ -109,13 +109,13 @@
 	return b.String()
 }
 
-// writeMemberSection writes a member's section of an operators' configuration, in a group of so many members.
+// writeMemberSection writes a member's section of an operator configuration, in a group of the given size.
 func writeMemberSection(b *strings.Builder, member int, address string, members int) {
 	fmt.Fprintf(b, "[[group.member]]\nname = %q\nlink = %q\nvoter = %t\n", memberName(member), address, member < voters(members))
 }
 
-// joinMember adds the absent member while the plan runs: it is down until all files name it and the others were restarted, one after
-// the other.
+// joinMember adds the absent member while the plan runs. The member is down until all files list it and the other members have been
+// restarted one after the other.
 func (h *harness) joinMember(ctx context.Context) {
 	h.environment.Kill(ctx, h.options.JoiningMember, joinsAfter, func() {
 		if err := h.writeOperatorFiles(0); err != nil {
@@ -129,14 +129,14 @@
 	})
 }
 
-// replaceOlderBuild restarts the member of an older build as one of the present build, after it has run for a while.
+// replaceOlderBuild restarts the member that runs an older build with the current build, after it has run for olderBuildFor.
 func (h *harness) replaceOlderBuild(ctx context.Context) {
 	sleep(ctx, olderBuildFor)
 	h.environment.Terminate(ctx, h.options.OlderBuild)
 }
 
-// deliveredScenario returns the scenario whose settings a member is configured with: that of the run, or, before the members are
-// reconfigured, one with short deadlines.
+// deliveredScenario returns the scenario with the settings for a member's configuration: the scenario of the run, or one with shorter
+// deadlines until the members are reconfigured.
 func (h *harness) deliveredScenario(_ int, s *scenario.Scenario) *scenario.Scenario {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -151,7 +151,7 @@
 	return &short
 }
 
-// reconfigure waits a little and then has all members reload their configuration, with the full deadlines.
+// reconfigure makes all members reload their configuration with the full deadlines after reconfiguredAfter.
 func (h *harness) reconfigure(ctx context.Context) {
 	sleep(ctx, reconfiguredAfter)
 	h.mu.Lock()
@@ -164,14 +164,14 @@
 
 // outerLink is a link from a member to a worker or to discovery.
 type outerLink struct {
-	faultKind string // of the fault that it may have
+	faultKind string // the only kind of fault that affects the link
 	member    int
 	address   string
 	link      *link
 }
 
-// outerLinkMapper returns a function that replaces an address outside of the group by that of a link to it, which it creates at first
-// use. It returns nil where no fault of this kind is played.
+// outerLinkMapper returns a function that maps an address outside the group to the address of a link to it. The link is created on first
+// use. It returns nil if the run has no fault of this kind.
 func (h *harness) outerLinkMapper(faultKind string) func(member int, address string) string {
 	if !slices.ContainsFunc(h.result.Faults, func(f Fault) bool { return f.Kind == faultKind }) {
 		return nil
@@ -184,7 +184,7 @@
 				return o.link.address()
 			}
 		}
-		host, _, splitErr := net.SplitHostPort(address) // what the link leads to is known by its host
+		host, _, splitErr := net.SplitHostPort(address) // the target of the link is identified by its host
 		l, linkErr := newLink(host, address)
 		if err := errors.Join(splitErr, linkErr); err != nil {
 			h.result.LastStatus = err.Error()
--- a/internal/testbed/cluster/operator.go
+++ b/internal/testbed/cluster/operator.go
@@ -14,13 +14,13 @@
 	"birchfork/internal/testbed/scenario"
 )
 
-// workerRestartTime is how long a worker takes to come up again.
+// workerRestartTime is how long a worker takes to restart.
 const workerRestartTime = 200 * time.Millisecond
 
-// firstPlanName is the name of the first plan; the others have a number after it.
+// firstPlanName is the name of the first plan. The names of the others are this name with a number.
 const firstPlanName = "work"
 
-// uncommittedPrefix begins the text of an answer to a call whose outcome is open: it may have been committed or not.
+// uncommittedPrefix is the beginning of the reply's text if it is open whether the call was committed.
 const uncommittedPrefix = "no member has settled"
 
 // planName returns the name of a plan by its number.
@@ -34,7 +34,7 @@
 // machineName returns the name of a machine of the plans by its number.
 func machineName(machine int) string { return fmt.Sprintf("m%d", machine) }
 
-// workerOf returns the worker on a machine of the plans: these have the last workers, which are the slowest, the last one first.
+// workerOf returns the worker on a machine of the plans. The machines have the last workers, which are the slowest, in reverse order.
 func workerOf(day *scenario.Day, machine int) int { return len(day.Workers) - 1 - machine }
 
 // clientFrom returns a client that tries the members in turn, beginning with first.
@@ -42,12 +42,12 @@
 	return &coordinator.Client{Addresses: append(slices.Clone(h.addresses[first:]), h.addresses[:first]...)}
 }
 
-// clientOf returns a client of one member alone.
+// clientOf returns a client of a single member.
 func (h *harness) clientOf(member int) *coordinator.Client {
 	return &coordinator.Client{Addresses: h.addresses[member : member+1]}
 }
 
-// call makes an operator's call to a random member first, and counts it.
+// call makes an operator's call, which tries a random member first, and counts it.
 func (h *harness) call(ctx context.Context, c coordinator.Call) (*coordinator.Reply, error) {
 	r, err := h.clientFrom(rand.IntN(len(h.addresses))).Do(ctx, c)
 	h.mu.Lock()
@@ -59,8 +59,8 @@
 	return r, err
 }
 
-// callUntilOK repeats a command until it is answered with OK; false: it is invalid, or ctx ended. A command whose outcome is open keeps
-// its id, so that it takes effect once.
+// callUntilOK repeats a command until the reply is OK. It returns false if the command is invalid or ctx ended. A command that may have been
+// committed keeps its ID, so that it takes effect once.
 func (h *harness) callUntilOK(ctx context.Context, c *maintenance.Command) bool {
 	for ; ctx.Err() == nil; sleep(ctx, retryInterval) {
 		r, err := h.call(ctx, coordinator.Call{Command: c})
@@ -82,7 +82,7 @@
 	return false
 }
 
-// startPlans submits and starts the plans, and waits until they run; false: they do not.
+// startPlans submits and starts the plans and waits until they run. It returns false if they do not run.
 func (h *harness) startPlans(ctx context.Context) bool {
 	for _, p := range h.plans() {
 		if !h.callUntilOK(ctx, &maintenance.Command{Kind: maintenance.CommandSubmitPlan, Plan: p}) {
@@ -101,10 +101,10 @@
 	return false
 }
 
-// planCount returns the number of plans that the machines are divided among.
+// planCount returns the number of plans to which the machines are assigned.
 func (h *harness) planCount() int { return max(h.options.Plans, 1) }
 
-// plans returns the plans, with the machines divided among them in turn.
+// plans returns the plans, to which the machines are assigned in turn.
 func (h *harness) plans() []*maintenance.Plan {
 	plans := make([]*maintenance.Plan, h.planCount())
 	for i := range plans {
@@ -125,7 +125,7 @@
 	return plans
 }
 
-// plansAreIn reports whether all plans are known to be in a phase.
+// plansAreIn reports whether a status lists all plans as being in the given phase.
 func (h *harness) plansAreIn(s *coordinator.Status, phase maintenance.PlanPhase) bool {
 	if s == nil || len(s.Plans) < h.planCount() {
 		return false
@@ -133,7 +133,7 @@
 	return !slices.ContainsFunc(s.Plans, func(p coordinator.PlanStatus) bool { return p.Phase != phase })
 }
 
-// maintainMachine claims a machine when it is drained, works on it, restarts its worker and returns it.
+// maintainMachine claims a machine once it is drained, works on it, restarts its worker and returns it.
 func (h *harness) maintainMachine(ctx context.Context, machine int) {
 	if !h.callUntilOK(ctx, &maintenance.Command{Kind: maintenance.CommandClaimMachine, Machine: machineName(machine)}) {
 		return
@@ -155,8 +155,8 @@
 	h.callUntilOK(ctx, &maintenance.Command{Kind: maintenance.CommandReturnMachine, Machine: machineName(machine)})
 }
 
-// workOn spends the time of the work on a machine. Its worker stays up meanwhile, so that requests that are sent there are seen; in
-// scenarios with renamed workers it starts under another name half-way.
+// workOn waits for the duration of the work on a machine. The worker stays up meanwhile, so that the ledger records requests that are sent
+// to it. In scenarios with renamed workers it restarts under another name halfway through.
 func (h *harness) workOn(ctx context.Context, machine, worker int) {
 	if !h.options.RenameWorkers {
 		sleep(ctx, h.options.Work)
@@ -176,8 +176,8 @@
 	h.environment.Fleet().Up(worker)
 }
 
-// repeatPause pauses the first plan and resumes it, and then sends the first command again under its id, as after a lost answer: it is
-// not to take effect twice.
+// repeatPause pauses and resumes the first plan and then sends the pause command again with the same ID, as after a lost reply. It must not
+// take effect twice.
 func (h *harness) repeatPause(ctx context.Context) {
 	id := fmt.Sprintf("halt-%d", h.options.Seed)
 	pause := &maintenance.Command{ID: id, Kind: maintenance.CommandPausePlan, Name: firstPlanName}
@@ -187,16 +187,16 @@
 	if !h.callUntilOK(ctx, &maintenance.Command{Kind: maintenance.CommandResumePlan, Name: firstPlanName}) {
 		return
 	}
-	pause.ID = id // a rejected try cleared it
+	pause.ID = id // a rejected call has cleared it
 	h.callUntilOK(ctx, pause)
 }
 
-// maintainWithoutPlan maintains the machines one after the other with overrides at each member in place of a plan.
+// maintainWithoutPlan maintains the machines one after the other, with overrides at each member instead of a plan.
 func (h *harness) maintainWithoutPlan(ctx context.Context) {
 	for machine := range h.options.Machines {
 		worker := workerOf(h.environment.Day(), machine)
 		h.overrideEverywhere(ctx, worker, true)
-		sleep(ctx, 2*h.scenario.Classes[0].Deadline) // nothing reports when the last request there has ended
+		sleep(ctx, 2*h.scenario.Classes[0].Deadline) // without a plan nothing reports when the last request at the worker has ended
 		sleep(ctx, h.options.Work)
 		if ctx.Err() != nil {
 			return
@@ -210,7 +210,7 @@
 	h.mu.Unlock()
 }
 
-// overrideEverywhere writes an override at each member in turn, and repeats it there until it is accepted.
+// overrideEverywhere writes an override at each member in turn and repeats each write until it is accepted.
 func (h *harness) overrideEverywhere(ctx context.Context, worker int, disabled bool) {
 	name := h.environment.Day().Workers[worker].Name
 	for _, address := range h.addresses {
--- a/internal/testbed/cluster/overrideinvariants.go
+++ b/internal/testbed/cluster/overrideinvariants.go
@@ -12,26 +12,27 @@
 	"birchfork/internal/testbed/invariant"
 )
 
-// OverrideRule is violated when an acknowledged override does not bind or is lost, or when members do not converge.
+// OverrideRule is violated when an acknowledged override is ignored or lost, or when members do not converge.
 const OverrideRule = "words"
 
-// convergeWithin is how long an override may take to all members while no fault keeps them apart: some rounds of gossip, and a restart.
+// convergeWithin is the time in which an override has to reach all members while no fault separates them. It covers some gossip rounds
+// and a restart.
 const convergeWithin = 4 * time.Second
 
-// overrideViolation returns a violation of the rule on overrides.
+// overrideViolation returns a violation of OverrideRule.
 func overrideViolation(kind string, at time.Duration, who int, format string, v ...any) invariant.Violation {
 	return invariant.Violation{Rule: OverrideRule, Kind: kind, At: at, Dispatcher: who, Lines: []string{fmt.Sprintf(format, v...)}}
 }
 
-// overrideViolations checks overrides by the requests that workers saw, and by what members answered at the end. The caller holds the
-// lock.
+// overrideViolations checks overrides against the requests that workers received and against the last replies of members. The caller
+// holds the lock.
 func (h *harness) overrideViolations(s *testbed.Environment) (out []invariant.Violation) {
 	if len(h.options.Overrides) == 0 {
 		return nil
 	}
 	if len(h.writtenOverrides) < len(h.options.Overrides) {
 		out = append(out, overrideViolation("not taken", s.Ledger().Now(), -1,
-			"%d of %d words were answered yes", len(h.writtenOverrides), len(h.options.Overrides)))
+			"%d of %d overrides were acknowledged", len(h.writtenOverrides), len(h.options.Overrides)))
 	}
 	slices.SortFunc(h.writtenOverrides, func(a, b writtenOverride) int { return cmp.Compare(a.requestedAt, b.requestedAt) })
 	for i := range h.writtenOverrides {
@@ -40,8 +41,8 @@
 	return append(out, h.divergenceViolations(s)...)
 }
 
-// ignoredOverrideViolations returns the attempts at a worker while an override disabled it: at the member where it was written from its
-// acknowledgement on, at the others from when they must have received it. The caller holds the lock.
+// ignoredOverrideViolations returns the attempts at a worker while an override disabled it. The override binds the member at which it was
+// written from its acknowledgement on, and the others from when they must have received it. The caller holds the lock.
 func (h *harness) ignoredOverrideViolations(s *testbed.Environment, o *writtenOverride) (out []invariant.Violation) {
 	if !o.Disabled || h.mayBeLost(o) {
 		return nil
@@ -55,19 +56,19 @@
 		switch {
 		case a.Dispatcher == o.Member && a.Last > o.acknowledgedAt+s.Slack():
 			out = append(out, overrideViolation("said here", a.Last, a.Dispatcher,
-				"%s was out from %.3fs by word to this dispatcher; a job's last byte came at %.3fs",
+				"%s was disabled from %.3fs by an override at this dispatcher; the last byte of a request arrived there at %.3fs",
 				o.name, o.acknowledgedAt.Seconds(), a.Last.Seconds()))
 		case a.Last > everywhereAt:
 			out = append(out, overrideViolation("said elsewhere", a.Last, a.Dispatcher,
-				"%s was out from %.3fs by word to dispatcher %d; a job's last byte came at %.3fs",
+				"%s was disabled from %.3fs by an override at dispatcher %d; the last byte of a request arrived there at %.3fs",
 				o.name, o.acknowledgedAt.Seconds(), o.Member, a.Last.Seconds()))
 		}
 	}
 	return out
 }
 
-// disabledUntil returns when an override may first have ended: an enabling one ends it, unless that was certainly written before it, or
-// by a member that could not know of it. The caller holds the lock.
+// disabledUntil returns the earliest time at which an override may have ended. An enabling override ends it, unless that one was certainly
+// written earlier or by a member that could not know of it. The caller holds the lock.
 func (h *harness) disabledUntil(s *testbed.Environment, o *writtenOverride) time.Duration {
 	until := s.Ledger().Now()
 	for _, other := range h.writtenOverrides {
@@ -79,9 +80,9 @@
 	return until
 }
 
-// divergenceViolations returns the members that did not answer at the end, or answered with other overrides than the first member or
-// than those that were written last. It returns none where the last override or fault ended too late for the run to show that members
-// converge. The caller holds the lock.
+// divergenceViolations returns the members that did not reply at the end of the run, or whose overrides differ from those of the first
+// member or from the last written ones. It returns none if the last override or fault came too late for members to converge within the
+// run. The caller holds the lock.
 func (h *harness) divergenceViolations(s *testbed.Environment) (out []invariant.Violation) {
 	convergedAt := h.convergedAt()
 	if convergedAt > s.Origin()+h.options.For {
@@ -92,12 +93,12 @@
 		answer, ok := h.overrideReplies[member]
 		if !ok || answer.requestedAt < convergedAt {
 			out = append(out, overrideViolation("no answer", convergedAt, member,
-				"it told nothing of its words after %.3fs", convergedAt.Seconds()))
+				"it did not report its overrides after %.3fs", convergedAt.Seconds()))
 			continue
 		}
 		if first := h.overrideReplies[0].reply; first != nil && answer.reply.Digest != first.Digest {
 			out = append(out, overrideViolation("not one", answer.requestedAt, member,
-				"it has %s, dispatcher 0 %s", describeOverrides(answer.reply), describeOverrides(first)))
+				"its overrides are %s, those of dispatcher 0 are %s", describeOverrides(answer.reply), describeOverrides(first)))
 		}
 		for worker := range s.Day().Workers {
 			last, isCertain := h.lastOverride(worker)
@@ -107,7 +108,7 @@
 			isDisabled := slices.ContainsFunc(answer.reply.Overrides, func(o gossip.OverrideStatus) bool { return o.Worker == last.name && o.Disabled })
 			if isDisabled != last.Disabled {
 				out = append(out, overrideViolation("not the last", answer.requestedAt, member,
-					"%s: out %t was said last, at dispatcher %d; it has %s", last.name, last.Disabled, last.Member, describeOverrides(answer.reply)))
+					"%s: the last override has disabled=%t and was written at dispatcher %d; the overrides of this member are %s", last.name, last.Disabled, last.Member, describeOverrides(answer.reply)))
 			}
 		}
 	}
@@ -123,7 +124,7 @@
 	return quiet + convergeWithin
 }
 
-// workersWithLosableOverrides returns the workers of which an override may have been lost. The caller holds the lock.
+// workersWithLosableOverrides returns the workers with an override that may have been lost. The caller holds the lock.
 func (h *harness) workersWithLosableOverrides() map[int]bool {
 	losable := map[int]bool{}
 	for i := range h.writtenOverrides {
@@ -134,8 +135,8 @@
 	return losable
 }
 
-// faultFreeFrom returns the first moment, not before from, at which no fault of members or of the links between them is active or
-// begins within convergeWithin. The caller holds the lock.
+// faultFreeFrom returns the earliest time, not before from, at which no fault of members or of the links between them is active or begins
+// within convergeWithin. The caller holds the lock.
 func (h *harness) faultFreeFrom(from time.Duration) time.Duration {
 	for moved := true; moved; {
 		moved = false
@@ -149,15 +150,15 @@
 	return from
 }
 
-// wasPartitioned reports whether a single fault cut two members off from each other for all of a time. The caller holds the lock.
+// wasPartitioned reports whether a single fault separated two members for the whole period. The caller holds the lock.
 func (h *harness) wasPartitioned(a, b int, from, to time.Duration) bool {
 	return a != b && slices.ContainsFunc(h.injected, func(f Fault) bool {
 		return f.Kind == Partition && (f.Member == a || f.Member == b) && f.At < from && f.At+f.For > to
 	})
 }
 
-// mayBeLost reports whether the only disk with an override may have been lost or replaced before others received it. The caller holds
-// the lock.
+// mayBeLost reports whether the only disk with an override may have been lost or replaced before other members received it. The caller
+// holds the lock.
 func (h *harness) mayBeLost(o *writtenOverride) bool {
 	if h.options.Diskless {
 		return true
@@ -169,8 +170,8 @@
 	})
 }
 
-// lastOverride returns the override of a worker that was written last, and whether its effect is certain: all others had reached all
-// members before it was written, or it disables and no enabling one was acknowledged since. The caller holds the lock.
+// lastOverride returns the last written override of a worker, and whether its effect is certain. It is certain if all others had reached
+// all members before it was written, or if it disables the worker and no enabling one was acknowledged since. The caller holds the lock.
 func (h *harness) lastOverride(worker int) (last *writtenOverride, isCertain bool) {
 	for i := range h.writtenOverrides {
 		if o := &h.writtenOverrides[i]; o.Worker == worker {
@@ -193,17 +194,17 @@
 	return last, true
 }
 
-// describeOverrides returns the overrides of a member's answer for a violation's text.
+// describeOverrides formats the overrides of a member's reply for a violation.
 func describeOverrides(r *gossip.Reply) string {
 	all := make([]string, 0, len(r.Overrides))
 	for _, o := range r.Overrides {
-		all = append(all, fmt.Sprintf("%s out %t conflict %t", o.Worker, o.Disabled, o.Conflict))
+		all = append(all, fmt.Sprintf("%s disabled=%t conflict=%t", o.Worker, o.Disabled, o.Conflict))
 	}
 	return r.Digest + " (" + strings.Join(all, ", ") + ")"
 }
 
-// overrideOutages returns the times for which workers were disabled by overrides that all members had, up to the first enabling one.
-// The caller holds the lock.
+// overrideOutages returns the periods in which workers were disabled by overrides that all members had, up to the first enabling one. The
+// caller holds the lock.
 func (h *harness) overrideOutages() (out []workerOutage) {
 	for i := range h.writtenOverrides {
 		o := &h.writtenOverrides[i]
--- a/internal/testbed/cluster/overrides.go
+++ b/internal/testbed/cluster/overrides.go
@@ -8,14 +8,14 @@
 	"birchfork/internal/gossip"
 )
 
-// Override is an operator override that is written at a member, by the timetable.
+// Override is an override of a worker that the timetable writes at a member.
 type Override struct {
 	Member   int           `toml:"member"`
-	Worker   int           `toml:"worker"` // by its number; one that is in no plan
+	Worker   int           `toml:"worker"` // number of a worker that is in no plan
 	Disabled bool          `toml:"out"`
-	At       time.Duration `toml:"at"` // since the plan ran
+	At       time.Duration `toml:"at"` // relative to the moment at which the plan runs
 
-	isLast bool // is written once all others were acknowledged
+	isLast bool // written after all others have been acknowledged
 }
 
 // writtenOverride is an override that a member acknowledged. Times are on the ledger's clock.
@@ -23,24 +23,24 @@
 	Override
 	name                        string // of the worker
 	requestedAt, acknowledgedAt time.Duration
-	seenBy                      map[int]bool // members that have answered with it, if it disables
+	seenBy                      map[int]bool // if it disables: members that have reported it
 }
 
-// overrideReply is a member's answer on its overrides; requestedAt is on the ledger's clock.
+// overrideReply is a member's reply to a call for its overrides. requestedAt is on the ledger's clock.
 type overrideReply struct {
 	requestedAt time.Duration
 	reply       *gossip.Reply
 }
 
 const (
-	// convergenceInterval is the time between two polls of a member's overrides: as fine as the time to the last member is measured.
+	// convergenceInterval is the interval between polls of a member's overrides, and so the resolution of the convergence time.
 	convergenceInterval = 20 * time.Millisecond
 
-	// stormConvergenceInterval is the same in scenarios with random faults, of which many run in parallel.
+	// stormConvergenceInterval is the polling interval in scenarios with random faults, many of which run in parallel.
 	stormConvergenceInterval = 200 * time.Millisecond
 )
 
-// startOverrides starts the writing and polling of overrides, if the scenario has any, as goroutines of group.
+// startOverrides starts goroutines of group that write and poll overrides, if the scenario has any.
 func (h *harness) startOverrides(ctx context.Context, group *sync.WaitGroup) {
 	if len(h.options.Overrides) == 0 {
 		return
@@ -58,7 +58,7 @@
 		if o.isLast {
 			group.Go(func() {
 				from := h.environment.Ledger().Now()
-				earlier.Wait() // a member that is down acknowledges its overrides late
+				earlier.Wait() // a member that is down acknowledges overrides late
 				o.At -= h.environment.Ledger().Now() - from
 				h.writeOverride(ctx, o)
 			})
@@ -67,7 +67,7 @@
 	group.Go(earlier.Wait)
 }
 
-// writeOverride waits for an override's time and writes it at its member until it is acknowledged.
+// writeOverride waits for the override's time and then repeats the write at its member until it is acknowledged.
 func (h *harness) writeOverride(ctx context.Context, o Override) {
 	sleep(ctx, o.At)
 	if ctx.Err() != nil {
@@ -88,7 +88,7 @@
 	}
 }
 
-// pollOverrides records the overrides that a member has, again and again until ctx ends.
+// pollOverrides polls and records the overrides of a member until ctx ends.
 func (h *harness) pollOverrides(ctx context.Context, member int) {
 	interval := convergenceInterval
 	if h.options.RandomFaults > 0 {
@@ -107,8 +107,8 @@
 	}
 }
 
-// recordConvergence records which disabling overrides a member has, and how long each took to the last member. The caller holds the
-// lock.
+// recordConvergence records which disabling overrides a member has, and how long each took to reach the last member. The caller holds
+// the lock.
 func (h *harness) recordConvergence(member int, r *gossip.Reply) {
 	for _, status := range r.Overrides {
 		for i := range h.writtenOverrides {
--- a/internal/testbed/cluster/random.go
+++ b/internal/testbed/cluster/random.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The streams of the run's seed.
+// Streams of the random generators, which make them independent for the same seed.
 const (
 	faultStream    = 77
 	overrideStream = 78
@@ -17,7 +17,7 @@
 	length := h.options.For
 	for range h.options.RandomFaults {
 		f := Fault{Kind: FaultKinds[r.IntN(len(FaultKinds))], Member: r.IntN(h.options.Members+1) - 1}
-		if f.isOneOf(workerFaults) { // one that is in no plan
+		if f.isOneOf(workerFaults) { // a worker that is in no plan
 			f.Member = r.IntN(workers - maxMachines)
 		}
 		f.At = time.Duration(r.Int64N(int64(length / 2)))
@@ -28,7 +28,8 @@
 }
 
 // randomOverrides draws the scenario's random overrides from the seed, on workers that are in no plan. At two fifths of the run each of
-// these workers is enabled again at each member, so that every override ends, whatever a member knows of it, and the plan can go on.
+// these workers is enabled again at each member, so that every override ends regardless of which members know it, and the plan can
+// continue.
 func (h *harness) randomOverrides() (overrides []Override) {
 	r := rand.New(rand.NewPCG(h.options.Seed, overrideStream))
 	enabledAt := h.options.For * 2 / 5
--- a/internal/testbed/cluster/result.go
+++ b/internal/testbed/cluster/result.go
@@ -16,34 +16,34 @@
 // crashKey is the name under which crashes of members are counted among the violated rules.
 const crashKey = "crash"
 
-// MaintenanceWindow is the time for which operators had a machine, as they observed it. Times are on the ledger's clock.
+// MaintenanceWindow is the period in which operators had a machine, as they observed it. Times are on the ledger's clock.
 type MaintenanceWindow struct {
 	Machine    string        `json:"Machine"`
-	Workers    []int         `json:"Runners"` // by their numbers
-	ReleasedAt time.Duration `json:"Told"`    // when the answer came that the machine is drained
-	ReturnedAt time.Duration `json:"Back"`    // right before they returned the machine; 0: they never did
+	Workers    []int         `json:"Runners"` // numbers of the machine's workers
+	ReleasedAt time.Duration `json:"Told"`    // when the reply arrived that the machine is drained
+	ReturnedAt time.Duration `json:"Back"`    // right before operators returned the machine; 0: never
 }
 
-// Result is the outcome of a run. Its JSON keys are those of the files that Append writes.
+// Result is the outcome of a run. The JSON tags are the keys in the files that Append writes.
 type Result struct {
 	Report             *report.Report      `json:"Report"`
 	MaintenanceWindows []MaintenanceWindow `json:"Works"`
-	Origin             time.Duration       `json:"Origin"`  // when all members were in and the plan ran: faults count from here
-	Ended              time.Duration       `json:"Ended"`   // when the plan was first seen to have ended; 0: it was not
-	LastStatus         string              `json:"Last"`    // what was last seen of the plan
-	Calls              int                 `json:"Calls"`   // operators' calls
-	UncommittedCalls   int                 `json:"Unclear"` // ... whose outcome was open when they were answered
-	Bytes              int64               `json:"Bytes"`   // over all links between members, with headers
+	Origin             time.Duration       `json:"Origin"`  // when all members had joined and the plan was running; times of faults are relative to it
+	Ended              time.Duration       `json:"Ended"`   // when the plan was first observed as ended; 0: never
+	LastStatus         string              `json:"Last"`    // last observed state of the plan
+	Calls              int                 `json:"Calls"`   // calls of operators
+	UncommittedCalls   int                 `json:"Unclear"` // calls whose reply left open whether they were committed
+	Bytes              int64               `json:"Bytes"`   // over all links between members, including headers
 	FirstRelease       time.Duration       `json:"First"`   // from the origin until the first machine was drained
 	Silence            time.Duration       `json:"Silence"` // the longest time without a confirmed answer
 	Faults             []Fault             `json:"Faults"`
-	Convergence        []time.Duration     `json:"Reached"` // from each disabling override's acknowledgement until the last member had it
-	CPU                time.Duration       `json:"CPU"`     // of all members from the origin to the end, where none was restarted
-	Messages           int64               `json:"Passed"`  // messages between members over the same time
-	MessageBytes       int64               `json:"Carried"` // ... and their bytes, without headers
+	Convergence        []time.Duration     `json:"Reached"` // for each disabling override, from its acknowledgement until the last member had it
+	CPU                time.Duration       `json:"CPU"`     // of all members from the origin to the end; valid if none was restarted
+	Messages           int64               `json:"Passed"`  // messages between members in the same period
+	MessageBytes       int64               `json:"Carried"` // bytes of these messages, without headers
 }
 
-// violationCounts returns the number of violations by rule, and of crashes, without those of none.
+// violationCounts returns the number of violations by rule and the number of crashes. It has no zero counts.
 func (r *Result) violationCounts() map[string]int {
 	counts := map[string]int{}
 	for _, v := range r.Report.Violations {
@@ -55,14 +55,14 @@
 	return counts
 }
 
-// Line returns the result of a run with a seed as one line for people.
+// Line returns the result of a run with the given seed as one human-readable line.
 func (r *Result) Line(seed uint64) string {
 	return fmt.Sprintf("seed %d: %s; %s%d machines, first one after %.1f s, plan through after %.1f s, %.1f s without a settled answer, %d calls (%d open), goodput %.3f, %.0f kB, %.1f MB; %s",
 		seed, r.verdict(), r.convergenceText(), len(r.MaintenanceWindows), r.FirstRelease.Seconds(), max(r.Ended-r.Origin, 0).Seconds(), r.Silence.Seconds(),
 		r.Calls, r.UncommittedCalls, r.Report.Goodput, float64(r.Bytes)/1000, r.Report.RSSPeakMB, r.timetable())
 }
 
-// verdict returns which rules were violated, and how often.
+// verdict returns the violated rules with their numbers of violations.
 func (r *Result) verdict() string {
 	var violated []string
 	counts := r.violationCounts()
@@ -77,7 +77,7 @@
 	return "BROKEN " + strings.Join(violated, ", ")
 }
 
-// convergenceText returns the median and the longest time that overrides took to all members; empty: there were none.
+// convergenceText returns the median and the longest convergence time of overrides; empty if there were none.
 func (r *Result) convergenceText() string {
 	if len(r.Convergence) == 0 {
 		return ""
@@ -87,7 +87,7 @@
 	return fmt.Sprintf("words at all members after %.2f s, the last after %.2f s, ", median.Seconds(), longest.Seconds())
 }
 
-// timetable returns the faults in the order of their times.
+// timetable formats the faults in order of their start times.
 func (r *Result) timetable() string {
 	faults := slices.Clone(r.Faults)
 	slices.SortFunc(faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
@@ -102,7 +102,7 @@
 	return strings.Join(texts, ", ")
 }
 
-// Append appends the result of a run with a seed to a file, as a line of JSON.
+// Append appends the result of a run with the given seed to a file as a line of JSON.
 func (r *Result) Append(path string, seed uint64) error {
 	raw, err := json.Marshal(struct {
 		Seed uint64
--- a/internal/testbed/cluster/run.go
+++ b/internal/testbed/cluster/run.go
@@ -27,46 +27,46 @@
 	Launch Launcher
 }
 
-// Launcher returns the command that starts a member with the platform's and the operators' configuration files, and with a failpoint
-// switched on unless its name is empty.
+// Launcher returns the command that starts a member with the configuration files of the platform and of the operator. It enables a
+// failpoint unless failpointName is empty.
 type Launcher func(failpointName, config, operator string) *exec.Cmd
 
 // harness is the state of one run.
 type harness struct {
 	options     Options
-	scenario    *scenario.Scenario // the load and fleet that the group serves
+	scenario    *scenario.Scenario // load and fleet of the group
 	dir         string             // the members' files
-	addresses   []string           // where each member listens for the others
-	links       map[[2]int]*link   // by the numbers of the member that connects and of the one that it reaches
+	addresses   []string           // on which each member listens for the others
+	links       map[[2]int]*link   // by the numbers of the connecting member and of its target
 	environment *testbed.Environment
 
 	mu                 sync.Mutex
-	outerLinks         []outerLink // to workers and discovery, in runs with faults there
+	outerLinks         []outerLink // to workers and discovery, in runs with faults of these links
 	maintenanceWindows []MaintenanceWindow
 	statuses           []observedStatus
 	result             *Result
 	processStarts      map[string]int // processes started so far, by the member's name
-	reconfigured       bool           // members get the full deadlines
-	injected           []Fault        // the faults that began; At is on the ledger's clock
+	reconfigured       bool           // members are configured with the full deadlines
+	injected           []Fault        // faults that have begun; At is on the ledger's clock
 	writtenOverrides   []writtenOverride
-	overrideReplies    map[int]overrideReply // each member's latest
+	overrideReplies    map[int]overrideReply // latest reply of each member
 	linkFaults         []Fault               // active faults of links
 	workerOutages      []workerOutage
 	faultyMembers      map[int]bool  // members with a process fault
 	lastDiskLoss       time.Duration // when a disk was last lost, on the ledger's clock; 0: never
 }
 
-// workerOutage is a time for which a worker was down or disabled, on the ledger's clock; until 0: it did not end.
+// workerOutage is a period in which a worker was down or disabled, on the ledger's clock; until is 0 if it did not end.
 type workerOutage struct{ from, until time.Duration }
 
-// observedStatus is a member's answer to a status call, with its times on the ledger's clock.
+// observedStatus is a member's reply to a status call. Times are on the ledger's clock.
 type observedStatus struct {
 	requestedAt, receivedAt time.Duration
 	status                  coordinator.Status
 }
 
-// Run starts a group, plays its scenario and checks the invariants. An error means that the run could not be set up or finished; broken
-// invariants are in the result's report.
+// Run starts a group, executes its scenario and checks the invariants. An error means that the run could not be set up or completed;
+// violations are in the result's report.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -92,7 +92,7 @@
 	return h.result, nil
 }
 
-// newHarness returns a harness with a directory of its own, which close removes.
+// newHarness returns a harness with its own directory, which close removes.
 func newHarness(o Options) (*harness, error) {
 	h := &harness{
 		options:         o,
@@ -107,7 +107,7 @@
 		return nil, err
 	}
 	if h.dir, err = os.MkdirTemp("", "birchfork-group-"); err != nil {
-		return nil, fmt.Errorf("a folder for the members: %w", err)
+		return nil, fmt.Errorf("creating the members' directory: %w", err)
 	}
 	return h, nil
 }
@@ -120,10 +120,10 @@
 	for _, o := range h.outerLinks {
 		o.link.close()
 	}
-	_ = os.RemoveAll(h.dir) // what is left lies in the temporary directory
+	_ = os.RemoveAll(h.dir) // leftovers remain in the temporary directory
 }
 
-// testbedOptions returns the options of the testbed's run below the group.
+// testbedOptions returns the options of the underlying testbed run.
 func (h *harness) testbedOptions() testbed.Options {
 	return testbed.Options{
 		Scenario:           h.scenario,
@@ -133,7 +133,7 @@
 		CheckMore:          h.checkInvariants,
 		WorkerAddress:      h.outerLinkMapper(LoseWorkers),
 		DiscoveryAddress:   h.outerLinkMapper(LoseDiscovery),
-		StartTimeout:       h.options.For, // without a majority a member without its disk sends nothing, and so does not serve
+		StartTimeout:       h.options.For, // a member that lost its disk does not serve until a majority is reachable
 		ConfiguredScenario: h.deliveredScenario,
 		KeepFirstList:      h.options.OldLists,
 		Logs:               h.options.Logs,
@@ -141,7 +141,7 @@
 	}
 }
 
-// launch returns the command that starts the member of a configuration file.
+// launch returns the command that starts the member to which a configuration file belongs.
 func (h *harness) launch(config string) *exec.Cmd {
 	name := strings.TrimSuffix(filepath.Base(config), ".json")
 	cmd := h.options.Launch(h.failpointFor(name), config, h.operatorFile(name))
@@ -152,7 +152,7 @@
 	return cmd
 }
 
-// failpointFor returns the failpoint of the next process of a member, and counts the process.
+// failpointFor returns the failpoint for the next process of a member and counts that process.
 func (h *harness) failpointFor(name string) string {
 	selected := h.options.Failpoint
 	for _, single := range []struct {
@@ -176,7 +176,7 @@
 	return selected
 }
 
-// completeResult fills in what is known at the end of the run.
+// completeResult sets the fields of the result that are known at the end of the run.
 func (h *harness) completeResult(finished *report.Report) {
 	for _, l := range h.links {
 		l.mu.Lock()
@@ -204,15 +204,15 @@
 // addFaultMarks adds faults, maintenance windows and overrides to the report's timetable.
 func (h *harness) addFaultMarks(finished *report.Report) {
 	seconds := func(at time.Duration) float64 { return (at - h.environment.Origin()).Seconds() }
-	mark := func(kind, whom string, from, until time.Duration) {
-		finished.Faults = append(finished.Faults, report.FaultMark{Kind: kind, At: seconds(from), Until: seconds(until), Target: whom})
+	mark := func(kind, target string, from, until time.Duration) {
+		finished.Faults = append(finished.Faults, report.FaultMark{Kind: kind, At: seconds(from), Until: seconds(until), Target: target})
 	}
 	for _, f := range h.injected {
-		whom := fmt.Sprintf("dispatcher %d", f.Member)
+		target := fmt.Sprintf("dispatcher %d", f.Member)
 		if f.isOneOf(workerFaults) {
-			whom = fmt.Sprintf("worker %d", f.Member)
+			target = fmt.Sprintf("worker %d", f.Member)
 		}
-		mark(f.Kind, whom, f.At, f.At+f.For)
+		mark(f.Kind, target, f.At, f.At+f.For)
 	}
 	for _, w := range h.maintenanceWindows {
 		mark("with staff", w.Machine, w.ReleasedAt, max(w.ReturnedAt, w.ReleasedAt))
@@ -226,7 +226,7 @@
 	}
 }
 
-// recordStatus records what was last seen of the plan, or what kept it from going on.
+// recordStatus records the last observed state of the plan, or the error that blocks it.
 func (h *harness) recordStatus(last string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/testbed/cluster/run_test.go
+++ b/internal/testbed/cluster/run_test.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// memberEnv in the environment makes this test's own binary a member, with the failpoint that it names.
+	// memberEnv is the environment variable that makes this test binary run as a member with the failpoint that is its value.
 	memberEnv = "GROUPS_TEST_MEMBER"
 
-	// logsEnv names a directory for the members' debug logs, to look into a failure.
+	// logsEnv is the environment variable with a directory for the members' debug logs, for the analysis of failures.
 	logsEnv = "GROUPS_TEST_LOGS"
 
 	// noFailpoint is the value of memberEnv for a member without a failpoint.
@@ -28,10 +28,11 @@
 )
 
 const (
-	// maxLateRuns is how often a run is repeated because the test machine itself was late.
+	// maxLateRuns is how often a run is repeated because the test machine was overloaded.
 	maxLateRuns = 2
 
-	// maxSeeds is how many seeds are tried until a failpoint shows, which is chance, as is where requests run.
+	// maxSeeds is how many seeds are tried until a failpoint causes a violation. That depends on chance, for example on which workers
+	// requests run.
 	maxSeeds = 3
 )
 
@@ -66,7 +67,7 @@
 	return server.Run(c, log, nil)
 }
 
-// launch is a Launcher that runs members as processes of this test's binary.
+// launch is a Launcher that runs members as processes of this test binary.
 func launch(failpointName, config, operator string) *exec.Cmd {
 	if failpointName == "" {
 		failpointName = noFailpoint
@@ -76,8 +77,8 @@
 	return cmd
 }
 
-// TestScenarios runs every built-in scenario with real processes and faults between them. All rules hold and the plan ends; a failpoint
-// is caught by the rule that its scenario names, and each failpoint has a scenario that catches it.
+// TestScenarios runs every built-in scenario with real processes and faults. Without a failpoint no rule is violated and the plan ends.
+// A failpoint violates the rule that its scenario expects, and each failpoint has a scenario that detects it.
 func TestScenarios(t *testing.T) {
 	scenarios, err := Decode(shippedName, shipped)
 	if err != nil {
@@ -85,7 +86,7 @@
 	}
 	for _, name := range failpoint.Names {
 		if !slices.ContainsFunc(scenarios, func(s Scenario) bool { return s.Failpoint == name && s.ExpectedViolation != "" }) {
-			t.Errorf("no scenario catches %s", name)
+			t.Errorf("no scenario detects failpoint %s", name)
 		}
 	}
 	for _, s := range scenarios {
@@ -100,7 +101,7 @@
 	}
 }
 
-// runScenario runs a scenario, and repeats a run in which the test machine itself was late, which shows nothing.
+// runScenario runs a scenario. It repeats a run in which the test machine was overloaded, because such a run is inconclusive.
 func runScenario(t *testing.T, s Scenario, seed uint64) *Result {
 	t.Helper()
 	run := func() *Result {
@@ -112,14 +113,14 @@
 	}
 	r := run()
 	for late := 0; r.Report.RanLate && late < maxLateRuns; late++ {
-		t.Log("ran late, played again: " + r.Line(seed))
+		t.Log("the test machine was overloaded, repeating the run: " + r.Line(seed))
 		r = run()
 	}
 	t.Log(r.Line(seed))
 	return r
 }
 
-// checkViolation checks that a scenario's failpoint violates the rule that has to catch it, with one of a few seeds.
+// checkViolation checks that a scenario's failpoint violates the expected rule with one of a few seeds.
 func checkViolation(t *testing.T, s Scenario) {
 	t.Helper()
 	for seed := range uint64(maxSeeds) {
@@ -127,10 +128,10 @@
 			return
 		}
 	}
-	t.Errorf("rule %q was not seen to break", s.ExpectedViolation)
+	t.Errorf("no run violated rule %q", s.ExpectedViolation)
 }
 
-// checkNoViolations checks that a scenario violates no rule, crashes no member and ends its plan.
+// checkNoViolations checks that a scenario violates no rule, that no member crashes and that the plan ends.
 func checkNoViolations(t *testing.T, s Scenario) {
 	t.Helper()
 	r := runScenario(t, s, 1)
@@ -141,11 +142,11 @@
 		t.Errorf("%s", c)
 	}
 	if len(r.MaintenanceWindows) != s.Machines || s.Machines > 0 && r.Ended == 0 {
-		t.Errorf("%d machines were worked on; the plan: %s", len(r.MaintenanceWindows), r.LastStatus)
+		t.Errorf("maintained %d machines; last status of the plan: %s", len(r.MaintenanceWindows), r.LastStatus)
 	}
 }
 
-// TestDecode_ReportsAllErrors checks that an error names everything that is wrong with a scenario at once, by line and key.
+// TestDecode_ReportsAllErrors verifies that the error lists every invalid value of a scenario by line and key.
 func TestDecode_ReportsAllErrors(t *testing.T) {
 	_, err := Decode("f", []byte(`[[scenario]]
 members = 2
@@ -158,11 +159,16 @@
 member = 7
 `))
 	for _, want := range []string{
-		"f:2: scenario[0].members: 2", "f:3: scenario[0].machines: 20", "f:4: scenario[0].out: 0", "f:5: scenario[0].for: 1s",
-		`f:6: scenario[0].plant: "nope"`, `f:8: scenario[0].fault[0].kind: "rain"`, "f:9: scenario[0].fault[0].member: there is no member 7",
+		"f:2: scenario[0].members: invalid value 2: must be between 3 and 50",
+		"f:3: scenario[0].machines: invalid value 20: must be between 0 and 6",
+		"f:4: scenario[0].out: invalid value 0: must be at least 1",
+		"f:5: scenario[0].for: invalid value 1s: must be between 10s and 1h0m0s",
+		`f:6: scenario[0].plant: unknown failpoint "nope": must be one of `,
+		`f:8: scenario[0].fault[0].kind: unknown fault kind "rain": must be one of `,
+		"f:9: scenario[0].fault[0].member: unknown member 7: must be between 0 and 1, or -1 for the leader",
 	} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q is not in: %v", want, err)
+			t.Errorf("got error %v, want it to contain %q", err, want)
 		}
 	}
 }
--- a/internal/testbed/cluster/scenario.go
+++ b/internal/testbed/cluster/scenario.go
@@ -12,33 +12,33 @@
 	"birchfork/internal/tomlfile"
 )
 
-// Scenario is a group with its maintenance plan and a timetable of faults and overrides. Times of the timetable count from when the
-// group is bootstrapped and its plan runs.
+// Scenario describes a group, its maintenance plan and a timetable of faults and overrides. Times in the timetable are relative to the
+// moment at which the group is bootstrapped and its plan runs.
 type Scenario struct {
 	Name              string        `toml:"name"`
 	About             string        `toml:"about"`
 	Members           int           `toml:"members"`
 	For               time.Duration `toml:"for"`       // length of the run
 	Machines          int           `toml:"machines"`  // machines of the plan, one worker each; 0: no plan
-	MaxUnavailable    int           `toml:"out"`       // machines that may be unavailable at a time
-	Work              time.Duration `toml:"work"`      // how long operators have each machine
-	Lease             time.Duration `toml:"lease"`     // the group's lease
-	PlanByHost        bool          `toml:"hosts"`     // plans name machines by their host, in place of their workers
-	RenameWorkers     bool          `toml:"renamed"`   // while operators have a machine, its worker starts there under another name
-	Diskless          bool          `toml:"diskless"`  // members persist nothing over a restart
-	Plans             int           `toml:"plans"`     // plans among which the machines are divided in turn; 0: one
-	WithoutPlan       bool          `toml:"by_hand"`   // no plan: operators write overrides at each member, and wait for as long as an attempt may run
-	Reconfigured      bool          `toml:"retuned"`   // members begin with an eighth of the deadlines, and get the full ones by SIGHUP while the plan runs
-	OlderBuild        int           `toml:"older"`     // the member that runs an older build until it is restarted, before the plan begins; 0: none
-	JoiningMember     int           `toml:"joins"`     // the member that is down and in no other member's file until the plan has run for a while; 0: none
-	RandomFaults      int           `toml:"storm"`     // number of further faults, drawn from the seed
-	RandomOverrides   int           `toml:"say"`       // number of further overrides, drawn from the seed
-	FullDisk          int           `toml:"failing"`   // the member whose disk accepts no more writes after a while; 0: none
-	OldLists          bool          `toml:"old_lists"` // members begin with the endpoint list of the run's start after each restart
-	NewerEntries      int           `toml:"newer"`     // the member that runs a future build, with kinds of entries of its own; 0: none
+	MaxUnavailable    int           `toml:"out"`       // machines that may be unavailable at the same time
+	Work              time.Duration `toml:"work"`      // how long operators work on each machine
+	Lease             time.Duration `toml:"lease"`     // duration of the group's lease
+	PlanByHost        bool          `toml:"hosts"`     // plans name machines by host instead of by worker
+	RenameWorkers     bool          `toml:"renamed"`   // a worker restarts under another name while operators work on its machine
+	Diskless          bool          `toml:"diskless"`  // members persist nothing across restarts
+	Plans             int           `toml:"plans"`     // plans to which the machines are assigned in turn; 0: one
+	WithoutPlan       bool          `toml:"by_hand"`   // without a plan, operators write overrides at each member and wait until any attempt must have ended
+	Reconfigured      bool          `toml:"retuned"`   // members start with an eighth of the deadlines and load the full ones on SIGHUP while the plan runs
+	OlderBuild        int           `toml:"older"`     // the member that runs an older build until it is restarted before the plan starts; 0: none
+	JoiningMember     int           `toml:"joins"`     // the member that is down and missing from the other members' files until the plan has run for a while; 0: none
+	RandomFaults      int           `toml:"storm"`     // number of additional random faults
+	RandomOverrides   int           `toml:"say"`       // number of additional random overrides
+	FullDisk          int           `toml:"failing"`   // the member whose disk rejects all writes after a while; 0: none
+	OldLists          bool          `toml:"old_lists"` // after each restart members begin with the endpoint list of the start of the run
+	NewerEntries      int           `toml:"newer"`     // the member that runs a future build, which writes kinds of entries that others do not know; 0: none
 	StallingDisk      int           `toml:"stalling"`  // the member whose disk takes seconds for each synced write after a while; 0: none
-	Failpoint         string        `toml:"plant"`     // a failpoint that is switched on in every member ...
-	ExpectedViolation string        `toml:"caught"`    // ... and the rule that has to be violated by it
+	Failpoint         string        `toml:"plant"`     // failpoint that is enabled in every member
+	ExpectedViolation string        `toml:"caught"`    // rule that the failpoint must violate
 	Faults            []Fault       `toml:"fault"`
 	Overrides         []Override    `toml:"word"`
 }
@@ -48,19 +48,19 @@
 	minMembers  = 3
 	maxMembers  = 50
 	workers     = 9
-	maxMachines = 6 // three are left for the load, and for faults of workers
+	maxMachines = 6 // three workers remain for the load and for worker faults
 	minLength   = 10 * time.Second
 	maxLength   = time.Hour
 	minLease    = time.Second
 )
 
-// DefaultScenario returns a scenario with the figures that one has by default.
+// DefaultScenario returns a scenario with default values.
 func DefaultScenario() Scenario {
 	return Scenario{Members: 3, For: 24 * time.Second, Machines: 2, MaxUnavailable: 1, Work: 300 * time.Millisecond, Lease: time.Second}
 }
 
-// baseScenario returns the testbed's scenario below a group of so many members: a steady load of short requests and quick endpoint
-// lists, with no faults of its own.
+// baseScenario returns the testbed's scenario for a group with the given number of members: a steady load of short requests and fast
+// endpoint list updates, without faults.
 func baseScenario(members int, length time.Duration) (*scenario.Scenario, error) {
 	s, err := scenario.Load("calm")
 	if err != nil {
@@ -83,13 +83,13 @@
 //go:embed shipped.toml
 var shipped []byte
 
-// shippedName is the name of the built-in scenarios' file in errors.
+// shippedName is the file name of the built-in scenarios in errors.
 const shippedName = "shipped.toml"
 
 // Shipped returns the text of the built-in scenarios.
 func Shipped() string { return string(shipped) }
 
-// Load reads the scenarios of a file, or, where name has no / or ., the built-in scenario of that name.
+// Load reads the scenarios of a file. A name without / or . selects the built-in scenario of that name.
 func Load(name string) ([]Scenario, error) {
 	if !strings.ContainsAny(name, "/.") {
 		all, err := Decode(shippedName, shipped)
@@ -99,7 +99,7 @@
 		if i := slices.IndexFunc(all, func(s Scenario) bool { return s.Name == name }); i >= 0 {
 			return all[i : i+1], nil
 		}
-		return nil, fmt.Errorf("no scenario %q comes with the program; `lab group list` has them, and a file has a / or . in its name", name)
+		return nil, fmt.Errorf("unknown built-in scenario %q: see `lab group list`; the path of a file must contain a / or .", name)
 	}
 	raw, err := os.ReadFile(name)
 	if err != nil {
@@ -108,8 +108,7 @@
 	return Decode(name, raw)
 }
 
-// Decode decodes scenarios from TOML; name is the file's name in errors. Its error names everything that is wrong with them, by line
-// and key.
+// Decode decodes scenarios from TOML; name is the file's name in errors. The error lists every invalid value by line and key.
 func Decode(name string, raw []byte) ([]Scenario, error) {
 	var file struct {
 		Scenarios []Scenario `toml:"scenario"`
@@ -119,7 +118,7 @@
 		return nil, decoded.Err()
 	}
 	if len(file.Scenarios) == 0 {
-		decoded.AddErrorf("scenario", "there is none: [[scenario]] begins one")
+		decoded.AddErrorf("scenario", "missing: at least one [[scenario]] is required")
 	}
 	for i := range file.Scenarios {
 		s, prefix := &file.Scenarios[i], fmt.Sprintf("scenario[%d].", i)
@@ -129,7 +128,7 @@
 	return file.Scenarios, decoded.Err()
 }
 
-// setDefaults sets the figures whose keys a file does not have.
+// setDefaults sets the values whose keys are missing in the file.
 func (s *Scenario) setDefaults(has func(key string) bool) {
 	defaults := DefaultScenario()
 	if !has("members") {
--- a/internal/testbed/cluster/summary.go
+++ b/internal/testbed/cluster/summary.go
@@ -7,7 +7,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Summary adds up the results of runs. Its zero value is ready to use.
+// Summary aggregates the results of runs. Its zero value is ready to use.
 type Summary struct {
 	Runs, Failed, Machines int
 	took, silence          *hdrhistogram.Histogram // milliseconds
@@ -28,14 +28,14 @@
 	if len(r.violationCounts()) > 0 {
 		s.Failed++
 	}
-	// Both stay below the histograms' maximum of an hour: a run is shorter.
+	// Both values are below the histograms' maximum of one hour, because a run is shorter.
 	_ = s.silence.RecordValue(r.Silence.Milliseconds())
 	if r.Ended > r.Origin {
 		_ = s.took.RecordValue((r.Ended - r.Origin).Milliseconds())
 	}
 }
 
-// Line returns the summary as one line for people.
+// Line returns the summary as one human-readable line.
 func (s *Summary) Line() string {
 	if s.took == nil {
 		return "no run"
--- a/internal/testbed/cluster/workerinvariants.go
+++ b/internal/testbed/cluster/workerinvariants.go
@@ -10,18 +10,18 @@
 	"birchfork/internal/testbed/scenario"
 )
 
-// outlierReportWithin is how long an outlier report may take to all members.
+// outlierReportWithin is the time within which an outlier report has to reach all members.
 const outlierReportWithin = time.Second
 
-// What the other members must still send to a worker that fails for one member. After its first report they may probe the worker with
-// single requests for some seconds.
+// The share of requests that the other members must still send to a worker that fails for one member. After the first report of that
+// member they may probe the worker with single requests for some seconds.
 const (
 	useSettleTime = 3 * time.Second
-	minUseShare   = 0.25 // of the requests that they send to a worker on average
+	minUseShare   = 0.25 // of the mean number of requests per worker
 )
 
-// endpointViolations returns the attempts at a worker that another member knew to be draining for so long that all must have known it.
-// The caller holds the lock.
+// endpointViolations returns the attempts at a worker after another member learned that it drains and all members must have learned it
+// from that one. The caller holds the lock.
 func (h *harness) endpointViolations(s *testbed.Environment) (out []invariant.Violation) {
 	for _, d := range s.Ledger().Deliveries() {
 		if d.State != invariant.Draining || d.Written == 0 {
@@ -34,15 +34,15 @@
 			}
 			if !hasNewerDelivery(s.Ledger().Deliveries(), d, a) {
 				out = append(out, invariant.Violation{Rule: EndpointRule, Kind: "sent", At: a.First, Dispatcher: a.Dispatcher, ID: a.ID, Lines: []string{
-					fmt.Sprintf("dispatcher %d was told at %.3fs that the worker drains", d.Dispatcher, d.Written.Seconds())}})
+					fmt.Sprintf("discovery reported the worker as draining to dispatcher %d at %.3fs", d.Dispatcher, d.Written.Seconds())}})
 			}
 		}
 	}
 	return out
 }
 
-// hasNewerDelivery reports whether an attempt's dispatcher had, when it began, the worker's state from its own discovery or configuration
-// and that state is as new as the draining delivery or newer.
+// hasNewerDelivery reports whether the attempt's dispatcher, when the attempt began, had a state of the worker from its own discovery or
+// configuration that is at least as new as the draining one.
 func hasNewerDelivery(deliveries []*invariant.Delivery, draining *invariant.Delivery, a *invariant.Attempt) bool {
 	return slices.ContainsFunc(deliveries, func(d *invariant.Delivery) bool {
 		isNewer := d.Incarnation > draining.Incarnation || d.Incarnation == draining.Incarnation && d.Has >= draining.Has
@@ -52,8 +52,8 @@
 	})
 }
 
-// outlierViolations returns the attempts of non-idempotent requests at the first worker after some member has seen two requests fail
-// there, and its report must have reached all.
+// outlierViolations returns the attempts of non-idempotent requests at the first worker after a member saw two requests fail there and
+// its report must have reached all members.
 func outlierViolations(s *testbed.Environment, from, to time.Duration) (out []invariant.Violation) {
 	classes := map[string]int{}
 	for _, t := range s.Ledger().Tries() {
@@ -64,13 +64,13 @@
 		isLate := a.Worker == 0 && a.Last > secondFailure+outlierReportWithin && a.Last < to
 		if isLate && s.Day().Scenario.Classes[classes[a.ID]].Effect == scenario.Unsafe {
 			out = append(out, invariant.Violation{Rule: OutlierRule, Kind: "lost", At: a.Last, Dispatcher: a.Dispatcher, ID: a.ID, Lines: []string{
-				fmt.Sprintf("a member had seen two jobs fail at the worker by %.3fs", secondFailure.Seconds())}})
+				fmt.Sprintf("a member had seen two requests fail at the worker by %.3fs", secondFailure.Seconds())}})
 		}
 	}
 	return out
 }
 
-// firstSecondFailure returns when a member first saw its second request since from fail at the first worker; to, if none did before.
+// firstSecondFailure returns when the first member had seen two requests fail at the first worker since from; to if none had before.
 func firstSecondFailure(attempts []*invariant.Attempt, from, to time.Duration) time.Duration {
 	failures, first := map[int]int{}, to
 	for _, a := range attempts {
@@ -85,7 +85,7 @@
 	return first
 }
 
-// useViolations returns the members that leave the first worker alone while it fails for another member only.
+// useViolations returns the members that avoid the first worker although it fails only for another member.
 func useViolations(attempts []*invariant.Attempt, failingFor int, from, to time.Duration) (out []invariant.Violation) {
 	sent, sentToFirst := map[int]int{}, map[int]int{} // by dispatcher
 	usedWorkers := map[int]bool{}
@@ -103,7 +103,7 @@
 		mean := float64(n) / float64(len(usedWorkers))
 		if float64(sentToFirst[dispatcher]) < minUseShare*mean {
 			out = append(out, invariant.Violation{Rule: UseRule, Kind: "left alone", At: to, Dispatcher: dispatcher, Lines: []string{
-				fmt.Sprintf("%d jobs went to the worker that fails for dispatcher %d alone, %.1f to the mean one", sentToFirst[dispatcher], failingFor, mean)}})
+				fmt.Sprintf("%d requests were sent to the worker that fails only for dispatcher %d, against a mean of %.1f per worker", sentToFirst[dispatcher], failingFor, mean)}})
 		}
 	}
 	return out
