--- a/internal/testbed/cluster/members.go
+++ b/internal/testbed/cluster/members.go
@@ -21,7 +21,7 @@
 	olderBuildFor     = 3 * time.Second // how long the member runs the older build
 	joinsAfter        = 3 * time.Second // by then the plan is running
 	reconfiguredAfter = 500 * time.Millisecond
-	deadlineDivisor   = 8 // of the initial deadlines: they make a lease plus the wait for attempts shorter than an attempt with the full deadline
+	deadlineDivisor   = 8 // initial deadlines make a lease plus the wait for attempts shorter than an attempt with the full deadline
 )
 
 // The numbers of voters.
--- a/internal/testbed/cluster/operator.go
+++ b/internal/testbed/cluster/operator.go
@@ -59,8 +59,8 @@
 	return r, err
 }
 
-// callUntilOK repeats a command until the reply is OK. It returns false if the command is invalid or ctx ended. A command that may have been
-// committed keeps its ID, so that it takes effect once.
+// callUntilOK repeats a command until the reply is OK. It returns false if the command is invalid or ctx ended. A command that may have
+// been committed keeps its ID, so that it takes effect once.
 func (h *harness) callUntilOK(ctx context.Context, c *maintenance.Command) bool {
 	for ; ctx.Err() == nil; sleep(ctx, retryInterval) {
 		r, err := h.call(ctx, coordinator.Call{Command: c})
--- a/internal/testbed/cluster/result.go
+++ b/internal/testbed/cluster/result.go
@@ -28,7 +28,7 @@
 type Result struct {
 	Report             *report.Report      `json:"Report"`
 	MaintenanceWindows []MaintenanceWindow `json:"Works"`
-	Origin             time.Duration       `json:"Origin"`  // when all members had joined and the plan was running; times of faults are relative to it
+	Origin             time.Duration       `json:"Origin"`  // when all members had joined and the plan was running; faults count from here
 	Ended              time.Duration       `json:"Ended"`   // when the plan was first observed as ended; 0: never
 	LastStatus         string              `json:"Last"`    // last observed state of the plan
 	Calls              int                 `json:"Calls"`   // calls of operators
@@ -37,7 +37,7 @@
 	FirstRelease       time.Duration       `json:"First"`   // from the origin until the first machine was drained
 	Silence            time.Duration       `json:"Silence"` // the longest time without a confirmed answer
 	Faults             []Fault             `json:"Faults"`
-	Convergence        []time.Duration     `json:"Reached"` // for each disabling override, from its acknowledgement until the last member had it
+	Convergence        []time.Duration     `json:"Reached"` // by disabling override: from its acknowledgement until the last member had it
 	CPU                time.Duration       `json:"CPU"`     // of all members from the origin to the end; valid if none was restarted
 	Messages           int64               `json:"Passed"`  // messages between members in the same period
 	MessageBytes       int64               `json:"Carried"` // bytes of these messages, without headers
--- a/internal/testbed/cluster/scenario.go
+++ b/internal/testbed/cluster/scenario.go
@@ -27,16 +27,16 @@
 	RenameWorkers     bool          `toml:"renamed"`   // a worker restarts under another name while operators work on its machine
 	Diskless          bool          `toml:"diskless"`  // members persist nothing across restarts
 	Plans             int           `toml:"plans"`     // plans to which the machines are assigned in turn; 0: one
-	WithoutPlan       bool          `toml:"by_hand"`   // without a plan, operators write overrides at each member and wait until any attempt must have ended
-	Reconfigured      bool          `toml:"retuned"`   // members start with an eighth of the deadlines and load the full ones on SIGHUP while the plan runs
-	OlderBuild        int           `toml:"older"`     // the member that runs an older build until it is restarted before the plan starts; 0: none
-	JoiningMember     int           `toml:"joins"`     // the member that is down and missing from the other members' files until the plan has run for a while; 0: none
+	WithoutPlan       bool          `toml:"by_hand"`   // operators use overrides at each member instead of a plan, and wait until all attempts must have ended
+	Reconfigured      bool          `toml:"retuned"`   // members start with an eighth of the deadlines and reload the full ones while the plan runs (SIGHUP)
+	OlderBuild        int           `toml:"older"`     // member that runs an older build until it is restarted before the plan starts; 0: none
+	JoiningMember     int           `toml:"joins"`     // member that is down and missing from the others' files until the plan has run for a while; 0: none
 	RandomFaults      int           `toml:"storm"`     // number of additional random faults
 	RandomOverrides   int           `toml:"say"`       // number of additional random overrides
-	FullDisk          int           `toml:"failing"`   // the member whose disk rejects all writes after a while; 0: none
+	FullDisk          int           `toml:"failing"`   // member whose disk rejects all writes after a while; 0: none
 	OldLists          bool          `toml:"old_lists"` // after each restart members begin with the endpoint list of the start of the run
-	NewerEntries      int           `toml:"newer"`     // the member that runs a future build, which writes kinds of entries that others do not know; 0: none
-	StallingDisk      int           `toml:"stalling"`  // the member whose disk takes seconds for each synced write after a while; 0: none
+	NewerEntries      int           `toml:"newer"`     // member that runs a future build with kinds of entries that others do not know; 0: none
+	StallingDisk      int           `toml:"stalling"`  // member whose disk takes seconds for each synced write after a while; 0: none
 	Failpoint         string        `toml:"plant"`     // failpoint that is enabled in every member
 	ExpectedViolation string        `toml:"caught"`    // rule that the failpoint must violate
 	Faults            []Fault       `toml:"fault"`
--- a/internal/testbed/mutant/dispatcher.go
+++ b/internal/testbed/mutant/dispatcher.go
@@ -17,28 +17,28 @@
 	"time"
 )
 
-// Times and numbers of the dispatcher.
+// Time-outs and limits of the dispatcher.
 const (
-	drainTime       = 400 * time.Millisecond // after SIGTERM, in which clients are still accepted
+	drainTime       = 400 * time.Millisecond // after SIGTERM, during which clients are still accepted
 	shutdownTimeout = 2 * time.Second
-	deadlineMargin  = 30 * time.Millisecond // before a request's deadline its attempts end
+	deadlineMargin  = 30 * time.Millisecond // between the end of a request's attempts and its deadline
 	maxAttempts     = 3
-	maxIdleConns    = 64 // to one worker
+	maxIdleConns    = 64 // per worker
 )
 
-// Times and numbers of the faults.
+// Parameters of the faults.
 const (
 	crashAtRequest    = 40
 	crashStatus       = 3
-	faultyPeriod      = 7                      // one of so many requests is faulty
-	lateBy            = 280 * time.Millisecond // past the end of the attempts
-	silentPast        = time.Second            // past the deadline the connection is closed
-	sendAfterDelay    = 400 * time.Millisecond // of a send after the answer
-	secondAnswerTime  = 100 * time.Millisecond // in which the client can read a second answer
-	faultyMaxAttempts = 20                     // of ManyAttempts
+	faultyPeriod      = 7                      // one in this many requests is faulty
+	lateBy            = 280 * time.Millisecond // after the end of the attempts
+	silentPast        = time.Second            // the connection is closed this long after the deadline
+	sendAfterDelay    = 400 * time.Millisecond // between the answer and the send
+	secondAnswerTime  = 100 * time.Millisecond // during which the client can read a second answer
+	faultyMaxAttempts = 20                     // with ManyAttempts
 )
 
-// config is what the dispatcher reads of the platform's configuration.
+// config is the part of the platform's configuration that the dispatcher reads.
 type config struct {
 	Listen    string       `json:"listen"`
 	Discovery string       `json:"discovery"`
@@ -60,7 +60,7 @@
 		return c, fmt.Errorf("reading the configuration: %w", err)
 	}
 	if err := json.Unmarshal(raw, &c); err != nil {
-		return c, fmt.Errorf("reading the configuration: %w", err)
+		return c, fmt.Errorf("parsing the configuration: %w", err)
 	}
 	return c, nil
 }
@@ -68,14 +68,14 @@
 // dispatcher is an HTTP handler that forwards requests to workers, with a fault.
 type dispatcher struct {
 	fault     string
-	isUnsafe  map[string]bool // by class: a request must not be repeated
+	isUnsafe  map[string]bool // by class: requests must not be repeated
 	client    *http.Client
 	requests  atomic.Int64 // received so far
 	endpoints *endpoints
 }
 
-// Run serves with a fault until SIGTERM; path is that of the platform's configuration. The error is one of an unknown fault,
-// of reading the configuration or of the listener.
+// Run serves with a fault until SIGTERM; path is the path of the platform's configuration. It fails if the fault is unknown or if the
+// configuration or the listener fails.
 func Run(path, fault string) error {
 	if _, err := Find(fault); err != nil {
 		return err
@@ -98,7 +98,7 @@
 	return d.listenAndServe(c.Listen, signals)
 }
 
-// listenAndServe serves until SIGTERM, or without end with the fault IgnoresSIGTERM.
+// listenAndServe serves until SIGTERM, or forever with the fault IgnoresSIGTERM.
 func (d *dispatcher) listenAndServe(address string, signals <-chan os.Signal) error {
 	server := &http.Server{Addr: address, Handler: d}
 	served := make(chan error, 1)
@@ -114,18 +114,18 @@
 			time.Sleep(drainTime)
 			ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 			defer cancel()
-			_ = server.Shutdown(ctx) // what is still open after the timeout ends with the process
+			_ = server.Shutdown(ctx) // connections that are still open after the timeout end with the process
 			return nil
 		}
 	}
 }
 
-// isFaulty reports whether the dispatcher has a fault and it affects the newest request.
+// isFaulty reports whether the dispatcher has the given fault and the fault affects the latest request.
 func (d *dispatcher) isFaulty(fault string) bool {
 	return d.fault == fault && d.requests.Load()%faultyPeriod == 3
 }
 
-// ServeHTTP answers a client's request. A fault that affects single requests takes effect before or after they are forwarded.
+// ServeHTTP answers a client's request. Faults of single requests take effect before or after the request is forwarded.
 func (d *dispatcher) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/up" {
 		return
@@ -140,15 +140,15 @@
 	}
 	left, _ := time.ParseDuration(r.Header.Get("X-Deadline-Ms") + "ms")
 	end := time.Now().Add(left - deadlineMargin)
-	detached := context.WithoutCancel(r.Context()) // what is sent to workers outlasts a client that leaves
+	detached := context.WithoutCancel(r.Context()) // attempts continue after the client disconnects
 	switch {
 	case d.isFaulty(MadeUpAnswers):
-		_, _ = w.Write([]byte("all is well")) // the client may have gone
+		_, _ = w.Write([]byte("all is well")) // fails if the client has disconnected
 		return
 	case d.isFaulty(SendsAfterAnswer):
 		go func() {
 			time.Sleep(sendAfterDelay)
-			_, _, _ = d.forward(detached, r, body) // sending it is the fault; nobody waits for the result
+			_, _, _ = d.forward(detached, r, body) // the send itself is the fault; the result is ignored
 		}()
 		w.WriteHeader(http.StatusInternalServerError)
 		return
@@ -164,7 +164,7 @@
 	d.answer(w, status, result, end)
 }
 
-// answer answers a request whose attempts ended, or had to end, at end.
+// answer answers a request; end is the time by which its attempts had to end.
 func (d *dispatcher) answer(w http.ResponseWriter, status int, result []byte, end time.Time) {
 	switch {
 	case d.isFaulty(LateAnswers):
@@ -176,10 +176,10 @@
 		return
 	}
 	w.WriteHeader(status)
-	_, _ = w.Write(result) // the client may have gone
+	_, _ = w.Write(result) // fails if the client has disconnected
 }
 
-// answerTwice writes the answer two times on the client's connection, and closes it.
+// answerTwice writes the answer twice to the client's connection and closes it.
 func answerTwice(w http.ResponseWriter, status int, result []byte) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
@@ -191,7 +191,7 @@
 	time.Sleep(secondAnswerTime)
 }
 
-// dispatch forwards a request to workers, again after a failure where the class allows it, and returns the answer.
+// dispatch forwards a request to workers, with retries after failures if the class allows them, and returns the answer.
 func (d *dispatcher) dispatch(ctx context.Context, r *http.Request, body []byte) (status int, result []byte) {
 	isUnsafe := d.isUnsafe[r.Header.Get("X-Class")]
 	attempts := maxAttempts
@@ -218,7 +218,7 @@
 
 var errFailed = errors.New("the worker failed")
 
-// forward sends a request to one worker; mayHaveRun reports whether it may have run there.
+// forward sends a request to a worker. mayHaveRun reports whether the request may have run there.
 func (d *dispatcher) forward(ctx context.Context, r *http.Request, body []byte) (result []byte, mayHaveRun bool, err error) {
 	address, ok := d.endpoints.choose()
 	if !ok {
@@ -228,7 +228,7 @@
 	if err != nil {
 		return nil, false, err
 	}
-	req.GetBody = nil // else net/http might send it again by itself
+	req.GetBody = nil // prevents net/http from retrying the request by itself
 	req.Header.Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 	req.Header.Set("X-Deadline-Ms", r.Header.Get("X-Deadline-Ms"))
 	res, err := d.client.Do(req)
@@ -242,7 +242,7 @@
 	return readResult(res.Body)
 }
 
-// readResult reads the lines of a worker's response up to the one that ends the job.
+// readResult reads the lines of a worker's response up to the one that ends the request.
 func readResult(body io.Reader) (result []byte, mayHaveRun bool, err error) {
 	for lines := bufio.NewScanner(body); lines.Scan(); {
 		var line struct{ State, Result string }
--- a/internal/testbed/mutant/endpoints.go
+++ b/internal/testbed/mutant/endpoints.go
@@ -11,18 +11,18 @@
 	"time"
 )
 
-// Statuses of endpoints in discovery's protocol.
+// Statuses of endpoints in the discovery protocol.
 const (
 	statusUp       = "up"
 	statusDraining = "draining"
 )
 
 const (
-	watchRetryDelay = 50 * time.Millisecond // before discovery is called again
-	warmUpTime      = 30 * time.Second      // in which a started worker is avoided
+	watchRetryDelay = 50 * time.Millisecond // between calls of discovery
+	warmUpTime      = 30 * time.Second      // how long a started worker is avoided
 )
 
-// endpointList is the endpoint list, or the changes in it, as discovery's protocol has it.
+// endpointList is an endpoint list, or a set of changes to it, in the discovery protocol.
 type endpointList struct {
 	Index     uint64     `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
@@ -33,24 +33,24 @@
 	Name    string `json:"name"`
 	Address string `json:"address"`
 	Status  string `json:"status"`
-	SinceMs int64  `json:"since_ms"` // when it started to warm up, in Unix milliseconds; 0: it is warm
+	SinceMs int64  `json:"since_ms"` // start of warming up in Unix milliseconds; 0: warmed up
 }
 
 // endpoints is the dispatcher's view of the endpoint list. It is safe for concurrent use.
 type endpoints struct {
-	ignoresDrains bool // the fault of DrainIgnored
-	prefersNewest bool // the fault of ColdOverloaded
+	ignoresDrains bool // fault IgnoresDraining
+	prefersNewest bool // fault OverloadsWarmingUp
 
 	mu     sync.Mutex
 	byName map[string]endpoint
-	names  []string // in the order in which they first came
+	names  []string // in the order in which they were first listed
 }
 
 func newEndpoints(fault string) *endpoints {
 	return &endpoints{ignoresDrains: fault == IgnoresDraining, prefersNewest: fault == OverloadsWarmingUp, byName: map[string]endpoint{}}
 }
 
-// update applies a list or the changes in it.
+// update applies an endpoint list or changes to it.
 func (e *endpoints) update(l endpointList) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -65,7 +65,7 @@
 	}
 }
 
-// follow watches discovery at one address, which it does not change, without end.
+// follow watches discovery at a fixed address forever.
 func (e *endpoints) follow(address string) {
 	for ; ; time.Sleep(watchRetryDelay) {
 		index, err := e.fetch(address)
@@ -76,7 +76,7 @@
 	}
 }
 
-// fetch reads the list once and returns its index.
+// fetch reads the endpoint list once and returns its index.
 func (e *endpoints) fetch(address string) (index uint64, err error) {
 	res, err := http.Get("http://" + address + "/discovery/hosts")
 	if err != nil {
@@ -106,7 +106,7 @@
 	}
 }
 
-// choose returns the address of a random worker that is up, of a warm one if there is any; false: none is up.
+// choose returns the address of a random worker that is up, preferably of one that has warmed up. ok is false if none is up.
 func (e *endpoints) choose() (address string, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -122,11 +122,11 @@
 	if e.prefersNewest {
 		return slices.MaxFunc(up, func(a, b endpoint) int { return int(a.SinceMs - b.SinceMs) }).Address, true
 	}
-	warm := slices.DeleteFunc(slices.Clone(up), func(e endpoint) bool {
+	warmedUp := slices.DeleteFunc(slices.Clone(up), func(e endpoint) bool {
 		return e.SinceMs > 0 && time.Since(time.UnixMilli(e.SinceMs)) < warmUpTime
 	})
-	if len(warm) > 0 {
-		up = warm
+	if len(warmedUp) > 0 {
+		up = warmedUp
 	}
 	return up[rand.IntN(len(up))].Address, true
 }
--- a/internal/testbed/mutant/mutant.go
+++ b/internal/testbed/mutant/mutant.go
@@ -1,5 +1,5 @@
-// Package mutant is a small dispatcher with one selectable fault, which proves that the invariant checker finds it. It
-// shares no code with the real dispatcher, so that none of that one's guards hides a fault.
+// Package mutant implements a small dispatcher with one selectable fault, to verify that the invariant checker detects the fault. It shares
+// no code with the real dispatcher, so that no safeguard of the real one hides a fault.
 package mutant
 
 import (
@@ -31,11 +31,11 @@
 // Mutant is one selectable fault, with the violation that the invariant checker has to report.
 type Mutant struct {
 	Name, About string
-	Rule        string // empty: a crash, or nothing for NoFault
-	Violation   string // the kind of violation or what the report says of the crash; empty for NoFault
+	Rule        string // empty for NoFault and for crashes
+	Violation   string // kind of the violation, or text of the crash in the report; empty for NoFault
 }
 
-// Mutants lists all faults; NoFault is the same dispatcher without one.
+// Mutants lists all mutants. NoFault is the same dispatcher without a fault.
 var Mutants = []Mutant{
 	{NoFault, "keeps all rules", "", ""},
 	{UnsafeRetry, "sends a never-twice job again after a failure", invariant.Effects, invariant.SentAgain},
@@ -54,7 +54,7 @@
 	{IgnoresSIGTERM, "does not end on SIGTERM", "", "did not end after SIGTERM"},
 }
 
-// Find returns a fault by its name; the error of an unknown one lists the names.
+// Find returns the mutant with the given name. The error for an unknown name lists the known ones.
 func Find(name string) (Mutant, error) {
 	var names []string
 	for _, m := range Mutants {
@@ -63,5 +63,5 @@
 		}
 		names = append(names, m.Name)
 	}
-	return Mutant{}, fmt.Errorf("no fault %q can be planted; there are %s", name, strings.Join(names, ", "))
+	return Mutant{}, fmt.Errorf("unknown fault %q: must be one of %s", name, strings.Join(names, ", "))
 }
--- a/internal/testbed/simulation/attempts.go
+++ b/internal/testbed/simulation/attempts.go
@@ -6,18 +6,19 @@
 	"birchfork/internal/maintenance"
 )
 
-// attemptsPerTick is how many machines a member considers to send to in a tick.
+// attemptsPerTick is the number of machines that a member considers as targets of attempts in a tick.
 const attemptsPerTick = 2
 
-// attempt is a request that runs at a machine.
+// attempt is an attempt that runs on a machine.
 type attempt struct {
 	machine int
-	worker  string // name by the member's endpoint list
+	worker  string // name according to the member's endpoint list
 	member  int
 	end     time.Duration
 }
 
-// startAttempts has the member send to random machines where its state and lease allow it, and checks that operators have none of them.
+// startAttempts starts attempts of the member at random machines if its state and lease allow it, and checks that none of the machines is
+// in maintenance.
 func (m *member) startAttempts() {
 	if m.core == nil {
 		return
@@ -40,7 +41,7 @@
 	}
 }
 
-// contains reports whether a worker is in a set, by its name or its host.
+// contains reports whether a set contains a worker by its name or host.
 func (w *world) contains(set maintenance.WorkerSet, worker string, machine int) bool {
 	return set.Workers[worker] || set.Hosts[hostName(machine)] && w.options.Mutant != IgnoresHosts
 }
--- a/internal/testbed/simulation/catchup.go
+++ b/internal/testbed/simulation/catchup.go
@@ -12,12 +12,12 @@
 
 const (
 	proposalsPerTick = 64 // while a follower is partitioned
-	commitTicks      = 20 // until the last proposals are committed
+	commitTicks      = 20 // in which the last proposals are committed
 )
 
-// CatchUp partitions one follower of a group of three while some entries are committed, and prints for each number of them how long the
-// follower takes to catch up and what it costs: from the log as far as that has the entries, else from a snapshot. The links are
-// simulated, as for Measure.
+// CatchUp partitions one follower of a group of three while the leader commits entries. For each number of entries it prints how long the
+// follower takes to catch up, and the number of messages and bytes. The follower catches up from the log or, if the log no longer has the
+// entries, from a snapshot. The links are simulated as for Measure.
 func CatchUp(output io.Writer, entryCounts []int) error {
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "entries behind\tcaught up after s\tmessages to it and from it\tkB")
@@ -29,7 +29,7 @@
 	return table.Flush()
 }
 
-// measureCatchUp simulates a follower that is some entries behind, and prints its row.
+// measureCatchUp simulates a follower that is the given number of entries behind, and prints the row of the table.
 func measureCatchUp(output io.Writer, entries int) error {
 	w, err := newWorld(Options{Seed: 1, Members: 3, Voters: 3, Ticks: measuredIdleTicks, Idle: true, Faults: []Fault{}})
 	if err != nil {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// commitEntries has a leader commit at least so many entries that change nothing.
+// commitEntries makes a leader commit at least the given number of entries, which change nothing.
 func (w *world) commitEntries(leader *member, entries int) {
 	for proposed := 0; proposed < entries; {
 		for range proposalsPerTick {
--- a/internal/testbed/simulation/checks.go
+++ b/internal/testbed/simulation/checks.go
@@ -6,11 +6,11 @@
 	"birchfork/internal/maintenance"
 )
 
-// maxReportDelay is how many ticks may pass from an update of a member's endpoint list until the leader has the member's report on it.
+// maxReportDelay is the maximum number of ticks from an update of a member's endpoint list until the leader has the member's report of it.
 const maxReportDelay = 60
 
-// checkMaintenance checks, when operators take a machine, that they have no more machines than the plan allows and that no attempt runs
-// at this one.
+// checkMaintenance checks, when the maintenance of a machine begins, that no more machines are in maintenance than the plan allows and that
+// no attempt runs on this machine.
 func (w *world) checkMaintenance(index int, name string) {
 	if len(w.maintenanceSince) > maxUnavailable {
 		w.violation("budget: %d machines are with staff, %d may be", len(w.maintenanceSince), maxUnavailable)
@@ -22,8 +22,8 @@
 	}
 }
 
-// checkBudget checks each drain of a machine when the first member applies it, for a proposal of a given tick. Between the two a leader
-// may have changed, seconds later. A machine that has had an outage itself is exempt.
+// checkBudget checks each drain of a machine when the first member applies it. Outages count as of proposedTick, because a change of leader
+// can delay the commit of a proposal by seconds. A machine that has had an outage itself is exempt.
 func (w *world) checkBudget(state *maintenance.State, proposedTick int) {
 	for _, plan := range state.Plans {
 		for i, machine := range plan.MachineStates {
@@ -39,8 +39,8 @@
 	}
 }
 
-// countUnavailable counts the machines that count against the budget when one of them is drained: those that the plan has taken, and
-// others with an outage that the proposer must have known.
+// countUnavailable counts the machines that use the budget when one of them is drained: those that the plan has taken out of service, and
+// others with an outage that the proposer must have known of.
 func (w *world) countUnavailable(plan *maintenance.PlanState, drained, proposedTick int) int {
 	count := 0
 	for i, machine := range plan.MachineStates {
@@ -51,7 +51,7 @@
 	return count
 }
 
-// isOutOfService reports whether a machine in this phase is out of service by its plan.
+// isOutOfService reports whether the plan has taken a machine in this phase out of service.
 func isOutOfService(phase maintenance.MachinePhase) bool {
 	switch phase {
 	case maintenance.MachineWaiting, maintenance.MachineWarm, maintenance.MachineDone, maintenance.MachineSkipped:
@@ -61,14 +61,14 @@
 	}
 }
 
-// hasKnownOutage reports whether a machine has an outage, of which every leader knew by a tick.
+// hasKnownOutage reports whether a machine has an outage that every leader must have known of by a tick.
 func (w *world) hasKnownOutage(machine, tick int) bool {
 	return slices.ContainsFunc(w.outages, func(o outage) bool {
 		return o.machine == machine && o.from+maxEndpointLag+maxReportDelay < tick && w.tick < o.until
 	})
 }
 
-// hadOutage reports whether a machine has an outage or has had one.
+// hadOutage reports whether a machine has or had an outage.
 func (w *world) hadOutage(machine int) bool {
 	return slices.ContainsFunc(w.outages, func(o outage) bool { return o.machine == machine && o.from < w.tick })
 }
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -13,14 +13,14 @@
 const (
 	Partition         FaultKind = "cut"    // messages between the member and all others are lost, in both directions or one
 	Link              FaultKind = "link"   // messages from the member to another one are lost
-	Pause             FaultKind = "stop"   // the member's process is stopped
-	PauseAndPartition FaultKind = "asleep" // the same, and the member is partitioned for longer
-	Kill              FaultKind = "kill"   // the process dies and is restarted at once with its disk
-	LoseDisk          FaultKind = "wipe"   // the same with an empty disk, if all voters are in the group: else like Kill
+	Pause             FaultKind = "stop"   // the member's process is paused
+	PauseAndPartition FaultKind = "asleep" // like Pause, and the member is partitioned for longer than that
+	Kill              FaultKind = "kill"   // the process is killed and restarted at once with its disk
+	LoseDisk          FaultKind = "wipe"   // like Kill, with an empty disk if all voters have joined
 	Outage            FaultKind = "down"   // a machine has an outage
 )
 
-// Direction is which messages a Partition loses.
+// Direction selects the messages that a Partition drops.
 type Direction int
 
 // The directions, as seen from the member.
@@ -34,7 +34,7 @@
 type Fault struct {
 	Tick      int
 	Kind      FaultKind
-	Member    int       // index; below 0: the leader at that time
+	Member    int       // index; negative: the leader at that time
 	Other     int       // index of a member for Link, of a machine for Outage
 	Direction Direction // of a Partition
 	Ticks     int       // duration
@@ -44,7 +44,7 @@
 	return fmt.Sprintf("%s of member %d (other %d, way %d) for %d ticks", f.Kind, f.Member, f.Other, f.Direction, f.Ticks)
 }
 
-// bootstrapTicks is how long no member is killed, so that the group gets its members.
+// bootstrapTicks is the time at the start in which no member is killed, so that all members can join.
 const bootstrapTicks = 40
 
 // RandomFaults returns random faults for a history, in order of their ticks.
--- a/internal/testbed/simulation/fleet.go
+++ b/internal/testbed/simulation/fleet.go
@@ -6,23 +6,23 @@
 	"birchfork/internal/maintenance"
 )
 
-// workerName is the name of a machine's worker from a tick on.
+// workerName is the name of a machine's worker, valid from a tick on.
 type workerName struct {
 	since int
 	name  string
 }
 
-// outage is a time, in ticks, in which a machine is unavailable although no plan has taken it.
+// outage is a period, in ticks, in which a machine is unavailable independently of the plan.
 type outage struct{ machine, from, until int }
 
 func machineName(machine int) string       { return fmt.Sprint("m", machine) }
 func hostName(machine int) string          { return fmt.Sprint("h", machine) }
 func initialWorkerName(machine int) string { return fmt.Sprint("r", machine) }
 
-// endpointLag returns after how many ticks the member has an update of the endpoint list on a machine's worker.
+// endpointLag returns the number of ticks until the member has an endpoint list update about a machine's worker.
 func (m *member) endpointLag(machine int) int { return (7*m.index + 3*machine) % maxEndpointLag }
 
-// workerAt returns the name of a machine's worker by the member's endpoint list.
+// workerAt returns the name of a machine's worker according to the member's endpoint list.
 func (m *member) workerAt(machine int) string {
 	names := m.world.workerNames[machine]
 	for i := len(names) - 1; i > 0; i-- {
@@ -33,7 +33,7 @@
 	return names[0].name
 }
 
-// fleet returns the workers by the member's endpoint list. Earlier names of a worker are gone.
+// fleet returns the workers according to the member's endpoint list. Former names of a worker are marked as gone.
 func (m *member) fleet() map[string]maintenance.Worker {
 	w := m.world
 	fleet := map[string]maintenance.Worker{}
@@ -54,7 +54,7 @@
 	return fleet
 }
 
-// knowsOutage reports whether a machine has an outage by the member's endpoint list.
+// knowsOutage reports whether a machine has an outage according to the member's endpoint list.
 func (m *member) knowsOutage(machine int) bool {
 	tick := m.world.tick - m.endpointLag(machine)
 	for _, o := range m.world.outages {
--- a/internal/testbed/simulation/golden_norace_test.go
+++ b/internal/testbed/simulation/golden_norace_test.go
@@ -2,5 +2,5 @@
 
 package simulation
 
-// digestStep is the step from one golden history that is simulated to the next.
+// digestStep is the step between simulated golden histories.
 const digestStep = 1
--- a/internal/testbed/simulation/golden_test.go
+++ b/internal/testbed/simulation/golden_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// The golden file, and its numbers of histories.
+// The golden file and the numbers of histories in it.
 const (
 	goldenDigests              = "testdata/golden/digests.txt"
 	goldenHistories            = 200
 	goldenReplicationHistories = 20
 )
 
-// TestSimulate_MatchesGoldenDigests verifies that the same seeds give the same histories as in earlier builds: 200 of Simulate and 20 of
-// SimulateReplication, each by its digest. With the race detector, which makes them take ten times as long, it simulates every fifth.
+// TestSimulate_MatchesGoldenDigests verifies by digests that the same seeds give the same histories as in earlier builds: 200 of Simulate
+// and 20 of SimulateReplication. With the race detector, which slows them down tenfold, it simulates only every fifth history.
 // UPDATE_GOLDEN=1 writes the file, in a build without the race detector.
 func TestSimulate_MatchesGoldenDigests(t *testing.T) {
 	lines := simulateGoldenHistories()
@@ -37,12 +37,12 @@
 	}
 	for i := 0; i < len(lines); i += digestStep {
 		if lines[i] != want[i] {
-			t.Errorf("another history than that of earlier builds: %q, want %q", lines[i], want[i])
+			t.Errorf("the history differs from earlier builds: got %q, want %q", lines[i], want[i])
 		}
 	}
 }
 
-// simulateGoldenHistories returns the golden file's lines. Those of histories that digestStep leaves out are empty.
+// simulateGoldenHistories returns the lines of the golden file. The lines of histories that digestStep skips are empty.
 func simulateGoldenHistories() []string {
 	lines := make([]string, goldenHistories+goldenReplicationHistories)
 	var group sync.WaitGroup
--- a/internal/testbed/simulation/injection.go
+++ b/internal/testbed/simulation/injection.go
@@ -6,7 +6,7 @@
 	"birchfork/internal/consensus"
 )
 
-// wakeTicks is how long a member that was PauseAndPartition remains partitioned after its process goes on.
+// wakeTicks is how long PauseAndPartition keeps the member partitioned after its process resumes.
 const wakeTicks = 30
 
 // injectFaults injects the faults that are due.
@@ -19,7 +19,7 @@
 	}
 }
 
-// inject injects one fault. One of a leader has no effect while there is none.
+// inject injects one fault. A fault of the leader has no effect while no member has led.
 func (w *world) inject(fault Fault) {
 	if fault.Member < 0 {
 		if w.leader < 0 {
@@ -49,8 +49,8 @@
 	}
 }
 
-// restart starts another process of the member at once, with its disk or with an empty one. The mutant LosesState keeps its incarnation
-// with the empty disk.
+// restart restarts the member's process at once, with its disk or an empty one. With the mutant LosesState the member keeps its incarnation
+// although its disk is empty.
 func (m *member) restart(wipe bool) error {
 	m.pausedUntil = 0
 	switch {
@@ -67,7 +67,7 @@
 	return m.startProcess()
 }
 
-// allVotersJoined reports whether each voter has its place in the group, so that one more disk may be lost.
+// allVotersJoined reports whether all voters have joined the group, so that another disk may be lost.
 func (w *world) allVotersJoined() bool {
 	for _, m := range w.members[:w.options.Voters] {
 		if m.core == nil || !m.joined || !slices.Contains(m.core.Status().Voters, m.raftID) {
--- a/internal/testbed/simulation/leader.go
+++ b/internal/testbed/simulation/leader.go
@@ -11,13 +11,13 @@
 	"birchfork/internal/maintenance"
 )
 
-// fenceTimeout is the time after which a silent member has neither a lease nor attempts, by a clock that differs from its own.
+// fenceTimeout is the time, on another member's clock, after which a silent member has neither a lease nor running attempts.
 const fenceTimeout = (leaseDuration + maxAttemptDuration) * (driftDivisor + 1) / driftDivisor
 
-// timeFactor is by what the mutant CountsTimeTwice multiplies the time that has passed.
+// timeFactor is the factor by which the mutant CountsTimeTwice multiplies the elapsed time.
 const timeFactor = 4
 
-// recordLeader notes that a member leads, if it is another one than before.
+// recordLeader records that a member is the leader if the leader has changed.
 func (w *world) recordLeader(m *member, term uint64) {
 	if w.leader == m.index {
 		return
@@ -31,14 +31,14 @@
 	w.trace("member %d leads, term %d", m.index, term)
 }
 
-// lead does what a leader does in a tick: it proposes to advance the plans, and makes a learner that has caught up a voter.
+// lead performs the leader's work of a tick: it proposes to advance the plans and to promote a learner that has caught up.
 func (m *member) lead() {
 	status := m.core.Status()
 	m.proposeAdvance()
 	m.promoteLearner(status)
 }
 
-// proposeAdvance proposes what the leader knows of members and fleet, if it would change anything.
+// proposeAdvance proposes to advance the plans with what the leader knows of members and fleet, if that would change the state.
 func (m *member) proposeAdvance() {
 	m.reports[m.name()] = m.statusReport()
 	proposal := &maintenance.Advance{
@@ -61,8 +61,8 @@
 	}
 }
 
-// promoteLearner proposes to make one learner that has caught up a voter, and to remove its past incarnations. A proposal that is
-// dropped is repeated in a later tick.
+// promoteLearner proposes to make one learner that has caught up a voter and to remove its past incarnations. A dropped proposal is
+// repeated in a later tick.
 func (m *member) promoteLearner(status consensus.Status) {
 	caughtUp := m.core.CaughtUp()
 	for _, name := range m.state.MemberNames() {
@@ -82,7 +82,7 @@
 	}
 }
 
-// propose proposes a command. As in a real group, the proposal may be dropped.
+// propose proposes a command. The proposal may be dropped, as in a real group.
 func (m *member) propose(command maintenance.Command) {
 	raw, err := json.Marshal(command)
 	if err != nil {
@@ -93,7 +93,7 @@
 	m.withCore(func(core *consensus.Core) { _ = core.Propose(raw) })
 }
 
-// recordApplied notes that a member has applied an entry, and checks that the first member has applied the same one.
+// recordApplied records that a member has applied an entry, and checks that the first member applied the same entry at this index.
 func (w *world) recordApplied(m *member, index uint64, entry string) {
 	proposedAt, proposed := w.proposedAt[entry]
 	w.applications[index]++
--- a/internal/testbed/simulation/measure.go
+++ b/internal/testbed/simulation/measure.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// What is measured.
+// Parameters of the measured histories.
 const (
 	measuredMachines  = 12
 	measuredZones     = 3
 	maxMeasuredTicks  = 4000 // 200 s
-	measuredIdleTicks = 200  // of a group without a plan
+	measuredIdleTicks = 200  // length of a history without a plan
 	leaderStopTick    = 300
 	leaderStopTicks   = 200 // 10 s
 )
 
-// The rows of Measure for a group, by the fault of their histories.
+// The faults for which Measure prints a row per group.
 const (
 	measuredWithoutFault = "none"
 	measuredLeaderStop   = "leader stands still"
@@ -27,8 +27,8 @@
 // Sizes are the default group sizes of Measure.
 var Sizes = []int{3, 5, 9, 30, 100, 300}
 
-// Measure simulates a plan of 12 machines in 3 zones for each group size, without a fault and with a leader that is stopped for 10 s, and
-// prints durations and costs. Of durations it prints the median and the maximum over all runs. The links are simulated: messages take
+// Measure simulates a plan of 12 machines in 3 zones for each group size, without a fault and with a leader that is paused for 10 s, and
+// prints durations and costs. A duration is printed as the median and the maximum over all runs. The links are simulated: messages take
 // 50 to 100 ms, some longer, and one in 50 is lost.
 func Measure(output io.Writer, sizes []int, runs int) error {
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
@@ -47,7 +47,7 @@
 	return table.Flush()
 }
 
-// measuredVoters returns the number of voters of a group.
+// measuredVoters returns the number of voters in a group of the given size.
 func measuredVoters(members int) int {
 	if members >= 5 {
 		return 5
@@ -55,7 +55,7 @@
 	return 3
 }
 
-// measurement sums up the histories of a row.
+// measurement aggregates the histories of a row.
 type measurement struct {
 	members, voters int
 	fault           string
@@ -64,18 +64,18 @@
 	costs           measuredCosts
 }
 
-// measuredDurations are those of all histories.
+// measuredDurations are the durations of all histories.
 type measuredDurations struct{ elected, committed, applied, drained, ended []time.Duration }
 
-// measuredCosts are means over all histories.
+// measuredCosts are mean costs over all histories.
 type measuredCosts struct {
 	idleLeader, idleOther float64 // kB per second and member
 	idleMessages          float64 // per second, of the whole group
-	entryLeader           float64 // kB that the leader sends for an entry
-	entryProposed         float64 // kB of an entry
+	entryLeader           float64 // kB that the leader sends per entry
+	entryProposed         float64 // kB per proposed entry
 }
 
-// addHistory simulates one history and adds it to the measurement. Seeds are counted from 1.
+// addHistory simulates one history and adds it to the measurement. Seeds start at 1.
 func (m *measurement) addHistory(seed uint64) error {
 	options := Options{
 		Seed: seed, Members: m.members, Voters: m.voters, Machines: measuredMachines, Zones: measuredZones,
@@ -113,7 +113,7 @@
 	d.ended = append(d.ended, result.Ended-result.Started)
 }
 
-// addIdleCosts adds what a group without a plan costs.
+// addIdleCosts adds the costs of a group without a plan.
 func (m *measurement) addIdleCosts(result *Result) {
 	seconds := (measuredIdleTicks * tickInterval).Seconds()
 	leader := largestCost(result.Costs)
@@ -128,7 +128,7 @@
 	m.costs.idleOther += float64(bytes-leader.Bytes) / float64(m.members-1) / 1000 / seconds / runs
 }
 
-// addEntryCosts adds what an entry of a plan costs the leader, beyond the mean idle cost of the histories up to this seed.
+// addEntryCosts adds the leader's cost per entry of a plan, minus the mean idle cost of the histories up to this seed.
 func (m *measurement) addEntryCosts(result *Result, seed uint64) {
 	leader := largestCost(result.Costs)
 	runs := float64(m.runs)
@@ -143,7 +143,6 @@
 	return slices.MaxFunc(costs, func(a, b Cost) int { return a.Bytes - b.Bytes })
 }
 
-// print prints the row.
 func (m *measurement) print(output io.Writer) {
 	costs := "\t\t"
 	if c := m.costs; m.fault == measuredWithoutFault {
@@ -154,7 +153,7 @@
 		medianAndMax(d.elected), medianAndMax(d.committed), medianAndMax(d.applied), medianAndMax(d.drained), medianAndMax(d.ended), costs)
 }
 
-// medianAndMax returns the median and the maximum in seconds, or "-" if there is no duration. It sorts the durations.
+// medianAndMax returns the median and the maximum in seconds, or "-" if there are no durations. It sorts the durations.
 func medianAndMax(durations []time.Duration) string {
 	if len(durations) == 0 {
 		return "-"
--- a/internal/testbed/simulation/member.go
+++ b/internal/testbed/simulation/member.go
@@ -14,32 +14,32 @@
 	"birchfork/internal/maintenance"
 )
 
-// member is one member of the group. It is the consensus.StateMachine of its core.
+// member is a member of the group and the consensus.StateMachine of its core.
 type member struct {
 	world       *world
 	index       int
 	raftID      uint64
 	incarnation string
 	disk        *consensus.Storage
-	core        *consensus.Core // nil: it has failed
-	clockSpeed  float64         // of its own clock, in proportion to the world's
+	core        *consensus.Core // nil if it has failed
+	clockSpeed  float64         // speed of its clock relative to the world's clock
 	joined      bool            // it has bootstrapped the group, or a leader has proposed to add it
 
 	state        *maintenance.State
-	stateSince   time.Duration // on its own clock: when the state got its Seq
+	stateSince   time.Duration // when the state got its current Seq, on the member's clock
 	processStart time.Duration
-	pausedUntil  int // tick until which the process is stopped
+	pausedUntil  int // tick until which the process is paused
 
-	lastLeaderContact int // tick of the last message of a leader, or of the last campaign
-	electionTimeout   int // ticks without a leader until it campaigns
+	lastLeaderContact int // tick of the last message from a leader, or of the last campaign
+	electionTimeout   int // ticks without a leader before it campaigns
 
-	reports        map[string]maintenance.MemberReport // by member: the last one that it got as leader
+	reports        map[string]maintenance.MemberReport // by member: the last report that it received as leader
 	lastReportTick int
 	confirmed      bool          // the group has confirmed its incarnation
-	leaseEnd       time.Duration // on its own clock
+	leaseEnd       time.Duration // on the member's clock
 }
 
-// startEmpty starts a new incarnation with an empty disk. With bootstrap it creates the group.
+// startEmpty starts a new incarnation with an empty disk. If bootstrap is set, it creates the group.
 func (m *member) startEmpty(bootstrap bool) error {
 	w := m.world
 	w.lastRaftID++
@@ -60,7 +60,7 @@
 	return m.startProcess()
 }
 
-// bootstrap writes a group to the disk whose only member is this one.
+// bootstrap writes the state of a group with this member alone to the disk.
 func (m *member) bootstrap() error {
 	state := maintenance.New()
 	state.AppliedIndex = 1
@@ -72,7 +72,7 @@
 	return consensus.Bootstrap(m.disk, "f", snapshot)
 }
 
-// startProcess starts the member's process with its disk. Attempts of an earlier process run to their end.
+// startProcess starts the member's process with its disk. Attempts of a previous process run to their end.
 func (m *member) startProcess() error {
 	w := m.world
 	m.state = maintenance.New()
@@ -88,13 +88,13 @@
 	return err
 }
 
-// resetElectionTimeout begins to wait for a leader anew, with another random timeout.
+// resetElectionTimeout restarts the wait for a leader with a new random timeout.
 func (m *member) resetElectionTimeout() {
 	m.lastLeaderContact = m.world.tick
 	m.electionTimeout = electionTicks + m.world.random.IntN(electionTicks)
 }
 
-// sendRaft sends a message of the core to a raft ID. Messages to earlier incarnations are dropped.
+// sendRaft sends a message of the core to a raft ID. Messages to past incarnations are dropped.
 func (m *member) sendRaft(to uint64, raw []byte, _ bool) {
 	message := &raftpb.Message{}
 	if err := proto.Unmarshal(raw, message); err != nil {
@@ -106,7 +106,7 @@
 	}
 }
 
-// Apply implements consensus.StateMachine. It also checks that all members apply the same entry at an index.
+// Apply implements consensus.StateMachine. It also checks that all members apply the same entry at each index.
 func (m *member) Apply(index uint64, data []byte) {
 	seq := m.state.Seq
 	m.state.Apply(index, data)
@@ -136,7 +136,7 @@
 // clock returns the time on the member's monotonic clock.
 func (m *member) clock() time.Duration { return time.Duration(float64(m.world.now) * m.clockSpeed) }
 
-// isRunning reports whether the process takes steps.
+// isRunning reports whether the process is neither failed nor paused.
 func (m *member) isRunning() bool { return m.core != nil && m.world.tick >= m.pausedUntil }
 
 // advance simulates one tick of a member that is running.
@@ -162,7 +162,7 @@
 	m.startAttempts()
 }
 
-// withCore calls f with the core, unless the member has failed. It fails where f panics: a core panics at a state that is impossible.
+// withCore calls f with the core unless the member has failed. If f panics, as a core does in an impossible state, the member fails.
 func (m *member) withCore(f func(*consensus.Core)) {
 	if m.core == nil {
 		return
@@ -176,7 +176,6 @@
 	f(m.core)
 }
 
-// discardLogger writes nothing.
 var discardLogger = func() *logrus.Logger {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
--- a/internal/testbed/simulation/minimize.go
+++ b/internal/testbed/simulation/minimize.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// maxMinimizeTries bounds the histories that Minimize simulates, to a few seconds.
+// maxMinimizeTries limits the histories that Minimize simulates, which take a few seconds in total.
 const maxMinimizeTries = 400
 
-// Minimize returns the shortest history that it finds with the same first violated rule, and its result. It ends the history with the
-// violation, and leaves out faults in runs of all of them, half of them and so on down to single ones. Options whose history violates
-// no rule come back as they are, without a trace.
+// Minimize returns the options and the result of the shortest history that it finds with the same first violated rule. It ends the history
+// at the violation and removes sequences of faults, first all of them, then half of them and so on down to single ones. If the history
+// violates no rule, it returns the options unchanged except that Trace is nil.
 func Minimize(options Options) (Options, *Result, error) {
 	options.Trace = nil
 	result, err := Simulate(options)
@@ -21,7 +21,7 @@
 	options.Faults = slices.DeleteFunc(slices.Clone(options.Faults), func(f Fault) bool { return f.Tick >= options.Ticks })
 	m := &minimizer{options: options, result: result, tries: maxMinimizeTries}
 	for size := len(options.Faults); size > 0; {
-		reduced, err := m.removeRuns(size)
+		reduced, err := m.removeFaults(size)
 		if err != nil {
 			return m.options, m.result, err
 		}
@@ -33,16 +33,16 @@
 	return m.options, m.result, nil
 }
 
-// minimizer has the shortest history that Minimize has found so far.
+// minimizer holds the shortest history found so far.
 type minimizer struct {
 	options Options
 	result  *Result
-	tries   int // histories that may still be simulated
+	tries   int // remaining number of histories to simulate
 }
 
-// removeRuns leaves out each run of some consecutive faults without which the history still violates its rule, and reports whether
-// there was one.
-func (m *minimizer) removeRuns(size int) (bool, error) {
+// removeFaults removes each sequence of size consecutive faults without which the history still violates its rule. It reports whether it
+// removed any.
+func (m *minimizer) removeFaults(size int) (bool, error) {
 	reduced := false
 	for at := 0; at < len(m.options.Faults) && m.tries > 0; m.tries-- {
 		candidate := m.options
--- a/internal/testbed/simulation/network.go
+++ b/internal/testbed/simulation/network.go
@@ -9,20 +9,20 @@
 
 // Properties of links. Times are in ticks.
 const (
-	lossInterval  = 50 // one message in so many is lost
-	delayInterval = 40 // one message in so many is delayed
-	maxDelay      = 40 // by less than this
+	lossInterval  = 50 // one in this many messages is lost
+	delayInterval = 40 // one in this many messages is delayed
+	maxDelay      = 40 // upper bound of the delay, exclusive
 )
 
-// envelope is a message in flight: either one of raft's, or a call.
+// envelope is a message in flight: either a raft message or a call.
 type envelope struct {
 	arrival  int // tick
 	from, to int // indexes of members
 	raft     *raftpb.Message
-	call     func() // a report or its answer
+	call     func() // delivers a report or the reply to it
 }
 
-// send puts a message in flight, or loses it. It arrives one or two ticks later, or is delayed.
+// send sends or loses a message. The message arrives after one or two ticks, or later if it is delayed.
 func (w *world) send(e envelope) {
 	if e.raft != nil {
 		cost := &w.result.Costs[e.from]
@@ -39,7 +39,7 @@
 	w.inFlight = append(w.inFlight, e)
 }
 
-// deliverMessages delivers the messages that have arrived at members that are not stopped.
+// deliverMessages delivers the messages that have arrived at members that are not paused.
 func (w *world) deliverMessages() {
 	var arrived, remaining []envelope
 	for _, e := range w.inFlight {
@@ -49,13 +49,13 @@
 			remaining = append(remaining, e)
 		}
 	}
-	w.inFlight = remaining // deliveries add to it
+	w.inFlight = remaining // deliveries append to it
 	for _, e := range arrived {
 		w.members[e.to].receive(e)
 	}
 }
 
-// receive handles a message. Those of raft to an earlier incarnation are dropped.
+// receive handles a message. Raft messages to a past incarnation are dropped.
 func (m *member) receive(e envelope) {
 	if m.core == nil {
 		return
@@ -74,7 +74,7 @@
 	m.withCore(func(core *consensus.Core) { core.Step(e.raft) })
 }
 
-// partition loses messages between a member and all members in a direction, up to a tick.
+// partition drops messages between a member and all members in the given direction until a tick.
 func (w *world) partition(m *member, direction Direction, until int) {
 	for i := range w.members {
 		if direction != Incoming {
--- a/internal/testbed/simulation/operators.go
+++ b/internal/testbed/simulation/operators.go
@@ -9,13 +9,13 @@
 const (
 	planName      = "p"
 	operatorsTick = 60 // the first tick in which operators act
-	claimInterval = 4  // operators claim a drained machine in one of so many ticks, on average
+	claimInterval = 4  // mean ticks until operators claim a drained machine
 )
 
-// advanceOperators has the operators submit and start the plan and take care of its machines, by calls at the last member that takes
-// itself for the leader.
+// advanceOperators makes the operators submit and start the plan and maintain its machines, with calls to the last member that considers
+// itself the leader.
 func (w *world) advanceOperators() {
-	leader := w.presentLeader()
+	leader := w.currentLeader()
 	if leader == nil || w.tick < operatorsTick || len(leader.state.Members) < w.options.Members {
 		return
 	}
@@ -37,8 +37,8 @@
 	}
 }
 
-// presentLeader returns the last running member that takes itself for the leader; nil if none does.
-func (w *world) presentLeader() *member {
+// currentLeader returns the last running member that considers itself the leader, or nil if there is none.
+func (w *world) currentLeader() *member {
 	var leader *member
 	for _, m := range w.members {
 		if m.isRunning() && m.core.Status().IsLeader {
@@ -48,7 +48,7 @@
 	return leader
 }
 
-// submitPlan submits and starts a plan of all machines.
+// submitPlan submits and starts a plan with all machines.
 func (w *world) submitPlan(leader *member) {
 	plan := &maintenance.Plan{Name: planName, MaxUnavailable: maxUnavailable, MaxUnavailablePerZone: 1, OnOverdue: maintenance.OverdueWait}
 	for i := range w.options.Machines {
@@ -61,7 +61,7 @@
 	leader.propose(maintenance.Command{ID: "start", Kind: maintenance.CommandStartPlan, Name: planName})
 }
 
-// planMachine returns a machine as the plan names it.
+// planMachine returns the plan's entry for a machine.
 func planMachine(machine int) maintenance.Machine {
 	if isNamedByHost(machine) {
 		return maintenance.Machine{Name: machineName(machine), Host: hostName(machine)}
@@ -69,10 +69,10 @@
 	return maintenance.Machine{Name: machineName(machine), Workers: []string{initialWorkerName(machine)}}
 }
 
-// isNamedByHost reports whether the plan names a machine by its host. Its worker gets another name with each restart.
+// isNamedByHost reports whether the plan names a machine by its host. The worker of such a machine gets a new name in maintenance.
 func isNamedByHost(machine int) bool { return machine%2 == 1 }
 
-// recordPlanPhase notes when the plan is started and when it ends.
+// recordPlanPhase records when the plan starts and when it ends.
 func (w *world) recordPlanPhase(phase maintenance.PlanPhase) {
 	if w.result.Started == 0 && phase != maintenance.PlanSubmitted {
 		w.result.Started = w.now
@@ -83,7 +83,7 @@
 	}
 }
 
-// operateMachine does what the operators have to do next for one machine.
+// operateMachine performs the operators' next step for a machine.
 func (w *world) operateMachine(leader *member, index int, machine *maintenance.MachineState) {
 	since, inMaintenance := w.maintenanceSince[machine.Name]
 	switch {
@@ -92,18 +92,18 @@
 			w.result.Drained = w.now
 		}
 		leader.propose(maintenance.Command{ID: "take" + machine.Name, Kind: maintenance.CommandClaimMachine, Machine: machine.Name})
-	case machine.Phase == maintenance.MachineInMaintenance && w.returned[machine.Name]: // repeated, as a proposal may be dropped
+	case machine.Phase == maintenance.MachineInMaintenance && w.returned[machine.Name]: // repeated because a proposal may be dropped
 		leader.propose(maintenance.Command{ID: "done" + machine.Name, Kind: maintenance.CommandReturnMachine, Machine: machine.Name})
 	case machine.Phase == maintenance.MachineInMaintenance && !inMaintenance:
 		w.beginMaintenance(leader, index, machine.Name)
 	case inMaintenance && w.now-since > maintenanceDuration:
-		delete(w.maintenanceSince, machine.Name) // from now on members may send to it
+		delete(w.maintenanceSince, machine.Name) // from now on members may send to the machine
 		w.returned[machine.Name] = true
 	}
 }
 
-// beginMaintenance has operators take a machine that a member reports as drained, and checks that it is. A worker without a name in the
-// plan is restarted under another one, halfway through the work.
+// beginMaintenance begins the maintenance of a machine that a member reports as drained, and checks that it is. If the plan names the
+// machine by its host, its worker restarts under a new name halfway through the work.
 func (w *world) beginMaintenance(leader *member, index int, name string) {
 	w.trace("%s is clear, says member %d", name, leader.index)
 	w.maintenanceSince[name] = w.now
--- a/internal/testbed/simulation/options.go
+++ b/internal/testbed/simulation/options.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Durations and limits of a simulated group, on the world's clock.
+// Durations and bounds of a simulated group, on the world's clock.
 const (
 	tickInterval        = 50 * time.Millisecond
 	leaseDuration       = 1 * time.Second
@@ -14,9 +14,9 @@
 	reportInterval      = 200 * time.Millisecond
 	driftDivisor        = 100 // clocks of two members differ by at most one part in driftDivisor
 	warmUpDuration      = 400 * time.Millisecond
-	electionTicks       = 20                     // a member campaigns after one to two times so many ticks without a leader
-	maxEndpointLag      = 20                     // ticks until each member has an update of the endpoint list
-	maintenanceDuration = 500 * time.Millisecond // for which operators work on a machine
+	electionTicks       = 20                     // a member campaigns after one to two times this many ticks without a leader
+	maxEndpointLag      = 20                     // upper bound of the ticks until a member has an endpoint list update, exclusive
+	maintenanceDuration = 500 * time.Millisecond // how long operators work on a machine
 )
 
 // Defaults of Options.
@@ -26,10 +26,10 @@
 	defaultFaultInterval = 48
 )
 
-// maxUnavailable is how many machines the simulated plan allows to be unavailable at a time.
+// maxUnavailable is the number of machines that the simulated plan allows to be unavailable at the same time.
 const maxUnavailable = 2
 
-// Streams of the random generators, which keep them apart for one seed.
+// Streams of the random generators, which make them independent for the same seed.
 const (
 	worldStream       = 4711
 	faultStream       = 4712
@@ -40,26 +40,26 @@
 type Options struct {
 	Seed          uint64
 	Members       int
-	Voters        int       // the first members, at most all of them
+	Voters        int       // the first members vote; at most Members
 	Ticks         int       // maximum length
-	Machines      int       // of the plan, with one worker each; the plan names every second one by its host; 0: 6
-	Zones         int       // of the workers; the plan allows one unavailable machine in each; 0: 2
+	Machines      int       // machines of the plan, with one worker each; the plan names every second one by its host; 0: 6
+	Zones         int       // zones of the workers; the plan allows one unavailable machine in each; 0: 2
 	Mutant        string    // one of Mutants; empty: none
-	FaultInterval int       // mean ticks from one random fault to the next; 0: 48
-	Faults        []Fault   // in order of their ticks; nil: RandomFaults
+	FaultInterval int       // mean ticks between random faults; 0: 48
+	Faults        []Fault   // in order of Tick; nil: RandomFaults
 	Idle          bool      // operators submit no plan
 	StopWithPlan  bool      // the history ends with the plan
-	Trace         io.Writer // gets a line for each event; nil: none
+	Trace         io.Writer // receives a line for each event; nil: no trace
 }
 
-// withDefaults returns the options with the sizes of plan and fleet that are used for 0.
+// withDefaults returns the options with defaults for Machines and Zones.
 func (o Options) withDefaults() Options {
 	o.Machines = cmp.Or(o.Machines, defaultMachines)
 	o.Zones = cmp.Or(o.Zones, defaultZones)
 	return o
 }
 
-// The mutants: each disables a safeguard.
+// The mutants. Each disables one safeguard.
 const (
 	NoLease            = "no lease at the send"
 	LongLease          = "a lease that is longer than what is waited for"
--- a/internal/testbed/simulation/replication.go
+++ b/internal/testbed/simulation/replication.go
@@ -13,32 +13,32 @@
 type ReplicationOptions struct {
 	Seed         uint64
 	Members      int           // 2 or more
-	Overrides    int           // that are written at random members over WriteFor
-	Workers      int           // that they concern; 0: one for each override, and all disable theirs
-	WriteFor     time.Duration // 0: all are at the first member at the beginning
-	PartitionFor time.Duration // for which the first member is partitioned, from the beginning
-	Faults       int           // partitions, lost and outdated disks, at random times over WriteFor; none where that is 0
-	IdleFor      time.Duration // that is measured after convergence
+	Overrides    int           // overrides that random members write during WriteFor
+	Workers      int           // workers of the overrides; 0: each override disables a worker of its own
+	WriteFor     time.Duration // 0: the first member writes all overrides at the start
+	PartitionFor time.Duration // how long the first member is partitioned from the start on
+	Faults       int           // partitions, lost and outdated disks at random times during WriteFor; none if WriteFor is 0
+	IdleFor      time.Duration // how long idle costs are measured after convergence
 }
 
 // ReplicationResult is the outcome of a history of SimulateReplication.
 type ReplicationResult struct {
-	Violations     []string      // each with its time; a history ends at its first one
-	ConvergedAfter time.Duration // from the last write and the end of the last fault until all replicas are equal
-	Messages       int           // until then, requests and responses
+	Violations     []string      // with their times; a history ends at the first violation
+	ConvergedAfter time.Duration // from the last write or the end of the last fault until all replicas are equal
+	Messages       int           // requests and responses until convergence
 	Bytes          int
-	Idle           Cost   // of all members in an idle second
-	Digest         uint64 // of the first member's replica
+	Idle           Cost   // cost of all members per idle second
+	Digest         uint64 // digest of the first member's replica
 }
 
-// Parameters of the protocol: those of internal/gossip, but for convergenceTimeout.
+// Parameters of the protocol. All except convergenceTimeout have the values of internal/gossip.
 const (
 	gossipInterval     = time.Second
 	requestTimeout     = time.Second
 	gossipFanout       = 3
 	maxChunkEntries    = 200
-	startDelay         = 2 * time.Second  // a member sends its entries once it has caught up, or so long after its first exchange
-	convergenceTimeout = 60 * time.Second // after the last fault, in which all replicas have to become equal
+	startDelay         = 2 * time.Second  // a member serves its entries once it has caught up, or this long after its first exchange
+	convergenceTimeout = 60 * time.Second // all replicas have to be equal this long after the last fault
 )
 
 // replicationWorld is the state of one history.
@@ -47,30 +47,29 @@
 	random      *rand.Rand
 	now         time.Duration
 	queue       eventQueue
-	eventCount  int // of all events so far
+	eventCount  int // number of scheduled events
 	members     []*replicaMember
 	result      *ReplicationResult
-	lastChange  time.Duration            // time of the last write, or the end of the last fault
-	writtenAt   map[string]time.Duration // by worker: its last override
-	forgottenAt map[string]time.Duration // by worker: when it was seen that no replica has an override of it any more
+	lastChange  time.Duration            // time of the last write or end of the last fault, whichever is later
+	writtenAt   map[string]time.Duration // by worker: time of the last override
+	forgottenAt map[string]time.Duration // by worker: when no replica was found to have an override of it any more
 }
 
-// replicaMember is one member. All but its index and partitions belong to its present process.
+// replicaMember is a member. Except for the index, the number of incarnations and the partition, its fields belong to the current process.
 type replicaMember struct {
 	index            int
 	replica          *replication.Replica
-	incarnations     int                               // of which the last one is the present
+	incarnations     int                               // number of incarnations so far
 	syncing          map[int]bool                      // members with which a digest exchange or a pull is under way
 	pulls            map[int]*replication.PullProgress // by sender
-	receivedVersions map[int]replication.VersionVector // by member: a version that it had at least
+	receivedVersions map[int]replication.VersionVector // by member: a version that it is known to cover
 	partitionedUntil time.Duration
 	processStart     time.Duration
-	firstContact     time.Duration // of the first exchange with another member; 0: none yet
-	caughtUpWith     map[int]bool  // members from which it has all that they had
+	firstContact     time.Duration // time of the first exchange with another member; 0: none yet
+	caughtUpWith     map[int]bool  // members whose entries it has received completely
 }
 
-// SimulateReplication simulates the gossip of members about operator overrides, as internal/gossip does it, until all replicas are
-// equal.
+// SimulateReplication simulates the replication of operator overrides by the protocol of internal/gossip until all replicas are equal.
 func SimulateReplication(options ReplicationOptions) *ReplicationResult {
 	w := newReplicationWorld(options)
 	w.runUntilConverged()
@@ -82,7 +81,7 @@
 	return w.result
 }
 
-// newReplicationWorld returns a world before its first event. Its members have been running for longer than startDelay.
+// newReplicationWorld returns a world before its first event, in which startDelay has passed for all members.
 func newReplicationWorld(options ReplicationOptions) *replicationWorld {
 	w := &replicationWorld{
 		options:     options,
@@ -103,7 +102,7 @@
 	return w
 }
 
-// scheduleHistory schedules gossip, writes and faults. Without a time for the writes the first member makes them at once.
+// scheduleHistory schedules gossip, writes and faults. If WriteFor is 0, the first member writes all overrides at once.
 func (w *replicationWorld) scheduleHistory() {
 	if w.options.WriteFor == 0 {
 		for i := range w.options.Overrides {
@@ -124,7 +123,7 @@
 	}
 }
 
-// runUntilConverged simulates until all replicas are equal, or a rule is violated.
+// runUntilConverged simulates until all replicas are equal or a rule is violated.
 func (w *replicationWorld) runUntilConverged() {
 	for len(w.queue) > 0 {
 		w.runNextEvent()
@@ -141,7 +140,7 @@
 	}
 }
 
-// measureIdle goes on for the idle time, and measures what a second of it costs.
+// measureIdle continues the simulation for IdleFor and measures the cost per second.
 func (w *replicationWorld) measureIdle() {
 	messages, bytes := w.result.Messages, w.result.Bytes
 	end := w.now + w.options.IdleFor
@@ -154,7 +153,7 @@
 	w.result.Messages, w.result.Bytes = messages, bytes
 }
 
-// startEmpty starts a member's process with an empty replica, as a new incarnation.
+// startEmpty starts a new incarnation of a member with an empty replica.
 func (w *replicationWorld) startEmpty(m *replicaMember) {
 	m.incarnations++
 	m.replica = replication.New(fmt.Sprintf("m%d-%d", m.index, m.incarnations))
@@ -177,12 +176,11 @@
 	w.result.Violations = append(w.result.Violations, fmt.Sprintf("%.2fs ", w.now.Seconds())+fmt.Sprintf(format, arguments...))
 }
 
-// randomMember returns any member.
 func (w *replicationWorld) randomMember() *replicaMember {
 	return w.members[w.random.IntN(len(w.members))]
 }
 
-// randomPeer returns any other member.
+// randomPeer returns a random other member.
 func (w *replicationWorld) randomPeer(m *replicaMember) *replicaMember {
 	i := w.random.IntN(len(w.members) - 1)
 	if i >= m.index {
@@ -191,12 +189,13 @@
 	return w.members[i]
 }
 
-// randomDuration returns a duration below a limit.
+// randomDuration returns a random duration below a limit.
 func (w *replicationWorld) randomDuration(limit time.Duration) time.Duration {
 	return time.Duration(w.random.Int64N(int64(limit)))
 }
 
-// writeOverride has a member write the override of a number. Where several concern one worker, each disables or enables it at random.
+// writeOverride makes a member write the override with the given number. If the options set Workers, the override disables or enables
+// its worker at random.
 func (w *replicationWorld) writeOverride(m *replicaMember, number int) {
 	workers, disabled := w.options.Overrides, true
 	if w.options.Workers > 0 {
@@ -212,7 +211,7 @@
 	w.disseminate(m)
 }
 
-// recordForgotten notes the workers of which no replica has an override any more.
+// recordForgotten records the workers for which no replica has an override any more.
 func (w *replicationWorld) recordForgotten() {
 	for name := range w.writtenAt {
 		exists := slices.ContainsFunc(w.members, func(m *replicaMember) bool { return m.hasOverride(name) })
@@ -222,7 +221,7 @@
 	}
 }
 
-// hasOverride reports whether the member's replica has an override of a worker.
+// hasOverride reports whether the member's replica has an override for a worker.
 func (m *replicaMember) hasOverride(worker string) bool {
 	return len(m.replica.Get(replication.KindOverride, worker)) > 0
 }
--- a/internal/testbed/simulation/replication_events.go
+++ b/internal/testbed/simulation/replication_events.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// event is what happens at a time. Events of one time happen in the order in which they were scheduled.
+// event is a scheduled function call. Events with the same time run in the order in which they were scheduled.
 type event struct {
 	at     time.Duration
 	number int
 	run    func()
 }
 
-// eventQueue is a heap of events: see container/heap.
+// eventQueue implements heap.Interface.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -33,13 +33,13 @@
 	return popped
 }
 
-// after schedules an event.
+// after schedules run after a delay.
 func (w *replicationWorld) after(delay time.Duration, run func()) {
 	w.eventCount++
 	heap.Push(&w.queue, event{at: w.now + delay, number: w.eventCount, run: run})
 }
 
-// runNextEvent moves the time to the next event, and runs it.
+// runNextEvent advances the time to the next event and runs it.
 func (w *replicationWorld) runNextEvent() {
 	next := heap.Pop(&w.queue).(event)
 	w.now = next.at
--- a/internal/testbed/simulation/replication_faults.go
+++ b/internal/testbed/simulation/replication_faults.go
@@ -7,11 +7,11 @@
 	"birchfork/internal/replication"
 )
 
-// maxFaultDuration bounds how long a partition lasts, and how outdated a disk is.
+// maxFaultDuration is the upper bound of the duration of a partition and of the age of an outdated disk.
 const maxFaultDuration = 5 * time.Second
 
-// injectFault injects a random fault at a random member: half of them are partitions, the others outdated and lost disks. A disk is lost
-// only where another member has all that the replica has seen.
+// injectFault injects a random fault at a random member: a partition with probability 1/2, otherwise an outdated or a lost disk. A disk is
+// lost only if another member has seen everything that the replica has seen.
 func (w *replicationWorld) injectFault() {
 	m := w.randomMember()
 	duration := w.randomDuration(maxFaultDuration)
@@ -29,14 +29,15 @@
 	w.recordForgotten()
 }
 
-// isReplicated reports whether another member has seen all that a member has seen.
+// isReplicated reports whether another member has seen everything that a member has seen.
 func (w *replicationWorld) isReplicated(m *replicaMember) bool {
 	return slices.ContainsFunc(w.members, func(other *replicaMember) bool {
 		return other != m && other.replica.Version().Covers(m.replica.Version())
 	})
 }
 
-// restoreLater restarts a member after a delay with its disk as it is now, if another member has all that it has seen by then.
+// restoreLater restarts a member after a delay with a copy of its current disk, if another member has then seen everything that it has
+// seen.
 func (w *replicationWorld) restoreLater(m *replicaMember, delay time.Duration) {
 	disk := m.replica.NextChunk(replication.VersionVector{}, replication.Cursor{}, replication.MaxOverrides)
 	w.lastChange = max(w.lastChange, w.now+delay)
--- a/internal/testbed/simulation/replication_gossip.go
+++ b/internal/testbed/simulation/replication_gossip.go
@@ -8,13 +8,13 @@
 	"birchfork/internal/replication"
 )
 
-// minLatency and latencyRange determine how long a message takes: minLatency, and a random part of latencyRange.
+// The latency of a message is minLatency plus a random part of latencyRange.
 const (
 	minLatency   = time.Millisecond
 	latencyRange = 4 * time.Millisecond
 )
 
-// disseminate begins a digest exchange with a few random members.
+// disseminate begins a digest exchange with gossipFanout random members.
 func (w *replicationWorld) disseminate(m *replicaMember) {
 	for range gossipFanout {
 		w.syncWith(m, w.randomPeer(m))
@@ -28,7 +28,7 @@
 	w.after(gossipInterval/2+w.randomDuration(gossipInterval), func() { w.gossipRound(m) })
 }
 
-// collectGarbage drops a member's garbage once it has a version of each other member.
+// collectGarbage collects the garbage of a member's replica once the member has a version from each other member.
 func (w *replicationWorld) collectGarbage(m *replicaMember) {
 	if len(m.receivedVersions) < len(w.members)-1 {
 		return
@@ -42,9 +42,9 @@
 	m.replica.CollectGarbage(versions)
 }
 
-// request sends a request and its response. respond runs at the receiver and returns the response, receive gets it at the sender. If a
-// partition loses one of them, the sender may begin another exchange with the receiver after requestTimeout; if the sender has another
-// process meanwhile, nothing happens.
+// request sends a request and its response. respond runs at the receiver and returns the response, which the sender handles with receive.
+// If a partition loses either message, the sender may begin another exchange with the receiver after requestTimeout. If the sender has
+// restarted with a new incarnation meanwhile, the response is dropped.
 func (w *replicationWorld) request(from, to *replicaMember, message any, respond func() any, receive func(response any)) {
 	incarnation := from.incarnations
 	passes := func() bool { return w.now >= from.partitionedUntil && w.now >= to.partitionedUntil }
@@ -73,12 +73,12 @@
 	})
 }
 
-// latency returns how long a message takes.
+// latency returns the random latency of a message.
 func (w *replicationWorld) latency() time.Duration {
 	return minLatency + w.randomDuration(latencyRange)
 }
 
-// countMessage counts a message by its JSON.
+// countMessage counts a message and the bytes of its JSON.
 func (w *replicationWorld) countMessage(message any) {
 	raw, err := json.Marshal(message)
 	if err != nil {
@@ -88,7 +88,7 @@
 	w.result.Bytes += len(raw)
 }
 
-// digestMessage is a member's part of a digest exchange, in the JSON of internal/gossip.
+// digestMessage is a message of a digest exchange. Its JSON is that of internal/gossip.
 type digestMessage struct {
 	Version uint64   `json:"seen"` // digest of its version vector
 	Entries uint64   `json:"sum"`  // digest of its entries
@@ -99,15 +99,16 @@
 	return digestMessage{Version: m.replica.Version().Digest(), Entries: m.replica.Digest()}
 }
 
-// equals reports whether two members have the same version vector and entries.
+// equals reports whether both members have the same version vector and entries.
 func (d digestMessage) equals(other digestMessage) bool {
 	return d.Version == other.Version && d.Entries == other.Entries
 }
 
-// syncWith begins a digest exchange, in which a member takes all that the other has and it lacks.
+// syncWith begins a digest exchange, in which a member fetches the entries that its peer has and it lacks.
 func (w *replicationWorld) syncWith(m, peer *replicaMember) { w.exchangeDigests(m, peer, false) }
 
-// exchangeDigests is syncWith, again after a pull or not. While an exchange with the other member is under way it does nothing.
+// exchangeDigests exchanges digests with a peer; afterPull is set if a pull preceded it. It does nothing while an exchange with the peer
+// is in progress.
 func (w *replicationWorld) exchangeDigests(m, peer *replicaMember, afterPull bool) {
 	if m.syncing[peer.index] {
 		return
@@ -131,7 +132,7 @@
 	})
 }
 
-// answerDigest returns peer's answer to m's digests. Where they differ, peer begins an exchange in the other direction.
+// answerDigest returns peer's reply to m's digests. If they differ, peer begins an exchange in the opposite direction.
 func (w *replicationWorld) answerDigest(m, peer *replicaMember, theirs digestMessage) digestMessage {
 	own := peer.digestMessage()
 	peer.firstContact = cmp.Or(peer.firstContact, w.now)
@@ -149,7 +150,8 @@
 // finishSync allows the next exchange with a member.
 func (m *replicaMember) finishSync(peer *replicaMember) { delete(m.syncing, peer.index) }
 
-// discardRemoved has a member drop what another one with the same version vector has seen removed, by the digests of its buckets.
+// discardRemoved makes a member drop the entries that a peer with the same version vector has seen removed. buckets are the peer's bucket
+// digests.
 func (w *replicationWorld) discardRemoved(m, peer *replicaMember, buckets []uint64) {
 	dots := m.replica.DotsInBuckets(m.replica.DifferingBuckets(buckets))
 	version := m.replica.Version().Digest()
--- a/internal/testbed/simulation/replication_pull.go
+++ b/internal/testbed/simulation/replication_pull.go
@@ -6,14 +6,14 @@
 	"birchfork/internal/replication"
 )
 
-// pullRequest asks for the next chunk of what a replica has and the reader's version does not contain. Its JSON is only counted.
+// pullRequest asks for the next chunk of the entries that the reader's version does not contain. Its JSON is used only to count bytes.
 type pullRequest struct {
 	Version replication.VersionVector `json:"Seen"`
 	Cursor  replication.Cursor        `json:"From"`
 }
 
-// pull has a member pull from another one, chunk by chunk. After the last chunk it exchanges digests once more, unless the pull came of
-// such an exchange.
+// pull makes a member pull from a peer chunk by chunk. After the last chunk it exchanges digests once more, unless the pull resulted from
+// such a second exchange.
 func (w *replicationWorld) pull(m, peer *replicaMember, afterPull bool) {
 	progress := m.pulls[peer.index]
 	if progress == nil {
@@ -51,7 +51,8 @@
 	})
 }
 
-// answerPull returns the next chunk, or nil while the member has started so recently that it may lack what others have seen removed.
+// answerPull returns the next chunk. It returns nil shortly after the member's start, when the member may not know of removals that others
+// have seen.
 func (w *replicationWorld) answerPull(m *replicaMember, request pullRequest) any {
 	caughtUp := len(m.caughtUpWith) >= min(2, len(w.members)-1)
 	waited := m.firstContact != 0 && w.now >= m.firstContact+startDelay
@@ -61,7 +62,7 @@
 	return m.replica.NextChunk(request.Version, request.Cursor, maxChunkEntries)
 }
 
-// checkMerged checks that a member has merged no override that all replicas had forgotten and that was not written since.
+// checkMerged checks that a member has merged no override that all replicas had forgotten and that was not rewritten since.
 func (w *replicationWorld) checkMerged(m, sender *replicaMember, changed []replication.Key) {
 	for _, key := range changed {
 		forgottenAt, forgotten := w.forgottenAt[key.Name]
@@ -71,9 +72,9 @@
 	}
 }
 
-// isResurrected reports whether a member has merged an override that disables a worker although the sender could have learned that it
-// was replaced: from a member that has seen that and has been running and in reach since before the sender's process began. Where there
-// is none, the entries of an outdated disk count.
+// isResurrected reports whether a member has merged an override that disables a worker although the sender could have learned that the
+// override was replaced. The sender could have learned it from a member that has seen the replacement and has been running and reachable
+// since before the sender's process started. If there is no such member, the entries of an outdated disk are valid.
 func (w *replicationWorld) isResurrected(m, sender *replicaMember, worker string) bool {
 	entries := m.replica.Get(replication.KindOverride, worker)
 	if !replication.IsDisabled(entries) {
--- a/internal/testbed/simulation/replication_test.go
+++ b/internal/testbed/simulation/replication_test.go
@@ -7,8 +7,8 @@
 	"birchfork/internal/failpoint"
 )
 
-// TestReplication_Converges verifies that replicas become equal after partitions, lost and outdated disks, that no forgotten override
-// comes back, and that the same seed gives the same history.
+// TestReplication_Converges verifies that replicas become equal after partitions, lost disks and outdated disks, that no forgotten override
+// reappears, and that the same seed gives the same history.
 func TestReplication_Converges(t *testing.T) {
 	for seed := range uint64(20) {
 		options := ReplicationOptions{Seed: seed, Members: 3 + int(seed%5), Overrides: 30, Workers: 6, WriteFor: 20 * time.Second, Faults: 10}
@@ -17,12 +17,12 @@
 			t.Errorf("%+v: %v", options, result.Violations)
 		}
 		if again := SimulateReplication(options); again.Digest != result.Digest || again.Messages != result.Messages {
-			t.Errorf("%+v: another history with the same seed", options)
+			t.Errorf("%+v: the same seed gave another history", options)
 		}
 	}
 }
 
-// TestReplication_CatchesResurrection verifies that a violation is found where replicas take entries again that they have seen removed.
+// TestReplication_CatchesResurrection verifies that the checks find a violation if replicas accept entries that they have seen removed.
 func TestReplication_CatchesResurrection(t *testing.T) {
 	failpoint.Set(failpoint.ResurrectEntries)
 	defer failpoint.Set("")
@@ -33,10 +33,10 @@
 			return
 		}
 	}
-	t.Error("not seen in 60 histories")
+	t.Error("no violation in 60 histories")
 }
 
-// TestReplication_LargeGroups verifies that an override reaches 300 members, and 10,000 overrides reach members without any, within 10 s.
+// TestReplication_LargeGroups verifies that one override reaches 300 members, and 10,000 overrides reach members without any, within 10 s.
 func TestReplication_LargeGroups(t *testing.T) {
 	for _, options := range []ReplicationOptions{
 		{Seed: 1, Members: 300, Overrides: 1},
--- a/internal/testbed/simulation/report.go
+++ b/internal/testbed/simulation/report.go
@@ -11,10 +11,10 @@
 	"birchfork/internal/maintenance"
 )
 
-// longLeaseFactor is by how many times its duration the mutant LongLease extends a lease.
+// longLeaseFactor is the number of lease durations by which the mutant LongLease extends a lease.
 const longLeaseFactor = 20
 
-// statusReport returns the member's report on itself.
+// statusReport returns the report of the member's own status.
 func (m *member) statusReport() maintenance.MemberReport {
 	report := maintenance.MemberReport{
 		Incarnation: m.incarnation,
@@ -30,8 +30,8 @@
 	return report
 }
 
-// sendReport reports to the leader, which grants a lease for it, or adds the member to the group. Where several members take themselves
-// for the leader, any of them gets the report.
+// sendReport sends a report to the leader, which grants a lease or adds the member to the group. If several members consider themselves the
+// leader, any of them may receive the report.
 func (m *member) sendReport() {
 	w := m.world
 	request := &leaseRequest{sender: m, report: m.statusReport(), sentAt: m.clock()}
@@ -48,7 +48,7 @@
 	}
 }
 
-// call calls f at once if it is for the caller itself, else when its message arrives.
+// call calls f at once if both members are the same, and otherwise when the message arrives.
 func (w *world) call(from, to *member, f func()) {
 	if from.index == to.index {
 		f()
@@ -57,14 +57,14 @@
 	w.send(envelope{from: from.index, to: to.index, call: f})
 }
 
-// leaseRequest is a member's report on its way to the leader and back.
+// leaseRequest is the exchange in which a member sends a report to the leader and receives a lease.
 type leaseRequest struct {
 	sender, leader *member
 	report         maintenance.MemberReport
 	sentAt         time.Duration // on the sender's clock
 }
 
-// receive handles the report at the leader, once a quorum has confirmed that it leads.
+// receive handles the report at the leader. It continues with grant once a quorum has confirmed the leader.
 func (r *leaseRequest) receive() {
 	if r.leader.world.options.Mutant == LeaseWithoutQuorum {
 		r.grant(0, nil)
@@ -73,7 +73,7 @@
 	r.leader.withCore(func(core *consensus.Core) { core.ReadIndex(r.grant) })
 }
 
-// grant grants the lease if the leader has applied the index of its read. A member that the group does not know is added instead.
+// grant grants the lease if the leader has applied the entries up to readIndex. A member that the group does not know is added instead.
 func (r *leaseRequest) grant(readIndex uint64, err error) {
 	leader, sender := r.leader, r.sender
 	if err != nil || leader.core == nil || leader.core.Status().Applied < readIndex {
@@ -91,7 +91,7 @@
 	leader.world.call(leader, sender, func() { r.receiveGrant(index) })
 }
 
-// receiveGrant takes the lease at the sender. It is not valid before the sender has applied what the leader had applied.
+// receiveGrant starts the lease at the sender. The lease is ignored if the sender has not applied all entries that the leader had applied.
 func (r *leaseRequest) receiveGrant(index uint64) {
 	m := r.sender
 	if m.incarnation != r.report.Incarnation || m.core == nil || m.state.AppliedIndex < index {
@@ -107,7 +107,7 @@
 	}
 }
 
-// addMember proposes to add a member to the group as a learner. A proposal that is dropped is repeated at the member's next report.
+// addMember proposes to add a member to the group as a learner. A dropped proposal is repeated with the member's next report.
 func (m *member) addMember(added *member) {
 	command, err := json.Marshal(maintenance.Command{Kind: maintenance.CommandJoinMember, Member: &maintenance.Member{
 		Name:        added.name(),
--- a/internal/testbed/simulation/result.go
+++ b/internal/testbed/simulation/result.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// Result is the outcome of a history of Simulate.
+// Result is the outcome of a history simulated by Simulate.
 type Result struct {
-	Violations    []string // each with its time, the rule and the evidence; a history ends with the tick of its first one
+	Violations    []string // with time, rule and evidence; a history ends with the tick of the first violation
 	MachinesDone  int      // machines that the plan has finished
 	LeaderChanges int
 	Digest        uint64 // hash of all committed entries
-	Ticks         int    // length
+	Ticks         int    // length of the history
 	Times
-	Costs []Cost // by member, since the group was complete or, with a plan, since the plan was started
+	Costs []Cost // by member, since all members have joined or, with a plan, since the plan was started
 }
 
-// Times are points and spans of time on the world's clock. A point that was not reached is 0.
+// Times are times and durations on the world's clock. A time that was not reached is 0.
 type Times struct {
-	Bootstrapped time.Duration // all members have joined
-	Started      time.Duration // the plan is started
-	Drained      time.Duration // a machine is drained for the first time
-	Ended        time.Duration // the plan has ended
+	Bootstrapped time.Duration // when all members had joined
+	Started      time.Duration // when the plan was started
+	Drained      time.Duration // when a machine was first drained
+	Ended        time.Duration // when the plan had ended
 
 	Committed []time.Duration // from each proposal until the first member applied it
 	Applied   []time.Duration // from each proposal until all members had applied it
-	Elected   []time.Duration // from each fault of the leader (Fault.Member below 0) until another member leads
+	Elected   []time.Duration // from each fault of the leader (negative Fault.Member) until another member leads
 }
 
 // Cost is the raft traffic that one member sent, and the bytes that it proposed.
@@ -41,7 +41,7 @@
 	return fmt.Sprintf("seed %d: %s; %d machines done, %d leaders, digest %016x", seed, verdict, r.MachinesDone, r.LeaderChanges, r.Digest)
 }
 
-// violatedRule returns the rule that the history violates first; empty if it violates none.
+// violatedRule returns the first violated rule, or an empty string if there is none.
 func (r *Result) violatedRule() string {
 	if len(r.Violations) == 0 {
 		return ""
--- a/internal/testbed/simulation/simulation_test.go
+++ b/internal/testbed/simulation/simulation_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// mustSimulate simulates a history, of three members if the options say nothing else.
+// mustSimulate simulates a history. Without Members in the options the group has three members.
 func mustSimulate(t *testing.T, options Options) *Result {
 	t.Helper()
 	if options.Members == 0 {
@@ -18,8 +18,8 @@
 	return result
 }
 
-// TestSimulate_ViolatesNoRule verifies that groups of three and five members, and of five with three voters, violate no rule, and that most
-// machines get done.
+// TestSimulate_ViolatesNoRule verifies that groups of three members, of five, and of five with three voters violate no rule, and that
+// enough machines complete their maintenance.
 func TestSimulate_ViolatesNoRule(t *testing.T) {
 	done := 0
 	for seed := range uint64(12) {
@@ -37,7 +37,7 @@
 		}
 	}
 	if done < 100 {
-		t.Errorf("%d machines were done in 36 histories", done)
+		t.Errorf("%d machines done in 36 histories, want at least 100", done)
 	}
 }
 
@@ -51,7 +51,7 @@
 	}
 }
 
-// TestSimulate_CatchesMutants verifies that each mutant violates its rule, at a seed that is known to show it.
+// TestSimulate_CatchesMutants verifies that each mutant violates its rule with a seed that is known to expose it.
 func TestSimulate_CatchesMutants(t *testing.T) {
 	type mutantTest struct {
 		mutant        string
@@ -90,11 +90,11 @@
 		}
 	}
 	if len(Mutants) != len(tests) {
-		t.Errorf("%d mutants exist, %d are tested", len(Mutants), len(tests))
+		t.Errorf("got %d mutants, but %d are tested", len(Mutants), len(tests))
 	}
 }
 
-// checkMinimize checks that a history is minimized to less than a quarter of its faults, with the same rule violated.
+// checkMinimize checks that a history is minimized to less than a quarter of its faults and still violates the same rule.
 func checkMinimize(t *testing.T, options Options, result *Result) {
 	t.Helper()
 	minimal, minimalResult, err := Minimize(options)
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -17,26 +17,26 @@
 	options       Options
 	random        *rand.Rand
 	tick          int
-	now           time.Duration // of the present tick
+	now           time.Duration // start of the current tick
 	members       []*member
 	inFlight      []envelope
-	partitions    map[[2]int]int // by sender and receiver: the tick until which all messages are lost
+	partitions    map[[2]int]int // by sender and receiver: tick until which all messages are lost
 	pendingFaults []Fault
-	leader        int           // index of the member that became leader last; below 0: none has yet
-	leaderLostAt  time.Duration // time of a fault of the leader, until another one leads; 0: none
+	leader        int           // index of the member that became leader last; negative: none yet
+	leaderLostAt  time.Duration // time of a fault of the leader, reset when another member leads; 0: none
 
 	lastRaftID      uint64
-	indexesByRaftID map[uint64]int // members, in all their incarnations
+	indexesByRaftID map[uint64]int // member index by raft ID, for all incarnations
 
-	workerNames [][]workerName // of each machine's worker, the newest last
+	workerNames [][]workerName // by machine: names of its worker, the newest last
 	outages     []outage
-	attempts    []attempt // those that are running
+	attempts    []attempt // running attempts
 
-	maintenanceSince map[string]time.Duration // by machine: when operators learned that it is drained; they have it since
-	returned         map[string]bool          // machines on which operators have finished
+	maintenanceSince map[string]time.Duration // by machine: when operators learned that it is drained and began maintenance
+	returned         map[string]bool          // machines whose maintenance is finished
 
-	committed    map[uint64]string // entries by index, as the first member applied them
-	applications map[uint64]int    // by index: how many members have applied the entry
+	committed    map[uint64]string // by index: the entry that the first member applied
+	applications map[uint64]int    // by index: number of members that have applied the entry
 	proposedAt   map[string]time.Duration
 	drainChecked map[string]bool // machines whose drain has been checked against the budget
 
@@ -44,7 +44,7 @@
 	digest hash.Hash64 // of all committed entries
 }
 
-// newWorld returns a world before its first tick. The first member has bootstrapped the group.
+// newWorld returns a world before its first tick, with a group that the first member has bootstrapped.
 func newWorld(options Options) (*world, error) {
 	w := &world{
 		options:          options.withDefaults(),
@@ -79,7 +79,7 @@
 	return w, nil
 }
 
-// Simulate simulates one history, up to its first violation of a rule.
+// Simulate simulates one history up to its first violation.
 func Simulate(options Options) (*Result, error) {
 	w, err := newWorld(options)
 	if err != nil {
@@ -97,7 +97,7 @@
 	return w.result, nil
 }
 
-// advance simulates the present tick and goes on to the next.
+// advance simulates the current tick and moves on to the next.
 func (w *world) advance() {
 	w.now = time.Duration(w.tick) * tickInterval
 	w.injectFaults()
@@ -112,7 +112,7 @@
 	w.tick++
 }
 
-// countMachinesDone counts the machines that are done by the state of any member.
+// countMachinesDone counts the machines that are done according to any member's state.
 func (w *world) countMachinesDone() int {
 	count := 0
 	for i := range w.options.Machines {
@@ -128,13 +128,13 @@
 	return machine != nil && machine.Phase == maintenance.MachineDone
 }
 
-// violation records the violation of a rule, whose text begins with the rule and a colon.
+// violation records a violation. The format has to begin with the rule and a colon.
 func (w *world) violation(format string, arguments ...any) {
 	w.result.Violations = append(w.result.Violations, fmt.Sprintf("%.2fs ", w.now.Seconds())+fmt.Sprintf(format, arguments...))
 	w.trace("BROKEN "+format, arguments...)
 }
 
-// trace writes a line with the present time to the trace, if there is one.
+// trace writes a line with the current time to the trace, if there is one.
 func (w *world) trace(format string, arguments ...any) {
 	if w.options.Trace == nil {
 		return
