--- a/internal/testbed/cluster/execute.go
+++ b/internal/testbed/cluster/execute.go
@@ -23,8 +23,8 @@
 	statusInterval = 100 * time.Millisecond
 )
 
-// execute bootstraps the group and runs the operators and faults of the scenario alongside the testbed's load. It returns when all of them
-// are finished or ctx ends.
+// execute bootstraps the group and runs the operators and faults of the scenario alongside the testbed's load. It returns when they have
+// finished or ctx ends.
 func (h *harness) execute(ctx context.Context, environment *testbed.Environment) {
 	h.environment = environment
 	var group sync.WaitGroup
@@ -166,7 +166,7 @@
 	messages, bytes int64 // between members, without headers
 }
 
-// usage returns the usage of all members. Only the CPU time is counted of a member that does not reply.
+// usage returns the usage of all members. A member that does not reply contributes only its CPU time.
 func (h *harness) usage(ctx context.Context) (u usage) {
 	for member := range h.addresses {
 		u.cpu += h.environment.CPU(member)
--- a/internal/testbed/cluster/fault.go
+++ b/internal/testbed/cluster/fault.go
@@ -21,7 +21,7 @@
 	KillProcess           = "kill"   // kills the process and restarts it with its disk
 	CrashMachine          = "crash"  // like KillProcess; temporary files are lost, as when the machine goes down
 	LoseDisk              = "wipe"   // like CrashMachine, and the disk is empty
-	OutdatedDisk          = "old"    // kills the process at the end of the fault and restarts it with the disk from its beginning
+	OutdatedDisk          = "old"    // at its end, kills the process and restarts it with the disk as it was at the beginning
 	OutdatedDiskElsewhere = "put"    // like OutdatedDisk, on another machine: temporary files are lost too
 	ForeignDisk           = "alien"  // kills the process and restarts it with the overrides of the next member's disk
 	Terminate             = "term"   // shuts the process down gracefully and restarts it
--- a/internal/testbed/cluster/result.go
+++ b/internal/testbed/cluster/result.go
@@ -35,7 +35,7 @@
 	UncommittedCalls   int                 `json:"Unclear"` // calls whose reply left open whether they were committed
 	Bytes              int64               `json:"Bytes"`   // over all links between members, including headers
 	FirstRelease       time.Duration       `json:"First"`   // from the origin until the first machine was drained
-	Silence            time.Duration       `json:"Silence"` // the longest time without a confirmed answer
+	Silence            time.Duration       `json:"Silence"` // longest time without a confirmed reply
 	Faults             []Fault             `json:"Faults"`
 	Convergence        []time.Duration     `json:"Reached"` // by disabling override: from its acknowledgement until the last member had it
 	CPU                time.Duration       `json:"CPU"`     // of all members from the origin to the end; valid if none was restarted
--- a/internal/testbed/cluster/workerinvariants.go
+++ b/internal/testbed/cluster/workerinvariants.go
@@ -20,8 +20,8 @@
 	minUseShare   = 0.25 // of the mean number of requests per worker
 )
 
-// endpointViolations returns the attempts at a worker after another member learned that it drains and all members must have learned it
-// from that one. The caller holds the lock.
+// endpointViolations returns the attempts at a draining worker that began after the other members must have learned its state from the
+// member that discovery reported it to. The caller holds the lock.
 func (h *harness) endpointViolations(s *testbed.Environment) (out []invariant.Violation) {
 	for _, d := range s.Ledger().Deliveries() {
 		if d.State != invariant.Draining || d.Written == 0 {
@@ -70,7 +70,8 @@
 	return out
 }
 
-// firstSecondFailure returns when the first member had seen two requests fail at the first worker since from; to if none had before.
+// firstSecondFailure returns the earliest time at which a member had seen two requests fail at the first worker since from, or to if
+// none had.
 func firstSecondFailure(attempts []*invariant.Attempt, from, to time.Duration) time.Duration {
 	failures, first := map[int]int{}, to
 	for _, a := range attempts {
