--- a/internal/testbed/simulation/attempts.go
+++ b/internal/testbed/simulation/attempts.go
@@ -9,7 +9,7 @@
 // attemptsPerTick is the number of machines that a member considers as targets of attempts in a tick.
 const attemptsPerTick = 2
 
-// attempt is an attempt that runs on a machine.
+// attempt is a running attempt of a request on a machine.
 type attempt struct {
 	machine int
 	worker  string // name according to the member's endpoint list
--- a/internal/testbed/simulation/leader.go
+++ b/internal/testbed/simulation/leader.go
@@ -14,8 +14,8 @@
 // fenceTimeout is the time, on another member's clock, after which a silent member has neither a lease nor running attempts.
 const fenceTimeout = (leaseDuration + maxAttemptDuration) * (driftDivisor + 1) / driftDivisor
 
-// timeFactor is the factor by which the mutant CountsTimeTwice multiplies the elapsed time.
-const timeFactor = 4
+// elapsedFactor is the factor by which the mutant CountsTimeTwice multiplies the elapsed time.
+const elapsedFactor = 4
 
 // recordLeader records that a member is the leader if the leader has changed.
 func (w *world) recordLeader(m *member, term uint64) {
@@ -53,7 +53,7 @@
 	case FewReports:
 		proposal.FenceTimeout = 1
 	case CountsTimeTwice:
-		proposal.Elapsed *= timeFactor
+		proposal.Elapsed *= elapsedFactor
 	}
 	proposal = m.state.Compact(proposal)
 	if m.state.WouldChange(proposal) {
