--- a/internal/testbed/cluster/fault.go
+++ b/internal/testbed/cluster/fault.go
@@ -9,8 +9,8 @@
 // The kinds of faults.
 const (
 	Partition             = "cut"    // blocks all traffic between the member and the others
-	DropInbound           = "deaf"   // drops messages to the member; its own messages arrive
-	DropOutbound          = "mute"   // drops messages from the member
+	DropInbound           = "deaf"   // blocks messages to the member; its own messages arrive
+	DropOutbound          = "mute"   // blocks messages from the member; messages to it arrive
 	PartitionFromLeader   = "apart"  // blocks only traffic between the member and the current leader
 	FlappingPartition     = "flap"   // like Partition, for 300 ms out of every 600 ms
 	ResetLinks            = "reset"  // resets the member's links
@@ -28,7 +28,7 @@
 	Upgrade               = "renew"  // hot restart: a sibling process starts and takes over
 	SplitInTwo            = "halves" // splits the group into even-numbered and odd-numbered members
 	SplitInThree          = "thirds" // splits the group into three parts by member number modulo three
-	RingTopology          = "ring"   // each member reaches only its two neighbors by number
+	RingTopology          = "ring"   // each member reaches only the one before it and the one after it
 	LoseWorkers           = "far"    // blocks traffic between the member and the workers
 	LoseDiscovery         = "unlist" // blocks traffic between the member and discovery
 	FailForMember         = "spoilt" // all requests of the member, and only those, fail at the first worker
@@ -38,7 +38,7 @@
 	WorkerHang            = "hang"   // requests at a worker do not end by themselves
 )
 
-// FaultKinds are all kinds of faults, in the order in which random faults are drawn from them.
+// FaultKinds lists all kinds of faults. Random faults are drawn by position, so that the order determines them for a seed.
 var FaultKinds = []string{
 	Partition, DropInbound, DropOutbound, PartitionFromLeader, FlappingPartition,
 	ResetLinks, DelayLinks, LimitBandwidth, BreakLinks,
--- a/internal/testbed/cluster/formgroup.go
+++ b/internal/testbed/cluster/formgroup.go
@@ -48,7 +48,7 @@
 	return remove, nil
 }
 
-// groupConfig returns the operator's configuration that all members at the given addresses share.
+// groupConfig returns the operator configuration that all members at the given addresses share.
 func groupConfig(addresses []string) string {
 	var b strings.Builder
 	b.WriteString("[group]\nname = \"lab\"\n")
--- a/internal/testbed/cluster/inject.go
+++ b/internal/testbed/cluster/inject.go
@@ -21,7 +21,7 @@
 	diskLossInterval = 12 * time.Second
 
 	// confirmDiskAfter is how long operators wait for a member that cannot tell whether its disk is its most recent one. If another
-	// disk is lost too, the remaining one of three voters cannot tell it either.
+	// disk is lost too, too few of three voters remain to tell.
 	confirmDiskAfter = 8 * time.Second
 
 	// confirmDiskInterval is the interval between calls that confirm a disk.
@@ -220,7 +220,7 @@
 	fleet.Up(f.Member)
 }
 
-// hangWorker keeps a worker's requests from ending.
+// hangWorker keeps the requests at a worker from ending for the fault's duration.
 func (h *harness) hangWorker(ctx context.Context, f Fault) {
 	worker := h.environment.Fleet().Workers[f.Member]
 	worker.Hang(true)
--- a/internal/testbed/cluster/invariants.go
+++ b/internal/testbed/cluster/invariants.go
@@ -17,7 +17,7 @@
 	DrainRule    = "clear"   // no request starts or runs on a machine from the reply that it is drained until it is returned
 	BudgetRule   = "budget"  // no more machines are in maintenance or warming up than the plan allows
 	OrderRule    = "order"   // all replies are consistent with a single history
-	ProgressRule = "goes on" // the plan has ended when the run ends
+	ProgressRule = "goes on" // when the run ends, the plan has ended and the joining member is in the group
 	OutlierRule  = "warned"  // a worker that fails for all members gets no non-idempotent requests after two failures
 	EndpointRule = "listed"  // a member that lost discovery sends nothing to a worker that others know to be draining
 	UseRule      = "use"     // a worker that fails for only one member stays in use by the others
@@ -194,7 +194,7 @@
 		for _, earlier := range statuses {
 			bothConfirmed := s.status.Confirmed && earlier.status.Confirmed
 			if bothConfirmed && earlier.receivedAt < s.requestedAt && earlier.status.AppliedIndex > s.status.AppliedIndex {
-				return []invariant.Violation{orderViolation("undone", s, fmt.Sprintf("entry %d was committed by %.3fs; the reply to a call at %.3fs had applied only %d",
+				return []invariant.Violation{orderViolation("undone", s, fmt.Sprintf("entry %d was committed by %.3fs; the reply to a call at %.3fs reports only entry %d as applied",
 					earlier.status.AppliedIndex, earlier.receivedAt.Seconds(), s.requestedAt.Seconds(), s.status.AppliedIndex))}
 			}
 		}
--- a/internal/testbed/cluster/link.go
+++ b/internal/testbed/cluster/link.go
@@ -9,12 +9,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// link forwards connections from one member to another. A fault applies to one or both directions of each connection. Bytes that a fault
-// blocked are delivered when it ends, even if the sender has closed the connection meanwhile, as a kernel does, but not if the sender has
-// reset it. Retransmission time-outs of the kernel are not simulated. It is safe for concurrent use.
+// link forwards connections from a member to a target: another member, a worker or discovery. A fault applies to one or both directions
+// of each connection. Bytes that a fault blocked are delivered when it ends, even if the sender has closed the connection meanwhile, as a
+// kernel does, but not if the sender has reset it. Retransmission time-outs of the kernel are not simulated. A link is safe for concurrent
+// use.
 type link struct {
 	listener net.Listener
-	target   string // address of the target member
+	target   string // address
 
 	mu      sync.Mutex
 	fault   linkFault
@@ -26,7 +27,7 @@
 
 // linkFault is the fault of a link. The zero value is no fault.
 type linkFault struct {
-	blockForward    bool          // blocks traffic to the target member
+	blockForward    bool          // blocks traffic to the target
 	blockBackward   bool          // blocks traffic to the connecting member
 	reset           bool          // existing and new connections are reset
 	delay           time.Duration // delay of each chunk
@@ -40,7 +41,7 @@
 	f.blockBackward = f.blockBackward || on
 }
 
-// forwardBlocked reports whether the fault blocks the direction to the target member.
+// forwardBlocked reports whether the fault blocks the direction to the target.
 func (f linkFault) forwardBlocked() bool { return f.blockForward }
 
 // backwardBlocked reports whether the fault blocks the direction to the connecting member.
--- a/internal/testbed/cluster/linkfaults.go
+++ b/internal/testbed/cluster/linkfaults.go
@@ -5,7 +5,7 @@
 // The effects of faults that degrade links.
 const (
 	extraDelay      = 300 * time.Millisecond
-	limitedRate     = 2000 // bytes a second
+	limitedRate     = 2000 // bytes per second
 	bytesUntilBreak = 700
 )
 
--- a/internal/testbed/cluster/members.go
+++ b/internal/testbed/cluster/members.go
@@ -21,7 +21,7 @@
 	olderBuildFor     = 3 * time.Second // how long the member runs the older build
 	joinsAfter        = 3 * time.Second // by then the plan is running
 	reconfiguredAfter = 500 * time.Millisecond
-	deadlineDivisor   = 8 // initial deadlines make a lease plus the wait for attempts shorter than an attempt with the full deadline
+	deadlineDivisor   = 8 // divides the initial deadlines, so that a lease plus the wait for attempts is shorter than an attempt with the full deadline
 )
 
 // The numbers of voters.
@@ -129,7 +129,7 @@
 	})
 }
 
-// replaceOlderBuild restarts the member that runs an older build with the current build, after it has run for olderBuildFor.
+// replaceOlderBuild restarts the member that runs an older build after olderBuildFor. The member then runs the current build.
 func (h *harness) replaceOlderBuild(ctx context.Context) {
 	sleep(ctx, olderBuildFor)
 	h.environment.Terminate(ctx, h.options.OlderBuild)
@@ -184,7 +184,7 @@
 				return o.link.address()
 			}
 		}
-		host, _, splitErr := net.SplitHostPort(address) // the target of the link is identified by its host
+		host, _, splitErr := net.SplitHostPort(address) // the link listens on the same host, because the target is identified by its host
 		l, linkErr := newLink(host, address)
 		if err := errors.Join(splitErr, linkErr); err != nil {
 			h.result.LastStatus = err.Error()
--- a/internal/testbed/cluster/operator.go
+++ b/internal/testbed/cluster/operator.go
@@ -20,7 +20,7 @@
 // firstPlanName is the name of the first plan. The names of the others are this name with a number.
 const firstPlanName = "work"
 
-// uncommittedPrefix is the beginning of the reply's text if it is open whether the call was committed.
+// uncommittedPrefix begins the text of a reply that leaves open whether the call was committed.
 const uncommittedPrefix = "no member has settled"
 
 // planName returns the name of a plan by its number.
@@ -187,7 +187,7 @@
 	if !h.callUntilOK(ctx, &maintenance.Command{Kind: maintenance.CommandResumePlan, Name: firstPlanName}) {
 		return
 	}
-	pause.ID = id // a rejected call has cleared it
+	pause.ID = id // callUntilOK has cleared it if a call was rejected
 	h.callUntilOK(ctx, pause)
 }
 
--- a/internal/testbed/cluster/overrideinvariants.go
+++ b/internal/testbed/cluster/overrideinvariants.go
@@ -20,8 +20,8 @@
 const convergeWithin = 4 * time.Second
 
 // overrideViolation returns a violation of OverrideRule.
-func overrideViolation(kind string, at time.Duration, who int, format string, v ...any) invariant.Violation {
-	return invariant.Violation{Rule: OverrideRule, Kind: kind, At: at, Dispatcher: who, Lines: []string{fmt.Sprintf(format, v...)}}
+func overrideViolation(kind string, at time.Duration, member int, format string, v ...any) invariant.Violation {
+	return invariant.Violation{Rule: OverrideRule, Kind: kind, At: at, Dispatcher: member, Lines: []string{fmt.Sprintf(format, v...)}}
 }
 
 // overrideViolations checks overrides against the requests that workers received and against the last replies of members. The caller
@@ -56,11 +56,11 @@
 		switch {
 		case a.Dispatcher == o.Member && a.Last > o.acknowledgedAt+s.Slack():
 			out = append(out, overrideViolation("said here", a.Last, a.Dispatcher,
-				"%s was disabled from %.3fs by an override at this dispatcher; the last byte of a request arrived there at %.3fs",
+				"%s was disabled from %.3fs by an override at this dispatcher; the last byte of a request arrived at the worker at %.3fs",
 				o.name, o.acknowledgedAt.Seconds(), a.Last.Seconds()))
 		case a.Last > everywhereAt:
 			out = append(out, overrideViolation("said elsewhere", a.Last, a.Dispatcher,
-				"%s was disabled from %.3fs by an override at dispatcher %d; the last byte of a request arrived there at %.3fs",
+				"%s was disabled from %.3fs by an override at dispatcher %d; the last byte of a request arrived at the worker at %.3fs",
 				o.name, o.acknowledgedAt.Seconds(), o.Member, a.Last.Seconds()))
 		}
 	}
@@ -90,25 +90,26 @@
 	}
 	losable := h.workersWithLosableOverrides()
 	for member := range h.addresses {
-		answer, ok := h.overrideReplies[member]
-		if !ok || answer.requestedAt < convergedAt {
+		latest, ok := h.overrideReplies[member]
+		if !ok || latest.requestedAt < convergedAt {
 			out = append(out, overrideViolation("no answer", convergedAt, member,
 				"it did not report its overrides after %.3fs", convergedAt.Seconds()))
 			continue
 		}
-		if first := h.overrideReplies[0].reply; first != nil && answer.reply.Digest != first.Digest {
-			out = append(out, overrideViolation("not one", answer.requestedAt, member,
-				"its overrides are %s, those of dispatcher 0 are %s", describeOverrides(answer.reply), describeOverrides(first)))
+		if first := h.overrideReplies[0].reply; first != nil && latest.reply.Digest != first.Digest {
+			out = append(out, overrideViolation("not one", latest.requestedAt, member,
+				"its overrides are %s, those of dispatcher 0 are %s", describeOverrides(latest.reply), describeOverrides(first)))
 		}
 		for worker := range s.Day().Workers {
 			last, isCertain := h.lastOverride(worker)
 			if last == nil || !isCertain || losable[worker] {
 				continue
 			}
-			isDisabled := slices.ContainsFunc(answer.reply.Overrides, func(o gossip.OverrideStatus) bool { return o.Worker == last.name && o.Disabled })
+			isDisabled := slices.ContainsFunc(latest.reply.Overrides, func(o gossip.OverrideStatus) bool { return o.Worker == last.name && o.Disabled })
 			if isDisabled != last.Disabled {
-				out = append(out, overrideViolation("not the last", answer.requestedAt, member,
-					"%s: the last override has disabled=%t and was written at dispatcher %d; the overrides of this member are %s", last.name, last.Disabled, last.Member, describeOverrides(answer.reply)))
+				out = append(out, overrideViolation("not the last", latest.requestedAt, member,
+					"%s: the last override has disabled=%t and was written at dispatcher %d; the overrides of this dispatcher are %s",
+					last.name, last.Disabled, last.Member, describeOverrides(latest.reply)))
 			}
 		}
 	}
@@ -117,11 +118,11 @@
 
 // convergedAt returns when all members must have all overrides. The caller holds the lock.
 func (h *harness) convergedAt() time.Duration {
-	quiet := h.faultFreeFrom(0)
+	faultFreeAt := h.faultFreeFrom(0)
 	for _, o := range h.writtenOverrides {
-		quiet = max(quiet, h.faultFreeFrom(o.acknowledgedAt))
+		faultFreeAt = max(faultFreeAt, h.faultFreeFrom(o.acknowledgedAt))
 	}
-	return quiet + convergeWithin
+	return faultFreeAt + convergeWithin
 }
 
 // workersWithLosableOverrides returns the workers with an override that may have been lost. The caller holds the lock.
--- a/internal/testbed/cluster/overrides.go
+++ b/internal/testbed/cluster/overrides.go
@@ -36,11 +36,11 @@
 	// convergenceInterval is the interval between polls of a member's overrides, and so the resolution of the convergence time.
 	convergenceInterval = 20 * time.Millisecond
 
-	// stormConvergenceInterval is the polling interval in scenarios with random faults, many of which run in parallel.
-	stormConvergenceInterval = 200 * time.Millisecond
+	// coarseConvergenceInterval is the polling interval in scenarios with random faults, because many of these scenarios run in parallel.
+	coarseConvergenceInterval = 200 * time.Millisecond
 )
 
-// startOverrides starts goroutines of group that write and poll overrides, if the scenario has any.
+// startOverrides starts goroutines in group that write and poll overrides, if the scenario has any.
 func (h *harness) startOverrides(ctx context.Context, group *sync.WaitGroup) {
 	if len(h.options.Overrides) == 0 {
 		return
@@ -92,7 +92,7 @@
 func (h *harness) pollOverrides(ctx context.Context, member int) {
 	interval := convergenceInterval
 	if h.options.RandomFaults > 0 {
-		interval = stormConvergenceInterval
+		interval = coarseConvergenceInterval
 	}
 	for ; ctx.Err() == nil; sleep(ctx, interval) {
 		requestedAt := h.environment.Ledger().Now()
--- a/internal/testbed/cluster/result.go
+++ b/internal/testbed/cluster/result.go
@@ -30,14 +30,14 @@
 	MaintenanceWindows []MaintenanceWindow `json:"Works"`
 	Origin             time.Duration       `json:"Origin"`  // when all members had joined and the plan was running; faults count from here
 	Ended              time.Duration       `json:"Ended"`   // when the plan was first observed as ended; 0: never
-	LastStatus         string              `json:"Last"`    // last observed state of the plan
+	LastStatus         string              `json:"Last"`    // last observed state of the plan, or an error of the run
 	Calls              int                 `json:"Calls"`   // calls of operators
 	UncommittedCalls   int                 `json:"Unclear"` // calls whose reply left open whether they were committed
 	Bytes              int64               `json:"Bytes"`   // over all links between members, including headers
 	FirstRelease       time.Duration       `json:"First"`   // from the origin until the first machine was drained
 	Silence            time.Duration       `json:"Silence"` // longest time without a confirmed reply
 	Faults             []Fault             `json:"Faults"`
-	Convergence        []time.Duration     `json:"Reached"` // by disabling override: from its acknowledgement until the last member had it
+	Convergence        []time.Duration     `json:"Reached"` // for each disabling override: from its acknowledgement until the last member had it
 	CPU                time.Duration       `json:"CPU"`     // of all members from the origin to the end; valid if none was restarted
 	Messages           int64               `json:"Passed"`  // messages between members in the same period
 	MessageBytes       int64               `json:"Carried"` // bytes of these messages, without headers
@@ -57,7 +57,7 @@
 
 // Line returns the result of a run with the given seed as one human-readable line.
 func (r *Result) Line(seed uint64) string {
-	return fmt.Sprintf("seed %d: %s; %s%d machines, first one after %.1f s, plan through after %.1f s, %.1f s without a settled answer, %d calls (%d open), goodput %.3f, %.0f kB, %.1f MB; %s",
+	return fmt.Sprintf("seed %d: %s; %s%d machines maintained, the first after %.1f s; plan ended after %.1f s; at most %.1f s without a confirmed reply; %d calls, %d with unknown outcome; goodput %.3f; %.0f kB between members; peak RSS %.1f MB; %s",
 		seed, r.verdict(), r.convergenceText(), len(r.MaintenanceWindows), r.FirstRelease.Seconds(), max(r.Ended-r.Origin, 0).Seconds(), r.Silence.Seconds(),
 		r.Calls, r.UncommittedCalls, r.Report.Goodput, float64(r.Bytes)/1000, r.Report.RSSPeakMB, r.timetable())
 }
@@ -84,7 +84,7 @@
 	}
 	sorted := slices.Sorted(slices.Values(r.Convergence))
 	median, longest := sorted[len(sorted)/2], sorted[len(sorted)-1]
-	return fmt.Sprintf("words at all members after %.2f s, the last after %.2f s, ", median.Seconds(), longest.Seconds())
+	return fmt.Sprintf("overrides at all members after %.2f s (median), %.2f s (maximum); ", median.Seconds(), longest.Seconds())
 }
 
 // timetable formats the faults in order of their start times.
@@ -93,11 +93,11 @@
 	slices.SortFunc(faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	texts := make([]string, 0, len(faults))
 	for _, f := range faults {
-		who := memberName(f.Member)
+		target := memberName(f.Member)
 		if f.Member < 0 {
-			who = "the leader"
+			target = "the leader"
 		}
-		texts = append(texts, fmt.Sprintf("%s %s %.1f-%.1f", f.Kind, who, f.At.Seconds(), (f.At+f.For).Seconds()))
+		texts = append(texts, fmt.Sprintf("%s %s %.1f-%.1f", f.Kind, target, f.At.Seconds(), (f.At+f.For).Seconds()))
 	}
 	return strings.Join(texts, ", ")
 }
--- a/internal/testbed/cluster/run.go
+++ b/internal/testbed/cluster/run.go
@@ -53,7 +53,7 @@
 	linkFaults         []Fault               // active faults of links
 	workerOutages      []workerOutage
 	faultyMembers      map[int]bool  // members with a process fault
-	lastDiskLoss       time.Duration // when a disk was last lost, on the ledger's clock; 0: never
+	lastDiskLoss       time.Duration // when a disk was or will be lost last, on the ledger's clock; 0: never
 }
 
 // workerOutage is a period in which a worker was down or disabled, on the ledger's clock; until is 0 if it did not end.
@@ -226,7 +226,7 @@
 	}
 }
 
-// recordStatus records the last observed state of the plan, or the error that blocks it.
+// recordStatus records the last observed state of the plan, or an error of the run.
 func (h *harness) recordStatus(last string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/testbed/cluster/run_test.go
+++ b/internal/testbed/cluster/run_test.go
@@ -20,7 +20,7 @@
 	// memberEnv is the environment variable that makes this test binary run as a member with the failpoint that is its value.
 	memberEnv = "GROUPS_TEST_MEMBER"
 
-	// logsEnv is the environment variable with a directory for the members' debug logs, for the analysis of failures.
+	// logsEnv is the environment variable that names a directory for the members' debug logs, for the analysis of failures.
 	logsEnv = "GROUPS_TEST_LOGS"
 
 	// noFailpoint is the value of memberEnv for a member without a failpoint.
@@ -28,7 +28,7 @@
 )
 
 const (
-	// maxLateRuns is how often a run is repeated because the test machine was overloaded.
+	// maxLateRuns is how often a run is repeated because the testbed itself ran late.
 	maxLateRuns = 2
 
 	// maxSeeds is how many seeds are tried until a failpoint causes a violation. That depends on chance, for example on which workers
@@ -77,8 +77,8 @@
 	return cmd
 }
 
-// TestScenarios runs every built-in scenario with real processes and faults. Without a failpoint no rule is violated and the plan ends.
-// A failpoint violates the rule that its scenario expects, and each failpoint has a scenario that detects it.
+// TestScenarios runs every built-in scenario with real processes and faults. A scenario that expects a violation enables a failpoint that
+// has to cause it; all other scenarios must violate no rule and end their plan. Each failpoint needs a scenario that detects it.
 func TestScenarios(t *testing.T) {
 	scenarios, err := Decode(shippedName, shipped)
 	if err != nil {
@@ -101,7 +101,7 @@
 	}
 }
 
-// runScenario runs a scenario. It repeats a run in which the test machine was overloaded, because such a run is inconclusive.
+// runScenario runs a scenario. It repeats a run in which the testbed itself ran late, because such a run is inconclusive.
 func runScenario(t *testing.T, s Scenario, seed uint64) *Result {
 	t.Helper()
 	run := func() *Result {
@@ -113,7 +113,7 @@
 	}
 	r := run()
 	for late := 0; r.Report.RanLate && late < maxLateRuns; late++ {
-		t.Log("the test machine was overloaded, repeating the run: " + r.Line(seed))
+		t.Log("the testbed ran late, repeating the run: " + r.Line(seed))
 		r = run()
 	}
 	t.Log(r.Line(seed))
@@ -128,7 +128,7 @@
 			return
 		}
 	}
-	t.Errorf("no run violated rule %q", s.ExpectedViolation)
+	t.Errorf("no run with seeds 1 to %d violated rule %q", maxSeeds, s.ExpectedViolation)
 }
 
 // checkNoViolations checks that a scenario violates no rule, that no member crashes and that the plan ends.
@@ -142,7 +142,7 @@
 		t.Errorf("%s", c)
 	}
 	if len(r.MaintenanceWindows) != s.Machines || s.Machines > 0 && r.Ended == 0 {
-		t.Errorf("maintained %d machines; last status of the plan: %s", len(r.MaintenanceWindows), r.LastStatus)
+		t.Errorf("%d machines maintained, want %d; plan ended at %v, last status: %s", len(r.MaintenanceWindows), s.Machines, r.Ended, r.LastStatus)
 	}
 }
 
--- a/internal/testbed/cluster/scenario.go
+++ b/internal/testbed/cluster/scenario.go
@@ -29,10 +29,10 @@
 	Plans             int           `toml:"plans"`     // plans to which the machines are assigned in turn; 0: one
 	WithoutPlan       bool          `toml:"by_hand"`   // operators use overrides at each member instead of a plan, and wait until all attempts must have ended
 	Reconfigured      bool          `toml:"retuned"`   // members start with an eighth of the deadlines and reload the full ones while the plan runs (SIGHUP)
-	OlderBuild        int           `toml:"older"`     // member that runs an older build until it is restarted before the plan starts; 0: none
+	OlderBuild        int           `toml:"older"`     // member that runs an older build at first and is restarted with the current one before the plan runs; 0: none
 	JoiningMember     int           `toml:"joins"`     // member that is down and missing from the others' files until the plan has run for a while; 0: none
-	RandomFaults      int           `toml:"storm"`     // number of additional random faults
-	RandomOverrides   int           `toml:"say"`       // number of additional random overrides
+	RandomFaults      int           `toml:"storm"`     // number of additional faults, drawn from the seed
+	RandomOverrides   int           `toml:"say"`       // number of additional overrides, drawn from the seed
 	FullDisk          int           `toml:"failing"`   // member whose disk rejects all writes after a while; 0: none
 	OldLists          bool          `toml:"old_lists"` // after each restart members begin with the endpoint list of the start of the run
 	NewerEntries      int           `toml:"newer"`     // member that runs a future build with kinds of entries that others do not know; 0: none
--- a/internal/testbed/cluster/summary.go
+++ b/internal/testbed/cluster/summary.go
@@ -41,8 +41,8 @@
 		return "no run"
 	}
 	seconds := func(milliseconds int64) float64 { return float64(milliseconds) / 1000 }
-	return fmt.Sprintf("%d runs, %d with a broken rule or a crash; %d machines worked on; %d plans through, median %.1f s, worst %.1f s; "+
-		"longest time without a settled answer: median %.1f s, worst %.1f s",
+	return fmt.Sprintf("%d runs, %d with a violated rule or a crash; %d machines maintained; %d plans ended, median %.1f s, maximum %.1f s; "+
+		"longest time without a confirmed reply: median %.1f s, maximum %.1f s",
 		s.Runs, s.Failed, s.Machines, s.took.TotalCount(), seconds(s.took.ValueAtQuantile(50)), seconds(s.took.Max()),
 		seconds(s.silence.ValueAtQuantile(50)), seconds(s.silence.Max()))
 }
--- a/internal/testbed/cluster/validate.go
+++ b/internal/testbed/cluster/validate.go
@@ -92,16 +92,16 @@
 	}
 }
 
-// validateFault checks a fault of the timetable, whose keys have a prefix.
+// validateFault checks a fault of the timetable; prefix precedes its keys in problems.
 func (s *Scenario) validateFault(f Fault, prefix string, problem problemFunc) {
 	if !slices.Contains(FaultKinds, f.Kind) {
 		problem(prefix+"kind", "unknown fault kind %q: must be one of %s", f.Kind, strings.Join(FaultKinds, ", "))
 	}
-	isOfWorker := f.isOneOf(workerFaults)
+	isWorkerFault := f.isOneOf(workerFaults)
 	switch {
-	case isOfWorker && (f.Member < 0 || f.Member >= workers):
+	case isWorkerFault && (f.Member < 0 || f.Member >= workers):
 		problem(prefix+"member", "unknown worker %d: must be between 0 and %d", f.Member, workers-1)
-	case !isOfWorker && (f.Member < -1 || f.Member >= max(s.Members, 1)):
+	case !isWorkerFault && (f.Member < -1 || f.Member >= max(s.Members, 1)):
 		problem(prefix+"member", "unknown member %d: must be between 0 and %d, or -1 for the leader", f.Member, max(s.Members, 1)-1)
 	}
 	if f.At < 0 || f.For < 0 {
@@ -109,7 +109,7 @@
 	}
 }
 
-// validateOverride checks an override of the timetable, whose keys have a prefix.
+// validateOverride checks an override of the timetable; prefix precedes its keys in problems.
 func (s *Scenario) validateOverride(o Override, prefix string, problem problemFunc) {
 	if o.Member < 0 || o.Member >= max(s.Members, 1) {
 		problem(prefix+"member", "unknown member %d: must be between 0 and %d", o.Member, max(s.Members, 1)-1)
--- a/internal/testbed/cluster/workerinvariants.go
+++ b/internal/testbed/cluster/workerinvariants.go
@@ -16,8 +16,8 @@
 // The share of requests that the other members must still send to a worker that fails for one member. After the first report of that
 // member they may probe the worker with single requests for some seconds.
 const (
-	useSettleTime = 3 * time.Second
-	minUseShare   = 0.25 // of the mean number of requests per worker
+	useSettleTime = 3 * time.Second // in which single probes are enough
+	minUseShare   = 0.25            // of the mean number of requests per worker
 )
 
 // endpointViolations returns the attempts at a draining worker that began after the other members must have learned its state from the
@@ -59,7 +59,7 @@
 	for _, t := range s.Ledger().Tries() {
 		classes[t.ID] = t.Class
 	}
-	secondFailure := firstSecondFailure(s.Ledger().Attempts(), from, to)
+	secondFailure := earliestSecondFailure(s.Ledger().Attempts(), from, to)
 	for _, a := range s.Ledger().Attempts() {
 		isLate := a.Worker == 0 && a.Last > secondFailure+outlierReportWithin && a.Last < to
 		if isLate && s.Day().Scenario.Classes[classes[a.ID]].Effect == scenario.Unsafe {
@@ -70,20 +70,20 @@
 	return out
 }
 
-// firstSecondFailure returns the earliest time at which a member had seen two requests fail at the first worker since from, or to if
+// earliestSecondFailure returns the earliest time at which a member had seen two requests fail at the first worker since from, or to if
 // none had.
-func firstSecondFailure(attempts []*invariant.Attempt, from, to time.Duration) time.Duration {
-	failures, first := map[int]int{}, to
+func earliestSecondFailure(attempts []*invariant.Attempt, from, to time.Duration) time.Duration {
+	failures, earliest := map[int]int{}, to
 	for _, a := range attempts {
 		if a.Worker != 0 || a.End != invariant.Errored || a.Ended < from {
 			continue
 		}
 		failures[a.Dispatcher]++
 		if failures[a.Dispatcher] >= 2 {
-			first = min(first, a.Ended)
+			earliest = min(earliest, a.Ended)
 		}
 	}
-	return first
+	return earliest
 }
 
 // useViolations returns the members that avoid the first worker although it fails only for another member.
