--- a/internal/testbed/mutant/dispatcher.go
+++ b/internal/testbed/mutant/dispatcher.go
@@ -74,8 +74,8 @@
 	endpoints *endpoints
 }
 
-// Run serves with a fault until SIGTERM; path is the path of the platform's configuration. It fails if the fault is unknown or if the
-// configuration or the listener fails.
+// Run serves with a fault until SIGTERM; path is the path of the platform's configuration. It returns an error if the fault is unknown,
+// the configuration cannot be read or the listener fails.
 func Run(path, fault string) error {
 	if _, err := Find(fault); err != nil {
 		return err
--- a/internal/testbed/mutant/mutant.go
+++ b/internal/testbed/mutant/mutant.go
@@ -37,21 +37,21 @@
 
 // Mutants lists all mutants. NoFault is the same dispatcher without a fault.
 var Mutants = []Mutant{
-	{NoFault, "keeps all rules", "", ""},
-	{UnsafeRetry, "sends a never-twice job again after a failure", invariant.Effects, invariant.SentAgain},
-	{RefusesWhatRan, "answers a failed never-twice job with a refusal", invariant.Effects, invariant.RefusedWhatMayHaveRun},
-	{ManyAttempts, "sends safe jobs again without end", invariant.Effects, invariant.TooManyAttempts},
-	{LateAnswers, "holds some answers until after the deadline", invariant.Answers, invariant.Late},
-	{LostRequests, "closes some connections with no answer", invariant.Answers, invariant.Lost},
-	{SilentRequests, "never answers some requests", invariant.Answers, invariant.Lost},
-	{MadeUpAnswers, "answers some requests that no worker was asked for", invariant.Answers, invariant.MadeUpAnswer},
-	{AnswersTwice, "answers some requests two times", invariant.Answers, invariant.AnsweredTwice},
-	{SendsAfterAnswer, "answers some requests, then sends them", invariant.Answers, invariant.SentAfterFinal},
-	{ChangedBodies, "hands some bodies on cut short", invariant.Answers, invariant.ChangedRequest},
-	{IgnoresDraining, "goes on sending to workers that drain", invariant.Drains, invariant.SentAfterDrain},
-	{OverloadsWarmingUp, "sends everything to the worker that started last", invariant.SlowStart, invariant.PushedOver},
-	{Crash, "ends by itself under load", "", "crashed"},
-	{IgnoresSIGTERM, "does not end on SIGTERM", "", "did not end after SIGTERM"},
+	{NoFault, "violates no rule", "", ""},
+	{UnsafeRetry, "sends non-idempotent requests again after a failure", invariant.Effects, invariant.SentAgain},
+	{RefusesWhatRan, "refuses non-idempotent requests that have failed at a worker and may have run", invariant.Effects, invariant.RefusedWhatMayHaveRun},
+	{ManyAttempts, "sends idempotent requests again after success, up to 20 times", invariant.Effects, invariant.TooManyAttempts},
+	{LateAnswers, "delays some answers until after the deadline", invariant.Answers, invariant.Late},
+	{LostRequests, "closes some connections without an answer", invariant.Answers, invariant.Lost},
+	{SilentRequests, "holds some requests without an answer until after the deadline", invariant.Answers, invariant.Lost},
+	{MadeUpAnswers, "answers some requests without sending them to a worker", invariant.Answers, invariant.MadeUpAnswer},
+	{AnswersTwice, "answers some requests twice", invariant.Answers, invariant.AnsweredTwice},
+	{SendsAfterAnswer, "answers some requests and then sends them to a worker", invariant.Answers, invariant.SentAfterFinal},
+	{ChangedBodies, "truncates the bodies of some requests", invariant.Answers, invariant.ChangedRequest},
+	{IgnoresDraining, "ignores draining and goes on sending to the worker", invariant.Drains, invariant.SentAfterDrain},
+	{OverloadsWarmingUp, "sends all requests to the worker that started last", invariant.SlowStart, invariant.PushedOver},
+	{Crash, "exits under load", "", "crashed"},
+	{IgnoresSIGTERM, "does not exit on SIGTERM", "", "did not end after SIGTERM"},
 }
 
 // Find returns the mutant with the given name. The error for an unknown name lists the known ones.
--- a/internal/testbed/simulation/attempts.go
+++ b/internal/testbed/simulation/attempts.go
@@ -34,7 +34,7 @@
 			continue
 		}
 		if since, inMaintenance := w.maintenanceSince[machineName(machine)]; inMaintenance {
-			w.violation("clear: member %d sends to %s, which staff have since %.2fs", m.index, machineName(machine), since.Seconds())
+			w.violation("clear: member %d sends to %s, which has been in maintenance since %.2fs", m.index, machineName(machine), since.Seconds())
 		}
 		duration := time.Duration(w.random.Int64N(int64(maxAttemptDuration)))
 		w.attempts = append(w.attempts, attempt{machine: machine, worker: worker, member: m.index, end: w.now + duration})
--- a/internal/testbed/simulation/catchup.go
+++ b/internal/testbed/simulation/catchup.go
@@ -20,7 +20,7 @@
 // entries, from a snapshot. The links are simulated as for Measure.
 func CatchUp(output io.Writer, entryCounts []int) error {
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "entries behind\tcaught up after s\tmessages to it and from it\tkB")
+	fmt.Fprintln(table, "entries behind\tcatch-up s\tmessages of leader and follower\tkB")
 	for _, entries := range entryCounts {
 		if err := measureCatchUp(table, entries); err != nil {
 			return err
@@ -53,7 +53,7 @@
 		w.advance()
 	}
 	if follower.state.AppliedIndex < target {
-		return fmt.Errorf("%d entries behind: it has not caught up in %v", entries, maxMeasuredTicks*tickInterval)
+		return fmt.Errorf("a follower that was %d entries behind has not caught up after %v", entries, maxMeasuredTicks*tickInterval)
 	}
 	duration := time.Duration(w.tick-start) * tickInterval
 	sent, received := w.result.Costs[follower.index], w.result.Costs[leader.index]
--- a/internal/testbed/simulation/checks.go
+++ b/internal/testbed/simulation/checks.go
@@ -13,11 +13,11 @@
 // no attempt runs on this machine.
 func (w *world) checkMaintenance(index int, name string) {
 	if len(w.maintenanceSince) > maxUnavailable {
-		w.violation("budget: %d machines are with staff, %d may be", len(w.maintenanceSince), maxUnavailable)
+		w.violation("budget: %d machines are in maintenance, the plan allows %d", len(w.maintenanceSince), maxUnavailable)
 	}
 	for _, a := range w.attempts {
 		if a.machine == index {
-			w.violation("clear: an attempt of member %d runs at %s", a.member, name)
+			w.violation("clear: an attempt of member %d still runs on %s", a.member, name)
 		}
 	}
 }
@@ -33,7 +33,7 @@
 			w.drainChecked[machine.Name] = true
 			unavailable := w.countUnavailable(plan, i, proposedTick)
 			if unavailable > maxUnavailable && !w.hadOutage(i) && w.options.Mutant != NoBudget {
-				w.violation("budget: %d machines are away when %s is taken, %d may be", unavailable, machine.Name, maxUnavailable)
+				w.violation("budget: %d machines are unavailable when %s is drained, the plan allows %d", unavailable, machine.Name, maxUnavailable)
 			}
 		}
 	}
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -41,10 +41,10 @@
 }
 
 func (f Fault) String() string {
-	return fmt.Sprintf("%s of member %d (other %d, way %d) for %d ticks", f.Kind, f.Member, f.Other, f.Direction, f.Ticks)
+	return fmt.Sprintf("%s of member %d (other %d, direction %d) for %d ticks", f.Kind, f.Member, f.Other, f.Direction, f.Ticks)
 }
 
-// bootstrapTicks is the time at the start in which no member is killed, so that all members can join.
+// bootstrapTicks is the number of ticks at the start in which no member is killed, so that all members can join.
 const bootstrapTicks = 40
 
 // RandomFaults returns random faults for a history, in order of their ticks.
--- a/internal/testbed/simulation/fleet.go
+++ b/internal/testbed/simulation/fleet.go
@@ -39,17 +39,17 @@
 	fleet := map[string]maintenance.Worker{}
 	for i := range w.options.Machines {
 		worker := maintenance.Worker{Zone: fmt.Sprint(i % w.options.Zones), Kind: "k", Host: hostName(i), Weight: float64(1 + i%5)}
-		present := m.workerAt(i)
-		for _, earlier := range w.workerNames[i] {
-			if earlier.name == present {
+		current := m.workerAt(i)
+		for _, former := range w.workerNames[i] {
+			if former.name == current {
 				break
 			}
 			gone := worker
 			gone.Unavailable, gone.Gone = true, true
-			fleet[earlier.name] = gone
+			fleet[former.name] = gone
 		}
 		worker.Unavailable = w.options.Mutant != IgnoresUnavailable && m.knowsOutage(i)
-		fleet[present] = worker
+		fleet[current] = worker
 	}
 	return fleet
 }
--- a/internal/testbed/simulation/leader.go
+++ b/internal/testbed/simulation/leader.go
@@ -93,7 +93,8 @@
 	m.withCore(func(core *consensus.Core) { _ = core.Propose(raw) })
 }
 
-// recordApplied records that a member has applied an entry, and checks that the first member applied the same entry at this index.
+// recordApplied records that a member has applied an entry, and checks that the entry is the one that was first applied at this index. At
+// the first application it also checks the budget.
 func (w *world) recordApplied(m *member, index uint64, entry string) {
 	proposedAt, proposed := w.proposedAt[entry]
 	w.applications[index]++
@@ -103,7 +104,7 @@
 	first, known := w.committed[index]
 	if known {
 		if first != entry {
-			w.violation("one order: entry %d is %s at member %d and was %s", index, entry, m.index, first)
+			w.violation("one order: entry %d is %s at member %d, but was first applied as %s", index, entry, m.index, first)
 		}
 		return
 	}
--- a/internal/testbed/simulation/measure.go
+++ b/internal/testbed/simulation/measure.go
@@ -14,14 +14,14 @@
 	measuredZones     = 3
 	maxMeasuredTicks  = 4000 // 200 s
 	measuredIdleTicks = 200  // length of a history without a plan
-	leaderStopTick    = 300
-	leaderStopTicks   = 200 // 10 s
+	leaderPauseTick   = 300
+	leaderPauseTicks  = 200 // 10 s
 )
 
 // The faults for which Measure prints a row per group.
 const (
 	measuredWithoutFault = "none"
-	measuredLeaderStop   = "leader stands still"
+	measuredLeaderPause  = "leader paused"
 )
 
 // Sizes are the default group sizes of Measure.
@@ -32,9 +32,9 @@
 // 50 to 100 ms, some longer, and one in 50 is lost.
 func Measure(output io.Writer, sizes []int, runs int) error {
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "members\tvoters\tfault\tnew leader s\tstep settled s\tin force at all s\tstart to clear s\tplan s\tidle kB/s: leader, other\tidle messages/s\tkB of a step: leader, proposed")
+	fmt.Fprintln(table, "members\tvoters\tfault\tnew leader s\tcommitted s\tapplied by all s\tfirst drained s\tplan s\tidle kB/s: leader, other\tidle messages/s\tkB per entry: leader, proposed")
 	for _, members := range sizes {
-		for _, fault := range []string{measuredWithoutFault, measuredLeaderStop} {
+		for _, fault := range []string{measuredWithoutFault, measuredLeaderPause} {
 			m := &measurement{members: members, voters: measuredVoters(members), fault: fault, runs: runs}
 			for run := range runs {
 				if err := m.addHistory(uint64(run) + 1); err != nil {
@@ -81,8 +81,8 @@
 		Seed: seed, Members: m.members, Voters: m.voters, Machines: measuredMachines, Zones: measuredZones,
 		Ticks: maxMeasuredTicks, Faults: []Fault{}, StopWithPlan: true,
 	}
-	if m.fault == measuredLeaderStop {
-		options.Faults = []Fault{{Tick: leaderStopTick, Kind: Pause, Member: -1, Ticks: leaderStopTicks}}
+	if m.fault == measuredLeaderPause {
+		options.Faults = []Fault{{Tick: leaderPauseTick, Kind: Pause, Member: -1, Ticks: leaderPauseTicks}}
 	}
 	result, err := Simulate(options)
 	if err != nil {
@@ -92,7 +92,7 @@
 		return fmt.Errorf("%d members, seed %d: %s", m.members, seed, result.Line(seed))
 	}
 	m.durations.add(result)
-	if m.fault == measuredLeaderStop {
+	if m.fault == measuredLeaderPause {
 		return nil
 	}
 	options.Ticks, options.Idle = int(result.Bootstrapped/tickInterval)+measuredIdleTicks, true
--- a/internal/testbed/simulation/member.go
+++ b/internal/testbed/simulation/member.go
@@ -136,7 +136,7 @@
 // clock returns the time on the member's monotonic clock.
 func (m *member) clock() time.Duration { return time.Duration(float64(m.world.now) * m.clockSpeed) }
 
-// isRunning reports whether the process is neither failed nor paused.
+// isRunning reports whether the member has not failed and its process is not paused.
 func (m *member) isRunning() bool { return m.core != nil && m.world.tick >= m.pausedUntil }
 
 // advance simulates one tick of a member that is running.
@@ -169,7 +169,7 @@
 	}
 	defer func() {
 		if reason := recover(); reason != nil {
-			m.world.trace("member %d takes part no more: %v", m.index, reason)
+			m.world.trace("member %d has failed: %v", m.index, reason)
 			m.core = nil
 		}
 	}()
--- a/internal/testbed/simulation/operators.go
+++ b/internal/testbed/simulation/operators.go
@@ -105,7 +105,7 @@
 // beginMaintenance begins the maintenance of a machine that a member reports as drained, and checks that it is. If the plan names the
 // machine by its host, its worker restarts under a new name halfway through the work.
 func (w *world) beginMaintenance(leader *member, index int, name string) {
-	w.trace("%s is clear, says member %d", name, leader.index)
+	w.trace("%s is reported as drained by member %d", name, leader.index)
 	w.maintenanceSince[name] = w.now
 	w.checkMaintenance(index, name)
 	if isNamedByHost(index) {
--- a/internal/testbed/simulation/replication.go
+++ b/internal/testbed/simulation/replication.go
@@ -24,7 +24,7 @@
 // ReplicationResult is the outcome of a history of SimulateReplication.
 type ReplicationResult struct {
 	Violations     []string      // with their times; a history ends at the first violation
-	ConvergedAfter time.Duration // from the last write or the end of the last fault until all replicas are equal
+	ConvergedAfter time.Duration // from the last write or the end of the last fault, whichever is later, until all replicas are equal
 	Messages       int           // requests and responses until convergence
 	Bytes          int
 	Idle           Cost   // cost of all members per idle second
@@ -62,7 +62,7 @@
 	incarnations     int                               // number of incarnations so far
 	syncing          map[int]bool                      // members with which a digest exchange or a pull is under way
 	pulls            map[int]*replication.PullProgress // by sender
-	receivedVersions map[int]replication.VersionVector // by member: a version that it is known to cover
+	receivedVersions map[int]replication.VersionVector // by member: a version that its replica is known to have
 	partitionedUntil time.Duration
 	processStart     time.Duration
 	firstContact     time.Duration // time of the first exchange with another member; 0: none yet
@@ -81,7 +81,7 @@
 	return w.result
 }
 
-// newReplicationWorld returns a world before its first event, in which startDelay has passed for all members.
+// newReplicationWorld returns a world before its first event, in which all members have been running for longer than startDelay.
 func newReplicationWorld(options ReplicationOptions) *replicationWorld {
 	w := &replicationWorld{
 		options:     options,
@@ -204,7 +204,7 @@
 	name := fmt.Sprint("r", number%workers)
 	entry := replication.Entry{Kind: replication.KindOverride, Name: name, Disabled: disabled, Member: fmt.Sprint(m.index)}
 	if _, err := m.replica.Write(entry); err != nil {
-		w.violation("a word was not taken: %v", err)
+		w.violation("writing an override: %v", err)
 	}
 	w.writtenAt[name] = w.now
 	w.lastChange = max(w.lastChange, w.now)
--- a/internal/testbed/simulation/replication_faults.go
+++ b/internal/testbed/simulation/replication_faults.go
@@ -47,7 +47,7 @@
 		}
 		w.startEmpty(m)
 		if err := m.replica.Restore(disk.Version, disk.Entries); err != nil {
-			w.violation("a disk: %v", err)
+			w.violation("restoring a disk: %v", err)
 		}
 	})
 }
--- a/internal/testbed/simulation/replication_gossip.go
+++ b/internal/testbed/simulation/replication_gossip.go
@@ -82,7 +82,7 @@
 func (w *replicationWorld) countMessage(message any) {
 	raw, err := json.Marshal(message)
 	if err != nil {
-		w.violation("a message: %v", err)
+		w.violation("encoding a message: %v", err)
 	}
 	w.result.Messages++
 	w.result.Bytes += len(raw)
--- a/internal/testbed/simulation/replication_pull.go
+++ b/internal/testbed/simulation/replication_pull.go
@@ -67,7 +67,7 @@
 	for _, key := range changed {
 		forgottenAt, forgotten := w.forgottenAt[key.Name]
 		if forgotten && forgottenAt > w.writtenAt[key.Name] && w.isResurrected(m, sender, key.Name) {
-			w.violation("member %d has a word on %s that all had forgotten at %.2fs", m.index, key.Name, forgottenAt.Seconds())
+			w.violation("member %d has an override of worker %s that all members had forgotten at %.2fs", m.index, key.Name, forgottenAt.Seconds())
 		}
 	}
 }
--- a/internal/testbed/simulation/replication_test.go
+++ b/internal/testbed/simulation/replication_test.go
@@ -14,7 +14,7 @@
 		options := ReplicationOptions{Seed: seed, Members: 3 + int(seed%5), Overrides: 30, Workers: 6, WriteFor: 20 * time.Second, Faults: 10}
 		result := SimulateReplication(options)
 		if len(result.Violations) > 0 {
-			t.Errorf("%+v: %v", options, result.Violations)
+			t.Errorf("%+v: violations %v, want none", options, result.Violations)
 		}
 		if again := SimulateReplication(options); again.Digest != result.Digest || again.Messages != result.Messages {
 			t.Errorf("%+v: the same seed gave another history", options)
@@ -44,7 +44,7 @@
 	} {
 		result := SimulateReplication(options)
 		if len(result.Violations) > 0 || result.ConvergedAfter > 10*time.Second {
-			t.Errorf("%+v: %+v", options, result)
+			t.Errorf("%+v: got %+v, want no violations and convergence within 10 s", options, result)
 		}
 	}
 }
--- a/internal/testbed/simulation/result.go
+++ b/internal/testbed/simulation/result.go
@@ -14,14 +14,14 @@
 	Digest        uint64 // hash of all committed entries
 	Ticks         int    // length of the history
 	Times
-	Costs []Cost // by member, since all members have joined or, with a plan, since the plan was started
+	Costs []Cost // by member, from when all members had joined or, with a plan, from its start
 }
 
 // Times are times and durations on the world's clock. A time that was not reached is 0.
 type Times struct {
 	Bootstrapped time.Duration // when all members had joined
 	Started      time.Duration // when the plan was started
-	Drained      time.Duration // when a machine was first drained
+	Drained      time.Duration // when operators first claimed a drained machine
 	Ended        time.Duration // when the plan had ended
 
 	Committed []time.Duration // from each proposal until the first member applied it
--- a/internal/testbed/simulation/simulation_test.go
+++ b/internal/testbed/simulation/simulation_test.go
@@ -19,7 +19,7 @@
 }
 
 // TestSimulate_ViolatesNoRule verifies that groups of three members, of five, and of five with three voters violate no rule, and that
-// enough machines complete their maintenance.
+// at least 100 machines complete their maintenance.
 func TestSimulate_ViolatesNoRule(t *testing.T) {
 	done := 0
 	for seed := range uint64(12) {
@@ -46,7 +46,7 @@
 	for seed := range uint64(4) {
 		first, second := mustSimulate(t, Options{Seed: seed}), mustSimulate(t, Options{Seed: seed})
 		if first.Line(seed) != second.Line(seed) {
-			t.Errorf("%s\n%s", first.Line(seed), second.Line(seed))
+			t.Errorf("the same seed gave two histories:\n%s\n%s", first.Line(seed), second.Line(seed))
 		}
 	}
 }
@@ -77,7 +77,7 @@
 			options := Options{Members: 3, Voters: 3, Ticks: 700, Seed: test.seed, Mutant: test.mutant, FaultInterval: test.faultInterval}
 			result := mustSimulate(t, options)
 			if len(result.Violations) == 0 || test.rule != "" && result.violatedRule() != test.rule {
-				t.Errorf("%s, want %q", result.Line(options.Seed), test.rule)
+				t.Errorf("got %s, want a violation of rule %q", result.Line(options.Seed), test.rule)
 			}
 			if test.mutant == FewReports {
 				checkMinimize(t, options, result)
@@ -102,8 +102,10 @@
 		t.Fatal(err)
 	}
 	sameRule := minimalResult.violatedRule() == result.violatedRule()
-	fewFaults := len(minimal.Faults) < len(RandomFaults(options))/4
+	maxFaults := len(RandomFaults(options)) / 4
+	fewFaults := len(minimal.Faults) < maxFaults
 	if !sameRule || !fewFaults || minimal.Ticks > result.Ticks {
-		t.Errorf("minimized to %d ticks and %d faults, %v; %v", minimal.Ticks, len(minimal.Faults), minimalResult.Violations, err)
+		t.Errorf("minimized to %d ticks and %d faults with violations %v, want at most %d ticks, fewer than %d faults and rule %q",
+			minimal.Ticks, len(minimal.Faults), minimalResult.Violations, result.Ticks, maxFaults, result.violatedRule())
 	}
 }
--- a/internal/testbed/simulation/world.go
+++ b/internal/testbed/simulation/world.go
@@ -35,7 +35,7 @@
 	maintenanceSince map[string]time.Duration // by machine: when operators learned that it is drained and began maintenance
 	returned         map[string]bool          // machines whose maintenance is finished
 
-	committed    map[uint64]string // by index: the entry that the first member applied
+	committed    map[uint64]string // by index: the entry that was first applied
 	applications map[uint64]int    // by index: number of members that have applied the entry
 	proposedAt   map[string]time.Duration
 	drainChecked map[string]bool // machines whose drain has been checked against the budget
