--- a/internal/testbed/cluster/summary.go
+++ b/internal/testbed/cluster/summary.go
@@ -7,9 +7,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Summary adds up the results of runs. Its zero value is ready to use.
+// Summary aggregates the results of runs. Its zero value is ready to use.
 type Summary struct {
-	Runs, Broken, Machines int
+	Runs, Failed, Machines int
 	took, silence          *hdrhistogram.Histogram // milliseconds
 }
 
@@ -26,23 +26,23 @@
 	s.Runs++
 	s.Machines += len(r.MaintenanceWindows)
 	if len(r.violationCounts()) > 0 {
-		s.Broken++
+		s.Failed++
 	}
-	// Both stay below the histograms' maximum of an hour: a run is shorter.
+	// Both values are below the histograms' maximum of one hour, because a run is shorter.
 	_ = s.silence.RecordValue(r.Silence.Milliseconds())
 	if r.Ended > r.Origin {
 		_ = s.took.RecordValue((r.Ended - r.Origin).Milliseconds())
 	}
 }
 
-// Line returns the summary as one line for people.
+// Line returns the summary as one human-readable line.
 func (s *Summary) Line() string {
 	if s.took == nil {
 		return "no run"
 	}
 	seconds := func(milliseconds int64) float64 { return float64(milliseconds) / 1000 }
-	return fmt.Sprintf("%d runs, %d with a broken rule or a crash; %d machines worked on; %d plans through, median %.1f s, worst %.1f s; "+
-		"longest time without a settled answer: median %.1f s, worst %.1f s",
-		s.Runs, s.Broken, s.Machines, s.took.TotalCount(), seconds(s.took.ValueAtQuantile(50)), seconds(s.took.Max()),
+	return fmt.Sprintf("%d runs, %d with a violated rule or a crash; %d machines maintained; %d plans ended, median %.1f s, maximum %.1f s; "+
+		"longest time without a confirmed reply: median %.1f s, maximum %.1f s",
+		s.Runs, s.Failed, s.Machines, s.took.TotalCount(), seconds(s.took.ValueAtQuantile(50)), seconds(s.took.Max()),
 		seconds(s.silence.ValueAtQuantile(50)), seconds(s.silence.Max()))
 }
--- a/internal/testbed/mutant/mutant.go
+++ b/internal/testbed/mutant/mutant.go
@@ -1,5 +1,5 @@
-// Package mutant is a small dispatcher with one selectable fault, which proves that the invariant checker finds it. It
-// shares no code with the real dispatcher, so that none of that one's guards hides a fault.
+// Package mutant implements a small dispatcher with one selectable fault, to verify that the invariant checker detects the fault. It shares
+// no code with the real dispatcher, so that no safeguard of the real one hides a fault.
 package mutant
 
 import (
@@ -11,50 +11,50 @@
 
 // The names of the faults.
 const (
-	NoFault          = "none"
-	UnsafeRetry      = "unsafe-twice"
-	RefusesWhatRan   = "refuses-what-ran"
-	ManyAttempts     = "many-attempts"
-	LateAnswers      = "late"
-	LostRequests     = "lost"
-	SilentRequests   = "silent"
-	MadeUpAnswers    = "made-up"
-	AnswersTwice     = "twice"
-	SendsAfterAnswer = "after-final"
-	ChangedBodies    = "changed"
-	DrainIgnored     = "drain"
-	ColdOverloaded   = "cold"
-	Crash            = "crash"
-	IgnoresSIGTERM   = "stays"
+	NoFault            = "none"
+	UnsafeRetry        = "unsafe-twice"
+	RefusesWhatRan     = "refuses-what-ran"
+	ManyAttempts       = "many-attempts"
+	LateAnswers        = "late"
+	LostRequests       = "lost"
+	SilentRequests     = "silent"
+	MadeUpAnswers      = "made-up"
+	AnswersTwice       = "twice"
+	SendsAfterAnswer   = "after-final"
+	ChangedBodies      = "changed"
+	IgnoresDraining    = "drain"
+	OverloadsWarmingUp = "cold"
+	Crash              = "crash"
+	IgnoresSIGTERM     = "stays"
 )
 
 // Mutant is one selectable fault, with the violation that the invariant checker has to report.
 type Mutant struct {
 	Name, About string
-	Rule        string // empty: a crash, or nothing for NoFault
-	Violation   string // the kind of violation or what the report says of the crash; empty for NoFault
+	Rule        string // empty for NoFault and for crashes
+	Violation   string // kind of the violation, or text of the crash in the report; empty for NoFault
 }
 
-// Mutants lists all faults; NoFault is the same dispatcher without one.
+// Mutants lists all mutants. NoFault is the same dispatcher without a fault.
 var Mutants = []Mutant{
-	{NoFault, "keeps all rules", "", ""},
-	{UnsafeRetry, "sends a never-twice job again after a failure", invariant.Effects, invariant.SentAgain},
-	{RefusesWhatRan, "answers a failed never-twice job with a refusal", invariant.Effects, invariant.RefusedWhatMayHaveRun},
-	{ManyAttempts, "sends safe jobs again without end", invariant.Effects, invariant.TooManyAttempts},
-	{LateAnswers, "holds some answers until after the deadline", invariant.Answers, invariant.Late},
-	{LostRequests, "closes some connections with no answer", invariant.Answers, invariant.Lost},
-	{SilentRequests, "never answers some requests", invariant.Answers, invariant.Lost},
-	{MadeUpAnswers, "answers some requests that no worker was asked for", invariant.Answers, invariant.MadeUpAnswer},
-	{AnswersTwice, "answers some requests two times", invariant.Answers, invariant.AnsweredTwice},
-	{SendsAfterAnswer, "answers some requests, then sends them", invariant.Answers, invariant.SentAfterFinal},
-	{ChangedBodies, "hands some bodies on cut short", invariant.Answers, invariant.ChangedRequest},
-	{DrainIgnored, "goes on sending to workers that drain", invariant.Drains, invariant.SentAfterDrain},
-	{ColdOverloaded, "sends everything to the worker that started last", invariant.SlowStart, invariant.PushedOver},
-	{Crash, "ends by itself under load", "", "crashed"},
-	{IgnoresSIGTERM, "does not end on SIGTERM", "", "did not end after SIGTERM"},
+	{NoFault, "violates no rule", "", ""},
+	{UnsafeRetry, "sends non-idempotent requests again after a failure", invariant.Effects, invariant.SentAgain},
+	{RefusesWhatRan, "refuses non-idempotent requests that have failed at a worker and may have run", invariant.Effects, invariant.RefusedWhatMayHaveRun},
+	{ManyAttempts, "sends idempotent requests again after success, up to 20 times", invariant.Effects, invariant.TooManyAttempts},
+	{LateAnswers, "delays some answers until after the deadline", invariant.Answers, invariant.Late},
+	{LostRequests, "closes some connections without an answer", invariant.Answers, invariant.Lost},
+	{SilentRequests, "holds some requests without an answer until after the deadline", invariant.Answers, invariant.Lost},
+	{MadeUpAnswers, "answers some requests without sending them to a worker", invariant.Answers, invariant.MadeUpAnswer},
+	{AnswersTwice, "answers some requests twice", invariant.Answers, invariant.AnsweredTwice},
+	{SendsAfterAnswer, "answers some requests and then sends them to a worker", invariant.Answers, invariant.SentAfterFinal},
+	{ChangedBodies, "truncates the bodies of some requests", invariant.Answers, invariant.ChangedRequest},
+	{IgnoresDraining, "ignores draining and goes on sending to the worker", invariant.Drains, invariant.SentAfterDrain},
+	{OverloadsWarmingUp, "sends all requests to the worker that started last", invariant.SlowStart, invariant.PushedOver},
+	{Crash, "exits under load", "", "crashed"},
+	{IgnoresSIGTERM, "does not exit on SIGTERM", "", "did not end after SIGTERM"},
 }
 
-// Find returns a fault by its name; the error of an unknown one lists the names.
+// Find returns the mutant with the given name. The error for an unknown name lists the known ones.
 func Find(name string) (Mutant, error) {
 	var names []string
 	for _, m := range Mutants {
@@ -63,5 +63,5 @@
 		}
 		names = append(names, m.Name)
 	}
-	return Mutant{}, fmt.Errorf("no fault %q can be planted; there are %s", name, strings.Join(names, ", "))
+	return Mutant{}, fmt.Errorf("unknown fault %q: must be one of %s", name, strings.Join(names, ", "))
 }
--- a/internal/testbed/simulation/injection.go
+++ b/internal/testbed/simulation/injection.go
@@ -6,7 +6,7 @@
 	"birchfork/internal/consensus"
 )
 
-// wakeTicks is how long a member that was Asleep remains partitioned after its process goes on.
+// wakeTicks is how long PauseAndPartition keeps the member partitioned after its process resumes.
 const wakeTicks = 30
 
 // injectFaults injects the faults that are due.
@@ -19,7 +19,7 @@
 	}
 }
 
-// inject injects one fault. One of a leader has no effect while there is none.
+// inject injects one fault. A fault of the leader has no effect while no member has led.
 func (w *world) inject(fault Fault) {
 	if fault.Member < 0 {
 		if w.leader < 0 {
@@ -34,25 +34,25 @@
 		w.partition(m, fault.Direction, until)
 	case Link:
 		w.partitions[[2]int{m.index, fault.Other}] = until
-	case Stop:
-		m.stoppedUntil = until
-	case Asleep:
-		m.stoppedUntil = until
+	case Pause:
+		m.pausedUntil = until
+	case PauseAndPartition:
+		m.pausedUntil = until
 		w.partition(m, BothDirections, until+wakeTicks)
-	case Down:
+	case Outage:
 		w.outages = append(w.outages, outage{machine: fault.Other, from: w.tick, until: until})
-	case Kill, Wipe:
-		wipe := fault.Kind == Wipe && w.allVotersJoined()
+	case Kill, LoseDisk:
+		wipe := fault.Kind == LoseDisk && w.allVotersJoined()
 		if err := m.restart(wipe); err != nil {
 			panic(err)
 		}
 	}
 }
 
-// restart starts another process of the member at once, with its disk or with an empty one. The mutant LosesState keeps its incarnation
-// with the empty disk.
+// restart restarts the member's process at once, with its disk or an empty one. With the mutant LosesState the member keeps its incarnation
+// although its disk is empty.
 func (m *member) restart(wipe bool) error {
-	m.stoppedUntil = 0
+	m.pausedUntil = 0
 	switch {
 	case !wipe:
 		return m.startProcess()
@@ -67,7 +67,7 @@
 	return m.startProcess()
 }
 
-// allVotersJoined reports whether each voter has its place in the group, so that one more disk may be lost.
+// allVotersJoined reports whether all voters have joined the group, so that another disk may be lost.
 func (w *world) allVotersJoined() bool {
 	for _, m := range w.members[:w.options.Voters] {
 		if m.core == nil || !m.joined || !slices.Contains(m.core.Status().Voters, m.raftID) {
--- a/internal/testbed/simulation/simulation_test.go
+++ b/internal/testbed/simulation/simulation_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// mustSimulate simulates a history, of three members if the options say nothing else.
+// mustSimulate simulates a history. Without Members in the options the group has three members.
 func mustSimulate(t *testing.T, options Options) *Result {
 	t.Helper()
 	if options.Members == 0 {
@@ -18,9 +18,9 @@
 	return result
 }
 
-// TestSimulate_KeepsRules verifies that groups of three and five members, and of five with three voters, violate no rule, and that most
-// machines get done.
-func TestSimulate_KeepsRules(t *testing.T) {
+// TestSimulate_ViolatesNoRule verifies that groups of three members, of five, and of five with three voters violate no rule, and that
+// at least 100 machines complete their maintenance.
+func TestSimulate_ViolatesNoRule(t *testing.T) {
 	done := 0
 	for seed := range uint64(12) {
 		for _, options := range []Options{
@@ -37,7 +37,7 @@
 		}
 	}
 	if done < 100 {
-		t.Errorf("%d machines were done in 36 histories", done)
+		t.Errorf("%d machines done in 36 histories, want at least 100", done)
 	}
 }
 
@@ -46,12 +46,12 @@
 	for seed := range uint64(4) {
 		first, second := mustSimulate(t, Options{Seed: seed}), mustSimulate(t, Options{Seed: seed})
 		if first.Line(seed) != second.Line(seed) {
-			t.Errorf("%s\n%s", first.Line(seed), second.Line(seed))
+			t.Errorf("the same seed gave two histories:\n%s\n%s", first.Line(seed), second.Line(seed))
 		}
 	}
 }
 
-// TestSimulate_CatchesMutants verifies that each mutant violates its rule, at a seed that is known to show it.
+// TestSimulate_CatchesMutants verifies that each mutant violates its rule with a seed that is known to expose it.
 func TestSimulate_CatchesMutants(t *testing.T) {
 	type mutantTest struct {
 		mutant        string
@@ -77,7 +77,7 @@
 			options := Options{Members: 3, Voters: 3, Ticks: 700, Seed: test.seed, Mutant: test.mutant, FaultInterval: test.faultInterval}
 			result := mustSimulate(t, options)
 			if len(result.Violations) == 0 || test.rule != "" && result.violatedRule() != test.rule {
-				t.Errorf("%s, want %q", result.Line(options.Seed), test.rule)
+				t.Errorf("got %s, want a violation of rule %q", result.Line(options.Seed), test.rule)
 			}
 			if test.mutant == FewReports {
 				checkMinimize(t, options, result)
@@ -90,11 +90,11 @@
 		}
 	}
 	if len(Mutants) != len(tests) {
-		t.Errorf("%d mutants exist, %d are tested", len(Mutants), len(tests))
+		t.Errorf("got %d mutants, but %d are tested", len(Mutants), len(tests))
 	}
 }
 
-// checkMinimize checks that a history is minimized to less than a quarter of its faults, with the same rule violated.
+// checkMinimize checks that a history is minimized to less than a quarter of its faults and still violates the same rule.
 func checkMinimize(t *testing.T, options Options, result *Result) {
 	t.Helper()
 	minimal, minimalResult, err := Minimize(options)
@@ -102,8 +102,10 @@
 		t.Fatal(err)
 	}
 	sameRule := minimalResult.violatedRule() == result.violatedRule()
-	fewFaults := len(minimal.Faults) < len(RandomFaults(options))/4
+	maxFaults := len(RandomFaults(options)) / 4
+	fewFaults := len(minimal.Faults) < maxFaults
 	if !sameRule || !fewFaults || minimal.Ticks > result.Ticks {
-		t.Errorf("minimized to %d ticks and %d faults, %v; %v", minimal.Ticks, len(minimal.Faults), minimalResult.Violations, err)
+		t.Errorf("minimized to %d ticks and %d faults with violations %v, want at most %d ticks, fewer than %d faults and rule %q",
+			minimal.Ticks, len(minimal.Faults), minimalResult.Violations, result.Ticks, maxFaults, result.violatedRule())
 	}
 }
