--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -5,47 +5,49 @@
 	"time"
 )
 
-// Limits of the delays between requests.
+// Parameters of the delays between requests.
 const (
 	initialRetryDelay = 50 * time.Millisecond
 	maxRetryDoublings = 10
-	requestCost       = 200 * time.Millisecond // discovery's time for one request, by which the requests of a fleet are spread
+	requestCost       = 200 * time.Millisecond // estimated time in which discovery serves one request
 	minBusyWindow     = 1 * time.Second        // minimum time over which requests are spread while discovery is busy
-	maxBusyDoublings  = 2                      // of that window
+	maxBusyDoublings  = 2                      // limit on doublings of that time after further busy responses
 )
 
-// backoff chooses the random delays between requests. Dispatchers that were cut off together must not reconnect together: an overload would
-// persist, since requests that waited in vain cost discovery as much as others. It is not safe for concurrent use.
+// backoff chooses the random delays between requests. Dispatchers that lost their connections at the same time must not reconnect at the
+// same time: the overload would persist, since a request that times out costs discovery as much as one that is answered. It is not safe for
+// concurrent use.
 type backoff struct {
 	timing
-	window        time.Duration  // time in which discovery serves one request of each dispatcher
-	random        func() float64 // from 0 to 1
-	failures      int            // in a row, since something was received
-	busyResponses int            // in a row, likewise
+	window        time.Duration  // estimated time in which discovery serves one request of each dispatcher
+	random        func() float64 // returns a number from 0 to 1
+	failures      int            // since the last received list, without busy responses
+	busyResponses int            // since the last received list
 }
 
-// delay returns how long to wait after a request that ended with err. received reports that it delivered a list before.
+// delay returns how long to wait after a request that ended with err. received reports whether the request delivered a list before it ended.
 func (b *backoff) delay(received bool, err error) time.Duration {
 	if received {
 		b.failures = 0
 		b.busyResponses = 0
 	}
 	var busy busyError
-	if errors.As(err, &busy) || b.meansCongestion(err) {
+	if errors.As(err, &busy) || b.indicatesCongestion(err) {
 		return b.busyDelay(busy.retryAfter)
 	}
 	return b.retryDelay()
 }
 
-// meansCongestion reports whether a failure is treated as a sign of too many requests. If the requests of the fleet do not fit into the
-// propagation deadline, requests that are abandoned and immediately repeated would keep discovery from answering any.
-func (b *backoff) meansCongestion(err error) bool {
-	return b.congestible && b.window > propagationDeadline && errors.Is(err, errNoResponse)
+// indicatesCongestion reports whether a failure is treated as a sign of too many requests. If discovery cannot serve one request of each
+// dispatcher within propagationDeadline, requests that are abandoned and immediately repeated would keep it from answering any.
+func (b *backoff) indicatesCongestion(err error) bool {
+	return b.rateLimited && b.window > propagationDeadline && errors.Is(err, errNoResponse)
 }
 
-// busyDelay returns the delay after discovery had too many requests and asked for retryAfter (0: none). That is the same for all
-// dispatchers, so a random part of the window is added; it may also be absurdly long. Both together are limited to maxBusyDelay if the
-// requests of the fleet fit into the propagation deadline; if they do not, a shorter delay would only prolong the congestion.
+// busyDelay returns the delay after a failure that indicates too many requests. retryAfter is the delay that discovery asked for (0: none).
+// Since all dispatchers may receive the same value, a random part of the window is added; since the value may be unreasonably long, it is
+// limited. The sum is limited to maxBusyDelay if discovery can serve one request of each dispatcher within propagationDeadline; otherwise a
+// shorter delay would only prolong the congestion.
 func (b *backoff) busyDelay(retryAfter time.Duration) time.Duration {
 	window := max(b.window, minBusyWindow)
 	span := window << min(b.busyResponses, maxBusyDoublings)
@@ -58,15 +60,15 @@
 	return delay
 }
 
-// retryDelay returns the delay after any other failure. It doubles with each failure up to maxRetryDelay.
+// retryDelay returns the delay after any other failure. Its upper bound doubles with each failure up to maxRetryDelay.
 func (b *backoff) retryDelay() time.Duration {
 	longest := min(initialRetryDelay<<min(b.failures, maxRetryDoublings), b.maxRetryDelay)
 	b.failures++
 	return scale(longest, 0.5+0.5*b.random())
 }
 
-// verifyDelay returns how long after a resumed watch the complete list is requested. That is late, since the list mostly confirms what is
-// known, and the requests of a fleet must leave time for dispatchers that have no list.
+// verifyDelay returns how long after a resumed watch the complete list is requested. The delay is long because the list mostly confirms
+// what is known, and the verifications of a fleet must leave discovery time for dispatchers that have no list.
 func (b *backoff) verifyDelay() time.Duration {
 	longest := max(b.window, minBusyWindow) << maxBusyDoublings
 	return scale(longest, 0.5+0.5*b.random())
--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// congestedDiscovery is a discovery in virtual time that serves one request after the other and lets each wait for queueTimeout at most: a
-// request that has waited in vain costs it as much as one that was answered.
+// congestedDiscovery simulates in virtual time a discovery that serves one request after the other and rejects a request that has waited for
+// queueTimeout: such a request costs it as much as one that is answered.
 type congestedDiscovery struct {
 	requestDuration, queueTimeout time.Duration
 	queueLength                   int
-	freeAt                        time.Duration // when it has served all admitted requests
+	freeAt                        time.Duration // when all admitted requests have been served
 }
 
 func (d *congestedDiscovery) call(now time.Duration) (end time.Duration, err error) {
@@ -27,7 +27,8 @@
 	return d.freeAt, nil
 }
 
-// Dispatchers that are cut off at the same moment would keep discovery from answering any of them if they reconnected together.
+// Dispatchers that lose their connections at the same time would keep discovery from answering any of them if they reconnected at the same
+// time.
 func TestBackoff_RecoversFromThunderingHerd(t *testing.T) {
 	for _, fleet := range []int{3, 20, 80, 300} {
 		discovery := congestedDiscovery{requestDuration: 180 * time.Millisecond, queueTimeout: 2 * time.Second, queueLength: 26}
@@ -60,18 +61,18 @@
 			}
 		}
 		if maxTime := 5 * max(time.Duration(fleet)*requestCost, time.Second); received < fleet || last > maxTime || calls > 5*fleet {
-			t.Errorf("%d dispatchers: %d had the list by %v after %d calls, want all by %v", fleet, received, last, calls, maxTime)
+			t.Errorf("%d dispatchers: %d received the list by %v with %d requests, want all by %v", fleet, received, last, calls, maxTime)
 		}
 	}
 }
 
-// The shortest and the longest delay after each kind of failure, in order.
+// The minimum and the maximum delay after each kind of failure, in sequence.
 func TestBackoff_DelayBounds(t *testing.T) {
 	shortest := backoff{window: 80 * requestCost, timing: polledTiming, random: func() float64 { return 0 }}
 	longest := backoff{window: 80 * requestCost, timing: polledTiming, random: func() float64 { return 1 }}
-	// With 186 ms per request, the verifications of 80 dispatchers take 15 of these seconds: there is time for other requests.
+	// With 186 ms per request, the verifications of 80 dispatchers take 15 s, which leaves time for other requests.
 	if minDelay, maxDelay := shortest.verifyDelay(), longest.verifyDelay(); minDelay != 32*time.Second || maxDelay != 64*time.Second {
-		t.Errorf("a check after %v to %v, want 32 s to 64 s", minDelay, maxDelay)
+		t.Errorf("verification delay %v to %v, want 32 s to 64 s", minDelay, maxDelay)
 	}
 	for i, want := range []struct {
 		received           bool
@@ -81,7 +82,7 @@
 		{true, io.EOF, 25 * time.Millisecond, 50 * time.Millisecond},
 		{false, io.EOF, 50 * time.Millisecond, 100 * time.Millisecond},
 		{false, busyError{status: 503}, 4 * time.Second, 16 * time.Second},
-		{false, fmt.Errorf("asking: %w", busyError{status: 429}), 8 * time.Second, 32 * time.Second},
+		{false, fmt.Errorf("requesting: %w", busyError{status: 429}), 8 * time.Second, 32 * time.Second},
 		{false, busyError{status: 503}, 16 * time.Second, 64 * time.Second},
 		{false, busyError{status: 503}, 16 * time.Second, 64 * time.Second},
 		{true, busyError{status: 503, retryAfter: time.Second}, 5 * time.Second, 17 * time.Second},
@@ -90,26 +91,26 @@
 		{false, io.EOF, 25 * time.Millisecond, 50 * time.Millisecond},
 	} {
 		if minDelay, maxDelay := shortest.delay(want.received, want.err), longest.delay(want.received, want.err); minDelay != want.minDelay || maxDelay != want.maxDelay {
-			t.Errorf("wait %d: %v to %v, want %v to %v", i, minDelay, maxDelay, want.minDelay, want.maxDelay)
+			t.Errorf("delay %d: %v to %v, want %v to %v", i, minDelay, maxDelay, want.minDelay, want.maxDelay)
 		}
 	}
 }
 
-// Discovery that serves a limited rate of requests cannot answer any if they are abandoned and immediately repeated. In a fleet that is too
-// large for its rate they are spread as if discovery had reported that it is busy. A local agent has no such limit.
+// A discovery with a limited rate of requests cannot answer any if they are abandoned and immediately repeated. A fleet that is too large
+// for this rate spreads them as if discovery had reported that it is busy. A local agent has no such limit.
 func TestBackoff_SpreadsUnansweredRequests(t *testing.T) {
-	lost := fmt.Errorf("%w: timeout", errNoResponse)
+	noResponse := fmt.Errorf("%w: timeout", errNoResponse)
 	for _, c := range []struct {
-		name      string
-		fleet     int
-		profile   timing
-		wantsSpan bool
-	}{{"few that poll", 9, polledTiming, false}, {"many that poll", 80, polledTiming, true}, {"many with agents", 300, pushedTiming, false}} {
+		name       string
+		fleet      int
+		profile    timing
+		wantSpread bool
+	}{{"few dispatchers, polled", 9, polledTiming, false}, {"many dispatchers, polled", 80, polledTiming, true}, {"many dispatchers, pushed", 300, pushedTiming, false}} {
 		b := backoff{window: time.Duration(c.fleet) * requestCost, timing: c.profile, random: func() float64 { return 0 }}
 		for i := range 5 {
-			delay := b.delay(false, lost)
-			if c.wantsSpan && delay < b.window/4 || !c.wantsSpan && delay > c.profile.maxRetryDelay {
-				t.Errorf("%s: %v after call %d, of a spread of %v: %v", c.name, delay, i, b.window, c.wantsSpan)
+			delay := b.delay(false, noResponse)
+			if c.wantSpread && delay < b.window/4 || !c.wantSpread && delay > c.profile.maxRetryDelay {
+				t.Errorf("%s: delay %v after request %d with a window of %v, want it spread: %v", c.name, delay, i, b.window, c.wantSpread)
 			}
 		}
 	}
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,4 +1,4 @@
-// Package discovery follows the endpoint list that the platform's discovery serves: it fetches the complete list, watches its changes, and
-// spreads and backs off the requests of a fleet of dispatchers. Each list goes to the engine, which keeps the last valid one while
-// discovery is silent.
+// Package discovery follows the endpoint list of the platform's discovery service: it fetches the complete list and watches its changes.
+// Its random delays spread the requests of a fleet of dispatchers and back off after failures. Each list is passed to the engine, which
+// keeps the last valid one while discovery is silent.
 package discovery
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -17,7 +17,7 @@
 	"birchfork/internal/goldentest"
 )
 
-// describeList formats a list in a way that does not depend on the names of its fields.
+// describeList formats a list independently of the names of its fields.
 func describeList(list engine.EndpointList) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "  index %d, whole %t, stale %t\n", list.Version, list.Snapshot, list.Stale)
@@ -29,7 +29,7 @@
 	return b.String()
 }
 
-// TestGoldenListEncoding records the encoded bytes of lists, which must decode to the same lists.
+// TestGoldenListEncoding records the encoded form of lists and checks that it decodes to the same lists.
 func TestGoldenListEncoding(t *testing.T) {
 	entries := []engine.Endpoint{
 		{Name: "s-1", Address: "127.0.0.1:5000", Zone: "a", Kind: "big", Cell: 3, Weight: 1.5, State: dispatch.Ready, StartedAtMillis: 1764600000123},
@@ -49,14 +49,14 @@
 		}
 		out, bad, err := DecodeList(raw)
 		if err != nil || bad != 0 || describeList(out) != describeList(in) {
-			t.Errorf("%s\n%s, %d bad, %v", raw, describeList(out), bad, err)
+			t.Errorf("%s decodes to\n%s, %d malformed values, %v", raw, describeList(out), bad, err)
 		}
 		fmt.Fprintf(&b, "%s\n%s", raw, describeList(in))
 	}
 	goldentest.Check(t, "discovery-encoded.txt", []byte(b.String()))
 }
 
-// TestGoldenListDecoding records the decoded messages of discovery, including unusual ones.
+// TestGoldenListDecoding records how messages of discovery are decoded, including unusual ones.
 func TestGoldenListDecoding(t *testing.T) {
 	const entry = `{"name":"s-1","address":"127.0.0.1:5000","zone":"a","type":"big","group":3,"status":"up","weight":1.5,"since_ms":12}`
 	var b strings.Builder
@@ -95,21 +95,21 @@
 	goldentest.Check(t, "discovery-decoded.txt", []byte(b.String()))
 }
 
-// TestGoldenDiscoveryRequests records the bytes of each request to discovery: for the complete list, for the watch from its version, for
-// the watch from a known list, and for the complete list that verifies this version.
+// TestGoldenDiscoveryRequests records the bytes of each request to discovery: for the complete list, for a watch from its version, for a
+// watch from a known list, and for the complete list that verifies the version of such a watch.
 func TestGoldenDiscoveryRequests(t *testing.T) {
-	whole := okHead + chunk(`{"index":12,"snapshot":true,"endpoints":[]}`+"\n") + "0\r\n\r\n"
+	snapshot := okHead + chunk(`{"index":12,"snapshot":true,"endpoints":[]}`+"\n") + "0\r\n\r\n"
 	changes := okHead + chunk(`{"index":18446744073709551614,"snapshot":false,"endpoints":[]}`+"\n")
 	var b strings.Builder
 	for _, c := range []struct {
 		name    string
 		config  Source
-		answers []string // in turn; the connection of the last one stays open
+		answers []string // one per connection; the last connection stays open
 	}{
-		{"at the first start", Source{FleetSize: 1}, []string{whole, changes}},
+		{"at the first start", Source{FleetSize: 1}, []string{snapshot, changes}},
 		{"with a list that is known", Source{FleetSize: 1, HasList: true, Version: 18446744073709551613},
-			[]string{changes, strings.Replace(whole, "12", "18446744073709551614", 1)}},
-		{"of an agent that lists are pushed to", Source{FleetSize: 1, Pushed: true}, []string{whole, changes}},
+			[]string{changes, strings.Replace(snapshot, "12", "18446744073709551614", 1)}},
+		{"of an agent that lists are pushed to", Source{FleetSize: 1, Pushed: true}, []string{snapshot, changes}},
 	} {
 		addr, received := recordingDiscovery(t, c.answers)
 		c.config.Address = addr
@@ -122,8 +122,8 @@
 	goldentest.Check(t, "discovery-requests.txt", []byte(b.String()))
 }
 
-// recordingDiscovery starts a discovery that gives each request its answer in turn and passes on the bytes of each request. Its connections
-// stay alive, by empty lines, until the test ends.
+// recordingDiscovery starts a discovery server that gives each connection the next answer and records the bytes of each request. Watches are
+// kept alive with empty lines until the test ends.
 func recordingDiscovery(t *testing.T, answers []string) (addr string, received <-chan string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -9,20 +9,20 @@
 	"birchfork/internal/engine"
 )
 
-// maxSinceMillis limits the start time of a worker, in milliseconds since 1970.
-const maxSinceMillis = 1e14
+// maxStartMillis is the upper bound of a worker's start time, in milliseconds since 1970.
+const maxStartMillis = 1e14
 
-// noGroup is the cell of an endpoint without a group.
+// noGroup is the Cell of an endpoint without a group.
 const noGroup = -1
 
-// listMessage is a list in discovery's JSON.
+// listMessage is the JSON form of a list.
 type listMessage struct {
 	Index     uint64            `json:"index"`
 	Snapshot  bool              `json:"snapshot"`
 	Endpoints []json.RawMessage `json:"endpoints"` // each an endpointMessage
 }
 
-// endpointMessage is one worker in discovery's JSON.
+// endpointMessage is the JSON form of an endpoint.
 type endpointMessage struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -41,12 +41,12 @@
 	statusRemoved  = "removed"
 )
 
-// DecodeList decodes one message of discovery. Entries that cannot be decoded are left out or treated as draining, so that nothing is sent
-// to them; malformed counts these faults. The error is not nil if the message itself cannot be decoded.
+// DecodeList decodes a list from discovery's JSON. A malformed entry is left out or treated as draining, so that no request is sent to it;
+// malformed counts these faults. It returns an error only if the message as a whole cannot be decoded.
 func DecodeList(raw []byte) (list engine.EndpointList, malformed int, err error) {
 	var message listMessage
 	if err := json.Unmarshal(raw, &message); err != nil {
-		return list, 0, fmt.Errorf("the list is not as discovery words it: %w", err)
+		return list, 0, fmt.Errorf("malformed endpoint list: %w", err)
 	}
 	list = engine.EndpointList{
 		Version:   message.Index,
@@ -66,7 +66,7 @@
 	return list, malformed, nil
 }
 
-// decode returns the endpoint, and how many of its values had to be replaced by safe ones.
+// decode returns the endpoint, and the number of its values that were invalid and replaced by safe ones.
 func (m *endpointMessage) decode() (endpoint engine.Endpoint, faults int) {
 	endpoint = engine.Endpoint{
 		Name:            m.Name,
@@ -75,7 +75,7 @@
 		Kind:            m.Type,
 		Cell:            noGroup,
 		Weight:          max(m.Weight, 0),
-		StartedAtMillis: int64(min(max(m.SinceMs, 0), maxSinceMillis)),
+		StartedAtMillis: int64(min(max(m.SinceMs, 0), maxStartMillis)),
 	}
 	if m.Group != nil {
 		endpoint.Cell = *m.Group
@@ -87,12 +87,12 @@
 		endpoint.State = dispatch.Gone
 	case statusDraining:
 		endpoint.State = dispatch.Draining
-	default: // unknown: it may not accept requests
+	default: // an endpoint with an unknown status may not accept requests
 		endpoint.State = dispatch.Draining
 		faults++
 	}
 	_, _, addressErr := net.SplitHostPort(m.Address)
-	if addressErr != nil && endpoint.State == dispatch.Ready { // nothing can be sent there
+	if addressErr != nil && endpoint.State == dispatch.Ready { // no request can be sent to it
 		endpoint.State = dispatch.Draining
 		endpoint.Address = ""
 		faults++
@@ -116,7 +116,7 @@
 	}
 	raw, err := json.Marshal(message)
 	if err != nil {
-		return nil, fmt.Errorf("encoding the list: %w", err)
+		return nil, fmt.Errorf("encoding endpoint list: %w", err)
 	}
 	return raw, nil
 }
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -13,7 +13,7 @@
 	entryDraining = `{"name":"s-1","address":"127.0.0.1:5000","zone":"a","type":"big","group":3,"status":"draining","weight":1.5,"since_ms":12}`
 )
 
-// Every field of a list is decoded, also if its value is written in another form.
+// Every field of a list is decoded, including numbers in exponent notation.
 func TestDecodeList_ReadsAllFields(t *testing.T) {
 	l, bad, err := DecodeList([]byte(`{"index":41,"snapshot":true,"endpoints":[` + entryUp +
 		`,{"name":"s-2","address":"127.0.0.1:5001","status":"draining"}` +
@@ -32,8 +32,8 @@
 	}
 }
 
-// Nothing may be sent unless the list clearly says that requests are accepted.
-func TestDecodeList_OddEntriesAreNotReady(t *testing.T) {
+// An endpoint is ready only if its entry is valid and says that requests are accepted.
+func TestDecodeList_MalformedEntriesAreNotReady(t *testing.T) {
 	for raw, kept := range map[string]int{
 		`{"name":"s","address":"127.0.0.1:1","status":"resting"}`: 1,
 		`{"name":"s","address":"127.0.0.1:1"}`:                    1,
@@ -48,12 +48,12 @@
 			t.Errorf("%s: %+v, %d, %v", raw, l, bad, err)
 		}
 		if kept == 1 && l.Endpoints[0].State == dispatch.Ready {
-			t.Errorf("%s counts as ready", raw)
+			t.Errorf("%s: the endpoint is ready", raw)
 		}
 	}
 	for _, raw := range []string{"", "[]", `{"index":-1}`, `{"index":1`, `{"index":1,"endpoints":{}}`} {
 		if _, _, err := DecodeList([]byte(raw)); err == nil {
-			t.Errorf("%q passed", raw)
+			t.Errorf("%q: no error", raw)
 		}
 	}
 }
@@ -75,7 +75,7 @@
 	})
 }
 
-// A list that is stored for another process means the same there.
+// A list that one process stores is the same when another process loads it.
 func TestEncodeList_RoundTrip(t *testing.T) {
 	in := engine.EndpointList{Version: 9, Snapshot: true, Endpoints: []engine.Endpoint{
 		{Name: "s-1", Address: "127.0.0.1:5000", Zone: "a", Kind: "big", Cell: 3, Weight: 1.5, State: dispatch.Ready, StartedAtMillis: 1764600000123},
--- a/internal/discovery/request.go
+++ b/internal/discovery/request.go
@@ -19,23 +19,23 @@
 // Limits of a response.
 const (
 	readBufferBytes = 64 << 10
-	maxListBytes    = 8 << 20 // of one list
+	maxListBytes    = 8 << 20 // maximum length of one list
 )
 
 var (
-	// errNoResponse ends a request whose response did not begin in time, or not at all.
-	errNoResponse = errors.New("no response")
+	// errNoResponse ends a request for which no response head was received.
+	errNoResponse = errors.New("no response from discovery")
 	// errListTooLong ends a request with a list of more than maxListBytes.
-	errListTooLong = errors.New("list too long")
+	errListTooLong = errors.New("list exceeds 8 MiB")
 )
 
 // busyError ends a request that discovery was too busy to serve.
 type busyError struct {
 	status     int
-	retryAfter time.Duration // as requested by discovery; 0: none
+	retryAfter time.Duration // from the response; 0: none
 }
 
-func (e busyError) Error() string { return "status " + strconv.Itoa(e.status) }
+func (e busyError) Error() string { return "discovery is busy: status " + strconv.Itoa(e.status) }
 
 // parseRetryAfter returns the value of Retry-After, in integer or decimal seconds, at most one hour; 0 if it is missing or malformed.
 func parseRetryAfter(header http.Header) time.Duration {
@@ -47,8 +47,8 @@
 }
 
 // readLists sends one request and calls handle for each list of the response, until one cannot be read or handle returns an error. A watch
-// ends when no line has arrived for the watch's idle timeout; a snapshot has to be complete within its timeouts. The error is never nil: it
-// is io.EOF if the response ended properly, busyError if discovery is busy, and errNoResponse if nothing arrived.
+// ends when no line has arrived for watchIdleTimeout; a snapshot has to be complete within requestTimeout and listTimeout. The error is
+// never nil: it wraps io.EOF if the response ended properly, busyError if discovery is busy, and errNoResponse if no response head arrived.
 func (w *watch) readLists(ctx context.Context, target string, handle func(engine.EndpointList) error) error {
 	requestDeadline := time.Now().Add(w.requestTimeout)
 	conn, err := dial(ctx, w.address, requestDeadline)
@@ -62,7 +62,7 @@
 		return err
 	}
 	onLine := func() error { return conn.extend(time.Now().Add(w.watchIdleTimeout)) }
-	if target == snapshotTarget { // the lines of a list that stops in the middle must not extend its time
+	if target == snapshotTarget { // lines of a snapshot that never completes must not extend its deadline
 		onLine = func() error { return conn.extend(requestDeadline.Add(w.listTimeout)) }
 	}
 	if err := onLine(); err != nil {
@@ -71,15 +71,15 @@
 	return w.decodeLists(&listReader{source: response.Body, onLine: onLine}, handle)
 }
 
-// sendRequest sends a request and reads the head of the response. The response's body must not be closed: that would read the rest of a
-// watch. It ends with the connection.
+// sendRequest sends a request and reads the head of the response. The response's body must not be closed, since that would read the rest
+// of a watch; it ends with the connection.
 func (w *watch) sendRequest(conn *requestConn, target string, deadline time.Time) (*http.Response, error) {
 	if err := conn.extend(deadline); err != nil {
 		return nil, err
 	}
 	request := "GET " + target + " HTTP/1.1\r\nHost: " + w.address + "\r\nAccept: application/json\r\n\r\n"
 	if _, err := conn.Write([]byte(request)); err != nil {
-		return nil, fmt.Errorf("sending the request: %w", err)
+		return nil, fmt.Errorf("sending request to discovery: %w", err)
 	}
 	response, err := http.ReadResponse(bufio.NewReaderSize(conn, readBufferBytes), nil)
 	if err != nil {
@@ -92,7 +92,7 @@
 		w.watcher.Engine.Counters.DiscoveryRejections.Add(1)
 		return nil, busyError{response.StatusCode, parseRetryAfter(response.Header)}
 	default:
-		return nil, fmt.Errorf("status %d", response.StatusCode)
+		return nil, fmt.Errorf("unexpected status %d from discovery: must be 200", response.StatusCode)
 	}
 }
 
@@ -108,7 +108,7 @@
 			if errors.As(err, &syntaxErr) {
 				malformedUpdates.Add(1)
 			}
-			return fmt.Errorf("reading a list: %w", err)
+			return fmt.Errorf("reading endpoint list: %w", err)
 		}
 		list, malformed, err := DecodeList(raw)
 		malformedUpdates.Add(int64(malformed))
@@ -128,29 +128,30 @@
 	ctx context.Context // of the request
 }
 
-// dial connects to an address, until a deadline.
+// dial connects to an address before a deadline.
 func dial(ctx context.Context, address string, deadline time.Time) (*requestConn, error) {
 	dialer := net.Dialer{Deadline: deadline, KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("connecting: %w", err)
+		return nil, fmt.Errorf("connecting to discovery: %w", err)
 	}
 	return &requestConn{conn, ctx}, nil
 }
 
-// extend sets the deadline of reads and writes. It fails if the request's context has ended: the deadline that interrupt set must stay.
+// extend sets the deadline of reads and writes. It fails if the request's context has ended, since it may then have replaced the deadline
+// that interrupt set.
 func (c *requestConn) extend(deadline time.Time) error {
 	return errors.Join(c.SetDeadline(deadline), c.ctx.Err())
 }
 
-// interrupt makes the read or write in progress fail, and all later ones.
+// interrupt makes pending and later reads and writes fail.
 func (c *requestConn) interrupt() { c.SetDeadline(time.Unix(1, 0)) }
 
-// listReader reads the body of a response. A line ending, also of an empty line, shows that discovery is alive; other bytes do not.
+// listReader reads the body of a response. Only the end of a line, which may be empty, shows that discovery is alive; other bytes do not.
 type listReader struct {
 	source    io.Reader
-	bytesLeft int          // until the list is too long
-	onLine    func() error // called when a line has ended
+	bytesLeft int          // that the list may still have
+	onLine    func() error // called after a read that contains the end of a line
 }
 
 func (r *listReader) Read(p []byte) (int, error) {
--- a/internal/discovery/request_test.go
+++ b/internal/discovery/request_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Retry-After is used if it is a positive number of seconds, up to an hour.
+// Retry-After is used if it is a positive number of seconds, and limited to one hour.
 func TestParseRetryAfter(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"": 0, "2": 2 * time.Second, "0.25": 250 * time.Millisecond, "-3": 0, "0": 0, "soon": 0, "NaN": 0, "1e300": time.Hour,
@@ -21,10 +21,10 @@
 	}
 }
 
-// An endless list takes a bounded amount of memory.
+// The memory of an endless list is bounded.
 func TestListReader_LimitsLength(t *testing.T) {
 	r := &listReader{source: strings.NewReader("[1,2,3,4]"), bytesLeft: 4, onLine: func() error { return nil }}
 	if got, err := io.ReadAll(r); !errors.Is(err, errListTooLong) || len(got) != 4 {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("read %q, %v, want 4 bytes and %v", got, err, errListTooLong)
 	}
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -20,8 +20,8 @@
 	watchTarget    = "/discovery/hosts?follow=1&since=" // followed by a version
 )
 
-// errStaleVersion means that the versions are not comparable with those before: the source is another agent, or has been restarted.
-var errStaleVersion = errors.New("a version older than the newest came")
+// errStaleVersion means that the versions are not comparable with earlier ones: the source is another agent, or has been restarted.
+var errStaleVersion = errors.New("list version is older than the newest known one")
 
 // watch follows the endpoint list at one address. Its goroutine owns resume and backoff.
 type watch struct {
@@ -33,11 +33,11 @@
 	resume  bool // the next request may continue from version
 
 	mu      sync.Mutex // two requests may be open: the watch and the verification of its first version
-	hasList bool       // the engine's list is from this address ...
-	version uint64     // ... and of this version
+	hasList bool       // the engine's list is from this address
+	version uint64     // newest version of that list
 }
 
-// run follows the list until ctx ends. If the watch breaks or falls silent it restarts after a delay; the engine keeps its list meanwhile.
+// run follows the list until ctx ends. A watch that breaks or falls silent is restarted after a delay; the engine keeps its list meanwhile.
 func (w *watch) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		received, err := w.follow(ctx)
@@ -54,7 +54,7 @@
 	}
 }
 
-// wait returns after a delay, or when ctx ends.
+// wait returns after a delay or when ctx ends.
 func wait(ctx context.Context, delay time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -62,14 +62,14 @@
 	}
 }
 
-// follow receives the list and its changes until an error ends it; received reports whether any was applied. It begins with the complete
-// list, since a version of another agent, or of the same one before a restart, is meaningless. There are two exceptions: the first watch of
-// the process continues from the list with which the process was started, and a watch for which discovery was too busy continues from the
-// newest list. These need one request instead of two, and verify checks later that their first version was valid.
+// follow receives the list and its changes until an error occurs; received reports whether any was applied. It begins with the complete
+// list, since a version of another agent, or of the same agent before a restart, is meaningless. There are two exceptions: the first watch
+// of the process continues from the list with which the process was started, and a watch for which discovery was too busy continues from
+// the newest list. These need one request instead of two; verify checks later that their first version was valid.
 func (w *watch) follow(ctx context.Context) (received bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	var verifications sync.WaitGroup
-	defer verifications.Wait() // guards against a list of the verification that arrives after the next watch's
+	defer verifications.Wait() // guards against applying the verification's list after a list of the next watch
 	defer cancel()
 	resumed := w.resume && w.knowsList()
 	if !resumed {
@@ -91,8 +91,8 @@
 	return received, err
 }
 
-// fetchSnapshot requests the complete list; received reports whether one was applied. With reset it is applied whatever its version is. The
-// error is io.EOF if the response ended properly.
+// fetchSnapshot requests the complete list; received reports whether one was applied. With reset it is applied regardless of its version.
+// The error wraps io.EOF if the response ended properly.
 func (w *watch) fetchSnapshot(ctx context.Context, reset bool) (received bool, err error) {
 	err = w.readLists(ctx, snapshotTarget, func(list engine.EndpointList) error {
 		list.Snapshot = true
@@ -106,15 +106,14 @@
 	return received, err
 }
 
-// apply passes a list to the watcher and stores its version. first means that it is the first list of its request: if that is older than
-// the newest one, the versions are not comparable. Later lists that are older are dropped, since a verification has delivered a newer one
-// meanwhile.
+// apply passes a list to the watcher and stores its version. first is set for the first list of a request: if it is older than the newest
+// list, the versions are not comparable. A later list that is older is dropped, since a verification has delivered a newer one meanwhile.
 func (w *watch) apply(list engine.EndpointList, first bool) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if list.Version < w.version {
 		if first {
-			return fmt.Errorf("%w: %d after %d", errStaleVersion, list.Version, w.version)
+			return fmt.Errorf("%w: got %d, newest is %d", errStaleVersion, list.Version, w.version)
 		}
 		return nil
 	}
@@ -126,10 +125,11 @@
 	return nil
 }
 
-// verify requests the complete list some time after a watch was resumed, until it has received one: nothing else shows that the agent still
-// means the same by the version from which the watch continued. If it does not, verify cancels the watch.
+// verify requests the complete list some time after a watch was resumed, and retries until it has received one or ctx ends. The list's
+// version shows whether the versions are still comparable with the one from which the watch continued. If they are not, verify cancels the
+// watch.
 func (w *watch) verify(ctx context.Context, cancel func()) {
-	retries := w.backoff // with its own count of failures
+	retries := w.backoff // counts its own failures
 	delay := retries.verifyDelay()
 	for {
 		wait(ctx, delay)
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -12,22 +12,22 @@
 	"birchfork/internal/engine/enginetest"
 )
 
-// Each new watch fetches the complete list first: its previous version may mean nothing to a new agent.
+// Each new watch fetches the complete list first, since its previous version may be meaningless to a new agent.
 func TestWatch_FetchesSnapshotThenFollows(t *testing.T) {
 	e := enginetest.New(t, 0)
 	stay := make(chan bool)
 	defer close(stay)
-	whole := func(index int) func(c net.Conn) {
+	snapshot := func(index int) func(c net.Conn) {
 		return func(c net.Conn) { io.WriteString(c, okHead+updateChunk(index, true, entryUp)+"0\r\n\r\n") }
 	}
 	addr, requests := startDiscovery(t,
-		whole(5),
+		snapshot(5),
 		func(c net.Conn) { // breaks in the middle of a line
 			io.WriteString(c, okHead+updateChunk(6, false)+chunk("\n")+"ff\r\n{\"index\":6,")
 		},
 		func(c net.Conn) { io.WriteString(c, "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n") },
-		whole(3),
-		func(c net.Conn) { // a malformed line: what it contained is missed
+		snapshot(3),
+		func(c net.Conn) { // a malformed line: the change that it contained is lost
 			io.WriteString(c, okHead+updateChunk(4, false)+chunk("{]\n")+updateChunk(9, false))
 		},
 		func(c net.Conn) { // a list may span several lines
@@ -41,13 +41,13 @@
 			t.Errorf("requested %q, want %q", got, want)
 		}
 	}
-	waitFor(t, "the drain is told", func() bool { available, _ := e.Ready(); return !available })
+	waitFor(t, "the drain is applied", func() bool { available, _ := e.Ready(); return !available })
 	if e.Counters.WatchFailures.Load() != 3 || e.Counters.MalformedUpdates.Load() != 1 || e.Counters.EndpointUpdates.Load() != 6 {
 		t.Error(e.Counters.Fields())
 	}
 }
 
-// A watch over a link that has vanished would stay open and silent forever.
+// A watch whose network path has failed without a reset would stay open and silent forever.
 func TestWatch_TimesOutWhenSilent(t *testing.T) {
 	e := enginetest.New(t, 0)
 	release := make(chan bool)
@@ -57,11 +57,11 @@
 		timing: timing{watchIdleTimeout: time.Minute, requestTimeout: 30 * time.Millisecond}}
 	received, err := w.follow(context.Background())
 	if received || err == nil || !strings.Contains(err.Error(), "timeout") {
-		t.Fatalf("%v, %v", received, err)
+		t.Fatalf("received %v, error %v, want a timeout and no list", received, err)
 	}
 }
 
-// A start from a known list takes one request instead of two, and a later one that verifies the version.
+// A start from a known list needs one request instead of two, and a later request that verifies the version.
 func TestWatch_ResumesFromKnownList(t *testing.T) {
 	e := enginetest.New(t, 0)
 	stay := make(chan bool)
@@ -69,7 +69,7 @@
 	busy := func(c net.Conn) { io.WriteString(c, "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n") }
 	addr, requests := startDiscovery(t,
 		busy,
-		func(c net.Conn) { // a watch that stays alive by empty lines
+		func(c net.Conn) { // a watch that is kept alive with empty lines
 			io.WriteString(c, okHead+updateChunk(9, false, entryUp))
 			for {
 				select {
@@ -80,7 +80,7 @@
 				}
 			}
 		},
-		busy, // the verification is not answered, and is repeated
+		busy, // the verification is rejected and repeated
 		func(c net.Conn) { io.WriteString(c, okHead+updateChunk(9, true)+"0\r\n\r\n") },
 	)
 	NewWatcher(t.Context(), e, enginetest.DiscardLogger(), Source{Address: addr, FleetSize: 1, HasList: true, Version: 7})
@@ -90,13 +90,13 @@
 			t.Errorf("requested %q, want %q", got, want)
 		}
 	}
-	waitFor(t, "the check is taken", func() bool { available, _ := e.Ready(); return !available && e.Counters.EndpointUpdates.Load() == 2 })
+	waitFor(t, "the list of the verification is applied", func() bool { available, _ := e.Ready(); return !available && e.Counters.EndpointUpdates.Load() == 2 })
 }
 
-// A version of another agent, or of the same one before a restart, is meaningless.
+// A version of another agent, or of the same agent before a restart, is meaningless.
 func TestWatch_RefetchesAfterForeignVersion(t *testing.T) {
-	whole := func(c net.Conn) { io.WriteString(c, okHead+updateChunk(3, true, entryUp)+"0\r\n\r\n") }
-	lasting := func(line string) func(c net.Conn) { // a watch that ends only with its client
+	snapshot := func(c net.Conn) { io.WriteString(c, okHead+updateChunk(3, true, entryUp)+"0\r\n\r\n") }
+	openWatch := func(line string) func(c net.Conn) { // a watch that stays open until the client closes it
 		return func(c net.Conn) {
 			_, err := io.WriteString(c, okHead+line)
 			for ; err == nil; _, err = io.WriteString(c, chunk("\n")) {
@@ -105,29 +105,29 @@
 		}
 	}
 	for name, watches := range map[string][]func(c net.Conn){
-		"by the watch": {lasting(updateChunk(2, false))},
-		"by the check": {lasting(updateChunk(50, false)), whole}, // the agent sends nothing if it does not know the version
+		"detected by the watch":        {openWatch(updateChunk(2, false))},
+		"detected by the verification": {openWatch(updateChunk(50, false)), snapshot}, // the agent sends nothing if it does not know the version
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := enginetest.New(t, 0)
-			addr, requests := startDiscovery(t, append(watches, whole, lasting(updateChunk(3, false)))...)
+			addr, requests := startDiscovery(t, append(watches, snapshot, openWatch(updateChunk(3, false)))...)
 			NewWatcher(t.Context(), e, enginetest.DiscardLogger(), Source{Address: addr, FleetSize: 1, HasList: true, Version: 50})
-			waitFor(t, "the whole list is taken", func() bool { available, _ := e.Ready(); return available })
-			waitFor(t, "the watch goes on from it", func() bool { return <-requests == "GET /discovery/hosts?follow=1&since=3" })
+			waitFor(t, "the complete list is applied", func() bool { available, _ := e.Ready(); return available })
+			waitFor(t, "the watch continues from its version", func() bool { return <-requests == "GET /discovery/hosts?follow=1&since=3" })
 		})
 	}
 }
 
-// Whatever discovery answers instead of its list, the last valid one is kept, and a drain that it sends later is applied.
+// Whatever discovery responds with instead of a list, the last valid list is kept, and a later list with a drain is applied.
 func TestWatch_KeepsLastListOnBadResponse(t *testing.T) {
 	for name, bad := range map[string]func(c net.Conn){
-		"closes without a word": func(net.Conn) {},
-		"turns away":            func(c net.Conn) { io.WriteString(c, "HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n") },
-		"half a list": func(c net.Conn) {
+		"closes without a response": func(net.Conn) {},
+		"status 404":                func(c net.Conn) { io.WriteString(c, "HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n") },
+		"truncated list": func(c net.Conn) {
 			io.WriteString(c, okHead+chunk(`{"index":6,"snapshot":true,"endpoints":[`)+"0\r\n\r\n")
 		},
-		"breaks within a line":   func(c net.Conn) { io.WriteString(c, okHead+"ff\r\n{\"index\":6,") },
-		"a head that is no HTTP": func(c net.Conn) { io.WriteString(c, "SSH-2.0-agent\r\n") },
+		"truncated line": func(c net.Conn) { io.WriteString(c, okHead+"ff\r\n{\"index\":6,") },
+		"malformed head": func(c net.Conn) { io.WriteString(c, "SSH-2.0-agent\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := enginetest.New(t, 0)
@@ -146,15 +146,15 @@
 			NewWatcher(t.Context(), e, enginetest.DiscardLogger(), Source{Address: addr, FleetSize: 1, HasList: true, Version: 5})
 			<-retried
 			if available, _ := e.Ready(); !available || e.Counters.WatchFailures.Load() != 2 {
-				t.Fatalf("after two bad answers: ready %v, %v", available, e.Counters.Fields())
+				t.Fatalf("after two bad responses: ready %v, %v", available, e.Counters.Fields())
 			}
 			stay <- true
-			waitFor(t, "the drain is told", func() bool { available, _ := e.Ready(); return !available })
+			waitFor(t, "the drain is applied", func() bool { available, _ := e.Ready(); return !available })
 		})
 	}
 }
 
-// A silent local agent is retried at short intervals, since its list counts as known as soon as it responds.
+// A silent local agent is retried at short intervals, since its list counts as known as soon as the agent responds again.
 func TestWatch_RetriesSilentAgentSoon(t *testing.T) {
 	e := enginetest.New(t, 0)
 	stay := make(chan bool)
@@ -163,23 +163,23 @@
 	addr, requests := startDiscovery(t, silent, silent, silent, silent, func(c net.Conn) { io.WriteString(c, okHead+updateChunk(1, true, entryUp)+"0\r\n\r\n") })
 	began := time.Now()
 	NewWatcher(t.Context(), e, enginetest.DiscardLogger(), Source{Address: addr, Pushed: true, FleetSize: 300})
-	waitFor(t, "its list is taken", func() bool { available, _ := e.Ready(); return available })
+	waitFor(t, "the agent's list is applied", func() bool { available, _ := e.Ready(); return available })
 	for range 4 {
 		<-requests
 	}
-	if elapsed := time.Since(began); elapsed > 5*time.Second { // a single request would have waited for this long
-		t.Errorf("it was asked five times in %v", elapsed)
+	if elapsed := time.Since(began); elapsed > 5*time.Second { // a single request without a short timeout would take as long
+		t.Errorf("five requests took %v, want at most 5 s", elapsed)
 	}
 }
 
-// A complete list that stops in the middle is abandoned within the timeouts of a request, however it is split into lines.
+// A complete list that stops in the middle is abandoned within the timeouts of a request, even if lines still arrive.
 func TestWatch_TimesOutOnStalledList(t *testing.T) {
 	e := enginetest.New(t, 0)
 	stay := make(chan bool)
 	defer close(stay)
 	addr, _ := startDiscovery(t, func(c net.Conn) {
 		io.WriteString(c, okHead)
-		for range 100 { // indented, a line now and then, and never complete
+		for range 100 { // empty lines at intervals, and never a complete list
 			if _, err := io.WriteString(c, chunk("\n")); err != nil {
 				return
 			}
@@ -193,6 +193,6 @@
 		timing: timing{watchIdleTimeout: time.Minute, requestTimeout: 50 * time.Millisecond, listTimeout: 50 * time.Millisecond}}
 	received, err := w.follow(context.Background())
 	if received || err == nil || !strings.Contains(err.Error(), "timeout") {
-		t.Fatalf("%v, %v", received, err)
+		t.Fatalf("received %v, error %v, want a timeout and no list", received, err)
 	}
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -12,25 +12,25 @@
 	"birchfork/internal/engine"
 )
 
-// randomStream is the second seed value of the delays' random source; other users of a dispatcher's seed have other streams.
+// randomStream is the second seed value of the delays' random source; other users of a dispatcher's seed use other values.
 const randomStream = 2
 
-// errNotCurrent ends a request of a watch whose lists are not used, because another watch is current.
-var errNotCurrent = errors.New("not the current watch")
+// errNotCurrent ends a request of a watch whose lists are not used because another watch is current.
+var errNotCurrent = errors.New("watch is not the current one")
 
 // Source describes where the endpoint list comes from.
 type Source struct {
 	Address   string
-	Pushed    bool   // Address is an agent on this machine, which responds at no cost
-	FleetSize int    // approximate number of dispatchers that use the source; discovery has to serve the requests of all
-	HasList   bool   // the engine already has a list of this source ...
-	Version   uint64 // ... of this version
-	Seed      uint64 // of the random delays, different at each dispatcher
+	Pushed    bool   // Address is that of an agent on this machine to which lists are pushed
+	FleetSize int    // approximate number of dispatchers whose requests the source has to serve
+	HasList   bool   // the engine already has a list of this source
+	Version   uint64 // of that list
+	Seed      uint64 // for the random delays; different at each dispatcher
 }
 
-// Watcher follows the endpoint list at one address for an engine, and moves to another address without a gap: the old one is watched until
-// the new one has sent its complete list. It owns one goroutine per watch; they end with the context of NewWatcher, and nothing waits for
-// them. It is safe for concurrent use.
+// Watcher follows the endpoint list at one address for an engine. It moves to another address without a gap: the old address is watched
+// until the new one has sent its complete list. It owns one goroutine per watch; they end with the context of NewWatcher, and nothing waits
+// for them. It is safe for concurrent use.
 type Watcher struct {
 	Engine *engine.Engine
 	Log    logrus.FieldLogger
@@ -41,13 +41,13 @@
 
 	mu        sync.Mutex
 	current   *watch // whose lists go to the engine
-	successor *watch // becomes current with its complete list; nil: there is none
+	successor *watch // becomes current with its first complete list; nil: none
 
 	randomMu     sync.Mutex
 	randomSource *rand.Rand
 }
 
-// NewWatcher follows the list at a source until ctx ends.
+// NewWatcher starts to follow the list of a source; the watcher stops when ctx ends.
 func NewWatcher(ctx context.Context, e *engine.Engine, log logrus.FieldLogger, source Source) *Watcher {
 	w := &Watcher{
 		Engine:       e,
@@ -63,8 +63,8 @@
 	return w
 }
 
-// MoveTo starts to watch another address, which becomes the current one once it has sent its complete list. It returns immediately. A
-// previous address that has not sent its list yet is dropped.
+// MoveTo starts to watch another address, which becomes the current one once it has sent its complete list. It returns immediately. An
+// address of an earlier call that has not become current is dropped.
 func (w *Watcher) MoveTo(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -111,8 +111,8 @@
 	return w.randomSource.Float64()
 }
 
-// apply passes a list of a watch to the engine if that watch is the current one, or becomes it with this list. A watch does not become
-// current with an empty list, which is what an agent without a list has.
+// apply passes a list of a watch to the engine if the watch is the current one or becomes current with this list. A watch does not become
+// current with an empty list, since an agent that has received no list yet sends an empty one.
 func (w *Watcher) apply(from *watch, list engine.EndpointList) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -9,7 +9,7 @@
 	"birchfork/internal/engine/enginetest"
 )
 
-// The old address is used until the new one has sent its complete list, and not any more afterwards.
+// The old address is used until the new one has sent its complete list, and no longer afterwards.
 func TestWatcher_MoveToLeavesNoGap(t *testing.T) {
 	e := enginetest.New(t, 0)
 	oldEvents, newEvents, stay := make(chan string), make(chan string), make(chan bool)
@@ -30,43 +30,43 @@
 	old, _ := startDiscovery(t, func(c net.Conn) { io.WriteString(c, okHead+updateChunk(50, true, entryUp)+"0\r\n\r\n") }, serve(oldEvents))
 	watcher := startWatcher(t, e, old)
 	ready := func() bool { available, _ := e.Ready(); return available }
-	waitFor(t, "the first list is there", ready)
+	waitFor(t, "the first list is applied", ready)
 
-	dead, err := net.Listen("tcp", "127.0.0.1:0")
+	unreachable, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	dead.Close()
-	watcher.MoveTo(dead.Addr().String())
-	waitFor(t, "the dead address was tried", func() bool { return e.Counters.WatchFailures.Load() >= 2 })
+	unreachable.Close()
+	watcher.MoveTo(unreachable.Addr().String())
+	waitFor(t, "the unreachable address has been tried", func() bool { return e.Counters.WatchFailures.Load() >= 2 })
 	oldEvents <- updateChunk(51, false, entryDraining)
-	waitFor(t, "the old address is heard meanwhile", func() bool { return !ready() })
+	waitFor(t, "a drain from the old address is applied meanwhile", func() bool { return !ready() })
 	oldEvents <- updateChunk(52, false, entryUp)
-	waitFor(t, "the old address is heard meanwhile", ready)
+	waitFor(t, "a recovery from the old address is applied meanwhile", ready)
 
-	fresh, _ := startDiscovery(t,
+	current, _ := startDiscovery(t,
 		func(c net.Conn) { io.WriteString(c, okHead+updateChunk(1, true)+"0\r\n\r\n") }, // an agent that has not received a list yet
 		func(c net.Conn) { io.WriteString(c, okHead+updateChunk(2, true, entryUp)+"0\r\n\r\n") },
 		serve(newEvents))
-	watcher.MoveTo(fresh)
-	waitFor(t, "the new address has taken over", func() bool { return watcher.Address() == fresh })
+	watcher.MoveTo(current)
+	waitFor(t, "the new address is current", func() bool { return watcher.Address() == current })
 	if !ready() || e.Counters.DiscoveryAddressChanges.Load() != 1 {
 		t.Fatal(e.Counters.Fields())
 	}
 	n := e.Counters.EndpointUpdates.Load()
-	newEvents <- updateChunk(3, false, entryDraining) // a lower version than the old one's
-	waitFor(t, "the new address is heard", func() bool { return !ready() && e.Counters.EndpointUpdates.Load() == n+1 })
-	watcher.MoveTo(fresh) // to the same address again
-	watcher.MoveTo(old)   // and back, where nothing answers any more
-	watcher.MoveTo(fresh)
+	newEvents <- updateChunk(3, false, entryDraining) // a lower version than that of the old address
+	waitFor(t, "a drain from the new address is applied", func() bool { return !ready() && e.Counters.EndpointUpdates.Load() == n+1 })
+	watcher.MoveTo(current) // to the same address again
+	watcher.MoveTo(old)     // back to the old address, which sends no complete list any more
+	watcher.MoveTo(current)
 	newEvents <- updateChunk(4, false, entryUp)
-	waitFor(t, "the address that counts goes on", ready)
+	waitFor(t, "a change from the current address is applied", ready)
 	if e.Counters.DiscoveryAddressChanges.Load() != 1 {
-		t.Error("it moved though nothing new told its list")
+		t.Error("the address changed although no other address sent a complete list")
 	}
 }
 
-// The engine knows whether the current watch is alive: reports of other members about workers count while it is not.
+// The engine is told whether the current watch is alive: while it is not, reports of other members about workers are used.
 func TestWatcher_ReportsBrokenWatch(t *testing.T) {
 	e := enginetest.New(t, 0)
 	w := &watch{}
@@ -78,6 +78,6 @@
 	watcher.watchBroken(&watch{})
 	during := e.WatchingFor()
 	if watcher.watchBroken(w); before >= 0 || during < 0 || e.WatchingFor() >= 0 {
-		t.Fatalf("%v before, %v while it stands, %v after", before, during, e.WatchingFor())
+		t.Fatalf("watching for %v before, %v during, %v after the watch: want only the second not negative", before, during, e.WatchingFor())
 	}
 }
--- a/internal/frontend/fixture_test.go
+++ b/internal/frontend/fixture_test.go
@@ -172,12 +172,12 @@
 	return status, errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// waitFor waits until ok returns true; what describes the condition in a failure.
+// waitFor waits until ok returns true. what is the condition in words, for the failure message.
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("not so in time: " + what)
+			t.Fatal("timed out after 10 s waiting until " + what)
 		}
 	}
 }
