--- a/internal/frontend/bench_test.go
+++ b/internal/frontend/bench_test.go
@@ -12,8 +12,8 @@
 	"birchfork/internal/upstream/upstreamtest"
 )
 
-// benchmarkRequest measures one request after the other on a reused connection, from the client's bytes to the worker's and back. The
-// reported allocations are those of the dispatcher plus a constant number of the client's and the worker's in the test.
+// benchmarkRequest measures sequential requests on a reused connection, from the client to the worker and back. The reported allocations are
+// those of the dispatcher plus a constant number by the test's client and worker.
 func benchmarkRequest(b *testing.B, body string) {
 	h := newHarness(b, startScriptedWorker(b, len(body)), 0)
 	conn, err := net.Dial("tcp", strings.TrimPrefix(h.url, "http://"))
@@ -36,8 +36,8 @@
 	}
 }
 
-// startScriptedWorker starts a worker that answers requests with a body of a given size and an id of eight characters, with as little work
-// of its own as possible. It returns its address.
+// startScriptedWorker starts a worker that answers requests with a body of bodySize bytes and an id of eight characters, with as little work
+// as possible. It returns the worker's address.
 func startScriptedWorker(b *testing.B, bodySize int) string {
 	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/frontend/body.go
+++ b/internal/frontend/body.go
@@ -9,20 +9,20 @@
 	"birchfork/internal/upstream"
 )
 
-// Sizes of a request's body, in bytes.
+// Sizes of request bodies.
 const (
 	maxBodyBytes        = 64 << 10
-	unbudgetedBodyBytes = 4 << 10 // of a body outside the budget: the limit on connections bounds them
-	initialBodyBytes    = 512     // of memory, if the length is unknown
+	unbudgetedBodyBytes = 4 << 10 // maximum size without a reservation; the limit on connections bounds the total of such bodies
+	initialBodyBytes    = 512     // initial capacity if the length is unknown
 )
 
-// MemoryBudget limits the total bytes of request bodies in memory. The zero budget has none to give. It is safe for concurrent use.
+// MemoryBudget limits the total bytes of request bodies in memory. The zero value has a limit of 0. It is safe for concurrent use.
 type MemoryBudget struct{ limit, available atomic.Int64 }
 
 // SetLimit sets the size of the budget. Existing reservations are kept, even if they exceed the new limit.
 func (b *MemoryBudget) SetLimit(n int64) { b.available.Add(n - b.limit.Swap(n)) }
 
-// reserve takes n bytes, or none if fewer are available.
+// reserve reserves n bytes, and reports whether as many were available.
 func (b *MemoryBudget) reserve(n int64) bool {
 	if b.available.Add(-n) >= 0 {
 		return true
@@ -33,13 +33,13 @@
 
 func (b *MemoryBudget) release(n int64) { b.available.Add(n) }
 
-// outgoingRequest is what is sent to workers for one request, with the memory of its body. It is retained by the request and by each
-// attempt; the last one to release it returns the memory to the budget.
+// outgoingRequest is the request that is sent to workers, with the memory of its body. The handler and each attempt hold a reference to it;
+// the release of the last reference returns the memory to the budget.
 type outgoingRequest struct {
 	upstream.Request
 
 	budget     *MemoryBudget
-	reserved   int64 // bytes of the budget
+	reserved   int64 // bytes reserved from the budget
 	references atomic.Int32
 }
 
@@ -51,18 +51,18 @@
 	}
 }
 
-// errBodyTooLong is the error for a body of more than maxBodyBytes.
+// errBodyTooLong is returned for a body of more than maxBodyBytes. Its text is sent to the client.
 var errBodyTooLong = errors.New("the body is over 64 KiB")
 
-// readBody reads the body. Memory is reserved as bytes arrive, not as a client announces them; a small body needs none of the budget, so
-// that clients with huge ones do not crowd out ordinary ones. The error is errBodyTooLong, errOverLimit, or that of the read.
+// readBody reads the body. Memory is reserved as bytes arrive, not by the announced length. A small body needs no reservation, so that
+// clients with huge bodies do not crowd out others. The error is errBodyTooLong, errOverLimit, or the error of the read.
 func (r *outgoingRequest) readBody(httpRequest *http.Request) error {
 	if httpRequest.ContentLength > maxBodyBytes { // rejected before it is read
 		return errBodyTooLong
 	}
 	capacity := int64(initialBodyBytes)
 	if httpRequest.ContentLength >= 0 {
-		capacity = min(httpRequest.ContentLength, unbudgetedBodyBytes) + 1 // one more to detect the end
+		capacity = min(httpRequest.ContentLength, unbudgetedBodyBytes) + 1 // one byte more to detect the end
 	}
 	r.Body = make([]byte, 0, capacity)
 	for {
@@ -84,7 +84,7 @@
 	}
 }
 
-// growBody doubles the memory of the body, up to one byte more than the maximum length.
+// growBody doubles the capacity of the body, up to one byte more than maxBodyBytes.
 func (r *outgoingRequest) growBody() error {
 	capacity := min(2*int64(cap(r.Body)), maxBodyBytes+1)
 	if capacity > unbudgetedBodyBytes+1 {
--- a/internal/frontend/body_test.go
+++ b/internal/frontend/body_test.go
@@ -12,7 +12,7 @@
 	"birchfork/internal/upstream/upstreamtest"
 )
 
-// A body of 64 KiB is allowed.
+// A body of exactly 64 KiB is forwarded.
 func TestHandler_ForwardsLargestBody(t *testing.T) {
 	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
 	h := newHarness(t, w.Address, 0)
@@ -20,12 +20,12 @@
 		t.Fatalf("status %d", status)
 	}
 	if _, body := w.Request(0); len(body) != maxBodyBytes {
-		t.Fatalf("%d bytes came", len(body))
+		t.Fatalf("the worker received %d bytes, want %d", len(body), maxBodyBytes)
 	}
 }
 
-// A client that sends 60 MB at full speed gets its response before it has finished, and the response survives the reset that its bytes
-// cause; also with a chunked body.
+// A client that sends 60 MB at full speed gets its response before it has sent all, also with a chunked body. The response must not be lost
+// in the reset that the unread bytes cause.
 func TestHandler_RejectsHugeBodyEarly(t *testing.T) {
 	h := newHarness(t, "", 0)
 	for i, framing := range []string{"Content-Length: 60000000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n"} {
@@ -48,15 +48,15 @@
 		}
 		res.Body.Close()
 		if sent > 50_000_000 {
-			t.Errorf("%s: all %d bytes were taken", framing[:8], sent)
+			t.Errorf("%s: the client could send %d bytes, want less than 50 MB", framing[:8], sent)
 		}
 	}
 	if n := h.engine.Counters.BadSizes.Load(); n != 2 {
-		t.Errorf("%d bodies were too long", n)
+		t.Errorf("%d bodies counted as too long, want 2", n)
 	}
 }
 
-// A chunked body is allowed. What follows it is not read.
+// A chunked body is forwarded, and a request that follows it is not.
 func TestHandler_ChunkedBody(t *testing.T) {
 	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
 	h := newHarness(t, w.Address, 0)
@@ -65,14 +65,14 @@
 		t.Fatalf("status %d, closed %v", status, closed)
 	}
 	if n := w.RequestCount(); n != 1 {
-		t.Fatalf("%d requests", n)
+		t.Fatalf("the worker received %d requests, want 1", n)
 	}
 	if _, body := w.Request(0); body != "abcde" {
 		t.Fatalf("body %q", body)
 	}
 }
 
-// Bodies use memory only as far as they have arrived, and together no more than their budget; small ones always fit.
+// The memory of bodies is limited by the budget as they arrive. Small bodies need none of the budget.
 func TestHandler_BodiesStayWithinBudget(t *testing.T) {
 	release := make(chan bool)
 	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool { <-release; return upstreamtest.RespondDone(c, r) })
@@ -81,9 +81,9 @@
 	big := strings.Repeat("x", 60<<10)
 	first := make(chan int)
 	go func() { status, _, _ := doRequest(t, newRequest(t, h.url, "search", "a", big)); first <- status }()
-	waitFor(t, "the first is at the worker", func() bool { return w.RequestCount() == 1 })
+	waitFor(t, "the first request is at the worker", func() bool { return w.RequestCount() == 1 })
 	if status, _, _ := doRequest(t, newRequest(t, h.url, "search", "b", big)); status != 503 {
-		t.Errorf("the second: status %d", status)
+		t.Errorf("second request: status %d, want 503", status)
 	}
 	go func() {
 		status, _, _ := doRequest(t, newRequest(t, h.url, "search", "c", big[:unbudgetedBodyBytes]))
@@ -92,11 +92,11 @@
 	close(release)
 	for range 2 {
 		if status := <-first; status != 200 {
-			t.Errorf("status %d", status)
+			t.Errorf("status %d, want 200", status)
 		}
 	}
 	h.settled(t)
-	waitFor(t, "all is given back", func() bool { return h.handler.BodyBudget.available.Load() == 100<<10 })
+	waitFor(t, "all memory is released", func() bool { return h.handler.BodyBudget.available.Load() == 100<<10 })
 }
 
 // Reservations are kept when the limit changes.
@@ -104,14 +104,14 @@
 	var b MemoryBudget
 	b.SetLimit(100)
 	if !b.reserve(60) {
-		t.Fatal("there is none")
+		t.Fatal("60 of 100 bytes cannot be reserved")
 	}
 	b.SetLimit(50)
 	if b.reserve(1) {
-		t.Error("more is taken than there is")
+		t.Error("a byte can be reserved although 60 of 50 bytes are")
 	}
 	b.available.Add(60) // released
 	if !b.reserve(50) || b.reserve(1) {
-		t.Error("not all is there again, or more than all")
+		t.Error("not exactly 50 bytes can be reserved after the release")
 	}
 }
--- a/internal/frontend/clientconn.go
+++ b/internal/frontend/clientconn.go
@@ -12,61 +12,61 @@
 	"birchfork/internal/socket"
 )
 
-// evictionClass orders client connections: if there are too many, lower classes are closed first.
+// evictionClass is the order in which client connections are closed if there are too many, lowest first.
 type evictionClass int
 
-// The eviction classes, in order.
 const (
 	evictClosing  evictionClass = iota // its final response has been written
-	evictUnproven                      // had enough time for a valid request, and sent none
+	evictUnproven                      // has sent no valid request within newConnPeriod
 	evictIdle                          // has had a response, and awaits none
 	evictNew                           // has just connected
-	evictNever                         // awaits a response
+	evictNever                         // awaits a response, or is being closed already
 )
 
 // newConnPeriod is how long a new connection may take to send something before it counts as unproven.
 const newConnPeriod = 50 * time.Millisecond
 
-// maxSurplusBytes limits the bytes that may arrive after a request that has not been answered. Clients send one request at a time; one that
-// sends more than a further complete request cannot be answered in order.
+// maxSurplusBytes limits the bytes that may arrive after a request that awaits its response. Clients send one request at a time; one
+// that sends more than a further complete request cannot be answered in order.
 const maxSurplusBytes = maxHeaderBytes + maxBodyBytes
 
 // discardBytes is the size of the buffers for discarded bytes.
 const discardBytes = 4 << 10
 
-// errTooMuchSurplus ends a connection with more than maxSurplusBytes after a request.
-var errTooMuchSurplus = errors.New("too many bytes behind a request that is not answered yet")
+// errTooMuchSurplus ends a connection on which more than maxSurplusBytes have arrived after a request.
+var errTooMuchSurplus = errors.New("more than 72 KiB received after a request that awaits its response")
 
-// clientConn is a client's connection. It sees all bytes that net/http reads, and so knows what net/http does not report: whether part of a
+// clientConn is a client's connection. It inspects all bytes that net/http reads and tracks what net/http does not report: whether part of a
 // request has arrived, how the request was framed, and whether more than the request arrived. It is safe for concurrent use.
 type clientConn struct {
 	net.Conn
-	rawConn     syscall.RawConn // nil: the connection has no file descriptor
+	rawConn     syscall.RawConn // nil if the connection has no file descriptor
 	tracker     *ConnTracker
 	closeOnce   sync.Once // of Close
 	releaseOnce sync.Once // of closeNow
 
 	mu               sync.Mutex
-	evicted          bool      // this process is closing it: nothing is read any more
-	since            time.Time // time of its last response, or of the connection
-	proven           bool      // a valid request has been answered
+	evicted          bool      // this process is closing the connection; nothing is read any more
+	since            time.Time // time of the last response, or of the connection's start
+	proven           bool      // a response to a valid request has begun
 	awaitingResponse bool      // a complete request has arrived, and its response has not begun
-	surplusBytes     int       // arrived after that request and discarded
+	surplusBytes     int       // bytes that arrived after that request and were discarded
 	responding       bool      // the response is being written; what arrives now belongs to the next request
-	responded        bool      // the last thing written was a complete response
+	responded        bool      // a response has been written
 	noMoreRequests   bool      // no further request is read
 	writeClosed      bool      // the sending direction is closed
 
-	// The request that is arriving.
+	// State of the request that is arriving.
 	head           headScanner
-	requestStarted bool  // part of it has arrived
-	bodyLeft       int64 // bytes of its body that have not arrived, by its Content-Length
+	requestStarted bool  // part of the request has arrived
+	bodyLeft       int64 // bytes of the body that have not arrived, according to Content-Length
 	surplus        bool  // more than the request has arrived
 }
 
-// Read reads, and tracks the framing of requests. An evicted connection returns nothing more: evict and Read exclude each other, so that no
-// request is read from it and then lost. What arrives after a request that awaits its response is discarded, since that response is then
-// the connection's last: otherwise net/http would stop reading at the first such byte, and not notice that the client leaves.
+// Read reads from the connection and tracks the framing of requests. After an eviction it returns no data: evict and Read exclude each
+// other, so that no request is read and then lost. Data that arrives after a request that awaits its response is discarded, since that
+// response is then the last one on the connection: otherwise net/http would stop reading at the first such byte, and would not notice that
+// the client disconnects.
 func (c *clientConn) Read(p []byte) (n int, err error) {
 	if c.rawConn == nil || len(p) == 0 {
 		n, err = c.Conn.Read(p)
@@ -93,8 +93,8 @@
 	return n, nil
 }
 
-// readFD reads once from the connection's file descriptor. done is false if nothing has arrived: the runtime calls it again once something
-// has. The end of the stream is n = 0 without an error.
+// readFD reads once from the connection's file descriptor. done is false if no data is available: the runtime calls readFD again when there
+// is some. At the end of the stream n is 0 and err is nil.
 func (c *clientConn) readFD(fd int, p []byte) (n int, done bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,8 +113,8 @@
 	return n, true, err
 }
 
-// discardSurplus discards the bytes that have arrived. done is true at the end of the stream, or after maxSurplusBytes. The caller must
-// hold the lock.
+// discardSurplus discards the bytes that have arrived. done is true at the end of the stream, on an error, and after maxSurplusBytes. The
+// caller must hold the lock.
 func (c *clientConn) discardSurplus(fd int) (done bool, err error) {
 	var discard [discardBytes]byte
 	for {
@@ -143,7 +143,7 @@
 	}
 }
 
-// trackFraming tracks the framing of bytes that have been read. The caller must hold the lock.
+// trackFraming updates the state of the arriving request with data that has been read. The caller must hold the lock.
 func (c *clientConn) trackFraming(data []byte) {
 	if len(data) == 0 {
 		return
@@ -166,16 +166,16 @@
 	}
 }
 
-// ambiguousLength reports whether the request's length was given in two ways. Another reader may choose the other one, and find a hidden
-// request after it (request smuggling).
+// ambiguousLength reports whether the request's length was invalid or given in two ways. Another HTTP implementation may use the other
+// length and find a hidden request behind the body (request smuggling).
 func (c *clientConn) ambiguousLength() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.head.invalidLength || c.head.hasTransferEncoding && c.head.hasLength
 }
 
-// completeRequest records that a complete request has arrived. It returns false if more than that has arrived: clients send one request at
-// a time, so its length was wrong.
+// completeRequest records that a complete request has arrived. It returns false if the connection was evicted or more than the request has
+// arrived: clients send one request at a time, so its length was wrong.
 func (c *clientConn) completeRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -187,8 +187,8 @@
 	return true
 }
 
-// beginResponse records that the response begins, and reports whether it has to be the last one on the connection: because it is final, or
-// because the start of the next request is unknown, as after a body with a transfer coding.
+// beginResponse records that the response begins, and reports whether it is the last one on the connection: because it is final, or because
+// the start of the next request is unknown, for example after a body with a transfer coding.
 func (c *clientConn) beginResponse(final bool) (last bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -212,7 +212,7 @@
 	c.since = time.Now()
 }
 
-// evictionClass returns the connection's eviction class, and since when it has been silent.
+// evictionClass returns the connection's eviction class, and the time since which it has been silent.
 func (c *clientConn) evictionClass(now time.Time) (class evictionClass, since time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -229,23 +229,23 @@
 	return evictIdle, c.since
 }
 
-// evict marks the connection as being closed by this process, and reports whether it did. It does not if a response is awaited or, unless
-// includeUnread is set, if an unread request may have arrived.
+// evict marks the connection as being closed by this process, and reports whether it did. It does not if a response is awaited, if the
+// connection is evicted already or, unless includeUnread is set, if an unread request may have arrived.
 func (c *clientConn) evict(includeUnread bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.mustKeep() {
 		return false
 	}
-	mayBringRequest := !c.noMoreRequests && !c.requestStarted
-	if !includeUnread && mayBringRequest && c.hasUnread() {
+	mayHaveRequest := !c.noMoreRequests && !c.requestStarted
+	if !includeUnread && mayHaveRequest && c.hasUnread() {
 		return false
 	}
 	c.evicted = true
 	return true
 }
 
-// pending reports whether a response is awaited on the connection, a request has begun to arrive, or one may arrive at any moment.
+// pending reports whether a response is awaited or being written, a request has begun to arrive, or the connection is new.
 func (c *clientConn) pending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -258,13 +258,13 @@
 	return c.requestStarted || c.hasUnread() || c.isNew(time.Now())
 }
 
-// mustKeep reports whether the connection must not be evicted, or already is. The caller must hold the lock.
+// mustKeep reports whether the connection awaits a response or is evicted already. The caller must hold the lock.
 func (c *clientConn) mustKeep() bool { return c.awaitingResponse || c.responding || c.evicted }
 
-// isNew reports whether the connection has not had time to send a request yet. The caller must hold the lock.
+// isNew reports whether the client may not have had time to send its first request. The caller must hold the lock.
 func (c *clientConn) isNew(now time.Time) bool { return !c.proven && now.Sub(c.since) < newConnPeriod }
 
-// hasUnread reports whether bytes have arrived that have not been read. The caller must hold the lock.
+// hasUnread reports whether unread bytes have arrived. The caller must hold the lock.
 func (c *clientConn) hasUnread() bool {
 	if c.rawConn == nil {
 		return false
@@ -273,8 +273,9 @@
 	return err == nil && n > 0
 }
 
-// ClientGone reports whether the client has ended its sending direction, by peeking at unread bytes. It guards against sending a request to
-// a worker although its client left before this process read that, for example after a stall: net/http reports it only once it has read it.
+// ClientGone reports whether the client has closed its sending direction, by peeking at unread bytes. It guards against sending a request
+// to a worker after its client has disconnected: net/http reports that only once it has read the end of the stream, which may be late, for
+// example after a stall of this process.
 func (c *clientConn) ClientGone() bool {
 	if c.rawConn == nil {
 		return false
@@ -283,7 +284,7 @@
 	return n == 0 && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
 }
 
-// connContextKey is the key of a request's connection in its context.
+// connContextKey is the context key of a request's connection.
 type connContextKey struct{}
 
 func contextWithConn(ctx context.Context, conn net.Conn) context.Context {
--- a/internal/frontend/conntracker.go
+++ b/internal/frontend/conntracker.go
@@ -10,15 +10,16 @@
 	"birchfork/internal/engine"
 )
 
-// closePollInterval is short compared with what WaitClosed waits for: the client's close, some milliseconds after that of this process.
+// closePollInterval is the poll interval of WaitClosed. It is short compared with the wait itself: clients close a connection some
+// milliseconds after this process.
 const closePollInterval = time.Millisecond
 
 // ConnTracker owns the client connections and limits their number. Connections are always accepted, since one that waits in the kernel
-// occupies a place as well: if there are too many, one that awaits no response is closed. It is safe for concurrent use; the limits are set
-// before the first connection, and by SetLimits after that.
+// takes up resources as well: if there are too many, one that awaits no response is closed. It is safe for concurrent use; after the first
+// connection the limits are changed only by SetLimits.
 type ConnTracker struct {
-	SoftLimit int // number of connections up to which requests are accepted, and idle connections are kept
-	HardLimit int // number of connections up to which those with a possibly unread request are kept; 0: no limit
+	SoftLimit int // maximum number of connections at which requests are accepted and idle connections are kept
+	HardLimit int // maximum number of connections at which those that may have an unread request are kept; 0: no limit
 	Counters  *engine.Counters
 
 	mu    sync.Mutex
@@ -35,7 +36,7 @@
 	tracker *ConnTracker
 }
 
-// Accept returns the next connection, and closes others if it exceeds the limits.
+// Accept returns the next connection, and closes others if there are too many.
 func (l *trackingListener) Accept() (net.Conn, error) {
 	raw, err := l.Listener.Accept()
 	if err != nil {
@@ -61,7 +62,7 @@
 	return conn
 }
 
-// SetLimits sets the limits on connections. Connections over the new limits are closed if they await no response.
+// SetLimits sets the limits on connections. Connections in excess of them are closed if they await no response.
 func (t *ConnTracker) SetLimits(soft, hard int) {
 	t.mu.Lock()
 	t.SoftLimit = soft
@@ -71,7 +72,7 @@
 	t.closeEvicted(evicted)
 }
 
-// closeEvicted closes connections that were evicted over a limit. It returns when their file descriptors are free.
+// closeEvicted closes connections that were evicted because of a limit. It returns when their file descriptors are free.
 func (t *ConnTracker) closeEvicted(evicted []*clientConn) {
 	for _, conn := range evicted {
 		t.Counters.ClientConnsClosed.Add(1)
@@ -79,8 +80,9 @@
 	}
 }
 
-// evictExcess evicts connections over the limits, but not the newest. One pass over all connections finds the next one: a burst over the
-// limit costs one file descriptor per connection, and must not delay the connections that are being served. The caller must hold the lock.
+// evictExcess evicts connections in excess of the limits, but not the newest. One pass over all connections finds the next
+// one to evict: a burst over the limit costs one file descriptor per connection, and must not delay the connections that are being served.
+// The caller must hold the lock.
 func (t *ConnTracker) evictExcess(newest *clientConn) (evicted []*clientConn) {
 	if len(t.conns) <= t.SoftLimit {
 		return nil
@@ -89,9 +91,9 @@
 	return t.evictDownTo(t.HardLimit, newest, true, evicted)
 }
 
-// evictDownTo evicts connections until limit are left, unless limit is 0, and appends them to evicted. The caller must hold the lock.
+// evictDownTo evicts connections until limit are left, and appends them to evicted. A limit of 0 means none. The caller must hold the lock.
 func (t *ConnTracker) evictDownTo(limit int, newest *clientConn, includeUnread bool, evicted []*clientConn) []*clientConn {
-	var skipped map[*clientConn]bool // candidates that must not be closed yet
+	var skipped map[*clientConn]bool // candidates that could not be evicted
 	for limit > 0 && len(t.conns) > limit {
 		candidate := t.nextToEvict(newest, skipped)
 		if candidate == nil {
@@ -110,8 +112,8 @@
 	return evicted
 }
 
-// nextToEvict returns a connection of the lowest eviction class, among them the one that has been silent for longest, but neither the
-// newest nor one that was skipped; nil if none may be evicted. The caller must hold the lock.
+// nextToEvict returns the connection of the lowest eviction class that has been silent for longest, except the newest one and those in
+// skipped; nil if none may be evicted. The caller must hold the lock.
 func (t *ConnTracker) nextToEvict(newest *clientConn, skipped map[*clientConn]bool) (best *clientConn) {
 	now := time.Now()
 	var bestClass evictionClass
@@ -124,8 +126,8 @@
 		if class == evictNever {
 			continue
 		}
-		goesBefore := class < bestClass || class == bestClass && since.Before(bestSince)
-		if best == nil || goesBefore {
+		precedes := class < bestClass || class == bestClass && since.Before(bestSince)
+		if best == nil || precedes {
 			best = conn
 			bestClass = class
 			bestSince = since
@@ -155,7 +157,7 @@
 	return idle
 }
 
-// OverLimit reports whether there are more connections than the limit up to which requests are accepted.
+// OverLimit reports whether the number of connections exceeds the soft limit, over which requests are rejected.
 func (t *ConnTracker) OverLimit() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -169,8 +171,8 @@
 	return len(t.conns)
 }
 
-// Pending returns the number of connections that await a response, on which a request has begun to arrive, or on which one may arrive at
-// any moment.
+// Pending returns the number of connections that await a response, on which a request has begun to arrive, or that are new and may soon
+// send one.
 func (t *ConnTracker) Pending() (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -182,7 +184,7 @@
 	return n
 }
 
-// WaitClosed returns when no connection is left, or ctx ends.
+// WaitClosed returns when no connection is left or ctx ends.
 func (t *ConnTracker) WaitClosed(ctx context.Context) {
 	ticker := time.NewTicker(closePollInterval)
 	defer ticker.Stop()
@@ -194,8 +196,8 @@
 	}
 }
 
-// forget removes a closed connection.
-func (t *ConnTracker) forget(conn *clientConn) {
+// remove removes a closed connection.
+func (t *ConnTracker) remove(conn *clientConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.conns, conn)
--- a/internal/frontend/conntracker_test.go
+++ b/internal/frontend/conntracker_test.go
@@ -15,8 +15,8 @@
 	"birchfork/internal/upstream/upstreamtest"
 )
 
-// A lower limit immediately closes connections over it that await no response.
-func TestConnTracker_FollowsLimits(t *testing.T) {
+// A lower limit immediately closes connections in excess of it that await no response.
+func TestConnTracker_SetLimitsEvictsExcess(t *testing.T) {
 	c := &ConnTracker{SoftLimit: 9, HardLimit: 9, Counters: &engine.Counters{}}
 	for i := range 6 {
 		conn, _ := connectClient(t, c)
@@ -24,15 +24,15 @@
 	}
 	c.SetLimits(4, 5)
 	if len(c.conns) != 4 || c.Counters.ClientConnsClosed.Load() != 2 {
-		t.Errorf("%d are open, %d were cut", len(c.conns), c.Counters.ClientConnsClosed.Load())
+		t.Errorf("%d connections open, %d evicted, want 4 and 2", len(c.conns), c.Counters.ClientConnsClosed.Load())
 	}
 	c.SetLimits(1, 2)
 	if len(c.conns) != 3 || c.Counters.ClientConnsClosed.Load() != 3 {
-		t.Errorf("%d are open, %d were cut: those that are owed an answer stay", len(c.conns), c.Counters.ClientConnsClosed.Load())
+		t.Errorf("%d connections open, %d evicted, want 3 and 3: those that await a response stay", len(c.conns), c.Counters.ClientConnsClosed.Load())
 	}
 }
 
-// With many idle connections over the limit, each new one costs a single pass over the others, and no memory that grows with their number.
+// A new connection over the limit costs one pass over the others, and memory that does not grow with their number.
 func TestConnTracker_EvictionCostIsConstant(t *testing.T) {
 	for _, limit := range []int{10, 1000} {
 		c := &ConnTracker{SoftLimit: limit, Counters: new(engine.Counters)}
@@ -48,22 +48,22 @@
 			c.mu.Lock()
 			c.conns[added] = true
 			evicted := c.evictExcess(added)
-			for _, conn := range evicted { // for the next run
+			for _, conn := range evicted { // restored for the next run
 				conn.evicted, c.conns[conn] = false, true
 			}
 			delete(c.conns, added)
 			c.mu.Unlock()
 			if len(evicted) != 1 {
-				t.Fatalf("%d of %d were cut for one", len(evicted), limit)
+				t.Fatalf("%d of %d connections evicted, want 1", len(evicted), limit)
 			}
 		})
 		if allocs > 2 {
-			t.Errorf("with %d connections one that comes takes %v pieces of memory, want 2 at the most", limit, allocs)
+			t.Errorf("with %d connections a new one takes %v allocations, want at most 2", limit, allocs)
 		}
 	}
 }
 
-// Of the connections that may be closed the lowest class is closed first, and within it the one that has been silent for longest.
+// The connection of the lowest class that has been silent for longest is evicted first.
 func TestConnTracker_EvictionOrder(t *testing.T) {
 	now := time.Now()
 	c := &ConnTracker{Counters: new(engine.Counters)}
@@ -89,20 +89,20 @@
 		c.SoftLimit = limit
 		evicted := c.evictExcess(nil)
 		if want := order[len(order)-limit]; len(evicted) != 1 || evicted[0] != want {
-			t.Fatalf("%d too many: not the one that goes first", len(order)-limit+1)
+			t.Fatalf("eviction %d: not the connection that is next in order", len(order)-limit+1)
 		}
 	}
 	if c.SoftLimit = 0; len(c.conns) != 1 {
-		t.Fatalf("%d are left", len(c.conns))
+		t.Fatalf("%d connections left, want 1", len(c.conns))
 	}
 	c.SoftLimit = 1
 	if near, _ := net.Pipe(); len(c.evictExcess(&clientConn{Conn: near})) != 0 {
-		t.Fatal("one that is owed an answer was cut")
+		t.Fatal("a connection that awaits a response was evicted")
 	}
 }
 
-// A draining process waits for requests that have begun to arrive, are unread, or may arrive at any moment, and for nothing else.
-func TestConnTracker_PendingCountsOpenWork(t *testing.T) {
+// A draining process waits for requests that are open, have begun to arrive, are unread, or may arrive on a new connection; nothing else.
+func TestConnTracker_PendingCountsExpectedRequests(t *testing.T) {
 	c := &ConnTracker{SoftLimit: 9, HardLimit: 9, Counters: &engine.Counters{}}
 	idle, _ := connectClient(t, c)
 	idle.proven = true
@@ -111,30 +111,29 @@
 	want := func(n int, what string) {
 		t.Helper()
 		if got := c.Pending(); got != n {
-			t.Errorf("%s: %d, want %d", what, got, n)
+			t.Errorf("%s: %d pending, want %d", what, got, n)
 		}
 	}
-	want(0, "idle and silent ones")
+	want(0, "idle and unproven connections")
 	unread, far := connectClient(t, c)
 	unread.proven = true
 	io.WriteString(far, "POST")
 	for !unread.hasUnread() {
 		time.Sleep(time.Millisecond)
 	}
-	want(1, "bytes that nobody has read")
+	want(1, "unread bytes")
 	if _, err := unread.Read(make([]byte, 9)); err != nil {
 		t.Fatal(err)
 	}
-	want(1, "half a request")
+	want(1, "part of a request")
 	idle.awaitingResponse = true
-	want(2, "a whole one")
-	fresh, _ := connectClient(t, c)
-	fresh.since = time.Now().Add(time.Hour) // has just connected, however slow this machine is
-	want(3, "one that has just come")
+	want(2, "an open request")
+	added, _ := connectClient(t, c)
+	added.since = time.Now().Add(time.Hour) // stays new even on a slow machine
+	want(3, "a new connection")
 }
 
-// Connections over the limit are accepted nevertheless, since one that waits in the kernel occupies a place too. Idle ones are evicted for
-// them.
+// Connections over the limit are accepted, since one that waits in the kernel takes up resources too. Idle connections are evicted for them.
 func TestConnTracker_EvictsIdle(t *testing.T) {
 	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
 	h := newHarness(t, w.Address, 0)
@@ -150,15 +149,15 @@
 		waitFor(t, "the connection is idle", func() bool { return h.countClass(evictIdle) == min(i+1, 2) })
 	}
 	if h.engine.Counters.ClientConnsClosed.Load() != 2 {
-		t.Fatalf("%d were cut", h.engine.Counters.ClientConnsClosed.Load())
+		t.Fatalf("%d connections evicted, want 2", h.engine.Counters.ClientConnsClosed.Load())
 	}
 	conns[0].SetReadDeadline(time.Now().Add(10 * time.Second))
 	if _, err := conns[0].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Fatalf("not the longest idle one was closed: %v", err)
+		t.Fatalf("the connection that was idle for longest was not closed: %v", err)
 	}
 }
 
-// Connections on which nothing arrives are evicted, the longest silent first, and never one whose request was accepted.
+// Connections on which nothing arrives are evicted, those silent for longest first, but never one whose request was accepted.
 func TestConnTracker_EvictsSilent(t *testing.T) {
 	release := make(chan bool)
 	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool { <-release; return upstreamtest.RespondDone(c, r) })
@@ -166,12 +165,12 @@
 	h.setSoftLimit(4)
 	h.handler.Conns.HardLimit = 6
 	busy := sendRaw(t, h, rawRequestHead+"Content-Length: 0\r\n\r\n")
-	waitFor(t, "the first is open", func() bool { return h.engine.OpenRequests() == 1 })
+	waitFor(t, "the first request is open", func() bool { return h.engine.OpenRequests() == 1 })
 	silent := make([]net.Conn, 0, 30)
 	for range 30 {
 		c := sendRaw(t, h, "")
 		silent = append(silent, c)
-		waitFor(t, "it is known", func() bool { return h.engine.Counters.ClientConns.Load() == int64(1+len(silent)) })
+		waitFor(t, "the connection is tracked", func() bool { return h.engine.Counters.ClientConns.Load() == int64(1+len(silent)) })
 	}
 	for i, c := range silent[:27] {
 		c.SetReadDeadline(time.Now().Add(10 * time.Second))
@@ -180,10 +179,10 @@
 		}
 	}
 	if n := h.countClass(evictUnproven) + h.countClass(evictNew); n != 3 || h.engine.Counters.ClientConnsClosed.Load() != 27 {
-		t.Fatalf("%d are open, %d were cut", n, h.engine.Counters.ClientConnsClosed.Load())
+		t.Fatalf("%d silent connections open, %d evicted, want 3 and 27", n, h.engine.Counters.ClientConnsClosed.Load())
 	}
 	another := sendRaw(t, h, strings.Replace(rawRequestHead, "Id: a", "Id: b", 1)+"Content-Length: 0\r\n\r\n")
-	waitFor(t, "the usual one is open too", func() bool { return h.engine.OpenRequests() == 2 })
+	waitFor(t, "the second request is open", func() bool { return h.engine.OpenRequests() == 2 })
 	close(release)
 	for _, c := range []net.Conn{busy, another} {
 		if status, _, err := readResponse(bufio.NewReader(c)); err != nil || status != 200 {
@@ -192,7 +191,7 @@
 	}
 }
 
-// A connection may look idle while its next request has already arrived, read or not: closing it would lose that request.
+// A connection may look idle although its next request has already arrived. Closing it would lose that request.
 func TestConnTracker_CloseIdleKeepsUnreadRequests(t *testing.T) {
 	h := newHarness(t, "", 0)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -217,7 +216,7 @@
 	silent, _ := connect()
 	unread, far := connect()
 	io.WriteString(far, "P")
-	waitFor(t, "it has come", func() bool { unread.mu.Lock(); defer unread.mu.Unlock(); return unread.hasUnread() })
+	waitFor(t, "the byte has arrived", func() bool { unread.mu.Lock(); defer unread.mu.Unlock(); return unread.hasUnread() })
 	awaiting, _ := connect()
 	awaiting.completeRequest()
 	responding, _ := connect()
@@ -227,16 +226,16 @@
 		name    string
 		conn    *clientConn
 		evicted bool
-	}{{"silent", silent, true}, {"unread", unread, false}, {"taken", awaiting, false}, {"answering", responding, false}} {
+	}{{"silent", silent, true}, {"unread", unread, false}, {"taken", awaiting, false}, {"responding", responding, false}} {
 		if c.conn.evicted != c.evicted {
-			t.Errorf("%s: cut %v", c.name, c.conn.evicted)
+			t.Errorf("%s: evicted %v, want %v", c.name, c.conn.evicted, c.evicted)
 		}
 	}
 	if _, err := silent.Read(make([]byte, 1)); err == nil {
-		t.Error("a connection that was cut is read")
+		t.Error("an evicted connection can be read")
 	}
 	b := make([]byte, 9)
 	if n, err := unread.Read(b); n != 1 || err != nil || !unread.requestStarted {
-		t.Errorf("%d bytes, %v", n, err)
+		t.Errorf("read %d bytes, %v, want the unread byte", n, err)
 	}
 }
--- a/internal/frontend/doc.go
+++ b/internal/frontend/doc.go
@@ -1,3 +1,3 @@
-// Package frontend serves clients: it accepts and limits their connections, reads and checks their requests, and writes the responses. The
-// engine decides on each request; package upstream carries out the attempts at workers.
+// Package frontend serves clients: it accepts and limits their connections, reads and validates their requests, and writes the responses.
+// The engine decides on each request; package upstream carries out the attempts at workers.
 package frontend
--- a/internal/frontend/fixture_test.go
+++ b/internal/frontend/fixture_test.go
@@ -20,7 +20,7 @@
 	"birchfork/internal/upstream/upstreamtest"
 )
 
-// harness is a handler behind a server, with its engine and one worker.
+// harness is a handler with its server and its engine, which knows one worker at most.
 type harness struct {
 	engine  *engine.Engine
 	pool    *upstream.Pool
@@ -30,7 +30,8 @@
 	server *http.Server
 }
 
-// newHarness starts a harness that stops when the test ends. maxOpen limits its open requests; 0: no limit.
+// newHarness starts a harness that stops when the test ends. worker is the worker's address, or empty for none. maxOpen limits the open
+// requests; 0: no limit.
 func newHarness(t testing.TB, worker string, maxOpen int) *harness {
 	t.Helper()
 	h := &harness{engine: enginetest.New(t, maxOpen)}
@@ -57,7 +58,7 @@
 	return h
 }
 
-// settled waits until no attempt is in flight and no connection to a worker in use, which every end must lead to.
+// settled waits until no attempt is in flight and no connection to a worker is in use, as must be the case however requests end.
 func (h *harness) settled(t testing.TB) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
@@ -75,7 +76,7 @@
 	}
 }
 
-// setSoftLimit sets the limit alone, without the evictions of ConnTracker.SetLimits.
+// setSoftLimit sets the soft limit without the evictions of ConnTracker.SetLimits.
 func (h *harness) setSoftLimit(n int) {
 	h.handler.Conns.mu.Lock()
 	defer h.handler.Conns.mu.Unlock()
@@ -94,7 +95,7 @@
 	return n
 }
 
-// newRequest returns a valid request of a class.
+// newRequest returns a valid request.
 func newRequest(t testing.TB, url, class, id, body string) *http.Request {
 	t.Helper()
 	r, err := http.NewRequest("POST", url+"/"+class+"/x%20y?q=1", strings.NewReader(body))
@@ -122,7 +123,7 @@
 	return res.StatusCode, string(b), res.Header
 }
 
-// rawRequestHead is the head of a request without the header that frames its body.
+// rawRequestHead is the head of a request without the header that frames the body and the final empty line.
 const rawRequestHead = "POST /search HTTP/1.1\r\nHost: h\r\nX-Request-Id: a\r\nX-Class: search\r\nX-Deadline-Ms: 5000\r\n"
 
 // sendRaw writes bytes on a new connection and returns it.
@@ -139,8 +140,8 @@
 	return c
 }
 
-// readResponse reads a response to the end of its body. It returns the status, 0 if the head cannot be read, and whether the response says
-// that the connection is closed after it.
+// readResponse reads a response to the end of its body. It returns the status, which is 0 if the head cannot be read, and whether the
+// response announces that the connection is closed after it.
 func readResponse(in *bufio.Reader) (status int, last bool, err error) {
 	res, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -151,7 +152,7 @@
 	return res.StatusCode, res.Close, err
 }
 
-// serve starts a server of the harness's handler on a listener, until the test ends.
+// serve serves a further listener with the harness's handler until the test ends.
 func (h *harness) serve(t *testing.T, listener net.Listener) {
 	t.Helper()
 	server := h.handler.HTTPServer()
@@ -159,7 +160,7 @@
 	go func() { _ = server.Serve(h.handler.Conns.WrapListener(listener)) }() // ends when the server is closed
 }
 
-// readToClose reads a response and returns its status, and whether the connection ends after it without further data.
+// readToClose reads a response and returns its status, 0 if there is none, and whether the connection ends after it without further data.
 func readToClose(t *testing.T, c net.Conn) (status int, closed bool) {
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
@@ -182,7 +183,7 @@
 	}
 }
 
-// startGatedWorker starts a worker that answers once open is called.
+// startGatedWorker starts a worker that answers only after open has been called.
 func startGatedWorker(t *testing.T) (w *upstreamtest.Worker, open func()) {
 	t.Helper()
 	release := make(chan bool)
@@ -197,11 +198,11 @@
 	return w, open
 }
 
-// serverSideConn returns the handler's side of its only connection.
+// serverSideConn returns the handler's side of the only client connection.
 func serverSideConn(t *testing.T, h *harness) (c *clientConn) {
 	t.Helper()
 	tracker := h.handler.Conns
-	waitFor(t, "the connection is known", func() bool {
+	waitFor(t, "the connection is tracked", func() bool {
 		tracker.mu.Lock()
 		defer tracker.mu.Unlock()
 		for conn := range tracker.conns {
@@ -212,7 +213,7 @@
 	return c
 }
 
-// connectClient connects a client to a tracker, and returns the tracker's side and the client's.
+// connectClient connects a client to a tracker and returns the tracker's side and the client's side of the connection.
 func connectClient(t *testing.T, tracker *ConnTracker) (*clientConn, net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/frontend/golden_test.go
+++ b/internal/frontend/golden_test.go
@@ -22,7 +22,7 @@
 	"birchfork/internal/upstream/upstreamtest"
 )
 
-// goldenCounters are the counters that the golden files of clients record.
+// goldenCounters are the counters that the golden files of client requests record.
 var goldenCounters = []string{
 	"taken", "served", "refused", "failed", "gone", "gone_early", "bad_requests", "turned_away", "overdue", "bad_heads", "bad_framing",
 	"bad_sizes", "bad_bodies", "bad_classes", "bad_methods", "bad_ids", "rejected", "unreadable", "unwritten", "sent", "bad_runner_lines",
@@ -30,7 +30,7 @@
 	"ended_not_sent", "ended_unknown",
 }
 
-// countersText lists the counters that are not zero.
+// countersText lists the golden counters that are not zero.
 func (h *harness) countersText() string {
 	fields := h.engine.Counters.Fields()
 	var all []string
@@ -44,8 +44,8 @@
 
 var dateHeader = regexp.MustCompile(`\r\nDate: [^\r]*\r\n`)
 
-// exchangeRaw sends the bytes of a request on a new connection and returns those of the answer, without its date, and whether the server
-// closed the connection after it.
+// exchangeRaw sends the bytes of a request on a new connection. It returns the bytes of the response with a fixed date, and whether the
+// server closed the connection afterwards.
 func exchangeRaw(t *testing.T, h *harness, sent string) (answer string, closed bool) {
 	t.Helper()
 	c := sendRaw(t, h, sent)
@@ -63,13 +63,13 @@
 	}
 	if closed = res.Close; closed {
 		if _, err := in.ReadByte(); err == nil {
-			t.Fatalf("%q: bytes came behind the last answer", sent)
+			t.Fatalf("%q: data after the last response", sent)
 		}
 	}
 	return dateHeader.ReplaceAllString(received.String(), "\r\nDate: DATE\r\n"), closed
 }
 
-// formatExchange formats one request of a client with its answer.
+// formatExchange formats a client's request, its response and the counters.
 func formatExchange(t *testing.T, name, sent, answer string, closed bool, counted string) string {
 	t.Helper()
 	if len(sent) > 4<<10 {
@@ -78,7 +78,7 @@
 	return fmt.Sprintf("== %s\n> request\n%s< response\n%sclosed: %t\ncounted: %s\n\n", name, goldentest.QuoteLines(sent), goldentest.QuoteLines(answer), closed, counted)
 }
 
-// rawRequest returns a client's request with the usual headers; change replaces them, or removes a header with an empty value.
+// rawRequest returns a client's request with the usual headers. change replaces or adds headers; an empty value removes one.
 func rawRequest(start string, change map[string]string, body string) string {
 	all := map[string]string{
 		"Host": "h", "X-Request-Id": "a", "X-Class": "search", "X-Tenant": "acme", "X-Deadline-Ms": "5000",
@@ -95,7 +95,7 @@
 	return b.String() + "\r\n" + body
 }
 
-// TestGoldenClientEndings records each way in which a request that reaches the module can end, byte by byte.
+// TestGoldenClientEndings records the response, byte by byte, for each way in which a request that is opened at the engine can end.
 func TestGoldenClientEndings(t *testing.T) {
 	answer := func(s string) func(c net.Conn, r *http.Request) bool {
 		return func(c net.Conn, r *http.Request) bool {
@@ -138,7 +138,7 @@
 	goldentest.Check(t, "frontend-endings.txt", []byte(b.String()))
 }
 
-// limitSearch applies operators' limits to one route, which takes all requests of class search.
+// limitSearch sets route limits on a route that matches all requests of class search.
 func limitSearch(t *testing.T, h *harness, limit admission.RouteConfig) {
 	t.Helper()
 	limit.Name, limit.Priority = "gold", admission.MaxPriority
@@ -150,7 +150,7 @@
 	h.engine.SetLimits(table, admission.Config{Routes: table.AdmissionConfigs()}, make([]dispatch.Class, 3))
 }
 
-// TestGoldenOverLimit records the answers to requests that exceed a limit.
+// TestGoldenOverLimit records the responses to requests that exceed a limit.
 func TestGoldenOverLimit(t *testing.T) {
 	var b strings.Builder
 	for _, c := range []struct {
@@ -191,14 +191,14 @@
 	goldentest.Check(t, "frontend-over-limit.txt", []byte(b.String()))
 }
 
-// TestGoldenBadRequests records status and text of the answer to each kind of invalid request.
+// TestGoldenBadRequests records the response to each kind of invalid request.
 func TestGoldenBadRequests(t *testing.T) {
 	var b strings.Builder
 	for _, c := range badRequests() {
 		h := newHarness(t, "", 0)
 		got, closed := exchangeRaw(t, h, c.sent)
 		if h.engine.Counters.Accepted.Load() != 0 {
-			t.Errorf("%s: the request was taken", c.name)
+			t.Errorf("%s: the request was accepted", c.name)
 		}
 		b.WriteString(formatExchange(t, c.name, c.sent, got, closed, h.countersText()))
 	}
@@ -213,10 +213,10 @@
 	goldentest.Check(t, "frontend-bad-requests.txt", []byte(b.String()))
 }
 
-// namedRequest is a request in bytes.
+// namedRequest is the bytes of a request, with a name for the golden file.
 type namedRequest struct{ name, sent string }
 
-// badRequests are requests with one fault each.
+// badRequests returns requests with one error each.
 func badRequests() []namedRequest {
 	long := strings.Repeat("a", maxGoldenText)
 	post := func(change map[string]string) string { return rawRequest("POST /search", change, "") }
@@ -296,7 +296,7 @@
 	goldentest.Check(t, "frontend-head.txt", []byte(b.String()))
 }
 
-// TestGoldenUp records the answers to the platform's health check.
+// TestGoldenUp records the responses to the platform's health check.
 func TestGoldenUp(t *testing.T) {
 	var b strings.Builder
 	for _, c := range []struct {
--- a/internal/frontend/golden_upstream_test.go
+++ b/internal/frontend/golden_upstream_test.go
@@ -19,7 +19,7 @@
 	deadlineHeader = regexp.MustCompile(`\r\nX-Deadline-Ms: 4[0-9]{3}\r\n`)
 )
 
-// TestGoldenForwardedRequest records which bytes of a client's request reach the worker, in which order.
+// TestGoldenForwardedRequest records the bytes that a worker receives for a client's request.
 func TestGoldenForwardedRequest(t *testing.T) {
 	var b strings.Builder
 	for _, c := range []struct{ name, sent string }{
@@ -44,7 +44,7 @@
 	goldentest.Check(t, "upstream-forwarded.txt", []byte(b.String()))
 }
 
-// recordingWorker starts a worker that answers one request successfully and passes on its bytes. It returns the worker's address.
+// recordingWorker starts a worker that answers one request successfully and sends its bytes to received. It returns the worker's address.
 func recordingWorker(t *testing.T, received chan<- string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -72,14 +72,14 @@
 	return l.Addr().String()
 }
 
-// TestGoldenWorkerAnswers records the effect of a worker's complete answer: the bytes that the client gets, the outcome that is counted,
-// and whether the connection is reused.
+// TestGoldenWorkerAnswers records the effect of a worker's answer: the bytes that the client receives, the outcome that is counted, and
+// whether the connection is kept.
 func TestGoldenWorkerAnswers(t *testing.T) {
 	const empty = "Content-Length: 0\r\n\r\n"
 	done := upstreamtest.StatusLine("ID", "done", `,"result":"r"`)
 	var b strings.Builder
 	for _, c := range []struct {
-		answer string // to the request ID
+		answer string // to the request with the id "ID"
 		keep   bool   // the worker leaves the connection open
 	}{
 		{upstreamtest.OKHead + upstreamtest.Chunk(upstreamtest.StatusLine("ID", "started", "")) + upstreamtest.Chunk(upstreamtest.StatusLine("ID", "running", `,"share":0.4`)) + upstreamtest.Chunk(done) + "0\r\n\r\n", true},
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -13,38 +13,37 @@
 // Timeouts of connections. Tests shorten the first two.
 var (
 	writeTimeout   = 2 * time.Second         // for a client to read its response
-	requestTimeout = 2500 * time.Millisecond // for a client to send a request, from the connection or the request's first byte on
+	requestTimeout = 2500 * time.Millisecond // for a client to send a request, from the connection's start or the request's first byte on
 )
 
 const (
 	idleTimeout      = 5 * time.Minute      // for a client's next request
-	responseMargin   = 3 * time.Millisecond // subtracted from a client's deadline for the response to reach it: the client's time runs from its send
+	responseMargin   = 3 * time.Millisecond // reserve for the response to reach the client, whose deadline runs from its send
 	firstListTimeout = 1 * time.Second      // for discovery's first list; after that the previous list is used
 )
 
-// Handler serves the requests of clients. It is an http.Handler for connections accepted by its ConnTracker, and is safe for concurrent
-// use.
+// Handler serves the requests of clients. It is an http.Handler for connections that its ConnTracker tracks, and is safe for concurrent use.
 type Handler struct {
 	Engine     *engine.Engine
 	Transport  *upstream.Transport
 	Conns      *ConnTracker
-	BodyBudget MemoryBudget // of request bodies in memory
+	BodyBudget MemoryBudget // for request bodies
 
 	startedAt          time.Time
 	retryAfter         atomic.Int64 // nanoseconds, see SetRetryAfter
-	maxRetryAfter      atomic.Int64 // likewise
+	maxRetryAfter      atomic.Int64 // nanoseconds, see SetRetryAfter
 	failHealthChecks   atomic.Bool
 	keepAlivesDisabled atomic.Bool
 	forceClose         chan struct{} // closed by ForceClose
 }
 
-// NewHandler returns a handler that opens requests at an engine and sends their attempts over transport.
+// NewHandler returns a handler that opens requests at an engine and carries out their attempts with transport.
 func NewHandler(e *engine.Engine, transport *upstream.Transport, conns *ConnTracker) *Handler {
 	return &Handler{Engine: e, Transport: transport, Conns: conns, startedAt: time.Now(), forceClose: make(chan struct{})}
 }
 
-// SetRetryAfter sets the Retry-After of responses to requests that exceed a limit of this process. maxDelay is the longest delay that the
-// settings allow, also for the limits of routes; 0 if they allow none.
+// SetRetryAfter sets the Retry-After of responses to requests that exceed a limit of this process. maxDelay is the upper bound of
+// this delay and of those of route limits; 0 if the settings allow no Retry-After.
 func (h *Handler) SetRetryAfter(delay, maxDelay time.Duration) {
 	h.retryAfter.Store(int64(min(delay, maxDelay)))
 	h.maxRetryAfter.Store(int64(maxDelay))
@@ -59,11 +58,11 @@
 		ReadTimeout:                  requestTimeout,
 		IdleTimeout:                  idleTimeout,
 		MaxHeaderBytes:               maxHeaderBytes,
-		DisableGeneralOptionsHandler: true, // it would answer some requests itself, and keep their connections
+		DisableGeneralOptionsHandler: true, // the default handler would answer some requests itself and keep their connections open
 	}
 }
 
-// FailHealthChecks makes /up report that the dispatcher is not up. Requests are served as before.
+// FailHealthChecks makes the health check /up fail. Requests are served as before.
 func (h *Handler) FailHealthChecks() { h.failHealthChecks.Store(true) }
 
 // DisableKeepAlives fails health checks, and closes each connection after its next response.
@@ -75,7 +74,7 @@
 // KeepAlivesDisabled reports whether DisableKeepAlives has been called.
 func (h *Handler) KeepAlivesDisabled() bool { return h.keepAlivesDisabled.Load() }
 
-// ForceClose ends all open requests, and those that still arrive: they fail, or are shed if they cannot have run. It must be called at most
+// ForceClose ends all open requests and those that still arrive: they fail, or are shed if they cannot have run. It must be called at most
 // once.
 func (h *Handler) ForceClose() { close(h.forceClose) }
 
@@ -85,8 +84,8 @@
 	return available && h.Ready()
 }
 
-// Ready reports whether this process can serve requests, provided that a worker is up: health checks are not disabled, and discovery has
-// sent its list since the start, or has been silent for so long that the previous list is used.
+// Ready reports whether this process can serve requests, provided that a worker is up: FailHealthChecks has not been called, and discovery
+// has sent its list since the start, or firstListTimeout has passed and the previous list is used.
 func (h *Handler) Ready() bool {
 	_, synced := h.Engine.Ready()
 	knowsWorkers := synced || time.Since(h.startedAt) > firstListTimeout
@@ -142,7 +141,7 @@
 		return
 	}
 	defer request.Close()
-	// Guards against an engine that gives no final decision; normally it ends requests slightly earlier by itself.
+	// Guards against an engine that makes no final decision; normally it ends the request slightly earlier.
 	overdue := time.NewTimer(time.Until(deadline) + responseMargin)
 	defer overdue.Stop()
 	h.respond(w, r, h.awaitFinalDecision(r.Context(), request, outgoing, overdue.C))
@@ -164,10 +163,10 @@
 	}
 }
 
-// nextDecision returns the engine's next decision on a request, or the one that ends it if it is overdue or ForceClose is called. It does
-// not return if the client has gone.
+// nextDecision returns the engine's next decision on a request, or aborts the request if it is overdue or ForceClose is called. It panics
+// with http.ErrAbortHandler if the client has disconnected.
 func (h *Handler) nextDecision(ctx context.Context, request *engine.Request, overdue <-chan time.Time) engine.Decision {
-	// First what ends the request: of several ready cases the select below takes any, and nothing may be sent after the end.
+	// What ends the request is checked first: the select below picks any of several ready cases, and nothing may be sent after the end.
 	select {
 	case <-ctx.Done():
 		abortConnection()
@@ -186,7 +185,7 @@
 	return request.Abort()
 }
 
-// abortConnection ends the handling of a request whose client has gone: the connection is closed with nothing written. It guards against
-// the empty response with status 200 that net/http writes for a handler that wrote none: a client that has closed only its sending
-// direction would read it as a result.
+// abortConnection ends the handling of a request whose client has disconnected: the connection is closed without a response. Otherwise
+// net/http would write an empty response with status 200, and a client that has closed only its sending direction would take it for a
+// result.
 func abortConnection() { panic(http.ErrAbortHandler) }
--- a/internal/frontend/handler_test.go
+++ b/internal/frontend/handler_test.go
@@ -14,9 +14,9 @@
 	"birchfork/internal/upstream/upstreamtest"
 )
 
-// A request that no worker can take in time is shed, with a Retry-After within the settings.
+// A request that no worker can serve in time is shed, with a Retry-After within the limit of the settings.
 func TestHandler_ShedRequestGetsRetryAfter(t *testing.T) {
-	h := newHarness(t, "", 0) // no worker is known: requests are queued until they can no longer be served in time
+	h := newHarness(t, "", 0) // without workers, requests are queued until they can no longer be served in time
 	r := newRequest(t, h.url, "search", "a", "")
 	r.Header.Set("X-Deadline-Ms", "1000")
 	status, _, head := doRequest(t, r)
@@ -25,33 +25,33 @@
 	}
 	if v := head.Get("Retry-After"); v != "" {
 		if e, err := strconv.ParseFloat(v, 64); err != nil || e < 0 || e > 2 {
-			t.Fatalf("Retry-After %q", v)
+			t.Fatalf("Retry-After %q, want 0 to 2 s", v)
 		}
 	}
 }
 
-// The engine's limit on open requests rejects those beyond it.
+// Requests over the engine's limit on open requests are rejected.
 func TestHandler_OpenRequestLimit(t *testing.T) {
 	release := make(chan bool)
 	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool { <-release; return upstreamtest.RespondDone(c, r) })
 	h := newHarness(t, w.Address, 1)
 	sendRaw(t, h, rawRequestHead+"Content-Length: 0\r\n\r\n")
-	waitFor(t, "the first is open", func() bool { return h.engine.OpenRequests() == 1 })
+	waitFor(t, "the first request is open", func() bool { return h.engine.OpenRequests() == 1 })
 	if status, _, _ := doRequest(t, newRequest(t, h.url, "search", "b", "")); status != 503 || h.engine.Counters.RejectedOverLimit.Load() != 1 {
-		t.Fatalf("status %d", status)
+		t.Fatalf("status %d, want 503, counted as rejected", status)
 	}
 	close(release)
 	h.settled(t)
 }
 
-// Over the soft limit on connections new requests are rejected, with the configured Retry-After.
+// Above the soft limit on connections, new requests are rejected with the configured Retry-After.
 func TestHandler_RejectsOverSoftLimit(t *testing.T) {
 	release := make(chan bool)
 	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool { <-release; return upstreamtest.RespondDone(c, r) })
 	h := newHarness(t, w.Address, 0)
 	h.setSoftLimit(1)
 	sendRaw(t, h, rawRequestHead+"Content-Length: 0\r\n\r\n")
-	waitFor(t, "the first is open", func() bool { return h.engine.OpenRequests() == 1 })
+	waitFor(t, "the first request is open", func() bool { return h.engine.OpenRequests() == 1 })
 	for want, delay := range map[string]time.Duration{"": 0, "0.200": 200 * time.Millisecond} {
 		h.handler.SetRetryAfter(delay, delay)
 		n := h.engine.Counters.RejectedOverLimit.Load()
@@ -67,7 +67,7 @@
 	h.settled(t)
 }
 
-// A queued request still gets its response when the platform is about to kill the process.
+// An open request still gets its response when ForceClose ends it, shortly before the platform kills the process.
 func TestHandler_ForceCloseFailsQueued(t *testing.T) {
 	release := make(chan bool)
 	w := upstreamtest.StartWorker(t, func(net.Conn, *http.Request) bool { <-release; return false })
@@ -84,35 +84,35 @@
 		h.handler.ServeHTTP(rec, r.WithContext(contextWithConn(r.Context(), h.handler.Conns.track(near))))
 		answered <- rec.Code
 	}()
-	waitFor(t, "the worker has it", func() bool { return w.RequestCount() == 1 })
+	waitFor(t, "the request is at the worker", func() bool { return w.RequestCount() == 1 })
 	h.handler.DisableKeepAlives()
 	h.handler.ForceClose()
 	if code := <-answered; code != 500 || h.engine.Counters.Overdue.Load() != 1 {
-		t.Fatalf("status %d", code)
+		t.Fatalf("status %d, want 500, counted as overdue", code)
 	}
 	close(release)
 	h.settled(t)
 }
 
-// At the forced end a decision to send and the end are both ready, and a select takes any of several ready cases.
+// After ForceClose nothing is sent, although a decision to send may be ready at the same time and select picks any ready case.
 func TestHandler_ForceCloseSendsNothing(t *testing.T) {
 	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
 	h := newHarness(t, w.Address, 0)
 	h.handler.DisableKeepAlives()
 	h.handler.ForceClose()
-	for i := range 40 { // without the guard half of them would be sent
+	for i := range 40 { // without the check about half of them would be sent
 		status, _, _ := doRequest(t, newRequest(t, h.url, "book", strconv.Itoa(i), ""))
 		if status != 503 { // it never ran, so it is shed, and the client may retry
 			t.Fatalf("request %d: status %d", i, status)
 		}
 	}
 	if n := w.RequestCount(); n != 0 {
-		t.Fatalf("%d of 40 requests that were read after the end were sent on", n)
+		t.Fatalf("%d of 40 requests were sent to the worker after ForceClose", n)
 	}
 	h.settled(t)
 }
 
-// The health check passes while a worker is up and the process is not stopping.
+// The health check passes while a worker is up and the process is not stopping. A stale list counts only after firstListTimeout.
 func TestHandler_Up(t *testing.T) {
 	h := newHarness(t, "", 0)
 	up := func() int {
@@ -124,22 +124,22 @@
 		return res.StatusCode
 	}
 	if up() != 503 {
-		t.Fatal("up without any worker")
+		t.Fatal("up without a worker")
 	}
 	l := upstreamtest.ListWithWorker("127.0.0.1:1")
 	l.Stale = true
 	h.engine.UpdateEndpoints(l)
 	if up() != 503 {
-		t.Fatal("up by an old list before discovery could speak")
+		t.Fatal("up with a stale list before firstListTimeout")
 	}
 	h.handler.startedAt = h.handler.startedAt.Add(-2 * firstListTimeout)
 	if up() != 200 {
-		t.Fatal("not up by the old list, though discovery is silent")
+		t.Fatal("not up with a stale list after firstListTimeout")
 	}
 	h.handler.startedAt = time.Now()
 	h.engine.UpdateEndpoints(upstreamtest.ListWithWorker("127.0.0.1:1"))
 	if up() != 200 {
-		t.Fatal("not up")
+		t.Fatal("not up with a current list")
 	}
 	h.handler.DisableKeepAlives()
 	if up() != 503 {
@@ -147,7 +147,7 @@
 	}
 }
 
-// Without keep-alives requests are served as before, and connections are closed after the response.
+// With keep-alives disabled, requests are served as before, and connections are closed after the response.
 func TestHandler_ServesWithKeepAlivesDisabled(t *testing.T) {
 	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
 	h := newHarness(t, w.Address, 0)
@@ -158,21 +158,21 @@
 		t.Fatalf("status %d, last %v, %v", status, last, err)
 	}
 	if _, err := in.ReadByte(); err != io.EOF {
-		t.Fatalf("the connection did not end: %v", err)
+		t.Fatalf("the connection was not closed: %v", err)
 	}
 }
 
-// A client that never reads its response must not occupy its connection and the request forever.
+// A client that never reads its response must not occupy its connection and its request forever.
 func TestHandler_UnreadResponseTimesOut(t *testing.T) {
 	defer func(d time.Duration) { writeTimeout = d }(writeTimeout)
 	writeTimeout = 50 * time.Millisecond
 	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
 	h := newHarness(t, w.Address, 0)
-	near, far := net.Pipe() // has no buffer of its own
+	near, far := net.Pipe() // has no buffer
 	defer far.Close()
 	h.serve(t, &singleConnListener{conn: near, done: make(chan bool)})
 	io.WriteString(far, rawRequestHead+"Content-Length: 0\r\n\r\n")
-	waitFor(t, "the answer is given up", func() bool { return h.engine.Counters.WriteFailures.Load() == 1 })
+	waitFor(t, "the write fails", func() bool { return h.engine.Counters.WriteFailures.Load() == 1 })
 }
 
 // singleConnListener is a listener with one connection.
@@ -194,7 +194,7 @@
 
 func (l *singleConnListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// The write timeout applies to each response separately, not to the next one on the same connection.
+// The write timeout of a response does not apply to the next response on the same connection.
 func TestHandler_WriteTimeoutIsPerResponse(t *testing.T) {
 	defer func(d time.Duration) { writeTimeout = d }(writeTimeout)
 	writeTimeout = 200 * time.Millisecond
@@ -217,7 +217,7 @@
 	}
 }
 
-// The timeout for reading a request must not be taken for a later disconnect of the client.
+// The timeout for reading a request ends with its body, and must not later be mistaken for a disconnect of the client.
 func TestHandler_RequestTimeoutEndsWithBody(t *testing.T) {
 	defer func(d time.Duration) { requestTimeout = d }(requestTimeout)
 	requestTimeout = 300 * time.Millisecond
@@ -228,11 +228,11 @@
 	h := newHarness(t, w.Address, 0)
 	r := newRequest(t, h.url, "search", "a", "body")
 	if status, _, _ := doRequest(t, r); status != 200 || h.engine.Counters.ClientDisconnects.Load() != 0 {
-		t.Fatalf("status %d, %d gone", status, h.engine.Counters.ClientDisconnects.Load())
+		t.Fatalf("status %d, %d disconnects counted", status, h.engine.Counters.ClientDisconnects.Load())
 	}
 }
 
-// A client that does not send its request in time, from its connection on, must not occupy a connection.
+// A client that does not send its complete request in time after connecting must not occupy a connection.
 func TestHandler_SlowRequestsTimeOut(t *testing.T) {
 	defer func(d time.Duration) { requestTimeout = d }(requestTimeout)
 	requestTimeout = 100 * time.Millisecond
@@ -266,6 +266,6 @@
 		}
 	}
 	if h.engine.Counters.Accepted.Load() != 0 {
-		t.Error("something was taken")
+		t.Error("an incomplete request was accepted")
 	}
 }
--- a/internal/frontend/headscanner.go
+++ b/internal/frontend/headscanner.go
@@ -5,18 +5,18 @@
 	"strconv"
 )
 
-// maxScannedLine is how much of a line is examined, in bytes. No valid length needs a longer line.
+// maxScannedLine is the number of bytes of a line that are examined. A valid Content-Length needs no longer line.
 const maxScannedLine = 128
 
-// headScanner finds the end of a request's head, and how the request is framed, in the bytes as they arrive. It splits lines as net/http
-// does, which silently drops one of two contradicting lengths.
+// headScanner finds the end of a request's head and the framing of its body, incrementally as bytes arrive. It splits lines like net/http,
+// which cannot be relied on for the framing since it silently drops one of two contradicting lengths.
 type headScanner struct {
 	line                []byte // the start of the line that is arriving
-	sawLine             bool   // a line that is not empty has arrived
-	hasLength           bool   // there is a Content-Length ...
-	length              int64  // ... with this value
+	sawLine             bool   // a non-empty line has arrived
+	hasLength           bool   // there is a Content-Length
+	length              int64  // value of the Content-Length
 	hasTransferEncoding bool
-	invalidLength       bool // the Content-Length is not a number, or there are two
+	invalidLength       bool // the Content-Length is malformed, or there are two different ones
 	done                bool // the head is complete
 }
 
@@ -40,7 +40,7 @@
 	}
 }
 
-// appendLine stores a further part of a line, up to maxScannedLine.
+// appendLine appends to the stored line, up to maxScannedLine.
 func (s *headScanner) appendLine(part []byte) {
 	kept := min(len(part), maxScannedLine-len(s.line))
 	s.line = append(s.line, part[:kept]...)
--- a/internal/frontend/headscanner_test.go
+++ b/internal/frontend/headscanner_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The scanner finds the end of a head and its framing at the same place as net/http, however the bytes are split.
+// The scanner finds the same end of a head and the same framing as net/http, however the bytes are split.
 func FuzzHeadScanner(f *testing.F) {
 	f.Add([]byte(rawRequestHead+"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc"), 7)
 	f.Add([]byte(rawRequestHead+"Content-Length:\n 3\n\n"), 1)
@@ -19,16 +19,16 @@
 		var whole, parts headScanner
 		n := whole.scan(b)
 		if !whole.done {
-			t.Fatalf("net/http reads a head in %q, we do not", b)
+			t.Fatalf("net/http reads a complete head from %q, the scanner does not", b)
 		}
 		if i := max(0, min(split, n-1)); parts.scan(b[:i]) != i || i+parts.scan(b[i:n]) != n || !parts.done {
-			t.Fatalf("%q ends elsewhere in two parts", b)
+			t.Fatalf("the head of %q ends elsewhere if it is scanned in two parts", b)
 		}
 		if r.ContentLength > 0 && !whole.invalidLength && whole.length != r.ContentLength {
-			t.Fatalf("length %d, net/http takes %d", whole.length, r.ContentLength)
+			t.Fatalf("length %d, net/http uses %d", whole.length, r.ContentLength)
 		}
 		if len(r.TransferEncoding) > 0 && !whole.hasTransferEncoding {
-			t.Fatalf("net/http finds a coding in %q, we do not", b)
+			t.Fatalf("net/http finds a transfer coding in %q, the scanner does not", b)
 		}
 	})
 }
--- a/internal/frontend/lingeringclose.go
+++ b/internal/frontend/lingeringclose.go
@@ -8,13 +8,13 @@
 	"birchfork/internal/socket"
 )
 
-// lingerTimeout is how long a client may take to read its last response and close: many round trips on the longest paths that platforms
-// have between a client and its dispatcher. Until then the connection is in the first class to be evicted.
+// lingerTimeout is how long a client may take to read its last response and close the connection: many round trips on the longest network
+// paths between clients and dispatchers. Meanwhile the connection is in the first class to be evicted.
 const lingerTimeout = 250 * time.Millisecond
 
-// Close closes the connection, once. After a response that has just been written it closes only the sending direction, and waits up to
-// lingerTimeout for the client's close. Closing immediately with unread bytes, or with bytes that arrive shortly after, would reset the
-// connection, and a response that the client has not read would be lost.
+// Close closes the connection; later calls have no effect. Shortly after a response it closes only the sending direction, and the rest in
+// the background once the client has closed, or after lingerTimeout. A complete close would reset the connection if there are unread bytes
+// or more arrive, and a response that the client has not read yet would be lost.
 func (c *clientConn) Close() (err error) {
 	c.closeOnce.Do(func() {
 		lingers := c.mayLoseResponse()
@@ -30,7 +30,7 @@
 	return err
 }
 
-// mayLoseResponse reports whether the client may not have read its last response yet.
+// mayLoseResponse reports whether an immediate close could destroy a response that the client has not read yet.
 func (c *clientConn) mayLoseResponse() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -38,11 +38,12 @@
 	return c.rawConn != nil && justResponded && !c.writeClosed && !c.evicted
 }
 
-// lingeringClose waits for the client's close and closes the connection. What arrives meanwhile is not served. It is read at the end, since
-// a close with unread bytes would reset the connection and discard what the kernel still has of the response.
+// lingeringClose waits for the client's close, at most lingerTimeout, and then closes the connection. Data that arrives meanwhile is not
+// served. It is read before the close, since a close with unread bytes would reset the connection and drop the part of the response that is
+// still in the kernel.
 func (c *clientConn) lingeringClose() {
 	defer func() { _ = c.closeNow() }()
-	// Both fail only if the connection has been closed meanwhile, or after lingerTimeout.
+	// Both calls fail only after lingerTimeout, or if the connection has been closed meanwhile.
 	_ = c.rawConn.Read(func(fd uintptr) (done bool) {
 		n, err := socket.PeekFD(fd)
 		return n <= 0 && !errors.Is(err, syscall.EAGAIN)
@@ -58,8 +59,8 @@
 	})
 }
 
-// CloseWrite closes the sending direction. net/http calls it before it closes a connection whose client is still sending, and then waits
-// itself.
+// CloseWrite closes the sending direction. net/http calls it on a connection whose client is still sending, and waits before it closes the
+// connection.
 func (c *clientConn) CloseWrite() error {
 	c.endReads()
 	return c.endWrites()
@@ -75,8 +76,8 @@
 	return nil
 }
 
-// endReads records that no further request is read, and counts a started request that will not be served: net/http has rejected it, or it
-// did not arrive completely.
+// endReads records that no further request is read. It counts a request of which part has arrived, and which is not served because net/http
+// rejected it or it is incomplete.
 func (c *clientConn) endReads() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,7 +92,7 @@
 	c.releaseOnce.Do(func() {
 		c.endReads()
 		err = c.Conn.Close()
-		c.tracker.forget(c)
+		c.tracker.remove(c)
 	})
 	return err
 }
--- a/internal/frontend/lingeringclose_test.go
+++ b/internal/frontend/lingeringclose_test.go
@@ -14,13 +14,13 @@
 	"birchfork/internal/upstream/upstreamtest"
 )
 
-// setSmallReceiveBuffer leaves a client little buffer for unread data.
+// setSmallReceiveBuffer makes a client's kernel buffer little unread data.
 func setSmallReceiveBuffer(_, _ string, raw syscall.RawConn) (err error) {
 	controlErr := raw.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
 	return errors.Join(controlErr, err)
 }
 
-// largeSendBufferListener is a listener whose connections can buffer a long response completely.
+// largeSendBufferListener is a listener whose connections can buffer a complete long response.
 type largeSendBufferListener struct{ net.Listener }
 
 func (l largeSendBufferListener) Accept() (net.Conn, error) {
@@ -31,17 +31,17 @@
 	return c, err
 }
 
-// A close over unread bytes would reset the connection, and the part of the response that is still in the kernel would be lost.
+// A close with unread bytes would reset the connection, and the part of the response that is still in the kernel would be lost.
 func TestHandler_FinalResponseSurvivesSurplusBytes(t *testing.T) {
-	for _, late := range []time.Duration{lingerTimeout / 4, 2 * lingerTimeout} { // during the lingering close, and after it
-		testLastResponse(t, late)
+	for _, delay := range []time.Duration{lingerTimeout / 4, 2 * lingerTimeout} { // during the lingering close, and after it
+		testFinalResponse(t, delay)
 	}
 }
 
-// testLastResponse sends a request whose client sends more after the response, and reads the response with the delay late.
-func testLastResponse(t *testing.T, late time.Duration) {
+// testFinalResponse sends a request, sends surplus bytes once the response is written, and reads most of the response after a delay.
+func testFinalResponse(t *testing.T, delay time.Duration) {
 	t.Helper()
-	const size = 512 << 10 // more than a client receives before it reads
+	const size = 512 << 10 // more than the client's kernel buffers
 	result := strings.Repeat("r", size)
 	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool {
 		io.WriteString(c, upstreamtest.Answer(upstreamtest.StatusLine(r.Header.Get("X-Request-Id"), "done", `,"result":"`+result+`"`)))
@@ -59,10 +59,10 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	// The first request's answer is the last one, since surplus bytes arrived after it.
+	// The response is the last one on the connection, because of Connection: close.
 	io.WriteString(c, strings.Replace(rawRequestHead, "Host: h", "Host: h\r\nConnection: close", 1)+"Content-Length: 0\r\n\r\n")
 	serverSide := serverSideConn(t, h)
-	waitFor(t, "the answer is with the kernel", func() bool {
+	waitFor(t, "the response is in the kernel", func() bool {
 		serverSide.mu.Lock()
 		defer serverSide.mu.Unlock()
 		return serverSide.noMoreRequests && !serverSide.responding && !serverSide.awaitingResponse
@@ -74,9 +74,9 @@
 		t.Fatal(err)
 	}
 	defer res.Body.Close()
-	time.Sleep(late)
+	time.Sleep(delay)
 	n, err := io.Copy(io.Discard, res.Body)
 	if err != nil || n != size {
-		t.Fatalf("read %v late: %d of %d bytes came, %v", late, n, size, err)
+		t.Fatalf("read after %v: received %d of %d bytes, %v", delay, n, size, err)
 	}
 }
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -12,18 +12,18 @@
 	"birchfork/internal/upstream"
 )
 
-// Bounds on a request.
+// Limits on requests.
 const (
 	maxHeaderBytes       = 8 << 10
 	maxIDLength          = 256
 	maxTargetLength      = 4 << 10
 	maxHeaderValueLength = 1 << 10
 	maxDeadline          = time.Hour
-	maxSlots             = 1 << 20 // also of memory
+	maxSlots             = 1 << 20 // also the upper bound of memory
 )
 
 // forwardedHeaders are the client's headers that are forwarded to workers unchanged, in addition to the id. Idempotency-Key is the standard
-// name of the key by which workers drop repeats of a deduplicated class: without it they would run a repeat as another request.
+// header by which workers drop repeats of requests of a deduplicated class: without it they would run a repeat as a separate request.
 var forwardedHeaders = []string{"Content-Type", "Idempotency-Key", "X-Class", "X-Tenant", "X-Key"}
 
 // readRequest reads a complete request and decodes it. The caller must release the outgoing request.
@@ -103,11 +103,11 @@
 	return encoded, nil
 }
 
-// isPlainText reports whether a text can be forwarded in a head, as printable ASCII without spaces: a worker closes the connection on what
-// it cannot parse.
+// isPlainText reports whether a text consists of printable ASCII without spaces, at most maxLength of it, so that it can be forwarded in a
+// head: a worker closes the connection on a head that it cannot parse.
 func isPlainText(text string, maxLength int) bool {
-	isOther := func(c rune) bool { return c <= ' ' || c > '~' }
-	return len(text) <= maxLength && !strings.ContainsFunc(text, isOther)
+	isUnsafe := func(c rune) bool { return c <= ' ' || c > '~' }
+	return len(text) <= maxLength && !strings.ContainsFunc(text, isUnsafe)
 }
 
 // decodeHead decodes the head of a request.
@@ -135,7 +135,7 @@
 	return spec, decodeExtras(&spec, extras)
 }
 
-// headerReader reads headers that have at most one value, and keeps the first error.
+// headerReader reads headers that may have at most one value. It records the first error.
 type headerReader struct {
 	header http.Header
 	err    error
@@ -174,7 +174,7 @@
 	return time.Duration(milliseconds) * time.Millisecond, nil
 }
 
-// decodeExtras decodes the request's optional numbers, as name=value,name=value. Unknown names are ignored.
+// decodeExtras decodes the optional numbers of X-Extras, in the form name=value,name=value. Unknown names are ignored.
 func decodeExtras(spec *engine.RequestSpec, extras string) error {
 	spec.Slots = 1
 	if extras == "" {
--- a/internal/frontend/request_test.go
+++ b/internal/frontend/request_test.go
@@ -13,8 +13,8 @@
 	"birchfork/internal/upstream/upstreamtest"
 )
 
-// An invalid request gets the status for its fault, and is not opened at the engine.
-func TestHandler_BadRequestsNeverReachDispatcher(t *testing.T) {
+// An invalid request is answered with the status for its error, and is not opened at the engine.
+func TestHandler_BadRequestsAreNotOpened(t *testing.T) {
 	h := newHarness(t, "", 0)
 	for _, c := range []struct {
 		name   string
@@ -27,16 +27,16 @@
 		{"an id with a space", func(r *http.Request) { r.Header.Set("X-Request-Id", "a b") }, 400},
 		{"a long id", func(r *http.Request) { r.Header.Set("X-Request-Id", strings.Repeat("a", 257)) }, 400},
 		{"no class", func(r *http.Request) { r.Header.Del("X-Class") }, 400},
-		{"another class than the path", func(r *http.Request) { r.Header.Set("X-Class", "book") }, 400},
+		{"a class that differs from the path", func(r *http.Request) { r.Header.Set("X-Class", "book") }, 400},
 		{"an unknown class", func(r *http.Request) { r.Header.Set("X-Class", "odd"); r.URL.Path = "/odd" }, 404},
 		{"an unknown tenant", func(r *http.Request) { r.Header.Set("X-Tenant", "odd") }, 400},
 		{"no deadline", func(r *http.Request) { r.Header.Del("X-Deadline-Ms") }, 400},
-		{"a deadline in words", func(r *http.Request) { r.Header.Set("X-Deadline-Ms", "soon") }, 400},
+		{"a deadline that is not a number", func(r *http.Request) { r.Header.Set("X-Deadline-Ms", "soon") }, 400},
 		{"a deadline of 0", func(r *http.Request) { r.Header.Set("X-Deadline-Ms", "0") }, 400},
 		{"a deadline below 0", func(r *http.Request) { r.Header.Set("X-Deadline-Ms", "-5") }, 400},
-		{"an endless deadline", func(r *http.Request) { r.Header.Set("X-Deadline-Ms", "99999999999") }, 400},
-		{"slots in words", func(r *http.Request) { r.Header.Set("X-Extras", "slots=two") }, 400},
-		{"half a slot", func(r *http.Request) { r.Header.Set("X-Extras", "slots=0.5") }, 400},
+		{"a deadline over an hour", func(r *http.Request) { r.Header.Set("X-Deadline-Ms", "99999999999") }, 400},
+		{"slots that are not a number", func(r *http.Request) { r.Header.Set("X-Extras", "slots=two") }, 400},
+		{"a fraction of a slot", func(r *http.Request) { r.Header.Set("X-Extras", "slots=0.5") }, 400},
 		{"extras without values", func(r *http.Request) { r.Header.Set("X-Extras", "slots") }, 400},
 		{"memory below 0", func(r *http.Request) { r.Header.Set("X-Extras", "memory=-1") }, 400},
 		{"a GET", func(r *http.Request) { r.Method = "GET" }, 405},
@@ -71,7 +71,7 @@
 	}
 }
 
-// A head that is accepted has values that are safe to use.
+// A head that is decoded without an error has valid values.
 func FuzzDecodeHead(f *testing.F) {
 	f.Add("a", "search", "480", "slots=1,memory=0.5", "/search/x")
 	f.Add("", "", "-1", "=,", "//")
@@ -81,14 +81,15 @@
 		for k, v := range map[string]string{"X-Request-Id": id, "X-Class": class, "X-Deadline-Ms": ms, "X-Extras": extras} {
 			r.Header.Set(k, v)
 		}
-		j, err := decodeHead(r)
-		if err == nil && (j.ID == "" || j.Class == "" || j.TimeLeft <= 0 || j.Slots < 1 || !(j.Memory >= 0)) {
-			t.Fatalf("%+v passed", j)
+		spec, err := decodeHead(r)
+		if err == nil && (spec.ID == "" || spec.Class == "" || spec.TimeLeft <= 0 || spec.Slots < 1 || !(spec.Memory >= 0)) {
+			t.Fatalf("invalid head accepted: %+v", spec)
 		}
 	})
 }
 
-// A request that cannot be parsed, or that hides another one after its end, gets a response, is not forwarded, and ends its connection.
+// A request that is malformed, or that hides another one behind its end, is answered with an error and not forwarded, and its connection is
+// closed.
 func TestHandler_MalformedRequests(t *testing.T) {
 	hidden := "POST /search HTTP/1.1\r\nHost: h\r\nX-Request-Id: hidden\r\nX-Class: search\r\nX-Deadline-Ms: 5000\r\n" +
 		"Content-Length: 0\r\n\r\n"
@@ -100,27 +101,27 @@
 	}{
 		{"both lengths", both, 400, "bad_framing"},
 		{"both lengths, folded and in odd case", rawRequestHead + "tRansfer-encoding:\r\n chunked\r\ncontent-length: 5\r\n\r\n0\r\n\r\n" + hidden, 400, "bad_framing"},
-		{"both lengths, bare line ends", strings.ReplaceAll(both, "\r\n", "\n"), 400, "bad_framing"},
-		{"both lengths to HTTP/1.0", strings.Replace(both, "HTTP/1.1", "HTTP/1.0", 1), 400, "bad_framing"},
-		{"both lengths to a GET", strings.Replace(both, "POST /search", "GET /up", 1), 400, "bad_framing"},
-		{"a number hidden by spaces", rawRequestHead + "Content-Length: " + strings.Repeat(" ", 200) + "3\r\n\r\nabc", 400, "bad_framing"},
+		{"both lengths, line feeds only", strings.ReplaceAll(both, "\r\n", "\n"), 400, "bad_framing"},
+		{"both lengths, HTTP/1.0", strings.Replace(both, "HTTP/1.1", "HTTP/1.0", 1), 400, "bad_framing"},
+		{"both lengths, GET", strings.Replace(both, "POST /search", "GET /up", 1), 400, "bad_framing"},
+		{"a length after many spaces", rawRequestHead + "Content-Length: " + strings.Repeat(" ", 200) + "3\r\n\r\nabc", 400, "bad_framing"},
 		{"a length below the body's", rawRequestHead + "Content-Length: 3\r\n\r\nabcdef", 400, "bad_framing"},
 		{"two requests at once", rawRequestHead + "Content-Length: 0\r\n\r\n" + hidden, 400, "bad_framing"},
-		{"two lengths", rawRequestHead + "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", 400, "unreadable"},
+		{"two different lengths", rawRequestHead + "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", 400, "unreadable"},
 		{"a negative length", rawRequestHead + "Content-Length: -3\r\n\r\nabc", 400, "unreadable"},
-		{"a length of words", rawRequestHead + "Content-Length: three\r\n\r\nabc", 400, "unreadable"},
+		{"a length that is not a number", rawRequestHead + "Content-Length: three\r\n\r\nabc", 400, "unreadable"},
 		{"a huge length", rawRequestHead + "Content-Length: 60000000\r\n\r\nabc", 413, "bad_sizes"},
-		{"an endless length", rawRequestHead + "Content-Length: 99999999999999999999\r\n\r\nabc", 400, "unreadable"},
-		{"an unknown coding", rawRequestHead + "Transfer-Encoding: odd\r\n\r\n" + hidden, 501, "unreadable"},
-		{"nonsense for chunks", rawRequestHead + "Transfer-Encoding: chunked\r\n\r\nzz\r\n" + hidden, 400, "bad_bodies"},
-		{"no HTTP", "\x16\x03\x01\x00\xa5 hello\r\n\r\n", 400, "unreadable"},
-		{"a head without end", rawRequestHead + strings.Repeat("X-More: "+strings.Repeat("a", 1000)+"\r\n", 40), 431, "unreadable"},
+		{"a length of more than 64 bits", rawRequestHead + "Content-Length: 99999999999999999999\r\n\r\nabc", 400, "unreadable"},
+		{"an unknown transfer coding", rawRequestHead + "Transfer-Encoding: odd\r\n\r\n" + hidden, 501, "unreadable"},
+		{"a malformed chunk", rawRequestHead + "Transfer-Encoding: chunked\r\n\r\nzz\r\n" + hidden, 400, "bad_bodies"},
+		{"a TLS handshake", "\x16\x03\x01\x00\xa5 hello\r\n\r\n", 400, "unreadable"},
+		{"an oversized head", rawRequestHead + strings.Repeat("X-More: "+strings.Repeat("a", 1000)+"\r\n", 40), 431, "unreadable"},
 		{"an unknown class with a request behind it", strings.ReplaceAll(rawRequestHead, "search", "odd") + "Content-Length: 3\r\n\r\nabc" + hidden, 400, "bad_framing"},
-		{"a class with a letter that workers cannot read", strings.ReplaceAll(rawRequestHead, "/search", "/search/\xff") + "Content-Length: 0\r\n\r\n", 400, "bad_heads"},
-		{"a question to nobody", "OPTIONS * HTTP/1.1\r\nHost: h\r\n\r\n", 405, "bad_methods"},
+		{"a path with a byte that is not ASCII", strings.ReplaceAll(rawRequestHead, "/search", "/search/\xff") + "Content-Length: 0\r\n\r\n", 400, "bad_heads"},
+		{"OPTIONS *", "OPTIONS * HTTP/1.1\r\nHost: h\r\n\r\n", 405, "bad_methods"},
 		{"a deadline with a sign", strings.Replace(rawRequestHead, "5000", "+5000", 1) + "Content-Length: 0\r\n\r\n", 400, "bad_heads"},
-		{"an expectation nobody knows", rawRequestHead + "Expect: magic\r\nContent-Length: 0\r\n\r\n", 417, "unreadable"},
-		{"a key with such a letter", rawRequestHead + "X-Key: \xff\r\nContent-Length: 0\r\n\r\n", 400, "bad_heads"},
+		{"an unknown expectation", rawRequestHead + "Expect: magic\r\nContent-Length: 0\r\n\r\n", 417, "unreadable"},
+		{"a key with a byte that is not ASCII", rawRequestHead + "X-Key: \xff\r\nContent-Length: 0\r\n\r\n", 400, "bad_heads"},
 	} {
 		w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
 		h := newHarness(t, w.Address, 0)
@@ -128,11 +129,11 @@
 		go io.WriteString(conn, c.send)
 		status, closed := readToClose(t, conn)
 		if status != c.status || !closed {
-			t.Errorf("%s: status %d, closed %v", c.name, status, closed)
+			t.Errorf("%s: status %d, closed %v, want status %d and closed", c.name, status, closed, c.status)
 		}
 		waitFor(t, c.name+" is counted", func() bool { return h.engine.Counters.Fields()[c.counter] == int64(1) })
 		if w.RequestCount() != 0 || h.engine.Counters.Accepted.Load() != 0 {
-			t.Errorf("%s: %d requests came to the worker", c.name, w.RequestCount())
+			t.Errorf("%s: accepted, or %d requests at the worker, want none", c.name, w.RequestCount())
 		}
 	}
 }
@@ -142,8 +143,8 @@
 	h := newHarness(t, "", 0)
 	c := sendRaw(t, h, rawRequestHead+"Content-Length: 10\r\n\r\nhalf")
 	c.Close()
-	waitFor(t, "the request is counted as bad", func() bool { return h.engine.Counters.BadRequests.Load() == 1 })
+	waitFor(t, "the bad request is counted", func() bool { return h.engine.Counters.BadRequests.Load() == 1 })
 	if h.engine.Counters.Accepted.Load() != 0 {
-		t.Fatal("it was taken")
+		t.Fatal("the request was accepted")
 	}
 }
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -10,16 +10,16 @@
 	"birchfork/internal/engine"
 )
 
-// requestError is the error of a request that is answered with a status of 4xx: the status, the reason and the counter.
+// requestError is the error of a request that is answered with a 4xx status.
 type requestError struct {
 	status  int
-	reason  string // the body of the response
-	counter *atomic.Int64
+	reason  string        // the body of the response
+	counter *atomic.Int64 // counts this kind of error
 }
 
 func (e *requestError) Error() string { return e.reason }
 
-// errOverLimit is the error of a request that exceeds a limit of this process.
+// errOverLimit is returned for a request that exceeds a limit of this process.
 var errOverLimit = errors.New("no place left")
 
 // respond writes the response to a request according to the engine's final decision.
@@ -37,7 +37,7 @@
 	}
 }
 
-// reject responds to a request that never ran, according to err.
+// reject responds to a request that never ran with the status for err.
 func (h *Handler) reject(w http.ResponseWriter, r *http.Request, err error) {
 	var limited *engine.LimitError
 	switch {
@@ -50,20 +50,20 @@
 	}
 }
 
-// rejectOverLimit closes the connection, which frees its place: a client that retries does so later, on another connection.
+// rejectOverLimit closes the connection to free its resources: a client that retries does so later, on another connection.
 func (h *Handler) rejectOverLimit(w http.ResponseWriter, r *http.Request) {
 	h.Engine.Counters.RejectedOverLimit.Add(1)
 	setRetryAfter(w, time.Duration(h.retryAfter.Load()))
 	h.writeUncounted(w, r, http.StatusServiceUnavailable, []byte("no place left\n"), true)
 }
 
-// rejectOverRouteLimit keeps the connection: the client is not at fault, and retries on it.
+// rejectOverRouteLimit keeps the connection open: the client is not at fault, and may retry on it.
 func (h *Handler) rejectOverRouteLimit(w http.ResponseWriter, r *http.Request, limited *engine.LimitError) {
 	setRetryAfter(w, min(limited.RetryAfter, time.Duration(h.maxRetryAfter.Load())))
 	h.writeUncounted(w, r, http.StatusServiceUnavailable, []byte(limited.Error()+"\n"), false)
 }
 
-// rejectBadRequest closes the connection, since what follows a request that cannot be parsed is not a request.
+// rejectBadRequest closes the connection, since the data after an invalid request may not be a request.
 func (h *Handler) rejectBadRequest(w http.ResponseWriter, r *http.Request, err error) {
 	counters := &h.Engine.Counters
 	var bad *requestError
@@ -81,27 +81,27 @@
 	h.writeUncounted(w, r, bad.status, []byte(bad.reason+"\n"), true)
 }
 
-// setRetryAfter sets the Retry-After header in seconds, with three decimals; not for a delay of 0.
+// setRetryAfter sets the Retry-After header in seconds, with three decimals. A delay of 0 sets none.
 func setRetryAfter(w http.ResponseWriter, delay time.Duration) {
 	if delay > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(delay.Seconds(), 'f', 3, 64))
 	}
 }
 
-// writeFinal writes the response to a request that the engine has accepted, and counts failures.
+// writeFinal writes the response to a request that the engine has accepted, and counts failed writes.
 func (h *Handler) writeFinal(w http.ResponseWriter, r *http.Request, status int, body []byte) {
 	if h.write(w, r, status, body, false) != nil {
 		h.Engine.Counters.WriteFailures.Add(1)
 	}
 }
 
-// writeUncounted writes any other response. If that fails the connection ends, and no client waits for the response.
+// writeUncounted writes any other response. If that fails the connection ends, and the client does not wait for a response.
 func (h *Handler) writeUncounted(w http.ResponseWriter, r *http.Request, status int, body []byte, final bool) {
 	_ = h.write(w, r, status, body, final)
 }
 
-// write writes a response within writeTimeout, which limits how long a client that does not read it occupies its connection. The connection
-// is closed afterwards if final is set or keep-alives are disabled.
+// write writes a response. writeTimeout limits how long a client that does not read the response occupies its connection. The connection is
+// closed afterwards if final is set or keep-alives are disabled.
 func (h *Handler) write(w http.ResponseWriter, r *http.Request, status int, body []byte, final bool) error {
 	conn := connFromContext(r.Context())
 	if conn.beginResponse(final || h.keepAlivesDisabled.Load()) {
@@ -109,11 +109,11 @@
 	}
 	defer conn.endResponse()
 	controller := http.NewResponseController(w)
-	_ = controller.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails on a closed connection, as the write does then
+	_ = controller.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection, on which the write fails too
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
 	if _, err := w.Write(body); err != nil {
 		return err
 	}
-	return controller.Flush() // otherwise a failure of a short response would occur only after the return
+	return controller.Flush() // a failed write of a short response would otherwise occur only after the handler has returned
 }
--- a/internal/frontend/sharedlistener.go
+++ b/internal/frontend/sharedlistener.go
@@ -17,7 +17,7 @@
 // descriptorRetryDelay is how long Accept waits for a free file descriptor.
 const descriptorRetryDelay = time.Millisecond
 
-// SharedListener is a TCP listener on an address on which other processes of this dispatcher may listen too. It is safe for concurrent use.
+// SharedListener is a TCP listener on an address that other processes of this dispatcher may share. It is safe for concurrent use.
 type SharedListener struct {
 	*net.TCPListener
 	draining  atomic.Bool
@@ -25,8 +25,8 @@
 	closed    chan struct{} // closed by Close
 }
 
-// ListenShared listens on an address on which other processes of this dispatcher listen, or will listen. It fails if a listener that is not
-// shared has the address.
+// ListenShared listens on an address that other processes of this dispatcher may share. It fails if a listener that is not shared uses the
+// address.
 func ListenShared(address string) (*SharedListener, error) {
 	config := net.ListenConfig{Control: setReusePort}
 	listener, err := config.Listen(context.Background(), "tcp", address)
@@ -36,7 +36,7 @@
 	tcpListener, ok := listener.(*net.TCPListener)
 	if !ok {
 		listener.Close()
-		return nil, fmt.Errorf("%s is no TCP address", address)
+		return nil, fmt.Errorf("invalid listen address %s: must be a TCP address", address)
 	}
 	return &SharedListener{TCPListener: tcpListener, closed: make(chan struct{})}, nil
 }
@@ -48,14 +48,15 @@
 	return errors.Join(controlErr, err)
 }
 
-// Drain makes Accept return the connections that the kernel has already accepted, and then stops listening: all later connections go to the
-// other process.
+// Drain makes Accept return the connections that the kernel has already accepted, and then stop listening: later connections go to the
+// sibling process.
 func (l *SharedListener) Drain() {
 	l.draining.Store(true)
 	_ = l.SetDeadline(time.Unix(1, 0)) // wakes up a waiting Accept; fails on a closed listener, where none waits
 }
 
-// Accept returns the next connection. After the last one of Drain it waits for Close, since a server would report an error as a fault.
+// Accept returns the next connection. After the last one that Drain leaves it waits for Close, since a server would treat an error as a
+// failure.
 func (l *SharedListener) Accept() (net.Conn, error) {
 	if !l.draining.Load() {
 		conn, err := l.TCPListener.Accept()
@@ -67,12 +68,12 @@
 	if conn := l.acceptPending(); conn != nil {
 		return conn, nil
 	}
-	l.TCPListener.Close() // immediately: a connection that arrives between the last check and this is lost
+	l.TCPListener.Close() // without delay: a connection that arrives after the last check and before the close is lost
 	<-l.closed
 	return nil, net.ErrClosed
 }
 
-// acceptPending returns a connection that the kernel has accepted; nil if there is none, or if the listener is closed.
+// acceptPending returns a connection that the kernel has accepted; nil if there is none or the listener is closed.
 func (l *SharedListener) acceptPending() net.Conn {
 	raw, err := l.SyscallConn()
 	if err != nil {
@@ -83,7 +84,7 @@
 		switch {
 		case errors.Is(err, unix.EINTR), errors.Is(err, unix.ECONNABORTED):
 			continue
-		case errors.Is(err, unix.EMFILE), errors.Is(err, unix.ENFILE): // connections that end free some
+		case errors.Is(err, unix.EMFILE), errors.Is(err, unix.ENFILE): // connections that are closed free descriptors
 			time.Sleep(descriptorRetryDelay)
 			continue
 		case err != nil:
@@ -110,7 +111,7 @@
 	return fd, err
 }
 
-// Close stops listening, and ends Accept. It may be called more than once.
+// Close stops listening and ends Accept. It may be called more than once.
 func (l *SharedListener) Close() (err error) {
 	l.closeOnce.Do(func() {
 		err = l.TCPListener.Close()
--- a/internal/frontend/sharedlistener_test.go
+++ b/internal/frontend/sharedlistener_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// connect opens connections to an address, which are closed when the test ends.
+// connect opens connections to an address and closes them when the test ends.
 func connect(t *testing.T, address string, count int) {
 	t.Helper()
 	for range count {
@@ -19,7 +19,7 @@
 	}
 }
 
-// acceptAll accepts connections, with capacity for count, until the listener's Accept fails, and passes on its error.
+// acceptAll accepts up to count connections, until Accept fails, and returns channels of the connections and of Accept's error.
 func acceptAll(listener net.Listener, count int) (accepted <-chan net.Conn, ended <-chan error) {
 	conns, failed := make(chan net.Conn, count), make(chan error, 1)
 	go func() {
@@ -35,7 +35,7 @@
 	return conns, failed
 }
 
-// A draining listener returns all connections that the kernel has accepted for it; later ones go to the other listener.
+// A draining listener returns all connections that the kernel has accepted for it. Later connections go to the other listener.
 func TestSharedListener_DrainAcceptsPending(t *testing.T) {
 	first, err := ListenShared("127.0.0.1:0")
 	if err != nil {
@@ -46,7 +46,7 @@
 	connect(t, address, connCount)
 	second, err := ListenShared(address)
 	if err != nil {
-		t.Fatalf("nobody can listen beside it: %v", err)
+		t.Fatalf("a second listener on the address: %v", err)
 	}
 	defer func() { _ = second.Close() }()
 	accepted, ended := acceptAll(first, connCount)
@@ -54,7 +54,7 @@
 	for range connCount {
 		(<-accepted).Close()
 	}
-	for { // until it no longer listens
+	for { // until the first listener is closed
 		raw, err := first.SyscallConn()
 		if err != nil || raw.Control(func(uintptr) {}) != nil {
 			break
@@ -74,20 +74,20 @@
 	default:
 	}
 	if err := first.Close(); err != nil {
-		t.Errorf("closed once: %v", err)
+		t.Errorf("first Close: %v", err)
 	}
 	if err := <-ended; !errors.Is(err, net.ErrClosed) {
-		t.Errorf("%v", err)
+		t.Errorf("Accept ended with %v, want %v", err, net.ErrClosed)
 	}
 	if err := first.Close(); err != nil {
-		t.Errorf("closed twice: %v", err)
+		t.Errorf("second Close: %v", err)
 	}
 	if len(accepted) > 0 {
-		t.Errorf("%d connections were taken that were the other's", len(accepted))
+		t.Errorf("the draining listener accepted %d connections after its drain", len(accepted))
 	}
 }
 
-// An address with a listener that is not shared cannot be shared.
+// An address that a listener uses exclusively cannot be shared.
 func TestListenShared_AddressInUse(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -95,6 +95,6 @@
 	}
 	defer l.Close()
 	if _, err := ListenShared(l.Addr().String()); err == nil || !strings.Contains(err.Error(), "in use") {
-		t.Fatalf("%v", err)
+		t.Fatalf("error %v, want that the address is in use", err)
 	}
 }
--- a/internal/frontend/upstream_test.go
+++ b/internal/frontend/upstream_test.go
@@ -19,7 +19,7 @@
 	"birchfork/internal/upstream/upstreamtest"
 )
 
-// A worker gets the request as the client sent it, and the client gets the worker's result; the connection is reused.
+// A worker receives the request as the client sent it, and the client receives the worker's result. The connection is reused.
 func TestTransport_ForwardsRequestAndResult(t *testing.T) {
 	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
 	h := newHarness(t, w.Address, 0)
@@ -35,7 +35,7 @@
 		if r.Method != "POST" || r.RequestURI != "/search/x%20y?q=1" || received != "the body" || r.Header.Get("X-Request-Id") != id {
 			t.Fatalf("the worker saw %s %s, %q, %v", r.Method, r.RequestURI, received, r.Header)
 		}
-		for _, name := range []string{"Idempotency-Key", "X-Class", "X-Tenant"} { // workers drop repeats by the first
+		for _, name := range []string{"Idempotency-Key", "X-Class", "X-Tenant"} { // workers drop repeats by the Idempotency-Key
 			if got, want := r.Header.Get(name), sent.Header.Get(name); got != want {
 				t.Errorf("the worker saw %s %q, want %q", name, got, want)
 			}
@@ -45,28 +45,28 @@
 		}
 	}
 	if w.ConnCount() != 1 {
-		t.Fatalf("%d connections for two requests in turn", w.ConnCount())
+		t.Fatalf("%d connections for two successive requests, want 1", w.ConnCount())
 	}
 }
 
-// answerCase is a worker's answer to the request ID, and its effect.
+// answerCase is a worker's answer to the request with the id "ID", and the expected effect.
 type answerCase struct {
 	name   string
 	answer string
 	keep   bool // the worker leaves the connection open
 	want   dispatch.Result
-	reused bool
-	bad    int64
+	reused bool  // the connection is kept for the next request
+	bad    int64 // expected BadWorkerLines
 }
 
-// answerCases returns the answers of the protocol, and what a faulty worker may send.
+// answerCases returns the answers that the protocol allows, and malformed ones that a faulty worker may send.
 func answerCases() []answerCase {
 	long := strings.Repeat("x", upstream.MaxLineBytes+8192)
 	return []answerCase{
 		{"done", upstreamtest.Answer(upstreamtest.StatusLine("ID", "done", `,"result":"r"`)), true, dispatch.ResultOK, true, 0},
 		{"done, then closed", upstreamtest.OKHead + upstreamtest.Chunk(upstreamtest.StatusLine("ID", "done", `,"result":""`)), false, dispatch.ResultOK, false, 0},
-		{"done without a chunked form", "HTTP/1.1 200 OK\r\n\r\n" + upstreamtest.StatusLine("ID", "done", `,"result":"r"`), false, dispatch.ResultOK, false, 0},
-		{"done, with a close", "HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n" +
+		{"done without chunked coding", "HTTP/1.1 200 OK\r\n\r\n" + upstreamtest.StatusLine("ID", "done", `,"result":"r"`), false, dispatch.ResultOK, false, 0},
+		{"done, with Connection: close", "HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n" +
 			upstreamtest.Chunk(upstreamtest.StatusLine("ID", "done", `,"result":"r"`)) + "0\r\n\r\n", true, dispatch.ResultOK, false, 0},
 		{"failed", upstreamtest.Answer(upstreamtest.StatusLine("ID", "failed", "")), true, dispatch.ResultFailed, true, 0},
 		{"returned", upstreamtest.Answer(upstreamtest.StatusLine("ID", "returned", "")), true, dispatch.ResultOverloaded, true, 0},
@@ -78,25 +78,25 @@
 		{"500 not run", "HTTP/1.1 500 x\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true, dispatch.ResultFailed, true, 0},
 		{"400", "HTTP/1.1 400 x\r\nContent-Length: 0\r\n\r\n", true, dispatch.ResultNotSent, true, 0},
 		{"404", "HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n", true, dispatch.ResultNotSent, true, 0},
-		{"closed at once", "", false, dispatch.ResultDisconnected, false, 0},
-		{"half a head", "HTTP/1.1 200 OK\r\nTransf", false, dispatch.ResultDisconnected, false, 1},
+		{"closed without an answer", "", false, dispatch.ResultDisconnected, false, 0},
+		{"truncated head", "HTTP/1.1 200 OK\r\nTransf", false, dispatch.ResultDisconnected, false, 1},
 		{"ended before the last line", upstreamtest.Answer(upstreamtest.StatusLine("ID", "started", "")), true, dispatch.ResultDisconnected, false, 0},
-		{"broke after a start", upstreamtest.OKHead + upstreamtest.Chunk(upstreamtest.StatusLine("ID", "started", "")), false, dispatch.ResultDisconnected, false, 0},
-		{"a cut chunk", upstreamtest.OKHead + "ff\r\n" + `{"id":"ID","state":"done","result":"r"}`, false, dispatch.ResultDisconnected, false, 0},
-		{"half a last line", upstreamtest.Answer(`{"id":"ID","state":"done","resu`), true, dispatch.ResultDisconnected, false, 1},
-		{"no HTTP", "hello\r\n\r\n", true, dispatch.ResultDisconnected, false, 1},
+		{"closed after a start", upstreamtest.OKHead + upstreamtest.Chunk(upstreamtest.StatusLine("ID", "started", "")), false, dispatch.ResultDisconnected, false, 0},
+		{"truncated chunk", upstreamtest.OKHead + "ff\r\n" + `{"id":"ID","state":"done","result":"r"}`, false, dispatch.ResultDisconnected, false, 0},
+		{"truncated last line", upstreamtest.Answer(`{"id":"ID","state":"done","resu`), true, dispatch.ResultDisconnected, false, 1},
+		{"malformed head", "hello\r\n\r\n", true, dispatch.ResultDisconnected, false, 1},
 		{"an endless head", "HTTP/1.1 200 OK\r\nX: " + long, true, dispatch.ResultDisconnected, false, 1},
 		{"an endless line", upstreamtest.OKHead + upstreamtest.Chunk(long), true, dispatch.ResultDisconnected, false, 1},
-		{"another's id", upstreamtest.Answer(upstreamtest.StatusLine("other", "done", `,"result":"r"`)), true, dispatch.ResultDisconnected, false, 1},
+		{"the id of another request", upstreamtest.Answer(upstreamtest.StatusLine("other", "done", `,"result":"r"`)), true, dispatch.ResultDisconnected, false, 1},
 		{"an unknown state", upstreamtest.Answer(upstreamtest.StatusLine("ID", "resting", "")), true, dispatch.ResultDisconnected, false, 1},
 		{"no result", upstreamtest.Answer(upstreamtest.StatusLine("ID", "done", "")), true, dispatch.ResultDisconnected, false, 1},
 		{"a share beyond 1", upstreamtest.Answer(upstreamtest.StatusLine("ID", "running", `,"share":1.5`)), true, dispatch.ResultDisconnected, false, 1},
-		{"a bad chunk size", upstreamtest.OKHead + "zz\r\n", true, dispatch.ResultDisconnected, false, 1},
-		{"empty lines between", upstreamtest.OKHead + upstreamtest.Chunk("\n\r\n"+upstreamtest.StatusLine("ID", "done", `,"result":"r"`)+"\n") + "0\r\n\r\n", true, dispatch.ResultOK, true, 0},
+		{"malformed chunk size", upstreamtest.OKHead + "zz\r\n", true, dispatch.ResultDisconnected, false, 1},
+		{"empty lines in between", upstreamtest.OKHead + upstreamtest.Chunk("\n\r\n"+upstreamtest.StatusLine("ID", "done", `,"result":"r"`)+"\n") + "0\r\n\r\n", true, dispatch.ResultOK, true, 0},
 	}
 }
 
-// Each answer of a worker has its outcome.
+// Each answer of a worker leads to the expected outcome.
 func TestTransport_Outcomes(t *testing.T) {
 	for _, c := range answerCases() {
 		t.Run(c.name, func(t *testing.T) { c.check(t) })
@@ -113,19 +113,19 @@
 	status, _, _ := doRequest(t, newRequest(t, h.url, "book", "ID", ""))
 	h.settled(t)
 	if got := h.engine.Counters.Outcomes[c.want].Load(); got != 1 {
-		t.Fatalf("no outcome %d: %v", c.want, h.engine.Counters.Fields())
+		t.Fatalf("outcome %d not counted: %v", c.want, h.engine.Counters.Fields())
 	}
 	if (status == 200) != (c.want == dispatch.ResultOK) || (status == 400) != (c.want == dispatch.ResultNotSent) {
 		t.Errorf("status %d", status)
 	}
 	if rejected := status == 503 || status == 429; rejected != (c.want == dispatch.ResultOverloaded) {
-		t.Errorf("status %d for a job that may have run", status)
+		t.Errorf("status %d: only a request that did not run may be shed", status)
 	}
 	if _, idle := h.pool.Counts(); (idle == 1) != c.reused {
-		t.Errorf("%d idle connections", idle)
+		t.Errorf("%d idle connections, want reused %v", idle, c.reused)
 	}
 	if n := h.engine.Counters.BadWorkerLines.Load(); n != c.bad {
-		t.Errorf("%d bad lines counted", n)
+		t.Errorf("%d bad lines counted, want %d", n, c.bad)
 	}
 }
 
@@ -138,14 +138,14 @@
 	l.Close()
 	h := newHarness(t, l.Addr().String(), 0)
 	if status, _, _ := doRequest(t, newRequest(t, h.url, "book", "id-1", "")); status != 503 {
-		t.Fatalf("status %d, want it shed", status)
+		t.Fatalf("status %d, want 503", status)
 	}
 	if h.settled(t); h.engine.Counters.Outcomes[dispatch.ResultUnreachable].Load() != 1 {
 		t.Fatal(h.engine.Counters.Fields())
 	}
 }
 
-// A retry sends its worker the time that the client has left, not that of the first attempt.
+// A retry forwards the time that the client has left, not that of the first attempt.
 func TestTransport_RetrySendsTimeLeft(t *testing.T) {
 	type observation struct {
 		at time.Time
@@ -158,7 +158,7 @@
 		ms, _ := strconv.ParseInt(r.Header.Get("X-Deadline-Ms"), 10, 64)
 		observations <- observation{time.Now(), ms}
 		if first.Swap(false) {
-			time.Sleep(60 * time.Millisecond) // time of the client used by the first attempt
+			time.Sleep(60 * time.Millisecond) // the first attempt uses up some of the client's time
 			io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 			return true
 		}
@@ -170,17 +170,17 @@
 	if status, _, _ := doRequest(t, newRequest(t, h.url, "search", "a", "")); status != 200 {
 		t.Fatalf("status %d", status)
 	}
-	retried, two := <-observations, <-observations
-	if elapsed := two.at.Sub(retried.at).Milliseconds(); elapsed < 60 || two.ms > retried.ms-elapsed+1 {
-		t.Fatalf("%d ms sent at first, %d ms sent %d ms later", retried.ms, two.ms, elapsed)
+	initial, retry := <-observations, <-observations
+	if elapsed := retry.at.Sub(initial.at).Milliseconds(); elapsed < 60 || retry.ms > initial.ms-elapsed+1 {
+		t.Fatalf("%d ms forwarded at first, %d ms forwarded %d ms later", initial.ms, retry.ms, elapsed)
 	}
 }
 
-// A retry is not sent if the window within which workers drop repeats has ended while its connection was set up.
+// A retry is not sent if the window in which workers drop repeats ended while its connection was being established.
 func TestTransport_RetryStaysWithinWindow(t *testing.T) {
 	e := enginetest.NewWith(t, 0, strings.NewReplacer(`"attempts_cap":1`, `"attempts_cap":3`, `"name":"search","deadline":5,"aim":0.4,"effect":"free"`,
 		`"name":"search","deadline":5,"aim":4,"effect":"guarded","group":"all","window":0.2`).Replace(enginetest.Settings))
-	w := upstreamtest.StartWorker(t, func(c net.Conn, _ *http.Request) bool { // whichever is tried first fails
+	w := upstreamtest.StartWorker(t, func(c net.Conn, _ *http.Request) bool { // the first attempt fails, at whichever endpoint
 		io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
@@ -191,7 +191,7 @@
 	h := newHarness(t, "", 0)
 	var dials atomic.Int32
 	pool := upstream.NewPool(func(ctx context.Context, a string) (net.Conn, error) {
-		if dials.Add(1) == 2 { // the retry's connection is established when its window has ended
+		if dials.Add(1) == 2 { // the retry's connection is established after the end of the window
 			time.Sleep(250 * time.Millisecond)
 		}
 		return (&net.Dialer{}).DialContext(ctx, "tcp", a)
@@ -207,7 +207,7 @@
 	}
 }
 
-// An answer that continues after its outcome must neither occupy its connection forever nor be mixed with the next one.
+// An answer that continues after its final line must neither occupy its connection forever nor be mixed with the next answer.
 func TestTransport_ClosesConnOnEndlessResponse(t *testing.T) {
 	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool {
 		io.WriteString(c, upstreamtest.OKHead+upstreamtest.Chunk(upstreamtest.StatusLine(r.Header.Get("X-Request-Id"), "done", `,"result":"r"`)))
@@ -223,11 +223,11 @@
 	}
 	h.settled(t)
 	if open, _ := h.pool.Counts(); open != 0 {
-		t.Fatalf("%d connections open", open)
+		t.Fatalf("%d connections open, want 0", open)
 	}
 }
 
-// A late part of an earlier answer must not be taken for the answer to the next request.
+// Surplus bytes after an answer must not be taken for the answer to the next request.
 func TestTransport_ReusedConnStartsClean(t *testing.T) {
 	first := true
 	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool {
@@ -249,7 +249,7 @@
 		time.Sleep(5 * time.Millisecond) // the surplus may arrive slightly later than its answer
 	}
 	if w.ConnCount() != 2 {
-		t.Fatalf("%d connections", w.ConnCount())
+		t.Fatalf("%d connections, want 2", w.ConnCount())
 	}
 }
 
@@ -265,8 +265,8 @@
 	return n, err
 }
 
-// Under the group's lease the last byte of a request is a write of its own, which is omitted if the lease ends before it: the worker never
-// begins, and the request is shed, after which the client may retry.
+// If a worker requires the group's lease, the last byte of a request is sent in a separate write, which is omitted if the lease has expired:
+// the worker does not begin, and the request is shed, so that the client may retry.
 func TestTransport_LastByteNeedsLease(t *testing.T) {
 	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
 	h := newHarness(t, w.Address, 0)
@@ -297,11 +297,11 @@
 			received = last.Header.Get("X-Request-Id") == id
 		}
 		if complete := len(sizes) == 2 && sizes[1] == 1; status != want || received != complete || complete != (want == 200) || len(sizes) > 2 {
-			t.Errorf("%s: status %d, want %d; the worker saw it: %t; writes of %v bytes", id, status, want, received, sizes)
+			t.Errorf("%s: status %d, want %d; received by the worker: %t; writes of %v bytes", id, status, want, received, sizes)
 		}
 		mu.Unlock()
 	}
 	if n := h.engine.Counters.Outcomes[dispatch.ResultNotSent].Load(); n != 1 {
-		t.Errorf("%d attempts count as not sent", n)
+		t.Errorf("%d attempts counted as not sent, want 1", n)
 	}
 }
