--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -21,7 +21,7 @@
 	timing
 	window        time.Duration  // estimated time in which discovery serves one request of each dispatcher
 	random        func() float64 // returns a number from 0 to 1
-	failures      int            // since the last received list, without busy responses
+	failures      int            // except busy responses, since the last received list
 	busyResponses int            // since the last received list
 }
 
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -17,7 +17,7 @@
 	rateLimited      bool          // discovery serves a limited rate of requests, so a missing response may indicate too many requests
 }
 
-// polledTiming is for discovery over a network, which abandons requests that it cannot serve within one second.
+// polledTiming is for discovery over a network. Discovery abandons requests that it cannot serve within one second.
 var polledTiming = timing{
 	watchIdleTimeout: 2750 * time.Millisecond,
 	requestTimeout:   1200 * time.Millisecond,
--- a/internal/frontend/body.go
+++ b/internal/frontend/body.go
@@ -22,7 +22,7 @@
 // SetLimit sets the size of the budget. Existing reservations are kept, even if they exceed the new limit.
 func (b *MemoryBudget) SetLimit(n int64) { b.available.Add(n - b.limit.Swap(n)) }
 
-// reserve reserves n bytes, and reports whether as many were available.
+// reserve reserves n bytes and returns true; if fewer are available it reserves none and returns false.
 func (b *MemoryBudget) reserve(n int64) bool {
 	if b.available.Add(-n) >= 0 {
 		return true
--- a/internal/frontend/conntracker.go
+++ b/internal/frontend/conntracker.go
@@ -80,9 +80,9 @@
 	}
 }
 
-// evictExcess evicts connections in excess of the limits, but not the newest. One pass over all connections finds the next
-// one to evict: a burst over the limit costs one file descriptor per connection, and must not delay the connections that are being served.
-// The caller must hold the lock.
+// evictExcess evicts connections in excess of the limits, but not the newest. One pass over all connections finds the next one to evict: a
+// burst over the limit costs one file descriptor per connection, and must not delay the connections that are being served. The caller must
+// hold the lock.
 func (t *ConnTracker) evictExcess(newest *clientConn) (evicted []*clientConn) {
 	if len(t.conns) <= t.SoftLimit {
 		return nil
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -18,7 +18,7 @@
 
 const (
 	idleTimeout      = 5 * time.Minute      // for a client's next request
-	responseMargin   = 3 * time.Millisecond // reserve for the response to reach the client, whose deadline runs from its send
+	responseMargin   = 3 * time.Millisecond // subtracted from a client's deadline for the network latency: it runs from the client's send
 	firstListTimeout = 1 * time.Second      // for discovery's first list; after that the previous list is used
 )
 
--- a/internal/frontend/lingeringclose.go
+++ b/internal/frontend/lingeringclose.go
@@ -14,7 +14,7 @@
 
 // Close closes the connection; later calls have no effect. Shortly after a response it closes only the sending direction, and the rest in
 // the background once the client has closed, or after lingerTimeout. A complete close would reset the connection if there are unread bytes
-// or more arrive, and a response that the client has not read yet would be lost.
+// or more arrive shortly after, and a response that the client has not read yet would be lost.
 func (c *clientConn) Close() (err error) {
 	c.closeOnce.Do(func() {
 		lingers := c.mayLoseResponse()
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -103,8 +103,8 @@
 	return encoded, nil
 }
 
-// isPlainText reports whether a text consists of printable ASCII without spaces, at most maxLength of it, so that it can be forwarded in a
-// head: a worker closes the connection on a head that it cannot parse.
+// isPlainText reports whether a text can be forwarded in a head: it is printable ASCII without spaces, and not longer than maxLength. A
+// worker closes the connection on a head that it cannot parse.
 func isPlainText(text string, maxLength int) bool {
 	isUnsafe := func(c rune) bool { return c <= ' ' || c > '~' }
 	return len(text) <= maxLength && !strings.ContainsFunc(text, isUnsafe)
--- a/internal/frontend/sharedlistener_test.go
+++ b/internal/frontend/sharedlistener_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// acceptAll accepts up to count connections, until Accept fails, and returns channels of the connections and of Accept's error.
+// acceptAll accepts connections until Accept fails. It returns channels of the connections, with capacity for count, and of Accept's error.
 func acceptAll(listener net.Listener, count int) (accepted <-chan net.Conn, ended <-chan error) {
 	conns, failed := make(chan net.Conn, count), make(chan error, 1)
 	go func() {
