--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -9,9 +9,9 @@
 const (
 	initialRetryDelay = 50 * time.Millisecond
 	maxRetryDoublings = 10
-	requestCost       = 200 * time.Millisecond // estimated time in which discovery serves one request
-	minBusyWindow     = 1 * time.Second        // minimum time over which requests are spread while discovery is busy
-	maxBusyDoublings  = 2                      // limit on doublings of that time after further busy responses
+	requestCost       = 200 * time.Millisecond // discovery's time for one request, by which the requests of a fleet are spread
+	minBusyWindow     = 1 * time.Second        // minimum window over which requests are spread while discovery is busy
+	maxBusyDoublings  = 2                      // maximum number of doublings of the window
 )
 
 // backoff chooses the random delays between requests. Dispatchers that lost their connections at the same time must not reconnect at the
@@ -19,10 +19,10 @@
 // concurrent use.
 type backoff struct {
 	timing
-	window        time.Duration  // estimated time in which discovery serves one request of each dispatcher
+	window        time.Duration  // time in which discovery serves one request of each dispatcher
 	random        func() float64 // returns a number from 0 to 1
-	failures      int            // except busy responses, since the last received list
-	busyResponses int            // since the last received list
+	failures      int            // since the last received list, except those treated as busy responses
+	busyResponses int            // since the last received list, with missing responses that indicate congestion
 }
 
 // delay returns how long to wait after a request that ended with err. received reports whether the request delivered a list before it ended.
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -66,7 +66,8 @@
 	return list, malformed, nil
 }
 
-// decode returns the endpoint, and the number of its values that were invalid and replaced by safe ones.
+// decode returns the endpoint and the number of invalid values because of which it is treated as draining. A number out of range is replaced
+// by the nearest valid one and not counted.
 func (m *endpointMessage) decode() (endpoint engine.Endpoint, faults int) {
 	endpoint = engine.Endpoint{
 		Name:            m.Name,
--- a/internal/discovery/list_test.go
+++ b/internal/discovery/list_test.go
@@ -19,16 +19,16 @@
 		`,{"name":"s-2","address":"127.0.0.1:5001","status":"draining"}` +
 		`,{"name":"s-3","address":"","status":"removed","since_ms":1.8e12}]}`))
 	if err != nil || bad != 0 || l.Version != 41 || !l.Snapshot || l.Stale || len(l.Endpoints) != 3 {
-		t.Fatalf("%+v, %d, %v", l, bad, err)
+		t.Fatalf("decoded %+v, %d malformed values, error %v, want version 41, a snapshot of 3 endpoints", l, bad, err)
 	}
 	e := l.Endpoints[0]
 	if e.Name != "s-1" || e.Address != "127.0.0.1:5000" || e.Zone != "a" || e.Kind != "big" || e.Cell != 3 ||
 		e.State != dispatch.Ready || e.Weight != 1.5 || e.StartedAtMillis != 12 {
-		t.Fatalf("%+v", e)
+		t.Fatalf("first endpoint %+v, want the values of %s", e, entryUp)
 	}
 	if l.Endpoints[1].State != dispatch.Draining || l.Endpoints[1].Cell != -1 || l.Endpoints[2].State != dispatch.Gone ||
 		l.Endpoints[2].StartedAtMillis != 1800000000000 {
-		t.Fatalf("%+v", l.Endpoints[1:])
+		t.Fatalf("endpoints %+v, want s-2 draining without a group, s-3 gone with start time 1.8e12", l.Endpoints[1:])
 	}
 }
 
@@ -45,7 +45,7 @@
 	} {
 		l, bad, err := DecodeList([]byte(`{"index":1,"endpoints":[` + raw + `]}`))
 		if err != nil || bad != 1 || len(l.Endpoints) != kept {
-			t.Errorf("%s: %+v, %d, %v", raw, l, bad, err)
+			t.Errorf("%s: decoded %+v, %d malformed values, error %v, want %d endpoints and 1 malformed value", raw, l, bad, err, kept)
 		}
 		if kept == 1 && l.Endpoints[0].State == dispatch.Ready {
 			t.Errorf("%s: the endpoint is ready", raw)
@@ -69,7 +69,7 @@
 		}
 		for _, e := range l.Endpoints {
 			if e.Name == "" || e.StartedAtMillis < 0 || !(e.Weight >= 0) || e.State == dispatch.Ready && e.Address == "" {
-				t.Fatalf("%+v", e)
+				t.Fatalf("unsafe endpoint accepted: %+v", e)
 			}
 		}
 	})
@@ -88,6 +88,6 @@
 	out, bad, err := DecodeList(raw)
 	if err != nil || bad != 0 || out.Version != 9 || !out.Snapshot || len(out.Endpoints) != 2 || out.Endpoints[0] != in.Endpoints[0] ||
 		out.Endpoints[1] != in.Endpoints[1] {
-		t.Fatalf("%s: %+v, %d, %v", raw, out, bad, err)
+		t.Fatalf("%s: decoded %+v, %d malformed values, error %v, want %+v", raw, out, bad, err, in)
 	}
 }
--- a/internal/discovery/request.go
+++ b/internal/discovery/request.go
@@ -23,7 +23,7 @@
 )
 
 var (
-	// errNoResponse ends a request for which no response head was received.
+	// errNoResponse ends a request that was sent and for which no valid response head was received in time.
 	errNoResponse = errors.New("no response from discovery")
 	// errListTooLong ends a request with a list of more than maxListBytes.
 	errListTooLong = errors.New("list exceeds 8 MiB")
@@ -47,8 +47,9 @@
 }
 
 // readLists sends one request and calls handle for each list of the response, until one cannot be read or handle returns an error. A watch
-// ends when no line has arrived for watchIdleTimeout; a snapshot has to be complete within requestTimeout and listTimeout. The error is
-// never nil: it wraps io.EOF if the response ended properly, busyError if discovery is busy, and errNoResponse if no response head arrived.
+// ends when no line has arrived for watchIdleTimeout; a snapshot has to be complete within the sum of requestTimeout and listTimeout. The
+// error is never nil: it wraps io.EOF if the response ended properly, busyError if discovery is busy, and errNoResponse if no valid response
+// head arrived.
 func (w *watch) readLists(ctx context.Context, target string, handle func(engine.EndpointList) error) error {
 	requestDeadline := time.Now().Add(w.requestTimeout)
 	conn, err := dial(ctx, w.address, requestDeadline)
@@ -150,7 +151,7 @@
 // listReader reads the body of a response. Only the end of a line, which may be empty, shows that discovery is alive; other bytes do not.
 type listReader struct {
 	source    io.Reader
-	bytesLeft int          // that the list may still have
+	bytesLeft int          // number of bytes that may still be read of the list
 	onLine    func() error // called after a read that contains the end of a line
 }
 
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -38,7 +38,8 @@
 	maxBusyDelay:     1500 * time.Millisecond,
 }
 
-// maxLostRequests is the number of consecutive requests that may fail before one that delivers the list within propagationDeadline.
+// maxLostRequests is the number of consecutive requests that may fail so that the next one still delivers the list within
+// propagationDeadline.
 const maxLostRequests = 1
 
 // afterSilence returns the longest time from the last line of a watch to the receipt of the complete list, after maxLostRequests failed
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -125,9 +125,8 @@
 	return nil
 }
 
-// verify requests the complete list some time after a watch was resumed, and retries until it has received one or ctx ends. The list's
-// version shows whether the versions are still comparable with the one from which the watch continued. If they are not, verify cancels the
-// watch.
+// verify requests the complete list some time after a watch was resumed, and retries until it has received one or ctx ends. Only this
+// list shows whether the version from which the watch continued is still valid at the agent. If it is not, verify cancels the watch.
 func (w *watch) verify(ctx context.Context, cancel func()) {
 	retries := w.backoff // counts its own failures
 	delay := retries.verifyDelay()
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -43,7 +43,7 @@
 	}
 	waitFor(t, "the drain is applied", func() bool { available, _ := e.Ready(); return !available })
 	if e.Counters.WatchFailures.Load() != 3 || e.Counters.MalformedUpdates.Load() != 1 || e.Counters.EndpointUpdates.Load() != 6 {
-		t.Error(e.Counters.Fields())
+		t.Error("want 3 watch failures, 1 malformed update, 6 endpoint updates:", e.Counters.Fields())
 	}
 }
 
@@ -167,7 +167,7 @@
 	for range 4 {
 		<-requests
 	}
-	if elapsed := time.Since(began); elapsed > 5*time.Second { // a single request without a short timeout would take as long
+	if elapsed := time.Since(began); elapsed > 5*time.Second { // with the timeouts and delays of polledTiming they would take longer
 		t.Errorf("five requests took %v, want at most 5 s", elapsed)
 	}
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -21,7 +21,7 @@
 // Source describes where the endpoint list comes from.
 type Source struct {
 	Address   string
-	Pushed    bool   // Address is that of an agent on this machine to which lists are pushed
+	Pushed    bool   // Address is that of an agent on this machine to which lists are pushed; its responses cost nothing
 	FleetSize int    // approximate number of dispatchers whose requests the source has to serve
 	HasList   bool   // the engine already has a list of this source
 	Version   uint64 // of that list
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// watchBroken records that a watch has broken.
+// watchBroken tells the engine that the list is not watched any more, if the broken watch is the current one.
 func (w *Watcher) watchBroken(broken *watch) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -51,7 +51,7 @@
 	watcher.MoveTo(current)
 	waitFor(t, "the new address is current", func() bool { return watcher.Address() == current })
 	if !ready() || e.Counters.DiscoveryAddressChanges.Load() != 1 {
-		t.Fatal(e.Counters.Fields())
+		t.Fatal("want a ready worker and 1 address change:", e.Counters.Fields())
 	}
 	n := e.Counters.EndpointUpdates.Load()
 	newEvents <- updateChunk(3, false, entryDraining) // a lower version than that of the old address
