--- a/internal/frontend/body_test.go
+++ b/internal/frontend/body_test.go
@@ -17,7 +17,7 @@
 	w := upstreamtest.StartWorker(t, upstreamtest.RespondDone)
 	h := newHarness(t, w.Address, 0)
 	if status, _, _ := doRequest(t, newRequest(t, h.url, "search", "a", strings.Repeat("x", maxBodyBytes))); status != 200 {
-		t.Fatalf("status %d", status)
+		t.Fatalf("status %d, want 200", status)
 	}
 	if _, body := w.Request(0); len(body) != maxBodyBytes {
 		t.Fatalf("the worker received %d bytes, want %d", len(body), maxBodyBytes)
@@ -44,7 +44,7 @@
 		}
 		res, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || res.StatusCode != 413 || !res.Close {
-			t.Fatalf("%s after %d bytes: %v, %+v", framing[:8], sent, err, res)
+			t.Fatalf("%s after %d bytes: error %v, response %+v, want status 413 and Connection: close", framing[:8], sent, err, res)
 		}
 		res.Body.Close()
 		if sent > 50_000_000 {
@@ -62,17 +62,17 @@
 	h := newHarness(t, w.Address, 0)
 	c := sendRaw(t, h, rawRequestHead+"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"+rawRequestHead+"Content-Length: 0\r\n\r\n")
 	if status, closed := readToClose(t, c); status != 200 || !closed {
-		t.Fatalf("status %d, closed %v", status, closed)
+		t.Fatalf("status %d, closed %v, want status 200 and closed", status, closed)
 	}
 	if n := w.RequestCount(); n != 1 {
 		t.Fatalf("the worker received %d requests, want 1", n)
 	}
 	if _, body := w.Request(0); body != "abcde" {
-		t.Fatalf("body %q", body)
+		t.Fatalf("the worker received the body %q, want \"abcde\"", body)
 	}
 }
 
-// The memory of bodies is limited by the budget as they arrive. Small bodies need none of the budget.
+// Bodies take memory only as they arrive, and together no more than the budget. Small bodies need none of the budget.
 func TestHandler_BodiesStayWithinBudget(t *testing.T) {
 	release := make(chan bool)
 	w := upstreamtest.StartWorker(t, func(c net.Conn, r *http.Request) bool { <-release; return upstreamtest.RespondDone(c, r) })
--- a/internal/frontend/clientconn.go
+++ b/internal/frontend/clientconn.go
@@ -17,8 +17,8 @@
 
 const (
 	evictClosing  evictionClass = iota // its final response has been written
-	evictUnproven                      // has sent no valid request within newConnPeriod
-	evictIdle                          // has had a response, and awaits none
+	evictUnproven                      // has sent no valid request yet, although newConnPeriod is over
+	evictIdle                          // has had a response to a valid request, and awaits none
 	evictNew                           // has just connected
 	evictNever                         // awaits a response, or is being closed already
 )
@@ -229,8 +229,8 @@
 	return evictIdle, c.since
 }
 
-// evict marks the connection as being closed by this process, and reports whether it did. It does not if a response is awaited, if the
-// connection is evicted already or, unless includeUnread is set, if an unread request may have arrived.
+// evict marks the connection as being closed by this process, and reports whether it did. It does not if a response is awaited or being
+// written, if the connection is evicted already or, unless includeUnread is set, if an unread request may have arrived.
 func (c *clientConn) evict(includeUnread bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -245,7 +245,8 @@
 	return true
 }
 
-// pending reports whether a response is awaited or being written, a request has begun to arrive, or the connection is new.
+// pending reports whether a response is awaited or being written, a request has begun to arrive, or the connection is new, so that one may
+// arrive at any moment.
 func (c *clientConn) pending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -258,7 +259,7 @@
 	return c.requestStarted || c.hasUnread() || c.isNew(time.Now())
 }
 
-// mustKeep reports whether the connection awaits a response or is evicted already. The caller must hold the lock.
+// mustKeep reports whether a response is awaited or being written, or the connection is evicted already. The caller must hold the lock.
 func (c *clientConn) mustKeep() bool { return c.awaitingResponse || c.responding || c.evicted }
 
 // isNew reports whether the client may not have had time to send its first request. The caller must hold the lock.
--- a/internal/frontend/clientgone_test.go
+++ b/internal/frontend/clientgone_test.go
@@ -27,7 +27,7 @@
 	close(release)
 	h.settled(t) // the attempt still completes
 	if h.engine.Counters.Served.Load() != 0 || h.engine.Counters.Outcomes[dispatch.ResultOK].Load() != 1 {
-		t.Fatal(h.engine.Counters.Fields())
+		t.Fatal("want no request served and 1 successful attempt:", h.engine.Counters.Fields())
 	}
 }
 
@@ -137,6 +137,6 @@
 	_, a := upstreamtest.OpenAttempt(t, h.engine, "search", 5*time.Second)
 	(&upstream.Transport{Pool: h.pool, Counters: &h.engine.Counters}).Do(a, &upstream.Request{Method: "POST", Target: "/search", ID: "id-1", Client: disconnectedClient(t)})
 	if h.engine.Counters.Outcomes[dispatch.ResultNotSent].Load() != 1 || w.RequestCount() != 0 {
-		t.Fatalf("%d requests at the worker, %v", w.RequestCount(), h.engine.Counters.Fields())
+		t.Fatalf("%d requests at the worker, want 0 and 1 attempt not sent: %v", w.RequestCount(), h.engine.Counters.Fields())
 	}
 }
--- a/internal/frontend/conntracker.go
+++ b/internal/frontend/conntracker.go
@@ -16,10 +16,10 @@
 
 // ConnTracker owns the client connections and limits their number. Connections are always accepted, since one that waits in the kernel
 // takes up resources as well: if there are too many, one that awaits no response is closed. It is safe for concurrent use; after the first
-// connection the limits are changed only by SetLimits.
+// connection the limits must be changed only by SetLimits.
 type ConnTracker struct {
-	SoftLimit int // maximum number of connections at which requests are accepted and idle connections are kept
-	HardLimit int // maximum number of connections at which those that may have an unread request are kept; 0: no limit
+	SoftLimit int // number of connections up to which requests are accepted and idle connections are kept
+	HardLimit int // number of connections up to which those that may have an unread request are kept; 0: no limit
 	Counters  *engine.Counters
 
 	mu    sync.Mutex
@@ -91,7 +91,8 @@
 	return t.evictDownTo(t.HardLimit, newest, true, evicted)
 }
 
-// evictDownTo evicts connections until limit are left, and appends them to evicted. A limit of 0 means none. The caller must hold the lock.
+// evictDownTo evicts connections until limit are left, and appends them to evicted. A limit of 0 means no limit. The caller must hold the
+// lock.
 func (t *ConnTracker) evictDownTo(limit int, newest *clientConn, includeUnread bool, evicted []*clientConn) []*clientConn {
 	var skipped map[*clientConn]bool // candidates that could not be evicted
 	for limit > 0 && len(t.conns) > limit {
--- a/internal/frontend/conntracker_test.go
+++ b/internal/frontend/conntracker_test.go
@@ -143,7 +143,7 @@
 		head := strings.Replace(rawRequestHead, "X-Request-Id: a", fmt.Sprint("X-Request-Id: ", i), 1)
 		c := sendRaw(t, h, head+"Content-Length: 0\r\n\r\n")
 		if status, _, err := readResponse(bufio.NewReader(c)); err != nil || status != 200 {
-			t.Fatalf("connection %d: status %d, %v", i, status, err)
+			t.Fatalf("connection %d: status %d, error %v, want 200", i, status, err)
 		}
 		conns = append(conns, c)
 		waitFor(t, "the connection is idle", func() bool { return h.countClass(evictIdle) == min(i+1, 2) })
@@ -175,7 +175,7 @@
 	for i, c := range silent[:27] {
 		c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-			t.Fatalf("silent connection %d: %v", i, err)
+			t.Fatalf("silent connection %d was not closed: %v", i, err)
 		}
 	}
 	if n := h.countClass(evictUnproven) + h.countClass(evictNew); n != 3 || h.engine.Counters.ClientConnsClosed.Load() != 27 {
@@ -186,7 +186,7 @@
 	close(release)
 	for _, c := range []net.Conn{busy, another} {
 		if status, _, err := readResponse(bufio.NewReader(c)); err != nil || status != 200 {
-			t.Fatalf("status %d, %v", status, err)
+			t.Fatalf("status %d, error %v, want 200", status, err)
 		}
 	}
 }
@@ -226,7 +226,7 @@
 		name    string
 		conn    *clientConn
 		evicted bool
-	}{{"silent", silent, true}, {"unread", unread, false}, {"taken", awaiting, false}, {"responding", responding, false}} {
+	}{{"silent", silent, true}, {"unread", unread, false}, {"awaiting a response", awaiting, false}, {"responding", responding, false}} {
 		if c.conn.evicted != c.evicted {
 			t.Errorf("%s: evicted %v, want %v", c.name, c.conn.evicted, c.evicted)
 		}
--- a/internal/frontend/fixture_test.go
+++ b/internal/frontend/fixture_test.go
@@ -20,7 +20,7 @@
 	"birchfork/internal/upstream/upstreamtest"
 )
 
-// harness is a handler with its server and its engine, which knows one worker at most.
+// harness is a handler with its server, its engine and at most one worker.
 type harness struct {
 	engine  *engine.Engine
 	pool    *upstream.Pool
--- a/internal/frontend/handler.go
+++ b/internal/frontend/handler.go
@@ -18,7 +18,7 @@
 
 const (
 	idleTimeout      = 5 * time.Minute      // for a client's next request
-	responseMargin   = 3 * time.Millisecond // subtracted from a client's deadline for the network latency: it runs from the client's send
+	responseMargin   = 3 * time.Millisecond // subtracted from a client's deadline, which runs from its send, for the response to reach it
 	firstListTimeout = 1 * time.Second      // for discovery's first list; after that the previous list is used
 )
 
@@ -42,8 +42,8 @@
 	return &Handler{Engine: e, Transport: transport, Conns: conns, startedAt: time.Now(), forceClose: make(chan struct{})}
 }
 
-// SetRetryAfter sets the Retry-After of responses to requests that exceed a limit of this process. maxDelay is the upper bound of
-// this delay and of those of route limits; 0 if the settings allow no Retry-After.
+// SetRetryAfter sets the Retry-After of responses to requests that exceed a limit of this process. maxDelay is the upper bound of this
+// delay and of those of route limits; 0 if the settings allow no Retry-After.
 func (h *Handler) SetRetryAfter(delay, maxDelay time.Duration) {
 	h.retryAfter.Store(int64(min(delay, maxDelay)))
 	h.maxRetryAfter.Store(int64(maxDelay))
@@ -163,8 +163,8 @@
 	}
 }
 
-// nextDecision returns the engine's next decision on a request, or aborts the request if it is overdue or ForceClose is called. It panics
-// with http.ErrAbortHandler if the client has disconnected.
+// nextDecision returns the engine's next decision on a request, or aborts the request and returns the resulting decision if it is
+// overdue or ForceClose is called. It panics with http.ErrAbortHandler if the client has disconnected.
 func (h *Handler) nextDecision(ctx context.Context, request *engine.Request, overdue <-chan time.Time) engine.Decision {
 	// What ends the request is checked first: the select below picks any of several ready cases, and nothing may be sent after the end.
 	select {
--- a/internal/frontend/handler_test.go
+++ b/internal/frontend/handler_test.go
@@ -21,7 +21,7 @@
 	r.Header.Set("X-Deadline-Ms", "1000")
 	status, _, head := doRequest(t, r)
 	if status != 503 || h.engine.Counters.Shed.Load() != 1 {
-		t.Fatalf("status %d, %v", status, h.engine.Counters.Fields())
+		t.Fatalf("status %d, want 503 and 1 request shed: %v", status, h.engine.Counters.Fields())
 	}
 	if v := head.Get("Retry-After"); v != "" {
 		if e, err := strconv.ParseFloat(v, 64); err != nil || e < 0 || e > 2 {
@@ -57,7 +57,7 @@
 		n := h.engine.Counters.RejectedOverLimit.Load()
 		status, _, head := doRequest(t, newRequest(t, h.url, "search", "b"+want, ""))
 		if status != 503 || h.engine.Counters.RejectedOverLimit.Load() != n+1 {
-			t.Fatalf("status %d, %v", status, head)
+			t.Fatalf("status %d, want 503, counted as rejected; headers %v", status, head)
 		}
 		if got := head.Get("Retry-After"); got != want {
 			t.Errorf("Retry-After %q, want %q", got, want)
@@ -68,7 +68,7 @@
 }
 
 // An open request still gets its response when ForceClose ends it, shortly before the platform kills the process.
-func TestHandler_ForceCloseFailsQueued(t *testing.T) {
+func TestHandler_ForceCloseFailsOpenRequest(t *testing.T) {
 	release := make(chan bool)
 	w := upstreamtest.StartWorker(t, func(net.Conn, *http.Request) bool { <-release; return false })
 	h := newHarness(t, w.Address, 0)
@@ -103,7 +103,7 @@
 	for i := range 40 { // without the check about half of them would be sent
 		status, _, _ := doRequest(t, newRequest(t, h.url, "book", strconv.Itoa(i), ""))
 		if status != 503 { // it never ran, so it is shed, and the client may retry
-			t.Fatalf("request %d: status %d", i, status)
+			t.Fatalf("request %d: status %d, want 503", i, status)
 		}
 	}
 	if n := w.RequestCount(); n != 0 {
@@ -155,7 +155,7 @@
 	c := sendRaw(t, h, rawRequestHead+"Content-Length: 0\r\n\r\n")
 	in := bufio.NewReader(c)
 	if status, last, err := readResponse(in); err != nil || status != 200 || !last {
-		t.Fatalf("status %d, last %v, %v", status, last, err)
+		t.Fatalf("status %d, last response %v, error %v, want 200 and the last response", status, last, err)
 	}
 	if _, err := in.ReadByte(); err != io.EOF {
 		t.Fatalf("the connection was not closed: %v", err)
@@ -204,7 +204,7 @@
 	in := bufio.NewReader(c)
 	for i, want := range []int{200, 200, 503} {
 		if status, _, err := readResponse(in); err != nil || status != want {
-			t.Fatalf("response %d: status %d, %v", i, status, err)
+			t.Fatalf("response %d: status %d, error %v, want %d", i, status, err, want)
 		}
 		time.Sleep(2 * writeTimeout)
 		if i == 0 {
@@ -228,7 +228,7 @@
 	h := newHarness(t, w.Address, 0)
 	r := newRequest(t, h.url, "search", "a", "body")
 	if status, _, _ := doRequest(t, r); status != 200 || h.engine.Counters.ClientDisconnects.Load() != 0 {
-		t.Fatalf("status %d, %d disconnects counted", status, h.engine.Counters.ClientDisconnects.Load())
+		t.Fatalf("status %d, %d disconnects counted, want 200 and 0", status, h.engine.Counters.ClientDisconnects.Load())
 	}
 }
 
@@ -259,7 +259,7 @@
 			close(stop)
 		}
 		if status, closed := readToClose(t, c); status != 0 && status != 400 || !closed {
-			t.Errorf("%s: status %d, closed %v", name, status, closed)
+			t.Errorf("%s: status %d, closed %v, want closed with no response or status 400", name, status, closed)
 		}
 		if name != "half a body" {
 			close(stop)
--- a/internal/frontend/headscanner.go
+++ b/internal/frontend/headscanner.go
@@ -16,7 +16,7 @@
 	hasLength           bool   // there is a Content-Length
 	length              int64  // value of the Content-Length
 	hasTransferEncoding bool
-	invalidLength       bool // the Content-Length is malformed, or there are two different ones
+	invalidLength       bool // the Content-Length is malformed or its line too long, or there are two different ones
 	done                bool // the head is complete
 }
 
--- a/internal/frontend/lingeringclose_test.go
+++ b/internal/frontend/lingeringclose_test.go
@@ -77,6 +77,6 @@
 	time.Sleep(delay)
 	n, err := io.Copy(io.Discard, res.Body)
 	if err != nil || n != size {
-		t.Fatalf("read after %v: received %d of %d bytes, %v", delay, n, size, err)
+		t.Fatalf("read after %v: received %d of %d bytes, error %v", delay, n, size, err)
 	}
 }
--- a/internal/frontend/request_test.go
+++ b/internal/frontend/request_test.go
@@ -55,7 +55,7 @@
 		}
 	}
 	if h.engine.Counters.Accepted.Load() != 0 || h.engine.Counters.BadRequests.Load() != 21 {
-		t.Fatal(h.engine.Counters.Fields())
+		t.Fatal("want no request accepted and 21 bad requests:", h.engine.Counters.Fields())
 	}
 }
 
@@ -67,7 +67,7 @@
 	spec, err := decodeHead(r)
 	want := engine.RequestSpec{ID: "a", Class: "search", Tenant: "acme", TimeLeft: 5 * time.Second, Slots: 4, Memory: 2.5, Retry: true}
 	if err != nil || spec != want {
-		t.Fatalf("%+v, %v", spec, err)
+		t.Fatalf("decoded %+v, error %v, want %+v", spec, err, want)
 	}
 }
 
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// reject responds to a request that never ran with the status for err.
+// reject responds with the status for err to a request that never ran.
 func (h *Handler) reject(w http.ResponseWriter, r *http.Request, err error) {
 	var limited *engine.LimitError
 	switch {
@@ -95,7 +95,7 @@
 	}
 }
 
-// writeUncounted writes any other response. If that fails the connection ends, and the client does not wait for a response.
+// writeUncounted writes any other response. A failure is not counted: it ends the connection, and no client waits for the response.
 func (h *Handler) writeUncounted(w http.ResponseWriter, r *http.Request, status int, body []byte, final bool) {
 	_ = h.write(w, r, status, body, final)
 }
--- a/internal/frontend/sharedlistener.go
+++ b/internal/frontend/sharedlistener.go
@@ -36,7 +36,7 @@
 	tcpListener, ok := listener.(*net.TCPListener)
 	if !ok {
 		listener.Close()
-		return nil, fmt.Errorf("invalid listen address %s: must be a TCP address", address)
+		return nil, fmt.Errorf("invalid listen address %q: must be a TCP address", address)
 	}
 	return &SharedListener{TCPListener: tcpListener, closed: make(chan struct{})}, nil
 }
@@ -84,7 +84,7 @@
 		switch {
 		case errors.Is(err, unix.EINTR), errors.Is(err, unix.ECONNABORTED):
 			continue
-		case errors.Is(err, unix.EMFILE), errors.Is(err, unix.ENFILE): // connections that are closed free descriptors
+		case errors.Is(err, unix.EMFILE), errors.Is(err, unix.ENFILE): // a descriptor becomes free when a connection is closed
 			time.Sleep(descriptorRetryDelay)
 			continue
 		case err != nil:
--- a/internal/frontend/upstream_test.go
+++ b/internal/frontend/upstream_test.go
@@ -28,7 +28,7 @@
 		sent.Header.Set("Idempotency-Key", "job 7")
 		status, body, _ := doRequest(t, sent)
 		if status != 200 || body != `made "it"` {
-			t.Fatalf("status %d, body %q", status, body)
+			t.Fatalf("status %d, body %q, want 200 and the worker's result", status, body)
 		}
 		h.settled(t)
 		r, received := w.Request(i)
@@ -41,7 +41,7 @@
 			}
 		}
 		if ms := r.Header.Get("X-Deadline-Ms"); len(ms) != 4 || ms >= "5000" || ms < "4000" {
-			t.Fatalf("X-Deadline-Ms %q", ms)
+			t.Fatalf("X-Deadline-Ms %q, want 4000 to 4999", ms)
 		}
 	}
 	if w.ConnCount() != 1 {
@@ -116,7 +116,7 @@
 		t.Fatalf("outcome %d not counted: %v", c.want, h.engine.Counters.Fields())
 	}
 	if (status == 200) != (c.want == dispatch.ResultOK) || (status == 400) != (c.want == dispatch.ResultNotSent) {
-		t.Errorf("status %d", status)
+		t.Errorf("status %d does not match outcome %d", status, c.want)
 	}
 	if rejected := status == 503 || status == 429; rejected != (c.want == dispatch.ResultOverloaded) {
 		t.Errorf("status %d: only a request that did not run may be shed", status)
@@ -141,7 +141,7 @@
 		t.Fatalf("status %d, want 503", status)
 	}
 	if h.settled(t); h.engine.Counters.Outcomes[dispatch.ResultUnreachable].Load() != 1 {
-		t.Fatal(h.engine.Counters.Fields())
+		t.Fatal("want 1 attempt at an unreachable worker:", h.engine.Counters.Fields())
 	}
 }
 
@@ -172,7 +172,7 @@
 	}
 	initial, retry := <-observations, <-observations
 	if elapsed := retry.at.Sub(initial.at).Milliseconds(); elapsed < 60 || retry.ms > initial.ms-elapsed+1 {
-		t.Fatalf("%d ms forwarded at first, %d ms forwarded %d ms later", initial.ms, retry.ms, elapsed)
+		t.Fatalf("%d ms forwarded at first, %d ms forwarded %d ms later, want at least 60 ms later and that much less", initial.ms, retry.ms, elapsed)
 	}
 }
 
@@ -200,10 +200,10 @@
 	h.handler.Engine, h.handler.Transport = e, &upstream.Transport{Pool: pool, Counters: &e.Counters}
 	status, _, _ := doRequest(t, newRequest(t, h.url, "search", "a", ""))
 	if dials.Load() < 2 || w.RequestCount() != 1 || status == 200 {
-		t.Fatalf("status %d, %d requests at workers, %d dials", status, w.RequestCount(), dials.Load())
+		t.Fatalf("status %d, %d requests at workers, %d dials, want no success, 1 request and at least 2 dials", status, w.RequestCount(), dials.Load())
 	}
 	if e.Counters.Outcomes[dispatch.ResultNotSent].Load() != 1 {
-		t.Fatal(e.Counters.Fields())
+		t.Fatal("want 1 attempt not sent:", e.Counters.Fields())
 	}
 }
 
@@ -243,7 +243,7 @@
 	h := newHarness(t, w.Address, 0)
 	for _, id := range []string{"a", "b"} {
 		if status, body, _ := doRequest(t, newRequest(t, h.url, "search", id, "")); status != 200 || body != id {
-			t.Fatalf("status %d, body %q", status, body)
+			t.Fatalf("status %d, body %q, want 200 and %q", status, body, id)
 		}
 		h.settled(t)
 		time.Sleep(5 * time.Millisecond) // the surplus may arrive slightly later than its answer
