--- a/internal/coordinator/calls.go
+++ b/internal/coordinator/calls.go
@@ -34,6 +34,9 @@
 // NotCommittedText is the beginning of the reply's text if no leader could commit a call in time.
 const NotCommittedText = "not settled yet, ask again"
 
+// OutcomeUnknownText is the beginning of the text of a Client's reply if no member has answered whether the call was committed.
+const OutcomeUnknownText = "no member could commit the call"
+
 // noMembershipText is the reply's text for a call that this process could only serve if it had the membership.
 const noMembershipText = "this process does not have its dispatcher's membership in the group"
 
--- a/internal/coordinator/client.go
+++ b/internal/coordinator/client.go
@@ -54,5 +54,5 @@
 			return reply, nil // the status known to that member only
 		}
 	}
-	return retryLater("no member could commit the call: %v", lastErr), nil
+	return retryLater("%s: %v", OutcomeUnknownText, lastErr), nil
 }
--- a/internal/testbed/cluster/operator.go
+++ b/internal/testbed/cluster/operator.go
@@ -20,9 +20,6 @@
 // firstPlanName is the name of the first plan. The names of the others are this name with a number.
 const firstPlanName = "work"
 
-// uncommittedPrefix begins the text of a reply that leaves open whether the call was committed.
-const uncommittedPrefix = "no member has settled"
-
 // planName returns the name of a plan by its number.
 func planName(plan int) string {
 	if plan == 0 {
@@ -53,7 +50,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.result.Calls++
-	if err == nil && strings.HasPrefix(r.Text, uncommittedPrefix) {
+	if err == nil && strings.HasPrefix(r.Text, coordinator.OutcomeUnknownText) {
 		h.result.UncommittedCalls++
 	}
 	return r, err
@@ -70,7 +67,7 @@
 		if r.Code == maintenance.CodeOK {
 			return true
 		}
-		if strings.HasPrefix(r.Text, uncommittedPrefix) {
+		if strings.HasPrefix(r.Text, coordinator.OutcomeUnknownText) {
 			continue
 		}
 		c.ID = ""
