--- a/cmd/birchfork/testbed_test.go
+++ b/cmd/birchfork/testbed_test.go
@@ -20,7 +20,7 @@
 	}{
 		{[]string{"lab", "run", "nothing"}, "calm"},
 		{[]string{"lab", "run", file}, file + ":1: rate"},
-		{[]string{"lab", "run", file}, file + ":2: foo: no such key"},
+		{[]string{"lab", "run", file}, file + ":2: foo: unknown key"},
 		{[]string{"lab", "run", "calm", "--policy", "best"}, "round-robin"},
 		{[]string{"lab", "run", "calm", "--plant", "best"}, "unsafe-twice"},
 		{[]string{"lab", "run", "calm", "--rate=-5"}, "above 0"},
--- a/internal/config/decode_test.go
+++ b/internal/config/decode_test.go
@@ -161,7 +161,7 @@
 		{"[default]\nbackoff = '1s'\nbackoff_most = '100ms'", "default.backoff_most: 100ms is less than backoff, 1s"},
 		{"[default]\nretry_after = '5s'", "default.retry_after: 5s is more than the platform lets clients be told, 2s"},
 		{"[default]\npriority = 10", "default.priority: 10 is not from 0 to 9"},
-		{"[default]\nsecnd_copies = true", "f:2: default.secnd_copies: no such key: did you mean second_copies?"},
+		{"[default]\nsecnd_copies = true", "f:2: default.secnd_copies: unknown key: did you mean second_copies?"},
 		{"[[class]]\nname='ticket'", `class[0].name: the platform has no class "ticket"`},
 		{"[[tenant]]\nname='navetta-lago'\nweight=0", "tenant[0].weight: 0 is not above 0"},
 		{r("") + "\n" + r("class='booking'"), `route[1].name: "r" stands twice`},
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -7,7 +7,7 @@
 )
 
 // Decode decodes the settings of one dispatcher and assigns ids to the names in them. Missing settings default to the
-// most restrictive value. Its error joins an Error for each malformed setting.
+// most restrictive value. The returned error joins an Error for each malformed setting.
 func Decode(pairs *Pairs, names *NameTable) (dispatch.Settings, error) {
 	zones, kinds := pairs.list("zones"), pairs.list("machine_types")
 	assignIDs(names.zones, zones)
--- a/internal/settings/decode_test.go
+++ b/internal/settings/decode_test.go
@@ -8,7 +8,7 @@
 	"birchfork/dispatch"
 )
 
-// Settings in JSON mean the same as those in the simulator's protocol.
+// Settings in JSON decode to the same values and ids as those in the simulator's protocol.
 func TestFlatten_EqualsSimulatorPairs(t *testing.T) {
 	wire := "classes.count=2\tclasses.0.aim=0.4\tclasses.0.deadline=10.0\tclasses.0.effect=free\tclasses.0.name=a_b\t" +
 		"classes.1.deadline=5\tclasses.1.effect=guarded\tclasses.1.group=zone\tclasses.1.window=2.5\tclasses.1.name=c\t" +
@@ -39,8 +39,8 @@
 	}
 }
 
-// A missing setting never gets a value of another deployment: it allows as little as possible, or nothing.
-func TestDecode_MissingMeansNarrowest(t *testing.T) {
+// A missing setting gets the most restrictive value, never one that only fits another deployment.
+func TestDecode_DefaultsAreMostRestrictive(t *testing.T) {
 	p, err := Flatten([]byte(`{"classes":[{"name":"c","deadline":5}],"weight_kind":"off"}`))
 	if err != nil {
 		t.Fatal(err)
@@ -51,10 +51,10 @@
 	}
 	c := s.Classes[0]
 	if c.Idempotency != dispatch.NonIdempotent || c.DedupScope != dispatch.DedupCell || c.DedupWindow != 0 {
-		t.Errorf("a class may be repeated: %+v", c)
+		t.Errorf("the class may be sent more than once: %+v", c)
 	}
 	if s.MaxAttempts != 1 || s.CanHedge || s.CanCancel || s.PeerMessages || s.RetryAfter || s.WeightsShowSize || s.ReportsStart || s.DrainGrace != 0 {
-		t.Errorf("more is allowed than was set: %+v", s)
+		t.Errorf("a missing setting allows something: %+v", s)
 	}
 	want := dispatch.Settings{ // every default of a missing setting
 		Classes: s.Classes, OverQuotaWeight: 1, Zone: -1, GroupSize: 1, Tick: dispatch.Millisecond, MaxAttempts: 1, MaxPollInterval: 10 * dispatch.Second,
--- a/internal/settings/flatten.go
+++ b/internal/settings/flatten.go
@@ -12,11 +12,11 @@
 	"birchfork/dispatch"
 )
 
-// maxDepth limits the nesting of settings.
+// maxDepth limits the nesting depth of settings.
 const maxDepth = 16
 
 // DecodeJSON decodes the settings of one dispatcher from nested JSON and assigns ids to the names in them. It also
-// returns the pairs, nil if raw is not a JSON object. Errors are those of Flatten and Decode.
+// returns the pairs, or nil if raw is not a JSON object. Errors are those of Flatten and Decode.
 func DecodeJSON(raw []byte, names *NameTable) (dispatch.Settings, *Pairs, error) {
 	pairs, err := Flatten(raw)
 	if err != nil {
@@ -36,7 +36,7 @@
 		return nil, fmt.Errorf("settings: not a JSON object: %w", err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, errors.New("settings: there is more after the object")
+		return nil, errors.New("settings: unexpected data after the JSON object")
 	}
 	pairs := &Pairs{values: map[string]string{}}
 	pairs.addObject("", root, 0)
@@ -45,7 +45,7 @@
 
 func (p *Pairs) addObject(prefix string, object map[string]any, depth int) {
 	if depth > maxDepth {
-		p.addError(prefix, "nested too deep")
+		p.addError(prefix, fmt.Sprintf("nested more than %d levels deep", maxDepth))
 		return
 	}
 	for key, value := range object {
@@ -58,7 +58,7 @@
 			p.addObject(path, value, depth+1)
 		case []any:
 			p.addArray(path, value, depth+1)
-		case nil: // the same as a missing key
+		case nil: // equivalent to a missing key
 		default:
 			p.values[path] = formatValue(value)
 		}
@@ -75,7 +75,7 @@
 		values = append(values, formatValue(item))
 	}
 	if len(values) > 0 && len(values) < len(list) {
-		p.addError(path, "a list of both values and objects")
+		p.addError(path, "must be a list of values or of objects, not of both")
 	}
 	if len(values) == 0 {
 		p.values[path+".count"] = strconv.Itoa(len(list))
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -16,8 +16,8 @@
 	"birchfork/internal/goldentest"
 )
 
-// testdata/golden contains what the platform's settings decode to, the text of each error, and the ids and tags of names: some of these are
-// sent to other dispatchers. UPDATE_GOLDEN=1 writes it.
+// testdata/golden contains the decoded settings of the platform, the text of each error, and the ids and tags of names. Some of these are sent
+// to other dispatchers. UPDATE_GOLDEN=1 rewrites the files.
 
 // writeSettings writes each field under a name that does not change if the field is renamed.
 func writeSettings(w io.Writer, settings *dispatch.Settings) {
@@ -129,8 +129,8 @@
 	_, errClass := n.ClassID([]byte("nap"))
 	_, errTenant := n.TenantID([]byte("emca"))
 	_, _ = n.OpenRequest([]byte("r-1"))
-	_, errTwice := n.OpenRequest([]byte("r-1"))
-	fmt.Fprintf(&out, "%v\n%v\n%v\n", errClass, errTenant, errTwice)
+	_, errDuplicate := n.OpenRequest([]byte("r-1"))
+	fmt.Fprintf(&out, "%v\n%v\n%v\n", errClass, errTenant, errDuplicate)
 	goldentest.Check(t, "errors.txt", out.Bytes())
 }
 
@@ -142,7 +142,7 @@
 		fmt.Fprintf(&out, "worker %q: id %d, tag %d, key %d\n", names.WorkerName(id), id, names.WorkerTag(id), HashKey(name))
 	}
 	fmt.Fprintf(&out, "plain %q, %q\n", NormalizeName("a b,c d"), NormalizeName("a_b"))
-	// Ids of requests are reused in an order on which the decisions depend.
+	// Decisions depend on the order in which ids of requests are reused.
 	random := rand.New(rand.NewPCG(1, 1))
 	var open []dispatch.RequestID
 	for i := range 200 {
--- a/internal/settings/nametable.go
+++ b/internal/settings/nametable.go
@@ -12,8 +12,8 @@
 // noID is the id of an unknown name.
 const noID = -1
 
-// NameTable maps the names that one dispatcher uses to dense ids, and back: classes, tenants, zones and kinds of
-// machines from the settings, workers from endpoint lists, and open requests. It is not safe for concurrent use.
+// NameTable maps the names that one dispatcher uses to dense ids and back. It contains classes, tenants, zones and kinds
+// of machines from the settings, workers from endpoint lists, and open requests. It is not safe for concurrent use.
 type NameTable struct {
 	classes, tenants, zones, kinds map[string]int
 
@@ -33,9 +33,9 @@
 	}
 }
 
-// Adopt switches to new settings, which were decoded with fresh, a NameTable of their own. Classes and tenants get
-// their ids in fresh; known zones and kinds keep their ids, new ones are appended, and settings is changed to these
-// ids. Adopt returns the previous id of each class and tenant, -1 for new ones.
+// Adopt switches to new settings, which were decoded with fresh, a separate NameTable. Classes and tenants get their ids
+// in fresh. Known zones and kinds keep their ids, new ones are appended, and settings is updated to these ids. Adopt
+// returns the previous id of each class and tenant, -1 for new ones.
 func (t *NameTable) Adopt(fresh *NameTable, settings *dispatch.Settings) (previousClasses, previousTenants []int) {
 	previousClasses = previousIDs(t.classes, fresh.ClassNames())
 	previousTenants = previousIDs(t.tenants, fresh.TenantNames())
@@ -67,7 +67,7 @@
 // TenantNames returns the names of the tenants, indexed by id.
 func (t *NameTable) TenantNames() []string { return namesByID(t.tenants) }
 
-// HasTenants reports whether the settings name tenants.
+// HasTenants reports whether the settings define tenants.
 func (t *NameTable) HasTenants() bool { return len(t.tenants) > 0 }
 
 // ZoneID returns the id of a zone, or -1 if it is not in the settings: endpoint lists may contain other zones.
@@ -101,7 +101,7 @@
 	return noID
 }
 
-// assignIDs assigns ids to names in order; a repeated name gets its last id.
+// assignIDs assigns each name its index as id. A repeated name gets its last index.
 func assignIDs(ids map[string]int, names []string) {
 	for id, name := range names {
 		ids[name] = id
@@ -149,7 +149,7 @@
 	return count
 }
 
-// HashKey returns a hash of a request's key, the same at every dispatcher; 0 for no key.
+// HashKey returns a hash of a request's key, the same at every dispatcher. It is 0 if there is no key.
 func HashKey(key string) uint64 {
 	if key == "" {
 		return 0
--- a/internal/settings/nametable_test.go
+++ b/internal/settings/nametable_test.go
@@ -7,7 +7,7 @@
 	"birchfork/dispatch"
 )
 
-// A request id is reused only when nothing can refer to the old request any more: after its final answer and the end of its last attempt.
+// A request's id is reused only after its final answer and the end of its last attempt, when nothing can refer to it any more.
 func TestNameTable_ReusesRequestIDAfterLastAttempt(t *testing.T) {
 	n := NewNameTable()
 	a, _ := n.OpenRequest([]byte("a"))
@@ -25,7 +25,7 @@
 	}
 }
 
-// Dispatchers agree on a worker's tag, whatever the order of the names.
+// All dispatchers have the same tag for a worker, regardless of the order in which they learn the names.
 func TestNameTable_TagsDoNotDependOnOrder(t *testing.T) {
 	a, b := NewNameTable(), NewNameTable()
 	b.InternWorker("10.0.0.9:1")
@@ -35,7 +35,7 @@
 	}
 }
 
-// Other settings assign their own ids to names: known zones and kinds keep theirs.
+// Adopt keeps the ids of known zones and kinds, although the new settings assign other ids.
 func TestNameTable_AdoptKeepsZoneAndKindIDs(t *testing.T) {
 	decode := func(js string) (dispatch.Settings, *NameTable) {
 		t.Helper()
@@ -64,6 +64,6 @@
 		t.Errorf("%d, %v", id, err)
 	}
 	if _, err := n.ClassID([]byte("b")); err == nil {
-		t.Error("a class that is gone is known")
+		t.Error("a class that is not in the new settings is still known")
 	}
 }
--- a/internal/settings/pairs.go
+++ b/internal/settings/pairs.go
@@ -1,7 +1,7 @@
 // Package settings decodes the settings that a dispatcher gets at its start, and assigns ids to the names that it uses,
-// since the dispatch module works on dense ids. It serves the simulator's protocol, which encodes settings as
-// path=value pairs, and the dispatcher on sockets, which gets them as nested JSON. Flatten converts the latter to the
-// same pairs.
+// since the decision module works on dense ids. It serves the simulator's protocol, which encodes settings as
+// path=value pairs, and the dispatcher on sockets, which gets them as nested JSON. Flatten converts nested JSON to
+// pairs.
 package settings
 
 import (
@@ -16,21 +16,21 @@
 )
 
 const (
-	// maxNumber limits numbers and, in seconds, durations.
+	// maxNumber limits the absolute value of numbers, and of durations in seconds.
 	maxNumber = MaxSeconds
 
-	// maxInt limits integers in both directions.
+	// maxInt limits the absolute value of integers.
 	maxInt = 1e9
 
-	// maxListLength limits the lists in settings, so that a wrong count cannot use up the memory.
+	// maxListLength limits the length of lists, so that a wrong count cannot exhaust memory.
 	maxListLength = 10000
 
-	// absent means that a value is not set.
+	// absent is the placeholder for a value that is not set.
 	absent = "-"
 )
 
-// Pairs are settings as path=value. Unused paths are allowed. Reading a malformed value records an error, which Err
-// returns, and returns a value that must not be used. Pairs are not safe for concurrent use.
+// Pairs holds settings as path=value pairs. Unknown paths are ignored. Reading a malformed value returns a value that
+// must not be used, and records an error for Err. Pairs is not safe for concurrent use.
 type Pairs struct {
 	values map[string]string
 	errs   []Error
@@ -54,14 +54,14 @@
 		}
 		path, value, _ := bytes.Cut(pair, []byte{'='})
 		if len(path) == 0 || len(path) == len(pair) {
-			return nil, fmt.Errorf("setting %q is not path=value", pair)
+			return nil, fmt.Errorf("malformed setting %q: must be path=value", pair)
 		}
 		pairs.values[string(path)] = string(value)
 	}
 	return pairs, nil
 }
 
-// addError adds an error for a path, once however often the path is read.
+// addError records an error for a path. The same error is recorded only once, even if the path is read repeatedly.
 func (p *Pairs) addError(path, reason string) {
 	err := Error{Path: path, Reason: reason}
 	if !slices.Contains(p.errs, err) {
@@ -69,12 +69,12 @@
 	}
 }
 
-// addMalformed adds an error for a path whose value is not as expected.
+// addMalformed records an error for a path whose value is not as expected.
 func (p *Pairs) addMalformed(path, want string) {
-	p.addError(path, fmt.Sprintf("%q is not %s", p.values[path], want))
+	p.addError(path, fmt.Sprintf("invalid value %q: must be %s", p.values[path], want))
 }
 
-// Err joins an Error for each malformed setting that has been read so far; nil if there are none.
+// Err joins the Error of each malformed setting that has been read so far. It returns nil if there are none.
 func (p *Pairs) Err() error {
 	errs := make([]error, len(p.errs))
 	for i, err := range p.errs {
@@ -100,7 +100,7 @@
 	digits, negative := strings.CutPrefix(text, "-")
 	n, ok := ParseDecimal([]byte(digits))
 	if !ok || n > maxNumber {
-		p.addMalformed(path, "a number")
+		p.addMalformed(path, fmt.Sprintf("a number between %g and %g", -maxNumber, maxNumber))
 	}
 	if negative {
 		n = -n
@@ -108,7 +108,7 @@
 	return n
 }
 
-// duration returns a duration, which is set in seconds, or def if it is missing.
+// duration returns a duration, given in seconds, or def if it is missing.
 func (p *Pairs) duration(path string, def dispatch.Time) dispatch.Time {
 	return FromSeconds(p.Float(path, float64(def)/float64(dispatch.Second)))
 }
@@ -121,7 +121,7 @@
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil || n > maxInt || n < -maxInt {
-		p.addMalformed(path, "a whole number")
+		p.addMalformed(path, fmt.Sprintf("an integer between %d and %d", int(-maxInt), int(maxInt)))
 	}
 	return n
 }
@@ -141,7 +141,7 @@
 	}
 }
 
-// choice returns the index of a setting among its options, of which def is one.
+// choice returns the index of a setting in its options. A missing setting counts as def, which is one of them.
 func (p *Pairs) choice(path, def string, options ...string) int {
 	i := slices.Index(options, p.Text(path, def))
 	if i < 0 {
@@ -151,7 +151,7 @@
 	return i
 }
 
-// list splits a list at its commas; an empty or missing one has no items.
+// list splits a list at its commas. An empty or missing list has no items.
 func (p *Pairs) list(path string) []string {
 	text := p.Text(path, "")
 	if text == "" {
@@ -160,7 +160,7 @@
 	return strings.Split(text, ",")
 }
 
-// listNumber returns the i-th number of a list that was read before, or def if the list is shorter.
+// listNumber returns the i-th number of a list that was read from path, or def if the list is shorter.
 func (p *Pairs) listNumber(path string, list []string, i int, def float64) float64 {
 	if i >= len(list) {
 		return def
@@ -168,7 +168,7 @@
 	number, err := strconv.ParseFloat(list[i], 64)
 	inRange := number >= -maxNumber && number <= maxNumber // false for NaN
 	if err != nil || !inRange {
-		p.addMalformed(path, "a list of numbers")
+		p.addMalformed(path, fmt.Sprintf("a list of numbers between %g and %g", -maxNumber, maxNumber))
 	}
 	return number
 }
@@ -177,7 +177,7 @@
 func (p *Pairs) count(path string) int {
 	n := p.Int(path, 0)
 	if n < 0 || n > maxListLength {
-		p.addMalformed(path, fmt.Sprintf("a count from 0 to %d", maxListLength))
+		p.addMalformed(path, fmt.Sprintf("an integer between 0 and %d", maxListLength))
 		return 0
 	}
 	return n
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -7,7 +7,7 @@
 	"birchfork/dispatch"
 )
 
-// MaxSeconds limits times to a range in which sums of a few of them do not overflow.
+// MaxSeconds limits durations so that the sum of a few of them does not overflow.
 const MaxSeconds = 1e11
 
 const (
@@ -20,10 +20,10 @@
 
 var powersOf10 = [maxFloatDigits + 1]float64{1, 1e1, 1e2, 1e3, 1e4, 1e5, 1e6, 1e7, 1e8, 1e9, 1e10, 1e11, 1e12, 1e13, 1e14, 1e15}
 
-// FromSeconds converts seconds to the unit of the dispatch module, rounded to the nearest.
+// FromSeconds converts seconds to the time unit of the decision module, rounded to the nearest.
 func FromSeconds(seconds float64) dispatch.Time { return dispatch.Time(math.Round(seconds * 1e6)) }
 
-// IsAbsent reports whether a value of the simulator's protocol means that none is set.
+// IsAbsent reports whether a value of the simulator's protocol is the placeholder for an unset one.
 func IsAbsent(value []byte) bool { return string(value) == absent }
 
 // ParseInt parses a plain decimal integer and reports whether it is one.
@@ -48,7 +48,7 @@
 	return n, true
 }
 
-// ParseDecimal parses a finite decimal number and reports whether it is one. Plain numbers of few digits, which are by
+// ParseDecimal parses a finite decimal number and reports whether it is one. Plain numbers with few digits, which are by
 // far the most frequent, need no allocation.
 func ParseDecimal(text []byte) (float64, bool) {
 	var n int64
@@ -77,7 +77,8 @@
 	return float64(n) / powersOf10[decimals], true
 }
 
-// parseDecimalSlow parses signs, exponents and many digits, but no hexadecimal numbers, underscores and infinities.
+// parseDecimalSlow parses numbers with a sign, an exponent or many digits. It rejects hexadecimal numbers, underscores
+// and infinities.
 func parseDecimalSlow(text []byte) (float64, bool) {
 	for _, char := range text {
 		if !isDigit(char) && !isDecimalMark(char) {
--- a/internal/settings/requesttable.go
+++ b/internal/settings/requesttable.go
@@ -6,8 +6,8 @@
 	"birchfork/dispatch"
 )
 
-// requestTable assigns ids to open requests. An id is free again once its request has had its final answer and none of
-// its attempts is in flight: until then the dispatch module may still refer to it.
+// requestTable assigns ids to open requests. An id is released once its request has had its final answer and none of
+// its attempts is in flight. Until then the decision module may still refer to it.
 type requestTable struct {
 	requestIDs     map[string]dispatch.RequestID
 	requestEntries []requestEntry // by id
@@ -21,10 +21,10 @@
 	answered bool
 }
 
-// OpenRequest assigns an id to a request. It returns an error if a request of that name is open already.
+// OpenRequest assigns an id to a request. It returns an error if a request with this name is already open.
 func (t *requestTable) OpenRequest(name []byte) (dispatch.RequestID, error) {
 	if _, ok := t.requestIDs[string(name)]; ok {
-		return 0, fmt.Errorf("request %q is open already", name)
+		return 0, fmt.Errorf("request %q is already open", name)
 	}
 	id := t.takeID()
 	entry := requestEntry{name: string(name)}
@@ -33,7 +33,7 @@
 	return id, nil
 }
 
-// takeID returns the id that was freed last, or a new one.
+// takeID returns the most recently released id, or a new one.
 func (t *requestTable) takeID() dispatch.RequestID {
 	last := len(t.freeRequestIDs) - 1
 	if last < 0 {
@@ -51,7 +51,7 @@
 	return id, ok
 }
 
-// RequestName returns the name for an id; it is empty for a free one.
+// RequestName returns the name of the request with an id. It is empty for a free id.
 func (t *requestTable) RequestName(id dispatch.RequestID) string { return t.requestEntries[id].name }
 
 // RequestAnswered records that a request has had its final answer.
--- a/internal/settings/workertable.go
+++ b/internal/settings/workertable.go
@@ -6,11 +6,11 @@
 	"birchfork/dispatch"
 )
 
-// workerTable assigns ids to workers in order of their first use. No id is reused.
+// workerTable assigns ids to workers in order of their first use. Ids are never reused.
 type workerTable struct {
 	workerIDs   map[string]dispatch.WorkerID
 	workerNames []string
-	workerTags  []uint64 // hashes of the names: the same at every dispatcher
+	workerTags  []uint64 // hashes of the names, the same at every dispatcher
 }
 
 // InternWorker returns the id of a worker; a new name gets a new id.
@@ -25,7 +25,7 @@
 	return id
 }
 
-// InternWorkerBytes is InternWorker without an allocation for known names.
+// InternWorkerBytes is like InternWorker, but does not allocate for known names.
 func (t *workerTable) InternWorkerBytes(name []byte) dispatch.WorkerID {
 	if id, ok := t.workerIDs[string(name)]; ok {
 		return id
@@ -39,7 +39,7 @@
 	return id, ok
 }
 
-// WorkerName returns the name for an id.
+// WorkerName returns the name of the worker with an id.
 func (t *workerTable) WorkerName(id dispatch.WorkerID) string { return t.workerNames[id] }
 
 // WorkerTag returns a hash of a worker's name, the same at every dispatcher.
--- a/internal/simprotocol/reader_test.go
+++ b/internal/simprotocol/reader_test.go
@@ -212,7 +212,7 @@
 		{"extra value", batch(startLine, "WAKEUP\tx\ty\n"), 4, "too many values"},
 		{"unknown class", batch(startLine, strings.Replace(q, "search", "nap", 1)), 4, "nap"},
 		{"unknown tenant", batch(startLine, strings.Replace(q, "acme", "emca", 1)), 4, "emca"},
-		{"duplicate request", batch(startLine, q, q), 5, "open already"},
+		{"duplicate request", batch(startLine, q, q), 5, "already open"},
 		{"negative time", batch(startLine, strings.Replace(q, "\t1\t-\t0", "\t-5\t-\t0", 1)), 4, "left"},
 		{"bad report", batch(startLine, q, "CLOSED_ATTEMPT\tr-1\t0\tx:1\t0\t1\t1\t-\tx0=4\n"), 5, "server_stats"},
 		{"empty line", batch(startLine, "\n"), 4, "unknown"},
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -105,9 +105,9 @@
 	for _, c := range []struct{ old, replacement, want string }{
 		{"rate = 60.0", "rate = -1", "rate: -1 is not from"},
 		{"rate = 60.0", "rate = 100001", "rate: 100001 is not from"},
-		{"rate = 60.0", "rats = 60", "rats: no such key: did you mean rate?"},
+		{"rate = 60.0", "rats = 60", "rats: unknown key: did you mean rate?"},
 		{`for = "20s"`, `for = "2h"`, "for: 2h0m0s is not from 1s to 1h0m0s"},
-		{`for = "20s"`, `for = 20`, "no length of time"},
+		{`for = "20s"`, `for = 20`, "must be a duration"},
 		{"dispatchers = 3", "dispatchers = 0", "dispatchers: 0"},
 		{`effect = "safe"`, `effect = "none"`, `class[0].effect: "none" is not one of safe, keyed, never-twice`},
 		{`effect = "safe"`, `effect = "keyed"`, "class[0].window: a keyed class needs"},
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -22,7 +22,7 @@
 		keyPath := joinKey(path, key)
 		i := slices.IndexFunc(fields, func(f taggedField) bool { return f.key == key })
 		if i < 0 {
-			d.AddErrorf(keyPath, "no such key%s", suggestKey(key, fields))
+			d.AddErrorf(keyPath, "unknown key%s", suggestKey(key, fields))
 			continue
 		}
 		d.decodeValue(keyPath, values[key], fields[i].value)
@@ -64,10 +64,10 @@
 	if best != "" {
 		return fmt.Sprintf(": did you mean %s?", best)
 	}
-	return "; known here: " + strings.Join(known, ", ")
+	return "; known keys: " + strings.Join(known, ", ")
 }
 
-// decodeValue decodes one value. An invalid one adds an error and leaves target unchanged.
+// decodeValue decodes one value. An invalid value adds an error and leaves target unchanged.
 func (d *Document) decodeValue(path string, raw any, target reflect.Value) {
 	if target.Type() == durationType {
 		d.decodeDuration(path, raw, target)
@@ -87,7 +87,7 @@
 	case reflect.Struct:
 		d.decodeStruct(path, raw, target)
 	default:
-		panic("tomlfile: no way to read a " + target.Type().String())
+		panic("tomlfile: unsupported type " + target.Type().String())
 	}
 }
 
@@ -95,7 +95,7 @@
 	text, ok := raw.(string)
 	duration, err := time.ParseDuration(text)
 	if !ok || err != nil {
-		d.AddErrorf(path, `%v is no length of time: write a number with its unit in quotes, such as "500ms" or "1.5s"`, describe(raw))
+		d.AddErrorf(path, `invalid value %v: must be a duration in quotes, such as "500ms" or "1.5s"`, describe(raw))
 		return
 	}
 	target.SetInt(int64(duration))
@@ -104,7 +104,7 @@
 func (d *Document) decodeString(path string, raw any, target reflect.Value) {
 	text, ok := raw.(string)
 	if !ok {
-		d.AddErrorf(path, "%s is no text: write it in quotes", describe(raw))
+		d.AddErrorf(path, "invalid value %s: must be a string in quotes", describe(raw))
 		return
 	}
 	target.SetString(text)
@@ -113,7 +113,7 @@
 func (d *Document) decodeBool(path string, raw any, target reflect.Value) {
 	flag, ok := raw.(bool)
 	if !ok {
-		d.AddErrorf(path, "%s is neither true nor false", describe(raw))
+		d.AddErrorf(path, "invalid value %s: must be true or false", describe(raw))
 		return
 	}
 	target.SetBool(flag)
@@ -122,20 +122,20 @@
 func (d *Document) decodeInt(path string, raw any, target reflect.Value) {
 	number, ok := raw.(int64)
 	if !ok {
-		d.AddErrorf(path, "%s is no whole number", describe(raw))
+		d.AddErrorf(path, "invalid value %s: must be an integer", describe(raw))
 		return
 	}
 	target.SetInt(number)
 }
 
-// decodeFloat also accepts integers, but neither infinities nor NaN.
+// decodeFloat also accepts integers. It rejects infinities and NaN.
 func (d *Document) decodeFloat(path string, raw any, target reflect.Value) {
 	number, ok := raw.(float64)
 	if whole, isWhole := raw.(int64); isWhole {
 		number, ok = float64(whole), true
 	}
 	if !ok || math.IsNaN(number) || math.IsInf(number, 0) {
-		d.AddErrorf(path, "%s is no number", describe(raw))
+		d.AddErrorf(path, "invalid value %s: must be a finite number", describe(raw))
 		return
 	}
 	target.SetFloat(number)
@@ -144,7 +144,7 @@
 func (d *Document) decodeSlice(path string, raw any, target reflect.Value) {
 	list, ok := raw.([]any)
 	if !ok {
-		d.AddErrorf(path, "%s is no list: write it in [brackets], tables as [[%s]]", describe(raw), path)
+		d.AddErrorf(path, "invalid value %s: must be a list, written as [...], or as [[%s]] for tables", describe(raw), path)
 		return
 	}
 	items := reflect.MakeSlice(target.Type(), len(list), len(list))
@@ -157,21 +157,21 @@
 func (d *Document) decodeStruct(path string, raw any, target reflect.Value) {
 	table, ok := raw.(map[string]any)
 	if !ok {
-		d.AddErrorf(path, "%s is no table: write [%s] and its keys below", describe(raw), path)
+		d.AddErrorf(path, "invalid value %s: must be a table, written as [%s] with its keys below", describe(raw), path)
 		return
 	}
 	d.decodeTable(path, table, target)
 }
 
-// describe returns a value as it is shown in an error.
+// describe formats a value for an error.
 func describe(value any) string {
 	switch value := value.(type) {
 	case string:
 		return strconv.Quote(truncate(value))
 	case map[string]any:
-		return "a table"
+		return "{...}"
 	case []any, []map[string]any:
-		return "a list"
+		return "[...]"
 	default:
 		return truncate(fmt.Sprint(value))
 	}
--- a/internal/tomlfile/golden_test.go
+++ b/internal/tomlfile/golden_test.go
@@ -10,7 +10,7 @@
 	"birchfork/internal/goldentest"
 )
 
-// testdata/golden contains the text of every error: operators and their scripts read it. UPDATE_GOLDEN=1 writes it.
+// testdata/golden contains the text of every error, which operators and their scripts read. UPDATE_GOLDEN=1 rewrites it.
 
 // goldenSample has a field of each kind that Read supports.
 type goldenSample struct {
--- a/internal/tomlfile/lines.go
+++ b/internal/tomlfile/lines.go
@@ -10,10 +10,10 @@
 type lineRecorder struct {
 	document     *Document
 	parser       unstable.Parser
-	arrayLengths map[string]int // tables so far in each array of tables, by path
+	arrayLengths map[string]int // number of tables so far in each array of tables, by path
 }
 
-// recordLines records the line of each key. The text is known to be valid TOML.
+// recordLines records the line of each key. raw must be valid TOML.
 func (d *Document) recordLines(raw []byte) {
 	r := &lineRecorder{document: d, arrayLengths: map[string]int{}}
 	r.parser.Reset(raw)
@@ -37,7 +37,7 @@
 	}
 }
 
-// tablePath returns the full path of a table's name and its line. An array of tables in the path means its last table.
+// tablePath returns the full path of a table and its line. An array of tables in the path refers to its last table.
 func (r *lineRecorder) tablePath(keys unstable.Iterator) (path string, line int) {
 	for keys.Next() {
 		node := keys.Node()
@@ -83,7 +83,7 @@
 
 func (r *lineRecorder) lineOf(node *unstable.Node) int { return r.parser.Shape(node.Raw).Start.Line }
 
-// setLine records the first line of a path.
+// setLine records the line of a path, unless it already has one.
 func (r *lineRecorder) setLine(path string, line int) {
 	if _, ok := r.document.lines[path]; !ok {
 		r.document.lines[path] = line
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,7 +1,6 @@
-// Package tomlfile decodes a TOML file written by a person into a struct. It is strict and reports every error in the
-// file at once: file, line, key, what is wrong and what would be right. The syntax is parsed by go-toml; this package
-// adds the lines of keys and the most similar known key for an unknown one, and reports errors independently of each
-// other.
+// Package tomlfile decodes a hand-written TOML file into a struct. It is strict and reports all errors of the file at
+// once, each with file, line, key, the invalid value and what is expected. The syntax is parsed by go-toml. This package
+// adds the lines of keys and suggestions for unknown keys, and continues after an error.
 //
 // Fields have a `toml` tag. Supported are strings, booleans, integers, float64, time.Duration (written as a string such
 // as "1.5s"), slices, and structs. The fields of an embedded struct count as the struct's own. Any other field without
@@ -20,14 +19,14 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// MaxSize is the maximum size of a file that Read accepts, in bytes, far more than a person writes.
+// MaxSize is the maximum size of a file that Read accepts, in bytes. Hand-written files are far smaller.
 const MaxSize = 1 << 20
 
 // Error is one error in a file.
 type Error struct {
 	File   string
-	Line   int    // counted from 1; 0: the file itself
-	Key    string // the full path, such as class[1].patience; empty: none
+	Line   int    // counted from 1; 0 if the error concerns the whole file
+	Key    string // the full path, such as class[1].patience; may be empty
 	Reason string
 }
 
@@ -58,7 +57,7 @@
 func Read(file string, raw []byte, target any) *Document {
 	document := &Document{file: file, lines: map[string]int{}}
 	if len(raw) > MaxSize {
-		document.addFileError(fmt.Sprintf("%d bytes are more than the %d that such a file may have", len(raw), MaxSize))
+		document.addFileError(fmt.Sprintf("file too large: %d bytes, must be at most %d", len(raw), MaxSize))
 		return document
 	}
 	var root map[string]any
@@ -77,7 +76,7 @@
 	return ok
 }
 
-// Line returns the line of a key, or of the nearest enclosing table; 0 if the file has neither.
+// Line returns the line of a key, or of the nearest enclosing table. It returns 0 if the file has neither.
 func (d *Document) Line(key string) int {
 	for {
 		if line, ok := d.lines[key]; ok {
@@ -96,14 +95,14 @@
 	d.errors = append(d.errors, Error{File: d.file, Line: d.Line(key), Key: key, Reason: fmt.Sprintf(format, args...)})
 }
 
-// addFileError adds an error for the file itself.
+// addFileError adds an error that concerns the whole file.
 func (d *Document) addFileError(reason string) {
 	d.errors = append(d.errors, Error{File: d.file, Reason: reason})
 }
 
 // addSyntaxError adds an error of the TOML parser, with its line and key if it reports them.
 func (d *Document) addSyntaxError(err error) {
-	syntaxError := Error{File: d.file, Reason: "this is no TOML: " + strings.TrimPrefix(err.Error(), "toml: ")}
+	syntaxError := Error{File: d.file, Reason: "invalid TOML: " + strings.TrimPrefix(err.Error(), "toml: ")}
 	var decodeError *toml.DecodeError
 	if errors.As(err, &decodeError) {
 		syntaxError.Line, _ = decodeError.Position()
@@ -112,7 +111,7 @@
 	d.errors = append(d.errors, syntaxError)
 }
 
-// Errors returns all errors sorted by line; those of one line are in the order in which they were added.
+// Errors returns all errors sorted by line. Errors of the same line are in the order in which they were added.
 func (d *Document) Errors() []Error {
 	sorted := slices.Clone(d.errors)
 	sort.SliceStable(sorted, func(i, j int) bool { return sorted[i].Line < sorted[j].Line })
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -24,7 +24,7 @@
 	hidden int
 }
 
-// Read keeps the defaults of keys that a file does not set, and records the line of each key.
+// Read keeps the defaults for keys that the file does not set, and records the line of each key.
 func TestRead_KeepsDefaults(t *testing.T) {
 	v := sample{Rate: 7, hidden: 1}
 	d := Read("f.toml", []byte("name='a'\nfor = \"1.5s\"\nlimits.memory_mb = 64\n[[class]]\nname='x'\nrange=[1, 2.5]\n[[class]]\nname='y'\ndeep={x=3}\n"), &v)
@@ -44,16 +44,16 @@
 }
 
 // All errors of a file are reported at once, each with its line and key.
-func TestRead_NamesAllErrors(t *testing.T) {
+func TestRead_ReportsAllErrors(t *testing.T) {
 	raw := "nam = 'a'\nfor = 3\nrate = 'x'\non = 1\nzzzzzzzz = 1\n[limits]\nmemory_mb = 1.5\n[[class]]\nname = 4\nrange = 3\n[class.deep]\ny = 1\n[[class]]\nrange = [1, 'b']\n"
 	var v sample
 	d := Read("f.toml", []byte(raw), &v)
 	want := []string{
-		`f.toml:1: nam: no such key: did you mean name?`, `f.toml:2: for: 3 is no length of time`,
-		`f.toml:3: rate: "x" is no number`, `f.toml:4: on: 1 is neither`, `f.toml:5: zzzzzzzz: no such key; known here: name, for`,
-		`f.toml:7: limits.memory_mb: 1.5 is no whole number`, `f.toml:9: class[0].name: 4 is no text`,
-		`f.toml:10: class[0].range: 3 is no list`, `f.toml:12: class[0].deep.y: no such key; known here: x`,
-		`f.toml:14: class[1].range[1]: "b" is no number`,
+		`f.toml:1: nam: unknown key: did you mean name?`, `f.toml:2: for: invalid value 3: must be a duration in quotes`,
+		`f.toml:3: rate: invalid value "x": must be a finite number`, `f.toml:4: on: invalid value 1: must be true or false`, `f.toml:5: zzzzzzzz: unknown key; known keys: name, for`,
+		`f.toml:7: limits.memory_mb: invalid value 1.5: must be an integer`, `f.toml:9: class[0].name: invalid value 4: must be a string in quotes`,
+		`f.toml:10: class[0].range: invalid value 3: must be a list`, `f.toml:12: class[0].deep.y: unknown key; known keys: x`,
+		`f.toml:14: class[1].range[1]: invalid value "b": must be a finite number`,
 	}
 	got := strings.Split(d.Err().Error(), "\n")
 	if len(got) != len(want) {
@@ -84,7 +84,7 @@
 		d := Read("f", raw, &v)
 		for _, e := range d.Errors() {
 			if e.Reason == "" || e.Line < 0 || e.Line > strings.Count(string(raw), "\n")+1 {
-				t.Fatalf("an error without a reason or a line of the file: %+v", e)
+				t.Fatalf("error without a reason, or with a line outside the file: %+v", e)
 			}
 		}
 		d.Line("class[0].deep.x")
