--- a/internal/endpointsource/etcd/golden_test.go
+++ b/internal/endpointsource/etcd/golden_test.go
@@ -9,8 +9,8 @@
 	"birchfork/internal/engine"
 )
 
-// A worker's value in etcd has the format of earlier builds. The test writes the file if UPDATE_GOLDEN is set.
-func TestValue_KeepsItsForm(t *testing.T) {
+// A worker's value in etcd has the same format as in earlier builds. The test rewrites the file if UPDATE_GOLDEN is set.
+func TestValue_EncodingMatchesGolden(t *testing.T) {
 	const path = "testdata/golden/value.json"
 	cell := 7
 	raw, err := json.Marshal(Value{SchemaVersion, "127.0.0.1:5001", "zone-a", "kind-b", &cell, 2.5, StateDraining, 1700000000001})
--- a/internal/endpointsource/etcd/source.go
+++ b/internal/endpointsource/etcd/source.go
@@ -26,7 +26,7 @@
 const (
 	readTimeout      = 5 * time.Second
 	progressInterval = 1 * time.Second // between requests for progress on a watch
-	maxSilence       = 4 * time.Second // a watch that is silent for longer counts as lost
+	maxSilence       = 4 * time.Second // a watch without a response for longer counts as lost
 	minRetryDelay    = 50 * time.Millisecond
 	maxRetryDelay    = 2 * time.Second
 )
@@ -38,10 +38,10 @@
 	BadValues   atomic.Int64
 	Disconnects atomic.Int64
 	Compacted   atomic.Int64 // watches rejected because their revision was compacted
-	Restored    atomic.Int64 // times that revisions went backwards
+	Restored    atomic.Int64 // how often revisions went backwards
 }
 
-// Source follows one prefix. Its callbacks are called from the goroutine of Run, one at a time.
+// Source follows the keys under one prefix. Its callbacks are called from the goroutine of Run, one at a time.
 type Source struct {
 	Client   *clientv3.Client
 	Prefix   string
@@ -55,8 +55,8 @@
 
 // Errors that end a watch.
 var (
-	errSilent     = errors.New("etcd is silent")
-	errWatchEnded = errors.New("the watch ended")
+	errSilent     = fmt.Errorf("watch timed out after %v without a response", maxSilence)
+	errWatchEnded = errors.New("watch closed")
 )
 
 // Run follows the prefix until ctx ends.
@@ -81,7 +81,7 @@
 	}
 }
 
-// follow reads the range and watches from there. It reports whether a list was delivered.
+// follow reads the range and then watches for changes. It reports whether a list was delivered.
 func (s *Source) follow(ctx context.Context) (delivered bool, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -114,8 +114,7 @@
 	return nil
 }
 
-// watch delivers changes from the revision after the last one, until the watch ends. The client library resumes the watch if the connection
-// breaks.
+// watch delivers changes after the last revision until the watch ends. The client library resumes the watch if the connection breaks.
 func (s *Source) watch(ctx context.Context) error {
 	responses := s.Client.Watch(clientv3.WithRequireLeader(ctx), s.Prefix,
 		clientv3.WithPrefix(),
@@ -140,7 +139,7 @@
 			if time.Since(lastResponse) > maxSilence {
 				return errSilent
 			}
-			// The error is not handled: a silent watch shows it.
+			// An error needs no handling: the watch then times out.
 			_ = s.Client.RequestProgress(clientv3.WithRequireLeader(ctx))
 		case <-ctx.Done():
 			return ctx.Err()
@@ -157,12 +156,12 @@
 		return fmt.Errorf("watching from revision %d: %w", s.lastRevision+1, err)
 	}
 	if response.Header.Revision < s.lastRevision {
-		return fmt.Errorf("watching: revision %d came after %d", response.Header.Revision, s.lastRevision)
+		return fmt.Errorf("watching: revision went backwards from %d to %d", s.lastRevision, response.Header.Revision)
 	}
 	return nil
 }
 
-// deliver delivers events, those of one revision together.
+// deliver delivers events, as one update per revision.
 func (s *Source) deliver(events []*clientv3.Event) {
 	for len(events) > 0 {
 		revision := events[0].Kv.ModRevision
@@ -180,7 +179,7 @@
 	}
 }
 
-// workerName returns the name of the worker under a key.
+// workerName returns the name of the worker whose key it is.
 func (s *Source) workerName(kv *mvccpb.KeyValue) string {
 	return strings.TrimPrefix(string(kv.Key), s.Prefix)
 }
@@ -193,7 +192,7 @@
 	return s.decode(event.Kv)
 }
 
-// decode returns the worker of a key. A worker with an invalid value is draining.
+// decode returns the worker of a key. A worker with an invalid value counts as draining.
 func (s *Source) decode(kv *mvccpb.KeyValue) engine.Endpoint {
 	endpoint, err := Decode(s.workerName(kv), kv.Value)
 	if err != nil {
--- a/internal/endpointsource/etcd/source_test.go
+++ b/internal/endpointsource/etcd/source_test.go
@@ -28,14 +28,14 @@
 type harness struct {
 	t      *testing.T
 	etcd   *etcdtest.Server
-	client *clientv3.Client // the workers' client
+	client *clientv3.Client // writes the workers' keys
 	source *Source
 
 	mu         sync.Mutex
 	view       *endpointsource.View
 	start      time.Time
 	drained    map[string]bool // incarnations that were received as draining or gone
-	violations []string        // incarnations that were published as ready after that
+	violations []string        // incarnations that were published as ready afterwards
 	lostCount  int
 }
 
@@ -75,7 +75,7 @@
 		<-done
 		for _, c := range []*clientv3.Client{h.source.Client, h.client} {
 			if err := c.Close(); err != nil {
-				t.Errorf("closing etcd's client: %v", err)
+				t.Errorf("closing the etcd client: %v", err)
 			}
 		}
 		e.Close()
@@ -83,7 +83,8 @@
 	return h
 }
 
-func key(name string, since int64) string { return fmt.Sprint(name, "/", since) }
+// incarnationKey is the key of an incarnation in harness.drained.
+func incarnationKey(name string, since int64) string { return fmt.Sprint(name, "/", since) }
 
 func (h *harness) update(n endpointsource.Update) {
 	h.mu.Lock()
@@ -91,9 +92,9 @@
 	for _, l := range h.view.Update(time.Since(h.start), 0, n) {
 		for _, e := range l.Endpoints {
 			if e.State != dispatch.Ready {
-				h.drained[key(e.Name, e.StartedAtMillis)] = true
-			} else if h.drained[key(e.Name, e.StartedAtMillis)] {
-				h.violations = append(h.violations, key(e.Name, e.StartedAtMillis))
+				h.drained[incarnationKey(e.Name, e.StartedAtMillis)] = true
+			} else if h.drained[incarnationKey(e.Name, e.StartedAtMillis)] {
+				h.violations = append(h.violations, incarnationKey(e.Name, e.StartedAtMillis))
 			}
 		}
 	}
@@ -113,7 +114,7 @@
 	h.t.Helper()
 	for by := time.Now().Add(30 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(by) {
-			h.t.Fatalf("not in time: %s", what)
+			h.t.Fatalf("timed out after 30s waiting for: %s", what)
 		}
 	}
 }
@@ -129,8 +130,8 @@
 	}
 }
 
-// Watches are dropped at random moments, history is compacted, workers drain, leave and restart in the gap: an incarnation that drained is
-// never published as ready again, and at rest the view has what etcd has.
+// Watches are dropped at random times and history is compacted, while workers drain, leave and restart in the gap. An incarnation that
+// drained is never published as ready again, and at rest the view equals etcd's content.
 func TestSource_KeepsDrainsAcrossGaps(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	rounds := *gapRounds
@@ -175,22 +176,22 @@
 			t.Errorf("published as ready after a drain: %v", h.violations)
 		}
 		if h.source.Counters.Changes.Load() == 0 {
-			t.Error("no change came by the watch: its disconnects were not tested")
+			t.Error("the watch delivered no change, so its disconnects were not tested")
 		}
 	})
 }
 
-// After a watch is rejected as compacted the complete list is read again.
+// After a watch is rejected because its revision was compacted, the complete range is read again.
 func TestSource_RebuildsAfterCompaction(t *testing.T) {
 	h := newHarness(t)
 	h.put("a", StateUp, 1)
 	h.await("up", func() bool { return h.state("a") == dispatch.Ready })
 	h.etcd.SetNoLeader(true) // no watch can be opened
-	h.await("the watch is gone", func() bool { return h.etcd.OpenWatches() == 0 })
+	h.await("the watch is closed", func() bool { return h.etcd.OpenWatches() == 0 })
 	h.etcd.SetNoLeader(false)
-	h.etcd.SetHanging(true) // and now no request is answered, while
+	h.etcd.SetHanging(true) // the source cannot read the range before the worker drains and history is compacted
 	stop := make(chan struct{})
-	go func() { // the worker drains and history is compacted
+	go func() {
 		defer close(stop)
 		h.put("a", StateDraining, 1)
 		h.etcd.CompactNow()
@@ -204,7 +205,7 @@
 	}
 }
 
-// After etcd is restored from an older copy a worker that drained since then stays drained, and the source does not read the range forever.
+// After etcd is restored from an older copy, a worker that drained since then stays drained, and the source does not read the range in a loop.
 func TestSource_KeepsDrainsAfterRestore(t *testing.T) {
 	h := newHarness(t)
 	h.put("a", StateUp, 1)
@@ -214,21 +215,21 @@
 	h.put("b", StateUp, 1)
 	h.await("b", func() bool { return h.state("b") == dispatch.Ready && h.state("a") == dispatch.Draining })
 	h.etcd.Restore(old)
-	h.await("the restore is seen", func() bool { return h.state("b") == dispatch.Gone })
+	h.await("the restored list", func() bool { return h.state("b") == dispatch.Gone })
 	if h.state("a") != dispatch.Draining || len(h.violations) > 0 {
-		t.Errorf("after the restore a is %v; %v", h.state("a"), h.violations)
+		t.Errorf("after the restore a is %v; published as ready after a drain: %v", h.state("a"), h.violations)
 	}
 	if n := h.source.Counters.Restored.Load(); n != 1 {
-		t.Errorf("%d restores were counted", n)
+		t.Errorf("%d restores counted, want 1", n)
 	}
 	h.put("c", StateUp, 1)
 	h.await("c", func() bool { return h.state("c") == dispatch.Ready })
 	if n := h.source.Counters.Reads.Load(); n > 4 {
-		t.Errorf("the range was read %d times", n)
+		t.Errorf("the range was read %d times, want at most 4", n)
 	}
 }
 
-// The end of a lease removes its worker; a put and a delete in one transaction are one change; a burst of changes is applied completely.
+// The end of a lease removes its worker, a put and a delete in one transaction are both applied, and a burst of changes is applied completely.
 func TestSource_FollowsLeasesTransactionsAndBursts(t *testing.T) {
 	h := newHarness(t)
 	ctx := context.Background()
@@ -250,7 +251,7 @@
 	}
 	h.await("leased again", func() bool { return h.state("leased") == dispatch.Ready })
 	h.etcd.Expire(int64(lease.ID))
-	h.await("the lease's end", func() bool { return h.state("leased") == dispatch.Gone })
+	h.await("the end of the lease", func() bool { return h.state("leased") == dispatch.Gone })
 	for i := range 2000 {
 		h.put(fmt.Sprint("b", i%500), [...]string{StateUp, StateDraining}[i/1000%2], int64(i/1000+1))
 	}
@@ -267,7 +268,7 @@
 	})
 }
 
-// A source whose etcd member has no leader is lost, and its list is kept.
+// A source whose etcd member has no leader counts as lost, and its list is kept.
 func TestSource_KeepsListWithoutLeader(t *testing.T) {
 	h := newHarness(t)
 	h.put("a", StateUp, 1)
@@ -288,8 +289,8 @@
 
 func TestDecode(t *testing.T) {
 	for raw, want := range map[string]string{
-		`{"v":1,"address":"127.0.0.1:9"}`: "", `{"v":1,"address":"h:1","state":"draining"}`: "", `x`: "no JSON", `{"v":2,"address":"h:1"}`: "version 2",
-		`{"v":1,"address":"h"}`: "host:port", `{"v":1,"address":":9"}`: "host:port", `{"v":1,"address":"h:0"}`: "host:port", `{"v":1,"address":"h:1","state":"gone"}`: "neither up",
+		`{"v":1,"address":"127.0.0.1:9"}`: "", `{"v":1,"address":"h:1","state":"draining"}`: "", `x`: "malformed value", `{"v":2,"address":"h:1"}`: "version 2",
+		`{"v":1,"address":"h"}`: "host:port", `{"v":1,"address":":9"}`: "host:port", `{"v":1,"address":"h:0"}`: "host:port", `{"v":1,"address":"h:1","state":"gone"}`: "must be up or draining",
 	} {
 		e, err := Decode("w", []byte(raw))
 		if (err == nil) != (want == "") || err != nil && e.State == dispatch.Ready {
--- a/internal/endpointsource/etcd/value.go
+++ b/internal/endpointsource/etcd/value.go
@@ -21,7 +21,7 @@
 	Cell            *int    `json:"cell,omitempty"`
 	Weight          float64 `json:"weight,omitempty"`
 	State           string  `json:"state,omitempty"`    // StateUp (or empty) or StateDraining
-	StartedAtMillis int64   `json:"since_ms,omitempty"` // its last start, Unix time in milliseconds; 0: long ago
+	StartedAtMillis int64   `json:"since_ms,omitempty"` // last start, Unix time in milliseconds; 0 means long ago
 }
 
 // The states in a Value.
@@ -36,23 +36,23 @@
 	maxStartedAtMillis = 100_000_000_000_000
 )
 
-// Decode decodes the value of a worker. For an invalid value it returns an error and a draining worker, since it is unknown whether that
-// accepts requests.
+// Decode decodes the value of a worker. For an invalid value it returns an error and a draining endpoint, since it is unknown whether the
+// worker accepts requests.
 func Decode(name string, raw []byte) (engine.Endpoint, error) {
 	unusable := engine.Endpoint{Name: name, Cell: -1, State: dispatch.Draining}
 	if len(raw) > maxValueBytes {
-		return unusable, fmt.Errorf("its value has %d bytes, more than %d", len(raw), maxValueBytes)
+		return unusable, fmt.Errorf("value too large: %d bytes, must be at most %d", len(raw), maxValueBytes)
 	}
 	var v Value
 	if err := json.Unmarshal(raw, &v); err != nil {
-		return unusable, fmt.Errorf("its value is no JSON object of a worker: %w", err)
+		return unusable, fmt.Errorf("malformed value: %w", err)
 	}
 	if v.Version != SchemaVersion {
-		return unusable, fmt.Errorf("its value is of version %d, not %d", v.Version, SchemaVersion)
+		return unusable, fmt.Errorf("unsupported version %d of the value: must be %d", v.Version, SchemaVersion)
 	}
 	host, port, err := net.SplitHostPort(v.Address)
 	if err != nil || host == "" || port == "" || port == "0" {
-		return unusable, fmt.Errorf("its address %q is not host:port", v.Address)
+		return unusable, fmt.Errorf("invalid address %q: must be host:port", v.Address)
 	}
 	endpoint := engine.Endpoint{
 		Name:            name,
@@ -71,7 +71,7 @@
 	case StateDraining:
 		endpoint.State = dispatch.Draining
 	default:
-		return unusable, fmt.Errorf("its state %q is neither up nor draining", v.State)
+		return unusable, fmt.Errorf("invalid state %q: must be up or draining", v.State)
 	}
 	return endpoint, nil
 }
--- a/internal/endpointsource/file/list.go
+++ b/internal/endpointsource/file/list.go
@@ -26,7 +26,7 @@
 	StartedAtMillis int     `toml:"since_ms"`
 }
 
-// Decode decodes a list. Its error names every fault, by file name, line and key.
+// Decode decodes a list. Its error lists every error of the file, with file name, line and key.
 func Decode(name string, raw []byte) ([]engine.Endpoint, error) {
 	var l list
 	document := tomlfile.Read(name, raw, &l)
@@ -38,7 +38,7 @@
 	for i, w := range l.Workers {
 		key := fmt.Sprintf("worker[%d].", i)
 		if w.Name == "" || seen[w.Name] {
-			document.AddErrorf(key+"name", "%q is missing or stands twice", w.Name)
+			document.AddErrorf(key+"name", "invalid value %q: must be a unique, non-empty name", w.Name)
 		}
 		seen[w.Name] = true
 		endpoints = append(endpoints, w.endpoint(document, key))
@@ -49,15 +49,15 @@
 	return endpoints, nil
 }
 
-// endpoint returns the worker and adds its faults to the document. Its keys begin with key.
+// endpoint returns the worker and adds its errors to the document. key is the prefix of its keys.
 func (w *worker) endpoint(document *tomlfile.Document, key string) engine.Endpoint {
 	host, port, err := net.SplitHostPort(w.Address)
 	if err != nil || host == "" || port == "" || port == "0" {
-		document.AddErrorf(key+"address", "%q is not host:port", w.Address)
+		document.AddErrorf(key+"address", "invalid value %q: must be host:port", w.Address)
 	}
 	validWeight := w.Weight >= 0 // false for NaN as well
 	if !validWeight || w.StartedAtMillis < 0 {
-		document.AddErrorf(key+"weight", "weight and since_ms are not below 0")
+		document.AddErrorf(key+"weight", "invalid values %v and %d: weight and since_ms must not be negative", w.Weight, w.StartedAtMillis)
 	}
 	endpoint := engine.Endpoint{
 		Name:            w.Name,
@@ -76,7 +76,7 @@
 	case "draining":
 		endpoint.State = dispatch.Draining
 	default:
-		document.AddErrorf(key+"state", "%q is neither up nor draining", w.State)
+		document.AddErrorf(key+"state", "invalid value %q: must be up or draining", w.State)
 	}
 	return endpoint
 }
--- a/internal/endpointsource/file/source.go
+++ b/internal/endpointsource/file/source.go
@@ -1,5 +1,5 @@
-// Package file follows a list of workers in a TOML file, which is read again when it changes. After an invalid change the last valid list
-// stays in force.
+// Package file follows a TOML file that lists workers, and reads it again when it changes. After an invalid change the last valid list stays
+// in force.
 package file
 
 import (
@@ -16,10 +16,10 @@
 	"birchfork/internal/tomlfile"
 )
 
-// Times of following a file.
+// Timing of a source.
 const (
-	settleDelay  = 50 * time.Millisecond // from an event to the read: several events of one save cause one read
-	pollInterval = 2 * time.Second       // the file is also read at this interval, in case the system reports no events
+	settleDelay  = 50 * time.Millisecond // from an event to the read, so that several events of one save cause one read
+	pollInterval = 2 * time.Second       // in case the system reports no events
 )
 
 // Source follows one file. Its callbacks are called from the goroutine of Run, one at a time.
@@ -30,10 +30,10 @@
 	OnLost   func() // the file is missing or invalid; the list stays as it is
 
 	lastContent string
-	lastError   string // of the last read; empty: it was valid
+	lastError   string // of the last read; empty if it was valid
 }
 
-// Run follows the file until ctx ends. It watches the directory, since editors replace a file by another one.
+// Run follows the file until ctx ends. It watches the directory, since editors replace the file rather than write to it.
 func (s *Source) Run(ctx context.Context) {
 	var events chan fsnotify.Event
 	if watcher, err := fsnotify.NewWatcher(); err == nil {
@@ -96,7 +96,7 @@
 	s.OnUpdate(update)
 }
 
-// logOnce logs an error once, however often the file is read again.
+// logOnce logs an error unless the previous read failed with the same one.
 func (s *Source) logOnce(err error) {
 	if err.Error() != s.lastError {
 		s.Log.WithError(err).WithField("path", s.Path).Error("invalid workers file; keeping the last valid list")
--- a/internal/endpointsource/file/source_test.go
+++ b/internal/endpointsource/file/source_test.go
@@ -17,18 +17,18 @@
 
 const twoWorkers = "[[worker]]\nname='a'\naddress='127.0.0.1:1'\n[[worker]]\nname='b'\naddress='127.0.0.1:2'\nstate='draining'\n"
 
-func TestDecode_ReportsEveryFault(t *testing.T) {
+func TestDecode_ReportsEveryError(t *testing.T) {
 	l, err := Decode("f", []byte(twoWorkers))
 	if err != nil || len(l) != 2 || l[0].State != dispatch.Ready || l[0].Cell != -1 || l[1].State != dispatch.Draining {
 		t.Fatalf("%+v, %v", l, err)
 	}
 	_, err = Decode("f", []byte("[[worker]]\nname='a'\naddress='x'\nstate='on'\nweight=-1\n[[worker]]\nname='a'\naddress='127.0.0.1:1'\n"))
 	if err == nil || strings.Count(err.Error(), "\n") != 3 || !strings.Contains(err.Error(), "f:7: worker[1].name") {
-		t.Errorf("faults: %v", err)
+		t.Errorf("errors: %v", err)
 	}
 }
 
-// A file that is replaced by another one is read again; an invalid one has no effect.
+// A replaced file is read again. An invalid file is reported as lost and does not change the list.
 func TestSource_FollowsFile(t *testing.T) {
 	path := t.TempDir() + "/workers.toml"
 	write := func(text string) {
@@ -50,7 +50,7 @@
 	done := make(chan struct{})
 	go func() { defer close(done); s.Run(ctx) }()
 	if update := <-updates; !update.Snapshot || len(update.Endpoints) != 2 {
-		t.Errorf("at first: %+v", update)
+		t.Errorf("initial list: %+v", update)
 	}
 	write("[[worker]]\nname='c'\naddress='127.0.0.1:3'\n")
 	if update := <-updates; len(update.Endpoints) != 1 || update.Endpoints[0].Name != "c" {
@@ -62,7 +62,7 @@
 	}
 	write(twoWorkers)
 	if update := <-updates; len(update.Endpoints) != 2 {
-		t.Errorf("after an invalid one: %+v", update)
+		t.Errorf("after an invalid file: %+v", update)
 	}
 	stop()
 	<-done
--- a/internal/endpointsource/golden_test.go
+++ b/internal/endpointsource/golden_test.go
@@ -12,7 +12,7 @@
 	"birchfork/internal/engine"
 )
 
-// sortEndpoints sorts the endpoints of an answer: a complete list has no order.
+// sortEndpoints sorts the endpoints of a response, since the order of a complete list is undefined.
 func sortEndpoints(body string) string {
 	const opening, separator, closing = `"endpoints":[{`, `},{`, `}]}`
 	head, list, found := strings.Cut(body, opening)
@@ -25,9 +25,9 @@
 	return head + opening + strings.Join(endpoints, separator) + closing + end
 }
 
-// The answers to dispatchers, before and after a change, and to operators are those of earlier builds, byte by byte. The test writes the
+// The responses to dispatchers and operators, before and after a change, are identical to those of earlier builds. The test rewrites the
 // file if UPDATE_GOLDEN is set.
-func TestServer_KeepsItsAnswers(t *testing.T) {
+func TestServer_ResponsesMatchGolden(t *testing.T) {
 	const path = "testdata/golden/answers.txt"
 	var text strings.Builder
 	synctest.Test(t, func(*testing.T) {
@@ -61,6 +61,6 @@
 		t.Fatal(err)
 	}
 	if text.String() != string(golden) {
-		t.Errorf("the answers have changed:\n%s\nwant:\n%s", text.String(), golden)
+		t.Errorf("responses have changed:\n%s\nwant:\n%s", text.String(), golden)
 	}
 }
--- a/internal/endpointsource/http.go
+++ b/internal/endpointsource/http.go
@@ -17,7 +17,7 @@
 	statusPath = "/status"
 )
 
-// keepAliveInterval is the interval of empty lines on a watch.
+// keepAliveInterval is the interval between empty lines on an idle watch.
 const keepAliveInterval = 2 * time.Second
 
 // endpointJSON is an endpoint in discovery's protocol.
@@ -39,7 +39,7 @@
 	Endpoints []endpointJSON `json:"endpoints"`
 }
 
-// statusNames are the names of states in discovery's protocol.
+// statusNames contains the names of states in discovery's protocol.
 var statusNames = map[dispatch.WorkerState]string{
 	dispatch.Ready:    "up",
 	dispatch.Draining: "draining",
@@ -93,7 +93,7 @@
 	writeJSON(w, m)
 }
 
-// writeJSON writes a response. Errors are ignored: the client has disconnected.
+// writeJSON writes a response. Errors are ignored, since they mean that the client has disconnected.
 func writeJSON(w http.ResponseWriter, answer any) {
 	_ = json.NewEncoder(w).Encode(answer)
 }
@@ -107,7 +107,7 @@
 		changed, closed := s.changed, s.closed
 		var line []byte
 		if first || index != s.index {
-			line, _ = json.Marshal(s.changesSince(index)) // changes that JSON cannot represent, such as an infinite weight, are left out
+			line, _ = json.Marshal(s.changesSince(index)) // nothing is sent if JSON cannot represent a change, such as an infinite weight
 			index = s.index
 		}
 		s.mu.Unlock()
@@ -129,7 +129,7 @@
 	}
 }
 
-// writeLine sends a line immediately.
+// writeLine writes a line and flushes it.
 func writeLine(w http.ResponseWriter, line []byte) error {
 	_, err := w.Write(append(line, '\n'))
 	return errors.Join(err, http.NewResponseController(w).Flush())
--- a/internal/endpointsource/server.go
+++ b/internal/endpointsource/server.go
@@ -8,10 +8,10 @@
 	"birchfork/internal/engine"
 )
 
-// Server publishes the list of a View in discovery's protocol, so that a dispatcher needs no change: its discovery is an address on its own
-// machine. It owns the View and runs its timer. It is safe for concurrent use.
+// Server publishes the list of a View in discovery's protocol, so that dispatchers need no code for the sources: they use discovery at an
+// address on their own machine. Server owns the View and runs its timer. It is safe for concurrent use.
 type Server struct {
-	start time.Time // zero of the View's time
+	start time.Time // origin of the View's times
 
 	mu        sync.Mutex // guards the fields below
 	view      *View
@@ -29,10 +29,10 @@
 	endpoint engine.Endpoint
 }
 
-// maxChanges limits the changes that are kept. A watch that lags further behind gets the complete list.
+// maxChanges limits the number of stored changes. A watch that lags further behind gets the complete list.
 const maxChanges = 4096
 
-// NewServer returns a server without a list. Close releases its timer.
+// NewServer returns a server without a list. Close stops its timer.
 func NewServer(c Config) *Server {
 	s := &Server{
 		start:     time.Now(),
@@ -66,7 +66,7 @@
 
 func (s *Server) tick() { s.apply(s.view.Tick) }
 
-// apply carries out a step of the view, records the changes, and sets the timer for the next step.
+// apply runs a step of the view, records the changes, and sets the timer for the next Tick.
 func (s *Server) apply(step func(now time.Duration) []engine.EndpointList) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,7 +98,7 @@
 	}
 }
 
-// wakeWatches wakes up all watches. The caller must hold the lock.
+// wakeWatches wakes all watches. The caller must hold the lock.
 func (s *Server) wakeWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -108,11 +108,11 @@
 type Status struct {
 	Index      uint64  `json:"index"`
 	Workers    int     `json:"workers"`
-	Source     int     `json:"source"` // the active source; -1: none has sent a list
+	Source     int     `json:"source"` // the active source; -1 if none has sent a list
 	AgeSeconds float64 `json:"age_s"`  // since its last update
 }
 
-// Status returns the active source and the age of its last update.
+// Status returns the server's state.
 func (s *Server) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,7 +139,7 @@
 }
 
 // changesSince returns the changes after an index, or the complete list if some of them are no longer stored. Of several changes of one
-// worker it returns the last. The caller must hold the lock.
+// worker it returns only the last. The caller must hold the lock.
 func (s *Server) changesSince(index uint64) listMessage {
 	if !s.canResumeFrom(index) {
 		return s.snapshot()
--- a/internal/endpointsource/server_test.go
+++ b/internal/endpointsource/server_test.go
@@ -15,9 +15,9 @@
 	"birchfork/internal/engine"
 )
 
-// A dispatcher's decoder reads the view's list from the server's responses, as a complete list and as a watch; of many changes of one
-// worker the watch sends the last.
-func TestServer_AnswersAsDiscovery(t *testing.T) {
+// A dispatcher's decoder accepts the server's responses, both the complete list and a watch. Of many changes of one worker the watch sends
+// only the last.
+func TestServer_ServesDiscoveryProtocol(t *testing.T) {
 	server := NewServer(Config{SourceCount: 1})
 	defer server.Close()
 	httpServer := httptest.NewServer(server)
@@ -33,7 +33,7 @@
 	res := get("/discovery/hosts")
 	res.Body.Close()
 	if res.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("without a list: %d; an empty list would be applied", res.StatusCode)
+		t.Errorf("status %d without a list, want 503: dispatchers would apply an empty list", res.StatusCode)
 	}
 	server.Update(0, Update{Snapshot: true, Endpoints: []engine.Endpoint{testEndpoint("a", dispatch.Ready, 1), testEndpoint("b", dispatch.Draining, 2)}})
 	res = get("/discovery/hosts")
@@ -68,14 +68,14 @@
 	invalid := get("/discovery/hosts?follow=1&since=x")
 	invalid.Body.Close()
 	if invalid.StatusCode != http.StatusBadRequest {
-		t.Errorf("a watch since x: %d", invalid.StatusCode)
+		t.Errorf("watch with since=x: status %d, want 400", invalid.StatusCode)
 	}
 	if s := server.Status(); s.Workers != 1 || s.Source != 0 {
 		t.Errorf("status %+v", s)
 	}
 }
 
-// The server's timer runs what is due in the view, in virtual time.
+// The server's timer calls Tick when the view's failover is due. The test runs in virtual time.
 func TestServer_FailsOverByTimer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := NewServer(Config{SourceCount: 2, FailoverDelay: 5 * time.Second, FailbackDelay: 3 * time.Second, EmptyListDelay: 10 * time.Second})
@@ -90,7 +90,7 @@
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
 		if s := server.Status(); s.Source != 1 || s.Workers != 1 {
-			t.Errorf("did not fail over by itself: %+v", s)
+			t.Errorf("no failover by the timer: %+v", s)
 		}
 	})
 }
--- a/internal/endpointsource/source.go
+++ b/internal/endpointsource/source.go
@@ -7,10 +7,10 @@
 	"birchfork/internal/engine"
 )
 
-// Update is a list, or changes of one, from a source.
+// Update is a complete list of workers from a source, or changes to its list.
 type Update struct {
-	Snapshot  bool   // complete, not only the workers that changed
-	Revision  uint64 // of the source's store; 0: the source has none, and its last update is the newest
+	Snapshot  bool   // a complete list, not only the workers that changed
+	Revision  uint64 // of the source's store; 0 if the source has no revisions: then its last update is the newest
 	Endpoints []engine.Endpoint
 }
 
@@ -19,9 +19,9 @@
 	entries      map[string]sourceEntry
 	hasList      bool // it has sent a complete list
 	connected    bool
-	stateSince   time.Duration // time of the connection, or of its loss
+	stateSince   time.Duration // when the source was connected, or lost
 	revision     uint64
-	emptyPending bool          // an empty list that replaced a non-empty one has not been applied yet
+	emptyPending bool          // an empty list that replaces a non-empty one has not been applied yet
 	emptySince   time.Duration // when that list arrived
 	lastUpdate   time.Duration
 }
@@ -29,10 +29,10 @@
 // sourceEntry is an endpoint as last sent by its source.
 type sourceEntry struct {
 	engine.Endpoint
-	drainKept bool // the source's restored store lists it as up; it stays draining as known before
+	drainKept bool // the source's restored store lists the worker as up, but it stays draining as before the restore
 }
 
-// markConnected records the time of an update.
+// markConnected records an update, and that the source is connected.
 func (s *source) markConnected(now time.Duration) {
 	if !s.connected {
 		s.connected = true
@@ -49,7 +49,7 @@
 	}
 }
 
-// applySnapshot applies a complete list, which after a gap contains what was missed. A worker that is not on it has left. An empty list
+// applySnapshot applies a complete list. After a gap it contains all missed changes, and workers that are not on it have left. An empty list
 // that replaces a non-empty one is applied only after emptyListDelay, since an agent that has not received a list yet sends an empty one.
 func (s *source) applySnapshot(now time.Duration, update Update, emptyListDelay time.Duration) {
 	if len(update.Endpoints) == 0 && len(s.entries) > 0 && emptyListDelay > 0 {
@@ -72,7 +72,7 @@
 	s.hasList = true
 }
 
-// applyChanges applies changes. Those that are not newer than what is known are late or repeated, and are ignored.
+// applyChanges applies changes. It ignores late or repeated ones, whose revision is not newer than the last known one.
 func (s *source) applyChanges(update Update) {
 	if update.Revision > 0 && update.Revision <= s.revision {
 		return
@@ -88,9 +88,9 @@
 	s.revision = max(s.revision, update.Revision)
 }
 
-// keepDrained returns an entry of a snapshot, as draining if its worker is known to drain and the snapshot is from a restored store. A
-// store restored from an older copy lists workers as up that have drained since: the same incarnation of a worker stays draining until a
-// change replaces it. Reading the restored list again is not a change: without drainKept the second read would list the worker as up.
+// keepDrained returns an entry of a snapshot. A store restored from an older copy lists workers as up that have drained since. The same
+// incarnation of such a worker stays draining until a change replaces its entry. Reading the restored list again is not a change: without
+// drainKept the second read would list the worker as up.
 func (s *source) keepDrained(entry sourceEntry, restored bool) sourceEntry {
 	old, known := s.entries[entry.Name]
 	if !known || !restored && !old.drainKept {
@@ -104,7 +104,7 @@
 	return entry
 }
 
-// applyPendingEmptyList applies an empty list once it has lasted for the delay.
+// applyPendingEmptyList applies a pending empty list after the delay.
 func (s *source) applyPendingEmptyList(now, emptyListDelay time.Duration) {
 	if s.emptyPending && now >= s.emptySince+emptyListDelay {
 		s.emptyPending = false
--- a/internal/endpointsource/view.go
+++ b/internal/endpointsource/view.go
@@ -1,6 +1,6 @@
 // Package endpointsource merges lists of workers from several sources. A source sends snapshots and changes; a View merges them into one
-// list, fails over between sources, rebuilds the list after a gap, and ignores outdated updates. View does no I/O, has no clock and starts
-// no goroutine. Server provides its clock and publishes its list over HTTP.
+// list, fails over between sources, rebuilds the list after a gap, and ignores outdated updates. A View does no I/O, has no clock and starts
+// no goroutine. Server provides the clock and publishes the list over HTTP.
 package endpointsource
 
 import (
@@ -13,24 +13,24 @@
 	"birchfork/internal/engine"
 )
 
-// noSource is the index of the active source if there is none.
+// noSource stands for the index of the active source if there is none.
 const noSource = -1
 
 // Config holds the settings of a View.
 type Config struct {
-	SourceCount    int           // sources are numbered by preference, the preferred one is 0
+	SourceCount    int           // sources are numbered by preference, from 0 for the most preferred one
 	FailoverDelay  time.Duration // once a source has been lost for this long, the next one that has sent its list becomes active
 	FailbackDelay  time.Duration // a preferred source becomes active again once it has been connected for this long
 	EmptyListDelay time.Duration // an empty list that replaces a non-empty one is applied after this time; 0: immediately
 }
 
-// View merges the lists of several sources. Times are durations from a start that the caller chooses. A View is not safe for concurrent
+// View merges the lists of several sources. Times are durations since an origin that the caller chooses. A View is not safe for concurrent
 // use.
 type View struct {
 	config    Config
 	now       time.Duration
 	sources   []source
-	active    int                        // the source whose list is published; noSource: none has sent one yet
+	active    int                        // the source whose list is published; noSource if none has sent one yet
 	published map[string]engine.Endpoint // without workers that have left
 }
 
@@ -63,13 +63,13 @@
 	return v.reconcile()
 }
 
-// Tick applies what is due and returns the changes of the published list. NextTick returns when to call it.
+// Tick applies due failovers and delayed empty lists, and returns the changes of the published list. NextTick returns when to call it.
 func (v *View) Tick(now time.Duration) []engine.EndpointList {
 	v.advance(now)
 	return v.reconcile()
 }
 
-// NextTick returns when Tick is due; ok is false if nothing is due without an update.
+// NextTick returns when Tick is due. ok is false if nothing is due before the next update.
 func (v *View) NextTick() (at time.Duration, ok bool) {
 	due := func(t time.Duration) {
 		if t > v.now && (!ok || t < at) {
@@ -90,7 +90,7 @@
 	return at, ok
 }
 
-// ActiveSource returns the source whose list is published, and the time since its last update; -1: no source has sent a list.
+// ActiveSource returns the source whose list is published, and the time since its last update. The source is -1 if none has sent a list.
 func (v *View) ActiveSource() (source int, age time.Duration) {
 	if v.active == noSource {
 		return noSource, 0
@@ -98,10 +98,10 @@
 	return v.active, v.now - v.sources[v.active].lastUpdate
 }
 
-// advance sets the time, which never goes back.
+// advance sets the current time, which never goes backwards.
 func (v *View) advance(now time.Duration) { v.now = max(v.now, now) }
 
-// reconcile chooses the active source and returns how its list differs from what was published.
+// reconcile chooses the active source, publishes its list and returns the changes.
 func (v *View) reconcile() []engine.EndpointList {
 	for i := range v.sources {
 		v.sources[i].applyPendingEmptyList(v.now, v.config.EmptyListDelay)
@@ -117,8 +117,8 @@
 	return []engine.EndpointList{{Endpoints: changes}}
 }
 
-// publish makes the published list equal to entries and returns the changes, sorted by name: the same updates give the same changes,
-// whatever the order of the maps.
+// publish makes the published list equal to entries and returns the changes. They are sorted by name, so that they do not depend on the
+// iteration order of the maps.
 func (v *View) publish(entries map[string]sourceEntry) []engine.Endpoint {
 	var changes []engine.Endpoint
 	for name, old := range v.published {
@@ -138,8 +138,8 @@
 	return changes
 }
 
-// chooseActive fails over and back. The first source that has sent its list and is connected, or has been lost only briefly, becomes
-// active. If all are lost the active one stays.
+// chooseActive fails over and back. The first source that has sent its list and has not been lost for the failover delay becomes active. A
+// source preferred to the active one must also have been connected for the failback delay. If all are lost, the active source stays.
 func (v *View) chooseActive() {
 	for i := range v.sources {
 		s := &v.sources[i]
--- a/internal/endpointsource/view_test.go
+++ b/internal/endpointsource/view_test.go
@@ -22,13 +22,13 @@
 	return dispatch.Gone
 }
 
-// A worker that drained while the watch was broken, or before the store was restored, is not published as ready.
+// A worker that drained while the watch was broken, or before the store was restored from an older copy, is not published as ready.
 func TestView_KeepsDrainedWorker(t *testing.T) {
 	v := NewView(Config{SourceCount: 1})
 	v.Update(0, 0, Update{Snapshot: true, Revision: 10, Endpoints: []engine.Endpoint{testEndpoint("a", dispatch.Ready, 1), testEndpoint("b", dispatch.Ready, 1)}})
 	v.MarkLost(time.Second, 0)
 	if stateOf(v, "a") != dispatch.Ready {
-		t.Fatal("a silent source emptied the list")
+		t.Fatal("the loss of the source emptied the list")
 	}
 	out := v.Update(2*time.Second, 0, Update{Snapshot: true, Revision: 90, Endpoints: []engine.Endpoint{testEndpoint("a", dispatch.Draining, 1)}})
 	if len(out) != 1 || len(out[0].Endpoints) != 2 || stateOf(v, "a") != dispatch.Draining || stateOf(v, "b") != dispatch.Gone {
@@ -38,7 +38,7 @@
 	if out := v.Update(3*time.Second, 0, Update{Revision: 50, Endpoints: []engine.Endpoint{testEndpoint("a", dispatch.Ready, 1)}}); out != nil {
 		t.Errorf("an outdated change was applied: %+v", out)
 	}
-	// A restored store is older: a worker that drained stays drained, a new incarnation is ready.
+	// After a restore from an older copy a drained worker stays drained, and a new worker is ready.
 	v.Update(4*time.Second, 0, Update{Snapshot: true, Revision: 20, Endpoints: []engine.Endpoint{testEndpoint("a", dispatch.Ready, 1), testEndpoint("c", dispatch.Ready, 1)}})
 	if stateOf(v, "a") != dispatch.Draining || stateOf(v, "c") != dispatch.Ready {
 		t.Errorf("after a restore: a %v, c %v", stateOf(v, "a"), stateOf(v, "c"))
@@ -48,7 +48,7 @@
 	v.Update(4*time.Second, 0, Update{Snapshot: true, Revision: 20, Endpoints: []engine.Endpoint{testEndpoint("a", dispatch.Ready, 1), testEndpoint("c", dispatch.Ready, 1)}})
 	v.Update(4*time.Second, 0, Update{Snapshot: true, Revision: 25, Endpoints: []engine.Endpoint{testEndpoint("a", dispatch.Ready, 1), testEndpoint("c", dispatch.Ready, 1)}})
 	if stateOf(v, "a") != dispatch.Draining {
-		t.Error("a restored list read twice brought a drained worker back")
+		t.Error("a drained worker became ready when the restored list was read again")
 	}
 	v.Update(5*time.Second, 0, Update{Revision: 26, Endpoints: []engine.Endpoint{testEndpoint("a", dispatch.Ready, 7)}})
 	if stateOf(v, "a") != dispatch.Ready {
@@ -56,7 +56,7 @@
 	}
 }
 
-// An empty list that replaces a non-empty one is applied after the delay; the removal of single workers immediately.
+// An empty list that replaces a non-empty one is applied after the delay. Removals of single workers are applied immediately.
 func TestView_DelaysEmptyList(t *testing.T) {
 	v := NewView(Config{SourceCount: 1, EmptyListDelay: 10 * time.Second})
 	v.Update(0, 0, Update{Snapshot: true, Endpoints: []engine.Endpoint{testEndpoint("a", dispatch.Ready, 1)}})
@@ -76,7 +76,7 @@
 	}
 }
 
-// After a source has been lost for the delay the next one becomes active; if all are lost the last list is kept.
+// After a source has been lost for the failover delay the next one becomes active. If all are lost the last list is kept.
 func TestView_FailsOverAndBack(t *testing.T) {
 	v := NewView(Config{SourceCount: 2, FailoverDelay: 5 * time.Second, FailbackDelay: 3 * time.Second})
 	second := []engine.Endpoint{testEndpoint("b", dispatch.Ready, 1)}
@@ -104,7 +104,7 @@
 	v.MarkLost(16*time.Second, 1)
 	v.Tick(time.Hour)
 	if active, age := v.ActiveSource(); active != 1 || stateOf(v, "b") != dispatch.Ready || age < time.Minute {
-		t.Errorf("with all lost the last list stays: %d, %v", active, age)
+		t.Errorf("the last list was not kept with all sources lost: source %d, age %v", active, age)
 	}
 }
 
@@ -126,7 +126,7 @@
 	watching          bool
 	deliveredRevision uint64                          // the last one that the view received
 	received          map[string]dispatch.WorkerState // the newest received state of each incarnation
-	published         map[string]engine.Endpoint      // as the dispatcher receives it
+	published         map[string]engine.Endpoint      // the list of a dispatcher that applies the view's changes
 }
 
 func newStoreHistory() *storeHistory {
@@ -242,11 +242,11 @@
 	}
 }
 
-// checkPublished fails the test if a worker is published as ready whose newest received state is another one.
+// checkPublished fails the test if a worker is published as ready although its newest received state is another one.
 func (h *storeHistory) checkPublished(t *rapid.T) {
 	for _, e := range h.published {
 		if s, ok := h.received[incarnation(e)]; ok && e.State == dispatch.Ready && s != dispatch.Ready {
-			t.Fatalf("%s is published though its newest state is %v", e.Name, s)
+			t.Fatalf("%s is published as ready, but its newest received state is %v", e.Name, s)
 		}
 	}
 }
@@ -254,17 +254,17 @@
 // checkAtRest fails the test unless the published list equals the store's content.
 func (h *storeHistory) checkAtRest(t *rapid.T) {
 	if len(h.published) != len(h.content) {
-		t.Fatalf("at rest %v, the store has %v", h.published, h.content)
+		t.Fatalf("published at rest: %v, want the store's content %v", h.published, h.content)
 	}
 	for name, e := range h.content {
 		if h.published[name] != e {
-			t.Fatalf("at rest %+v, the store has %+v", h.published[name], e)
+			t.Fatalf("published at rest: %+v, want the store's %+v", h.published[name], e)
 		}
 	}
 }
 
-// Random histories of a store with revisions, broken watches, compaction, late and repeated changes: a worker whose drain was received is
-// never published as ready, and at rest the published list equals the store's content.
+// In random histories with broken watches, compaction, and late or repeated changes, a worker whose drain was received is never published as
+// ready, and at rest the published list equals the store's content.
 func TestView_FollowsRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := newStoreHistory()
