--- a/cmd/birchfork-discovery-agent/main.go
+++ b/cmd/birchfork-discovery-agent/main.go
@@ -1,5 +1,5 @@
 // Command birchfork-discovery-agent publishes the list of workers from etcd or a file to the dispatchers on this machine, and lets workers
-// register themselves. It is a separate program, so that a dispatcher does not contain etcd's client.
+// register themselves. It is a separate program, so that the dispatcher does not contain the etcd client.
 package main
 
 import (
@@ -18,7 +18,7 @@
 
 const programName = "birchfork-discovery-agent"
 
-// commands is the command line.
+// commands holds the flags and commands of the command line.
 type commands struct {
 	Config string `help:"The agent's file, TOML." default:"members.toml" placeholder:"FILE" env:"BIRCHFORK_MEMBERS"`
 
@@ -31,7 +31,7 @@
 	Watch    watch    `cmd:"" help:"Print changes in etcd as they come, until interrupted."`
 }
 
-// output is the streams to which a command writes.
+// output holds the output streams of a command.
 type output struct{ stdout, stderr io.Writer }
 
 type serve struct{}
--- a/cmd/birchfork-discovery-agent/main_test.go
+++ b/cmd/birchfork-discovery-agent/main_test.go
@@ -46,12 +46,12 @@
 	t.Helper()
 	for by := time.Now().Add(30 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(by) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("timed out after 30s waiting for: %s", what)
 		}
 	}
 }
 
-// writeAgentFile writes an agent's file with one etcd source, and makes commands use it.
+// writeAgentFile writes a configuration file with one etcd source, and makes commands use it.
 func writeAgentFile(t *testing.T, etcdAddress string) (path string) {
 	t.Helper()
 	path = t.TempDir() + "/members.toml"
@@ -63,7 +63,7 @@
 	return path
 }
 
-// startAgent starts an agent, until ctx ends. It returns the agent's URL and the channel of the error that ends it.
+// startAgent starts an agent that runs until ctx ends. It returns the agent's URL and a channel that receives the result of Serve.
 func startAgent(ctx context.Context, t *testing.T, path string) (url string, served <-chan error) {
 	t.Helper()
 	cfg, err := discoveryagent.Load(path)
@@ -78,7 +78,8 @@
 	return "http://" + <-addr, ended
 }
 
-// publishedStatus returns a worker's status as an agent publishes it to dispatchers: none if it is not listed, empty if there is no list.
+// publishedStatus returns the status of a worker that an agent publishes to dispatchers. It is "none" if the worker is not listed, and empty
+// if there is no list.
 func publishedStatus(agentURL, worker string) string {
 	res, err := http.Get(agentURL + "/discovery/hosts")
 	if err != nil {
@@ -99,7 +100,7 @@
 	return "none"
 }
 
-// A worker registers, is listed and published to dispatchers, drains by command, and drains and leaves when its process ends.
+// A registered worker is listed and published to dispatchers, can be drained by a command, and drains and leaves when register ends.
 func TestAgent_PublishesRegisteredWorker(t *testing.T) {
 	e, err := etcdtest.Start()
 	if err != nil {
@@ -129,7 +130,7 @@
 		t.Errorf("register: %d, %q", code, out.String())
 	}
 	if code, _, err := call(t.Context(), "remove", "w1"); code != 1 || !strings.Contains(err, `no worker "w1"`) {
-		t.Errorf("remove of one that left: %d, %q", code, err)
+		t.Errorf("remove of a worker that has left: %d, %q", code, err)
 	}
 	stop()
 	if err := <-served; err != nil {
@@ -137,8 +138,8 @@
 	}
 }
 
-// Each fault of the file is named by line and key; other errors end with status 1 and a message.
-func TestAgent_ReportsEveryFault(t *testing.T) {
+// Every error in the file is reported with its line and key. Every failing command exits with status 1 and prints a message.
+func TestAgent_ReportsEveryError(t *testing.T) {
 	path := t.TempDir() + "/members.toml"
 	text := "listen='0.0.0.0:1'\nempty_guard='2h'\n[[source]]\nkind='dns'\n[[source]]\nkind='etcd'\nprefix='w'\nuser='u'\n[[source]]\nkind='file'\n"
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -147,7 +148,7 @@
 	code, _, err := call(t.Context(), "check", "--config", path)
 	for _, want := range []string{":1: listen", ":2: empty_guard", ":4: source[0].kind", "source[1].endpoints", ":7: source[1].prefix", ":8: source[1].user", "source[2].path"} {
 		if code != 1 || !strings.Contains(err, want) {
-			t.Errorf("check: %d, without %s: %s", code, want, err)
+			t.Errorf("check: status %d, want 1 and an error for %s: %s", code, want, err)
 		}
 	}
 	for _, args := range [][]string{{"list", "--config", path}, {"serve", "--config", "/nothing"}, {"nonsense"}, {"register", "w", "x", "--config", path}} {
--- a/cmd/birchfork-discovery-agent/register.go
+++ b/cmd/birchfork-discovery-agent/register.go
@@ -19,8 +19,8 @@
 	minTTL                = time.Second
 )
 
-// errLeaseLost means that etcd has ended the lease of a worker.
-var errLeaseLost = errors.New("the lease was lost")
+// errLeaseLost means that etcd has ended the lease of a worker, or that it could not be renewed in time.
+var errLeaseLost = errors.New("lease lost")
 
 type register struct {
 	Name     string        `arg:"" help:"The worker's name."`
@@ -32,10 +32,10 @@
 	DrainFor time.Duration `help:"How long it stays listed as draining after SIGTERM." default:"5s"`
 }
 
-// Run registers the worker and keeps its lease until ctx ends; then it marks the worker as draining, and removes it after the drain time.
+// Run registers the worker and keeps its lease until ctx ends. Then it marks the worker as draining, and removes it after the drain time.
 func (r *register) Run(ctx context.Context, c *commands, out output) error {
 	if r.TTL < minTTL || r.DrainFor < 0 {
-		return errors.New("--ttl is a second at least, --drain-for not below 0")
+		return errors.New("--ttl must be at least 1s, and --drain-for must not be negative")
 	}
 	return c.withRegistry(func(workers *registry) error {
 		value := r.value(time.Now())
@@ -44,7 +44,7 @@
 			return err
 		}
 		if _, err := etcd.Decode(r.Name, raw); err != nil {
-			return fmt.Errorf("%s cannot be registered: %w", r.Name, err)
+			return fmt.Errorf("cannot register %s: %w", r.Name, err)
 		}
 		r.keepRegistered(ctx, workers, string(raw), out)
 		value.State = etcd.StateDraining
@@ -65,7 +65,7 @@
 	}
 }
 
-// keepRegistered registers the worker, again whenever its lease is lost, until ctx ends.
+// keepRegistered keeps the worker registered until ctx ends. It registers it again whenever its lease is lost.
 func (r *register) keepRegistered(ctx context.Context, workers *registry, value string, out output) {
 	for ctx.Err() == nil {
 		err := r.holdLease(ctx, workers, value, out)
@@ -102,7 +102,7 @@
 	return errLeaseLost
 }
 
-// leave lists the worker as draining for the drain time, and then removes it.
+// leave marks the worker as draining, waits for the drain time and removes it.
 func (r *register) leave(ctx context.Context, workers *registry, draining etcd.Value, out output) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout+r.DrainFor)
 	defer cancel()
--- a/cmd/birchfork-discovery-agent/registry.go
+++ b/cmd/birchfork-discovery-agent/registry.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = client.Close() }() // only the error of the call matters
+	defer func() { _ = client.Close() }() // only the error of f matters
 	return f(&registry{client, source.Prefix})
 }
 
--- a/cmd/birchfork-discovery-agent/workers.go
+++ b/cmd/birchfork-discovery-agent/workers.go
@@ -17,7 +17,7 @@
 	Name string `arg:"" help:"The worker's name."`
 }
 
-// Run marks the worker as draining and keeps its lease. It fails if the worker's key changes meanwhile.
+// Run marks the worker as draining. It fails if the worker's key is changed concurrently.
 func (d *drain) Run(ctx context.Context, c *commands, out output) error {
 	return c.withRegistry(func(workers *registry) error {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -30,7 +30,7 @@
 	})
 }
 
-// drain marks a worker as draining.
+// drain marks a worker as draining and keeps its lease.
 func (r *registry) drain(ctx context.Context, name string) error {
 	key := r.key(name)
 	response, err := r.Get(ctx, key)
@@ -55,17 +55,17 @@
 		return err
 	}
 	if !committed.Succeeded {
-		return fmt.Errorf("%s was changed at the same moment: look again", name)
+		return fmt.Errorf("%s was changed concurrently: check its state and try again", name)
 	}
 	return nil
 }
 
-// withDrainingState returns a worker's value with its state set to draining. It does not decode an etcd.Value, so that fields unknown to
-// this build are kept.
+// withDrainingState returns a worker's value with its state set to draining. It does not decode the value as an etcd.Value, so that
+// fields unknown to this build are kept.
 func withDrainingState(raw []byte) (string, error) {
 	var fields map[string]any
 	if err := json.Unmarshal(raw, &fields); err != nil {
-		return "", fmt.Errorf("its value is no JSON object: %w", err)
+		return "", fmt.Errorf("malformed value: not a JSON object: %w", err)
 	}
 	fields["state"] = etcd.StateDraining
 	changed, err := json.Marshal(fields)
@@ -74,7 +74,7 @@
 
 // notFound returns the error for a worker that is not registered.
 func (r *registry) notFound(name string) error {
-	return fmt.Errorf("there is no worker %q under %s", name, r.prefix)
+	return fmt.Errorf("no worker %q under %s", name, r.prefix)
 }
 
 type remove struct {
@@ -93,7 +93,7 @@
 		if response.Deleted == 0 {
 			return workers.notFound(r.Name)
 		}
-		_, err = fmt.Fprintln(out.stdout, r.Name, "was taken out")
+		_, err = fmt.Fprintln(out.stdout, r.Name, "was removed")
 		return err
 	})
 }
@@ -121,7 +121,7 @@
 	})
 }
 
-// name returns the name of the worker with a key.
+// name returns the name of the worker whose key it is.
 func (r *registry) name(key []byte) string { return strings.TrimPrefix(string(key), r.prefix) }
 
 // formatWorker formats a worker as a line of text.
--- a/internal/discoveryagent/agent.go
+++ b/internal/discoveryagent/agent.go
@@ -1,5 +1,5 @@
-// Package discoveryagent implements the discovery agent: it follows sources of workers, merges them into one list and publishes that list
-// in discovery's protocol to the dispatchers on this machine. The agent is a separate process, since etcd's client would cost every
+// Package discoveryagent implements the discovery agent. It follows sources of workers, merges their lists into one and publishes it in
+// discovery's protocol to the dispatchers on this machine. The agent is a separate process, since the etcd client would cost every
 // dispatcher 10 MB of memory.
 package discoveryagent
 
@@ -52,7 +52,7 @@
 	return serveList(ctx, list, listener, ready)
 }
 
-// newSource returns a function that follows a source until its context ends, and then closes its connection.
+// newSource returns a function that follows a source until its context ends, and then closes the connection to the source.
 func newSource(s *Source, index int, list *endpointsource.Server, log logrus.FieldLogger) (run func(context.Context), err error) {
 	onUpdate := func(update endpointsource.Update) { list.Update(index, update) }
 	onLost := func() { list.MarkLost(index) }
@@ -67,7 +67,7 @@
 	return func(ctx context.Context) {
 		source.Run(ctx)
 		if err := client.Close(); err != nil {
-			log.WithError(err).Debug("closing etcd's client failed")
+			log.WithError(err).Debug("could not close the etcd client")
 		}
 	}, nil
 }
@@ -87,7 +87,7 @@
 	shutdown, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
 	if err := server.Shutdown(shutdown); err != nil {
-		_ = server.Close() // the listener is closed, and open connections are abandoned
+		_ = server.Close() // abandons connections that are still open
 	}
 	return nil
 }
--- a/internal/discoveryagent/config.go
+++ b/internal/discoveryagent/config.go
@@ -18,7 +18,7 @@
 	FailoverDelay  time.Duration `toml:"change_over"` // see endpointsource.Config
 	FailbackDelay  time.Duration `toml:"change_back"` // the same
 	EmptyListDelay time.Duration `toml:"empty_guard"` // the same
-	Sources        []Source      `toml:"source"`      // by preference, the preferred one first
+	Sources        []Source      `toml:"source"`      // in order of preference
 }
 
 // Source is the configuration of one source of workers.
@@ -29,7 +29,7 @@
 	Prefix       string   `toml:"prefix"`    // of the workers' keys
 	User         string   `toml:"user"`
 	PasswordFile string   `toml:"password_file"`
-	CA           string   `toml:"ca"` // PEM files
+	CA           string   `toml:"ca"` // PEM file, as are Cert and Key
 	Cert         string   `toml:"cert"`
 	Key          string   `toml:"key"`
 }
@@ -49,10 +49,10 @@
 	maxDelay              = time.Hour
 )
 
-// errNoEtcdSource is the error of a command for etcd if no etcd source is configured.
-var errNoEtcdSource = errors.New("the agent's file names no etcd source")
+// errNoEtcdSource is returned to commands that need etcd if no etcd source is configured.
+var errNoEtcdSource = errors.New("no etcd source in the agent's file")
 
-// Load reads the configuration from a file. Its error names every fault.
+// Load reads the configuration from a file. Its error lists every error in the file.
 func Load(path string) (*Config, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -66,7 +66,7 @@
 	return Decode(path, raw)
 }
 
-// Decode decodes the configuration. Its error names every fault by file name, line and key.
+// Decode decodes the configuration. Its error lists every error in the file, with file name, line and key.
 func Decode(name string, raw []byte) (*Config, error) {
 	c := &Config{
 		Listen:         defaultListen,
@@ -85,11 +85,11 @@
 	return c, nil
 }
 
-// validate adds the faults of the configuration to the document.
+// validate adds the errors of the configuration to the document.
 func (c *Config) validate(document *tomlfile.Document) {
 	host, port, err := net.SplitHostPort(c.Listen)
 	if err != nil || port == "" || !isLoopback(host) {
-		document.AddErrorf("listen", "%q is no host:port on this machine, such as 127.0.0.1:8500: the agent serves the dispatchers beside it", c.Listen)
+		document.AddErrorf("listen", "invalid value %q: must be a loopback host:port, such as 127.0.0.1:8500, since the agent serves only this machine", c.Listen)
 	}
 	for _, delay := range []struct {
 		key   string
@@ -100,51 +100,51 @@
 		{"empty_guard", c.EmptyListDelay},
 	} {
 		if delay.value < 0 || delay.value > maxDelay {
-			document.AddErrorf(delay.key, "%v is not from 0s to 1h", delay.value)
+			document.AddErrorf(delay.key, "invalid value %v: must be between 0s and 1h", delay.value)
 		}
 	}
 	if len(c.Sources) == 0 {
-		document.AddErrorf("source", "there is none: write one [[source]] at least")
+		document.AddErrorf("source", "missing: at least one [[source]] is required")
 	}
 	for i := range c.Sources {
 		c.Sources[i].validate(document, fmt.Sprintf("source[%d].", i))
 	}
 }
 
-// validate adds the faults of the source to the document. Its keys begin with key.
+// validate adds the errors of the source to the document. key is the prefix of its keys.
 func (s *Source) validate(document *tomlfile.Document, key string) {
 	switch s.Kind {
 	case KindFile:
 		if s.Path == "" {
-			document.AddErrorf(key+"path", "a file source needs its path")
+			document.AddErrorf(key+"path", "missing: a file source requires a path")
 		}
 	case KindEtcd:
 		s.validateEtcd(document, key)
 	default:
-		document.AddErrorf(key+"kind", "%q is neither %s nor %s", s.Kind, KindEtcd, KindFile)
+		document.AddErrorf(key+"kind", "invalid value %q: must be %s or %s", s.Kind, KindEtcd, KindFile)
 	}
 }
 
 func (s *Source) validateEtcd(document *tomlfile.Document, key string) {
 	if len(s.Endpoints) == 0 {
-		document.AddErrorf(key+"endpoints", "an etcd source needs one endpoint at least, host:port")
+		document.AddErrorf(key+"endpoints", "missing: an etcd source requires at least one endpoint, host:port")
 	}
 	for i, endpoint := range s.Endpoints {
 		if _, port, err := net.SplitHostPort(endpoint); err != nil || port == "" {
-			document.AddErrorf(fmt.Sprintf("%sendpoints[%d]", key, i), "%q is not host:port", endpoint)
+			document.AddErrorf(fmt.Sprintf("%sendpoints[%d]", key, i), "invalid value %q: must be host:port", endpoint)
 		}
 	}
-	isFolder := strings.HasPrefix(s.Prefix, "/") && strings.HasSuffix(s.Prefix, "/")
-	if !isFolder || s.Prefix == "/" {
-		document.AddErrorf(key+"prefix", "%q does not begin and end with /, such as /birchfork/workers/", s.Prefix)
+	isDirectory := strings.HasPrefix(s.Prefix, "/") && strings.HasSuffix(s.Prefix, "/")
+	if !isDirectory || s.Prefix == "/" {
+		document.AddErrorf(key+"prefix", "invalid value %q: must be a path that begins and ends with /, such as /birchfork/workers/", s.Prefix)
 	}
 	if (s.User == "") != (s.PasswordFile == "") {
-		document.AddErrorf(key+"user", "user and password_file go together")
+		document.AddErrorf(key+"user", "user and password_file must be set together")
 	}
 	certWithoutKey := (s.Cert == "") != (s.Key == "")
 	certWithoutCA := s.Cert != "" && s.CA == ""
 	if certWithoutKey || certWithoutCA {
-		document.AddErrorf(key+"cert", "cert and key go together, with ca")
+		document.AddErrorf(key+"cert", "cert and key must be set together, and require ca")
 	}
 }
 
--- a/internal/discoveryagent/etcd_client.go
+++ b/internal/discoveryagent/etcd_client.go
@@ -14,26 +14,26 @@
 
 // Timeouts and limits of a connection to etcd.
 const (
-	dialTimeout         = 2 * time.Second
-	dialKeepAlive       = 10 * time.Second
-	dialKeepAliveWait   = 5 * time.Second
-	maxEtcdMessageBytes = 64 << 20
+	dialTimeout          = 2 * time.Second
+	dialKeepAlive        = 10 * time.Second
+	dialKeepAliveTimeout = 5 * time.Second
+	maxEtcdMessageBytes  = 64 << 20
 )
 
-// Client connects to the source's etcd. The caller must close the client. Certificate and key are read again for each connection.
+// Client connects to the source's etcd. The caller must close the client. The certificate and key files are read for each new connection.
 func (s *Source) Client() (*clientv3.Client, error) {
 	config := clientv3.Config{
 		Endpoints:            s.Endpoints,
 		DialTimeout:          dialTimeout,
 		DialKeepAliveTime:    dialKeepAlive,
-		DialKeepAliveTimeout: dialKeepAliveWait,
+		DialKeepAliveTimeout: dialKeepAliveTimeout,
 		MaxCallRecvMsgSize:   maxEtcdMessageBytes,
 		Logger:               zap.NewNop(),
 	}
 	if s.User != "" {
 		password, err := os.ReadFile(s.PasswordFile)
 		if err != nil {
-			return nil, fmt.Errorf("the password of etcd's user: %w", err)
+			return nil, fmt.Errorf("reading the password of the etcd user: %w", err)
 		}
 		config.Username = s.User
 		config.Password = strings.TrimSpace(string(password))
@@ -41,7 +41,7 @@
 	if s.CA != "" {
 		var err error
 		if config.TLS, err = s.tlsConfig(); err != nil {
-			return nil, fmt.Errorf("etcd's authority: %w", err)
+			return nil, fmt.Errorf("configuring TLS for etcd: %w", err)
 		}
 	}
 	client, err := clientv3.New(config)
@@ -59,7 +59,7 @@
 	}
 	authorities := x509.NewCertPool()
 	if !authorities.AppendCertsFromPEM(pem) {
-		return nil, fmt.Errorf("%s holds no certificate", s.CA)
+		return nil, fmt.Errorf("no certificate in %s", s.CA)
 	}
 	config := &tls.Config{RootCAs: authorities, MinVersion: tls.VersionTLS12}
 	if s.Cert != "" {
--- a/internal/etcdtest/faults.go
+++ b/internal/etcdtest/faults.go
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// SetHanging makes all calls hang, until it is called with false.
+// SetHanging makes all calls hang until it is called with false.
 func (s *Server) SetHanging(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,7 +48,7 @@
 	}
 }
 
-// SetNoLeader makes the server reject calls like a member without a leader, and ends all watches; with false it accepts calls again.
+// SetNoLeader makes the server reject calls like a member without a leader, and ends all watches. With false it accepts calls again.
 func (s *Server) SetNoLeader(on bool) {
 	s.mu.Lock()
 	s.noLeader = on
@@ -79,14 +79,14 @@
 	keyValues map[string]*mvccpb.KeyValue
 }
 
-// Snapshot returns a copy of the content.
+// Snapshot returns a copy of the server's content.
 func (s *Server) Snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Snapshot{revision: s.revision, keyValues: maps.Clone(s.keyValues)}
 }
 
-// Restore restores an older copy: revisions go backwards, and all watches end.
+// Restore restores an older copy, so that revisions go backwards, and ends all watches.
 func (s *Server) Restore(c Snapshot) {
 	s.mu.Lock()
 	s.revision = c.revision
--- a/internal/etcdtest/keyvalue.go
+++ b/internal/etcdtest/keyvalue.go
@@ -10,7 +10,7 @@
 	"go.etcd.io/etcd/api/v3/v3rpc/rpctypes"
 )
 
-// inRange reports whether a key is in the range of a request's key and range end.
+// inRange reports whether a key is in the range that a request gives by its key and range end.
 func inRange(key string, from, end []byte) bool {
 	switch {
 	case len(end) == 0:
@@ -22,7 +22,7 @@
 	}
 }
 
-// Range reads keys.
+// Range reads the keys of a range.
 func (s *Server) Range(_ context.Context, r *pb.RangeRequest) (*pb.RangeResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -32,7 +32,7 @@
 	return s.readRange(r), nil
 }
 
-// readRange reads keys, in order. The caller must hold the lock.
+// readRange returns the keys of a range in order. The caller must hold the lock.
 func (s *Server) readRange(r *pb.RangeRequest) *pb.RangeResponse {
 	res := &pb.RangeResponse{Header: s.header()}
 	for k, kv := range s.keyValues {
@@ -74,7 +74,7 @@
 	s.history = append(s.history, &mvccpb.Event{Type: mvccpb.PUT, Kv: kv})
 }
 
-// DeleteRange deletes keys.
+// DeleteRange deletes the keys of a range.
 func (s *Server) DeleteRange(_ context.Context, r *pb.DeleteRangeRequest) (*pb.DeleteRangeResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +82,7 @@
 	return &pb.DeleteRangeResponse{Header: s.header(), Deleted: n}, nil
 }
 
-// delete deletes keys in a new revision and returns their number. The caller must hold the lock.
+// delete deletes the keys of a range in a new revision and returns their number. The caller must hold the lock.
 func (s *Server) delete(r *pb.DeleteRangeRequest) int64 {
 	var keys []string
 	for k := range s.keyValues {
--- a/internal/etcdtest/lease.go
+++ b/internal/etcdtest/lease.go
@@ -8,7 +8,7 @@
 	"go.etcd.io/etcd/api/v3/v3rpc/rpctypes"
 )
 
-// lease is a lease with its keys.
+// lease is a lease and the keys attached to it.
 type lease struct {
 	ttl   time.Duration
 	timer *time.Timer
--- a/internal/etcdtest/server.go
+++ b/internal/etcdtest/server.go
@@ -1,6 +1,6 @@
-// Package etcdtest is a small etcd server for tests and the testbed. It implements the part of etcd's gRPC API that a list of workers
-// needs: keys and values with revisions and history, watches, leases, transactions and compaction. Faults can be injected. It listens on a
-// loopback address, serves from memory and stores nothing on disk.
+// Package etcdtest provides a small in-memory etcd server for tests and the testbed. It implements the part of etcd's gRPC API that a list
+// of workers needs: keys and values with revisions and history, watches, leases, transactions and compaction. Faults can be injected. It
+// listens on a loopback address and stores nothing on disk.
 package etcdtest
 
 import (
@@ -30,7 +30,7 @@
 	leases            map[int64]*lease
 	changed           chan struct{} // closed at each change, and replaced by a new one
 	dropped           chan struct{} // closed when all watches are dropped, and replaced by a new one
-	hung              chan struct{} // not nil: no call returns until it is closed
+	hung              chan struct{} // if not nil, no call returns until it is closed
 	noLeader          bool
 	openWatches       int // number of open streams
 }
--- a/internal/etcdtest/txn.go
+++ b/internal/etcdtest/txn.go
@@ -9,7 +9,7 @@
 	"google.golang.org/grpc/status"
 )
 
-// Txn carries out puts and deletes in one revision. It supports comparisons of versions and revisions.
+// Txn executes a transaction in one revision. It supports only comparisons of versions and revisions.
 func (s *Server) Txn(_ context.Context, r *pb.TxnRequest) (*pb.TxnResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,7 +57,7 @@
 	case pb.Compare_CREATE:
 		have, want = kv.CreateRevision, c.GetCreateRevision()
 	default:
-		return false, status.Error(codes.Unimplemented, "the test server compares versions and revisions only")
+		return false, status.Error(codes.Unimplemented, "the test server supports only comparisons of versions and revisions")
 	}
 	switch c.Result {
 	case pb.Compare_EQUAL:
@@ -72,7 +72,7 @@
 	return true, nil
 }
 
-// apply carries out one operation of a transaction; it returns nil if its kind is not supported. The caller must hold the lock.
+// apply executes one operation of a transaction. It returns nil if the kind of operation is not supported. The caller must hold the lock.
 func (s *Server) apply(operation *pb.RequestOp) *pb.ResponseOp {
 	switch {
 	case operation.GetRequestPut() != nil:
--- a/internal/etcdtest/watch.go
+++ b/internal/etcdtest/watch.go
@@ -16,7 +16,7 @@
 	nextRevision int64 // the first revision that has not been sent yet
 }
 
-// watchStream is one stream with its watches. It is used only by the goroutine of Watch.
+// watchStream is one stream and its watches. Only the goroutine of Watch uses it.
 type watchStream struct {
 	pb.Watch_WatchServer
 	server  *Server
@@ -84,7 +84,7 @@
 	return received, done
 }
 
-// sendPending sends what is pending and returns a channel that is closed at the next change.
+// sendPending sends the pending responses and returns a channel that is closed at the next change.
 func (w *watchStream) sendPending() (changed <-chan struct{}, err error) {
 	responses, changed := w.pendingResponses()
 	for _, response := range responses {
@@ -98,7 +98,7 @@
 	return changed, nil
 }
 
-// handle carries out one request and returns the responses.
+// handle executes one request and returns the responses.
 func (w *watchStream) handle(request *pb.WatchRequest) []*pb.WatchResponse {
 	s := w.server
 	s.mu.Lock()
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// allWatches is the id of a response that concerns all watches of a stream.
+// allWatches is the watch id of a response that applies to all watches of a stream.
 const allWatches = -1
 
 // create creates a watch, unless its first revision has been compacted. The caller must hold the server's lock.
@@ -142,7 +142,7 @@
 	return &pb.WatchResponse{Header: s.header(), WatchId: id, Canceled: true, CompactRevision: s.compactedRevision}
 }
 
-// pendingResponses returns what has not been sent to the watches yet, and a channel that is closed at the next change.
+// pendingResponses returns responses with the events that have not been sent yet, and a channel that is closed at the next change.
 func (w *watchStream) pendingResponses() (responses []*pb.WatchResponse, changed <-chan struct{}) {
 	s := w.server
 	s.mu.Lock()
@@ -168,7 +168,7 @@
 	return responses, s.changed
 }
 
-// notify wakes up all watches. The caller must hold the lock.
+// notify wakes all watches. The caller must hold the lock.
 func (s *Server) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
