--- a/cmd/birchfork-discovery-agent/main_test.go
+++ b/cmd/birchfork-discovery-agent/main_test.go
@@ -44,8 +44,8 @@
 
 func await(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for by := time.Now().Add(30 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(by) {
+	for deadline := time.Now().Add(30 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatalf("timed out after 30s waiting for: %s", what)
 		}
 	}
--- a/cmd/birchfork-discovery-agent/workers.go
+++ b/cmd/birchfork-discovery-agent/workers.go
@@ -121,7 +121,7 @@
 	})
 }
 
-// name returns the name of the worker whose key it is.
+// name returns the name of a key's worker.
 func (r *registry) name(key []byte) string { return strings.TrimPrefix(string(key), r.prefix) }
 
 // formatWorker formats a worker as a line of text.
--- a/internal/endpointsource/etcd/source_test.go
+++ b/internal/endpointsource/etcd/source_test.go
@@ -86,10 +86,10 @@
 // incarnationKey is the key of an incarnation in harness.drained.
 func incarnationKey(name string, since int64) string { return fmt.Sprint(name, "/", since) }
 
-func (h *harness) update(n endpointsource.Update) {
+func (h *harness) update(received endpointsource.Update) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, l := range h.view.Update(time.Since(h.start), 0, n) {
+	for _, l := range h.view.Update(time.Since(h.start), 0, received) {
 		for _, e := range l.Endpoints {
 			if e.State != dispatch.Ready {
 				h.drained[incarnationKey(e.Name, e.StartedAtMillis)] = true
@@ -112,8 +112,8 @@
 // await waits until ok returns true, and fails the test after 30 seconds.
 func (h *harness) await(what string, ok func() bool) {
 	h.t.Helper()
-	for by := time.Now().Add(30 * time.Second); !ok(); time.Sleep(time.Millisecond) {
-		if time.Now().After(by) {
+	for deadline := time.Now().Add(30 * time.Second); !ok(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			h.t.Fatalf("timed out after 30s waiting for: %s", what)
 		}
 	}
@@ -145,8 +145,8 @@
 			h.put(name, StateUp, since)
 			h.await("up", func() bool { return h.state(name) == dispatch.Ready })
 			h.etcd.DropWatches()
-			ends := r.IntN(3)
-			switch ends {
+			change := r.IntN(3)
+			switch change {
 			case 0:
 				h.put(name, StateDraining, since)
 			case 1:
@@ -164,7 +164,7 @@
 			if r.IntN(3) == 0 {
 				h.etcd.DropWatches()
 			}
-			want := [...]dispatch.WorkerState{dispatch.Draining, dispatch.Gone, dispatch.Ready}[ends]
+			want := [...]dispatch.WorkerState{dispatch.Draining, dispatch.Gone, dispatch.Ready}[change]
 			h.await(fmt.Sprintf("round %d: %v", i, want), func() bool {
 				h.mu.Lock()
 				defer h.mu.Unlock()
--- a/internal/endpointsource/file/source.go
+++ b/internal/endpointsource/file/source.go
@@ -19,7 +19,7 @@
 // Timing of a source.
 const (
 	settleDelay  = 50 * time.Millisecond // from an event to the read, so that several events of one save cause one read
-	pollInterval = 2 * time.Second       // in case the system reports no events
+	pollInterval = 2 * time.Second       // the file is also read at this interval, in case the system reports no events
 )
 
 // Source follows one file. Its callbacks are called from the goroutine of Run, one at a time.
--- a/internal/endpointsource/view.go
+++ b/internal/endpointsource/view.go
@@ -43,10 +43,10 @@
 	return v
 }
 
-// Update applies an update of a source and returns the changes of the published list, if any.
-func (v *View) Update(now time.Duration, from int, update Update) []engine.EndpointList {
+// Update applies an update of the source with an index and returns the changes of the published list, if any.
+func (v *View) Update(now time.Duration, index int, update Update) []engine.EndpointList {
 	v.advance(now)
-	s := &v.sources[from]
+	s := &v.sources[index]
 	s.markConnected(v.now)
 	if update.Snapshot {
 		s.applySnapshot(v.now, update, v.config.EmptyListDelay)
@@ -56,14 +56,15 @@
 	return v.reconcile()
 }
 
-// MarkLost records that a source is silent or disconnected, and returns the changes of the published list. The source's last list is kept.
-func (v *View) MarkLost(now time.Duration, from int) []engine.EndpointList {
+// MarkLost records that the source with an index is silent or disconnected, and returns the changes of the published list. The source's last
+// list is kept.
+func (v *View) MarkLost(now time.Duration, index int) []engine.EndpointList {
 	v.advance(now)
-	v.sources[from].markLost(v.now)
+	v.sources[index].markLost(v.now)
 	return v.reconcile()
 }
 
-// Tick applies due failovers and delayed empty lists, and returns the changes of the published list. NextTick returns when to call it.
+// Tick applies due failovers, failbacks and delayed empty lists, and returns the changes of the published list. NextTick returns when to call it.
 func (v *View) Tick(now time.Duration) []engine.EndpointList {
 	v.advance(now)
 	return v.reconcile()
--- a/internal/settings/decode_test.go
+++ b/internal/settings/decode_test.go
@@ -15,27 +15,27 @@
 		"customers.count=1\tcustomers.0.name=acme\tcustomers.0.quota_rps=14.0\textra.class_stretch=1.75,2.0\t" +
 		"extra.tells_start=true\tmachine_types=big,small\tzones=x,y_z\tzone=y_z\ttick=0.002\treport.names=\t" +
 		"policy_limits.attempts_cap=6\tregistry_mode=subscribe"
-	js := `{"classes":[{"aim":0.4,"deadline":10.0,"effect":"free","name":"a b"},
+	text := `{"classes":[{"aim":0.4,"deadline":10.0,"effect":"free","name":"a b"},
 		{"deadline":5,"effect":"guarded","group":"zone","window":2.5,"name":"c"}],
 		"customers":[{"name":"acme","quota_rps":14.0}],"extra":{"class_stretch":[1.75,2.0],"tells_start":true},
 		"machine_types":["big","small"],"zones":["x","y,z"],"zone":"y z","tick":0.002,"report":{"names":[]},
 		"policy_limits":{"attempts_cap":6},"registry_mode":"subscribe","unknown":{"deep":[null,1]},"gone":null}`
-	a, err := ParsePairs([]byte(wire))
+	wirePairs, err := ParsePairs([]byte(wire))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := Flatten([]byte(js))
+	jsonPairs, err := Flatten([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	na, nb := NewNameTable(), NewNameTable()
-	sa, errA := Decode(a, na)
-	sb, errB := Decode(b, nb)
-	if errA != nil || errB != nil || !reflect.DeepEqual(sa, sb) || !reflect.DeepEqual(na, nb) {
-		t.Fatalf("wire %+v, %v; JSON %+v, %v", sa, errA, sb, errB)
+	wireNames, jsonNames := NewNameTable(), NewNameTable()
+	wireSettings, wireErr := Decode(wirePairs, wireNames)
+	jsonSettings, jsonErr := Decode(jsonPairs, jsonNames)
+	if wireErr != nil || jsonErr != nil || !reflect.DeepEqual(wireSettings, jsonSettings) || !reflect.DeepEqual(wireNames, jsonNames) {
+		t.Fatalf("wire %+v, %v; JSON %+v, %v", wireSettings, wireErr, jsonSettings, jsonErr)
 	}
-	if len(sa.Classes) != 2 || sa.Classes[1].ObjectiveStretch != 2 || sa.Zone != 1 || sa.KindCount != 2 {
-		t.Fatalf("decoded %+v", sa)
+	if len(wireSettings.Classes) != 2 || wireSettings.Classes[1].ObjectiveStretch != 2 || wireSettings.Zone != 1 || wireSettings.KindCount != 2 {
+		t.Fatalf("decoded %+v", wireSettings)
 	}
 }
 
--- a/internal/settings/nametable.go
+++ b/internal/settings/nametable.go
@@ -84,7 +84,7 @@
 
 // Error returns the kind and the name in one line of text.
 func (e *UnknownNameError) Error() string {
-	return fmt.Sprintf("%s: %q is not in the settings", e.Kind, e.Name)
+	return fmt.Sprintf("unknown %s %q: not in the settings", e.Kind, e.Name)
 }
 
 func findID(ids map[string]int, kind string, name []byte) (int, error) {
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -20,7 +20,7 @@
 
 var powersOf10 = [maxFloatDigits + 1]float64{1, 1e1, 1e2, 1e3, 1e4, 1e5, 1e6, 1e7, 1e8, 1e9, 1e10, 1e11, 1e12, 1e13, 1e14, 1e15}
 
-// FromSeconds converts seconds to the time unit of the decision module, rounded to the nearest.
+// FromSeconds converts seconds to a time of the decision module, rounded to the nearest microsecond.
 func FromSeconds(seconds float64) dispatch.Time { return dispatch.Time(math.Round(seconds * 1e6)) }
 
 // IsAbsent reports whether a value of the simulator's protocol is the placeholder for an unset one.
--- a/internal/settings/requesttable.go
+++ b/internal/settings/requesttable.go
@@ -17,7 +17,7 @@
 // requestEntry is the state of one id; the zero requestEntry is a free id.
 type requestEntry struct {
 	name     string
-	inFlight int // attempts
+	inFlight int // number of attempts in flight
 	answered bool
 }
 
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -38,7 +38,7 @@
 	for key, line := range map[string]int{"for": 2, "limits.memory_mb": 3, "class[0].range[1]": 6, "class[1]": 7, "class[1].deep.x": 9,
 		"class[1].range": 7, "none": 0} {
 		if got := d.Line(key); got != line {
-			t.Errorf("%s is on line %d, not %d", key, line, got)
+			t.Errorf("%s is on line %d, want %d", key, line, got)
 		}
 	}
 }
@@ -57,7 +57,7 @@
 	}
 	got := strings.Split(d.Err().Error(), "\n")
 	if len(got) != len(want) {
-		t.Fatalf("%d errors, not %d:\n%s", len(got), len(want), d.Err())
+		t.Fatalf("got %d errors, want %d:\n%s", len(got), len(want), d.Err())
 	}
 	for i := range want {
 		if !strings.HasPrefix(got[i], want[i]) {
@@ -71,7 +71,7 @@
 	for raw, line := range map[string]int{"a = \nb = 1": 1, "name = 'x'\n[class": 2, "name='a'\nname='b'": 2, strings.Repeat("#", MaxSize+1): 0} {
 		d := Read("f", []byte(raw), &sample{})
 		if found := d.Errors(); len(found) != 1 || found[0].Line != line {
-			t.Errorf("%.20q: %+v, not one error on line %d", raw, found, line)
+			t.Errorf("%.20q: got errors %+v, want one on line %d", raw, found, line)
 		}
 	}
 }
