--- a/internal/settings/decode_test.go
+++ b/internal/settings/decode_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// A missing setting gets the most restrictive value, never one that only fits another deployment.
+// A missing setting gets the most restrictive value, never the value of another deployment.
 func TestDecode_DefaultsAreMostRestrictive(t *testing.T) {
 	p, err := Flatten([]byte(`{"classes":[{"name":"c","deadline":5}],"weight_kind":"off"}`))
 	if err != nil {
@@ -51,10 +51,10 @@
 	}
 	c := s.Classes[0]
 	if c.Idempotency != dispatch.NonIdempotent || c.DedupScope != dispatch.DedupCell || c.DedupWindow != 0 {
-		t.Errorf("the class may be sent more than once: %+v", c)
+		t.Errorf("requests of the class may be sent more than once: %+v", c)
 	}
 	if s.MaxAttempts != 1 || s.CanHedge || s.CanCancel || s.PeerMessages || s.RetryAfter || s.WeightsShowSize || s.ReportsStart || s.DrainGrace != 0 {
-		t.Errorf("a missing setting allows something: %+v", s)
+		t.Errorf("a missing setting allows more than the most restrictive value: %+v", s)
 	}
 	want := dispatch.Settings{ // every default of a missing setting
 		Classes: s.Classes, OverQuotaWeight: 1, Zone: -1, GroupSize: 1, Tick: dispatch.Millisecond, MaxAttempts: 1, MaxPollInterval: 10 * dispatch.Second,
@@ -66,7 +66,7 @@
 }
 
 // All malformed settings are reported at once.
-func TestDecode_NamesEveryError(t *testing.T) {
+func TestDecode_ReportsEveryError(t *testing.T) {
 	p, err := Flatten([]byte(`{"tick":"soon","classes":[{"effect":"odd"}],"policy_limits":{"peers":3}}`))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -16,8 +16,8 @@
 	"birchfork/internal/goldentest"
 )
 
-// testdata/golden contains the decoded settings of the platform, the text of each error, and the ids and tags of names. Some of these are sent
-// to other dispatchers. UPDATE_GOLDEN=1 rewrites the files.
+// testdata/golden contains what the platform's settings decode to, the text of each error, and the ids and tags of names. Some of these are
+// sent to other dispatchers. UPDATE_GOLDEN=1 rewrites the files.
 
 // writeSettings writes each field under a name that does not change if the field is renamed.
 func writeSettings(w io.Writer, settings *dispatch.Settings) {
@@ -142,7 +142,7 @@
 		fmt.Fprintf(&out, "worker %q: id %d, tag %d, key %d\n", names.WorkerName(id), id, names.WorkerTag(id), HashKey(name))
 	}
 	fmt.Fprintf(&out, "plain %q, %q\n", NormalizeName("a b,c d"), NormalizeName("a_b"))
-	// Decisions depend on the order in which ids of requests are reused.
+	// Decisions depend on the order in which the ids of requests are reused.
 	random := rand.New(rand.NewPCG(1, 1))
 	var open []dispatch.RequestID
 	for i := range 200 {
--- a/internal/settings/nametable_test.go
+++ b/internal/settings/nametable_test.go
@@ -55,13 +55,13 @@
 		t.Errorf("previous ids: %v, %v", classes, tenants)
 	}
 	if s.ZoneCount != 3 || s.KindCount != 3 || s.Zone != 2 || s.Classes[0].WorkerKind != 2 || s.Classes[1].WorkerKind != 1 {
-		t.Errorf("%+v", s)
+		t.Errorf("adopted settings: %+v", s)
 	}
 	if n.ZoneID("z1") != 0 || n.ZoneID("z2") != 1 || n.ZoneID("z3") != 2 || n.KindID("m3") != 2 || n.InternWorker("w") != worker {
-		t.Error("ids changed")
+		t.Error("ids of known zones, kinds or workers changed, or new ones were not appended")
 	}
 	if id, err := n.ClassID([]byte("c")); err != nil || id != 0 {
-		t.Errorf("%d, %v", id, err)
+		t.Errorf("id of class c: %d, %v; want 0", id, err)
 	}
 	if _, err := n.ClassID([]byte("b")); err == nil {
 		t.Error("a class that is not in the new settings is still known")
--- a/internal/settings/pairs.go
+++ b/internal/settings/pairs.go
@@ -22,7 +22,7 @@
 	// maxInt limits the absolute value of integers.
 	maxInt = 1e9
 
-	// maxListLength limits the length of lists, so that a wrong count cannot exhaust memory.
+	// maxListLength limits the number of objects in a list, so that a wrong count cannot exhaust memory.
 	maxListLength = 10000
 
 	// absent is the placeholder for a value that is not set.
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -7,7 +7,7 @@
 	"birchfork/dispatch"
 )
 
-// MaxSeconds limits durations so that the sum of a few of them does not overflow.
+// MaxSeconds limits times and durations, in seconds, so that the sum of a few of them does not overflow.
 const MaxSeconds = 1e11
 
 const (
--- a/internal/settings/requesttable.go
+++ b/internal/settings/requesttable.go
@@ -51,7 +51,7 @@
 	return id, ok
 }
 
-// RequestName returns the name of the request with an id. It is empty for a free id.
+// RequestName returns the name of the request with the given id. It is empty for a free id.
 func (t *requestTable) RequestName(id dispatch.RequestID) string { return t.requestEntries[id].name }
 
 // RequestAnswered records that a request has had its final answer.
--- a/internal/settings/workertable.go
+++ b/internal/settings/workertable.go
@@ -39,7 +39,7 @@
 	return id, ok
 }
 
-// WorkerName returns the name of the worker with an id.
+// WorkerName returns the name of the worker with the given id.
 func (t *workerTable) WorkerName(id dispatch.WorkerID) string { return t.workerNames[id] }
 
 // WorkerTag returns a hash of a worker's name, the same at every dispatcher.
