--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -95,7 +95,7 @@
 	text, ok := raw.(string)
 	duration, err := time.ParseDuration(text)
 	if !ok || err != nil {
-		d.AddErrorf(path, `invalid value %v: must be a duration in quotes, such as "500ms" or "1.5s"`, describe(raw))
+		d.AddErrorf(path, `invalid value %v: must be a number with its unit in quotes, such as "500ms" or "1.5s"`, describe(raw))
 		return
 	}
 	target.SetInt(int64(duration))
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -25,8 +25,8 @@
 // Error is one error in a file.
 type Error struct {
 	File   string
-	Line   int    // counted from 1; 0 if the error concerns the whole file
-	Key    string // the full path, such as class[1].patience; may be empty
+	Line   int    // counted from 1; 0 if the error belongs to no line
+	Key    string // the full path, such as class[1].patience; empty if the error belongs to no key
 	Reason string
 }
 
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -49,7 +49,7 @@
 	var v sample
 	d := Read("f.toml", []byte(raw), &v)
 	want := []string{
-		`f.toml:1: nam: unknown key: did you mean name?`, `f.toml:2: for: invalid value 3: must be a duration in quotes`,
+		`f.toml:1: nam: unknown key: did you mean name?`, `f.toml:2: for: invalid value 3: must be a number with its unit in quotes`,
 		`f.toml:3: rate: invalid value "x": must be a finite number`, `f.toml:4: on: invalid value 1: must be true or false`, `f.toml:5: zzzzzzzz: unknown key; known keys: name, for`,
 		`f.toml:7: limits.memory_mb: invalid value 1.5: must be an integer`, `f.toml:9: class[0].name: invalid value 4: must be a string in quotes`,
 		`f.toml:10: class[0].range: invalid value 3: must be a list`, `f.toml:12: class[0].deep.y: unknown key; known keys: x`,
