--- a/cmd/birchfork-discovery-agent/main_test.go
+++ b/cmd/birchfork-discovery-agent/main_test.go
@@ -78,8 +78,8 @@
 	return "http://" + <-addr, ended
 }
 
-// publishedStatus returns the status of a worker that an agent publishes to dispatchers. It is "none" if the worker is not listed, and empty
-// if there is no list.
+// publishedStatus returns a worker's status in the list that an agent publishes to dispatchers. It is "none" if the worker is not listed,
+// and empty if there is no list.
 func publishedStatus(agentURL, worker string) string {
 	res, err := http.Get(agentURL + "/discovery/hosts")
 	if err != nil {
--- a/cmd/birchfork-discovery-agent/workers.go
+++ b/cmd/birchfork-discovery-agent/workers.go
@@ -65,7 +65,7 @@
 func withDrainingState(raw []byte) (string, error) {
 	var fields map[string]any
 	if err := json.Unmarshal(raw, &fields); err != nil {
-		return "", fmt.Errorf("malformed value: not a JSON object: %w", err)
+		return "", fmt.Errorf("malformed value: must be a JSON object: %w", err)
 	}
 	fields["state"] = etcd.StateDraining
 	changed, err := json.Marshal(fields)
@@ -121,7 +121,7 @@
 	})
 }
 
-// name returns the name of a key's worker.
+// name returns the name of the worker that a key stands for, which is the key without the prefix.
 func (r *registry) name(key []byte) string { return strings.TrimPrefix(string(key), r.prefix) }
 
 // formatWorker formats a worker as a line of text.
--- a/internal/discoveryagent/agent.go
+++ b/internal/discoveryagent/agent.go
@@ -87,7 +87,7 @@
 	shutdown, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
 	if err := server.Shutdown(shutdown); err != nil {
-		_ = server.Close() // abandons connections that are still open
+		_ = server.Close() // closes the connections that are still open after shutdownTimeout
 	}
 	return nil
 }
--- a/internal/discoveryagent/config.go
+++ b/internal/discoveryagent/config.go
@@ -16,8 +16,8 @@
 type Config struct {
 	Listen         string        `toml:"listen"`      // host:port on this machine
 	FailoverDelay  time.Duration `toml:"change_over"` // see endpointsource.Config
-	FailbackDelay  time.Duration `toml:"change_back"` // the same
-	EmptyListDelay time.Duration `toml:"empty_guard"` // the same
+	FailbackDelay  time.Duration `toml:"change_back"` // see endpointsource.Config
+	EmptyListDelay time.Duration `toml:"empty_guard"` // see endpointsource.Config
 	Sources        []Source      `toml:"source"`      // in order of preference
 }
 
@@ -89,7 +89,7 @@
 func (c *Config) validate(document *tomlfile.Document) {
 	host, port, err := net.SplitHostPort(c.Listen)
 	if err != nil || port == "" || !isLoopback(host) {
-		document.AddErrorf("listen", "invalid value %q: must be a loopback host:port, such as 127.0.0.1:8500, since the agent serves only this machine", c.Listen)
+		document.AddErrorf("listen", "invalid value %q: must be a loopback host:port, such as 127.0.0.1:8500, since the agent serves only the dispatchers on its machine", c.Listen)
 	}
 	for _, delay := range []struct {
 		key   string
@@ -136,7 +136,7 @@
 	}
 	isDirectory := strings.HasPrefix(s.Prefix, "/") && strings.HasSuffix(s.Prefix, "/")
 	if !isDirectory || s.Prefix == "/" {
-		document.AddErrorf(key+"prefix", "invalid value %q: must be a path that begins and ends with /, such as /birchfork/workers/", s.Prefix)
+		document.AddErrorf(key+"prefix", "invalid value %q: must be a path below / that begins and ends with /, such as /birchfork/workers/", s.Prefix)
 	}
 	if (s.User == "") != (s.PasswordFile == "") {
 		document.AddErrorf(key+"user", "user and password_file must be set together")
--- a/internal/endpointsource/etcd/golden_test.go
+++ b/internal/endpointsource/etcd/golden_test.go
@@ -27,11 +27,11 @@
 		t.Fatal(err)
 	}
 	if string(raw) != string(golden) {
-		t.Errorf("%s, want %s", raw, golden)
+		t.Errorf("encoded value %s, want %s", raw, golden)
 	}
 	entry, err := Decode("w-1", golden)
 	want := engine.Endpoint{Name: "w-1", Address: "127.0.0.1:5001", Zone: "zone-a", Kind: "kind-b", Cell: 7, State: dispatch.Draining, Weight: 2.5, StartedAtMillis: 1700000000001}
 	if err != nil || entry != want {
-		t.Errorf("%+v, %v; want %+v", entry, err, want)
+		t.Errorf("decoded %+v, %v; want %+v", entry, err, want)
 	}
 }
--- a/internal/endpointsource/etcd/source.go
+++ b/internal/endpointsource/etcd/source.go
@@ -156,7 +156,7 @@
 		return fmt.Errorf("watching from revision %d: %w", s.lastRevision+1, err)
 	}
 	if response.Header.Revision < s.lastRevision {
-		return fmt.Errorf("watching: revision went backwards to %d, from %d", response.Header.Revision, s.lastRevision)
+		return fmt.Errorf("watching: revision went backwards: got %d after %d", response.Header.Revision, s.lastRevision)
 	}
 	return nil
 }
@@ -179,7 +179,7 @@
 	}
 }
 
-// workerName returns the name of a key's worker.
+// workerName returns the name of the worker that a key stands for, which is the key without the prefix.
 func (s *Source) workerName(kv *mvccpb.KeyValue) string {
 	return strings.TrimPrefix(string(kv.Key), s.Prefix)
 }
--- a/internal/endpointsource/etcd/source_test.go
+++ b/internal/endpointsource/etcd/source_test.go
@@ -181,7 +181,8 @@
 	})
 }
 
-// After a watch is rejected because its revision was compacted, the complete range is read again.
+// After a worker drained while the watch was broken, and history was then compacted, the source reads the complete range again, and the
+// worker is draining.
 func TestSource_RebuildsAfterCompaction(t *testing.T) {
 	h := newHarness(t)
 	h.put("a", StateUp, 1)
@@ -189,7 +190,7 @@
 	h.etcd.SetNoLeader(true) // no watch can be opened
 	h.await("the watch is closed", func() bool { return h.etcd.OpenWatches() == 0 })
 	h.etcd.SetNoLeader(false)
-	h.etcd.SetHanging(true) // the source cannot read the range before the worker drains and history is compacted
+	h.etcd.SetHanging(true) // the source's read and the put of the drain are answered only after SetHanging(false)
 	stop := make(chan struct{})
 	go func() {
 		defer close(stop)
@@ -201,11 +202,12 @@
 	<-stop
 	h.await("draining", func() bool { return h.state("a") == dispatch.Draining })
 	if len(h.violations) > 0 {
-		t.Errorf("published as ready again: %v", h.violations)
+		t.Errorf("published as ready after a drain: %v", h.violations)
 	}
 }
 
-// After etcd is restored from an older copy, a worker that drained since then stays drained, and the source does not read the range in a loop.
+// After etcd is restored from an older copy, a worker that drained since then stays drained, and the source does not read the range
+// repeatedly.
 func TestSource_KeepsDrainsAfterRestore(t *testing.T) {
 	h := newHarness(t)
 	h.put("a", StateUp, 1)
@@ -229,7 +231,8 @@
 	}
 }
 
-// The end of a lease removes its worker, a put and a delete in one transaction are both applied, and a burst of changes is applied completely.
+// The end of a lease removes its worker, a put and a delete in one transaction are both applied although they have the same revision, and
+// a burst of changes is applied completely.
 func TestSource_FollowsLeasesTransactionsAndBursts(t *testing.T) {
 	h := newHarness(t)
 	ctx := context.Background()
--- a/internal/endpointsource/etcd/value.go
+++ b/internal/endpointsource/etcd/value.go
@@ -45,7 +45,7 @@
 	}
 	var v Value
 	if err := json.Unmarshal(raw, &v); err != nil {
-		return unusable, fmt.Errorf("malformed value: %w", err)
+		return unusable, fmt.Errorf("malformed value: must be the JSON object of a worker: %w", err)
 	}
 	if v.Version != SchemaVersion {
 		return unusable, fmt.Errorf("unsupported version %d of the value: must be %d", v.Version, SchemaVersion)
--- a/internal/endpointsource/file/list.go
+++ b/internal/endpointsource/file/list.go
@@ -57,7 +57,7 @@
 	}
 	validWeight := w.Weight >= 0 // false for NaN as well
 	if !validWeight || w.StartedAtMillis < 0 {
-		document.AddErrorf(key+"weight", "invalid values %v and %d: weight and since_ms must not be negative", w.Weight, w.StartedAtMillis)
+		document.AddErrorf(key+"weight", "invalid weight %v or since_ms %d: must not be negative", w.Weight, w.StartedAtMillis)
 	}
 	endpoint := engine.Endpoint{
 		Name:            w.Name,
--- a/internal/endpointsource/file/source_test.go
+++ b/internal/endpointsource/file/source_test.go
@@ -24,11 +24,11 @@
 	}
 	_, err = Decode("f", []byte("[[worker]]\nname='a'\naddress='x'\nstate='on'\nweight=-1\n[[worker]]\nname='a'\naddress='127.0.0.1:1'\n"))
 	if err == nil || strings.Count(err.Error(), "\n") != 3 || !strings.Contains(err.Error(), "f:7: worker[1].name") {
-		t.Errorf("errors: %v", err)
+		t.Errorf("got %v, want 4 errors, one of them at f:7: worker[1].name", err)
 	}
 }
 
-// A replaced file is read again. An invalid file is reported as lost and does not change the list.
+// A file that is replaced by another one is read again. After an invalid file the source is reported as lost and its list does not change.
 func TestSource_FollowsFile(t *testing.T) {
 	path := t.TempDir() + "/workers.toml"
 	write := func(text string) {
--- a/internal/endpointsource/http.go
+++ b/internal/endpointsource/http.go
@@ -17,7 +17,7 @@
 	statusPath = "/status"
 )
 
-// keepAliveInterval is the interval between empty lines on an idle watch.
+// keepAliveInterval is the interval between the empty lines that are sent on every watch.
 const keepAliveInterval = 2 * time.Second
 
 // endpointJSON is an endpoint in discovery's protocol.
@@ -107,7 +107,8 @@
 		changed, closed := s.changed, s.closed
 		var line []byte
 		if first || index != s.index {
-			line, _ = json.Marshal(s.changesSince(index)) // nothing is sent if JSON cannot represent a change, such as an infinite weight
+			// If JSON cannot represent one of the changes, such as an infinite weight, all of them are left out.
+			line, _ = json.Marshal(s.changesSince(index))
 			index = s.index
 		}
 		s.mu.Unlock()
--- a/internal/endpointsource/source.go
+++ b/internal/endpointsource/source.go
@@ -88,9 +88,10 @@
 	s.revision = max(s.revision, update.Revision)
 }
 
-// keepDrained returns an entry of a snapshot. A store restored from an older copy lists workers as up that have drained since. The same
-// incarnation of such a worker stays draining until a change replaces its entry. Reading the restored list again is not a change: without
-// drainKept the second read would list the worker as up.
+// keepDrained returns an entry of a snapshot, as draining if its worker is known to drain and the snapshot is from a restored store. A
+// store restored from an older copy lists workers as up that have drained since. The same incarnation of such a worker stays draining until
+// a change replaces its entry. Reading the restored list again is not a change: without drainKept the second read would list the worker as
+// up.
 func (s *source) keepDrained(entry sourceEntry, restored bool) sourceEntry {
 	old, known := s.entries[entry.Name]
 	if !known || !restored && !old.drainKept {
@@ -104,7 +105,7 @@
 	return entry
 }
 
-// applyPendingEmptyList applies a pending empty list after the delay.
+// applyPendingEmptyList applies an empty list once it has been pending for the delay.
 func (s *source) applyPendingEmptyList(now, emptyListDelay time.Duration) {
 	if s.emptyPending && now >= s.emptySince+emptyListDelay {
 		s.emptyPending = false
--- a/internal/endpointsource/view.go
+++ b/internal/endpointsource/view.go
@@ -13,7 +13,7 @@
 	"birchfork/internal/engine"
 )
 
-// noSource stands for the index of the active source if there is none.
+// noSource is the value of View.active if there is no active source.
 const noSource = -1
 
 // Config holds the settings of a View.
@@ -21,7 +21,7 @@
 	SourceCount    int           // sources are numbered by preference, from 0 for the most preferred one
 	FailoverDelay  time.Duration // once a source has been lost for this long, the next one that has sent its list becomes active
 	FailbackDelay  time.Duration // a preferred source becomes active again once it has been connected for this long
-	EmptyListDelay time.Duration // an empty list that replaces a non-empty one is applied after this time; 0: immediately
+	EmptyListDelay time.Duration // an empty list that replaces a non-empty one is applied after this time; 0 means immediately
 }
 
 // View merges the lists of several sources. Times are durations since an origin that the caller chooses. A View is not safe for concurrent
@@ -43,7 +43,7 @@
 	return v
 }
 
-// Update applies an update of the source with an index and returns the changes of the published list, if any.
+// Update applies an update of the source with the given index and returns the changes of the published list, if any.
 func (v *View) Update(now time.Duration, index int, update Update) []engine.EndpointList {
 	v.advance(now)
 	s := &v.sources[index]
@@ -56,15 +56,16 @@
 	return v.reconcile()
 }
 
-// MarkLost records that the source with an index is silent or disconnected, and returns the changes of the published list. The source's last
-// list is kept.
+// MarkLost records that the source with the given index is silent or disconnected, and returns the changes of the published list. The
+// source's last list is kept.
 func (v *View) MarkLost(now time.Duration, index int) []engine.EndpointList {
 	v.advance(now)
 	v.sources[index].markLost(v.now)
 	return v.reconcile()
 }
 
-// Tick applies due failovers, failbacks and delayed empty lists, and returns the changes of the published list. NextTick returns when to call it.
+// Tick applies due failovers, failbacks and delayed empty lists, and returns the changes of the published list. NextTick returns when to
+// call it.
 func (v *View) Tick(now time.Duration) []engine.EndpointList {
 	v.advance(now)
 	return v.reconcile()
--- a/internal/endpointsource/view_test.go
+++ b/internal/endpointsource/view_test.go
@@ -61,13 +61,13 @@
 	v := NewView(Config{SourceCount: 1, EmptyListDelay: 10 * time.Second})
 	v.Update(0, 0, Update{Snapshot: true, Endpoints: []engine.Endpoint{testEndpoint("a", dispatch.Ready, 1)}})
 	if out := v.Update(time.Second, 0, Update{Snapshot: true}); out != nil {
-		t.Fatalf("an empty list was applied at once: %+v", out)
+		t.Fatalf("an empty list was applied immediately: %+v", out)
 	}
 	if at, ok := v.NextTick(); !ok || at != 11*time.Second {
-		t.Errorf("due at %v, %v", at, ok)
+		t.Errorf("next tick at %v, %v; want 11s, true", at, ok)
 	}
 	if v.Tick(10*time.Second) != nil || len(v.Tick(11*time.Second)) != 1 || stateOf(v, "a") != dispatch.Gone {
-		t.Error("a removal of all workers was not applied after the delay")
+		t.Error("the empty list was not applied exactly when the delay had passed")
 	}
 	// Removing the last worker by a change is not an empty list: it is applied immediately.
 	v.Update(12*time.Second, 0, Update{Snapshot: true, Endpoints: []engine.Endpoint{testEndpoint("b", dispatch.Ready, 1)}})
@@ -86,20 +86,20 @@
 	}
 	v.Update(time.Second, 0, Update{Snapshot: true, Endpoints: []engine.Endpoint{testEndpoint("a", dispatch.Ready, 1)}})
 	if stateOf(v, "a") != dispatch.Gone {
-		t.Error("the preferred source took over before it was connected for the delay")
+		t.Error("the preferred source became active before it was connected for the failback delay")
 	}
 	v.Tick(4 * time.Second)
 	if stateOf(v, "a") != dispatch.Ready || stateOf(v, "b") != dispatch.Gone {
-		t.Error("the preferred source did not take over")
+		t.Error("the preferred source did not become active after the failback delay")
 	}
 	v.MarkLost(10*time.Second, 0)
 	v.Tick(14 * time.Second)
 	if stateOf(v, "a") != dispatch.Ready {
-		t.Error("failed over too early")
+		t.Error("failed over before the failover delay had passed")
 	}
 	v.Tick(15 * time.Second)
 	if active, _ := v.ActiveSource(); active != 1 || stateOf(v, "b") != dispatch.Ready || stateOf(v, "a") != dispatch.Gone {
-		t.Error("did not fail over")
+		t.Error("did not fail over after the failover delay")
 	}
 	v.MarkLost(16*time.Second, 1)
 	v.Tick(time.Hour)
--- a/internal/etcdtest/keyvalue.go
+++ b/internal/etcdtest/keyvalue.go
@@ -10,7 +10,8 @@
 	"go.etcd.io/etcd/api/v3/v3rpc/rpctypes"
 )
 
-// inRange reports whether a key is in the range that a request gives by its key and range end.
+// inRange reports whether a key is in the range of a request, from the request's key up to its range end, which is exclusive. An empty end
+// means that the range has only one key, and an end of one zero byte that it has no upper bound.
 func inRange(key string, from, end []byte) bool {
 	switch {
 	case len(end) == 0:
@@ -32,7 +33,7 @@
 	return s.readRange(r), nil
 }
 
-// readRange returns the keys of a range in order. The caller must hold the lock.
+// readRange returns the keys of a range and their values, sorted by key. The caller must hold the lock.
 func (s *Server) readRange(r *pb.RangeRequest) *pb.RangeResponse {
 	res := &pb.RangeResponse{Header: s.header()}
 	for k, kv := range s.keyValues {
--- a/internal/etcdtest/watch.go
+++ b/internal/etcdtest/watch.go
@@ -142,7 +142,8 @@
 	return &pb.WatchResponse{Header: s.header(), WatchId: id, Canceled: true, CompactRevision: s.compactedRevision}
 }
 
-// pendingResponses returns responses with the events that have not been sent yet, and a channel that is closed at the next change.
+// pendingResponses returns responses with the events that have not been sent yet, or that cancel watches whose next revision has been
+// compacted. It also returns a channel that is closed at the next change.
 func (w *watchStream) pendingResponses() (responses []*pb.WatchResponse, changed <-chan struct{}) {
 	s := w.server
 	s.mu.Lock()
