--- a/internal/testbed/ceiling.go
+++ b/internal/testbed/ceiling.go
@@ -19,18 +19,18 @@
 
 // Ceiling returns how many requests a second the testbed itself carries when its clients send directly to a stand-in worker.
 func Ceiling(ctx context.Context) (float64, error) {
-	w, err := startDirectWorker(loadgen.NewBook(ceilingWork, ceilingBody))
+	w, err := startDirectWorker(loadgen.NewUniformRequests(ceilingWork, ceilingBody))
 	if err != nil {
 		return 0, err
 	}
 	defer w.Kill()
-	return loadgen.RunClosed(ctx, w.Address(0), "ceiling", ceilingConnections, ceilingBody, ceilingDuration).PerSecond(), nil
+	return loadgen.RunClosedLoop(ctx, w.Address(0), "ceiling", ceilingConnections, ceilingBody, ceilingDuration).PerSecond(), nil
 }
 
 // startDirectWorker starts one worker, too large to be the limit, that clients reach without a dispatcher.
-func startDirectWorker(book fakes.Book) (*fakes.Worker, error) {
+func startDirectWorker(requests fakes.RequestLookup) (*fakes.Worker, error) {
 	config := &fakes.Config{
-		Ledger: invariant.NewLedger(), Book: book, Dispatchers: 1, ReportsProgress: true, Fails: func() float64 { return 1 }, SuppressOutput: true,
+		Ledger: invariant.NewLedger(), Requests: requests, Dispatchers: 1, ReportsProgress: true, Fails: func() float64 { return 1 }, SuppressOutput: true,
 	}
 	spec := fakes.Spec{
 		Cores: 1024, Speed: 1, Memory: 1 << 20, Queue: 1 << 20, SlowStartWindow: 1, OverloadMultiple: 100, OverloadWindow: time.Second,
--- a/internal/testbed/cluster/operator.go
+++ b/internal/testbed/cluster/operator.go
@@ -35,7 +35,7 @@
 func machineName(machine int) string { return fmt.Sprintf("m%d", machine) }
 
 // workerOf returns the worker on a machine of the plans: these have the last workers, which are the slowest, the last one first.
-func workerOf(day *scenario.Day, machine int) int { return len(day.Workers) - 1 - machine }
+func workerOf(day *scenario.Schedule, machine int) int { return len(day.Workers) - 1 - machine }
 
 // clientFrom returns a client that tries the members in turn, beginning with first.
 func (h *harness) clientFrom(first int) *coordinator.Client {
--- a/internal/testbed/environment.go
+++ b/internal/testbed/environment.go
@@ -21,7 +21,7 @@
 func (e *Environment) Fleet() *fakes.Fleet { return e.run.fleet }
 
 // Day returns the generated day.
-func (e *Environment) Day() *scenario.Day { return e.run.day }
+func (e *Environment) Day() *scenario.Schedule { return e.run.day }
 
 // Origin returns the day's start on the ledger's clock.
 func (e *Environment) Origin() time.Duration { return e.run.load.Origin() }
--- a/internal/testbed/fakes/fleet.go
+++ b/internal/testbed/fakes/fleet.go
@@ -20,7 +20,7 @@
 	Workers   []*Worker
 	Discovery *Discovery
 
-	day        *scenario.Day
+	schedule   *scenario.Schedule
 	addressFor func(dispatcher int, address string) string // may be nil
 
 	mu      sync.Mutex
@@ -32,37 +32,37 @@
 
 // New starts the fleet of a generated day; all its workers are up and listed when New returns. addressFor returns the address
 // that a dispatcher's list has for one of a worker's addresses; nil: the worker's own.
-func New(day *scenario.Day, l *invariant.Ledger, book Book, addressFor func(dispatcher int, address string) string) (*Fleet, error) {
-	terms, list := &day.Scenario.Terms, &day.Scenario.List
-	f := &Fleet{day: day, addressFor: addressFor, renamed: map[int]string{}, quit: make(chan struct{})}
+func New(schedule *scenario.Schedule, l *invariant.Ledger, requests RequestLookup, addressFor func(dispatcher int, address string) string) (*Fleet, error) {
+	terms, list := &schedule.Scenario.Terms, &schedule.Scenario.List
+	f := &Fleet{schedule: schedule, addressFor: addressFor, renamed: map[int]string{}, quit: make(chan struct{})}
 	cfg := &Config{
-		Net: NewNet(), Ledger: l, Book: book, Dispatchers: day.Scenario.Dispatchers, ReportsProgress: terms.ReportsProgress, IdleClose: terms.IdleClose,
-		Fails: failureSource(day),
+		Net: NewNet(), Ledger: l, Requests: requests, Dispatchers: schedule.Scenario.Dispatchers, ReportsProgress: terms.ReportsProgress, IdleClose: terms.IdleClose,
+		Fails: failureSource(schedule),
 		OnOverload: func(i int) {
 			f.after(0, func() { f.publish(i, StatusRemoved, false, false) })
 		},
 	}
-	for i, w := range day.Workers {
-		f.Workers = append(f.Workers, NewWorker(cfg, w.Name, i, specOf(w, day.Scenario)))
+	for i, w := range schedule.Workers {
+		f.Workers = append(f.Workers, NewWorker(cfg, w.Name, i, specOf(w, schedule.Scenario)))
 	}
 	var err error
-	f.Discovery, err = NewDiscovery(l, day.Scenario.Dispatchers, list.Keep, list.Lag, list.Jitter, scenario.Rand(day.Seed, scenario.StreamLag))
+	f.Discovery, err = NewDiscovery(l, schedule.Scenario.Dispatchers, list.Keep, list.Lag, list.Jitter, scenario.Rand(schedule.Seed, scenario.StreamLag))
 	if err != nil {
 		return nil, err
 	}
 	for i, w := range f.Workers {
-		if err := w.Start(!day.Workers[i].WarmingUp); err != nil {
+		if err := w.Start(!schedule.Workers[i].WarmingUp); err != nil {
 			f.Close()
 			return nil, err
 		}
-		f.publish(i, StatusUp, day.Workers[i].WarmingUp, true)
+		f.publish(i, StatusUp, schedule.Workers[i].WarmingUp, true)
 	}
 	return f, nil
 }
 
 // failureSource returns the fleet's seeded source for failing jobs, which is safe for concurrent use.
-func failureSource(day *scenario.Day) func() float64 {
-	r := scenario.Rand(day.Seed, scenario.StreamFailures)
+func failureSource(schedule *scenario.Schedule) func() float64 {
+	r := scenario.Rand(schedule.Seed, scenario.StreamFailures)
 	var mu sync.Mutex
 	return func() float64 {
 		mu.Lock()
@@ -104,7 +104,7 @@
 
 // publish sends a worker's status to discovery.
 func (f *Fleet) publish(i int, status Status, warmingUp, immediate bool) {
-	w, d := f.Workers[i], f.day.Workers[i]
+	w, d := f.Workers[i], f.schedule.Workers[i]
 	since := int64(0)
 	if warmingUp {
 		since = time.Now().UnixMilli()
@@ -149,9 +149,9 @@
 func (f *Fleet) Drain(i int, downtime time.Duration) {
 	f.MarkDraining(i)
 	// Like a real one it accepts jobs until all dispatchers have had time to learn that it drains.
-	propagation := f.day.Scenario.List.Lag + f.day.Scenario.List.Jitter
+	propagation := f.schedule.Scenario.List.Lag + f.schedule.Scenario.List.Jitter
 	f.after(propagation, func() {
-		drained := f.Workers[i].Drain(f.day.Scenario.Terms.DrainGrace+minDrainTime, drainTimeout)
+		drained := f.Workers[i].Drain(f.schedule.Scenario.Terms.DrainGrace+minDrainTime, drainTimeout)
 		select {
 		case <-drained:
 		case <-f.quit:
@@ -205,8 +205,8 @@
 	for g := range n {
 		f.Discovery.Publish(EndpointUpdate{Worker: noWorker, Endpoint: func(int) Endpoint {
 			return Endpoint{
-				Name: fmt.Sprintf("ghost%d", g+1), Address: fmt.Sprintf("127.0.0.1:%d", g+1), Zone: f.day.Scenario.Zones[0],
-				Type: f.day.Workers[0].Kind, Status: status, Weight: 1,
+				Name: fmt.Sprintf("ghost%d", g+1), Address: fmt.Sprintf("127.0.0.1:%d", g+1), Zone: f.schedule.Scenario.Zones[0],
+				Type: f.schedule.Workers[0].Kind, Status: status, Weight: 1,
 			}
 		}}, false)
 	}
--- a/internal/testbed/fakes/request.go
+++ b/internal/testbed/fakes/request.go
@@ -33,7 +33,7 @@
 		c.appendHead(http.StatusNotFound, "")
 		return
 	}
-	order, ok := w.cfg.Book.Find(id)
+	expected, ok := w.cfg.Requests.Find(id)
 	if !ok {
 		w.recordProtocolFault(c.link.dispatcher, "a request under the id "+strconv.Quote(id)+" that no client sent")
 		c.appendHead(http.StatusBadRequest, "")
@@ -43,12 +43,12 @@
 		ID: id, Worker: w.Index, Incarnation: w.incarnation, Dispatcher: c.link.dispatcher,
 		First: c.firstByteAt, Last: w.cfg.Ledger.Now(),
 	}
-	attempt.Changed = differenceFrom(order, req, body)
-	c.id, c.attempt, c.work = id, attempt, order.Work
+	attempt.Changed = differenceFrom(expected, req, body)
+	c.id, c.attempt, c.work = id, attempt, expected.Work
 	if !w.cfg.SuppressOutput {
 		w.cfg.Ledger.Attempt(attempt)
 	}
-	w.startJob(c, order)
+	w.startJob(c, expected)
 }
 
 func isHealthCheck(req *http.Request) bool {
@@ -56,11 +56,11 @@
 }
 
 // differenceFrom returns how a request differs from what the client sent; "" where it does not.
-func differenceFrom(order Order, req *http.Request, body []byte) string {
+func differenceFrom(expected ExpectedRequest, req *http.Request, body []byte) string {
 	switch {
-	case req.Method != http.MethodPost || req.RequestURI != order.Target:
-		return fmt.Sprintf("%s %s came in place of POST %s", req.Method, req.RequestURI, order.Target)
-	case xxhash.Sum64(body) != order.Body:
+	case req.Method != http.MethodPost || req.RequestURI != expected.Target:
+		return fmt.Sprintf("%s %s came in place of POST %s", req.Method, req.RequestURI, expected.Target)
+	case xxhash.Sum64(body) != expected.Body:
 		return fmt.Sprintf("the body of %d bytes is not the client's", len(body))
 	default:
 		return ""
@@ -68,10 +68,10 @@
 }
 
 // startJob offers the job of a new attempt to the machine, or rejects it. The lock is held.
-func (w *Worker) startJob(c *conn, order Order) {
-	j := &Job{Work: order.Work.Seconds(), Slots: order.Slots, Memory: order.Memory}
+func (w *Worker) startJob(c *conn, expected ExpectedRequest) {
+	j := &Job{Work: expected.Work.Seconds(), Slots: expected.Slots, Memory: expected.Memory}
 	j.Fails = w.failingDispatchers[c.link.dispatcher] || w.failureRate > 0 && w.cfg.Fails() < w.failureRate
-	isOtherKind := order.Kind != "" && order.Kind != w.spec.Kind
+	isOtherKind := expected.Kind != "" && expected.Kind != w.spec.Kind
 	if w.draining || isOtherKind {
 		c.reject()
 		return
--- a/internal/testbed/fakes/worker.go
+++ b/internal/testbed/fakes/worker.go
@@ -9,8 +9,8 @@
 	"birchfork/internal/testbed/invariant"
 )
 
-// Order is what a client requested, as its worker has to receive it.
-type Order struct {
+// ExpectedRequest is what a client requested, as its worker has to receive it.
+type ExpectedRequest struct {
 	Work   time.Duration // on a core of speed 1
 	Slots  int
 	Memory float64
@@ -19,15 +19,15 @@
 	Body   uint64 // hash of the body
 }
 
-// Book looks up the requests that clients sent. It is safe for concurrent use.
-type Book interface {
-	Find(id string) (Order, bool)
+// RequestLookup looks up the requests that clients sent. It is safe for concurrent use.
+type RequestLookup interface {
+	Find(id string) (ExpectedRequest, bool)
 }
 
 // Config is what all workers of a fleet share.
 type Config struct {
 	Ledger          *invariant.Ledger
-	Book            Book
+	Requests        RequestLookup
 	Dispatchers     int
 	ReportsProgress bool             // workers report the start and the progress of jobs
 	IdleClose       time.Duration    // idle connections are closed after this; 0: never
--- a/internal/testbed/fakes/worker_test.go
+++ b/internal/testbed/fakes/worker_test.go
@@ -13,19 +13,19 @@
 	"birchfork/internal/testbed/invariant"
 )
 
-// orders is a Book for tests: the orders by request id.
-type orders map[string]Order
+// expectedRequests is a RequestLookup for tests, keyed by request id.
+type expectedRequests map[string]ExpectedRequest
 
-func (o orders) Find(id string) (Order, bool) {
-	order, ok := o[id]
-	return order, ok
+func (r expectedRequests) Find(id string) (ExpectedRequest, bool) {
+	request, ok := r[id]
+	return request, ok
 }
 
-// startWorker starts a warm worker with two cores that knows the given orders and reports starts of jobs.
-func startWorker(t *testing.T, book orders) (*Worker, *invariant.Ledger) {
+// startWorker starts a warm worker with two cores that expects the given requests and reports the start of jobs.
+func startWorker(t *testing.T, requests expectedRequests) (*Worker, *invariant.Ledger) {
 	t.Helper()
 	ledger := invariant.NewLedger()
-	cfg := &Config{Ledger: ledger, Book: book, Dispatchers: 1, ReportsProgress: true, Fails: func() float64 { return 1 }, Net: NewNet()}
+	cfg := &Config{Ledger: ledger, Requests: requests, Dispatchers: 1, ReportsProgress: true, Fails: func() float64 { return 1 }, Net: NewNet()}
 	w := NewWorker(cfg, "w1", 0, spec())
 	if err := w.Start(true); err != nil {
 		t.Fatal(err)
@@ -83,28 +83,28 @@
 func TestWorker_WritesProtocol(t *testing.T) {
 	const notRun = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 	for _, c := range []struct {
-		name    string
-		order   Order
-		do      func(*Worker)
-		request string
-		want    string
-		end     invariant.End // of the attempt; Open: there is none
-		changed string
+		name     string
+		expected ExpectedRequest
+		do       func(*Worker)
+		request  string
+		want     string
+		end      invariant.End // of the attempt; Open: there is none
+		changed  string
 	}{
-		{"health check", Order{}, nil, "GET /alive HTTP/1.1\r\nHost: w1\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", invariant.Open, ""},
-		{"no id", Order{}, nil, "GET /x HTTP/1.1\r\nHost: w1\r\n\r\n", "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n", invariant.Open, ""},
-		{"unknown id", Order{}, nil, post("b", "/x", ""), "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n", invariant.Open, ""},
-		{"failing job", Order{Slots: 1, Work: time.Hour}, func(w *Worker) { w.FailFor(0, true) }, post("a", "/x", "body"),
+		{"health check", ExpectedRequest{}, nil, "GET /alive HTTP/1.1\r\nHost: w1\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", invariant.Open, ""},
+		{"no id", ExpectedRequest{}, nil, "GET /x HTTP/1.1\r\nHost: w1\r\n\r\n", "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n", invariant.Open, ""},
+		{"unknown id", ExpectedRequest{}, nil, post("b", "/x", ""), "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n", invariant.Open, ""},
+		{"failing job", ExpectedRequest{Slots: 1, Work: time.Hour}, func(w *Worker) { w.FailFor(0, true) }, post("a", "/x", "body"),
 			chunks(startedLine, `{"id":"a","from":"w1","state":"failed"}`) + lastChunk, invariant.Errored, ""},
-		{"other type of worker", Order{Kind: "gpu"}, nil, post("a", "/x", "body"), notRun, invariant.Rejected, ""},
-		{"more slots than cores", Order{Slots: 3}, nil, post("a", "/x", "body"), notRun, invariant.Rejected, ""},
-		{"draining", Order{Slots: 1}, func(w *Worker) { w.Drain(time.Hour, time.Hour) }, post("a", "/x", "body"), notRun, invariant.Rejected, ""},
-		{"other target", Order{Slots: 3}, nil, post("a", "/y", "body"), notRun, invariant.Rejected, "POST /y came in place of POST /x"},
-		{"other body", Order{Slots: 3}, nil, post("a", "/x", "bod"), notRun, invariant.Rejected, "the body of 3 bytes is not the client's"},
+		{"other type of worker", ExpectedRequest{Kind: "gpu"}, nil, post("a", "/x", "body"), notRun, invariant.Rejected, ""},
+		{"more slots than cores", ExpectedRequest{Slots: 3}, nil, post("a", "/x", "body"), notRun, invariant.Rejected, ""},
+		{"draining", ExpectedRequest{Slots: 1}, func(w *Worker) { w.Drain(time.Hour, time.Hour) }, post("a", "/x", "body"), notRun, invariant.Rejected, ""},
+		{"other target", ExpectedRequest{Slots: 3}, nil, post("a", "/y", "body"), notRun, invariant.Rejected, "POST /y came in place of POST /x"},
+		{"other body", ExpectedRequest{Slots: 3}, nil, post("a", "/x", "bod"), notRun, invariant.Rejected, "the body of 3 bytes is not the client's"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			c.order.Target, c.order.Body = "/x", xxhash.Sum64String("body")
-			w, ledger := startWorker(t, orders{"a": c.order})
+			c.expected.Target, c.expected.Body = "/x", xxhash.Sum64String("body")
+			w, ledger := startWorker(t, expectedRequests{"a": c.expected})
 			if c.do != nil {
 				c.do(w)
 			}
@@ -136,7 +136,7 @@
 
 // A job that is done has a result of its attempt alone, whose hash the ledger has.
 func TestWorker_ReturnsResultOfAttempt(t *testing.T) {
-	w, ledger := startWorker(t, orders{"a": {Slots: 1, Work: time.Millisecond, Target: "/x", Body: xxhash.Sum64String("body")}})
+	w, ledger := startWorker(t, expectedRequests{"a": {Slots: 1, Work: time.Millisecond, Target: "/x", Body: xxhash.Sum64String("body")}})
 	c := send(t, w, post("a", "/x", "body"))
 	receive(t, c, chunks(startedLine))
 	attempt := ledger.Attempts()[0]
@@ -155,8 +155,8 @@
 
 // Where a drain outlasts its timeout, a waiting job goes back unstarted and a running one is lost.
 func TestWorker_ReturnsQueuedJobsAfterDrainTimeout(t *testing.T) {
-	hour := Order{Slots: 2, Work: time.Hour, Target: "/x", Body: xxhash.Sum64String("body")}
-	w, ledger := startWorker(t, orders{"a": hour, "b": hour})
+	hour := ExpectedRequest{Slots: 2, Work: time.Hour, Target: "/x", Body: xxhash.Sum64String("body")}
+	w, ledger := startWorker(t, expectedRequests{"a": hour, "b": hour})
 	running := send(t, w, post("a", "/x", "body"))
 	receive(t, running, chunks(startedLine))
 	waiting := send(t, w, post("b", "/x", "body"))
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -223,7 +223,7 @@
 			defer clients.Done()
 			address := injector.run.dispatchers[d].listen
 			if e.Kind == scenario.IdleClients {
-				loadgen.Idle(ctx, address, e.Count)
+				loadgen.HoldIdleConnections(ctx, address, e.Count)
 				return
 			}
 			seed := scenario.Rand(day.Seed+uint64(d), scenario.StreamMisbehaving).Uint64()
--- a/internal/testbed/loadgen/closed.go
+++ b/internal/testbed/loadgen/closed.go
@@ -21,36 +21,36 @@
 	closedDeadline = 10 * time.Second
 )
 
-// Book describes the requests of the closed loop to the fake workers; all are alike.
-type Book struct{ Order fakes.Order }
+// UniformRequests describes the requests of the closed loop to the fake workers; all are alike.
+type UniformRequests struct{ Request fakes.ExpectedRequest }
 
 // Find returns the same order for every request id.
-func (b Book) Find(string) (fakes.Order, bool) { return b.Order, true }
+func (u UniformRequests) Find(string) (fakes.ExpectedRequest, bool) { return u.Request, true }
 
-// NewBook returns the book of a closed loop whose requests need work (on a core of speed 1) and have a body of so many bytes.
-func NewBook(work time.Duration, bodyBytes int) Book {
-	return Book{fakes.Order{Work: work, Slots: 1, Target: closedTarget, Body: xxhash.Sum64(make([]byte, bodyBytes))}}
+// NewUniformRequests returns the book of a closed loop whose requests need work (on a core of speed 1) and have a body of so many bytes.
+func NewUniformRequests(work time.Duration, bodyBytes int) UniformRequests {
+	return UniformRequests{fakes.ExpectedRequest{Work: work, Slots: 1, Target: closedTarget, Body: xxhash.Sum64(make([]byte, bodyBytes))}}
 }
 
-// Closed is the result of a closed loop.
-type Closed struct {
+// ClosedLoopResult is the result of a closed loop.
+type ClosedLoopResult struct {
 	Requests, Failed int64
 	Took             time.Duration
 	Latency          *hdrhistogram.Histogram // microseconds
 }
 
 // PerSecond returns the throughput in requests per second.
-func (c *Closed) PerSecond() float64 { return float64(c.Requests) / c.Took.Seconds() }
+func (c *ClosedLoopResult) PerSecond() float64 { return float64(c.Requests) / c.Took.Seconds() }
 
 // newLatencyHistogram returns a histogram of microseconds up to a minute, with three significant digits.
 func newLatencyHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 }
 
-// RunClosed lets n clients send requests to one address for length, each the next one as soon as the last is answered.
+// RunClosedLoop lets n clients send requests to one address for length, each the next one as soon as the last is answered.
 // run is the prefix that keeps request ids apart from those of other loops.
-func RunClosed(ctx context.Context, addr, run string, n, bodyBytes int, length time.Duration) *Closed {
-	out := &Closed{Latency: newLatencyHistogram()}
+func RunClosedLoop(ctx context.Context, addr, run string, n, bodyBytes int, length time.Duration) *ClosedLoopResult {
+	out := &ClosedLoopResult{Latency: newLatencyHistogram()}
 	var mu sync.Mutex
 	var clients sync.WaitGroup
 	var failed atomic.Int64
--- a/internal/testbed/loadgen/generator.go
+++ b/internal/testbed/loadgen/generator.go
@@ -36,18 +36,18 @@
 
 // Generator plays the clients of a generated day as an open loop. Run is called once; Find is safe for concurrent use.
 type Generator struct {
-	day         *scenario.Day
+	schedule    *scenario.Schedule
 	ledger      *invariant.Ledger
 	dispatchers []*Dispatcher
 	padding     []byte
 
-	orders  sync.Map // request id to *clientOrder
-	results []Result
-	origin  time.Duration // the day's start on the ledger's clock
+	sentRequests sync.Map // request id to *sentRequest
+	results      []Result
+	origin       time.Duration // the day's start on the ledger's clock
 
-	Began func()              // called once the day has begun; may be nil
-	Lag   func(time.Duration) // called with how late each request was begun
-	Done  atomic.Int64        // client requests that have ended
+	OnStart   func()              // called once the run has begun; may be nil
+	ReportLag func(time.Duration) // called for each request with the delay of its start
+	Done      atomic.Int64        // client requests that have ended
 }
 
 // Dispatcher is the clients' access to one dispatcher. It is safe for concurrent use.
@@ -61,12 +61,12 @@
 func (d *Dispatcher) Down(on bool) { d.down.Store(on) }
 
 // New returns the clients of a day; addresses are those of the dispatchers, in their order.
-func New(day *scenario.Day, l *invariant.Ledger, addresses []string) *Generator {
-	g := &Generator{day: day, ledger: l, results: make([]Result, len(day.Requests)), Lag: func(time.Duration) {}}
+func New(schedule *scenario.Schedule, l *invariant.Ledger, addresses []string) *Generator {
+	g := &Generator{schedule: schedule, ledger: l, results: make([]Result, len(schedule.Requests)), ReportLag: func(time.Duration) {}}
 	for _, address := range addresses {
 		g.dispatchers = append(g.dispatchers, &Dispatcher{Address: address})
 	}
-	r := rand.New(rand.NewPCG(day.Seed, 0))
+	r := rand.New(rand.NewPCG(schedule.Seed, 0))
 	g.padding = make([]byte, paddingBytes)
 	for i := range g.padding {
 		g.padding[i] = byte(' ' + r.IntN(95)) // printable
@@ -78,23 +78,23 @@
 func (g *Generator) Dispatcher(i int) *Dispatcher { return g.dispatchers[i] }
 
 // Find returns what a client sent under a request id, and records that a worker received it.
-func (g *Generator) Find(id string) (fakes.Order, bool) {
-	o, ok := g.orders.Load(id)
+func (g *Generator) Find(id string) (fakes.ExpectedRequest, bool) {
+	o, ok := g.sentRequests.Load(id)
 	if !ok {
-		return fakes.Order{}, false
+		return fakes.ExpectedRequest{}, false
 	}
-	order := o.(*clientOrder)
-	order.received.Store(true)
-	return order.Order, true
+	sent := o.(*sentRequest)
+	sent.received.Store(true)
+	return sent.ExpectedRequest, true
 }
 
-// clientOrder is what a client requested, and whether a worker has received it.
-type clientOrder struct {
-	fakes.Order
+// sentRequest is what a client requested, and whether a worker has received it.
+type sentRequest struct {
+	fakes.ExpectedRequest
 	received atomic.Bool
 }
 
-// Origin returns the day's start on the ledger's clock; it is valid once Began was called.
+// Origin returns the day's start on the ledger's clock; it is valid once OnStart has been called.
 func (g *Generator) Origin() time.Duration { return g.origin }
 
 // Results returns the outcome of each client request, in the order of the day. It is valid once Run has returned.
@@ -104,14 +104,14 @@
 // further one is started.
 func (g *Generator) Run(ctx context.Context) {
 	g.origin = g.ledger.Now()
-	if g.Began != nil {
-		g.Began()
+	if g.OnStart != nil {
+		g.OnStart()
 	}
 	var open sync.WaitGroup
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	for i := range g.day.Requests {
-		planned := &g.day.Requests[i]
+	for i := range g.schedule.Requests {
+		planned := &g.schedule.Requests[i]
 		if wait := g.origin + planned.At - g.ledger.Now(); wait > 0 {
 			timer.Reset(wait)
 			select {
@@ -122,7 +122,7 @@
 		if ctx.Err() != nil {
 			break
 		}
-		g.Lag(g.ledger.Now() - g.origin - planned.At)
+		g.ReportLag(g.ledger.Now() - g.origin - planned.At)
 		open.Add(1)
 		go func() {
 			defer open.Done()
@@ -138,9 +138,9 @@
 
 // request sends one client request: its tries, one after the other.
 func (g *Generator) request(ctx context.Context, index int) {
-	planned, result := &g.day.Requests[index], &g.results[index]
-	class := &g.day.Scenario.Classes[planned.Class]
-	clients := &g.day.Scenario.Clients
+	planned, result := &g.schedule.Requests[index], &g.results[index]
+	class := &g.schedule.Scenario.Classes[planned.Class]
+	clients := &g.schedule.Scenario.Clients
 	deadline := g.origin + planned.At + class.Deadline
 	result.Requested = true
 	resent := 0
@@ -178,8 +178,8 @@
 	if try.Outcome != invariant.Closed || try.Fresh {
 		return false
 	}
-	order, ok := g.orders.Load(try.ID)
-	return ok && !order.(*clientOrder).received.Load()
+	sent, ok := g.sentRequests.Load(try.ID)
+	return ok && !sent.(*sentRequest).received.Load()
 }
 
 // shouldRetry reports whether a client retries after a try that was not served.
--- a/internal/testbed/loadgen/misbehaving.go
+++ b/internal/testbed/loadgen/misbehaving.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// Idle holds n connections to a dispatcher, without sending, until ctx ends; one that is closed is opened again.
-func Idle(ctx context.Context, addr string, n int) {
+// HoldIdleConnections holds n connections to a dispatcher, without sending, until ctx ends; one that is closed is opened again.
+func HoldIdleConnections(ctx context.Context, addr string, n int) {
 	var clients sync.WaitGroup
 	for range n {
 		clients.Add(1)
--- a/internal/testbed/loadgen/try.go
+++ b/internal/testbed/loadgen/try.go
@@ -48,25 +48,25 @@
 
 // newExchange makes the request of a try, and records its order for the workers and the try in the ledger.
 func (g *Generator) newExchange(index, number, resent int, deadline time.Duration) *exchange {
-	planned := &g.day.Requests[index]
-	class := &g.day.Scenario.Classes[planned.Class]
-	id := fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprintf("%d/%d/%d/%d", g.day.Seed, index, number, resent)))
+	planned := &g.schedule.Requests[index]
+	class := &g.schedule.Scenario.Classes[planned.Class]
+	id := fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprintf("%d/%d/%d/%d", g.schedule.Seed, index, number, resent)))
 	q := &Request{
 		ID:     id,
 		Class:  class.Name,
 		Target: fmt.Sprintf("/%s/lab?w=%d", class.Name, index),
-		Retry:  number > 0 && g.day.Scenario.Clients.MarkRetries,
+		Retry:  number > 0 && g.schedule.Scenario.Clients.MarkRetries,
 	}
 	if planned.Body > 0 {
 		q.Body = g.padding[index%maxBodyOffset:][:planned.Body]
 	}
 	if planned.Tenant >= 0 {
-		q.Tenant = g.day.Scenario.Tenants[planned.Tenant].Name
+		q.Tenant = g.schedule.Scenario.Tenants[planned.Tenant].Name
 	}
 	if class.Slots > 1 || class.Memory > 0 {
 		q.Extras = fmt.Sprintf("slots=%d,memory=%g", class.Slots, class.Memory)
 	}
-	g.orders.Store(id, &clientOrder{Order: fakes.Order{
+	g.sentRequests.Store(id, &sentRequest{ExpectedRequest: fakes.ExpectedRequest{
 		Work:   planned.Work,
 		Slots:  class.Slots,
 		Memory: class.Memory,
--- a/internal/testbed/overhead.go
+++ b/internal/testbed/overhead.go
@@ -58,8 +58,8 @@
 // Overhead sends requests to a stand-in worker directly and through a dispatcher, alternately, and prints what the dispatcher
 // adds.
 func Overhead(ctx context.Context, w io.Writer, o OverheadOptions) error {
-	book := loadgen.NewBook(overheadWork, overheadBody)
-	direct, err := startDirectWorker(book)
+	requests := loadgen.NewUniformRequests(overheadWork, overheadBody)
+	direct, err := startDirectWorker(requests)
 	if err != nil {
 		return err
 	}
@@ -70,7 +70,7 @@
 	}
 	r := newRun(s.Generate(1, false), Options{Launch: o.profiledLaunch()})
 	defer r.close()
-	d, err := r.startSingleDispatcher(ctx, book)
+	d, err := r.startSingleDispatcher(ctx, requests)
 	if err != nil {
 		return err
 	}
@@ -106,7 +106,7 @@
 }
 
 // startSingleDispatcher starts the fleet and one dispatcher, and waits until that is ready.
-func (r *run) startSingleDispatcher(ctx context.Context, book fakes.Book) (*dispatcher, error) {
+func (r *run) startSingleDispatcher(ctx context.Context, requests fakes.RequestLookup) (*dispatcher, error) {
 	var err error
 	if r.dir, err = os.MkdirTemp("", tempDirPrefix); err != nil {
 		return nil, fmt.Errorf("a folder for the configuration: %w", err)
@@ -116,7 +116,7 @@
 		return nil, err
 	}
 	r.load = loadgen.New(r.day, r.ledger, addresses)
-	if r.fleet, err = fakes.New(r.day, r.ledger, book, nil); err != nil {
+	if r.fleet, err = fakes.New(r.day, r.ledger, requests, nil); err != nil {
 		return nil, err
 	}
 	d := r.addDispatcher(addresses[0])
@@ -138,9 +138,9 @@
 
 // measureRound measures once directly and once through the dispatcher.
 func (m *overheadMeasurement) measureRound(ctx context.Context, round int) error {
-	direct := loadgen.RunClosed(ctx, m.directAddress, fmt.Sprintf("s%d-%d", m.clients, round), m.clients, overheadBody, m.length)
+	direct := loadgen.RunClosedLoop(ctx, m.directAddress, fmt.Sprintf("s%d-%d", m.clients, round), m.clients, overheadBody, m.length)
 	cpuBefore := m.dispatcher.cpu()
-	through := loadgen.RunClosed(ctx, m.dispatcher.listen, fmt.Sprintf("t%d-%d", m.clients, round), m.clients, overheadBody, m.length)
+	through := loadgen.RunClosedLoop(ctx, m.dispatcher.listen, fmt.Sprintf("t%d-%d", m.clients, round), m.clients, overheadBody, m.length)
 	cpu := m.dispatcher.cpu() - cpuBefore
 	if ctx.Err() != nil {
 		return ctx.Err()
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -65,7 +65,7 @@
 // run is the state of one run.
 type run struct {
 	options     Options
-	day         *scenario.Day
+	day         *scenario.Schedule
 	ledger      *invariant.Ledger
 	fleet       *fakes.Fleet // nil until it was started
 	load        *loadgen.Generator
@@ -77,7 +77,7 @@
 	clockLag    report.Histogram // how late the ticks of a regular timer came
 }
 
-func newRun(day *scenario.Day, o Options) *run {
+func newRun(day *scenario.Schedule, o Options) *run {
 	return &run{
 		options: o, day: day, ledger: invariant.NewLedger(), spawner: newSpawner(),
 		arrivalLag: report.NewHistogram(), clockLag: report.NewHistogram(),
@@ -200,8 +200,8 @@
 // startLoad starts the clients and returns once the day has begun. The channel is closed when all their requests have ended.
 func (r *run) startLoad(ctx context.Context) <-chan struct{} {
 	began, ended := make(chan struct{}), make(chan struct{})
-	r.load.Lag = func(d time.Duration) { r.arrivalLag.Add(max(d, 0)) }
-	r.load.Began = func() { close(began) }
+	r.load.ReportLag = func(d time.Duration) { r.arrivalLag.Add(max(d, 0)) }
+	r.load.OnStart = func() { close(began) }
 	go func() {
 		defer close(ended)
 		r.load.Run(ctx)
--- a/internal/testbed/scenario/arrivals.go
+++ b/internal/testbed/scenario/arrivals.go
@@ -10,7 +10,7 @@
 // requestGenerator generates the requests of a day: a Poisson process of arrivals, some of them bursts, whose rate changes
 // with the faults that change traffic.
 type requestGenerator struct {
-	day               *Day
+	schedule          *Schedule
 	random            *rand.Rand // for all but clients that leave
 	leaveRandom       *rand.Rand
 	classWeights      []float64
@@ -22,7 +22,7 @@
 }
 
 // generateRequests generates the requests, in the order of their times.
-func (d *Day) generateRequests() {
+func (d *Schedule) generateRequests() {
 	g := newRequestGenerator(d)
 	edges := d.trafficEdges()
 	for i := 0; i+1 < len(edges); i++ {
@@ -32,10 +32,10 @@
 	}
 }
 
-func newRequestGenerator(d *Day) *requestGenerator {
+func newRequestGenerator(d *Schedule) *requestGenerator {
 	s := d.Scenario
 	g := &requestGenerator{
-		day: d, random: Rand(d.Seed, streamArrivals), leaveRandom: Rand(d.Seed, streamLeave),
+		schedule: d, random: Rand(d.Seed, streamArrivals), leaveRandom: Rand(d.Seed, streamLeave),
 		classWeights: make([]float64, len(s.Classes)), dispatcherWeights: make([]float64, s.Dispatchers),
 		tenantWeights: make([]float64, len(s.Tenants)), quotas: make([]tokenBucket, len(s.Tenants)),
 	}
@@ -57,7 +57,7 @@
 // generate generates the requests of a stretch of time without a change of traffic. It returns false when the day has as many
 // requests as a run may have.
 func (g *requestGenerator) generate(from, until time.Duration) bool {
-	s, d := g.day.Scenario, g.day
+	s, d := g.schedule.Scenario, g.schedule
 	rate := g.arrivalRate * d.trafficFactor(from, g.tenantWeights)
 	// A Poisson process has no memory: it may start again at each edge.
 	for at := from; ; {
@@ -80,7 +80,7 @@
 
 // request generates one request. The order in which it takes random numbers is part of what a seed means.
 func (g *requestGenerator) request(at time.Duration) Request {
-	s, random := g.day.Scenario, g.random
+	s, random := g.schedule.Scenario, g.random
 	r := Request{At: at, Class: weightedChoice(random, g.classWeights), Tenant: -1, Dispatcher: weightedChoice(random, g.dispatcherWeights)}
 	if len(g.tenantWeights) > 0 {
 		r.Tenant = weightedChoice(random, g.tenantWeights)
@@ -100,7 +100,7 @@
 }
 
 // trafficEdges returns the times at which traffic changes, with the day's start and end.
-func (d *Day) trafficEdges() []time.Duration {
+func (d *Schedule) trafficEdges() []time.Duration {
 	edges := []time.Duration{0, d.Scenario.For}
 	for _, e := range d.Events {
 		if e.Kind == TrafficJump || e.Kind == TenantFlood {
@@ -112,7 +112,7 @@
 }
 
 // trafficFactor returns the traffic at a time as a factor of the scenario's rate, and sets each tenant's weight in it.
-func (d *Day) trafficFactor(at time.Duration, tenantWeights []float64) float64 {
+func (d *Schedule) trafficFactor(at time.Duration, tenantWeights []float64) float64 {
 	jump := 1.0
 	for i := range tenantWeights {
 		tenantWeights[i] = d.Scenario.Tenants[i].Share
--- a/internal/testbed/scenario/day.go
+++ b/internal/testbed/scenario/schedule.go
@@ -63,8 +63,8 @@
 	Tenant      int // -1: none
 }
 
-// Day is what is generated from a scenario by a seed. It is not changed afterwards.
-type Day struct {
+// Schedule is the workers, requests and fault events that a scenario and a seed give. It is immutable after Generate.
+type Schedule struct {
 	Scenario *Scenario
 	Seed     uint64
 	Requests []Request // by their time
@@ -77,8 +77,8 @@
 
 // Generate returns the day of a seed, with random faults beside those of the scenario if wanted. The same scenario and seed
 // give the same day.
-func (s *Scenario) Generate(seed uint64, randomFaults bool) *Day {
-	d := &Day{Scenario: s, Seed: seed}
+func (s *Scenario) Generate(seed uint64, randomFaults bool) *Schedule {
+	d := &Schedule{Scenario: s, Seed: seed}
 	d.generateWorkers()
 	faults := s.Faults
 	if randomFaults {
@@ -89,7 +89,7 @@
 	return d
 }
 
-func (d *Day) generateWorkers() {
+func (d *Schedule) generateWorkers() {
 	r, names := Rand(d.Seed, streamWorkers), d.Scenario.WorkerNames()
 	for _, pool := range d.Scenario.Workers {
 		for range pool.Count {
@@ -108,7 +108,7 @@
 }
 
 // generateEvents chooses what each fault affects.
-func (d *Day) generateEvents(faults []Fault) {
+func (d *Schedule) generateEvents(faults []Fault) {
 	r, names := Rand(d.Seed, streamFaults), d.Scenario.WorkerNames()
 	for i := range faults {
 		f := &faults[i]
@@ -141,7 +141,7 @@
 }
 
 // affectedDispatchers returns the indexes of the dispatchers that a fault affects.
-func (d *Day) affectedDispatchers(f *Fault) []int {
+func (d *Schedule) affectedDispatchers(f *Fault) []int {
 	if len(f.Dispatchers) > 0 {
 		return f.Dispatchers
 	}
@@ -156,18 +156,18 @@
 }
 
 // affectedTenant returns the index of the tenant that a fault affects, or -1.
-func (d *Day) affectedTenant(f *Fault) int {
+func (d *Schedule) affectedTenant(f *Fault) int {
 	return slices.IndexFunc(d.Scenario.Tenants, func(t Tenant) bool { return t.Name == f.Tenant })
 }
 
 // LatencyObjective returns the time after its arrival within which a request has to be answered to be in time.
-func (d *Day) LatencyObjective(r *Request) time.Duration {
+func (d *Schedule) LatencyObjective(r *Request) time.Duration {
 	c := &d.Scenario.Classes[r.Class]
 	return c.LatencyObjective + time.Duration(c.Stretch*float64(r.Work))
 }
 
 // Value returns the value of a request that is answered in time.
-func (d *Day) Value(r *Request) float64 {
+func (d *Schedule) Value(r *Request) float64 {
 	v := d.Scenario.Classes[r.Class].PriorityWeight
 	if r.OverQuota {
 		v *= d.Scenario.Terms.OverQuotaWeight
@@ -176,7 +176,7 @@
 }
 
 // Digest returns a hash of the day in hexadecimal, which is equal for equal days.
-func (d *Day) Digest() string {
+func (d *Schedule) Digest() string {
 	h := xxhash.New()
 	put := func(values ...any) {
 		for _, value := range values {
