--- a/internal/testbed/fakes/agent.go
+++ b/internal/testbed/fakes/agent.go
@@ -19,37 +19,37 @@
 type Agent struct {
 	ledger      *invariant.Ledger
 	dispatcher  int
-	keep        int // changes
+	keep        int // number of changes that are kept
 	lag, jitter time.Duration
 
 	mu          sync.Mutex
 	random      *rand.Rand
-	delayFactor float64          // times the usual lag
+	delayFactor float64          // multiplies the lag of updates
 	lastDue     time.Time        // of the last update that was sent; updates arrive in order
-	pending     []entry          // on their way, in the order in which they arrive
+	pending     []entry          // in transit, in order of arrival
 	silent      bool             // nothing is served or applied
 	deferred    []entry          // arrived while silent
 	index       uint64           // of the newest change
-	entries     map[string]entry // the list by name, with removed endpoints
-	names       []string         // of entries, in the order in which they first arrived
-	changes     []entry          // the newest ones by index
-	changed     chan struct{}    // closed at each change, at the end of a silence and at close
+	entries     map[string]entry // the list by name, including removed endpoints
+	names       []string         // of entries, in order of their first arrival
+	changes     []entry          // the newest changes, by index
+	changed     chan struct{}    // closed and replaced at each change, when silence starts or ends, and at close
 	server      *http.Server
 	address     string
 	closed      bool
-	timers      []*time.Timer // of updates on their way
+	timers      []*time.Timer // of updates in transit
 }
 
-// entry is an endpoint at one agent, with what the ledger records of it.
+// entry is an endpoint at one agent, with its delivery in the ledger.
 type entry struct {
 	Endpoint
-	index       uint64 // of the change that brought it
+	index       uint64 // of the change
 	worker      int
 	incarnation int
-	delivery    *invariant.Delivery // nil: no worker of the fleet
+	delivery    *invariant.Delivery // nil: not a worker of the fleet
 }
 
-// listen starts a server at a new address. The lock is held, or the agent is not shared yet.
+// listen starts a server at a new address. The lock is held unless the agent is not shared yet.
 func (a *Agent) listen() error {
 	listener, err := net.Listen("tcp", processNet.Host(0)+":0")
 	if err != nil {
@@ -71,7 +71,8 @@
 	return a.address
 }
 
-// Move opens another address. The old one accepts no new connection at once, and closes the open ones after moveLinger.
+// Move moves the agent to a new address. The old one stops accepting connections immediately, and closes the open ones after
+// moveLinger.
 func (a *Agent) Move() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -80,28 +81,28 @@
 		return err
 	}
 	go func() {
-		// Shutdown closes the listener at once; with an open context it would wait for watches, which never end.
-		_ = old.Shutdown(closedContext()) // its error is that of the context
+		// Shutdown closes the listener immediately. The context is canceled because it would else wait for watches, which never end.
+		_ = old.Shutdown(canceledContext()) // returns the context's error
 		time.Sleep(moveLinger)
-		_ = old.Close() // its connections end either way
+		_ = old.Close() // the connections end even if it fails
 	}()
 	return nil
 }
 
-func closedContext() context.Context {
+func canceledContext() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	return ctx
 }
 
-// SetDelay sets how many times the usual lag an update takes.
+// SetDelay sets the factor by which the lag of later updates is multiplied.
 func (a *Agent) SetDelay(factor float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.delayFactor = factor
 }
 
-// Silence makes the agent serve and apply nothing, or ends that and applies the updates that arrived meanwhile.
+// Silence stops the agent from serving and applying updates, or resumes both and applies the updates that have arrived meanwhile.
 func (a *Agent) Silence(on bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -136,10 +137,10 @@
 		t.Stop()
 	}
 	a.signal()
-	_ = a.server.Close() // its connections end either way
+	_ = a.server.Close() // the connections end even if it fails
 }
 
-// receive applies an update at once, or sends it on its way to the agent.
+// receive applies an update immediately or after the lag of discovery.
 func (a *Agent) receive(update EndpointUpdate, immediate bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -158,8 +159,8 @@
 	a.timers = append(a.timers, time.AfterFunc(time.Until(due), a.arrive))
 }
 
-// arrive applies the oldest update on its way. That need not be the one whose timer called: timers that are due a moment
-// apart may fire in any order.
+// arrive applies the oldest update in transit, which may not be the one whose timer fired: timers that are due at almost the same
+// time may fire in any order.
 func (a *Agent) arrive() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -190,7 +191,7 @@
 	}
 	a.entries[e.Name] = e
 	a.changes = append(a.changes, e)
-	if len(a.changes) > a.keep { // older ones are compacted
+	if len(a.changes) > a.keep { // compact the older ones
 		a.changes = a.changes[len(a.changes)-a.keep:]
 	}
 }
--- a/internal/testbed/fakes/conn.go
+++ b/internal/testbed/fakes/conn.go
@@ -15,7 +15,7 @@
 const (
 	maxRequestBytes = 1 << 20 // of a body
 	readBufferBytes = 4 << 10
-	writeTimeout    = time.Second // for a dispatcher that does not read
+	writeTimeout    = time.Second // after which a dispatcher that does not read is disconnected
 )
 
 // conn is a connection from a dispatcher. It carries one request at a time.
@@ -23,22 +23,22 @@
 	*net.TCPConn
 	link *link
 
-	// Of the goroutine that reads.
-	firstByteAt    time.Duration // of the present request; 0: none has come yet
-	awaitFirstByte bool          // nothing of the next request has come yet
+	// Used only by the reading goroutine.
+	firstByteAt    time.Duration // of the current request; 0: not received yet
+	awaitFirstByte bool          // no byte of the next request has been received yet
 
-	// Under the worker's lock.
+	// Guarded by the worker's lock.
 	id      string             // of the last request
 	job     *Job               // nil: no job is open on the connection
 	attempt *invariant.Attempt // nil: no attempt is open
 	work    time.Duration      // of the last job, on a core of speed 1
 	output  []byte             // not written yet
-	silent  bool               // the link was cut since the connection was opened: nothing is written any more
+	silent  bool               // the link has been partitioned since the connection was opened: nothing more is written
 	ended   bool
 }
 
-// Read reads and records when the first byte of a request came. What arrives during a partition is discarded, and the
-// connection ends with the partition.
+// Read records when the first byte of a request is received. Data that arrives during a partition is discarded, and the
+// connection fails when the partition ends.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
 	if n > 0 && c.awaitFirstByte {
@@ -51,7 +51,7 @@
 	return n, err
 }
 
-// serve reads requests until the connection ends, which drops the job that is open on it.
+// serve reads requests until the connection ends. The job that is open on it then is dropped.
 func (c *conn) serve() {
 	w := c.link.worker
 	r := bufio.NewReaderSize(c, readBufferBytes)
@@ -73,7 +73,7 @@
 		body, err := io.ReadAll(io.LimitReader(req.Body, maxRequestBytes))
 		if err != nil {
 			w.mu.Lock()
-			c.drop() // its last byte never came: it is no attempt
+			c.drop() // a request that is not complete is not an attempt
 			w.mu.Unlock()
 			return
 		}
@@ -81,8 +81,8 @@
 	}
 }
 
-// handleReadError ends the connection after a request could not be read, and records input that is no HTTP. It returns true
-// where the connection goes on: only idle connections are closed after IdleClose, not those with an open job.
+// handleReadError ends the connection after a failed read and records input that is not HTTP. It returns true if the
+// connection stays open: only idle connections are closed after IdleClose, not those with an open job.
 func (c *conn) handleReadError(err error) bool {
 	w := c.link.worker
 	w.mu.Lock()
@@ -98,7 +98,7 @@
 	return false
 }
 
-// flush writes the output. A dispatcher that does not read is disconnected. The worker's lock is held.
+// flush writes the buffered output. A dispatcher that does not read is disconnected. The worker's lock is held.
 func (c *conn) flush() {
 	if len(c.output) == 0 {
 		return
@@ -112,21 +112,22 @@
 	c.output = c.output[:0]
 }
 
-// drop closes the connection because the dispatcher closed it or broke the protocol. Its job stops. The worker's lock is held.
+// drop closes the connection because the dispatcher closed it or violated the protocol, and stops its job. The worker's lock is
+// held.
 func (c *conn) drop() {
 	c.end(invariant.Dropped)
-	_ = c.Close() // it may be closed already
+	_ = c.Close() // it may already be closed
 }
 
 // reset closes the connection with a TCP reset. The worker's lock is held.
 func (c *conn) reset(end invariant.End) {
 	_ = c.SetLinger(0) // fails on a closed connection
 	c.end(end)
-	_ = c.Close() // it may be closed already
+	_ = c.Close() // it may already be closed
 }
 
-// end ends the open job and unregisters the connection, once. The worker's lock is held. It may be entered again from within:
-// a job that stops frees capacity, a job that begins in its place may overload the machine, and the crash ends all connections.
+// end ends the open job and unregisters the connection, once. The worker's lock is held. Calls may be nested: a job that stops
+// frees capacity, a job that begins in its place may overload the machine, and the crash ends all connections.
 func (c *conn) end(end invariant.End) {
 	if c.ended {
 		return
--- a/internal/testbed/fakes/discovery.go
+++ b/internal/testbed/fakes/discovery.go
@@ -7,17 +7,16 @@
 	"birchfork/internal/testbed/invariant"
 )
 
-// Status is the status of an endpoint, as discovery's protocol has it.
+// Status is the status of an endpoint in the discovery protocol.
 type Status string
 
-// The statuses.
 const (
 	StatusUp       Status = "up"
 	StatusDraining Status = "draining"
 	StatusRemoved  Status = "removed"
 )
 
-// state returns the ledger's term for a status.
+// state converts the status to the ledger's state.
 func (s Status) state() invariant.State {
 	switch s {
 	case StatusDraining:
@@ -29,7 +28,7 @@
 	}
 }
 
-// Endpoint is one entry of the endpoint list, as discovery's protocol has it.
+// Endpoint is one entry of the endpoint list in the discovery protocol.
 type Endpoint struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -38,17 +37,17 @@
 	Group   int     `json:"group"`
 	Status  Status  `json:"status"`
 	Weight  float64 `json:"weight"`
-	SinceMs int64   `json:"since_ms"` // when it started to warm up, in Unix milliseconds; 0: it is warm
+	SinceMs int64   `json:"since_ms"` // when it started to warm up, in Unix milliseconds; 0: it is warmed up
 }
 
-// noWorker is the index of an endpoint behind which there is no worker of the fleet.
+// noWorker is the worker index of an endpoint that is not a worker of the fleet.
 const noWorker = -1
 
 // EndpointUpdate is one change of the endpoint list.
 type EndpointUpdate struct {
-	Worker      int // index in the fleet, or -1 for none
+	Worker      int // index in the fleet; -1: not a worker of the fleet
 	Incarnation int
-	Endpoint    func(dispatcher int) Endpoint // as each dispatcher gets it: the addresses differ
+	Endpoint    func(dispatcher int) Endpoint // differs by dispatcher in the address
 }
 
 // Discovery is the endpoint list, with an agent for each dispatcher.
@@ -56,8 +55,8 @@
 	Agents []*Agent
 }
 
-// NewDiscovery starts the agents. Each keeps the newest keep changes for watches; a change takes lag and up to jitter more,
-// drawn from r, to reach an agent.
+// NewDiscovery starts the agents. Each keeps the newest keep changes for watches. A change reaches an agent after lag plus a
+// random time of up to jitter, drawn from r.
 func NewDiscovery(l *invariant.Ledger, dispatchers, keep int, lag, jitter time.Duration, r *rand.Rand) (*Discovery, error) {
 	d := &Discovery{}
 	for i := range dispatchers {
@@ -74,14 +73,14 @@
 	return d, nil
 }
 
-// Publish sends a change to all agents; with immediate they have it when Publish returns, as at the start of a run.
+// Publish sends a change to all agents. If immediate is set, they have applied it when Publish returns.
 func (d *Discovery) Publish(update EndpointUpdate, immediate bool) {
 	for _, a := range d.Agents {
 		a.receive(update, immediate)
 	}
 }
 
-// Close ends all agents.
+// Close closes all agents.
 func (d *Discovery) Close() {
 	for _, a := range d.Agents {
 		a.close()
--- a/internal/testbed/fakes/discovery_test.go
+++ b/internal/testbed/fakes/discovery_test.go
@@ -8,7 +8,8 @@
 	"birchfork/internal/testbed/invariant"
 )
 
-// Updates that are published a moment apart arrive in their order: a worker that is removed and listed again at once is listed.
+// Updates that are published in quick succession arrive in order, even if their timers fire out of order: a worker that is
+// removed and listed again at once ends up listed.
 func TestAgent_KeepsUpdateOrder(t *testing.T) {
 	d, err := NewDiscovery(invariant.NewLedger(), 1, 10, time.Millisecond, 0, rand.New(rand.NewPCG(1, 2)))
 	if err != nil {
@@ -29,13 +30,13 @@
 		if index == 2*rounds {
 			for i, c := range changes {
 				if want := []Status{StatusRemoved, StatusUp}[i%2]; c.Status != want {
-					t.Fatalf("change %d is %s", i, c.Status)
+					t.Fatalf("change %d: got status %s, want %s", i, c.Status, want)
 				}
 			}
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d of %d changes came", index, 2*rounds)
+			t.Fatalf("timed out after 10s: %d of %d changes have arrived", index, 2*rounds)
 		}
 	}
 }
--- a/internal/testbed/fakes/fleet.go
+++ b/internal/testbed/fakes/fleet.go
@@ -9,13 +9,13 @@
 	"birchfork/internal/testbed/scenario"
 )
 
-// How long the process of a draining worker lives.
+// Limits of the time for which the process of a draining worker runs.
 const (
-	minDrainTime = time.Second     // past the drain grace, so that requests sent too late are seen
-	drainTimeout = 5 * time.Second // at most, whatever still runs
+	minDrainTime = time.Second     // beyond the drain grace, so that requests sent too late are recorded
+	drainTimeout = 5 * time.Second // after which jobs that still run are lost
 )
 
-// Fleet is all workers of a run, with discovery. It is safe for concurrent use.
+// Fleet is all workers of a run and their discovery. It is safe for concurrent use.
 type Fleet struct {
 	Workers   []*Worker
 	Discovery *Discovery
@@ -24,14 +24,14 @@
 	addressFor func(dispatcher int, address string) string // may be nil
 
 	mu      sync.Mutex
-	renamed map[int]string // listed names, by worker
+	renamed map[int]string // listed name of each renamed worker
 	closed  bool
-	delayed sync.WaitGroup // calls of after that have not ended
+	delayed sync.WaitGroup // goroutines of after
 	quit    chan struct{}  // closed by Close
 }
 
-// New starts the fleet of a generated day; all its workers are up and listed when New returns. addressFor returns the address
-// that a dispatcher's list has for one of a worker's addresses; nil: the worker's own.
+// New starts the workers of a schedule; all are up and listed when New returns. addressFor maps a worker's address to the one
+// that is listed for a dispatcher; nil lists the worker's own.
 func New(schedule *scenario.Schedule, l *invariant.Ledger, requests RequestLookup, addressFor func(dispatcher int, address string) string) (*Fleet, error) {
 	terms, list := &schedule.Scenario.Terms, &schedule.Scenario.List
 	f := &Fleet{schedule: schedule, addressFor: addressFor, renamed: map[int]string{}, quit: make(chan struct{})}
@@ -60,7 +60,7 @@
 	return f, nil
 }
 
-// failureSource returns the fleet's seeded source for failing jobs, which is safe for concurrent use.
+// failureSource returns the fleet's seeded random source for failing jobs, which is safe for concurrent use.
 func failureSource(schedule *scenario.Schedule) func() float64 {
 	r := scenario.Rand(schedule.Seed, scenario.StreamFailures)
 	var mu sync.Mutex
@@ -71,7 +71,7 @@
 	}
 }
 
-// specOf returns what a worker of a day can do.
+// specOf returns the spec of a worker's machine.
 func specOf(w scenario.Worker, s *scenario.Scenario) Spec {
 	terms := &s.Terms
 	return Spec{
@@ -102,7 +102,7 @@
 	return work / shares
 }
 
-// publish sends a worker's status to discovery.
+// publish publishes a worker's status in discovery.
 func (f *Fleet) publish(i int, status Status, warmingUp, immediate bool) {
 	w, d := f.Workers[i], f.schedule.Workers[i]
 	since := int64(0)
@@ -139,16 +139,16 @@
 	}()
 }
 
-// Kill ends a worker's process and starts it again, warming up, after downtime.
+// Kill ends a worker's process and restarts it, warming up, after downtime.
 func (f *Fleet) Kill(i int, downtime time.Duration) {
 	f.Down(i)
 	f.after(downtime, func() { f.Up(i) })
 }
 
-// Drain drains a worker and starts it again, warming up, once its process has been down for downtime.
+// Drain drains a worker and restarts it, warming up, once its process has been down for downtime.
 func (f *Fleet) Drain(i int, downtime time.Duration) {
 	f.MarkDraining(i)
-	// Like a real one it accepts jobs until all dispatchers have had time to learn that it drains.
+	// Like a real worker, it accepts jobs until the update has reached all dispatchers.
 	propagation := f.schedule.Scenario.List.Lag + f.schedule.Scenario.List.Jitter
 	f.after(propagation, func() {
 		drained := f.Workers[i].Drain(f.schedule.Scenario.Terms.DrainGrace+minDrainTime, drainTimeout)
@@ -162,24 +162,24 @@
 	})
 }
 
-// MarkDraining lists a worker as draining; it goes on accepting jobs until Down.
+// MarkDraining lists a worker as draining; it continues to accept jobs until Down.
 func (f *Fleet) MarkDraining(i int) { f.publish(i, StatusDraining, false, false) }
 
-// Down ends a worker's process, until Up.
+// Down ends a worker's process and removes the worker from the list, until Up.
 func (f *Fleet) Down(i int) {
 	f.Workers[i].Kill()
 	f.publish(i, StatusRemoved, false, false)
 }
 
-// Up starts a worker again, warming up.
+// Up restarts a worker, warming up.
 func (f *Fleet) Up(i int) {
 	if f.Workers[i].Start(false) != nil {
-		return // no port is left: it stays down, as the list has it
+		return // no port is available: the worker stays down and unlisted
 	}
 	f.publish(i, StatusUp, true, false)
 }
 
-// Rename sets the name under which a worker that is down is listed from its next change on.
+// Rename sets the name under which a worker that is down is listed from its next update on.
 func (f *Fleet) Rename(i int, name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -212,7 +212,7 @@
 	}
 }
 
-// Close ends all workers and discovery, and waits for what was to happen later.
+// Close cancels delayed calls and waits for those in progress, then stops all workers and discovery.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	if !f.closed {
--- a/internal/testbed/fakes/link.go
+++ b/internal/testbed/fakes/link.go
@@ -15,10 +15,10 @@
 	dispatcher  int
 	listener    *net.TCPListener
 
-	// Under the worker's lock.
+	// Guarded by the worker's lock.
 	conns        map[*conn]bool
 	jobs         map[*Job]*conn
-	healed       chan struct{} // closed when a partition ends; nil: the link is not cut
+	healed       chan struct{} // closed when the partition ends; nil: the link is not partitioned
 	backlogConns []net.Conn    // fill the listener's backlog during a partition
 }
 
@@ -39,14 +39,14 @@
 		}
 		c := &conn{link: l, TCPConn: raw}
 		if !l.add(c) {
-			_ = raw.Close() // its worker is gone
+			_ = raw.Close() // the incarnation has ended
 			return
 		}
 		go c.serve()
 	}
 }
 
-// add registers a connection; it returns false where the link's incarnation has ended.
+// add registers a connection. It returns false if the link's incarnation has ended.
 func (l *link) add(c *conn) bool {
 	l.worker.mu.Lock()
 	defer l.worker.mu.Unlock()
@@ -62,7 +62,7 @@
 	return l.worker.machine != nil && l.worker.incarnation == l.incarnation
 }
 
-// partitionHealed returns the channel that is closed when the present partition ends; nil: the link is not cut.
+// partitionHealed returns a channel that is closed when the current partition ends, or nil if the link is not partitioned.
 func (l *link) partitionHealed() <-chan struct{} {
 	l.worker.mu.Lock()
 	defer l.worker.mu.Unlock()
@@ -81,7 +81,7 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// isNetErr reports whether reading failed because of the connection, not of what was sent on it.
+// isNetErr reports whether a read failed because of the connection, as opposed to malformed input.
 func isNetErr(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) || errors.Is(err, io.ErrUnexpectedEOF)
--- a/internal/testbed/fakes/machine.go
+++ b/internal/testbed/fakes/machine.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Spec is what a machine can do.
+// Spec is the size and behaviour of a machine.
 type Spec struct {
 	Kind               string
-	Cores              int     // slots of jobs that run at once
-	Speed              float64 // of a core; 1 is the speed in which work is stated
-	Memory             float64 // units that running jobs may take together
-	Queue              int     // jobs that may wait; more are rejected
-	SlowStartMinFactor float64 // share of its capacity that it starts with
+	Cores              int     // total slots of the running jobs
+	Speed              float64 // of a core; work is stated for speed 1
+	Memory             float64 // total units of the running jobs
+	Queue              int     // maximum number of queued jobs; further ones are rejected
+	SlowStartMinFactor float64 // share of its capacity with which it starts
 	SlowStartWindow    time.Duration
-	OverloadMultiple   float64       // of its capacity: while warming up it crashes when it is sent more ...
-	OverloadWindow     time.Duration // ... for as long as this
-	MeanWork           float64       // of all jobs, in seconds on a core of speed 1; 0: calls are not counted
+	OverloadMultiple   float64       // while warming up, it crashes when it is sent more than this multiple of its capacity
+	OverloadWindow     time.Duration // for this long
+	MeanWork           float64       // of all jobs, in seconds on a core of speed 1; 0: the number of jobs is not limited
 	Progress           time.Duration // between progress events of a running job; 0: none
 }
 
 const (
-	warmUpStep    = 20 * time.Millisecond // for which the speed is taken as even while a machine warms up
-	failTime      = 2 * time.Millisecond  // that a failing job takes
-	workTolerance = 1e-9                  // seconds of work left that count as none
+	warmUpStep    = 20 * time.Millisecond // longest step for which a mean speed is used while a machine warms up
+	failTime      = 2 * time.Millisecond  // duration of a failing job
+	workTolerance = 1e-9                  // seconds of remaining work at which a job is done
 )
 
 // Job is one job at a machine.
@@ -32,18 +32,17 @@
 	Work   float64 // seconds on a core of speed 1
 	Slots  int
 	Memory float64
-	Fails  bool // it fails as soon as it begins
+	Fails  bool // it fails failTime after it begins
 
-	workLeft    float64 // as Work
+	workLeft    float64 // in the unit of Work
 	running     bool
 	accepted    bool          // it is queued or running
-	lastEventAt time.Duration // when it began, or its last progress event
+	lastEventAt time.Duration // when it began or had its last progress event
 }
 
 // JobEventKind is the kind of a JobEvent.
 type JobEventKind uint8
 
-// The events of a machine.
 const (
 	Began JobEventKind = iota
 	Progressed
@@ -52,24 +51,24 @@
 	Overloaded // the machine itself crashed while it warmed up
 )
 
-// JobEvent is something that happened at a machine.
+// JobEvent is an event of a job or, if it is Overloaded, of the machine.
 type JobEvent struct {
 	Kind     JobEventKind
 	Job      *Job    // nil for Overloaded
 	Progress float64 // share of the work done
 
-	// Of Overloaded: the work sent within the window and what the machine can take, in seconds on a core of speed 1, and the
-	// share of its capacity that it had.
+	// Set for Overloaded: the work sent within the window and the most that was allowed, in seconds on a core of speed 1, and the
+	// share of its capacity that the machine had.
 	Sent, Allowed, SlowStartFactor float64
 }
 
-// Machine models a worker's first-come queue and its cores. It has no clock and does no I/O: the caller states the time,
-// which never goes back, and calls Advance after each change and no later than Next says. It is not safe for concurrent use.
+// Machine models a worker's FIFO queue and its cores. It has no clock and does no I/O: the caller supplies the time, which must
+// not decrease, and calls Advance after each change and no later than Next says. It is not safe for concurrent use.
 type Machine struct {
 	spec       Spec
 	started    time.Duration
 	now        time.Duration
-	slowdown   float64 // how many times slower than usual it is
+	slowdown   float64 // divides the speed
 	hung       bool
 	crashed    bool
 	queue      []*Job
@@ -77,7 +76,7 @@
 	usedSlots  int
 	usedMemory float64
 
-	recentlySent    []sentWork // within the overload window, while warming up
+	recentlySent    []sentWork // jobs offered within the overload window, while warming up
 	overloaded      bool
 	overloadedSince time.Duration
 }
@@ -88,10 +87,10 @@
 	work float64 // seconds on a core of speed 1
 }
 
-// NewMachine returns a machine that starts now; a warm one is past its slow start.
-func NewMachine(s Spec, now time.Duration, warm bool) *Machine {
+// NewMachine returns a machine that starts now. With warmedUp it is past its slow start.
+func NewMachine(s Spec, now time.Duration, warmedUp bool) *Machine {
 	m := &Machine{spec: s, started: now, now: now, slowdown: 1}
-	if warm {
+	if warmedUp {
 		m.started = now - s.SlowStartWindow
 	}
 	return m
@@ -106,15 +105,15 @@
 	return m.spec.SlowStartMinFactor + (1-m.spec.SlowStartMinFactor)*float64(age)/float64(m.spec.SlowStartWindow)
 }
 
-// speedFactor returns how many seconds of work a slot does in a second at a time.
-func (m *Machine) speedFactor(at time.Duration) float64 {
+// speedAt returns the seconds of work that a slot does per second at a time.
+func (m *Machine) speedAt(at time.Duration) float64 {
 	if m.hung || m.crashed {
 		return 0
 	}
 	return m.spec.Speed * m.SlowStartFactor(at) / m.slowdown
 }
 
-// Offer gives the machine a job. It returns false where the queue is full, the job can never fit, or the machine has crashed.
+// Offer offers the machine a job. It returns false if the queue is full, the job can never fit, or the machine has crashed.
 func (m *Machine) Offer(j *Job) bool {
 	if m.SlowStartFactor(m.now) < 1 {
 		m.recentlySent = append(m.recentlySent, sentWork{m.now, j.Work})
@@ -128,7 +127,7 @@
 	return true
 }
 
-// Drop removes a job, queued or running; it returns false where the machine does not have it.
+// Drop removes a queued or running job. It returns false if the machine does not have it.
 func (m *Machine) Drop(j *Job) bool {
 	if !j.accepted {
 		return false
@@ -142,7 +141,7 @@
 	return true
 }
 
-// release removes a running job and frees what it takes.
+// release removes a running job and frees its slots and memory.
 func (m *Machine) release(j *Job) {
 	j.accepted, j.running = false, false
 	m.usedSlots -= j.Slots
@@ -150,19 +149,19 @@
 	m.running = slices.DeleteFunc(m.running, func(r *Job) bool { return r == j })
 }
 
-// Slow sets how many times slower than usual the machine is.
+// Slow makes the machine factor times slower than normal; 1 restores the normal speed.
 func (m *Machine) Slow(factor float64) { m.slowdown = factor }
 
 // Hang stops or resumes all work.
 func (m *Machine) Hang(on bool) { m.hung = on }
 
-// Crashed reports whether the machine has crashed under overload.
+// Crashed reports whether the machine has crashed due to overload.
 func (m *Machine) Crashed() bool { return m.crashed }
 
-// Busy returns how many jobs the machine has.
+// Busy returns the number of running and of queued jobs.
 func (m *Machine) Busy() (running, queued int) { return len(m.running), len(m.queue) }
 
-// Advance goes on to a time and returns what happened up to then, in order.
+// Advance advances the machine to a time and returns the events up to then, in order.
 func (m *Machine) Advance(now time.Duration) (events []JobEvent) {
 	for m.now < now {
 		m.work(min(now, m.nextEvent()))
@@ -171,17 +170,17 @@
 	return append(events, m.settle()...)
 }
 
-// Next returns when Advance is due if the machine is not changed; false means never.
+// Next returns when Advance is due unless the machine is changed before; false means never.
 func (m *Machine) Next() (time.Duration, bool) {
 	at := m.nextEvent()
 	return at, at < math.MaxInt64
 }
 
-// nextEvent returns the next time, after now, at which something may change by itself.
+// nextEvent returns the next time after now at which an event is possible without a change from outside.
 func (m *Machine) nextEvent() time.Duration {
 	at := time.Duration(math.MaxInt64)
 	if !m.hung && !m.crashed {
-		speed := m.speedFactor(m.now)
+		speed := m.speedAt(m.now)
 		for _, j := range m.running {
 			at = min(at, m.nextEventOf(j, speed))
 		}
@@ -193,7 +192,7 @@
 	return max(at, m.now+1)
 }
 
-// nextEventOf returns when a running job ends at a speed, or its next progress event.
+// nextEventOf returns the time of a running job's end at a speed, or of its next progress event.
 func (m *Machine) nextEventOf(j *Job, speed float64) time.Duration {
 	if j.Fails {
 		return j.lastEventAt + failTime
@@ -208,16 +207,16 @@
 	return at
 }
 
-// work runs the running jobs up to a time, at the mean speed between now and then.
+// work advances the running jobs to a time, at the mean of the speeds now and then.
 func (m *Machine) work(to time.Duration) {
-	speed := (m.speedFactor(m.now) + m.speedFactor(to)) / 2
+	speed := (m.speedAt(m.now) + m.speedAt(to)) / 2
 	for _, j := range m.running {
 		j.workLeft -= speed * (to - m.now).Seconds()
 	}
 	m.now = to
 }
 
-// settle ends the jobs that are done, begins those that fit, and checks for overload.
+// settle ends jobs that are done, begins queued jobs that fit, and checks for overload.
 func (m *Machine) settle() (events []JobEvent) {
 	if !m.hung && !m.crashed {
 		events = m.endJobs(events)
@@ -229,7 +228,7 @@
 	return events
 }
 
-// endJobs ends the running jobs that are done and appends their events and those of progress.
+// endJobs ends the running jobs that are done, and appends their events and the progress events that are due.
 func (m *Machine) endJobs(events []JobEvent) []JobEvent {
 	for _, j := range slices.Clone(m.running) {
 		switch {
@@ -247,7 +246,7 @@
 	return events
 }
 
-// beginJobs begins queued jobs in their order, up to the first that does not fit, and appends their events.
+// beginJobs begins queued jobs in FIFO order up to the first that does not fit, and appends their events.
 func (m *Machine) beginJobs(events []JobEvent) []JobEvent {
 	for len(m.queue) > 0 {
 		j := m.queue[0]
@@ -264,8 +263,8 @@
 	return events
 }
 
-// checkOverload crashes a machine that warms up when for the whole window it has been sent more than it can take, and
-// returns the event of that.
+// checkOverload crashes a machine that is warming up if the calls within the overload window exceed the platform's budget, or
+// if the work sent has exceeded the allowed work for a whole window. It returns the event and whether the machine crashed.
 func (m *Machine) checkOverload() (JobEvent, bool) {
 	factor := m.SlowStartFactor(m.now)
 	if factor >= 1 || m.crashed {
@@ -293,24 +292,24 @@
 	return JobEvent{Kind: Overloaded, Sent: sent, Allowed: allowed, SlowStartFactor: factor}, true
 }
 
-// fewCalls is the number of calls under which the platform's terms leave more to chance.
+// fewCalls is the expected number of calls below which the platform's terms allow a larger random deviation.
 const fewCalls = 30
 
-// callsAndBudget returns the calls within the overload window and how many the platform's terms allow: as many of mean work as
-// the stated multiple of the capacity can do, and what chance may add.
+// callsAndBudget returns the number of calls within the overload window and the number that the platform's terms allow: the
+// calls of mean work that OverloadMultiple times the capacity can serve, plus an allowance for random arrivals.
 func (m *Machine) callsAndBudget(slowStartFactor float64) (calls, budget float64) {
 	capacity := float64(m.spec.Cores) * m.spec.Speed * slowStartFactor * m.spec.OverloadWindow.Seconds()
 	n := m.spec.OverloadMultiple * capacity / m.spec.MeanWork
-	chance := 2.0
+	deviations := 2.0
 	if n < fewCalls {
-		chance = 3
+		deviations = 3
 	}
-	return float64(len(m.recentlySent)), n + chance*(math.Sqrt(n)+1)
+	return float64(len(m.recentlySent)), n + deviations*(math.Sqrt(n)+1)
 }
 
-// sentAndAllowed returns the work sent within the overload window and what the machine can take in that time, in seconds on a
-// core of speed 1: the stated multiple of its capacity and one job of mean size for each core, since a job that goes straight
-// into a free core is no overload; at least the budget of the platform's terms, which counts jobs of mean work.
+// sentAndAllowed returns the work sent within the overload window and the most that is allowed, in seconds on a core of speed 1.
+// Allowed is OverloadMultiple times the capacity plus one job of mean size for each core, since a job that begins at once on a
+// free core is not overload. It is at least the budget of the platform's terms, which counts jobs of mean work.
 func (m *Machine) sentAndAllowed(slowStartFactor float64) (sent, allowed float64) {
 	for _, s := range m.recentlySent {
 		sent += s.work
--- a/internal/testbed/fakes/machine_test.go
+++ b/internal/testbed/fakes/machine_test.go
@@ -13,7 +13,7 @@
 	return Spec{Cores: 2, Speed: 2, Memory: 2, Queue: 100, SlowStartMinFactor: 0.12, SlowStartWindow: 10 * time.Second, OverloadMultiple: 2.5, OverloadWindow: time.Second}
 }
 
-// count counts events of a kind.
+// count returns the number of events of a kind.
 func count(events []JobEvent, kind JobEventKind) (n int) {
 	for _, e := range events {
 		if e.Kind == kind {
@@ -23,16 +23,16 @@
 	return n
 }
 
-// machineRun is a machine under test with what has been seen of it.
+// machineRun is a machine under test with its jobs and their events.
 type machineRun struct {
 	machine *Machine
 	now     time.Duration
-	jobs    []*Job // accepted ones, in the order in which they were offered
-	began   []*Job // in their order
-	ended   map[*Job]int
+	jobs    []*Job       // accepted jobs, in the order in which they were offered
+	began   []*Job       // in the order in which they began
+	ended   map[*Job]int // number of final events
 }
 
-// advance advances the machine to now, and checks after each time that what runs is what began and fits.
+// advance advances the machine to now and checks that exactly the jobs that began and have not ended run, and that they fit.
 func (r *machineRun) advance(t *rapid.T) {
 	for _, e := range r.machine.Advance(r.now) {
 		switch e.Kind {
@@ -51,11 +51,11 @@
 	}
 	cores := r.machine.spec.Cores
 	if busy, _ := r.machine.Busy(); slots > cores || busy != running {
-		t.Fatalf("%d slots of %d run; %d jobs, not %d", slots, cores, busy, running)
+		t.Fatalf("%d of %d slots in use, %d jobs running, want %d", slots, cores, busy, running)
 	}
 }
 
-// change drops or offers a job, or slows or hangs the machine.
+// change makes a random change: it offers or drops a job, or slows or hangs the machine.
 func (r *machineRun) change(t *rapid.T) {
 	m := r.machine
 	switch rapid.IntRange(0, 5).Draw(t, "what") {
@@ -76,7 +76,7 @@
 	}
 }
 
-// finish lets the machine end all its jobs.
+// finish runs the machine until all its jobs have ended.
 func (r *machineRun) finish(t *rapid.T) {
 	r.machine.Hang(false)
 	r.machine.Slow(1)
@@ -87,29 +87,29 @@
 	}
 }
 
-// check checks that jobs began in order, that each ended once, and that nothing is left.
+// check checks that jobs began in order, that each ended once, and that the machine is empty.
 func (r *machineRun) check(t *rapid.T) {
 	last := -1
 	for _, j := range r.began {
 		i := slices.Index(r.jobs, j)
 		if i < last {
-			t.Fatalf("job %d began behind job %d", i, last)
+			t.Fatalf("job %d began after job %d", i, last)
 		}
 		last = i
 	}
 	for i, j := range r.jobs {
 		if r.ended[j] > 1 || r.ended[j] == 0 && j.accepted {
-			t.Fatalf("job %d ended %d times", i, r.ended[j])
+			t.Fatalf("job %d ended %d times, want 1", i, r.ended[j])
 		}
 	}
 	m := r.machine
 	if running, queued := m.Busy(); running+queued != 0 || m.usedSlots != 0 || math.Abs(m.usedMemory) > 1e-9 {
-		t.Fatalf("left over: %d running, %d waiting, %d slots, %g memory", running, queued, m.usedSlots, m.usedMemory)
+		t.Fatalf("machine not empty: %d running, %d queued, %d slots, %g memory", running, queued, m.usedSlots, m.usedMemory)
 	}
 }
 
-// Whatever happens: jobs begin in order, no more run than fit, and each ends once.
-func TestMachine_KeepsOrderAndWork(t *testing.T) {
+// Under random changes, jobs begin in FIFO order, no more run than fit, and each ends once.
+func TestMachine_BeginsJobsInOrderAndEndsThemOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := spec()
 		s.Cores, s.Memory = rapid.IntRange(1, 4).Draw(t, "cores"), 4
@@ -126,19 +126,19 @@
 	})
 }
 
-func TestMachine_JobsTakeTheirTime(t *testing.T) {
+func TestMachine_JobDuration(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		change func(*Machine)
-		warm   bool
-		want   time.Duration
+		name     string
+		change   func(*Machine)
+		warmedUp bool
+		want     time.Duration
 	}{
-		{"warm", func(*Machine) {}, true, 500 * time.Millisecond},
+		{"warmed up", func(*Machine) {}, true, 500 * time.Millisecond},
 		{"slow", func(m *Machine) { m.Slow(4) }, true, 2 * time.Second},
 		// Warming up from 0.12 to 1 in 10 s at speed 2: 0.24 t + 0.088 t^2 = 1.
-		{"cold", func(*Machine) {}, false, 2274 * time.Millisecond},
+		{"warming up", func(*Machine) {}, false, 2274 * time.Millisecond},
 	} {
-		m := NewMachine(spec(), 0, c.warm)
+		m := NewMachine(spec(), 0, c.warmedUp)
 		c.change(m)
 		m.Offer(&Job{Work: 1, Slots: 1})
 		var events []JobEvent
@@ -146,22 +146,23 @@
 			events = append(events, m.Advance(at)...)
 		}
 		if d := m.now - c.want; count(events, Finished) != 1 || d.Abs() > 10*time.Millisecond {
-			t.Errorf("%s: it took %v, not %v", c.name, m.now, c.want)
+			t.Errorf("%s: the job took %v, want %v", c.name, m.now, c.want)
 		}
 	}
 }
 
-// A machine that warms up crashes under a lasting overload, not under what its cores can take, and a warm one never does.
-func TestMachine_OnlyOverloadCrashesWarmingMachine(t *testing.T) {
+// A machine that is warming up crashes under lasting overload, but not under load within its capacity or a short overload. A
+// warmed-up machine never does.
+func TestMachine_CrashesOnOverloadWhileWarmingUp(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		rate    float64 // work a second
-		warm    bool
-		want    bool
-		maxJobs int
-	}{{"a crowd", 6, false, true, 200}, {"a crowd that is soon over", 6, false, false, 15}, {"its part", 0.4, false, false, 200},
-		{"a crowd when warm", 6, true, false, 200}} {
-		m := NewMachine(spec(), 0, c.warm)
+		name     string
+		rate     float64 // work per second
+		warmedUp bool
+		want     bool
+		maxJobs  int
+	}{{"lasting overload", 6, false, true, 200}, {"short overload", 6, false, false, 15}, {"within capacity", 0.4, false, false, 200},
+		{"overload when warmed up", 6, true, false, 200}} {
+		m := NewMachine(spec(), 0, c.warmedUp)
 		crashes := 0
 		for i := range 200 {
 			now := time.Duration(i) * 20 * time.Millisecond
@@ -172,23 +173,23 @@
 			crashes += count(m.Advance(now), Overloaded)
 		}
 		if (crashes > 0) != c.want || crashes > 1 || m.Crashed() != c.want {
-			t.Errorf("%s: it fell %d times", c.name, crashes)
+			t.Errorf("%s: crashed %d times, Crashed is %t, want %t", c.name, crashes, m.Crashed(), c.want)
 		}
 	}
-	m := NewMachine(spec(), 0, false) // one heavy job alone
+	m := NewMachine(spec(), 0, false) // with a single heavy job
 	m.Offer(&Job{Work: 30, Slots: 1})
 	if n := count(m.Advance(8*time.Second), Overloaded); n != 0 {
-		t.Error("a single job pushed it over")
+		t.Error("a single job crashed the machine")
 	}
 }
 
-// The budget of a warming machine is N jobs of mean work and 3 roots of N + 3 more where N is below 30, in jobs and in work. The machine
-// has N = 15.75 and a budget of 30.66 jobs of 0.2 s, or 6.13 s of work, in 1.5 s.
-func TestMachine_WarmingBudget(t *testing.T) {
+// The budget of a machine that is warming up is N + 3*sqrt(N) + 3 jobs of mean work if N is below 30, in jobs and in work. With
+// N = 15.75 the budget is 30.66 jobs of 0.2 s, or 6.13 s of work, in 1.5 s.
+func TestMachine_WarmUpBudget(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		rate int     // jobs a second
-		work float64 // seconds
+		rate int     // jobs per second
+		work float64 // per job, seconds
 		want bool
 	}{
 		{"16 jobs of more than mean work", 10, 0.245, false},
@@ -208,7 +209,7 @@
 			m.Advance(at)
 		}
 		if m.Crashed() != c.want {
-			t.Errorf("%s: crashed %t, want %t", c.name, m.Crashed(), c.want)
+			t.Errorf("%s: Crashed is %t, want %t", c.name, m.Crashed(), c.want)
 		}
 	}
 }
--- a/internal/testbed/fakes/request.go
+++ b/internal/testbed/fakes/request.go
@@ -10,7 +10,7 @@
 	"birchfork/internal/testbed/invariant"
 )
 
-// handleRequest begins a request whose last byte has come.
+// handleRequest handles a request that has been received completely.
 func (w *Worker) handleRequest(c *conn, req *http.Request, body []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -20,7 +20,7 @@
 		return
 	}
 	if c.job != nil {
-		w.recordProtocolFault(c.link.dispatcher, "a second request on a connection that carries one")
+		w.recordProtocolFault(c.link.dispatcher, "pipelined request: the previous request of the connection is not finished")
 		c.drop()
 		return
 	}
@@ -35,7 +35,7 @@
 	}
 	expected, ok := w.cfg.Requests.Find(id)
 	if !ok {
-		w.recordProtocolFault(c.link.dispatcher, "a request under the id "+strconv.Quote(id)+" that no client sent")
+		w.recordProtocolFault(c.link.dispatcher, "unknown request id "+strconv.Quote(id)+": no client sent it")
 		c.appendHead(http.StatusBadRequest, "")
 		return
 	}
@@ -55,13 +55,13 @@
 	return req.Method == http.MethodGet && (req.URL.Path == "/alive" || req.URL.Path == "/metrics/load")
 }
 
-// differenceFrom returns how a request differs from what the client sent; "" where it does not.
+// differenceFrom describes how a request differs from what the client sent. It returns "" if it does not.
 func differenceFrom(expected ExpectedRequest, req *http.Request, body []byte) string {
 	switch {
 	case req.Method != http.MethodPost || req.RequestURI != expected.Target:
-		return fmt.Sprintf("%s %s came in place of POST %s", req.Method, req.RequestURI, expected.Target)
+		return fmt.Sprintf("received %s %s, the client sent POST %s", req.Method, req.RequestURI, expected.Target)
 	case xxhash.Sum64(body) != expected.Body:
-		return fmt.Sprintf("the body of %d bytes is not the client's", len(body))
+		return fmt.Sprintf("received a body of %d bytes that differs from the client's", len(body))
 	default:
 		return ""
 	}
@@ -90,7 +90,7 @@
 	})
 }
 
-// recordProtocolFault records input that the worker cannot accept. The lock is held.
+// recordProtocolFault records input that violates the protocol. The lock is held.
 func (w *Worker) recordProtocolFault(dispatcher int, what string) {
 	if !w.cfg.SuppressOutput {
 		w.cfg.Ledger.ProtocolFault(invariant.ProtocolFault{Worker: w.Index, Dispatcher: dispatcher, At: w.cfg.Ledger.Now(), What: what})
--- a/internal/testbed/fakes/response.go
+++ b/internal/testbed/fakes/response.go
@@ -10,7 +10,7 @@
 	"birchfork/internal/testbed/invariant"
 )
 
-// jobState is the state of a job in a line of a worker's response, as the protocol has it.
+// jobState is the state of a job in a line of a worker's response.
 type jobState string
 
 const (
@@ -18,28 +18,28 @@
 	jobRunning  jobState = "running"
 	jobDone     jobState = "done"
 	jobFailed   jobState = "failed"
-	jobReturned jobState = "returned" // it was queued and will not run
+	jobReturned jobState = "returned" // was queued and will not run
 	jobLost     jobState = "lost"
 )
 
-// appendHead appends a response without a body; headers are whole lines with CRLF. The worker's lock is held, as for all
-// that changes the output.
+// appendHead appends a response without a body to the output; headers is "" or complete lines with CRLF. The worker's lock is
+// held, as for all methods that change the output.
 func (c *conn) appendHead(status int, headers string) {
 	c.output = append(c.output, fmt.Sprintf("HTTP/1.1 %d %s\r\n%sContent-Length: 0\r\n\r\n", status, http.StatusText(status), headers)...)
 }
 
-// appendChunkedHead appends the head of the response to a job that was accepted.
+// appendChunkedHead appends the head of the response for an accepted job.
 func (c *conn) appendChunkedHead() {
 	c.output = append(c.output, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"...)
 }
 
-// reject appends the response to a job that was not accepted and will not run.
+// reject appends the response for a job that is not accepted and will not run.
 func (c *conn) reject() {
 	c.appendHead(http.StatusServiceUnavailable, "X-Not-Run: 1\r\n")
 	c.endAttempt(invariant.Rejected)
 }
 
-// appendLine appends a chunk with one line about the open job; fields is "" or more JSON fields with a leading comma.
+// appendLine appends a chunk with one line about the open job; fields is "" or further JSON fields with a leading comma.
 func (c *conn) appendLine(state jobState, fields string) {
 	line := `{"id":` + strconv.Quote(c.id) + `,"from":"` + c.link.worker.Name + `","state":"` + string(state) + `"` + fields + "}\n"
 	c.output = append(strconv.AppendInt(c.output, int64(len(line)), 16), "\r\n"...)
@@ -53,7 +53,7 @@
 	c.endAttempt(end)
 }
 
-// appendResult ends the open job with a result that no other attempt has.
+// appendResult ends the open job with a result that is unique to the attempt.
 func (c *conn) appendResult() {
 	w, a := c.link.worker, c.attempt
 	result := fmt.Sprintf("%s ran at %s, life %d, from %d", c.id, w.Name, a.Incarnation, a.Last)
--- a/internal/testbed/fakes/watch.go
+++ b/internal/testbed/fakes/watch.go
@@ -9,23 +9,23 @@
 	"birchfork/internal/testbed/invariant"
 )
 
-// keepAliveInterval is the time between the empty lines of a watch while nothing changes.
+// keepAliveInterval is the time between the empty lines that a watch gets while nothing changes.
 const keepAliveInterval = 2 * time.Second
 
-// listMessage is a line of discovery: the endpoint list, or the changes after an index.
+// listMessage is a line of the discovery protocol: the endpoint list, or the changes after an index.
 type listMessage struct {
 	Index     uint64     `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-// Known returns the endpoint list as JSON, for a dispatcher's configuration.
+// Known returns the endpoint list as JSON, for the configuration of a dispatcher.
 func (a *Agent) Known() json.RawMessage {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	raw, err := json.Marshal(a.snapshot())
 	if err != nil {
-		panic(err) // plain fields only
+		panic(err) // listMessage has no field that cannot be marshalled
 	}
 	return raw
 }
@@ -41,7 +41,7 @@
 	return m
 }
 
-// allEntries returns the list's entries, with removed endpoints. The lock is held.
+// allEntries returns the list's entries, including removed endpoints. The lock is held.
 func (a *Agent) allEntries() (entries []entry) {
 	for _, name := range a.names {
 		entries = append(entries, a.entries[name])
@@ -49,8 +49,8 @@
 	return entries
 }
 
-// since returns the changes after an index, or a snapshot where they are no longer all kept, with the entries whose state a
-// dispatcher learns by that. The lock is held.
+// since returns the changes after an index, or a snapshot if not all of them are kept any more, and the entries whose state
+// the message tells a dispatcher. The lock is held.
 func (a *Agent) since(index uint64) (m listMessage, delivered []entry) {
 	isAhead := index > a.index
 	isCompacted := index < a.index && (len(a.changes) == 0 || a.changes[0].index > index+1)
@@ -67,9 +67,9 @@
 	return m, delivered
 }
 
-// recordDelivery records that entries have been written to the dispatcher. The first answer to a request or watch is recorded
-// as a new delivery each time: the dispatcher's process may have started since the last one, and knows only what was written
-// to itself.
+// recordDelivery records that entries have been written to the dispatcher. The first message of each response is recorded as
+// new deliveries: the dispatcher may have restarted since the last response, and its new process knows only what was written
+// to it.
 func (a *Agent) recordDelivery(entries []entry, isFirst bool) {
 	now := a.ledger.Now()
 	for _, e := range entries {
@@ -91,7 +91,7 @@
 	}
 }
 
-// serveHosts answers with the list, or with a watch.
+// serveHosts handles requests for the list and for a watch of it.
 func (a *Agent) serveHosts(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if r.URL.Query().Get("follow") != "1" {
@@ -106,7 +106,7 @@
 	a.serveWatch(w, r, index)
 }
 
-// serveList answers with the list, after a silence has ended.
+// serveList writes the list. While the agent is silent, it waits.
 func (a *Agent) serveList(w http.ResponseWriter, r *http.Request) {
 	a.mu.Lock()
 	for a.silent && !a.closed {
@@ -126,7 +126,7 @@
 	}
 }
 
-// serveWatch writes the changes after an index as they come, and empty lines while none come.
+// serveWatch writes the changes after an index as they are applied, and empty lines while there are none.
 func (a *Agent) serveWatch(w http.ResponseWriter, r *http.Request, index uint64) {
 	watch := &watch{agent: a, w: w, control: http.NewResponseController(w), index: index, isFirst: true}
 	keepAlive := time.NewTicker(keepAliveInterval)
@@ -157,8 +157,8 @@
 	isFirst bool   // writeChanges has not been called yet
 }
 
-// writeChanges writes the changes since the last call, on the first call even if there are none. It returns the channel
-// that is closed at the next change, and false where the watch or the agent has ended.
+// writeChanges writes the changes since the last call; the first call writes a line even if there are none. It returns the
+// channel that is closed at the next change, and false if the watch or the agent has ended.
 func (watch *watch) writeChanges() (changed <-chan struct{}, ok bool) {
 	a, isFirst := watch.agent, watch.isFirst
 	watch.isFirst = false
@@ -177,7 +177,7 @@
 	a.mu.Unlock()
 	line, err := json.Marshal(m)
 	if err != nil {
-		panic(err) // plain fields only
+		panic(err) // listMessage has no field that cannot be marshalled
 	}
 	if !watch.writeLine(line) {
 		return nil, false
@@ -186,7 +186,7 @@
 	return changed, true
 }
 
-// writeLine writes a line and flushes it; it returns false where the watch has ended.
+// writeLine writes a line and flushes it. It returns false if the watch has ended.
 func (watch *watch) writeLine(line []byte) bool {
 	if _, err := watch.w.Write(append(line, '\n')); err != nil {
 		return false
--- a/internal/testbed/fakes/watch_test.go
+++ b/internal/testbed/fakes/watch_test.go
@@ -11,7 +11,7 @@
 	"birchfork/internal/testbed/invariant"
 )
 
-// startAgent starts an agent that keeps two changes and has them without delay.
+// startAgent starts an agent that keeps two changes and receives updates without delay.
 func startAgent(t *testing.T) (*Discovery, *Agent, *invariant.Ledger) {
 	t.Helper()
 	ledger := invariant.NewLedger()
@@ -23,17 +23,17 @@
 	return d, d.Agents[0], ledger
 }
 
-// listed is a change after which a worker is listed.
+// listed returns an update that lists a worker.
 func listed(worker int, name string) EndpointUpdate {
 	return EndpointUpdate{Worker: worker, Incarnation: 1, Endpoint: func(int) Endpoint {
 		return Endpoint{Name: name, Address: "127.0.0.1:1", Zone: "a", Type: "cpu", Group: 2, Status: StatusUp, Weight: 4, SinceMs: 5}
 	}}
 }
 
-// removal is the change after which worker 0, "w1", is listed no more.
+// removal is the update that removes worker 0, "w1".
 var removal = EndpointUpdate{Worker: 0, Incarnation: 1, Endpoint: func(int) Endpoint { return Endpoint{Name: "w1", Status: StatusRemoved} }}
 
-// get calls the agent and returns the status and the body, which is closed when the test ends.
+// get sends a request to the agent and returns the status and the body, which is closed when the test ends.
 func get(t *testing.T, a *Agent, query string) (status int, body *bufio.Reader) {
 	t.Helper()
 	client := &http.Client{Timeout: 5 * time.Second}
@@ -51,8 +51,8 @@
 	w1RemovedJSON = `{"name":"w1","address":"","zone":"","type":"","group":0,"status":"removed","weight":0,"since_ms":0}`
 )
 
-// What an agent answers, to the byte.
-func TestAgent_Answers(t *testing.T) {
+// The agent's responses are checked byte for byte.
+func TestAgent_Responses(t *testing.T) {
 	for _, c := range []struct {
 		name, query string
 		updates     []EndpointUpdate
@@ -61,7 +61,7 @@
 	}{
 		{"empty list", "", nil, 200, `{"index":0,"snapshot":true,"endpoints":[]}`},
 		{"list", "", []EndpointUpdate{listed(0, "w1"), listed(-1, "w2")}, 200, `{"index":2,"snapshot":true,"endpoints":[` + w1JSON + "," + w2JSON + `]}`},
-		{"list without the removed", "", []EndpointUpdate{listed(0, "w1"), listed(1, "w2"), removal}, 200,
+		{"list after a removal", "", []EndpointUpdate{listed(0, "w1"), listed(1, "w2"), removal}, 200,
 			`{"index":3,"snapshot":true,"endpoints":[` + w2JSON + `]}`},
 		{"watch", "?follow=1&since=1", []EndpointUpdate{listed(0, "w1"), listed(1, "w2"), removal}, 200,
 			`{"index":3,"snapshot":false,"endpoints":[` + w2JSON + "," + w1RemovedJSON + `]}`},
@@ -69,7 +69,7 @@
 		{"watch after compacted changes", "?follow=1&since=0", []EndpointUpdate{listed(0, "w1"), listed(1, "w2"), removal}, 200,
 			`{"index":3,"snapshot":true,"endpoints":[` + w2JSON + `]}`},
 		{"watch from an unknown index", "?follow=1&since=9", []EndpointUpdate{listed(0, "w1")}, 200, `{"index":1,"snapshot":true,"endpoints":[` + w1JSON + `]}`},
-		{"watch from no index", "?follow=1", nil, 400, "since is no number"},
+		{"watch without an index", "?follow=1", nil, 400, "since is no number"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d, a, _ := startAgent(t)
@@ -79,20 +79,20 @@
 			status, body := get(t, a, c.query)
 			line, err := body.ReadString('\n')
 			if err != nil || line != c.want+"\n" || status != c.status {
-				t.Errorf("%d %q (%v), not %d %q", status, line, err, c.status, c.want)
+				t.Errorf("got %d %q (%v), want %d %q", status, line, err, c.status, c.want)
 			}
 		})
 	}
 }
 
-// A watch gets changes as they come, and nothing during a silence.
+// A watch gets changes as they are applied. While the agent is silent, it applies and writes none.
 func TestAgent_WatchFollowsChanges(t *testing.T) {
 	d, a, _ := startAgent(t)
 	_, lines := get(t, a, "?follow=1&since=0")
 	expect := func(want string) {
 		t.Helper()
 		if line, err := lines.ReadString('\n'); err != nil || line != want+"\n" {
-			t.Fatalf("%q (%v), not %q", line, err, want)
+			t.Fatalf("got %q (%v), want %q", line, err, want)
 		}
 	}
 	expect(`{"index":0,"snapshot":false,"endpoints":[]}`)
@@ -102,14 +102,14 @@
 	d.Publish(removal, false)
 	time.Sleep(20 * time.Millisecond)
 	if known := string(a.Known()); known != `{"index":1,"snapshot":true,"endpoints":[`+w1JSON+`]}` {
-		t.Errorf("during a silence: %s", known)
+		t.Errorf("known while silent: %s", known)
 	}
 	a.Silence(false)
 	expect(`{"index":2,"snapshot":false,"endpoints":[` + w1RemovedJSON + `]}`)
 }
 
-// Each list that is read is a delivery of its own in the ledger, and a watch completes the one of its change. Endpoints
-// without a worker are not recorded.
+// Each list that is read adds deliveries to the ledger, and a watch sets the written time of the delivery of its change.
+// Endpoints without a worker are not recorded.
 func TestAgent_RecordsDeliveries(t *testing.T) {
 	d, a, ledger := startAgent(t)
 	d.Publish(listed(0, "w1"), true)
@@ -141,6 +141,6 @@
 		got = written()
 	}
 	if len(got) < 2 || got[0] != invariant.Up || got[1] != invariant.Removed {
-		t.Errorf("written: %v", got)
+		t.Errorf("got written states %v, want up and removed first", got)
 	}
 }
--- a/internal/testbed/fakes/worker.go
+++ b/internal/testbed/fakes/worker.go
@@ -9,12 +9,12 @@
 	"birchfork/internal/testbed/invariant"
 )
 
-// ExpectedRequest is what a client requested, as its worker has to receive it.
+// ExpectedRequest is a client's request as its worker has to receive it.
 type ExpectedRequest struct {
 	Work   time.Duration // on a core of speed 1
 	Slots  int
 	Memory float64
-	Kind   string // of the workers that can run it; empty: all
+	Kind   string // of the workers that can run it; empty: any
 	Target string // of the HTTP request line
 	Body   uint64 // hash of the body
 }
@@ -24,21 +24,21 @@
 	Find(id string) (ExpectedRequest, bool)
 }
 
-// Config is what all workers of a fleet share.
+// Config is the configuration that all workers of a fleet share.
 type Config struct {
 	Ledger          *invariant.Ledger
 	Requests        RequestLookup
 	Dispatchers     int
-	ReportsProgress bool             // workers report the start and the progress of jobs
-	IdleClose       time.Duration    // idle connections are closed after this; 0: never
+	ReportsProgress bool             // workers report the start and progress of jobs
+	IdleClose       time.Duration    // time after which idle connections are closed; 0: never
 	Fails           func() float64   // draws from [0,1); a job fails where the draw is below the worker's failure rate
-	OnOverload      func(worker int) // called after a worker crashed under overload; may be nil
-	SuppressOutput  bool             // no attempt or protocol fault is recorded: for measuring the testbed's own ceiling
-	Net             Net              // of the workers' hosts
+	OnOverload      func(worker int) // called after a worker has crashed due to overload; may be nil
+	SuppressOutput  bool             // record no attempt or protocol fault: for measuring the testbed's own maximum throughput
+	Net             Net              // address range of the workers
 }
 
-// Worker is one stand-in. Each start is a new incarnation with new addresses, one for each dispatcher: so it is known which
-// dispatcher sent what, and links can be cut one by one. A Worker is safe for concurrent use.
+// Worker is a fake worker. Each start is a new incarnation with new addresses, one for each dispatcher, so that requests can be
+// attributed to dispatchers and links can be partitioned one by one. A Worker is safe for concurrent use.
 type Worker struct {
 	Name  string
 	Index int
@@ -53,12 +53,12 @@
 	timer              *time.Timer
 	draining           bool
 	failureRate        float64
-	failingDispatchers map[int]bool // all of whose jobs fail
+	failingDispatchers map[int]bool // dispatchers whose jobs all fail
 	jobsStarted        int
 	workDone           time.Duration // on a core of speed 1
 	overloads          int
-	drained            chan struct{} // closed when a drain has ended; nil: no drain is under way
-	minDrainElapsed    bool          // the drain may end as soon as no job is left
+	drained            chan struct{} // closed when the drain has ended; nil: not draining
+	minDrainElapsed    bool          // the drain ends as soon as no job is left
 }
 
 // NewWorker returns a worker that is not running.
@@ -66,15 +66,15 @@
 	return &Worker{Name: name, Index: index, cfg: cfg, spec: spec}
 }
 
-// Start begins a new incarnation, ending one that still runs; the worker listens when Start returns. A warm one starts past
+// Start starts a new incarnation and ends one that still runs; the worker listens when Start returns. With warmedUp it is past
 // its slow start.
-func (w *Worker) Start(warm bool) error {
+func (w *Worker) Start(warmedUp bool) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.kill() // faults may overlap
+	w.kill() // it may still run, since faults may overlap
 	w.incarnation++
 	w.draining, w.failureRate, w.drained = false, 0, nil
-	w.machine = NewMachine(w.spec, w.cfg.Ledger.Now(), warm)
+	w.machine = NewMachine(w.spec, w.cfg.Ledger.Now(), warmedUp)
 	w.timer = time.AfterFunc(time.Hour, w.advance)
 	w.timer.Stop()
 	w.links = nil
@@ -99,7 +99,7 @@
 // Host returns the worker's IP address, which no other worker has.
 func (w *Worker) Host() string { return w.cfg.Net.Host(w.Index) }
 
-// Address returns where a dispatcher reaches the worker in its present incarnation, or "" before the first.
+// Address returns the address of the worker's current incarnation for a dispatcher, or "" before the first incarnation.
 func (w *Worker) Address(dispatcher int) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -109,22 +109,22 @@
 	return w.links[dispatcher].listener.Addr().String()
 }
 
-// Incarnation returns how often the worker has been started.
+// Incarnation returns the number of times that the worker has been started.
 func (w *Worker) Incarnation() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.incarnation
 }
 
-// Stats returns how many jobs began, how much work was done (on a core of speed 1), and how often the worker crashed of
-// overload, in all its incarnations.
+// Stats returns the number of jobs that began, the work done (on a core of speed 1) and the number of crashes due to overload,
+// over all incarnations.
 func (w *Worker) Stats() (jobs int, work time.Duration, overloads int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.jobsStarted, w.workDone, w.overloads
 }
 
-// Kill ends the process at once: connections are reset, new ones are refused.
+// Kill ends the process immediately: open connections are reset and new ones are refused.
 func (w *Worker) Kill() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -149,8 +149,8 @@
 	}
 }
 
-// Drain makes the worker reject new jobs. It ends the process, and closes the channel, when all its jobs have ended but not
-// before minTime; at timeout it returns the queued jobs unstarted and loses the running ones.
+// Drain makes the worker reject new jobs. The process ends, and the channel is closed, when all jobs have ended and minTime has
+// passed. At timeout the queued jobs are returned unstarted and the running ones are lost.
 func (w *Worker) Drain(minTime, timeout time.Duration) <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -165,13 +165,13 @@
 		w.step(func(*Machine) {})
 	})
 	w.afterInDrain(timeout, func() {
-		w.returnQueued()
+		w.endJobsOfDrain()
 		w.kill()
 	})
 	return drained
 }
 
-// afterInDrain calls f, with the lock held, once wait has passed, if the present incarnation still drains then.
+// afterInDrain calls f with the lock held once wait has passed, if the current incarnation is still draining then.
 func (w *Worker) afterInDrain(wait time.Duration, f func()) {
 	incarnation := w.incarnation
 	time.AfterFunc(wait, func() {
@@ -183,8 +183,9 @@
 	})
 }
 
-// returnQueued ends all jobs at the timeout of a drain: queued ones are returned unstarted, running ones are lost. The lock is held.
-func (w *Worker) returnQueued() {
+// endJobsOfDrain ends all jobs at the timeout of a drain: queued ones are returned unstarted, running ones are lost. The lock is
+// held.
+func (w *Worker) endJobsOfDrain() {
 	for _, l := range w.links {
 		for c := range l.conns {
 			if c.job != nil && !c.attempt.Ran {
--- a/internal/testbed/fakes/worker_faults.go
+++ b/internal/testbed/fakes/worker_faults.go
@@ -1,19 +1,19 @@
 package fakes
 
-// Slow makes all work take factor times as long; a factor of 1 ends that.
+// Slow makes all work take factor times as long; 1 restores the normal speed.
 func (w *Worker) Slow(factor float64) { w.changeMachine(func(m *Machine) { m.Slow(factor) }) }
 
 // Hang stops or resumes all work.
 func (w *Worker) Hang(on bool) { w.changeMachine(func(m *Machine) { m.Hang(on) }) }
 
-// SetFailureRate makes a share of the jobs fail at once; 0 ends that.
+// SetFailureRate makes a share of new jobs fail as soon as they begin; 0 ends that.
 func (w *Worker) SetFailureRate(rate float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.failureRate = rate
 }
 
-// FailFor makes all jobs of one dispatcher fail at once, or ends that.
+// FailFor makes all new jobs of one dispatcher fail as soon as they begin, or ends that.
 func (w *Worker) FailFor(dispatcher int, on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -23,7 +23,8 @@
 	w.failingDispatchers[dispatcher] = on
 }
 
-// Partition cuts the link between the worker and one dispatcher, or heals it. Healing resets the connections that were open.
+// Partition partitions the link between the worker and one dispatcher, or heals it. Healing resets the connections that were
+// open.
 func (w *Worker) Partition(dispatcher int, on bool) {
 	l := w.linkTo(dispatcher)
 	if l == nil {
@@ -39,7 +40,7 @@
 	l.resetConns()
 }
 
-// linkTo returns the link to a dispatcher, or nil where the worker is not running.
+// linkTo returns the link to a dispatcher, or nil if the worker is not running.
 func (w *Worker) linkTo(dispatcher int) *link {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/testbed/fakes/worker_jobs.go
+++ b/internal/testbed/fakes/worker_jobs.go
@@ -6,7 +6,7 @@
 	"birchfork/internal/testbed/invariant"
 )
 
-// changeMachine brings the machine to the present and changes it, if the worker is running.
+// changeMachine advances the machine to now and changes it, if the worker is running.
 func (w *Worker) changeMachine(change func(*Machine)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -15,11 +15,11 @@
 	}
 }
 
-// advance brings the machine to the present. The machine's timer calls it.
+// advance advances the machine to now. The worker's timer calls it.
 func (w *Worker) advance() { w.changeMachine(func(*Machine) {}) }
 
-// step brings the machine to the present, changes it, handles its events and sets the timer for the next one. It ends the
-// process where a drain is complete. The lock is held.
+// step advances the machine to now, changes it, handles its events and sets the timer for the next one. It ends the process if
+// a drain is complete. The lock is held.
 func (w *Worker) step(change func(*Machine)) {
 	m, now := w.machine, w.cfg.Ledger.Now()
 	w.handleEvents(m.Advance(now))
@@ -67,7 +67,7 @@
 	}
 }
 
-// connOf returns the connection on which a job was sent, or nil where it has ended. The lock is held.
+// connOf returns the connection on which a job was sent, or nil if it has ended. The lock is held.
 func (w *Worker) connOf(j *Job) *conn {
 	for _, l := range w.links {
 		if c := l.jobs[j]; c != nil {
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// handleEvent writes what the dispatcher is to know of an event of its job. The worker's lock is held.
+// handleEvent writes the lines that an event of the connection's job causes. The worker's lock is held.
 func (c *conn) handleEvent(e JobEvent) {
 	w := c.link.worker
 	switch e.Kind {
