--- a/internal/testbed/loadgen/closed.go
+++ b/internal/testbed/loadgen/closed.go
@@ -14,27 +14,27 @@
 	"birchfork/internal/testbed/fakes"
 )
 
-// The closed loop's requests.
+// Fields of the closed loop's requests.
 const (
 	closedTarget   = "/search/lab"
 	closedClass    = "search"
 	closedDeadline = 10 * time.Second
 )
 
-// UniformRequests describes the requests of the closed loop to the fake workers; all are alike.
+// UniformRequests is a fakes.RequestLookup for a closed loop, whose requests are all equal except for their ids.
 type UniformRequests struct{ Request fakes.ExpectedRequest }
 
-// Find returns the same order for every request id.
+// Find returns the same request for every id.
 func (u UniformRequests) Find(string) (fakes.ExpectedRequest, bool) { return u.Request, true }
 
-// NewUniformRequests returns the book of a closed loop whose requests need work (on a core of speed 1) and have a body of so many bytes.
+// NewUniformRequests returns the requests of a closed loop; each takes work on a core of speed 1 and has a body of bodyBytes zeros.
 func NewUniformRequests(work time.Duration, bodyBytes int) UniformRequests {
 	return UniformRequests{fakes.ExpectedRequest{Work: work, Slots: 1, Target: closedTarget, Body: xxhash.Sum64(make([]byte, bodyBytes))}}
 }
 
 // ClosedLoopResult is the result of a closed loop.
 type ClosedLoopResult struct {
-	Requests, Failed int64
+	Requests, Failed int64 // Requests excludes the failed ones
 	Took             time.Duration
 	Latency          *hdrhistogram.Histogram // microseconds
 }
@@ -47,9 +47,9 @@
 	return hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 }
 
-// RunClosedLoop lets n clients send requests to one address for length, each the next one as soon as the last is answered.
-// run is the prefix that keeps request ids apart from those of other loops.
-func RunClosedLoop(ctx context.Context, addr, run string, n, bodyBytes int, length time.Duration) *ClosedLoopResult {
+// RunClosedLoop runs n clients for length, each of which sends its next request to addr as soon as the last one is answered.
+// idPrefix distinguishes the request ids from those of other loops.
+func RunClosedLoop(ctx context.Context, addr, idPrefix string, n, bodyBytes int, length time.Duration) *ClosedLoopResult {
 	out := &ClosedLoopResult{Latency: newLatencyHistogram()}
 	var mu sync.Mutex
 	var clients sync.WaitGroup
@@ -64,7 +64,7 @@
 			}}
 			defer c.close()
 			for k := 0; ctx.Err() == nil && time.Since(began) < length; k++ {
-				c.send(fmt.Sprintf("%s-%x-%x", run, i, k))
+				c.send(fmt.Sprintf("%s-%x-%x", idPrefix, i, k))
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -81,12 +81,12 @@
 type closedClient struct {
 	addr    string
 	request Request
-	conn    *Conn // nil: none is open
+	conn    *Conn // nil: no connection is open
 	latency *hdrhistogram.Histogram
-	failed  *atomic.Int64 // of all clients
+	failed  *atomic.Int64 // shared by all clients
 }
 
-// send sends a request, on a new connection if none is open, and waits for its answer.
+// send sends a request, on a new connection if none is open, and waits for the answer.
 func (c *closedClient) send(id string) {
 	if c.conn == nil {
 		conn, err := Dial(c.addr, dialTimeout)
@@ -101,7 +101,7 @@
 	sentAt := time.Now()
 	status, reusable, err := c.exchange(sentAt.Add(c.request.TimeLeft))
 	if err == nil && status == http.StatusOK {
-		// No request takes longer than its deadline, far below the histogram's maximum.
+		// It cannot fail: the deadline of a request is below the histogram's maximum.
 		_ = c.latency.RecordValue(max(1, time.Since(sentAt).Microseconds()))
 	} else {
 		c.failed.Add(1)
--- a/internal/testbed/loadgen/conn.go
+++ b/internal/testbed/loadgen/conn.go
@@ -14,8 +14,8 @@
 
 // Limits of an answer.
 const (
-	maxResponseBytes     = 1 << 20 // of its body
-	maxRetryAfterSeconds = 3600    // that Retry-After may say; it is ignored from there on
+	maxResponseBytes     = 1 << 20 // of the body
+	maxRetryAfterSeconds = 3600    // from this value on, Retry-After is ignored
 )
 
 // Conn is a client's connection to a dispatcher. It is not safe for concurrent use.
@@ -23,8 +23,8 @@
 	net.Conn
 	r            *bufio.Reader
 	host         string
-	isFresh      bool   // it was dialed for this request and does not come from the pool
-	onExtraBytes func() // called where more comes than the last answer; nil: there was none
+	isFresh      bool   // dialed for the current request, not taken from the pool
+	onExtraBytes func() // called when bytes follow the last answer; nil: no answer has been received
 }
 
 // Dial opens a connection; it fails after timeout.
@@ -36,10 +36,10 @@
 	return &Conn{Conn: raw, r: bufio.NewReaderSize(raw, 2<<10), host: addr, isFresh: true}, nil
 }
 
-// requestBuffers holds buffers for requests that are being written.
+// requestBuffers holds buffers for encoded requests.
 var requestBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 4<<10); return &b }}
 
-// Send writes a request, within its TimeLeft.
+// Send writes a request; it times out after the request's TimeLeft.
 func (c *Conn) Send(q *Request) error {
 	p := requestBuffers.Get().(*[]byte)
 	defer requestBuffers.Put(p)
@@ -49,11 +49,11 @@
 	return err
 }
 
-// errExtraBytes is returned where more bytes came than one answer.
-var errExtraBytes = errors.New("more came than the answer")
+// errExtraBytes is returned if further bytes follow an answer.
+var errExtraBytes = errors.New("unexpected bytes after the answer")
 
-// Receive reads the answer; reusable reports whether the connection may be used for another request. The error is errExtraBytes
-// where more came than the answer, else that of the connection, which times out at deadline.
+// Receive reads the answer. reusable reports whether the connection may be used for another request. The error is errExtraBytes
+// if further bytes follow the answer, or else that of the connection, which times out at deadline.
 func (c *Conn) Receive(deadline time.Time) (a Answer, reusable bool, err error) {
 	c.SetReadDeadline(deadline)
 	res, err := http.ReadResponse(c.r, nil) //nolint:bodyclose // the connection owns the body; closing it would read what is past maxResponseBytes
@@ -74,14 +74,14 @@
 	return a, !res.Close, nil
 }
 
-// reportExtraBytes calls onExtraBytes if anything has come since the last answer.
+// reportExtraBytes calls onExtraBytes if bytes have arrived since the last answer.
 func (c *Conn) reportExtraBytes() {
 	if n, err := c.peek(); err == nil && n > 0 && c.onExtraBytes != nil {
 		c.onExtraBytes()
 	}
 }
 
-// peek checks whether anything has come on an idle connection, without reading it; EAGAIN means that nothing has.
+// peek checks without reading whether bytes have arrived on an idle connection; EAGAIN means that none have.
 func (c *Conn) peek() (n int, err error) {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
--- a/internal/testbed/loadgen/conn_test.go
+++ b/internal/testbed/loadgen/conn_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// What a client sends, to the byte.
+// The encoded request is checked byte for byte.
 func TestRequest_AppendTo(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -16,7 +16,7 @@
 		want    string
 	}{
 		{
-			"least", Request{ID: "a", Class: "search", Target: "/search/lab?w=1", TimeLeft: time.Microsecond},
+			"required fields", Request{ID: "a", Class: "search", Target: "/search/lab?w=1", TimeLeft: time.Microsecond},
 			"POST /search/lab?w=1 HTTP/1.1\r\nHost: h:1\r\nX-Request-Id: a\r\nX-Class: search\r\nX-Deadline-Ms: 1\r\nContent-Length: 0\r\n\r\n",
 		},
 		{
@@ -29,13 +29,13 @@
 		},
 	} {
 		if got := string(c.request.appendTo(nil, "h:1")); got != c.want {
-			t.Errorf("%s: %q, not %q", c.name, got, c.want)
+			t.Errorf("%s: got %q, want %q", c.name, got, c.want)
 		}
 	}
 }
 
-// answering returns a connection to a server that writes a response to it.
-func answering(t *testing.T, response string) *Conn {
+// dialServer returns a connection to a server that has written response to it.
+func dialServer(t *testing.T, response string) *Conn {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -67,24 +67,24 @@
 		err            error
 	}{
 		{"served", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", 200, 0, true, nil},
-		{"closing", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nab", 200, 0, false, nil},
+		{"connection close", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nab", 200, 0, false, nil},
 		{"refused", "HTTP/1.1 503 x\r\nRetry-After: 1.5\r\nContent-Length: 0\r\n\r\n", 503, 1500 * time.Millisecond, true, nil},
-		{"too long a wait", "HTTP/1.1 503 x\r\nRetry-After: 3600\r\nContent-Length: 0\r\n\r\n", 503, 0, true, nil},
-		{"more than an answer", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nabc", 200, 0, false, errExtraBytes},
+		{"Retry-After too large", "HTTP/1.1 503 x\r\nRetry-After: 3600\r\nContent-Length: 0\r\n\r\n", 503, 0, true, nil},
+		{"bytes after the answer", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nabc", 200, 0, false, errExtraBytes},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			a, reusable, err := answering(t, c.response).Receive(time.Now().Add(5 * time.Second))
+			a, reusable, err := dialServer(t, c.response).Receive(time.Now().Add(5 * time.Second))
 			if a.Status != c.status || a.RetryAfter != c.retryAfter || reusable != c.reusable || !errors.Is(err, c.err) {
-				t.Errorf("%+v, reusable %v, %v", a, reusable, err)
+				t.Errorf("got %+v, reusable %v, error %v", a, reusable, err)
 			}
 		})
 	}
 }
 
-// A connection on which something came while it was idle is not used again, and its last try learns of it.
+// A connection on which bytes arrived while it was idle is not reused, and its last try is told of them.
 func TestPool_DropsConnWithExtraBytes(t *testing.T) {
 	var p pool
-	quiet, noisy := answering(t, ""), answering(t, "x")
+	quiet, noisy := dialServer(t, ""), dialServer(t, "x")
 	reported := 0
 	for _, c := range []*Conn{quiet, noisy} {
 		c.onExtraBytes = func() { reported++ }
@@ -96,9 +96,9 @@
 		}
 	}
 	if c := p.take(); c != quiet || c.isFresh || reported != 1 {
-		t.Errorf("took %v, %d reported", c, reported)
+		t.Errorf("got connection %v, %d reports; want the quiet one from the pool, 1 report", c, reported)
 	}
 	if c := p.take(); c != nil {
-		t.Error("a connection is left")
+		t.Error("the pool still holds a connection")
 	}
 }
--- a/internal/testbed/loadgen/generator.go
+++ b/internal/testbed/loadgen/generator.go
@@ -12,15 +12,15 @@
 	"birchfork/internal/testbed/scenario"
 )
 
-// Times of clients.
+// Timeouts and delays of clients.
 const (
 	dialTimeout    = time.Second
 	redialDelay    = 20 * time.Millisecond  // after a refused connection, before another dispatcher is tried
-	lateAnswerWait = 400 * time.Millisecond // past its deadline, in which a client still sees a late answer
-	minRetryTime   = 5 * time.Millisecond   // to the deadline, for a retry to be sent
+	lateAnswerWait = 400 * time.Millisecond // after the deadline, during which a client still reads a late answer
+	minRetryTime   = 5 * time.Millisecond   // least time to the deadline for which a retry is sent
 )
 
-// Bodies are cut from a text of paddingBytes; each begins in its first maxBodyOffset bytes.
+// Bodies are slices of one text of paddingBytes that begin within its first maxBodyOffset bytes.
 const (
 	paddingBytes  = 1 << 16
 	maxBodyOffset = 1024
@@ -31,10 +31,10 @@
 	Tries     int
 	Outcome   invariant.Outcome // of the last try
 	Ended     time.Duration     // of the last try, since the run's start
-	Requested bool              // it was begun before the run was interrupted
+	Requested bool              // it was started before the run was interrupted
 }
 
-// Generator plays the clients of a generated day as an open loop. Run is called once; Find is safe for concurrent use.
+// Generator sends the requests of a schedule as an open loop of clients. Run is called once; Find is safe for concurrent use.
 type Generator struct {
 	schedule    *scenario.Schedule
 	ledger      *invariant.Ledger
@@ -43,24 +43,24 @@
 
 	sentRequests sync.Map // request id to *sentRequest
 	results      []Result
-	origin       time.Duration // the day's start on the ledger's clock
+	origin       time.Duration // the run's start on the ledger's clock
 
 	OnStart   func()              // called once the run has begun; may be nil
 	ReportLag func(time.Duration) // called for each request with the delay of its start
 	Done      atomic.Int64        // client requests that have ended
 }
 
-// Dispatcher is the clients' access to one dispatcher. It is safe for concurrent use.
+// Dispatcher holds the clients' connections to one dispatcher. It is safe for concurrent use.
 type Dispatcher struct {
 	Address string
 	down    atomic.Bool
 	pool    pool
 }
 
-// Down makes clients send new tries to other dispatchers, or ends that.
+// Down marks the dispatcher as down, so that clients send new tries to other dispatchers, or as up again.
 func (d *Dispatcher) Down(on bool) { d.down.Store(on) }
 
-// New returns the clients of a day; addresses are those of the dispatchers, in their order.
+// New returns a generator for a schedule; addresses are those of the dispatchers, by index.
 func New(schedule *scenario.Schedule, l *invariant.Ledger, addresses []string) *Generator {
 	g := &Generator{schedule: schedule, ledger: l, results: make([]Result, len(schedule.Requests)), ReportLag: func(time.Duration) {}}
 	for _, address := range addresses {
@@ -74,10 +74,10 @@
 	return g
 }
 
-// Dispatcher returns the access to dispatcher i.
+// Dispatcher returns dispatcher i.
 func (g *Generator) Dispatcher(i int) *Dispatcher { return g.dispatchers[i] }
 
-// Find returns what a client sent under a request id, and records that a worker received it.
+// Find returns the request that a client sent under an id, and records that a worker has received it.
 func (g *Generator) Find(id string) (fakes.ExpectedRequest, bool) {
 	o, ok := g.sentRequests.Load(id)
 	if !ok {
@@ -88,20 +88,20 @@
 	return sent.ExpectedRequest, true
 }
 
-// sentRequest is what a client requested, and whether a worker has received it.
+// sentRequest is a request that a client sent, and whether a worker has received it.
 type sentRequest struct {
 	fakes.ExpectedRequest
 	received atomic.Bool
 }
 
-// Origin returns the day's start on the ledger's clock; it is valid once OnStart has been called.
+// Origin returns the run's start on the ledger's clock; it is valid once OnStart has been called.
 func (g *Generator) Origin() time.Duration { return g.origin }
 
-// Results returns the outcome of each client request, in the order of the day. It is valid once Run has returned.
+// Results returns the result of each client request, in the order of the schedule. It is valid once Run has returned.
 func (g *Generator) Results() []Result { return g.results }
 
-// Run starts each request at its time, however earlier ones go, and returns when all have ended. When ctx ends, no
-// further one is started.
+// Run starts each request at its time, whether or not earlier ones have ended, and returns when all have ended. When ctx ends,
+// no further request is started.
 func (g *Generator) Run(ctx context.Context) {
 	g.origin = g.ledger.Now()
 	if g.OnStart != nil {
@@ -136,7 +136,7 @@
 	}
 }
 
-// request sends one client request: its tries, one after the other.
+// request sends the tries of one client request, one after the other.
 func (g *Generator) request(ctx context.Context, index int) {
 	planned, result := &g.schedule.Requests[index], &g.results[index]
 	class := &g.schedule.Scenario.Classes[planned.Class]
@@ -147,8 +147,8 @@
 	for number := 0; ; number++ {
 		try, answer := g.sendTry(index, number, resent, deadline)
 		if g.wasClosedUnread(try) && ctx.Err() == nil && g.ledger.Now() < deadline {
-			// The dispatcher closed the idle connection as the request was sent: it is sent once more. It gets another id,
-			// so that the invariant checker can tell the two apart where a dispatcher has read both.
+			// The dispatcher closed the idle connection while the request was sent: resend it. It gets another id, so that the
+			// invariant checker can distinguish the two if a dispatcher has read both.
 			resent++
 			number--
 			continue
@@ -173,7 +173,7 @@
 	}
 }
 
-// wasClosedUnread reports whether a connection from the pool was closed on a request that no worker received.
+// wasClosedUnread reports whether a connection from the pool was closed after a request that no worker has received.
 func (g *Generator) wasClosedUnread(try *invariant.Try) bool {
 	if try.Outcome != invariant.Closed || try.Fresh {
 		return false
@@ -194,8 +194,7 @@
 	}
 }
 
-// dispatcherFor returns the dispatcher to which a client sends after so many hops from its own; one that is down is passed
-// over, unless all are.
+// dispatcherFor returns the dispatcher that is hops after the client's own, skipping those that are down unless all are.
 func (g *Generator) dispatcherFor(own, hops int) int {
 	for k := range g.dispatchers {
 		if i := (own + hops + k) % len(g.dispatchers); !g.dispatchers[i].down.Load() {
--- a/internal/testbed/loadgen/misbehaving.go
+++ b/internal/testbed/loadgen/misbehaving.go
@@ -15,20 +15,21 @@
 	"time"
 )
 
-// MisbehavingClients counts what misbehaving clients sent and how it was answered. It is safe for concurrent use.
+// MisbehavingClients counts the malformed requests that misbehaving clients sent, by the reaction to them. It is safe for
+// concurrent use.
 type MisbehavingClients struct {
 	Sent         atomic.Int64 // malformed requests
 	Answered     atomic.Int64 // by an error or a close, within responseTimeout
-	Ignored      atomic.Int64 // neither answered nor closed by then
-	Served       atomic.Int64 // answered with 200: a worker got a job for what cannot be read
+	Ignored      atomic.Int64 // neither answered nor closed within responseTimeout
+	Served       atomic.Int64 // answered with 200: a worker got a job from a malformed request
 	NotConnected atomic.Int64 // no connection was established
 }
 
-// Times of misbehaving clients.
+// Timeouts and delays of misbehaving clients.
 const (
 	responseTimeout      = 3 * time.Second        // for an error or a close
 	misbehaviourInterval = 2 * time.Millisecond   // between malformed requests of one client
-	reconnectDelay       = 200 * time.Millisecond // of an idle connection that was closed
+	reconnectDelay       = 200 * time.Millisecond // after an idle connection was closed
 )
 
 // headEnd ends the head of a request.
@@ -37,7 +38,7 @@
 // noiseBytes is the length of a request of random bytes.
 const noiseBytes = 200
 
-// malformedRequest returns the next request of a misbehaving client; class is a class that exists.
+// malformedRequest returns the next request of a misbehaving client; class is the name of a valid class.
 func malformedRequest(r *rand.Rand, class string) []byte {
 	id, classLine, deadline := fmt.Sprintf("X-Request-Id: rude%x", r.Uint64()), "X-Class: "+class, "X-Deadline-Ms: 2000"
 	head := func(lines ...string) []byte {
@@ -49,7 +50,7 @@
 	switch r.IntN(12) {
 	case 0:
 		return noise(r)
-	case 1: // a head without end
+	case 1: // an unterminated head
 		return []byte("GET / HTTP/1.1\r\nHost: lab\r\nX-Long: " + strings.Repeat("a", 32<<10))
 	case 2: // a negative length
 		return withLines("Content-Length: -5")
@@ -57,24 +58,24 @@
 		return append(withLines("Content-Length: 5", "Content-Length: 6"), "abcdef"...)
 	case 4: // request smuggling
 		return append(withLines("Content-Length: 4", "Transfer-Encoding: chunked"), "0\r\n\r\nPOST /x HTTP/1.1\r\n\r\n"...)
-	case 5: // too large a body
+	case 5: // a body that is too large
 		return append(withLines("Content-Length: 60000000"), strings.Repeat("x", 100<<10)...)
 	case 6: // an unknown class
 		return append(head(id, "X-Class: none", deadline, "Content-Length: 2"), "ab"...)
-	case 7: // a deadline that is no number
+	case 7: // a malformed deadline
 		return append(head(id, classLine, "X-Deadline-Ms: soon", "Content-Length: 2"), "ab"...)
 	case 8: // no id
 		return append(head(classLine, deadline, "Content-Length: 2"), "ab"...)
-	case 9: // half a body
+	case 9: // a truncated body
 		return append(withLines("Content-Length: 2000"), "ab"...)
 	case 10: // nothing
 		return nil
-	default: // more than its length
+	default: // more bytes than the stated length
 		return append(withLines("Content-Length: 2"), strings.Repeat("abcd", 10)...)
 	}
 }
 
-// noise returns random bytes that end like a head.
+// noise returns random bytes followed by headEnd.
 func noise(r *rand.Rand) []byte {
 	b := make([]byte, noiseBytes, noiseBytes+len(headEnd))
 	for i := range b {
@@ -100,7 +101,7 @@
 	clients.Wait()
 }
 
-// send sends a malformed request on a connection of its own and counts how it was answered.
+// send sends a malformed request on a new connection and counts the reaction.
 func (m *MisbehavingClients) send(ctx context.Context, addr string, request []byte) {
 	conn, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
@@ -111,7 +112,7 @@
 	defer context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })()
 	conn.SetDeadline(time.Now().Add(responseTimeout))
 	m.Sent.Add(1)
-	_, _ = conn.Write(request)                                     // it may be rejected before it is written whole
+	_, _ = conn.Write(request)                                     // the dispatcher may reject it before it is completely written
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil) //nolint:bodyclose // the connection owns the body and is closed
 	var netErr net.Error
 	switch {
@@ -120,7 +121,7 @@
 	case err == nil && response.StatusCode == http.StatusOK:
 		m.Served.Add(1)
 	case err == nil:
-		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, 64<<10)) // answered, whole or not
+		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, 64<<10)) // a truncated answer counts as well
 		m.Answered.Add(1)
 	case errors.As(err, &netErr) && netErr.Timeout():
 		m.Ignored.Add(1)
@@ -129,7 +130,7 @@
 	}
 }
 
-// HoldIdleConnections holds n connections to a dispatcher, without sending, until ctx ends; one that is closed is opened again.
+// HoldIdleConnections holds n connections to a dispatcher without sending until ctx ends. It reopens connections that are closed.
 func HoldIdleConnections(ctx context.Context, addr string, n int) {
 	var clients sync.WaitGroup
 	for range n {
@@ -153,10 +154,10 @@
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	_, _ = io.Copy(io.Discard, conn) // until the connection ends, however it does
+	_, _ = io.Copy(io.Discard, conn) // returns when the connection ends, with or without an error
 }
 
-// sleep returns after a time or when ctx ends.
+// sleep returns after length or when ctx ends.
 func sleep(ctx context.Context, length time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/testbed/loadgen/pool.go
+++ b/internal/testbed/loadgen/pool.go
@@ -13,8 +13,8 @@
 	closed bool
 }
 
-// take returns an idle connection on which nothing has come since its last answer, or nil if there is none. It closes those
-// on which something has.
+// take returns an idle connection on which no bytes have arrived since its last answer, or nil if there is none. It closes
+// connections on which bytes have arrived or that have ended.
 func (p *pool) take() *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// put takes back a connection after a whole answer.
+// put returns a connection to the pool. Its answers have been read completely.
 func (p *pool) put(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -44,7 +44,7 @@
 	p.idle = append(p.idle, c)
 }
 
-// close closes the idle connections, and all that are put back later.
+// close closes the pool and its idle connections. Connections that are put back later are closed.
 func (p *pool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/loadgen/request.go
+++ b/internal/testbed/loadgen/request.go
@@ -11,13 +11,13 @@
 type Request struct {
 	ID, Class, Tenant string
 	Target            string
-	TimeLeft          time.Duration // to its deadline
+	TimeLeft          time.Duration // to the deadline
 	Retry             bool          // marked as a retry
-	Extras            string        // the job's needs, as X-Extras has them
+	Extras            string        // value of X-Extras: the slots and memory that the job needs
 	Body              []byte
 }
 
-// appendTo appends the request's bytes to b.
+// appendTo appends the encoded request to b.
 func (q *Request) appendTo(b []byte, host string) []byte {
 	b = append(append(append(b, "POST "...), q.Target...), " HTTP/1.1\r\nHost: "...)
 	b = append(append(b, host...), "\r\nX-Request-Id: "...)
@@ -38,7 +38,7 @@
 	return append(append(b, "\r\n\r\n"...), q.Body...)
 }
 
-// Answer is a whole response.
+// Answer is a complete response.
 type Answer struct {
 	Status     int
 	Body       []byte
--- a/internal/testbed/loadgen/try.go
+++ b/internal/testbed/loadgen/try.go
@@ -13,7 +13,7 @@
 	"birchfork/internal/testbed/scenario"
 )
 
-// exchange is one try of a client's request under way: what it sends, what came back and its entry in the ledger.
+// exchange is one try of a client's request in progress: the request, its answer and its record in the ledger.
 type exchange struct {
 	generator *Generator
 	planned   *scenario.Request
@@ -23,8 +23,8 @@
 	answer    Answer
 }
 
-// sendTry sends one request and waits for its answer. index is that of the day's request, number counts its tries, and resent
-// the times that it was sent once more because its connection had been closed.
+// sendTry sends one try of a request and waits for the answer. index is the index of the request in the schedule, number that of
+// the try, and resent the number of times that the request was resent because its connection had been closed.
 func (g *Generator) sendTry(index, number, resent int, deadline time.Duration) (*invariant.Try, Answer) {
 	e := g.newExchange(index, number, resent, deadline)
 	conn, dispatcher := e.connect()
@@ -46,7 +46,7 @@
 	return e.try, e.answer
 }
 
-// newExchange makes the request of a try, and records its order for the workers and the try in the ledger.
+// newExchange creates a try, registers its request for the workers and records it in the ledger.
 func (g *Generator) newExchange(index, number, resent int, deadline time.Duration) *exchange {
 	planned := &g.schedule.Requests[index]
 	class := &g.schedule.Scenario.Classes[planned.Class]
@@ -79,7 +79,7 @@
 	return &exchange{generator: g, planned: planned, deadline: deadline, try: try, request: q}
 }
 
-// connect returns a connection to the client's dispatcher, or to the next that accepts one; nil if none does in time.
+// connect returns a connection to the client's dispatcher or else to the next one that accepts it, or nil if none does in time.
 func (e *exchange) connect() (*Conn, *Dispatcher) {
 	g := e.generator
 	for hops := 0; ; {
@@ -100,7 +100,7 @@
 	}
 }
 
-// send writes the request and records when it was sent and is due.
+// send writes the request and records the time at which it was sent and its deadline.
 func (e *exchange) send(conn *Conn) error {
 	ledger := e.generator.ledger
 	e.try.Fresh = conn.isFresh
@@ -110,7 +110,7 @@
 	return err
 }
 
-// receive waits for the answer, a little past the request's deadline, or until the client leaves as planned.
+// receive waits for the answer until lateAnswerWait after the deadline, or until the time at which the client leaves.
 func (e *exchange) receive(conn *Conn, dispatcher *Dispatcher) {
 	g := e.generator
 	waitUntil := e.try.Due + lateAnswerWait
@@ -142,7 +142,7 @@
 	}
 }
 
-// fail closes the connection and settles a try that got no whole answer.
+// fail closes the connection and settles a try without a complete answer.
 func (e *exchange) fail(conn *Conn, err error) {
 	conn.Close()
 	var timeout interface{ Timeout() bool }
@@ -156,7 +156,7 @@
 	}
 }
 
-// settle records how the try ended.
+// settle records the outcome of the try.
 func (e *exchange) settle(outcome invariant.Outcome) {
 	ledger := e.generator.ledger
 	ledger.Do(func() {
@@ -167,12 +167,12 @@
 	})
 }
 
-// recordExtraBytes records that more came than one answer.
+// recordExtraBytes records that bytes followed the answer.
 func (e *exchange) recordExtraBytes() {
 	e.generator.ledger.Do(func() { e.try.Twice = true })
 }
 
-// outcomeOf returns the outcome of a whole answer by its status.
+// outcomeOf returns the outcome of a complete answer with the given status.
 func outcomeOf(status int) invariant.Outcome {
 	switch status {
 	case http.StatusOK:
