--- a/internal/testbed/loadgen/generator.go
+++ b/internal/testbed/loadgen/generator.go
@@ -30,7 +30,7 @@
 type Result struct {
 	Tries     int
 	Outcome   invariant.Outcome // of the last try
-	Ended     time.Duration     // of the last try, since the run's start
+	Ended     time.Duration     // of the last try, on the ledger's clock
 	Requested bool              // it was started before the run was interrupted
 }
 
--- a/internal/testbed/scenario/arrivals.go
+++ b/internal/testbed/scenario/arrivals.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// requestGenerator generates the requests of a day: a Poisson process of arrivals, some of them bursts, whose rate changes
-// with the faults that change traffic.
+// requestGenerator generates the requests of a schedule: a Poisson process of arrivals, some of them bursts, whose rate changes
+// with the faults that affect traffic.
 type requestGenerator struct {
 	schedule          *Schedule
-	random            *rand.Rand // for all but clients that leave
+	random            *rand.Rand // for everything except clients that leave
 	leaveRandom       *rand.Rand
 	classWeights      []float64
 	dispatcherWeights []float64
-	tenantWeights     []float64 // of the current stretch of time
+	tenantWeights     []float64 // in the current interval
 	quotas            []tokenBucket
-	burstChance       float64 // of an arrival to be a burst
-	arrivalRate       float64 // bursts and single requests a second
+	burstChance       float64 // probability that an arrival is a burst
+	arrivalRate       float64 // bursts and single requests per second
 }
 
-// generateRequests generates the requests, in the order of their times.
+// generateRequests generates the requests, sorted by time.
 func (d *Schedule) generateRequests() {
 	g := newRequestGenerator(d)
 	edges := d.trafficEdges()
@@ -49,17 +49,17 @@
 		}
 	}
 	share, size := s.Burst.Share, float64(max(s.Burst.Size, 1))
-	g.burstChance = share / (size - share*(size-1)) // so that the share is one of requests
+	g.burstChance = share / (size - share*(size-1)) // Share counts requests, not arrivals
 	g.arrivalRate = s.Rate / (1 - g.burstChance + g.burstChance*size)
 	return g
 }
 
-// generate generates the requests of a stretch of time without a change of traffic. It returns false when the day has as many
-// requests as a run may have.
+// generate generates the requests of an interval in which traffic does not change. It returns false once the schedule has
+// MaxRequests.
 func (g *requestGenerator) generate(from, until time.Duration) bool {
 	s, d := g.schedule.Scenario, g.schedule
 	rate := g.arrivalRate * d.trafficFactor(from, g.tenantWeights)
-	// A Poisson process has no memory: it may start again at each edge.
+	// A Poisson process is memoryless, so it can be restarted in each interval.
 	for at := from; ; {
 		at += time.Duration(g.random.ExpFloat64() / rate * float64(time.Second))
 		if at >= until {
@@ -78,7 +78,7 @@
 	}
 }
 
-// request generates one request. The order in which it takes random numbers is part of what a seed means.
+// request generates one request. A change of the order in which it draws random numbers would change the schedules of all seeds.
 func (g *requestGenerator) request(at time.Duration) Request {
 	s, random := g.schedule.Scenario, g.random
 	r := Request{At: at, Class: weightedChoice(random, g.classWeights), Tenant: -1, Dispatcher: weightedChoice(random, g.dispatcherWeights)}
@@ -99,7 +99,7 @@
 	return r
 }
 
-// trafficEdges returns the times at which traffic changes, with the day's start and end.
+// trafficEdges returns the times at which traffic changes, including the start and the end of the run.
 func (d *Schedule) trafficEdges() []time.Duration {
 	edges := []time.Duration{0, d.Scenario.For}
 	for _, e := range d.Events {
@@ -111,7 +111,7 @@
 	return slices.Compact(edges)
 }
 
-// trafficFactor returns the traffic at a time as a factor of the scenario's rate, and sets each tenant's weight in it.
+// trafficFactor returns the traffic at a time as a multiple of the scenario's rate, and sets the weight of each tenant.
 func (d *Schedule) trafficFactor(at time.Duration, tenantWeights []float64) float64 {
 	jump := 1.0
 	for i := range tenantWeights {
@@ -138,7 +138,7 @@
 	return jump * sum
 }
 
-// weightedChoice returns a random index by weights.
+// weightedChoice returns a random index with a probability proportional to its weight.
 func weightedChoice(r *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
@@ -153,20 +153,20 @@
 	return len(weights) - 1
 }
 
-// Size of a tenant's token bucket: the quota of quotaSeconds, but minQuotaTokens at least.
+// Size of a tenant's token bucket: its quota for quotaSeconds, and at least minQuotaTokens.
 const (
 	quotaSeconds   = 2
 	minQuotaTokens = 3
 )
 
-// tokenBucket decides which requests are within a tenant's quota. It is full at first.
+// tokenBucket decides which requests are within a tenant's quota. It is initially full.
 type tokenBucket struct {
 	tokens float64
 	at     time.Duration // of the last take
 	filled bool
 }
 
-// take takes a token at a time, where rate tokens a second are added. It returns false where there is none.
+// take takes a token at a time, with rate tokens added per second. It returns false if there is none.
 func (b *tokenBucket) take(at time.Duration, rate float64) bool {
 	size := max(quotaSeconds*rate, minQuotaTokens)
 	if !b.filled {
--- a/internal/testbed/scenario/check.go
+++ b/internal/testbed/scenario/check.go
@@ -9,7 +9,7 @@
 	"birchfork/internal/tomlfile"
 )
 
-// check adds every mistake in the values of a scenario to a document that was read without an error.
+// check adds every invalid value of a scenario to the errors of its document, which was read without an error.
 func (s *Scenario) check(d *tomlfile.Document) {
 	checkDuration(d, "for", s.For, time.Second, MaxTime)
 	checkNumber(d, "rate", s.Rate, 0.1, 100_000)
@@ -20,14 +20,14 @@
 		checkNumber(d, "burst.size", float64(s.Burst.Size), 2, 10_000)
 	}
 	if n := s.Rate * s.For.Seconds(); n > MaxRequests {
-		d.AddErrorf("rate", "%.0f requests in all are more than the %d that a run may have: lower rate or for", n, MaxRequests)
+		d.AddErrorf("rate", "too many requests: %.0f in total, the maximum is %d; lower rate or for", n, MaxRequests)
 	}
 	checkNumber(d, "limits.cores", s.Limits.Cores, 0.01, 256)
 	checkNumber(d, "limits.memory_mb", float64(s.Limits.MemoryMB), 32, 65536)
 	checkNumber(d, "limits.sockets", float64(s.Limits.Sockets), 64, 1<<20)
 	checkNames(d, "zones", s.Zones)
 	if len(s.Zones) == 0 {
-		d.AddErrorf("zones", "there is none: name one at least")
+		d.AddErrorf("zones", "missing value: at least one zone is required")
 	}
 	s.checkTerms(d)
 	checkDuration(d, "list.lag", s.List.Lag, 0, time.Minute)
@@ -41,7 +41,7 @@
 	s.checkTenants(d)
 	s.checkWorkers(d)
 	if len(s.Faults) > maxFaults {
-		d.AddErrorf("fault", "%d are more than %d", len(s.Faults), maxFaults)
+		d.AddErrorf("fault", "too many faults: %d, the maximum is %d", len(s.Faults), maxFaults)
 		return
 	}
 	for i := range s.Faults {
@@ -49,43 +49,43 @@
 	}
 }
 
-// checkDuration checks that a length of time is within two limits.
+// checkDuration checks that a duration is within a range.
 func checkDuration(d *tomlfile.Document, key string, v, minimum, maximum time.Duration) {
 	if v < minimum || v > maximum {
-		d.AddErrorf(key, "%v is not from %v to %v", v, minimum, maximum)
+		d.AddErrorf(key, "invalid value %v: must be between %v and %v", v, minimum, maximum)
 	}
 }
 
-// checkNumber checks that a number is within two limits; NaN is not.
+// checkNumber checks that a number is within a range; NaN is not.
 func checkNumber(d *tomlfile.Document, key string, v, minimum, maximum float64) {
 	if !(v >= minimum && v <= maximum) {
-		d.AddErrorf(key, "%v is not from %v to %v", v, minimum, maximum)
+		d.AddErrorf(key, "invalid value %v: must be between %v and %v", v, minimum, maximum)
 	}
 }
 
-// checkOneOf checks that a text is one of those allowed.
-func checkOneOf(d *tomlfile.Document, key, v string, all ...string) {
-	if !slices.Contains(all, v) {
-		d.AddErrorf(key, "%q is not one of %s", v, strings.Join(all, ", "))
+// checkOneOf checks that a string is one of the allowed ones.
+func checkOneOf(d *tomlfile.Document, key, v string, allowed ...string) {
+	if !slices.Contains(allowed, v) {
+		d.AddErrorf(key, "invalid value %q: must be one of %s", v, strings.Join(allowed, ", "))
 	}
 }
 
-// checkNames checks that names are plain and unique.
-func checkNames(d *tomlfile.Document, key string, all []string) {
+// checkNames checks that names are well-formed and unique.
+func checkNames(d *tomlfile.Document, key string, names []string) {
 	known := map[string]bool{}
-	for i, n := range all {
+	for i, n := range names {
 		checkName(d, fmt.Sprintf("%s[%d]", key, i), n, known)
 	}
 }
 
-// checkName checks that a name is plain and not yet known, and adds it to the known ones.
+// checkName checks that a name is well-formed and not in known, and adds it to known.
 func checkName(d *tomlfile.Document, key, n string, known map[string]bool) {
-	plain := n != "" && len(n) <= 64 && strings.Trim(n, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_") == ""
+	isWellFormed := n != "" && len(n) <= 64 && strings.Trim(n, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_") == ""
 	switch {
-	case !plain:
-		d.AddErrorf(key, "%q is no plain word of letters, digits, - and _", n)
+	case !isWellFormed:
+		d.AddErrorf(key, "invalid name %q: must be 1 to 64 letters, digits, - or _", n)
 	case known[n]:
-		d.AddErrorf(key, "%q stands twice", n)
+		d.AddErrorf(key, "duplicate name %q", n)
 	}
 	known[n] = true
 }
@@ -107,7 +107,7 @@
 
 func (s *Scenario) checkClasses(d *tomlfile.Document) {
 	if len(s.Classes) == 0 || len(s.Classes) > maxClasses {
-		d.AddErrorf("class", "there are %d: write one [[class]] at least, %d at most", len(s.Classes), maxClasses)
+		d.AddErrorf("class", "invalid number of [[class]] tables %d: must be between 1 and %d", len(s.Classes), maxClasses)
 	}
 	names, sum := map[string]bool{}, 0.0
 	for i := range s.Classes {
@@ -117,11 +117,11 @@
 		sum += c.Share
 	}
 	if len(s.Classes) > 0 && !(sum > 0) {
-		d.AddErrorf("class", "the shares add up to nothing")
+		d.AddErrorf("class", "invalid sum of shares %v: must be greater than 0", sum)
 	}
 }
 
-// checkClass checks one class; at is the beginning of its keys.
+// checkClass checks one class; at is the prefix of its keys.
 func (s *Scenario) checkClass(d *tomlfile.Document, at string, c *Class) {
 	checkOneOf(d, at+"effect", c.Effect, Safe, Keyed, Unsafe)
 	checkNumber(d, at+"share", c.Share, 0, 1e6)
@@ -135,29 +135,29 @@
 	checkOneOf(d, at+"group", c.Group, "all", "zone", "cell")
 	checkDuration(d, at+"window", c.Window, 0, time.Hour)
 	if c.Effect == Keyed && c.Window == 0 {
-		d.AddErrorf(at+"window", "a keyed class needs the time for which repeats are dropped")
+		d.AddErrorf(at+"window", "missing value: a keyed class needs the time for which duplicates are dropped")
 	}
 	checkNumber(d, at+"slots", float64(c.Slots), 1, 1024)
 	checkNumber(d, at+"memory", c.Memory, 0, 1<<20)
 	checkOneOf(d, at+"retry", c.Retry, RetryAny, RetryRefused, RetryNone)
 	if len(c.Body) != 2 || c.Body[0] < 0 || c.Body[1] < c.Body[0] || c.Body[1] > maxBody {
-		d.AddErrorf(at+"body", "%v is not the least and the most bytes, %d at most", c.Body, maxBody)
+		d.AddErrorf(at+"body", "invalid value %v: must be the minimum and the maximum number of bytes, between 0 and %d", c.Body, maxBody)
 	}
 	if c.LatencyObjective+time.Duration(c.Stretch*float64(c.Work)) > c.Deadline {
-		d.AddErrorf(at+"patience", "%v is shorter than the time in which the answer is wanted, %v plus %v times the work", c.Deadline, c.LatencyObjective, c.Stretch)
+		d.AddErrorf(at+"patience", "invalid value %v: must be at least aim plus stretch times work, with an aim of %v and a stretch of %v", c.Deadline, c.LatencyObjective, c.Stretch)
 	}
 	if c.Kind != "" && !slices.ContainsFunc(s.Workers, func(w WorkerPool) bool { return w.Kind == c.Kind }) {
-		d.AddErrorf(at+"kind", "%q is no kind of the workers", c.Kind)
+		d.AddErrorf(at+"kind", "unknown kind %q: must be the kind of a [[workers]] table", c.Kind)
 	}
 	fits := func(w WorkerPool) bool { return w.Cores >= c.Slots && w.Memory >= c.Memory }
 	if len(s.Workers) > 0 && !slices.ContainsFunc(s.Workers, fits) {
-		d.AddErrorf(at+"slots", "no worker has the %d slots and %v units of memory that a job takes", c.Slots, c.Memory)
+		d.AddErrorf(at+"slots", "no worker can run a job with %d slots and %v units of memory", c.Slots, c.Memory)
 	}
 }
 
 func (s *Scenario) checkTenants(d *tomlfile.Document) {
 	if len(s.Tenants) > maxTenants {
-		d.AddErrorf("tenant", "%d are more than %d", len(s.Tenants), maxTenants)
+		d.AddErrorf("tenant", "too many tenants: %d, the maximum is %d", len(s.Tenants), maxTenants)
 	}
 	names, sum := map[string]bool{}, 0.0
 	for i, t := range s.Tenants {
@@ -168,52 +168,52 @@
 		sum += t.Share
 	}
 	if len(s.Tenants) > 0 && (sum < 0.999 || sum > 1.001) {
-		d.AddErrorf("tenant", "the shares add up to %.3f, not to 1", sum)
+		d.AddErrorf("tenant", "invalid sum of shares %.3f: must be 1", sum)
 	}
 }
 
 func (s *Scenario) checkWorkers(d *tomlfile.Document) {
 	if len(s.Workers) == 0 {
-		d.AddErrorf("workers", "there are none: write one [[workers]] at least")
+		d.AddErrorf("workers", "missing table: at least one [[workers]] is required")
 	}
 	for i, w := range s.Workers {
 		at := fmt.Sprintf("workers[%d].", i)
-		checkName(d, at+"kind", w.Kind, map[string]bool{}) // a kind may stand twice, with other figures
+		checkName(d, at+"kind", w.Kind, map[string]bool{}) // several pools may have the same kind
 		checkNumber(d, at+"count", float64(w.Count), 1, MaxWorkers)
 		checkNumber(d, at+"cores", float64(w.Cores), 1, 1024)
 		if len(w.Speed) != 2 || !(w.Speed[0] > 0) || w.Speed[1] < w.Speed[0] || w.Speed[1] > 1000 {
-			d.AddErrorf(at+"speed", "%v is not the least and the most speed, both above 0", w.Speed)
+			d.AddErrorf(at+"speed", "invalid value %v: must be the minimum and the maximum speed, greater than 0 and at most 1000", w.Speed)
 		}
 		checkNumber(d, at+"memory", w.Memory, 0, 1<<20)
 		checkNumber(d, at+"queue", float64(w.Queue), 1, 1<<20)
 		if w.Zone != "" && !slices.Contains(s.Zones, w.Zone) {
-			d.AddErrorf(at+"zone", "%q is not one of zones", w.Zone)
+			d.AddErrorf(at+"zone", "unknown zone %q: must be one of zones", w.Zone)
 		}
 	}
 	if n := s.WorkerCount(); n > MaxWorkers {
-		d.AddErrorf("workers", "%d in all are more than %d", n, MaxWorkers)
+		d.AddErrorf("workers", "too many workers: %d in total, the maximum is %d", n, MaxWorkers)
 	}
 }
 
 func (s *Scenario) checkFault(d *tomlfile.Document, i int) {
 	f, at := &s.Faults[i], fmt.Sprintf("fault[%d].", i)
-	info, ok := findFaultKind(f.Kind)
+	kind, ok := findFaultKind(f.Kind)
 	if !ok {
-		all := make([]string, 0, len(FaultKinds))
+		allowed := make([]string, 0, len(FaultKinds))
 		for _, k := range FaultKinds {
-			all = append(all, k.Kind)
+			allowed = append(allowed, k.Kind)
 		}
-		checkOneOf(d, at+"kind", f.Kind, all...)
+		checkOneOf(d, at+"kind", f.Kind, allowed...)
 		return
 	}
 	if f.At < 0 || f.At >= s.For {
-		d.AddErrorf(at+"at", "%v is not within the run of %v", f.At, s.For)
+		d.AddErrorf(at+"at", "invalid value %v: must be at least 0 and less than the duration of the run, %v", f.At, s.For)
 	}
-	if info.HasDuration && f.For <= 0 {
-		d.AddErrorf(at+"for", "%s needs how long it lasts", f.Kind)
+	if kind.HasDuration && f.For <= 0 {
+		d.AddErrorf(at+"for", "invalid value %v: must be greater than 0 for %s", f.For, f.Kind)
 	}
-	for _, need := range info.Needs {
-		switch need {
+	for _, key := range kind.Needs {
+		switch key {
 		case "factor":
 			checkNumber(d, at+"factor", f.Factor, 0.01, 1000)
 		case "share":
@@ -222,24 +222,24 @@
 			checkNumber(d, at+"count", float64(f.Count), 1, 10_000)
 		case "tenant":
 			if !slices.ContainsFunc(s.Tenants, func(t Tenant) bool { return t.Name == f.Tenant }) {
-				d.AddErrorf(at+"tenant", "%q is none of the tenants", f.Tenant)
+				d.AddErrorf(at+"tenant", "unknown tenant %q", f.Tenant)
 			}
 		}
 	}
 	checkNumber(d, at+"workers", f.Workers, 0, MaxWorkers)
 	for k, n := range f.Names {
 		if !slices.Contains(s.WorkerNames(), n) {
-			d.AddErrorf(fmt.Sprintf("%snames[%d]", at, k), "%q is no worker: they are named w1 to w%d", n, s.WorkerCount())
+			d.AddErrorf(fmt.Sprintf("%snames[%d]", at, k), "unknown worker %q: must be w1 to w%d", n, s.WorkerCount())
 		}
 	}
 	for k, n := range f.Dispatchers {
 		if n < 0 || n >= s.Dispatchers {
-			d.AddErrorf(fmt.Sprintf("%sdispatchers[%d]", at, k), "%d is no dispatcher: they are numbered 0 to %d", n, s.Dispatchers-1)
+			d.AddErrorf(fmt.Sprintf("%sdispatchers[%d]", at, k), "unknown dispatcher %d: must be between 0 and %d", n, s.Dispatchers-1)
 		}
 	}
 }
 
-// WorkerNames returns the names of all workers, in their order.
+// WorkerNames returns the names of all workers, by index.
 func (s *Scenario) WorkerNames() []string {
 	out := make([]string, s.WorkerCount())
 	for i := range out {
--- a/internal/testbed/scenario/faultkinds.go
+++ b/internal/testbed/scenario/faultkinds.go
@@ -26,34 +26,34 @@
 // FaultKind describes a kind of fault.
 type FaultKind struct {
 	Kind, About string
-	Needs       []string // keys that have to be set
-	HasDuration bool     // the key for has to be set
+	Needs       []string // keys that must be set
+	HasDuration bool     // the key "for" must be set
 }
 
-// allWorkersNote ends the description of a fault that affects all workers where the scenario does not name some.
+// allWorkersNote ends the description of a fault that affects all workers unless the scenario names some.
 const allWorkersNote = "all workers unless some are named"
 
 // FaultKinds lists all kinds of faults.
 var FaultKinds = []FaultKind{
-	{WorkerKill, "the process dies at once; after the time it comes back cold at another address", nil, true},
-	{WorkerHang, "jobs stop and new ones are taken and not begun; then all go on", nil, true},
-	{WorkerSlow, "so many times slower; " + allWorkersNote, []string{"factor"}, true},
-	{WorkerErrors, "the share of jobs fails at once", []string{"share"}, true},
-	{WorkerDrain, "drains, ends what it has, is gone; after the time it comes back cold", nil, true},
-	{Release, "within the time all are drained and started again cold, one after the other", nil, true},
-	{MachineSilent, "the machine says nothing: connections stay open, new ones do not come up; then all are reset", nil, true},
-	{LinkPartition, "the same for some dispatchers only", nil, true},
-	{ListLate, "news takes so many times as long", []string{"factor"}, true},
-	{ListSilent, "discovery says nothing and learns nothing", nil, true},
-	{ListWrong, "the list names so many workers that are not there", []string{"count"}, true},
+	{WorkerKill, "the process is killed; after the duration it restarts, warming up, at another address", nil, true},
+	{WorkerHang, "running jobs stop and new ones are accepted but not begun; after the duration all continue", nil, true},
+	{WorkerSlow, "jobs take factor times as long; " + allWorkersNote, []string{"factor"}, true},
+	{WorkerErrors, "the given share of jobs fails at once", []string{"share"}, true},
+	{WorkerDrain, "the worker drains, finishes its jobs and stops; after the duration it restarts, warming up", nil, true},
+	{Release, "within the duration the workers are drained and restarted, warming up, one after the other", nil, true},
+	{MachineSilent, "the machine is silent: connections stay open, new ones are not established; then all are reset", nil, true},
+	{LinkPartition, "the same as machine-silent, for some dispatchers only", nil, true},
+	{ListLate, "endpoint updates take factor times as long", []string{"factor"}, true},
+	{ListSilent, "discovery serves nothing and applies no updates", nil, true},
+	{ListWrong, "the list contains count endpoints where no worker listens", []string{"count"}, true},
 	{ListMove, "discovery moves to another address; dispatchers get SIGHUP", nil, false},
-	{DispatcherKill, "dispatchers are killed outright; after the time they start again", nil, true},
-	{DispatcherTerminate, "dispatchers get SIGTERM and start again when they have ended", nil, false},
-	{DispatcherReload, "dispatchers get SIGHUP with the configuration as it was", nil, false},
-	{IdleClients, "so many connections that say nothing, at each dispatcher", []string{"count"}, true},
-	{MisbehavingClients, "so many clients that send what cannot be read, at each dispatcher", []string{"count"}, true},
-	{TrafficJump, "so many times the traffic", []string{"factor"}, true},
-	{TenantFlood, "so many times the traffic of one tenant", []string{"factor", "tenant"}, true},
+	{DispatcherKill, "dispatchers get SIGKILL; after the duration they restart", nil, true},
+	{DispatcherTerminate, "dispatchers get SIGTERM and restart once they have ended", nil, false},
+	{DispatcherReload, "dispatchers get SIGHUP with an unchanged configuration", nil, false},
+	{IdleClients, "count idle connections to each dispatcher", []string{"count"}, true},
+	{MisbehavingClients, "count clients that send malformed requests to each dispatcher", []string{"count"}, true},
+	{TrafficJump, "factor times the traffic", []string{"factor"}, true},
+	{TenantFlood, "factor times the traffic of one tenant", []string{"factor", "tenant"}, true},
 }
 
 // findFaultKind returns a kind of fault by its name.
--- a/internal/testbed/scenario/load.go
+++ b/internal/testbed/scenario/load.go
@@ -15,11 +15,11 @@
 //go:embed shipped/*.toml
 var shipped embed.FS
 
-// Shipped returns the names of the scenarios that are part of the program.
+// Shipped returns the names of the built-in scenarios.
 func Shipped() []string {
 	files, err := shipped.ReadDir("shipped")
 	if err != nil {
-		panic(err) // the folder is part of the program
+		panic(err) // the folder is embedded in the program
 	}
 	names := make([]string, 0, len(files))
 	for _, f := range files {
@@ -28,25 +28,25 @@
 	return names
 }
 
-// Text returns the file of a shipped scenario.
+// Text returns the file of a built-in scenario.
 func Text(name string) ([]byte, error) {
 	raw, err := shipped.ReadFile(path.Join("shipped", name+".toml"))
 	if err != nil {
-		return nil, fmt.Errorf("no scenario %q comes with the program; those that do: %s", name, strings.Join(Shipped(), ", "))
+		return nil, fmt.Errorf("unknown built-in scenario %q: must be one of %s", name, strings.Join(Shipped(), ", "))
 	}
 	return raw, nil
 }
 
-// Load reads a scenario: a file by its path, or a shipped one by its name.
-func Load(from string) (*Scenario, error) {
-	if !strings.ContainsAny(from, "./\\") {
-		raw, err := Text(from)
+// Load reads a scenario from a file, or a built-in one if the name contains no dot, slash or backslash.
+func Load(nameOrPath string) (*Scenario, error) {
+	if !strings.ContainsAny(nameOrPath, "./\\") {
+		raw, err := Text(nameOrPath)
 		if err != nil {
 			return nil, err
 		}
-		return Decode(from, raw)
+		return Decode(nameOrPath, raw)
 	}
-	f, err := os.Open(from)
+	f, err := os.Open(nameOrPath)
 	if err != nil {
 		return nil, fmt.Errorf("reading the scenario: %w", err)
 	}
@@ -55,13 +55,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("reading the scenario: %w", err)
 	}
-	return Decode(from, raw)
+	return Decode(nameOrPath, raw)
 }
 
-// defaultQueue is the number of requests that may wait at a worker.
+// defaultQueue is the default for WorkerPool.Queue.
 const defaultQueue = 1000
 
-// defaults returns the scenario that a file is read into: a small deployment.
+// defaults returns the values of keys that a scenario file leaves out: those of a small deployment.
 func defaults() Scenario {
 	return Scenario{
 		For: 20 * time.Second, Rate: 60, Dispatchers: 2, Zones: []string{"one"},
@@ -77,12 +77,12 @@
 	}
 }
 
-// Decode reads a scenario. Its error lists every mistake with file, line and key.
+// Decode parses and validates a scenario. Its error lists every mistake with file, line and key.
 func Decode(file string, raw []byte) (*Scenario, error) {
 	s := defaults()
 	d := tomlfile.Read(file, raw, &s)
 	if len(d.Errors()) > 0 {
-		return nil, d.Err() // what could not be read would look missing
+		return nil, d.Err() // skip check, which would report the values that could not be read as missing
 	}
 	s.fillDefaults()
 	s.check(d)
@@ -92,7 +92,7 @@
 	return &s, nil
 }
 
-// fillDefaults sets what a file has left out and what follows from other values.
+// fillDefaults sets the defaults that depend on other values or belong to a list's elements.
 func (s *Scenario) fillDefaults() {
 	for i := range s.Classes {
 		s.Classes[i].fillDefaults()
@@ -129,7 +129,7 @@
 	if c.Retry == "" {
 		c.Retry = RetryAny
 		if c.Effect == Unsafe {
-			c.Retry = RetryRefused // after another failure the request may have taken effect
+			c.Retry = RetryRefused // after any other failure the request may have taken effect
 		}
 	}
 }
--- a/internal/testbed/scenario/randomfaults.go
+++ b/internal/testbed/scenario/randomfaults.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// randomFaults generates faults, several of them at once. None begins in the first tenth of the day or ends in its last fifth,
-// so that a run shows service before and after them.
+// randomFaults generates faults that may overlap. None begins in the first tenth of the run or ends in its last fifth, so that a
+// run shows the service before and after them.
 func (s *Scenario) randomFaults(seed uint64) []Fault {
 	r := Rand(seed, streamRandomFaults)
 	n := 3 + r.IntN(4) + int(s.For/(30*time.Second))
@@ -30,7 +30,7 @@
 	return faults
 }
 
-// setRandomSeverity chooses how severe a fault is: enough to be noticed, and not so much that nothing could be served.
+// setRandomSeverity draws the severity of a fault: enough to have an effect, but not so much that no request could be served.
 func (s *Scenario) setRandomSeverity(r *rand.Rand, f *Fault) {
 	workerShare := 0.05 + 0.25*r.Float64()
 	switch f.Kind {
--- a/internal/testbed/scenario/scale.go
+++ b/internal/testbed/scenario/scale.go
@@ -9,8 +9,8 @@
 	"birchfork/internal/tomlfile"
 )
 
-// Override replaces figures of a scenario by those of the command line; zero values change nothing. Tenants' quotas are scaled
-// with the rate, and faults that would begin after the end are dropped.
+// Override replaces values of a scenario; zero arguments change nothing. Tenants' quotas are scaled with the rate, and faults that
+// would begin at or after the new end are dropped.
 func (s *Scenario) Override(rate float64, length time.Duration, workers, dispatchers int) error {
 	if length > 0 {
 		s.For = length
@@ -33,7 +33,7 @@
 	return d.Err()
 }
 
-// scaleWorkers sets the number of all workers and keeps the proportions of the pools, by the largest remainder method.
+// scaleWorkers sets the total number of workers and keeps the proportions of the pools by the largest remainder method.
 func (s *Scenario) scaleWorkers(n int) {
 	total := s.WorkerCount()
 	assigned := 0
@@ -65,7 +65,7 @@
 	return sum
 }
 
-// WorkerCount returns the number of all workers.
+// WorkerCount returns the total number of workers.
 func (s *Scenario) WorkerCount() int {
 	n := 0
 	for _, w := range s.Workers {
@@ -85,7 +85,7 @@
 	return sum
 }
 
-// Load returns the requested work as a part of the capacity, without the faults that raise traffic.
+// Load returns the requested work as a share of the capacity, without the faults that affect traffic.
 func (s *Scenario) Load() float64 {
 	work, shares := 0.0, 0.0
 	for _, c := range s.Classes {
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -20,32 +20,32 @@
 
 func TestLoad_BuiltInScenarios(t *testing.T) {
 	if len(Shipped()) < 7 {
-		t.Fatalf("only %v come with the program", Shipped())
+		t.Fatalf("got built-in scenarios %v, want at least 7", Shipped())
 	}
 	for _, n := range Shipped() {
 		s := mustLoad(t, n)
 		if s.Name != n || s.About == "" || s.Load() <= 0 || s.Load() > 1 {
-			t.Errorf("%s: named %q, about %q, load %.2f", n, s.Name, s.About, s.Load())
+			t.Errorf("%s: got name %q, about %q, load %.2f", n, s.Name, s.About, s.Load())
 		}
 	}
 	if _, err := Load("nothing"); err == nil || !strings.Contains(err.Error(), "calm") {
-		t.Errorf("a name that is none: %v", err)
+		t.Errorf("unknown name: got error %v, want one that lists the built-in scenarios", err)
 	}
 	if _, err := Load("./nothing.toml"); err == nil {
-		t.Error("a file that is not there was read")
+		t.Error("missing file: no error")
 	}
 }
 
-// The same seed gives the same day, with random faults too; another seed gives another.
+// The same seed gives the same schedule, also with random faults; another seed gives another schedule.
 func TestGenerate_IsDeterministic(t *testing.T) {
 	s := mustLoad(t, "all-at-once")
 	if a, b := s.Generate(5, true).Digest(), s.Generate(5, true).Digest(); a != b {
-		t.Errorf("one seed, two days: %s and %s", a, b)
+		t.Errorf("the same seed gives digests %s and %s", a, b)
 	}
 	if s.Generate(5, true).Digest() == s.Generate(6, true).Digest() {
-		t.Error("two seeds, one day")
+		t.Error("two seeds give the same digest")
 	}
-	// A fault that does not change traffic changes no arrival.
+	// A fault that does not affect traffic does not change the arrivals.
 	calm, drained := mustLoad(t, "calm"), mustLoad(t, "release")
 	a, b := calm.Generate(3, false), drained.Generate(3, false)
 	for i := range a.Requests {
@@ -55,11 +55,11 @@
 	}
 }
 
-func TestGenerate_TrafficFollowsTimetable(t *testing.T) {
+func TestGenerate_FloodRaisesTrafficOfTenant(t *testing.T) {
 	s := mustLoad(t, "flood")
 	s.Rate, s.For = 400, 20*time.Second
 	d := s.Generate(1, false)
-	lake, all, over := [2]float64{}, [2]float64{}, 0 // before and after, and during the flood
+	lake, all, over := [2]float64{}, [2]float64{}, 0 // counts outside the flood and during it; over: beyond the quota during it
 	for _, r := range d.Requests {
 		i := 0
 		if r.At >= 4*time.Second && r.At < 14*time.Second {
@@ -74,10 +74,11 @@
 		}
 	}
 	if math.Abs(all[0]/10-400) > 30 || math.Abs(lake[1]/10-600) > 40 || math.Abs((all[1]-lake[1])/10-340) > 30 {
-		t.Errorf("usual %.0f a second, flood %.0f of the tenant and %.0f of the others", all[0]/10, lake[1]/10, (all[1]-lake[1])/10)
+		t.Errorf("got %.0f requests/s outside the flood, and %.0f/s of the tenant and %.0f/s of the others during it; want 400, 600, 340",
+			all[0]/10, lake[1]/10, (all[1]-lake[1])/10)
 	}
-	if part := float64(over) / lake[1]; part < 0.7 {
-		t.Errorf("only %.2f of the flood is beyond the share", part)
+	if share := float64(over) / lake[1]; share < 0.7 {
+		t.Errorf("got a share of %.2f of the flood beyond the quota, want at least 0.7", share)
 	}
 }
 
@@ -92,59 +93,59 @@
 		}
 	}
 	if n := float64(len(d.Requests)); math.Abs(n/10000-1) > 0.1 || math.Abs(float64(same)/n-0.45) > 0.06 {
-		t.Errorf("%v arrivals, %d at one moment with another", n, same)
+		t.Errorf("got %v requests, %d of them at the time of the one before; want 10000 and a share of 0.45", n, same)
 	}
 }
 
-func TestDecode_NamesEveryFault(t *testing.T) {
+func TestDecode_ReportsInvalidValues(t *testing.T) {
 	raw, err := Text("calm")
 	if err != nil {
 		t.Fatal(err)
 	}
 	text := string(raw)
 	for _, c := range []struct{ old, replacement, want string }{
-		{"rate = 60.0", "rate = -1", "rate: -1 is not from"},
-		{"rate = 60.0", "rate = 100001", "rate: 100001 is not from"},
+		{"rate = 60.0", "rate = -1", "rate: invalid value -1: must be between 0.1 and 100000"},
+		{"rate = 60.0", "rate = 100001", "rate: invalid value 100001: must be between 0.1 and 100000"},
 		{"rate = 60.0", "rats = 60", "rats: no such key: did you mean rate?"},
-		{`for = "20s"`, `for = "2h"`, "for: 2h0m0s is not from 1s to 1h0m0s"},
+		{`for = "20s"`, `for = "2h"`, "for: invalid value 2h0m0s: must be between 1s and 1h0m0s"},
 		{`for = "20s"`, `for = 20`, "no length of time"},
-		{"dispatchers = 3", "dispatchers = 0", "dispatchers: 0"},
-		{`effect = "safe"`, `effect = "none"`, `class[0].effect: "none" is not one of safe, keyed, never-twice`},
-		{`effect = "safe"`, `effect = "keyed"`, "class[0].window: a keyed class needs"},
-		{`patience = "5s"`, `patience = "600ms"`, "class[0].patience: 600ms is shorter than"},
-		{`name = "ticket"`, `name = "search"`, `class[1].name: "search" stands twice`},
-		{`name = "ticket"`, `name = "a b"`, `is no plain word`},
-		{"share = 0.5", "share = 0.6", "add up to 1.100, not to 1"},
-		{"cores = 3", "cores = 0", "workers[0].cores: 0"},
-		{"speed = [1.7, 2.3]", "speed = [2.3]", "workers[0].speed"},
-		{"count = 3", "count = 20000", "workers[0].count"},
-		{"memory_mb = 64", "memory_mb = 8", "limits.memory_mb: 8 is not from 32"},
-		{"", "[[fault]]\nkind='none'", `fault[0].kind: "none" is not one of worker-kill`},
-		{"", "[[fault]]\nkind='worker-kill'\nat='1s'", "fault[0].for: worker-kill needs how long it lasts"},
-		{"", "[[fault]]\nkind='worker-kill'\nat='30s'\nfor='1s'", "fault[0].at: 30s is not within the run"},
-		{"", "[[fault]]\nkind='worker-slow'\nat='1s'\nfor='1s'", "fault[0].factor: 0 is not from"},
-		{"", "[[fault]]\nkind='tenant-flood'\nat='1s'\nfor='1s'\nfactor=2\ntenant='x'", `fault[0].tenant: "x" is none of the tenants`},
-		{"", "[[fault]]\nkind='worker-kill'\nat='1s'\nfor='1s'\nnames=['w99']", `fault[0].names[0]: "w99" is no worker`},
-		{"", "[[fault]]\nkind='dispatcher-kill'\nat='1s'\nfor='1s'\ndispatchers=[3]", "fault[0].dispatchers[0]: 3 is no dispatcher"},
+		{"dispatchers = 3", "dispatchers = 0", "dispatchers: invalid value 0: must be between 1 and 4000"},
+		{`effect = "safe"`, `effect = "none"`, `class[0].effect: invalid value "none": must be one of safe, keyed, never-twice`},
+		{`effect = "safe"`, `effect = "keyed"`, "class[0].window: missing value: a keyed class needs the time for which duplicates are dropped"},
+		{`patience = "5s"`, `patience = "600ms"`, "class[0].patience: invalid value 600ms: must be at least aim plus stretch times work"},
+		{`name = "ticket"`, `name = "search"`, `class[1].name: duplicate name "search"`},
+		{`name = "ticket"`, `name = "a b"`, `class[1].name: invalid name "a b": must be 1 to 64 letters, digits, - or _`},
+		{"share = 0.5", "share = 0.6", "tenant: invalid sum of shares 1.100: must be 1"},
+		{"cores = 3", "cores = 0", "workers[0].cores: invalid value 0: must be between 1 and 1024"},
+		{"speed = [1.7, 2.3]", "speed = [2.3]", "workers[0].speed: invalid value [2.3]: must be the minimum and the maximum speed, greater than 0 and at most 1000"},
+		{"count = 3", "count = 20000", "workers[0].count: invalid value 20000: must be between 1 and 10000"},
+		{"memory_mb = 64", "memory_mb = 8", "limits.memory_mb: invalid value 8: must be between 32 and 65536"},
+		{"", "[[fault]]\nkind='none'", `fault[0].kind: invalid value "none": must be one of worker-kill, `},
+		{"", "[[fault]]\nkind='worker-kill'\nat='1s'", "fault[0].for: invalid value 0s: must be greater than 0 for worker-kill"},
+		{"", "[[fault]]\nkind='worker-kill'\nat='30s'\nfor='1s'", "fault[0].at: invalid value 30s: must be at least 0 and less than the duration of the run, 20s"},
+		{"", "[[fault]]\nkind='worker-slow'\nat='1s'\nfor='1s'", "fault[0].factor: invalid value 0: must be between 0.01 and 1000"},
+		{"", "[[fault]]\nkind='tenant-flood'\nat='1s'\nfor='1s'\nfactor=2\ntenant='x'", `fault[0].tenant: unknown tenant "x"`},
+		{"", "[[fault]]\nkind='worker-kill'\nat='1s'\nfor='1s'\nnames=['w99']", `fault[0].names[0]: unknown worker "w99": must be w1 to w`},
+		{"", "[[fault]]\nkind='dispatcher-kill'\nat='1s'\nfor='1s'\ndispatchers=[3]", "fault[0].dispatchers[0]: unknown dispatcher 3: must be between 0 and 2"},
 	} {
 		changed := text + "\n" + c.replacement
 		if c.old != "" {
 			changed = strings.Replace(text, c.old, c.replacement, 1)
 			if changed == text {
-				t.Fatalf("%q is not in the file", c.old)
+				t.Fatalf("the file does not contain %q", c.old)
 			}
 		}
 		_, err := Decode("f.toml", []byte(changed))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v does not say %q", c.replacement, err, c.want)
+			t.Errorf("%s: got error %v, want one that contains %q", c.replacement, err, c.want)
 		}
 		if err != nil && !strings.HasPrefix(err.Error(), "f.toml:") {
-			t.Errorf("%s: no line is named: %v", c.replacement, err)
+			t.Errorf("%s: got error %v, want one with file and line", c.replacement, err)
 		}
 	}
 }
 
-// An override keeps a scenario valid, and the proportions of the pools.
+// An override keeps the scenario valid and the proportions of the pools.
 func TestOverride(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, err := Load("all-at-once")
@@ -156,11 +157,11 @@
 			t.Fatal(err)
 		}
 		if s.WorkerCount() != n || len(s.Faults) != 4 {
-			t.Fatalf("%d workers, %d troubles", s.WorkerCount(), len(s.Faults))
+			t.Fatalf("got %d workers and %d faults, want %d and 4", s.WorkerCount(), len(s.Faults), n)
 		}
 		for _, w := range s.Workers {
 			if math.Abs(float64(w.Count)-float64(n)/3) > 1 {
-				t.Fatalf("%d of %d workers are of one of three kinds", w.Count, n)
+				t.Fatalf("got a pool of %d of %d workers, want a third", w.Count, n)
 			}
 		}
 	})
@@ -180,12 +181,12 @@
 			return
 		}
 		if s.Rate*s.For.Seconds() > 3000 || s.WorkerCount() > 500 || s.Dispatchers > 500 {
-			return // valid, and too long to generate here
+			return // valid, but too large to generate in a test
 		}
 		d := s.Generate(1, true)
 		for i, w := range d.Requests {
 			if w.At < 0 || w.At >= s.For || w.Work <= 0 || w.Dispatcher >= s.Dispatchers || i > 0 && w.At < d.Requests[i-1].At {
-				t.Fatalf("request %d makes no sense: %+v", i, w)
+				t.Fatalf("invalid request %d: %+v", i, w)
 			}
 		}
 	})
--- a/internal/testbed/scenario/schedule.go
+++ b/internal/testbed/scenario/schedule.go
@@ -11,8 +11,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Streams of random numbers of one seed. Each has one use, so that a change of one use leaves the numbers of the others as
-// they are.
+// Streams of random numbers of one seed. Each has a single use, so that a change of one use does not change the random numbers
+// of the others.
 const (
 	streamArrivals = iota + 1
 	streamWorkers
@@ -27,15 +27,15 @@
 // Rand returns a random source for one stream of a seed.
 func Rand(seed, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
 
-// Request is one request of a client. With its retries it makes one or more tries.
+// Request is one request of a client, which is sent in one or more tries.
 type Request struct {
-	At               time.Duration // since the day's start
+	At               time.Duration // since the run's start
 	Class            int
 	Tenant           int // -1: none
-	Dispatcher       int // that the client uses where it is up
+	Dispatcher       int // the one that the client uses while it is up
 	Work             time.Duration
-	Body             int           // bytes
-	HonorsRetryAfter bool          // honors Retry-After
+	Body             int // bytes
+	HonorsRetryAfter bool
 	OverQuota        bool          // beyond its tenant's quota
 	LeavesAfter      time.Duration // time after its arrival at which the client disconnects; 0: never
 }
@@ -47,11 +47,11 @@
 	Cores            int
 	Speed            float64
 	Memory           float64
-	Queue            int // requests that may wait
+	Queue            int // maximum number of queued requests
 	WarmingUp        bool
 }
 
-// Event is a fault with the workers, dispatchers and tenant that it affects, each by its index.
+// Event is a fault with the indexes of the workers, dispatchers and tenant that it affects.
 type Event struct {
 	Kind        string
 	At, Until   time.Duration
@@ -67,16 +67,16 @@
 type Schedule struct {
 	Scenario *Scenario
 	Seed     uint64
-	Requests []Request // by their time
+	Requests []Request // sorted by time
 	Workers  []Worker
-	Events   []Event // by their beginning
+	Events   []Event // sorted by start
 }
 
-// cellSize is the number of workers of one cell.
+// cellSize is the number of workers per cell.
 const cellSize = 4
 
-// Generate returns the day of a seed, with random faults beside those of the scenario if wanted. The same scenario and seed
-// give the same day.
+// Generate returns the schedule of a seed, with random faults in addition to those of the scenario if randomFaults is set. The
+// same arguments give the same schedule.
 func (s *Scenario) Generate(seed uint64, randomFaults bool) *Schedule {
 	d := &Schedule{Scenario: s, Seed: seed}
 	d.generateWorkers()
@@ -107,7 +107,7 @@
 	}
 }
 
-// generateEvents chooses what each fault affects.
+// generateEvents generates the events, choosing the workers, dispatchers and tenant that each fault affects.
 func (d *Schedule) generateEvents(faults []Fault) {
 	r, names := Rand(d.Seed, streamFaults), d.Scenario.WorkerNames()
 	for i := range faults {
@@ -120,7 +120,7 @@
 	slices.SortStableFunc(d.Events, func(a, b Event) int { return int(a.At - b.At) })
 }
 
-// affectedWorkers returns the indexes of the workers that a fault affects: the named ones, or as many random ones as it says.
+// affectedWorkers returns the indexes of the workers that a fault affects: the named ones, or else random ones.
 func affectedWorkers(f *Fault, names []string, r *rand.Rand) []int {
 	count := len(names)
 	switch {
@@ -129,7 +129,7 @@
 	case f.Workers > 0:
 		count = max(1, int(math.Round(f.Workers*float64(count))))
 	}
-	affected := r.Perm(len(names))[:count] // drawn also where workers are named, so that names change no later random number
+	affected := r.Perm(len(names))[:count] // drawn even if workers are named, so that names do not change later random numbers
 	if len(f.Names) == 0 {
 		return affected
 	}
@@ -145,7 +145,7 @@
 	if len(f.Dispatchers) > 0 {
 		return f.Dispatchers
 	}
-	if f.Kind == LinkPartition { // from all of them it would be the silence of the machine
+	if f.Kind == LinkPartition { // for all dispatchers it would equal MachineSilent
 		return []int{0}
 	}
 	all := make([]int, d.Scenario.Dispatchers)
@@ -160,7 +160,7 @@
 	return slices.IndexFunc(d.Scenario.Tenants, func(t Tenant) bool { return t.Name == f.Tenant })
 }
 
-// LatencyObjective returns the time after its arrival within which a request has to be answered to be in time.
+// LatencyObjective returns the latency up to which a request is answered in time.
 func (d *Schedule) LatencyObjective(r *Request) time.Duration {
 	c := &d.Scenario.Classes[r.Class]
 	return c.LatencyObjective + time.Duration(c.Stretch*float64(r.Work))
@@ -175,7 +175,7 @@
 	return v
 }
 
-// Digest returns a hash of the day in hexadecimal, which is equal for equal days.
+// Digest returns a hash of the schedule in hexadecimal, which is equal for equal schedules.
 func (d *Schedule) Digest() string {
 	h := xxhash.New()
 	put := func(values ...any) {
@@ -185,7 +185,7 @@
 				continue
 			}
 			if err := binary.Write(h, binary.LittleEndian, value); err != nil {
-				panic(err) // a value without a fixed size: a mistake in the calls below
+				panic(err) // a call below passes a value without a fixed size
 			}
 		}
 	}
