--- a/internal/testbed/fakes/agent.go
+++ b/internal/testbed/fakes/agent.go
@@ -81,7 +81,7 @@
 		return err
 	}
 	go func() {
-		// Shutdown closes the listener immediately. The context is canceled because it would else wait for watches, which never end.
+		// Shutdown closes the listener immediately. With an open context it would wait for watches, which never end.
 		_ = old.Shutdown(canceledContext()) // returns the context's error
 		time.Sleep(moveLinger)
 		_ = old.Close() // the connections end even if it fails
--- a/internal/testbed/fakes/conn.go
+++ b/internal/testbed/fakes/conn.go
@@ -73,7 +73,7 @@
 		body, err := io.ReadAll(io.LimitReader(req.Body, maxRequestBytes))
 		if err != nil {
 			w.mu.Lock()
-			c.drop() // a request that is not complete is not an attempt
+			c.drop() // an incomplete request is not an attempt
 			w.mu.Unlock()
 			return
 		}
--- a/internal/testbed/fakes/machine.go
+++ b/internal/testbed/fakes/machine.go
@@ -16,7 +16,7 @@
 	SlowStartMinFactor float64 // share of its capacity with which it starts
 	SlowStartWindow    time.Duration
 	OverloadMultiple   float64       // while warming up, it crashes when it is sent more than this multiple of its capacity
-	OverloadWindow     time.Duration // for this long
+	OverloadWindow     time.Duration // for which the overload has to last
 	MeanWork           float64       // of all jobs, in seconds on a core of speed 1; 0: the number of jobs is not limited
 	Progress           time.Duration // between progress events of a running job; 0: none
 }
