--- a/internal/testbed/fakes/agent.go
+++ b/internal/testbed/fakes/agent.go
@@ -33,7 +33,7 @@
 	entries     map[string]entry // the list by name, including removed endpoints
 	names       []string         // of entries, in order of their first arrival
 	changes     []entry          // the newest changes, by index
-	changed     chan struct{}    // closed and replaced at each change, when silence starts or ends, and at close
+	changed     chan struct{}    // closed and replaced at each change that is not immediate, when silence starts or ends, and at close
 	server      *http.Server
 	address     string
 	closed      bool
--- a/internal/testbed/fakes/conn.go
+++ b/internal/testbed/fakes/conn.go
@@ -51,7 +51,7 @@
 	return n, err
 }
 
-// serve reads requests until the connection ends. The job that is open on it then is dropped.
+// serve reads requests until the connection ends. A job that is still open on it is dropped.
 func (c *conn) serve() {
 	w := c.link.worker
 	r := bufio.NewReaderSize(c, readBufferBytes)
--- a/internal/testbed/fakes/discovery.go
+++ b/internal/testbed/fakes/discovery.go
@@ -10,6 +10,7 @@
 // Status is the status of an endpoint in the discovery protocol.
 type Status string
 
+// Values of Endpoint.Status.
 const (
 	StatusUp       Status = "up"
 	StatusDraining Status = "draining"
@@ -73,7 +74,7 @@
 	return d, nil
 }
 
-// Publish sends a change to all agents. If immediate is set, they have applied it when Publish returns.
+// Publish sends a change to all agents. If immediate is set, as at the start of a run, they have applied it when Publish returns.
 func (d *Discovery) Publish(update EndpointUpdate, immediate bool) {
 	for _, a := range d.Agents {
 		a.receive(update, immediate)
--- a/internal/testbed/fakes/fleet.go
+++ b/internal/testbed/fakes/fleet.go
@@ -12,7 +12,7 @@
 // Limits of the time for which the process of a draining worker runs.
 const (
 	minDrainTime = time.Second     // beyond the drain grace, so that requests sent too late are recorded
-	drainTimeout = 5 * time.Second // after which jobs that still run are lost
+	drainTimeout = 5 * time.Second // after which queued jobs are returned and running ones are lost
 )
 
 // Fleet is all workers of a run and their discovery. It is safe for concurrent use.
--- a/internal/testbed/fakes/machine.go
+++ b/internal/testbed/fakes/machine.go
@@ -43,6 +43,7 @@
 // JobEventKind is the kind of a JobEvent.
 type JobEventKind uint8
 
+// Values of JobEvent.Kind.
 const (
 	Began JobEventKind = iota
 	Progressed
@@ -51,14 +52,15 @@
 	Overloaded // the machine itself crashed while it warmed up
 )
 
-// JobEvent is an event of a job or, if it is Overloaded, of the machine.
+// JobEvent is an event of a job or, if its kind is Overloaded, of the machine.
 type JobEvent struct {
 	Kind     JobEventKind
 	Job      *Job    // nil for Overloaded
 	Progress float64 // share of the work done
 
 	// Set for Overloaded: the work sent within the window and the most that was allowed, in seconds on a core of speed 1, and the
-	// share of its capacity that the machine had.
+	// share of its capacity that the machine had. If the number of jobs was too high, Sent and Allowed are numbers of jobs times
+	// Spec.MeanWork.
 	Sent, Allowed, SlowStartFactor float64
 }
 
@@ -96,7 +98,7 @@
 	return m
 }
 
-// SlowStartFactor returns the share of its capacity that the machine has at a time.
+// SlowStartFactor returns the share of its capacity that the machine has at the given time.
 func (m *Machine) SlowStartFactor(now time.Duration) float64 {
 	age := now - m.started
 	if age >= m.spec.SlowStartWindow {
@@ -105,7 +107,7 @@
 	return m.spec.SlowStartMinFactor + (1-m.spec.SlowStartMinFactor)*float64(age)/float64(m.spec.SlowStartWindow)
 }
 
-// speedAt returns the seconds of work that a slot does per second at a time.
+// speedAt returns the seconds of work that a slot does per second at the given time.
 func (m *Machine) speedAt(at time.Duration) float64 {
 	if m.hung || m.crashed {
 		return 0
@@ -158,10 +160,10 @@
 // Crashed reports whether the machine has crashed due to overload.
 func (m *Machine) Crashed() bool { return m.crashed }
 
-// Busy returns the number of running and of queued jobs.
+// Busy returns the numbers of running and of queued jobs.
 func (m *Machine) Busy() (running, queued int) { return len(m.running), len(m.queue) }
 
-// Advance advances the machine to a time and returns the events up to then, in order.
+// Advance advances the machine to the given time and returns the events up to then, in order.
 func (m *Machine) Advance(now time.Duration) (events []JobEvent) {
 	for m.now < now {
 		m.work(min(now, m.nextEvent()))
@@ -192,7 +194,7 @@
 	return max(at, m.now+1)
 }
 
-// nextEventOf returns the time of a running job's end at a speed, or of its next progress event.
+// nextEventOf returns the time at which a running job ends at the given speed, or has a progress event if that is earlier.
 func (m *Machine) nextEventOf(j *Job, speed float64) time.Duration {
 	if j.Fails {
 		return j.lastEventAt + failTime
@@ -207,7 +209,7 @@
 	return at
 }
 
-// work advances the running jobs to a time, at the mean of the speeds now and then.
+// work advances the running jobs to the given time, at the mean of the speeds at the start and the end of the step.
 func (m *Machine) work(to time.Duration) {
 	speed := (m.speedAt(m.now) + m.speedAt(to)) / 2
 	for _, j := range m.running {
@@ -263,8 +265,9 @@
 	return events
 }
 
-// checkOverload crashes a machine that is warming up if the calls within the overload window exceed the platform's budget, or
-// if the work sent has exceeded the allowed work for a whole window. It returns the event and whether the machine crashed.
+// checkOverload crashes a machine that is warming up if the number of jobs within the overload window exceeds the budget of the
+// platform's terms, or if the work sent has exceeded the allowed work for a whole window. It returns the event and whether the
+// machine crashed.
 func (m *Machine) checkOverload() (JobEvent, bool) {
 	factor := m.SlowStartFactor(m.now)
 	if factor >= 1 || m.crashed {
@@ -272,10 +275,10 @@
 		return JobEvent{}, false
 	}
 	m.recentlySent = slices.DeleteFunc(m.recentlySent, func(s sentWork) bool { return s.at < m.now-m.spec.OverloadWindow })
-	if calls, budget := m.callsAndBudget(factor); m.spec.MeanWork > 0 && calls > budget {
+	if jobs, budget := m.jobsAndBudget(factor); m.spec.MeanWork > 0 && jobs > budget {
 		m.crashed = true
 		work := m.spec.MeanWork
-		return JobEvent{Kind: Overloaded, Sent: calls * work, Allowed: budget * work, SlowStartFactor: factor}, true
+		return JobEvent{Kind: Overloaded, Sent: jobs * work, Allowed: budget * work, SlowStartFactor: factor}, true
 	}
 	sent, allowed := m.sentAndAllowed(factor)
 	if sent <= allowed {
@@ -292,16 +295,16 @@
 	return JobEvent{Kind: Overloaded, Sent: sent, Allowed: allowed, SlowStartFactor: factor}, true
 }
 
-// fewCalls is the expected number of calls below which the platform's terms allow a larger random deviation.
-const fewCalls = 30
+// fewJobs is the number of jobs of mean work below which the platform's terms allow a larger random deviation.
+const fewJobs = 30
 
-// callsAndBudget returns the number of calls within the overload window and the number that the platform's terms allow: the
-// calls of mean work that OverloadMultiple times the capacity can serve, plus an allowance for random arrivals.
-func (m *Machine) callsAndBudget(slowStartFactor float64) (calls, budget float64) {
+// jobsAndBudget returns the number of jobs sent within the overload window and the number that the platform's terms allow: the
+// jobs of mean work that OverloadMultiple times the capacity can do, plus an allowance for random arrivals.
+func (m *Machine) jobsAndBudget(slowStartFactor float64) (jobs, budget float64) {
 	capacity := float64(m.spec.Cores) * m.spec.Speed * slowStartFactor * m.spec.OverloadWindow.Seconds()
 	n := m.spec.OverloadMultiple * capacity / m.spec.MeanWork
 	deviations := 2.0
-	if n < fewCalls {
+	if n < fewJobs {
 		deviations = 3
 	}
 	return float64(len(m.recentlySent)), n + deviations*(math.Sqrt(n)+1)
@@ -321,7 +324,7 @@
 	capacity := float64(m.spec.Cores) * m.spec.Speed * slowStartFactor * m.spec.OverloadWindow.Seconds()
 	allowed = m.spec.OverloadMultiple*capacity + float64(m.spec.Cores)*mean
 	if m.spec.MeanWork > 0 {
-		_, budget := m.callsAndBudget(slowStartFactor)
+		_, budget := m.jobsAndBudget(slowStartFactor)
 		allowed = max(allowed, budget*m.spec.MeanWork)
 	}
 	return sent, allowed
--- a/internal/testbed/fakes/machine_test.go
+++ b/internal/testbed/fakes/machine_test.go
@@ -32,7 +32,8 @@
 	ended   map[*Job]int // number of final events
 }
 
-// advance advances the machine to now and checks that exactly the jobs that began and have not ended run, and that they fit.
+// advance advances the machine to now and checks that as many jobs run as have begun and not ended or been dropped, and that
+// their slots fit.
 func (r *machineRun) advance(t *rapid.T) {
 	for _, e := range r.machine.Advance(r.now) {
 		switch e.Kind {
@@ -87,7 +88,7 @@
 	}
 }
 
-// check checks that jobs began in order, that each ended once, and that the machine is empty.
+// check checks that jobs began in order, that each ended once unless it was dropped, and that the machine is empty.
 func (r *machineRun) check(t *rapid.T) {
 	last := -1
 	for _, j := range r.began {
@@ -108,13 +109,13 @@
 	}
 }
 
-// Under random changes, jobs begin in FIFO order, no more run than fit, and each ends once.
+// Under random changes, jobs begin in FIFO order, no more run than fit, and each ends once unless it is dropped.
 func TestMachine_BeginsJobsInOrderAndEndsThemOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := spec()
 		s.Cores, s.Memory = rapid.IntRange(1, 4).Draw(t, "cores"), 4
 		s.OverloadMultiple = 1e9
-		r := &machineRun{machine: NewMachine(s, 0, rapid.Bool().Draw(t, "warm")), ended: map[*Job]int{}}
+		r := &machineRun{machine: NewMachine(s, 0, rapid.Bool().Draw(t, "warmed up")), ended: map[*Job]int{}}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			r.now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
 			r.advance(t)
@@ -133,10 +134,10 @@
 		warmedUp bool
 		want     time.Duration
 	}{
-		{"warm", func(*Machine) {}, true, 500 * time.Millisecond},
+		{"warmed up", func(*Machine) {}, true, 500 * time.Millisecond},
 		{"slow", func(m *Machine) { m.Slow(4) }, true, 2 * time.Second},
 		// Warming up from 0.12 to 1 in 10 s at speed 2: 0.24 t + 0.088 t^2 = 1.
-		{"cold", func(*Machine) {}, false, 2274 * time.Millisecond},
+		{"warming up", func(*Machine) {}, false, 2274 * time.Millisecond},
 	} {
 		m := NewMachine(spec(), 0, c.warmedUp)
 		c.change(m)
@@ -173,7 +174,7 @@
 			crashes += count(m.Advance(now), Overloaded)
 		}
 		if (crashes > 0) != c.want || crashes > 1 || m.Crashed() != c.want {
-			t.Errorf("%s: crashed %d times, Crashed is %t, want %t", c.name, crashes, m.Crashed(), c.want)
+			t.Errorf("%s: got %d crash events and Crashed %t, want Crashed %t and at most one event", c.name, crashes, m.Crashed(), c.want)
 		}
 	}
 	m := NewMachine(spec(), 0, false) // with a single heavy job
@@ -196,7 +197,7 @@
 		{"29 jobs of mean work", 19, 0.2, false},
 		{"31 jobs of mean work", 20, 0.2, true},
 		{"38 jobs of little work", 25, 0.05, true},
-		{"16 jobs of 8 s of work", 10, 0.5, true},
+		{"16 jobs of 8 s of work in total", 10, 0.5, true},
 	} {
 		m := NewMachine(Spec{
 			Cores: 2, Speed: 1, Memory: 1, Queue: 1000, SlowStartMinFactor: 0.42, SlowStartWindow: time.Hour,
--- a/internal/testbed/fakes/partition.go
+++ b/internal/testbed/fakes/partition.go
@@ -23,7 +23,7 @@
 		return
 	}
 	l.healed = make(chan struct{})
-	_ = l.listener.SetDeadline(time.Unix(1, 0)) // fails only on a closed listener, which accepts nothing
+	_ = l.listener.SetDeadline(time.Unix(1, 0)) // ends a waiting AcceptTCP; fails only on a closed listener, which accepts nothing
 	l.worker.mu.Unlock()
 	l.setBacklog(0)
 	for range maxBacklogConns {
@@ -71,7 +71,7 @@
 
 // resetBacklog resets the connections that the kernel established during a partition: a machine that is cut off establishes none.
 func (l *link) resetBacklog() {
-	_ = l.listener.SetDeadline(time.Now().Add(resetBacklogTime)) // fails only on a closed listener, as AcceptTCP does
+	_ = l.listener.SetDeadline(time.Now().Add(resetBacklogTime)) // fails only on a closed listener, on which AcceptTCP fails too
 	defer func() { _ = l.listener.SetDeadline(time.Time{}) }()
 	for {
 		c, err := l.listener.AcceptTCP()
--- a/internal/testbed/fakes/watch_test.go
+++ b/internal/testbed/fakes/watch_test.go
@@ -102,7 +102,7 @@
 	d.Publish(removal, false)
 	time.Sleep(20 * time.Millisecond)
 	if known := string(a.Known()); known != `{"index":1,"snapshot":true,"endpoints":[`+w1JSON+`]}` {
-		t.Errorf("known while silent: %s", known)
+		t.Errorf("got list %s while silent, want only w1 at index 1", known)
 	}
 	a.Silence(false)
 	expect(`{"index":2,"snapshot":false,"endpoints":[` + w1RemovedJSON + `]}`)
--- a/internal/testbed/fakes/worker_faults.go
+++ b/internal/testbed/fakes/worker_faults.go
@@ -6,14 +6,14 @@
 // Hang stops or resumes all work.
 func (w *Worker) Hang(on bool) { w.changeMachine(func(m *Machine) { m.Hang(on) }) }
 
-// SetFailureRate makes a share of new jobs fail as soon as they begin; 0 ends that.
+// SetFailureRate makes a share of new jobs fail shortly after they begin; 0 ends that.
 func (w *Worker) SetFailureRate(rate float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.failureRate = rate
 }
 
-// FailFor makes all new jobs of one dispatcher fail as soon as they begin, or ends that.
+// FailFor makes all new jobs of one dispatcher fail shortly after they begin, or ends that.
 func (w *Worker) FailFor(dispatcher int, on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/testbed/fakes/worker_jobs.go
+++ b/internal/testbed/fakes/worker_jobs.go
@@ -36,7 +36,7 @@
 	} else {
 		w.timer.Stop()
 	}
-	if running, waiting := m.Busy(); w.draining && w.minDrainElapsed && running+waiting == 0 {
+	if running, queued := m.Busy(); w.draining && w.minDrainElapsed && running+queued == 0 {
 		w.kill()
 	}
 }
--- a/internal/testbed/fakes/worker_test.go
+++ b/internal/testbed/fakes/worker_test.go
@@ -145,7 +145,7 @@
 	receive(t, c, fmt.Sprintf("%x\r\n%s\n\r\n%s", len(line)+1, line, lastChunk))
 	ledger.Do(func() {
 		if attempt.End != invariant.Done || !attempt.Ran || attempt.Result != xxhash.Sum64String(result) {
-			t.Errorf("attempt: %+v", attempt)
+			t.Errorf("got attempt %+v, want one that ran, with end %s and the hash of %q", attempt, invariant.Done, result)
 		}
 	})
 	if jobs, work, overloads := w.Stats(); jobs != 1 || work != time.Millisecond || overloads != 0 {
--- a/internal/testbed/loadgen/closed.go
+++ b/internal/testbed/loadgen/closed.go
@@ -101,7 +101,7 @@
 	sentAt := time.Now()
 	status, reusable, err := c.exchange(sentAt.Add(c.request.TimeLeft))
 	if err == nil && status == http.StatusOK {
-		// It cannot fail: the deadline of a request is below the histogram's maximum.
+		// Cannot fail: no request takes longer than its deadline, which is far below the histogram's maximum.
 		_ = c.latency.RecordValue(max(1, time.Since(sentAt).Microseconds()))
 	} else {
 		c.failed.Add(1)
--- a/internal/testbed/loadgen/conn_test.go
+++ b/internal/testbed/loadgen/conn_test.go
@@ -16,7 +16,7 @@
 		want    string
 	}{
 		{
-			"least", Request{ID: "a", Class: "search", Target: "/search/lab?w=1", TimeLeft: time.Microsecond},
+			"required fields", Request{ID: "a", Class: "search", Target: "/search/lab?w=1", TimeLeft: time.Microsecond},
 			"POST /search/lab?w=1 HTTP/1.1\r\nHost: h:1\r\nX-Request-Id: a\r\nX-Class: search\r\nX-Deadline-Ms: 1\r\nContent-Length: 0\r\n\r\n",
 		},
 		{
@@ -75,7 +75,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			a, reusable, err := dialServer(t, c.response).Receive(time.Now().Add(5 * time.Second))
 			if a.Status != c.status || a.RetryAfter != c.retryAfter || reusable != c.reusable || !errors.Is(err, c.err) {
-				t.Errorf("got %+v, reusable %v, error %v", a, reusable, err)
+				t.Errorf("got %+v, reusable %v, error %v; want status %d, Retry-After %v, reusable %v, error %v",
+					a, reusable, err, c.status, c.retryAfter, c.reusable, c.err)
 			}
 		})
 	}
--- a/internal/testbed/loadgen/generator.go
+++ b/internal/testbed/loadgen/generator.go
@@ -15,7 +15,7 @@
 // Timeouts and delays of clients.
 const (
 	dialTimeout    = time.Second
-	redialDelay    = 20 * time.Millisecond  // after a refused connection, before another dispatcher is tried
+	redialDelay    = 20 * time.Millisecond  // after a failed dial, before the next one
 	lateAnswerWait = 400 * time.Millisecond // after the deadline, during which a client still reads a late answer
 	minRetryTime   = 5 * time.Millisecond   // least time to the deadline for which a retry is sent
 )
