--- a/internal/testbed/scenario/arrivals.go
+++ b/internal/testbed/scenario/arrivals.go
@@ -111,7 +111,7 @@
 	return slices.Compact(edges)
 }
 
-// trafficFactor returns the traffic at a time as a multiple of the scenario's rate, and sets the weight of each tenant.
+// trafficFactor returns the traffic at the given time as a multiple of the scenario's rate, and sets the weight of each tenant.
 func (d *Schedule) trafficFactor(at time.Duration, tenantWeights []float64) float64 {
 	jump := 1.0
 	for i := range tenantWeights {
@@ -166,7 +166,7 @@
 	filled bool
 }
 
-// take takes a token at a time, with rate tokens added per second. It returns false if there is none.
+// take removes one token at the given time, up to which rate tokens per second have been added. It returns false if there is none.
 func (b *tokenBucket) take(at time.Duration, rate float64) bool {
 	size := max(quotaSeconds*rate, minQuotaTokens)
 	if !b.filled {
--- a/internal/testbed/scenario/check.go
+++ b/internal/testbed/scenario/check.go
@@ -20,7 +20,7 @@
 		checkNumber(d, "burst.size", float64(s.Burst.Size), 2, 10_000)
 	}
 	if n := s.Rate * s.For.Seconds(); n > MaxRequests {
-		d.AddErrorf("rate", "too many requests: %.0f in total, the maximum is %d; lower rate or for", n, MaxRequests)
+		d.AddErrorf("rate", "too many requests: %.0f in total, the maximum is %d; lower \"rate\" or \"for\"", n, MaxRequests)
 	}
 	checkNumber(d, "limits.cores", s.Limits.Cores, 0.01, 256)
 	checkNumber(d, "limits.memory_mb", float64(s.Limits.MemoryMB), 32, 65536)
@@ -144,7 +144,7 @@
 		d.AddErrorf(at+"body", "invalid value %v: must be the minimum and the maximum number of bytes, between 0 and %d", c.Body, maxBody)
 	}
 	if c.LatencyObjective+time.Duration(c.Stretch*float64(c.Work)) > c.Deadline {
-		d.AddErrorf(at+"patience", "invalid value %v: must be at least aim plus stretch times work, with an aim of %v and a stretch of %v", c.Deadline, c.LatencyObjective, c.Stretch)
+		d.AddErrorf(at+"patience", "invalid value %v: must be at least aim plus stretch times work, which are %v, %v and %v", c.Deadline, c.LatencyObjective, c.Stretch, c.Work)
 	}
 	if c.Kind != "" && !slices.ContainsFunc(s.Workers, func(w WorkerPool) bool { return w.Kind == c.Kind }) {
 		d.AddErrorf(at+"kind", "unknown kind %q: must be the kind of a [[workers]] table", c.Kind)
--- a/internal/testbed/scenario/load.go
+++ b/internal/testbed/scenario/load.go
@@ -19,7 +19,7 @@
 func Shipped() []string {
 	files, err := shipped.ReadDir("shipped")
 	if err != nil {
-		panic(err) // the folder is embedded in the program
+		panic(err) // the directory is embedded in the program
 	}
 	names := make([]string, 0, len(files))
 	for _, f := range files {
@@ -92,7 +92,7 @@
 	return &s, nil
 }
 
-// fillDefaults sets the defaults that depend on other values or belong to a list's elements.
+// fillDefaults sets the defaults that depend on other values and those of classes, tenants and workers.
 func (s *Scenario) fillDefaults() {
 	for i := range s.Classes {
 		s.Classes[i].fillDefaults()
--- a/internal/testbed/scenario/scale.go
+++ b/internal/testbed/scenario/scale.go
@@ -9,8 +9,8 @@
 	"birchfork/internal/tomlfile"
 )
 
-// Override replaces values of a scenario; zero arguments change nothing. Tenants' quotas are scaled with the rate, and faults that
-// would begin at or after the new end are dropped.
+// Override replaces values of a scenario by those of the command line; zero arguments change nothing. Tenants' quotas are scaled
+// with the rate, and faults that would begin at or after the new end are dropped.
 func (s *Scenario) Override(rate float64, length time.Duration, workers, dispatchers int) error {
 	if length > 0 {
 		s.For = length
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -114,7 +114,7 @@
 // Values of Class.Retry: the outcomes after which clients retry.
 const (
 	RetryAny     = "any"     // any request that was not served
-	RetryRefused = "refused" // only rejected requests, for which a retry is safe
+	RetryRefused = "refused" // only requests that were rejected or not sent, for which a retry is safe
 	RetryNone    = "none"
 )
 
@@ -125,7 +125,7 @@
 	Quota float64 `toml:"quota"` // requests per second; 0: its share of the rate
 }
 
-// WorkerPool is a number of workers of one kind.
+// WorkerPool is a group of workers of one kind.
 type WorkerPool struct {
 	Kind      string    `toml:"kind"`
 	Count     int       `toml:"count"`
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -50,7 +50,7 @@
 	a, b := calm.Generate(3, false), drained.Generate(3, false)
 	for i := range a.Requests {
 		if a.Requests[i] != b.Requests[i] {
-			t.Fatalf("arrival %d differs", i)
+			t.Fatalf("request %d differs: %+v without the fault, %+v with it", i, a.Requests[i], b.Requests[i])
 		}
 	}
 }
@@ -112,7 +112,7 @@
 		{"dispatchers = 3", "dispatchers = 0", "dispatchers: invalid value 0: must be between 1 and 4000"},
 		{`effect = "safe"`, `effect = "none"`, `class[0].effect: invalid value "none": must be one of safe, keyed, never-twice`},
 		{`effect = "safe"`, `effect = "keyed"`, "class[0].window: missing value: a keyed class needs the time for which duplicates are dropped"},
-		{`patience = "5s"`, `patience = "600ms"`, "class[0].patience: invalid value 600ms: must be at least aim plus stretch times work"},
+		{`patience = "5s"`, `patience = "600ms"`, "class[0].patience: invalid value 600ms: must be at least aim plus stretch times work, which are 400ms, 1.75 and 300ms"},
 		{`name = "ticket"`, `name = "search"`, `class[1].name: duplicate name "search"`},
 		{`name = "ticket"`, `name = "a b"`, `class[1].name: invalid name "a b": must be 1 to 64 letters, digits, - or _`},
 		{"share = 0.5", "share = 0.6", "tenant: invalid sum of shares 1.100: must be 1"},
@@ -125,7 +125,7 @@
 		{"", "[[fault]]\nkind='worker-kill'\nat='30s'\nfor='1s'", "fault[0].at: invalid value 30s: must be at least 0 and less than the duration of the run, 20s"},
 		{"", "[[fault]]\nkind='worker-slow'\nat='1s'\nfor='1s'", "fault[0].factor: invalid value 0: must be between 0.01 and 1000"},
 		{"", "[[fault]]\nkind='tenant-flood'\nat='1s'\nfor='1s'\nfactor=2\ntenant='x'", `fault[0].tenant: unknown tenant "x"`},
-		{"", "[[fault]]\nkind='worker-kill'\nat='1s'\nfor='1s'\nnames=['w99']", `fault[0].names[0]: unknown worker "w99": must be w1 to w`},
+		{"", "[[fault]]\nkind='worker-kill'\nat='1s'\nfor='1s'\nnames=['w99']", `fault[0].names[0]: unknown worker "w99": must be w1 to w9`},
 		{"", "[[fault]]\nkind='dispatcher-kill'\nat='1s'\nfor='1s'\ndispatchers=[3]", "fault[0].dispatchers[0]: unknown dispatcher 3: must be between 0 and 2"},
 	} {
 		changed := text + "\n" + c.replacement
--- a/internal/testbed/scenario/schedule.go
+++ b/internal/testbed/scenario/schedule.go
@@ -76,7 +76,7 @@
 const cellSize = 4
 
 // Generate returns the schedule of a seed, with random faults in addition to those of the scenario if randomFaults is set. The
-// same arguments give the same schedule.
+// same scenario and arguments give the same schedule.
 func (s *Scenario) Generate(seed uint64, randomFaults bool) *Schedule {
 	d := &Schedule{Scenario: s, Seed: seed}
 	d.generateWorkers()
