--- a/internal/testbed/fakes/fleet.go
+++ b/internal/testbed/fakes/fleet.go
@@ -9,60 +9,60 @@
 	"birchfork/internal/testbed/scenario"
 )
 
-// How long the process of a draining worker lives.
+// Limits of the time for which the process of a draining worker runs.
 const (
-	minDrainTime = time.Second     // past the drain grace, so that requests sent too late are seen
-	drainTimeout = 5 * time.Second // at most, whatever still runs
+	minDrainTime = time.Second     // beyond the drain grace, so that requests sent too late are recorded
+	drainTimeout = 5 * time.Second // after which queued jobs are returned and running ones are lost
 )
 
-// Fleet is all workers of a run, with discovery. It is safe for concurrent use.
+// Fleet is all workers of a run and their discovery. It is safe for concurrent use.
 type Fleet struct {
 	Workers   []*Worker
 	Discovery *Discovery
 
-	day        *scenario.Day
+	schedule   *scenario.Schedule
 	addressFor func(dispatcher int, address string) string // may be nil
 
 	mu      sync.Mutex
-	renamed map[int]string // listed names, by worker
+	renamed map[int]string // listed name of each renamed worker
 	closed  bool
-	delayed sync.WaitGroup // calls of after that have not ended
+	delayed sync.WaitGroup // goroutines of after
 	quit    chan struct{}  // closed by Close
 }
 
-// New starts the fleet of a generated day; all its workers are up and listed when New returns. addressFor returns the address
-// that a dispatcher's list has for one of a worker's addresses; nil: the worker's own.
-func New(day *scenario.Day, l *invariant.Ledger, book Book, addressFor func(dispatcher int, address string) string) (*Fleet, error) {
-	terms, list := &day.Scenario.Terms, &day.Scenario.List
-	f := &Fleet{day: day, addressFor: addressFor, renamed: map[int]string{}, quit: make(chan struct{})}
+// New starts the workers of a schedule; all are up and listed when New returns. addressFor maps a worker's address to the one
+// that is listed for a dispatcher; nil lists the worker's own.
+func New(schedule *scenario.Schedule, l *invariant.Ledger, requests RequestLookup, addressFor func(dispatcher int, address string) string) (*Fleet, error) {
+	terms, list := &schedule.Scenario.Terms, &schedule.Scenario.List
+	f := &Fleet{schedule: schedule, addressFor: addressFor, renamed: map[int]string{}, quit: make(chan struct{})}
 	cfg := &Config{
-		Net: NewNet(), Ledger: l, Book: book, Dispatchers: day.Scenario.Dispatchers, ReportsProgress: terms.ReportsProgress, IdleClose: terms.IdleClose,
-		Fails: failureSource(day),
+		Net: NewNet(), Ledger: l, Requests: requests, Dispatchers: schedule.Scenario.Dispatchers, ReportsProgress: terms.ReportsProgress, IdleClose: terms.IdleClose,
+		Fails: failureSource(schedule),
 		OnOverload: func(i int) {
 			f.after(0, func() { f.publish(i, StatusRemoved, false, false) })
 		},
 	}
-	for i, w := range day.Workers {
-		f.Workers = append(f.Workers, NewWorker(cfg, w.Name, i, specOf(w, day.Scenario)))
+	for i, w := range schedule.Workers {
+		f.Workers = append(f.Workers, NewWorker(cfg, w.Name, i, specOf(w, schedule.Scenario)))
 	}
 	var err error
-	f.Discovery, err = NewDiscovery(l, day.Scenario.Dispatchers, list.Keep, list.Lag, list.Jitter, scenario.Rand(day.Seed, scenario.StreamLag))
+	f.Discovery, err = NewDiscovery(l, schedule.Scenario.Dispatchers, list.Keep, list.Lag, list.Jitter, scenario.Rand(schedule.Seed, scenario.StreamLag))
 	if err != nil {
 		return nil, err
 	}
 	for i, w := range f.Workers {
-		if err := w.Start(!day.Workers[i].WarmingUp); err != nil {
+		if err := w.Start(!schedule.Workers[i].WarmingUp); err != nil {
 			f.Close()
 			return nil, err
 		}
-		f.publish(i, StatusUp, day.Workers[i].WarmingUp, true)
+		f.publish(i, StatusUp, schedule.Workers[i].WarmingUp, true)
 	}
 	return f, nil
 }
 
-// failureSource returns the fleet's seeded source for failing jobs, which is safe for concurrent use.
-func failureSource(day *scenario.Day) func() float64 {
-	r := scenario.Rand(day.Seed, scenario.StreamFailures)
+// failureSource returns the fleet's seeded random source for failing jobs, which is safe for concurrent use.
+func failureSource(schedule *scenario.Schedule) func() float64 {
+	r := scenario.Rand(schedule.Seed, scenario.StreamFailures)
 	var mu sync.Mutex
 	return func() float64 {
 		mu.Lock()
@@ -71,7 +71,7 @@
 	}
 }
 
-// specOf returns what a worker of a day can do.
+// specOf returns the spec of a worker's machine.
 func specOf(w scenario.Worker, s *scenario.Scenario) Spec {
 	terms := &s.Terms
 	return Spec{
@@ -102,9 +102,9 @@
 	return work / shares
 }
 
-// publish sends a worker's status to discovery.
+// publish publishes a worker's status in discovery.
 func (f *Fleet) publish(i int, status Status, warmingUp, immediate bool) {
-	w, d := f.Workers[i], f.day.Workers[i]
+	w, d := f.Workers[i], f.schedule.Workers[i]
 	since := int64(0)
 	if warmingUp {
 		since = time.Now().UnixMilli()
@@ -139,19 +139,19 @@
 	}()
 }
 
-// Kill ends a worker's process and starts it again, warming up, after downtime.
+// Kill ends a worker's process and restarts it, warming up, after downtime.
 func (f *Fleet) Kill(i int, downtime time.Duration) {
 	f.Down(i)
 	f.after(downtime, func() { f.Up(i) })
 }
 
-// Drain drains a worker and starts it again, warming up, once its process has been down for downtime.
+// Drain drains a worker and restarts it, warming up, once its process has been down for downtime.
 func (f *Fleet) Drain(i int, downtime time.Duration) {
 	f.MarkDraining(i)
-	// Like a real one it accepts jobs until all dispatchers have had time to learn that it drains.
-	propagation := f.day.Scenario.List.Lag + f.day.Scenario.List.Jitter
+	// Like a real worker, it accepts jobs until the update has reached all dispatchers.
+	propagation := f.schedule.Scenario.List.Lag + f.schedule.Scenario.List.Jitter
 	f.after(propagation, func() {
-		drained := f.Workers[i].Drain(f.day.Scenario.Terms.DrainGrace+minDrainTime, drainTimeout)
+		drained := f.Workers[i].Drain(f.schedule.Scenario.Terms.DrainGrace+minDrainTime, drainTimeout)
 		select {
 		case <-drained:
 		case <-f.quit:
@@ -162,24 +162,24 @@
 	})
 }
 
-// MarkDraining lists a worker as draining; it goes on accepting jobs until Down.
+// MarkDraining lists a worker as draining; it continues to accept jobs until Down.
 func (f *Fleet) MarkDraining(i int) { f.publish(i, StatusDraining, false, false) }
 
-// Down ends a worker's process, until Up.
+// Down ends a worker's process and removes the worker from the list, until Up.
 func (f *Fleet) Down(i int) {
 	f.Workers[i].Kill()
 	f.publish(i, StatusRemoved, false, false)
 }
 
-// Up starts a worker again, warming up.
+// Up restarts a worker, warming up.
 func (f *Fleet) Up(i int) {
 	if f.Workers[i].Start(false) != nil {
-		return // no port is left: it stays down, as the list has it
+		return // no port is available: the worker stays down and unlisted
 	}
 	f.publish(i, StatusUp, true, false)
 }
 
-// Rename sets the name under which a worker that is down is listed from its next change on.
+// Rename sets the name under which a worker that is down is listed from its next update on.
 func (f *Fleet) Rename(i int, name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -205,14 +205,14 @@
 	for g := range n {
 		f.Discovery.Publish(EndpointUpdate{Worker: noWorker, Endpoint: func(int) Endpoint {
 			return Endpoint{
-				Name: fmt.Sprintf("ghost%d", g+1), Address: fmt.Sprintf("127.0.0.1:%d", g+1), Zone: f.day.Scenario.Zones[0],
-				Type: f.day.Workers[0].Kind, Status: status, Weight: 1,
+				Name: fmt.Sprintf("ghost%d", g+1), Address: fmt.Sprintf("127.0.0.1:%d", g+1), Zone: f.schedule.Scenario.Zones[0],
+				Type: f.schedule.Workers[0].Kind, Status: status, Weight: 1,
 			}
 		}}, false)
 	}
 }
 
-// Close ends all workers and discovery, and waits for what was to happen later.
+// Close cancels delayed calls and waits for those in progress, then stops all workers and discovery.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	if !f.closed {
--- a/internal/testbed/fakes/request.go
+++ b/internal/testbed/fakes/request.go
@@ -10,7 +10,7 @@
 	"birchfork/internal/testbed/invariant"
 )
 
-// handleRequest begins a request whose last byte has come.
+// handleRequest handles a request that has been received completely.
 func (w *Worker) handleRequest(c *conn, req *http.Request, body []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -20,7 +20,7 @@
 		return
 	}
 	if c.job != nil {
-		w.recordProtocolFault(c.link.dispatcher, "a second request on a connection that carries one")
+		w.recordProtocolFault(c.link.dispatcher, "pipelined request: the previous request of the connection is not finished")
 		c.drop()
 		return
 	}
@@ -33,9 +33,9 @@
 		c.appendHead(http.StatusNotFound, "")
 		return
 	}
-	order, ok := w.cfg.Book.Find(id)
+	expected, ok := w.cfg.Requests.Find(id)
 	if !ok {
-		w.recordProtocolFault(c.link.dispatcher, "a request under the id "+strconv.Quote(id)+" that no client sent")
+		w.recordProtocolFault(c.link.dispatcher, "unknown request id "+strconv.Quote(id)+": no client sent it")
 		c.appendHead(http.StatusBadRequest, "")
 		return
 	}
@@ -43,35 +43,35 @@
 		ID: id, Worker: w.Index, Incarnation: w.incarnation, Dispatcher: c.link.dispatcher,
 		First: c.firstByteAt, Last: w.cfg.Ledger.Now(),
 	}
-	attempt.Changed = differenceFrom(order, req, body)
-	c.id, c.attempt, c.work = id, attempt, order.Work
+	attempt.Changed = differenceFrom(expected, req, body)
+	c.id, c.attempt, c.work = id, attempt, expected.Work
 	if !w.cfg.SuppressOutput {
 		w.cfg.Ledger.Attempt(attempt)
 	}
-	w.startJob(c, order)
+	w.startJob(c, expected)
 }
 
 func isHealthCheck(req *http.Request) bool {
 	return req.Method == http.MethodGet && (req.URL.Path == "/alive" || req.URL.Path == "/metrics/load")
 }
 
-// differenceFrom returns how a request differs from what the client sent; "" where it does not.
-func differenceFrom(order Order, req *http.Request, body []byte) string {
+// differenceFrom describes how a request differs from what the client sent. It returns "" if it does not.
+func differenceFrom(expected ExpectedRequest, req *http.Request, body []byte) string {
 	switch {
-	case req.Method != http.MethodPost || req.RequestURI != order.Target:
-		return fmt.Sprintf("%s %s came in place of POST %s", req.Method, req.RequestURI, order.Target)
-	case xxhash.Sum64(body) != order.Body:
-		return fmt.Sprintf("the body of %d bytes is not the client's", len(body))
+	case req.Method != http.MethodPost || req.RequestURI != expected.Target:
+		return fmt.Sprintf("received %s %s, the client sent POST %s", req.Method, req.RequestURI, expected.Target)
+	case xxhash.Sum64(body) != expected.Body:
+		return fmt.Sprintf("received a body of %d bytes that differs from the client's", len(body))
 	default:
 		return ""
 	}
 }
 
 // startJob offers the job of a new attempt to the machine, or rejects it. The lock is held.
-func (w *Worker) startJob(c *conn, order Order) {
-	j := &Job{Work: order.Work.Seconds(), Slots: order.Slots, Memory: order.Memory}
+func (w *Worker) startJob(c *conn, expected ExpectedRequest) {
+	j := &Job{Work: expected.Work.Seconds(), Slots: expected.Slots, Memory: expected.Memory}
 	j.Fails = w.failingDispatchers[c.link.dispatcher] || w.failureRate > 0 && w.cfg.Fails() < w.failureRate
-	isOtherKind := order.Kind != "" && order.Kind != w.spec.Kind
+	isOtherKind := expected.Kind != "" && expected.Kind != w.spec.Kind
 	if w.draining || isOtherKind {
 		c.reject()
 		return
@@ -90,7 +90,7 @@
 	})
 }
 
-// recordProtocolFault records input that the worker cannot accept. The lock is held.
+// recordProtocolFault records input that violates the protocol. The lock is held.
 func (w *Worker) recordProtocolFault(dispatcher int, what string) {
 	if !w.cfg.SuppressOutput {
 		w.cfg.Ledger.ProtocolFault(invariant.ProtocolFault{Worker: w.Index, Dispatcher: dispatcher, At: w.cfg.Ledger.Now(), What: what})
--- a/internal/testbed/scenario/arrivals.go
+++ b/internal/testbed/scenario/arrivals.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// requestGenerator generates the requests of a day: a Poisson process of arrivals, some of them bursts, whose rate changes
-// with the faults that change traffic.
+// requestGenerator generates the requests of a schedule: a Poisson process of arrivals, some of them bursts, whose rate changes
+// with the faults that affect traffic.
 type requestGenerator struct {
-	day               *Day
-	random            *rand.Rand // for all but clients that leave
+	schedule          *Schedule
+	random            *rand.Rand // for everything except clients that leave
 	leaveRandom       *rand.Rand
 	classWeights      []float64
 	dispatcherWeights []float64
-	tenantWeights     []float64 // of the current stretch of time
+	tenantWeights     []float64 // in the current interval
 	quotas            []tokenBucket
-	burstChance       float64 // of an arrival to be a burst
-	arrivalRate       float64 // bursts and single requests a second
+	burstChance       float64 // probability that an arrival is a burst
+	arrivalRate       float64 // bursts and single requests per second
 }
 
-// generateRequests generates the requests, in the order of their times.
-func (d *Day) generateRequests() {
+// generateRequests generates the requests, sorted by time.
+func (d *Schedule) generateRequests() {
 	g := newRequestGenerator(d)
 	edges := d.trafficEdges()
 	for i := 0; i+1 < len(edges); i++ {
@@ -32,10 +32,10 @@
 	}
 }
 
-func newRequestGenerator(d *Day) *requestGenerator {
+func newRequestGenerator(d *Schedule) *requestGenerator {
 	s := d.Scenario
 	g := &requestGenerator{
-		day: d, random: Rand(d.Seed, streamArrivals), leaveRandom: Rand(d.Seed, streamLeave),
+		schedule: d, random: Rand(d.Seed, streamArrivals), leaveRandom: Rand(d.Seed, streamLeave),
 		classWeights: make([]float64, len(s.Classes)), dispatcherWeights: make([]float64, s.Dispatchers),
 		tenantWeights: make([]float64, len(s.Tenants)), quotas: make([]tokenBucket, len(s.Tenants)),
 	}
@@ -49,17 +49,17 @@
 		}
 	}
 	share, size := s.Burst.Share, float64(max(s.Burst.Size, 1))
-	g.burstChance = share / (size - share*(size-1)) // so that the share is one of requests
+	g.burstChance = share / (size - share*(size-1)) // Share counts requests, not arrivals
 	g.arrivalRate = s.Rate / (1 - g.burstChance + g.burstChance*size)
 	return g
 }
 
-// generate generates the requests of a stretch of time without a change of traffic. It returns false when the day has as many
-// requests as a run may have.
+// generate generates the requests of an interval in which traffic does not change. It returns false once the schedule has
+// MaxRequests.
 func (g *requestGenerator) generate(from, until time.Duration) bool {
-	s, d := g.day.Scenario, g.day
+	s, d := g.schedule.Scenario, g.schedule
 	rate := g.arrivalRate * d.trafficFactor(from, g.tenantWeights)
-	// A Poisson process has no memory: it may start again at each edge.
+	// A Poisson process is memoryless, so it can be restarted in each interval.
 	for at := from; ; {
 		at += time.Duration(g.random.ExpFloat64() / rate * float64(time.Second))
 		if at >= until {
@@ -78,9 +78,9 @@
 	}
 }
 
-// request generates one request. The order in which it takes random numbers is part of what a seed means.
+// request generates one request. A change of the order in which it draws random numbers would change the schedules of all seeds.
 func (g *requestGenerator) request(at time.Duration) Request {
-	s, random := g.day.Scenario, g.random
+	s, random := g.schedule.Scenario, g.random
 	r := Request{At: at, Class: weightedChoice(random, g.classWeights), Tenant: -1, Dispatcher: weightedChoice(random, g.dispatcherWeights)}
 	if len(g.tenantWeights) > 0 {
 		r.Tenant = weightedChoice(random, g.tenantWeights)
@@ -99,8 +99,8 @@
 	return r
 }
 
-// trafficEdges returns the times at which traffic changes, with the day's start and end.
-func (d *Day) trafficEdges() []time.Duration {
+// trafficEdges returns the times at which traffic changes, including the start and the end of the run.
+func (d *Schedule) trafficEdges() []time.Duration {
 	edges := []time.Duration{0, d.Scenario.For}
 	for _, e := range d.Events {
 		if e.Kind == TrafficJump || e.Kind == TenantFlood {
@@ -111,8 +111,8 @@
 	return slices.Compact(edges)
 }
 
-// trafficFactor returns the traffic at a time as a factor of the scenario's rate, and sets each tenant's weight in it.
-func (d *Day) trafficFactor(at time.Duration, tenantWeights []float64) float64 {
+// trafficFactor returns the traffic at the given time as a multiple of the scenario's rate, and sets the weight of each tenant.
+func (d *Schedule) trafficFactor(at time.Duration, tenantWeights []float64) float64 {
 	jump := 1.0
 	for i := range tenantWeights {
 		tenantWeights[i] = d.Scenario.Tenants[i].Share
@@ -138,7 +138,7 @@
 	return jump * sum
 }
 
-// weightedChoice returns a random index by weights.
+// weightedChoice returns a random index with a probability proportional to its weight.
 func weightedChoice(r *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, w := range weights {
@@ -153,20 +153,20 @@
 	return len(weights) - 1
 }
 
-// Size of a tenant's token bucket: the quota of quotaSeconds, but minQuotaTokens at least.
+// Size of a tenant's token bucket: its quota for quotaSeconds, and at least minQuotaTokens.
 const (
 	quotaSeconds   = 2
 	minQuotaTokens = 3
 )
 
-// tokenBucket decides which requests are within a tenant's quota. It is full at first.
+// tokenBucket decides which requests are within a tenant's quota. It is initially full.
 type tokenBucket struct {
 	tokens float64
 	at     time.Duration // of the last take
 	filled bool
 }
 
-// take takes a token at a time, where rate tokens a second are added. It returns false where there is none.
+// take removes one token at the given time, up to which rate tokens per second have been added. It returns false if there is none.
 func (b *tokenBucket) take(at time.Duration, rate float64) bool {
 	size := max(quotaSeconds*rate, minQuotaTokens)
 	if !b.filled {
