--- a/cmd/birchfork/testbed_run.go
+++ b/cmd/birchfork/testbed_run.go
@@ -74,7 +74,7 @@
 	}
 	ctx, stop := interruptible()
 	defer stop()
-	options := testbed.Options{Scenario: selected, Seed: c.Seed, RandomFaults: c.Storm, Policy: c.Policy, Mutant: c.Mutant, Launch: launch, Ceiling: c.Ceiling}
+	options := testbed.Options{Scenario: selected, Seed: c.Seed, RandomFaults: c.Storm, Policy: c.Policy, Mutant: c.Mutant, Launch: launch, MeasureThroughput: c.Ceiling}
 	if c.Group {
 		if c.Operator != "" || c.Policy != testbed.PolicyRules || c.Mutant != "" {
 			return errors.New("--group makes an operator's file of its own: it goes with none of --operator, --policy and --plant")
--- a/internal/testbed/cluster/inject.go
+++ b/internal/testbed/cluster/inject.go
@@ -67,7 +67,7 @@
 	case PauseProcess:
 		h.environment.Pause(ctx, f.Member, f.For)
 	case KillProcess:
-		h.environment.Kill(ctx, f.Member, f.For, nil)
+		h.environment.KillAndRestart(ctx, f.Member, f.For, nil)
 	case CrashMachine:
 		h.crashMachine(ctx, f)
 	case LoseDisk:
@@ -77,9 +77,9 @@
 	case ForeignDisk:
 		h.copyForeignDisk(ctx, f, index)
 	case Terminate:
-		h.environment.Terminate(ctx, f.Member)
+		h.environment.Restart(ctx, f.Member)
 	case Upgrade:
-		h.environment.Upgrade(ctx, f.Member)
+		h.environment.HotRestart(ctx, f.Member)
 	case WorkerCrash, WorkerDrain:
 		h.takeWorkerDown(ctx, f)
 	case WorkerHang:
@@ -152,7 +152,7 @@
 	confirming, stopConfirming := context.WithCancel(ctx)
 	var operators sync.WaitGroup
 	operators.Go(func() { h.confirmDisk(confirming, f) })
-	h.environment.Kill(ctx, f.Member, f.For, func() { h.removeDir(h.temporaryDir(f.Member)) })
+	h.environment.KillAndRestart(ctx, f.Member, f.For, func() { h.removeDir(h.temporaryDir(f.Member)) })
 	stopConfirming()
 	operators.Wait()
 }
@@ -168,7 +168,7 @@
 
 // loseDisk kills a member and starts it again with no files.
 func (h *harness) loseDisk(ctx context.Context, f Fault, index int) {
-	h.environment.Kill(ctx, f.Member, f.For, func() {
+	h.environment.KillAndRestart(ctx, f.Member, f.For, func() {
 		h.recordDiskLoss(index)
 		h.removeDir(h.diskDir(f.Member))
 		h.removeDir(h.temporaryDir(f.Member))
@@ -180,7 +180,7 @@
 func (h *harness) restoreOutdatedDisk(ctx context.Context, f Fault, index int) {
 	files := h.readDisk(f.Member, logFile, overridesFile)
 	sleep(ctx, f.For)
-	h.environment.Kill(ctx, f.Member, 0, func() {
+	h.environment.KillAndRestart(ctx, f.Member, 0, func() {
 		h.recordDiskLoss(index)
 		h.writeDisk(f.Member, files)
 		if f.Kind == OutdatedDiskElsewhere {
@@ -191,7 +191,7 @@
 
 // copyForeignDisk kills a member and starts it again with the overrides of the next member's disk.
 func (h *harness) copyForeignDisk(ctx context.Context, f Fault, index int) {
-	h.environment.Kill(ctx, f.Member, f.For, func() {
+	h.environment.KillAndRestart(ctx, f.Member, f.For, func() {
 		h.recordDiskLoss(index)
 		h.writeDisk(f.Member, h.readDisk(h.nextMember(f.Member), overridesFile))
 	})
--- a/internal/testbed/cluster/members.go
+++ b/internal/testbed/cluster/members.go
@@ -117,13 +117,13 @@
 // joinMember adds the absent member while the plan runs: it is down until all files name it and the others were restarted, one after
 // the other.
 func (h *harness) joinMember(ctx context.Context) {
-	h.environment.Kill(ctx, h.options.Joins, joinsAfter, func() {
+	h.environment.KillAndRestart(ctx, h.options.Joins, joinsAfter, func() {
 		if err := h.writeOperatorFiles(0); err != nil {
 			h.recordStatus(err.Error())
 		}
 		for member := range h.addresses {
 			if member != h.options.Joins && ctx.Err() == nil {
-				h.environment.Terminate(ctx, member)
+				h.environment.Restart(ctx, member)
 			}
 		}
 	})
@@ -132,7 +132,7 @@
 // replaceOlderBuild restarts the member of an older build as one of the present build, after it has run for a while.
 func (h *harness) replaceOlderBuild(ctx context.Context) {
 	sleep(ctx, olderBuildFor)
-	h.environment.Terminate(ctx, h.options.OlderBuild)
+	h.environment.Restart(ctx, h.options.OlderBuild)
 }
 
 // deliveredScenario returns the scenario whose settings a member is configured with: that of the run, or, before the members are
--- a/internal/testbed/cluster/run.go
+++ b/internal/testbed/cluster/run.go
@@ -130,7 +130,7 @@
 		Seed:               h.options.Seed,
 		Policy:             testbed.PolicyRules,
 		Alongside:          h.play,
-		CheckMore:          h.checkInvariants,
+		AdditionalCheck:    h.checkInvariants,
 		WorkerAddress:      h.outerLinkMapper(LoseWorkers),
 		DiscoveryAddress:   h.outerLinkMapper(LoseDiscovery),
 		StartTimeout:       h.options.For, // without a majority a member without its disk sends nothing, and so does not serve
--- a/internal/testbed/cluster/workerinvariants.go
+++ b/internal/testbed/cluster/workerinvariants.go
@@ -45,9 +45,9 @@
 // and that state is as new as the draining delivery or newer.
 func hasNewerDelivery(deliveries []*invariant.Delivery, draining *invariant.Delivery, a *invariant.Attempt) bool {
 	return slices.ContainsFunc(deliveries, func(d *invariant.Delivery) bool {
-		isNewer := d.Incarnation > draining.Incarnation || d.Incarnation == draining.Incarnation && d.Has >= draining.Has
+		isNewer := d.Incarnation > draining.Incarnation || d.Incarnation == draining.Incarnation && d.AtAgent >= draining.AtAgent
 		wasWritten := d.Written > 0 && d.Written <= a.First
-		wasConfigured := d.State == invariant.Up && d.Has <= a.First
+		wasConfigured := d.State == invariant.Up && d.AtAgent <= a.First
 		return d.Dispatcher == a.Dispatcher && d.Worker == draining.Worker && isNewer && (wasWritten || wasConfigured)
 	})
 }
--- a/internal/testbed/environment.go
+++ b/internal/testbed/environment.go
@@ -29,8 +29,8 @@
 // Slack returns what is added to every time limit for the lag of the testbed itself.
 func (e *Environment) Slack() time.Duration { return e.run.terms().Slack }
 
-// Until waits for a time since the day's start. It returns false when ctx ended first.
-func (e *Environment) Until(ctx context.Context, at time.Duration) bool {
+// WaitUntil waits for a time since the day's start. It returns false when ctx ended first.
+func (e *Environment) WaitUntil(ctx context.Context, at time.Duration) bool {
 	return e.run.faults.waitUntil(ctx, at)
 }
 
@@ -40,7 +40,7 @@
 	if d.signal(syscall.SIGSTOP, invariant.Stopped, invariant.Crashed) == nil {
 		return
 	}
-	defer d.signal(syscall.SIGCONT, invariant.Woken, invariant.Crashed)
+	defer d.signal(syscall.SIGCONT, invariant.Resumed, invariant.Crashed)
 	select {
 	case <-time.After(length):
 	case <-ctx.Done():
@@ -53,22 +53,22 @@
 // CPU returns the CPU time that a dispatcher's current process has used.
 func (e *Environment) CPU(dispatcher int) time.Duration { return e.run.dispatchers[dispatcher].cpu() }
 
-// Kill ends a dispatcher's process with SIGKILL and starts it again after a time. Before the start it calls change, if that
+// KillAndRestart ends a dispatcher's process with SIGKILL and starts it again after a time. Before the start it calls change, if that
 // is not nil.
-func (e *Environment) Kill(ctx context.Context, dispatcher int, away time.Duration, change func()) {
+func (e *Environment) KillAndRestart(ctx context.Context, dispatcher int, away time.Duration, change func()) {
 	e.run.restartDispatcher(ctx, dispatcher, true, away, change)
 }
 
-// Terminate ends a dispatcher's process with SIGTERM and starts it again.
-func (e *Environment) Terminate(ctx context.Context, dispatcher int) {
+// Restart ends a dispatcher's process with SIGTERM and starts it again.
+func (e *Environment) Restart(ctx context.Context, dispatcher int) {
 	e.run.restartDispatcher(ctx, dispatcher, false, 0, nil)
 }
 
 // servingMessage is in the log of a process once clients can connect to it.
 const servingMessage = "msg=serving"
 
-// Upgrade starts a process beside the current one, and terminates the old one once the new one serves.
-func (e *Environment) Upgrade(ctx context.Context, dispatcher int) {
+// HotRestart starts a process beside the current one, and terminates the old one once the new one serves.
+func (e *Environment) HotRestart(ctx context.Context, dispatcher int) {
 	d := e.run.dispatchers[dispatcher]
 	old := d.currentProcess()
 	next, err := d.startProcess()
--- a/internal/testbed/fakes/agent.go
+++ b/internal/testbed/fakes/agent.go
@@ -181,7 +181,7 @@
 	e.index = a.index
 	if e.worker != noWorker {
 		e.delivery = &invariant.Delivery{
-			Dispatcher: a.dispatcher, Worker: e.worker, Incarnation: e.incarnation, State: e.Status.state(), Has: a.ledger.Now(),
+			Dispatcher: a.dispatcher, Worker: e.worker, Incarnation: e.incarnation, State: e.Status.state(), AtAgent: a.ledger.Now(),
 		}
 		a.ledger.Delivery(e.delivery)
 	}
--- a/internal/testbed/fakes/watch.go
+++ b/internal/testbed/fakes/watch.go
@@ -79,7 +79,7 @@
 		}
 		if isFirst {
 			a.ledger.Delivery(&invariant.Delivery{
-				Dispatcher: d.Dispatcher, Worker: d.Worker, Incarnation: d.Incarnation, State: d.State, Has: now, Written: now,
+				Dispatcher: d.Dispatcher, Worker: d.Worker, Incarnation: d.Incarnation, State: d.State, AtAgent: now, Written: now,
 			})
 			continue
 		}
--- a/internal/testbed/invariant/answers.go
+++ b/internal/testbed/invariant/answers.go
@@ -10,7 +10,7 @@
 	switch t.Outcome {
 	case Pending, Unsent, Left:
 		return
-	case Closed, Unknown:
+	case Closed, NoAnswer:
 		c.checkUnanswered(t)
 		return
 	}
@@ -18,7 +18,7 @@
 	if t.Ended > t.Due+c.terms.Slack && !c.wasStoppedIn(t.Dispatcher, t.Sent, t.Ended) {
 		c.violate(Answers, Late, t.Ended, t.Dispatcher, t.ID, c.lines(t)...)
 	}
-	if t.Twice {
+	if t.AnsweredTwice {
 		c.violate(Answers, AnsweredTwice, t.Ended, t.Dispatcher, t.ID, c.lines(t)...)
 	}
 	gaveResult := func(a *Attempt) bool { return a.End == Done && a.Result == t.Result }
--- a/internal/testbed/invariant/check.go
+++ b/internal/testbed/invariant/check.go
@@ -34,8 +34,8 @@
 // DefaultSlack is the tolerance of the platform's protocol for sockets.
 const DefaultSlack = 50 * time.Millisecond
 
-// wakeTime is how long a dispatcher that was stopped may take to catch up with what came meanwhile.
-const wakeTime = 500 * time.Millisecond
+// catchUpTime is how long a dispatcher that was stopped may take to catch up with what came meanwhile.
+const catchUpTime = 500 * time.Millisecond
 
 // Check checks the rules against the records of a run that has ended.
 func Check(l *Ledger, t Terms) *Verdict {
@@ -55,8 +55,8 @@
 	c.checkForwarded()
 	c.checkDrains()
 	c.checkOverloads()
-	for _, m := range l.moments {
-		if m.Kind == Crashed || m.Kind == Overstayed {
+	for _, m := range l.processEvents {
+		if m.Kind == Crashed || m.Kind == StopTimedOut {
 			c.verdict.Crashes = append(c.verdict.Crashes, m)
 		}
 	}
@@ -81,7 +81,7 @@
 // checkOverloads checks the rule SlowStart.
 func (c *checker) checkOverloads() {
 	for _, o := range c.ledger.overloads {
-		c.violate(SlowStart, PushedOver, o.At, severalDispatchers, "",
+		c.violate(SlowStart, WarmingOverloaded, o.At, severalDispatchers, "",
 			fmt.Sprintf("%s worker %s at %.0f%% of its capacity was sent %.2f s of work in the window; it bears %.2f s",
 				formatTime(o.At), c.workerName(o.Worker), 100*o.SlowStartFactor, o.Sent, o.Allowed))
 	}
@@ -131,13 +131,13 @@
 // wasStoppedIn reports whether the testbed had a dispatcher stopped at some time between from and to, or until shortly before.
 func (c *checker) wasStoppedIn(dispatcher int, from, to time.Duration) bool {
 	stopped := time.Duration(-1)
-	for _, m := range c.ledger.moments {
+	for _, m := range c.ledger.processEvents {
 		switch {
 		case m.Dispatcher != dispatcher:
 		case m.Kind == Stopped:
 			stopped = m.At
-		case stopped >= 0 && m.Kind == Woken:
-			if stopped <= to+c.terms.Slack && m.At+wakeTime >= from {
+		case stopped >= 0 && m.Kind == Resumed:
+			if stopped <= to+c.terms.Slack && m.At+catchUpTime >= from {
 				return true
 			}
 			stopped = -1
@@ -148,7 +148,7 @@
 
 // wasKilledIn reports whether the testbed killed a dispatcher between from and to.
 func (c *checker) wasKilledIn(dispatcher int, from, to time.Duration) bool {
-	for _, m := range c.ledger.moments {
+	for _, m := range c.ledger.processEvents {
 		if m.Dispatcher == dispatcher && m.Kind == Killed && m.At >= from-c.terms.Slack && m.At <= to+c.terms.Slack {
 			return true
 		}
--- a/internal/testbed/invariant/check_test.go
+++ b/internal/testbed/invariant/check_test.go
@@ -68,25 +68,25 @@
 		{"an answer in the slack", 0, func(_ *Ledger, t *Try, _ *Attempt) { t.Ended = t.Due + 50*ms }, ""},
 		{"a late answer", 0, func(_ *Ledger, t *Try, _ *Attempt) { t.Ended = t.Due + 51*ms }, "answers/late"},
 		{"a late refusal", 0, func(_ *Ledger, t *Try, _ *Attempt) { t.Outcome, t.Ended = Refused, t.Due+60*ms }, "answers/late"},
-		{"no answer", 0, func(_ *Ledger, t *Try, _ *Attempt) { t.Outcome = Unknown }, "answers/lost"},
+		{"no answer", 0, func(_ *Ledger, t *Try, _ *Attempt) { t.Outcome = NoAnswer }, "answers/lost"},
 		{"a close after sending on", 0, func(_ *Ledger, t *Try, _ *Attempt) { t.Outcome = Closed }, "answers/lost"},
 		{"a close with nothing sent on", 0, func(_ *Ledger, t *Try, a *Attempt) { t.Outcome, a.ID = Closed, "b" }, "answers/made-up-request"},
 		{"a close by a kill of ours", 1, func(l *Ledger, t *Try, _ *Attempt) {
 			t.Outcome = Closed
-			l.Moment(Moment{At: 1100 * ms, Kind: Killed})
+			l.ProcessEvent(ProcessEvent{At: 1100 * ms, Kind: Killed})
 		}, ""},
 		{"a close while we killed another", 0, func(l *Ledger, t *Try, _ *Attempt) {
 			t.Outcome = Closed
-			l.Moment(Moment{Dispatcher: 1, At: 1100 * ms, Kind: Killed})
+			l.ProcessEvent(ProcessEvent{Dispatcher: 1, At: 1100 * ms, Kind: Killed})
 		}, "answers/lost"},
 		{"a close long after a kill", 0, func(l *Ledger, t *Try, _ *Attempt) {
 			t.Outcome = Closed
-			l.Moment(Moment{At: 500 * ms, Kind: Killed})
+			l.ProcessEvent(ProcessEvent{At: 500 * ms, Kind: Killed})
 		}, "answers/lost"},
 		{"a client that left", 0, func(_ *Ledger, t *Try, _ *Attempt) { t.Outcome = Left }, ""},
 		{"another result", 0, func(_ *Ledger, t *Try, _ *Attempt) { t.Result = 8 }, "answers/made-up-answer"},
 		{"the result of an attempt that failed", 0, func(_ *Ledger, _ *Try, a *Attempt) { a.End = Errored }, "answers/made-up-answer"},
-		{"two answers", 0, func(_ *Ledger, t *Try, _ *Attempt) { t.Twice = true }, "answers/answered-twice"},
+		{"two answers", 0, func(_ *Ledger, t *Try, _ *Attempt) { t.AnsweredTwice = true }, "answers/answered-twice"},
 		{"a send after the answer", 0, func(l *Ledger, t *Try, _ *Attempt) { l.Attempt(again(1, t.Ended+60*ms)) }, "answers/sent-after-final"},
 		{"a send that crosses the answer", 0, func(l *Ledger, t *Try, _ *Attempt) { l.Attempt(again(1, t.Ended+40*ms)) }, ""},
 		{"another body", 0, func(_ *Ledger, _ *Try, a *Attempt) { a.Changed = "shorter" }, "answers/changed"},
@@ -135,43 +135,43 @@
 func TestCheck_Drains(t *testing.T) {
 	checkCases(t, []checkCase{
 		{"a send within the grace", 0, func(l *Ledger, _ *Try, _ *Attempt) {
-			l.Delivery(&Delivery{State: Draining, Has: 400 * ms, Written: 470 * ms})
+			l.Delivery(&Delivery{State: Draining, AtAgent: 400 * ms, Written: 470 * ms})
 		}, ""},
 		{"a send past the grace", 0, func(l *Ledger, _ *Try, _ *Attempt) {
-			l.Delivery(&Delivery{State: Draining, Has: 400 * ms, Written: 450 * ms})
+			l.Delivery(&Delivery{State: Draining, AtAgent: 400 * ms, Written: 450 * ms})
 		}, "drains/sent-after-drain"},
 		{"a drain, then its end: the first counts", 0, func(l *Ledger, _ *Try, _ *Attempt) {
-			l.Delivery(&Delivery{State: Draining, Has: 400 * ms, Written: 400 * ms})
-			l.Delivery(&Delivery{State: Removed, Has: 900 * ms, Written: 900 * ms})
+			l.Delivery(&Delivery{State: Draining, AtAgent: 400 * ms, Written: 400 * ms})
+			l.Delivery(&Delivery{State: Removed, AtAgent: 900 * ms, Written: 900 * ms})
 		}, "drains/sent-after-drain"},
 		{"a drain, then back", 0, func(l *Ledger, _ *Try, _ *Attempt) {
-			l.Delivery(&Delivery{State: Draining, Has: 300 * ms, Written: 300 * ms})
-			l.Delivery(&Delivery{State: Up, Incarnation: 2, Has: 900 * ms, Written: 900 * ms})
+			l.Delivery(&Delivery{State: Draining, AtAgent: 300 * ms, Written: 300 * ms})
+			l.Delivery(&Delivery{State: Up, Incarnation: 2, AtAgent: 900 * ms, Written: 900 * ms})
 		}, ""},
 		{"another worker's drain", 0, func(l *Ledger, _ *Try, _ *Attempt) {
-			l.Delivery(&Delivery{Worker: 1, State: Draining, Has: 300 * ms, Written: 300 * ms})
+			l.Delivery(&Delivery{Worker: 1, State: Draining, AtAgent: 300 * ms, Written: 300 * ms})
 		}, ""},
 		{"another dispatcher's news", 0, func(l *Ledger, _ *Try, _ *Attempt) {
-			l.Delivery(&Delivery{Dispatcher: 1, State: Draining, Has: 300 * ms, Written: 300 * ms})
+			l.Delivery(&Delivery{Dispatcher: 1, State: Draining, AtAgent: 300 * ms, Written: 300 * ms})
 		}, ""},
 		{"news that a process before was told", 0, func(l *Ledger, _ *Try, _ *Attempt) {
-			l.Delivery(&Delivery{State: Draining, Has: 300 * ms, Written: 300 * ms})
-			l.Moment(Moment{At: 900 * ms, Kind: Started})
+			l.Delivery(&Delivery{State: Draining, AtAgent: 300 * ms, Written: 300 * ms})
+			l.ProcessEvent(ProcessEvent{At: 900 * ms, Kind: Started})
 		}, ""},
 		{"news that nobody took counts as told later", 0, func(l *Ledger, t *Try, a *Attempt) {
 			a.First, a.Last, a.Ended = 9000*ms, 9000*ms, 9100*ms
 			t.Sent, t.Due, t.Ended = 8990*ms, 12000*ms, 9100*ms
-			l.Delivery(&Delivery{State: Draining, Has: 300 * ms})
+			l.Delivery(&Delivery{State: Draining, AtAgent: 300 * ms})
 		}, "drains/sent-after-drain"},
 		{"news that nobody took, and newer that came", 0, func(l *Ledger, t *Try, a *Attempt) {
 			a.First, a.Last, a.Ended = 9000*ms, 9000*ms, 9100*ms
 			t.Sent, t.Due, t.Ended = 8990*ms, 12000*ms, 9100*ms
-			l.Delivery(&Delivery{State: Draining, Has: 300 * ms})
-			l.Delivery(&Delivery{State: Up, Incarnation: 2, Has: 800 * ms, Written: 800 * ms})
+			l.Delivery(&Delivery{State: Draining, AtAgent: 300 * ms})
+			l.Delivery(&Delivery{State: Up, Incarnation: 2, AtAgent: 800 * ms, Written: 800 * ms})
 		}, ""},
 		{"an older word written later than a newer one", 0, func(l *Ledger, _ *Try, _ *Attempt) {
-			l.Delivery(&Delivery{State: Draining, Has: 300 * ms, Written: 300 * ms})
-			l.Delivery(&Delivery{State: Up, Has: 200 * ms, Written: 900 * ms})
+			l.Delivery(&Delivery{State: Draining, AtAgent: 300 * ms, Written: 300 * ms})
+			l.Delivery(&Delivery{State: Up, AtAgent: 200 * ms, Written: 900 * ms})
 		}, "drains/sent-after-drain"},
 	})
 }
@@ -191,8 +191,8 @@
 		l.Try(&Try{ID: id, Dispatcher: d, Sent: 900 * ms, Due: 3000 * ms, Ended: 1000 * ms, Outcome: Closed})
 		l.Attempt(&Attempt{ID: id, Dispatcher: d, First: 910 * ms, Last: 910 * ms, End: Dropped})
 	}
-	l.Moment(Moment{Dispatcher: 0, At: 1000 * ms, Kind: Killed})
-	l.Moment(Moment{Dispatcher: 1, At: 1000 * ms, Kind: Crashed})
+	l.ProcessEvent(ProcessEvent{Dispatcher: 0, At: 1000 * ms, Kind: Killed})
+	l.ProcessEvent(ProcessEvent{Dispatcher: 1, At: 1000 * ms, Kind: Crashed})
 	v := Check(l, terms())
 	if v.Lost != 1 || v.Excused != 2 || len(v.Crashes) != 1 || v.Count()[Answers] != 1 {
 		t.Errorf("lost %d, excused %d, crashes %v, %v", v.Lost, v.Excused, v.Crashes, v.Count())
--- a/internal/testbed/invariant/drains.go
+++ b/internal/testbed/invariant/drains.go
@@ -39,14 +39,14 @@
 func (c *checker) notices() map[route][]notice {
 	notices := map[route][]notice{}
 	deliveries := slices.Clone(c.ledger.deliveries)
-	slices.SortStableFunc(deliveries, func(a, b *Delivery) int { return int(a.Has - b.Has) })
+	slices.SortStableFunc(deliveries, func(a, b *Delivery) int { return int(a.AtAgent - b.AtAgent) })
 	for _, d := range deliveries {
-		at := d.Has + c.terms.PropagationDeadline
+		at := d.AtAgent + c.terms.PropagationDeadline
 		if d.Written > 0 && d.Written < at {
 			at = d.Written
 		}
 		if d.State == Up { // it may be known from then on: by the configuration, or before the write was recorded here
-			at = d.Has
+			at = d.AtAgent
 		}
 		r := route{d.Dispatcher, d.Worker}
 		notices[r] = append(notices[r], notice{at, d.State})
@@ -63,7 +63,7 @@
 // processStarts returns when the processes of each dispatcher started, in their order.
 func (c *checker) processStarts() map[int][]time.Duration {
 	starts := map[int][]time.Duration{}
-	for _, m := range c.ledger.moments {
+	for _, m := range c.ledger.processEvents {
 		if m.Kind == Started {
 			starts[m.Dispatcher] = append(starts[m.Dispatcher], m.At)
 		}
--- a/internal/testbed/invariant/ledger.go
+++ b/internal/testbed/invariant/ledger.go
@@ -12,39 +12,39 @@
 // Outcome is how a try ended for its client.
 type Outcome uint8
 
-// The outcomes.
+// The outcomeCount.
 const (
-	Pending  Outcome = iota
-	Served           // 200 with a result
-	Refused          // 429 or 503
-	Failed           // any other whole answer
-	Closed           // the connection ended with no whole answer
-	Unknown          // no answer while the client waited
-	Left             // the client left before an answer, as planned
-	Unsent           // no connection came up, or the request could not be written whole
-	outcomes         // how many there are
+	Pending      Outcome = iota
+	Served               // 200 with a result
+	Refused              // 429 or 503
+	Failed               // any other whole answer
+	Closed               // the connection ended with no whole answer
+	NoAnswer             // no answer while the client waited
+	Left                 // the client left before an answer, as planned
+	Unsent               // no connection came up, or the request could not be written whole
+	outcomeCount         // how many there are
 )
 
-var outcomeNames = [outcomes]string{"pending", "served", "refused", "failed", "closed", "no answer", "left", "unsent"}
+var outcomeNames = [outcomeCount]string{"pending", "served", "refused", "failed", "closed", "no answer", "left", "unsent"}
 
 // String returns the outcome as reports have it.
 func (o Outcome) String() string { return outcomeNames[o] }
 
 // Try is one request as its client saw it.
 type Try struct {
-	ID         string
-	Request    int // index of the client request in the day
-	Number     int // 0: the first try of its client request
-	Class      int
-	Dispatcher int
-	Fresh      bool          // the first request on its connection
-	Sent       time.Duration // when its last byte was written
-	Due        time.Duration // its deadline
-	Ended      time.Duration
-	Outcome    Outcome
-	Status     int
-	Result     uint64 // hash of the body that came with 200
-	Twice      bool   // more came after the answer
+	ID            string
+	Request       int // index of the client request in the day
+	Number        int // 0: the first try of its client request
+	Class         int
+	Dispatcher    int
+	Fresh         bool          // the first request on its connection
+	Sent          time.Duration // when its last byte was written
+	Due           time.Duration // its deadline
+	Ended         time.Duration
+	Outcome       Outcome
+	Status        int
+	Result        uint64 // hash of the body that came with 200
+	AnsweredTwice bool   // more came after the answer
 }
 
 // End is how an attempt ended at its worker.
@@ -99,7 +99,7 @@
 type Delivery struct {
 	Dispatcher, Worker, Incarnation int
 	State                           State
-	Has                             time.Duration // since when the dispatcher's agent has it
+	AtAgent                         time.Duration // since when the dispatcher's agent has it
 	Written                         time.Duration // when it was written to the dispatcher; 0: not yet
 }
 
@@ -111,35 +111,35 @@
 	SlowStartFactor     float64 // the share of its capacity that it had
 }
 
-// Moment is an event of a dispatcher's process.
-type Moment struct {
+// ProcessEvent is an event of a dispatcher's process.
+type ProcessEvent struct {
 	Dispatcher int
 	At         time.Duration
-	Kind       MomentKind
+	Kind       ProcessEventKind
 	Detail     string
 }
 
-// MomentKind is the kind of a Moment.
-type MomentKind uint8
+// ProcessEventKind is the kind of a ProcessEvent.
+type ProcessEventKind uint8
 
-// The moments. The testbed sends the signals.
+// The process events. The testbed sends the signals.
 const (
-	Started    MomentKind = iota
-	Ready                 // it answered that it is up
-	Killed                // by SIGKILL
-	Terminated            // SIGTERM sent
-	Reloaded              // SIGHUP sent
-	Exited                // with status 0, after SIGTERM
-	Crashed               // by itself, or with another status
-	Overstayed            // it had not ended when SIGKILL came after SIGTERM
-	Stopped               // by SIGSTOP
-	Woken                 // by SIGCONT
+	Started      ProcessEventKind = iota
+	Ready                         // it answered that it is up
+	Killed                        // by SIGKILL
+	Terminated                    // SIGTERM sent
+	Reloaded                      // SIGHUP sent
+	Exited                        // with status 0, after SIGTERM
+	Crashed                       // by itself, or with another status
+	StopTimedOut                  // it had not ended when SIGKILL came after SIGTERM
+	Stopped                       // by SIGSTOP
+	Resumed                       // by SIGCONT
 )
 
-var momentKindNames = [...]string{"started", "ready", "killed", "sent SIGTERM", "sent SIGHUP", "ended", "crashed", "did not end after SIGTERM", "sent SIGSTOP", "sent SIGCONT"}
+var processEventKindNames = [...]string{"started", "ready", "killed", "sent SIGTERM", "sent SIGHUP", "ended", "crashed", "did not end after SIGTERM", "sent SIGSTOP", "sent SIGCONT"}
 
-// String returns the moment as reports have it.
-func (k MomentKind) String() string { return momentKindNames[k] }
+// String returns the event as it is written in reports.
+func (k ProcessEventKind) String() string { return processEventKindNames[k] }
 
 // ProtocolFault is input that a worker was sent and could not parse.
 type ProtocolFault struct {
@@ -157,7 +157,7 @@
 	attempts       []*Attempt
 	deliveries     []*Delivery
 	overloads      []Overload
-	moments        []Moment
+	processEvents  []ProcessEvent
 	protocolFaults []ProtocolFault
 }
 
@@ -189,8 +189,8 @@
 // Overload records an overload of a worker that warmed up.
 func (l *Ledger) Overload(o Overload) { record(l, &l.overloads, o) }
 
-// Moment records an event of a dispatcher's process.
-func (l *Ledger) Moment(m Moment) { record(l, &l.moments, m) }
+// ProcessEvent records an event of a dispatcher's process.
+func (l *Ledger) ProcessEvent(m ProcessEvent) { record(l, &l.processEvents, m) }
 
 // ProtocolFault records input that a worker could not parse.
 func (l *Ledger) ProtocolFault(f ProtocolFault) { record(l, &l.protocolFaults, f) }
@@ -223,9 +223,9 @@
 	return l.deliveries
 }
 
-// Moments returns all events of dispatchers' processes so far.
-func (l *Ledger) Moments() []Moment {
+// ProcessEvents returns all events of dispatchers' processes so far.
+func (l *Ledger) ProcessEvents() []ProcessEvent {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.moments
+	return l.processEvents
 }
--- a/internal/testbed/invariant/violation.go
+++ b/internal/testbed/invariant/violation.go
@@ -39,8 +39,8 @@
 
 // Kinds of violations of Drains and SlowStart.
 const (
-	SentAfterDrain = "sent-after-drain"
-	PushedOver     = "pushed-over" // a warming worker crashed under overload
+	SentAfterDrain    = "sent-after-drain"
+	WarmingOverloaded = "pushed-over" // a warming worker crashed under overload
 )
 
 // severalDispatchers stands for the dispatcher of a violation that is of all together.
@@ -70,10 +70,10 @@
 
 // Verdict is the result of a check.
 type Verdict struct {
-	Violations []Violation // in the order of their times
-	Crashes    []Moment    // of dispatchers
-	Lost       int         // tries that got no whole answer in time, by their dispatcher's fault
-	Excused    int         // tries without an answer while the testbed had their dispatcher killed or stopped, or closed unread
+	Violations []Violation    // in the order of their times
+	Crashes    []ProcessEvent // of dispatchers
+	Lost       int            // tries that got no whole answer in time, by their dispatcher's fault
+	Excused    int            // tries without an answer while the testbed had their dispatcher killed or stopped, or closed unread
 }
 
 // Count returns the number of violations by rule; a rule that holds has 0.
--- a/internal/testbed/loadgen/try.go
+++ b/internal/testbed/loadgen/try.go
@@ -148,7 +148,7 @@
 	var timeout interface{ Timeout() bool }
 	switch {
 	case errors.As(err, &timeout) && timeout.Timeout():
-		e.settle(invariant.Unknown)
+		e.settle(invariant.NoAnswer)
 	case e.try.Sent == 0:
 		e.settle(invariant.Unsent)
 	default:
@@ -169,7 +169,7 @@
 
 // recordExtraBytes records that more came than one answer.
 func (e *exchange) recordExtraBytes() {
-	e.generator.ledger.Do(func() { e.try.Twice = true })
+	e.generator.ledger.Do(func() { e.try.AnsweredTwice = true })
 }
 
 // outcomeOf returns the outcome of a whole answer by its status.
--- a/internal/testbed/mutant/mutant.go
+++ b/internal/testbed/mutant/mutant.go
@@ -49,7 +49,7 @@
 	{SendsAfterAnswer, "answers some requests, then sends them", invariant.Answers, invariant.SentAfterFinal},
 	{ChangedBodies, "hands some bodies on cut short", invariant.Answers, invariant.ChangedRequest},
 	{DrainIgnored, "goes on sending to workers that drain", invariant.Drains, invariant.SentAfterDrain},
-	{ColdOverloaded, "sends everything to the worker that started last", invariant.SlowStart, invariant.PushedOver},
+	{ColdOverloaded, "sends everything to the worker that started last", invariant.SlowStart, invariant.WarmingOverloaded},
 	{Crash, "ends by itself under load", "", "crashed"},
 	{IgnoresSIGTERM, "does not end on SIGTERM", "", "did not end after SIGTERM"},
 }
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -43,8 +43,8 @@
 type process struct {
 	cmd    *exec.Cmd
 	log    logTail
-	done   chan struct{}        // closed when it has ended
-	exitAs invariant.MomentKind // how an end that comes now counts
+	done   chan struct{}              // closed when it has ended
+	exitAs invariant.ProcessEventKind // how an end that comes now counts
 }
 
 // currentProcess returns the process that was started last, or nil.
@@ -55,8 +55,8 @@
 }
 
 // record records an event of the dispatcher's process at the present time.
-func (d *dispatcher) record(what invariant.MomentKind, detail string) {
-	d.run.ledger.Moment(invariant.Moment{Dispatcher: d.index, At: d.run.ledger.Now(), Kind: what, Detail: detail})
+func (d *dispatcher) record(what invariant.ProcessEventKind, detail string) {
+	d.run.ledger.ProcessEvent(invariant.ProcessEvent{Dispatcher: d.index, At: d.run.ledger.Now(), Kind: what, Detail: detail})
 }
 
 // writeConfig writes the configuration that the platform would deliver now; it replaces the previous one atomically.
@@ -180,14 +180,14 @@
 		detail = fmt.Sprintf("%v: %s", p.cmd.ProcessState, p.log.lastLine())
 	}
 	if what != invariant.Killed { // that was recorded before the signal
-		d.run.ledger.Moment(invariant.Moment{Dispatcher: d.index, At: now, Kind: what, Detail: detail})
+		d.run.ledger.ProcessEvent(invariant.ProcessEvent{Dispatcher: d.index, At: now, Kind: what, Detail: detail})
 	}
 	close(p.done)
 }
 
 // signal records an event and sends a signal to the current process. An end that follows counts as exitAs, except after a
 // reload. It returns the process, which may have ended already, or nil where none was started.
-func (d *dispatcher) signal(sig syscall.Signal, event, exitAs invariant.MomentKind) *process {
+func (d *dispatcher) signal(sig syscall.Signal, event, exitAs invariant.ProcessEventKind) *process {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	p := d.current
@@ -242,7 +242,7 @@
 		}
 	}
 	d.mu.Lock()
-	p.exitAs = invariant.Overstayed
+	p.exitAs = invariant.StopTimedOut
 	d.mu.Unlock()
 	_ = p.cmd.Process.Kill() // fails on a process that has just ended
 	<-p.done
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -41,8 +41,8 @@
 	{"crashes", func(r *Report) float64 { return float64(r.Crashes) }, "%.0f"},
 }
 
-// ErrDifferentDays is returned by Compare for two results of different generated days.
-var ErrDifferentDays = errors.New("the two results are of different days: what differs is the day as much as the program")
+// ErrDifferentWorkloads is returned by Compare for two results of different generated days.
+var ErrDifferentWorkloads = errors.New("the two results are of different days: what differs is the day as much as the program")
 
 // Compare writes how pairs of results differ; a and b name the two sides. Both results of a pair must be of the same
 // day, else it fails with ErrDifferentDays. The noise of goodput shows in its range over the pairs and, within a pair,
@@ -53,7 +53,7 @@
 	}
 	for _, p := range pairs {
 		if p[0].Day != p[1].Day {
-			return fmt.Errorf("%w (%s, seed %d: %s; %s, seed %d: %s)", ErrDifferentDays, p[0].Scenario, p[0].Seed, p[0].Day, p[1].Scenario, p[1].Seed, p[1].Day)
+			return fmt.Errorf("%w (%s, seed %d: %s; %s, seed %d: %s)", ErrDifferentWorkloads, p[0].Scenario, p[0].Seed, p[0].Day, p[1].Scenario, p[1].Seed, p[1].Day)
 		}
 	}
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -50,15 +50,15 @@
 	RSSPeakMB     float64 `json:"rss_peak_mb"`        // of the largest dispatcher
 	FDPeak        int     `json:"fd_peak"`
 
-	Workers     []WorkerLine     `json:"workers"`
-	Classes     []PartLine       `json:"classes"`
-	Tenants     []PartLine       `json:"tenants,omitempty"`
-	Outcomes    map[string]int   `json:"outcomes"` // of tries, as clients saw them
-	Series      []Point          `json:"series"`
-	Faults      []FaultMark      `json:"faults,omitempty"`
-	Misbehaving *MisbehavingLine `json:"rude,omitempty"`
-	Started     *StartedLine     `json:"started,omitempty"`
-	Testbed     TestbedLine      `json:"rig"`
+	Workers       []WorkerLine     `json:"workers"`
+	Classes       []PartLine       `json:"classes"`
+	Tenants       []PartLine       `json:"tenants,omitempty"`
+	Outcomes      map[string]int   `json:"outcomes"` // of tries, as clients saw them
+	Series        []Point          `json:"series"`
+	Faults        []FaultMark      `json:"faults,omitempty"`
+	Misbehaving   *MisbehavingLine `json:"rude,omitempty"`
+	AfterRestarts *RestartLine     `json:"started,omitempty"`
+	Testbed       TestbedLine      `json:"rig"`
 }
 
 // Latency holds percentiles, in milliseconds, of served requests: from the scheduled arrival to the last byte of the
@@ -119,8 +119,8 @@
 	NotConnected int64 `json:"no_place"`
 }
 
-// StartedLine compares requests at dispatchers in the first 5 s after a restart with those at the others meanwhile.
-type StartedLine struct {
+// RestartLine compares requests at dispatchers in the first 5 s after a restart with those at the others meanwhile.
+type RestartLine struct {
 	Tries       int `json:"tries"`
 	InTime      int `json:"in_time"`
 	OtherTries  int `json:"other_tries"`
@@ -129,10 +129,10 @@
 
 // TestbedLine says how precise the testbed itself was.
 type TestbedLine struct {
-	LagP99  float64 `json:"lag_p99_ms"` // lag of arrivals or of a regular timer, whichever is larger
-	LagMax  float64 `json:"lag_max_ms"`
-	Ceiling float64 `json:"ceiling_per_s"` // requests a second directly at a stand-in worker; 0: not measured
-	Slack   float64 `json:"slack_ms"`      // that the invariant checker adds to every time limit
+	LagP99        float64 `json:"lag_p99_ms"` // lag of arrivals or of a regular timer, whichever is larger
+	LagMax        float64 `json:"lag_max_ms"`
+	MaxThroughput float64 `json:"ceiling_per_s"` // requests a second directly at a stand-in worker; 0: not measured
+	Slack         float64 `json:"slack_ms"`      // that the invariant checker adds to every time limit
 }
 
 // Broken reports whether a rule was violated or a dispatcher crashed.
--- a/internal/testbed/report/text.go
+++ b/internal/testbed/report/text.go
@@ -102,7 +102,7 @@
 	if m := r.Misbehaving; m != nil {
 		t.row("rude clients", "%d sent: %d answered or closed, %d ignored, %d served", m.Sent, m.Answered, m.Ignored, m.Served)
 	}
-	if s := r.Started; s != nil {
+	if s := r.AfterRestarts; s != nil {
 		t.row("right after a start", "%d of %d in time within 5 s; of the others' meanwhile %d of %d", s.InTime, s.Tries, s.OtherInTime, s.OtherTries)
 	}
 }
@@ -110,8 +110,8 @@
 // writeTestbed writes how far the testbed itself limits the figures.
 func (r *Report) writeTestbed(t *textTable) {
 	ceiling := ""
-	if r.Testbed.Ceiling > 0 {
-		ceiling = fmt.Sprintf("; ceiling %.0f requests/s straight at a worker", r.Testbed.Ceiling)
+	if r.Testbed.MaxThroughput > 0 {
+		ceiling = fmt.Sprintf("; ceiling %.0f requests/s straight at a worker", r.Testbed.MaxThroughput)
 	}
 	t.row("the rig", "late by %.1f ms at p99, %.1f at the most%s", r.Testbed.LagP99, r.Testbed.LagMax, ceiling)
 }
--- a/internal/testbed/restarts.go
+++ b/internal/testbed/restarts.go
@@ -39,7 +39,7 @@
 // restartIntervals returns the intervals that follow the restarts of dispatchers during the day.
 func (r *run) restartIntervals() restartIntervals {
 	restarts := restartIntervals{}
-	for _, m := range r.ledger.Moments() {
+	for _, m := range r.ledger.ProcessEvents() {
 		if m.Kind == invariant.Ready && m.At > r.load.Origin() {
 			restarts[m.Dispatcher] = append(restarts[m.Dispatcher], interval{m.At, m.At + restartPeriod})
 		}
@@ -49,12 +49,12 @@
 
 // countAfterRestarts compares dispatchers right after a restart with the others at the same time: the difference shows what
 // they had to learn again. It returns nil where none restarted during the day.
-func (r *run) countAfterRestarts() *report.StartedLine {
+func (r *run) countAfterRestarts() *report.RestartLine {
 	restarts := r.restartIntervals()
 	if len(restarts) == 0 {
 		return nil
 	}
-	out := &report.StartedLine{}
+	out := &report.RestartLine{}
 	for _, t := range r.ledger.Tries() {
 		inTime := 0
 		if t.Outcome == invariant.Served && t.Ended <= t.Due {
--- a/internal/testbed/result.go
+++ b/internal/testbed/result.go
@@ -36,7 +36,7 @@
 	r.countRequests(out)
 	r.countAttempts(out)
 	r.addWorkerLines(out)
-	out.Started = r.countAfterRestarts()
+	out.AfterRestarts = r.countAfterRestarts()
 	r.addUsage(out)
 	r.addFaults(out)
 	r.addMisbehavingClients(out)
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -34,16 +34,16 @@
 
 // Options are the parameters of a run.
 type Options struct {
-	Scenario     *scenario.Scenario
-	Seed         uint64
-	RandomFaults bool   // inject random faults beside those of the scenario
-	Policy       string // for the report
-	Mutant       string // for the report
-	Launch       Launch
-	Ceiling      bool // measure the testbed's own ceiling first
+	Scenario          *scenario.Scenario
+	Seed              uint64
+	RandomFaults      bool   // inject random faults beside those of the scenario
+	Policy            string // for the report
+	Mutant            string // for the report
+	Launch            Launch
+	MeasureThroughput bool // measure the testbed's own ceiling first
 
-	Alongside func(context.Context, *Environment)      // runs beside the day's faults, from the day's start; its context ends with the day; may be nil
-	CheckMore func(*Environment) []invariant.Violation // checks further rules beside the four; may be nil
+	Alongside       func(context.Context, *Environment)      // runs beside the day's faults, from the day's start; its context ends with the day; may be nil
+	AdditionalCheck func(*Environment) []invariant.Violation // checks further rules beside the four; may be nil
 
 	// StartTimeout is how long a dispatcher may take to become ready, where that is longer than usual: it may have to wait
 	// for others.
@@ -94,8 +94,8 @@
 		return nil, fmt.Errorf("a folder for the configurations: %w", err)
 	}
 	ceiling := 0.0
-	if o.Ceiling {
-		if ceiling, err = Ceiling(ctx); err != nil {
+	if o.MeasureThroughput {
+		if ceiling, err = MeasureThroughput(ctx); err != nil {
 			return nil, err
 		}
 	}
@@ -115,13 +115,13 @@
 	}
 	r.play(ctx)
 	verdict := invariant.Check(r.ledger, r.terms())
-	if o.CheckMore != nil {
-		verdict.Violations = append(verdict.Violations, o.CheckMore(&Environment{r})...)
+	if o.AdditionalCheck != nil {
+		verdict.Violations = append(verdict.Violations, o.AdditionalCheck(&Environment{r})...)
 	}
 	result := r.report(verdict)
 	result.Policy, result.Mutant = o.Policy, o.Mutant
 	result.Interrupted = ctx.Err() != nil
-	result.Testbed.Ceiling = ceiling
+	result.Testbed.MaxThroughput = ceiling
 	return result, nil
 }
 
--- a/internal/testbed/ceiling.go
+++ b/internal/testbed/throughput.go
@@ -17,8 +17,8 @@
 	ceilingBody        = 100 // bytes
 )
 
-// Ceiling returns how many requests a second the testbed itself carries when its clients send directly to a stand-in worker.
-func Ceiling(ctx context.Context) (float64, error) {
+// MeasureThroughput returns how many requests a second the testbed itself carries when its clients send directly to a stand-in worker.
+func MeasureThroughput(ctx context.Context) (float64, error) {
 	w, err := startDirectWorker(loadgen.NewBook(ceilingWork, ceilingBody))
 	if err != nil {
 		return 0, err
