--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -1,6 +1,6 @@
-// Package baseline holds simple policies that the testbed compares the decision module with. They run behind the same
-// engine and keep the four rules, but do not shed load and learn nothing: a request is sent at once to a random worker,
-// the next in turn, or the one with the fewest open requests. Only the testbed uses them.
+// Package baseline provides simple policies with which the testbed compares the decision module. They run in the same engine
+// and keep the four rules, but they neither shed load nor adapt to it: a request is sent at once to a random worker, the next
+// one in round-robin order, or the one with the fewest open requests. Only the testbed uses them.
 package baseline
 
 import (
@@ -24,31 +24,31 @@
 var Policies = []string{Random, RoundRobin, LeastOutstanding}
 
 const (
-	deadlineMargin = 5 * dispatch.Millisecond  // a request is answered this long before its deadline
+	deadlineMargin = 5 * dispatch.Millisecond  // an open request is answered this long before its deadline
 	queueInterval  = 10 * dispatch.Millisecond // after which queued requests are placed again
-	maxSamples     = 16                        // of workers, until one that may take a request is found
+	maxSamples     = 16                        // workers that are tried for a request before it is queued
 )
 
-// Decider decides by one simple policy. It is not safe for concurrent use.
+// Decider implements one of the policies. It is not safe for concurrent use.
 type Decider struct {
-	settings dispatch.Settings
-	policy   string
-	random   *rand.Rand
-	now      dispatch.Time
-	workers  []worker
-	ready    []int // indexes of ready workers
-	next     int   // of the round robin
-	requests map[dispatch.RequestID]*request
-	timeouts requestHeap
-	queue    []*request
-	timerAt  dispatch.Time // when the timer fires; 0: it is not set
-	actions  []dispatch.Action
+	settings        dispatch.Settings
+	policy          string
+	random          *rand.Rand
+	now             dispatch.Time
+	workers         []worker
+	ready           []int // indexes of ready workers
+	roundRobinIndex int   // incremented for each worker that is tried
+	requests        map[dispatch.RequestID]*request
+	timeouts        requestHeap
+	queue           []*request
+	timerAt         dispatch.Time // when the timer fires; 0: not set
+	actions         []dispatch.Action
 }
 
 type worker struct {
 	kind      int
 	state     dispatch.WorkerState
-	known     bool // it was in an endpoint list
+	known     bool // it has been in an endpoint list
 	startedAt dispatch.Time
 	open      int // attempts
 }
@@ -65,13 +65,13 @@
 type attempt struct {
 	worker   int
 	open     bool
-	neverRan bool // it ended, and the worker surely did not run it
+	neverRan bool // it has ended and is known not to have run
 }
 
-// New returns the decider of a policy; seed determines its random choices. It fails for an unknown policy.
+// New returns a Decider with the named policy. The seed determines its random choices.
 func New(policy string, s dispatch.Settings, seed uint64) (*Decider, error) {
 	if !slices.Contains(Policies, policy) {
-		return nil, fmt.Errorf("no policy %q; there are %s", policy, strings.Join(Policies, ", "))
+		return nil, fmt.Errorf("unknown policy %q: must be one of %s", policy, strings.Join(Policies, ", "))
 	}
 	return &Decider{settings: s, policy: policy, random: rand.New(rand.NewPCG(seed, 1)), requests: map[dispatch.RequestID]*request{}}, nil
 }
@@ -92,7 +92,7 @@
 		}
 	case dispatch.TimerFired:
 		d.timerAt = 0
-	case dispatch.SettingsChanged: // open requests point to their old class, which stays
+	case dispatch.SettingsChanged: // open requests keep their old class
 		d.settings = *e.Settings
 	}
 	d.expire()
@@ -124,7 +124,7 @@
 	d.placeQueued()
 }
 
-// accept takes a new request; one of an unknown class is ignored.
+// accept handles a new request. It ignores requests of an unknown class.
 func (d *Decider) accept(e *dispatch.Event) {
 	if e.Class < 0 || e.Class >= len(d.settings.Classes) {
 		return
@@ -135,7 +135,7 @@
 	d.place(r)
 }
 
-// slowStartFactor returns the minimum share of its capacity that a worker has, by its age.
+// slowStartFactor returns the share of its capacity that a worker has at least at its age.
 func (d *Decider) slowStartFactor(w *worker) float64 {
 	age := max(0, d.now-w.startedAt)
 	if w.startedAt <= 0 || age >= d.settings.SlowStartWindow {
@@ -144,8 +144,7 @@
 	return d.settings.SlowStartMinFactor + (1-d.settings.SlowStartMinFactor)*float64(age)/float64(d.settings.SlowStartWindow)
 }
 
-// slowStartAllows reports whether a worker with a slow-start factor may take a request: at random, with the factor as its
-// probability.
+// slowStartAllows decides at random whether a worker may take a request, with its slow-start factor as the probability.
 func (d *Decider) slowStartAllows(factor float64) bool {
 	return factor >= 1 || d.random.Float64() < factor
 }
@@ -161,8 +160,8 @@
 	for range maxSamples {
 		i := d.ready[d.random.IntN(len(d.ready))]
 		if d.policy == RoundRobin {
-			d.next++
-			i = d.ready[d.next%len(d.ready)]
+			d.roundRobinIndex++
+			i = d.ready[d.roundRobinIndex%len(d.ready)]
 		}
 		w := &d.workers[i]
 		if w.runs(c) && d.slowStartAllows(d.slowStartFactor(w)) {
@@ -172,8 +171,8 @@
 	return -1
 }
 
-// chooseLeastOutstanding returns the index of the ready worker with the fewest open attempts for its slow-start factor, or -1.
-// Ties are broken at random.
+// chooseLeastOutstanding returns the index of the ready worker with the fewest open attempts in proportion to its slow-start
+// factor, or -1. Ties are broken at random.
 func (d *Decider) chooseLeastOutstanding(c *dispatch.Class) int {
 	best, lowest := -1, 0.0
 	for _, i := range d.ready {
@@ -195,7 +194,7 @@
 	return c.WorkerKind < 0 || w.kind == c.WorkerKind
 }
 
-// place sends a request to a worker, or queues it where there is none for it.
+// place sends a request to a worker, or queues it if no worker may take it.
 func (d *Decider) place(r *request) {
 	if !r.open || r.queued {
 		return
@@ -215,7 +214,7 @@
 	d.actions = append(d.actions, dispatch.Action{Kind: dispatch.Send, Request: r.id, Worker: dispatch.WorkerID(i)})
 }
 
-// attemptEnded takes the result of an attempt, and retries where that can have no second effect.
+// attemptEnded handles the end of an attempt and retries the request if that cannot have a second effect.
 func (d *Decider) attemptEnded(e *dispatch.Event) {
 	r := d.requests[e.Request]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || !r.attempts[e.Attempt].open {
@@ -239,7 +238,7 @@
 	d.forget(r)
 }
 
-// respond answers a request: with a rejection where a retry by the client is harmless, else with a failure.
+// respond rejects a request if a retry by the client is safe, and fails it otherwise.
 func (d *Decider) respond(r *request) {
 	kind := dispatch.Reject
 	for _, a := range r.attempts {
@@ -266,7 +265,7 @@
 	d.forget(r)
 }
 
-// forget drops a closed request whose attempts have all ended.
+// forget removes a closed request whose attempts have all ended.
 func (d *Decider) forget(r *request) {
 	hasOpenAttempt := slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.open })
 	if !r.open && !hasOpenAttempt && d.requests[r.id] == r {
@@ -274,7 +273,7 @@
 	}
 }
 
-// expire answers the requests whose deadline has come.
+// expire answers the open requests whose deadline has been reached.
 func (d *Decider) expire() {
 	for len(d.timeouts) > 0 && (!d.timeouts[0].open || d.now >= d.timeouts[0].deadline) {
 		if r := heap.Pop(&d.timeouts).(*request); r.open {
@@ -283,7 +282,7 @@
 	}
 }
 
-// placeQueued tries to place the queued requests. Those that find no worker are queued again.
+// placeQueued tries to place the queued requests. Those without a worker are queued again.
 func (d *Decider) placeQueued() {
 	queue := d.queue
 	d.queue = nil
--- a/internal/testbed/baseline/baseline_test.go
+++ b/internal/testbed/baseline/baseline_test.go
@@ -8,7 +8,7 @@
 	"birchfork/dispatch"
 )
 
-// The classes of the test, by their index.
+// Indexes of the classes in the settings of the test.
 const (
 	safeClass = iota
 	unsafeClass
@@ -21,7 +21,7 @@
 	neverRan bool
 }
 
-// sentRequest is a request that the decider was given.
+// sentRequest is a request that was passed to the decider.
 type sentRequest struct {
 	class, answers int
 	end            dispatch.Time
@@ -46,7 +46,7 @@
 	requests []*sentRequest
 	states   []dispatch.WorkerState
 	now      dispatch.Time
-	timer    dispatch.Time // 0: it is not set
+	timer    dispatch.Time // 0: not set
 }
 
 func newModel(t *rapid.T) *model {
@@ -67,7 +67,7 @@
 	return m
 }
 
-// feed gives the decider an event and checks its actions.
+// feed passes an event to the decider and checks its actions.
 func (m *model) feed(e dispatch.Event) {
 	for _, a := range m.decider.Handle(m.now, &e, nil) {
 		switch a.Kind {
@@ -89,10 +89,10 @@
 	r := m.requests[a.Request]
 	wrongKind := r.class == unsafeClass && a.Worker%2 != 1
 	if r.answers > 0 || m.now >= r.end || m.states[a.Worker] != dispatch.Ready || len(r.attempts) >= m.settings.MaxAttempts || wrongKind {
-		m.t.Fatalf("a send that must not be: %+v, %+v", a, r)
+		m.t.Fatalf("forbidden send: %+v, %+v", a, r)
 	}
 	if r.mayHaveRun() {
-		m.t.Fatalf("unsafe again: %+v", r)
+		m.t.Fatalf("retry of an unsafe request that may have run: %+v", r)
 	}
 	r.attempts = append(r.attempts, sentAttempt{worker: int(a.Worker), open: true})
 }
@@ -101,21 +101,21 @@
 	r := m.requests[a.Request]
 	r.answers++
 	if r.answers > 1 || m.now > r.end {
-		m.t.Fatalf("answered %d times, at %d of %d", r.answers, m.now, r.end)
+		m.t.Fatalf("%d answers, the last at %d, deadline %d", r.answers, m.now, r.end)
 	}
 	if a.Kind == dispatch.Reject && r.mayHaveRun() {
-		m.t.Fatalf("refused what may have run: %+v", r)
+		m.t.Fatalf("rejection of a request that may have run: %+v", r)
 	}
 }
 
 func (m *model) checkCancel(a *dispatch.Action) {
 	r := m.requests[a.Request]
 	if !r.attempts[a.Attempt].open {
-		m.t.Fatalf("a cancel of an attempt that has ended: %+v, %+v", a, r)
+		m.t.Fatalf("cancel of an attempt that has ended: %+v, %+v", a, r)
 	}
 }
 
-// advance moves the time on, and fires the timer at its time.
+// advance moves the clock forward and fires the timer when it is due.
 func (m *model) advance(to dispatch.Time) {
 	for m.timer != 0 && m.timer <= to {
 		m.fireTimer()
@@ -135,7 +135,7 @@
 	m.feed(dispatch.Event{Kind: dispatch.EndpointUpdate, Workers: []dispatch.Worker{{ID: dispatch.WorkerID(w), State: m.states[w], Kind: w % 2}}})
 }
 
-// sendRequest gives the decider a new request.
+// sendRequest passes a new request to the decider.
 func (m *model) sendRequest() {
 	left := dispatch.Time(rapid.IntRange(50, 2000).Draw(m.t, "left")) * dispatch.Millisecond
 	r := &sentRequest{class: rapid.IntRange(safeClass, unsafeClass).Draw(m.t, "class"), end: m.now + left}
@@ -171,8 +171,9 @@
 	m.feed(e)
 }
 
-// Whatever comes, a baseline keeps what a dispatcher can keep by itself: one final answer in time, nothing sent after it, no
-// retry of an unsafe request that may have run and no rejection of it, nothing to a worker that is not ready.
+// For any sequence of events, a baseline keeps the rules that a dispatcher can keep on its own. It gives each request one final
+// answer in time and sends nothing after it. It neither retries nor rejects an unsafe request that may have run, and sends
+// nothing to a worker that is not ready.
 func TestDecider_KeepsRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
@@ -187,7 +188,7 @@
 				m.endAttempts()
 			}
 		}
-		for range 1000 { // until all time has passed
+		for range 1000 { // until no timer is set
 			if m.timer == 0 {
 				break
 			}
