--- a/internal/testbed/invariant/answers.go
+++ b/internal/testbed/invariant/answers.go
@@ -16,39 +16,39 @@
 	}
 	attempts := c.attempts[t.ID]
 	if t.Ended > t.Due+c.terms.Slack && !c.wasStoppedIn(t.Dispatcher, t.Sent, t.Ended) {
-		c.violate(Answers, Late, t.Ended, t.Dispatcher, t.ID, c.lines(t)...)
+		c.addViolation(Answers, Late, t.Ended, t.Dispatcher, t.ID, c.evidence(t)...)
 	}
-	if t.AnsweredTwice {
-		c.violate(Answers, AnsweredTwice, t.Ended, t.Dispatcher, t.ID, c.lines(t)...)
+	if t.ExtraData {
+		c.addViolation(Answers, AnsweredTwice, t.Ended, t.Dispatcher, t.ID, c.evidence(t)...)
 	}
 	gaveResult := func(a *Attempt) bool { return a.End == Done && a.Result == t.Result }
 	if t.Outcome == Served && !slices.ContainsFunc(attempts, gaveResult) {
-		c.violate(Answers, MadeUpAnswer, t.Ended, t.Dispatcher, t.ID, append(c.lines(t), "no worker gave this result")...)
+		c.addViolation(Answers, MadeUpAnswer, t.Ended, t.Dispatcher, t.ID, append(c.evidence(t), "no worker gave this result")...)
 	}
 	for _, a := range attempts {
 		if a.First > t.Ended+c.terms.Slack {
-			c.violate(Answers, SentAfterFinal, a.First, t.Dispatcher, t.ID, c.lines(t)...)
+			c.addViolation(Answers, SentAfterFinal, a.First, t.Dispatcher, t.ID, c.evidence(t)...)
 			break
 		}
 	}
 }
 
-// checkUnanswered checks a try that got no whole answer: it is lost or excused.
+// checkUnanswered counts a try that got no complete answer as lost or excused.
 func (c *checker) checkUnanswered(t *Try) {
 	switch {
-	case c.wasKilledIn(t.Dispatcher, t.Sent, t.Ended): // the client has to retry what was open there
+	case c.wasKilledIn(t.Dispatcher, t.Sent, t.Ended): // clients have to retry requests that were open at a killed dispatcher
 		c.verdict.Excused++
-	case c.wasStoppedIn(t.Dispatcher, t.Sent, t.Ended): // nobody could have answered
+	case c.wasStoppedIn(t.Dispatcher, t.Sent, t.Ended): // a stopped process cannot answer
 		c.verdict.Excused++
-	case t.Outcome == Closed && len(c.attempts[t.ID]) == 0: // closed unread, nothing was forwarded for it: failed, not lost
+	case t.Outcome == Closed && len(c.attempts[t.ID]) == 0: // closed without being forwarded: failed, not lost
 		c.verdict.Excused++
 	default:
 		c.verdict.Lost++
-		c.violate(Answers, Lost, t.Ended, t.Dispatcher, t.ID, c.lines(t)...)
+		c.addViolation(Answers, Lost, t.Ended, t.Dispatcher, t.ID, c.evidence(t)...)
 	}
 }
 
-// checkForwarded checks that workers received nothing but what clients sent.
+// checkForwarded checks that workers received only requests that clients sent, unchanged.
 func (c *checker) checkForwarded() {
 	sent := map[string]bool{}
 	for _, try := range c.ledger.tries {
@@ -56,14 +56,14 @@
 	}
 	for _, a := range c.ledger.attempts {
 		if !sent[a.ID] {
-			c.violate(Answers, MadeUpRequest, a.First, a.Dispatcher, a.ID, c.attemptLine(a), "no client sent this")
+			c.addViolation(Answers, MadeUpRequest, a.First, a.Dispatcher, a.ID, c.attemptLine(a), "no client sent this")
 		}
 		if a.Changed != "" {
-			c.violate(Answers, ChangedRequest, a.First, a.Dispatcher, a.ID, c.attemptLine(a), a.Changed)
+			c.addViolation(Answers, ChangedRequest, a.First, a.Dispatcher, a.ID, c.attemptLine(a), a.Changed)
 		}
 	}
 	for _, f := range c.ledger.protocolFaults {
-		c.violate(Answers, UnreadableInput, f.At, f.Dispatcher, "",
+		c.addViolation(Answers, UnreadableInput, f.At, f.Dispatcher, "",
 			fmt.Sprintf("%s worker %s was sent what it cannot read: %s", formatTime(f.At), c.workerName(f.Worker), f.What))
 	}
 }
--- a/internal/testbed/invariant/check.go
+++ b/internal/testbed/invariant/check.go
@@ -11,8 +11,8 @@
 	Name   string
 	Safe   bool          // idempotent: may run any number of times
 	Keyed  bool          // deduplicated: workers of a group drop repeats
-	Group  string        // all, zone or cell: the workers that drop repeats of a keyed job together
-	Window time.Duration // in which they do
+	Group  string        // scope of the deduplication: all, zone or cell
+	Window time.Duration // for which repeats are dropped
 }
 
 // Worker describes a worker, as far as the rules depend on it.
@@ -25,16 +25,16 @@
 type Terms struct {
 	Classes             []Class
 	Workers             []Worker
-	Attempts            int           // allowed for one request; 0: any number
+	Attempts            int           // allowed for one request; 0: unlimited
 	DrainGrace          time.Duration // after a dispatcher has been notified of a drain
-	Slack               time.Duration // added to every time limit, for what the testbed itself is late
-	PropagationDeadline time.Duration // a dispatcher counts as notified so long after its agent has an update, written or not
+	Slack               time.Duration // added to every time limit for the lag of the testbed itself
+	PropagationDeadline time.Duration // from the arrival of an update at a dispatcher's agent until the dispatcher counts as notified, even without a write
 }
 
 // DefaultSlack is the tolerance of the platform's protocol for sockets.
 const DefaultSlack = 50 * time.Millisecond
 
-// catchUpTime is how long a dispatcher that was stopped may take to catch up with what came meanwhile.
+// catchUpTime is the time that a resumed dispatcher has to process what arrived while it was stopped.
 const catchUpTime = 500 * time.Millisecond
 
 // Check checks the rules against the records of a run that has ended.
@@ -64,7 +64,7 @@
 	return c.verdict
 }
 
-// checker is one check under way. The ledger's lock is held.
+// checker is the state of one check. It is used under the ledger's lock.
 type checker struct {
 	terms    Terms
 	ledger   *Ledger
@@ -72,7 +72,7 @@
 	attempts map[string][]*Attempt // by request id, in the order of their last bytes
 }
 
-func (c *checker) violate(rule, kind string, when time.Duration, dispatcher int, id string, lines ...string) {
+func (c *checker) addViolation(rule, kind string, when time.Duration, dispatcher int, id string, lines ...string) {
 	c.verdict.Violations = append(c.verdict.Violations, Violation{
 		Rule: rule, Kind: kind, At: when, Dispatcher: dispatcher, ID: id, Lines: lines,
 	})
@@ -81,7 +81,7 @@
 // checkOverloads checks the rule SlowStart.
 func (c *checker) checkOverloads() {
 	for _, o := range c.ledger.overloads {
-		c.violate(SlowStart, WarmingOverloaded, o.At, severalDispatchers, "",
+		c.addViolation(SlowStart, WarmingOverloaded, o.At, severalDispatchers, "",
 			fmt.Sprintf("%s worker %s at %.0f%% of its capacity was sent %.2f s of work in the window; it bears %.2f s",
 				formatTime(o.At), c.workerName(o.Worker), 100*o.SlowStartFactor, o.Sent, o.Allowed))
 	}
@@ -94,7 +94,7 @@
 	return fmt.Sprint(worker)
 }
 
-// attemptLine returns the line of proof for an attempt.
+// attemptLine describes an attempt in a line of evidence.
 func (c *checker) attemptLine(a *Attempt) string {
 	s := fmt.Sprintf("%s attempt at worker %s, first byte %s, whole %s",
 		formatTime(a.First), c.workerName(a.Worker), formatTime(a.First), formatTime(a.Last))
@@ -107,7 +107,7 @@
 	return s
 }
 
-// tryLine returns the line of proof for a try.
+// tryLine describes a try in a line of evidence.
 func (c *checker) tryLine(t *Try) string {
 	class := ""
 	if t.Class >= 0 && t.Class < len(c.terms.Classes) {
@@ -117,8 +117,8 @@
 		formatTime(t.Sent), class, t.ID, formatTime(t.Due), t.Outcome, t.Status, formatTime(t.Ended))
 }
 
-// lines returns the proof for a try: the try and all its attempts.
-func (c *checker) lines(t *Try) []string {
+// evidence returns the lines for a try and all its attempts.
+func (c *checker) evidence(t *Try) []string {
 	attempts := c.attempts[t.ID]
 	out := make([]string, 0, 1+len(attempts))
 	out = append(out, c.tryLine(t))
@@ -128,7 +128,8 @@
 	return out
 }
 
-// wasStoppedIn reports whether the testbed had a dispatcher stopped at some time between from and to, or until shortly before.
+// wasStoppedIn reports whether a dispatcher was stopped by the testbed between from and to, or resumed at most catchUpTime
+// before from.
 func (c *checker) wasStoppedIn(dispatcher int, from, to time.Duration) bool {
 	stopped := time.Duration(-1)
 	for _, m := range c.ledger.processEvents {
--- a/internal/testbed/invariant/drains.go
+++ b/internal/testbed/invariant/drains.go
@@ -9,7 +9,7 @@
 // route is a dispatcher and a worker to which it may send.
 type route struct{ dispatcher, worker int }
 
-// notice is a state of a worker of which a dispatcher has been notified.
+// notice is a worker state of which a dispatcher was notified.
 type notice struct {
 	at    time.Duration
 	state State
@@ -28,14 +28,14 @@
 		}
 		last := lastNotice(notices[route{a.Dispatcher, a.Worker}], processStart, a.First)
 		if last != nil && last.state != Up && a.First > last.at+grace {
-			c.violate(Drains, SentAfterDrain, a.First, a.Dispatcher, a.ID,
+			c.addViolation(Drains, SentAfterDrain, a.First, a.Dispatcher, a.ID,
 				fmt.Sprintf("%s told that worker %s is %s", formatTime(last.at), c.workerName(a.Worker), last.state), c.attemptLine(a),
 				fmt.Sprintf("%.0f ms after it was told; %.0f ms are allowed", (a.First-last.at).Seconds()*1000, c.terms.DrainGrace.Seconds()*1000))
 		}
 	}
 }
 
-// notices returns when each dispatcher was notified of which states, in the order in which its agent had them.
+// notices returns the notices of each dispatcher, in the order in which its agent got the updates.
 func (c *checker) notices() map[route][]notice {
 	notices := map[route][]notice{}
 	deliveries := slices.Clone(c.ledger.deliveries)
@@ -45,14 +45,14 @@
 		if d.Written > 0 && d.Written < at {
 			at = d.Written
 		}
-		if d.State == Up { // it may be known from then on: by the configuration, or before the write was recorded here
+		if d.State == Up { // the dispatcher may know it from then on: by its configuration, or before the write was recorded
 			at = d.AtAgent
 		}
 		r := route{d.Dispatcher, d.Worker}
 		notices[r] = append(notices[r], notice{at, d.State})
 	}
 	for _, all := range notices {
-		// Updates come in order: a dispatcher that has a later one has superseded the earlier one, written or not.
+		// Updates are ordered: a dispatcher that has a later one also knows of the earlier ones, written or not.
 		for i := len(all) - 2; i >= 0; i-- {
 			all[i].at = min(all[i].at, all[i+1].at)
 		}
@@ -60,7 +60,7 @@
 	return notices
 }
 
-// processStarts returns when the processes of each dispatcher started, in their order.
+// processStarts returns the start times of each dispatcher's processes, in order.
 func (c *checker) processStarts() map[int][]time.Duration {
 	starts := map[int][]time.Duration{}
 	for _, m := range c.ledger.processEvents {
@@ -72,7 +72,7 @@
 }
 
 // lastNotice returns the newest notice between the start of the dispatcher's process and the time of a send, or nil. Of a
-// drain and the removal that follows the first counts.
+// drain and the removal that follows it, the drain counts.
 func lastNotice(notices []notice, processStart, sentAt time.Duration) (last *notice) {
 	for i := range notices {
 		n := &notices[i]
--- a/internal/testbed/invariant/effects.go
+++ b/internal/testbed/invariant/effects.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The groups of workers that drop repeats of a keyed job together, by the names of scenarios. Any other is a cell.
+// The scopes of the deduplication of keyed jobs, as scenarios name them. Any other value stands for the cell.
 const (
 	groupAll  = "all"
 	groupZone = "zone"
@@ -15,7 +15,7 @@
 func (c *checker) checkEffects(t *Try) {
 	attempts := c.attempts[t.ID]
 	if c.terms.Attempts > 0 && len(attempts) > c.terms.Attempts {
-		c.violate(Effects, TooManyAttempts, attempts[c.terms.Attempts].First, t.Dispatcher, t.ID, c.lines(t)...)
+		c.addViolation(Effects, TooManyAttempts, attempts[c.terms.Attempts].First, t.Dispatcher, t.ID, c.evidence(t)...)
 	}
 	if t.Class < 0 || t.Class >= len(c.terms.Classes) {
 		return
@@ -25,21 +25,21 @@
 		return
 	}
 	if a := c.sentAgain(class, attempts); a != nil {
-		c.violate(Effects, SentAgain, a.First, t.Dispatcher, t.ID, append(c.lines(t), "an earlier attempt may have run")...)
+		c.addViolation(Effects, SentAgain, a.First, t.Dispatcher, t.ID, append(c.evidence(t), "an earlier attempt may have run")...)
 	}
-	if c.effectsOf(class, attempts) > 1 {
-		c.violate(Effects, RanTwice, attempts[len(attempts)-1].Last, t.Dispatcher, t.ID, c.lines(t)...)
+	if c.countEffects(class, attempts) > 1 {
+		c.addViolation(Effects, RanTwice, attempts[len(attempts)-1].Last, t.Dispatcher, t.ID, c.evidence(t)...)
 	}
 	mayHaveRun := func(a *Attempt) bool { return !neverRan(a, t.Ended) }
 	repeatDropped := class.Keyed && class.Group == groupAll
 	if t.Outcome == Refused && !repeatDropped && slices.ContainsFunc(attempts, mayHaveRun) {
-		c.violate(Effects, RefusedWhatMayHaveRun, t.Ended, t.Dispatcher, t.ID,
-			append(c.lines(t), "a refusal says that asking again is harmless")...)
+		c.addViolation(Effects, RefusedWhatMayHaveRun, t.Ended, t.Dispatcher, t.ID,
+			append(c.evidence(t), "a refusal says that asking again is harmless")...)
 	}
 }
 
-// sentAgain returns the first attempt that was sent although an earlier one may run and the workers do not drop the repeat;
-// nil: there is none.
+// sentAgain returns the first attempt that was sent although an earlier one may run and the worker does not drop the repeat,
+// or nil.
 func (c *checker) sentAgain(class *Class, attempts []*Attempt) *Attempt {
 	for i, a := range attempts {
 		conflicts := func(earlier *Attempt) bool { return !neverRan(earlier, a.Last) && !c.dropsRepeat(class, earlier, a) }
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// effectsOf returns how many of the attempts that ran had an effect of their own.
-func (c *checker) effectsOf(class *Class, attempts []*Attempt) (effects int) {
+// countEffects returns the number of attempts that ran and were not dropped as repeats.
+func (c *checker) countEffects(class *Class, attempts []*Attempt) (effects int) {
 	for i, a := range attempts {
 		isRepeatOf := func(earlier *Attempt) bool { return earlier.Ran && c.dropsRepeat(class, earlier, a) }
 		if a.Ran && !slices.ContainsFunc(attempts[:i], isRepeatOf) {
@@ -61,12 +61,12 @@
 	return effects
 }
 
-// neverRan reports whether it was known by a time that an attempt had not run and would not.
+// neverRan reports whether an attempt was known by a time not to have run.
 func neverRan(a *Attempt, by time.Duration) bool {
 	return (a.End == Returned || a.End == Rejected) && a.Ended <= by
 }
 
-// dropsRepeat reports whether the second of two attempts of a keyed job is dropped where it is sent.
+// dropsRepeat reports whether the worker of the second attempt drops it as a repeat of the first.
 func (c *checker) dropsRepeat(class *Class, first, second *Attempt) bool {
 	if !class.Keyed || second.First > first.First+class.Window+c.terms.Slack {
 		return false
--- a/internal/testbed/invariant/ledger.go
+++ b/internal/testbed/invariant/ledger.go
@@ -1,7 +1,8 @@
-// Package invariant records what clients, workers and discovery observed during a run, and checks the four rules against
-// that. It takes nothing from a dispatcher's own account. All times are on one clock, since the run's start.
+// Package invariant records what clients, workers and discovery observe during a run, and checks the four rules against these
+// records. It does not rely on what dispatchers report. All times are on one clock that starts with the run.
 //
-// The stand-ins of a run record in a Ledger; Check reads it when the run has ended and returns a Verdict.
+// The stand-in clients, workers and discovery write to a Ledger. Check reads it after the end of the run and returns a
+// Verdict.
 package invariant
 
 import (
@@ -17,40 +18,40 @@
 	Pending      Outcome = iota
 	Served               // 200 with a result
 	Refused              // 429 or 503
-	Failed               // any other whole answer
-	Closed               // the connection ended with no whole answer
-	NoAnswer             // no answer while the client waited
+	Failed               // any other complete answer
+	Closed               // the connection ended without a complete answer
+	NoAnswer             // none while the client waited
 	Left                 // the client left before an answer, as planned
-	Unsent               // no connection came up, or the request could not be written whole
-	outcomeCount         // how many there are
+	Unsent               // no connection was established, or the request was not written completely
+	outcomeCount         // number of outcomes
 )
 
 var outcomeNames = [outcomeCount]string{"pending", "served", "refused", "failed", "closed", "no answer", "left", "unsent"}
 
-// String returns the outcome as reports have it.
+// String returns the outcome as it is written in reports.
 func (o Outcome) String() string { return outcomeNames[o] }
 
 // Try is one request as its client saw it.
 type Try struct {
-	ID            string
-	Request       int // index of the client request in the day
-	Number        int // 0: the first try of its client request
-	Class         int
-	Dispatcher    int
-	Fresh         bool          // the first request on its connection
-	Sent          time.Duration // when its last byte was written
-	Due           time.Duration // its deadline
-	Ended         time.Duration
-	Outcome       Outcome
-	Status        int
-	Result        uint64 // hash of the body that came with 200
-	AnsweredTwice bool   // more came after the answer
+	ID         string
+	Request    int // index of the generated client request
+	Number     int // 0: the first try of its client request
+	Class      int
+	Dispatcher int
+	Fresh      bool          // the first request on its connection
+	Sent       time.Duration // when its last byte was written
+	Due        time.Duration // its deadline
+	Ended      time.Duration
+	Outcome    Outcome
+	Status     int
+	Result     uint64 // hash of the body that came with 200
+	ExtraData  bool   // more data followed the answer
 }
 
 // End is how an attempt ended at its worker.
 type End uint8
 
-// The ends. Only Returned and Rejected state that it never ran.
+// The ends. Only Returned and Rejected guarantee that the attempt never ran.
 const (
 	Open     End = iota
 	Done         // with a result
@@ -63,21 +64,21 @@
 
 var endNames = [...]string{"open", "done", "failed", "returned", "turned away", "dropped by the dispatcher", "lost with its worker"}
 
-// String returns the end as lines of proof have it.
+// String returns the end as it is written in lines of evidence.
 func (e End) String() string { return endNames[e] }
 
 // Attempt is one request as a worker saw it.
 type Attempt struct {
 	ID          string
 	Worker      int
-	Incarnation int // which start of the worker
+	Incarnation int // of the worker
 	Dispatcher  int
-	First, Last time.Duration // when its first and last byte came
+	First, Last time.Duration // when its first and last byte arrived
 	Ended       time.Duration
 	End         End
-	Ran         bool   // it began to run
-	Result      uint64 // hash of the result that went back
-	Changed     string // how it differs from what the client sent; empty: not at all
+	Ran         bool   // it started to run
+	Result      uint64 // hash of the returned result
+	Changed     string // how it differs from what the client sent; empty: unchanged
 }
 
 // State is the state of a worker in the endpoint list.
@@ -92,23 +93,23 @@
 
 var stateNames = [...]string{"up", "draining", "removed"}
 
-// String returns the state as lines of proof have it.
+// String returns the state as it is written in lines of evidence.
 func (s State) String() string { return stateNames[s] }
 
-// Delivery is a change of one worker's state on its way to one dispatcher.
+// Delivery is the delivery of a change of one worker's state to one dispatcher.
 type Delivery struct {
 	Dispatcher, Worker, Incarnation int
 	State                           State
-	AtAgent                         time.Duration // since when the dispatcher's agent has it
+	AtAgent                         time.Duration // when the dispatcher's agent got it
 	Written                         time.Duration // when it was written to the dispatcher; 0: not yet
 }
 
-// Overload is a worker that was overloaded while it warmed up.
+// Overload is an overload of a worker that was warming up.
 type Overload struct {
 	Worker, Incarnation int
 	At                  time.Duration
 	Sent, Allowed       float64 // work within the window, in seconds on a core of speed 1
-	SlowStartFactor     float64 // the share of its capacity that it had
+	SlowStartFactor     float64 // share of its capacity that it had at the time
 }
 
 // ProcessEvent is an event of a dispatcher's process.
@@ -125,13 +126,13 @@
 // The process events. The testbed sends the signals.
 const (
 	Started      ProcessEventKind = iota
-	Ready                         // it answered that it is up
+	Ready                         // it reported that it is up
 	Killed                        // by SIGKILL
 	Terminated                    // SIGTERM sent
 	Reloaded                      // SIGHUP sent
 	Exited                        // with status 0, after SIGTERM
-	Crashed                       // by itself, or with another status
-	StopTimedOut                  // it had not ended when SIGKILL came after SIGTERM
+	Crashed                       // ended by itself, or with another status
+	StopTimedOut                  // it had not ended when SIGKILL followed SIGTERM
 	Stopped                       // by SIGSTOP
 	Resumed                       // by SIGCONT
 )
@@ -141,14 +142,14 @@
 // String returns the event as it is written in reports.
 func (k ProcessEventKind) String() string { return processEventKindNames[k] }
 
-// ProtocolFault is input that a worker was sent and could not parse.
+// ProtocolFault is input that a worker received and could not parse.
 type ProtocolFault struct {
 	Worker, Dispatcher int
 	At                 time.Duration
 	What               string
 }
 
-// Ledger records what is observed. It is safe for concurrent use.
+// Ledger collects the observations of a run. It is safe for concurrent use.
 type Ledger struct {
 	start time.Time
 
@@ -186,7 +187,7 @@
 // Delivery records a change of a worker's state; change the entry through Do only.
 func (l *Ledger) Delivery(d *Delivery) { record(l, &l.deliveries, d) }
 
-// Overload records an overload of a worker that warmed up.
+// Overload records an overload of a worker that was warming up.
 func (l *Ledger) Overload(o Overload) { record(l, &l.overloads, o) }
 
 // ProcessEvent records an event of a dispatcher's process.
@@ -202,21 +203,21 @@
 	f()
 }
 
-// Tries returns all tries. The slice is not a copy: call it when the run is over.
+// Tries returns all tries. The slice is not a copy: call it only after the run.
 func (l *Ledger) Tries() []*Try {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.tries
 }
 
-// Attempts returns all attempts. The slice is not a copy: call it when the run is over.
+// Attempts returns all attempts. The slice is not a copy: call it only after the run.
 func (l *Ledger) Attempts() []*Attempt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.attempts
 }
 
-// Deliveries returns all state changes. The slice is not a copy: call it when the run is over.
+// Deliveries returns all state changes. The slice is not a copy: call it only after the run.
 func (l *Ledger) Deliveries() []*Delivery {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testbed/loadgen/try.go
+++ b/internal/testbed/loadgen/try.go
@@ -169,7 +169,7 @@
 
 // recordExtraBytes records that more came than one answer.
 func (e *exchange) recordExtraBytes() {
-	e.generator.ledger.Do(func() { e.try.AnsweredTwice = true })
+	e.generator.ledger.Do(func() { e.try.ExtraData = true })
 }
 
 // outcomeOf returns the outcome of a whole answer by its status.
