--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -9,14 +9,14 @@
 	"text/tabwriter"
 )
 
-// figure is one compared figure of a result.
-type figure struct {
+// metric is one compared value of a result.
+type metric struct {
 	name   string
 	value  func(*Report) float64
 	format string // of the value
 }
 
-var figures = []figure{
+var metrics = []metric{
 	{"goodput", func(r *Report) float64 { return r.Goodput }, "%.4f"},
 	{"goodput in trouble", func(r *Report) float64 { return r.GoodputInFault }, "%.4f"},
 	{"seconds to recover", func(r *Report) float64 { return r.Recovery }, "%.1f"},
@@ -41,15 +41,16 @@
 	{"crashes", func(r *Report) float64 { return float64(r.Crashes) }, "%.0f"},
 }
 
-// ErrDifferentWorkloads is returned by Compare for two results of different generated days.
-var ErrDifferentWorkloads = errors.New("the two results are of different days: what differs is the day as much as the program")
+// ErrDifferentWorkloads is returned by Compare for two results of different generated workloads: they would differ by the
+// workload as much as by the program.
+var ErrDifferentWorkloads = errors.New("results of different workloads cannot be compared")
 
-// Compare writes how pairs of results differ; a and b name the two sides. Both results of a pair must be of the same
-// day, else it fails with ErrDifferentDays. The noise of goodput shows in its range over the pairs and, within a pair,
-// in the standard error over its intervals.
+// Compare writes the differences between pairs of results; a and b name the two sides. It fails with
+// ErrDifferentWorkloads if the results of a pair have different values of Day. The range over the pairs and, within a
+// pair, the standard error over the intervals show the noise of goodput.
 func Compare(w io.Writer, pairs [][2]*Report, a, b string) error {
 	if len(pairs) == 0 {
-		return errors.New("there is nothing to compare")
+		return errors.New("no results to compare")
 	}
 	for _, p := range pairs {
 		if p[0].Day != p[1].Day {
@@ -58,7 +59,7 @@
 	}
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(t, "median of %d\t%s\t%s\tdifference\tspread of the differences\n", len(pairs), a, b)
-	for _, f := range figures {
+	for _, f := range metrics {
 		var first, second, diffs []float64
 		for _, p := range pairs {
 			x, y := f.value(p[0]), f.value(p[1])
@@ -95,7 +96,7 @@
 }
 
 // goodputDifference returns the mean difference of goodput and its standard error, over the intervals of the run weighted by
-// their value. The standard error is infinite where fewer than two intervals can be compared.
+// their value. The standard error is infinite if fewer than two intervals can be compared.
 func goodputDifference(a, b *Report) (mean, standardError float64) {
 	var diffs, weights []float64
 	total := 0.0
@@ -120,7 +121,7 @@
 	return mean, math.Sqrt(variance)
 }
 
-// Median returns the median of v, or 0 for an empty slice. It leaves v as it is.
+// Median returns the median of v, or 0 for an empty slice. It does not change v.
 func Median(v []float64) float64 {
 	if len(v) == 0 {
 		return 0
@@ -133,7 +134,7 @@
 	return (s[len(s)/2-1] + s[len(s)/2]) / 2
 }
 
-// lowestGoodput returns the goodput of the class or tenant that was served worst.
+// lowestGoodput returns the lowest goodput of the classes or tenants, or 1 without requests.
 func lowestGoodput(parts []PartLine) float64 {
 	lowest := 1.0
 	for _, p := range parts {
--- a/internal/testbed/report/file.go
+++ b/internal/testbed/report/file.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"math"
@@ -30,18 +29,18 @@
 	return r, nil
 }
 
-// Decode parses the JSON form of a result. It fails for another version and for a series with impossible values.
+// Decode parses the JSON form of a result. It fails for another version and for a series with invalid values.
 func Decode(raw []byte) (*Report, error) {
 	var r Report
 	if err := json.Unmarshal(raw, &r); err != nil {
-		return nil, fmt.Errorf("this is no result of the lab: %w", err)
+		return nil, fmt.Errorf("malformed testbed result: %w", err)
 	}
 	if r.Version != Version {
-		return nil, fmt.Errorf("this is no result of the lab that this program can read: version %d, not %d", r.Version, Version)
+		return nil, fmt.Errorf("unsupported version %d of a testbed result: must be %d", r.Version, Version)
 	}
-	for _, p := range r.Series {
+	for i, p := range r.Series {
 		if math.IsNaN(p.At) || p.At < 0 || p.Requested < 0 {
-			return nil, errors.New("its series makes no sense")
+			return nil, fmt.Errorf("invalid series[%d]: time %v s and %d requests must both be at least 0", i, p.At, p.Requested)
 		}
 	}
 	return &r, nil
@@ -60,11 +59,11 @@
 func replaceFile(path string, raw []byte) error {
 	temporary := path + ".part"
 	if err := os.WriteFile(temporary, raw, 0o644); err != nil {
-		_ = os.Remove(temporary) // what a full disk has left of it; the error that matters is that of the write
+		_ = os.Remove(temporary) // a full disk may leave a part of it; the error of the write is returned
 		return fmt.Errorf("writing a result: %w", err)
 	}
 	if err := os.Rename(temporary, path); err != nil {
-		_ = os.Remove(temporary) // the error that matters is that of the rename
+		_ = os.Remove(temporary) // the error of the rename is returned
 		return fmt.Errorf("writing a result: %w", err)
 	}
 	return nil
--- a/internal/testbed/report/golden_test.go
+++ b/internal/testbed/report/golden_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// The JSON form of a result is that of earlier builds. With UPDATE_GOLDEN set the golden file is written.
+// The JSON form of a result is the same as in earlier builds. If UPDATE_GOLDEN is set, the test writes the golden file.
 func TestReport_KeepsItsJSONForm(t *testing.T) {
 	const path = "testdata/golden/report.json"
 	var full Report
@@ -63,13 +63,13 @@
 		t.Fatal(err)
 	}
 	if string(raw) != string(golden) {
-		t.Errorf("the form has changed:\n%s\nwant:\n%s", raw, golden)
+		t.Errorf("the JSON form has changed:\n%s\nwant:\n%s", raw, golden)
 	}
 	back, err := Decode(golden)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(back, &full) {
-		t.Errorf("read back: %+v", back)
+		t.Errorf("decoded: %+v", back)
 	}
 }
--- a/internal/testbed/report/html.go
+++ b/internal/testbed/report/html.go
@@ -15,7 +15,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// colours are those of the lines of a chart, in their order.
+// colours are the colours of the lines of a chart, in order.
 var colours = []color.RGBA{
 	{31, 119, 180, 255}, {214, 39, 40, 255}, {44, 160, 44, 255}, {255, 127, 14, 255}, {148, 103, 189, 255}, {140, 86, 75, 255},
 	{23, 190, 207, 255},
@@ -40,7 +40,7 @@
 	lines         []line
 }
 
-// HTML writes the result to a file as one page without external links and replaces an existing file atomically.
+// HTML writes the result to a file as one page without external references and replaces an existing file atomically.
 func (r *Report) HTML(path string) error {
 	page, err := r.page()
 	if err != nil {
@@ -131,7 +131,7 @@
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.title, "seconds", c.yLabel
 	p.X.Min, p.X.Max, p.Y.Min = 0, max(r.Seconds, 1), 0
-	p.Y.Max = c.top()
+	p.Y.Max = c.yAxisEnd()
 	if err := r.addFaultBands(p); err != nil {
 		return "", err
 	}
@@ -151,8 +151,8 @@
 	return svgOf(p)
 }
 
-// top returns the end of the y axis.
-func (c *chart) top() float64 {
+// yAxisEnd returns the largest value of the y axis.
+func (c *chart) yAxisEnd() float64 {
 	if c.yMax > 0 {
 		return c.yMax
 	}
@@ -165,7 +165,7 @@
 	return top
 }
 
-// addFaultBands adds each fault as a band over its time, which is wide enough to be visible.
+// addFaultBands adds a band for the duration of each fault, with a minimum width that keeps it visible.
 func (r *Report) addFaultBands(p *plot.Plot) error {
 	for _, f := range r.Faults {
 		until := min(max(f.Until, f.At+r.Seconds/200), p.X.Max)
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// maxNamedWorkers is the largest number of workers whose names are below their bars.
+// maxNamedWorkers is the largest number of workers for which the chart shows names.
 const maxNamedWorkers = 40
 
 // drawWorkers draws each worker's share of the work beside its share of the capacity.
@@ -221,7 +221,7 @@
 	return nil
 }
 
-// svgOf returns a plot as an SVG element of a page.
+// svgOf returns a plot as an SVG element for a page.
 func svgOf(p *plot.Plot) (template.HTML, error) {
 	c := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(c))
@@ -231,9 +231,9 @@
 	}
 	svg := b.Bytes()
 	if at := bytes.Index(svg, []byte("<svg")); at > 0 {
-		svg = svg[at:] // an element within a page has no XML declaration
+		svg = svg[at:] // an XML declaration is not allowed within a page
 	}
-	return template.HTML(svg), nil // drawn by the library, which escapes text
+	return template.HTML(svg), nil // safe: the plot library escapes text
 }
 
 var pageTemplate = template.Must(template.New("page").Parse(`<!DOCTYPE html>
--- a/internal/testbed/report/recovery.go
+++ b/internal/testbed/report/recovery.go
@@ -3,7 +3,7 @@
 import "math"
 
 // Service counts as recovered when goodput is at least recoveredShare of its median before the first fault, in
-// recoveredIntervals consecutive intervals; notRecovered is the recovery time of a run where that did not happen.
+// recoveredIntervals consecutive intervals. notRecovered is the recovery time of a run in which that did not happen.
 const (
 	recoveredShare     = 0.95
 	recoveredIntervals = 3
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -1,5 +1,5 @@
-// Package report holds the result of a testbed run and presents it: as text and as one self-contained HTML page for
-// people, as JSON for programs. It also compares results of the same generated day.
+// Package report holds the result of a testbed run and writes it as text, as a self-contained HTML page and as JSON. It also
+// compares results of the same generated workload.
 package report
 
 import "birchfork/internal/testbed/invariant"
@@ -7,22 +7,22 @@
 // Version is the version of the JSON form; Decode rejects every other one.
 const Version = 1
 
-// Report is the result of one run. It is not safe for concurrent use. Times are in seconds since the day's start unless the name
-// has another unit.
+// Report is the result of one run. It is not safe for concurrent use. Times are in seconds since the start of the load unless
+// the name has another unit.
 type Report struct {
 	Version     int     `json:"version"`
 	Scenario    string  `json:"scenario"`
 	About       string  `json:"about,omitempty"`
 	Seed        uint64  `json:"seed"`
-	Day         string  `json:"day"` // digest of the generated day
+	Day         string  `json:"day"` // digest of what was generated: requests, workers and faults
 	Policy      string  `json:"policy"`
 	Mutant      string  `json:"planted,omitempty"`
 	Seconds     float64 `json:"seconds"`
 	Rate        float64 `json:"rate"`
-	Load        float64 `json:"load"` // requested work as a part of the capacity
+	Load        float64 `json:"load"` // requested work as a share of the capacity
 	Dispatchers int     `json:"dispatchers"`
 	Interrupted bool    `json:"interrupted"`
-	RanLate     bool    `json:"ran_late"` // the testbed itself was late: the figures mean little
+	RanLate     bool    `json:"ran_late"` // the testbed itself was late: the figures are unreliable
 
 	Requests       int     `json:"requests"` // without retries
 	Tries          int     `json:"tries"`    // requests with their retries
@@ -31,11 +31,11 @@
 	ServedInTime   int     `json:"served_in_time"`
 	Refused        int     `json:"refused"`
 	Failed         int     `json:"failed"`             // all others: served + refused + failed = requests
-	Lost           int     `json:"lost"`               // tries without a final answer, by a fault of a dispatcher
-	Excused        int     `json:"excused"`            // tries that were open when the testbed killed their dispatcher, or that it closed unread
-	Goodput        float64 `json:"goodput"`            // reached value over requested value
+	Lost           int     `json:"lost"`               // tries without a final answer for which a dispatcher is responsible
+	Excused        int     `json:"excused"`            // tries that were open when the testbed killed or stopped their dispatcher, or that it closed without forwarding them
+	Goodput        float64 `json:"goodput"`            // achieved value over requested value
 	GoodputInFault float64 `json:"goodput_in_trouble"` // goodput of the intervals in which a fault was active; 0: there was none
-	Recovery       float64 `json:"recovery_s"`         // seconds from the end of the last fault until service was as before; -1: not within the run
+	Recovery       float64 `json:"recovery_s"`         // seconds from the end of the last fault to recovery; -1: not within the run
 
 	Rules      map[string]int        `json:"rules"`
 	Violations []invariant.Violation `json:"breaches,omitempty"` // the first ones
@@ -44,16 +44,16 @@
 
 	Latency           Latency `json:"latency_ms"`
 	RetriesPerRequest float64 `json:"retries_per_request"`
-	WastedWork        float64 `json:"wasted_work"` // part of the attempts that ran whose result no client got
+	WastedWork        float64 `json:"wasted_work"` // share of the attempts that ran whose result no client got
 
-	CPUPerRequest float64 `json:"cpu_us_per_request"` // of all dispatchers, by try
+	CPUPerRequest float64 `json:"cpu_us_per_request"` // of all dispatchers, per try
 	RSSPeakMB     float64 `json:"rss_peak_mb"`        // of the largest dispatcher
 	FDPeak        int     `json:"fd_peak"`
 
 	Workers       []WorkerLine     `json:"workers"`
 	Classes       []PartLine       `json:"classes"`
 	Tenants       []PartLine       `json:"tenants,omitempty"`
-	Outcomes      map[string]int   `json:"outcomes"` // of tries, as clients saw them
+	Outcomes      map[string]int   `json:"outcomes"` // of tries, as observed by clients
 	Series        []Point          `json:"series"`
 	Faults        []FaultMark      `json:"faults,omitempty"`
 	Misbehaving   *MisbehavingLine `json:"rude,omitempty"`
@@ -71,17 +71,17 @@
 	Max  float64 `json:"max"`
 }
 
-// WorkerLine is one worker's part in a run.
+// WorkerLine holds the figures of one worker.
 type WorkerLine struct {
 	Name      string  `json:"name"`
 	Kind      string  `json:"kind"`
 	Jobs      int     `json:"jobs"`
 	Share     float64 `json:"share"`       // of all work done
 	Capacity  float64 `json:"capacity"`    // share of the fleet's capacity
-	Overloads int     `json:"pushed_over"` // times it crashed while it warmed up
+	Overloads int     `json:"pushed_over"` // crashes while it was warming up
 }
 
-// PartLine sums up the requests of one class or tenant.
+// PartLine holds the figures of one class or tenant.
 type PartLine struct {
 	Name     string  `json:"name"`
 	Requests int     `json:"requests"`
@@ -96,13 +96,13 @@
 	Requested int            `json:"asked"`
 	InTime    int            `json:"in_time"`
 	Value     float64        `json:"worth"`
-	Good      float64        `json:"good"` // value that was reached: all in time, late weight after
+	Good      float64        `json:"good"` // value that was achieved: the full value in time, a share by LateWeight after that
 	P50       float64        `json:"p50_ms"`
 	P99       float64        `json:"p99_ms"`
 	Outcomes  map[string]int `json:"outcomes"` // of the last tries
 }
 
-// FaultMark is an injected fault on the time axis.
+// FaultMark is an injected fault with its time.
 type FaultMark struct {
 	Kind   string  `json:"kind"`
 	At     float64 `json:"at"`
@@ -119,7 +119,7 @@
 	NotConnected int64 `json:"no_place"`
 }
 
-// RestartLine compares requests at dispatchers in the first 5 s after a restart with those at the others meanwhile.
+// RestartLine compares tries at dispatchers in the first 5 s after a restart with those at the others at the same time.
 type RestartLine struct {
 	Tries       int `json:"tries"`
 	InTime      int `json:"in_time"`
@@ -127,12 +127,12 @@
 	OtherInTime int `json:"other_in_time"`
 }
 
-// TestbedLine says how precise the testbed itself was.
+// TestbedLine holds the figures that limit the precision of a run.
 type TestbedLine struct {
-	LagP99        float64 `json:"lag_p99_ms"` // lag of arrivals or of a regular timer, whichever is larger
+	LagP99        float64 `json:"lag_p99_ms"` // lag of arrivals or of a periodic timer, whichever is larger
 	LagMax        float64 `json:"lag_max_ms"`
-	MaxThroughput float64 `json:"ceiling_per_s"` // requests a second directly at a stand-in worker; 0: not measured
-	Slack         float64 `json:"slack_ms"`      // that the invariant checker adds to every time limit
+	MaxThroughput float64 `json:"ceiling_per_s"` // requests per second, sent directly to a stand-in worker; 0: not measured
+	Slack         float64 `json:"slack_ms"`      // added by the invariant checker to every time limit
 }
 
 // Broken reports whether a rule was violated or a dispatcher crashed.
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -19,7 +19,7 @@
 			return
 		}
 		if r.Version != Version {
-			t.Fatal("another version was taken")
+			t.Fatal("a result of another version was decoded")
 		}
 		if err := r.Text(io.Discard); err != nil {
 			t.Fatal(err)
--- a/internal/testbed/report/text.go
+++ b/internal/testbed/report/text.go
@@ -9,13 +9,13 @@
 	"birchfork/internal/testbed/invariant"
 )
 
-// Limits of what a summary prints; the JSON form holds more.
+// Limits of a summary; the JSON form holds more.
 const (
 	maxViolationsShown = 12
 	maxWorkersShown    = 12
 )
 
-// Text writes a summary of the run for people to read.
+// Text writes a human-readable summary of the run.
 func (r *Report) Text(w io.Writer) error {
 	t := &textTable{tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)}
 	r.writeRun(t)
@@ -34,22 +34,22 @@
 	return err
 }
 
-// textTable is a table of two columns: a figure's name and its value.
+// textTable is a table of two columns: names and values.
 type textTable struct{ w *tabwriter.Writer }
 
-// row adds a row; format and values make its second column.
+// row adds a row. Its second column is made of format and values.
 func (t *textTable) row(name, format string, values ...any) {
 	fmt.Fprintf(t.w, "%s\t%s\n", name, fmt.Sprintf(format, values...))
 }
 
-// writeRun writes the scenario, its day and its size.
+// writeRun writes the scenario, the seed and the size of the run.
 func (r *Report) writeRun(t *textTable) {
-	t.row("scenario", "%s, seed %d, day %s, policy %s%s", r.Scenario, r.Seed, r.Day, r.Policy, mutantLine(r.Mutant))
+	t.row("scenario", "%s, seed %d, day %s, policy %s%s", r.Scenario, r.Seed, r.Day, r.Policy, mutantSuffix(r.Mutant))
 	t.row("played", "%.0f s, %.0f requests/s (%.2f of the capacity), %d workers, %d dispatchers",
 		r.Seconds, r.Rate, r.Load, len(r.Workers), r.Dispatchers)
 }
 
-// writeRequests writes how requests ended, their latency and what retries cost.
+// writeRequests writes the outcomes of requests, their latency and the cost of retries.
 func (r *Report) writeRequests(t *textTable) {
 	t.row("requests", "%d: %d served, %d in time, %d refused, %d failed", r.Requests, r.Served, r.ServedInTime, r.Refused, r.Failed)
 	t.row("goodput", "%.3f (worth in time over worth asked)", r.Goodput)
@@ -62,7 +62,7 @@
 		r.RetriesPerRequest, r.Attempts, 100*r.WastedWork)
 }
 
-// recoveryText returns how long service took to recover from the last fault.
+// recoveryText describes the time to recover from the last fault.
 func (r *Report) recoveryText() string {
 	if r.Recovery < 0 {
 		return "not as before again within the run"
@@ -80,7 +80,7 @@
 	}
 }
 
-// writeProcesses writes what the dispatchers used, and each worker's share of the work.
+// writeProcesses writes the resource usage of the dispatchers and each worker's share of the work.
 func (r *Report) writeProcesses(t *textTable) {
 	t.row("dispatchers", "%.0f us of CPU a request, %.1f MB at the most, %d descriptors at the most", r.CPUPerRequest, r.RSSPeakMB, r.FDPeak)
 	shares := make([]string, 0, maxWorkersShown+1)
@@ -94,7 +94,7 @@
 	t.row("work by worker", "%s", strings.Join(shares, "  "))
 }
 
-// writeConditions writes the faults, the misbehaving clients and how service was right after restarts.
+// writeConditions writes the faults, the misbehaving clients and the requests right after restarts.
 func (r *Report) writeConditions(t *textTable) {
 	for _, f := range r.Faults {
 		t.row("trouble", "%.1f to %.1f s: %s %s", f.At, f.Until, f.Kind, f.Target)
@@ -107,7 +107,7 @@
 	}
 }
 
-// writeTestbed writes how far the testbed itself limits the figures.
+// writeTestbed writes the lag and the throughput of the testbed itself, which limit the figures.
 func (r *Report) writeTestbed(t *textTable) {
 	ceiling := ""
 	if r.Testbed.MaxThroughput > 0 {
@@ -139,7 +139,7 @@
 	}
 }
 
-// writeRemarks warns of a run whose figures mean less than those of others.
+// writeRemarks warns of figures that are unreliable or incomplete.
 func (r *Report) writeRemarks(w io.Writer) {
 	if r.RanLate {
 		fmt.Fprintln(w, "The rig itself ran late: this machine was too busy, and the figures are worth little.")
@@ -157,8 +157,8 @@
 	return "All rules were kept."
 }
 
-// mutantLine returns the mutant that was played, as the end of a line; empty without one.
-func mutantLine(name string) string {
+// mutantSuffix names the mutant for the end of the row of the scenario. It is empty without one.
+func mutantSuffix(name string) string {
 	if name == "" {
 		return ""
 	}
