--- a/internal/testbed/attempts.go
+++ b/internal/testbed/attempts.go
@@ -7,8 +7,8 @@
 	"birchfork/internal/testbed/report"
 )
 
-// countAttempts adds the clients' tries and the workers' attempts to the report. An attempt that ran is wasted when
-// no client got its result.
+// countAttempts adds the clients' tries and the workers' attempts to the report. An attempt that ran counts as wasted
+// work if no client got its result.
 func (r *run) countAttempts(out *report.Report) {
 	servedResults := map[string]uint64{} // by request id
 	for _, t := range r.ledger.Tries() {
@@ -33,7 +33,7 @@
 	out.WastedWork = float64(wasted) / float64(max(ran, 1))
 }
 
-// addWorkerLines adds each worker's share of the work done beside its share of the fleet's capacity.
+// addWorkerLines adds each worker's share of the work done and its share of the fleet's capacity.
 func (r *run) addWorkerLines(out *report.Report) {
 	totalWork, totalCapacity := time.Duration(0), 0.0
 	for i, w := range r.fleet.Workers {
--- a/internal/testbed/config.go
+++ b/internal/testbed/config.go
@@ -8,13 +8,13 @@
 	"birchfork/internal/testbed/scenario"
 )
 
-// effects maps the effects of a scenario's class to the platform's words.
+// effects maps the effects of a scenario's classes to the values in the platform's configuration.
 var effects = map[string]string{scenario.Safe: "free", scenario.Keyed: "guarded", scenario.Unsafe: "single_shot"}
 
-// openCap is the number of requests that a dispatcher may hold open, as the platform's settings have it.
+// openCap is the maximum number of open requests of a dispatcher in the platform's settings.
 const openCap = 30000
 
-// Figures of the platform's settings that no scenario sets.
+// Values of platform settings that scenarios do not set.
 const (
 	tickSeconds       = 0.002
 	pollWithinSeconds = 10.0
@@ -22,7 +22,7 @@
 	lateFailureCost   = 0.05
 )
 
-// configValues is what the platform's configuration of one dispatcher is made of.
+// configValues holds the inputs of the platform's configuration of one dispatcher.
 type configValues struct {
 	scenario     *scenario.Scenario
 	dispatcher   int
@@ -32,8 +32,7 @@
 	endpointList json.RawMessage
 }
 
-// The types below are the platform's configuration of a dispatcher. Their fields are in the order of the keys, which is
-// alphabetical.
+// The types below define the platform's configuration of a dispatcher. Their fields are sorted by JSON key.
 type (
 	dispatcherConfig struct {
 		Discovery string          `json:"discovery"`
@@ -89,7 +88,8 @@
 		Share float64 `json:"share"`
 	}
 
-	// extraConfig holds, by class, the stretch of the latency objective and the index of the kind of workers.
+	// extraConfig holds further settings. ClassKinds has the index of the worker kind of each class, ClassStretch the stretch
+	// of its latency objective.
 	extraConfig struct {
 		ClassKinds   []int     `json:"class_kind"`
 		ClassStretch []float64 `json:"class_stretch"`
@@ -97,7 +97,7 @@
 		ReportsStart bool      `json:"tells_start"`
 	}
 
-	// policyLimitsConfig is what the platform allows; times are in seconds.
+	// policyLimitsConfig holds the platform's limits for the decision module; times are in seconds.
 	policyLimitsConfig struct {
 		MaxAttempts    int     `json:"attempts_cap"`
 		CanCancel      bool    `json:"cancel"`
@@ -121,7 +121,7 @@
 		Mode string `json:"how"`
 	}
 
-	// safetyConfig holds the figures of the rules; times are in seconds.
+	// safetyConfig holds the parameters of the rules; times are in seconds.
 	safetyConfig struct {
 		PollWithin         float64 `json:"ask_within"`
 		SlowStartMinFactor float64 `json:"cold_from"`
@@ -132,7 +132,7 @@
 	}
 )
 
-// encode returns the configuration as the platform writes it.
+// encode returns the configuration as JSON, in the platform's format.
 func (v configValues) encode() ([]byte, error) {
 	limits := v.scenario.Limits
 	return json.MarshalIndent(dispatcherConfig{
@@ -175,7 +175,7 @@
 	return classes
 }
 
-// customerConfigs returns the tenants of a scenario; nil, which is null in the JSON, without any.
+// customerConfigs returns the tenants of a scenario, or nil (null in the JSON) if there are none.
 func customerConfigs(s *scenario.Scenario) []customerConfig {
 	var customers []customerConfig //nolint:prealloc // without a tenant it stays nil: null in the JSON
 	for _, t := range s.Tenants {
@@ -191,12 +191,12 @@
 	}
 	for _, c := range s.Classes {
 		extra.ClassStretch = append(extra.ClassStretch, c.Stretch)
-		extra.ClassKinds = append(extra.ClassKinds, slices.Index(machineTypes, c.Kind)) // -1, for no kind: all run it
+		extra.ClassKinds = append(extra.ClassKinds, slices.Index(machineTypes, c.Kind)) // -1 without a kind: all workers run it
 	}
 	return extra
 }
 
-// workerKinds returns the kinds of the workers, each once, in their order.
+// workerKinds returns the distinct kinds of the workers in order of first occurrence.
 func workerKinds(s *scenario.Scenario) []string {
 	var kinds []string
 	for _, w := range s.Workers {
--- a/internal/testbed/environment.go
+++ b/internal/testbed/environment.go
@@ -10,31 +10,31 @@
 	"birchfork/internal/testbed/scenario"
 )
 
-// Environment gives access to a run that is under way, for what runs beside the day's own faults. It is safe for concurrent
-// use.
+// Environment gives access to a run in progress, for code that runs alongside the faults of the scenario. It is safe for
+// concurrent use.
 type Environment struct{ run *run }
 
-// Ledger returns the record of what was observed.
+// Ledger returns the observations of the run.
 func (e *Environment) Ledger() *invariant.Ledger { return e.run.ledger }
 
-// Fleet returns the workers with their discovery.
+// Fleet returns the workers and their discovery.
 func (e *Environment) Fleet() *fakes.Fleet { return e.run.fleet }
 
-// Day returns the generated day.
+// Day returns what was generated from the scenario: requests, workers and faults.
 func (e *Environment) Day() *scenario.Day { return e.run.day }
 
-// Origin returns the day's start on the ledger's clock.
+// Origin returns the start of the load on the ledger's clock.
 func (e *Environment) Origin() time.Duration { return e.run.load.Origin() }
 
-// Slack returns what is added to every time limit for the lag of the testbed itself.
+// Slack returns the tolerance that is added to every time limit for the lag of the testbed itself.
 func (e *Environment) Slack() time.Duration { return e.run.terms().Slack }
 
-// WaitUntil waits for a time since the day's start. It returns false when ctx ended first.
+// WaitUntil waits until a time, measured from the start of the load. It returns false if ctx ends first.
 func (e *Environment) WaitUntil(ctx context.Context, at time.Duration) bool {
 	return e.run.faults.waitUntil(ctx, at)
 }
 
-// Pause suspends a dispatcher's process with SIGSTOP. It resumes it after a time or when ctx ends.
+// Pause suspends a dispatcher's process with SIGSTOP and resumes it after length or when ctx ends.
 func (e *Environment) Pause(ctx context.Context, dispatcher int, length time.Duration) {
 	d := e.run.dispatchers[dispatcher]
 	if d.signal(syscall.SIGSTOP, invariant.Stopped, invariant.Crashed) == nil {
@@ -53,21 +53,21 @@
 // CPU returns the CPU time that a dispatcher's current process has used.
 func (e *Environment) CPU(dispatcher int) time.Duration { return e.run.dispatchers[dispatcher].cpu() }
 
-// KillAndRestart ends a dispatcher's process with SIGKILL and starts it again after a time. Before the start it calls change, if that
-// is not nil.
-func (e *Environment) KillAndRestart(ctx context.Context, dispatcher int, away time.Duration, change func()) {
-	e.run.restartDispatcher(ctx, dispatcher, true, away, change)
+// KillAndRestart ends a dispatcher's process with SIGKILL and starts it again after downtime. Before the start it calls
+// change, unless that is nil.
+func (e *Environment) KillAndRestart(ctx context.Context, dispatcher int, downtime time.Duration, change func()) {
+	e.run.restartDispatcher(ctx, dispatcher, true, downtime, change)
 }
 
-// Restart ends a dispatcher's process with SIGTERM and starts it again.
+// Restart ends a dispatcher's process with SIGTERM and starts it again at once.
 func (e *Environment) Restart(ctx context.Context, dispatcher int) {
 	e.run.restartDispatcher(ctx, dispatcher, false, 0, nil)
 }
 
-// servingMessage is in the log of a process once clients can connect to it.
+// servingMessage is logged by a process once clients can connect to it.
 const servingMessage = "msg=serving"
 
-// HotRestart starts a process beside the current one, and terminates the old one once the new one serves.
+// HotRestart starts a new process beside the current one and terminates the old one once the new one serves.
 func (e *Environment) HotRestart(ctx context.Context, dispatcher int) {
 	d := e.run.dispatchers[dispatcher]
 	old := d.currentProcess()
@@ -87,8 +87,8 @@
 	d.awaitTermination(old, e.run.stopTimeout())
 }
 
-// awaitServing waits until the log of a process says that it serves, or until it should have; that is recorded as a crash.
-// It returns false when the process or ctx ended first.
+// awaitServing waits until a process has logged that it serves, or until readyTimeout has passed, which is recorded as a
+// crash. It returns false if the process or ctx ends first.
 func (d *dispatcher) awaitServing(ctx context.Context, p *process) bool {
 	for deadline := time.Now().Add(readyTimeout); !p.log.contains(servingMessage); {
 		select {
@@ -99,7 +99,7 @@
 		case <-time.After(readyInterval):
 		}
 		if time.Now().After(deadline) {
-			d.record(invariant.Crashed, "the process beside it did not serve in time: "+p.log.lastLine())
+			d.record(invariant.Crashed, "the new process did not serve within "+readyTimeout.String()+": "+p.log.lastLine())
 			break
 		}
 	}
@@ -108,20 +108,20 @@
 
 // Times of a restart.
 const (
-	killNotice    = time.Second            // until clients notice that a killed dispatcher is gone
-	termNotice    = 300 * time.Millisecond // after SIGTERM clients go on opening connections for this time
-	restartMargin = 50 * time.Millisecond  // between the notice of a kill and the next start
+	killNotice    = time.Second            // until clients notice that a dispatcher was killed
+	termNotice    = 300 * time.Millisecond // for which clients still open connections after SIGTERM
+	restartMargin = 50 * time.Millisecond  // minimum time from killNotice to the next start
 )
 
-// restartDispatcher ends a dispatcher's process and starts it again, after a kill once away has passed. Before the start it
-// calls change, if that is not nil.
-func (r *run) restartDispatcher(ctx context.Context, dispatcher int, kill bool, away time.Duration, change func()) {
+// restartDispatcher ends a dispatcher's process, with SIGKILL if kill is set and else with SIGTERM, and starts it again. After
+// SIGKILL it waits at least for downtime first. Before the start it calls change, unless that is nil.
+func (r *run) restartDispatcher(ctx context.Context, dispatcher int, kill bool, downtime time.Duration, change func()) {
 	d, clients := r.dispatchers[dispatcher], r.load.Dispatcher(dispatcher)
 	if kill {
 		time.AfterFunc(killNotice, func() { clients.Down(true) })
 		d.kill()
 		select {
-		case <-time.After(max(away, killNotice+restartMargin)):
+		case <-time.After(max(downtime, killNotice+restartMargin)):
 		case <-ctx.Done():
 			return
 		}
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -12,18 +12,18 @@
 	"birchfork/internal/testbed/scenario"
 )
 
-// faultInjector injects the day's faults at their times. Several may affect the same worker, link or discovery agent at once:
-// its state is computed from all active faults whenever one begins or ends.
+// faultInjector injects the faults of a run at their times. Several may affect the same worker, link or discovery agent at
+// once, so its state is computed from all active faults whenever one begins or ends.
 type faultInjector struct {
 	run         *run
 	misbehaving loadgen.MisbehavingClients
 
 	mu      sync.Mutex
 	active  []*scenario.Event
-	running sync.WaitGroup // the goroutines of faults, and of what runs alongside
+	running sync.WaitGroup // the goroutines of faults and of Options.Alongside
 }
 
-// injectAll starts a goroutine for each fault, which begins it at its time and ends it at its end or when ctx ends.
+// injectAll starts a goroutine for each fault, which injects it at its time.
 func (injector *faultInjector) injectAll(ctx context.Context) {
 	for i := range injector.run.day.Events {
 		e := &injector.run.day.Events[i]
@@ -40,7 +40,7 @@
 	}
 }
 
-// waitUntil waits for a time since the day's start. It returns false when ctx ended first.
+// waitUntil waits until a time, measured from the start of the load. It returns false if ctx ends first.
 func (injector *faultInjector) waitUntil(ctx context.Context, at time.Duration) bool {
 	select {
 	case <-time.After(injector.run.load.Origin() + at - injector.run.ledger.Now()):
@@ -91,7 +91,8 @@
 	}
 }
 
-// release drains the workers of a fault one after the other, spread evenly over its time. Each starts again at once.
+// release drains the workers of a fault one after the other, evenly spread over its duration. Each worker starts again at
+// once.
 func (injector *faultInjector) release(ctx context.Context, e *scenario.Event) {
 	length, count := e.Until-e.At, time.Duration(len(e.Workers))
 	for i, w := range e.Workers {
@@ -102,7 +103,7 @@
 	}
 }
 
-// setActive begins or ends a fault and applies the state that follows from all active faults to what it affects.
+// setActive begins or ends a fault and updates the state of everything that it affects.
 func (injector *faultInjector) setActive(e *scenario.Event, active bool) {
 	injector.mu.Lock()
 	defer injector.mu.Unlock()
@@ -125,7 +126,7 @@
 	}
 }
 
-// applyToDiscovery sets the delay and the silence of a dispatcher's discovery agent. The caller has locked mu.
+// applyToDiscovery sets the delay and the silence of a dispatcher's discovery agent. The caller holds mu.
 func (injector *faultInjector) applyToDiscovery(dispatcher int) {
 	delay, silent := 1.0, false
 	for _, e := range injector.active {
@@ -144,7 +145,7 @@
 	agent.Silence(silent)
 }
 
-// applyToLinks partitions or heals the links between workers and dispatchers. The caller has locked mu.
+// applyToLinks partitions or heals the links between workers and dispatchers. The caller holds mu.
 func (injector *faultInjector) applyToLinks(workers, dispatchers []int) {
 	var links sync.WaitGroup
 	for _, w := range workers {
@@ -160,7 +161,7 @@
 	links.Wait()
 }
 
-// isPartitioned reports whether an active fault cuts the link between a worker and a dispatcher. The caller has locked mu.
+// isPartitioned reports whether an active fault cuts the link between a worker and a dispatcher. The caller holds mu.
 func (injector *faultInjector) isPartitioned(worker, dispatcher int) bool {
 	return slices.ContainsFunc(injector.active, func(e *scenario.Event) bool {
 		cuts := e.Kind == scenario.MachineSilent || e.Kind == scenario.LinkPartition
@@ -168,9 +169,9 @@
 	})
 }
 
-// applyToWorker sets the speed, the hang and the error share of a worker. The caller has locked mu.
+// applyToWorker sets the slowdown, the hang and the failure rate of a worker. The caller holds mu.
 func (injector *faultInjector) applyToWorker(worker int) {
-	slowness, hung, errorShare := 1.0, false, 0.0
+	slowness, hung, failureRate := 1.0, false, 0.0
 	for _, e := range injector.active {
 		if !slices.Contains(e.Workers, worker) {
 			continue
@@ -181,13 +182,13 @@
 		case scenario.WorkerHang:
 			hung = true
 		case scenario.WorkerErrors:
-			errorShare = max(errorShare, e.Share)
+			failureRate = max(failureRate, e.Share)
 		}
 	}
 	w := injector.run.fleet.Workers[worker]
 	w.Slow(slowness)
 	w.Hang(hung)
-	w.SetFailureRate(errorShare)
+	w.SetFailureRate(failureRate)
 }
 
 // reload writes a dispatcher's current configuration and sends it SIGHUP.
--- a/internal/testbed/logtail.go
+++ b/internal/testbed/logtail.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// maxTailBytes is how much of a process's output is kept in memory.
+// maxTailBytes is the size of the part of a process's output that is kept in memory.
 const maxTailBytes = 4 << 10
 
 // logTail keeps the end of a process's output. It is safe for concurrent use.
@@ -23,7 +23,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.file != nil {
-		_, _ = t.file.Write(p) // what cannot be written there is in the tail
+		_, _ = t.file.Write(p) // best effort: the tail holds the end of the output
 	}
 	t.buf = append(t.buf, p...)
 	if len(t.buf) > maxTailBytes {
--- a/internal/testbed/overhead.go
+++ b/internal/testbed/overhead.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -16,22 +15,22 @@
 	"birchfork/internal/testbed/scenario"
 )
 
-// OverheadOptions are the parameters of a measurement of the dispatcher's overhead.
+// OverheadOptions are the parameters of Overhead.
 type OverheadOptions struct {
 	Launch  Launch
-	Clients []int         // numbers of concurrent clients, a row each
-	Length  time.Duration // of each of the two measurements of a round
+	Clients []int         // numbers of concurrent clients, one row of the table each
+	Length  time.Duration // duration of each of the two measurements of a round
 	Rounds  int
-	Profile string // a file for a CPU profile of the dispatcher; empty: none
+	Profile string // file for a CPU profile of the dispatcher; empty: none
 }
 
-// The requests of the measurement: so short that little but the transport counts.
+// The size of the measured requests. They are small so that the transport dominates their cost.
 const (
 	overheadWork = 100 * time.Microsecond
 	overheadBody = 200 // bytes
 )
 
-// overheadScenario is one large worker behind one dispatcher.
+// overheadScenario has eight large workers behind one dispatcher.
 const overheadScenario = `
 name = "overhead"
 dispatchers = 1
@@ -55,8 +54,8 @@
 speed = [1.0, 1.0]
 `
 
-// Overhead sends requests to a stand-in worker directly and through a dispatcher, alternately, and prints what the dispatcher
-// adds.
+// Overhead measures requests alternately directly at a stand-in worker and through a dispatcher, and prints the latency that
+// the dispatcher adds.
 func Overhead(ctx context.Context, w io.Writer, o OverheadOptions) error {
 	book := loadgen.NewBook(overheadWork, overheadBody)
 	direct, err := startDirectWorker(book)
@@ -93,7 +92,7 @@
 	return nil
 }
 
-// profiledLaunch returns Launch, with a CPU profile where one is wanted.
+// profiledLaunch returns Launch, with a CPU profile if Profile is set.
 func (o OverheadOptions) profiledLaunch() Launch {
 	if o.Profile == "" {
 		return o.Launch
@@ -105,11 +104,11 @@
 	}
 }
 
-// startSingleDispatcher starts the fleet and one dispatcher, and waits until that is ready.
+// startSingleDispatcher starts the fleet and one dispatcher, and waits until the dispatcher is ready.
 func (r *run) startSingleDispatcher(ctx context.Context, book fakes.Book) (*dispatcher, error) {
 	var err error
 	if r.dir, err = os.MkdirTemp("", tempDirPrefix); err != nil {
-		return nil, fmt.Errorf("a folder for the configuration: %w", err)
+		return nil, fmt.Errorf("creating the directory for the configuration: %w", err)
 	}
 	addresses, err := FreeAddresses(1)
 	if err != nil {
@@ -123,7 +122,7 @@
 	return d, d.start(ctx)
 }
 
-// overheadMeasurement holds the figures for one number of clients, each with one value per round.
+// overheadMeasurement holds the measurements for one number of clients. Each slice has one value per round.
 type overheadMeasurement struct {
 	dispatcher    *dispatcher
 	directAddress string // of the worker
@@ -131,8 +130,8 @@
 	length        time.Duration
 
 	directP50, throughP50, throughP99 []float64 // microseconds
-	directRate, throughRate           []float64 // requests a second
-	cpu                               []float64 // of the dispatcher, microseconds a request
+	directRate, throughRate           []float64 // requests per second
+	cpu                               []float64 // of the dispatcher, microseconds per request
 	failed                            int64
 }
 
@@ -146,7 +145,7 @@
 		return ctx.Err()
 	}
 	if direct.Requests == 0 || through.Requests == 0 {
-		return errors.New("nothing was answered")
+		return fmt.Errorf("too few requests answered: %d directly, %d through the dispatcher; at least 1 each is required", direct.Requests, through.Requests)
 	}
 	m.directP50 = append(m.directP50, float64(direct.Latency.ValueAtPercentile(50)))
 	m.throughP50 = append(m.throughP50, float64(through.Latency.ValueAtPercentile(50)))
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -18,7 +18,7 @@
 // Launch returns the command that runs one dispatcher with a configuration file.
 type Launch func(config string) *exec.Cmd
 
-// Times of dispatchers' processes.
+// Times of dispatcher processes.
 const (
 	readyTimeout  = 10 * time.Second
 	readyInterval = 15 * time.Millisecond
@@ -33,8 +33,8 @@
 	listen string
 
 	mu           sync.Mutex
-	endpointList json.RawMessage // in its configuration; nil before the first was written
-	current      *process        // nil before the first was started
+	endpointList json.RawMessage // in its configuration; nil until the first one is written
+	current      *process        // nil until the first one is started
 	starts       int
 	usage        usage
 }
@@ -44,7 +44,7 @@
 	cmd    *exec.Cmd
 	log    logTail
 	done   chan struct{}              // closed when it has ended
-	exitAs invariant.ProcessEventKind // how an end that comes now counts
+	exitAs invariant.ProcessEventKind // the event to record when it ends
 }
 
 // currentProcess returns the process that was started last, or nil.
@@ -54,12 +54,12 @@
 	return d.current
 }
 
-// record records an event of the dispatcher's process at the present time.
+// record records an event of the dispatcher's process at the current time.
 func (d *dispatcher) record(what invariant.ProcessEventKind, detail string) {
 	d.run.ledger.ProcessEvent(invariant.ProcessEvent{Dispatcher: d.index, At: d.run.ledger.Now(), Kind: what, Detail: detail})
 }
 
-// writeConfig writes the configuration that the platform would deliver now; it replaces the previous one atomically.
+// writeConfig writes the configuration that the platform would deliver now and replaces the previous one atomically.
 func (d *dispatcher) writeConfig() error {
 	r, agent := d.run, d.run.fleet.Discovery.Agents[d.index]
 	d.mu.Lock()
@@ -80,11 +80,11 @@
 	values.endpointList = d.endpointList
 	raw, err := values.encode()
 	if err != nil {
-		return fmt.Errorf("the configuration of dispatcher %d: %w", d.index, err)
+		return fmt.Errorf("encoding the configuration of dispatcher %d: %w", d.index, err)
 	}
 	next := d.path + ".next"
 	if err := os.WriteFile(next, raw, 0o600); err != nil {
-		return fmt.Errorf("the configuration of dispatcher %d: %w", d.index, err)
+		return fmt.Errorf("writing the configuration of dispatcher %d: %w", d.index, err)
 	}
 	return os.Rename(next, d.path)
 }
@@ -103,9 +103,9 @@
 	return nil
 }
 
-// exitAtOnce keeps a build with the race detector from sleeping for a second at its end: that would be a third of the time in
-// which a dispatcher has to end.
-const exitAtOnce = "GORACE=atexit_sleep_ms=0"
+// noRaceExitDelay disables the sleep of one second at the exit of a build with the race detector, which would take a third of
+// the time that a dispatcher has to end.
+const noRaceExitDelay = "GORACE=atexit_sleep_ms=0"
 
 // startProcess starts a process and makes it the dispatcher's current one.
 func (d *dispatcher) startProcess() (*process, error) {
@@ -116,14 +116,14 @@
 	if dir := d.run.options.Logs; dir != "" {
 		f, err := os.OpenFile(filepath.Join(dir, fmt.Sprintf("d%d.log", d.index)), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
-			return nil, fmt.Errorf("the log of dispatcher %d: %w", d.index, err)
+			return nil, fmt.Errorf("opening the log of dispatcher %d: %w", d.index, err)
 		}
 		p.log.file = f
 	}
 	if p.cmd.Env == nil {
 		p.cmd.Env = os.Environ()
 	}
-	p.cmd.Env = append(p.cmd.Env, exitAtOnce)
+	p.cmd.Env = append(p.cmd.Env, noRaceExitDelay)
 	p.cmd.Stdout, p.cmd.Stderr = &p.log, &p.log
 	d.record(invariant.Started, "")
 	if err := d.run.spawner.start(p.cmd); err != nil {
@@ -179,14 +179,14 @@
 	if what == invariant.Crashed {
 		detail = fmt.Sprintf("%v: %s", p.cmd.ProcessState, p.log.lastLine())
 	}
-	if what != invariant.Killed { // that was recorded before the signal
+	if what != invariant.Killed { // kill has recorded it before the signal
 		d.run.ledger.ProcessEvent(invariant.ProcessEvent{Dispatcher: d.index, At: now, Kind: what, Detail: detail})
 	}
 	close(p.done)
 }
 
-// signal records an event and sends a signal to the current process. An end that follows counts as exitAs, except after a
-// reload. It returns the process, which may have ended already, or nil where none was started.
+// signal records an event and sends a signal to the current process. Except after a reload, an end of the process is recorded
+// as exitAs from then on. It returns the process, which may have ended already, or nil if none was started.
 func (d *dispatcher) signal(sig syscall.Signal, event, exitAs invariant.ProcessEventKind) *process {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -219,16 +219,16 @@
 	}
 }
 
-// terminate sends SIGTERM and waits for the end of the process. One that has not ended within the timeout is killed, as by
-// the platform, which counts as a crash.
+// terminate sends SIGTERM and waits for the end of the process. A process that has not ended within the timeout is
+// killed, as the platform does, and counts as crashed.
 func (d *dispatcher) terminate(timeout time.Duration) {
 	if p := d.signal(syscall.SIGTERM, invariant.Terminated, invariant.Exited); p != nil {
 		d.awaitTermination(p, timeout)
 	}
 }
 
-// awaitTermination waits for the end of a process that got SIGTERM, and kills it after the timeout. A stall of the testbed
-// itself, as on a host that has other work, does not count: the time between two ticks counts as two ticks at most.
+// awaitTermination waits for the end of a process that was sent SIGTERM, and kills it after the timeout. Stalls of the testbed
+// itself, such as on a busy host, do not count: the time between two ticks counts as two tick intervals at most.
 func (d *dispatcher) awaitTermination(p *process, timeout time.Duration) {
 	tick := time.NewTicker(lagInterval)
 	defer tick.Stop()
--- a/internal/testbed/requests.go
+++ b/internal/testbed/requests.go
@@ -12,11 +12,11 @@
 // seriesInterval is the length of one interval of the report's time series.
 const seriesInterval = 500 * time.Millisecond
 
-// requestSummary sums up the client requests of a run, or of a class, a tenant or an interval of it.
+// requestSummary aggregates the client requests of a run, or of a class, a tenant or an interval of it.
 type requestSummary struct {
 	requested, inTime int
-	value             float64 // of all requests if each were answered in time
-	good              float64 // value that was reached
+	value             float64 // total value if every request were answered in time
+	good              float64 // value that was achieved
 	latency           report.Histogram
 	outcomes          map[string]int
 }
@@ -33,7 +33,7 @@
 	return all
 }
 
-// goodput returns the part of the value that was reached; 0 without a request.
+// goodput returns the share of the value that was achieved, or 0 without requests.
 func (s *requestSummary) goodput() float64 {
 	if s.value == 0 {
 		return 0
@@ -46,7 +46,7 @@
 	return report.PartLine{Name: name, Requests: s.requested, InTime: s.inTime, Goodput: s.goodput(), Latency: s.latency.Latency()}
 }
 
-// requestCounter sums up client requests by class, tenant and interval of arrival.
+// requestCounter aggregates client requests by class, tenant and interval of arrival.
 type requestCounter struct {
 	run       *run
 	total     *requestSummary
@@ -115,7 +115,7 @@
 	}
 }
 
-// summariesOf returns the summaries that a request belongs to.
+// summariesOf returns the summaries that include a request.
 func (c *requestCounter) summariesOf(request *scenario.Request) []*requestSummary {
 	interval := min(int(request.At/seriesInterval), len(c.intervals)-1)
 	all := []*requestSummary{c.total, c.classes[request.Class], c.intervals[interval]}
--- a/internal/testbed/restarts.go
+++ b/internal/testbed/restarts.go
@@ -7,13 +7,13 @@
 	"birchfork/internal/testbed/report"
 )
 
-// restartPeriod is how long a dispatcher counts as just restarted.
+// restartPeriod is the time after a restart for which a dispatcher counts as just restarted.
 const restartPeriod = 5 * time.Second
 
 // interval is a half-open interval of time on the ledger's clock.
 type interval struct{ from, until time.Duration }
 
-// restartIntervals holds, by dispatcher, the intervals in which it had just restarted during the day.
+// restartIntervals holds the intervals in which a dispatcher had just restarted, by dispatcher.
 type restartIntervals map[int][]interval
 
 // contains reports whether a dispatcher had just restarted at a time.
@@ -36,7 +36,7 @@
 	return false
 }
 
-// restartIntervals returns the intervals that follow the restarts of dispatchers during the day.
+// restartIntervals returns the intervals that follow the restarts of dispatchers since the start of the load.
 func (r *run) restartIntervals() restartIntervals {
 	restarts := restartIntervals{}
 	for _, m := range r.ledger.ProcessEvents() {
@@ -47,8 +47,8 @@
 	return restarts
 }
 
-// countAfterRestarts compares dispatchers right after a restart with the others at the same time: the difference shows what
-// they had to learn again. It returns nil where none restarted during the day.
+// countAfterRestarts compares dispatchers that have just restarted with the others at the same time. The difference shows the
+// cost of losing what they had learnt about the workers. It returns nil if no dispatcher restarted under load.
 func (r *run) countAfterRestarts() *report.RestartLine {
 	restarts := r.restartIntervals()
 	if len(restarts) == 0 {
--- a/internal/testbed/result.go
+++ b/internal/testbed/result.go
@@ -57,7 +57,7 @@
 	out.FDPeak = total.fds
 }
 
-// addFaults adds the injected faults, and how service went during and after them.
+// addFaults adds the injected faults, the goodput during them and the time to recover from them.
 func (r *run) addFaults(out *report.Report) {
 	for _, e := range r.day.Events {
 		out.Faults = append(out.Faults, report.FaultMark{Kind: e.Kind, At: e.At.Seconds(), Until: e.Until.Seconds(), Target: r.describeTarget(&e)})
@@ -65,8 +65,8 @@
 	out.SummarizeFaults()
 }
 
-// addMisbehavingClients adds the counts of misbehaving clients, if there were any. Each that was served is a violation: its
-// input cannot be read as a request.
+// addMisbehavingClients adds the counts of misbehaving clients, if there were any. Each one that was served is a
+// violation, because its input is not a valid request.
 func (r *run) addMisbehavingClients(out *report.Report) {
 	clients := &r.faults.misbehaving
 	if clients.Sent.Load() == 0 {
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -1,6 +1,6 @@
-// Package testbed runs a complete deployment on the loopback interface of one machine: real dispatchers, each a process of its
-// own, between stand-in workers, a stand-in discovery and generated clients. It injects faults by a timetable, checks the
-// four rules against what clients, workers and discovery observed, and reports the result.
+// Package testbed runs a complete deployment on the loopback interface of one machine: real dispatchers, each in its own
+// process, between stand-in workers, a stand-in discovery and generated clients. It injects faults on a schedule, checks
+// the four rules against what clients, workers and discovery observed, and reports the result.
 package testbed
 
 import (
@@ -20,16 +20,16 @@
 	"birchfork/internal/testbed/scenario"
 )
 
-// PolicyRules is the name of the decision module as a policy; the other policies are those of package baseline.
+// PolicyRules is the policy name of the decision module. The other policies are those of package baseline.
 const PolicyRules = "rules"
 
 // Times of a run.
 const (
-	stragglerWait  = 500 * time.Millisecond // after the last answer, to observe what is sent too late
+	stragglerWait  = 500 * time.Millisecond // after the end of the load, to observe what is sent too late
 	sampleInterval = 250 * time.Millisecond
 	lagInterval    = 5 * time.Millisecond
-	maxStopTime    = 3 * time.Second // the platform kills after the longest deadline of a class or this, whichever is shorter ...
-	stopMargin     = 700 * time.Millisecond
+	maxStopTime    = 3 * time.Second        // the platform allows the longest deadline of a class for a stop, but at most this
+	stopMargin     = 700 * time.Millisecond // added to that
 )
 
 // Options are the parameters of a run.
@@ -37,29 +37,30 @@
 	Scenario          *scenario.Scenario
 	Seed              uint64
 	RandomFaults      bool   // inject random faults beside those of the scenario
-	Policy            string // for the report
-	Mutant            string // for the report
+	Policy            string // name in the report
+	Mutant            string // name in the report
 	Launch            Launch
-	MeasureThroughput bool // measure the testbed's own ceiling first
+	MeasureThroughput bool // measure the throughput of the testbed itself first
 
-	Alongside       func(context.Context, *Environment)      // runs beside the day's faults, from the day's start; its context ends with the day; may be nil
-	AdditionalCheck func(*Environment) []invariant.Violation // checks further rules beside the four; may be nil
+	Alongside       func(context.Context, *Environment)      // runs alongside the faults, from the start of the load; its context ends with the load; may be nil
+	AdditionalCheck func(*Environment) []invariant.Violation // checks rules beyond the four; may be nil
 
-	// StartTimeout is how long a dispatcher may take to become ready, where that is longer than usual: it may have to wait
-	// for others.
+	// StartTimeout is the time that a dispatcher has to become ready, where it may have to wait for others. Values below
+	// readyTimeout have no effect.
 	StartTimeout time.Duration
 
-	// ConfiguredScenario returns the scenario whose terms a dispatcher gets in its configuration; nil: the scenario of the run.
+	// ConfiguredScenario returns the scenario from which the configuration of a dispatcher is made; nil: the scenario of the
+	// run.
 	ConfiguredScenario func(dispatcher int, s *scenario.Scenario) *scenario.Scenario
 
-	Logs          string // a directory for the logs of dispatchers, one file each; empty: none
-	KeepFirstList bool   // configurations keep the first endpoint list over a restart, as those of a deployment do
+	Logs          string // directory for the logs of dispatchers, one file each; empty: none
+	KeepFirstList bool   // configurations keep the first endpoint list across restarts, as in a deployment
 
-	// WorkerAddress and DiscoveryAddress return the address through which a dispatcher reaches an address of a worker or of
-	// discovery; nil: that address itself.
+	// WorkerAddress and DiscoveryAddress map the address of a worker or of discovery to the one that a dispatcher uses for it;
+	// nil: the same address.
 	WorkerAddress, DiscoveryAddress func(dispatcher int, address string) string
 
-	Progress func(done, all int) // called now and then with the number of requests that have ended; may be nil
+	Progress func(done, all int) // called periodically with the number of requests that have ended; may be nil
 }
 
 // run is the state of one run.
@@ -67,14 +68,14 @@
 	options     Options
 	day         *scenario.Day
 	ledger      *invariant.Ledger
-	fleet       *fakes.Fleet // nil until it was started
+	fleet       *fakes.Fleet // nil until started
 	load        *loadgen.Generator
 	spawner     *spawner
-	dir         string // of the configurations; empty until it was created
+	dir         string // of the configurations; empty until created
 	dispatchers []*dispatcher
 	faults      *faultInjector
-	arrivalLag  report.Histogram // how late arrivals were started
-	clockLag    report.Histogram // how late the ticks of a regular timer came
+	arrivalLag  report.Histogram // delay of requests after their scheduled arrival
+	clockLag    report.Histogram // delay of the ticks of a periodic timer
 }
 
 func newRun(day *scenario.Day, o Options) *run {
@@ -84,18 +85,18 @@
 	}
 }
 
-// Run plays the day of a scenario and a seed. A run that ctx ends early is reported as far as it came. An error means that
-// the day could not be started.
+// Run executes a scenario with a seed. If ctx ends early, the report covers the run up to that point. An error means that
+// the run could not be started.
 func Run(ctx context.Context, o Options) (*report.Report, error) {
 	r := newRun(o.Scenario.Generate(o.Seed, o.RandomFaults), o)
 	defer r.close()
 	var err error
 	if r.dir, err = os.MkdirTemp("", tempDirPrefix); err != nil {
-		return nil, fmt.Errorf("a folder for the configurations: %w", err)
+		return nil, fmt.Errorf("creating the directory for the configurations: %w", err)
 	}
-	ceiling := 0.0
+	throughput := 0.0
 	if o.MeasureThroughput {
-		if ceiling, err = MeasureThroughput(ctx); err != nil {
+		if throughput, err = MeasureThroughput(ctx); err != nil {
 			return nil, err
 		}
 	}
@@ -105,7 +106,7 @@
 	}
 	r.load = loadgen.New(r.day, r.ledger, addresses)
 	if r.fleet, err = fakes.New(r.day, r.ledger, r.load, o.WorkerAddress); err != nil {
-		return nil, fmt.Errorf("the fleet: %w", err)
+		return nil, fmt.Errorf("starting the fleet: %w", err)
 	}
 	for _, a := range addresses {
 		r.addDispatcher(a)
@@ -113,7 +114,7 @@
 	if err := r.startAll(ctx); err != nil {
 		return nil, err
 	}
-	r.play(ctx)
+	r.execute(ctx)
 	verdict := invariant.Check(r.ledger, r.terms())
 	if o.AdditionalCheck != nil {
 		verdict.Violations = append(verdict.Violations, o.AdditionalCheck(&Environment{r})...)
@@ -121,7 +122,7 @@
 	result := r.report(verdict)
 	result.Policy, result.Mutant = o.Policy, o.Mutant
 	result.Interrupted = ctx.Err() != nil
-	result.Testbed.MaxThroughput = ceiling
+	result.Testbed.MaxThroughput = throughput
 	return result, nil
 }
 
@@ -136,15 +137,15 @@
 	return d
 }
 
-// FreeAddresses returns loopback addresses that nobody listens on, each with an IP of its own: no connection goes out from
-// there, so that the port is still free when its dispatcher listens on it, and when it does so again after a restart.
+// FreeAddresses returns loopback addresses that nobody listens on. Each has its own IP address, from which no outgoing
+// connection is made, so that its port stays free until a dispatcher listens on it, also across restarts.
 func FreeAddresses(n int) ([]string, error) {
 	var out []string
-	net3 := [2]byte{byte(64 + rand.IntN(128)), byte(rand.IntN(256))}
+	subnet := [2]byte{byte(64 + rand.IntN(128)), byte(rand.IntN(256))}
 	for i := range n {
-		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", net3[0], int(net3[1])^(i/250), 1+i%250))
+		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", subnet[0], int(subnet[1])^(i/250), 1+i%250))
 		if err != nil {
-			return nil, fmt.Errorf("a free port: %w", err)
+			return nil, fmt.Errorf("finding a free port: %w", err)
 		}
 		out = append(out, l.Addr().String())
 		l.Close()
@@ -165,10 +166,10 @@
 	return errors.Join(all...)
 }
 
-// play runs the day from its first arrival until all dispatchers have ended.
-func (r *run) play(ctx context.Context) {
-	during, endDay := context.WithCancel(ctx)
-	defer endDay()
+// execute runs the load and the faults, from the first arrival until all dispatchers have ended.
+func (r *run) execute(ctx context.Context) {
+	loadCtx, endLoad := context.WithCancel(ctx)
+	defer endLoad()
 	monitoring, stopMonitor := context.WithCancel(context.WithoutCancel(ctx))
 	monitored := make(chan struct{})
 	go func() {
@@ -176,10 +177,10 @@
 		r.monitor(monitoring)
 	}()
 	r.faults = &faultInjector{run: r}
-	loadEnded := r.startLoad(during)
-	r.faults.injectAll(during)
+	loadEnded := r.startLoad(loadCtx)
+	r.faults.injectAll(loadCtx)
 	if r.options.Alongside != nil {
-		r.faults.running.Go(func() { r.options.Alongside(during, &Environment{r}) })
+		r.faults.running.Go(func() { r.options.Alongside(loadCtx, &Environment{r}) })
 	}
 	<-loadEnded
 	if rest := r.load.Origin() + r.day.Scenario.For - r.ledger.Now(); rest > 0 {
@@ -188,7 +189,7 @@
 		case <-ctx.Done():
 		}
 	}
-	endDay()
+	endLoad()
 	r.faults.running.Wait()
 	time.Sleep(stragglerWait)
 	r.sampleAll()
@@ -197,7 +198,7 @@
 	<-monitored
 }
 
-// startLoad starts the clients and returns once the day has begun. The channel is closed when all their requests have ended.
+// startLoad starts the clients and returns once the load has begun. The channel is closed when all their requests have ended.
 func (r *run) startLoad(ctx context.Context) <-chan struct{} {
 	began, ended := make(chan struct{}), make(chan struct{})
 	r.load.Lag = func(d time.Duration) { r.arrivalLag.Add(max(d, 0)) }
@@ -229,7 +230,7 @@
 			if r.options.Progress != nil {
 				r.options.Progress(int(r.load.Done.Load()), len(r.day.Requests))
 			}
-			last = time.Now() // the time that sampling takes is no lag of the clock
+			last = time.Now() // the time that sampling takes does not count as lag
 		}
 	}
 }
@@ -264,7 +265,7 @@
 	}
 }
 
-// close releases what the run has started, however far it came. No process and no file is left.
+// close ends all processes of the run and removes its files, whatever stage it has reached.
 func (r *run) close() {
 	for _, d := range r.dispatchers {
 		d.kill()
@@ -273,7 +274,7 @@
 		r.fleet.Close()
 	}
 	if r.dir != "" {
-		_ = os.RemoveAll(r.dir) // what is left lies in the temporary directory
+		_ = os.RemoveAll(r.dir) // files that cannot be removed stay in the temporary directory
 	}
 	close(r.spawner.quit)
 }
--- a/internal/testbed/run_test.go
+++ b/internal/testbed/run_test.go
@@ -24,8 +24,8 @@
 	"birchfork/internal/testbed/scenario"
 )
 
-// dispatcherVariable is the environment variable that makes the test binary a dispatcher. Its value is a policy, or mutantPrefix
-// and the name of a mutant.
+// dispatcherVariable is the environment variable that makes the test binary run as a dispatcher. Its value is a policy, or
+// mutantPrefix followed by the name of a mutant.
 const (
 	dispatcherVariable = "LAB_TEST_DISPATCHER"
 	mutantPrefix       = "plant:"
@@ -42,7 +42,7 @@
 	}
 }
 
-// runDispatcher runs a dispatcher with a configuration file until it is signalled to end.
+// runDispatcher runs a dispatcher with a configuration file until a signal ends it.
 func runDispatcher(variant, path string) error {
 	if name, ok := strings.CutPrefix(variant, mutantPrefix); ok {
 		return mutant.Run(path, name)
@@ -62,7 +62,7 @@
 	return server.Run(c, log, module)
 }
 
-// launchTest launches the test binary as a dispatcher.
+// launchTest returns a Launch that runs the test binary as a dispatcher.
 func launchTest(variant string) Launch {
 	return func(config string) *exec.Cmd {
 		cmd := exec.Command(os.Args[0], config)
@@ -71,8 +71,8 @@
 	}
 }
 
-// loadDay loads a shipped scenario; a length above 0 replaces its own.
-func loadDay(t *testing.T, name string, length time.Duration) *scenario.Scenario {
+// loadScenario loads a shipped scenario; a length above 0 replaces its own.
+func loadScenario(t *testing.T, name string, length time.Duration) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Load(name)
 	if err != nil {
@@ -84,12 +84,12 @@
 	return s
 }
 
-// children returns the processes that this one has started and that still run.
-func children(t *testing.T) (out []string) {
+// childProcesses returns the /proc files of the running child processes of this process.
+func childProcesses(t *testing.T) (out []string) {
 	t.Helper()
 	stats, err := filepath.Glob("/proc/[0-9]*/stat")
 	if err != nil || len(stats) == 0 {
-		t.Skip("this system does not tell of processes")
+		t.Skip("this system does not list processes under /proc")
 	}
 	for _, s := range stats {
 		raw, err := os.ReadFile(s)
@@ -104,19 +104,19 @@
 	return out
 }
 
-// descriptors returns the number of open file descriptors of this process.
-func descriptors(t *testing.T) int {
+// openDescriptors returns the number of open file openDescriptors of this process.
+func openDescriptors(t *testing.T) int {
 	t.Helper()
 	all, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
-		t.Skip("this system does not tell of descriptors")
+		t.Skip("this system does not list file descriptors under /proc")
 	}
 	return len(all)
 }
 
-// Each mutant is caught with the kind of its violation; the same dispatcher without a fault keeps all rules.
+// Each mutant is caught by its kind of violation. The same dispatcher without a fault keeps all rules.
 func TestRun_CatchesMutants(t *testing.T) {
-	s := loadDay(t, "proof", 0)
+	s := loadScenario(t, "proof", 0)
 	var running sync.WaitGroup
 	slots := make(chan struct{}, 5) // runs at a time
 	for _, m := range mutant.Mutants {
@@ -136,7 +136,8 @@
 	running.Wait()
 }
 
-// runMutant runs a day with a mutant, and again up to three times where the testbed itself ran late: such a run proves nothing.
+// runMutant runs a scenario with a mutant. It repeats the run up to three times while the testbed itself ran late, because such a
+// run is inconclusive.
 func runMutant(t *testing.T, s *scenario.Scenario, name string) (*report.Report, error) {
 	o := Options{Scenario: s, Seed: 1, Policy: "rules", Mutant: name, Launch: launchTest(mutantPrefix + name)}
 	r, err := Run(t.Context(), o)
@@ -146,7 +147,7 @@
 	return r, err
 }
 
-// expectMutantResult checks that a run caught its mutant, or found nothing where there is nothing to find.
+// expectMutantResult checks that a run caught its mutant, or that it found no violation where none is expected.
 func expectMutantResult(t *testing.T, m *mutant.Mutant, r *report.Report) {
 	switch {
 	case m.Violation == "":
@@ -155,21 +156,21 @@
 		}
 	case m.Rule == "":
 		if r.Crashes == 0 || !strings.Contains(strings.Join(r.CrashNotes, "\n"), m.Violation) {
-			t.Errorf("%s: no crash told as %q: %v", m.Name, m.Violation, r.CrashNotes)
+			t.Errorf("%s: no crash note contains %q: %v", m.Name, m.Violation, r.CrashNotes)
 		}
 	case !slices.ContainsFunc(r.Violations, func(v invariant.Violation) bool { return v.Rule == m.Rule && v.Kind == m.Violation }):
-		t.Errorf("%s: no breach %s/%s: %v", m.Name, m.Rule, m.Violation, r.Rules)
+		t.Errorf("%s: no violation %s/%s: %v", m.Name, m.Rule, m.Violation, r.Rules)
 	case r.Rules[m.Rule] == 0:
-		t.Errorf("%s: the rule %s counts no breach", m.Name, m.Rule)
+		t.Errorf("%s: no violation counted for rule %s", m.Name, m.Rule)
 	}
 }
 
-// A day with concurrent faults: counts agree with each other and with the generated day, all rules are kept, and no process,
-// goroutine or descriptor is left.
+// A run with concurrent faults: the counts agree with each other and with the generated requests, all rules are kept, and no
+// process, goroutine or descriptor is left.
 func TestRun_LeavesNothingBehind(t *testing.T) {
 	leaks := goleak.IgnoreCurrent()
-	before := descriptors(t)
-	s := loadDay(t, "all-at-once", 4*time.Second)
+	before := openDescriptors(t)
+	s := loadScenario(t, "all-at-once", 4*time.Second)
 	s.Clients.LeaveShare = 0.1
 	s.Faults = append(s.Faults,
 		scenario.Fault{Kind: scenario.DispatcherKill, At: time.Second, For: 500 * time.Millisecond, Dispatchers: []int{1}},
@@ -181,36 +182,36 @@
 		t.Fatal(err)
 	}
 	if want := len(s.Generate(3, false).Requests); r.Requests != want || r.Served+r.Refused+r.Failed != want || want < 100 {
-		t.Errorf("%d requests (%d drawn): %d served, %d refused, %d failed", r.Requests, want, r.Served, r.Refused, r.Failed)
+		t.Errorf("%d requests (%d generated): %d served, %d refused, %d failed", r.Requests, want, r.Served, r.Refused, r.Failed)
 	}
 	if r.Broken() || r.Interrupted || r.Lost != 0 {
 		t.Errorf("rules %v, crashes %v, interrupted %v, lost %d:\n%v", r.Rules, r.CrashNotes, r.Interrupted, r.Lost, r.Violations)
 	}
 	if r.Served == 0 || r.Attempts < r.Served || r.CPUPerRequest <= 0 || r.RSSPeakMB <= 0 || r.Misbehaving == nil || r.Misbehaving.Served != 0 ||
 		r.Outcomes["left"] == 0 {
-		t.Errorf("figures that make no sense: %+v", r)
+		t.Errorf("implausible figures: %+v", r)
 	}
 	share := 0.0
 	for _, w := range r.Workers {
 		share += w.Share
 	}
 	if share < 0.999 || share > 1.001 {
-		t.Errorf("the workers' shares add up to %v", share)
+		t.Errorf("the workers' shares add up to %v, want 1", share)
 	}
-	if left := children(t); len(left) != 0 {
+	if left := childProcesses(t); len(left) != 0 {
 		t.Errorf("processes left: %v", left)
 	}
 	goleak.VerifyNone(t, leaks)
-	if after := descriptors(t); after > before+2 {
+	if after := openDescriptors(t); after > before+2 {
 		t.Errorf("%d descriptors before, %d after", before, after)
 	}
 }
 
-// An interrupted run ends its dispatchers and reports its first part, marked as such.
+// An interrupted run ends its dispatchers, and its report covers the first part and is marked as interrupted.
 func TestRun_InterruptedReportsFirstPart(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	o := Options{Scenario: loadDay(t, "calm", 0), Seed: 1, Policy: PolicyRules, Launch: launchTest(PolicyRules)}
+	o := Options{Scenario: loadScenario(t, "calm", 0), Seed: 1, Policy: PolicyRules, Launch: launchTest(PolicyRules)}
 	all := len(o.Scenario.Generate(1, false).Requests)
 	o.Progress = func(done, _ int) {
 		if done > 20 {
@@ -224,32 +225,32 @@
 	if !r.Interrupted || r.Requests <= 20 || r.Requests >= all || r.Broken() {
 		t.Errorf("interrupted %v with %d of %d requests, rules %v, %v", r.Interrupted, r.Requests, all, r.Rules, r.CrashNotes)
 	}
-	if left := children(t); len(left) != 0 {
+	if left := childProcesses(t); len(left) != 0 {
 		t.Errorf("processes left: %v", left)
 	}
 }
 
-// A dispatcher that does not start is an error that quotes its output.
+// The error about a dispatcher that does not start quotes its output.
 func TestRun_DispatcherDoesNotStart(t *testing.T) {
-	_, err := Run(t.Context(), Options{Scenario: loadDay(t, "calm", time.Second), Seed: 1, Launch: func(string) *exec.Cmd {
+	_, err := Run(t.Context(), Options{Scenario: loadScenario(t, "calm", time.Second), Seed: 1, Launch: func(string) *exec.Cmd {
 		return exec.Command("sh", "-c", "echo out of order >&2; exit 1")
 	}})
 	if err == nil || !strings.Contains(err.Error(), "out of order") {
-		t.Errorf("the error is %v", err)
+		t.Errorf("error %v, want one with the output \"out of order\"", err)
 	}
-	_, err = Run(t.Context(), Options{Scenario: loadDay(t, "calm", time.Second), Seed: 1, Launch: func(string) *exec.Cmd {
+	_, err = Run(t.Context(), Options{Scenario: loadScenario(t, "calm", time.Second), Seed: 1, Launch: func(string) *exec.Cmd {
 		return exec.Command("/nothing/there")
 	}})
 	if err == nil {
-		t.Error("a program that is not there was started")
+		t.Error("no error for a program that does not exist")
 	}
 }
 
-// Baselines serve behind the same engine and keep the rules.
+// Baselines serve requests with the same engine and keep the rules.
 func TestTable_Baselines(t *testing.T) {
 	cells := make([]Cell, 0, len(baseline.Policies))
 	for _, p := range baseline.Policies {
-		cells = append(cells, Cell{"calm", p, Options{Scenario: loadDay(t, "calm", 2*time.Second), Seed: 1, Policy: p, Launch: launchTest(p)}})
+		cells = append(cells, Cell{"calm", p, Options{Scenario: loadScenario(t, "calm", 2*time.Second), Seed: 1, Policy: p, Launch: launchTest(p)}})
 	}
 	var out strings.Builder
 	broken, err := Table(t.Context(), &out, cells, 3)
@@ -267,7 +268,7 @@
 	}
 }
 
-// The HTML page refers to nothing outside, and a saved result reads back as it was.
+// The HTML page has no external references, and a saved result can be loaded again.
 func TestReport_SaveAndHTML(t *testing.T) {
 	r := &report.Report{
 		Version: report.Version, Scenario: "<b>", Seconds: 2, Rules: map[string]int{}, Workers: []report.WorkerLine{{Name: "w1", Share: 1, Capacity: 1}},
@@ -280,7 +281,7 @@
 	}
 	back, err := report.Load(dir + "/r.json")
 	if err != nil || back.Series[0].Outcomes["refused"] != 1 {
-		t.Fatalf("read back %+v, %v", back, err)
+		t.Fatalf("loaded %+v, %v", back, err)
 	}
 	if err := back.HTML(dir + "/r.html"); err != nil {
 		t.Fatal(err)
@@ -288,13 +289,13 @@
 	page, err := os.ReadFile(dir + "/r.html")
 	if err != nil || strings.Count(string(page), "<svg") != 5 || strings.Contains(string(page), "<b>") || strings.Contains(string(page), "href=\"http") ||
 		strings.Contains(string(page), "src=") {
-		t.Errorf("the page is not as it should be: %v, %d pictures", err, strings.Count(string(page), "<svg"))
+		t.Errorf("error %v, %d charts, want a page with 5 charts, escaped text and no external references", err, strings.Count(string(page), "<svg"))
 	}
 	if err := r.Save(dir + "/none/r.json"); err == nil {
-		t.Error("a result was written into a folder that is not there")
+		t.Error("no error for a directory that does not exist")
 	}
 	if err := report.Compare(io.Discard, [][2]*report.Report{{r, {Day: "other"}}}, "a", "b"); err == nil {
-		t.Error("results of two days were compared")
+		t.Error("no error for results of different workloads")
 	}
 	var out strings.Builder
 	other := *back
--- a/internal/testbed/spawner.go
+++ b/internal/testbed/spawner.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// spawner starts processes from one operating system thread that lives as long as the spawner: the kernel kills them when
-// that thread ends, also where this program itself is killed. It is safe for concurrent use; closing quit ends it.
+// spawner starts processes from one operating system thread that runs as long as the spawner. The kernel kills the processes
+// when that thread ends, even if this program itself is killed. It is safe for concurrent use; closing quit ends it.
 type spawner struct {
 	requests chan spawnRequest
 	quit     chan struct{}
@@ -25,7 +25,7 @@
 }
 
 func (s *spawner) loop() {
-	runtime.LockOSThread() // and never unlocked: the thread ends with the goroutine
+	runtime.LockOSThread() // never unlocked, so that the thread ends with the goroutine
 	for {
 		select {
 		case r := <-s.requests:
--- a/internal/testbed/table.go
+++ b/internal/testbed/table.go
@@ -24,7 +24,7 @@
 }
 
 // Table runs cells, at most parallel at a time, and prints the medians of those with the same row and column. It reports
-// whether a rule was violated or a dispatcher crashed in any.
+// whether a rule was violated or a dispatcher crashed in any run.
 func Table(ctx context.Context, w io.Writer, cells []Cell, parallel int) (broken bool, err error) {
 	results, errs := runCells(ctx, cells, parallel)
 	groups, err := groupResults(cells, results, errs)
--- a/internal/testbed/terms.go
+++ b/internal/testbed/terms.go
@@ -7,11 +7,12 @@
 	"birchfork/internal/testbed/scenario"
 )
 
-// propagationDeadline is the time after which an endpoint update counts as known to a dispatcher, from the moment at which
-// its discovery agent offered it.
+// propagationDeadline is the time after which a dispatcher counts as notified of an endpoint update that its discovery agent
+// offers.
 const propagationDeadline = 6 * time.Second
 
-// terms returns the figures of the rules for the invariant checker. Every time limit gets the testbed's own lag as slack.
+// terms returns the parameters of the rules for the invariant checker. The slack of the time limits includes the testbed's own
+// lag.
 func (r *run) terms() invariant.Terms {
 	s := r.day.Scenario
 	t := invariant.Terms{
--- a/internal/testbed/throughput.go
+++ b/internal/testbed/throughput.go
@@ -9,25 +9,27 @@
 	"birchfork/internal/testbed/loadgen"
 )
 
-// Parameters of the measurement of the ceiling.
+// Parameters of the throughput measurement.
 const (
-	ceilingDuration    = 300 * time.Millisecond
-	ceilingConnections = 32
-	ceilingWork        = time.Microsecond
-	ceilingBody        = 100 // bytes
+	throughputDuration    = 300 * time.Millisecond
+	throughputConnections = 32
+	throughputWork        = time.Microsecond
+	throughputBody        = 100 // bytes
 )
 
-// MeasureThroughput returns how many requests a second the testbed itself carries when its clients send directly to a stand-in worker.
+// MeasureThroughput returns the number of requests per second that the testbed itself handles when its clients send directly
+// to a stand-in worker.
 func MeasureThroughput(ctx context.Context) (float64, error) {
-	w, err := startDirectWorker(loadgen.NewBook(ceilingWork, ceilingBody))
+	w, err := startDirectWorker(loadgen.NewBook(throughputWork, throughputBody))
 	if err != nil {
 		return 0, err
 	}
 	defer w.Kill()
-	return loadgen.RunClosed(ctx, w.Address(0), "ceiling", ceilingConnections, ceilingBody, ceilingDuration).PerSecond(), nil
+	return loadgen.RunClosed(ctx, w.Address(0), "ceiling", throughputConnections, throughputBody, throughputDuration).PerSecond(), nil
 }
 
-// startDirectWorker starts one worker, too large to be the limit, that clients reach without a dispatcher.
+// startDirectWorker starts one worker that clients reach without a dispatcher. Its capacity is too large to limit the
+// throughput.
 func startDirectWorker(book fakes.Book) (*fakes.Worker, error) {
 	config := &fakes.Config{
 		Ledger: invariant.NewLedger(), Book: book, Dispatchers: 1, ReportsProgress: true, Fails: func() float64 { return 1 }, SuppressOutput: true,
--- a/internal/testbed/usage.go
+++ b/internal/testbed/usage.go
@@ -20,7 +20,8 @@
 	return filepath.Join("/proc", strconv.Itoa(p.cmd.Process.Pid))
 }
 
-// sample reads memory and descriptors of the current process. Where the system does not provide them, usage stays as it is.
+// sample reads the memory and the open descriptors of the current process. Usage is unchanged if the system does not provide
+// them.
 func (d *dispatcher) sample() {
 	p := d.currentProcess()
 	if p == nil {
@@ -43,14 +44,14 @@
 	d.usage.fds = max(d.usage.fds, len(fds))
 }
 
-// used returns the usage of all processes so far, without the CPU time of one that still runs.
+// used returns the usage of all processes so far, without the CPU time of the running process.
 func (d *dispatcher) used() usage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.usage
 }
 
-// clockTick is the unit of CPU time under /proc, the same on all Linux machines that Go runs on.
+// clockTick is the unit of CPU time under /proc, which is the same on all Linux platforms that Go supports.
 const clockTick = 10 * time.Millisecond
 
 // Indexes of fields of /proc/PID/stat, counted from the one after the process's name.
@@ -59,7 +60,7 @@
 	systemTimeField = 12
 )
 
-// cpu returns the CPU time of the current process, or 0 where the system does not provide it.
+// cpu returns the CPU time of the current process, or 0 if the system does not provide it.
 func (d *dispatcher) cpu() time.Duration {
 	p := d.currentProcess()
 	if p == nil {
--- a/internal/testbed/warming_test.go
+++ b/internal/testbed/warming_test.go
@@ -8,11 +8,12 @@
 	"birchfork/internal/testbed/scenario"
 )
 
-// Incident 6b9c04: in a rolling replacement with 177 and with 191 dispatchers, a worker that had started 7.7 s and 7.2 s before was
-// sent more than its budget and failed. All dispatchers had had it on their lists for 5 s, so it was neither a late list nor a worker
-// taken for warm. Each dispatcher sent warming workers a share of what arrived, presuming that no more arrives than the fleet can run:
-// a burst was passed on to them. Proof: this day breaks the rule with the burst, with one restart or three, with or without client
-// retries and their marks, at ages of 6 to 10 s, and keeps it without the burst.
+// Guards against a burst being passed on to warming workers (incident 6b9c04). Each dispatcher sent them a share of the arrivals,
+// which assumed that no more arrives than the fleet can run. In rolling replacements with 177 and with 191 dispatchers, workers that
+// had started 7.7 s and 7.2 s before were sent more than their budget and failed. Late lists and workers taken for warmed up were
+// ruled out: all dispatchers had had the workers on their lists for 5 s. With that fault this scenario breaks the rule if there is
+// a burst, at ages of 6 to 10 s, with one restart or three, with or without client retries and their marks. Without the burst it
+// keeps the rule.
 func TestRun_WarmingWorkersKeepBudgetInBurst(t *testing.T) {
 	r, err := Run(t.Context(), Options{Scenario: burstOnReplacements(t), Seed: 1, Policy: PolicyRules, Launch: launchTest(PolicyRules)})
 	if err != nil {
@@ -29,7 +30,7 @@
 	}
 }
 
-// burstOnReplacements returns the scenario of the incident.
+// burstOnReplacements returns a scenario that reproduces the incident.
 func burstOnReplacements(t *testing.T) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Decode("burst-on-replacements", []byte(`
@@ -95,7 +96,7 @@
 		t.Fatal(err)
 	}
 	if s.For != 15*time.Second {
-		t.Fatalf("the day takes %v", s.For)
+		t.Fatalf("the scenario lasts %v, want 15s", s.For)
 	}
 	return s
 }
