--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -23,7 +23,7 @@
 	running sync.WaitGroup // the goroutines of faults and of Options.Alongside
 }
 
-// injectAll starts a goroutine for each fault, which injects it at its time.
+// injectAll starts a goroutine for each fault, which injects it at its time and ends it after its duration or when ctx ends.
 func (injector *faultInjector) injectAll(ctx context.Context) {
 	for i := range injector.run.day.Events {
 		e := &injector.run.day.Events[i]
--- a/internal/testbed/overhead.go
+++ b/internal/testbed/overhead.go
@@ -24,7 +24,7 @@
 	Profile string // file for a CPU profile of the dispatcher; empty: none
 }
 
-// The size of the measured requests. They are small so that the transport dominates their cost.
+// The work and the body of a measured request. Both are small so that the transport dominates the cost.
 const (
 	overheadWork = 100 * time.Microsecond
 	overheadBody = 200 // bytes
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -220,7 +220,7 @@
 }
 
 // terminate sends SIGTERM and waits for the end of the process. A process that has not ended within the timeout is
-// killed, as the platform does, and counts as crashed.
+// killed, as it would be by the platform, and counts as crashed.
 func (d *dispatcher) terminate(timeout time.Duration) {
 	if p := d.signal(syscall.SIGTERM, invariant.Terminated, invariant.Exited); p != nil {
 		d.awaitTermination(p, timeout)
