--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -1,6 +1,6 @@
 // Package baseline provides simple policies with which the testbed compares the decision module. They run in the same engine
-// and keep the four rules, but they neither shed load nor adapt to it: a request is sent at once to a random worker, the next
-// one in round-robin order, or the one with the fewest open requests. Only the testbed uses them.
+// and keep the four rules, but they do not shed load and learn nothing: a request is sent at once to a random worker, the next one
+// in round-robin order, or the one with the fewest open requests. Only the testbed uses them.
 package baseline
 
 import (
@@ -92,7 +92,7 @@
 		}
 	case dispatch.TimerFired:
 		d.timerAt = 0
-	case dispatch.SettingsChanged: // open requests keep their old class
+	case dispatch.SettingsChanged: // open requests keep pointing to their class in the old settings
 		d.settings = *e.Settings
 	}
 	d.expire()
@@ -135,7 +135,7 @@
 	d.place(r)
 }
 
-// slowStartFactor returns the share of its capacity that a worker has at least at its age.
+// slowStartFactor returns the minimum share of its capacity that a worker has at its age.
 func (d *Decider) slowStartFactor(w *worker) float64 {
 	age := max(0, d.now-w.startedAt)
 	if w.startedAt <= 0 || age >= d.settings.SlowStartWindow {
--- a/internal/testbed/baseline/baseline_test.go
+++ b/internal/testbed/baseline/baseline_test.go
@@ -196,7 +196,7 @@
 		}
 		for id, r := range m.requests {
 			if r.answers != 1 {
-				t.Fatalf("request %d has %d answers", id, r.answers)
+				t.Fatalf("request %d has %d answers, want 1", id, r.answers)
 			}
 		}
 	})
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -171,14 +171,14 @@
 
 // applyToWorker sets the slowdown, the hang and the failure rate of a worker. The caller holds mu.
 func (injector *faultInjector) applyToWorker(worker int) {
-	slowness, hung, failureRate := 1.0, false, 0.0
+	slowdown, hung, failureRate := 1.0, false, 0.0
 	for _, e := range injector.active {
 		if !slices.Contains(e.Workers, worker) {
 			continue
 		}
 		switch e.Kind {
 		case scenario.WorkerSlow:
-			slowness *= e.Factor
+			slowdown *= e.Factor
 		case scenario.WorkerHang:
 			hung = true
 		case scenario.WorkerErrors:
@@ -186,7 +186,7 @@
 		}
 	}
 	w := injector.run.fleet.Workers[worker]
-	w.Slow(slowness)
+	w.Slow(slowdown)
 	w.Hang(hung)
 	w.SetFailureRate(failureRate)
 }
--- a/internal/testbed/invariant/check.go
+++ b/internal/testbed/invariant/check.go
@@ -55,9 +55,9 @@
 	c.checkForwarded()
 	c.checkDrains()
 	c.checkOverloads()
-	for _, m := range l.processEvents {
-		if m.Kind == Crashed || m.Kind == StopTimedOut {
-			c.verdict.Crashes = append(c.verdict.Crashes, m)
+	for _, e := range l.processEvents {
+		if e.Kind == Crashed || e.Kind == StopTimedOut {
+			c.verdict.Crashes = append(c.verdict.Crashes, e)
 		}
 	}
 	slices.SortStableFunc(c.verdict.Violations, func(a, b Violation) int { return int(a.At - b.At) })
@@ -132,13 +132,13 @@
 // before from.
 func (c *checker) wasStoppedIn(dispatcher int, from, to time.Duration) bool {
 	stopped := time.Duration(-1)
-	for _, m := range c.ledger.processEvents {
+	for _, e := range c.ledger.processEvents {
 		switch {
-		case m.Dispatcher != dispatcher:
-		case m.Kind == Stopped:
-			stopped = m.At
-		case stopped >= 0 && m.Kind == Resumed:
-			if stopped <= to+c.terms.Slack && m.At+catchUpTime >= from {
+		case e.Dispatcher != dispatcher:
+		case e.Kind == Stopped:
+			stopped = e.At
+		case stopped >= 0 && e.Kind == Resumed:
+			if stopped <= to+c.terms.Slack && e.At+catchUpTime >= from {
 				return true
 			}
 			stopped = -1
@@ -147,10 +147,10 @@
 	return stopped >= 0 && stopped <= to+c.terms.Slack
 }
 
-// wasKilledIn reports whether the testbed killed a dispatcher between from and to.
+// wasKilledIn reports whether the testbed killed a dispatcher between from and to, with the slack on both sides.
 func (c *checker) wasKilledIn(dispatcher int, from, to time.Duration) bool {
-	for _, m := range c.ledger.processEvents {
-		if m.Dispatcher == dispatcher && m.Kind == Killed && m.At >= from-c.terms.Slack && m.At <= to+c.terms.Slack {
+	for _, e := range c.ledger.processEvents {
+		if e.Dispatcher == dispatcher && e.Kind == Killed && e.At >= from-c.terms.Slack && e.At <= to+c.terms.Slack {
 			return true
 		}
 	}
--- a/internal/testbed/invariant/check_test.go
+++ b/internal/testbed/invariant/check_test.go
@@ -195,6 +195,6 @@
 	l.ProcessEvent(ProcessEvent{Dispatcher: 1, At: 1000 * ms, Kind: Crashed})
 	v := Check(l, terms())
 	if v.Lost != 1 || v.Excused != 2 || len(v.Crashes) != 1 || v.Count()[Answers] != 1 {
-		t.Errorf("lost %d, excused %d, crashes %v, %v", v.Lost, v.Excused, v.Crashes, v.Count())
+		t.Errorf("lost %d, excused %d, crashes %v, violations %v; want 1 lost, 2 excused, 1 crash, 1 violation of answers", v.Lost, v.Excused, v.Crashes, v.Count())
 	}
 }
--- a/internal/testbed/invariant/drains.go
+++ b/internal/testbed/invariant/drains.go
@@ -63,9 +63,9 @@
 // processStarts returns the start times of each dispatcher's processes, in order.
 func (c *checker) processStarts() map[int][]time.Duration {
 	starts := map[int][]time.Duration{}
-	for _, m := range c.ledger.processEvents {
-		if m.Kind == Started {
-			starts[m.Dispatcher] = append(starts[m.Dispatcher], m.At)
+	for _, e := range c.ledger.processEvents {
+		if e.Kind == Started {
+			starts[e.Dispatcher] = append(starts[e.Dispatcher], e.At)
 		}
 	}
 	return starts
--- a/internal/testbed/invariant/effects.go
+++ b/internal/testbed/invariant/effects.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The scopes of the deduplication of keyed jobs, as scenarios name them. Any other value stands for the cell.
+// The scopes in which keyed requests are deduplicated, as scenarios name them. Any other value stands for the cell.
 const (
 	groupAll  = "all"
 	groupZone = "zone"
@@ -38,8 +38,8 @@
 	}
 }
 
-// sentAgain returns the first attempt that was sent although an earlier one may run and the worker does not drop the repeat,
-// or nil.
+// sentAgain returns the first attempt that was sent although an earlier one may have run or may still run and the worker does
+// not drop the repeat, or nil.
 func (c *checker) sentAgain(class *Class, attempts []*Attempt) *Attempt {
 	for i, a := range attempts {
 		conflicts := func(earlier *Attempt) bool { return !neverRan(earlier, a.Last) && !c.dropsRepeat(class, earlier, a) }
@@ -61,7 +61,7 @@
 	return effects
 }
 
-// neverRan reports whether an attempt was known by a time not to have run.
+// neverRan reports whether it was known by a time that an attempt had not run and would not run.
 func neverRan(a *Attempt, by time.Duration) bool {
 	return (a.End == Returned || a.End == Rejected) && a.Ended <= by
 }
--- a/internal/testbed/invariant/ledger.go
+++ b/internal/testbed/invariant/ledger.go
@@ -13,7 +13,7 @@
 // Outcome is how a try ended for its client.
 type Outcome uint8
 
-// The outcomeCount.
+// The outcomes.
 const (
 	Pending      Outcome = iota
 	Served               // 200 with a result
@@ -51,7 +51,7 @@
 // End is how an attempt ended at its worker.
 type End uint8
 
-// The ends. Only Returned and Rejected guarantee that the attempt never ran.
+// The ends of attempts. Only Returned and Rejected guarantee that the attempt never ran.
 const (
 	Open     End = iota
 	Done         // with a result
@@ -191,7 +191,7 @@
 func (l *Ledger) Overload(o Overload) { record(l, &l.overloads, o) }
 
 // ProcessEvent records an event of a dispatcher's process.
-func (l *Ledger) ProcessEvent(m ProcessEvent) { record(l, &l.processEvents, m) }
+func (l *Ledger) ProcessEvent(e ProcessEvent) { record(l, &l.processEvents, e) }
 
 // ProtocolFault records input that a worker could not parse.
 func (l *Ledger) ProtocolFault(f ProtocolFault) { record(l, &l.protocolFaults, f) }
--- a/internal/testbed/overhead.go
+++ b/internal/testbed/overhead.go
@@ -54,8 +54,8 @@
 speed = [1.0, 1.0]
 `
 
-// Overhead measures requests alternately directly at a stand-in worker and through a dispatcher, and prints the latency that
-// the dispatcher adds.
+// Overhead sends requests to a stand-in worker, alternately directly and through a dispatcher. It prints the latency and the
+// throughput of both, the latency that the dispatcher adds, and its CPU time and memory.
 func Overhead(ctx context.Context, w io.Writer, o OverheadOptions) error {
 	book := loadgen.NewBook(overheadWork, overheadBody)
 	direct, err := startDirectWorker(book)
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -55,8 +55,8 @@
 }
 
 // record records an event of the dispatcher's process at the current time.
-func (d *dispatcher) record(what invariant.ProcessEventKind, detail string) {
-	d.run.ledger.ProcessEvent(invariant.ProcessEvent{Dispatcher: d.index, At: d.run.ledger.Now(), Kind: what, Detail: detail})
+func (d *dispatcher) record(kind invariant.ProcessEventKind, detail string) {
+	d.run.ledger.ProcessEvent(invariant.ProcessEvent{Dispatcher: d.index, At: d.run.ledger.Now(), Kind: kind, Detail: detail})
 }
 
 // writeConfig writes the configuration that the platform would deliver now and replaces the previous one atomically.
@@ -172,15 +172,15 @@
 	if s := p.cmd.ProcessState; s != nil {
 		d.usage.cpu += s.UserTime() + s.SystemTime()
 	}
-	what, detail := p.exitAs, ""
-	if what == invariant.Exited && err != nil {
-		what = invariant.Crashed
+	kind, detail := p.exitAs, ""
+	if kind == invariant.Exited && err != nil {
+		kind = invariant.Crashed
 	}
-	if what == invariant.Crashed {
+	if kind == invariant.Crashed {
 		detail = fmt.Sprintf("%v: %s", p.cmd.ProcessState, p.log.lastLine())
 	}
-	if what != invariant.Killed { // kill has recorded it before the signal
-		d.run.ledger.ProcessEvent(invariant.ProcessEvent{Dispatcher: d.index, At: now, Kind: what, Detail: detail})
+	if kind != invariant.Killed { // kill has recorded it before the signal
+		d.run.ledger.ProcessEvent(invariant.ProcessEvent{Dispatcher: d.index, At: now, Kind: kind, Detail: detail})
 	}
 	close(p.done)
 }
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -41,8 +41,8 @@
 	{"crashes", func(r *Report) float64 { return float64(r.Crashes) }, "%.0f"},
 }
 
-// ErrDifferentWorkloads is returned by Compare for two results of different generated workloads: they would differ by the
-// workload as much as by the program.
+// ErrDifferentWorkloads is returned by Compare for two results of different generated requests, workers or faults: the results
+// would differ by these as much as by the program.
 var ErrDifferentWorkloads = errors.New("results of different workloads cannot be compared")
 
 // Compare writes the differences between pairs of results; a and b name the two sides. It fails with
@@ -59,18 +59,18 @@
 	}
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(t, "median of %d\t%s\t%s\tdifference\tspread of the differences\n", len(pairs), a, b)
-	for _, f := range metrics {
+	for _, m := range metrics {
 		var first, second, diffs []float64
 		for _, p := range pairs {
-			x, y := f.value(p[0]), f.value(p[1])
+			x, y := m.value(p[0]), m.value(p[1])
 			first, second, diffs = append(first, x), append(second, y), append(diffs, x-y)
 		}
 		slices.Sort(diffs)
 		diffRange := "-"
 		if len(diffs) > 1 {
-			diffRange = fmt.Sprintf(f.format+" to "+f.format, diffs[0], diffs[len(diffs)-1])
+			diffRange = fmt.Sprintf(m.format+" to "+m.format, diffs[0], diffs[len(diffs)-1])
 		}
-		fmt.Fprintf(t, "%s\t"+f.format+"\t"+f.format+"\t"+f.format+"\t%s\n", f.name, Median(first), Median(second), Median(diffs), diffRange)
+		fmt.Fprintf(t, "%s\t"+m.format+"\t"+m.format+"\t"+m.format+"\t%s\n", m.name, Median(first), Median(second), Median(diffs), diffRange)
 	}
 	if err := t.Flush(); err != nil {
 		return err
--- a/internal/testbed/report/file.go
+++ b/internal/testbed/report/file.go
@@ -40,7 +40,7 @@
 	}
 	for i, p := range r.Series {
 		if math.IsNaN(p.At) || p.At < 0 || p.Requested < 0 {
-			return nil, fmt.Errorf("invalid series[%d]: time %v s and %d requests must both be at least 0", i, p.At, p.Requested)
+			return nil, fmt.Errorf("invalid series[%d]: \"at\" is %v and \"asked\" is %d: both must be at least 0", i, p.At, p.Requested)
 		}
 	}
 	return &r, nil
--- a/internal/testbed/report/golden_test.go
+++ b/internal/testbed/report/golden_test.go
@@ -70,6 +70,6 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(back, &full) {
-		t.Errorf("decoded: %+v", back)
+		t.Errorf("decoded %+v, want %+v", back, &full)
 	}
 }
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -32,7 +32,7 @@
 	Refused        int     `json:"refused"`
 	Failed         int     `json:"failed"`             // all others: served + refused + failed = requests
 	Lost           int     `json:"lost"`               // tries without a final answer for which a dispatcher is responsible
-	Excused        int     `json:"excused"`            // tries that were open when the testbed killed or stopped their dispatcher, or that it closed without forwarding them
+	Excused        int     `json:"excused"`            // tries without an answer whose dispatcher was killed or stopped by the testbed, or closed the connection without forwarding them
 	Goodput        float64 `json:"goodput"`            // achieved value over requested value
 	GoodputInFault float64 `json:"goodput_in_trouble"` // goodput of the intervals in which a fault was active; 0: there was none
 	Recovery       float64 `json:"recovery_s"`         // seconds from the end of the last fault to recovery; -1: not within the run
@@ -78,7 +78,7 @@
 	Jobs      int     `json:"jobs"`
 	Share     float64 `json:"share"`       // of all work done
 	Capacity  float64 `json:"capacity"`    // share of the fleet's capacity
-	Overloads int     `json:"pushed_over"` // crashes while it was warming up
+	Overloads int     `json:"pushed_over"` // crashes under overload while it was warming up
 }
 
 // PartLine holds the figures of one class or tenant.
@@ -96,7 +96,7 @@
 	Requested int            `json:"asked"`
 	InTime    int            `json:"in_time"`
 	Value     float64        `json:"worth"`
-	Good      float64        `json:"good"` // value that was achieved: the full value in time, a share by LateWeight after that
+	Good      float64        `json:"good"` // value that was achieved: of requests served in time the full value, of those served later the share LateWeight
 	P50       float64        `json:"p50_ms"`
 	P99       float64        `json:"p99_ms"`
 	Outcomes  map[string]int `json:"outcomes"` // of the last tries
@@ -127,7 +127,7 @@
 	OtherInTime int `json:"other_in_time"`
 }
 
-// TestbedLine holds the figures that limit the precision of a run.
+// TestbedLine holds the lag and the throughput of the testbed itself, which limit the precision of a run.
 type TestbedLine struct {
 	LagP99        float64 `json:"lag_p99_ms"` // lag of arrivals or of a periodic timer, whichever is larger
 	LagMax        float64 `json:"lag_max_ms"`
--- a/internal/testbed/restarts.go
+++ b/internal/testbed/restarts.go
@@ -39,9 +39,9 @@
 // restartIntervals returns the intervals that follow the restarts of dispatchers since the start of the load.
 func (r *run) restartIntervals() restartIntervals {
 	restarts := restartIntervals{}
-	for _, m := range r.ledger.ProcessEvents() {
-		if m.Kind == invariant.Ready && m.At > r.load.Origin() {
-			restarts[m.Dispatcher] = append(restarts[m.Dispatcher], interval{m.At, m.At + restartPeriod})
+	for _, e := range r.ledger.ProcessEvents() {
+		if e.Kind == invariant.Ready && e.At > r.load.Origin() {
+			restarts[e.Dispatcher] = append(restarts[e.Dispatcher], interval{e.At, e.At + restartPeriod})
 		}
 	}
 	return restarts
--- a/internal/testbed/result.go
+++ b/internal/testbed/result.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	lateThreshold = 40 * time.Millisecond // of the testbed's own lag at p99; a run above it is reported as late
-	maxViolations = 200                   // that a report keeps
+	lateThreshold = 40 * time.Millisecond // for the testbed's own lag at p99; a run above it is reported as late
+	maxViolations = 200                   // kept in a report
 )
 
 // report summarises the run.
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -25,11 +25,11 @@
 
 // Times of a run.
 const (
-	stragglerWait  = 500 * time.Millisecond // after the end of the load, to observe what is sent too late
+	stragglerWait  = 500 * time.Millisecond // after the end of the load and the faults, to observe what is sent too late
 	sampleInterval = 250 * time.Millisecond
 	lagInterval    = 5 * time.Millisecond
-	maxStopTime    = 3 * time.Second        // the platform allows the longest deadline of a class for a stop, but at most this
-	stopMargin     = 700 * time.Millisecond // added to that
+	maxStopTime    = 3 * time.Second        // after SIGTERM, the platform sends SIGKILL at the longest deadline of a class or at this, whichever is shorter
+	stopMargin     = 700 * time.Millisecond // added to that time
 )
 
 // Options are the parameters of a run.
@@ -45,8 +45,7 @@
 	Alongside       func(context.Context, *Environment)      // runs alongside the faults, from the start of the load; its context ends with the load; may be nil
 	AdditionalCheck func(*Environment) []invariant.Violation // checks rules beyond the four; may be nil
 
-	// StartTimeout is the time that a dispatcher has to become ready, where it may have to wait for others. Values below
-	// readyTimeout have no effect.
+	// StartTimeout replaces readyTimeout if it is longer, for dispatchers that have to wait for others before they are ready.
 	StartTimeout time.Duration
 
 	// ConfiguredScenario returns the scenario from which the configuration of a dispatcher is made; nil: the scenario of the
--- a/internal/testbed/run_test.go
+++ b/internal/testbed/run_test.go
@@ -104,7 +104,7 @@
 	return out
 }
 
-// openDescriptors returns the number of open file openDescriptors of this process.
+// openDescriptors returns the number of open file descriptors of this process.
 func openDescriptors(t *testing.T) int {
 	t.Helper()
 	all, err := os.ReadDir("/proc/self/fd")
@@ -152,7 +152,7 @@
 	switch {
 	case m.Violation == "":
 		if r.Broken() {
-			t.Errorf("%s: %v, %v", m.Name, r.Rules, r.CrashNotes)
+			t.Errorf("%s: violations by rule %v, crashes %v, want none", m.Name, r.Rules, r.CrashNotes)
 		}
 	case m.Rule == "":
 		if r.Crashes == 0 || !strings.Contains(strings.Join(r.CrashNotes, "\n"), m.Violation) {
@@ -182,10 +182,10 @@
 		t.Fatal(err)
 	}
 	if want := len(s.Generate(3, false).Requests); r.Requests != want || r.Served+r.Refused+r.Failed != want || want < 100 {
-		t.Errorf("%d requests (%d generated): %d served, %d refused, %d failed", r.Requests, want, r.Served, r.Refused, r.Failed)
+		t.Errorf("%d requests, want the %d generated ones, at least 100: %d served, %d refused, %d failed", r.Requests, want, r.Served, r.Refused, r.Failed)
 	}
 	if r.Broken() || r.Interrupted || r.Lost != 0 {
-		t.Errorf("rules %v, crashes %v, interrupted %v, lost %d:\n%v", r.Rules, r.CrashNotes, r.Interrupted, r.Lost, r.Violations)
+		t.Errorf("violations by rule %v, crashes %v, interrupted %v, lost %d, want none of these:\n%v", r.Rules, r.CrashNotes, r.Interrupted, r.Lost, r.Violations)
 	}
 	if r.Served == 0 || r.Attempts < r.Served || r.CPUPerRequest <= 0 || r.RSSPeakMB <= 0 || r.Misbehaving == nil || r.Misbehaving.Served != 0 ||
 		r.Outcomes["left"] == 0 {
@@ -203,7 +203,7 @@
 	}
 	goleak.VerifyNone(t, leaks)
 	if after := openDescriptors(t); after > before+2 {
-		t.Errorf("%d descriptors before, %d after", before, after)
+		t.Errorf("%d descriptors before, %d after, want at most 2 more", before, after)
 	}
 }
 
@@ -223,7 +223,8 @@
 		t.Fatal(err)
 	}
 	if !r.Interrupted || r.Requests <= 20 || r.Requests >= all || r.Broken() {
-		t.Errorf("interrupted %v with %d of %d requests, rules %v, %v", r.Interrupted, r.Requests, all, r.Rules, r.CrashNotes)
+		t.Errorf("interrupted %v with %d of %d requests, violations by rule %v, crashes %v; want an interrupted run with more than 20 requests but not all, and no violation",
+			r.Interrupted, r.Requests, all, r.Rules, r.CrashNotes)
 	}
 	if left := childProcesses(t); len(left) != 0 {
 		t.Errorf("processes left: %v", left)
@@ -255,7 +256,7 @@
 	var out strings.Builder
 	broken, err := Table(t.Context(), &out, cells, 3)
 	if err != nil || broken || strings.Count(out.String(), "calm") != 3 || strings.Contains(out.String(), "calm  random       0.000") {
-		t.Errorf("broken %v, %v:\n%s", broken, err, out.String())
+		t.Errorf("broken %v, error %v, want 3 rows, no violation and served requests:\n%s", broken, err, out.String())
 	}
 }
 
@@ -264,7 +265,7 @@
 	err := Overhead(t.Context(), &out, OverheadOptions{Launch: launchTest(PolicyRules), Clients: []int{1, 8}, Length: 200 * time.Millisecond, Rounds: 1})
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if err != nil || len(lines) != 3 || !strings.HasSuffix(lines[1], " 0") || !strings.HasSuffix(lines[2], " 0") {
-		t.Errorf("%v:\n%s", err, out.String())
+		t.Errorf("error %v, want a header and 2 rows without failed requests:\n%s", err, out.String())
 	}
 }
 
@@ -281,7 +282,7 @@
 	}
 	back, err := report.Load(dir + "/r.json")
 	if err != nil || back.Series[0].Outcomes["refused"] != 1 {
-		t.Fatalf("loaded %+v, %v", back, err)
+		t.Fatalf("loaded %+v, error %v, want 1 refused request in the first interval", back, err)
 	}
 	if err := back.HTML(dir + "/r.html"); err != nil {
 		t.Fatal(err)
@@ -302,6 +303,6 @@
 	other.Series = slices.Clone(back.Series)
 	other.Goodput = 0.5
 	if err := report.Compare(&out, [][2]*report.Report{{back, &other}}, "a", "b"); err != nil || !strings.Contains(out.String(), "goodput") {
-		t.Errorf("%v: %s", err, out.String())
+		t.Errorf("error %v, want a comparison of goodput:\n%s", err, out.String())
 	}
 }
--- a/internal/testbed/warming_test.go
+++ b/internal/testbed/warming_test.go
@@ -23,10 +23,10 @@
 		t.Errorf("%s at %v: %v", v.Rule, v.At, v.Lines)
 	}
 	if r.Broken() || r.Rules[invariant.SlowStart] > 0 {
-		t.Errorf("rules %v, crashes %v", r.Rules, r.CrashNotes)
+		t.Errorf("violations by rule %v, crashes %v, want none", r.Rules, r.CrashNotes)
 	}
 	if want := len(burstOnReplacements(t).Generate(1, false).Requests); r.Requests != want || r.Served < want/2 {
-		t.Errorf("%d of %d requests, %d served", r.Requests, want, r.Served)
+		t.Errorf("%d of %d requests, %d served; want all of them, at least half served", r.Requests, want, r.Served)
 	}
 }
 
