--- a/internal/testbed/cluster/members.go
+++ b/internal/testbed/cluster/members.go
@@ -117,13 +117,13 @@
 // joinMember adds the absent member while the plan runs. The member is down until all files list it and the other members have been
 // restarted one after the other.
 func (h *harness) joinMember(ctx context.Context) {
-	h.environment.Kill(ctx, h.options.JoiningMember, joinsAfter, func() {
+	h.environment.KillAndRestart(ctx, h.options.JoiningMember, joinsAfter, func() {
 		if err := h.writeOperatorFiles(0); err != nil {
 			h.recordStatus(err.Error())
 		}
 		for member := range h.addresses {
 			if member != h.options.JoiningMember && ctx.Err() == nil {
-				h.environment.Terminate(ctx, member)
+				h.environment.Restart(ctx, member)
 			}
 		}
 	})
@@ -132,7 +132,7 @@
 // replaceOlderBuild restarts the member that runs an older build after olderBuildFor. The member then runs the current build.
 func (h *harness) replaceOlderBuild(ctx context.Context) {
 	sleep(ctx, olderBuildFor)
-	h.environment.Terminate(ctx, h.options.OlderBuild)
+	h.environment.Restart(ctx, h.options.OlderBuild)
 }
 
 // deliveredScenario returns the scenario with the settings for a member's configuration: the scenario of the run, or one with shorter
--- a/internal/testbed/cluster/run.go
+++ b/internal/testbed/cluster/run.go
@@ -130,7 +130,7 @@
 		Seed:               h.options.Seed,
 		Policy:             testbed.PolicyRules,
 		Alongside:          h.execute,
-		CheckMore:          h.checkInvariants,
+		AdditionalCheck:    h.checkInvariants,
 		WorkerAddress:      h.outerLinkMapper(LoseWorkers),
 		DiscoveryAddress:   h.outerLinkMapper(LoseDiscovery),
 		StartTimeout:       h.options.For, // a member that lost its disk does not serve until a majority is reachable
--- a/internal/testbed/mutant/mutant.go
+++ b/internal/testbed/mutant/mutant.go
@@ -49,7 +49,7 @@
 	{SendsAfterAnswer, "answers some requests and then sends them to a worker", invariant.Answers, invariant.SentAfterFinal},
 	{ChangedBodies, "truncates the bodies of some requests", invariant.Answers, invariant.ChangedRequest},
 	{IgnoresDraining, "ignores draining and goes on sending to the worker", invariant.Drains, invariant.SentAfterDrain},
-	{OverloadsWarmingUp, "sends all requests to the worker that started last", invariant.SlowStart, invariant.PushedOver},
+	{OverloadsWarmingUp, "sends all requests to the worker that started last", invariant.SlowStart, invariant.WarmingOverloaded},
 	{Crash, "exits under load", "", "crashed"},
 	{IgnoresSIGTERM, "does not exit on SIGTERM", "", "did not end after SIGTERM"},
 }
