--- a/internal/testbed/attempts.go
+++ b/internal/testbed/attempts.go
@@ -39,11 +39,11 @@
 	for i, w := range r.fleet.Workers {
 		_, work, _ := w.Stats()
 		totalWork += work
-		totalCapacity += float64(r.day.Workers[i].Cores) * r.day.Workers[i].Speed
+		totalCapacity += float64(r.schedule.Workers[i].Cores) * r.schedule.Workers[i].Speed
 	}
 	for i, w := range r.fleet.Workers {
 		jobs, work, overloads := w.Stats()
-		spec := &r.day.Workers[i]
+		spec := &r.schedule.Workers[i]
 		out.Workers = append(out.Workers, report.WorkerLine{
 			Name: w.Name, Kind: spec.Kind, Jobs: jobs, Share: work.Seconds() / max(totalWork.Seconds(), 1e-9),
 			Capacity: float64(spec.Cores) * spec.Speed / totalCapacity, Overloads: overloads,
--- a/internal/testbed/cluster/fault.go
+++ b/internal/testbed/cluster/fault.go
@@ -18,14 +18,14 @@
 	LimitBandwidth        = "narrow" // limits the member's links to 2 kB/s
 	BreakLinks            = "torn"   // resets each connection of the member's links after 700 bytes
 	PauseProcess          = "stop"   // pauses the process
-	KillProcess           = "kill"   // kills the process and restarts it with its disk
-	CrashMachine          = "crash"  // like KillProcess; temporary files are lost, as when the machine goes down
+	KillAndRestart        = "kill"   // kills the process and restarts it with its disk
+	CrashMachine          = "crash"  // like KillAndRestart; temporary files are lost, as when the machine goes down
 	LoseDisk              = "wipe"   // like CrashMachine, and the disk is empty
 	OutdatedDisk          = "old"    // at its end, kills the process and restarts it with the disk as it was at the beginning
 	OutdatedDiskElsewhere = "put"    // like OutdatedDisk, on another machine: temporary files are lost too
 	ForeignDisk           = "alien"  // kills the process and restarts it with the overrides of the next member's disk
-	Terminate             = "term"   // shuts the process down gracefully and restarts it
-	Upgrade               = "renew"  // hot restart: a sibling process starts and takes over
+	Restart               = "term"   // shuts the process down gracefully and restarts it
+	HotRestart            = "renew"  // starts a sibling process, which takes over
 	SplitInTwo            = "halves" // splits the group into even-numbered and odd-numbered members
 	SplitInThree          = "thirds" // splits the group into three parts by member number modulo three
 	RingTopology          = "ring"   // each member reaches only the one before it and the one after it
@@ -42,7 +42,7 @@
 var FaultKinds = []string{
 	Partition, DropInbound, DropOutbound, PartitionFromLeader, FlappingPartition,
 	ResetLinks, DelayLinks, LimitBandwidth, BreakLinks,
-	PauseProcess, KillProcess, CrashMachine, LoseDisk, OutdatedDisk, OutdatedDiskElsewhere, ForeignDisk, Terminate, Upgrade,
+	PauseProcess, KillAndRestart, CrashMachine, LoseDisk, OutdatedDisk, OutdatedDiskElsewhere, ForeignDisk, Restart, HotRestart,
 	SplitInTwo, SplitInThree, RingTopology,
 	LoseWorkers, LoseDiscovery,
 	FailForMember, FailForAll,
@@ -54,7 +54,7 @@
 	workerFaults = []string{WorkerCrash, WorkerDrain, WorkerHang}
 
 	// processFaults are the kinds that stop or replace a member's process. A member has at most one of them at a time.
-	processFaults = []string{PauseProcess, KillProcess, CrashMachine, LoseDisk, OutdatedDisk, OutdatedDiskElsewhere, ForeignDisk, Terminate, Upgrade}
+	processFaults = []string{PauseProcess, KillAndRestart, CrashMachine, LoseDisk, OutdatedDisk, OutdatedDiskElsewhere, ForeignDisk, Restart, HotRestart}
 
 	// diskLossFaults are the kinds that lose entries of the group's log on the member's disk.
 	diskLossFaults = []string{LoseDisk, OutdatedDisk, OutdatedDiskElsewhere}
--- a/internal/testbed/cluster/inject.go
+++ b/internal/testbed/cluster/inject.go
@@ -67,7 +67,7 @@
 	switch f.Kind {
 	case PauseProcess:
 		h.environment.Pause(ctx, f.Member, f.For)
-	case KillProcess:
+	case KillAndRestart:
 		h.environment.KillAndRestart(ctx, f.Member, f.For, nil)
 	case CrashMachine:
 		h.crashMachine(ctx, f)
@@ -77,9 +77,9 @@
 		h.restoreOutdatedDisk(ctx, f, index)
 	case ForeignDisk:
 		h.copyForeignDisk(ctx, f, index)
-	case Terminate:
+	case Restart:
 		h.environment.Restart(ctx, f.Member)
-	case Upgrade:
+	case HotRestart:
 		h.environment.HotRestart(ctx, f.Member)
 	case WorkerCrash, WorkerDrain:
 		h.takeWorkerDown(ctx, f)
@@ -132,7 +132,7 @@
 	now := h.environment.Ledger().Now()
 	if f.isOneOf(diskLossFaults) {
 		if h.lastDiskLoss > 0 && now-h.lastDiskLoss < diskLossInterval {
-			f.Kind = KillProcess
+			f.Kind = KillAndRestart
 		} else {
 			h.lastDiskLoss = now + f.For
 		}
--- a/internal/testbed/cluster/invariants.go
+++ b/internal/testbed/cluster/invariants.go
@@ -36,7 +36,7 @@
 	defer h.mu.Unlock()
 	outages := append(h.overrideOutages(), h.workerOutages...)
 	out := drainViolations(s.Ledger().Attempts(), h.maintenanceWindows)
-	out = append(out, budgetViolations(h.maintenanceWindows, outages, h.lastSeenWaiting, h.options.MaxUnavailable, s.Day().Scenario.Terms.SlowStartWindow)...)
+	out = append(out, budgetViolations(h.maintenanceWindows, outages, h.lastSeenWaiting, h.options.MaxUnavailable, s.Schedule().Scenario.Terms.SlowStartWindow)...)
 	out = append(out, historyViolations(h.statuses)...)
 	out = append(out, undoneEntryViolations(h.statuses)...)
 	out = append(out, lostEntryViolations(h.statuses, h.maintenanceWindows)...)
--- a/internal/testbed/cluster/operator.go
+++ b/internal/testbed/cluster/operator.go
@@ -32,7 +32,9 @@
 func machineName(machine int) string { return fmt.Sprintf("m%d", machine) }
 
 // workerOf returns the worker on a machine of the plans. The machines have the last workers, which are the slowest, in reverse order.
-func workerOf(day *scenario.Schedule, machine int) int { return len(day.Workers) - 1 - machine }
+func workerOf(schedule *scenario.Schedule, machine int) int {
+	return len(schedule.Workers) - 1 - machine
+}
 
 // clientFrom returns a client that tries the members in turn, beginning with first.
 func (h *harness) clientFrom(first int) *coordinator.Client {
@@ -107,14 +109,14 @@
 	for i := range plans {
 		plans[i] = &maintenance.Plan{Name: planName(i), MaxUnavailable: h.options.MaxUnavailable, OnOverdue: maintenance.OverdueWait}
 	}
-	day := h.environment.Day()
+	schedule := h.environment.Schedule()
 	for i := range h.options.Machines {
-		worker := workerOf(day, i)
+		worker := workerOf(schedule, i)
 		m := maintenance.Machine{Name: machineName(i)}
 		if h.options.PlanByHost {
 			m.Host = h.environment.Fleet().Workers[worker].Host()
 		} else {
-			m.Workers = []string{day.Workers[worker].Name}
+			m.Workers = []string{schedule.Workers[worker].Name}
 		}
 		p := plans[i%len(plans)]
 		p.Machines = append(p.Machines, m)
@@ -136,7 +138,7 @@
 		return
 	}
 	ledger := h.environment.Ledger()
-	worker := workerOf(h.environment.Day(), machine)
+	worker := workerOf(h.environment.Schedule(), machine)
 	h.mu.Lock()
 	window := len(h.maintenanceWindows)
 	h.maintenanceWindows = append(h.maintenanceWindows, MaintenanceWindow{Machine: machineName(machine), Workers: []int{worker}, ReleasedAt: ledger.Now()})
@@ -191,7 +193,7 @@
 // maintainWithoutPlan maintains the machines one after the other, with overrides at each member instead of a plan.
 func (h *harness) maintainWithoutPlan(ctx context.Context) {
 	for machine := range h.options.Machines {
-		worker := workerOf(h.environment.Day(), machine)
+		worker := workerOf(h.environment.Schedule(), machine)
 		h.overrideEverywhere(ctx, worker, true)
 		sleep(ctx, 2*h.scenario.Classes[0].Deadline) // without a plan nothing reports when the last request at the worker has ended
 		sleep(ctx, h.options.Work)
@@ -209,7 +211,7 @@
 
 // overrideEverywhere writes an override at each member in turn and repeats each write until it is accepted.
 func (h *harness) overrideEverywhere(ctx context.Context, worker int, disabled bool) {
-	name := h.environment.Day().Workers[worker].Name
+	name := h.environment.Schedule().Workers[worker].Name
 	for _, address := range h.addresses {
 		for ctx.Err() == nil {
 			r, err := gossip.CallMember(ctx, address, gossip.Call{Worker: name, Disabled: disabled})
--- a/internal/testbed/cluster/overrideinvariants.go
+++ b/internal/testbed/cluster/overrideinvariants.go
@@ -100,7 +100,7 @@
 			out = append(out, overrideViolation("not one", latest.requestedAt, member,
 				"its overrides are %s, those of dispatcher 0 are %s", describeOverrides(latest.reply), describeOverrides(first)))
 		}
-		for worker := range s.Day().Workers {
+		for worker := range s.Schedule().Workers {
 			last, isCertain := h.lastOverride(worker)
 			if last == nil || !isCertain || losable[worker] {
 				continue
--- a/internal/testbed/cluster/overrides.go
+++ b/internal/testbed/cluster/overrides.go
@@ -74,7 +74,7 @@
 		return
 	}
 	ledger := h.environment.Ledger()
-	written := writtenOverride{Override: o, name: h.environment.Day().Workers[o.Worker].Name, requestedAt: ledger.Now()}
+	written := writtenOverride{Override: o, name: h.environment.Schedule().Workers[o.Worker].Name, requestedAt: ledger.Now()}
 	for ; ctx.Err() == nil; sleep(ctx, retryInterval) {
 		r, err := gossip.CallMember(ctx, h.addresses[o.Member], gossip.Call{Worker: written.name, Disabled: o.Disabled})
 		if err != nil || r.Invalid {
--- a/internal/testbed/cluster/workerinvariants.go
+++ b/internal/testbed/cluster/workerinvariants.go
@@ -62,7 +62,7 @@
 	secondFailure := earliestSecondFailure(s.Ledger().Attempts(), from, to)
 	for _, a := range s.Ledger().Attempts() {
 		isLate := a.Worker == 0 && a.Last > secondFailure+outlierReportWithin && a.Last < to
-		if isLate && s.Day().Scenario.Classes[classes[a.ID]].Effect == scenario.Unsafe {
+		if isLate && s.Schedule().Scenario.Classes[classes[a.ID]].Effect == scenario.Unsafe {
 			out = append(out, invariant.Violation{Rule: OutlierRule, Kind: "lost", At: a.Last, Dispatcher: a.Dispatcher, ID: a.ID, Lines: []string{
 				fmt.Sprintf("a member had seen two requests fail at the worker by %.3fs", secondFailure.Seconds())}})
 		}
--- a/internal/testbed/environment.go
+++ b/internal/testbed/environment.go
@@ -20,8 +20,8 @@
 // Fleet returns the workers and their discovery.
 func (e *Environment) Fleet() *fakes.Fleet { return e.run.fleet }
 
-// Day returns what was generated from the scenario: requests, workers and faults.
-func (e *Environment) Day() *scenario.Schedule { return e.run.day }
+// Schedule returns the requests, workers and fault events of the run.
+func (e *Environment) Schedule() *scenario.Schedule { return e.run.schedule }
 
 // Origin returns the start of the load on the ledger's clock.
 func (e *Environment) Origin() time.Duration { return e.run.load.Origin() }
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -25,8 +25,8 @@
 
 // injectAll starts a goroutine for each fault, which injects it at its time and ends it after its duration or when ctx ends.
 func (injector *faultInjector) injectAll(ctx context.Context) {
-	for i := range injector.run.day.Events {
-		e := &injector.run.day.Events[i]
+	for i := range injector.run.schedule.Events {
+		e := &injector.run.schedule.Events[i]
 		if e.Kind == scenario.TrafficJump || e.Kind == scenario.TenantFlood {
 			continue // part of the generated arrivals
 		}
@@ -216,7 +216,7 @@
 func (injector *faultInjector) runClients(ctx context.Context, e *scenario.Event) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	day := injector.run.day
+	schedule := injector.run.schedule
 	var clients sync.WaitGroup
 	for _, d := range e.Dispatchers {
 		clients.Add(1)
@@ -227,8 +227,8 @@
 				loadgen.HoldIdleConnections(ctx, address, e.Count)
 				return
 			}
-			seed := scenario.Rand(day.Seed+uint64(d), scenario.StreamMisbehaving).Uint64()
-			injector.misbehaving.Run(ctx, address, day.Scenario.Classes[0].Name, e.Count, seed)
+			seed := scenario.Rand(schedule.Seed+uint64(d), scenario.StreamMisbehaving).Uint64()
+			injector.misbehaving.Run(ctx, address, schedule.Scenario.Classes[0].Name, e.Count, seed)
 		}()
 	}
 	injector.waitUntil(ctx, e.Until)
--- a/internal/testbed/overhead.go
+++ b/internal/testbed/overhead.go
@@ -114,8 +114,8 @@
 	if err != nil {
 		return nil, err
 	}
-	r.load = loadgen.New(r.day, r.ledger, addresses)
-	if r.fleet, err = fakes.New(r.day, r.ledger, requests, nil); err != nil {
+	r.load = loadgen.New(r.schedule, r.ledger, addresses)
+	if r.fleet, err = fakes.New(r.schedule, r.ledger, requests, nil); err != nil {
 		return nil, err
 	}
 	d := r.addDispatcher(addresses[0])
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -65,7 +65,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	values := configValues{
-		scenario: r.day.Scenario, dispatcher: d.index, seed: r.day.Seed*1_000_003 + uint64(d.index)*1009 + uint64(d.starts),
+		scenario: r.schedule.Scenario, dispatcher: d.index, seed: r.schedule.Seed*1_000_003 + uint64(d.index)*1009 + uint64(d.starts),
 		listen: d.listen, discovery: agent.Address(),
 	}
 	if r.options.DiscoveryAddress != nil {
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -46,15 +46,15 @@
 var ErrDifferentWorkloads = errors.New("results of different workloads cannot be compared")
 
 // Compare writes the differences between pairs of results; a and b name the two sides. It fails with
-// ErrDifferentWorkloads if the results of a pair have different values of Day. The range over the pairs and, within a
+// ErrDifferentWorkloads if the results of a pair have different schedule digests. The range over the pairs and, within a
 // pair, the standard error over the intervals show the noise of goodput.
 func Compare(w io.Writer, pairs [][2]*Report, a, b string) error {
 	if len(pairs) == 0 {
 		return errors.New("no results to compare")
 	}
 	for _, p := range pairs {
-		if p[0].Day != p[1].Day {
-			return fmt.Errorf("%w (%s, seed %d: %s; %s, seed %d: %s)", ErrDifferentWorkloads, p[0].Scenario, p[0].Seed, p[0].Day, p[1].Scenario, p[1].Seed, p[1].Day)
+		if p[0].ScheduleDigest != p[1].ScheduleDigest {
+			return fmt.Errorf("%w (%s, seed %d: %s; %s, seed %d: %s)", ErrDifferentWorkloads, p[0].Scenario, p[0].Seed, p[0].ScheduleDigest, p[1].Scenario, p[1].Seed, p[1].ScheduleDigest)
 		}
 	}
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -10,19 +10,19 @@
 // Report is the result of one run. It is not safe for concurrent use. Times are in seconds since the start of the load unless
 // the name has another unit.
 type Report struct {
-	Version     int     `json:"version"`
-	Scenario    string  `json:"scenario"`
-	About       string  `json:"about,omitempty"`
-	Seed        uint64  `json:"seed"`
-	Day         string  `json:"day"` // digest of what was generated: requests, workers and faults
-	Policy      string  `json:"policy"`
-	Mutant      string  `json:"planted,omitempty"`
-	Seconds     float64 `json:"seconds"`
-	Rate        float64 `json:"rate"`
-	Load        float64 `json:"load"` // requested work as a share of the capacity
-	Dispatchers int     `json:"dispatchers"`
-	Interrupted bool    `json:"interrupted"`
-	RanLate     bool    `json:"ran_late"` // the testbed itself was late: the figures are unreliable
+	Version        int     `json:"version"`
+	Scenario       string  `json:"scenario"`
+	About          string  `json:"about,omitempty"`
+	Seed           uint64  `json:"seed"`
+	ScheduleDigest string  `json:"day"` // Schedule.Digest: equal for the same requests, workers and faults
+	Policy         string  `json:"policy"`
+	Mutant         string  `json:"planted,omitempty"`
+	Seconds        float64 `json:"seconds"`
+	Rate           float64 `json:"rate"`
+	Load           float64 `json:"load"` // requested work as a share of the capacity
+	Dispatchers    int     `json:"dispatchers"`
+	Interrupted    bool    `json:"interrupted"`
+	RanLate        bool    `json:"ran_late"` // the testbed itself was late: the figures are unreliable
 
 	Requests       int     `json:"requests"` // without retries
 	Tries          int     `json:"tries"`    // requests with their retries
--- a/internal/testbed/report/text.go
+++ b/internal/testbed/report/text.go
@@ -44,7 +44,7 @@
 
 // writeRun writes the scenario, the seed and the size of the run.
 func (r *Report) writeRun(t *textTable) {
-	t.row("scenario", "%s, seed %d, day %s, policy %s%s", r.Scenario, r.Seed, r.Day, r.Policy, mutantSuffix(r.Mutant))
+	t.row("scenario", "%s, seed %d, day %s, policy %s%s", r.Scenario, r.Seed, r.ScheduleDigest, r.Policy, mutantSuffix(r.Mutant))
 	t.row("played", "%.0f s, %.0f requests/s (%.2f of the capacity), %d workers, %d dispatchers",
 		r.Seconds, r.Rate, r.Load, len(r.Workers), r.Dispatchers)
 }
--- a/internal/testbed/requests.go
+++ b/internal/testbed/requests.go
@@ -58,14 +58,14 @@
 
 // countRequests adds the outcomes of the clients' requests to the report.
 func (r *run) countRequests(out *report.Report) {
-	s := r.day.Scenario
+	s := r.schedule.Scenario
 	counter := &requestCounter{
 		run: r, total: newRequestSummary(), classes: newRequestSummaries(len(s.Classes)), tenants: newRequestSummaries(len(s.Tenants)),
 		intervals: newRequestSummaries(int((s.For + seriesInterval - 1) / seriesInterval)),
 	}
 	for i, result := range r.load.Results() {
 		if result.Requested {
-			counter.add(out, &r.day.Requests[i], &result)
+			counter.add(out, &r.schedule.Requests[i], &result)
 		}
 	}
 	out.Goodput, out.Latency = counter.total.goodput(), counter.total.latency.Latency()
@@ -81,17 +81,17 @@
 
 // add counts one client request with its result.
 func (c *requestCounter) add(out *report.Report, request *scenario.Request, result *loadgen.Result) {
-	day := c.run.day
+	schedule := c.run.schedule
 	latency := result.Ended - c.run.load.Origin() - request.At
-	value := day.Value(request)
+	value := schedule.Value(request)
 	good, inTime := 0.0, false
 	out.Requests++
 	c.retries += result.Tries - 1
 	switch result.Outcome {
 	case invariant.Served:
 		out.Served++
-		inTime = latency <= day.LatencyObjective(request)
-		good = value * day.Scenario.Classes[request.Class].LateWeight
+		inTime = latency <= schedule.LatencyObjective(request)
+		good = value * schedule.Scenario.Classes[request.Class].LateWeight
 		if inTime {
 			good = value
 			out.ServedInTime++
--- a/internal/testbed/result.go
+++ b/internal/testbed/result.go
@@ -17,9 +17,9 @@
 
 // report summarises the run.
 func (r *run) report(verdict *invariant.Verdict) *report.Report {
-	s := r.day.Scenario
+	s := r.schedule.Scenario
 	out := &report.Report{
-		Version: report.Version, Scenario: s.Name, About: s.About, Seed: r.day.Seed, Day: r.day.Digest(),
+		Version: report.Version, Scenario: s.Name, About: s.About, Seed: r.schedule.Seed, ScheduleDigest: r.schedule.Digest(),
 		Seconds: s.For.Seconds(), Rate: s.Rate, Load: s.Load(), Dispatchers: s.Dispatchers,
 		Rules: verdict.Count(), Crashes: len(verdict.Crashes), Lost: verdict.Lost, Excused: verdict.Excused, Outcomes: map[string]int{},
 		Testbed: report.TestbedLine{
@@ -59,7 +59,7 @@
 
 // addFaults adds the injected faults, the goodput during them and the time to recover from them.
 func (r *run) addFaults(out *report.Report) {
-	for _, e := range r.day.Events {
+	for _, e := range r.schedule.Events {
 		out.Faults = append(out.Faults, report.FaultMark{Kind: e.Kind, At: e.At.Seconds(), Until: e.Until.Seconds(), Target: r.describeTarget(&e)})
 	}
 	out.SummarizeFaults()
@@ -87,7 +87,7 @@
 	case scenario.TrafficJump:
 		return fmt.Sprintf("%g times the traffic", e.Factor)
 	case scenario.TenantFlood:
-		return fmt.Sprintf("%s, %g times", r.day.Scenario.Tenants[e.Tenant].Name, e.Factor)
+		return fmt.Sprintf("%s, %g times", r.schedule.Scenario.Tenants[e.Tenant].Name, e.Factor)
 	case scenario.ListLate, scenario.ListSilent, scenario.ListWrong, scenario.ListMove, scenario.DispatcherKill, scenario.DispatcherTerminate,
 		scenario.DispatcherReload, scenario.IdleClients, scenario.MisbehavingClients:
 		if len(e.Dispatchers) == len(r.dispatchers) {
@@ -95,12 +95,12 @@
 		}
 		return "dispatcher " + strings.Trim(fmt.Sprint(e.Dispatchers), "[]")
 	}
-	if len(e.Workers) == len(r.day.Workers) {
+	if len(e.Workers) == len(r.schedule.Workers) {
 		return "all workers"
 	}
 	var names []string
 	for _, w := range e.Workers {
-		names = append(names, r.day.Workers[w].Name)
+		names = append(names, r.schedule.Workers[w].Name)
 	}
 	return strings.Join(names, " ")
 }
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -65,7 +65,7 @@
 // run is the state of one run.
 type run struct {
 	options     Options
-	day         *scenario.Schedule
+	schedule    *scenario.Schedule
 	ledger      *invariant.Ledger
 	fleet       *fakes.Fleet // nil until started
 	load        *loadgen.Generator
@@ -77,9 +77,9 @@
 	clockLag    report.Histogram // delay of the ticks of a periodic timer
 }
 
-func newRun(day *scenario.Schedule, o Options) *run {
+func newRun(schedule *scenario.Schedule, o Options) *run {
 	return &run{
-		options: o, day: day, ledger: invariant.NewLedger(), spawner: newSpawner(),
+		options: o, schedule: schedule, ledger: invariant.NewLedger(), spawner: newSpawner(),
 		arrivalLag: report.NewHistogram(), clockLag: report.NewHistogram(),
 	}
 }
@@ -103,8 +103,8 @@
 	if err != nil {
 		return nil, err
 	}
-	r.load = loadgen.New(r.day, r.ledger, addresses)
-	if r.fleet, err = fakes.New(r.day, r.ledger, r.load, o.WorkerAddress); err != nil {
+	r.load = loadgen.New(r.schedule, r.ledger, addresses)
+	if r.fleet, err = fakes.New(r.schedule, r.ledger, r.load, o.WorkerAddress); err != nil {
 		return nil, fmt.Errorf("starting the fleet: %w", err)
 	}
 	for _, a := range addresses {
@@ -182,7 +182,7 @@
 		r.faults.running.Go(func() { r.options.Alongside(loadCtx, &Environment{r}) })
 	}
 	<-loadEnded
-	if rest := r.load.Origin() + r.day.Scenario.For - r.ledger.Now(); rest > 0 {
+	if rest := r.load.Origin() + r.schedule.Scenario.For - r.ledger.Now(); rest > 0 {
 		select {
 		case <-time.After(rest):
 		case <-ctx.Done():
@@ -227,7 +227,7 @@
 		case <-sample.C:
 			r.sampleAll()
 			if r.options.Progress != nil {
-				r.options.Progress(int(r.load.Done.Load()), len(r.day.Requests))
+				r.options.Progress(int(r.load.Done.Load()), len(r.schedule.Requests))
 			}
 			last = time.Now() // the time that sampling takes does not count as lag
 		}
@@ -244,7 +244,7 @@
 // stopTimeout returns the time after SIGTERM at which the platform sends SIGKILL.
 func (r *run) stopTimeout() time.Duration {
 	longest := time.Duration(0)
-	for _, c := range r.day.Scenario.Classes {
+	for _, c := range r.schedule.Scenario.Classes {
 		longest = max(longest, c.Deadline)
 	}
 	return min(longest, maxStopTime) + stopMargin
--- a/internal/testbed/run_test.go
+++ b/internal/testbed/run_test.go
@@ -295,7 +295,7 @@
 	if err := r.Save(dir + "/none/r.json"); err == nil {
 		t.Error("no error for a directory that does not exist")
 	}
-	if err := report.Compare(io.Discard, [][2]*report.Report{{r, {Day: "other"}}}, "a", "b"); err == nil {
+	if err := report.Compare(io.Discard, [][2]*report.Report{{r, {ScheduleDigest: "other"}}}, "a", "b"); err == nil {
 		t.Error("no error for results of different workloads")
 	}
 	var out strings.Builder
--- a/internal/testbed/scenario/arrivals.go
+++ b/internal/testbed/scenario/arrivals.go
@@ -22,9 +22,9 @@
 }
 
 // generateRequests generates the requests, sorted by time.
-func (d *Schedule) generateRequests() {
-	g := newRequestGenerator(d)
-	edges := d.trafficEdges()
+func (s *Schedule) generateRequests() {
+	g := newRequestGenerator(s)
+	edges := s.trafficEdges()
 	for i := 0; i+1 < len(edges); i++ {
 		if !g.generate(edges[i], edges[i+1]) {
 			return
@@ -32,10 +32,10 @@
 	}
 }
 
-func newRequestGenerator(d *Schedule) *requestGenerator {
-	s := d.Scenario
+func newRequestGenerator(schedule *Schedule) *requestGenerator {
+	s := schedule.Scenario
 	g := &requestGenerator{
-		schedule: d, random: Rand(d.Seed, streamArrivals), leaveRandom: Rand(d.Seed, streamLeave),
+		schedule: schedule, random: Rand(schedule.Seed, streamArrivals), leaveRandom: Rand(schedule.Seed, streamLeave),
 		classWeights: make([]float64, len(s.Classes)), dispatcherWeights: make([]float64, s.Dispatchers),
 		tenantWeights: make([]float64, len(s.Tenants)), quotas: make([]tokenBucket, len(s.Tenants)),
 	}
@@ -57,8 +57,8 @@
 // generate generates the requests of an interval in which traffic does not change. It returns false once the schedule has
 // MaxRequests.
 func (g *requestGenerator) generate(from, until time.Duration) bool {
-	s, d := g.schedule.Scenario, g.schedule
-	rate := g.arrivalRate * d.trafficFactor(from, g.tenantWeights)
+	s, schedule := g.schedule.Scenario, g.schedule
+	rate := g.arrivalRate * schedule.trafficFactor(from, g.tenantWeights)
 	// A Poisson process is memoryless, so it can be restarted in each interval.
 	for at := from; ; {
 		at += time.Duration(g.random.ExpFloat64() / rate * float64(time.Second))
@@ -70,8 +70,8 @@
 			count = s.Burst.Size
 		}
 		for range count {
-			d.Requests = append(d.Requests, g.request(at))
-			if len(d.Requests) >= MaxRequests {
+			schedule.Requests = append(schedule.Requests, g.request(at))
+			if len(schedule.Requests) >= MaxRequests {
 				return false
 			}
 		}
@@ -100,11 +100,11 @@
 }
 
 // trafficEdges returns the times at which traffic changes, including the start and the end of the run.
-func (d *Schedule) trafficEdges() []time.Duration {
-	edges := []time.Duration{0, d.Scenario.For}
-	for _, e := range d.Events {
+func (s *Schedule) trafficEdges() []time.Duration {
+	edges := []time.Duration{0, s.Scenario.For}
+	for _, e := range s.Events {
 		if e.Kind == TrafficJump || e.Kind == TenantFlood {
-			edges = append(edges, min(e.At, d.Scenario.For), min(e.Until, d.Scenario.For))
+			edges = append(edges, min(e.At, s.Scenario.For), min(e.Until, s.Scenario.For))
 		}
 	}
 	slices.Sort(edges)
@@ -112,12 +112,12 @@
 }
 
 // trafficFactor returns the traffic at the given time as a multiple of the scenario's rate, and sets the weight of each tenant.
-func (d *Schedule) trafficFactor(at time.Duration, tenantWeights []float64) float64 {
+func (s *Schedule) trafficFactor(at time.Duration, tenantWeights []float64) float64 {
 	jump := 1.0
 	for i := range tenantWeights {
-		tenantWeights[i] = d.Scenario.Tenants[i].Share
+		tenantWeights[i] = s.Scenario.Tenants[i].Share
 	}
-	for _, e := range d.Events {
+	for _, e := range s.Events {
 		if at < e.At || at >= e.Until {
 			continue
 		}
--- a/internal/testbed/scenario/schedule.go
+++ b/internal/testbed/scenario/schedule.go
@@ -78,27 +78,27 @@
 // Generate returns the schedule of a seed, with random faults in addition to those of the scenario if randomFaults is set. The
 // same scenario and arguments give the same schedule.
 func (s *Scenario) Generate(seed uint64, randomFaults bool) *Schedule {
-	d := &Schedule{Scenario: s, Seed: seed}
-	d.generateWorkers()
+	schedule := &Schedule{Scenario: s, Seed: seed}
+	schedule.generateWorkers()
 	faults := s.Faults
 	if randomFaults {
 		faults = append(slices.Clone(faults), s.randomFaults(seed)...)
 	}
-	d.generateEvents(faults)
-	d.generateRequests()
-	return d
+	schedule.generateEvents(faults)
+	schedule.generateRequests()
+	return schedule
 }
 
-func (d *Schedule) generateWorkers() {
-	r, names := Rand(d.Seed, streamWorkers), d.Scenario.WorkerNames()
-	for _, pool := range d.Scenario.Workers {
+func (s *Schedule) generateWorkers() {
+	r, names := Rand(s.Seed, streamWorkers), s.Scenario.WorkerNames()
+	for _, pool := range s.Scenario.Workers {
 		for range pool.Count {
-			i := len(d.Workers)
+			i := len(s.Workers)
 			zone := pool.Zone
 			if zone == "" {
-				zone = d.Scenario.Zones[i%len(d.Scenario.Zones)]
+				zone = s.Scenario.Zones[i%len(s.Scenario.Zones)]
 			}
-			d.Workers = append(d.Workers, Worker{
+			s.Workers = append(s.Workers, Worker{
 				Name: names[i], Kind: pool.Kind, Zone: zone, Cell: i / cellSize, Cores: pool.Cores,
 				Speed:  pool.Speed[0] + (pool.Speed[1]-pool.Speed[0])*r.Float64(),
 				Memory: pool.Memory, Queue: pool.Queue, WarmingUp: pool.WarmingUp,
@@ -108,16 +108,16 @@
 }
 
 // generateEvents generates the events, choosing the workers, dispatchers and tenant that each fault affects.
-func (d *Schedule) generateEvents(faults []Fault) {
-	r, names := Rand(d.Seed, streamFaults), d.Scenario.WorkerNames()
+func (s *Schedule) generateEvents(faults []Fault) {
+	r, names := Rand(s.Seed, streamFaults), s.Scenario.WorkerNames()
 	for i := range faults {
 		f := &faults[i]
-		d.Events = append(d.Events, Event{
+		s.Events = append(s.Events, Event{
 			Kind: f.Kind, At: f.At, Until: f.At + f.For, Factor: f.Factor, Share: f.Share, Count: f.Count,
-			Workers: affectedWorkers(f, names, r), Dispatchers: d.affectedDispatchers(f), Tenant: d.affectedTenant(f),
+			Workers: affectedWorkers(f, names, r), Dispatchers: s.affectedDispatchers(f), Tenant: s.affectedTenant(f),
 		})
 	}
-	slices.SortStableFunc(d.Events, func(a, b Event) int { return int(a.At - b.At) })
+	slices.SortStableFunc(s.Events, func(a, b Event) int { return int(a.At - b.At) })
 }
 
 // affectedWorkers returns the indexes of the workers that a fault affects: the named ones, or else random ones.
@@ -141,14 +141,14 @@
 }
 
 // affectedDispatchers returns the indexes of the dispatchers that a fault affects.
-func (d *Schedule) affectedDispatchers(f *Fault) []int {
+func (s *Schedule) affectedDispatchers(f *Fault) []int {
 	if len(f.Dispatchers) > 0 {
 		return f.Dispatchers
 	}
 	if f.Kind == LinkPartition { // for all dispatchers it would equal MachineSilent
 		return []int{0}
 	}
-	all := make([]int, d.Scenario.Dispatchers)
+	all := make([]int, s.Scenario.Dispatchers)
 	for i := range all {
 		all[i] = i
 	}
@@ -156,27 +156,27 @@
 }
 
 // affectedTenant returns the index of the tenant that a fault affects, or -1.
-func (d *Schedule) affectedTenant(f *Fault) int {
-	return slices.IndexFunc(d.Scenario.Tenants, func(t Tenant) bool { return t.Name == f.Tenant })
+func (s *Schedule) affectedTenant(f *Fault) int {
+	return slices.IndexFunc(s.Scenario.Tenants, func(t Tenant) bool { return t.Name == f.Tenant })
 }
 
 // LatencyObjective returns the latency up to which a request is answered in time.
-func (d *Schedule) LatencyObjective(r *Request) time.Duration {
-	c := &d.Scenario.Classes[r.Class]
+func (s *Schedule) LatencyObjective(r *Request) time.Duration {
+	c := &s.Scenario.Classes[r.Class]
 	return c.LatencyObjective + time.Duration(c.Stretch*float64(r.Work))
 }
 
 // Value returns the value of a request that is answered in time.
-func (d *Schedule) Value(r *Request) float64 {
-	v := d.Scenario.Classes[r.Class].PriorityWeight
+func (s *Schedule) Value(r *Request) float64 {
+	v := s.Scenario.Classes[r.Class].PriorityWeight
 	if r.OverQuota {
-		v *= d.Scenario.Terms.OverQuotaWeight
+		v *= s.Scenario.Terms.OverQuotaWeight
 	}
 	return v
 }
 
 // Digest returns a hash of the schedule in hexadecimal, which is equal for equal schedules.
-func (d *Schedule) Digest() string {
+func (s *Schedule) Digest() string {
 	h := xxhash.New()
 	put := func(values ...any) {
 		for _, value := range values {
@@ -189,13 +189,13 @@
 			}
 		}
 	}
-	for _, r := range d.Requests {
+	for _, r := range s.Requests {
 		put(int64(r.At), int64(r.Class), int64(r.Tenant), int64(r.Dispatcher), int64(r.Work), int64(r.Body), r.HonorsRetryAfter, r.OverQuota, int64(r.LeavesAfter))
 	}
-	for _, w := range d.Workers {
+	for _, w := range s.Workers {
 		put(w.Name, w.Kind, w.Zone, int64(w.Cores), w.Speed, w.Memory, int64(w.Queue), w.WarmingUp)
 	}
-	for _, e := range d.Events {
+	for _, e := range s.Events {
 		put(e.Kind, int64(e.At), int64(e.Until), e.Factor, e.Share, int64(e.Count), int64(e.Tenant))
 		for _, w := range e.Workers {
 			put(int64(w))
--- a/internal/testbed/terms.go
+++ b/internal/testbed/terms.go
@@ -14,7 +14,7 @@
 // terms returns the parameters of the rules for the invariant checker. The slack of the time limits includes the testbed's own
 // lag.
 func (r *run) terms() invariant.Terms {
-	s := r.day.Scenario
+	s := r.schedule.Scenario
 	t := invariant.Terms{
 		Attempts: s.Terms.Attempts, DrainGrace: s.Terms.DrainGrace, PropagationDeadline: propagationDeadline,
 		Slack: invariant.DefaultSlack + r.ownLag(),
@@ -24,7 +24,7 @@
 			Name: c.Name, Safe: c.Effect == scenario.Safe, Keyed: c.Effect == scenario.Keyed, Group: c.Group, Window: c.Window,
 		})
 	}
-	for _, w := range r.day.Workers {
+	for _, w := range r.schedule.Workers {
 		t.Workers = append(t.Workers, invariant.Worker{Name: w.Name, Zone: w.Zone, Cell: w.Cell})
 	}
 	return t
