--- a/cmd/birchfork/testbed_compare.go
+++ b/cmd/birchfork/testbed_compare.go
@@ -19,7 +19,7 @@
 	Results  []string      `arg:"" optional:"" help:"Two saved results of the same scenario and seed."`
 	Against  string        `help:"Another build of this program, on which the same scenarios run alternately." placeholder:"BINARY"`
 	Operator string        `help:"An operator's file for this build. Runs alternate between this build with the file and this build without it or the build of --against." placeholder:"FILE"`
-	Day      string        `help:"With --against: the scenario." default:"calm" placeholder:"SCENARIO"`
+	Scenario string        `name:"day" help:"With --against: the scenario." default:"calm" placeholder:"SCENARIO"`
 	Seeds    []uint64      `help:"With --against: the seeds." default:"1,2,3"`
 	For      time.Duration `help:"With --against: length in place of the scenario's." placeholder:"TIME"`
 }
@@ -99,7 +99,7 @@
 	for _, seed := range c.Seeds {
 		var pair [2]*report.Report
 		for i, side := range sides {
-			flags := scenarioFlags{Scenario: c.Day, For: c.For}
+			flags := scenarioFlags{Scenario: c.Scenario, For: c.For}
 			selected, err := flags.load()
 			if err != nil {
 				return nil, false, err
--- a/cmd/birchfork/testbed_replication.go
+++ b/cmd/birchfork/testbed_replication.go
@@ -37,7 +37,7 @@
 		return fmt.Errorf("--words: invalid value %d: with --runners 0 it must be at most %d, the number of workers with an override that a member accepts", c.Overrides, replication.MaxOverrides)
 	}
 	t := tabwriter.NewWriter(out.stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "simulated: members\thistories\tbroken\tone after s: median, worst\tmessages a member\tkB a member\tidle, a member and second: messages, bytes")
+	fmt.Fprintln(t, "simulated: members\thistories\tbroken\tconvergence s: median, maximum\tmessages per member\tkB per member\tidle, per member and second: messages, bytes")
 	broken := 0
 	for _, n := range c.Members {
 		results := c.simulate(n)
--- a/cmd/birchfork/testbed_run.go
+++ b/cmd/birchfork/testbed_run.go
@@ -47,13 +47,13 @@
 
 type testbedRun struct {
 	scenarioFlags
-	Policy   string `help:"Decision policy: rules (the decision module), random, round-robin or least." default:"rules"`
-	Operator string `help:"The operator's file of the dispatchers." placeholder:"FILE"`
-	Group    bool   `help:"The dispatchers form a group (docs/replication.md)."`
-	Mutant   string `name:"plant" help:"Run the mutant with this fault instead, to see the invariant checker catch it." placeholder:"FAULT"`
-	JSON     string `help:"Save the result to this file." placeholder:"FILE" name:"json"`
-	HTML     string `help:"Write the result as an HTML page to this file." placeholder:"FILE" name:"html"`
-	Ceiling  bool   `help:"Measure the testbed's own maximum throughput first." default:"true" negatable:""`
+	Policy            string `help:"Decision policy: rules (the decision module), random, round-robin or least." default:"rules"`
+	Operator          string `help:"The operator's file of the dispatchers." placeholder:"FILE"`
+	Group             bool   `help:"The dispatchers form a group (docs/replication.md)."`
+	Mutant            string `name:"plant" help:"Run the mutant with this fault instead, to see the invariant checker catch it." placeholder:"FAULT"`
+	JSON              string `help:"Save the result to this file." placeholder:"FILE" name:"json"`
+	HTML              string `help:"Write the result as an HTML page to this file." placeholder:"FILE" name:"html"`
+	MeasureThroughput bool   `name:"ceiling" help:"Measure the testbed's own maximum throughput first." default:"true" negatable:""`
 }
 
 // Run runs the scenario and prints its report.
@@ -74,7 +74,7 @@
 	}
 	ctx, stop := interruptible()
 	defer stop()
-	options := testbed.Options{Scenario: selected, Seed: c.Seed, RandomFaults: c.Storm, Policy: c.Policy, Mutant: c.Mutant, Launch: launch, MeasureThroughput: c.Ceiling}
+	options := testbed.Options{Scenario: selected, Seed: c.Seed, RandomFaults: c.Storm, Policy: c.Policy, Mutant: c.Mutant, Launch: launch, MeasureThroughput: c.MeasureThroughput}
 	if c.Group {
 		if c.Operator != "" || c.Policy != testbed.PolicyRules || c.Mutant != "" {
 			return errors.New("--group makes an operator's file of its own and cannot be combined with --operator, --policy or --plant")
--- a/cmd/birchfork/testbed_simulation.go
+++ b/cmd/birchfork/testbed_simulation.go
@@ -26,7 +26,7 @@
 	Fault         string `help:"Simulate the mutant of the cores with this fault." placeholder:"FAULT"`
 	Trace         bool   `name:"story" help:"Print a trace of the events, if --runs is 1."`
 	Behind        []int  `help:"Measure how long a follower that lacks this many entries takes to catch up." placeholder:"N"`
-	Measure       []int  `help:"Measure a plan of 12 machines with this many members, without faults; 0: sizes from 3 to 300." placeholder:"N"`
+	Measure       []int  `help:"Measure a plan of 12 machines with this many members, without a fault and with a paused leader; 0: sizes from 3 to 300." placeholder:"N"`
 }
 
 // Run simulates histories on all cores of the machine; the same seeds give the same histories.
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -1,6 +1,6 @@
 // Package baseline provides simple policies with which the testbed compares the decision module. They run in the same engine
 // and keep the four rules, but they do not shed load and learn nothing: a request is sent at once to a random worker, the next one
-// in round-robin order, or the one with the fewest open requests. Only the testbed uses them.
+// in round-robin order, or the one with the fewest open attempts. Only the testbed uses them.
 package baseline
 
 import (
--- a/internal/testbed/cluster/result.go
+++ b/internal/testbed/cluster/result.go
@@ -57,7 +57,7 @@
 
 // Line returns the result of a run with the given seed as one human-readable line.
 func (r *Result) Line(seed uint64) string {
-	return fmt.Sprintf("seed %d: %s; %s%d machines maintained, the first after %.1f s; plan ended after %.1f s; at most %.1f s without a confirmed reply; %d calls, %d with unknown outcome; goodput %.3f; %.0f kB between members; peak RSS %.1f MB; %s",
+	return fmt.Sprintf("seed %d: %s; %s%d machines maintained, the first drained after %.1f s; plan ended after %.1f s; longest time without a confirmed reply %.1f s; %d calls, %d with unknown outcome; goodput %.3f; %.0f kB between members; peak RSS %.1f MB; %s",
 		seed, r.verdict(), r.convergenceText(), len(r.MaintenanceWindows), r.FirstRelease.Seconds(), max(r.Ended-r.Origin, 0).Seconds(), r.Silence.Seconds(),
 		r.Calls, r.UncommittedCalls, r.Report.Goodput, float64(r.Bytes)/1000, r.Report.RSSPeakMB, r.timetable())
 }
--- a/internal/testbed/cluster/workerinvariants.go
+++ b/internal/testbed/cluster/workerinvariants.go
@@ -104,7 +104,7 @@
 		mean := float64(n) / float64(len(usedWorkers))
 		if float64(sentToFirst[dispatcher]) < minUseShare*mean {
 			out = append(out, invariant.Violation{Rule: UseRule, Kind: "left alone", At: to, Dispatcher: dispatcher, Lines: []string{
-				fmt.Sprintf("sent %d requests to the worker that fails only for dispatcher %d; the mean per worker is %.1f", sentToFirst[dispatcher], failingFor, mean)}})
+				fmt.Sprintf("it sent %d requests to the worker that fails only for dispatcher %d; the mean per worker is %.1f", sentToFirst[dispatcher], failingFor, mean)}})
 		}
 	}
 	return out
--- a/internal/testbed/environment.go
+++ b/internal/testbed/environment.go
@@ -37,7 +37,7 @@
 // Pause suspends a dispatcher's process with SIGSTOP and resumes it after length or when ctx ends.
 func (e *Environment) Pause(ctx context.Context, dispatcher int, length time.Duration) {
 	d := e.run.dispatchers[dispatcher]
-	if d.signal(syscall.SIGSTOP, invariant.Stopped, invariant.Crashed) == nil {
+	if d.signal(syscall.SIGSTOP, invariant.Paused, invariant.Crashed) == nil {
 		return
 	}
 	defer d.signal(syscall.SIGCONT, invariant.Resumed, invariant.Crashed)
--- a/internal/testbed/fakes/partition.go
+++ b/internal/testbed/fakes/partition.go
@@ -69,7 +69,7 @@
 // resetBacklogTime is the time after a partition in which connections from the backlog are accepted in order to reset them.
 const resetBacklogTime = 2 * time.Millisecond
 
-// resetBacklog resets the connections that the kernel established during a partition: a machine that is cut off establishes none.
+// resetBacklog resets the connections that the kernel established during a partition: a partitioned machine establishes none.
 func (l *link) resetBacklog() {
 	_ = l.listener.SetDeadline(time.Now().Add(resetBacklogTime)) // fails only on a closed listener, on which AcceptTCP fails too
 	defer func() { _ = l.listener.SetDeadline(time.Time{}) }()
--- a/internal/testbed/fakes/worker.go
+++ b/internal/testbed/fakes/worker.go
@@ -33,7 +33,7 @@
 	IdleClose       time.Duration    // time after which idle connections are closed; 0: never
 	Fails           func() float64   // draws from [0,1); a job fails if the draw is below the worker's failure rate
 	OnOverload      func(worker int) // called after a worker has crashed due to overload; may be nil
-	SuppressOutput  bool             // record no attempt or protocol fault: for measuring the testbed's own maximum throughput
+	SuppressOutput  bool             // record no attempt or protocol fault: for testbed.MeasureThroughput and testbed.Overhead
 	Net             Net              // address range of the workers
 }
 
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -161,11 +161,11 @@
 	links.Wait()
 }
 
-// isPartitioned reports whether an active fault cuts the link between a worker and a dispatcher. The caller holds mu.
+// isPartitioned reports whether an active fault partitions the link between a worker and a dispatcher. The caller holds mu.
 func (injector *faultInjector) isPartitioned(worker, dispatcher int) bool {
 	return slices.ContainsFunc(injector.active, func(e *scenario.Event) bool {
-		cuts := e.Kind == scenario.MachineSilent || e.Kind == scenario.LinkPartition
-		return cuts && slices.Contains(e.Workers, worker) && slices.Contains(e.Dispatchers, dispatcher)
+		partitions := e.Kind == scenario.MachineSilent || e.Kind == scenario.LinkPartition
+		return partitions && slices.Contains(e.Workers, worker) && slices.Contains(e.Dispatchers, dispatcher)
 	})
 }
 
--- a/internal/testbed/invariant/answers.go
+++ b/internal/testbed/invariant/answers.go
@@ -15,7 +15,7 @@
 		return
 	}
 	attempts := c.attempts[t.ID]
-	if t.Ended > t.Due+c.terms.Slack && !c.wasStoppedIn(t.Dispatcher, t.Sent, t.Ended) {
+	if t.Ended > t.Due+c.terms.Slack && !c.wasPausedIn(t.Dispatcher, t.Sent, t.Ended) {
 		c.addViolation(Answers, Late, t.Ended, t.Dispatcher, t.ID, c.evidence(t)...)
 	}
 	if t.ExtraData {
@@ -38,7 +38,7 @@
 	switch {
 	case c.wasKilledIn(t.Dispatcher, t.Sent, t.Ended): // clients have to retry requests that were open at a killed dispatcher
 		c.verdict.Excused++
-	case c.wasStoppedIn(t.Dispatcher, t.Sent, t.Ended): // a stopped process cannot answer
+	case c.wasPausedIn(t.Dispatcher, t.Sent, t.Ended): // a paused process cannot answer
 		c.verdict.Excused++
 	case t.Outcome == Closed && len(c.attempts[t.ID]) == 0: // closed without being forwarded: failed, not lost
 		c.verdict.Excused++
--- a/internal/testbed/invariant/check.go
+++ b/internal/testbed/invariant/check.go
@@ -34,7 +34,7 @@
 // DefaultSlack is the tolerance of the platform's protocol for sockets.
 const DefaultSlack = 50 * time.Millisecond
 
-// catchUpTime is the time that a resumed dispatcher has to process what arrived while it was stopped.
+// catchUpTime is the time that a resumed dispatcher has to process what arrived while it was paused.
 const catchUpTime = 500 * time.Millisecond
 
 // Check checks the rules against the records of a run that has ended.
@@ -128,23 +128,23 @@
 	return out
 }
 
-// wasStoppedIn reports whether a dispatcher was stopped by the testbed between from and to, or resumed at most catchUpTime
+// wasPausedIn reports whether a dispatcher was paused by the testbed between from and to, or resumed at most catchUpTime
 // before from.
-func (c *checker) wasStoppedIn(dispatcher int, from, to time.Duration) bool {
-	stopped := time.Duration(-1)
+func (c *checker) wasPausedIn(dispatcher int, from, to time.Duration) bool {
+	pausedAt := time.Duration(-1)
 	for _, e := range c.ledger.processEvents {
 		switch {
 		case e.Dispatcher != dispatcher:
-		case e.Kind == Stopped:
-			stopped = e.At
-		case stopped >= 0 && e.Kind == Resumed:
-			if stopped <= to+c.terms.Slack && e.At+catchUpTime >= from {
+		case e.Kind == Paused:
+			pausedAt = e.At
+		case pausedAt >= 0 && e.Kind == Resumed:
+			if pausedAt <= to+c.terms.Slack && e.At+catchUpTime >= from {
 				return true
 			}
-			stopped = -1
+			pausedAt = -1
 		}
 	}
-	return stopped >= 0 && stopped <= to+c.terms.Slack
+	return pausedAt >= 0 && pausedAt <= to+c.terms.Slack
 }
 
 // wasKilledIn reports whether the testbed killed a dispatcher between from and to, with the slack on both sides.
--- a/internal/testbed/invariant/check_test.go
+++ b/internal/testbed/invariant/check_test.go
@@ -176,10 +176,10 @@
 	})
 }
 
-// An overload of a warming worker is a violation of SlowStart.
+// An overload of a worker that is warming up is a violation of SlowStart.
 func TestCheck_SlowStart(t *testing.T) {
 	checkCases(t, []checkCase{
-		{"an overloaded warming worker", 0, func(l *Ledger, _ *Try, _ *Attempt) { l.Overload(Overload{Sent: 3, Allowed: 1}) }, "cold/pushed-over"},
+		{"a worker overloaded while it warms up", 0, func(l *Ledger, _ *Try, _ *Attempt) { l.Overload(Overload{Sent: 3, Allowed: 1}) }, "cold/pushed-over"},
 	})
 }
 
--- a/internal/testbed/invariant/ledger.go
+++ b/internal/testbed/invariant/ledger.go
@@ -1,7 +1,7 @@
 // Package invariant records what clients, workers and discovery observe during a run, and checks the four rules against these
 // records. It does not rely on what dispatchers report. All times are on one clock that starts with the run.
 //
-// The stand-in clients, workers and discovery write to a Ledger. Check reads it after the end of the run and returns a
+// The generated clients and the fake workers and discovery write to a Ledger. Check reads it after the end of the run and returns a
 // Verdict.
 package invariant
 
@@ -59,7 +59,7 @@
 	Returned     // returned from the queue, unstarted
 	Rejected     // 503 with X-Not-Run
 	Dropped      // the dispatcher closed the connection
-	Died         // the worker's process ended or its link was cut
+	Died         // the worker's process ended or its link was partitioned
 )
 
 var endNames = [...]string{"open", "done", "failed", "returned", "turned away", "dropped by the dispatcher", "lost with its worker"}
@@ -133,7 +133,7 @@
 	Exited                        // with status 0, after SIGTERM
 	Crashed                       // ended by itself, or with another status
 	StopTimedOut                  // it had not ended when SIGKILL followed SIGTERM
-	Stopped                       // by SIGSTOP
+	Paused                        // by SIGSTOP
 	Resumed                       // by SIGCONT
 )
 
--- a/internal/testbed/invariant/violation.go
+++ b/internal/testbed/invariant/violation.go
@@ -11,7 +11,7 @@
 	Answers   = "answers" // one final answer per request in time, nothing sent after it, none made up
 	Effects   = "effects" // no effect twice, and no refusal of a request that may have run
 	Drains    = "drains"  // no new request to a draining or removed worker after the drain grace
-	SlowStart = "cold"    // no warming worker overloaded
+	SlowStart = "cold"    // no worker overloaded while it warms up
 )
 
 // Rules lists the rules in the order of reports.
@@ -73,7 +73,7 @@
 	Violations []Violation    // ordered by time
 	Crashes    []ProcessEvent // of dispatchers
 	Lost       int            // tries without a complete answer in time for which their dispatcher is responsible
-	Excused    int            // tries without an answer whose dispatcher was killed or stopped by the testbed, or closed the connection without forwarding them
+	Excused    int            // tries without an answer whose dispatcher was killed or paused by the testbed, or closed the connection without forwarding them
 }
 
 // Count returns the number of violations by rule; a rule that was kept has 0.
--- a/internal/testbed/overhead.go
+++ b/internal/testbed/overhead.go
@@ -54,7 +54,7 @@
 speed = [1.0, 1.0]
 `
 
-// Overhead sends requests to a stand-in worker, alternately directly and through a dispatcher. It prints the latency and the
+// Overhead sends requests to a fake worker, alternately directly and through a dispatcher. It prints the latency and the
 // throughput of both, the latency that the dispatcher adds, and its CPU time and memory.
 func Overhead(ctx context.Context, w io.Writer, o OverheadOptions) error {
 	requests := loadgen.NewUniformRequests(overheadWork, overheadBody)
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -32,7 +32,7 @@
 	Refused        int     `json:"refused"`
 	Failed         int     `json:"failed"`             // all others: served + refused + failed = requests
 	Lost           int     `json:"lost"`               // tries without a final answer for which a dispatcher is responsible
-	Excused        int     `json:"excused"`            // tries without an answer whose dispatcher was killed or stopped by the testbed, or closed the connection without forwarding them
+	Excused        int     `json:"excused"`            // tries without an answer whose dispatcher was killed or paused by the testbed, or closed the connection without forwarding them
 	Goodput        float64 `json:"goodput"`            // achieved value over requested value
 	GoodputInFault float64 `json:"goodput_in_trouble"` // goodput of the intervals in which a fault was active; 0: there was none
 	Recovery       float64 `json:"recovery_s"`         // seconds from the end of the last fault to recovery; -1: not within the run
@@ -131,7 +131,7 @@
 type TestbedLine struct {
 	LagP99        float64 `json:"lag_p99_ms"` // lag of arrivals or of a periodic timer, whichever is larger
 	LagMax        float64 `json:"lag_max_ms"`
-	MaxThroughput float64 `json:"ceiling_per_s"` // requests per second, sent directly to a stand-in worker; 0: not measured
+	MaxThroughput float64 `json:"ceiling_per_s"` // requests per second, sent directly to a fake worker; 0: not measured
 	Slack         float64 `json:"slack_ms"`      // added by the invariant checker to every time limit
 }
 
--- a/internal/testbed/report/text.go
+++ b/internal/testbed/report/text.go
@@ -109,11 +109,11 @@
 
 // writeTestbed writes the lag and the throughput of the testbed itself, which limit the figures.
 func (r *Report) writeTestbed(t *textTable) {
-	ceiling := ""
+	throughput := ""
 	if r.Testbed.MaxThroughput > 0 {
-		ceiling = fmt.Sprintf("; ceiling %.0f requests/s straight at a worker", r.Testbed.MaxThroughput)
+		throughput = fmt.Sprintf("; ceiling %.0f requests/s straight at a worker", r.Testbed.MaxThroughput)
 	}
-	t.row("the rig", "late by %.1f ms at p99, %.1f at the most%s", r.Testbed.LagP99, r.Testbed.LagMax, ceiling)
+	t.row("the rig", "late by %.1f ms at p99, %.1f at the most%s", r.Testbed.LagP99, r.Testbed.LagMax, throughput)
 }
 
 // writeRules writes the number of violations of each rule.
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -1,5 +1,5 @@
 // Package testbed runs a complete deployment on the loopback interface of one machine: real dispatchers, each in its own
-// process, between stand-in workers, a stand-in discovery and generated clients. It injects faults on a schedule, checks
+// process, between fake workers, a fake discovery service and generated clients. It injects the faults of a scenario, checks
 // the four rules against what clients, workers and discovery observed, and reports the result.
 package testbed
 
@@ -40,7 +40,7 @@
 	Policy            string // name in the report
 	Mutant            string // name in the report
 	Launch            Launch
-	MeasureThroughput bool // measure the throughput of the testbed itself first
+	MeasureThroughput bool // call MeasureThroughput first
 
 	Alongside       func(context.Context, *Environment)      // runs alongside the faults, from the start of the load; its context ends with the load; may be nil
 	AdditionalCheck func(*Environment) []invariant.Violation // checks rules beyond the four; may be nil
--- a/internal/testbed/run_test.go
+++ b/internal/testbed/run_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// loadScenario loads a shipped scenario; a length above 0 replaces its own.
+// loadScenario loads a built-in scenario; a length above 0 replaces its own.
 func loadScenario(t *testing.T, name string, length time.Duration) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Load(name)
--- a/internal/testbed/simulation/catchup.go
+++ b/internal/testbed/simulation/catchup.go
@@ -20,7 +20,7 @@
 // entries, from a snapshot. The links are simulated as for Measure.
 func CatchUp(output io.Writer, entryCounts []int) error {
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "entries behind\tcatch-up s\tmessages of leader and follower\tkB")
+	fmt.Fprintln(table, "entries behind\tcatch-up s\tmessages sent by leader and follower\tkB")
 	for _, entries := range entryCounts {
 		if err := measureCatchUp(table, entries); err != nil {
 			return err
@@ -56,8 +56,8 @@
 		return fmt.Errorf("a follower that was %d entries behind has not caught up after %v", entries, maxMeasuredTicks*tickInterval)
 	}
 	duration := time.Duration(w.tick-start) * tickInterval
-	sent, received := w.result.Costs[follower.index], w.result.Costs[leader.index]
-	fmt.Fprintf(output, "%d\t%.2f\t%d\t%.1f\n", entries, duration.Seconds(), received.Messages+sent.Messages, float64(received.Bytes+sent.Bytes)/1000)
+	followerCost, leaderCost := w.result.Costs[follower.index], w.result.Costs[leader.index]
+	fmt.Fprintf(output, "%d\t%.2f\t%d\t%.1f\n", entries, duration.Seconds(), leaderCost.Messages+followerCost.Messages, float64(leaderCost.Bytes+followerCost.Bytes)/1000)
 	return nil
 }
 
--- a/internal/testbed/simulation/faults.go
+++ b/internal/testbed/simulation/faults.go
@@ -15,7 +15,7 @@
 	Link              FaultKind = "link"   // messages from the member to another one are lost
 	Pause             FaultKind = "stop"   // the member's process is paused
 	PauseAndPartition FaultKind = "asleep" // like Pause, and the member is partitioned for longer than that
-	Kill              FaultKind = "kill"   // the process is killed and restarted at once with its disk
+	KillAndRestart    FaultKind = "kill"   // the process is killed and restarted at once with its disk
 	LoseDisk          FaultKind = "wipe"   // like Kill, with an empty disk if all voters have joined
 	Outage            FaultKind = "down"   // a machine has an outage
 )
@@ -51,7 +51,7 @@
 func RandomFaults(options Options) []Fault {
 	random := rand.New(rand.NewPCG(options.Seed, faultStream))
 	interval := cmp.Or(options.FaultInterval, defaultFaultInterval)
-	kinds := []FaultKind{Partition, Link, Pause, PauseAndPartition, Kill, Kill, Outage}
+	kinds := []FaultKind{Partition, Link, Pause, PauseAndPartition, KillAndRestart, KillAndRestart, Outage}
 	faults := []Fault{}
 	for tick := range options.Ticks {
 		if random.IntN(interval) > 0 {
@@ -66,9 +66,9 @@
 			Ticks:     2 + random.IntN(80),
 		}
 		switch {
-		case fault.Kind == Kill && tick < bootstrapTicks:
+		case fault.Kind == KillAndRestart && tick < bootstrapTicks:
 			continue
-		case fault.Kind == Kill && random.IntN(6) == 0:
+		case fault.Kind == KillAndRestart && random.IntN(6) == 0:
 			fault.Kind = LoseDisk
 		case fault.Kind == PauseAndPartition:
 			fault.Ticks += 20 + random.IntN(120)
--- a/internal/testbed/simulation/injection.go
+++ b/internal/testbed/simulation/injection.go
@@ -41,7 +41,7 @@
 		w.partition(m, BothDirections, until+wakeTicks)
 	case Outage:
 		w.outages = append(w.outages, outage{machine: fault.Other, from: w.tick, until: until})
-	case Kill, LoseDisk:
+	case KillAndRestart, LoseDisk:
 		wipe := fault.Kind == LoseDisk && w.allVotersJoined()
 		if err := m.restart(wipe); err != nil {
 			panic(err)
--- a/internal/testbed/simulation/measure.go
+++ b/internal/testbed/simulation/measure.go
@@ -28,11 +28,11 @@
 var Sizes = []int{3, 5, 9, 30, 100, 300}
 
 // Measure simulates a plan of 12 machines in 3 zones for each group size, without a fault and with a leader that is paused for 10 s, and
-// prints durations and costs. A duration is printed as the median and the maximum over all runs. The links are simulated: messages take
+// prints durations and costs. A duration is printed as the median and the maximum over all histories. The links are simulated: messages take
 // 50 to 100 ms, some longer, and one in 50 is lost.
 func Measure(output io.Writer, sizes []int, runs int) error {
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "members\tvoters\tfault\tnew leader s\tcommitted s\tapplied by all s\tfirst drained s\tplan s\tidle kB/s: leader, other\tidle messages/s\tkB per entry: leader, proposed")
+	fmt.Fprintln(table, "members\tvoters\tfault\tnew leader s\tentry committed s\tapplied by all s\tstart to first drained s\tplan s\tidle kB/s: leader, other\tidle messages/s\tkB per entry: leader, proposed")
 	for _, members := range sizes {
 		for _, fault := range []string{measuredWithoutFault, measuredLeaderPause} {
 			m := &measurement{members: members, voters: measuredVoters(members), fault: fault, runs: runs}
--- a/internal/testbed/throughput.go
+++ b/internal/testbed/throughput.go
@@ -18,7 +18,7 @@
 )
 
 // MeasureThroughput returns the number of requests per second that the testbed itself handles when its clients send directly
-// to a stand-in worker.
+// to a fake worker.
 func MeasureThroughput(ctx context.Context) (float64, error) {
 	w, err := startDirectWorker(loadgen.NewUniformRequests(throughputWork, throughputBody))
 	if err != nil {
--- a/internal/testbed/warming_test.go
+++ b/internal/testbed/warming_test.go
@@ -8,7 +8,7 @@
 	"birchfork/internal/testbed/scenario"
 )
 
-// Guards against a burst being passed on to warming workers (incident 6b9c04). Each dispatcher sent them a share of the arrivals,
+// Guards against a burst being passed on to workers that are warming up (incident 6b9c04). Each dispatcher sent them a share of the arrivals,
 // which assumed that no more arrives than the fleet can run. In rolling replacements with 177 and with 191 dispatchers, workers that
 // had started 7.7 s and 7.2 s before were sent more than their budget and failed. Late lists and workers taken for warmed up were
 // ruled out: all dispatchers had had the workers on their lists for 5 s. With that fault this scenario breaks the rule if there is
