--- a/internal/testbed/cluster/inject.go
+++ b/internal/testbed/cluster/inject.go
@@ -21,7 +21,7 @@
 	diskLossInterval = 12 * time.Second
 
 	// confirmDiskAfter is how long operators wait for a member that cannot tell whether its disk is its most recent one. If another
-	// disk is lost too, too few of three voters remain to tell.
+	// disk is lost too, too few of three voters remain to determine it.
 	confirmDiskAfter = 8 * time.Second
 
 	// confirmDiskInterval is the interval between calls that confirm a disk.
--- a/internal/testbed/fakes/watch.go
+++ b/internal/testbed/fakes/watch.go
@@ -50,7 +50,7 @@
 }
 
 // since returns the changes after an index, or a snapshot if not all of them are kept any more or the index is ahead of the
-// agent's. It also returns the entries whose state the message tells a dispatcher. The lock is held.
+// agent's. It also returns the entries whose state the message conveys to a dispatcher. The lock is held.
 func (a *Agent) since(index uint64) (m listMessage, delivered []entry) {
 	isAhead := index > a.index
 	isCompacted := index < a.index && (len(a.changes) == 0 || a.changes[0].index > index+1)
--- a/internal/testbed/invariant/drains.go
+++ b/internal/testbed/invariant/drains.go
@@ -29,8 +29,8 @@
 		last := lastNotice(notices[route{a.Dispatcher, a.Worker}], processStart, a.First)
 		if last != nil && last.state != Up && a.First > last.at+grace {
 			c.addViolation(Drains, SentAfterDrain, a.First, a.Dispatcher, a.ID,
-				fmt.Sprintf("%s told that worker %s is %s", formatTime(last.at), c.workerName(a.Worker), last.state), c.attemptLine(a),
-				fmt.Sprintf("%.0f ms after it was told; %.0f ms are allowed", (a.First-last.at).Seconds()*1000, c.terms.DrainGrace.Seconds()*1000))
+				fmt.Sprintf("%s notified that worker %s is %s", formatTime(last.at), c.workerName(a.Worker), last.state), c.attemptLine(a),
+				fmt.Sprintf("%.0f ms after it was notified; %.0f ms are allowed", (a.First-last.at).Seconds()*1000, c.terms.DrainGrace.Seconds()*1000))
 		}
 	}
 }
--- a/internal/testbed/loadgen/conn_test.go
+++ b/internal/testbed/loadgen/conn_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// A connection on which bytes arrived while it was idle is not reused, and its last try is told of them.
+// A connection on which bytes arrived while it was idle is not reused, and the bytes are recorded at its last try.
 func TestPool_DropsConnWithExtraBytes(t *testing.T) {
 	var p pool
 	quiet, noisy := dialServer(t, ""), dialServer(t, "x")
