--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -10,19 +10,19 @@
 // Report is the result of one run. It is not safe for concurrent use. Times are in seconds since the start of the load unless
 // the name has another unit.
 type Report struct {
-	Version     int     `json:"version"`
-	Scenario    string  `json:"scenario"`
-	About       string  `json:"about,omitempty"`
-	Seed        uint64  `json:"seed"`
-	Day         string  `json:"day"` // digest of what was generated: requests, workers and faults
-	Policy      string  `json:"policy"`
-	Mutant      string  `json:"planted,omitempty"`
-	Seconds     float64 `json:"seconds"`
-	Rate        float64 `json:"rate"`
-	Load        float64 `json:"load"` // requested work as a share of the capacity
-	Dispatchers int     `json:"dispatchers"`
-	Interrupted bool    `json:"interrupted"`
-	RanLate     bool    `json:"ran_late"` // the testbed itself was late: the figures are unreliable
+	Version        int     `json:"version"`
+	Scenario       string  `json:"scenario"`
+	About          string  `json:"about,omitempty"`
+	Seed           uint64  `json:"seed"`
+	ScheduleDigest string  `json:"day"` // Schedule.Digest: equal for the same requests, workers and faults
+	Policy         string  `json:"policy"`
+	Mutant         string  `json:"planted,omitempty"`
+	Seconds        float64 `json:"seconds"`
+	Rate           float64 `json:"rate"`
+	Load           float64 `json:"load"` // requested work as a share of the capacity
+	Dispatchers    int     `json:"dispatchers"`
+	Interrupted    bool    `json:"interrupted"`
+	RanLate        bool    `json:"ran_late"` // the testbed itself was late: the figures are unreliable
 
 	Requests       int     `json:"requests"` // without retries
 	Tries          int     `json:"tries"`    // requests with their retries
@@ -32,7 +32,7 @@
 	Refused        int     `json:"refused"`
 	Failed         int     `json:"failed"`             // all others: served + refused + failed = requests
 	Lost           int     `json:"lost"`               // tries without a final answer for which a dispatcher is responsible
-	Excused        int     `json:"excused"`            // tries without an answer whose dispatcher was killed or stopped by the testbed, or closed the connection without forwarding them
+	Excused        int     `json:"excused"`            // tries without an answer whose dispatcher was killed or paused by the testbed, or closed the connection without forwarding them
 	Goodput        float64 `json:"goodput"`            // achieved value over requested value
 	GoodputInFault float64 `json:"goodput_in_trouble"` // goodput of the intervals in which a fault was active; 0: there was none
 	Recovery       float64 `json:"recovery_s"`         // seconds from the end of the last fault to recovery; -1: not within the run
@@ -131,7 +131,7 @@
 type TestbedLine struct {
 	LagP99        float64 `json:"lag_p99_ms"` // lag of arrivals or of a periodic timer, whichever is larger
 	LagMax        float64 `json:"lag_max_ms"`
-	MaxThroughput float64 `json:"ceiling_per_s"` // requests per second, sent directly to a stand-in worker; 0: not measured
+	MaxThroughput float64 `json:"ceiling_per_s"` // requests per second, sent directly to a fake worker; 0: not measured
 	Slack         float64 `json:"slack_ms"`      // added by the invariant checker to every time limit
 }
 
--- a/internal/testbed/run_test.go
+++ b/internal/testbed/run_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// loadScenario loads a shipped scenario; a length above 0 replaces its own.
+// loadScenario loads a built-in scenario; a length above 0 replaces its own.
 func loadScenario(t *testing.T, name string, length time.Duration) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Load(name)
@@ -295,7 +295,7 @@
 	if err := r.Save(dir + "/none/r.json"); err == nil {
 		t.Error("no error for a directory that does not exist")
 	}
-	if err := report.Compare(io.Discard, [][2]*report.Report{{r, {Day: "other"}}}, "a", "b"); err == nil {
+	if err := report.Compare(io.Discard, [][2]*report.Report{{r, {ScheduleDigest: "other"}}}, "a", "b"); err == nil {
 		t.Error("no error for results of different workloads")
 	}
 	var out strings.Builder
