--- a/cmd/birchfork/testbed_test.go
+++ b/cmd/birchfork/testbed_test.go
@@ -24,7 +24,7 @@
 		{[]string{"lab", "run", "calm", "--policy", "best"}, "round-robin"},
 		{[]string{"lab", "run", "calm", "--plant", "best"}, "unsafe-twice"},
 		{[]string{"lab", "run", "calm", "--rate=-5"}, "must be above 0"},
-		{[]string{"lab", "run", "calm", "--workers", "20000"}, "more than 10000"},
+		{[]string{"lab", "run", "calm", "--workers", "20000"}, "too many workers: 20000 in total, the maximum is 10000"},
 		{[]string{"lab", "run", "calm", "--group", "--policy", "least"}, "--group makes an operator's file"},
 		{[]string{"lab", "run", "calm", "--group", "--dispatchers", "2"}, "invalid number of dispatchers 2: a group has at least 3"},
 		{[]string{"lab", "show", "nothing"}, "calm"},
