--- a/cmd/birchfork-discovery-agent/main_test.go
+++ b/cmd/birchfork-discovery-agent/main_test.go
@@ -129,7 +129,7 @@
 	if code := <-ended; code != 0 || !strings.HasSuffix(out.String(), "w1 drains\nw1 has left\n") {
 		t.Errorf("register: %d, %q", code, out.String())
 	}
-	if code, _, err := call(t.Context(), "remove", "w1"); code != 1 || !strings.Contains(err, `no worker "w1"`) {
+	if code, _, err := call(t.Context(), "remove", "w1"); code != 1 || !strings.Contains(err, `unknown worker "w1"`) {
 		t.Errorf("remove of a worker that has left: %d, %q", code, err)
 	}
 	stop()
--- a/cmd/birchfork-discovery-agent/workers.go
+++ b/cmd/birchfork-discovery-agent/workers.go
@@ -74,7 +74,7 @@
 
 // notFound returns the error for a worker that is not registered.
 func (r *registry) notFound(name string) error {
-	return fmt.Errorf("no worker %q under %s", name, r.prefix)
+	return fmt.Errorf("unknown worker %q: not registered under %s", name, r.prefix)
 }
 
 type remove struct {
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -98,7 +98,7 @@
 		weightKey := sectionKey("tenant", i) + ".weight"
 		validWeight := section.Weight > 0 && section.Weight <= maxWeight
 		if c.doc.Has(weightKey) && !validWeight {
-			c.addErrorf(weightKey, "invalid value %v: must be above 0 and at most %v", section.Weight, maxWeight)
+			c.addErrorf(weightKey, "invalid value %v: must be greater than 0 and at most %v", section.Weight, maxWeight)
 		}
 	}
 	routeNames := nameChecker{checker: c, section: "route"}
--- a/internal/config/check_platform.go
+++ b/internal/config/check_platform.go
@@ -69,7 +69,7 @@
 func (c *checker) applySlowStartMinFactor(settings *dispatch.Settings) {
 	factor := c.file.Platform.SlowStartMinFactor
 	if factor <= 0 || factor > settings.SlowStartMinFactor {
-		c.addErrorf("platform.cold_from", "invalid value %v: must be above 0 and at most the platform's %v; a larger one could overload a worker that is warming up", factor, settings.SlowStartMinFactor)
+		c.addErrorf("platform.cold_from", "invalid value %v: must be greater than 0 and at most the platform's %v; a larger one could overload a worker that is warming up", factor, settings.SlowStartMinFactor)
 		return
 	}
 	settings.SlowStartMinFactor = factor
--- a/internal/config/decode_test.go
+++ b/internal/config/decode_test.go
@@ -163,7 +163,7 @@
 		{"[default]\npriority = 10", "default.priority: invalid value 10: must be between 0 and 9"},
 		{"[default]\nsecnd_copies = true", "f:2: default.secnd_copies: unknown key: did you mean second_copies?"},
 		{"[[class]]\nname='ticket'", `class[0].name: unknown class "ticket"; the platform has`},
-		{"[[tenant]]\nname='navetta-lago'\nweight=0", "tenant[0].weight: invalid value 0: must be above 0"},
+		{"[[tenant]]\nname='navetta-lago'\nweight=0", "tenant[0].weight: invalid value 0: must be greater than 0"},
 		{r("") + "\n" + r("class='booking'"), `route[1].name: duplicate name "r"`},
 	}
 }
--- a/internal/discoveryagent/config.go
+++ b/internal/discoveryagent/config.go
@@ -89,7 +89,7 @@
 func (c *Config) validate(document *tomlfile.Document) {
 	host, port, err := net.SplitHostPort(c.Listen)
 	if err != nil || port == "" || !isLoopback(host) {
-		document.AddErrorf("listen", "invalid value %q: must be a loopback host:port, such as 127.0.0.1:8500, since the agent serves only the dispatchers on its machine", c.Listen)
+		document.AddErrorf("listen", "invalid address %q: must be a loopback host:port, such as 127.0.0.1:8500, since the agent serves only the dispatchers on its machine", c.Listen)
 	}
 	for _, delay := range []struct {
 		key   string
@@ -104,7 +104,7 @@
 		}
 	}
 	if len(c.Sources) == 0 {
-		document.AddErrorf("source", "missing: at least one [[source]] is required")
+		document.AddErrorf("source", "missing table: at least one [[source]] is required")
 	}
 	for i := range c.Sources {
 		c.Sources[i].validate(document, fmt.Sprintf("source[%d].", i))
@@ -116,7 +116,7 @@
 	switch s.Kind {
 	case KindFile:
 		if s.Path == "" {
-			document.AddErrorf(key+"path", "missing: a file source requires a path")
+			document.AddErrorf(key+"path", "missing value: a file source requires a path")
 		}
 	case KindEtcd:
 		s.validateEtcd(document, key)
@@ -127,11 +127,11 @@
 
 func (s *Source) validateEtcd(document *tomlfile.Document, key string) {
 	if len(s.Endpoints) == 0 {
-		document.AddErrorf(key+"endpoints", "missing: an etcd source requires at least one endpoint, host:port")
+		document.AddErrorf(key+"endpoints", "missing value: an etcd source requires at least one endpoint, host:port")
 	}
 	for i, endpoint := range s.Endpoints {
 		if _, port, err := net.SplitHostPort(endpoint); err != nil || port == "" {
-			document.AddErrorf(fmt.Sprintf("%sendpoints[%d]", key, i), "invalid value %q: must be host:port", endpoint)
+			document.AddErrorf(fmt.Sprintf("%sendpoints[%d]", key, i), "invalid address %q: must be host:port", endpoint)
 		}
 	}
 	isDirectory := strings.HasPrefix(s.Prefix, "/") && strings.HasSuffix(s.Prefix, "/")
--- a/internal/endpointsource/file/list.go
+++ b/internal/endpointsource/file/list.go
@@ -53,7 +53,7 @@
 func (w *worker) endpoint(document *tomlfile.Document, key string) engine.Endpoint {
 	host, port, err := net.SplitHostPort(w.Address)
 	if err != nil || host == "" || port == "" || port == "0" {
-		document.AddErrorf(key+"address", "invalid value %q: must be host:port", w.Address)
+		document.AddErrorf(key+"address", "invalid address %q: must be host:port", w.Address)
 	}
 	validWeight := w.Weight >= 0 // false for NaN as well
 	if !validWeight || w.StartedAtMillis < 0 {
--- a/internal/hotrestart/files.go
+++ b/internal/hotrestart/files.go
@@ -79,7 +79,7 @@
 	case !info.Mode().IsRegular():
 		return nil, errors.New("not a regular file")
 	case info.Size() > maxFileSize:
-		return nil, fmt.Errorf("invalid file size %d: must be at most %d bytes", info.Size(), maxFileSize)
+		return nil, fmt.Errorf("file too large: %d bytes, must be at most %d", info.Size(), maxFileSize)
 	}
 	return os.ReadFile(path)
 }
--- a/internal/server/missingkeys.go
+++ b/internal/server/missingkeys.go
@@ -65,7 +65,7 @@
 		switch {
 		case old[name] == nil || optional:
 		case current[name] == nil:
-			c.add(childPath, "missing; a reload must not omit this key")
+			c.add(childPath, "missing key: a reload must not omit it")
 		default:
 			c.compare(old[name], current[name], childPath, childKey)
 		}
--- a/internal/server/missingkeys_test.go
+++ b/internal/server/missingkeys_test.go
@@ -21,17 +21,17 @@
 		{`,"none":null`, ``, ""},
 		{`{"name":"a","deadline":5,"effect":"free","aim_stretch":1},`, ``, ""}, // a class that is removed
 		{`"zones":["x"]`, `"zones":[]`, ""},
-		{`,"limits":{"cores":1}`, ``, "limits: missing; a reload must not omit this key"},
-		{`"cores":1`, ``, "limits.cores: missing; a reload must not omit this key"},
-		{`"deadline":6,`, ``, "settings.classes.1.deadline: missing; a reload must not omit this key"},
-		{`"effect":"free","aim`, `"aim`, "settings.classes.0.effect: missing; a reload must not omit this key"},
-		{`"effect":"free","aim`, `"effect":null,"aim`, "settings.classes.0.effect: missing; a reload must not omit this key"},
-		{`"attempts_cap":3,`, ``, "settings.policy_limits.attempts_cap: missing; a reload must not omit this key"},
+		{`,"limits":{"cores":1}`, ``, "limits: missing key: a reload must not omit it"},
+		{`"cores":1`, ``, "limits.cores: missing key: a reload must not omit it"},
+		{`"deadline":6,`, ``, "settings.classes.1.deadline: missing key: a reload must not omit it"},
+		{`"effect":"free","aim`, `"aim`, "settings.classes.0.effect: missing key: a reload must not omit it"},
+		{`"effect":"free","aim`, `"effect":null,"aim`, "settings.classes.0.effect: missing key: a reload must not omit it"},
+		{`"attempts_cap":3,`, ``, "settings.policy_limits.attempts_cap: missing key: a reload must not omit it"},
 		{`"policy_limits":{"attempts_cap":3,"cancel":true}`, `"policy_limits":7`, "settings.policy_limits: must be an object"},
 		{`"zones":["x"]`, `"zones":"x"`, "settings.zones: must be a list"},
-		{`,"tick":0.002`, ``, "settings.tick: missing; a reload must not omit this key"},
-		{`"name":"b",`, ``, "settings.classes.1.name: missing; a reload must not omit this key"},
-		{`,"settings":{`, `,"other":{`, "settings: missing; a reload must not omit this key"},
+		{`,"tick":0.002`, ``, "settings.tick: missing key: a reload must not omit it"},
+		{`"name":"b",`, ``, "settings.classes.1.name: missing key: a reload must not omit it"},
+		{`,"settings":{`, `,"other":{`, "settings: missing key: a reload must not omit it"},
 	} {
 		current := strings.Replace(reloadBase, c.old, c.new, 1)
 		if !json.Valid([]byte(current)) || current == reloadBase && c.old != c.new {
--- a/internal/server/platform.go
+++ b/internal/server/platform.go
@@ -122,7 +122,7 @@
 		return &ConfigError{Key: "known", Reason: err.Error(), Err: err}
 	}
 	if malformed > 0 {
-		return configError("known", "%d malformed entries", malformed)
+		return configError("known", "malformed entries: got %d, none are allowed", malformed)
 	}
 	endpoints.Snapshot = true
 	endpoints.Stale = true
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -47,7 +47,7 @@
 	srv.reload()
 	for _, want := range []string{
 		"classes.0.deadline: invalid value 0: must be greater than 0",
-		"settings.classes.0.aim: missing; a reload must not omit this key",
+		"settings.classes.0.aim: missing key: a reload must not omit it",
 	} {
 		if !logged.contains(want) {
 			t.Errorf("the log entry lacks %q", want)
--- a/internal/settings/flatten.go
+++ b/internal/settings/flatten.go
@@ -33,7 +33,7 @@
 	decoder.UseNumber() // keeps numbers as they are written
 	var root map[string]any
 	if err := decoder.Decode(&root); err != nil {
-		return nil, fmt.Errorf("settings: not a JSON object: %w", err)
+		return nil, fmt.Errorf("settings: malformed value: must be a JSON object: %w", err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		return nil, errors.New("settings: unexpected data after the JSON object")
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -102,7 +102,7 @@
 
 // addSyntaxError adds an error of the TOML parser, with its line and key if it reports them.
 func (d *Document) addSyntaxError(err error) {
-	syntaxError := Error{File: d.file, Reason: "invalid TOML: " + strings.TrimPrefix(err.Error(), "toml: ")}
+	syntaxError := Error{File: d.file, Reason: "malformed TOML: " + strings.TrimPrefix(err.Error(), "toml: ")}
 	var decodeError *toml.DecodeError
 	if errors.As(err, &decodeError) {
 		syntaxError.Line, _ = decodeError.Position()
