--- a/cmd/birchfork-discovery-agent/main.go
+++ b/cmd/birchfork-discovery-agent/main.go
@@ -23,7 +23,7 @@
 	Config string `help:"The agent's file, TOML." default:"members.toml" placeholder:"FILE" env:"BIRCHFORK_MEMBERS"`
 
 	Serve    serve    `cmd:"" help:"Follow the sources and publish their list to dispatchers, until SIGTERM."`
-	Check    check    `cmd:"" help:"Check the agent's file and name every fault in it."`
+	Check    check    `cmd:"" help:"Check the agent's file and print every error in it."`
 	Register register `cmd:"" help:"Register a worker in etcd and keep its lease; on SIGTERM it drains, then leaves."`
 	Drain    drain    `cmd:"" help:"Mark a worker as draining in etcd."`
 	Remove   remove   `cmd:"" help:"Remove a worker from etcd."`
--- a/cmd/birchfork-discovery-agent/register.go
+++ b/cmd/birchfork-discovery-agent/register.go
@@ -27,8 +27,8 @@
 	Address  string        `arg:"" help:"Where it listens, host:port."`
 	Zone     string        `help:"Its zone."`
 	Kind     string        `help:"Its kind of machine."`
-	Weight   float64       `help:"Its weight beside those of other workers."`
-	TTL      time.Duration `help:"Time to live of its lease: it leaves when it has not renewed it for so long." default:"10s"`
+	Weight   float64       `help:"Its weight relative to other workers."`
+	TTL      time.Duration `help:"Time to live of its lease; it leaves the list if it does not renew the lease for this long." default:"10s"`
 	DrainFor time.Duration `help:"How long it stays listed as draining after SIGTERM." default:"5s"`
 }
 
--- a/internal/config/build_routes.go
+++ b/internal/config/build_routes.go
@@ -192,7 +192,7 @@
 	}
 }
 
-// newRoute creates a route with a policy in force.
+// newRoute creates a route with the limits and the admission of a policy.
 func newRoute(name string, match routes.Match, policy *effectivePolicy) routes.Route {
 	return routes.Route{Name: name, Match: match, Fallback: noFallback, Limits: routeLimits(policy), Admission: routeAdmission(name, policy)}
 }
--- a/internal/config/check_platform.go
+++ b/internal/config/check_platform.go
@@ -17,8 +17,8 @@
 
 	bytesPerKey         = 200      // approximate size of a rate limit's token bucket
 	bytesPerOpenRequest = 24 << 10 // maximum memory of an open request
-	keysMemoryDivisor   = 8        // token buckets may take the memory divided by this ...
-	openMemoryDivisor   = 2        // ... and open requests the memory divided by this
+	keysMemoryDivisor   = 8        // token buckets may take 1/keysMemoryDivisor of the memory
+	openMemoryDivisor   = 2        // open requests may take 1/openMemoryDivisor of the memory
 )
 
 // applyPlatform narrows the platform's rules, and adds an error for each value that would widen one.
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -38,7 +38,7 @@
 	maxBusyDelay:     1500 * time.Millisecond,
 }
 
-// maxLostRequests is the number of consecutive requests that may fail so that the next one still delivers the list within
+// maxLostRequests is the number of consecutive requests that may fail: the next one must still deliver the list within
 // propagationDeadline.
 const maxLostRequests = 1
 
--- a/internal/endpointsource/etcd/source.go
+++ b/internal/endpointsource/etcd/source.go
@@ -91,7 +91,7 @@
 	return true, s.watch(ctx)
 }
 
-// readRange reads the complete range and delivers it as a complete list.
+// readRange reads all keys under the prefix and delivers them as a complete list.
 func (s *Source) readRange(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
--- a/internal/frontend/conntracker.go
+++ b/internal/frontend/conntracker.go
@@ -11,7 +11,7 @@
 )
 
 // closePollInterval is the poll interval of WaitClosed. It is short compared with the wait itself: clients close a connection some
-// milliseconds after this process.
+// milliseconds after this process has closed it.
 const closePollInterval = time.Millisecond
 
 // ConnTracker owns the client connections and limits their number. Connections are always accepted, since one that waits in the kernel
--- a/internal/frontend/headscanner.go
+++ b/internal/frontend/headscanner.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// maxScannedLine is the number of bytes of a line that are examined. A valid Content-Length needs no longer line.
+// maxScannedLine is the number of bytes of a line that are examined. A line with a valid Content-Length is not longer.
 const maxScannedLine = 128
 
 // headScanner finds the end of a request's head and the framing of its body, incrementally as bytes arrive. It splits lines like net/http,
--- a/internal/frontend/lingeringclose.go
+++ b/internal/frontend/lingeringclose.go
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// endReads records that no further request is read. It counts a request of which part has arrived, and which is not served because net/http
-// rejected it or it is incomplete.
+// endReads records that no further request is read. If part of a request has arrived, it counts that request as interrupted: it is not
+// served, because net/http rejected it or because it is incomplete.
 func (c *clientConn) endReads() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/hotrestart/endpoints.go
+++ b/internal/hotrestart/endpoints.go
@@ -44,8 +44,8 @@
 	return decodeEndpoints(raw, p.name)
 }
 
-// decodeEndpoints decodes the file of the endpoint list. Its errors wrap errUnusableFile, also for
-// the file of a dispatcher with another name.
+// decodeEndpoints decodes the file of the endpoint list. Its errors wrap errUnusableFile, also for the file of a dispatcher with
+// another name.
 func decodeEndpoints(raw []byte, name string) (json.RawMessage, error) {
 	var content endpointsContent
 	if err := json.Unmarshal(raw, &content); err != nil {
--- a/internal/hotrestart/files.go
+++ b/internal/hotrestart/files.go
@@ -25,7 +25,7 @@
 )
 
 // errUnusableFile is the error for a file whose content cannot be used. The next write replaces the file.
-var errUnusableFile = errors.New("truncated, of another format or of another dispatcher")
+var errUnusableFile = errors.New("unusable file: truncated, of another format or of another dispatcher")
 
 // lock prevents other processes from writing until unlock is called. It fails after lockTimeout.
 func (p *Process) lock() (unlock func(), err error) {
--- a/internal/hotrestart/overrides.go
+++ b/internal/hotrestart/overrides.go
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// decodeOverrides decodes the file of overrides. Its errors wrap errUnusableFile, also for the file
-// of a dispatcher with another name.
+// decodeOverrides decodes the file of overrides. Its errors wrap errUnusableFile, also for the file of a dispatcher with another
+// name.
 func decodeOverrides(raw []byte, name string) (Overrides, error) {
 	var content overridesContent
 	if err := json.Unmarshal(raw, &content); err != nil {
--- a/internal/server/config.go
+++ b/internal/server/config.go
@@ -37,7 +37,7 @@
 	Limits           Limits
 	KnownEndpoints   engine.EndpointList // endpoints to start with, until discovery has answered
 	Settings         dispatch.Settings
-	Names            *settings.NameTable    // of classes, tenants, zones and machine types in Settings
+	Names            *settings.NameTable    // of classes, tenants, zones and kinds of machines in Settings
 	MaxOpen          int                    // open requests at a time; 0: no limit
 	Operator         *config.OperatorConfig // nil: there is no operator's file
 	EndpointsPushed  bool                   // endpoint lists are pushed to an agent on this machine, which answers at no cost
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -10,8 +10,8 @@
 
 // Times of a drain, counted from the signal.
 //
-// The platform kills a dispatcher no sooner than this long after the signal: the longest deadline of a class, or maxKillDelay if that is
-// shorter, plus killDelayMargin.
+// The platform waits at least this long after the signal before it kills a dispatcher: the longest deadline of a class, but at most
+// maxKillDelay, plus killDelayMargin.
 const (
 	maxKillDelay    = 3 * time.Second
 	killDelayMargin = 700 * time.Millisecond
--- a/internal/server/missingkeys.go
+++ b/internal/server/missingkeys.go
@@ -17,7 +17,7 @@
 var optionalKeys = []string{"classes.aim_stretch", "known", "seed", "operator"}
 
 // missingKeys returns every key that the old file has and the current one lacks, as joined *ConfigError. This guards against truncated
-// files: at a start a default replaces a missing key, but a reload must not replace a configured value by a default. List members may be
+// files: at a start a default replaces a missing key, but a reload must not replace a configured value by a default. List items may be
 // added and removed, but each needs the keys that all old ones have. Files that are not valid JSON are skipped, as Decode reports them.
 func missingKeys(old, current json.RawMessage) error {
 	var oldValue, currentValue any
@@ -36,7 +36,7 @@
 	c.errs = append(c.errs, &ConfigError{Key: path, Reason: reason})
 }
 
-// compare compares two values at path; key is the path without the indexes of list members.
+// compare compares two values at path; key is the path without the indexes of list items.
 func (c *missingKeysCollector) compare(old, current any, path, key string) {
 	switch old := old.(type) {
 	case map[string]any:
@@ -72,7 +72,7 @@
 	}
 }
 
-// compareLists compares each member of the current list with the keys that all members of the old one have.
+// compareLists checks that each item of the current list has the keys that all items of the old list have.
 func (c *missingKeysCollector) compareLists(old, current []any, path, key string) {
 	common := commonKeys(old)
 	if common == nil {
@@ -91,7 +91,7 @@
 	return path + "." + name
 }
 
-// commonKeys returns the keys that all members of a list of objects have, with the values of the first; nil if the list is empty or a member
+// commonKeys returns the keys that all items of a list of objects have, with the values of the first; nil if the list is empty or an item
 // is not an object.
 func commonKeys(list []any) map[string]any {
 	var common map[string]any
