--- a/internal/testbed/cluster/scenario.go
+++ b/internal/testbed/cluster/scenario.go
@@ -99,7 +99,7 @@
 		if i := slices.IndexFunc(all, func(s Scenario) bool { return s.Name == name }); i >= 0 {
 			return all[i : i+1], nil
 		}
-		return nil, fmt.Errorf("unknown built-in scenario %q: see `birchfork testbed cluster list`; the path of a file must contain a / or .", name)
+		return nil, fmt.Errorf("unknown built-in scenario %q: see `birchfork testbed cluster list`; a path of a file must contain a slash or a dot", name)
 	}
 	raw, err := os.ReadFile(name)
 	if err != nil {
