--- a/deploy/sites/play.sh
+++ b/deploy/sites/play.sh
@@ -4,7 +4,7 @@
 #   deploy/sites/play.sh KIT BENCH SITE [ARGUMENT...]
 #   deploy/sites/play.sh ../given/kit/more/mass/other ../given/kit/more/mass/bin/lbreal night-post score --panel brink --seed 1 --why "..."
 #
-# KIT is a folder with wire.json and unlock.txt, which are not part of the repository. SITE is the name of a site in this folder,
+# KIT is a directory with wire.json and unlock.txt, which are not part of the repository. SITE is the name of a site in this directory,
 # without .toml. real.json holds the protocol's names for these sites.
 set -euo pipefail
 here=$(cd "$(dirname "$0")" && pwd)
